--- /dev/null
+++ b/src/test/java/nettlewick/golden/GoldenFile.java
@@ -0,0 +1,50 @@
+package nettlewick.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+
+/**
+ * Compares what the program produces with a text recorded earlier under {@code src/test/resources/golden}.
+ *
+ * <p>The recorded files hold formats that must not change: bytes on the wire, stored data, printed JSON. They are
+ * written only when the system property {@code golden.record} is {@code true}; a missing file is a failure.
+ */
+public final class GoldenFile {
+    private static final Path FOLDER = Path.of("src/test/resources/golden");
+    private static final int BYTES_PER_LINE = 32;
+
+    private GoldenFile() {}
+
+    /** Fails unless {@code actual} equals the recorded text to the last character. */
+    public static void assertMatches(String name, String actual) {
+        Path file = FOLDER.resolve(name);
+        try {
+            if (Boolean.getBoolean("golden.record")) {
+                Files.createDirectories(file.getParent());
+                Files.writeString(file, actual);
+            }
+            assertEquals(Files.readString(file), actual, "differs from " + file);
+        } catch (IOException e) {
+            throw new AssertionError("golden file " + file + " cannot be read", e);
+        }
+    }
+
+    /** A recorded file or folder, for tests that read stored data of an earlier build. */
+    public static Path recorded(String name) {
+        return FOLDER.resolve(name);
+    }
+
+    /** Bytes as hexadecimal digits, {@value #BYTES_PER_LINE} bytes to a line. */
+    public static String hex(byte[] bytes) {
+        StringBuilder text = new StringBuilder();
+        for (int start = 0; start < bytes.length; start += BYTES_PER_LINE) {
+            int end = Math.min(bytes.length, start + BYTES_PER_LINE);
+            text.append(HexFormat.of().formatHex(bytes, start, end)).append('\n');
+        }
+        return text.toString();
+    }
+}
