--- /dev/null
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -0,0 +1,144 @@
+package nettlewick;
+
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.junit.AnalyzeClasses;
+import com.tngtech.archunit.junit.ArchTest;
+import com.tngtech.archunit.lang.ArchRule;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.SecureRandom;
+import java.time.Clock;
+import java.time.Instant;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** What each package may depend on, and what keeps the decision module pure. */
+@AnalyzeClasses(packages = "nettlewick", importOptions = ImportOption.DoNotIncludeTests.class)
+class ArchitectureTest {
+    private static final String DECISION = "nettlewick.decision..";
+    private static final Path DECISION_SOURCES = Path.of("src/main/java/nettlewick/decision");
+
+    /** Files of the decision module that hold messages, records or collections and decide nothing. */
+    private static final Set<String> DECIDES_NOTHING = Set.of(
+            "ColdStart.java",
+            "Dispatcher.java",
+            "EventLoop.java",
+            "HashRing.java",
+            "Heard.java",
+            "Kept.java",
+            "LoadNote.java",
+            "Neighbours.java",
+            "Outliers.java",
+            "PeerNote.java",
+            "Roll.java",
+            "SharedLoads.java",
+            "State.java",
+            "Tally.java");
+
+    @ArchTest
+    static final ArchRule DECISION_NEEDS_THE_JDK_ALONE = classes()
+            .that()
+            .resideInAPackage(DECISION)
+            .should()
+            .onlyDependOnClassesThat()
+            .resideInAnyPackage(
+                    DECISION,
+                    "java.lang..",
+                    "java.util",
+                    "java.util.function",
+                    "java.util.stream",
+                    "java.nio",
+                    "java.nio.charset");
+
+    @ArchTest
+    static final ArchRule DECISION_DOES_NO_IO = noClasses()
+            .that()
+            .resideInAPackage(DECISION)
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                    "java.io..", "java.net..", "java.nio.file..", "java.nio.channels..", "java.util.logging..");
+
+    @ArchTest
+    static final ArchRule DECISION_READS_NO_CLOCK = noClasses()
+            .that()
+            .resideInAPackage(DECISION)
+            .should()
+            .callMethod(System.class, "nanoTime")
+            .orShould()
+            .callMethod(System.class, "currentTimeMillis")
+            .orShould()
+            .dependOnClassesThat()
+            .belongToAnyOf(Clock.class, Instant.class);
+
+    @ArchTest
+    static final ArchRule DECISION_DRAWS_FROM_ITS_SEED_ALONE = noClasses()
+            .that()
+            .resideInAPackage(DECISION)
+            .should()
+            .callMethod(Math.class, "random")
+            .orShould()
+            .dependOnClassesThat()
+            .belongToAnyOf(Random.class, SecureRandom.class, ThreadLocalRandom.class)
+            .orShould()
+            .callConstructor(SplittableRandom.class);
+
+    @ArchTest
+    static final ArchRule DEPENDENCIES_POINT_DOWN = layeredArchitecture()
+            .consideringOnlyDependenciesInLayers()
+            .layer("cli")
+            .definedBy("nettlewick.cli..")
+            .layer("fronts")
+            .definedBy("nettlewick.sse..", "nettlewick.pcap..")
+            .layer("net")
+            .definedBy("nettlewick.net..")
+            .layer("core")
+            .definedBy("nettlewick.core..")
+            .layer("decision")
+            .definedBy(DECISION)
+            .whereLayer("cli")
+            .mayNotBeAccessedByAnyLayer()
+            .whereLayer("fronts")
+            .mayOnlyBeAccessedByLayers("cli")
+            .whereLayer("net")
+            .mayOnlyBeAccessedByLayers("cli", "fronts")
+            .whereLayer("core")
+            .mayOnlyBeAccessedByLayers("cli", "fronts", "net")
+            .whereLayer("decision")
+            .mayOnlyBeAccessedByLayers("cli", "fronts", "net", "core");
+
+    /** Each file of the module either decides and is named under {@code policy}, or is listed above. */
+    @Test
+    void everyFileThatDecidesIsNamedAsPolicy() throws IOException {
+        Matcher policy =
+                Pattern.compile("(?m)^policy = \\[(.*)]$").matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        assertTrue(policy.find());
+        Set<String> named =
+                new TreeSet<>(List.of(policy.group(1).replace("\"", "").split(", *")));
+        Set<String> deciding;
+        try (Stream<Path> files = Files.list(DECISION_SOURCES)) {
+            deciding = files.filter(
+                            file -> !DECIDES_NOTHING.contains(file.getFileName().toString()))
+                    .filter(file -> !file.endsWith("package-info.java"))
+                    .map(Path::toString)
+                    .collect(Collectors.toCollection(TreeSet::new));
+        }
+        assertEquals(deciding, named);
+    }
+}
