--- a/src/main/java/nettlewick/admin/AdminFront.java
+++ b/src/main/java/nettlewick/admin/AdminFront.java
@@ -28,6 +28,7 @@
     public static final int CALLERS_MOST = 24;
     /** Time for one call, from connecting to the close. */
     private static final long PATIENCE = 4500;
+
     private static final int BODY_MOST = 4096;
     private static final int OK = 200;
     private static final Pattern RUNNER = Pattern.compile("/-/sim-runners/([^/]+)/(disable|enable)");
@@ -41,24 +42,30 @@
     public AdminFront(SocketAddress address, Operations operations) {
         this.address = address;
         this.operations = operations;
-        vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                        .setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
+        vertx = Vertx.vertx(new VertxOptions()
+                .setEventLoopPoolSize(1)
+                .setWorkerPoolSize(1)
+                .setInternalBlockingPoolSize(1)
+                .setFileSystemOptions(
+                        new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
         loop = vertx.getOrCreateContext();
     }
 
     /** Listens; the port that is held comes back. */
     public Future<Integer> listen() {
-        HttpServer server = vertx.createHttpServer(new HttpServerOptions().setTcpNoDelay(true)
-                .setHttp2ClearTextEnabled(false).setMaxHeaderSize(BODY_MOST).setAcceptBacklog(128));
-        server.exceptionHandler(e -> { });
+        HttpServer server = vertx.createHttpServer(new HttpServerOptions()
+                .setTcpNoDelay(true)
+                .setHttp2ClearTextEnabled(false)
+                .setMaxHeaderSize(BODY_MOST)
+                .setAcceptBacklog(128));
+        server.exceptionHandler(e -> {});
         server.connectionHandler(this::opened);
         server.requestHandler(this::read);
         return server.listen(address).map(HttpServer::actualPort);
     }
 
     private void opened(HttpConnection caller) {
-        caller.exceptionHandler(e -> { });
+        caller.exceptionHandler(e -> {});
         if (callers.size() >= CALLERS_MOST) {
             HttpConnection oldest = callers.iterator().next();
             callers.remove(oldest);
@@ -75,7 +82,7 @@
     /** Waits for the call to be whole: half a call must change nothing. */
     private void read(HttpServerRequest request) {
         int[] length = new int[1];
-        request.exceptionHandler(e -> { });
+        request.exceptionHandler(e -> {});
         request.handler(part -> length[0] += part.length());
         request.endHandler(v -> {
             if (length[0] > BODY_MOST) {
@@ -119,13 +126,15 @@
             answer(request, 400, "the id is not percent-encoded\n");
             return;
         }
-        operations.ban(id, out).onComplete(done -> loop.runOnContext(v -> {
-            if (done.failed()) {
-                answer(request, 500, "cannot be stored: " + done.cause().getMessage() + "\n");
-            } else {
-                yes(request, done.result(), 404, "no such sim runner\n");
-            }
-        }));
+        operations
+                .ban(id, out)
+                .onComplete(done -> loop.runOnContext(v -> {
+                    if (done.failed()) {
+                        answer(request, 500, "cannot be stored: " + done.cause().getMessage() + "\n");
+                    } else {
+                        yes(request, done.result(), 404, "no such sim runner\n");
+                    }
+                }));
     }
 
     private static void yes(HttpServerRequest request, boolean yes, int otherwise, String why) {
@@ -135,8 +144,11 @@
     private static void answer(HttpServerRequest request, int status, String text) {
         HttpServerResponse response = request.response();
         if (!response.ended() && !response.closed()) {
-            response.putHeader("Connection", "close").putHeader("Content-Type", "text/plain; charset=utf-8")
-                    .setStatusCode(status).end(text).onComplete(r -> request.connection().close());
+            response.putHeader("Connection", "close")
+                    .putHeader("Content-Type", "text/plain; charset=utf-8")
+                    .setStatusCode(status)
+                    .end(text)
+                    .onComplete(r -> request.connection().close());
         }
     }
 
--- a/src/main/java/nettlewick/admin/FiguresText.java
+++ b/src/main/java/nettlewick/admin/FiguresText.java
@@ -10,8 +10,7 @@
 final class FiguresText {
     private static final String PREFIX = "router.";
 
-    private FiguresText() {
-    }
+    private FiguresText() {}
 
     static String of(Figures.Snapshot figures, Map<String, Number> more) {
         StringBuilder text = new StringBuilder();
@@ -27,8 +26,7 @@
 
     private static void ends(StringBuilder text, String name, List<Long> counts) {
         for (End end : End.values()) {
-            line(text, "operations." + name + '.' + end.name().toLowerCase(Locale.ROOT),
-                    counts.get(end.ordinal()));
+            line(text, "operations." + name + '.' + end.name().toLowerCase(Locale.ROOT), counts.get(end.ordinal()));
         }
     }
 
--- a/src/main/java/nettlewick/cli/Additions.java
+++ b/src/main/java/nettlewick/cli/Additions.java
@@ -11,16 +11,13 @@
 /** What a settings file adds to a dispatcher. Without one, none of its classes is loaded. */
 interface Additions {
     /** No file, nothing added. */
-    Additions NONE = new Additions() {
-    };
+    Additions NONE = new Additions() {};
 
     /** Starts what has to be there before the first job. */
-    default void start(Config config, Clock clock) throws IOException {
-    }
+    default void start(Config config, Clock clock) throws IOException {}
 
     /** Further ways in. */
-    default void fronts(List<Front.Maker> fronts) {
-    }
+    default void fronts(List<Front.Maker> fronts) {}
 
     /** What keeps the books. */
     default Books books() {
@@ -34,10 +31,9 @@
 
     /** Reads the file again; the step that takes it over comes back, so that all or nothing counts. */
     default Runnable reread() {
-        return () -> { };
+        return () -> {};
     }
 
     /** After the last answer. */
-    default void close() {
-    }
+    default void close() {}
 }
--- a/src/main/java/nettlewick/cli/Demo.java
+++ b/src/main/java/nettlewick/cli/Demo.java
@@ -23,8 +23,10 @@
 import nettlewick.sse.EdgeFront;
 import nettlewick.standins.StandIns;
 
-@Parameters(commandNames = "demo", commandDescription =
-        "Run discovery, four sim runners and a dispatcher in one process on loopback, and say how to call it")
+@Parameters(
+        commandNames = "demo",
+        commandDescription =
+                "Run discovery, four sim runners and a dispatcher in one process on loopback, and say how to call it")
 final class Demo implements Command {
     @Parameter(names = "--seconds", description = "End by itself after so long; 0: at Ctrl-C")
     private int seconds;
@@ -59,12 +61,12 @@
             text.put("admin_addr", "127.0.0.1:0");
             Config config = Config.of(new Gson().toJson(text), Map.of());
             Clock clock = Clock.system();
-            LedgerService ledger = new LedgerService(config.name(),
-                    LedgerSettings.of(settings.block("ledger").orElseThrow()), clock, config.seed());
+            LedgerService ledger = new LedgerService(
+                    config.name(), LedgerSettings.of(settings.block("ledger").orElseThrow()), clock, config.seed());
             ledger.start();
             EdgeConfig edge = EdgeConfig.of(settings.block("edge").orElseThrow());
-            Node node = new Node(config, clock, PlatformFront::new, base -> new EdgeFront(base, edge))
-                    .keep(ledger.books());
+            Node node =
+                    new Node(config, clock, PlatformFront::new, base -> new EdgeFront(base, edge)).keep(ledger.books());
             StandIns.get(node.start());
             Thread end = new Thread(() -> end(node, ledger, world, folder), "demo-end");
             Runtime.getRuntime().addShutdownHook(end);
@@ -86,7 +88,11 @@
     }
 
     private static void print(List<Integer> ports, int admin, Path file) {
-        String jar = Path.of(Demo.class.getProtectionDomain().getCodeSource().getLocation().getPath())
+        String jar = Path.of(Demo.class
+                        .getProtectionDomain()
+                        .getCodeSource()
+                        .getLocation()
+                        .getPath())
                 .toString();
         String head = "-H 'X-Class: step-view' -H 'X-Tenant: red' -H 'X-Deadline: 4' -d '{}'";
         System.out.printf("""
--- a/src/main/java/nettlewick/cli/Drill.java
+++ b/src/main/java/nettlewick/cli/Drill.java
@@ -5,8 +5,7 @@
 import nettlewick.sim.WireCodec;
 import nettlewick.sim.WireHost;
 
-@Parameters(commandNames = "drill",
-        commandDescription = "Serve the simulator's wire on standard input and output")
+@Parameters(commandNames = "drill", commandDescription = "Serve the simulator's wire on standard input and output")
 final class Drill implements Command {
     @Override
     public int run() {
--- a/src/main/java/nettlewick/cli/Hangup.java
+++ b/src/main/java/nettlewick/cli/Hangup.java
@@ -10,16 +10,15 @@
 final class Hangup {
     private static final Semaphore CAUGHT = new Semaphore(0);
 
-    private Hangup() {
-    }
+    private Hangup() {}
 
     /** By reflection: the class is in the JDK's supported module, but the compiler warns of its name. */
     static void install() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object release = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, arguments) -> {
+            Object release = Proxy.newProxyInstance(
+                    handler.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
                         CAUGHT.release();
                         return null;
                     });
@@ -32,13 +31,15 @@
 
     /** Runs {@code reread} for each SIGHUP, those before now too; several in a row count as one. */
     static void serve(Runnable reread) {
-        Thread thread = new Thread(() -> {
-            while (true) {
-                CAUGHT.acquireUninterruptibly();
-                CAUGHT.drainPermits();
-                reread.run();
-            }
-        }, "hangup");
+        Thread thread = new Thread(
+                () -> {
+                    while (true) {
+                        CAUGHT.acquireUninterruptibly();
+                        CAUGHT.drainPermits();
+                        reread.run();
+                    }
+                },
+                "hangup");
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/main/java/nettlewick/cli/LabCommand.java
+++ b/src/main/java/nettlewick/cli/LabCommand.java
@@ -10,8 +10,10 @@
 import nettlewick.lab.Lab;
 import nettlewick.settings.BadSettings;
 
-@Parameters(commandNames = "lab", commandDescription = "check FILE, run FILE (a fleet of real processes with"
-        + " faults between them), or compare FOLDER FOLDER")
+@Parameters(
+        commandNames = "lab",
+        commandDescription = "check FILE, run FILE (a fleet of real processes with"
+                + " faults between them), or compare FOLDER FOLDER")
 final class LabCommand implements Command {
     @Parameter(description = "check FILE | run FILE | compare FOLDER FOLDER", required = true)
     private List<String> words = new ArrayList<>();
@@ -24,8 +26,9 @@
         String what = words.get(0);
         boolean two = what.equals("compare");
         if (!List.of("check", "run", "compare").contains(what) || words.size() != (two ? 3 : 2)) {
-            throw new Misuse(Main.MISUSED, "lab: expected check FILE, run FILE or compare FOLDER FOLDER, got "
-                    + String.join(" ", words));
+            throw new Misuse(
+                    Main.MISUSED,
+                    "lab: expected check FILE, run FILE or compare FOLDER FOLDER, got " + String.join(" ", words));
         }
         try {
             Path first = Path.of(words.get(1));
--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -16,9 +16,11 @@
 import nettlewick.ledger.Statement;
 import nettlewick.settings.Block;
 
-@Parameters(commandNames = "ledger", commandDescription =
-        "statement [PERIOD] | close PERIOD | correct ENTRY SLOT-MS | export [NAME] | reconcile | verify | "
-        + "archive PERIOD FILE | restore PERIOD [FILE]")
+@Parameters(
+        commandNames = "ledger",
+        commandDescription =
+                "statement [PERIOD] | close PERIOD | correct ENTRY SLOT-MS | export [NAME] | reconcile | verify | "
+                        + "archive PERIOD FILE | restore PERIOD [FILE]")
 final class LedgerCommand implements Command {
     @Parameter(description = "what to do", required = true)
     private List<String> words = new ArrayList<>();
@@ -42,8 +44,9 @@
 
     @Override
     public int run() {
-        Block block = SettingsCommand.read(file).block("ledger").orElseThrow(
-                () -> new Misuse(Main.MISUSED, file + ": has no block ledger"));
+        Block block = SettingsCommand.read(file)
+                .block("ledger")
+                .orElseThrow(() -> new Misuse(Main.MISUSED, file + ": has no block ledger"));
         Desk desk = new Desk(LedgerSettings.of(block), Clock.system());
         try {
             return switch (words.get(0)) {
@@ -53,10 +56,17 @@
                 case "export" -> export(desk, word(1, 2));
                 case "reconcile" -> reconcile(desk);
                 case "verify" -> verify(desk);
-                case "archive" -> moved("archived", needed(1, 3, "PERIOD FILE"), desk.archive(
-                        needed(1, 3, "PERIOD FILE"), Path.of(needed(2, 3, "PERIOD FILE"))));
-                case "restore" -> moved("restored", needed(1, 3, "PERIOD [FILE]"), desk.restore(
-                        needed(1, 3, "PERIOD [FILE]"), word(2, 3) == null ? null : Path.of(word(2, 3))));
+                case "archive" ->
+                    moved(
+                            "archived",
+                            needed(1, 3, "PERIOD FILE"),
+                            desk.archive(needed(1, 3, "PERIOD FILE"), Path.of(needed(2, 3, "PERIOD FILE"))));
+                case "restore" ->
+                    moved(
+                            "restored",
+                            needed(1, 3, "PERIOD [FILE]"),
+                            desk.restore(
+                                    needed(1, 3, "PERIOD [FILE]"), word(2, 3) == null ? null : Path.of(word(2, 3))));
                 default -> throw new Misuse(Main.MISUSED, "ledger: no such call: " + words.get(0));
             };
         } catch (Desk.Refused e) {
@@ -69,8 +79,7 @@
 
     private String word(int at, int most) {
         if (words.size() > most) {
-            throw new Misuse(Main.MISUSED, "ledger " + words.get(0) + ": too many words: " + String.join(" ",
-                    words));
+            throw new Misuse(Main.MISUSED, "ledger " + words.get(0) + ": too many words: " + String.join(" ", words));
         }
         return words.size() > at ? words.get(at) : null;
     }
@@ -93,39 +102,71 @@
     }
 
     private int statement(Desk desk, String period) throws Desk.Refused {
-        List<Statement> statements = desk.statements(period).stream().map(this::ofMember).toList();
+        List<Statement> statements =
+                desk.statements(period).stream().map(this::ofMember).toList();
         StringBuilder text = new StringBuilder();
         for (Statement s : statements) {
-            text.append("period ").append(s.period()).append(s.closed() ? ", closed\n"
-                    : ", open at " + (s.open().isEmpty() ? "nobody" : String.join(", ", s.open())) + "\n");
-            Table rows = new Table("member", "class", "served", "refused", "failed", "left", "billed slot-ms",
-                    "estimated", "spare", "in doubt", "repeats");
-            s.rows().forEach(r -> rows.row(r.member(), r.jobClass(), r.served(), r.refused(), r.failed(),
-                    r.left(),
-                    millis(r.billed()), millis(r.estimated()), millis(r.spare()), r.doubts(), r.repeats()));
+            text.append("period ")
+                    .append(s.period())
+                    .append(
+                            s.closed()
+                                    ? ", closed\n"
+                                    : ", open at " + (s.open().isEmpty() ? "nobody" : String.join(", ", s.open()))
+                                            + "\n");
+            Table rows = new Table(
+                    "member",
+                    "class",
+                    "served",
+                    "refused",
+                    "failed",
+                    "left",
+                    "billed slot-ms",
+                    "estimated",
+                    "spare",
+                    "in doubt",
+                    "repeats");
+            s.rows()
+                    .forEach(r -> rows.row(
+                            r.member(),
+                            r.jobClass(),
+                            r.served(),
+                            r.refused(),
+                            r.failed(),
+                            r.left(),
+                            millis(r.billed()),
+                            millis(r.estimated()),
+                            millis(r.spare()),
+                            r.doubts(),
+                            r.repeats()));
             text.append(rows);
             Table late = new Table("found after the close of", "member", "class", "entries", "slot-ms");
-            s.late().forEach(l -> late.row(l.closed(), l.member(), l.jobClass(), l.entries(),
-                    millis(l.work())));
+            s.late().forEach(l -> late.row(l.closed(), l.member(), l.jobClass(), l.entries(), millis(l.work())));
             text.append(late.empty() ? "" : "\n" + late);
             Table gaps = new Table("gap", "from", "to", "jobs not entered");
             s.gaps().forEach(g -> gaps.row(g.ref(), g.from(), g.to(), g.jobs()));
             text.append(gaps.empty() ? "" : "\n" + gaps);
             Table voided = new Table("correction", "of", "does not count, since");
             s.voided().forEach(v -> voided.row(v.ref(), v.target(), v.why()));
-            text.append(voided.empty() ? "" : "\n" + voided).append("billed in all: ")
+            text.append(voided.empty() ? "" : "\n" + voided)
+                    .append("billed in all: ")
                     .append(millis(s.billed()))
                     .append(" slot-ms\n\n");
         }
-        say(Map.of("statements", statements), text.length() == 0 ? "nothing is entered yet\n"
-                : text.toString());
+        say(Map.of("statements", statements), text.length() == 0 ? "nothing is entered yet\n" : text.toString());
         return 0;
     }
 
     private Statement ofMember(Statement s) {
-        return member == null ? s : new Statement(s.period(), s.closed(), s.open(),
-                s.rows().stream().filter(r -> r.member().equals(member)).toList(),
-                s.late().stream().filter(l -> l.member().equals(member)).toList(), s.gaps(), s.voided());
+        return member == null
+                ? s
+                : new Statement(
+                        s.period(),
+                        s.closed(),
+                        s.open(),
+                        s.rows().stream().filter(r -> r.member().equals(member)).toList(),
+                        s.late().stream().filter(l -> l.member().equals(member)).toList(),
+                        s.gaps(),
+                        s.voided());
     }
 
     private int close(Desk desk, String period) throws Desk.Refused, InterruptedException {
@@ -139,12 +180,12 @@
         try {
             work = new BigDecimal(value).multiply(MICROS).longValueExact();
         } catch (ArithmeticException | NumberFormatException e) {
-            throw new Misuse(Main.MISUSED, "the new value is " + value
-                    + ", but has to be slot-milliseconds with three decimals at most");
+            throw new Misuse(
+                    Main.MISUSED,
+                    "the new value is " + value + ", but has to be slot-milliseconds with three decimals at most");
         }
         String ref = desk.correct(entry, work, by, reason).toString();
-        say(Map.of("correction", ref, "target", entry), "correction " + ref + " of " + entry
-                + " is entered\n");
+        say(Map.of("correction", ref, "target", entry), "correction " + ref + " of " + entry + " is entered\n");
         return 0;
     }
 
@@ -167,8 +208,11 @@
         boolean[] failed = new boolean[1];
         desk.reconcile().forEach((peer, r) -> {
             said.put(peer, r);
-            table.row(peer, r.entries(), r.origins(), r.forks().isEmpty() ? "none" : String.join("; ",
-                    r.forks()),
+            table.row(
+                    peer,
+                    r.entries(),
+                    r.origins(),
+                    r.forks().isEmpty() ? "none" : String.join("; ", r.forks()),
                     r.faults().isEmpty() ? "none" : String.join("; ", r.faults()));
             failed[0] |= !r.forks().isEmpty() || !r.faults().isEmpty();
         });
@@ -178,14 +222,14 @@
 
     private int verify(Desk desk) throws Desk.Refused {
         List<String> faults = desk.verify();
-        say(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults)
-                + "\n");
+        say(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults) + "\n");
         return faults.isEmpty() ? 0 : Main.FAILED;
     }
 
     private int moved(String what, String period, long entries) {
-        say(Map.of(what, period, "entries", entries), "period " + period + " is " + what + ": " + entries
-                + " entries\n");
+        say(
+                Map.of(what, period, "entries", entries),
+                "period " + period + " is " + what + ": " + entries + " entries\n");
         return 0;
     }
 }
--- a/src/main/java/nettlewick/cli/Main.java
+++ b/src/main/java/nettlewick/cli/Main.java
@@ -11,8 +11,9 @@
     static final int FAILED = 1;
     /** Exit code for a command line or a configuration that is not in order. */
     static final int MISUSED = 2;
-    private static final List<String> NAMES = List.of("serve", "drill", "replay", "demo", "ledger",
-            "settings", "lab", "version", "warm");
+
+    private static final List<String> NAMES =
+            List.of("serve", "drill", "replay", "demo", "ledger", "settings", "lab", "version", "warm");
 
     /** Asked for before a command or after it. */
     private static final class Help {
@@ -20,8 +21,7 @@
         private boolean asked;
     }
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         Hangup.install();
@@ -53,7 +53,8 @@
     /** Runs one command; the exit code comes back. */
     static int run(String... args) {
         Help help = new Help();
-        JCommander.Builder builder = JCommander.newBuilder().programName("nettlewick").addObject(help);
+        JCommander.Builder builder =
+                JCommander.newBuilder().programName("nettlewick").addObject(help);
         for (String name : names(args.length == 0 ? "" : args[0])) {
             builder.addCommand(name, List.of(command(name), help));
         }
@@ -72,7 +73,8 @@
             line.usage();
             return help.asked ? 0 : MISUSED;
         }
-        Command command = (Command) line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
+        Command command = (Command)
+                line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
         try {
             return command.run();
         } catch (Misuse e) {
--- a/src/main/java/nettlewick/cli/Replay.java
+++ b/src/main/java/nettlewick/cli/Replay.java
@@ -14,7 +14,8 @@
 import nettlewick.pcap.Capture;
 import nettlewick.pcap.ReplayFront;
 
-@Parameters(commandNames = "replay",
+@Parameters(
+        commandNames = "replay",
         commandDescription = "Send the requests of a capture file at their recorded spacing")
 final class Replay implements Command {
     @Parameter(description = "FILE", required = true)
@@ -35,8 +36,8 @@
                 made.complete(front);
                 return front;
             });
-            Future<ReplayFront.Summary> done = node.start().compose(v -> made.future())
-                    .compose(ReplayFront::done);
+            Future<ReplayFront.Summary> done =
+                    node.start().compose(v -> made.future()).compose(ReplayFront::done);
             System.out.println(done.toCompletionStage().toCompletableFuture().get());
             node.close();
             return 0;
--- a/src/main/java/nettlewick/cli/Serve.java
+++ b/src/main/java/nettlewick/cli/Serve.java
@@ -24,8 +24,7 @@
 
 @Parameters(commandNames = "serve", commandDescription = "Run one real dispatcher, as $ROUTER_CONFIG tells")
 final class Serve implements Command {
-    @Parameter(names = "--settings", description =
-            "File with settings of our own: further fronts, logs, ledger")
+    @Parameter(names = "--settings", description = "File with settings of our own: further fronts, logs, ledger")
     private String settingsFile;
 
     @Parameter(names = "--capture", description = "File that the traffic served is written to, as pcap")
@@ -34,8 +33,10 @@
     @Parameter(names = "--capture-mb", description = "Most megabytes of that file")
     private int captureMost = 16;
 
-    @Parameter(names = "--clock-ahead", hidden = true, description =
-            "Milliseconds by which this process's clock is off, for the lab")
+    @Parameter(
+            names = "--clock-ahead",
+            hidden = true,
+            description = "Milliseconds by which this process's clock is off, for the lab")
     private long clockAhead;
 
     private static final Part LOG = Part.of("node");
@@ -60,13 +61,17 @@
             throw new Misuse(Main.FAILED, "cannot start: " + e.getMessage());
         }
         Node node = new Node(config, clock, succession(config, clock), fronts.toArray(Front.Maker[]::new))
-                .keep(more.books()).tell(more.witness());
+                .keep(more.books())
+                .tell(more.witness());
         // Danger: by itself the JVM ends on SIGTERM with code 143; what was taken is answered first, then 0.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            node.shutDown();
-            more.close();
-            Runtime.getRuntime().halt(0);
-        }, "shutdown"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            node.shutDown();
+                            more.close();
+                            Runtime.getRuntime().halt(0);
+                        },
+                        "shutdown"));
         Hangup.serve(() -> reread(node, more));
         try {
             node.start().toCompletionStage().toCompletableFuture().get(START_SECONDS, TimeUnit.SECONDS);
@@ -82,9 +87,12 @@
     /** Tells this process from others of the same dispatcher; null where that cannot be told. */
     private static Succession succession(Config config, Clock clock) {
         try {
-            return config.listen().port() == 0 ? null : new Succession(
-                    Path.of(System.getProperty("java.io.tmpdir")),
-                    config.name() + "-" + config.listen().port(), (long) clock.now());
+            return config.listen().port() == 0
+                    ? null
+                    : new Succession(
+                            Path.of(System.getProperty("java.io.tmpdir")),
+                            config.name() + "-" + config.listen().port(),
+                            (long) clock.now());
         } catch (UncheckedIOException e) {
             LOG.warning("no-upgrade", "no upgrade beside a living process: " + e.getMessage());
             return null;
--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -11,7 +11,8 @@
 import nettlewick.settings.Reference;
 import nettlewick.settings.Settings;
 
-@Parameters(commandNames = "settings",
+@Parameters(
+        commandNames = "settings",
         commandDescription = "check FILE, show FILE (what is in force), or print the reference")
 final class SettingsCommand implements Command {
     @Parameter(description = "check FILE | show FILE | reference", required = true)
@@ -25,8 +26,9 @@
             return 0;
         }
         if (!List.of("check", "show").contains(what) || words.size() != 2) {
-            throw new Misuse(Main.MISUSED, "settings: expected check FILE, show FILE or reference, got "
-                    + String.join(" ", words));
+            throw new Misuse(
+                    Main.MISUSED,
+                    "settings: expected check FILE, show FILE or reference, got " + String.join(" ", words));
         }
         Settings settings = read(words.get(1));
         System.out.print(what.equals("show") ? settings.show() : words.get(1) + " is in order\n");
--- a/src/main/java/nettlewick/cli/SettingsFile.java
+++ b/src/main/java/nettlewick/cli/SettingsFile.java
@@ -56,8 +56,7 @@
         if (first.block("duty").isPresent()) {
             Map<String, Charge> charges = Map.of();
             if (first.block("pools").isPresent()) {
-                pools = new PoolsService(first.block("pools").get(), config.settings(), clock,
-                        config.seed());
+                pools = new PoolsService(first.block("pools").get(), config.settings(), clock, config.seed());
                 charges = pools.charges();
             }
             duties = DutyService.start(DutySettings.of(first.block("duty").get()), charges);
@@ -68,8 +67,7 @@
 
     @Override
     public void fronts(List<Front.Maker> fronts) {
-        first.block("edge").map(EdgeConfig::of).ifPresent(edge -> fronts.add(base -> new EdgeFront(base,
-                edge)));
+        first.block("edge").map(EdgeConfig::of).ifPresent(edge -> fronts.add(base -> new EdgeFront(base, edge)));
     }
 
     @Override
@@ -85,8 +83,9 @@
     @Override
     public Runnable reread() {
         Settings next = SettingsCommand.whole(Settings.read(Path.of(file)));
-        Runnable pooled = pools == null ? () -> { } : next.block("pools").map(pools::reread)
-                .orElse(() -> { });
+        Runnable pooled = pools == null
+                ? () -> {}
+                : next.block("pools").map(pools::reread).orElse(() -> {});
         return () -> {
             LogSetup.apply(next.block("log"));
             if (ledger != null) {
@@ -94,8 +93,7 @@
             }
             pooled.run();
             List<String> stay = first.needRestart(next);
-            LOG.info("settings-reread", "settings reread"
-                    + (stay.isEmpty() ? "" : "; only a restart changes " + stay));
+            LOG.info("settings-reread", "settings reread" + (stay.isEmpty() ? "" : "; only a restart changes " + stay));
         };
     }
 
--- a/src/main/java/nettlewick/cli/Warm.java
+++ b/src/main/java/nettlewick/cli/Warm.java
@@ -20,6 +20,7 @@
               "classes":[{"name":"c","repeat":"retryable","aim":1000000,"deadline":1000000000}],
               "ceilings":{"attempts_cap":2,"probes":true},
               "rules":{"cold":1,"cold_share":0.5,"overload_factor":3}}}""";
+
     private static final int SECONDS = 20;
 
     @Override
--- a/src/main/java/nettlewick/contention/Counters.java
+++ b/src/main/java/nettlewick/contention/Counters.java
@@ -20,6 +20,7 @@
     private static final double WAITED = 0.25;
     /** So many members, and so many sim runners, those seen last, go into a word. */
     private static final int MEMBERS_MOST = 16;
+
     private static final int RUNNERS_MOST = 32;
     /** So many sim runners are remembered: those of months of releases would add up. */
     private static final int KEPT_MOST = 1024;
@@ -44,6 +45,7 @@
     private final Map<String, Sums> members = new HashMap<>();
     /** How long a job of a class runs, where no hint tells: the mean of those seen. */
     private final Map<String, double[]> runs = new HashMap<>();
+
     private long events;
 
     public Counters(List<JobClass> classes) {
@@ -74,8 +76,7 @@
         Runner at = runners.computeIfAbsent(a.worker(), w -> new Runner());
         at.seen = ++events;
         if (runners.size() > KEPT_MOST) {
-            runners.remove(Collections.min(runners.entrySet(), Comparator.comparingLong(e -> e.getValue()
-                    .seen))
+            runners.remove(Collections.min(runners.entrySet(), Comparator.comparingLong(e -> e.getValue().seen))
                     .getKey());
         }
         Sums here = at.members.computeIfAbsent(String.valueOf(r.tenant()), m -> new Sums());
@@ -92,8 +93,9 @@
                 all.hinted += r.hint();
             }
         }
-        boolean harmed = result == Result.FULL || !began && (result == Result.TIMEOUT || result
-                == Result.CANCELLED) || began && a.waited() > WAITED * aims.getOrDefault(r.jobClass(), 1e9);
+        boolean harmed = result == Result.FULL
+                || !began && (result == Result.TIMEOUT || result == Result.CANCELLED)
+                || began && a.waited() > WAITED * aims.getOrDefault(r.jobClass(), 1e9);
         if (harmed || result == Result.SERVED) {
             here.ended++;
             here.harmed += harmed ? 1 : 0;
@@ -112,22 +114,31 @@
 
     private synchronized Word word(String member, int membersMost, int runnersMost) {
         Map<Integer, Long> asked = new LinkedHashMap<>();
-        members.entrySet().stream().sorted(Comparator.comparingDouble(e -> -e.getValue().asked))
-                .limit(membersMost).forEach(e -> asked.put(mark(e.getKey()), Math.round(e.getValue()
-                        .asked)));
+        members.entrySet().stream()
+                .sorted(Comparator.comparingDouble(e -> -e.getValue().asked))
+                .limit(membersMost)
+                .forEach(e -> asked.put(mark(e.getKey()), Math.round(e.getValue().asked)));
         asked.computeIfAbsent(mark(member), m -> Math.round(sums(member).asked));
         Map<Integer, Word.At> at = new LinkedHashMap<>();
-        runners.entrySet().stream().sorted(Comparator.comparingLong(e -> -e.getValue().seen))
+        runners.entrySet().stream()
+                .sorted(Comparator.comparingLong(e -> -e.getValue().seen))
                 .limit(runnersMost)
                 .forEach(e -> at.put(mark(e.getKey()), at(e.getValue(), member)));
-        return new Word(Math.round(members.values().stream().mapToDouble(s -> s.asked).sum()), asked,
-                others(member, s -> Math.round(s.ran)), others(member, s -> Math.round(s.hinted)), at,
-                Quiet.NONE, false);
+        return new Word(
+                Math.round(members.values().stream().mapToDouble(s -> s.asked).sum()),
+                asked,
+                others(member, s -> Math.round(s.ran)),
+                others(member, s -> Math.round(s.hinted)),
+                at,
+                Quiet.NONE,
+                false);
     }
 
     private long others(String member, ToLongFunction<Sums> what) {
-        return members.entrySet().stream().filter(e -> !e.getKey().equals(member))
-                .mapToLong(e -> what.applyAsLong(e.getValue())).sum();
+        return members.entrySet().stream()
+                .filter(e -> !e.getKey().equals(member))
+                .mapToLong(e -> what.applyAsLong(e.getValue()))
+                .sum();
     }
 
     private static Word.At at(Runner runner, String member) {
--- a/src/main/java/nettlewick/contention/Evidence.java
+++ b/src/main/java/nettlewick/contention/Evidence.java
@@ -17,6 +17,7 @@
 public final class Evidence {
     /** Windows that a verdict looks at, and how many of them have to show a member over its share. */
     static final int WINDOWS = 6;
+
     private static final int SUSTAINED = 4;
     /** Over its share by this factor. */
     private static final double OVER = 1.25;
@@ -24,6 +25,7 @@
     private static final int LEAST = 20;
     /** How often others may be harmed by chance or at any time, and the level of the test. */
     static final double HARMED = 0.05;
+
     private static final double TWICE = 2;
     private static final double LEVEL = 0.01;
     /** Others' jobs that run so much longer against their hints are slowed by something else. */
@@ -40,7 +42,7 @@
     private static final class View {
         Word sum = Word.NOTHING;
         int over;
-        }
+    }
 
     /**
      * What a window came to.
@@ -49,8 +51,7 @@
      * @param over  whether it asked for more than its share in this one
      * @param part  its part of all work asked for in this one
      */
-    public record Finding(boolean noisy, boolean over, double part) {
-    }
+    public record Finding(boolean noisy, boolean over, double part) {}
 
     private final int member;
     private final double share;
@@ -58,10 +59,12 @@
     private final Map<Integer, Teller> tellers = new HashMap<>();
     /** The number of the window that is open. */
     private long open = WINDOWS;
+
     private Quiet quiet = Quiet.NONE;
     private int alarms;
     /** Marks of the other members that are apart, and of their runners. */
     private final Set<Integer> others = new HashSet<>();
+
     private final Set<Integer> elsewhere = new HashSet<>();
 
     /** @param shares of all members, by name; they add up to one or less */
@@ -163,7 +166,8 @@
 
     private boolean holds(List<Map<Integer, Word>> windows, int without) {
         quiet = Quiet.NONE;
-        tellers.forEach((from, t) -> quiet = from == without || t.counted.isEmpty() ? quiet
+        tellers.forEach((from, t) -> quiet = from == without || t.counted.isEmpty()
+                ? quiet
                 : quiet.plus(t.counted.lastEntry().getValue().quiet()));
         View v = new View();
         for (Map<Integer, Word> window : windows) {
@@ -171,9 +175,7 @@
             v.sum = v.sum.plus(sum);
             v.over += over(sum, member, share) ? 1 : 0;
         }
-        return v.over >= SUSTAINED && worth(v.sum, member, shares, others) && attributable(v.sum)
-                && !slowed(v
-                .sum);
+        return v.over >= SUSTAINED && worth(v.sum, member, shares, others) && attributable(v.sum) && !slowed(v.sum);
     }
 
     /**
@@ -184,14 +186,14 @@
     static boolean worth(Word sum, int member, Map<Integer, Double> shares, Set<Integer> apart) {
         double beyond = 0;
         for (int other : sum.asked().keySet()) {
-            beyond += apart.contains(other) ? 0 : Math.max(0, part(sum, other)
-                    - shares.getOrDefault(other, 0.0));
+            beyond += apart.contains(other) ? 0 : Math.max(0, part(sum, other) - shares.getOrDefault(other, 0.0));
         }
         return part(sum, member) - shares.getOrDefault(member, 0.0) >= WORTH * beyond;
     }
 
     private boolean slowed(Word sum) {
-        return quiet.hinted() > 0 && sum.hinted() > 0
+        return quiet.hinted() > 0
+                && sum.hinted() > 0
                 && sum.ran() / (double) sum.hinted() > SLOWED * quiet.ran() / quiet.hinted();
     }
 
@@ -215,8 +217,10 @@
             rest = quiet.others();
             harmedRest = quiet.harmed();
         }
-        if (with < LEAST || rest < LEAST || harmedWith < HARMED * with || harmedWith / (double) with < TWICE
-                * harmedRest / rest) {
+        if (with < LEAST
+                || rest < LEAST
+                || harmedWith < HARMED * with
+                || harmedWith / (double) with < TWICE * harmedRest / rest) {
             return false;
         }
         int restAll = (int) Math.min(Integer.MAX_VALUE / 4, Math.round(rest));
@@ -225,6 +229,7 @@
         int withHarmed = (int) Math.min(withAll, harmedWith);
         // Fisher's exact test, one side: the chance of so many harmed among these, were all alike.
         return HypergeometricDistribution.of(restAll + withAll, restHarmed + withHarmed, withAll)
-                .survivalProbability(withHarmed - 1) < LEVEL;
+                        .survivalProbability(withHarmed - 1)
+                < LEVEL;
     }
 }
--- a/src/main/java/nettlewick/contention/Move.java
+++ b/src/main/java/nettlewick/contention/Move.java
@@ -11,7 +11,11 @@
 public record Move(Step step, List<String> runners, int returns) {
     /** Where others' and the member's jobs may go; see docs/pools.md. */
     public enum Step {
-        NONE, RESERVE, CLEAR, OPEN, CLOSE;
+        NONE,
+        RESERVE,
+        CLEAR,
+        OPEN,
+        CLOSE;
 
         /** Whether others keep away from the pool. */
         public boolean shut() {
--- a/src/main/java/nettlewick/contention/Mover.java
+++ b/src/main/java/nettlewick/contention/Mover.java
@@ -35,8 +35,7 @@
      * @param clear  how long work in hand has to end
      * @param stay   how long it has kept to its share before it comes back
      */
-    public record Terms(double share, double part, double settle, double come, double clear, double stay) {
-    }
+    public record Terms(double share, double part, double settle, double come, double clear, double stay) {}
 
     /**
      * What a holder knows at this moment.
@@ -45,8 +44,7 @@
      * @param taken held by other members' pools
      * @param whole whether all runners that were asked for are there
      */
-    public record View(Map<String, Reserve.Runner> ready, Set<String> taken, boolean whole) {
-    }
+    public record View(Map<String, Reserve.Runner> ready, Set<String> taken, boolean whole) {}
 
     private final String member;
     private Step step;
@@ -74,11 +72,11 @@
             since = now;
             forgivenAt = now;
         }
-        List<String> pool = Reserve.pick(member, view.ready(), m.runners(), view.taken(), terms.share(), terms
-                .part());
+        List<String> pool = Reserve.pick(member, view.ready(), m.runners(), view.taken(), terms.share(), terms.part());
         boolean wanted = will == Will.POOL || will == Will.NONE && noisy;
-        boolean kept = will == Will.POOL || will == Will.NONE && now - Math.max(overAt, since) < terms.stay()
-                * (1 << Math.min(DOUBLED_MOST, m.returns()));
+        boolean kept = will == Will.POOL
+                || will == Will.NONE
+                        && now - Math.max(overAt, since) < terms.stay() * (1 << Math.min(DOUBLED_MOST, m.returns()));
         switch (m.step()) {
             case NONE -> {
                 if (wanted && !pool.isEmpty()) {
--- a/src/main/java/nettlewick/contention/Quiet.java
+++ b/src/main/java/nettlewick/contention/Quiet.java
@@ -22,8 +22,10 @@
             return this;
         }
         Word.At all = news.everywhere();
-        return new Quiet(others * FADES + all.others(), harmed * FADES + all.harmed(), ran * FADES
-                + news.ran(),
+        return new Quiet(
+                others * FADES + all.others(),
+                harmed * FADES + all.harmed(),
+                ran * FADES + news.ran(),
                 hinted * FADES + news.hinted());
     }
 
@@ -32,8 +34,7 @@
     }
 
     boolean good() {
-        return others >= harmed && harmed >= 0 && ran >= 0 && hinted >= 0 && Double.isFinite(others + ran
-                + hinted);
+        return others >= harmed && harmed >= 0 && ran >= 0 && hinted >= 0 && Double.isFinite(others + ran + hinted);
     }
 
     void put(ByteBuffer to) {
--- a/src/main/java/nettlewick/contention/Reserve.java
+++ b/src/main/java/nettlewick/contention/Reserve.java
@@ -16,14 +16,12 @@
  */
 public final class Reserve {
     /** A runner that is ready, and whether it was added for a member (null: it is for all). */
-    public record Runner(String name, String zone, String kind, String addedFor) {
-    }
+    public record Runner(String name, String zone, String kind, String addedFor) {}
 
     /** So many common runners at most: their names are part of a duty's state, which is short. */
     private static final int MOST = 150;
 
-    private Reserve() {
-    }
+    private Reserve() {}
 
     /**
      * @param had   the pool as it is: what of it is still ready stays
@@ -31,23 +29,31 @@
      * @param share the member's share of all runners
      * @param part  the part of all runners that pools may hold together
      */
-    public static List<String> pick(String member, Map<String, Runner> ready, List<String> had,
-            Set<String> taken, double share, double part) {
-        List<Runner> common = ready.values().stream().filter(r -> r.addedFor() == null).toList();
-        List<String> pool = new ArrayList<>(ready.values().stream().filter(r -> member.equals(r.addedFor()))
-                .map(Runner::name).sorted().toList());
+    public static List<String> pick(
+            String member, Map<String, Runner> ready, List<String> had, Set<String> taken, double share, double part) {
+        List<Runner> common =
+                ready.values().stream().filter(r -> r.addedFor() == null).toList();
+        List<String> pool = new ArrayList<>(ready.values().stream()
+                .filter(r -> member.equals(r.addedFor()))
+                .map(Runner::name)
+                .sorted()
+                .toList());
         long elsewhere = common.stream().filter(r -> taken.contains(r.name())).count();
         int room = (int) Math.floor(part * common.size()) - (int) elsewhere;
         int wanted = Math.max(1, (int) Math.round(share * common.size()));
         int size = Math.max(0, Math.min(Math.min(room, MOST), wanted));
         Set<String> before = new HashSet<>(had);
         Comparator<Runner> first = Comparator.comparing((Runner r) -> !before.contains(r.name()))
-                .thenComparingLong(r -> weight(member, r.name())).thenComparing(Runner::name);
+                .thenComparingLong(r -> weight(member, r.name()))
+                .thenComparing(Runner::name);
         Map<String, List<Runner>> groups = new TreeMap<>();
-        common.stream().filter(r -> !taken.contains(r.name())).sorted(first).forEach(r -> groups
-                .computeIfAbsent(r.kind() + " " + r.zone(), g -> new ArrayList<>()).add(r));
-        quotas(groups, size).forEach((group, count) -> groups.get(group).subList(0, count)
-                .forEach(r -> pool.add(r.name())));
+        common.stream()
+                .filter(r -> !taken.contains(r.name()))
+                .sorted(first)
+                .forEach(r -> groups.computeIfAbsent(r.kind() + " " + r.zone(), g -> new ArrayList<>())
+                        .add(r));
+        quotas(groups, size)
+                .forEach((group, count) -> groups.get(group).subList(0, count).forEach(r -> pool.add(r.name())));
         return pool;
     }
 
@@ -58,8 +64,10 @@
         Map<String, Integer> quotas = new LinkedHashMap<>();
         groups.forEach((group, some) -> quotas.put(group, all == 0 ? 0 : wanted * some.size() / all));
         int left = wanted - quotas.values().stream().mapToInt(q -> q).sum();
-        List<String> byRemainder = groups.keySet().stream().sorted(Comparator.comparingInt(
-                (String g) -> -(wanted * groups.get(g).size() % Math.max(1, all)))).toList();
+        List<String> byRemainder = groups.keySet().stream()
+                .sorted(Comparator.comparingInt(
+                        (String g) -> -(wanted * groups.get(g).size() % Math.max(1, all))))
+                .toList();
         for (int i = 0; i < left; i++) {
             quotas.merge(byRemainder.get(i), 1, Integer::sum);
         }
--- a/src/main/java/nettlewick/contention/Speaker.java
+++ b/src/main/java/nettlewick/contention/Speaker.java
@@ -29,6 +29,7 @@
         final Deque<byte[]> past = new ArrayDeque<>();
         /** The fence under which it was spoken last, and how many windows have ended since. */
         long spokenTo = -1;
+
         int silent;
     }
 
@@ -52,8 +53,8 @@
      * @param window  how long what was seen is put together, in milliseconds
      * @param apart   other members that are in pools of their own; asked for at a window's end only
      */
-    public List<byte[]> words(String member, long fence, boolean listens, double window, double now,
-            Supplier<Set<String>> apart) {
+    public List<byte[]> words(
+            String member, long fence, boolean listens, double window, double now, Supplier<Set<String>> apart) {
         Told t = told.computeIfAbsent(member, m -> new Told());
         if (t.last == null || now >= t.windowAt) {
             t.windowAt = now + window;
@@ -96,7 +97,6 @@
         // Danger: one that sees a few jobs in a window finds every small member over its share now and then.
         boolean most = Evidence.over(news, mark, share) && Evidence.worth(news, mark, byMark, left);
         t.over = most ? t.over + 1 : 0;
-        t.alarmed = t.over >= IN_A_ROW && all.harmed() > 0
-                && all.harmed() >= Evidence.HARMED * all.others();
+        t.alarmed = t.over >= IN_A_ROW && all.harmed() > 0 && all.harmed() >= Evidence.HARMED * all.others();
     }
 }
--- a/src/main/java/nettlewick/contention/Word.java
+++ b/src/main/java/nettlewick/contention/Word.java
@@ -18,7 +18,12 @@
  * @param quiet    what others' jobs are like here without it; the newest word's counts
  * @param alarmed  whether the sender speaks of its own accord
  */
-public record Word(long total, Map<Integer, Long> asked, long ran, long hinted, Map<Integer, At> at,
+public record Word(
+        long total,
+        Map<Integer, Long> asked,
+        long ran,
+        long hinted,
+        Map<Integer, At> at,
         Quiet quiet,
         boolean alarmed) {
     /**
@@ -41,9 +46,8 @@
         }
 
         At most(At o) {
-            return new At(Math.max(own, o.own), Math.max(all, o.all), Math.max(others, o.others),
-                    Math.max(harmed,
-                    o.harmed));
+            return new At(
+                    Math.max(own, o.own), Math.max(all, o.all), Math.max(others, o.others), Math.max(harmed, o.harmed));
         }
     }
 
@@ -52,14 +56,17 @@
     private static final int AGE_AT = 2;
 
     byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(3 + Quiet.BYTES + 3 * Long.BYTES + 2 + asked.size() * 12 + 2
-                + at.size() * 36);
+        ByteBuffer b =
+                ByteBuffer.allocate(3 + Quiet.BYTES + 3 * Long.BYTES + 2 + asked.size() * 12 + 2 + at.size() * 36);
         b.put(FORM).put((byte) (alarmed ? 1 : 0)).put((byte) 0);
         quiet.put(b);
         b.putLong(total).putLong(ran).putLong(hinted).putShort((short) asked.size());
         asked.forEach((mark, work) -> b.putInt(mark).putLong(work));
         b.putShort((short) at.size());
-        at.forEach((mark, a) -> b.putInt(mark).putLong(a.own()).putLong(a.all()).putLong(a.others())
+        at.forEach((mark, a) -> b.putInt(mark)
+                .putLong(a.own())
+                .putLong(a.all())
+                .putLong(a.others())
                 .putLong(a.harmed()));
         return b.array();
     }
@@ -120,9 +127,14 @@
         Map<Integer, At> runners = new LinkedHashMap<>(at);
         o.at.forEach((mark, a) -> runners.put(mark, joinAt.apply(runners.getOrDefault(mark, At.NONE), a)));
         Word newer = o.total >= total ? o : this;
-        return new Word(join.of(total, o.total), sums, join.of(ran, o.ran), join.of(hinted, o.hinted),
+        return new Word(
+                join.of(total, o.total),
+                sums,
+                join.of(ran, o.ran),
+                join.of(hinted, o.hinted),
                 runners,
-                newer.quiet, newer.alarmed);
+                newer.quiet,
+                newer.alarmed);
     }
 
     Word most(Word o) {
--- a/src/main/java/nettlewick/core/Accounts.java
+++ b/src/main/java/nettlewick/core/Accounts.java
@@ -40,8 +40,14 @@
         for (Attempt a : o == null ? List.<Attempt>of() : o.attempts) {
             spare += a == by ? 0 : a.span(now, false);
         }
-        Books.Job job = new Books.Job(r, ending, now, o == null ? 0 : o.attempts.size(),
-                Math.round(work * r.slots() * MICROS), estimate, Math.round(spare * r.slots() * MICROS));
+        Books.Job job = new Books.Job(
+                r,
+                ending,
+                now,
+                o == null ? 0 : o.attempts.size(),
+                Math.round(work * r.slots() * MICROS),
+                estimate,
+                Math.round(spare * r.slots() * MICROS));
         Runnable overdue = books.settle(job, receipt -> {
             if (receipt != Books.Receipt.NONE) {
                 r.caller().receipt(receipt);
--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -19,8 +19,7 @@
      * @param lastBegin until when it may begin, in milliseconds
      * @param open      tells, on any thread, whether the request's end is still undecided
      */
-    Attempt(Request request, int number, String worker, double sentAt, double lastBegin,
-            BooleanSupplier open) {
+    Attempt(Request request, int number, String worker, double sentAt, double lastBegin, BooleanSupplier open) {
         super(worker, sentAt);
         this.request = request;
         this.number = number;
--- a/src/main/java/nettlewick/core/Books.java
+++ b/src/main/java/nettlewick/core/Books.java
@@ -9,7 +9,12 @@
  */
 public interface Books {
     /** How a job ended for its client. */
-    enum Ending { SERVED, REFUSED, FAILED, LEFT }
+    enum Ending {
+        SERVED,
+        REFUSED,
+        FAILED,
+        LEFT
+    }
 
     /**
      * A job whose end is decided. Work is in slot-microseconds.
@@ -21,9 +26,7 @@
      *                 was told
      * @param spare    work seen of all other attempts until now: second copies, lost and cancelled ones
      */
-    record Job(Request request, Ending ending, double at, int attempts, long work, boolean estimate,
-            long spare) {
-    }
+    record Job(Request request, Ending ending, double at, int attempts, long work, boolean estimate, long spare) {}
 
     /** What the front tells of an answer that was let go; only the first word counts. Any thread. */
     interface Receipt {
--- a/src/main/java/nettlewick/core/Core.java
+++ b/src/main/java/nettlewick/core/Core.java
@@ -36,6 +36,7 @@
     private final List<Open> held = new ArrayList<>();
     /** Ids of requests that are over, the oldest first. */
     private final Set<String> past = new LinkedHashSet<>();
+
     private final Workers workers = new Workers();
     private int unanswered;
 
@@ -67,7 +68,7 @@
         inbox.add(() -> {
             Open o = open.get(request.id());
             if (o != null && o.request == request && answer(o)) {
-                settle(request, o, Books.Ending.LEFT, null, () -> { });
+                settle(request, o, Books.Ending.LEFT, null, () -> {});
                 batch.add(new Abandoned(request.id()));
                 forget(o);
             }
@@ -188,13 +189,17 @@
 
     /** Tells whether a job in work ends only if the planned end waits; the kill is {@code span} after it. */
     public void saves(double span, java.util.function.Consumer<Boolean> then) {
-        inbox.add(() -> then.accept(open.values().stream().filter(o -> !o.answered && !held.contains(o))
+        inbox.add(() -> then.accept(open.values().stream()
+                .filter(o -> !o.answered && !held.contains(o))
                 .anyMatch(o -> parting.saves(left(o), now, span))));
     }
 
     private double left(Open o) {
         double whole = parting.expected(o.request.jobClass(), o.request.hint());
-        return o.attempts.stream().filter(a -> !a.over()).mapToDouble(a -> a.left(now, whole)).min()
+        return o.attempts.stream()
+                .filter(a -> !a.over())
+                .mapToDouble(a -> a.left(now, whole))
+                .min()
                 .orElse(whole);
     }
 
@@ -246,15 +251,25 @@
 
     /** The fronts let no other class in. */
     private JobClass jobClass(Request r) {
-        return settings.classes().stream().filter(c -> c.name().equals(r.jobClass())).findFirst()
+        return settings.classes().stream()
+                .filter(c -> c.name().equals(r.jobClass()))
+                .findFirst()
                 .orElseThrow();
     }
 
     /** Hands a request to the module. */
     private void hand(Open o) {
         Request r = o.request;
-        batch.add(new Arrival(r.id(), r.jobClass(), r.tenant(), nanos(r.deadline()) - nanos(now), r.slots(),
-                r.memory(), nanos(r.hint()), r.key(), r.repeat()));
+        batch.add(new Arrival(
+                r.id(),
+                r.jobClass(),
+                r.tenant(),
+                nanos(r.deadline()) - nanos(now),
+                r.slots(),
+                r.memory(),
+                nanos(r.hint()),
+                r.key(),
+                r.repeat()));
     }
 
     /**
@@ -267,8 +282,13 @@
         if (!o.answered && once && !batch.isEmpty()) {
             after(now, () -> endAtDeadline(o, false));
         } else if (answer(o)) {
-            LOG.warning("left-open", "request " + o.request.id() + " was left open until its deadline",
-                    "request", o.request.id(), "member", o.request.tenant());
+            LOG.warning(
+                    "left-open",
+                    "request " + o.request.id() + " was left open until its deadline",
+                    "request",
+                    o.request.id(),
+                    "member",
+                    o.request.tenant());
             batch.add(new Abandoned(o.request.id()));
             fail(o.request, o, "no answer in time");
             forget(o);
@@ -290,8 +310,8 @@
             settle(r, o, Books.Ending.SERVED, a, () -> r.caller().served(outcome.body()));
             settled = true;
         }
-        batch.add(new Outcome(r.id(), a.number(), a.worker(), outcome.result(), nanos(at - a.sentAt()),
-                settled, outcome.load()));
+        batch.add(new Outcome(
+                r.id(), a.number(), a.worker(), outcome.result(), nanos(at - a.sentAt()), settled, outcome.load()));
         if (o != null) {
             forget(o);
         }
@@ -299,8 +319,7 @@
 
     private void answered(Probe probe, Attempt.Outcome outcome, double at) {
         if (probe.end()) {
-            batch.add(new ProbeAnswer(probe.worker(), outcome.result(), nanos(at - probe.sentAt()),
-                    outcome.load()));
+            batch.add(new ProbeAnswer(probe.worker(), outcome.result(), nanos(at - probe.sentAt()), outcome.load()));
         }
     }
 
--- a/src/main/java/nettlewick/core/Figures.java
+++ b/src/main/java/nettlewick/core/Figures.java
@@ -14,16 +14,19 @@
  */
 public final class Figures {
     /** How a job ended for its client. */
-    public enum End { FULFILLED, THROTTLED, FAULTED }
+    public enum End {
+        FULFILLED,
+        THROTTLED,
+        FAULTED
+    }
 
     /**
      * All figures at one moment; {@code jobs} holds a count for each {@link End} in its order, {@code peers}
      * the peers' datagrams passed over by the module, by kind ({@code damaged}, {@code late},
      * {@code unlisted}).
      */
-    public record Snapshot(Map<String, List<Long>> jobs, long relayed, int open, int listed, int avoided,
-            Map<String, Long> peers) {
-    }
+    public record Snapshot(
+            Map<String, List<Long>> jobs, long relayed, int open, int listed, int avoided, Map<String, Long> peers) {}
 
     private final Map<String, AtomicLong[]> jobs = new LinkedHashMap<>();
     private final AtomicLong relayed = new AtomicLong();
@@ -33,8 +36,8 @@
     private volatile Map<String, Long> peers = Map.of();
 
     Figures(List<String> classes) {
-        classes.forEach(name -> jobs.put(name,
-                new AtomicLong[] {new AtomicLong(), new AtomicLong(), new AtomicLong()}));
+        classes.forEach(
+                name -> jobs.put(name, new AtomicLong[] {new AtomicLong(), new AtomicLong(), new AtomicLong()}));
     }
 
     /** One job from its taking to its end; only its first end counts. Belongs to one thread. */
@@ -121,7 +124,6 @@
             }
             copy.put(name, List.copyOf(row));
         });
-        return new Snapshot(Collections.unmodifiableMap(copy), relayed.get(), open.get(), listed,
-                avoided, peers);
+        return new Snapshot(Collections.unmodifiableMap(copy), relayed.get(), open.get(), listed, avoided, peers);
     }
 }
--- a/src/main/java/nettlewick/core/Parting.java
+++ b/src/main/java/nettlewick/core/Parting.java
@@ -9,7 +9,11 @@
  */
 final class Parting {
     /** Take it; hold it back until the planned end begins; refuse it. */
-    enum Verdict { TAKE, HOLD, REFUSE }
+    enum Verdict {
+        TAKE,
+        HOLD,
+        REFUSE
+    }
 
     /** Running times are rough: so many times what is expected is counted. */
     private static final double MARGIN = 1.3;
@@ -90,8 +94,7 @@
         if (over) {
             return Verdict.REFUSE;
         }
-        if (Double.isNaN(kill) || !begun && now >= heldUntil()
-                || inTime(now, expected(jobClass, hint), kill)) {
+        if (Double.isNaN(kill) || !begun && now >= heldUntil() || inTime(now, expected(jobClass, hint), kill)) {
             return Verdict.TAKE;
         }
         return begun ? Verdict.REFUSE : Verdict.HOLD;
--- a/src/main/java/nettlewick/core/Request.java
+++ b/src/main/java/nettlewick/core/Request.java
@@ -7,12 +7,21 @@
  * @param hint     the client's guess at the work, in milliseconds; 0 for none
  * @param cargo    what goes on to the worker unchanged
  */
-public record Request(String id, String jobClass, String tenant, String key, double deadline, double slots,
-        double memory, double hint, boolean repeat, Cargo cargo, Caller caller) {
+public record Request(
+        String id,
+        String jobClass,
+        String tenant,
+        String key,
+        double deadline,
+        double slots,
+        double memory,
+        double hint,
+        boolean repeat,
+        Cargo cargo,
+        Caller caller) {
 
     /** What passes through untouched; only the front that made it and the transport look inside. */
-    public interface Cargo {
-    }
+    public interface Cargo {}
 
     /** A cargo that carries an idempotency key, or null in its place. */
     public interface Keyed extends Cargo {
@@ -37,8 +46,7 @@
         }
 
         /** A sign of life: the share of the job that is done. Not final. */
-        default void progress(double share) {
-        }
+        default void progress(double share) {}
 
         /** Final: the worker's result. */
         void served(byte[] result);
--- a/src/main/java/nettlewick/core/Roster.java
+++ b/src/main/java/nettlewick/core/Roster.java
@@ -6,7 +6,5 @@
 /** News of the workers: the whole list, which replaces the former one, or the entries that changed. */
 public record Roster(boolean whole, List<Entry> entries) {
     /** A worker; {@code startedAt} is in milliseconds of Unix time, 0 for long ago. */
-    public record Entry(String worker, Life life, double startedAt, int cell, String kind, String zone,
-            double size) {
-    }
+    public record Entry(String worker, Life life, double startedAt, int cell, String kind, String zone, double size) {}
 }
--- a/src/main/java/nettlewick/core/Turns.java
+++ b/src/main/java/nettlewick/core/Turns.java
@@ -111,12 +111,16 @@
             return;
         }
         lastFaults = faults;
-        Map<String, Long> kinds = new TreeMap<>(Map.of("damaged", faults.damaged(), "late",
-                faults.late(), "unlisted", faults.unlisted()));
+        Map<String, Long> kinds = new TreeMap<>(
+                Map.of("damaged", faults.damaged(), "late", faults.late(), "unlisted", faults.unlisted()));
         kinds.forEach((kind, count) -> {
             if (count > 0 && seenFaults.add(kind)) {
-                LOG.warning("peer-" + kind, "peers' datagrams passed over: " + count + " " + kind
-                        + "; counted from now on in the figures, not logged again", "kind", kind);
+                LOG.warning(
+                        "peer-" + kind,
+                        "peers' datagrams passed over: " + count + " " + kind
+                                + "; counted from now on in the figures, not logged again",
+                        "kind",
+                        kind);
             }
         });
         figures.peers(kinds);
--- a/src/main/java/nettlewick/core/Witness.java
+++ b/src/main/java/nettlewick/core/Witness.java
@@ -6,28 +6,22 @@
 /** Sees what becomes of jobs and attempts. Called on the core's thread: must not block, throws nothing. */
 public interface Witness {
     /** Sees nothing. */
-    Witness NONE = new Witness() {
-    };
+    Witness NONE = new Witness() {};
 
     /** The core that it sees, before anything else; any thread. */
-    default void joins(Core core) {
-    }
+    default void joins(Core core) {}
 
     /** A job has been taken. */
-    default void asked(Request request) {
-    }
+    default void asked(Request request) {}
 
     /** An attempt is over, and how; also one that was never sent. */
-    default void ended(Attempt attempt, Result result) {
-    }
+    default void ended(Attempt attempt, Result result) {}
 
     /** A job was turned away. */
-    default void refused(Request request) {
-    }
+    default void refused(Request request) {}
 
     /** News of the workers. */
-    default void listed(Roster roster) {
-    }
+    default void listed(Roster roster) {}
 
     /** Figures for operators, by name; any thread. */
     default Map<String, Number> figures() {
--- a/src/main/java/nettlewick/core/Workers.java
+++ b/src/main/java/nettlewick/core/Workers.java
@@ -27,9 +27,14 @@
             } else {
                 ready.remove(e.worker());
             }
-            entries.add(new WorkerEntry(e.worker(), e.life(), e.startedAt() > 0 ? Turns.nanos(e.startedAt())
-                    : 0,
-                    e.cell(), e.kind(), e.zone(), e.size()));
+            entries.add(new WorkerEntry(
+                    e.worker(),
+                    e.life(),
+                    e.startedAt() > 0 ? Turns.nanos(e.startedAt()) : 0,
+                    e.cell(),
+                    e.kind(),
+                    e.zone(),
+                    e.size()));
         }
         return new WorkerList(roster.whole(), entries);
     }
--- a/src/main/java/nettlewick/decision/Allowance.java
+++ b/src/main/java/nettlewick/decision/Allowance.java
@@ -20,13 +20,15 @@
     double arrivals;
     /** Danger: started into a full fleet, a slice that binds at once would stay at its floor for good. */
     boolean untried = true;
+
     long deltaAt, creditAt;
 
     Allowance(Settings settings, long seed) {
         super(settings, seed);
         double parts = settings.tenants().stream().mapToDouble(Tenant::fraction).sum();
         for (Tenant t : settings.tenants()) {
-            Tenure tenure = new Tenure(parts > 0 ? t.fraction() / parts : 1.0 / settings.tenants().size());
+            Tenure tenure = new Tenure(
+                    parts > 0 ? t.fraction() / parts : 1.0 / settings.tenants().size());
             tenants.put(t.name(), tenure);
             tenures.add(tenure);
         }
--- a/src/main/java/nettlewick/decision/Choice.java
+++ b/src/main/java/nettlewick/decision/Choice.java
@@ -19,11 +19,13 @@
     final Mean[] pace;
     /** By kind, from -1 on: the most that a job bound to it is worth. */
     final double[] bound;
+
     final Mean meanDensity = new Mean();
     /** How long jobs run, of all classes together. */
     final Mean runs = new Mean();
     /** Whether the last choice saw room, or no fresh answer at all. */
     boolean roomy;
+
     boolean roomAtHome;
     double awayTokens;
 
@@ -79,12 +81,14 @@
 
     /** Danger: a repeated effect. True only if one more attempt is legal now, at some worker at least. */
     boolean mayRepeat(Job job) {
-        if (job.attempts.size() >= settings.limits().attempts() || now >= job.deadline
+        if (job.attempts.size() >= settings.limits().attempts()
+                || now >= job.deadline
                 || job.out() > (settings.limits().secondCopies() ? 1 : 0)) {
             return false;
         }
         Attempt ran = job.firstThatMayHaveRun();
-        return ran == null || job.kind.repeat() == Repeat.RETRYABLE
+        return ran == null
+                || job.kind.repeat() == Repeat.RETRYABLE
                 || job.kind.repeat() == Repeat.DEDUP && now - ran.sentAt <= job.kind.window();
     }
 
@@ -94,12 +98,16 @@
             return true;
         }
         WorkerEntry first = ran.worker.entry;
-        return job.kind.scope() == Scope.CELL ? first.cell() == w.entry.cell()
+        return job.kind.scope() == Scope.CELL
+                ? first.cell() == w.entry.cell()
                 : first.zone() != null && first.zone().equals(w.entry.zone());
     }
 
     boolean usable(Job job, Worker w) {
-        return w.ready && Outliers.trusts(w, job, now) && inScope(job, w) && !job.wasAt(w)
+        return w.ready
+                && Outliers.trusts(w, job, now)
+                && inScope(job, w)
+                && !job.wasAt(w)
                 && coldStart.allows(w, pools.get(w.kind + 1), meanCost.value, now);
     }
 
@@ -109,8 +117,12 @@
         roomy = true;
         for (Worker w : pool.ready) {
             // Exception: one put back by hand would stay unused while the own zone has room.
-            if (roll.back(w.id) && w.out.isEmpty() && job.cost <= meanCost.value && job.attempts.isEmpty()
-                    && job.kind.repeat() != Repeat.FRAGILE && usable(job, w)) {
+            if (roll.back(w.id)
+                    && w.out.isEmpty()
+                    && job.cost <= meanCost.value
+                    && job.attempts.isEmpty()
+                    && job.kind.repeat() != Repeat.FRAGILE
+                    && usable(job, w)) {
                 return w;
             }
         }
@@ -126,8 +138,7 @@
             if (now - w.answeredAt <= DELTA && usable(job, w)) {
                 double room = spare(job, w);
                 // Crossing zones costs: another zone's room counts only when the own zone has none.
-                double rank = room >= 0 ? room + (w.near ? 1000 : 500)
-                        : room + (w.near ? 0.5 : 0);
+                double rank = room >= 0 ? room + (w.near ? 1000 : 500) : room + (w.near ? 0.5 : 0);
                 // Danger: a full worker answers fast and looks less busy than one with a queue. It is last.
                 rank -= wasFull(job, w) ? 2000 : 0;
                 // Danger: a slowed worker with room takes jobs that will be late. Which ones, they tell;
--- a/src/main/java/nettlewick/decision/EventLoop.java
+++ b/src/main/java/nettlewick/decision/EventLoop.java
@@ -11,10 +11,12 @@
 abstract class EventLoop implements Dispatcher {
     /** The clock of the batch; it never goes back, whatever the host says. */
     protected long now;
+
     protected final Roll roll = new Roll();
     protected final Heard heard = new Heard();
     /** Which workers tenants have of their own; null, and no class of it loaded, where none has any. */
     private Kept kept;
+
     private List<Action> actions = new ArrayList<>();
     private boolean started;
 
--- a/src/main/java/nettlewick/decision/Exchange.java
+++ b/src/main/java/nettlewick/decision/Exchange.java
@@ -9,6 +9,7 @@
 abstract class Exchange extends Pools {
     /** α of the augmented share; the transfer gain η keeps the bound 1/(2αd) for d = 2 neighbours. */
     static final double ALPHA = 1;
+
     static final double ETA = 1 / (4 * ALPHA);
     /** A friend asks after this many silent Δ and inherits after twice as many. */
     static final int FRIEND_PATIENCE = 3;
@@ -108,15 +109,18 @@
     }
 
     void tell(int rank, What what, int peerEpoch, int number, double amount) {
-        act(new TellPeer(rank,
-                new PeerNote(what, binding, epoch, peerEpoch, number, augmented, amount).bytes()));
+        act(new TellPeer(rank, new PeerNote(what, binding, epoch, peerEpoch, number, augmented, amount).bytes()));
     }
 
     @Override
     void hear(int rank, byte[] data) {
         PeerNote note = PeerNote.of(data);
-        if (rank < 0 || rank >= settings.fleetSize() || rank == settings.rank() || !hasPeers()
-                || loads.hear(rank, data, now) || tally != null && tally.hear(rank, data, now)
+        if (rank < 0
+                || rank >= settings.fleetSize()
+                || rank == settings.rank()
+                || !hasPeers()
+                || loads.hear(rank, data, now)
+                || tally != null && tally.hear(rank, data, now)
                 || note == null) {
             return;
         }
--- a/src/main/java/nettlewick/decision/Kept.java
+++ b/src/main/java/nettlewick/decision/Kept.java
@@ -37,10 +37,11 @@
 
     void refill(Collection<Worker> workers, List<Pool> common, int ringPlaces) {
         for (Assignment a : assignments) {
-            List<Worker> candidates = workers.stream().filter(w -> a.workers().contains(w.id)
-                    || !a.confined() && !shut.contains(w.id)).toList();
-            List<Pool> own = pools.computeIfAbsent(a.tenant(), t -> common.stream().map(p -> new Pool(p.kind))
-                    .toList());
+            List<Worker> candidates = workers.stream()
+                    .filter(w -> a.workers().contains(w.id) || !a.confined() && !shut.contains(w.id))
+                    .toList();
+            List<Pool> own = pools.computeIfAbsent(
+                    a.tenant(), t -> common.stream().map(p -> new Pool(p.kind)).toList());
             own.forEach(pool -> pool.refill(candidates, ringPlaces));
         }
     }
--- a/src/main/java/nettlewick/decision/LoadNote.java
+++ b/src/main/java/nettlewick/decision/LoadNote.java
@@ -22,6 +22,7 @@
     private static final int ENTRY = 3;
     /** The longest message that may be sent. */
     private static final int MOST = 256;
+
     private static final int BYTE = 255;
     private static final int PER_NOTE = (MOST - HEAD) / ENTRY;
 
@@ -33,11 +34,9 @@
      * @param number   of the sending, modulo 256: a note of a lower one is late
      * @param unlisted entries that name no worker of this dispatcher's list
      */
-    record Told(int part, int parts, int number, Map<Worker, Integer> slots, int unlisted) {
-    }
+    record Told(int part, int parts, int number, Map<Worker, Integer> slots, int unlisted) {}
 
-    private LoadNote() {
-    }
+    private LoadNote() {}
 
     /** Sixteen bits that stand for an id, the same in every process. */
     static char mark(String id) {
@@ -92,7 +91,10 @@
     }
 
     static boolean is(byte[] data) {
-        return data.length >= HEAD && data.length <= MOST && data[0] == MAGIC && data[1] == VERSION
+        return data.length >= HEAD
+                && data.length <= MOST
+                && data[0] == MAGIC
+                && data[1] == VERSION
                 && (data.length - HEAD) % ENTRY == 0;
     }
 
--- a/src/main/java/nettlewick/decision/Logic.java
+++ b/src/main/java/nettlewick/decision/Logic.java
@@ -46,14 +46,15 @@
     void arrive(Arrival a) {
         Integer index = classes.get(a.jobClass());
         if (index == null) {
-            act(new Refuse(a.id(), settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0));
+            act(new Refuse(
+                    a.id(), settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0));
             return;
         }
         if (jobs.containsKey(a.id())) {
             return;
         }
-        Job job = new Job(a, settings.classes().get(index), index,
-                tenants.getOrDefault(a.tenant(), tenures.get(0)), now);
+        Job job =
+                new Job(a, settings.classes().get(index), index, tenants.getOrDefault(a.tenant(), tenures.get(0)), now);
         meanCost.add(job.cost);
         meanDensity.add(job.density());
         most.add(a);
@@ -119,7 +120,8 @@
 
     private void finish(Job job) {
         Attempt ran = job.firstThatMayHaveRun();
-        boolean harmless = ran == null || job.kind.repeat() == Repeat.RETRYABLE
+        boolean harmless = ran == null
+                || job.kind.repeat() == Repeat.RETRYABLE
                 || job.kind.repeat() == Repeat.DEDUP && job.kind.scope() == Scope.ALL;
         lost += job.attempts.isEmpty() ? 0 : job.cost;
         if (harmless) {
@@ -291,7 +293,8 @@
     @Override
     void due(String timer) {
         if (timer.equals("hold")) {
-            List<Job> ripe = held.stream().filter(job -> now - job.arrivedAt >= HOLD).toList();
+            List<Job> ripe =
+                    held.stream().filter(job -> now - job.arrivedAt >= HOLD).toList();
             held.removeAll(ripe);
             ripe.stream().filter(job -> !job.over).forEach(this::admit);
         } else {
--- a/src/main/java/nettlewick/decision/Neighbours.java
+++ b/src/main/java/nettlewick/decision/Neighbours.java
@@ -13,10 +13,10 @@
 final class Neighbours {
     /** Neighbours on each side: the notes' fan-out is twice this, whatever the size of the tier. */
     static final int REACH = 2;
+
     private static final double GOLDEN = 0.6180339887498949;
 
-    private Neighbours() {
-    }
+    private Neighbours() {}
 
     /** Where a dispatcher's pool begins, as a part of a list, in [0, 1): spread by the golden ratio. */
     static double place(int rank) {
@@ -32,8 +32,7 @@
      */
     static int[] of(int rank, int size, int reach) {
         if (rank < 0 || rank >= size || reach < 0) {
-            throw new IllegalArgumentException("no neighbours for rank " + rank + " of " + size + ", reach "
-                    + reach);
+            throw new IllegalArgumentException("no neighbours for rank " + rank + " of " + size + ", reach " + reach);
         }
         if (size <= 2 * reach + 1) {
             return IntStream.range(0, size).filter(r -> r != rank).toArray();
--- a/src/main/java/nettlewick/decision/Outliers.java
+++ b/src/main/java/nettlewick/decision/Outliers.java
@@ -16,6 +16,7 @@
     private static final long SHUN = 500_000_000;
     /** Breaks in a row that count as the worker's own: at least so many, and too many for chance. */
     private static final int FAILURES = 2;
+
     private static final double CHANCE = 0.005;
     /** A worker that refuses connections does so at once; one that is cut off takes longer than this. */
     private static final long REFUSED = 100_000_000;
@@ -37,6 +38,7 @@
     private static final double SILENCE = 5;
     /** Second copies on suspicion that each lost attempt allows, and how many may be saved up. */
     private static final int COPIES = 2;
+
     private static final int COPIES_MOST = 6;
 
     private final Supplier<List<Worker>> ready;
@@ -70,7 +72,7 @@
                     shun(w, now);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -111,8 +113,9 @@
      * {@code progress}.
      */
     static boolean lost(Attempt a, long now, long progress) {
-        return a.startedAt == State.NEVER ? a.worker.startedSent - a.sentAt > OVERTAKEN
-                || a.worker.answeredAt - a.sentAt > SEEN && a.worker.queueEmpty
+        return a.startedAt == State.NEVER
+                ? a.worker.startedSent - a.sentAt > OVERTAKEN
+                        || a.worker.answeredAt - a.sentAt > SEEN && a.worker.queueEmpty
                 : progress > 0 && now - a.signAt > SIGNS * progress;
     }
 
@@ -193,7 +196,6 @@
 
     /** Danger: a worker whose time is over may be ill still. One harmless job is its probe, then more. */
     static boolean trusts(Worker w, Job job, long now) {
-        return now >= w.shunnedUntil
-                && (w.strikes == 0 || w.out.isEmpty() && job.kind.repeat() != Repeat.FRAGILE);
+        return now >= w.shunnedUntil && (w.strikes == 0 || w.out.isEmpty() && job.kind.repeat() != Repeat.FRAGILE);
     }
 }
--- a/src/main/java/nettlewick/decision/PeerNote.java
+++ b/src/main/java/nettlewick/decision/PeerNote.java
@@ -13,30 +13,39 @@
  * @param augmented   for a state: the sender's augmented share
  * @param amount      for a state the sender's slice, for a gift its size
  */
-record PeerNote(What what, boolean binding, int epoch, int peerEpoch, int number, double augmented,
-        double amount) {
+record PeerNote(What what, boolean binding, int epoch, int peerEpoch, int number, double augmented, double amount) {
     private static final byte MAGIC = (byte) 0xD2;
     private static final byte VERSION = 1;
 
     /** The kinds of messages. */
-    enum What { STATE, GIVE, ACK, ASK }
+    enum What {
+        STATE,
+        GIVE,
+        ACK,
+        ASK
+    }
 
     byte[] bytes() {
         ByteBuffer b = ByteBuffer.allocate(length(what));
-        b.put(MAGIC).put(VERSION).put((byte) (what.ordinal() << 1 | (binding ? 1 : 0))).putInt(epoch);
+        b.put(MAGIC)
+                .put(VERSION)
+                .put((byte) (what.ordinal() << 1 | (binding ? 1 : 0)))
+                .putInt(epoch);
         switch (what) {
             case STATE -> b.putFloat((float) augmented).putFloat((float) amount);
             case GIVE -> b.putInt(peerEpoch).putInt(number).putFloat((float) amount);
             case ACK -> b.putInt(peerEpoch).putInt(number);
-            default -> {
-            }
+            default -> {}
         }
         return b.array();
     }
 
     /** The message in these bytes; null if they are truncated, foreign or of another version. */
     static PeerNote of(byte[] data) {
-        if (data.length < length(What.ASK) || data[0] != MAGIC || data[1] != VERSION || data[2] < 0
+        if (data.length < length(What.ASK)
+                || data[0] != MAGIC
+                || data[1] != VERSION
+                || data[2] < 0
                 || data[2] >> 1 >= What.values().length) {
             return null;
         }
--- a/src/main/java/nettlewick/decision/Pools.java
+++ b/src/main/java/nettlewick/decision/Pools.java
@@ -19,12 +19,14 @@
     static final int POOL_LEAST = 8;
     /** Where owners tell what all hold there, fewer are as good, and each more is told to one more. */
     static final int POOL_TOLD = 5;
+
     static final double POOL_PARTS = 1.5;
     static final int POOL_MOST = 24;
     /** And so many times the workers that its own traffic keeps busy. */
     static final double POOL_BUSY = 2.5;
     /** Slots by which a report's noise may be taken for work. */
     static final double NOISE = 0.3;
+
     static final int RING_PLACES = 20;
 
     final Settings settings;
@@ -36,6 +38,7 @@
     final SharedLoads loads;
     /** Danger: notes to all grow with the square of the tier. Past a small one, tallies at owners serve. */
     final Tally tally;
+
     final ColdStart coldStart;
     final Outliers outliers = new Outliers(() -> pools.get(0).ready);
     long subscribeAt = Long.MAX_VALUE;
@@ -43,6 +46,7 @@
     final Needs most = new Needs();
     /** Work accepted, lost after that and served in this Δ, and the rates of them over the last ones. */
     double accepted, lost, served;
+
     double acceptedRate, triedRate, servedRate;
     double probeTokens = POOL_LEAST;
     int beats, probeCursor;
@@ -90,15 +94,18 @@
     @Override
     void after() {
         if (tally != null && hasPeers()) {
-            tally.flush(now, workers.values(), watched).forEach((rank, notes) -> notes.forEach(n -> act(
-                    new TellPeer(rank, n))));
+            tally.flush(now, workers.values(), watched)
+                    .forEach((rank, notes) -> notes.forEach(n -> act(new TellPeer(rank, n))));
         }
     }
 
     /** On news of the list, and every Δ, since the pools go by this dispatcher's traffic too. */
     void fill() {
         all(pools).forEach(this::fill);
-        watched = all(pools).stream().flatMap(pool -> pool.members.stream()).distinct().toList();
+        watched = all(pools).stream()
+                .flatMap(pool -> pool.members.stream())
+                .distinct()
+                .toList();
     }
 
     @Override
--- a/src/main/java/nettlewick/decision/Roll.java
+++ b/src/main/java/nettlewick/decision/Roll.java
@@ -76,12 +76,13 @@
         }
         // Danger: a worker that is back was restarted meanwhile; discovery may not know yet that it is cold.
         long startedAt = ban.out() ? e.startedAt() : Math.max(e.startedAt(), ban.since());
-        return new WorkerEntry(e.worker(), ban.out() ? Life.DRAINING : e.life(), startedAt, e.cell(),
-                e.kind(), e.zone(), e.size());
+        return new WorkerEntry(
+                e.worker(), ban.out() ? Life.DRAINING : e.life(), startedAt, e.cell(), e.kind(), e.zone(), e.size());
     }
 
     /** How many are on the list, and how many of them are avoided. */
     Rotation count(Predicate<String> avoided) {
-        return new Rotation(told.size(), (int) told.keySet().stream().filter(avoided).count());
+        return new Rotation(
+                told.size(), (int) told.keySet().stream().filter(avoided).count());
     }
 }
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/SharedLoads.java
@@ -14,11 +14,9 @@
     private static final long BELIEVED = 1_000_000_000;
 
     /** A part of what a dispatcher tells. */
-    private record From(int rank, int part) {
-    }
+    private record From(int rank, int part) {}
 
-    private record Told(Map<Worker, Integer> slots, long at, int number) {
-    }
+    private record Told(Map<Worker, Integer> slots, long at, int number) {}
 
     private final Map<From, Told> told = new HashMap<>();
     private final Heard heard;
--- a/src/main/java/nettlewick/decision/State.java
+++ b/src/main/java/nettlewick/decision/State.java
@@ -13,8 +13,7 @@
     /** A moment before all others. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
-    private State() {
-    }
+    private State() {}
 
     /** A worker as this dispatcher knows it. */
     static final class Worker {
@@ -25,6 +24,7 @@
         boolean near;
         /** Last load report: when it came, and what it said. */
         long answeredAt = NEVER;
+
         double free;
         double waiting;
         double memory;
@@ -34,6 +34,7 @@
         boolean queueTold;
         /** Slots that are left but for what is known to be sent here, smoothed over reports. */
         double left;
+
         long leftAt = NEVER;
         long fullAt = NEVER;
         boolean asked;
@@ -43,6 +44,7 @@
         double others;
         /** Slots known to be in work at the last beats, each at its beat's number modulo the length. */
         private final double[] outBefore = new double[16];
+
         long signAt = NEVER;
         int strikes;
         /** When the latest of the attempts that have started was sent. */
@@ -51,6 +53,7 @@
         final Mean drag = new Mean(6);
         /** Connections to it that broke in a row. */
         int failures;
+
         long shunnedUntil = NEVER;
         double coldTokens;
         long coldAt;
@@ -225,10 +228,12 @@
         List<Worker> members = new ArrayList<>();
         /** Hash places of the ready workers, of all and of the own zone. */
         final HashRing<Worker> ring = new HashRing<>();
+
         final HashRing<Worker> nearRing = new HashRing<>();
         private final Set<Worker> onRing = new LinkedHashSet<>();
         /** Work finished for this dispatcher since the last Δ, and a warm worker's part of it a second. */
         double served;
+
         double carried;
         /** How often that was measured. */
         int measures;
@@ -245,10 +250,15 @@
 
         /** Sorts out who of these is ready and of the kind. */
         void refill(Collection<Worker> workers, int ringPlaces) {
-            ready = workers.stream().filter(w -> w.ready && (kind < 0 || w.kind == kind)).toList();
+            ready = workers.stream()
+                    .filter(w -> w.ready && (kind < 0 || w.kind == kind))
+                    .toList();
             near = ready.stream().filter(w -> w.near).toList();
             far = ready.stream().filter(w -> !w.near).toList();
-            zones = (int) ready.stream().map(w -> String.valueOf(w.entry.zone())).distinct().count();
+            zones = (int) ready.stream()
+                    .map(w -> String.valueOf(w.entry.zone()))
+                    .distinct()
+                    .count();
             // Danger: a growing fleet changes its list many times a second: only what changed is set.
             Set<Worker> stays = new LinkedHashSet<>(ready);
             for (Worker w : stays) {
@@ -286,12 +296,15 @@
 
         /** g(v): what all tenants carry when none gets more than {@code level} for its weight. */
         static double carried(List<Tenure> all, double level) {
-            return all.stream().mapToDouble(t -> Math.min(t.demand, level * t.weight)).sum();
+            return all.stream()
+                    .mapToDouble(t -> Math.min(t.demand, level * t.weight))
+                    .sum();
         }
 
         /** The largest rate for its weight that any tenant gets from the slice. */
         static double fairShare(List<Tenure> all, double slice) {
-            double high = all.stream().mapToDouble(t -> t.demand / t.weight).max().orElse(0);
+            double high =
+                    all.stream().mapToDouble(t -> t.demand / t.weight).max().orElse(0);
             if (carried(all, high) <= slice) {
                 return high;
             }
@@ -317,6 +330,7 @@
         long heardAt = NEVER;
         /** Number of the last gift taken, for each of its lives. */
         final Map<Integer, Integer> taken = new HashMap<>();
+
         int given;
         double pending;
         double inherited;
@@ -335,6 +349,7 @@
     static final class Waits {
         /** So many foretold waits weigh as much as believing them as they are. */
         private static final double BELIEVED = 5;
+
         private static final double MOST = 8;
         private final Mean foretold = new Mean();
         private final Mean waited = new Mean();
--- a/src/main/java/nettlewick/decision/Tally.java
+++ b/src/main/java/nettlewick/decision/Tally.java
@@ -23,12 +23,14 @@
     static final int SMALL = 16;
     /** The first byte tells version and kind; entries of a mark, and mostly a number, follow. */
     private static final int VERSION = 0xA0;
+
     private static final int HEAD = 1;
     private static final int MOST = 256;
     private static final int BYTE = 255;
     private static final long SECOND = 1_000_000_000;
     /** For how long a holder's word, and a sum, are believed; each is told again sooner. */
     private static final long HELD = SECOND;
+
     private static final long HELD_AGAIN = HELD / 2;
     private static final long SUMMED = SECOND;
     private static final long SUM_AGAIN = SUMMED / 2;
@@ -38,11 +40,14 @@
     /** That less is held waits until so long after the last word: often the slot is taken again meanwhile. */
     private static final long LESS = SECOND / 10;
 
-    enum Kind { HOLD, WATCH, SUM }
-
-    private record Held(int slots, long at) {
+    enum Kind {
+        HOLD,
+        WATCH,
+        SUM
     }
 
+    private record Held(int slots, long at) {}
+
     /** One that watches a runner: when it last said so, and what it was told. */
     private static final class Watcher {
         long saidAt;
@@ -70,9 +75,11 @@
     private final Heard heard;
     /** As a holder: what each owner was last told, and when. */
     private final Map<Worker, Held> told = new HashMap<>();
+
     private long watchedAt = State.NEVER;
     /** As a watcher: when the sum of each runner came. */
     private final Map<Worker, Long> sums = new HashMap<>();
+
     private final Map<Character, Owned> owned = new HashMap<>();
     private Map<Character, Worker> listed = Map.of();
     private boolean again;
@@ -89,7 +96,9 @@
     }
 
     static boolean is(byte[] data) {
-        return data.length > HEAD && data.length <= MOST && (data[0] & 0xFF) >= VERSION
+        return data.length > HEAD
+                && data.length <= MOST
+                && (data[0] & 0xFF) >= VERSION
                 && (data[0] & 0xFF) < VERSION + Kind.values().length
                 && (data.length - HEAD) % width(kind(data)) == 0;
     }
@@ -160,7 +169,7 @@
 
     /** Forgets what is too old: sums a watcher had, and holders and watchers an owner had. */
     void expire(long now) {
-        for (Iterator<Map.Entry<Worker, Long>> i = sums.entrySet().iterator(); i.hasNext();) {
+        for (Iterator<Map.Entry<Worker, Long>> i = sums.entrySet().iterator(); i.hasNext(); ) {
             Map.Entry<Worker, Long> e = i.next();
             if (now - e.getValue() > SUMMED) {
                 e.getKey().others = 0;
--- a/src/main/java/nettlewick/duty/Charge.java
+++ b/src/main/java/nettlewick/duty/Charge.java
@@ -14,8 +14,7 @@
      * @param state as a majority has stored it; empty at the first time
      * @param now   milliseconds of the monotonic clock
      */
-    record Hold(long fence, long version, byte[] state, double now) {
-    }
+    record Hold(long fence, long version, byte[] state, double now) {}
 
     /** The ways back from another thread, and out of the duties' own. */
     interface Desk {
@@ -31,29 +30,35 @@
 
     /** Tells operators that a duty is held, once its term is stored. */
     static void held(String duty, Hold hold, long term) {
-        Part.of("duty").info("duty-held", "holds " + duty + ", term " + term, "duty", duty, "fence",
-                hold.fence(),
-                "term", term, "version", hold.version());
+        Part.of("duty")
+                .info(
+                        "duty-held",
+                        "holds " + duty + ", term " + term,
+                        "duty",
+                        duty,
+                        "fence",
+                        hold.fence(),
+                        "term",
+                        term,
+                        "version",
+                        hold.version());
     }
 
     /** At the start. */
-    default void joins(Desk desk) {
-    }
+    default void joins(Desk desk) {}
 
     /** While the duty is held and no change on its way, many times a lease: the next state, or null. */
     byte[] turn(Hold hold);
 
     /** It is held no more. */
-    default void lost() {
-    }
+    default void lost() {}
 
     /**
      * The newest version that a majority has stored, whoever holds it; also where nothing changed.
      *
      * @param listens whether the holder wants a word from all
      */
-    default void news(long fence, long version, byte[] state, boolean listens, double now) {
-    }
+    default void news(long fence, long version, byte[] state, boolean listens, double now) {}
 
     /** At the holder: whether a word is wanted from all. */
     default boolean listens() {
@@ -66,8 +71,7 @@
     }
 
     /** At the holder: what a dispatcher has seen, since that life of it began. */
-    default void word(int from, long life, byte[] word, double now) {
-    }
+    default void word(int from, long life, byte[] word, double now) {}
 
     /** What the holder under that fence should know of what was seen here, a datagram each. */
     default List<byte[]> tell(long fence, double now) {
--- a/src/main/java/nettlewick/duty/CountTerms.java
+++ b/src/main/java/nettlewick/duty/CountTerms.java
@@ -14,7 +14,9 @@
 
     @Override
     public byte[] turn(Hold hold) {
-        long term = hold.state().length == Long.BYTES ? ByteBuffer.wrap(hold.state()).getLong() : 0;
+        long term = hold.state().length == Long.BYTES
+                ? ByteBuffer.wrap(hold.state()).getLong()
+                : 0;
         if (counted != hold.fence()) {
             counted = hold.fence();
             return ByteBuffer.allocate(Long.BYTES).putLong(term + 1).array();
--- a/src/main/java/nettlewick/duty/DutyService.java
+++ b/src/main/java/nettlewick/duty/DutyService.java
@@ -25,15 +25,18 @@
     private static final Part LOG = Part.of("duty");
     /** So many in a duty's order may hold it; later ones would only ask. */
     private static final int CANDIDATES = 8;
+
     private static final int DATAGRAM_MOST = 8192;
     private static final double TICKS = 30;
     /** What was seen is told so many times a lease; a new state goes with so many words of the holder's. */
     private static final double TELLS = 3;
+
     private static final int ATTACHED = 3;
     /** In the echo of news: a word is wanted from all. */
     private static final long LISTENS = 2;
     /** A duty on which nothing hangs is told of once in so many leases. */
     static final double IDLE = 10;
+
     private static final int END_MILLIS = 2000;
 
     private final DutySettings settings;
@@ -42,11 +45,13 @@
     private final Envelope envelope;
     /** Null where this dispatcher does not vote. */
     private final KeptVoter voter;
+
     private final Map<String, Seat> seats = new LinkedHashMap<>();
     private final Map<String, List<Integer>> orders = new HashMap<>();
     private final int life = new SecureRandom().nextInt(Message.LIVES);
     /** The fence under which each duty is held here. */
     private final Map<String, Long> holds = new HashMap<>();
+
     private final Map<String, Followed> followed = new LinkedHashMap<>();
     private final Map<String, Charge> charges;
     private final Queue<Runnable> inbox = new ConcurrentLinkedQueue<>();
@@ -155,9 +160,11 @@
             long others = envelope.faults(Envelope.Fault.OTHER_LIST);
             Message m = envelope.open(bytes);
             if (others == 0 && envelope.faults(Envelope.Fault.OTHER_LIST) > 0) {
-                LOG.warning("other-list",
+                LOG.warning(
+                        "other-list",
                         "a dispatcher with another list of dispatchers or voters is passed over",
-                        "from", from);
+                        "from",
+                        from);
             }
             if (m != null && m.from() < settings.all().size()) {
                 hear(m);
@@ -197,8 +204,8 @@
         if (f != null && !mayAct(m.duty())) {
             send(f.hear(m));
             if (f.upToDate(m)) {
-                guarded(() -> charges.get(m.duty()).news(f.fence(), f.version(), f.state(),
-                        (m.echo() & LISTENS) != 0, now()));
+                guarded(() -> charges.get(m.duty())
+                        .news(f.fence(), f.version(), f.state(), (m.echo() & LISTENS) != 0, now()));
             }
         }
     }
@@ -208,8 +215,13 @@
         charges.forEach((duty, charge) -> {
             Followed f = followed.get(duty);
             for (byte[] word : charge.tell(f.fence(), now())) {
-                send(f.holder() < 0 ? List.of() : List.of(new Post(f.holder(), Message.of(Message.Kind.WORD,
-                        duty, settings.number(), life, 0).holding(0, 0, word))));
+                send(
+                        f.holder() < 0
+                                ? List.of()
+                                : List.of(new Post(
+                                        f.holder(),
+                                        Message.of(Message.Kind.WORD, duty, settings.number(), life, 0)
+                                                .holding(0, 0, word))));
             }
         });
     }
@@ -251,9 +263,13 @@
         beat(duty, f, now);
         byte[] next = charge.turn(new Charge.Hold(fence, seat.version(), seat.state(), now));
         if (next != null && next.length > Envelope.STATE_MOST) {
-            LOG.warning("state-too-long", "the next state of " + duty + " is too long and is left out",
+            LOG.warning(
+                    "state-too-long",
+                    "the next state of " + duty + " is too long and is left out",
                     "duty",
-                    duty, "bytes", next.length);
+                    duty,
+                    "bytes",
+                    next.length);
         } else if (next != null) {
             java.util.ArrayList<Post> out = new java.util.ArrayList<>();
             seat.change(next, now, out);
@@ -282,8 +298,12 @@
     }
 
     private Message told(Followed f, boolean whole) {
-        return Message.of(Message.Kind.NEWS, f.duty(), settings.number(), (whole ? Followed.WHOLE : 0)
-                | (charges.get(f.duty()).listens() ? LISTENS : 0), f.fence())
+        return Message.of(
+                        Message.Kind.NEWS,
+                        f.duty(),
+                        settings.number(),
+                        (whole ? Followed.WHOLE : 0) | (charges.get(f.duty()).listens() ? LISTENS : 0),
+                        f.fence())
                 .holding(f.fence(), f.version(), whole ? f.state() : Message.NOTHING);
     }
 
@@ -309,8 +329,7 @@
             List<Integer> order = orders.get(duty);
             int next = order.get((order.indexOf(settings.number()) + 1) % order.size());
             if (seat.mayAct(now())) {
-                LOG.info("duty-handed-on", "hands " + duty + " on", "duty", duty, "fence", seat.fence(),
-                        "to", next);
+                LOG.info("duty-handed-on", "hands " + duty + " on", "duty", duty, "fence", seat.fence(), "to", next);
             }
             send(seat.retire(next));
         });
@@ -333,8 +352,7 @@
         }
         for (Envelope.Fault fault : Envelope.Fault.values()) {
             if (envelope.faults(fault) > 0) {
-                LOG.info("duty-passed-over", "messages passed over", "kind", fault, "count",
-                        envelope.faults(fault));
+                LOG.info("duty-passed-over", "messages passed over", "kind", fault, "count", envelope.faults(fault));
             }
         }
     }
--- a/src/main/java/nettlewick/duty/DutySettings.java
+++ b/src/main/java/nettlewick/duty/DutySettings.java
@@ -18,39 +18,55 @@
  * @param duties names, in the order of the file
  * @param folder where a voter keeps what it promised and accepted; null: in memory alone
  */
-public record DutySettings(int number, InetSocketAddress listen, List<InetSocketAddress> all,
-        List<Integer> voters, Terms terms, byte[] key, List<String> duties, Path folder) {
+public record DutySettings(
+        int number,
+        InetSocketAddress listen,
+        List<InetSocketAddress> all,
+        List<Integer> voters,
+        Terms terms,
+        byte[] key,
+        List<String> duties,
+        Path folder) {
     private static final int KEY_LEAST = 32;
     private static final double PERCENT = 100;
 
     /** @throws nettlewick.settings.BadSettings where the lines do not fit one another */
     public static DutySettings of(Block block) {
-        List<String> duties = block.all("name").stream().map(v -> v.<String>part(0)).toList();
+        List<String> duties =
+                block.all("name").stream().map(v -> v.<String>part(0)).toList();
         List<InetSocketAddress> all = block.all("dispatcher").stream()
-                .map(v -> v.<InetSocketAddress>part(0)).toList();
-        int number = block.has("number") ? (int) block.whole("number")
-                : all.indexOf(block.address("listen"));
+                .map(v -> v.<InetSocketAddress>part(0))
+                .toList();
+        int number = block.has("number") ? (int) block.whole("number") : all.indexOf(block.address("listen"));
         if (number < 0 || number >= all.size()) {
-            throw block.has("number") ? block.bad("number", "below " + all.size())
+            throw block.has("number")
+                    ? block.bad("number", "below " + all.size())
                     : block.bad("listen", "the address of one `dispatcher`, or `number` has to be set");
         }
         if (duties.stream().distinct().count() < duties.size()) {
             throw block.bad("name", "there once only");
         }
         int voters = (int) Math.min(block.whole("voters"), all.size());
-        if (duties.stream().anyMatch(d -> d.getBytes(java.nio.charset.StandardCharsets.UTF_8).length
-                > Envelope.NAME_MOST)) {
+        if (duties.stream()
+                .anyMatch(d -> d.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > Envelope.NAME_MOST)) {
             throw block.bad("name", "of " + Envelope.NAME_MOST + " bytes at most");
         }
         List<Integer> first = IntStream.range(0, voters).boxed().toList();
-        return new DutySettings(number, block.address("listen"), all, first,
-                new Terms(block.span("lease"), block.whole("drift") / PERCENT), key(block), duties,
+        return new DutySettings(
+                number,
+                block.address("listen"),
+                all,
+                first,
+                new Terms(block.span("lease"), block.whole("drift") / PERCENT),
+                key(block),
+                duties,
                 block.has("folder") ? block.get("folder") : null);
     }
 
     /** Stands for the list of dispatchers and how many of them vote: words under another one never count. */
     int list() {
-        List<String> addresses = all.stream().map(a -> a.getAddress().getHostAddress() + ":" + a.getPort())
+        List<String> addresses = all.stream()
+                .map(a -> a.getAddress().getHostAddress() + ":" + a.getPort())
                 .toList();
         return addresses.hashCode() * 31 + voters.size();
     }
--- a/src/main/java/nettlewick/duty/Envelope.java
+++ b/src/main/java/nettlewick/duty/Envelope.java
@@ -19,6 +19,7 @@
 final class Envelope {
     /** The state of a duty holds so many bytes at most, its name so many. */
     static final int STATE_MOST = 4096;
+
     static final int NAME_MOST = 64;
     private static final int MAGIC = 0x4E57_4401;
     private static final int SUM = 16;
@@ -28,7 +29,11 @@
     private static final int WINDOW = 64;
 
     /** What was passed over. */
-    enum Fault { DAMAGED, OTHER_LIST, REPEATED }
+    enum Fault {
+        DAMAGED,
+        OTHER_LIST,
+        REPEATED
+    }
 
     private static final class Heard {
         long number;
@@ -62,14 +67,25 @@
     byte[] close(Message m) {
         byte[] name = m.duty().getBytes(StandardCharsets.UTF_8);
         if (name.length > NAME_MOST || m.state().length > STATE_MOST) {
-            throw new IllegalArgumentException("a duty's name of " + name.length + " bytes with a state of "
-                    + m.state().length);
+            throw new IllegalArgumentException(
+                    "a duty's name of " + name.length + " bytes with a state of " + m.state().length);
         }
         ByteBuffer b = ByteBuffer.allocate(HEAD + BODY + name.length + m.state().length + SUM);
-        b.putInt(MAGIC).putInt(list).putInt(life).putLong(++sent).putShort((short) number).put((byte) m.kind()
-                .ordinal());
-        b.putLong(m.echo()).putLong(m.ballot()).putLong(m.seen()).putDouble(m.left()).putLong(m.held())
-                .putLong(m.version()).put((byte) name.length).put(name).putShort((short) m.state().length)
+        b.putInt(MAGIC)
+                .putInt(list)
+                .putInt(life)
+                .putLong(++sent)
+                .putShort((short) number)
+                .put((byte) m.kind().ordinal());
+        b.putLong(m.echo())
+                .putLong(m.ballot())
+                .putLong(m.seen())
+                .putDouble(m.left())
+                .putLong(m.held())
+                .putLong(m.version())
+                .put((byte) name.length)
+                .put(name)
+                .putShort((short) m.state().length)
                 .put(m.state());
         b.put(sum(b.array(), b.position()));
         return b.array();
@@ -78,8 +94,7 @@
     /** The message in these bytes; null where it is passed over. */
     Message open(byte[] data) {
         int end = data.length - SUM;
-        if (end < HEAD + BODY
-                || !MessageDigest.isEqual(sum(data, end), Arrays.copyOfRange(data, end, data.length))) {
+        if (end < HEAD + BODY || !MessageDigest.isEqual(sum(data, end), Arrays.copyOfRange(data, end, data.length))) {
             return fault(Fault.DAMAGED);
         }
         ByteBuffer b = ByteBuffer.wrap(data, 0, end);
@@ -110,8 +125,17 @@
             b.get(name);
             byte[] state = new byte[b.getShort()];
             b.get(state);
-            return new Message(Kind.values()[kind], new String(name, StandardCharsets.UTF_8), from, echo,
-                    ballot, seen, left, held, version, state);
+            return new Message(
+                    Kind.values()[kind],
+                    new String(name, StandardCharsets.UTF_8),
+                    from,
+                    echo,
+                    ballot,
+                    seen,
+                    left,
+                    held,
+                    version,
+                    state);
         } catch (RuntimeException e) {
             return fault(Fault.DAMAGED);
         }
--- a/src/main/java/nettlewick/duty/Followed.java
+++ b/src/main/java/nettlewick/duty/Followed.java
@@ -12,6 +12,7 @@
 final class Followed {
     /** In the echo of news: the state goes with it. */
     static final long WHOLE = 1;
+
     private final String duty;
     private final int number;
     private int holder = -1;
@@ -20,6 +21,7 @@
     private byte[] state;
     /** The fence under which the state was told: one who has lost all may count versions anew. */
     private long toldUnder = -1;
+
     private final FenceGate gate = new FenceGate();
 
     Followed(String duty, int number) {
--- a/src/main/java/nettlewick/duty/KeptVoter.java
+++ b/src/main/java/nettlewick/duty/KeptVoter.java
@@ -36,8 +36,11 @@
             } else {
                 opened.forget();
             }
-            LOG.info("voter-remembers", known == null ? "a voter's memory begins"
-                    : "a voter's memory is back", "duties", known == null ? 0 : known.size());
+            LOG.info(
+                    "voter-remembers",
+                    known == null ? "a voter's memory begins" : "a voter's memory is back",
+                    "duties",
+                    known == null ? 0 : known.size());
             return opened;
         } catch (StoreException e) {
             throw new IOException(e.getMessage(), e);
--- a/src/main/java/nettlewick/duty/Message.java
+++ b/src/main/java/nettlewick/duty/Message.java
@@ -14,11 +14,31 @@
  * @param version the state's version
  * @param state   the state; never null
  */
-record Message(Kind kind, String duty, int from, long echo, long ballot, long seen, double left, long held,
-        long version, byte[] state) {
+record Message(
+        Kind kind,
+        String duty,
+        int from,
+        long echo,
+        long ballot,
+        long seen,
+        double left,
+        long held,
+        long version,
+        byte[] state) {
     /** Questions to voters, each with its answers; RECALL is asked by a voter without memory. */
     enum Kind {
-        ASK, PREPARE, ACCEPT, RELEASE, RECALL, FREE, PROMISED, ACCEPTED, REFUSED, TOLD, BLANK, HANDOVER,
+        ASK,
+        PREPARE,
+        ACCEPT,
+        RELEASE,
+        RECALL,
+        FREE,
+        PROMISED,
+        ACCEPTED,
+        REFUSED,
+        TOLD,
+        BLANK,
+        HANDOVER,
         /**
          * From the holder to all: the version that is stored, with the state if the echo says so, and
          * whether it listens.
@@ -45,8 +65,7 @@
     }
 
     /** A message and whom it is for. */
-    record Post(int to, Message message) {
-    }
+    record Post(int to, Message message) {}
 
     private static final int NUMBER_BITS = 16;
     private static final int LIFE_BITS = 23;
--- a/src/main/java/nettlewick/duty/Order.java
+++ b/src/main/java/nettlewick/duty/Order.java
@@ -6,8 +6,7 @@
 
 /** Who prefers which duty: rendezvous hashing, the same order at every dispatcher. Pure. */
 public final class Order {
-    private Order() {
-    }
+    private Order() {}
 
     /** The dispatchers 0 to {@code size - 1}, the one that should hold the duty first. */
     static List<Integer> of(String duty, int size) {
--- a/src/main/java/nettlewick/duty/Seat.java
+++ b/src/main/java/nettlewick/duty/Seat.java
@@ -13,12 +13,20 @@
  */
 final class Seat {
     /** What it is at; RETIRED holds back for good. */
-    enum Stage { WAITS, ASKS, PREPARES, TAKES, HOLDS, RETIRED }
+    enum Stage {
+        WAITS,
+        ASKS,
+        PREPARES,
+        TAKES,
+        HOLDS,
+        RETIRED
+    }
 
     /** A question that is not answered is put again after this part of a lease. */
     private static final double PATIENCE = 1.0 / 6;
     /** A question on the way to a holding is put so often to those that have not answered. */
     private static final int PUTS = 4;
+
     private static final double AGAIN = PATIENCE / 2;
     private static final double RENEW = 1.0 / 3;
 
@@ -36,6 +44,7 @@
     private int puts;
     /** When this ballot was prepared: one that has not come through within a lease is dropped. */
     private double preparedAt;
+
     private long echo;
     private long highest;
     private long ballot;
@@ -45,6 +54,7 @@
     private double longestLeft;
     /** What a majority has stored, and what is on its way there. */
     private long version;
+
     private byte[] state = Message.NOTHING;
     private byte[] wanted;
 
--- a/src/main/java/nettlewick/duty/Voter.java
+++ b/src/main/java/nettlewick/duty/Voter.java
@@ -23,6 +23,7 @@
         byte[] state = Message.NOTHING;
         /** The ballot that is granted, and until when. */
         long granted;
+
         double until = Double.NEGATIVE_INFINITY;
 
         Register copy() {
@@ -56,6 +57,7 @@
     final Map<String, Register> registers = new TreeMap<>();
     /** Without memory: until when it abstains, and who has told it what. Empty once it votes. */
     private double abstainsUntil;
+
     private final Map<Integer, Set<String>> told = new HashMap<>();
     private final Set<Integer> remembered = new HashSet<>();
     /** Those that remember nothing, each with its life. */
@@ -66,12 +68,14 @@
     private boolean founder;
     /** Tells this life's questions from a former one's, whose answers prove nothing. */
     private final long life;
+
     private double newSince = Double.NaN;
     private boolean votes;
     /** Whether all that it promised and accepted is known from before. */
     private boolean remembers;
     /** What has changed since it was last saved. */
     private final Map<String, Register> changed = new TreeMap<>();
+
     private double askedAt = Double.NEGATIVE_INFINITY;
 
     /** One that starts at {@code now} without any memory. */
@@ -201,15 +205,20 @@
     /** All that it knows, a message for each duty; the last one, of no duty, says how many they were. */
     private List<Post> recall(Message m) {
         if (!votes && !remembers) {
-            return List.of(new Post(m.from(), Message.of(Kind.BLANK, "", number, 0, m.ballot())
-                    .telling(life, 0)));
+            return List.of(new Post(
+                    m.from(), Message.of(Kind.BLANK, "", number, 0, m.ballot()).telling(life, 0)));
         }
         List<Post> out = new ArrayList<>();
-        registers.forEach((duty, r) -> out.add(new Post(m.from(), Message.of(Kind.TOLD, duty, number, 0,
-                m.ballot()).telling(Math.max(r.promised, r.held), 0).holding(r.held, r.version, r.state))));
+        registers.forEach((duty, r) -> out.add(new Post(
+                m.from(),
+                Message.of(Kind.TOLD, duty, number, 0, m.ballot())
+                        .telling(Math.max(r.promised, r.held), 0)
+                        .holding(r.held, r.version, r.state))));
         boolean seen = founded && blank.getOrDefault(m.from(), -1L) == m.ballot();
-        out.add(new Post(m.from(), Message.of(Kind.TOLD, "", number, 0, m.ballot())
-                .holding(seen ? FOUNDER : 0, registers.size(), Message.NOTHING)));
+        out.add(new Post(
+                m.from(),
+                Message.of(Kind.TOLD, "", number, 0, m.ballot())
+                        .holding(seen ? FOUNDER : 0, registers.size(), Message.NOTHING)));
         return out;
     }
 
@@ -256,7 +265,10 @@
         }
         Message reply = Message.of(answer, m.duty(), number, m.echo(), m.ballot())
                 .telling(Math.max(r.promised, r.held), others ? r.until - now : 0);
-        return List.of(new Post(m.from(), answer == Kind.PROMISED ? reply.holding(r.held, r.version, r.state)
-                : answer == Kind.ACCEPTED ? reply.holding(m.ballot(), m.version(), Message.NOTHING) : reply));
+        return List.of(new Post(
+                m.from(),
+                answer == Kind.PROMISED
+                        ? reply.holding(r.held, r.version, r.state)
+                        : answer == Kind.ACCEPTED ? reply.holding(m.ballot(), m.version(), Message.NOTHING) : reply));
     }
 }
--- a/src/main/java/nettlewick/duty/VoterStore.java
+++ b/src/main/java/nettlewick/duty/VoterStore.java
@@ -19,7 +19,8 @@
     private static final String[] TABLES = {
         "CREATE TABLE IF NOT EXISTS whose (list INTEGER, number INTEGER)",
         "CREATE TABLE IF NOT EXISTS register (duty TEXT PRIMARY KEY, promised INTEGER NOT NULL, "
-            + "held INTEGER NOT NULL, version INTEGER NOT NULL, state BLOB NOT NULL) WITHOUT ROWID"};
+                + "held INTEGER NOT NULL, version INTEGER NOT NULL, state BLOB NOT NULL) WITHOUT ROWID"
+    };
 
     private final Database database;
 
@@ -28,10 +29,9 @@
     }
 
     static VoterStore open(Path folder) throws StoreException {
-        VoterStore store = new VoterStore(Database.open(folder.resolve(FILE), false, "the voter's memory",
-                name -> { }));
+        VoterStore store = new VoterStore(Database.open(folder.resolve(FILE), false, "the voter's memory", name -> {}));
         try {
-            store.database.change("made", () -> { }, () -> {
+            store.database.change("made", () -> {}, () -> {
                 store.database.tables(TABLES);
                 return null;
             });
@@ -70,8 +70,7 @@
         return database.look(() -> {
             String whose = database.value("SELECT list || ' ' || number FROM whose");
             Map<String, Voter.Register> registers = new TreeMap<>();
-            try (PreparedStatement s = database.prepare(
-                    "SELECT duty, promised, held, version, state FROM register");
+            try (PreparedStatement s = database.prepare("SELECT duty, promised, held, version, state FROM register");
                     ResultSet rows = s.executeQuery()) {
                 while (rows.next()) {
                     registers.put(rows.getString(1), row(rows));
@@ -83,8 +82,8 @@
 
     /** A voter without memory begins: nothing here is its. */
     void forget() throws StoreException {
-        database.change("emptied", () -> { }, () -> database.run("DELETE FROM whose")
-                + database.run("DELETE FROM register"));
+        database.change(
+                "emptied", () -> {}, () -> database.run("DELETE FROM whose") + database.run("DELETE FROM register"));
     }
 
     /**
@@ -92,8 +91,11 @@
      * empty folder for all that it ever promised.
      */
     void begin(int list, int number) throws StoreException {
-        database.change("written", () -> { }, () -> database.run("DELETE FROM whose")
-                + database.run("INSERT INTO whose VALUES (?, ?)", list, number));
+        database.change(
+                "written",
+                () -> {},
+                () -> database.run("DELETE FROM whose")
+                        + database.run("INSERT INTO whose VALUES (?, ?)", list, number));
     }
 
     private static Voter.Register row(ResultSet rows) throws SQLException {
@@ -107,12 +109,16 @@
 
     /** Durable when it returns. */
     void save(Map<String, Voter.Register> changed) throws StoreException {
-        database.change("written", () -> { }, () -> {
+        database.change("written", () -> {}, () -> {
             for (Map.Entry<String, Voter.Register> e : changed.entrySet()) {
                 Voter.Register r = e.getValue();
-                database.run("INSERT OR REPLACE INTO register VALUES (?, ?, ?, ?, ?)", e.getKey(), r.promised,
+                database.run(
+                        "INSERT OR REPLACE INTO register VALUES (?, ?, ?, ?, ?)",
+                        e.getKey(),
+                        r.promised,
                         r.held,
-                        r.version, r.state);
+                        r.version,
+                        r.state);
             }
             return null;
         });
--- a/src/main/java/nettlewick/lab/Audit.java
+++ b/src/main/java/nettlewick/lab/Audit.java
@@ -39,11 +39,9 @@
     }
 
     /** All runs of one key: where and when the first send arrived. */
-    private record First(double at, String zone) {
-    }
+    private record First(double at, String zone) {}
 
-    private record Excuse(int dispatcher, double from, double to, boolean drainsOnly) {
-    }
+    private record Excuse(int dispatcher, double from, double to, boolean drainsOnly) {}
 
     private final Scenario scenario;
     private final int attemptsMost;
@@ -60,8 +58,7 @@
     private final List<Arrival> arrivals = new ArrayList<>();
 
     /** An attempt of a member's at a runner. */
-    record Arrival(double at, int dispatcher, String member, String runner, String id) {
-    }
+    record Arrival(double at, int dispatcher, String member, String runner, String id) {}
 
     Audit(Scenario scenario, int attemptsMost) {
         this.scenario = scenario;
@@ -74,8 +71,8 @@
     }
 
     /** A client sends a request; {@code key} is the same for all tries of one job. */
-    synchronized void asked(String id, String key, Scenario.JobClass jobClass, int dispatcher, double now,
-            String member) {
+    synchronized void asked(
+            String id, String key, Scenario.JobClass jobClass, int dispatcher, double now, String member) {
         Job job = new Job(key, jobClass, dispatcher, now, member);
         job.history.add(at(now) + " asked n" + dispatcher + " " + jobClass.name());
         jobs.put(id, job);
@@ -97,7 +94,12 @@
             broken("attempts", id, now, job.history);
         }
         Double told = drainTold.get(job.dispatcher + " " + runner.name);
-        if (told != null && now > told + scenario.world().grace() + WAY + scenario.links().delay()
+        if (told != null
+                && now
+                        > told
+                                + scenario.world().grace()
+                                + WAY
+                                + scenario.links().delay()
                 && !excused(job.dispatcher, told, now, true)) {
             broken("drain", id, now, job.history);
         }
@@ -107,8 +109,9 @@
         // What was turned away never ran: it binds no later send.
         if (job.jobClass.keyed() && (taken == RunnerModel.Taken.RUNS || taken == RunnerModel.Taken.WAITS)) {
             First first = firsts.putIfAbsent(job.key, new First(now, runner.zone));
-            if (first != null && (now - first.at() > scenario.load().window() + WAY
-                    || !first.zone().equals(runner.zone))) {
+            if (first != null
+                    && (now - first.at() > scenario.load().window() + WAY
+                            || !first.zone().equals(runner.zone))) {
                 broken("repeat", id, now, job.history);
             }
         }
@@ -147,8 +150,11 @@
 
     /** A runner fell over while cold. */
     synchronized void fell(String runner, double now) {
-        broken("cold", runner, now, List.of("offered more than " + scenario.world().runner().factor()
-                + " times what it could"));
+        broken(
+                "cold",
+                runner,
+                now,
+                List.of("offered more than " + scenario.world().runner().factor() + " times what it could"));
     }
 
     /** Discovery has written to a dispatcher that a runner drains. */
@@ -169,14 +175,18 @@
     }
 
     private boolean excused(int dispatcher, double from, double to, boolean drain) {
-        return excuses.stream().anyMatch(e -> e.dispatcher() == dispatcher && (drain || !e.drainsOnly())
-                && e.from() <= to + WAY && e.to() >= from - WAY);
+        return excuses.stream()
+                .anyMatch(e -> e.dispatcher() == dispatcher
+                        && (drain || !e.drainsOnly())
+                        && e.from() <= to + WAY
+                        && e.to() >= from - WAY);
     }
 
     /** After the end: what was asked long enough ago and has no answer. */
     synchronized void close(double now) {
         jobs.forEach((id, job) -> {
-            if (!job.answered && now - job.askedAt > job.jobClass.deadline() + SPARE
+            if (!job.answered
+                    && now - job.askedAt > job.jobClass.deadline() + SPARE
                     && !excused(job.dispatcher, job.askedAt, now, false)) {
                 broken("one answer", id, now, job.history);
             }
--- a/src/main/java/nettlewick/lab/Clients.java
+++ b/src/main/java/nettlewick/lab/Clients.java
@@ -62,6 +62,7 @@
     private volatile double countFrom;
     /** Which jobs are asked for at all. */
     volatile Predicate<Trace.Arrival> asks = a -> true;
+
     final AtomicInteger open = new AtomicInteger();
     final AtomicInteger served = new AtomicInteger();
     final AtomicInteger refusals = new AtomicInteger();
@@ -73,8 +74,12 @@
         this.audit = audit;
         this.spread = spread;
         this.clock = clock;
-        client = vertx.createHttpClient(new HttpClientOptions().setKeepAliveTimeout(1).setConnectTimeout(1000)
-                .setTcpNoDelay(true), new PoolOptions().setHttp1MaxSize(POOL).setEventLoopSize(LOOPS));
+        client = vertx.createHttpClient(
+                new HttpClientOptions()
+                        .setKeepAliveTimeout(1)
+                        .setConnectTimeout(1000)
+                        .setTcpNoDelay(true),
+                new PoolOptions().setHttp1MaxSize(POOL).setEventLoopSize(LOOPS));
     }
 
     /** Jobs that are meant to be asked for earlier are no figures. */
@@ -101,8 +106,11 @@
             vertx.setTimer(100, t -> again(job));
         } else {
             job.tries++;
-            client.request(new RequestOptions().setMethod(HttpMethod.POST).setURI("/api")
-                    .setHost(to.listen.getHostString()).setPort(to.listen.getPort()))
+            client.request(new RequestOptions()
+                            .setMethod(HttpMethod.POST)
+                            .setURI("/api")
+                            .setHost(to.listen.getHostString())
+                            .setPort(to.listen.getPort()))
                     .onFailure(e -> {
                         // Nobody was there: that was no try.
                         job.tries--;
@@ -134,8 +142,10 @@
         String id = job.key + "-" + job.tries;
         Scenario.JobClass jobClass = job.arrival.jobClass();
         audit.asked(id, job.key, jobClass, to.number, clock.getAsDouble(), job.arrival.member());
-        request.putHeader("Host", "backend.local").putHeader("X-Request-Id", id)
-                .putHeader("X-Class", jobClass.name()).putHeader("X-Tenant", job.arrival.member())
+        request.putHeader("Host", "backend.local")
+                .putHeader("X-Request-Id", id)
+                .putHeader("X-Class", jobClass.name())
+                .putHeader("X-Tenant", job.arrival.member())
                 .putHeader("X-Deadline", String.format(Locale.ROOT, "%.3f", left / 1000))
                 .putHeader("X-Cost-Hint", Long.toString(Math.round(job.arrival.work() * 1000)));
         if (jobClass.keyed()) {
@@ -152,17 +162,21 @@
                 end(job, "unanswered");
             }
         });
-        request.send(Buffer.buffer(Double.toString(job.arrival.work()))).compose(response -> response.body()
-                .map(body -> response)).onComplete(done -> {
-            if (!over.compareAndSet(false, true)) {
-                return;
-            }
-            vertx.cancelTimer(timer);
-            int status = done.succeeded() ? done.result().statusCode() : 0;
-            audit.answered(id, status, done.succeeded() ? "" : String.valueOf(done.cause().getMessage()),
-                    clock.getAsDouble());
-            answered(job, status, done.result());
-        });
+        request.send(Buffer.buffer(Double.toString(job.arrival.work())))
+                .compose(response -> response.body().map(body -> response))
+                .onComplete(done -> {
+                    if (!over.compareAndSet(false, true)) {
+                        return;
+                    }
+                    vertx.cancelTimer(timer);
+                    int status = done.succeeded() ? done.result().statusCode() : 0;
+                    audit.answered(
+                            id,
+                            status,
+                            done.succeeded() ? "" : String.valueOf(done.cause().getMessage()),
+                            clock.getAsDouble());
+                    answered(job, status, done.result());
+                });
     }
 
     private void answered(Asked job, int status, HttpClientResponse response) {
--- a/src/main/java/nettlewick/lab/DatagramRelay.java
+++ b/src/main/java/nettlewick/lab/DatagramRelay.java
@@ -27,8 +27,7 @@
     private static final int LONGEST = 256;
 
     /** A datagram that is on its way. */
-    private record Late(double due, int from, int to, byte[] data) {
-    }
+    private record Late(double due, int from, int to, byte[] data) {}
 
     private final List<DatagramChannel> ends = new ArrayList<>();
     private final List<InetSocketAddress> dispatchers;
@@ -42,8 +41,7 @@
     private volatile boolean open = true;
 
     /** @param dispatchers where each listens for its peers; @param net where the others reach them instead */
-    DatagramRelay(List<InetSocketAddress> dispatchers, String net, Links links, DoubleSupplier clock,
-            int threads)
+    DatagramRelay(List<InetSocketAddress> dispatchers, String net, Links links, DoubleSupplier clock, int threads)
             throws IOException {
         this.dispatchers = dispatchers;
         this.links = links;
@@ -147,8 +145,7 @@
         }
 
         private void receive(DatagramChannel end, int to) throws IOException {
-            for (SocketAddress from = end.receive(buffer.clear()); from != null; from = end.receive(buffer
-                    .clear())) {
+            for (SocketAddress from = end.receive(buffer.clear()); from != null; from = end.receive(buffer.clear())) {
                 Integer sender = senders.get(from);
                 if (sender == null) {
                     continue;
--- a/src/main/java/nettlewick/lab/Duties.java
+++ b/src/main/java/nettlewick/lab/Duties.java
@@ -25,6 +25,7 @@
     private static final int KEY = 32;
     /** A runner that is ended has this long for its work. */
     private static final double ENDS = 5000;
+
     private static final double SECOND = 1000;
     /** Between a choice and its arrival, in a process that has just started, on a busy machine. */
     private static final double MARGIN = 1000;
@@ -37,6 +38,7 @@
     private final Path folder;
     /** By how many milliseconds all clocks are ahead, so that the month turns when it is to. */
     private final long ahead;
+
     private DatagramRelay relay;
     private List<InetSocketAddress> reached;
     private final Map<Integer, InetSocketAddress> providers = new HashMap<>();
@@ -49,15 +51,20 @@
         this.scenario = scenario;
         this.folder = Files.createDirectories(folder);
         double turns = scenario.duty().turns();
-        long next = YearMonth.now(ZoneOffset.UTC).plusMonths(1).atDay(1).atStartOfDay(ZoneOffset.UTC)
-                .toInstant().toEpochMilli();
+        long next = YearMonth.now(ZoneOffset.UTC)
+                .plusMonths(1)
+                .atDay(1)
+                .atStartOfDay(ZoneOffset.UTC)
+                .toInstant()
+                .toEpochMilli();
         ahead = Double.isNaN(turns) ? 0 : next - System.currentTimeMillis() - (long) turns;
         Files.write(folder.resolve("duty.key"), new byte[KEY]);
     }
 
     /** Once the fleet's addresses are known, and before it starts. */
     void open() throws Exception {
-        List<InetSocketAddress> sockets = play.fleet.members.stream().map(m -> m.duty).toList();
+        List<InetSocketAddress> sockets =
+                play.fleet.members.stream().map(m -> m.duty).toList();
         relay = new DatagramRelay(sockets, NET, play.links, play::now, 1);
         reached = relay.addresses();
         Block pools = scenario.duty().pools();
@@ -71,11 +78,14 @@
         if (price == null) {
             return;
         }
-        model = new ProviderModel(price.part(1), price.<Double>part(3).longValue(), scenario.world().zones(),
+        model = new ProviderModel(
+                price.part(1),
+                price.<Double>part(3).longValue(),
+                scenario.world().zones(),
                 caps);
         long comes = (long) scenario.duty().comes();
-        provider = new ProviderServer(play.vertx, model, () -> System.currentTimeMillis() + ahead, comes,
-                new ProviderServer.Hands() {
+        provider = new ProviderServer(
+                play.vertx, model, () -> System.currentTimeMillis() + ahead, comes, new ProviderServer.Hands() {
                     @Override
                     public void start(ProviderModel.Runner r) {
                         play.steps.post(() -> added.put(r.name(), play.add(play.now(), r.name())));
@@ -120,20 +130,26 @@
         reached.forEach(a -> text.append("dispatcher ").append(Play.text(a)).append('\n'));
         text.append("}\npools {\n").append(scenario.duty().pools().lines());
         if (provider != null) {
-            text.append("provider http://").append(Play.text(providers.get(number))).append('\n');
+            text.append("provider http://")
+                    .append(Play.text(providers.get(number)))
+                    .append('\n');
         }
         return text.append("}\n").toString();
     }
 
     /** What became of members' pools, and to the audit whether all went by them. */
     Map<String, Double> close(Moves moves, Map<String, Integer> ends, Audit audit, double loadAt) {
-        List<Double> losses = scenario.steps().stream().filter(s -> s.verb().equals("kill")
-                && s.first().part() == 1
-                && List.of("dispatchers", "all").contains(s.first().name())).map(s -> loadAt
-                        + s.at()).toList();
-        moves.check(audit, losses, MARGIN + scenario.links().delay(), name -> play.models.stream()
-                .anyMatch(m -> m.name
-                .equals(name) && m.serves()));
+        List<Double> losses = scenario.steps().stream()
+                .filter(s -> s.verb().equals("kill")
+                        && s.first().part() == 1
+                        && List.of("dispatchers", "all").contains(s.first().name()))
+                .map(s -> loadAt + s.at())
+                .toList();
+        moves.check(
+                audit,
+                losses,
+                MARGIN + scenario.links().delay(),
+                name -> play.models.stream().anyMatch(m -> m.name.equals(name) && m.serves()));
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("moves", (double) moves.count("pool-open"));
         figures.put("returns", (double) moves.count("pool-none"));
@@ -148,25 +164,36 @@
         }
         figures.put("handover_ms_planned", moves.plannedHandover());
         for (String verb : List.of("kill", "pause")) {
-            double longest = scenario.steps().stream().filter(s -> s.verb().equals(verb)
-                    && s.first().holder() != null)
+            double longest = scenario.steps().stream()
+                    .filter(s -> s.verb().equals(verb) && s.first().holder() != null)
                     .mapToDouble(s -> moves.handover(s.first().holder(), List.of(loadAt + s.at())))
-                    .filter(t -> !Double.isNaN(t)).max().orElse(Double.NaN);
-            figures.put("handover_leases_" + (verb.equals("kill") ? "killed"
-                    : "paused"), longest / scenario.duty().lease());
+                    .filter(t -> !Double.isNaN(t))
+                    .max()
+                    .orElse(Double.NaN);
+            figures.put(
+                    "handover_leases_" + (verb.equals("kill") ? "killed" : "paused"),
+                    longest / scenario.duty().lease());
         }
-        scenario.steps().stream().filter(s -> s.verb().equals("flood")).forEach(s -> figures.put("found_s_"
-                + s.first().name(), moves.found(s.first().name(), loadAt + s.at()) / SECOND));
+        scenario.steps().stream()
+                .filter(s -> s.verb().equals("flood"))
+                .forEach(s -> figures.put(
+                        "found_s_" + s.first().name(), moves.found(s.first().name(), loadAt + s.at()) / SECOND));
         figures.put("two_holders", (double) audit.count("two holders"));
-        figures.put("moved_jobs_lost", moves.all("pool-reserve").stream().map(l -> l.field("member"))
-                .distinct().mapToDouble(member -> audit.count("one answer " + member)).sum());
+        figures.put(
+                "moved_jobs_lost",
+                moves.all("pool-reserve").stream()
+                        .map(l -> l.field("member"))
+                        .distinct()
+                        .mapToDouble(member -> audit.count("one answer " + member))
+                        .sum());
         if (model != null) {
             model.counts().forEach((name, count) -> figures.put(name, (double) count));
             figures.put("stale_acts_accepted", (double) back());
             figures.put("cap_overrun_cents", model.overrun());
             figures.put("adds_after_near", (double) model.breaks().size());
-            figures.put("adds_unspent_refused", (double) moves.all("near-cap").stream().mapToInt(l -> model
-                    .unspent(l.field("member"), (long) (play.wall + l.at() + SETTLES) + ahead)).sum());
+            figures.put("adds_unspent_refused", (double) moves.all("near-cap").stream()
+                    .mapToInt(l -> model.unspent(l.field("member"), (long) (play.wall + l.at() + SETTLES) + ahead))
+                    .sum());
             model.breaks().forEach(b -> audit.broken("near mark", "provider", play.now(), b));
         }
         return figures;
@@ -175,8 +202,9 @@
     /** Acts under a fence below that of one before. */
     private long back() {
         Map<String, Long> highest = new HashMap<>();
-        return model.acts().stream().filter(a -> highest.merge(a.member(), a.fence(), Math::max)
-                > a.fence()).count();
+        return model.acts().stream()
+                .filter(a -> highest.merge(a.member(), a.fence(), Math::max) > a.fence())
+                .count();
     }
 
     @Override
--- a/src/main/java/nettlewick/lab/Fleet.java
+++ b/src/main/java/nettlewick/lab/Fleet.java
@@ -25,10 +25,18 @@
 final class Fleet implements AutoCloseable {
     /** Each process has an address of its own in this net. */
     private static final String NET = net(0);
+
     private static final int PER_BYTE = 250;
-    private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms8m",
-            "-Xmx64m", "-XX:MaxMetaspaceSize=48m", "-XX:ReservedCodeCacheSize=24m",
-            "-XX:MaxDirectMemorySize=16m", "-Xss256k", "-XX:-UsePerfData",
+    private static final List<String> FLAGS = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xms8m",
+            "-Xmx64m",
+            "-XX:MaxMetaspaceSize=48m",
+            "-XX:ReservedCodeCacheSize=24m",
+            "-XX:MaxDirectMemorySize=16m",
+            "-Xss256k",
+            "-XX:-UsePerfData",
             // Many processes that each see little: what they run seldom is compiled soon all the same.
             "-XX:CompileThresholdScaling=0.1");
     private static final double TICKS = 10;
@@ -47,9 +55,14 @@
         volatile boolean killed;
         /** CPU of its processes that have ended, in milliseconds. */
         double cpuBefore;
+
         int lives;
 
-        Member(int number, InetSocketAddress listen, InetSocketAddress peer, InetSocketAddress admin,
+        Member(
+                int number,
+                InetSocketAddress listen,
+                InetSocketAddress peer,
+                InetSocketAddress admin,
                 InetSocketAddress duty) {
             this.duty = duty;
             this.number = number;
@@ -82,8 +95,13 @@
      * @param more   settings of our own; null: none
      * @param ahead  by how many milliseconds a process's clock is ahead
      */
-    Fleet(int size, Path folder, IntFunction<Map<String, Object>> config, IntFunction<String> more,
-            IntToLongFunction ahead) throws IOException {
+    Fleet(
+            int size,
+            Path folder,
+            IntFunction<Map<String, Object>> config,
+            IntFunction<String> more,
+            IntToLongFunction ahead)
+            throws IOException {
         this.ahead = ahead;
         this.more = more;
         this.folder = Files.createDirectories(folder);
@@ -96,7 +114,9 @@
                     ServerSocket admin = new ServerSocket(0, 1, own);
                     DatagramSocket peer = new DatagramSocket(0, own);
                     DatagramSocket duty = new DatagramSocket(0, own)) {
-                members.add(new Member(i, new InetSocketAddress(own, listen.getLocalPort()),
+                members.add(new Member(
+                        i,
+                        new InetSocketAddress(own, listen.getLocalPort()),
                         new InetSocketAddress(own, peer.getLocalPort()),
                         new InetSocketAddress(own, admin.getLocalPort()),
                         new InetSocketAddress(own, duty.getLocalPort())));
@@ -117,20 +137,22 @@
 
     /** The jar that this runs from, or its classes where there is none yet. */
     private static List<String> command() {
-        List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString()));
+        List<String> line = new ArrayList<>(
+                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         line.addAll(FLAGS);
-        Path source = Path.of(Fleet.class.getProtectionDomain().getCodeSource().getLocation().getPath());
+        Path source = Path.of(
+                Fleet.class.getProtectionDomain().getCodeSource().getLocation().getPath());
         if (Files.isRegularFile(source)) {
             Path archive = source.resolveSibling("nettlewick.jsa");
             if (Files.isRegularFile(archive)) {
-                line.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off",
-                        "-Xlog:cds+dynamic=off"));
+                line.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off", "-Xlog:cds+dynamic=off"));
             }
             line.addAll(List.of("-jar", source.toString()));
         } else {
-            line.addAll(List.of("-cp", System.getProperty("surefire.test.class.path",
-                    System.getProperty("java.class.path")), "nettlewick.cli.Main"));
+            line.addAll(List.of(
+                    "-cp",
+                    System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                    "nettlewick.cli.Main"));
         }
         line.add("serve");
         return line;
@@ -151,10 +173,12 @@
         }
         String settings = more.apply(number);
         if (settings != null) {
-            line.addAll(List.of("--settings", Files.writeString(own.resolve("settings"), settings)
-                    .toString()));
+            line.addAll(List.of(
+                    "--settings",
+                    Files.writeString(own.resolve("settings"), settings).toString()));
         }
-        ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(line)
+                .redirectErrorStream(true)
                 .redirectOutput(own.resolve("log").toFile());
         builder.environment().put("ROUTER_CONFIG", file.toString());
         m.ready = false;
@@ -193,14 +217,17 @@
         Member m = members.get(number);
         if (m.alive()) {
             m.paused = stop;
-            new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", Long.toString(m.process.pid())).start()
+            new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", Long.toString(m.process.pid()))
+                    .start()
                     .waitFor();
         }
     }
 
     /** CPU that all processes have used together, in milliseconds. */
     double cpu() {
-        return members.stream().mapToDouble(m -> m.cpuBefore + (m.alive() ? cpu(m.process) : 0)).sum();
+        return members.stream()
+                .mapToDouble(m -> m.cpuBefore + (m.alive() ? cpu(m.process) : 0))
+                .sum();
     }
 
     private static double cpu(Process process) {
@@ -220,8 +247,10 @@
             return 0;
         }
         try (Stream<String> lines = Files.lines(Path.of("/proc/" + m.process.pid() + "/smaps_rollup"))) {
-            return lines.filter(l -> l.startsWith("Pss:")).mapToDouble(l -> Double.parseDouble(l.replaceAll(
-                    "\\D+", ""))).sum() / 1024;
+            return lines.filter(l -> l.startsWith("Pss:"))
+                            .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D+", "")))
+                            .sum()
+                    / 1024;
         } catch (IOException | java.io.UncheckedIOException e) {
             return 0;
         }
@@ -260,9 +289,21 @@
         Scenario.World w = scenario.world();
         List<Map<String, Object>> classes = new ArrayList<>();
         for (Scenario.JobClass c : scenario.load().classes()) {
-            classes.add(Map.of("name", c.name(), "repeat", c.repeat(), "aim", nanos(c.aim()), "deadline",
-                    nanos(c.deadline()), "worth", 1, "window", nanos(scenario.load().window()),
-                    "dedup_scope", "zone"));
+            classes.add(Map.of(
+                    "name",
+                    c.name(),
+                    "repeat",
+                    c.repeat(),
+                    "aim",
+                    nanos(c.aim()),
+                    "deadline",
+                    nanos(c.deadline()),
+                    "worth",
+                    1,
+                    "window",
+                    nanos(scenario.load().window()),
+                    "dedup_scope",
+                    "zone"));
         }
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("rank", rank);
@@ -272,19 +313,51 @@
         settings.put("models", List.of("std"));
         settings.put("membership_mode", w.asked() ? "on_request" : "pushed");
         settings.put("classes", classes);
-        settings.put("tenants", scenario.load().members().stream().map(m -> Map.of("name", m.name(),
-                "fraction",
-                m.share())).toList());
-        settings.put("report", Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0",
-                "x1")));
-        settings.put("family_info", Map.of("progress", nanos(RunnerServer.PROGRESS), "tells_start",
-                true));
-        settings.put("ceilings", Map.of("attempts_cap", Play.ATTEMPTS, "cancel", w.runner().cancel(), "peers",
-                w.peers(), "probes", true, "retry_after", true, "second_copies", false, "max_retry_after",
-                nanos(2000), "connect_timeout", nanos(200), "conn_idle", nanos(5000)));
-        settings.put("rules", Map.of("cold", nanos(w.runner().cold()), "cold_share", w.runner().share(),
-                "overload_factor", w.runner().factor(), "drain_grace", nanos(w.grace()), "fall",
-                nanos(w.runner().fall()), "answer_slack", nanos(20), "ask_within", nanos(10_000)));
+        settings.put(
+                "tenants",
+                scenario.load().members().stream()
+                        .map(m -> Map.of("name", m.name(), "fraction", m.share()))
+                        .toList());
+        settings.put("report", Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0", "x1")));
+        settings.put("family_info", Map.of("progress", nanos(RunnerServer.PROGRESS), "tells_start", true));
+        settings.put(
+                "ceilings",
+                Map.of(
+                        "attempts_cap",
+                        Play.ATTEMPTS,
+                        "cancel",
+                        w.runner().cancel(),
+                        "peers",
+                        w.peers(),
+                        "probes",
+                        true,
+                        "retry_after",
+                        true,
+                        "second_copies",
+                        false,
+                        "max_retry_after",
+                        nanos(2000),
+                        "connect_timeout",
+                        nanos(200),
+                        "conn_idle",
+                        nanos(5000)));
+        settings.put(
+                "rules",
+                Map.of(
+                        "cold",
+                        nanos(w.runner().cold()),
+                        "cold_share",
+                        w.runner().share(),
+                        "overload_factor",
+                        w.runner().factor(),
+                        "drain_grace",
+                        nanos(w.grace()),
+                        "fall",
+                        nanos(w.runner().fall()),
+                        "answer_slack",
+                        nanos(20),
+                        "ask_within",
+                        nanos(10_000)));
         return settings;
     }
 
--- a/src/main/java/nettlewick/lab/Lab.java
+++ b/src/main/java/nettlewick/lab/Lab.java
@@ -12,14 +12,13 @@
 public final class Lab {
     private static final double IDLE = 3000;
 
-    private Lab() {
-    }
+    private Lab() {}
 
     /** Checks a scenario file. @throws BadSettings with one line for the first fault */
     public static String check(Path file) {
         Scenario s = Scenario.read(file);
-        return file + " is in order: " + s.world().dispatchers() + " dispatchers, " + s.world().runners()
-                + " runners, " + s.steps().size() + " steps";
+        return file + " is in order: " + s.world().dispatchers() + " dispatchers, "
+                + s.world().runners() + " runners, " + s.steps().size() + " steps";
     }
 
     /**
@@ -30,22 +29,19 @@
      * @return whether no rule was broken and no process ended by itself
      * @throws BadSettings where the file is not in order
      */
-    public static boolean run(Path file, Path folder, Consumer<String> line, Consumer<String> out)
-            throws Exception {
+    public static boolean run(Path file, Path folder, Consumer<String> line, Consumer<String> out) throws Exception {
         Scenario scenario = Scenario.read(file);
         Results.keep(folder, "scenario.conf", Files.readString(file));
         return run(scenario, folder, line, out);
     }
 
-    static boolean run(Scenario scenario, Path folder, Consumer<String> line, Consumer<String> out)
-            throws Exception {
+    static boolean run(Scenario scenario, Path folder, Consumer<String> line, Consumer<String> out) throws Exception {
         try (Play play = new Play(scenario, folder.resolve("processes"))) {
             play.start(line);
             play.idle(IDLE);
             Map<String, Double> figures = play.run(line);
             List<String> breaks = play.audit().breaks();
-            String faults = Results.write(folder, figures, breaks, play.spread(), play.latency(),
-                    play.seconds());
+            String faults = Results.write(folder, figures, breaks, play.spread(), play.latency(), play.seconds());
             if (faults != null) {
                 line.accept(faults);
             }
--- a/src/main/java/nettlewick/lab/Links.java
+++ b/src/main/java/nettlewick/lab/Links.java
@@ -13,7 +13,13 @@
  */
 final class Links {
     /** How a connection is treated from now on. */
-    enum Way { OPEN, STALLED, REFUSED, RESET, TRICKLES }
+    enum Way {
+        OPEN,
+        STALLED,
+        REFUSED,
+        RESET,
+        TRICKLES
+    }
 
     private record Cut(BitSet from, BitSet to, double until) {
         boolean cuts(int a, int b, double now) {
@@ -21,11 +27,9 @@
         }
     }
 
-    private record Spell(BitSet whom, Way way, double until) {
-    }
+    private record Spell(BitSet whom, Way way, double until) {}
 
-    private record Loss(double part, double until) {
-    }
+    private record Loss(double part, double until) {}
 
     private final Scenario.LinkSettings settings;
     private final long seed;
@@ -86,8 +90,8 @@
         if (part == 0 && settings.duplicates() == 0 && settings.jitter() == 0) {
             return List.of(settings.delay());
         }
-        SplittableRandom random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + from * 0x1000003L
-                + to * 0x5BD1E995L + number * 0xC2B2AE3D27D4EB4FL);
+        SplittableRandom random = new SplittableRandom(
+                seed * 0x9E3779B97F4A7C15L + from * 0x1000003L + to * 0x5BD1E995L + number * 0xC2B2AE3D27D4EB4FL);
         int copies = random.nextDouble() < part ? 0 : random.nextDouble() < settings.duplicates() ? 2 : 1;
         List<Double> delays = new ArrayList<>(copies);
         for (int i = 0; i < copies; i++) {
--- a/src/main/java/nettlewick/lab/Moves.java
+++ b/src/main/java/nettlewick/lab/Moves.java
@@ -34,8 +34,7 @@
     }
 
     /** A pool as a dispatcher follows it. */
-    private record Pool(String member, boolean shut, boolean confined, Set<String> runners) {
-    }
+    private record Pool(String member, boolean shut, boolean confined, Set<String> runners) {}
 
     private static final String FOLLOWED = "pools-followed";
     private final List<Line> lines;
@@ -53,14 +52,17 @@
     static Moves read(Path folder, double wall, String word) throws IOException {
         List<Line> lines = new ArrayList<>();
         try (Stream<Path> logs = Files.list(folder)) {
-            for (Path process : logs.filter(p -> p.getFileName().toString().matches("n\\d+-\\d+")).toList()) {
+            for (Path process : logs.filter(p -> p.getFileName().toString().matches("n\\d+-\\d+"))
+                    .toList()) {
                 String[] name = process.getFileName().toString().substring(1).split("-");
                 for (String text : Files.readAllLines(process.resolve("log"))) {
                     JsonObject said = text.contains(word) ? parse(text) : null;
                     if (said != null) {
-                        lines.add(new Line(Instant.parse(said.get("time").getAsString())
-                                .toEpochMilli() - wall, Integer
-                                .parseInt(name[0]), Integer.parseInt(name[1]), said));
+                        lines.add(new Line(
+                                Instant.parse(said.get("time").getAsString()).toEpochMilli() - wall,
+                                Integer.parseInt(name[0]),
+                                Integer.parseInt(name[1]),
+                                said));
                     }
                 }
             }
@@ -72,7 +74,8 @@
     /** Lines that are cut off by a kill are none. */
     private static JsonObject parse(String text) {
         try {
-            JsonObject said = text.startsWith("{") ? JsonParser.parseString(text).getAsJsonObject() : null;
+            JsonObject said =
+                    text.startsWith("{") ? JsonParser.parseString(text).getAsJsonObject() : null;
             return said != null && said.has("event") && said.has("time") ? said : null;
         } catch (JsonParseException | IllegalStateException e) {
             return null;
@@ -106,26 +109,38 @@
 
     /** When a member's duty was held next after that time; NaN: never. */
     private double heldAfter(String duty, double at) {
-        return all("duty-held").stream().filter(l -> l.field("duty").equals(duty) && l.at() > at)
-                .mapToDouble(Line::at).findFirst().orElse(Double.NaN);
+        return all("duty-held").stream()
+                .filter(l -> l.field("duty").equals(duty) && l.at() > at)
+                .mapToDouble(Line::at)
+                .findFirst()
+                .orElse(Double.NaN);
     }
 
     /** The longest time, in milliseconds, from a planned end's word to the next holder's. */
     double plannedHandover() {
-        return all("duty-handed-on").stream().mapToDouble(l -> heldAfter(l.field("duty"), l.at()) - l.at())
-                .filter(t -> !Double.isNaN(t)).max().orElse(Double.NaN);
+        return all("duty-handed-on").stream()
+                .mapToDouble(l -> heldAfter(l.field("duty"), l.at()) - l.at())
+                .filter(t -> !Double.isNaN(t))
+                .max()
+                .orElse(Double.NaN);
     }
 
     /** The same from such steps against a holder, by the times given. */
     double handover(String member, List<Double> steps) {
-        return steps.stream().mapToDouble(at -> heldAfter("pool-" + member, at) - at)
-                .filter(t -> !Double.isNaN(t)).max().orElse(Double.NaN);
+        return steps.stream()
+                .mapToDouble(at -> heldAfter("pool-" + member, at) - at)
+                .filter(t -> !Double.isNaN(t))
+                .max()
+                .orElse(Double.NaN);
     }
 
     /** From that time until a member's move began; NaN: it did not. */
     double found(String member, double at) {
-        return all("pool-reserve").stream().filter(l -> l.field("member").equals(member) && l.at() > at)
-                .mapToDouble(l -> l.at() - at).findFirst().orElse(Double.NaN);
+        return all("pool-reserve").stream()
+                .filter(l -> l.field("member").equals(member) && l.at() > at)
+                .mapToDouble(l -> l.at() - at)
+                .findFirst()
+                .orElse(Double.NaN);
     }
 
     /**
@@ -138,21 +153,28 @@
     void check(Audit audit, List<Double> losses, double margin, Predicate<String> serves) {
         terms(audit, losses);
         Map<Integer, List<Line>> followed = new HashMap<>();
-        lines.stream().filter(l -> l.event().equals(FOLLOWED) || l.event().equals("listens"))
+        lines.stream()
+                .filter(l -> l.event().equals(FOLLOWED) || l.event().equals("listens"))
                 .forEach(l -> followed.computeIfAbsent(l.dispatcher(), d -> new ArrayList<>())
-                .add(l));
+                        .add(l));
         for (Audit.Arrival a : audit.arrivals()) {
             for (Pool pool : inForce(followed.getOrDefault(a.dispatcher(), List.of()), a, margin)) {
                 boolean own = pool.member().equals(a.member());
                 if (!own && pool.shut() && pool.runners().contains(a.runner())) {
-                    audit.broken("foreign pool", a.id(), a.at(), a.member() + " from n" + a.dispatcher()
-                            + " at "
-                            + a.runner() + " of " + pool);
-                } else if (own && pool.confined() && !pool.runners().contains(a.runner()) && pool.runners()
-                        .stream()
-                        .anyMatch(serves)) {
-                    audit.broken("own pool", a.id(), a.at(), a.member() + " from n" + a.dispatcher() + " at "
-                            + a.runner() + " outside " + pool);
+                    audit.broken(
+                            "foreign pool",
+                            a.id(),
+                            a.at(),
+                            a.member() + " from n" + a.dispatcher() + " at " + a.runner() + " of " + pool);
+                } else if (own
+                        && pool.confined()
+                        && !pool.runners().contains(a.runner())
+                        && pool.runners().stream().anyMatch(serves)) {
+                    audit.broken(
+                            "own pool",
+                            a.id(),
+                            a.at(),
+                            a.member() + " from n" + a.dispatcher() + " at " + a.runner() + " outside " + pool);
                 }
             }
         }
@@ -174,8 +196,7 @@
             }
             before = l;
         }
-        return before == null || !before.event().equals(FOLLOWED) ? List.of()
-                : pools(before.field("follows"));
+        return before == null || !before.event().equals(FOLLOWED) ? List.of() : pools(before.field("follows"));
     }
 
     /** {@code red:1:0:s1,s2;blue:1:1:s3}: member, whether it is shut and confined, runners. */
@@ -183,9 +204,8 @@
         List<Pool> pools = new ArrayList<>();
         for (String one : text.isEmpty() ? new String[0] : text.split(";")) {
             String[] part = one.split(":", -1);
-            pools.add(new Pool(part[0], part[1].equals("1"), part[2].equals("1"),
-                    new HashSet<>(List.of(part[3]
-                    .split(",")))));
+            pools.add(new Pool(
+                    part[0], part[1].equals("1"), part[2].equals("1"), new HashSet<>(List.of(part[3].split(",")))));
         }
         return pools;
     }
@@ -202,22 +222,23 @@
 
     private void terms(Audit audit, double from, double to) {
         Map<String, TreeMap<Long, Long>> fences = new HashMap<>();
-        for (Line l : all("duty-held").stream().filter(l -> l.at() >= from && l.at() < to).toList()) {
+        for (Line l : all("duty-held").stream()
+                .filter(l -> l.at() >= from && l.at() < to)
+                .toList()) {
             Long term = Long.parseLong(l.field("term"));
             Long fence = Long.parseLong(l.field("fence"));
-            Long other = fences.computeIfAbsent(l.field("duty"), d -> new TreeMap<>()).put(term, fence);
+            Long other = fences.computeIfAbsent(l.field("duty"), d -> new TreeMap<>())
+                    .put(term, fence);
             if (other != null && !other.equals(fence)) {
-                audit.broken("two holders", l.field("duty"), l.at(), "term " + term + " under " + other
-                        + " and "
-                        + fence);
+                audit.broken(
+                        "two holders", l.field("duty"), l.at(), "term " + term + " under " + other + " and " + fence);
             }
         }
         fences.forEach((duty, terms) -> {
             long last = -1;
             for (Map.Entry<Long, Long> e : terms.entrySet()) {
                 if (e.getValue() <= last) {
-                    audit.broken("fences", duty, 0, "term " + e.getKey() + " under " + e.getValue()
-                            + " after " + last);
+                    audit.broken("fences", duty, 0, "term " + e.getKey() + " under " + e.getValue() + " after " + last);
                 }
                 last = e.getValue();
             }
--- a/src/main/java/nettlewick/lab/Play.java
+++ b/src/main/java/nettlewick/lab/Play.java
@@ -33,6 +33,7 @@
     static final int ATTEMPTS = 6;
     /** Pairs of dispatcher and runner up to which each has a listener of its own. */
     private static final int PAIRS = 4096;
+
     private static final int RUNNERS_MOST = 20_000;
     private static final int START_SECONDS = 300;
     private static final double LIMIT_LATE = 20;
@@ -45,6 +46,7 @@
     private final long began = System.nanoTime();
     /** When the load that counts begins, by the lab's clock. */
     private volatile double loadAt = Double.POSITIVE_INFINITY;
+
     final Links links;
     final Audit audit;
     private final Spread spread;
@@ -61,12 +63,15 @@
     final Steps steps;
     /** Null where no member has a pool. */
     final Duties duties;
+
     private final Path folder;
     /** Unix time at the lab clock's beginning. */
     final double wall = System.currentTimeMillis();
+
     private final Map<RunnerServer, Integer> places = new java.util.concurrent.ConcurrentHashMap<>();
     /** Set from outside: what the run was for has happened. */
     volatile boolean enough;
+
     private final Histogram lateness = new Histogram(60_000, 3);
     private final Map<String, Double> figures = new LinkedHashMap<>();
     private final List<Results.Second> seconds = new ArrayList<>();
@@ -74,31 +79,44 @@
     Play(Scenario scenario, Path folder) throws Exception {
         this.scenario = scenario;
         world = scenario.world();
-        vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(Math.max(4, Runtime.getRuntime()
-                .availableProcessors() / 2)).setFileSystemOptions(new FileSystemOptions()
-                        .setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
-        health = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(500).setKeepAlive(false),
+        vertx = Vertx.vertx(new VertxOptions()
+                .setEventLoopPoolSize(Math.max(4, Runtime.getRuntime().availableProcessors() / 2))
+                .setFileSystemOptions(
+                        new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
+        health = vertx.createHttpClient(
+                new HttpClientOptions().setConnectTimeout(500).setKeepAlive(false),
                 new PoolOptions().setHttp1MaxSize(4));
         links = new Links(scenario.links(), world.seed());
         audit = new Audit(scenario, ATTEMPTS);
         spread = new Spread(models, scenario.load().meanWork());
         tcp = scenario.links().relayed() ? new TcpRelay(vertx, links, this::now) : null;
-        discovery = new DiscoveryServer(vertx, world.dispatchers(), world.calls(), audit::toldDrain,
-                this::now, (d, r) -> dials.get(dial(d, places.get(r))));
+        discovery = new DiscoveryServer(
+                vertx,
+                world.dispatchers(),
+                world.calls(),
+                audit::toldDrain,
+                this::now,
+                (d, r) -> dials.get(dial(d, places.get(r))));
         for (int r = 0; r < world.runners(); r++) {
             discovery.change(add(Double.NEGATIVE_INFINITY), "Ready");
         }
         this.folder = folder;
         duties = scenario.duty() == null ? null : new Duties(this, scenario, folder);
-        fleet = new Fleet(world.dispatchers(), folder, this::config, d -> duties == null ? null
-                : duties.settings(d), d -> (duties == null ? 0 : duties.ahead()) + world.clocks()
-                        .getOrDefault(
-                        "n" + d, 0.0).longValue());
+        fleet = new Fleet(
+                world.dispatchers(),
+                folder,
+                this::config,
+                d -> duties == null ? null : duties.settings(d),
+                d -> (duties == null ? 0 : duties.ahead())
+                        + world.clocks().getOrDefault("n" + d, 0.0).longValue());
         for (int d = 0; d < world.dispatchers(); d++) {
             InetSocketAddress direct = discovery.listen(d);
             discoveries.put(d, reach(d, discoveryNumber(), direct));
         }
-        datagrams = new DatagramRelay(fleet.members.stream().map(m -> m.peer).toList(), Fleet.net(1), links,
+        datagrams = new DatagramRelay(
+                fleet.members.stream().map(m -> m.peer).toList(),
+                Fleet.net(1),
+                links,
                 this::now,
                 Math.max(1, Math.min(3, world.dispatchers() / 50)));
         peers = datagrams.addresses().stream().map(Play::text).toList();
@@ -147,7 +165,8 @@
 
     /** The dispatchers that share a listener go by the first of them. */
     private int group(int dispatcher) {
-        return world.dispatchers() * world.runners() <= PAIRS ? dispatcher
+        return world.dispatchers() * world.runners() <= PAIRS
+                ? dispatcher
                 : dispatcher % world.zones().size();
     }
 
@@ -162,8 +181,8 @@
     RunnerServer add(double born, String name) throws Exception {
         int r = runners.size();
         RunnerModel model = new RunnerModel(name, world.zone(r), world.speed(r), world.runner(), born);
-        RunnerServer server = new RunnerServer(Fleet.address(RUNNERS_NET, r).getHostAddress(), model,
-                vertx, this, this::now);
+        RunnerServer server =
+                new RunnerServer(Fleet.address(RUNNERS_NET, r).getHostAddress(), model, vertx, this, this::now);
         InetSocketAddress direct = server.listen();
         for (int d = 0; d < world.dispatchers(); d++) {
             String key = dial(d, r);
@@ -184,8 +203,9 @@
         config.put("listen", text(m.listen));
         config.put("admin_addr", text(m.admin));
         config.put("discovery", text(discoveries.get(number)));
-        config.put("seed", String.format("%016x", new SplittableRandom(world.seed() + 1000L * number
-                + m.lives).nextLong()));
+        config.put(
+                "seed",
+                String.format("%016x", new SplittableRandom(world.seed() + 1000L * number + m.lives).nextLong()));
         config.put("peer_listen", text(m.peer));
         config.put("peers", peers);
         if (m.lives > 1 && world.known()) {
@@ -201,7 +221,8 @@
         int next = 0;
         int most = Runtime.getRuntime().availableProcessors() + 2;
         while (fleet.members.stream().anyMatch(m -> !m.ready)) {
-            long starting = fleet.members.stream().filter(m -> m.lives > 0 && !m.ready).count();
+            long starting =
+                    fleet.members.stream().filter(m -> m.lives > 0 && !m.ready).count();
             for (; next < fleet.members.size() && starting < most; next++, starting++) {
                 fleet.start(next);
             }
@@ -222,7 +243,9 @@
         figures.put("ready_s", (now() - from) / SECOND);
         figures.put("start_cpu_s", fleet.cpu() / SECOND / fleet.members.size());
         int some = Math.min(8, fleet.members.size());
-        figures.put("megabytes", IntStream.range(0, some).mapToDouble(fleet::megabytes).sum() / some);
+        figures.put(
+                "megabytes",
+                IntStream.range(0, some).mapToDouble(fleet::megabytes).sum() / some);
         return figures;
     }
 
@@ -247,8 +270,8 @@
             if (m.alive() && !m.ready && !m.paused) {
                 Process asked = m.process;
                 health.request(HttpMethod.GET, m.listen.getPort(), m.listen.getHostString(), "/_health")
-                        .compose(r -> r.send()).onSuccess(r -> m.ready = r.statusCode() == 200
-                                && m.process == asked);
+                        .compose(r -> r.send())
+                        .onSuccess(r -> m.ready = r.statusCode() == 200 && m.process == asked);
             }
         }
     }
@@ -271,10 +294,14 @@
         int next = 0;
         double told = -scenario.load().warm();
         double until = scenario.load().length();
-        double longest = scenario.load().classes().stream().mapToDouble(Scenario.JobClass::deadline).max()
+        double longest = scenario.load().classes().stream()
+                .mapToDouble(Scenario.JobClass::deadline)
+                .max()
                 .orElse(0);
-        while (!enough && (load() < until || !steps.done()
-                || clients.open.get() > 0 && load() < until + longest + 2 * Audit.SPARE)) {
+        while (!enough
+                && (load() < until
+                        || !steps.done()
+                        || clients.open.get() > 0 && load() < until + longest + 2 * Audit.SPARE)) {
             while (next < trace.size() && trace.get(next).at() <= load()) {
                 Trace.Arrival a = trace.get(next++);
                 if (a.at() >= 0) {
@@ -293,18 +320,29 @@
                 told += SECOND;
                 look();
                 Map<String, Integer> ends = clients.ends();
-                seconds.add(new Results.Second(load(), (int) ready(), next, ends.getOrDefault("in_time", 0),
-                        ends.getOrDefault("late", 0), clients.refusals.get(), clients.open.get()));
-                progress.accept(String.format("%.0f s: %d ready, %d asked, %d served, %d refusals, %d open, "
-                        + "%d breaks", load() / SECOND, ready(), next, clients.served.get(),
-                        clients.refusals.get(), clients.open.get(), audit.breaks().size()));
+                seconds.add(new Results.Second(
+                        load(),
+                        (int) ready(),
+                        next,
+                        ends.getOrDefault("in_time", 0),
+                        ends.getOrDefault("late", 0),
+                        clients.refusals.get(),
+                        clients.open.get()));
+                progress.accept(String.format(
+                        "%.0f s: %d ready, %d asked, %d served, %d refusals, %d open, " + "%d breaks",
+                        load() / SECOND,
+                        ready(),
+                        next,
+                        clients.served.get(),
+                        clients.refusals.get(),
+                        clients.open.get(),
+                        audit.breaks().size()));
                 double took = load();
                 if (counts && took < until) {
                     figures.put("cores", (fleet.cpu() - cpu) / took);
-                    figures.put("datagrams_per_s", (datagrams.sent() - sent) / took * SECOND / fleet.members
-                            .size());
-                    figures.put("datagram_bytes_per_s", (datagrams.bytes() - bytes) / took * SECOND
-                            / fleet.members.size());
+                    figures.put("datagrams_per_s", (datagrams.sent() - sent) / took * SECOND / fleet.members.size());
+                    figures.put(
+                            "datagram_bytes_per_s", (datagrams.bytes() - bytes) / took * SECOND / fleet.members.size());
                 }
             }
             TimeUnit.MICROSECONDS.sleep(500);
@@ -323,11 +361,13 @@
         }
         for (Scenario.Member m : scenario.load().members()) {
             if (scenario.load().members().size() > 1) {
-                figures.put("asked_" + m.name(), clients.ends().entrySet().stream().filter(e -> e.getKey()
-                        .endsWith(
-                        " " + m.name())).mapToDouble(Map.Entry::getValue).sum());
-                figures.put("in_time_" + m.name(), (double) clients.ends().getOrDefault("in_time "
-                        + m.name(), 0));
+                figures.put(
+                        "asked_" + m.name(),
+                        clients.ends().entrySet().stream()
+                                .filter(e -> e.getKey().endsWith(" " + m.name()))
+                                .mapToDouble(Map.Entry::getValue)
+                                .sum());
+                figures.put("in_time_" + m.name(), (double) clients.ends().getOrDefault("in_time " + m.name(), 0));
             }
         }
         figures.put("refusals", (double) clients.refusals.get());
@@ -339,7 +379,8 @@
         figures.put("latency_p99", (double) clients.latency.getValueAtPercentile(99));
         figures.put("discovery_calls", (double) discovery.calls.get());
         figures.put("too_long", (double) datagrams.tooLong());
-        figures.put("crashed", (double) fleet.members.stream().filter(Fleet.Member::crashed).count());
+        figures.put("crashed", (double)
+                fleet.members.stream().filter(Fleet.Member::crashed).count());
         figures.put("rules_broken", (double) audit.breaks().size());
         figures.put("generator_late_p99", (double) lateness.getValueAtPercentile(99));
         figures.put("limited_by_machine", lateness.getValueAtPercentile(99) > LIMIT_LATE ? 1.0 : 0.0);
--- a/src/main/java/nettlewick/lab/Results.java
+++ b/src/main/java/nettlewick/lab/Results.java
@@ -31,15 +31,19 @@
     private static final double SECOND = 1000;
 
     /** What the fleet had done by the end of a second. */
-    record Second(double at, int ready, int asked, int inTime, int late, int refusals, int open) {
-    }
+    record Second(double at, int ready, int asked, int inTime, int late, int refusals, int open) {}
 
-    private Results() {
-    }
+    private Results() {}
 
     /** Writes all files; what could not be drawn comes back as a line, else null. */
-    static String write(Path folder, Map<String, Double> figures, List<String> breaks, Spread spread,
-            Histogram latency, List<Second> seconds) throws IOException {
+    static String write(
+            Path folder,
+            Map<String, Double> figures,
+            List<String> breaks,
+            Spread spread,
+            Histogram latency,
+            List<Second> seconds)
+            throws IOException {
         Files.createDirectories(folder);
         try (CSVPrinter csv = csv(folder.resolve(FIGURES))) {
             csv.printRecord("name", "value");
@@ -75,8 +79,9 @@
     }
 
     private static CSVPrinter csv(Path file) throws IOException {
-        return new CSVPrinter(Files.newBufferedWriter(file), CSVFormat.DEFAULT.builder()
-                .setRecordSeparator('\n').get());
+        return new CSVPrinter(
+                Files.newBufferedWriter(file),
+                CSVFormat.DEFAULT.builder().setRecordSeparator('\n').get());
     }
 
     private static void histogram(Path file, Histogram h) throws IOException {
@@ -132,15 +137,22 @@
 
     /** A number as a person writes it. */
     static String plain(double value) {
-        return Double.isNaN(value) ? "" : value == Math.rint(value) && Math.abs(value) < 1e12
-                ? Long.toString((long) value) : String.format(java.util.Locale.ROOT, "%.4f", value);
+        return Double.isNaN(value)
+                ? ""
+                : value == Math.rint(value) && Math.abs(value) < 1e12
+                        ? Long.toString((long) value)
+                        : String.format(java.util.Locale.ROOT, "%.4f", value);
     }
 
     /** The figures of a run's folder. */
     static Map<String, Double> read(Path folder) throws IOException {
         Map<String, Double> figures = new LinkedHashMap<>();
         try (Reader in = Files.newBufferedReader(folder.resolve(FIGURES))) {
-            for (CSVRecord row : CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).get()
+            for (CSVRecord row : CSVFormat.DEFAULT
+                    .builder()
+                    .setHeader()
+                    .setSkipHeaderRecord(true)
+                    .get()
                     .parse(in)) {
                 figures.put(row.get("name"), Double.valueOf(row.get("value")));
             }
@@ -154,12 +166,19 @@
         Map<String, Double> second = read(b);
         out.append(String.format("%-24s %14s %14s %10s%n", "", a.getFileName(), b.getFileName(), "ratio"));
         List<String> names = new ArrayList<>(first.keySet());
-        new TreeSet<>(second.keySet()).stream().filter(n -> !first.containsKey(n)).forEach(names::add);
+        new TreeSet<>(second.keySet())
+                .stream().filter(n -> !first.containsKey(n)).forEach(names::add);
         for (String name : names) {
             double x = first.getOrDefault(name, Double.NaN);
             double y = second.getOrDefault(name, Double.NaN);
-            out.append(String.format("%-24s %14s %14s %10s%n", name, plain(x), plain(y), x == 0 || Double
-                    .isNaN(x) || Double.isNaN(y) ? "" : String.format(java.util.Locale.ROOT, "%.2f", y / x)));
+            out.append(String.format(
+                    "%-24s %14s %14s %10s%n",
+                    name,
+                    plain(x),
+                    plain(y),
+                    x == 0 || Double.isNaN(x) || Double.isNaN(y)
+                            ? ""
+                            : String.format(java.util.Locale.ROOT, "%.2f", y / x)));
         }
     }
 
--- a/src/main/java/nettlewick/lab/Scenario.java
+++ b/src/main/java/nettlewick/lab/Scenario.java
@@ -18,8 +18,7 @@
  */
 record Scenario(World world, Load load, LinkSettings links, List<Step> steps, Duty duty) {
     /** So many runners of one speed; 1 is the speed that a job's work is counted at. */
-    record Kind(int count, double speed) {
-    }
+    record Kind(int count, double speed) {}
 
     /**
      * @param peers  whether dispatchers tell one another what they hold
@@ -27,8 +26,18 @@
      * @param clocks by how much those of dispatchers such as n3 are ahead, in milliseconds
      * @param notice how long the clients' front goes on sending to a dispatcher that has died
      */
-    record World(long seed, int dispatchers, List<Kind> kinds, List<String> zones, RunnerModel.Kind runner,
-            boolean peers, boolean known, boolean asked, double calls, double grace, double notice,
+    record World(
+            long seed,
+            int dispatchers,
+            List<Kind> kinds,
+            List<String> zones,
+            RunnerModel.Kind runner,
+            boolean peers,
+            boolean known,
+            boolean asked,
+            double calls,
+            double grace,
+            double notice,
             Map<String, Double> clocks) {
         int runners() {
             return kinds.stream().mapToInt(Kind::count).sum();
@@ -76,8 +85,16 @@
      * @param uneven how many times the others' traffic the first dispatcher of each zone gets
      * @param tries  how often a client asks in all
      */
-    record Load(double rate, double length, double warm, double uneven, int tries, boolean honour,
-            double window, List<JobClass> classes, List<Member> members) {
+    record Load(
+            double rate,
+            double length,
+            double warm,
+            double uneven,
+            int tries,
+            boolean honour,
+            double window,
+            List<JobClass> classes,
+            List<Member> members) {
         double meanWork() {
             double parts = classes.stream().mapToDouble(JobClass::part).sum();
             return classes.stream().mapToDouble(c -> c.part() * c.mean()).sum() / parts;
@@ -85,8 +102,7 @@
     }
 
     /** A member; {@code share}: of the service, {@code asks}: of all jobs. */
-    record Member(String name, double share, double asks) {
-    }
+    record Member(String name, double share, double asks) {}
 
     /**
      * What makes members' pools go; null where there is no block `pools`.
@@ -95,11 +111,9 @@
      * @param turns when the month turns after the lab's beginning; NaN: clocks are the machine's
      * @param pools the block, as each process gets it
      */
-    record Duty(int voters, double lease, double comes, double turns, Block pools) {
-    }
+    record Duty(int voters, double lease, double comes, double turns, Block pools) {}
 
-    record LinkSettings(double loss, double duplicates, double delay, double jitter, boolean relayed) {
-    }
+    record LinkSettings(double loss, double duplicates, double delay, double jitter, boolean relayed) {}
 
     /**
      * Something that happens at a time after the load began.
@@ -108,8 +122,7 @@
      * @param figure its number: a part, a factor, a count, or a time in which it happens
      * @param span   for how long; infinite where it stays
      */
-    record Step(double at, String verb, Party first, Party second, double figure, double span) {
-    }
+    record Step(double at, String verb, Party first, Party second, double figure, double span) {}
 
     /** Reads and checks a file; throws {@link BadSettings} with one line for the first fault. */
     static Scenario read(Path file) {
@@ -124,21 +137,38 @@
     private static Scenario of(Settings all, String file) {
         Block w = all.block("world").orElseThrow(() -> missing(file, "world"));
         Block l = all.block("load").orElseThrow(() -> missing(file, "load"));
-        List<Kind> kinds = w.all("runners").stream().map(v -> new Kind(((Long) v.part(0)).intValue(),
-                v.parts().size() > 1 ? v.part(2) : 1.0)).toList();
+        List<Kind> kinds = w.all("runners").stream()
+                .map(v -> new Kind(((Long) v.part(0)).intValue(), v.parts().size() > 1 ? v.part(2) : 1.0))
+                .toList();
         if (kinds.isEmpty()) {
             throw w.bad("runners", "set: so many sim runners");
         }
         List<String> zones = w.all("zone").stream().map(v -> (String) v.part(0)).toList();
         Map<String, Double> clocks = new HashMap<>();
-        w.all("clock").forEach(v -> clocks.put(v.<Party>part(0).name(), v.part(1).equals("ahead")
-                ? v.<Double>part(2) : -v.<Double>part(2)));
-        World world = new World(w.whole("seed"), (int) w.whole("dispatchers"), kinds,
-                zones.isEmpty() ? List.of("a") : zones, new RunnerModel.Kind((int) w.whole("slots"),
-                        (int) w.whole("queue"), w.span("cold"), w.get("cold-share"), w.get("overload"),
-                        w.span("fall"), w.span("report-age"), w.flag("cancel")), w.flag("peers"),
-                w.flag("known"), w.text("discovery").equals("asked"), w.span("calls"), w.span("grace"),
-                w.span("notice"), clocks);
+        w.all("clock")
+                .forEach(v -> clocks.put(
+                        v.<Party>part(0).name(), v.part(1).equals("ahead") ? v.<Double>part(2) : -v.<Double>part(2)));
+        World world = new World(
+                w.whole("seed"),
+                (int) w.whole("dispatchers"),
+                kinds,
+                zones.isEmpty() ? List.of("a") : zones,
+                new RunnerModel.Kind(
+                        (int) w.whole("slots"),
+                        (int) w.whole("queue"),
+                        w.span("cold"),
+                        w.get("cold-share"),
+                        w.get("overload"),
+                        w.span("fall"),
+                        w.span("report-age"),
+                        w.flag("cancel")),
+                w.flag("peers"),
+                w.flag("known"),
+                w.text("discovery").equals("asked"),
+                w.span("calls"),
+                w.span("grace"),
+                w.span("notice"),
+                clocks);
         List<JobClass> classes = new ArrayList<>();
         for (Block.Value v : l.all("class")) {
             double aim = v.part(3);
@@ -147,10 +177,23 @@
         if (classes.isEmpty()) {
             throw l.bad("class", "set: a name, a part, a time of work and an aim");
         }
-        Load load = new Load(l.get("rate"), l.span("length"), l.span("warm"), l.get("uneven"),
-                (int) l.whole("tries"), l.flag("honour"), l.span("window"), List.copyOf(classes), members(l));
-        LinkSettings links = all.block("links").map(b -> new LinkSettings(b.get("loss"),
-                b.get("duplicates"), b.span("delay"), b.span("jitter"), b.text("tcp").equals("relayed")))
+        Load load = new Load(
+                l.get("rate"),
+                l.span("length"),
+                l.span("warm"),
+                l.get("uneven"),
+                (int) l.whole("tries"),
+                l.flag("honour"),
+                l.span("window"),
+                List.copyOf(classes),
+                members(l));
+        LinkSettings links = all.block("links")
+                .map(b -> new LinkSettings(
+                        b.get("loss"),
+                        b.get("duplicates"),
+                        b.span("delay"),
+                        b.span("jitter"),
+                        b.text("tcp").equals("relayed")))
                 .orElse(new LinkSettings(0, 0, 0, 0, true));
         List<Step> steps = new ArrayList<>();
         for (Block.Value v : all.block("steps").map(b -> b.all("at")).orElse(List.of())) {
@@ -159,12 +202,16 @@
             steps.add(step);
         }
         steps.sort(Comparator.comparingDouble(Step::at));
-        Duty duty = all.block("pools").map(pools -> all.block("duty").map(b -> new Duty((int) b.whole(
-                "voters"),
-                b.span("lease"), b.span("comes"), b.has("month-turns") ? b.span("month-turns")
-                        : Double.NaN, pools))
-                .orElse(new Duty(3, 1000, 1000, Double.NaN, pools)))
-                        .orElse(null);
+        Duty duty = all.block("pools")
+                .map(pools -> all.block("duty")
+                        .map(b -> new Duty(
+                                (int) b.whole("voters"),
+                                b.span("lease"),
+                                b.span("comes"),
+                                b.has("month-turns") ? b.span("month-turns") : Double.NaN,
+                                pools))
+                        .orElse(new Duty(3, 1000, 1000, Double.NaN, pools)))
+                .orElse(null);
         return new Scenario(world, load, links, List.copyOf(steps), duty);
     }
 
@@ -213,46 +260,75 @@
             return;
         }
         if (step.verb().equals("flood")) {
-            if (load.members().stream().noneMatch(m -> m.name().equals(step.first().name()))) {
+            if (load.members().stream()
+                    .noneMatch(m -> m.name().equals(step.first().name()))) {
                 throw BadSettings.value(v.place(), "at", step.first().name(), "a member of the load");
             }
             return;
         }
         for (Party p : Arrays.asList(step.first(), step.second())) {
-            if (p != null && !p.group() && !world.zones().contains(p.name()) && (p.single('n') < 0
-                    || p.single('n') >= world.dispatchers()) && p.single('s') < 0) {
-                throw BadSettings.value(v.place(), "at", p.name(), "one of the " + world.dispatchers()
-                        + " dispatchers, a sim runner, a zone, discovery, dispatchers, runners or all");
+            if (p != null
+                    && !p.group()
+                    && !world.zones().contains(p.name())
+                    && (p.single('n') < 0 || p.single('n') >= world.dispatchers())
+                    && p.single('s') < 0) {
+                throw BadSettings.value(
+                        v.place(),
+                        "at",
+                        p.name(),
+                        "one of the " + world.dispatchers()
+                                + " dispatchers, a sim runner, a zone, discovery, dispatchers, runners or all");
             }
         }
         boolean relay = List.of("refuse", "stall", "reset", "trickle").contains(step.verb());
         if (relay && !links.relayed()) {
-            throw BadSettings.value(v.place(), "at", String.join(" ", v.words()),
+            throw BadSettings.value(
+                    v.place(),
+                    "at",
+                    String.join(" ", v.words()),
                     "without " + step.verb() + " where the links say tcp direct");
         }
         List<String> own = List.of("pause", "garble");
         boolean runner = step.first() != null && step.first().single('s') >= 0;
         if (own.contains(step.verb()) && (runner || step.first().name().equals("runners"))) {
-            throw BadSettings.value(v.place(), "at", step.first().name(), "dispatchers: only they are "
-                    + "processes");
+            throw BadSettings.value(v.place(), "at", step.first().name(), "dispatchers: only they are " + "processes");
         }
     }
 
     /** The same without members' pools, or without what this member does beyond its part. */
     Scenario without(boolean pools, String flooding) {
-        return new Scenario(world, load, links, steps.stream().filter(s -> !s.verb().equals("flood")
-                || !s.first()
-                .name().equals(flooding)).filter(s -> !pools || s.first() == null
-                        || s.first().holder() == null)
-                .toList(), pools ? null : duty);
+        return new Scenario(
+                world,
+                load,
+                links,
+                steps.stream()
+                        .filter(s ->
+                                !s.verb().equals("flood") || !s.first().name().equals(flooding))
+                        .filter(s -> !pools || s.first() == null || s.first().holder() == null)
+                        .toList(),
+                pools ? null : duty);
     }
 
     /** The same with other figures of the world, for runs side by side. */
     Scenario with(boolean peers, double loss) {
         World w = world;
-        return new Scenario(new World(w.seed, w.dispatchers, w.kinds, w.zones, w.runner, peers, w.known,
-                w.asked, w.calls, w.grace, w.notice,
-                w.clocks), load, new LinkSettings(loss, links.duplicates,
-                        links.delay, links.jitter, links.relayed), steps, duty);
+        return new Scenario(
+                new World(
+                        w.seed,
+                        w.dispatchers,
+                        w.kinds,
+                        w.zones,
+                        w.runner,
+                        peers,
+                        w.known,
+                        w.asked,
+                        w.calls,
+                        w.grace,
+                        w.notice,
+                        w.clocks),
+                load,
+                new LinkSettings(loss, links.duplicates, links.delay, links.jitter, links.relayed),
+                steps,
+                duty);
     }
 }
--- a/src/main/java/nettlewick/lab/Spread.java
+++ b/src/main/java/nettlewick/lab/Spread.java
@@ -15,14 +15,14 @@
 final class Spread {
     /** Milliseconds between two samples. */
     static final double EACH = 50;
+
     private static final double THOUSAND = 1000;
     private static final int LOAD_MOST = 1_000_000;
     /** A herd is more than twice the fair arrivals, and at least so many. */
     private static final int HERD_LEAST = 3;
 
     /** One sample: the load of each runner at a time; NaN where it is down. */
-    record Sample(double at, double[] loads) {
-    }
+    record Sample(double at, double[] loads) {}
 
     private final List<RunnerModel> runners;
     private final double meanWork;
@@ -31,6 +31,7 @@
     private final Map<RunnerModel, Integer> counts = new LinkedHashMap<>();
     /** Load of each runner at each sample, in thousandths of its slots. */
     private final Histogram loads = new Histogram(LOAD_MOST, 3);
+
     private boolean refused;
     private long runnerSamples;
     private long idle;
@@ -115,7 +116,7 @@
             double window = meanWork / r.speed;
             double fair = total * r.slots * r.speed / capacity * window / Math.max(1, to - from);
             int n = counts.get(r);
-            for (int i = 0; i < n;) {
+            for (int i = 0; i < n; ) {
                 int first = i;
                 while (i < n && e.getValue()[i] < e.getValue()[first] + window) {
                     i++;
