--- a/src/main/java/nettlewick/lab/Steps.java
+++ b/src/main/java/nettlewick/lab/Steps.java
@@ -25,18 +25,18 @@
         void act() throws Exception;
     }
 
-    private record Due(double at, int order, Task what) {
-    }
+    private record Due(double at, int order, Task what) {}
 
     private final Play play;
     private final Scenario.World world;
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Double.compare(a.at(), b.at()) : Integer.compare(a.order(), b.order()));
+    private final PriorityQueue<Due> due = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Integer.compare(a.order(), b.order()));
     private final Random random;
     private int orders;
     private int looking;
     /** Who held which member's duty when that was looked for last. */
     private final Map<String, Integer> holders = new ConcurrentHashMap<>();
+
     private final Queue<Task> posted = new ConcurrentLinkedQueue<>();
 
     Steps(Play play, Scenario.World world) {
@@ -51,19 +51,25 @@
 
     /** Danger: a look through the logs for a holder, done here, would keep the clients waiting. */
     void plan(double at, Scenario.Step step) {
-        List<Party> held = Stream.of(step.first(), step.second()).filter(p -> p != null && p.holder() != null)
+        List<Party> held = Stream.of(step.first(), step.second())
+                .filter(p -> p != null && p.holder() != null)
                 .toList();
-        plan(at, held.isEmpty() ? () -> act(step) : () -> {
-            looking++;
-            // Danger: a look that fails must end the run with its reason, not keep it waiting.
-            CompletableFuture.runAsync(() -> look(held)).whenComplete((v, failed) -> post(() -> {
-                looking--;
-                if (failed != null) {
-                    throw new IOException(failed);
-                }
-                act(step);
-            }));
-        });
+        plan(
+                at,
+                held.isEmpty()
+                        ? () -> act(step)
+                        : () -> {
+                            looking++;
+                            // Danger: a look that fails must end the run with its reason, not keep it waiting.
+                            CompletableFuture.runAsync(() -> look(held))
+                                    .whenComplete((v, failed) -> post(() -> {
+                                        looking--;
+                                        if (failed != null) {
+                                            throw new IOException(failed);
+                                        }
+                                        act(step);
+                                    }));
+                        });
     }
 
     private void look(List<Party> held) {
@@ -100,14 +106,23 @@
             int holder = holders.getOrDefault(p.holder(), -1);
             return holder < 0 ? List.of() : List.of(holder);
         }
-        return some(p, IntStream.range(0, world.dispatchers()).filter(d -> p.single('n') == d
-                || p.name().equals("dispatchers") || p.name().equals("all") || world.zone(d).equals(p.name())
-                ));
+        return some(
+                p,
+                IntStream.range(0, world.dispatchers())
+                        .filter(d -> p.single('n') == d
+                                || p.name().equals("dispatchers")
+                                || p.name().equals("all")
+                                || world.zone(d).equals(p.name())));
     }
 
     private List<Integer> runners(Party p) {
-        return some(p, IntStream.range(0, play.runners.size()).filter(r -> p.single('s') == r
-                || p.name().equals("runners") || p.name().equals("all") || world.zone(r).equals(p.name())));
+        return some(
+                p,
+                IntStream.range(0, play.runners.size())
+                        .filter(r -> p.single('s') == r
+                                || p.name().equals("runners")
+                                || p.name().equals("all")
+                                || world.zone(r).equals(p.name())));
     }
 
     private List<Integer> some(Party p, IntStream which) {
@@ -173,19 +188,24 @@
                 dispatchers(s.first()).forEach(d -> play.audit.excuse(d, play.now(), until, true));
                 dispatchers(s.second()).forEach(d -> play.audit.excuse(d, play.now(), until, true));
             }
-            case "refuse", "stall", "reset", "trickle" -> play.links.treat(all(s.first()), switch (s.verb()) {
-                case "refuse" -> Links.Way.REFUSED;
-                case "stall" -> Links.Way.STALLED;
-                case "reset" -> Links.Way.RESET;
-                default -> Links.Way.TRICKLES;
-            }, until);
+            case "refuse", "stall", "reset", "trickle" ->
+                play.links.treat(
+                        all(s.first()),
+                        switch (s.verb()) {
+                            case "refuse" -> Links.Way.REFUSED;
+                            case "stall" -> Links.Way.STALLED;
+                            case "reset" -> Links.Way.RESET;
+                            default -> Links.Way.TRICKLES;
+                        },
+                        until);
             case "provider" -> play.duties.fate(s.first().name(), until);
             case "silent" -> play.discovery.silent(until);
-            case "lists" -> IntStream.range(0, world.dispatchers()).forEach(d -> play.discovery.apart(d,
-                    random.nextDouble() * s.figure()));
+            case "lists" ->
+                IntStream.range(0, world.dispatchers())
+                        .forEach(d -> play.discovery.apart(d, random.nextDouble() * s.figure()));
             case "loss" -> play.links.lose(s.figure(), until);
             case "garble" -> garble(s.first(), until);
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/nettlewick/lab/TcpRelay.java
+++ b/src/main/java/nettlewick/lab/TcpRelay.java
@@ -22,6 +22,7 @@
     private static final long LOOK = 5;
     /** How often a connection on which nothing moves is looked at. */
     private static final long SWEEP = 100;
+
     private static final int TRICKLE = 8;
 
     private final Vertx vertx;
@@ -56,11 +57,12 @@
             front.close();
             return;
         }
-        front.exceptionHandler(e -> { });
+        front.exceptionHandler(e -> {});
         front.pause();
-        client.connect(target.getPort(), target.getHostString()).onFailure(e -> front.close())
+        client.connect(target.getPort(), target.getHostString())
+                .onFailure(e -> front.close())
                 .onSuccess(back -> {
-                    back.exceptionHandler(e -> { });
+                    back.exceptionHandler(e -> {});
                     Pipe there = new Pipe(front, back, group, server, server);
                     Pipe here = new Pipe(back, front, server, group, server);
                     long timer = vertx.setPeriodic(SWEEP, id -> {
--- a/src/main/java/nettlewick/lab/Trace.java
+++ b/src/main/java/nettlewick/lab/Trace.java
@@ -15,35 +15,44 @@
      * @param choice in [0, 1): draws the dispatcher among those of its zone
      * @param member whose it is
      */
-    record Arrival(int number, double at, Scenario.JobClass jobClass, double work, int zone, double choice,
-            String member) {
-    }
+    record Arrival(
+            int number, double at, Scenario.JobClass jobClass, double work, int zone, double choice, String member) {}
 
-    private Trace() {
-    }
+    private Trace() {}
 
     static List<Arrival> of(Scenario scenario) {
         SplittableRandom random = new SplittableRandom(scenario.world().seed());
         Scenario.Load load = scenario.load();
-        double parts = load.classes().stream().mapToDouble(Scenario.JobClass::part).sum();
+        double parts =
+                load.classes().stream().mapToDouble(Scenario.JobClass::part).sum();
         List<Arrival> all = new ArrayList<>();
         double at = -load.warm();
         double asks = load.members().stream().mapToDouble(Scenario.Member::asks).sum();
-        double floods = load.members().stream().mapToDouble(m -> m.asks() * scenario.steps().stream()
-                .filter(s -> floods(s, m)).mapToDouble(Scenario.Step::figure).reduce(1, Math::max))
-                        .sum() / asks;
+        double floods = load.members().stream()
+                        .mapToDouble(m -> m.asks()
+                                * scenario.steps().stream()
+                                        .filter(s -> floods(s, m))
+                                        .mapToDouble(Scenario.Step::figure)
+                                        .reduce(1, Math::max))
+                        .sum()
+                / asks;
         while (true) {
             // Thinned from the highest rate, so that steps change it without a seam.
-            double most = load.rate() * scenario.steps().stream().filter(s -> s.verb().equals("rate"))
-                    .mapToDouble(Scenario.Step::figure).reduce(1, Math::max) / 1000 * floods;
+            double most = load.rate()
+                    * scenario.steps().stream()
+                            .filter(s -> s.verb().equals("rate"))
+                            .mapToDouble(Scenario.Step::figure)
+                            .reduce(1, Math::max)
+                    / 1000
+                    * floods;
             at -= Math.log(1 - random.nextDouble()) / most;
             if (at >= load.length()) {
                 return all;
             }
             double draw = random.nextDouble();
             Scenario.JobClass jobClass = pick(load.classes(), random.nextDouble() * parts);
-            double work = Math.max(1, -Math.log(1 - random.nextDouble()) * jobClass.mean() * 0.5
-                    + jobClass.mean() * 0.5);
+            double work =
+                    Math.max(1, -Math.log(1 - random.nextDouble()) * jobClass.mean() * 0.5 + jobClass.mean() * 0.5);
             int zone = random.nextInt(scenario.world().zones().size());
             double choice = random.nextDouble();
             double[] weights = new double[load.members().size()];
@@ -59,8 +68,14 @@
                 for (; member < weights.length - 1 && left >= weights[member]; member++) {
                     left -= weights[member];
                 }
-                all.add(new Arrival(all.size(), at, jobClass, work, zone, choice, load.members().get(member)
-                        .name()));
+                all.add(new Arrival(
+                        all.size(),
+                        at,
+                        jobClass,
+                        work,
+                        zone,
+                        choice,
+                        load.members().get(member).name()));
             }
         }
     }
--- a/src/main/java/nettlewick/ledger/Archive.java
+++ b/src/main/java/nettlewick/ledger/Archive.java
@@ -20,8 +20,7 @@
     private static final int MAGIC = 0x4e574131;
     private static final int ENTRY_MOST = 1 << 20;
 
-    private Archive() {
-    }
+    private Archive() {}
 
     /** Writes the file beside its place, syncs and renames it; the sum of its bytes. */
     static String write(Path file, List<Entry> entries, Faults faults) throws IOException {
@@ -42,8 +41,7 @@
             channel.force(true);
         }
         Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel channel = FileChannel.open(file.toAbsolutePath().getParent(),
-                StandardOpenOption.READ)) {
+        try (FileChannel channel = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
             channel.force(true);
         }
         faults.at("archive-renamed");
@@ -57,8 +55,8 @@
             throw new IOException(file + " is not the file that was written: its sum is another");
         }
         List<Entry> entries = new ArrayList<>();
-        try (DataInputStream in = new DataInputStream(new GZIPInputStream(
-                new java.io.ByteArrayInputStream(bytes), 1 << 16))) {
+        try (DataInputStream in =
+                new DataInputStream(new GZIPInputStream(new java.io.ByteArrayInputStream(bytes), 1 << 16))) {
             if (in.readInt() != MAGIC) {
                 throw new IOException(file + " is not an archive of a ledger");
             }
--- a/src/main/java/nettlewick/ledger/Batches.java
+++ b/src/main/java/nettlewick/ledger/Batches.java
@@ -18,21 +18,37 @@
 
 /** The bytes of a batch: the same entries give the same bytes, for ever. */
 final class Batches {
-    private static final String[] COLUMNS = {"dispatcher", "life", "number", "kind", "at", "member", "class",
-            "request",
-        "key", "end", "work_slot_ms", "estimate", "spare_slot_ms", "attempts", "jobs", "target", "by",
-                "period", "text"};
+    private static final String[] COLUMNS = {
+        "dispatcher",
+        "life",
+        "number",
+        "kind",
+        "at",
+        "member",
+        "class",
+        "request",
+        "key",
+        "end",
+        "work_slot_ms",
+        "estimate",
+        "spare_slot_ms",
+        "attempts",
+        "jobs",
+        "target",
+        "by",
+        "period",
+        "text"
+    };
 
-    private Batches() {
-    }
+    private Batches() {}
 
     /** One line an entry: CSV with a head (RFC 4180), or JSON objects. */
     static byte[] render(List<Entry> entries, boolean csv) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(entries.size() * 160);
         try (Writer out = new OutputStreamWriter(bytes, StandardCharsets.UTF_8)) {
             if (csv) {
-                CSVPrinter printer = new CSVPrinter(out, CSVFormat.RFC4180.builder().setHeader(COLUMNS)
-                        .get());
+                CSVPrinter printer = new CSVPrinter(
+                        out, CSVFormat.RFC4180.builder().setHeader(COLUMNS).get());
                 for (Entry e : entries) {
                     printer.printRecord(values(e));
                 }
@@ -69,13 +85,27 @@
 
     private static Object[] values(Entry e) {
         Ref r = e.ref();
-        return new Object[] {r.origin().dispatcher(), r.origin().life(), r.number(), word(e.kind()),
-                time(e.at()),
-            e.member(), e.jobClass(), e.request(), e.key(), word(e.end()), slotMillis(e.work()),
-            e.estimate() ? 1 : 0, slotMillis(e.spare()), e.attempts(), e.kind() == Entry.Kind.GAP ? e.job()
-                    : 1,
-            e.target(), e.by(), e.kind() == Entry.Kind.JOB ? e.text() : null,
-            e.kind() == Entry.Kind.JOB ? null : e.text()};
+        return new Object[] {
+            r.origin().dispatcher(),
+            r.origin().life(),
+            r.number(),
+            word(e.kind()),
+            time(e.at()),
+            e.member(),
+            e.jobClass(),
+            e.request(),
+            e.key(),
+            word(e.end()),
+            slotMillis(e.work()),
+            e.estimate() ? 1 : 0,
+            slotMillis(e.spare()),
+            e.attempts(),
+            e.kind() == Entry.Kind.GAP ? e.job() : 1,
+            e.target(),
+            e.by(),
+            e.kind() == Entry.Kind.JOB ? e.text() : null,
+            e.kind() == Entry.Kind.JOB ? null : e.text()
+        };
     }
 
     private static String word(Enum<?> value) {
@@ -88,7 +118,9 @@
 
     /** Slot-milliseconds, with three decimals. */
     static String slotMillis(long micros) {
-        return (micros < 0 ? "-" : "") + Math.abs(micros) / 1000 + '.'
+        return (micros < 0 ? "-" : "")
+                + Math.abs(micros) / 1000
+                + '.'
                 + String.format(Locale.ROOT, "%03d", Math.abs(micros) % 1000);
     }
 
--- a/src/main/java/nettlewick/ledger/Book.java
+++ b/src/main/java/nettlewick/ledger/Book.java
@@ -28,11 +28,10 @@
  */
 public final class Book {
     /** Entries with one key of one member's class, the earliest first: only the first is billed. */
-    private record Key(String member, String jobClass, String hash) {
-    }
+    private record Key(String member, String jobClass, String hash) {}
 
-    private static final Comparator<Entry> BY_TIME = Comparator.<Entry>comparingDouble(Entry::at)
-            .thenComparing(Entry::ref);
+    private static final Comparator<Entry> BY_TIME =
+            Comparator.<Entry>comparingDouble(Entry::at).thenComparing(Entry::ref);
 
     private static final Comparator<List<String>> BY_WORDS = (a, b) -> {
         for (int i = 0; i < a.size(); i++) {
@@ -54,6 +53,7 @@
     private final Map<Key, List<Entry>> keyed = new HashMap<>();
     /** By dispatcher, then by the beginning of the period; of several the earliest in its chain counts. */
     private final Map<String, NavigableMap<Double, Entry>> closes = new TreeMap<>();
+
     private Map<String, Statement> statements;
 
     /** {@code keyWindow}: a key answered again within so many milliseconds is not billed again. */
@@ -88,8 +88,7 @@
             case CLOSE -> {
                 byRef.put(e.ref(), e);
                 closes.computeIfAbsent(e.ref().origin().dispatcher(), d -> new TreeMap<>())
-                        .merge(e.close().period().from(), e, (a, b) -> a.ref().compareTo(b.ref()) < 0 ? a
-                                : b);
+                        .merge(e.close().period().from(), e, (a, b) -> a.ref().compareTo(b.ref()) < 0 ? a : b);
             }
             default -> throw new IllegalStateException(e.kind().toString());
         }
@@ -130,8 +129,10 @@
     /** The earliest period of a dispatcher that has entries and is not closed; null if there is none. */
     public Terms.Period firstOpen(String dispatcher) {
         return java.util.stream.Stream.concat(billable.stream(), gaps.stream())
-                .filter(e -> e.ref().origin().dispatcher().equals(dispatcher)).map(e -> terms.at(e.at()))
-                .filter(p -> !isClosed(dispatcher, p)).min(Comparator.comparingDouble(Terms.Period::from))
+                .filter(e -> e.ref().origin().dispatcher().equals(dispatcher))
+                .map(e -> terms.at(e.at()))
+                .filter(p -> !isClosed(dispatcher, p))
+                .min(Comparator.comparingDouble(Terms.Period::from))
                 .orElse(null);
     }
 
@@ -153,8 +154,9 @@
     public Statement statement(String period) {
         Statement found = work().get(period);
         if (found != null || terms.named(period).isEmpty()) {
-            return found != null ? found : new Statement(period, false, List.of(), List.of(), List.of(),
-                    List.of(), List.of());
+            return found != null
+                    ? found
+                    : new Statement(period, false, List.of(), List.of(), List.of(), List.of(), List.of());
         }
         Draft empty = new Draft(terms.named(period).get());
         dispatchers().stream().filter(name -> !isClosed(name, empty.period)).forEach(empty.open::add);
@@ -168,25 +170,32 @@
         if (all == null) {
             return null;
         }
-        return all.stream().filter(c -> known.test(c.ref()) && counts(c))
+        return all.stream()
+                .filter(c -> known.test(c.ref()) && counts(c))
                 .min(Comparator.comparing(Entry::ref))
                 .orElse(null);
     }
 
     /** Whether a correction is one that may count at all. */
     private boolean counts(Entry correction) {
-        return correction.ref().origin().dispatcher().equals(correction.target().origin().dispatcher());
+        return correction
+                .ref()
+                .origin()
+                .dispatcher()
+                .equals(correction.target().origin().dispatcher());
     }
 
     /** Whether an earlier answer under the same key is billed in its place. */
     private boolean repeats(Entry e, Predicate<Ref> known) {
-        List<Entry> same = e.key() == null || e.kind() != Kind.JOB || e.end() != Ending.SERVED ? null
+        List<Entry> same = e.key() == null || e.kind() != Kind.JOB || e.end() != Ending.SERVED
+                ? null
                 : keyed.get(new Key(e.member(), e.jobClass(), e.key()));
         if (same == null || same.size() < 2) {
             return false;
         }
         double billedAt = Double.NEGATIVE_INFINITY;
-        for (Entry other : same.stream().filter(o -> known.test(o.ref())).sorted(BY_TIME).toList()) {
+        for (Entry other :
+                same.stream().filter(o -> known.test(o.ref())).sorted(BY_TIME).toList()) {
             boolean repeat = other.at() - billedAt < keyWindow;
             if (other == e) {
                 return repeat;
@@ -197,8 +206,12 @@
     }
 
     private boolean plain(Entry e) {
-        return !corrections.containsKey(e.ref()) && (e.key() == null || e.end() != Ending.SERVED
-                || keyed.getOrDefault(new Key(e.member(), e.jobClass(), e.key()), List.of()).size() < 2);
+        return !corrections.containsKey(e.ref())
+                && (e.key() == null
+                        || e.end() != Ending.SERVED
+                        || keyed.getOrDefault(new Key(e.member(), e.jobClass(), e.key()), List.of())
+                                        .size()
+                                < 2);
     }
 
     private long value(Entry e, Predicate<Ref> known) {
@@ -231,18 +244,32 @@
         }
 
         Statement done() {
-            return new Statement(period.name(), open.isEmpty(), List.copyOf(open), rows.entrySet().stream()
-                    .map(r -> row(r.getKey(), r.getValue())).toList(), late.entrySet().stream()
-                    .map(l -> new Statement.Late(l.getKey().get(0), l.getKey().get(1), l.getKey().get(2),
-                            l.getValue()[0], l.getValue()[1])).toList(),
-                    gaps.stream().sorted(Comparator.comparing(Statement.Gap::ref)).toList(),
-                    voided.stream().sorted(Comparator.comparing(Statement.Void::ref)).toList());
+            return new Statement(
+                    period.name(),
+                    open.isEmpty(),
+                    List.copyOf(open),
+                    rows.entrySet().stream()
+                            .map(r -> row(r.getKey(), r.getValue()))
+                            .toList(),
+                    late.entrySet().stream()
+                            .map(l -> new Statement.Late(
+                                    l.getKey().get(0),
+                                    l.getKey().get(1),
+                                    l.getKey().get(2),
+                                    l.getValue()[0],
+                                    l.getValue()[1]))
+                            .toList(),
+                    gaps.stream()
+                            .sorted(Comparator.comparing(Statement.Gap::ref))
+                            .toList(),
+                    voided.stream()
+                            .sorted(Comparator.comparing(Statement.Void::ref))
+                            .toList());
         }
 
         private static Statement.Row row(List<String> who, long[] n) {
-            return new Statement.Row(who.get(0), who.get(1), n[0], n[1], n[2], n[3], n[4], n[5], n[6], n[7],
-                    n[8],
-                    n[9]);
+            return new Statement.Row(
+                    who.get(0), who.get(1), n[0], n[1], n[2], n[3], n[4], n[5], n[6], n[7], n[8], n[9]);
         }
     }
 
@@ -269,8 +296,7 @@
     private TreeMap<Double, Draft> drafts(Predicate<Entry> which) {
         TreeMap<Double, Draft> drafts = new TreeMap<>();
         billable.stream().filter(which).forEach(e -> state(e, drafts));
-        gaps.stream().filter(which).forEach(e -> place(e, drafts, (draft, nominal) ->
-                draft.gaps.add(gap(e))));
+        gaps.stream().filter(which).forEach(e -> place(e, drafts, (draft, nominal) -> draft.gaps.add(gap(e))));
         corrections.values().forEach(all -> all.stream().filter(which).forEach(c -> voided(c, drafts)));
         return drafts;
     }
@@ -304,8 +330,8 @@
     private void place(Entry e, TreeMap<Double, Draft> drafts, Placed then) {
         Terms.Period nominal = terms.at(e.at());
         Terms.Period period = nominal;
-        for (Close close = close(e.ref().origin().dispatcher(), period); close != null
-                && !close.covers(e.ref());
+        for (Close close = close(e.ref().origin().dispatcher(), period);
+                close != null && !close.covers(e.ref());
                 close = close(e.ref().origin().dispatcher(), period)) {
             period = terms.after(period);
         }
@@ -314,20 +340,24 @@
 
     private static Statement.Gap gap(Entry e) {
         String[] bounds = e.text().split(" ");
-        return new Statement.Gap(e.ref(), Double.parseDouble(bounds[0]), Double.parseDouble(bounds[1]),
-                e.job());
+        return new Statement.Gap(e.ref(), Double.parseDouble(bounds[0]), Double.parseDouble(bounds[1]), e.job());
     }
 
     private void voided(Entry c, TreeMap<Double, Draft> drafts) {
         Entry target = byRef.get(c.target());
-        String why = !counts(c) ? "only the entry's own dispatcher corrects it"
-                : target == null ? "its entry is not held here, or not yet"
-                : target.kind() == Kind.CORRECTION ? "a correction is not corrected"
-                : target.kind() != Kind.JOB && target.kind() != Kind.DOUBT ? "the entry bills nothing"
-                : effective(c.target(), r -> true) != c ? "the entry was corrected before" : null;
+        String why = !counts(c)
+                ? "only the entry's own dispatcher corrects it"
+                : target == null
+                        ? "its entry is not held here, or not yet"
+                        : target.kind() == Kind.CORRECTION
+                                ? "a correction is not corrected"
+                                : target.kind() != Kind.JOB && target.kind() != Kind.DOUBT
+                                        ? "the entry bills nothing"
+                                        : effective(c.target(), r -> true) != c
+                                                ? "the entry was corrected before"
+                                                : null;
         if (why != null) {
-            place(c, drafts, (draft, nominal) -> draft.voided.add(new Statement.Void(c.ref(), c.target(),
-                    why)));
+            place(c, drafts, (draft, nominal) -> draft.voided.add(new Statement.Void(c.ref(), c.target(), why)));
         }
     }
 
@@ -346,8 +376,8 @@
             // What an earlier period has stated stays known, also where that was closed after the later one.
             Predicate<Ref> sees = close == null ? r -> true : before.or(close::covers);
             before = sees;
-            long value = plain ? sees.test(e.ref()) && e.kind() == Kind.JOB && e.end() == Ending.SERVED
-                    ? e.work() : 0
+            long value = plain
+                    ? sees.test(e.ref()) && e.kind() == Kind.JOB && e.end() == Ending.SERVED ? e.work() : 0
                     : value(e, sees);
             boolean news = !known && sees.test(e.ref());
             known |= news;
@@ -356,8 +386,9 @@
                     bill(e, draft(drafts, period), value, sees, plain);
                 }
             } else if (value != stated || news) {
-                long[] late = draft(drafts, period).late.computeIfAbsent(
-                        List.of(nominal.name(), e.member(), e.jobClass()), k -> new long[2]);
+                long[] late = draft(drafts, period)
+                        .late
+                        .computeIfAbsent(List.of(nominal.name(), e.member(), e.jobClass()), k -> new long[2]);
                 late[0]++;
                 late[1] += value - stated;
             }
--- a/src/main/java/nettlewick/ledger/Desk.java
+++ b/src/main/java/nettlewick/ledger/Desk.java
@@ -85,8 +85,11 @@
             if (contradiction != null) {
                 throw new Refused(contradiction, true);
             }
-            return period != null ? List.of(book.statement(period))
-                    : book.periods().stream().filter(p -> !archived.contains(p)).map(book::statement)
+            return period != null
+                    ? List.of(book.statement(period))
+                    : book.periods().stream()
+                            .filter(p -> !archived.contains(p))
+                            .map(book::statement)
                             .toList();
         } catch (StoreException e) {
             throw new Refused(e.getMessage(), false);
@@ -95,8 +98,8 @@
 
     private Terms.Period period(String name) throws Refused {
         Optional<Terms.Period> period = settings.terms().named(name);
-        return period.orElseThrow(() -> new Refused("no period is called " + name
-                + ": it is a term's name, or a month such as 2026-11", true));
+        return period.orElseThrow(() ->
+                new Refused("no period is called " + name + ": it is a term's name, or a month such as 2026-11", true));
     }
 
     /**
@@ -110,23 +113,21 @@
         write((store, own) -> {
             Book book = book(store);
             if (book.isClosed(store.dispatcher(), period)) {
-                throw new Refused("period " + name
-                        + " is closed already; what is found later goes into the open "
-                        + "one", true);
+                throw new Refused(
+                        "period " + name + " is closed already; what is found later goes into the open " + "one", true);
             }
             Terms.Period first = book.firstOpen(store.dispatcher());
             if (first != null && first.from() < period.from()) {
-                throw new Refused("period " + first.name() + " is open and comes before; close it first",
-                        true);
+                throw new Refused("period " + first.name() + " is open and comes before; close it first", true);
             }
             store.mark(period);
             double until = Ledger.pace() + WAIT;
             for (long life : living(own)) {
                 while (store.settled(life) < period.to() && Spool.alive(settings.store(), life)) {
                     if (Ledger.pace() > until) {
-                        throw new Refused("life " + life
-                                + " does not say that it has settled; the mark stays, ask "
-                                + "again", false);
+                        throw new Refused(
+                                "life " + life + " does not say that it has settled; the mark stays, ask " + "again",
+                                false);
                     }
                     TimeUnit.MILLISECONDS.sleep(LOOK);
                 }
@@ -169,21 +170,26 @@
                 throw new Refused("no entry " + target + " is held here", true);
             }
             if (!target.origin().dispatcher().equals(store.dispatcher())) {
-                throw new Refused("entry " + target + " is corrected at its own dispatcher, "
-                        + target.origin().dispatcher(), true);
+                throw new Refused(
+                        "entry " + target + " is corrected at its own dispatcher, "
+                                + target.origin().dispatcher(),
+                        true);
             }
             if (entry.kind() != Entry.Kind.JOB && entry.kind() != Entry.Kind.DOUBT) {
-                throw new Refused("entry " + target + " is a " + entry.kind().toString().toLowerCase()
-                        + ": only a job, or one in doubt, is corrected", true);
+                throw new Refused(
+                        "entry " + target + " is a " + entry.kind().toString().toLowerCase()
+                                + ": only a job, or one in doubt, is corrected",
+                        true);
             }
             Entry before = store.correctionOf(target);
             if (before != null) {
-                throw new Refused("entry " + target + " was corrected before, by " + before.ref()
-                        + ": an entry is corrected once", true);
+                throw new Refused(
+                        "entry " + target + " was corrected before, by " + before.ref()
+                                + ": an entry is corrected once",
+                        true);
             }
-            long number = store.append(own, List.of(Entry.correction(new Ref(own, 0), clock.now(), entry,
-                    work, by,
-                    reason)));
+            long number =
+                    store.append(own, List.of(Entry.correction(new Ref(own, 0), clock.now(), entry, work, by, reason)));
             return new Ref(own, number);
         });
     }
@@ -191,17 +197,24 @@
     /** One round of the named export, or of all; what each did. */
     public Map<String, Exporter.Report> export(String name) throws Refused, InterruptedException {
         List<ExportSettings> wanted = settings.exports().stream()
-                .filter(e -> name == null || e.name().equals(name)).toList();
+                .filter(e -> name == null || e.name().equals(name))
+                .toList();
         if (wanted.isEmpty()) {
-            throw new Refused(name == null ? "the settings have no export" : "no export is called " + name,
-                    true);
+            throw new Refused(name == null ? "the settings have no export" : "no export is called " + name, true);
         }
         return write((store, own) -> {
             Map<String, Exporter.Report> reports = new java.util.LinkedHashMap<>();
             for (ExportSettings e : wanted) {
-                reports.put(e.name(), new Exporter(store, e, Exporter.target(e, Faults.NONE),
-                        new SplittableRandom(), millis -> TimeUnit.MILLISECONDS.sleep((long) millis),
-                        Faults.NONE).round());
+                reports.put(
+                        e.name(),
+                        new Exporter(
+                                        store,
+                                        e,
+                                        Exporter.target(e, Faults.NONE),
+                                        new SplittableRandom(),
+                                        millis -> TimeUnit.MILLISECONDS.sleep((long) millis),
+                                        Faults.NONE)
+                                .round());
             }
             return reports;
         });
@@ -249,14 +262,16 @@
             Book book = book(store);
             Statement statement = book.statement(name);
             if (!statement.closed() || !book.isClosed(store.dispatcher(), period)) {
-                throw new Refused("period " + name + " is not closed by " + (statement.open().isEmpty()
-                        ? "anybody"
-                        : statement.open()), true);
+                throw new Refused(
+                        "period " + name + " is not closed by "
+                                + (statement.open().isEmpty() ? "anybody" : statement.open()),
+                        true);
             }
             List<Entry> entries = new ArrayList<>();
             List<Ref> open = new ArrayList<>();
             store.each(e -> {
-                if (period.holds(e.at()) && (e.kind() == Entry.Kind.JOB || e.kind() == Entry.Kind.GAP)
+                if (period.holds(e.at())
+                        && (e.kind() == Entry.Kind.JOB || e.kind() == Entry.Kind.GAP)
                         && book.settled(e)) {
                     entries.add(e);
                 }
@@ -268,15 +283,17 @@
                 }
             }
             if (!open.isEmpty()) {
-                throw new Refused("entry " + open.get(0) + " of period " + name + " is not exported yet",
-                        true);
+                throw new Refused("entry " + open.get(0) + " of period " + name + " is not exported yet", true);
             }
             if (store.archive(name) != null) {
                 throw new Refused("period " + name + " is archived already", true);
             }
             String sum = Archive.write(file, entries, Faults.NONE);
-            store.prune(name, file.toAbsolutePath().toString(), sum, entries.stream().map(Entry::ref)
-                    .toList());
+            store.prune(
+                    name,
+                    file.toAbsolutePath().toString(),
+                    sum,
+                    entries.stream().map(Entry::ref).toList());
             return (long) entries.size();
         });
     }
@@ -290,8 +307,7 @@
             if (archive == null) {
                 throw new Refused("period " + name + " is not archived", true);
             }
-            return store.unprune(name, Archive.read(file != null ? file : Path.of(archive.get(0)),
-                    archive.get(1)));
+            return store.unprune(name, Archive.read(file != null ? file : Path.of(archive.get(0)), archive.get(1)));
         });
     }
 }
--- a/src/main/java/nettlewick/ledger/Entry.java
+++ b/src/main/java/nettlewick/ledger/Entry.java
@@ -28,11 +28,26 @@
  * @param text of a job, the name that its period had when it was entered; why one is in doubt; reason of a
  *                 correction; period, bounds and vector of a close; bounds of a gap
  */
-public record Entry(Ref ref, Kind kind, double at, String member, String jobClass, String request, String key,
-        Ending end, long work, boolean estimate, long spare, int attempts, long job, Ref target, String by,
+public record Entry(
+        Ref ref,
+        Kind kind,
+        double at,
+        String member,
+        String jobClass,
+        String request,
+        String key,
+        Ending end,
+        long work,
+        boolean estimate,
+        long spare,
+        int attempts,
+        long job,
+        Ref target,
+        String by,
         String text) {
     /** Longest text of any field: the form on the wire holds no longer ones. */
     static final int TEXT_MOST = 20_000;
+
     private static final int FORM = 1;
 
     /** What an entry says. */
@@ -51,19 +66,49 @@
 
     /** A correction of an entry to a new value. */
     static Entry correction(Ref ref, double at, Entry target, long work, String by, String reason) {
-        return new Entry(ref, Kind.CORRECTION, at, target.member, target.jobClass, target.request, target.key,
-                target.end, work, false, 0, 0, 0, target.ref, by, reason);
+        return new Entry(
+                ref,
+                Kind.CORRECTION,
+                at,
+                target.member,
+                target.jobClass,
+                target.request,
+                target.key,
+                target.end,
+                work,
+                false,
+                0,
+                0,
+                0,
+                target.ref,
+                by,
+                reason);
     }
 
     /** So many jobs, the first and the last answered at those times, are not entered one by one. */
     static Entry gap(Ref ref, double from, double to, long jobs) {
-        return new Entry(ref, Kind.GAP, to, "", "", "", null, Ending.FAILED, 0, false, 0, 0, jobs, null, null,
-                from + " " + to);
+        return new Entry(
+                ref, Kind.GAP, to, "", "", "", null, Ending.FAILED, 0, false, 0, 0, jobs, null, null, from + " " + to);
     }
 
     /** The dispatcher's part of a period is what the vector covers. */
     static Entry close(Ref ref, double at, Terms.Period period, Map<Origin, Long> vector, String by) {
-        return new Entry(ref, Kind.CLOSE, at, "", "", "", null, Ending.FAILED, 0, false, 0, 0, 0, null, by,
+        return new Entry(
+                ref,
+                Kind.CLOSE,
+                at,
+                "",
+                "",
+                "",
+                null,
+                Ending.FAILED,
+                0,
+                false,
+                0,
+                0,
+                0,
+                null,
+                by,
                 new Close(period, vector).text());
     }
 
@@ -71,8 +116,9 @@
     public record Close(Terms.Period period, Map<Origin, Long> vector) {
         private String text() {
             StringBuilder text = new StringBuilder(period.name() + " " + period.from() + " " + period.to());
-            new TreeMap<>(vector).forEach((origin, number) -> text.append('\n').append(origin).append('/')
-                    .append(number));
+            new TreeMap<>(vector)
+                    .forEach((origin, number) ->
+                            text.append('\n').append(origin).append('/').append(number));
             return text.toString();
         }
 
@@ -84,9 +130,8 @@
                 Ref last = Ref.parse(lines[i]);
                 vector.put(last.origin(), last.number());
             }
-            return new Close(new Terms.Period(head[0], Double.parseDouble(head[1]),
-                    Double.parseDouble(head[2])),
-                    vector);
+            return new Close(
+                    new Terms.Period(head[0], Double.parseDouble(head[1]), Double.parseDouble(head[2])), vector);
         }
 
         boolean covers(Ref ref) {
@@ -101,15 +146,32 @@
 
     /** The same entry at another place of a chain. */
     Entry at(Ref place) {
-        return new Entry(place, kind, at, member, jobClass, request, key, end, work, estimate, spare,
-                attempts, job,
-                target, by, text);
+        return new Entry(
+                place, kind, at, member, jobClass, request, key, end, work, estimate, spare, attempts, job, target, by,
+                text);
     }
 
     /** The same job with the name of its period. */
     Entry in(Terms terms) {
-        return kind != Kind.JOB ? this : new Entry(ref, kind, at, member, jobClass, request, key, end, work,
-                estimate, spare, attempts, job, target, by, terms.at(at).name());
+        return kind != Kind.JOB
+                ? this
+                : new Entry(
+                        ref,
+                        kind,
+                        at,
+                        member,
+                        jobClass,
+                        request,
+                        key,
+                        end,
+                        work,
+                        estimate,
+                        spare,
+                        attempts,
+                        job,
+                        target,
+                        by,
+                        terms.at(at).name());
     }
 
     /** Its bytes, the same on every machine; the chain is made over them. */
@@ -173,10 +235,23 @@
             }
             Kind kind = Kind.values()[in.readByte()];
             Ref ref = new Ref(new Origin(in.readUTF(), in.readLong()), in.readLong());
-            Entry entry = new Entry(ref, kind, in.readDouble(), in.readUTF(), in.readUTF(), in.readUTF(),
-                    optional(in), Ending.values()[in.readByte()], in.readLong(), in.readBoolean(),
-                            in.readLong(),
-                    in.readInt(), in.readLong(), target(optional(in)), optional(in), text(in));
+            Entry entry = new Entry(
+                    ref,
+                    kind,
+                    in.readDouble(),
+                    in.readUTF(),
+                    in.readUTF(),
+                    in.readUTF(),
+                    optional(in),
+                    Ending.values()[in.readByte()],
+                    in.readLong(),
+                    in.readBoolean(),
+                    in.readLong(),
+                    in.readInt(),
+                    in.readLong(),
+                    target(optional(in)),
+                    optional(in),
+                    text(in));
             if (in.read() >= 0) {
                 throw new IllegalArgumentException("bytes after an entry");
             }
--- a/src/main/java/nettlewick/ledger/ExportSettings.java
+++ b/src/main/java/nettlewick/ledger/ExportSettings.java
@@ -7,9 +7,17 @@
 /**
  * One place where entries go; times in milliseconds. Either {@code folder} or {@code url} is null.
  */
-public record ExportSettings(String name, Path folder, URI url, boolean csv, long most, double every,
+public record ExportSettings(
+        String name,
+        Path folder,
+        URI url,
+        boolean csv,
+        long most,
+        double every,
         double timeout,
-        double firstPause, double longestPause, int attempts) {
+        double firstPause,
+        double longestPause,
+        int attempts) {
     static ExportSettings of(Block export) {
         if (export.has("folder") == export.has("url")) {
             throw export.bad("folder", "set, or a url in its place, and not both");
@@ -20,9 +28,16 @@
         if (first > longest) {
             throw export.bad("retry", "a first pause no longer than the longest");
         }
-        return new ExportSettings(export.label(), export.has("folder") ? export.get("folder") : null,
-                export.has("url") ? export.get("url") : null, export.text("format").equals("csv"),
-                export.whole("most"), export.span("every"), export.span("timeout"), first, longest,
+        return new ExportSettings(
+                export.label(),
+                export.has("folder") ? export.get("folder") : null,
+                export.has("url") ? export.get("url") : null,
+                export.text("format").equals("csv"),
+                export.whole("most"),
+                export.span("every"),
+                export.span("timeout"),
+                first,
+                longest,
                 (int) export.whole("attempts"));
     }
 }
--- a/src/main/java/nettlewick/ledger/Exporter.java
+++ b/src/main/java/nettlewick/ledger/Exporter.java
@@ -22,8 +22,7 @@
     }
 
     /** What one round did; {@code fault} is null, or why it ended early. */
-    public record Report(long batches, long entries, int tries, String fault) {
-    }
+    public record Report(long batches, long entries, int tries, String fault) {}
 
     /** Another process is at it: what there is goes out by its hand. */
     static final Report BUSY = new Report(0, 0, 0, "another process exports there now");
@@ -35,8 +34,7 @@
     private final Pause pause;
     private final Faults faults;
 
-    Exporter(Store store, ExportSettings settings, Target target, RandomGenerator random, Pause pause,
-            Faults faults) {
+    Exporter(Store store, ExportSettings settings, Target target, RandomGenerator random, Pause pause, Faults faults) {
         this.store = store;
         this.settings = settings;
         this.target = target;
@@ -47,15 +45,15 @@
 
     /** The target that the settings name. */
     static Target target(ExportSettings settings, Faults faults) {
-        return settings.folder() != null ? new FileTarget(settings.folder(), faults)
+        return settings.folder() != null
+                ? new FileTarget(settings.folder(), faults)
                 : new HttpTarget(settings.url(), settings.timeout(), faults);
     }
 
     /** A round, unless another process is at one. */
     Report round() throws StoreException, InterruptedException {
         Path file = store.folder().resolve("export-" + settings.name() + ".lock");
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.tryLock()) {
             return lock == null ? BUSY : deliver();
         } catch (OverlappingFileLockException e) {
@@ -91,9 +89,13 @@
                     return new Report(batches, entries, tries, e.getMessage());
                 } catch (IOException e) {
                     if (backoff.failures() + 1 >= settings.attempts()) {
-                        return new Report(batches, entries, tries, "batch " + batch.number()
-                                + " was not taken in "
-                                + settings.attempts() + " tries: " + e);
+                        return new Report(
+                                batches,
+                                entries,
+                                tries,
+                                "batch " + batch.number()
+                                        + " was not taken in "
+                                        + settings.attempts() + " tries: " + e);
                     }
                     pause.millis(backoff.next());
                 }
@@ -111,15 +113,16 @@
             Origin origin = new Origin(store.dispatcher(), range.life());
             for (Store.Row row : store.rows(origin, range.from(), range.to())) {
                 if (row.bytes() == null) {
-                    throw new StoreException("batch " + batch.number() + " holds entries that are archived; "
-                            + "restore them first", null, false);
+                    throw new StoreException(
+                            "batch " + batch.number() + " holds entries that are archived; " + "restore them first",
+                            null,
+                            false);
                 }
                 entries.add(Entry.of(row.bytes()));
             }
         }
         byte[] bytes = Batches.render(entries, csv);
-        return new Target.Parcel(store.dispatcher(), batch.export(), batch.number(), csv, entries.size(),
-                bytes,
-                Batches.sum(bytes));
+        return new Target.Parcel(
+                store.dispatcher(), batch.export(), batch.number(), csv, entries.size(), bytes, Batches.sum(bytes));
     }
 }
--- a/src/main/java/nettlewick/ledger/Faults.java
+++ b/src/main/java/nettlewick/ledger/Faults.java
@@ -5,7 +5,7 @@
 /** Places at which tests let the disk, or the whole process, fail. */
 interface Faults {
     /** Nothing fails by itself. */
-    Faults NONE = point -> { };
+    Faults NONE = point -> {};
 
     /** Comes past a place; throws what is to go wrong there. */
     void at(String point) throws IOException;
--- a/src/main/java/nettlewick/ledger/FileTarget.java
+++ b/src/main/java/nettlewick/ledger/FileTarget.java
@@ -27,9 +27,8 @@
     @Override
     public void deliver(Parcel p) throws IOException {
         Files.createDirectories(folder);
-        String name = String.format("%s-%s-%08d", p.dispatcher().replaceAll("[^A-Za-z0-9._-]", "_"),
-                p.export(),
-                p.number());
+        String name =
+                String.format("%s-%s-%08d", p.dispatcher().replaceAll("[^A-Za-z0-9._-]", "_"), p.export(), p.number());
         String data = name + (p.csv() ? ".csv" : ".jsonl");
         JsonObject manifest = new JsonObject();
         manifest.addProperty("dispatcher", p.dispatcher());
@@ -47,8 +46,8 @@
         Path file = folder.resolve(name);
         Path beside = folder.resolve(name + ".part");
         faults.at("file-write");
-        try (FileChannel channel = FileChannel.open(beside, StandardOpenOption.CREATE,
-                StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+        try (FileChannel channel = FileChannel.open(
+                beside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer rest = ByteBuffer.wrap(bytes);
             while (rest.hasRemaining()) {
                 channel.write(rest);
--- a/src/main/java/nettlewick/ledger/HttpTarget.java
+++ b/src/main/java/nettlewick/ledger/HttpTarget.java
@@ -33,8 +33,10 @@
         this.url = url;
         this.timeout = timeout;
         this.faults = faults;
-        client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(Duration.ofMillis((long) timeout)).build();
+        client = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(Duration.ofMillis((long) timeout))
+                .build();
     }
 
     /**
@@ -42,11 +44,11 @@
      * good.
      */
     private int send(HttpRequest request, StringBuilder said) throws IOException, InterruptedException {
-        CompletableFuture<HttpResponse<Void>> sent = client.sendAsync(request,
+        CompletableFuture<HttpResponse<Void>> sent = client.sendAsync(
+                request,
                 HttpResponse.BodyHandlers.ofByteArrayConsumer(part -> part.ifPresent(bytes -> {
                     if (said.length() < SAID_MOST) {
-                        said.append(new String(bytes, 0, Math.min(bytes.length, SAID_MOST),
-                                StandardCharsets.UTF_8)
+                        said.append(new String(bytes, 0, Math.min(bytes.length, SAID_MOST), StandardCharsets.UTF_8)
                                 .strip());
                     }
                 })));
@@ -63,11 +65,15 @@
     @Override
     public void deliver(Parcel p) throws IOException, InterruptedException {
         faults.at("http-send");
-        HttpRequest request = HttpRequest.newBuilder(url).timeout(Duration.ofMillis((long) timeout))
-                .header("X-Batch-Dispatcher", p.dispatcher()).header("X-Batch-Export", p.export())
-                .header("X-Batch-Number", Long.toString(p.number())).header("X-Batch-Sum", p.sum())
+        HttpRequest request = HttpRequest.newBuilder(url)
+                .timeout(Duration.ofMillis((long) timeout))
+                .header("X-Batch-Dispatcher", p.dispatcher())
+                .header("X-Batch-Export", p.export())
+                .header("X-Batch-Number", Long.toString(p.number()))
+                .header("X-Batch-Sum", p.sum())
                 .header("Content-Type", p.csv() ? "text/csv; charset=utf-8" : "application/x-ndjson")
-                .POST(HttpRequest.BodyPublishers.ofByteArray(p.bytes())).build();
+                .POST(HttpRequest.BodyPublishers.ofByteArray(p.bytes()))
+                .build();
         StringBuilder said = new StringBuilder();
         int status = send(request, said);
         faults.at("http-answer");
--- a/src/main/java/nettlewick/ledger/Ledger.java
+++ b/src/main/java/nettlewick/ledger/Ledger.java
@@ -30,6 +30,7 @@
     private static final Part LOG = Part.of("ledger");
     /** Pause after a failure of the disk before it is tried again. */
     private static final double AGAIN = 1000;
+
     private static final int GROUP_MOST = 4096;
     private static final int COMMIT_MOST = 20_000;
     private static final long MARK_LOOK = 200;
@@ -85,8 +86,7 @@
     }
 
     /** All that was answered before then is in the queue before this. */
-    private record Flush(double until) {
-    }
+    private record Flush(double until) {}
 
     private final String dispatcher;
     private final Clock clock;
@@ -95,16 +95,19 @@
     private final Object order = new Object();
     /** Answers that wait until their intents are forced. */
     private final LinkedBlockingQueue<Item> waiting = new LinkedBlockingQueue<>();
+
     private final ConcurrentLinkedQueue<Object> ended = new ConcurrentLinkedQueue<>();
     private volatile Spool spool;
     private final AtomicLong jobs = new AtomicLong();
     /** Jobs held in memory: from the decision to the commit of the entry. */
     private final AtomicInteger held = new AtomicInteger();
+
     private final Thread spooler;
     private final Thread storer;
     private final List<Spool> spools = new java.util.concurrent.CopyOnWriteArrayList<>();
     /** Open as soon as intents can be written, or it is known that they cannot. */
     private final CountDownLatch ready = new CountDownLatch(1);
+
     private volatile boolean stopping;
     private volatile boolean spooled;
     private volatile Origin own = NOBODY;
@@ -149,8 +152,9 @@
     public void await() {
         try {
             if (!ready.await(OPEN_SECONDS, TimeUnit.SECONDS)) {
-                LOG.warning("opens-slowly", "the ledger is not open after " + OPEN_SECONDS
-                        + " s; jobs are served, and wait in memory");
+                LOG.warning(
+                        "opens-slowly",
+                        "the ledger is not open after " + OPEN_SECONDS + " s; jobs are served, and wait in memory");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -224,11 +228,23 @@
     private Entry draft(Job job) {
         Request r = job.request();
         String key = r.cargo() instanceof Request.Keyed keyed ? keyed.idempotencyKey() : null;
-        return new Entry(new Ref(NOBODY, 0), Entry.Kind.JOB, job.at(), Entry.fit(r.tenant()),
+        return new Entry(
+                new Ref(NOBODY, 0),
+                Entry.Kind.JOB,
+                job.at(),
+                Entry.fit(r.tenant()),
                 Entry.fit(r.jobClass()),
-                Entry.fit(r.id()), key == null ? null : Entry.hash(key), job.ending(), job.work(),
-                        job.estimate(),
-                job.spare(), job.attempts(), jobs.incrementAndGet(), null, null, null);
+                Entry.fit(r.id()),
+                key == null ? null : Entry.hash(key),
+                job.ending(),
+                job.work(),
+                job.estimate(),
+                job.spare(),
+                job.attempts(),
+                jobs.incrementAndGet(),
+                null,
+                null,
+                null);
     }
 
     // The spool's thread: makes its files, forces them, and lets answers go that wait for that
@@ -239,8 +255,7 @@
         try {
             while (!stopping || !waiting.isEmpty()) {
                 group.clear();
-                Item first = waiting.poll((long) Math.min(settings.batch(), MARK_LOOK),
-                        TimeUnit.MILLISECONDS);
+                Item first = waiting.poll((long) Math.min(settings.batch(), MARK_LOOK), TimeUnit.MILLISECONDS);
                 if (first != null) {
                     group.add(first);
                     waiting.drainTo(group, GROUP_MOST);
@@ -252,8 +267,9 @@
                         forced = true;
                     } catch (IOException | RuntimeException e) {
                         again = pace() + AGAIN;
-                        trouble("spool-failed", "the spool cannot be written, and answers do not wait for "
-                                + "it: " + e);
+                        trouble(
+                                "spool-failed",
+                                "the spool cannot be written, and answers do not wait for " + "it: " + e);
                     }
                 }
                 if (!forced) {
@@ -282,7 +298,10 @@
         }
         if (mine != NOBODY && (now == null || !now.origin().equals(mine))) {
             // Danger: a life's files go only when its jobs are entered, be it under the next life.
-            now = spools.stream().filter(s -> s.origin().equals(mine)).findFirst().orElse(null);
+            now = spools.stream()
+                    .filter(s -> s.origin().equals(mine))
+                    .findFirst()
+                    .orElse(null);
             if (now == null) {
                 now = new Spool(settings.store(), mine, faults);
                 spools.add(now);
@@ -338,8 +357,12 @@
                     trouble("store-failed", "entries wait in memory: " + e.getMessage());
                     store = afterFailure(store, e);
                     if (last) {
-                        LOG.warning("not-entered", items.size() + " jobs are not entered yet; the next start "
-                                + "recovers those that the spool holds", "jobs", items.size());
+                        LOG.warning(
+                                "not-entered",
+                                items.size() + " jobs are not entered yet; the next start "
+                                        + "recovers those that the spool holds",
+                                "jobs",
+                                items.size());
                         return;
                     }
                     TimeUnit.MILLISECONDS.sleep((long) AGAIN);
@@ -361,10 +384,15 @@
                 Recovery.Report report = Recovery.run(store, clock.now(), settings.terms());
                 doubts.addAndGet(report.doubts());
                 if (!report.idle()) {
-                    LOG.info("recovered", "recovered " + report.answered() + " answered jobs, "
-                            + report.doubts()
-                            + " in doubt" + (report.damage().isEmpty() ? "" : "; damage: " + report.damage()),
-                            "answered", report.answered(), "doubts", report.doubts());
+                    LOG.info(
+                            "recovered",
+                            "recovered " + report.answered() + " answered jobs, "
+                                    + report.doubts()
+                                    + " in doubt" + (report.damage().isEmpty() ? "" : "; damage: " + report.damage()),
+                            "answered",
+                            report.answered(),
+                            "doubts",
+                            report.doubts());
                 }
                 own = store.begin(clock.now());
             }
@@ -384,8 +412,10 @@
             store.close();
         }
         try {
-            LOG.warning("store-put-aside", "the store is damaged; it was put aside as "
-                    + Store.putAside(settings.store(), clock.now()) + " and a new one begins");
+            LOG.warning(
+                    "store-put-aside",
+                    "the store is damaged; it was put aside as " + Store.putAside(settings.store(), clock.now())
+                            + " and a new one begins");
             own = NOBODY;
             head = 0;
         } catch (IOException moved) {
@@ -441,8 +471,7 @@
             gapFrom = gapTo;
         }
         if (gap > 0) {
-            LOG.warning("gap", gap + " jobs could not be entered one by one; a gap entry stands for them",
-                    "jobs", gap);
+            LOG.warning("gap", gap + " jobs could not be entered one by one; a gap entry stands for them", "jobs", gap);
         }
         entered.addAndGet(items.size());
         held.addAndGet(-items.size());
--- a/src/main/java/nettlewick/ledger/LedgerService.java
+++ b/src/main/java/nettlewick/ledger/LedgerService.java
@@ -71,8 +71,7 @@
         if (seal != null) {
             front = new PeerFront(settings.peers(), settings.store(), seal, clock);
             try {
-                port = front.listen().toCompletionStage().toCompletableFuture().get(JOIN_SECONDS,
-                        TimeUnit.SECONDS);
+                port = front.listen().toCompletionStage().toCompletableFuture().get(JOIN_SECONDS, TimeUnit.SECONDS);
             } catch (Exception e) {
                 throw new IOException("the ledger's peers cannot be listened for: " + e.getMessage(), e);
             }
@@ -85,9 +84,8 @@
     private void mine() throws IOException {
         try (Store store = Store.read(settings.store())) {
             if (store.dispatcher() != null && !store.dispatcher().equals(dispatcher)) {
-                throw new IOException(settings.store() + " is the ledger of " + store.dispatcher()
-                        + ", not of "
-                        + dispatcher);
+                throw new IOException(
+                        settings.store() + " is the ledger of " + store.dispatcher() + ", not of " + dispatcher);
             }
         } catch (StoreException e) {
             // There is none yet, or it cannot be read: the ledger tells of that when it opens it.
@@ -96,8 +94,8 @@
 
     /** What clients of peers run on. */
     static Vertx clients() {
-        return Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1));
+        return Vertx.vertx(
+                new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     }
 
     /** Reads the shared key. */
@@ -123,13 +121,15 @@
     }
 
     private void thread(String name, Loop loop) {
-        Thread thread = new Thread(() -> {
-            try {
-                loop.run();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, name);
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        loop.run();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                name);
         thread.setDaemon(true);
         threads.add(thread);
         thread.start();
@@ -145,7 +145,10 @@
     }
 
     private ExportSettings export(String name) {
-        return settings.exports().stream().filter(e -> e.name().equals(name)).findFirst().orElse(null);
+        return settings.exports().stream()
+                .filter(e -> e.name().equals(name))
+                .findFirst()
+                .orElse(null);
     }
 
     private void exports(String name) throws InterruptedException {
@@ -164,8 +167,7 @@
                 continue;
             }
             try (Store store = Store.open(settings.store())) {
-                Exporter exporter = new Exporter(store, now, target, random,
-                        millis -> waited(millis), Faults.NONE);
+                Exporter exporter = new Exporter(store, now, target, random, millis -> waited(millis), Faults.NONE);
                 Exporter.Report report = exporter.round();
                 lags.put(name, store.lag(name));
                 ledger.lags(lags);
@@ -198,13 +200,13 @@
                 if (Ledger.pace() < due.getOrDefault(address, 0.0)) {
                     continue;
                 }
-                PeerClient client = clients.computeIfAbsent(address,
-                        a -> new PeerClient(vertx, a, seal, clock, now.timeout()));
-                Backoff pause = pauses.computeIfAbsent(address, a -> new Backoff(now.every(),
-                        10 * now.every(),
-                        new java.util.SplittableRandom(seed ^ a.hashCode())));
-                due.put(address, Ledger.pace() + (ask(address, client, now) ? reset(pause, now)
-                        : pause.next()));
+                PeerClient client =
+                        clients.computeIfAbsent(address, a -> new PeerClient(vertx, a, seal, clock, now.timeout()));
+                Backoff pause = pauses.computeIfAbsent(
+                        address,
+                        a -> new Backoff(
+                                now.every(), 10 * now.every(), new java.util.SplittableRandom(seed ^ a.hashCode())));
+                due.put(address, Ledger.pace() + (ask(address, client, now) ? reset(pause, now) : pause.next()));
             }
         }
         clients.values().forEach(PeerClient::close);
@@ -215,16 +217,17 @@
         return now.every();
     }
 
-    private boolean ask(InetSocketAddress address, PeerClient client,
-            PeerSettings now) throws InterruptedException {
+    private boolean ask(InetSocketAddress address, PeerClient client, PeerSettings now) throws InterruptedException {
         try (Store store = Store.open(settings.store())) {
             Reconciler.Report report = new Reconciler(store, client, now.chunk()).round();
             report.forks().forEach(line -> LOG.warning("fork", "quarantined " + line, "peer", address));
-            report.faults().forEach(line -> LOG.warning("peer-fault", "peer " + address + ": " + line,
-                    "peer", address));
+            report.faults()
+                    .forEach(line -> LOG.warning("peer-fault", "peer " + address + ": " + line, "peer", address));
             return report.faults().isEmpty();
         } catch (IOException | StoreException e) {
-            LOG.warning("peer-failed", "peer " + address + " cannot be reconciled with: " + e.getMessage(),
+            LOG.warning(
+                    "peer-failed",
+                    "peer " + address + " cannot be reconciled with: " + e.getMessage(),
                     "peer",
                     address);
             return false;
--- a/src/main/java/nettlewick/ledger/LedgerSettings.java
+++ b/src/main/java/nettlewick/ledger/LedgerSettings.java
@@ -13,9 +13,17 @@
  * @param patience how long an answer may wait for the disk
  * @param queue    most jobs held in memory
  */
-public record LedgerSettings(Path store, boolean sync, double batch, double commit, double patience,
-        int queue, Terms terms,
-        double keyWindow, List<ExportSettings> exports, PeerSettings peers) {
+public record LedgerSettings(
+        Path store,
+        boolean sync,
+        double batch,
+        double commit,
+        double patience,
+        int queue,
+        Terms terms,
+        double keyWindow,
+        List<ExportSettings> exports,
+        PeerSettings peers) {
     private static final double SYNC_BATCH = 20;
 
     /** Takes the block over; BadSettings for what its words alone do not show. */
@@ -23,15 +31,23 @@
         List<Object> mode = ledger.one("mode").orElseThrow().parts();
         Terms terms;
         try {
-            terms = new Terms(ledger.get("zone"), ledger.all("term").stream()
-                    .map(t -> new Terms.Term(t.part(0), t.part(2), t.part(4))).toList());
+            terms = new Terms(
+                    ledger.get("zone"),
+                    ledger.all("term").stream()
+                            .map(t -> new Terms.Term(t.part(0), t.part(2), t.part(4)))
+                            .toList());
         } catch (IllegalArgumentException e) {
             throw ledger.bad("term", "in order: " + e.getMessage());
         }
-        return new LedgerSettings(ledger.get("store"), mode.size() == 1,
-                mode.size() == 1 ? SYNC_BATCH : (Double) mode.get(1), ledger.span("commit"),
-                        ledger.span("patience"),
-                (int) ledger.whole("queue"), terms, ledger.span("key-window"),
+        return new LedgerSettings(
+                ledger.get("store"),
+                mode.size() == 1,
+                mode.size() == 1 ? SYNC_BATCH : (Double) mode.get(1),
+                ledger.span("commit"),
+                ledger.span("patience"),
+                (int) ledger.whole("queue"),
+                terms,
+                ledger.span("key-window"),
                 ledger.blocks("export").stream().map(ExportSettings::of).toList(),
                 ledger.block("peers").map(PeerSettings::of).orElse(null));
     }
--- a/src/main/java/nettlewick/ledger/PeerClient.java
+++ b/src/main/java/nettlewick/ledger/PeerClient.java
@@ -53,8 +53,8 @@
         this.seal = seal;
         this.clock = clock;
         this.timeout = timeout;
-        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout((int) timeout)
-                .setMaxRedirects(0));
+        client = vertx.createHttpClient(
+                new HttpClientOptions().setConnectTimeout((int) timeout).setMaxRedirects(0));
     }
 
     /** Bytes sent and received, bodies and the heads that are ours. */
@@ -76,11 +76,11 @@
                 if (hash.length != Entry.NO_HASH.length || o.get("n").getAsLong() < 0) {
                     throw new IllegalArgumentException("a chain without a hash");
                 }
-                heads.put(new Origin(o.get("d").getAsString(), o.get("l").getAsLong()),
+                heads.put(
+                        new Origin(o.get("d").getAsString(), o.get("l").getAsLong()),
                         new Head(o.get("n").getAsLong(), hash));
             }
-        } catch (JsonParseException | IllegalStateException | IllegalArgumentException
-                | NullPointerException e) {
+        } catch (JsonParseException | IllegalStateException | IllegalArgumentException | NullPointerException e) {
             throw new IOException("its chains cannot be read: " + e.getMessage(), e);
         }
         return heads;
@@ -130,17 +130,26 @@
         double now = clock.now();
         Promise<Buffer> done = Promise.promise();
         long timer = vertx.setTimer((long) timeout, id -> done.tryFail(new IOException("no answer in time")));
-        RequestOptions options = new RequestOptions().setMethod(HttpMethod.GET).setURI(uri)
-                .setHost(peer.getAddress().getHostAddress()).setPort(peer.getPort())
-                .putHeader(PeerFront.NONCE, nonce).putHeader(PeerFront.TIME, Long.toString((long) now))
+        RequestOptions options = new RequestOptions()
+                .setMethod(HttpMethod.GET)
+                .setURI(uri)
+                .setHost(peer.getAddress().getHostAddress())
+                .setPort(peer.getPort())
+                .putHeader(PeerFront.NONCE, nonce)
+                .putHeader(PeerFront.TIME, Long.toString((long) now))
                 .putHeader(PeerFront.SEAL, seal.call(uri, nonce, now));
         bytes += uri.length() + 200;
-        client.request(options).compose(request -> {
-            done.future().onFailure(e -> request.reset());
-            return request.send();
-        }).compose(response -> body(response, done)).onFailure(done::tryFail);
+        client.request(options)
+                .compose(request -> {
+                    done.future().onFailure(e -> request.reset());
+                    return request.send();
+                })
+                .compose(response -> body(response, done))
+                .onFailure(done::tryFail);
         try {
-            Buffer answer = done.future().toCompletionStage().toCompletableFuture()
+            Buffer answer = done.future()
+                    .toCompletionStage()
+                    .toCompletableFuture()
                     .get((long) (2 * timeout) + 1000, TimeUnit.MILLISECONDS);
             int status = answer.getInt(0);
             Buffer body = answer.getBuffer(4 + 64, answer.length());
@@ -149,7 +158,8 @@
                 throw new IOException("an answer without the right seal (status " + status + ")");
             }
             if (status != OK && status != SAME) {
-                throw new IOException("it answered " + status + " " + PeerFront.utf8(body).strip());
+                throw new IOException(
+                        "it answered " + status + " " + PeerFront.utf8(body).strip());
             }
             return body;
         } catch (ExecutionException e) {
@@ -166,7 +176,8 @@
      */
     private static Future<Void> body(HttpClientResponse response, Promise<Buffer> done) {
         String seal = response.getHeader(PeerFront.SEAL);
-        Buffer all = Buffer.buffer().appendInt(response.statusCode())
+        Buffer all = Buffer.buffer()
+                .appendInt(response.statusCode())
                 .appendString(seal != null && seal.length() == 64 ? seal : "0".repeat(64));
         response.exceptionHandler(done::tryFail);
         response.handler(part -> {
--- a/src/main/java/nettlewick/ledger/PeerFront.java
+++ b/src/main/java/nettlewick/ledger/PeerFront.java
@@ -53,32 +53,45 @@
         this.folder = folder;
         this.seal = seal;
         this.clock = clock;
-        vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                        .setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
+        vertx = Vertx.vertx(new VertxOptions()
+                .setEventLoopPoolSize(1)
+                .setWorkerPoolSize(1)
+                .setInternalBlockingPoolSize(1)
+                .setFileSystemOptions(
+                        new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
     }
 
     /** Listens; the port that is held comes back. */
     Future<Integer> listen() {
-        HttpServer server = vertx.createHttpServer(new HttpServerOptions().setTcpNoDelay(true)
-                .setHttp2ClearTextEnabled(false).setIdleTimeout(IDLE_SECONDS));
-        server.exceptionHandler(e -> { });
+        HttpServer server = vertx.createHttpServer(new HttpServerOptions()
+                .setTcpNoDelay(true)
+                .setHttp2ClearTextEnabled(false)
+                .setIdleTimeout(IDLE_SECONDS));
+        server.exceptionHandler(e -> {});
         server.requestHandler(this::handle);
-        return server.listen(SocketAddress.inetSocketAddress(settings.listen().getPort(),
-                settings.listen().getAddress().getHostAddress())).map(HttpServer::actualPort);
+        return server.listen(SocketAddress.inetSocketAddress(
+                        settings.listen().getPort(),
+                        settings.listen().getAddress().getHostAddress()))
+                .map(HttpServer::actualPort);
     }
 
     private void handle(HttpServerRequest request) {
-        request.exceptionHandler(e -> { });
-        String from = request.remoteAddress() == null ? null : request.remoteAddress().hostAddress();
+        request.exceptionHandler(e -> {});
+        String from =
+                request.remoteAddress() == null ? null : request.remoteAddress().hostAddress();
         if (!admitted(from)) {
             LOG.warning("peer-refused", "a caller from " + from + " is not admitted", "from", from);
             request.response().setStatusCode(403).end("not admitted\n");
             return;
         }
-        String fault = HttpMethod.GET.equals(request.method()) ? seal.fault(request.uri(),
-                request.getHeader(NONCE),
-                request.getHeader(TIME), request.getHeader(SEAL), clock.now()) : "not a GET";
+        String fault = HttpMethod.GET.equals(request.method())
+                ? seal.fault(
+                        request.uri(),
+                        request.getHeader(NONCE),
+                        request.getHeader(TIME),
+                        request.getHeader(SEAL),
+                        clock.now())
+                : "not a GET";
         if (fault != null) {
             LOG.warning("peer-refused", "a call from " + from + " is refused: " + fault, "from", from);
             request.response().setStatusCode(401).end(fault + "\n");
@@ -91,7 +104,11 @@
         vertx.executeBlocking(() -> read(path, asked)).onComplete(read -> {
             if (read.failed()) {
                 boolean asking = read.cause() instanceof IllegalArgumentException;
-                answer(request, nonce, asking ? 400 : 503, Buffer.buffer(read.cause().getMessage() + "\n"));
+                answer(
+                        request,
+                        nonce,
+                        asking ? 400 : 503,
+                        Buffer.buffer(read.cause().getMessage() + "\n"));
             } else {
                 answer(request, nonce, read.result().length() == 0 ? SAME : OK, read.result());
             }
@@ -99,15 +116,15 @@
     }
 
     private boolean admitted(String from) {
-        IPAddress address = from == null ? null : new IPAddressString(from.replaceAll("%.*", ""))
-                .getAddress();
+        IPAddress address = from == null ? null : new IPAddressString(from.replaceAll("%.*", "")).getAddress();
         return address != null && settings.admit().stream().anyMatch(network -> network.contains(address));
     }
 
     private void answer(HttpServerRequest request, String nonce, int status, Buffer body) {
         if (!request.response().closed()) {
-            request.response().setStatusCode(status).putHeader(SEAL, seal.answer(nonce, status,
-                    body.getBytes()))
+            request.response()
+                    .setStatusCode(status)
+                    .putHeader(SEAL, seal.answer(nonce, status, body.getBytes()))
                     .end(body);
         }
     }
@@ -122,8 +139,10 @@
                 }
                 case HASH -> {
                     List<Store.Row> rows = store.rows(origin(asked), number(asked, "n"), number(asked, "n"));
-                    yield Buffer.buffer(rows.isEmpty() ? "none" : HexFormat.of().formatHex(rows.get(0)
-                            .hash()));
+                    yield Buffer.buffer(
+                            rows.isEmpty()
+                                    ? "none"
+                                    : HexFormat.of().formatHex(rows.get(0).hash()));
                 }
                 case ENTRIES -> {
                     long first = number(asked, "from");
@@ -159,8 +178,7 @@
         for (Store.Row row : rows) {
             if (row.bytes() == null) {
                 if (all.length() == 0) {
-                    throw new IllegalArgumentException("entry " + row.number()
-                            + " is archived here; restore it first");
+                    throw new IllegalArgumentException("entry " + row.number() + " is archived here; restore it first");
                 }
                 break;
             }
--- a/src/main/java/nettlewick/ledger/PeerSettings.java
+++ b/src/main/java/nettlewick/ledger/PeerSettings.java
@@ -7,14 +7,24 @@
 import nettlewick.settings.Block;
 
 /** How ledgers of several dispatchers find each other; times in milliseconds. */
-public record PeerSettings(InetSocketAddress listen, Path key, List<IPAddress> admit,
+public record PeerSettings(
+        InetSocketAddress listen,
+        Path key,
+        List<IPAddress> admit,
         List<InetSocketAddress> peers,
-        double every, double timeout, int chunk) {
+        double every,
+        double timeout,
+        int chunk) {
     static PeerSettings of(Block block) {
-        return new PeerSettings(block.address("listen"), block.get("key"),
+        return new PeerSettings(
+                block.address("listen"),
+                block.get("key"),
                 block.all("admit").stream().map(v -> v.<IPAddress>part(0)).toList(),
-                block.all("peer").stream().map(v -> v.<InetSocketAddress>part(0)).toList(),
-                        block.span("every"),
-                block.span("timeout"), (int) block.whole("chunk"));
+                block.all("peer").stream()
+                        .map(v -> v.<InetSocketAddress>part(0))
+                        .toList(),
+                block.span("every"),
+                block.span("timeout"),
+                (int) block.whole("chunk"));
     }
 }
--- a/src/main/java/nettlewick/ledger/Plan.java
+++ b/src/main/java/nettlewick/ledger/Plan.java
@@ -19,11 +19,9 @@
     }
 
     /** {@code theirs} is the peer's end of the chain, {@code ours} our own. */
-    record Step(What what, Origin origin, Head ours, Head theirs) {
-    }
+    record Step(What what, Origin origin, Head ours, Head theirs) {}
 
-    private Plan() {
-    }
+    private Plan() {}
 
     /** The steps for all origins that the peer has, but those in quarantine; what is the same needs none. */
     static List<Step> steps(Map<Origin, Head> ours, Map<Origin, Head> theirs, Set<Origin> quarantined) {
@@ -31,8 +29,7 @@
         theirs.forEach((origin, their) -> {
             Head our = ours.getOrDefault(origin, Head.NONE);
             if (their.number() > 0 && !our.same(their) && !quarantined.contains(origin)) {
-                steps.add(new Step(their.number() > our.number() ? What.FETCH : What.COMPARE, origin, our,
-                        their));
+                steps.add(new Step(their.number() > our.number() ? What.FETCH : What.COMPARE, origin, our, their));
             }
         });
         return steps;
@@ -49,8 +46,7 @@
         for (byte[] bytes : entries) {
             Ref expected = new Ref(origin, head.number() + 1);
             if (!Entry.of(bytes).ref().equals(expected)) {
-                throw new IllegalArgumentException("entry " + Entry.of(bytes).ref() + " in place of "
-                        + expected);
+                throw new IllegalArgumentException("entry " + Entry.of(bytes).ref() + " in place of " + expected);
             }
             head = new Head(expected.number(), Entry.link(head.hash(), bytes));
             rows.add(new Row(head.number(), bytes, head.hash()));
@@ -60,8 +56,11 @@
 
     /** The end of a chain of rows. */
     static Head end(Head before, List<Row> rows) {
-        return rows.isEmpty() ? before : new Head(rows.get(rows.size() - 1).number(),
-                rows.get(rows.size() - 1).hash());
+        return rows.isEmpty()
+                ? before
+                : new Head(
+                        rows.get(rows.size() - 1).number(),
+                        rows.get(rows.size() - 1).hash());
     }
 
     /** Finds the first number at which two chains differ, halving the range in which it lies. */
--- a/src/main/java/nettlewick/ledger/Reconciler.java
+++ b/src/main/java/nettlewick/ledger/Reconciler.java
@@ -16,8 +16,7 @@
     private static final int SEARCH_MOST = 64;
 
     /** What a round brought; {@code faults} are lines for people: forks, and what the peer did wrong. */
-    public record Report(long entries, int origins, List<String> forks, List<String> faults) {
-    }
+    public record Report(long entries, int origins, List<String> forks, List<String> faults) {}
 
     private final Store store;
     private final PeerClient peer;
@@ -63,16 +62,14 @@
         return rows.isEmpty() ? null : rows.get(0).hash();
     }
 
-    private void compare(Step step, List<String> forks) throws StoreException, IOException,
-            InterruptedException {
+    private void compare(Step step, List<String> forks) throws StoreException, IOException, InterruptedException {
         byte[] ours = ourHash(step.origin(), step.theirs().number());
         if (!Arrays.equals(ours, step.theirs().hash())) {
             fork(step.origin(), step.theirs().number(), forks);
         }
     }
 
-    private long fetch(Step step, List<String> forks) throws StoreException, IOException,
-            InterruptedException {
+    private long fetch(Step step, List<String> forks) throws StoreException, IOException, InterruptedException {
         Origin origin = step.origin();
         Head head = step.ours();
         if (head.number() > 0 && !Arrays.equals(head.hash(), peer.hash(origin, head.number()))) {
@@ -84,15 +81,14 @@
             long to = Math.min(step.theirs().number(), head.number() + chunk);
             List<Row> rows = Plan.link(origin, head, peer.entries(origin, head.number() + 1, to));
             Head end = Plan.end(head, rows);
-            byte[] claimed = end.number() == step.theirs().number() ? step.theirs().hash()
-                    : peer.hash(origin, end.number());
+            byte[] claimed =
+                    end.number() == step.theirs().number() ? step.theirs().hash() : peer.hash(origin, end.number());
             if (!Arrays.equals(end.hash(), claimed)) {
                 throw new IllegalArgumentException("entries " + (head.number() + 1) + " to " + end.number()
                         + " do not lead to the hash that it claims; nothing of them is taken over");
             }
             if (!store.merge(origin, head, rows)) {
-                throw new IllegalArgumentException("the chain has grown here meanwhile; the next round goes "
-                        + "on");
+                throw new IllegalArgumentException("the chain has grown here meanwhile; the next round goes " + "on");
             }
             head = end;
             taken += rows.size();
@@ -104,8 +100,8 @@
      * Two chains of one origin differ. Only a peer that shows an entry that follows from the last common hash
      * proves a fork; any other is at fault itself.
      */
-    private void fork(Origin origin, long differs, List<String> forks) throws StoreException, IOException,
-            InterruptedException {
+    private void fork(Origin origin, long differs, List<String> forks)
+            throws StoreException, IOException, InterruptedException {
         Plan.Search search = new Plan.Search(differs);
         for (int asked = 0; !search.done() && asked < SEARCH_MOST; asked++) {
             search.told(ourHash(origin, search.ask()), peer.hash(origin, search.ask()));
@@ -115,8 +111,7 @@
         List<byte[]> shown = peer.entries(origin, at, at);
         List<Row> rows = Plan.link(origin, new Head(at - 1, before), shown);
         if (!Arrays.equals(rows.get(0).hash(), peer.hash(origin, at))) {
-            throw new IllegalArgumentException("it claims another entry " + at
-                    + " and cannot show one that follows");
+            throw new IllegalArgumentException("it claims another entry " + at + " and cannot show one that follows");
         }
         if (Arrays.equals(rows.get(0).hash(), ourHash(origin, at))) {
             throw new IllegalArgumentException("it claims another hash for the same entry " + at);
--- a/src/main/java/nettlewick/ledger/Recovery.java
+++ b/src/main/java/nettlewick/ledger/Recovery.java
@@ -21,8 +21,7 @@
         }
     }
 
-    private Recovery() {
-    }
+    private Recovery() {}
 
     /** Recovers all dead lives of the store's folder; safe to cut off and to run again. */
     static Report run(Store store, double now, Terms terms) throws StoreException {
@@ -38,13 +37,14 @@
                     }
                     List<Entry> missing = missing(store, found, terms);
                     enter(store, found, missing, now);
-                    answered += (int) missing.stream().filter(e -> e.kind() == Kind.JOB).count();
-                    doubts += (int) missing.stream().filter(e -> e.kind() == Kind.DOUBT).count();
+                    answered += (int)
+                            missing.stream().filter(e -> e.kind() == Kind.JOB).count();
+                    doubts += (int)
+                            missing.stream().filter(e -> e.kind() == Kind.DOUBT).count();
                     damage.addAll(found.damage());
                     for (Path file : found.files()) {
                         if (found.damage().stream().anyMatch(line -> line.startsWith(file.toString()))) {
-                            Files.move(file, file.resolveSibling(file.getFileName() + ".damaged-"
-                                    + (long) now));
+                            Files.move(file, file.resolveSibling(file.getFileName() + ".damaged-" + (long) now));
                         } else {
                             Files.deleteIfExists(file);
                         }
@@ -69,8 +69,7 @@
      * numbers
      * may be given by now, at peers; its jobs go into a chain of their own.
      */
-    private static void enter(Store store, Spool.Found found, List<Entry> missing, double now)
-            throws StoreException {
+    private static void enter(Store store, Spool.Found found, List<Entry> missing, double now) throws StoreException {
         if (!missing.isEmpty()) {
             store.append(lost(store, found) ? store.begin(now) : found.origin(), missing);
         }
@@ -82,11 +81,11 @@
     }
 
     /** The jobs of the spool that the store has no entry of. */
-    private static List<Entry> missing(Store store, Spool.Found found, Terms terms)
-            throws StoreException {
+    private static List<Entry> missing(Store store, Spool.Found found, Terms terms) throws StoreException {
         Store.Head head = store.head(found.origin());
         boolean lost = lost(store, found);
-        String why = lost ? "life " + found.origin().life() + " was lost with its store"
+        String why = lost
+                ? "life " + found.origin().life() + " was lost with its store"
                 : "the process ended before its answer was confirmed";
         Set<Long> entered = new HashSet<>();
         if (lost) {
@@ -118,9 +117,22 @@
     }
 
     private static Entry doubt(Entry draft, String why) {
-        return new Entry(draft.ref(), Kind.DOUBT, draft.at(), draft.member(), draft.jobClass(),
+        return new Entry(
+                draft.ref(),
+                Kind.DOUBT,
+                draft.at(),
+                draft.member(),
+                draft.jobClass(),
                 draft.request(),
-                draft.key(), draft.end(), draft.work(), draft.estimate(), draft.spare(), draft.attempts(),
-                draft.job(), null, null, why);
+                draft.key(),
+                draft.end(),
+                draft.work(),
+                draft.estimate(),
+                draft.spare(),
+                draft.attempts(),
+                draft.job(),
+                null,
+                null,
+                why);
     }
 }
--- a/src/main/java/nettlewick/ledger/Seal.java
+++ b/src/main/java/nettlewick/ledger/Seal.java
@@ -18,6 +18,7 @@
     static final int KEY_LEAST = 32;
     /** A call counts this many milliseconds around its time. */
     static final double WINDOW = 60_000;
+
     private static final int NONCES_MOST = 100_000;
     private static final int NONCE_LENGTH = 32;
 
@@ -27,8 +28,7 @@
 
     Seal(byte[] key) {
         if (key.length < KEY_LEAST) {
-            throw new IllegalArgumentException("the key has " + key.length + " bytes, but needs "
-                    + KEY_LEAST);
+            throw new IllegalArgumentException("the key has " + key.length + " bytes, but needs " + KEY_LEAST);
         }
         this.key = new SecretKeySpec(key, "HmacSHA256");
     }
@@ -65,7 +65,10 @@
 
     /** Why a call is turned away, or null: wrong seal, too old, from the future, or seen before. */
     synchronized String fault(String uri, String nonce, String time, String seal, double now) {
-        if (nonce == null || nonce.length() != NONCE_LENGTH || time == null || !time.matches("\\d{1,15}")
+        if (nonce == null
+                || nonce.length() != NONCE_LENGTH
+                || time == null
+                || !time.matches("\\d{1,15}")
                 || seal == null) {
             return "not sealed";
         }
@@ -88,7 +91,7 @@
     }
 
     private static boolean same(String a, String b) {
-        return b != null && MessageDigest.isEqual(a.getBytes(StandardCharsets.US_ASCII),
-                b.getBytes(StandardCharsets.UTF_8));
+        return b != null
+                && MessageDigest.isEqual(a.getBytes(StandardCharsets.US_ASCII), b.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/nettlewick/ledger/Spool.java
+++ b/src/main/java/nettlewick/ledger/Spool.java
@@ -43,8 +43,7 @@
     private static final byte ANSWERED = 2;
     private static final byte LEFT = 3;
     private static final Pattern NAME = Pattern.compile("spool-(\\d+)-(\\d{6})\\.(log|copy)");
-    private static final VarHandle INTS = MethodHandles.byteBufferViewVarHandle(int[].class,
-            ByteOrder.BIG_ENDIAN);
+    private static final VarHandle INTS = MethodHandles.byteBufferViewVarHandle(int[].class, ByteOrder.BIG_ENDIAN);
 
     /** Where intents were written; any thread may tell it. */
     interface Place {
@@ -61,6 +60,7 @@
          * whoever writes next waits for the disk.
          */
         final Path second;
+
         final FileChannel copy;
         int at;
         int forced;
@@ -80,7 +80,7 @@
         /** Brings what was noted up to there to the disk. */
         void force(int until) throws IOException {
             ByteBuffer news = bytes.slice(forced, until - forced);
-            for (long to = forced; news.hasRemaining();) {
+            for (long to = forced; news.hasRemaining(); ) {
                 to += copy.write(news, to);
             }
             copy.force(false);
@@ -97,9 +97,13 @@
     }
 
     /** What a dead life's files hold. */
-    record Found(Origin origin, long head, Map<Long, Entry> intents, Map<Long, Entry> ended, List<Path> files,
-            List<String> damage) {
-    }
+    record Found(
+            Origin origin,
+            long head,
+            Map<Long, Entry> intents,
+            Map<Long, Entry> ended,
+            List<Path> files,
+            List<String> damage) {}
 
     private final Path folder;
     private final Origin origin;
@@ -123,8 +127,8 @@
     }
 
     private static FileChannel hold(Path folder, long life) throws IOException {
-        FileChannel channel = FileChannel.open(lockFile(folder, life), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(lockFile(folder, life), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             if (channel.tryLock() != null) {
                 return channel;
@@ -178,7 +182,12 @@
 
     /** Notes what became of a job that was let go. */
     void ended(long job, double at, boolean answered) {
-        put(ByteBuffer.allocate(1 + 8 + 8).put(answered ? ANSWERED : LEFT).putLong(job).putDouble(at), 0);
+        put(
+                ByteBuffer.allocate(1 + 8 + 8)
+                        .put(answered ? ANSWERED : LEFT)
+                        .putLong(job)
+                        .putDouble(at),
+                0);
     }
 
     private Place put(ByteBuffer record, int jobs) {
@@ -226,8 +235,12 @@
         faults.at("spool-write");
         Path file = folder.resolve(String.format("spool-%d-%06d.log", origin.life(), next++));
         byte[] name = origin.dispatcher().getBytes(StandardCharsets.UTF_8);
-        ByteBuffer start = ByteBuffer.allocate(SEGMENT).putInt(MAGIC).putInt(name.length).put(name)
-                .putLong(origin.life()).putLong(head);
+        ByteBuffer start = ByteBuffer.allocate(SEGMENT)
+                .putInt(MAGIC)
+                .putInt(name.length)
+                .put(name)
+                .putLong(origin.life())
+                .putLong(head);
         int at = (start.position() + ALIGNED - 1) / ALIGNED * ALIGNED;
         start.rewind();
         Segment made;
@@ -250,10 +263,10 @@
 
     /** A file whose blocks are on the disk, so that it cannot be full when they are written to. */
     private static FileChannel made(Path file, ByteBuffer start) throws IOException {
-        FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ,
-                StandardOpenOption.WRITE);
+        FileChannel channel = FileChannel.open(
+                file, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
         try {
-            for (ByteBuffer rest = start.duplicate(); rest.hasRemaining();) {
+            for (ByteBuffer rest = start.duplicate(); rest.hasRemaining(); ) {
                 channel.write(rest);
             }
             channel.force(true);
@@ -337,8 +350,8 @@
         Map<Long, Boolean> lives = new TreeMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "{spool,life}-*")) {
             for (Path file : files) {
-                Matcher m = Pattern.compile("(?:spool|life)-(\\d+)[-.].*").matcher(file.getFileName()
-                        .toString());
+                Matcher m = Pattern.compile("(?:spool|life)-(\\d+)[-.].*")
+                        .matcher(file.getFileName().toString());
                 if (m.matches()) {
                     lives.put(Long.parseLong(m.group(1)), true);
                 }
@@ -382,9 +395,10 @@
                 Origin origin = new Origin(new String(name, StandardCharsets.UTF_8), in.getLong());
                 long head = in.getLong();
                 in.position(Math.min(in.limit(), (in.position() + ALIGNED - 1) / ALIGNED * ALIGNED));
-                found = found != null ? found : new Found(origin, head, new LinkedHashMap<>(),
-                        new LinkedHashMap<>(),
-                        files, new ArrayList<>());
+                found = found != null
+                        ? found
+                        : new Found(
+                                origin, head, new LinkedHashMap<>(), new LinkedHashMap<>(), files, new ArrayList<>());
                 records(file, in, found);
                 return found;
             }
@@ -443,11 +457,22 @@
     /** The entry of a draft whose end is known. */
     static Entry ended(Entry draft, double at, boolean answered) {
         // Danger: work for a client that has left is nobody's: it is shown apart, and never billed.
-        return new Entry(draft.ref(), Entry.Kind.JOB, at, draft.member(), draft.jobClass(), draft.request(),
-                draft.key(), answered ? draft.end() : Ending.LEFT, answered ? draft.work() : 0,
-                        draft.estimate(),
-                answered ? draft.spare() : draft.spare() + draft.work(), draft.attempts(), draft.job(), null,
-                        null,
+        return new Entry(
+                draft.ref(),
+                Entry.Kind.JOB,
+                at,
+                draft.member(),
+                draft.jobClass(),
+                draft.request(),
+                draft.key(),
+                answered ? draft.end() : Ending.LEFT,
+                answered ? draft.work() : 0,
+                draft.estimate(),
+                answered ? draft.spare() : draft.spare() + draft.work(),
+                draft.attempts(),
+                draft.job(),
+                null,
+                null,
                 null);
     }
 }
--- a/src/main/java/nettlewick/ledger/Statement.java
+++ b/src/main/java/nettlewick/ledger/Statement.java
@@ -12,27 +12,41 @@
  * @param gaps   jobs that were answered and could not be entered one by one
  * @param voided corrections that do not count, each with why
  */
-public record Statement(String period, boolean closed, List<String> open, List<Row> rows, List<Late> late,
-        List<Gap> gaps, List<Void> voided) {
+public record Statement(
+        String period,
+        boolean closed,
+        List<String> open,
+        List<Row> rows,
+        List<Late> late,
+        List<Gap> gaps,
+        List<Void> voided) {
     /** Counts and work of a member in a class; {@code billed} is net of corrections and repeated keys. */
-    public record Row(String member, String jobClass, long served, long refused, long failed, long left,
-            long billed, long estimated, long spare, long doubts, long doubtWork, long repeats) {
-    }
+    public record Row(
+            String member,
+            String jobClass,
+            long served,
+            long refused,
+            long failed,
+            long left,
+            long billed,
+            long estimated,
+            long spare,
+            long doubts,
+            long doubtWork,
+            long repeats) {}
 
     /** A difference that belongs to a closed period: how many entries, and what they add. */
-    public record Late(String closed, String member, String jobClass, long entries, long work) {
-    }
+    public record Late(String closed, String member, String jobClass, long entries, long work) {}
 
     /** Answered between those times. */
-    public record Gap(Ref ref, double from, double to, long jobs) {
-    }
+    public record Gap(Ref ref, double from, double to, long jobs) {}
 
     /** A correction that does not count. */
-    public record Void(Ref ref, Ref target, String why) {
-    }
+    public record Void(Ref ref, Ref target, String why) {}
 
     /** All that is billed here, late differences too. */
     public long billed() {
-        return rows.stream().mapToLong(Row::billed).sum() + late.stream().mapToLong(Late::work).sum();
+        return rows.stream().mapToLong(Row::billed).sum()
+                + late.stream().mapToLong(Late::work).sum();
     }
 }
--- a/src/main/java/nettlewick/ledger/Store.java
+++ b/src/main/java/nettlewick/ledger/Store.java
@@ -29,23 +29,23 @@
         "CREATE TABLE IF NOT EXISTS meta(name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID",
         "CREATE TABLE IF NOT EXISTS origin(id INTEGER PRIMARY KEY, dispatcher TEXT NOT NULL, life INTEGER "
                 + "NOT NULL, "
-            + "quarantine TEXT, UNIQUE(dispatcher, life))",
+                + "quarantine TEXT, UNIQUE(dispatcher, life))",
         "CREATE TABLE IF NOT EXISTS entry(origin INTEGER NOT NULL, number INTEGER NOT NULL, kind INTEGER "
                 + "NOT NULL, "
-            + "at REAL NOT NULL, target TEXT, bytes BLOB, hash BLOB NOT NULL, PRIMARY KEY(origin, number)) "
-            + "WITHOUT ROWID",
+                + "at REAL NOT NULL, target TEXT, bytes BLOB, hash BLOB NOT NULL, PRIMARY KEY(origin, number)) "
+                + "WITHOUT ROWID",
         "CREATE INDEX IF NOT EXISTS corrected ON entry(target) WHERE target IS NOT NULL",
-        "CREATE TABLE IF NOT EXISTS life(life INTEGER PRIMARY KEY, started REAL NOT NULL, settled REAL NOT "
-                + "NULL)",
+        "CREATE TABLE IF NOT EXISTS life(life INTEGER PRIMARY KEY, started REAL NOT NULL, settled REAL NOT " + "NULL)",
         "CREATE TABLE IF NOT EXISTS mark(period TEXT PRIMARY KEY, until REAL NOT NULL) WITHOUT ROWID",
         "CREATE TABLE IF NOT EXISTS batch(export TEXT NOT NULL, number INTEGER NOT NULL, ranges TEXT NOT "
                 + "NULL, "
-            + "entries INTEGER NOT NULL, delivered INTEGER NOT NULL, PRIMARY KEY(export, number)) WITHOUT "
-                    + "ROWID",
+                + "entries INTEGER NOT NULL, delivered INTEGER NOT NULL, PRIMARY KEY(export, number)) WITHOUT "
+                + "ROWID",
         "CREATE TABLE IF NOT EXISTS cut(export TEXT NOT NULL, life INTEGER NOT NULL, upto INTEGER NOT NULL, "
-            + "PRIMARY KEY(export, life)) WITHOUT ROWID",
+                + "PRIMARY KEY(export, life)) WITHOUT ROWID",
         "CREATE TABLE IF NOT EXISTS archive(period TEXT PRIMARY KEY, file TEXT NOT NULL, sum TEXT NOT NULL, "
-            + "entries INTEGER NOT NULL) WITHOUT ROWID"};
+                + "entries INTEGER NOT NULL) WITHOUT ROWID"
+    };
 
     /** The end of an origin's chain. */
     record Head(long number, byte[] hash) {
@@ -57,20 +57,20 @@
     }
 
     /** What stands at a place of a chain; {@code bytes} is null where the entry has been pruned. */
-    record Row(long number, byte[] bytes, byte[] hash) {
-    }
+    record Row(long number, byte[] bytes, byte[] hash) {}
 
     /** A batch that was cut: its entries are those of the ranges, in their order. */
-    record Batch(String export, long number, List<Range> ranges, long entries, boolean delivered) {
-    }
+    record Batch(String export, long number, List<Range> ranges, long entries, boolean delivered) {}
 
     /** Entries of one life, both ends included. */
     record Range(long life, long from, long to) {
         private static List<Range> parse(String text) {
-            return Arrays.stream(text.split(" ")).map(word -> {
-                String[] n = word.split(":");
-                return new Range(Long.parseLong(n[0]), Long.parseLong(n[1]), Long.parseLong(n[2]));
-            }).toList();
+            return Arrays.stream(text.split(" "))
+                    .map(word -> {
+                        String[] n = word.split(":");
+                        return new Range(Long.parseLong(n[0]), Long.parseLong(n[1]), Long.parseLong(n[2]));
+                    })
+                    .toList();
         }
 
         @Override
@@ -123,8 +123,7 @@
     }
 
     private static Store connect(Path folder, boolean readOnly, Faults faults) throws StoreException {
-        return new Store(folder, Database.open(folder.resolve(FILE), readOnly, "the ledger", faults::at),
-                faults);
+        return new Store(folder, Database.open(folder.resolve(FILE), readOnly, "the ledger", faults::at), faults);
     }
 
     private void begin(String name) throws StoreException {
@@ -160,10 +159,13 @@
     }
 
     private <T> T change(String what, Work<T> work) throws StoreException {
-        return database.change(what, () -> {
-            heads.clear();
-            ids.clear();
-        }, work);
+        return database.change(
+                what,
+                () -> {
+                    heads.clear();
+                    ids.clear();
+                },
+                work);
     }
 
     private <T> T look(Work<T> work) throws StoreException {
@@ -191,9 +193,11 @@
     /** Begins a life of this dispatcher: Unix seconds, or one more than the largest that is known. */
     Origin begin(double now) throws StoreException {
         return change("written", () -> {
-            String last = value("SELECT max(life) FROM (SELECT life FROM origin WHERE dispatcher = ? UNION "
-                    + "ALL "
-                    + "SELECT life FROM life)", dispatcher);
+            String last = value(
+                    "SELECT max(life) FROM (SELECT life FROM origin WHERE dispatcher = ? UNION "
+                            + "ALL "
+                            + "SELECT life FROM life)",
+                    dispatcher);
             long life = Math.max((long) (now / 1000), last == null ? 1 : Long.parseLong(last) + 1);
             run("INSERT INTO life VALUES(?, ?, ?)", life, now, 0);
             return new Origin(dispatcher, life);
@@ -205,8 +209,8 @@
         if (known != null) {
             return known;
         }
-        String id = value("SELECT id FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(),
-                origin.life());
+        String id =
+                value("SELECT id FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(), origin.life());
         if (id == null && make) {
             run("INSERT INTO origin(dispatcher, life) VALUES(?, ?)", origin.dispatcher(), origin.life());
             id = value("SELECT last_insert_rowid()");
@@ -220,9 +224,9 @@
 
     private Head headOf(Origin origin) throws SQLException {
         int id = id(origin, false);
-        try (PreparedStatement s = prepare("SELECT number, hash FROM entry WHERE origin = ? ORDER BY number "
-                + "DESC LIMIT 1",
-                id); ResultSet r = s.executeQuery()) {
+        try (PreparedStatement s = prepare(
+                        "SELECT number, hash FROM entry WHERE origin = ? ORDER BY number " + "DESC LIMIT 1", id);
+                ResultSet r = s.executeQuery()) {
             return r.next() ? new Head(r.getLong(1), r.getBytes(2)) : Head.NONE;
         }
     }
@@ -236,8 +240,8 @@
     Map<Origin, Head> heads() throws StoreException {
         return look(() -> {
             Map<Origin, Head> all = new TreeMap<>();
-            try (PreparedStatement s = prepare("SELECT dispatcher, life FROM origin"); ResultSet r =
-                    s.executeQuery()) {
+            try (PreparedStatement s = prepare("SELECT dispatcher, life FROM origin");
+                    ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     all.put(new Origin(r.getString(1), r.getLong(2)), Head.NONE);
                 }
@@ -253,7 +257,8 @@
     private Map<Origin, Long> vector() throws SQLException {
         Map<Origin, Long> vector = new TreeMap<>();
         try (PreparedStatement s = prepare("SELECT dispatcher, life, (SELECT max(number) FROM entry "
-                + "WHERE entry.origin = origin.id) FROM origin"); ResultSet r = s.executeQuery()) {
+                        + "WHERE entry.origin = origin.id) FROM origin");
+                ResultSet r = s.executeQuery()) {
             while (r.next()) {
                 vector.put(new Origin(r.getString(1), r.getLong(2)), r.getLong(3));
             }
@@ -279,8 +284,7 @@
         Head head = heads.get(own);
         head = head == null ? headOf(own) : head;
         int id = id(own, true);
-        try (PreparedStatement s = database.prepare("INSERT INTO entry VALUES(?, ?, ?, ?, ?, ?, "
-                + "?)")) {
+        try (PreparedStatement s = database.prepare("INSERT INTO entry VALUES(?, ?, ?, ?, ?, ?, " + "?)")) {
             for (Entry draft : drafts) {
                 Entry entry = draft.at(new Ref(own, head.number() + 1));
                 byte[] bytes = entry.bytes();
@@ -292,8 +296,7 @@
         heads.put(own, head);
     }
 
-    private static void row(PreparedStatement s, int id, Entry entry, byte[] bytes,
-            byte[] hash) throws SQLException {
+    private static void row(PreparedStatement s, int id, Entry entry, byte[] bytes, byte[] hash) throws SQLException {
         s.setInt(1, id);
         s.setLong(2, entry.ref().number());
         s.setInt(3, entry.kind().ordinal());
@@ -315,8 +318,7 @@
                 return false;
             }
             int id = id(origin, true);
-            try (PreparedStatement s = database.prepare("INSERT INTO entry VALUES(?, ?, ?, ?, ?, "
-                    + "?, ?)")) {
+            try (PreparedStatement s = database.prepare("INSERT INTO entry VALUES(?, ?, ?, ?, ?, " + "?, ?)")) {
                 for (Row row : rows) {
                     row(s, id, Entry.of(row.bytes()), row.bytes(), row.hash());
                 }
@@ -331,10 +333,14 @@
     List<Row> rows(Origin origin, long from, long to) throws StoreException {
         return look(() -> {
             List<Row> rows = new ArrayList<>();
-            try (PreparedStatement s = prepare("SELECT number, bytes, hash FROM entry WHERE origin = ? AND "
-                    + "number "
-                    + "BETWEEN ? AND ? ORDER BY number", id(origin, false), from, to); ResultSet r =
-                            s.executeQuery()) {
+            try (PreparedStatement s = prepare(
+                            "SELECT number, bytes, hash FROM entry WHERE origin = ? AND "
+                                    + "number "
+                                    + "BETWEEN ? AND ? ORDER BY number",
+                            id(origin, false),
+                            from,
+                            to);
+                    ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     rows.add(new Row(r.getLong(1), r.getBytes(2), r.getBytes(3)));
                 }
@@ -359,7 +365,9 @@
     /** The entry of that name, or null. */
     Entry entry(Ref ref) throws StoreException {
         List<Row> rows = rows(ref.origin(), ref.number(), ref.number());
-        return rows.isEmpty() || rows.get(0).bytes() == null ? null : Entry.of(rows.get(0).bytes());
+        return rows.isEmpty() || rows.get(0).bytes() == null
+                ? null
+                : Entry.of(rows.get(0).bytes());
     }
 
     /** The correction of an entry by its own dispatcher that counts, or null. */
@@ -370,7 +378,8 @@
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     Entry e = Entry.of(r.getBytes(1));
-                    boolean counts = e.ref().origin().dispatcher().equals(target.origin().dispatcher());
+                    boolean counts =
+                            e.ref().origin().dispatcher().equals(target.origin().dispatcher());
                     first = counts && (first == null || e.ref().compareTo(first.ref()) < 0) ? e : first;
                 }
             }
@@ -382,10 +391,13 @@
     Map<Entry.Kind, Long> counts(boolean own) throws StoreException {
         return look(() -> {
             Map<Entry.Kind, Long> counts = new java.util.EnumMap<>(Entry.Kind.class);
-            try (PreparedStatement s = prepare("SELECT kind, count(*) FROM entry JOIN origin ON origin = id "
-                    + "WHERE "
-                    + "dispatcher = ? OR ? GROUP BY kind", dispatcher, own ? 0 : 1); ResultSet r =
-                            s.executeQuery()) {
+            try (PreparedStatement s = prepare(
+                            "SELECT kind, count(*) FROM entry JOIN origin ON origin = id "
+                                    + "WHERE "
+                                    + "dispatcher = ? OR ? GROUP BY kind",
+                            dispatcher,
+                            own ? 0 : 1);
+                    ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     counts.put(Entry.Kind.values()[r.getInt(1)], r.getLong(2));
                 }
@@ -397,17 +409,19 @@
     // Forks
 
     private String quarantineOf(Origin origin) throws SQLException {
-        return value("SELECT quarantine FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(),
-                origin.life());
+        return value(
+                "SELECT quarantine FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(), origin.life());
     }
 
     /** From now on nothing of this origin is taken over; the first reason stays. */
     void quarantine(Origin origin, String why) throws StoreException {
         change("written", () -> {
             id(origin, true);
-            return run("UPDATE origin SET quarantine = ? WHERE dispatcher = ? AND life = ? AND quarantine "
-                    + "IS NULL",
-                    why, origin.dispatcher(), origin.life());
+            return run(
+                    "UPDATE origin SET quarantine = ? WHERE dispatcher = ? AND life = ? AND quarantine " + "IS NULL",
+                    why,
+                    origin.dispatcher(),
+                    origin.life());
         });
     }
 
@@ -415,9 +429,9 @@
     Map<Origin, String> quarantined() throws StoreException {
         return look(() -> {
             Map<Origin, String> all = new TreeMap<>();
-            try (PreparedStatement s = prepare("SELECT dispatcher, life, quarantine FROM origin WHERE "
-                    + "quarantine "
-                    + "IS NOT NULL"); ResultSet r = s.executeQuery()) {
+            try (PreparedStatement s = prepare(
+                            "SELECT dispatcher, life, quarantine FROM origin WHERE " + "quarantine " + "IS NOT NULL");
+                    ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     all.put(new Origin(r.getString(1), r.getLong(2)), r.getString(3));
                 }
@@ -443,8 +457,7 @@
 
     /** All that this life answered before then is durable. */
     void settled(Origin own, double until) throws StoreException {
-        change("written", () -> run("UPDATE life SET settled = max(settled, ?) WHERE life = ?", until,
-                own.life()));
+        change("written", () -> run("UPDATE life SET settled = max(settled, ?) WHERE life = ?", until, own.life()));
     }
 
     double settled(long life) throws StoreException {
@@ -472,11 +485,14 @@
         return change("written", () -> {
             List<Range> ranges = new ArrayList<>();
             long left = most;
-            try (PreparedStatement s = prepare("SELECT life, coalesce((SELECT upto FROM cut WHERE export = "
-                    + "? AND "
-                    + "cut.life = origin.life), 0), (SELECT max(number) FROM entry WHERE entry.origin = "
-                            + "origin.id) "
-                    + "FROM origin WHERE dispatcher = ? ORDER BY life", export, dispatcher);
+            try (PreparedStatement s = prepare(
+                            "SELECT life, coalesce((SELECT upto FROM cut WHERE export = "
+                                    + "? AND "
+                                    + "cut.life = origin.life), 0), (SELECT max(number) FROM entry WHERE entry.origin = "
+                                    + "origin.id) "
+                                    + "FROM origin WHERE dispatcher = ? ORDER BY life",
+                            export,
+                            dispatcher);
                     ResultSet r = s.executeQuery()) {
                 while (r.next() && left > 0) {
                     long from = r.getLong(2) + 1;
@@ -492,8 +508,12 @@
             }
             String last = value("SELECT max(number) FROM batch WHERE export = ?", export);
             long number = last == null ? 1 : Long.parseLong(last) + 1;
-            run("INSERT INTO batch VALUES(?, ?, ?, ?, 0)", export, number,
-                    String.join(" ", ranges.stream().map(Range::toString).toList()), most - left);
+            run(
+                    "INSERT INTO batch VALUES(?, ?, ?, ?, 0)",
+                    export,
+                    number,
+                    String.join(" ", ranges.stream().map(Range::toString).toList()),
+                    most - left);
             for (Range range : ranges) {
                 run("INSERT OR REPLACE INTO cut VALUES(?, ?, ?)", export, range.life(), range.to());
             }
@@ -504,11 +524,14 @@
     /** The earliest batch that was cut and not delivered, or null. */
     Batch pending(String export) throws StoreException {
         return look(() -> {
-            try (PreparedStatement s = prepare("SELECT number, ranges, entries FROM batch WHERE export = ? "
-                    + "AND "
-                    + "delivered = 0 ORDER BY number LIMIT 1", export); ResultSet r = s.executeQuery()) {
-                return r.next() ? new Batch(export, r.getLong(1), Range.parse(r.getString(2)), r.getLong(3),
-                        false)
+            try (PreparedStatement s = prepare(
+                            "SELECT number, ranges, entries FROM batch WHERE export = ? "
+                                    + "AND "
+                                    + "delivered = 0 ORDER BY number LIMIT 1",
+                            export);
+                    ResultSet r = s.executeQuery()) {
+                return r.next()
+                        ? new Batch(export, r.getLong(1), Range.parse(r.getString(2)), r.getLong(3), false)
                         : null;
             }
         });
@@ -517,26 +540,32 @@
     /** A batch that was cut, delivered or not; null where the number was never given. */
     Batch batch(String export, long number) throws StoreException {
         return look(() -> {
-            try (PreparedStatement s = prepare("SELECT ranges, entries, delivered FROM batch WHERE export = "
-                    + "? AND "
-                    + "number = ?", export, number); ResultSet r = s.executeQuery()) {
-                return r.next() ? new Batch(export, number, Range.parse(r.getString(1)), r.getLong(2),
-                        r.getInt(3) == 1) : null;
+            try (PreparedStatement s = prepare(
+                            "SELECT ranges, entries, delivered FROM batch WHERE export = " + "? AND " + "number = ?",
+                            export,
+                            number);
+                    ResultSet r = s.executeQuery()) {
+                return r.next()
+                        ? new Batch(export, number, Range.parse(r.getString(1)), r.getLong(2), r.getInt(3) == 1)
+                        : null;
             }
         });
     }
 
     void delivered(Batch batch) throws StoreException {
-        change("written", () -> run("UPDATE batch SET delivered = 1 WHERE export = ? AND number = ?",
-                batch.export(),
-                batch.number()));
+        change(
+                "written",
+                () -> run(
+                        "UPDATE batch SET delivered = 1 WHERE export = ? AND number = ?",
+                        batch.export(),
+                        batch.number()));
     }
 
     /** Entries of this dispatcher that an export has not delivered yet. */
     long lag(String export) throws StoreException {
         return look(() -> {
-            String all = value("SELECT count(*) FROM entry JOIN origin ON origin = id WHERE dispatcher = ?",
-                    dispatcher);
+            String all =
+                    value("SELECT count(*) FROM entry JOIN origin ON origin = id WHERE dispatcher = ?", dispatcher);
             String done = value("SELECT sum(entries) FROM batch WHERE export = ? AND delivered = 1", export);
             return Long.parseLong(all) - (done == null ? 0 : Long.parseLong(done));
         });
@@ -545,13 +574,14 @@
     /** Whether every export that has ever cut has delivered this entry. */
     boolean exported(Ref ref) throws StoreException {
         return look(() -> {
-            try (PreparedStatement s = prepare("SELECT export, upto FROM cut WHERE life = ?", ref.origin()
-                    .life());
+            try (PreparedStatement s = prepare(
+                            "SELECT export, upto FROM cut WHERE life = ?",
+                            ref.origin().life());
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     if (r.getLong(2) < ref.number()
-                            || value("SELECT 1 FROM batch WHERE export = ? AND delivered = 0",
-                            r.getString(1)) != null) {
+                            || value("SELECT 1 FROM batch WHERE export = ? AND delivered = 0", r.getString(1))
+                                    != null) {
                         return false;
                     }
                 }
@@ -566,9 +596,8 @@
     void prune(String period, String file, String sum, List<Ref> refs) throws StoreException {
         change("written", () -> {
             run("INSERT OR REPLACE INTO archive VALUES(?, ?, ?, ?)", period, file, sum, refs.size());
-            try (PreparedStatement s = database.prepare("UPDATE entry SET bytes = NULL WHERE "
-                    + "origin = ? "
-                    + "AND number = ?")) {
+            try (PreparedStatement s =
+                    database.prepare("UPDATE entry SET bytes = NULL WHERE " + "origin = ? " + "AND number = ?")) {
                 for (Ref ref : refs) {
                     s.setInt(1, id(ref.origin(), false));
                     s.setLong(2, ref.number());
@@ -583,8 +612,7 @@
     /** The file, sum and number of entries of an archived period; null where it is none. */
     List<String> archive(String period) throws StoreException {
         return look(() -> {
-            try (PreparedStatement s = prepare("SELECT file, sum, entries FROM archive WHERE period = ?",
-                    period);
+            try (PreparedStatement s = prepare("SELECT file, sum, entries FROM archive WHERE period = ?", period);
                     ResultSet r = s.executeQuery()) {
                 return r.next() ? List.of(r.getString(1), r.getString(2), r.getString(3)) : null;
             }
@@ -617,9 +645,11 @@
                 if (before == null || mine == null || !Arrays.equals(mine, Entry.link(before, bytes))) {
                     throw new IOException("entry " + ref + " of the archive is not the one that was pruned");
                 }
-                back += run("UPDATE entry SET bytes = ? WHERE origin = ? AND number = ? AND bytes IS NULL",
+                back += run(
+                        "UPDATE entry SET bytes = ? WHERE origin = ? AND number = ? AND bytes IS NULL",
                         bytes,
-                        id(ref.origin(), false), ref.number());
+                        id(ref.origin(), false),
+                        ref.number());
             }
             run("DELETE FROM archive WHERE period = ?", period);
             return back;
@@ -627,9 +657,9 @@
     }
 
     private byte[] hash(Origin origin, long number) throws SQLException {
-        try (PreparedStatement s = prepare("SELECT hash FROM entry WHERE origin = ? AND number = ?",
-                id(origin, false),
-                number); ResultSet r = s.executeQuery()) {
+        try (PreparedStatement s =
+                        prepare("SELECT hash FROM entry WHERE origin = ? AND number = ?", id(origin, false), number);
+                ResultSet r = s.executeQuery()) {
             return r.next() ? r.getBytes(1) : null;
         }
     }
@@ -650,22 +680,21 @@
             look(() -> {
                 long next = 1;
                 byte[] before = Entry.NO_HASH;
-                try (PreparedStatement s = prepare("SELECT number, bytes, hash FROM entry WHERE origin = ? "
-                        + "ORDER BY "
-                        + "number", id(origin, false)); ResultSet r = s.executeQuery()) {
+                try (PreparedStatement s = prepare(
+                                "SELECT number, bytes, hash FROM entry WHERE origin = ? " + "ORDER BY " + "number",
+                                id(origin, false));
+                        ResultSet r = s.executeQuery()) {
                     while (r.next()) {
                         long number = r.getLong(1);
                         Ref ref = new Ref(origin, number);
                         byte[] bytes = r.getBytes(2);
                         if (number != next) {
-                            faultsFound.add(ref + ": entries " + next + " to " + (number - 1)
-                                    + " are missing");
+                            faultsFound.add(ref + ": entries " + next + " to " + (number - 1) + " are missing");
                         } else if (bytes != null && !fits(ref, bytes)) {
                             faultsFound.add(ref + ": its bytes are not an entry of that name");
-                        } else if (bytes != null && !Arrays.equals(r.getBytes(3), Entry.link(before,
-                                bytes))) {
-                            faultsFound.add(ref + ": its hash does not follow from the entry and the hash "
-                                    + "before it");
+                        } else if (bytes != null && !Arrays.equals(r.getBytes(3), Entry.link(before, bytes))) {
+                            faultsFound.add(
+                                    ref + ": its hash does not follow from the entry and the hash " + "before it");
                         }
                         before = r.getBytes(3);
                         next = number + 1;
@@ -683,14 +712,16 @@
     private void tails(List<String> faultsFound) throws StoreException {
         Map<Origin, Long> named = new TreeMap<>();
         look(() -> {
-            try (PreparedStatement s = prepare("SELECT life, upto FROM cut"); ResultSet r =
-                    s.executeQuery()) {
+            try (PreparedStatement s = prepare("SELECT life, upto FROM cut");
+                    ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     named.merge(new Origin(dispatcher, r.getLong(1)), r.getLong(2), Math::max);
                 }
             }
-            try (PreparedStatement s = prepare("SELECT bytes FROM entry WHERE kind = ? AND bytes IS NOT NULL",
-                    Entry.Kind.CLOSE.ordinal()); ResultSet r = s.executeQuery()) {
+            try (PreparedStatement s = prepare(
+                            "SELECT bytes FROM entry WHERE kind = ? AND bytes IS NOT NULL",
+                            Entry.Kind.CLOSE.ordinal());
+                    ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     Entry.of(r.getBytes(1)).close().vector().forEach((o, n) -> named.merge(o, n, Math::max));
                 }
--- a/src/main/java/nettlewick/ledger/Terms.java
+++ b/src/main/java/nettlewick/ledger/Terms.java
@@ -24,8 +24,7 @@
     }
 
     /** A term as the settings give it: the first day's midnight to the last one's. */
-    public record Term(String name, LocalDate from, LocalDate to) {
-    }
+    public record Term(String name, LocalDate from, LocalDate to) {}
 
     private final ZoneId zone;
     private final List<Period> terms = new ArrayList<>();
@@ -46,8 +45,7 @@
             if (!terms.isEmpty()) {
                 Period last = terms.get(terms.size() - 1);
                 if (next.from() < last.to()) {
-                    throw new IllegalArgumentException("terms " + last.name() + " and " + term.name()
-                            + " overlap");
+                    throw new IllegalArgumentException("terms " + last.name() + " and " + term.name() + " overlap");
                 }
                 if (next.from() > last.to()) {
                     terms.add(new Period("before-" + term.name(), last.to(), next.from()));
@@ -77,17 +75,18 @@
                 return term;
             }
         }
-        YearMonth month = YearMonth.from(ZonedDateTime.ofInstant(
-                Instant.ofEpochMilli((long) Math.floor(time)), zone));
+        YearMonth month = YearMonth.from(ZonedDateTime.ofInstant(Instant.ofEpochMilli((long) Math.floor(time)), zone));
         double from = midnight(month.atDay(1));
         double to = midnight(month.plusMonths(1).atDay(1));
         if (!terms.isEmpty() && time >= terms.get(terms.size() - 1).to()) {
             double last = terms.get(terms.size() - 1).to();
             // The rest of a month in which the last term ends; its first part may be a month's name already.
-            return last > from ? new Period(month + "-rest", last, to) : new Period(month.toString(), from,
-                    to);
+            return last > from ? new Period(month + "-rest", last, to) : new Period(month.toString(), from, to);
         }
-        return new Period(month.toString(), from, terms.isEmpty() ? to : Math.min(to, terms.get(0).from()));
+        return new Period(
+                month.toString(),
+                from,
+                terms.isEmpty() ? to : Math.min(to, terms.get(0).from()));
     }
 
     /** The period that follows. */
@@ -97,7 +96,8 @@
 
     /** The period of a name: a term's, or a month's such as 2026-11. */
     public Optional<Period> named(String name) {
-        Optional<Period> term = terms.stream().filter(p -> p.name().equals(name)).findFirst();
+        Optional<Period> term =
+                terms.stream().filter(p -> p.name().equals(name)).findFirst();
         if (term.isPresent()) {
             return term;
         }
--- a/src/main/java/nettlewick/log/LineForm.java
+++ b/src/main/java/nettlewick/log/LineForm.java
@@ -20,8 +20,13 @@
     TEXT {
         @Override
         String of(ILoggingEvent event, int heldBack) {
-            StringBuilder line = new StringBuilder().append(Instant.ofEpochMilli(event.getTimeStamp()))
-                    .append(' ').append(level(event)).append(' ').append(event.getLoggerName()).append(": ")
+            StringBuilder line = new StringBuilder()
+                    .append(Instant.ofEpochMilli(event.getTimeStamp()))
+                    .append(' ')
+                    .append(level(event))
+                    .append(' ')
+                    .append(event.getLoggerName())
+                    .append(": ")
                     .append(event.getFormattedMessage());
             String cause = cause(event.getThrowableProxy());
             if (cause != null) {
@@ -39,8 +44,13 @@
         String of(ILoggingEvent event, int heldBack) {
             StringWriter text = new StringWriter();
             try (JsonWriter out = new JsonWriter(text)) {
-                out.beginObject().name("time").value(Instant.ofEpochMilli(event.getTimeStamp()).toString())
-                        .name("level").value(level(event)).name("part").value(event.getLoggerName());
+                out.beginObject()
+                        .name("time")
+                        .value(Instant.ofEpochMilli(event.getTimeStamp()).toString())
+                        .name("level")
+                        .value(level(event))
+                        .name("part")
+                        .value(event.getLoggerName());
                 List<KeyValuePair> fields = event.getKeyValuePairs();
                 for (KeyValuePair field : fields == null ? List.<KeyValuePair>of() : fields) {
                     out.name(field.key);
@@ -72,8 +82,11 @@
     abstract String of(ILoggingEvent event, int heldBack);
 
     private static String level(ILoggingEvent event) {
-        return event.getLevel().equals(Level.ERROR) ? "SEVERE"
-                : event.getLevel().equals(Level.WARN) ? "WARNING" : event.getLevel().toString();
+        return event.getLevel().equals(Level.ERROR)
+                ? "SEVERE"
+                : event.getLevel().equals(Level.WARN)
+                        ? "WARNING"
+                        : event.getLevel().toString();
     }
 
     private static String cause(IThrowableProxy thrown) {
--- a/src/main/java/nettlewick/log/LogSetup.java
+++ b/src/main/java/nettlewick/log/LogSetup.java
@@ -42,7 +42,8 @@
         private static String kind(ILoggingEvent event) {
             List<KeyValuePair> fields = event.getKeyValuePairs();
             return fields != null && !fields.isEmpty() && fields.get(0).key.equals(Part.EVENT)
-                    ? String.valueOf(fields.get(0).value) : event.getMessage();
+                    ? String.valueOf(fields.get(0).value)
+                    : event.getMessage();
         }
 
         synchronized void set(LineForm to, Repeats bounds) {
@@ -69,8 +70,11 @@
     public static void apply(Optional<Block> settings) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         Block log = settings.orElse(null);
-        context.getLoggerList().forEach(l -> l.setLevel(l.getName().equals(Logger.ROOT_LOGGER_NAME)
-                ? level(log == null ? "info" : log.text("level")) : null));
+        context.getLoggerList()
+                .forEach(l -> l.setLevel(
+                        l.getName().equals(Logger.ROOT_LOGGER_NAME)
+                                ? level(log == null ? "info" : log.text("level"))
+                                : null));
         if (log == null) {
             out.set(LineForm.TEXT, new Repeats(REPEATS, WINDOW));
             return;
@@ -78,7 +82,8 @@
         for (Block.Value part : log.all("part")) {
             context.getLogger(part.<String>part(0)).setLevel(level(part.part(1)));
         }
-        out.set(log.text("form").equals("json") ? LineForm.JSON : LineForm.TEXT,
+        out.set(
+                log.text("form").equals("json") ? LineForm.JSON : LineForm.TEXT,
                 new Repeats((int) log.whole("repeats"), log.span("window")));
     }
 
--- a/src/main/java/nettlewick/net/AcceptGate.java
+++ b/src/main/java/nettlewick/net/AcceptGate.java
@@ -26,6 +26,7 @@
 final class AcceptGate implements Transport {
     /** How often, and how many times at the most, it is looked whether the kernel's queue is empty; in ms. */
     private static final long LOOK = 20;
+
     private static final int LOOKS = 50;
 
     private volatile int most;
--- a/src/main/java/nettlewick/net/Address.java
+++ b/src/main/java/nettlewick/net/Address.java
@@ -8,8 +8,7 @@
     // Danger: a name would ask DNS, which the platform does not have, and hang.
     private static final Pattern IPV4 = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}");
 
-    private Address() {
-    }
+    private Address() {}
 
     /** Reads {@code ip:port}; {@code field} names it in the message. */
     public static SocketAddress parse(String field, String text) {
--- a/src/main/java/nettlewick/net/AskPause.java
+++ b/src/main/java/nettlewick/net/AskPause.java
@@ -15,6 +15,7 @@
     private static final double AGENT_MOST = 400;
     /** A first word that has not come for so long will not: of one that is asked, and at its slowest. */
     private static final double FIRST = 1500;
+
     private static final double FIRST_MOST = 5000;
 
     private final boolean asked;
--- a/src/main/java/nettlewick/net/BanStore.java
+++ b/src/main/java/nettlewick/net/BanStore.java
@@ -25,11 +25,11 @@
     private static final Part LOG = Part.of("bans");
     /** How long a return is remembered: a process that starts meanwhile has to know of a cold runner. */
     private static final double RETURN_KEPT = 60_000;
+
     private static final double LATEST = 1e15;
 
     /** A sim runner that was taken out, or put back, at that time in milliseconds. */
-    record Ban(String runner, boolean out, double since) {
-    }
+    record Ban(String runner, boolean out, double since) {}
 
     private final Path file;
     private Map<String, Ban> bans = new LinkedHashMap<>();
@@ -56,8 +56,9 @@
             return since(before);
         }
         // Danger: both processes of an upgrade may be called at once; the later would undo the earlier.
-        try (FileChannel channel = FileChannel.open(beside(".lock"), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE); FileLock lock = channel.lock()) {
+        try (FileChannel channel =
+                        FileChannel.open(beside(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock lock = channel.lock()) {
             read();
             change(runner, out, now);
             Path next = Files.writeString(beside(".new"), text());
@@ -71,7 +72,9 @@
     }
 
     private List<Ban> since(Map<String, Ban> before) {
-        return bans.values().stream().filter(b -> !b.equals(before.get(b.runner()))).toList();
+        return bans.values().stream()
+                .filter(b -> !b.equals(before.get(b.runner())))
+                .toList();
     }
 
     private void change(String runner, boolean out, double now) {
--- a/src/main/java/nettlewick/net/Call.java
+++ b/src/main/java/nettlewick/net/Call.java
@@ -12,6 +12,7 @@
 abstract class Call {
     /** Time for the rest of an answer whose meaning is known; then its connection is closed. */
     private static final long TAIL = 1000;
+
     static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
@@ -77,7 +78,7 @@
                 return;
             }
             HttpClientRequest request = made.result();
-            request.exceptionHandler(e -> { });
+            request.exceptionHandler(e -> {});
             request.response().onComplete(came -> {
                 if (came.failed()) {
                     on.close();
@@ -120,8 +121,7 @@
     }
 
     /** It has reached the socket whole; called once at most. */
-    void sent() {
-    }
+    void sent() {}
 
     private void read(HttpClientResponse response) {
         whole();
@@ -142,8 +142,8 @@
     /** What an answer without a result means. */
     static Result unserved(HttpClientResponse response) {
         int status = response.statusCode();
-        boolean never = (status == UNAVAILABLE || status == GATEWAY_TIMEOUT)
-                && "1".equals(response.getHeader("X-Not-Run"));
+        boolean never =
+                (status == UNAVAILABLE || status == GATEWAY_TIMEOUT) && "1".equals(response.getHeader("X-Not-Run"));
         return never ? Result.FULL : Result.ERROR;
     }
 
--- a/src/main/java/nettlewick/net/CallAttempt.java
+++ b/src/main/java/nettlewick/net/CallAttempt.java
@@ -31,7 +31,9 @@
         Request request = attempt.request();
         Rpc rpc = (Rpc) request.cargo();
         double left = Math.max(0.001, (request.deadline() - subchannels.now()) / 1000);
-        RequestOptions head = new RequestOptions().setMethod(rpc.method()).setURI(rpc.uri())
+        RequestOptions head = new RequestOptions()
+                .setMethod(rpc.method())
+                .setURI(rpc.uri())
                 .putHeader("X-Request-Id", request.id())
                 .putHeader("X-Class", request.jobClass())
                 .putHeader("X-Deadline", String.format(Locale.ROOT, "%.3f", left))
@@ -90,7 +92,7 @@
                 case "failed" -> finish(Result.ERROR, null, load);
                 case "returned" -> finish(Result.FULL, null, load);
                 case "lost" -> finish(Result.BROKEN, null, load);
-                default -> { }
+                default -> {}
             }
         } catch (Fields.Bad e) {
             finish(Result.ERROR, null, null);
--- a/src/main/java/nettlewick/net/CallState.java
+++ b/src/main/java/nettlewick/net/CallState.java
@@ -8,7 +8,12 @@
  */
 final class CallState {
     /** How far the call has come. */
-    enum Phase { CONNECTING, WRITING, SENT, OVER }
+    enum Phase {
+        CONNECTING,
+        WRITING,
+        SENT,
+        OVER
+    }
 
     private Phase phase = Phase.CONNECTING;
     private Result end;
--- a/src/main/java/nettlewick/net/ClientGuard.java
+++ b/src/main/java/nettlewick/net/ClientGuard.java
@@ -39,16 +39,16 @@
     /** The end of a connection stands behind what was sent before it: one read for that, one for the end. */
     private static final int READS_FOR_AN_END = 2;
     /** What a request gets that was read whole and stands before one that is refused. Harmless to repeat. */
-    private static final HeadCheck.Refusal STANDS_BEFORE =
-            new HeadCheck.Refusal(429, "what came behind it is refused");
+    private static final HeadCheck.Refusal STANDS_BEFORE = new HeadCheck.Refusal(429, "what came behind it is refused");
     /** Bytes read after a refusal, so that it is not eaten by a reset; then the client's sending stalls. */
     private static final long REST_MOST = 256 * 1024;
-    private static final ByteBuf CONTINUE = Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
-            "HTTP/1.1 100 Continue\r\n\r\n", StandardCharsets.US_ASCII)).asReadOnly();
+
+    private static final ByteBuf CONTINUE = Unpooled.unreleasableBuffer(
+                    Unpooled.copiedBuffer("HTTP/1.1 100 Continue\r\n\r\n", StandardCharsets.US_ASCII))
+            .asReadOnly();
 
     /** A request that has come whole. */
-    private record Whole(HttpRequest head, ByteBuf body, double arrivedAt) {
-    }
+    private record Whole(HttpRequest head, ByteBuf body, double arrivedAt) {}
 
     /** Bytes of requests held for all clients together. */
     static final class Budget {
@@ -68,6 +68,7 @@
     private final Clock clock;
     /** The earliest time at which what is read now may have come. */
     private final DoubleSupplier cameAt;
+
     private final Budget budget;
     private final ClientState state;
     private final Deque<Whole> waiting = new ArrayDeque<>();
@@ -78,6 +79,7 @@
     private long rest;
     /** Why nothing more is taken; null while requests are. Written once the request in work is answered. */
     private HeadCheck.Refusal refusal;
+
     private double arrivedAt;
     private boolean job;
     private boolean result;
@@ -130,7 +132,8 @@
     }
 
     private void skip(Object read) {
-        rest += read instanceof ByteBuf bytes ? bytes.readableBytes()
+        rest += read instanceof ByteBuf bytes
+                ? bytes.readableBytes()
                 : read instanceof ByteBufHolder holder ? holder.content().readableBytes() : 0;
         if (rest > REST_MOST) {
             // 60 MB read only to be thrown away would take the turns of the usual clients. While a request is
@@ -186,7 +189,9 @@
      */
     boolean connected() {
         Channel channel = context.channel();
-        for (int i = 0; i < READS_FOR_AN_END && channel.isActive() && channel.config().isAutoRead(); i++) {
+        for (int i = 0;
+                i < READS_FOR_AN_END && channel.isActive() && channel.config().isAutoRead();
+                i++) {
             if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
                 unsafe.read();
             }
@@ -206,8 +211,7 @@
             Whole whole = waiting.pollFirst();
             letGo(whole.body().readableBytes());
             arrivedAt = whole.arrivedAt();
-            clientCloses = whole.head().headers().contains(HttpHeaderNames.CONNECTION,
-                    HttpHeaderValues.CLOSE, true);
+            clientCloses = whole.head().headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
             job = HttpMethod.POST.equals(whole.head().method());
             context.fireChannelRead(whole.head());
             context.fireChannelRead(new DefaultLastHttpContent(whole.body()));
@@ -286,7 +290,9 @@
         state.close(clock.now());
         drop();
         // From the first handler on: what is written there passes by the server's own answers.
-        context.pipeline().firstContext().writeAndFlush(ByteBufUtil.writeAscii(context.alloc(), text))
+        context.pipeline()
+                .firstContext()
+                .writeAndFlush(ByteBufUtil.writeAscii(context.alloc(), text))
                 .addListener(f -> endOutput());
     }
 
@@ -357,8 +363,7 @@
     /** The server's own close after a last answer: the lingering close that has begun does it. */
     @Override
     public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
-        boolean lingers = state.phase() == ClientState.Phase.CLOSING
-                || state.phase() == ClientState.Phase.LINGERING;
+        boolean lingers = state.phase() == ClientState.Phase.CLOSING || state.phase() == ClientState.Phase.LINGERING;
         if (lingers && ctx.channel() instanceof DuplexChannel) {
             long linger = (long) ClientState.LINGER;
             ctx.executor().schedule(() -> ctx.close(promise), linger, TimeUnit.MILLISECONDS);
--- a/src/main/java/nettlewick/net/Front.java
+++ b/src/main/java/nettlewick/net/Front.java
@@ -10,9 +10,15 @@
 /** A way in for clients. Lives on the event loop; all fronts share one core and so its rules. */
 public interface Front {
     /** What a front is built on; {@code connections} is how many it may hold. */
-    record Base(Vertx vertx, Context loop, Config config, Clock clock, Core core,
-            BooleanSupplier holdsList, ServiceState state, int connections) {
-    }
+    record Base(
+            Vertx vertx,
+            Context loop,
+            Config config,
+            Clock clock,
+            Core core,
+            BooleanSupplier holdsList,
+            ServiceState state,
+            int connections) {}
 
     /** Makes a front on the event loop. */
     interface Maker {
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -23,6 +23,7 @@
     private static final Part LOG = Part.of("node");
     /** New connections keep coming for this long after SIGTERM. */
     private static final long ACCEPT_ON = 700;
+
     private static final long SHUT_SPARE = 500;
     /**
      * SIGKILL comes no sooner than this after the longest deadline, which counts as LONGEST at most. Clients
@@ -30,9 +31,11 @@
      * closed finds nobody else here until the restart.
      */
     private static final long KILL = 700;
+
     private static final long LONGEST = 3000;
     /** Before the kill: until when requests are taken, and when what is still open is ended. */
     private static final long LAST_TAKEN = 600;
+
     private static final long LAST_ANSWERED = 250;
     private static final long LOOK = 50;
 
@@ -57,8 +60,9 @@
 
     /** Runs the planned end; blocks until all is answered, or until the longest deadline has passed. */
     void run() {
-        LOG.info(successor ? "hands-over" : "shutting-down", successor
-                ? "handing over to the process that succeeds this one" : "shutting down");
+        LOG.info(
+                successor ? "hands-over" : "shutting-down",
+                successor ? "handing over to the process that succeeds this one" : "shutting down");
         Settings settings = node.settings();
         long longest = longestDeadline(settings);
         long kill = killSpan(settings);
@@ -85,8 +89,12 @@
             node.peers.close();
         }
         // A connection that waits in the kernel's queue may hold a request: it is accepted before the end.
-        node.vertx.setTimer(ACCEPT_ON, id -> node.gate.closeOnceEmpty().onComplete(closed ->
-                node.vertx.setTimer(LOOK, then -> end(began + kill - LAST_TAKEN, patience))));
+        node.vertx.setTimer(
+                ACCEPT_ON,
+                id -> node.gate
+                        .closeOnceEmpty()
+                        .onComplete(
+                                closed -> node.vertx.setTimer(LOOK, then -> end(began + kill - LAST_TAKEN, patience))));
         // All of it, also what came before the signal: a kill finds nothing that is owed an answer.
         node.vertx.setTimer(Math.max(ACCEPT_ON, kill - LAST_ANSWERED), id -> node.core.endAll());
     }
--- a/src/main/java/nettlewick/net/HeadCheck.java
+++ b/src/main/java/nettlewick/net/HeadCheck.java
@@ -26,8 +26,7 @@
         }
     }
 
-    private HeadCheck() {
-    }
+    private HeadCheck() {}
 
     /** Why the request is refused; null if it is not. */
     static Refusal of(HttpRequest request) {
@@ -49,15 +48,19 @@
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (!codings.isEmpty()) {
-            boolean plain = codings.size() == 1 && codings.get(0).equalsIgnoreCase("chunked")
-                    && lengths.isEmpty() && version.minorVersion() == 1;
+            boolean plain = codings.size() == 1
+                    && codings.get(0).equalsIgnoreCase("chunked")
+                    && lengths.isEmpty()
+                    && version.minorVersion() == 1;
             return plain ? null : new Refusal(400, "a Transfer-Encoding that cannot be read");
         }
         if (lengths.size() > 1 || lengths.size() == 1 && !lengths.get(0).matches("[0-9]+")) {
             return new Refusal(400, "a Content-Length that cannot be read");
         }
-        return lengths.size() == 1 && (lengths.get(0).length() > DIGITS_MOST
-                || Long.parseLong(lengths.get(0)) > BODY_MOST) ? tooLong() : null;
+        return lengths.size() == 1
+                        && (lengths.get(0).length() > DIGITS_MOST || Long.parseLong(lengths.get(0)) > BODY_MOST)
+                ? tooLong()
+                : null;
     }
 
     /** Why what was read cannot be used; null if it can. */
@@ -65,9 +68,11 @@
         if (result.isSuccess()) {
             return null;
         }
-        return result.cause() instanceof TooLongHttpHeaderException ? new Refusal(431, "too long a head")
-                : result.cause() instanceof TooLongHttpLineException ? new Refusal(414, "too long a line")
-                : new Refusal(400, "no request that can be read");
+        return result.cause() instanceof TooLongHttpHeaderException
+                ? new Refusal(431, "too long a head")
+                : result.cause() instanceof TooLongHttpLineException
+                        ? new Refusal(414, "too long a line")
+                        : new Refusal(400, "no request that can be read");
     }
 
     static Refusal tooLong() {
@@ -77,7 +82,9 @@
     private static boolean token(String name) {
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
-            if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+            if (!(c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || c >= '0' && c <= '9'
                     || "!#$%&'*+-.^_`|~".indexOf(c) >= 0)) {
                 return false;
             }
--- a/src/main/java/nettlewick/net/HttpFront.java
+++ b/src/main/java/nettlewick/net/HttpFront.java
@@ -30,13 +30,16 @@
     private static final long HELD_MOST = 4 << 20;
     /** Most bytes read from one client in its turn on the event loop. */
     private static final int READ_MOST = 16 * 1024;
+
     private static final int READS_A_TURN = 2;
     /** Connections that turn out to hold a request while one that makes way is looked for. */
     private static final int MAKE_WAY_TRIES = 4;
+
     private static final long SWEEP = 20;
     private static final long LOOK = 100;
     /** How often the event loop shows that it runs, and how late that may be before it counts as held up. */
     private static final long BEAT = 50;
+
     private static final double LATE = 10;
 
     protected final Base base;
@@ -56,11 +59,17 @@
         vertx = base.vertx();
         most = base.connections();
         // No upgrade to HTTP/2: nobody here speaks it, and each way in would need a guard of its own.
-        options = new HttpServerOptions().setHost(listen.hostAddress()).setPort(listen.port())
-                .setTcpNoDelay(true).setAcceptBacklog(BACKLOG).setHttp2ClearTextEnabled(false)
-                .setMaxHeaderSize(HEAD_MOST).setMaxInitialLineLength(LINE_MOST).setSendBufferSize(sendBuffer);
+        options = new HttpServerOptions()
+                .setHost(listen.hostAddress())
+                .setPort(listen.port())
+                .setTcpNoDelay(true)
+                .setAcceptBacklog(BACKLOG)
+                .setHttp2ClearTextEnabled(false)
+                .setMaxHeaderSize(HEAD_MOST)
+                .setMaxInitialLineLength(LINE_MOST)
+                .setSendBufferSize(sendBuffer);
         server = vertx.createHttpServer(options);
-        server.exceptionHandler(e -> { });
+        server.exceptionHandler(e -> {});
         server.connectionHandler(this::opened);
         server.requestHandler(this::handle);
         beatAt = base.clock().now();
@@ -105,22 +114,22 @@
     }
 
     /** A connection is closed. */
-    protected void closed(HttpConnection connection) {
-    }
+    protected void closed(HttpConnection connection) {}
 
     private void opened(HttpConnection connection) {
         Channel channel = ((ConnectionBase) connection).channel();
         ClientGuard guard = new ClientGuard(base.clock(), this::cameAt, budget);
         connections.put(connection, guard);
-        connection.exceptionHandler(e -> { });
+        connection.exceptionHandler(e -> {});
         connection.closeHandler(v -> {
             connections.remove(connection);
             closed(connection);
         });
-        channel.config().setRecvByteBufAllocator(
-                new AdaptiveRecvByteBufAllocator(256, 2048, READ_MOST).maxMessagesPerRead(READS_A_TURN));
-        channel.pipeline().replace(VertxHttpRequestDecoder.class, "httpDecoder",
-                new StrictDecoder(options, guard::bytes));
+        channel.config()
+                .setRecvByteBufAllocator(
+                        new AdaptiveRecvByteBufAllocator(256, 2048, READ_MOST).maxMessagesPerRead(READS_A_TURN));
+        channel.pipeline()
+                .replace(VertxHttpRequestDecoder.class, "httpDecoder", new StrictDecoder(options, guard::bytes));
         channel.pipeline().addBefore("handler", "guard", guard);
         if (connections.size() > most) {
             makeWay(guard);
@@ -133,8 +142,10 @@
      */
     private void makeWay(ClientGuard newcomer) {
         for (int tries = 0; tries < MAKE_WAY_TRIES; tries++) {
-            ClientGuard least = connections.values().stream().filter(g -> g != newcomer && g.state().idle())
-                    .min(Comparator.comparingInt(g -> g.state().merit())).orElse(null);
+            ClientGuard least = connections.values().stream()
+                    .filter(g -> g != newcomer && g.state().idle())
+                    .min(Comparator.comparingInt(g -> g.state().merit()))
+                    .orElse(null);
             if (least == null) {
                 break;
             }
--- a/src/main/java/nettlewick/net/IdlePool.java
+++ b/src/main/java/nettlewick/net/IdlePool.java
@@ -8,8 +8,7 @@
 
 /** Connections that carry nothing: the newest is reused first, and none that has idled too long. */
 final class IdlePool<T> {
-    private record Idle<T>(T link, double since) {
-    }
+    private record Idle<T>(T link, double since) {}
 
     private final Deque<Idle<T>> idle = new ArrayDeque<>();
     private final DoubleSupplier patience;
@@ -36,7 +35,7 @@
     /** The connection used last of those that have rested for so many milliseconds; null for none. */
     T take(double now, double rest) {
         expire(now);
-        for (Iterator<Idle<T>> newestFirst = idle.descendingIterator(); newestFirst.hasNext();) {
+        for (Iterator<Idle<T>> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
             Idle<T> one = newestFirst.next();
             if (now - one.since() >= rest) {
                 newestFirst.remove();
--- a/src/main/java/nettlewick/net/ListClock.java
+++ b/src/main/java/nettlewick/net/ListClock.java
@@ -17,6 +17,7 @@
     private static final double LINE = 2000;
     /** An agent costs nothing to ask: silent for a line and a half; one that all ask, for over two. */
     private static final double AGENT_SILENCE = 1.5 * LINE;
+
     private static final double ASKED_SILENCE = 2.25 * LINE;
     /** Where the wait for one's turn is over, what was missed counts as told after this long. */
     private static final double AFTER_WAIT = 2000;
@@ -29,6 +30,7 @@
      * for.
      */
     private static final double HALF_WORD = 800;
+
     private static final int CUT_SHORT = 2;
 
     private final AskPause pause;
@@ -36,12 +38,14 @@
     private final double told;
     /** Whether this address has ever said a word. */
     private boolean known;
+
     private boolean heard;
     private boolean spoke;
     /** Whether a call before this one has failed, or was to another address. */
     private boolean replaces;
     /** Calls in a row that were given up in the middle of their first word. */
     private int halfWords;
+
     private double deadline = Double.POSITIVE_INFINITY;
     private double saidAt = Double.NaN;
     private double missedAt = Double.NaN;
@@ -59,8 +63,9 @@
     /** By a site's settings; the seed is that of the pauses. */
     static ListClock of(Settings settings, long seed) {
         double within = settings.rules().askWithin() / 1e6;
-        return new ListClock(new AskPause(settings.listOnRequest(), settings.fleetSize(), within,
-                new SplittableRandom(seed)), within);
+        return new ListClock(
+                new AskPause(settings.listOnRequest(), settings.fleetSize(), within, new SplittableRandom(seed)),
+                within);
     }
 
     /** After how long at most what a watch missed counts as told, from its last word. */
--- a/src/main/java/nettlewick/net/LoadReport.java
+++ b/src/main/java/nettlewick/net/LoadReport.java
@@ -6,8 +6,7 @@
 
 /** Load reports as sim runners write them: {@code name=value,name=value}, or the same as a JSON object. */
 final class LoadReport {
-    private LoadReport() {
-    }
+    private LoadReport() {}
 
     /** The report in a header or body; null if it says nothing that can be read. */
     static Load parse(String text) {
@@ -36,7 +35,8 @@
             int equals = pair.indexOf('=');
             if (equals > 0) {
                 try {
-                    values.put(pair.substring(0, equals).strip(),
+                    values.put(
+                            pair.substring(0, equals).strip(),
                             Double.valueOf(pair.substring(equals + 1).strip()));
                 } catch (NumberFormatException e) {
                     // one odd value does not spoil the others
@@ -58,7 +58,11 @@
 
     /** The same value has one name in the settings and may have the simulator's on the sockets. */
     private static Load load(Values v) {
-        return new Load(v.get("x0"), v.get("x1"), v.either("depth", "queue"),
-                v.either("concurrent", "inflight"), v.either("load_share", "util"));
+        return new Load(
+                v.get("x0"),
+                v.get("x1"),
+                v.either("depth", "queue"),
+                v.either("concurrent", "inflight"),
+                v.either("load_share", "util"));
     }
 }
--- a/src/main/java/nettlewick/net/Node.java
+++ b/src/main/java/nettlewick/net/Node.java
@@ -31,6 +31,7 @@
      * finishes long jobs: 6 s are allowed.
      */
     private static final long HEIR = 4500;
+
     private static final long SAVED = 100;
     /** How often it is looked whether another process was called to take a sim runner out. */
     private static final long BANS = 200;
@@ -52,6 +53,7 @@
     final Context loop;
     /** When the process that is to succeed this one started; NaN: none is. */
     private double heirAt = Double.NaN;
+
     PeerSocket peers;
     private Books books = Books.NONE;
     private Witness witness = Witness.NONE;
@@ -86,13 +88,18 @@
         clients = config.sockets() / CLIENTS_PART;
         gate = new AcceptGate(clients);
         perFront = Math.max(1, clients / Math.max(1, makers.length) - SPARE);
-        vertx = Vertx.builder().with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                        .setFileCachingEnabled(false).setClassPathResolvingEnabled(false)))
-                .withTransport(gate).build();
+        vertx = Vertx.builder()
+                .with(new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setFileSystemOptions(new FileSystemOptions()
+                                .setFileCachingEnabled(false)
+                                .setClassPathResolvingEnabled(false)))
+                .withTransport(gate)
+                .build();
         loop = vertx.getOrCreateContext();
-        admin = config.adminAddr() == null ? null : new AdminFront(config.adminAddr(),
-                new NodeOperations(this));
+        admin = config.adminAddr() == null ? null : new AdminFront(config.adminAddr(), new NodeOperations(this));
     }
 
     /** Has the books kept; before the start. */
@@ -114,13 +121,12 @@
             boolean heir = succession != null && succession.shared();
             peers = new PeerSocket(vertx, config);
             subchannels = new Subchannels(vertx, loop, config, clock, peers);
-            core = new Core(clock, config.settings(), seed(heir), config.maxOpen(), subchannels,
-                    books);
+            core = new Core(clock, config.settings(), seed(heir), config.maxOpen(), subchannels, books);
             core.tell(witness);
             witness.joins(core);
             subchannels.bind(core);
-            Front.Base base = new Front.Base(vertx, loop, config, clock, core, () -> holdsList && warm,
-                    state, perFront);
+            Front.Base base =
+                    new Front.Base(vertx, loop, config, clock, core, () -> holdsList && warm, state, perFront);
             makers.forEach(maker -> fronts.add(maker.make(base)));
             Thread thread = new Thread(core, "core");
             thread.setDaemon(true);
@@ -138,12 +144,17 @@
             });
             watch.start(config.known());
             vertx.setTimer(TOLD, id -> told.tryComplete());
-            listenAdmin().compose(v2 -> heir ? succeed(told.future(), base) : begin())
-                    .onSuccess(v2 -> serve()).onComplete(started);
+            listenAdmin()
+                    .compose(v2 -> heir ? succeed(told.future(), base) : begin())
+                    .onSuccess(v2 -> serve())
+                    .onComplete(started);
         });
-        return started.future().onSuccess(v -> LOG.info("listens", "dispatcher " + config.name()
-                + " listens on "
-                + config.listen().hostAddress() + ":" + ports.get(0)));
+        return started.future()
+                .onSuccess(v -> LOG.info(
+                        "listens",
+                        "dispatcher " + config.name()
+                                + " listens on "
+                                + config.listen().hostAddress() + ":" + ports.get(0)));
     }
 
     void heed(BanStore.Ban ban) {
@@ -162,10 +173,15 @@
     private Future<Void> succeed(Future<Void> told, Front.Base base) {
         LOG.info("succeeds", "another process serves here; this one is to succeed it");
         peers.await(core::heard);
-        Front own = new PlatformFront(new Front.Base(vertx, loop, config.atFreePort(), clock, core,
-                () -> true, state, perFront));
-        return own.listen().compose(this::warmUp).compose(v -> own.shut(0)).compose(v -> told)
-                .compose(v -> spared()).compose(v -> listen()).mapEmpty();
+        Front own = new PlatformFront(
+                new Front.Base(vertx, loop, config.atFreePort(), clock, core, () -> true, state, perFront));
+        return own.listen()
+                .compose(this::warmUp)
+                .compose(v -> own.shut(0))
+                .compose(v -> told)
+                .compose(v -> spared())
+                .compose(v -> listen())
+                .mapEmpty();
     }
 
     /** Done once the predecessor has nothing left that waiting saves, or at the latest time for a yes. */
@@ -191,23 +207,24 @@
             core.foresee(heir + HEIR, heir + HEIR + killSpan());
             LOG.info("awaits-successor", "another process is to succeed this one; long jobs are held back");
             spare();
-        } else if (Double.isNaN(heir) && !Double.isNaN(heirAt) && !state.leaving()
-                && !succession.successor()) {
+        } else if (Double.isNaN(heir) && !Double.isNaN(heirAt) && !state.leaving() && !succession.successor()) {
             heirAt = Double.NaN;
             core.stay();
         }
     }
 
     private void spare() {
-        core.saves(killSpan(), saves -> loop.runOnContext(v -> {
-            if (!saves) {
-                // From now on the successor may take clients at any time.
-                core.foresee(heirAt + HEIR, clock.now() + killSpan());
-                succession.spared();
-            } else {
-                vertx.setTimer(SAVED, id -> spare());
-            }
-        }));
+        core.saves(
+                killSpan(),
+                saves -> loop.runOnContext(v -> {
+                    if (!saves) {
+                        // From now on the successor may take clients at any time.
+                        core.foresee(heirAt + HEIR, clock.now() + killSpan());
+                        succession.spared();
+                    } else {
+                        vertx.setTimer(SAVED, id -> spare());
+                    }
+                }));
     }
 
     /** From SIGTERM to SIGKILL at the least, in milliseconds. */
@@ -256,7 +273,8 @@
             warm = true;
             return Future.succeededFuture();
         }
-        SocketAddress own = SocketAddress.inetSocketAddress(port, config.listen().hostAddress());
+        SocketAddress own =
+                SocketAddress.inetSocketAddress(port, config.listen().hostAddress());
         WarmUp.module(config.settings());
         return WarmUp.sockets(subchannels.client(), own).onComplete(v -> warm = true);
     }
@@ -326,8 +344,10 @@
             watch.move(config.discovery());
             subchannels.reload(config);
             core.reload(config.maxOpen());
-            LOG.info("reread", "configuration reread, discovery at " + config.discovery().hostAddress() + ":"
-                    + config.discovery().port() + (stay.isEmpty() ? "" : "; only a restart changes " + stay));
+            LOG.info(
+                    "reread",
+                    "configuration reread, discovery at " + config.discovery().hostAddress() + ":"
+                            + config.discovery().port() + (stay.isEmpty() ? "" : "; only a restart changes " + stay));
         });
     }
 
@@ -342,7 +362,8 @@
         if (succession != null) {
             succession.close();
         }
-        return stopped.future().compose(v -> admin == null ? Future.succeededFuture() : admin.close())
+        return stopped.future()
+                .compose(v -> admin == null ? Future.succeededFuture() : admin.close())
                 .compose(v -> vertx.close());
     }
 }
--- a/src/main/java/nettlewick/net/NodeOperations.java
+++ b/src/main/java/nettlewick/net/NodeOperations.java
@@ -47,13 +47,18 @@
         }
         try {
             node.bans.set(runner, out, node.clock.now()).forEach(node::heed);
-            LOG.info(out ? "taken-out" : "put-back",
-                    "sim runner " + runner + (out ? " taken out by hand" : " put back by hand"), "runner",
-                            runner);
+            LOG.info(
+                    out ? "taken-out" : "put-back",
+                    "sim runner " + runner + (out ? " taken out by hand" : " put back by hand"),
+                    "runner",
+                    runner);
             done.complete(true);
         } catch (IOException e) {
-            LOG.warning("ban-not-stored",
-                    "cannot store that " + runner + (out ? " is out: " : " is back: ") + e, "runner", runner);
+            LOG.warning(
+                    "ban-not-stored",
+                    "cannot store that " + runner + (out ? " is out: " : " is back: ") + e,
+                    "runner",
+                    runner);
             done.fail(e);
         }
     }
@@ -61,16 +66,18 @@
     @Override
     public boolean drain() {
         boolean drains = node.state().drain(node.clock.now());
-        LOG.info(drains ? "drained" : "drain-refused", drains ? "drained by hand"
-                : "drain refused: this process starts or ends");
+        LOG.info(
+                drains ? "drained" : "drain-refused",
+                drains ? "drained by hand" : "drain refused: this process starts or ends");
         return drains;
     }
 
     @Override
     public boolean resume() {
         boolean resumes = node.state().resume();
-        LOG.info(resumes ? "resumed" : "resume-refused", resumes ? "resumed by hand"
-                : "resume refused: this process ends");
+        LOG.info(
+                resumes ? "resumed" : "resume-refused",
+                resumes ? "resumed by hand" : "resume refused: this process ends");
         return resumes;
     }
 }
--- a/src/main/java/nettlewick/net/PeerSocket.java
+++ b/src/main/java/nettlewick/net/PeerSocket.java
@@ -27,6 +27,7 @@
     private final Map<String, Integer> ranks = new HashMap<>();
     /** Datagrams passed over here: longer than the protocol allows, and from an address that is no peer's. */
     private final AtomicLong oversized = new AtomicLong();
+
     private final AtomicLong strangers = new AtomicLong();
 
     PeerSocket(Vertx vertx, Config config) {
@@ -53,7 +54,7 @@
             return Future.succeededFuture();
         }
         socket = vertx.createDatagramSocket(new DatagramSocketOptions());
-        socket.exceptionHandler(e -> { });
+        socket.exceptionHandler(e -> {});
         socket.handler(packet -> {
             // Danger: anybody can send a datagram; only a known dispatcher is heard, and only short ones.
             Integer rank = ranks.get(name(packet.sender()));
@@ -66,7 +67,8 @@
             }
         });
         return socket.listen(config.peerListen().port(), config.peerListen().hostAddress())
-                .onSuccess(s -> bound = true).mapEmpty();
+                .onSuccess(s -> bound = true)
+                .mapEmpty();
     }
 
     /** Listens as soon as the process that holds the port gives it up. */
@@ -82,15 +84,16 @@
     /** Counts a datagram that is not heard; the first of each kind is logged. */
     private static void passOver(AtomicLong kind, String what) {
         if (kind.getAndIncrement() == 0) {
-            LOG.warning("datagram-passed-over", "a datagram " + what
-                    + " is passed over; such are counted in the figures from now on, not logged again");
+            LOG.warning(
+                    "datagram-passed-over",
+                    "a datagram " + what
+                            + " is passed over; such are counted in the figures from now on, not logged again");
         }
     }
 
     /** Datagrams passed over here since the start, by kind. */
     Map<String, Number> passedOver() {
-        return Map.of("peers.passed_over.oversized", oversized.get(), "peers.passed_over.strangers",
-                strangers.get());
+        return Map.of("peers.passed_over.oversized", oversized.get(), "peers.passed_over.strangers", strangers.get());
     }
 
     boolean bound() {
@@ -109,7 +112,10 @@
     void send(int rank, byte[] data) {
         // Danger: one longer datagram voids the whole run. One sent before the socket is bound binds it to
         // another port: peers would take it for a stranger's, and this dispatcher could not listen any more.
-        if (bound && rank >= 0 && rank < config.peers().size() && rank != config.settings().rank()
+        if (bound
+                && rank >= 0
+                && rank < config.peers().size()
+                && rank != config.settings().rank()
                 && data.length <= MOST) {
             SocketAddress to = config.peers().get(rank);
             socket.send(Buffer.buffer(data), to.port(), to.hostAddress());
--- a/src/main/java/nettlewick/net/PlatformFront.java
+++ b/src/main/java/nettlewick/net/PlatformFront.java
@@ -66,8 +66,7 @@
         } else if (holdsList.getAsBoolean() && base.state().healthy()) {
             request.response().end();
         } else {
-            RpcReader.reject(request, UNAVAILABLE,
-                    base.state().healthy() ? "no list of sim runners yet" : "draining");
+            RpcReader.reject(request, UNAVAILABLE, base.state().healthy() ? "no list of sim runners yet" : "draining");
         }
     }
 
@@ -127,7 +126,8 @@
         }
         response.setStatusCode(status);
         tap.answer(http, response, body);
-        Figures.End end = status == Call.OK ? Figures.End.FULFILLED
+        Figures.End end = status == Call.OK
+                ? Figures.End.FULFILLED
                 : status == UNAVAILABLE ? Figures.End.THROTTLED : Figures.End.FAULTED;
         response.end(body).onSuccess(v -> ticket.answered(end)).onFailure(e -> ticket.left());
     }
--- a/src/main/java/nettlewick/net/ResolverResult.java
+++ b/src/main/java/nettlewick/net/ResolverResult.java
@@ -1,10 +1,10 @@
 package nettlewick.net;
 
+import io.vertx.core.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import io.vertx.core.net.SocketAddress;
 import nettlewick.core.Roster;
 import nettlewick.decision.Dispatcher.Life;
 
@@ -14,11 +14,10 @@
  */
 record ResolverResult(long seq, boolean whole, List<Host> hosts, List<Fields.Bad> faults) {
     /** A sim runner and where this dispatcher reaches it. */
-    record Host(Roster.Entry entry, SocketAddress dial) {
-    }
+    record Host(Roster.Entry entry, SocketAddress dial) {}
 
-    private static final Map<String, Life> LIVES = new HashMap<>(Map.of(
-            "Ready", Life.READY, "Terminating", Life.DRAINING, "Gone", Life.GONE));
+    private static final Map<String, Life> LIVES =
+            new HashMap<>(Map.of("Ready", Life.READY, "Terminating", Life.DRAINING, "Gone", Life.GONE));
 
     static ResolverResult of(Fields f) {
         List<Host> hosts = new ArrayList<>();
@@ -38,9 +37,15 @@
         if (life == null) {
             throw new Fields.Bad(h.path("health"), h.text("health"), "Ready, Terminating or Gone");
         }
-        return new Host(new Roster.Entry(h.text("host"), life, h.numberOr("born_ms", 0, 0, 1e15),
-                (int) h.numberOr("block", 0, Integer.MIN_VALUE, Integer.MAX_VALUE),
-                h.textOr("class", null), h.textOr("site", null), h.numberOr("share", 1, 0, 1e9)),
+        return new Host(
+                new Roster.Entry(
+                        h.text("host"),
+                        life,
+                        h.numberOr("born_ms", 0, 0, 1e15),
+                        (int) h.numberOr("block", 0, Integer.MIN_VALUE, Integer.MAX_VALUE),
+                        h.textOr("class", null),
+                        h.textOr("site", null),
+                        h.numberOr("share", 1, 0, 1e9)),
                 life == Life.GONE && !h.has("dial") ? null : Address.parse(h.path("dial"), h.text("dial")));
     }
 
--- a/src/main/java/nettlewick/net/ResolverWatch.java
+++ b/src/main/java/nettlewick/net/ResolverWatch.java
@@ -26,13 +26,13 @@
     private SocketAddress discovery;
     /** Version of the list as this address counts; below 0 before its first word. */
     private long seq = -1;
+
     private final ListClock times;
     private int round;
     private boolean stopped;
     private HttpClientConnection connection;
 
-    ResolverWatch(Vertx vertx, SocketAddress discovery, Clock clock, ListClock times,
-            Consumer<ResolverResult> sink) {
+    ResolverWatch(Vertx vertx, SocketAddress discovery, Clock clock, ListClock times, Consumer<ResolverResult> sink) {
         this.times = times;
         this.vertx = vertx;
         client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT));
@@ -69,8 +69,11 @@
         int mine = ++round;
         times.opens(clock.now());
         lookAt(mine);
-        client.connect(new HttpConnectOptions().setServer(discovery).setHost(discovery.hostAddress())
-                .setPort(discovery.port()).setSsl(false))
+        client.connect(new HttpConnectOptions()
+                        .setServer(discovery)
+                        .setHost(discovery.hostAddress())
+                        .setPort(discovery.port())
+                        .setSsl(false))
                 .onFailure(e -> broken(mine, "cannot connect"))
                 .onSuccess(made -> {
                     if (mine != round) {
@@ -79,7 +82,7 @@
                         return;
                     }
                     connection = made;
-                    made.exceptionHandler(e -> { });
+                    made.exceptionHandler(e -> {});
                     made.closeHandler(v -> broken(mine, "closed"));
                     ask(made, mine);
                 });
@@ -123,8 +126,10 @@
         ResolverResult news = ResolverResult.of(Fields.parse("the list", text));
         times.list();
         if (!news.faults().isEmpty()) {
-            LOG.warning("entries-left-out", news.faults().size() + " entries left out: "
-                    + news.faults().get(0).getMessage());
+            LOG.warning(
+                    "entries-left-out",
+                    news.faults().size() + " entries left out: "
+                            + news.faults().get(0).getMessage());
         }
         if (news.whole() || news.seq() > seq) {
             seq = news.seq();
@@ -174,8 +179,7 @@
             connection = null;
         }
         long wait = (long) Math.ceil(times.broken(clock.now()));
-        LOG.info("watch-broken", "watch broken: " + why + "; again in " + wait + " ms", "why", why,
-                "pause_ms", wait);
+        LOG.info("watch-broken", "watch broken: " + why + "; again in " + wait + " ms", "why", why, "pause_ms", wait);
         int last = round;
         vertx.setTimer(wait, id -> {
             if (last == round) {
--- a/src/main/java/nettlewick/net/RpcReader.java
+++ b/src/main/java/nettlewick/net/RpcReader.java
@@ -18,6 +18,7 @@
     private static final String JOBS = "/api";
     /** Answers are due this much before the client gives up: it counts from its send, not from our read. */
     private static final double MARGIN = 20;
+
     private static final double LONGEST = 3_600;
     private static final int ID_MOST = 256;
     private static final Pattern NUMBER = Pattern.compile("\\d{1,15}(\\.\\d{0,15})?");
@@ -29,8 +30,17 @@
     }
 
     /** A request in order, but for its caller. */
-    public record Draft(String id, String jobClass, String tenant, String key, double deadline, double slots,
-            double memory, double hint, boolean repeat, Rpc rpc) {
+    public record Draft(
+            String id,
+            String jobClass,
+            String tenant,
+            String key,
+            double deadline,
+            double slots,
+            double memory,
+            double hint,
+            boolean repeat,
+            Rpc rpc) {
         public Request with(Request.Caller caller) {
             return new Request(id, jobClass, tenant, key, deadline, slots, memory, hint, repeat, rpc, caller);
         }
@@ -60,7 +70,7 @@
     public void read(HttpServerRequest request, double now, Handler<Draft> then) {
         // Its length is bounded by the guard, which passes whole requests only.
         Buffer body = Buffer.buffer();
-        request.exceptionHandler(e -> { });
+        request.exceptionHandler(e -> {});
         request.handler(body::appendBuffer);
         request.endHandler(v -> {
             try {
@@ -77,13 +87,14 @@
         if (response.ended() || response.closed()) {
             return;
         }
-        response.putHeader("Connection", "close").setStatusCode(status)
-                .putHeader("Content-Type", "text/plain; charset=utf-8").end(message + '\n');
+        response.putHeader("Connection", "close")
+                .setStatusCode(status)
+                .putHeader("Content-Type", "text/plain; charset=utf-8")
+                .end(message + '\n');
     }
 
     /** Checks the parts of a request that came whole at this time, by whatever way. */
-    public Draft draft(HttpMethod method, String uri, MultiMap request, Buffer body, double now)
-            throws Rejected {
+    public Draft draft(HttpMethod method, String uri, MultiMap request, Buffer body, double now) throws Rejected {
         String id = visible(request, "X-Request-Id");
         String jobClass = need(request, "X-Class");
         if (!config.hasClass(jobClass)) {
@@ -100,8 +111,14 @@
         if (slots < 0 || memory < 0) {
             throw new Rejected(400, "X-Extras holds a figure below 0");
         }
-        return new Draft(id, jobClass, request.get("X-Tenant"), user(request),
-                now + Math.max(0, seconds * 1000 - MARGIN), slots, memory,
+        return new Draft(
+                id,
+                jobClass,
+                request.get("X-Tenant"),
+                user(request),
+                now + Math.max(0, seconds * 1000 - MARGIN),
+                slots,
+                memory,
                 hint == null ? 0 : number(hint, "X-Cost-Hint", 1e12) / 1000,
                 "1".equals(request.get("X-Retry")),
                 new Rpc(method, checked(uri), body, key));
--- a/src/main/java/nettlewick/net/ServiceState.java
+++ b/src/main/java/nettlewick/net/ServiceState.java
@@ -7,7 +7,14 @@
  */
 public final class ServiceState {
     /** SHUTTING: nothing more is taken; idle connections are closed, others with their answer. */
-    enum Phase { STARTING, SERVING, DRAINED, ENDING, HANDING_OVER, SHUTTING }
+    enum Phase {
+        STARTING,
+        SERVING,
+        DRAINED,
+        ENDING,
+        HANDING_OVER,
+        SHUTTING
+    }
 
     /**
      * After a drain the front learns of it within 0.1 s and connections come for 0.2 s more. Danger: closed
--- a/src/main/java/nettlewick/net/Subchannel.java
+++ b/src/main/java/nettlewick/net/Subchannel.java
@@ -27,7 +27,7 @@
         private Link(HttpClientConnection connection, double madeIn) {
             this.connection = connection;
             this.madeIn = madeIn;
-            connection.exceptionHandler(e -> { });
+            connection.exceptionHandler(e -> {});
             connection.closeHandler(v -> lost());
         }
 
@@ -157,8 +157,7 @@
             call.finish(Result.FULL, null, null);
             return;
         }
-        Link link = call.harmless() || subchannels.gauge().trusts()
-                ? idle.take(subchannels.now(), call.rest()) : null;
+        Link link = call.harmless() || subchannels.gauge().trusts() ? idle.take(subchannels.now(), call.rest()) : null;
         if (link != null) {
             use(link, call);
         } else {
@@ -181,8 +180,11 @@
         subchannels.opening(1);
         double began = subchannels.now();
         double chosen = startedAt;
-        HttpConnectOptions options = new HttpConnectOptions().setServer(dial).setHost(dial.hostAddress())
-                .setPort(dial.port()).setSsl(false);
+        HttpConnectOptions options = new HttpConnectOptions()
+                .setServer(dial)
+                .setHost(dial.hostAddress())
+                .setPort(dial.port())
+                .setSsl(false);
         subchannels.client().connect(options).onComplete(result -> {
             subchannels.opening(-1);
             if (result.failed()) {
--- a/src/main/java/nettlewick/net/Subchannels.java
+++ b/src/main/java/nettlewick/net/Subchannels.java
@@ -20,6 +20,7 @@
 final class Subchannels implements Transport {
     /** Descriptors for neither clients nor sim runners: the jars, the listeners, the watch, selectors. */
     private static final int RESERVE = 64;
+
     private static final long SWEEP = 250;
 
     private final Vertx vertx;
@@ -47,9 +48,12 @@
         // Connections are owned here, one by one: nothing is pooled, pipelined, followed or sent again.
         // Danger: a time-out given with a single connect is not heeded by Vert.x 5.0.7; the client's is.
         int timeout = (int) Math.max(1, Math.ceil(config.connectTimeout()));
-        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(timeout)
-                .setKeepAlive(true).setPipelining(false)
-                .setTcpNoDelay(true).setMaxRedirects(0));
+        client = vertx.createHttpClient(new HttpClientOptions()
+                .setConnectTimeout(timeout)
+                .setKeepAlive(true)
+                .setPipelining(false)
+                .setTcpNoDelay(true)
+                .setMaxRedirects(0));
     }
 
     /** Ties the knot; before the event loop starts work. */
--- a/src/main/java/nettlewick/net/Succession.java
+++ b/src/main/java/nettlewick/net/Succession.java
@@ -31,8 +31,7 @@
     private final FileChannel channel;
 
     /** A process that lives beside this one. */
-    private record Other(String name, boolean takesClients, boolean spared) {
-    }
+    private record Other(String name, boolean takesClients, boolean spared) {}
 
     /**
      * Makes this process known.
@@ -43,7 +42,8 @@
     public Succession(Path folder, String dispatcher, long startedAt) {
         this.folder = folder;
         prefix = dispatcher.replaceAll("[^A-Za-z0-9.]", "_") + '-';
-        own = String.format("%s%013d-%d%s", prefix, startedAt, ProcessHandle.current().pid(), END);
+        own = String.format(
+                "%s%013d-%d%s", prefix, startedAt, ProcessHandle.current().pid(), END);
         try {
             // Danger: seen before it is locked, the file would be taken for a dead process's and deleted.
             Path made = Files.createTempFile(folder, "nettlewick", ".new");
@@ -80,8 +80,8 @@
 
     /** Whether a process that started earlier takes clients and has work in hand that waiting may save. */
     public boolean awaited() {
-        return others().stream().anyMatch(o -> o.takesClients() && !o.spared()
-                && o.name().compareTo(own) < 0);
+        return others().stream()
+                .anyMatch(o -> o.takesClients() && !o.spared() && o.name().compareTo(own) < 0);
     }
 
     /**
@@ -89,8 +89,11 @@
      * in milliseconds, NaN if there is none.
      */
     public double heir() {
-        return others().stream().filter(o -> !o.takesClients() && o.name().compareTo(own) > 0)
-                .mapToDouble(o -> startedAt(o.name())).max().orElse(Double.NaN);
+        return others().stream()
+                .filter(o -> !o.takesClients() && o.name().compareTo(own) > 0)
+                .mapToDouble(o -> startedAt(o.name()))
+                .max()
+                .orElse(Double.NaN);
     }
 
     /** When this process started, as it was told. */
--- a/src/main/java/nettlewick/net/Tap.java
+++ b/src/main/java/nettlewick/net/Tap.java
@@ -8,18 +8,14 @@
 /** Is shown the traffic that a front serves. Called on the event loop. */
 public interface Tap {
     /** Shows nothing to anybody. */
-    Tap NONE = new Tap() {
-    };
+    Tap NONE = new Tap() {};
 
     /** A request has come whole. */
-    default void request(HttpServerRequest request, Buffer body) {
-    }
+    default void request(HttpServerRequest request, Buffer body) {}
 
     /** Its answer is about to be written; the headers are those that the front itself has set. */
-    default void answer(HttpServerRequest request, HttpServerResponse response, Buffer body) {
-    }
+    default void answer(HttpServerRequest request, HttpServerResponse response, Buffer body) {}
 
     /** A connection is closed. */
-    default void closed(HttpConnection connection) {
-    }
+    default void closed(HttpConnection connection) {}
 }
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -22,14 +22,17 @@
     private static final int WORKERS = 12;
     private static final long STEP = 5_000_000;
 
-    private WarmUp() {
-    }
+    private WarmUp() {}
 
     /** Asks for the own health page, over and over on one connection; a failure ends it quietly. */
     static Future<Void> sockets(HttpClientAgent client, SocketAddress listen) {
-        return client.connect(new HttpConnectOptions().setServer(listen).setHost(listen.hostAddress())
-                .setPort(listen.port()).setSsl(false))
-                .compose(c -> ask(c, REQUESTS).eventually(c::close)).otherwiseEmpty();
+        return client.connect(new HttpConnectOptions()
+                        .setServer(listen)
+                        .setHost(listen.hostAddress())
+                        .setPort(listen.port())
+                        .setSsl(false))
+                .compose(c -> ask(c, REQUESTS).eventually(c::close))
+                .otherwiseEmpty();
     }
 
     private static Future<Void> ask(HttpClient client, int left) {
@@ -37,7 +40,8 @@
             return Future.succeededFuture();
         }
         return client.request(new RequestOptions().setMethod(HttpMethod.GET).setURI("/_health"))
-                .compose(request -> request.send()).compose(response -> response.body())
+                .compose(request -> request.send())
+                .compose(response -> response.body())
                 .compose(body -> ask(client, left - 1));
     }
 
--- a/src/main/java/nettlewick/pcap/Capture.java
+++ b/src/main/java/nettlewick/pcap/Capture.java
@@ -25,15 +25,14 @@
 public final class Capture {
     /** A file is held in memory as a whole while it is put in order. */
     private static final long FILE_MOST = 64L << 20;
-    private static final Pattern REQUEST =
-            Pattern.compile("[A-Z]{3,10} \\S+ HTTP/1\\.[01]\\r\\n.*", Pattern.DOTALL);
+
+    private static final Pattern REQUEST = Pattern.compile("[A-Z]{3,10} \\S+ HTTP/1\\.[01]\\r\\n.*", Pattern.DOTALL);
 
     private final List<Recorded> requests = new ArrayList<>();
     private final Map<String, TcpFlow> flows = new LinkedHashMap<>();
     private int lost;
 
-    private Capture() {
-    }
+    private Capture() {}
 
     public static Capture read(Path file) throws IOException {
         if (!Files.isRegularFile(file)) {
@@ -97,7 +96,8 @@
         public void bytes(double at, byte[] bytes) {
             if (decoder == null) {
                 // The other direction, another protocol, or the rest of a request that began in a gap.
-                if (!REQUEST.matcher(new String(bytes, StandardCharsets.ISO_8859_1)).matches()) {
+                if (!REQUEST.matcher(new String(bytes, StandardCharsets.ISO_8859_1))
+                        .matches()) {
                     return;
                 }
                 decoder = new EmbeddedChannel(new HttpRequestDecoder());
--- a/src/main/java/nettlewick/pcap/CaptureReader.java
+++ b/src/main/java/nettlewick/pcap/CaptureReader.java
@@ -42,8 +42,10 @@
         if (got < bytes.length) {
             throw new CaptureError("the file ends within its header");
         }
-        header = new PcapGlobalHeader(big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN,
-                Arrays.copyOfRange(bytes, MAGIC, bytes.length), nanos);
+        header = new PcapGlobalHeader(
+                big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN,
+                Arrays.copyOfRange(bytes, MAGIC, bytes.length),
+                nanos);
         if (header.getMajorVersion() != 2) {
             throw new CaptureError("version " + header.getMajorVersion() + " of the format is not known");
         }
@@ -58,7 +60,7 @@
     int read(BiConsumer<Double, byte[]> packets) throws IOException {
         int cut = 0;
         byte[] head = new byte[PcapRecordHeader.SIZE];
-        for (long number = 1;; number++) {
+        for (long number = 1; ; number++) {
             int got = in.readNBytes(head, 0, head.length);
             if (got == 0) {
                 return cut;
@@ -66,16 +68,16 @@
             if (got < head.length) {
                 throw new CaptureError("the file ends within the header of packet " + number);
             }
-            PcapRecordHeader record = new PcapRecordHeader(header.getByteOrder(), Buffers.wrap(head),
-                    header.timestampsInNs());
+            PcapRecordHeader record =
+                    new PcapRecordHeader(header.getByteOrder(), Buffers.wrap(head), header.timestampsInNs());
             long length = record.getCapturedLength();
             if (length < 0 || length > PACKET_MOST) {
                 throw new CaptureError("packet " + number + " claims " + length + " bytes");
             }
             byte[] data = in.readNBytes((int) length);
             if (data.length < length) {
-                throw new CaptureError("the file ends within packet " + number + ": " + data.length + " of "
-                        + length + " bytes");
+                throw new CaptureError(
+                        "the file ends within packet " + number + ": " + data.length + " of " + length + " bytes");
             }
             cut += record.getTotalLength() > length ? 1 : 0;
             double fraction = record.getTimeStampMicroOrNanoSeconds() / (header.timestampsInNs() ? 1e6 : 1e3);
