--- a/src/main/java/nettlewick/pcap/CaptureWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureWriter.java
@@ -17,8 +17,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.IdentityHashMap;
 import java.util.Map;
-import nettlewick.log.Part;
 import nettlewick.core.Clock;
+import nettlewick.log.Part;
 import nettlewick.net.Tap;
 
 /**
@@ -50,7 +50,11 @@
         left = most - PcapGlobalHeader.SIZE;
         // The library writes the magic number itself.
         ByteBuffer header = ByteBuffer.allocate(PcapGlobalHeader.SIZE - 4).order(ByteOrder.BIG_ENDIAN);
-        header.putShort((short) 2).putShort((short) 4).putInt(0).putInt(0).putInt(SNAP)
+        header.putShort((short) 2)
+                .putShort((short) 4)
+                .putInt(0)
+                .putInt(0)
+                .putInt(SNAP)
                 .putInt(LINK_RAW);
         new PcapGlobalHeader(ByteOrder.BIG_ENDIAN, header.array()).write(out);
         out.flush();
@@ -63,8 +67,10 @@
         private final int[] seq = {FIRST, FIRST};
 
         Conversation(SocketAddress client, SocketAddress server) throws UnknownHostException {
-            hosts = new byte[][] {InetAddress.getByName(client.hostAddress()).getAddress(),
-                InetAddress.getByName(server.hostAddress()).getAddress()};
+            hosts = new byte[][] {
+                InetAddress.getByName(client.hostAddress()).getAddress(),
+                InetAddress.getByName(server.hostAddress()).getAddress()
+            };
             ports = new int[] {client.port(), server.port()};
             packet(0, SYN, new byte[0], 0, 0);
             packet(1, SYN | ACK, new byte[0], 0, 0);
@@ -91,16 +97,31 @@
             int head = four ? 20 : 40;
             ByteBuffer p = ByteBuffer.allocate(head + 20 + length);
             if (four) {
-                p.putInt(0x45000000 | p.capacity()).putInt(0x4000).put((byte) 64).put((byte) 6)
-                        .putShort((short) 0).put(from).put(to);
+                p.putInt(0x45000000 | p.capacity())
+                        .putInt(0x4000)
+                        .put((byte) 64)
+                        .put((byte) 6)
+                        .putShort((short) 0)
+                        .put(from)
+                        .put(to);
                 p.putShort(10, sum(0, p.array(), 0, head));
             } else {
-                p.putInt(0x60000000).putShort((short) (20 + length)).put((byte) 6).put((byte) 64).put(from)
+                p.putInt(0x60000000)
+                        .putShort((short) (20 + length))
+                        .put((byte) 6)
+                        .put((byte) 64)
+                        .put(from)
                         .put(to);
             }
-            p.putShort((short) ports[side]).putShort((short) ports[1 - side]).putInt(seq[side])
-                    .putInt((flags & ACK) != 0 ? seq[1 - side] : 0).put((byte) 0x50).put((byte) flags)
-                    .putShort((short) SNAP).putInt(0).put(bytes, at, length);
+            p.putShort((short) ports[side])
+                    .putShort((short) ports[1 - side])
+                    .putInt(seq[side])
+                    .putInt((flags & ACK) != 0 ? seq[1 - side] : 0)
+                    .put((byte) 0x50)
+                    .put((byte) flags)
+                    .putShort((short) SNAP)
+                    .putInt(0)
+                    .put(bytes, at, length);
             // The sum of TCP counts the addresses, the protocol and the length before the segment itself.
             int pseudo = 6 + 20 + length;
             for (byte[] address : new byte[][] {from, to}) {
@@ -137,7 +158,9 @@
         }
         double now = clock.now();
         ByteBuffer record = ByteBuffer.allocate(16).order(ByteOrder.BIG_ENDIAN);
-        record.putInt((int) (now / 1000)).putInt((int) (now % 1000 * 1000)).putInt(packet.length)
+        record.putInt((int) (now / 1000))
+                .putInt((int) (now % 1000 * 1000))
+                .putInt(packet.length)
                 .putInt(packet.length);
         try {
             out.write(record.array());
@@ -161,7 +184,9 @@
 
     @Override
     public void request(HttpServerRequest request, Buffer body) {
-        StringBuilder head = new StringBuilder(request.method().name()).append(' ').append(request.uri())
+        StringBuilder head = new StringBuilder(request.method().name())
+                .append(' ')
+                .append(request.uri())
                 .append(" HTTP/1.1\r\n");
         boolean[] chunked = {false};
         request.headers().forEach((name, value) -> {
@@ -177,10 +202,14 @@
 
     @Override
     public void answer(HttpServerRequest request, HttpServerResponse response, Buffer body) {
-        StringBuilder head = new StringBuilder("HTTP/1.1 ").append(response.getStatusCode()).append(' ')
-                .append(response.getStatusMessage()).append("\r\n");
-        response.headers().forEach(
-                (name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
+        StringBuilder head = new StringBuilder("HTTP/1.1 ")
+                .append(response.getStatusCode())
+                .append(' ')
+                .append(response.getStatusMessage())
+                .append("\r\n");
+        response.headers()
+                .forEach((name, value) ->
+                        head.append(name).append(": ").append(value).append("\r\n"));
         head.append("Content-Length: ").append(body.length()).append("\r\n\r\n");
         conversation(request.connection()).send(1, bytes(head, body));
     }
--- a/src/main/java/nettlewick/pcap/ReplayFront.java
+++ b/src/main/java/nettlewick/pcap/ReplayFront.java
@@ -80,7 +80,11 @@
             if (!"POST".equals(r.method()) || !RpcReader.isJob(path)) {
                 throw new RpcReader.Rejected(404, "not a job");
             }
-            RpcReader.Draft draft = reader.draft(HttpMethod.POST, r.uri(), r.headers(), r.body(),
+            RpcReader.Draft draft = reader.draft(
+                    HttpMethod.POST,
+                    r.uri(),
+                    r.headers(),
+                    r.body(),
                     base.clock().now());
             base.core().submit(draft.with(new Request.Caller() {
                 @Override
@@ -113,8 +117,7 @@
 
     private void finish() {
         if (left == 0) {
-            done.tryComplete(new Summary(served + refused + failed, served, refused, failed, skipped,
-                    capture.lost()));
+            done.tryComplete(new Summary(served + refused + failed, served, refused, failed, skipped, capture.lost()));
         }
     }
 }
--- a/src/main/java/nettlewick/pcap/Segment.java
+++ b/src/main/java/nettlewick/pcap/Segment.java
@@ -16,8 +16,14 @@
 
     /** Whether packets of this link type can be read. */
     static boolean knows(int link) {
-        return link == NULL || link == ETHERNET || link == RAW || link == 12 || link == 14 || link == LOOP
-                || link == IPV4 || link == IPV6;
+        return link == NULL
+                || link == ETHERNET
+                || link == RAW
+                || link == 12
+                || link == 14
+                || link == LOOP
+                || link == IPV4
+                || link == IPV6;
     }
 
     /** The segment in a packet; null if it holds none, or only part of a header. */
@@ -67,8 +73,7 @@
                 next = in.get(at6);
                 at6 += 8 + (in.get(at6 + 1) & 0xff) * 8;
             }
-            return next != TCP ? null
-                    : tcp(at, in, at6, end, address(in, start + 8, 16), address(in, start + 24, 16));
+            return next != TCP ? null : tcp(at, in, at6, end, address(in, start + 8, 16), address(in, start + 24, 16));
         }
         return null;
     }
@@ -79,9 +84,13 @@
         if (head < 20 || start + head > end) {
             return null;
         }
-        String flow = from + ':' + (in.getShort(start) & 0xffff) + '>' + to + ':'
-                + (in.getShort(start + 2) & 0xffff);
-        return new Segment(at, flow, in.getInt(start + 4), (flags & 2) != 0, (flags & 1) != 0,
+        String flow = from + ':' + (in.getShort(start) & 0xffff) + '>' + to + ':' + (in.getShort(start + 2) & 0xffff);
+        return new Segment(
+                at,
+                flow,
+                in.getInt(start + 4),
+                (flags & 2) != 0,
+                (flags & 1) != 0,
                 Arrays.copyOfRange(in.array(), start + head, end));
     }
 
--- a/src/main/java/nettlewick/pcap/TcpFlow.java
+++ b/src/main/java/nettlewick/pcap/TcpFlow.java
@@ -17,14 +17,14 @@
         void gap();
     }
 
-    private record Piece(double at, byte[] bytes) {
-    }
+    private record Piece(double at, byte[] bytes) {}
 
     private final Sink sink;
     private final TreeMap<Long, Piece> waiting = new TreeMap<>();
     private boolean begun;
     /** Sequence number and place in the stream of the next byte that is wanted. */
     private int nextSeq;
+
     private long next;
 
     TcpFlow(Sink sink) {
--- a/src/main/java/nettlewick/pools/Board.java
+++ b/src/main/java/nettlewick/pools/Board.java
@@ -20,8 +20,7 @@
  * thread, but for the list of runners, which the core's thread brings.
  */
 final class Board implements Witness {
-    private record Known(PoolState state, double at) {
-    }
+    private record Known(PoolState state, double at) {}
 
     private final double forget;
     private final Map<String, Roster.Entry> ready = new ConcurrentHashMap<>();
@@ -58,8 +57,9 @@
         Map<String, String> addedFor = new HashMap<>();
         pools.forEach((member, known) -> known.state().added().forEach(name -> addedFor.put(name, member)));
         Map<String, Reserve.Runner> runners = new HashMap<>();
-        ready.forEach((name, e) -> runners.put(name, new Reserve.Runner(name, String.valueOf(e.zone()), String
-                .valueOf(e.kind()), addedFor.get(name))));
+        ready.forEach((name, e) -> runners.put(
+                name,
+                new Reserve.Runner(name, String.valueOf(e.zone()), String.valueOf(e.kind()), addedFor.get(name))));
         return runners;
     }
 
@@ -68,8 +68,8 @@
         Set<String> taken = new HashSet<>();
         pools.forEach((other, known) -> {
             if (!other.equals(member) && known.state().move().step() != Step.NONE) {
-                known.state().move().runners().stream().filter(r -> other.compareTo(member) < 0
-                        || !own.contains(r))
+                known.state().move().runners().stream()
+                        .filter(r -> other.compareTo(member) < 0 || !own.contains(r))
                         .forEach(taken::add);
             }
         });
@@ -94,8 +94,7 @@
             Step step = known.state().move().step();
             if (step.shut()) {
                 boolean heard = now - known.at() < forget;
-                all.add(new Assignment(member, Set.copyOf(known.state().move().runners()), heard, step
-                        == Step.OPEN));
+                all.add(new Assignment(member, Set.copyOf(known.state().move().runners()), heard, step == Step.OPEN));
             }
         });
         return all;
--- a/src/main/java/nettlewick/pools/Growth.java
+++ b/src/main/java/nettlewick/pools/Growth.java
@@ -45,8 +45,7 @@
     }
 
     /** What was found on the way, for operators. */
-    record Means(long spent, long committed, long cap, YearMonth resumes) {
-    }
+    record Means(long spent, long committed, long cap, YearMonth resumes) {}
 
     private final ZoneId zone;
     private final Terms terms;
@@ -87,8 +86,9 @@
         long bound = Math.max(0, told.size() - told.running().size()) * terms.leastCost();
         // Danger: while clocks differ on the month, one month's costs would be paid from another's means.
         boolean turning = !Spending.monthOf(date, zone).equals(month);
-        int affordable = turning ? 0 : spending.affords(told.bills(), date, terms.reach(),
-                Integer.MAX_VALUE / 2, terms.leastCost(), bound);
+        int affordable = turning
+                ? 0
+                : spending.affords(told.bills(), date, terms.reach(), Integer.MAX_VALUE / 2, terms.leastCost(), bound);
         Intent open = m.intent();
         if (open != null) {
             if (open.size() == told.size()) {
@@ -97,17 +97,18 @@
             // An old intent may be dearer now. What may still be under way for it comes in time or not at
             // all.
             return open.size() - told.size() <= affordable
-                    ? new Next(null, false, open, date + terms.reach()) : Next.store(m.asking(null));
+                    ? new Next(null, false, open, date + terms.reach())
+                    : Next.store(m.asking(null));
         }
-        int target = terms.back() && spending.atCap(told.bills(), date) ? 0 : wanted < 0 ? told.size()
-                : wanted;
+        int target = terms.back() && spending.atCap(told.bills(), date) ? 0 : wanted < 0 ? told.size() : wanted;
         if (target > told.size()) {
             int more = Math.min(target - told.size(), affordable);
             if (!turning && more < target - told.size() && !month.toString().equals(m.near())) {
                 return Next.store(m.nearIn(month.toString()));
             }
-            return more <= 0 ? Next.NOTHING : Next.store(m.asking(new Intent(key, told.size() + more,
-                    more * terms.leastCost())));
+            return more <= 0
+                    ? Next.NOTHING
+                    : Next.store(m.asking(new Intent(key, told.size() + more, more * terms.leastCost())));
         }
         int fewer = (int) Math.min(told.size() - target, over(told.running(), date));
         return fewer <= 0 ? Next.NOTHING : Next.store(m.asking(new Intent(key, told.size() - fewer, 0)));
@@ -120,8 +121,7 @@
      */
     private YearMonth month(Money m, long date) {
         YearMonth now = Spending.monthOf(date, zone);
-        return m.month().isEmpty() || now.isAfter(YearMonth.parse(m.month())) ? now
-                : YearMonth.parse(m.month());
+        return m.month().isEmpty() || now.isAfter(YearMonth.parse(m.month())) ? now : YearMonth.parse(m.month());
     }
 
     /** Those whose least billed time is over: to end them sooner saves nothing. */
--- a/src/main/java/nettlewick/pools/MemberCharge.java
+++ b/src/main/java/nettlewick/pools/MemberCharge.java
@@ -32,6 +32,7 @@
     private static final int LISTENS = 10;
     /** Pauses between tries at the provider: the first bound and the longest. */
     private static final double FIRST = 100;
+
     private static final double LONGEST = 10_000;
 
     private final String member;
@@ -59,6 +60,7 @@
      * moved.
      */
     private int alarmedFor;
+
     private boolean lately;
     private final ArrayDeque<Double> parts = new ArrayDeque<>();
     private Told told;
@@ -70,11 +72,19 @@
     private Growth.Terms grownBy;
     /** Read by whoever asks for figures; null while it is not held here. */
     private volatile Growth.Means means;
+
     private long keys;
 
     /** @param changed told at each word and each beat, with the time */
-    MemberCharge(String member, Supplier<PoolSettings> settings, Board board, Speaker speaker,
-            Provider provider, Clock clock, long seed, DoubleConsumer changed) {
+    MemberCharge(
+            String member,
+            Supplier<PoolSettings> settings,
+            Board board,
+            Speaker speaker,
+            Provider provider,
+            Clock clock,
+            long seed,
+            DoubleConsumer changed) {
         this.member = member;
         this.settings = settings;
         this.board = board;
@@ -152,16 +162,23 @@
         Mover.View view = new Mover.View(ready, board.taken(member, s.move().runners()), whole);
         Move next = mover.next(s.move(), own().will(), settings.get().moves(member), view, now);
         if (!next.equals(s.move())) {
-            LOG.info("pool-" + next.step().name().toLowerCase(Locale.ROOT), "member " + member + ": "
-                    + next.step() + " with runners " + next.runners(), "member", member, "step", next.step(),
-                    "fence", fence);
+            LOG.info(
+                    "pool-" + next.step().name().toLowerCase(Locale.ROOT),
+                    "member " + member + ": " + next.step() + " with runners " + next.runners(),
+                    "member",
+                    member,
+                    "step",
+                    next.step(),
+                    "fence",
+                    fence);
             return s.moved(next);
         }
         if (own().growth() == null) {
             return s;
         }
-        List<String> names = told == null ? s.added() : told.running().stream().map(Bill::name).sorted()
-                .toList();
+        List<String> names = told == null
+                ? s.added()
+                : told.running().stream().map(Bill::name).sorted().toList();
         return names.equals(s.added()) ? grow(s, ready, now) : s.with(names);
     }
 
@@ -171,19 +188,27 @@
             growth = new Growth(grownBy);
         }
         String key = PoolSettings.duty(member) + "-" + Long.toHexString(fence) + "-" + keys;
-        Growth.Next next = growth.next(s.money(), told, wanted(s.move(), ready), now,
-                (long) clock.now(), key);
+        Growth.Next next = growth.next(s.money(), told, wanted(s.move(), ready), now, (long) clock.now(), key);
         means = growth.means();
-        settled = next == Growth.Next.NOTHING && told != null && told.running().size() >= told.size()
+        settled = next == Growth.Next.NOTHING
+                && told != null
+                && told.running().size() >= told.size()
                 && told.running().stream().allMatch(b -> ready.containsKey(b.name()));
         if (next.store() != null) {
             keys++;
             if (!next.store().near().equals(s.money().near())) {
                 Growth.Means m = growth.means();
-                LOG.warning("near-cap", "member " + member + " is near its cap: spent " + m.spent()
-                        + ", bound to spend " + m.committed() + " of " + m.cap()
-                        + "; nothing is added before " + m.resumes(), "member", member, "spent", m.spent(),
-                        "cap", m.cap());
+                LOG.warning(
+                        "near-cap",
+                        "member " + member + " is near its cap: spent " + m.spent()
+                                + ", bound to spend " + m.committed() + " of " + m.cap()
+                                + "; nothing is added before " + m.resumes(),
+                        "member",
+                        member,
+                        "spent",
+                        m.spent(),
+                        "cap",
+                        m.cap());
             }
             return s.paying(next.store());
         }
@@ -195,8 +220,17 @@
             provider.list(member, now, back(fence));
         } else if (next.put() != null) {
             asking = true;
-            LOG.info("asks-provider", "asks the provider for " + next.put().size() + " runners for " + member,
-                    "member", member, "size", next.put().size(), "key", next.put().key(), "fence", fence);
+            LOG.info(
+                    "asks-provider",
+                    "asks the provider for " + next.put().size() + " runners for " + member,
+                    "member",
+                    member,
+                    "size",
+                    next.put().size(),
+                    "key",
+                    next.put().key(),
+                    "fence",
+                    fence);
             provider.put(member, next, told.etag(), fence, own().kind(), now, back(fence));
         }
         return s;
@@ -227,13 +261,25 @@
         switch (answer.way()) {
             case STALE -> told = null;
             case FENCED -> {
-                LOG.warning("outdone", "the provider has seen a higher fence for " + member, "member", member,
-                        "fence", fence, "seen", answer.fence());
+                LOG.warning(
+                        "outdone",
+                        "the provider has seen a higher fence for " + member,
+                        "member",
+                        member,
+                        "fence",
+                        fence,
+                        "seen",
+                        answer.fence());
                 desk.outdo(PoolSettings.duty(member), answer.fence());
             }
-            default -> LOG.info("provider-fails", "the provider did not answer for " + member, "member",
-                    member,
-                    "way", answer.way());
+            default ->
+                LOG.info(
+                        "provider-fails",
+                        "the provider did not answer for " + member,
+                        "member",
+                        member,
+                        "way",
+                        answer.way());
         }
     }
 
@@ -278,7 +324,12 @@
     @Override
     public List<byte[]> tell(long under, double now) {
         changed.accept(now);
-        return speaker.words(member, under, listening, settings.get().window(), now,
+        return speaker.words(
+                member,
+                under,
+                listening,
+                settings.get().window(),
+                now,
                 () -> board.apart(member).keySet());
     }
 
--- a/src/main/java/nettlewick/pools/PoolSettings.java
+++ b/src/main/java/nettlewick/pools/PoolSettings.java
@@ -17,9 +17,18 @@
  * @param url     where the provider is asked; null: no runner is ever added
  * @param window  of evidence
  */
-record PoolSettings(Map<String, Member> members, Map<String, Double> shares, URI url, double window,
+record PoolSettings(
+        Map<String, Member> members,
+        Map<String, Double> shares,
+        URI url,
+        double window,
         double part,
-        double settle, double come, double clear, double stay, double forget, double timeout) {
+        double settle,
+        double come,
+        double clear,
+        double stay,
+        double forget,
+        double timeout) {
     private static final String PREFIX = "pool-";
 
     /**
@@ -27,8 +36,7 @@
      * @param kind   of runners that are added
      * @param most   so many of them at once
      */
-    record Member(Mover.Will will, Growth.Terms growth, String kind, int most) {
-    }
+    record Member(Mover.Will will, Growth.Terms growth, String kind, int most) {}
 
     static String duty(String member) {
         return PREFIX + member;
@@ -49,18 +57,33 @@
                 throw block.bad("member", "a tenant of the platform's configuration");
             }
             Mover.Will will = wills.getOrDefault(name, Mover.Will.NONE);
-            members.put(name, v.words().size() == 1 ? new Member(will, null, "", 0)
-                    : new Member(will, growth(block, v.part(2)), block.one("price").get().part(0),
-                            v.<Long>part(4).intValue()));
+            members.put(
+                    name,
+                    v.words().size() == 1
+                            ? new Member(will, null, "", 0)
+                            : new Member(
+                                    will,
+                                    growth(block, v.part(2)),
+                                    block.one("price").get().part(0),
+                                    v.<Long>part(4).intValue()));
         }
         for (String name : wills.keySet()) {
             if (!members.containsKey(name)) {
                 throw block.bad("keep", "followed by the name of a `member` line");
             }
         }
-        return new PoolSettings(members, shares, block.has("provider") ? block.get("provider") : null,
-                block.span("window"), block.get("reserve"), block.span("settle"), block.span("come"),
-                block.span("clear"), block.span("stay"), block.span("forget"), block.span("timeout"));
+        return new PoolSettings(
+                members,
+                shares,
+                block.has("provider") ? block.get("provider") : null,
+                block.span("window"),
+                block.get("reserve"),
+                block.span("settle"),
+                block.span("come"),
+                block.span("clear"),
+                block.span("stay"),
+                block.span("forget"),
+                block.span("timeout"));
     }
 
     private static Growth.Terms growth(Block block, long cap) {
@@ -69,8 +92,12 @@
         }
         Block.Value price = block.one("price").get();
         Spending.Cap means = new Spending.Cap(cap, block.get("near"), block.<ZoneId>get("zone"));
-        return new Growth.Terms(means, price.part(1), price.<Double>part(3).longValue(),
-                (long) block.span("reach"), block.text("at-cap").equals("return"));
+        return new Growth.Terms(
+                means,
+                price.part(1),
+                price.<Double>part(3).longValue(),
+                (long) block.span("reach"),
+                block.text("at-cap").equals("return"));
     }
 
     Mover.Terms moves(String member) {
--- a/src/main/java/nettlewick/pools/PoolState.java
+++ b/src/main/java/nettlewick/pools/PoolState.java
@@ -45,8 +45,7 @@
      * @param key   the provider does what comes with one key once
      * @param cents least cost of those that it adds
      */
-    record Intent(String key, int size, long cents) {
-    }
+    record Intent(String key, int size, long cents) {}
 
     byte[] bytes() {
         return GSON.toJson(this).getBytes(StandardCharsets.UTF_8);
@@ -57,7 +56,8 @@
         try {
             PoolState s = GSON.fromJson(new String(data, StandardCharsets.UTF_8), PoolState.class);
             return s == null || s.move == null || s.move.step() == null || s.money == null || s.added == null
-                    ? FIRST : s;
+                    ? FIRST
+                    : s;
         } catch (JsonParseException e) {
             return FIRST;
         }
--- a/src/main/java/nettlewick/pools/PoolsService.java
+++ b/src/main/java/nettlewick/pools/PoolsService.java
@@ -41,9 +41,19 @@
         board = new Board(settings.forget());
         provider = settings.url() == null ? null : new Provider(settings.url(), settings.timeout());
         Speaker speaker = new Speaker(counters, settings.shares());
-        settings.members().keySet().forEach(name -> members.put(name, new MemberCharge(name, () -> settings,
-                board,
-                speaker, provider, clock, seed ^ name.hashCode(), this::follow)));
+        settings.members()
+                .keySet()
+                .forEach(name -> members.put(
+                        name,
+                        new MemberCharge(
+                                name,
+                                () -> settings,
+                                board,
+                                speaker,
+                                provider,
+                                clock,
+                                seed ^ name.hashCode(),
+                                this::follow)));
     }
 
     /** What is done with each member's duty, by the duty's name. */
@@ -66,8 +76,7 @@
             if (next.members().keySet().equals(members.keySet())) {
                 settings = next;
             } else {
-                LOG.warning("members-stay",
-                        "members of `pools` that come or go want a restart; the old block stays");
+                LOG.warning("members-stay", "members of `pools` that come or go want a restart; the old block stays");
             }
         };
     }
@@ -78,8 +87,7 @@
         Core to = core;
         if (to != null && !next.equals(last)) {
             last = next;
-            LOG.info("pools-followed", "members with runners of their own: " + next.size(), "follows",
-                    text(next));
+            LOG.info("pools-followed", "members with runners of their own: " + next.size(), "follows", text(next));
             to.assign(next);
         }
     }
@@ -88,10 +96,11 @@
      * {@code red:1:0:s1,s2;blue:1:1:s3}: member, whether others keep away, whether it stays there, runners.
      */
     private static String text(List<Assignment> all) {
-        return all.stream().map(a -> a.tenant() + ":" + (a.shut() ? 1 : 0) + ":" + (a.confined() ? 1 : 0)
-                + ":"
-                + a.workers().stream().sorted().collect(Collectors.joining(",")))
-                        .collect(Collectors.joining(";"));
+        return all.stream()
+                .map(a -> a.tenant() + ":" + (a.shut() ? 1 : 0) + ":" + (a.confined() ? 1 : 0)
+                        + ":"
+                        + a.workers().stream().sorted().collect(Collectors.joining(",")))
+                .collect(Collectors.joining(";"));
     }
 
     @Override
--- a/src/main/java/nettlewick/pools/Provider.java
+++ b/src/main/java/nettlewick/pools/Provider.java
@@ -30,7 +30,13 @@
     private static final double SECOND = 1000;
 
     /** What became of a question. */
-    enum Way { TOLD, STALE, FENCED, LATER, LOST }
+    enum Way {
+        TOLD,
+        STALE,
+        FENCED,
+        LATER,
+        LOST
+    }
 
     /**
      * @param told  where it is TOLD
@@ -49,10 +55,10 @@
     Provider(URI url, double timeout) {
         this.url = url;
         this.timeout = timeout;
-        vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1));
-        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout((int) timeout)
-                .setMaxRedirects(0),
+        vertx = Vertx.vertx(
+                new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
+        client = vertx.createHttpClient(
+                new HttpClientOptions().setConnectTimeout((int) timeout).setMaxRedirects(0),
                 new PoolOptions().setHttp1MaxSize(AT_ONCE));
     }
 
@@ -67,50 +73,73 @@
      * would
      * spend by what was reckoned then.
      */
-    void put(String member, Growth.Next next, String etag, long fence, String kind, double now,
-            Consumer<Answer> then) {
+    void put(String member, Growth.Next next, String etag, long fence, String kind, double now, Consumer<Answer> then) {
         Intent intent = next.put();
         JsonObject body = new JsonObject();
         body.addProperty("size", intent.size());
         body.addProperty("kind", kind);
-        ask(HttpMethod.PUT, member, new String[] {intent.key(), etag, Long.toString(next.notAfter())},
-                body.toString(), fence, now, then);
+        ask(
+                HttpMethod.PUT,
+                member,
+                new String[] {intent.key(), etag, Long.toString(next.notAfter())},
+                body.toString(),
+                fence,
+                now,
+                then);
     }
 
-    private void ask(HttpMethod method, String member, String[] condition, String body, long fence,
+    private void ask(
+            HttpMethod method,
+            String member,
+            String[] condition,
+            String body,
+            long fence,
             double now,
             Consumer<Answer> then) {
         String path = (url.getPath() == null ? "" : url.getPath()).replaceAll("/+$", "") + "/pools/" + member;
-        Future<Answer> answer = client.request(new RequestOptions().setMethod(method).setHost(url.getHost())
-                .setPort(url.getPort() < 0 ? 80 : url.getPort()).setURI(path)).compose(request -> {
+        Future<Answer> answer = client.request(new RequestOptions()
+                        .setMethod(method)
+                        .setHost(url.getHost())
+                        .setPort(url.getPort() < 0 ? 80 : url.getPort())
+                        .setURI(path))
+                .compose(request -> {
                     if (condition != null) {
-                        request.putHeader("Idempotency-Key", condition[0]).putHeader("If-Match", condition[1])
+                        request.putHeader("Idempotency-Key", condition[0])
+                                .putHeader("If-Match", condition[1])
                                 .putHeader("X-Not-After", condition[2])
-                                .putHeader("X-Fence", Long.toString(fence)).putHeader("Content-Type",
-                                        "application/json");
+                                .putHeader("X-Fence", Long.toString(fence))
+                                .putHeader("Content-Type", "application/json");
                     }
                     return request.send(body == null ? Buffer.buffer() : Buffer.buffer(body));
-                }).compose(response -> response.body().map(text -> answer(response, text, now)));
+                })
+                .compose(response -> response.body().map(text -> answer(response, text, now)));
         // Danger: the client's own time-outs begin with the request's sending, and end with the answer's
         // head.
-        answer.timeout((long) timeout, TimeUnit.MILLISECONDS).otherwise(Answer.NONE).onSuccess(then::accept);
+        answer.timeout((long) timeout, TimeUnit.MILLISECONDS)
+                .otherwise(Answer.NONE)
+                .onSuccess(then::accept);
     }
 
     private static Answer answer(HttpClientResponse response, Buffer body, double now) {
         switch (response.statusCode()) {
             case OK -> {
-                long date = ZonedDateTime.parse(response.getHeader("Date"),
-                        DateTimeFormatter.RFC_1123_DATE_TIME)
-                        .toInstant().toEpochMilli();
-                return new Answer(Way.TOLD, Told.of(body.toString(), response.getHeader("ETag"), date, now),
-                        0, 0);
+                long date = ZonedDateTime.parse(response.getHeader("Date"), DateTimeFormatter.RFC_1123_DATE_TIME)
+                        .toInstant()
+                        .toEpochMilli();
+                return new Answer(Way.TOLD, Told.of(body.toString(), response.getHeader("ETag"), date, now), 0, 0);
             }
             case STALE -> {
                 return new Answer(Way.STALE, null, 0, 0);
             }
             case CONFLICT -> {
-                return new Answer(Way.FENCED, null, JsonParser.parseString(body.toString()).getAsJsonObject()
-                        .get("fence").getAsLong(), 0);
+                return new Answer(
+                        Way.FENCED,
+                        null,
+                        JsonParser.parseString(body.toString())
+                                .getAsJsonObject()
+                                .get("fence")
+                                .getAsLong(),
+                        0);
             }
             case MANY, BUSY -> {
                 String after = response.getHeader("Retry-After");
--- a/src/main/java/nettlewick/pools/Spending.java
+++ b/src/main/java/nettlewick/pools/Spending.java
@@ -44,7 +44,9 @@
 
     /** Billed of this month by now. */
     long spent(List<Bill> bills, long now) {
-        return bills.stream().mapToLong(b -> Math.max(0, b.cost(from, Math.min(now, to), now))).sum();
+        return bills.stream()
+                .mapToLong(b -> Math.max(0, b.cost(from, Math.min(now, to), now)))
+                .sum();
     }
 
     /**
@@ -53,8 +55,9 @@
      * ending them. Danger: what falls into the next month counts here too, lest its last hour buys anything.
      */
     long committed(List<Bill> bills, long now, long reach) {
-        return bills.stream().mapToLong(b -> Math.max(0, b.cost(Math.max(now, from), Long.MAX_VALUE, now
-                + reach))).sum();
+        return bills.stream()
+                .mapToLong(b -> Math.max(0, b.cost(Math.max(now, from), Long.MAX_VALUE, now + reach)))
+                .sum();
     }
 
     /** How many more of these the member may have, of so many wanted. */
--- a/src/main/java/nettlewick/pools/Told.java
+++ b/src/main/java/nettlewick/pools/Told.java
@@ -22,9 +22,14 @@
         List<Bill> bills = new ArrayList<>();
         for (JsonElement one : pool.getAsJsonArray("runners")) {
             JsonObject r = one.getAsJsonObject();
-            Bill bill = new Bill(r.get("name").getAsString(), r.get("kind").getAsString(), r.get("zone")
-                    .getAsString(), r.get("since_ms").getAsLong(), r.get("until_ms").getAsLong(), r.get(
-                            "cents_per_hour").getAsLong(), r.get("least_ms").getAsLong());
+            Bill bill = new Bill(
+                    r.get("name").getAsString(),
+                    r.get("kind").getAsString(),
+                    r.get("zone").getAsString(),
+                    r.get("since_ms").getAsLong(),
+                    r.get("until_ms").getAsLong(),
+                    r.get("cents_per_hour").getAsLong(),
+                    r.get("least_ms").getAsLong());
             if (bill.cents() < 0 || bill.least() < 0) {
                 throw new IllegalArgumentException("a price below nothing");
             }
--- a/src/main/java/nettlewick/settings/BadSettings.java
+++ b/src/main/java/nettlewick/settings/BadSettings.java
@@ -11,9 +11,8 @@
 
     /** A keyword whose value is not what it has to be. */
     public static BadSettings value(Place place, String keyword, String value, String wanted) {
-        return new BadSettings(place, keyword + " is " + (value.isEmpty() ? "empty" : value)
-                + ", but has to be "
-                + wanted);
+        return new BadSettings(
+                place, keyword + " is " + (value.isEmpty() ? "empty" : value) + ", but has to be " + wanted);
     }
 
     private static String line(String text) {
--- a/src/main/java/nettlewick/settings/Block.java
+++ b/src/main/java/nettlewick/settings/Block.java
@@ -44,7 +44,10 @@
     void set(Keyword keyword, Value value) {
         List<Value> before = values.computeIfAbsent(keyword.name(), k -> new ArrayList<>());
         if (!before.isEmpty() && !keyword.many()) {
-            throw BadSettings.value(value.place(), keyword.name(), String.join(" ", value.words()),
+            throw BadSettings.value(
+                    value.place(),
+                    keyword.name(),
+                    String.join(" ", value.words()),
                     "set once only; it is set at " + before.get(0).place());
         }
         before.add(value);
@@ -54,7 +57,9 @@
         for (Block other : inner) {
             if (other.section == block.section
                     && (!block.section.many() || java.util.Objects.equals(other.label, block.label))) {
-                throw BadSettings.value(block.place, block.section.name(),
+                throw BadSettings.value(
+                        block.place,
+                        block.section.name(),
                         block.label == null ? "a second block" : block.label,
                         "there once only; it is there at " + other.place);
             }
@@ -84,7 +89,9 @@
     }
 
     private <T> T value(String name) {
-        return one(name).orElseThrow(() -> new IllegalStateException(name + " is not set")).part(0);
+        return one(name)
+                .orElseThrow(() -> new IllegalStateException(name + " is not set"))
+                .part(0);
     }
 
     public boolean has(String name) {
@@ -131,15 +138,20 @@
     /** What was set, as lines of a file. */
     public String lines() {
         StringBuilder text = new StringBuilder();
-        values.forEach((name, set) -> set.forEach(v -> text.append(name).append(' ').append(v.words().stream()
-                .map(Type::quote).collect(java.util.stream.Collectors.joining(" "))).append('\n')));
+        values.forEach((name, set) -> set.forEach(v -> text.append(name)
+                .append(' ')
+                .append(v.words().stream().map(Type::quote).collect(java.util.stream.Collectors.joining(" ")))
+                .append('\n')));
         return text.toString();
     }
 
     /** Where a keyword stands, for what only its user can check. */
     public BadSettings bad(String name, String wanted) {
         Value value = one(name).orElse(null);
-        return BadSettings.value(value == null ? place : value.place(), name,
-                value == null ? "not set" : String.join(" ", value.words()), wanted);
+        return BadSettings.value(
+                value == null ? place : value.place(),
+                name,
+                value == null ? "not set" : String.join(" ", value.words()),
+                wanted);
     }
 }
--- a/src/main/java/nettlewick/settings/Keyword.java
+++ b/src/main/java/nettlewick/settings/Keyword.java
@@ -13,8 +13,14 @@
  * @param live     whether SIGHUP changes it; else only a restart does
  * @param about    what it does, in a sentence
  */
-public record Keyword(String name, List<List<Type<?>>> forms, String fallback, boolean many, boolean required,
-        boolean live, String about) {
+public record Keyword(
+        String name,
+        List<List<Type<?>>> forms,
+        String fallback,
+        boolean many,
+        boolean required,
+        boolean live,
+        String about) {
     /** A keyword with one value and a value for where nobody sets it. */
     public static Keyword of(String name, Type<?> type, String fallback, String about) {
         return new Keyword(name, List.of(List.of(type)), fallback, false, false, false, about);
@@ -53,8 +59,9 @@
     }
 
     private String usage(List<List<Type<?>>> some) {
-        return some.stream().map(form -> name + " " + form.stream().map(Type::name)
-                .collect(Collectors.joining(" "))).collect(Collectors.joining(" or "));
+        return some.stream()
+                .map(form -> name + " " + form.stream().map(Type::name).collect(Collectors.joining(" ")))
+                .collect(Collectors.joining(" or "));
     }
 
     /** The values that these words stand for; BadSettings where they stand for none. */
@@ -87,8 +94,9 @@
                 near.add(form);
             }
         }
-        throw wrong != null && forms.size() == 1 ? BadSettings.value(place, name, wrong, wanted)
-                : BadSettings.value(place, name, String.join(" ", words), "written as: "
-                        + usage(furthest > 1 ? near : forms));
+        throw wrong != null && forms.size() == 1
+                ? BadSettings.value(place, name, wrong, wanted)
+                : BadSettings.value(
+                        place, name, String.join(" ", words), "written as: " + usage(furthest > 1 ? near : forms));
     }
 }
--- a/src/main/java/nettlewick/settings/Lines.java
+++ b/src/main/java/nettlewick/settings/Lines.java
@@ -23,14 +23,12 @@
     private static final String INCLUDE = "include";
 
     /** One line that says something. {@code closes}: the closing brace of a block, without words. */
-    record Line(Place place, List<String> words, boolean opens, boolean closes) {
-    }
+    record Line(Place place, List<String> words, boolean opens, boolean closes) {}
 
     private final List<Line> lines = new ArrayList<>();
     private final Deque<Path> open = new ArrayDeque<>();
 
-    private Lines() {
-    }
+    private Lines() {}
 
     /** All lines of a file and of those that it includes, in the order in which they count. */
     static List<Line> of(Path file) {
@@ -51,20 +49,22 @@
         String text;
         try {
             real = file.toRealPath();
-            text = StandardCharsets.UTF_8.newDecoder().decode(
-                    java.nio.ByteBuffer.wrap(Files.readAllBytes(real))).toString();
+            text = StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(java.nio.ByteBuffer.wrap(Files.readAllBytes(real)))
+                    .toString();
         } catch (CharacterCodingException e) {
             throw new BadSettings(asked, file + " is not UTF-8 text");
         } catch (IOException e) {
-            throw new BadSettings(asked, file + " cannot be read (" + e.getClass().getSimpleName() + ")");
+            throw new BadSettings(
+                    asked, file + " cannot be read (" + e.getClass().getSimpleName() + ")");
         }
         if (open.contains(real)) {
-            throw BadSettings.value(asked, INCLUDE, file.toString(), "a file that does not include itself: "
-                    + "this is a loop");
+            throw BadSettings.value(
+                    asked, INCLUDE, file.toString(), "a file that does not include itself: " + "this is a loop");
         }
         if (open.size() >= DEPTH_MOST) {
-            throw BadSettings.value(asked, INCLUDE, file.toString(), "nested less than " + DEPTH_MOST
-                    + " deep");
+            throw BadSettings.value(asked, INCLUDE, file.toString(), "nested less than " + DEPTH_MOST + " deep");
         }
         text(file.toString(), real, text);
     }
@@ -100,8 +100,11 @@
 
     private void include(Line line, Path from) {
         if (line.words().size() != 2 || line.opens()) {
-            throw BadSettings.value(line.place(), INCLUDE, String.join(" ",
-                    line.words().subList(1, line.words().size())), "one file");
+            throw BadSettings.value(
+                    line.place(),
+                    INCLUDE,
+                    String.join(" ", line.words().subList(1, line.words().size())),
+                    "one file");
         }
         try {
             file(from.resolveSibling(line.words().get(1)), line.place());
@@ -132,8 +135,7 @@
                 at = quoted(place, raw, at + 1, word);
                 words.add(word.toString());
             } else {
-                for (; at < raw.length() && !Character.isWhitespace(raw.charAt(at))
-                        && raw.charAt(at) != '#'; at++) {
+                for (; at < raw.length() && !Character.isWhitespace(raw.charAt(at)) && raw.charAt(at) != '#'; at++) {
                     word.append(raw.charAt(at));
                 }
                 if (word.indexOf("\"") >= 0) {
--- a/src/main/java/nettlewick/settings/Reference.java
+++ b/src/main/java/nettlewick/settings/Reference.java
@@ -2,8 +2,7 @@
 
 /** The reference page of the settings, made from the table that checks them. */
 public final class Reference {
-    private Reference() {
-    }
+    private Reference() {}
 
     /** The page, in Markdown. */
     public static String page() {
@@ -31,16 +30,28 @@
             page.append("\n| keyword | unless set | SIGHUP | meaning |\n| --- | --- | --- | --- |\n");
         }
         for (Keyword k : section.keywords()) {
-            page.append("| `").append(k.usage().replace("|", "\\|")).append("` | ")
-                    .append(k.required() ? "has to be set" : k.fallback() == null ? "nothing"
-                            : "`" + k.fallback() + "`")
-                    .append(" | ").append(k.live() ? "yes" : "restart").append(" | ").append(k.about())
-                    .append(k.many() ? " May stand more than once." : "").append(" |\n");
+            page.append("| `")
+                    .append(k.usage().replace("|", "\\|"))
+                    .append("` | ")
+                    .append(
+                            k.required()
+                                    ? "has to be set"
+                                    : k.fallback() == null ? "nothing" : "`" + k.fallback() + "`")
+                    .append(" | ")
+                    .append(k.live() ? "yes" : "restart")
+                    .append(" | ")
+                    .append(k.about())
+                    .append(k.many() ? " May stand more than once." : "")
+                    .append(" |\n");
         }
         for (Section inner : section.inner()) {
             String name = path + inner.name();
-            page.append("\n## `").append(name).append(inner.label() == null ? "" : " " + inner.label().name())
-                    .append("`\n\n").append(inner.about()).append('\n');
+            page.append("\n## `")
+                    .append(name)
+                    .append(inner.label() == null ? "" : " " + inner.label().name())
+                    .append("`\n\n")
+                    .append(inner.about())
+                    .append('\n');
             section(inner, name + " ", page);
         }
     }
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -8,8 +8,8 @@
  * @param label what stands behind its name; null for nothing
  * @param many  whether there may be several (each with a label of its own, where it has one)
  */
-public record Section(String name, Type<String> label, boolean many, String about, List<Keyword> keywords,
-        List<Section> inner) {
+public record Section(
+        String name, Type<String> label, boolean many, String about, List<Keyword> keywords, List<Section> inner) {
     Keyword keyword(String word) {
         return keywords.stream().filter(k -> k.name().equals(word)).findFirst().orElse(null);
     }
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -67,10 +67,16 @@
         }
         List<String> rest = line.words().subList(1, line.words().size());
         String label = null;
-        if (section.label() == null ? !rest.isEmpty() : rest.size() != 1
-                || (label = section.label().read(rest.get(0))) == null) {
-            throw BadSettings.value(line.place(), name, String.join(" ", rest), section.label() == null
-                    ? "followed by { alone" : section.label().wanted());
+        if (section.label() == null
+                ? !rest.isEmpty()
+                : rest.size() != 1 || (label = section.label().read(rest.get(0))) == null) {
+            throw BadSettings.value(
+                    line.place(),
+                    name,
+                    String.join(" ", rest),
+                    section.label() == null
+                            ? "followed by { alone"
+                            : section.label().wanted());
         }
         Block block = new Block(section, label, line.place());
         in.add(block);
@@ -100,14 +106,22 @@
         String value = String.join(" ", line.words().subList(1, line.words().size()));
         boolean other = line.opens() ? in.keyword(word) != null : in.section(word) != null;
         if (other) {
-            return BadSettings.value(line.place(), word, value + (line.opens() ? " {" : ""),
+            return BadSettings.value(
+                    line.place(),
+                    word,
+                    value + (line.opens() ? " {" : ""),
                     line.opens() ? "on a line without {" : "a block, which opens with {");
         }
-        String nearest = Stream.concat(in.keywords().stream().map(Keyword::name),
-                in.inner().stream().map(Section::name)).min(java.util.Comparator.comparingInt(
-                        known -> LevenshteinDistance.getDefaultInstance().apply(word, known))).orElse("none");
-        return new BadSettings(line.place(), word + (value.isEmpty() ? "" : " (" + value + ")")
-                + " is no keyword of " + in.name() + "; the nearest is " + nearest);
+        String nearest = Stream.concat(
+                        in.keywords().stream().map(Keyword::name),
+                        in.inner().stream().map(Section::name))
+                .min(java.util.Comparator.comparingInt(
+                        known -> LevenshteinDistance.getDefaultInstance().apply(word, known)))
+                .orElse("none");
+        return new BadSettings(
+                line.place(),
+                word + (value.isEmpty() ? "" : " (" + value + ")") + " is no keyword of " + in.name()
+                        + "; the nearest is " + nearest);
     }
 
     public Optional<Block> block(String name) {
@@ -130,8 +144,10 @@
         for (Section section : mine.section().inner()) {
             List<Block> before = mine.blocks(section.name());
             List<Block> after = other.blocks(section.name());
-            if (!before.stream().map(Block::label).toList().equals(after.stream().map(Block::label)
-                    .toList())) {
+            if (!before.stream()
+                    .map(Block::label)
+                    .toList()
+                    .equals(after.stream().map(Block::label).toList())) {
                 names.add(path + section.name());
                 continue;
             }
@@ -159,9 +175,11 @@
                 text.append(indent).append("# ").append(keyword.name()).append(" is not set\n");
             }
             for (Block.Value value : values) {
-                text.append(String.format("%-50s # %s%n", indent + keyword.name() + " " + value.words()
-                        .stream()
-                        .map(Type::quote).collect(Collectors.joining(" ")), value.place()));
+                text.append(String.format(
+                        "%-50s # %s%n",
+                        indent + keyword.name() + " "
+                                + value.words().stream().map(Type::quote).collect(Collectors.joining(" ")),
+                        value.place()));
             }
         }
         for (Section section : block.section().inner()) {
@@ -170,8 +188,11 @@
             }
         }
         for (Block inner : block.inner()) {
-            text.append(String.format("%-50s # %s%n", indent + inner.section().name()
-                    + (inner.label() == null ? "" : " " + Type.quote(inner.label())) + " {", inner.place()));
+            text.append(String.format(
+                    "%-50s # %s%n",
+                    indent + inner.section().name() + (inner.label() == null ? "" : " " + Type.quote(inner.label()))
+                            + " {",
+                    inner.place()));
             show(inner, indent + "    ", text);
             text.append(indent).append("}\n");
         }
--- a/src/main/java/nettlewick/settings/Type.java
+++ b/src/main/java/nettlewick/settings/Type.java
@@ -38,7 +38,9 @@
 
     /** A name: letters, digits, dot, dash and underscore. */
     public static Type<String> word(String name) {
-        return new Type<>(name, "a name of letters, digits, '.', '-' and '_', 64 at most",
+        return new Type<>(
+                name,
+                "a name of letters, digits, '.', '-' and '_', 64 at most",
                 word -> word.matches("[A-Za-z0-9._-]{1,64}") ? word : null);
     }
 
@@ -49,13 +51,15 @@
 
     public static Type<String> choice(String... words) {
         List<String> all = List.of(words);
-        return new Type<>(String.join("|", all), "one of " + String.join(", ", all),
-                word -> all.contains(word) ? word : null);
+        return new Type<>(
+                String.join("|", all), "one of " + String.join(", ", all), word -> all.contains(word) ? word : null);
     }
 
     public static Type<Boolean> flag() {
-        return new Type<>("yes|no", "yes or no", word -> word.equals("yes") ? Boolean.TRUE
-                : word.equals("no") ? Boolean.FALSE : null);
+        return new Type<>(
+                "yes|no",
+                "yes or no",
+                word -> word.equals("yes") ? Boolean.TRUE : word.equals("no") ? Boolean.FALSE : null);
     }
 
     public static Type<Long> whole(long least, long most) {
@@ -67,26 +71,32 @@
 
     /** A time span, as milliseconds: 250ms, 15s, 10m, 24h, 7d. */
     public static Type<Double> span(double least, double most) {
-        return new Type<>("SPAN", "a time with its unit (ms, s, m, h, d) from " + spanText(least) + " to "
-                + spanText(most), word -> {
-            Matcher m = UNIT.matcher(word);
-            double unit = !m.matches() ? 0 : switch (m.group(2)) {
-                case "ms" -> 1;
-                case "s" -> 1e3;
-                case "m" -> 6e4;
-                case "h" -> 3.6e6;
-                case "d" -> 8.64e7;
-                default -> 0;
-            };
-            double value = unit == 0 ? -1 : Double.parseDouble(m.group(1)) * unit;
-            return value >= least && value <= most ? value : null;
-        });
+        return new Type<>(
+                "SPAN",
+                "a time with its unit (ms, s, m, h, d) from " + spanText(least) + " to " + spanText(most),
+                word -> {
+                    Matcher m = UNIT.matcher(word);
+                    double unit = !m.matches()
+                            ? 0
+                            : switch (m.group(2)) {
+                                case "ms" -> 1;
+                                case "s" -> 1e3;
+                                case "m" -> 6e4;
+                                case "h" -> 3.6e6;
+                                case "d" -> 8.64e7;
+                                default -> 0;
+                            };
+                    double value = unit == 0 ? -1 : Double.parseDouble(m.group(1)) * unit;
+                    return value >= least && value <= most ? value : null;
+                });
     }
 
     static String spanText(double millis) {
-        return millis % 8.64e7 == 0 && millis > 0 ? (long) (millis / 8.64e7) + "d"
-                : millis % 3.6e6 == 0 && millis > 0 ? (long) (millis / 3.6e6) + "h"
-                : millis % 1000 == 0 ? (long) (millis / 1000) + "s" : (long) millis + "ms";
+        return millis % 8.64e7 == 0 && millis > 0
+                ? (long) (millis / 8.64e7) + "d"
+                : millis % 3.6e6 == 0 && millis > 0
+                        ? (long) (millis / 3.6e6) + "h"
+                        : millis % 1000 == 0 ? (long) (millis / 1000) + "s" : (long) millis + "ms";
     }
 
     /** A part such as 20%, as a number from 0 to 1. */
@@ -99,16 +109,17 @@
 
     /** A number of bytes: 512, 64k, 16m, 2g (powers of 1,024). */
     public static Type<Long> size(long least, long most) {
-        return new Type<>("SIZE", "a size in bytes, or with k, m or g, from " + least + " to " + most, word ->
-                {
+        return new Type<>("SIZE", "a size in bytes, or with k, m or g, from " + least + " to " + most, word -> {
             Matcher m = UNIT.matcher(word);
-            int shift = !m.matches() || m.group(1).contains(".") ? -1 : switch (m.group(2)) {
-                case "" -> 0;
-                case "k" -> 10;
-                case "m" -> 20;
-                case "g" -> 30;
-                default -> -1;
-            };
+            int shift = !m.matches() || m.group(1).contains(".")
+                    ? -1
+                    : switch (m.group(2)) {
+                        case "" -> 0;
+                        case "k" -> 10;
+                        case "m" -> 20;
+                        case "g" -> 30;
+                        default -> -1;
+                    };
             long value = shift < 0 ? -1 : Math.multiplyExact(Long.parseLong(m.group(1)), 1L << shift);
             return value >= least && value <= most ? value : null;
         });
@@ -124,8 +135,7 @@
                 return null;
             }
             try {
-                return new InetSocketAddress(InetAddress.getByName(host),
-                        Integer.parseInt(word.substring(colon + 1)));
+                return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(word.substring(colon + 1)));
             } catch (UnknownHostException e) {
                 return null;
             }
@@ -158,9 +168,14 @@
     }
 
     static String quote(String word) {
-        return word.matches("[^\\s\"#{}\\\\]+") ? word : '"' + word.replace("\\", "\\\\").replace("\"",
-                "\\\"")
-                .replace("\n", "\\n").replace("\t", "\\t") + '"';
+        return word.matches("[^\\s\"#{}\\\\]+")
+                ? word
+                : '"'
+                        + word.replace("\\", "\\\\")
+                                .replace("\"", "\\\"")
+                                .replace("\n", "\\n")
+                                .replace("\t", "\\t")
+                        + '"';
     }
 
     static String lower(String text) {
--- a/src/main/java/nettlewick/sim/WireCodec.java
+++ b/src/main/java/nettlewick/sim/WireCodec.java
@@ -25,20 +25,16 @@
     }
 
     /** A new instance of the module begins. */
-    record Start(Dispatcher.Settings settings, long seed) {
-    }
+    record Start(Dispatcher.Settings settings, long seed) {}
 
     /** The instance dies. */
-    record Kill() {
-    }
+    record Kill() {}
 
     /** The events of one instance: {@link Dispatcher.Event}s, {@link Start}s and {@link Kill}s, in order. */
-    record Group(int instance, List<Object> items) {
-    }
+    record Group(int instance, List<Object> items) {}
 
     /** One line of input. */
-    record Batch(long now, long number, List<Group> groups) {
-    }
+    record Batch(long now, long number, List<Group> groups) {}
 
     private static final double NANOS = 1e9;
 
@@ -67,8 +63,8 @@
             if (parser.nextToken() != null) {
                 throw new Malformed("something follows the batch on its line");
             }
-            return new Batch(need(now, "batch", "wall"), need(number, "batch", "batch"),
-                    need(groups, "batch", "groups"));
+            return new Batch(
+                    need(now, "batch", "wall"), need(number, "batch", "batch"), need(groups, "batch", "groups"));
         } catch (IOException e) {
             throw new Malformed("not JSON: " + e.getMessage());
         } catch (IllegalArgumentException e) {
@@ -92,8 +88,7 @@
                     default -> parser.skipChildren();
                 }
             }
-            groups.add(new Group(need(instance, "group", "dispatcher_id").intValue(),
-                    need(items, "group", "items")));
+            groups.add(new Group(need(instance, "group", "dispatcher_id").intValue(), need(items, "group", "items")));
         }
         return groups;
     }
@@ -131,9 +126,16 @@
                 }
                 return new Dispatcher.WorkerList(scope != 0, entries);
             case "ARRIVAL":
-                return new Dispatcher.Arrival(f.text("txn"), f.text("class"), f.textOr("owner"),
-                        f.whole("remaining"), f.numberOr("needs", 1), f.numberOr("mem", 0),
-                        (long) f.numberOr("weight_hint", 0), f.textOr("name_key"), f.flag("repeat"));
+                return new Dispatcher.Arrival(
+                        f.text("txn"),
+                        f.text("class"),
+                        f.textOr("owner"),
+                        f.whole("remaining"),
+                        f.numberOr("needs", 1),
+                        f.numberOr("mem", 0),
+                        (long) f.numberOr("weight_hint", 0),
+                        f.textOr("name_key"),
+                        f.flag("repeat"));
             case "MEMO":
                 return new Dispatcher.PeerMessage((int) f.whole("who"), bytes(f.text("data")));
             case "VANISHED":
@@ -143,16 +145,22 @@
             case "KILL":
                 return new Kill();
             case "REPLY":
-                return new Dispatcher.Outcome(f.text("txn"), (int) f.whole("seq_no"), f.text("worker"),
-                        result(f.text("disposition")), f.whole("latency"), f.flag("settled"), load(f));
+                return new Dispatcher.Outcome(
+                        f.text("txn"),
+                        (int) f.whole("seq_no"),
+                        f.text("worker"),
+                        result(f.text("disposition")),
+                        f.whole("latency"),
+                        f.flag("settled"),
+                        load(f));
             case "INTERIM":
-                return new Dispatcher.Progress(f.text("txn"), (int) f.whole("seq_no"), f.text("worker"),
-                        f.numberOr("amount", 0));
+                return new Dispatcher.Progress(
+                        f.text("txn"), (int) f.whole("seq_no"), f.text("worker"), f.numberOr("amount", 0));
             case "REMINDER":
                 return new Dispatcher.Timer(f.text("mark"));
             case "HEALTH":
-                return new Dispatcher.ProbeAnswer(f.text("worker"), result(f.text("disposition")),
-                        f.whole("latency"), load(f));
+                return new Dispatcher.ProbeAnswer(
+                        f.text("worker"), result(f.text("disposition")), f.whole("latency"), load(f));
             default:
                 throw new Malformed("unknown event type " + type);
         }
@@ -178,8 +186,11 @@
             return null;
         }
         double nan = Double.NaN;
-        return new Dispatcher.Load(report.numberOr("x0", nan), report.numberOr("x1", nan),
-                report.numberOr("depth", nan), report.numberOr("concurrent", nan),
+        return new Dispatcher.Load(
+                report.numberOr("x0", nan),
+                report.numberOr("x1", nan),
+                report.numberOr("depth", nan),
+                report.numberOr("concurrent", nan),
                 report.numberOr("load_share", nan));
     }
 
@@ -192,11 +203,14 @@
             if (life != 0 && life != 2 && life != 3) {
                 throw new Malformed("unknown lifecycle " + life);
             }
-            entries.add(new Dispatcher.WorkerEntry(f.text("worker"),
-                    life == 0 ? Dispatcher.Life.READY
-                            : life == 3 ? Dispatcher.Life.DRAINING : Dispatcher.Life.GONE,
-                    (long) f.numberOr("started_at", 0), (int) f.numberOr("cohort", 0),
-                    f.textOr("generation_hw"), f.textOr("campus"), f.numberOr("size", 1)));
+            entries.add(new Dispatcher.WorkerEntry(
+                    f.text("worker"),
+                    life == 0 ? Dispatcher.Life.READY : life == 3 ? Dispatcher.Life.DRAINING : Dispatcher.Life.GONE,
+                    (long) f.numberOr("started_at", 0),
+                    (int) f.numberOr("cohort", 0),
+                    f.textOr("generation_hw"),
+                    f.textOr("campus"),
+                    f.numberOr("size", 1)));
         }
         return entries;
     }
@@ -212,18 +226,24 @@
             Fields c = new Fields(map(element));
             c.where = "setup.classes";
             int at = classes.size();
-            classes.add(new Dispatcher.JobClass(c.text("name"), repeat(c.text("repeat")),
-                    scope(c.textOr("dedup_scope")), (long) c.numberOr("window", 0), c.whole("aim"),
+            classes.add(new Dispatcher.JobClass(
+                    c.text("name"),
+                    repeat(c.text("repeat")),
+                    scope(c.textOr("dedup_scope")),
+                    (long) c.numberOr("window", 0),
+                    c.whole("aim"),
                     c.numberOr("aim_stretch", at < stretches.size() ? number(stretches.get(at)) : 0),
-                    (long) c.numberOr("deadline", 0), c.numberOr("worth", 1), c.numberOr("late_worth", 0),
-                    c.flag("stream"), at < kinds.size() ? (int) number(kinds.get(at)) : -1,
+                    (long) c.numberOr("deadline", 0),
+                    c.numberOr("worth", 1),
+                    c.numberOr("late_worth", 0),
+                    c.flag("stream"),
+                    at < kinds.size() ? (int) number(kinds.get(at)) : -1,
                     at < priorities.size() ? (int) number(priorities.get(at)) : 0));
         }
         List<Dispatcher.Tenant> tenants = new ArrayList<>();
         for (Object element : f.listOr("tenants")) {
             Fields t = new Fields(map(element));
-            tenants.add(new Dispatcher.Tenant(t.text("name"), t.numberOr("fraction", 0),
-                    t.numberOr("quota_per_s", 0)));
+            tenants.add(new Dispatcher.Tenant(t.text("name"), t.numberOr("fraction", 0), t.numberOr("quota_per_s", 0)));
         }
         List<String> models = new ArrayList<>();
         f.listOr("models").forEach(model -> models.add(String.valueOf(model)));
@@ -232,19 +252,35 @@
         Fields report = f.partOr("report");
         String source = report == null ? "off" : report.textOr("source");
         String weights = f.textOr("weights");
-        return new Dispatcher.Settings((int) f.whole("rank"), (int) f.whole("fleet_size"), f.textOr("zone"),
-                classes, tenants, models, "on_request".equals(f.textOr("membership_mode")),
+        return new Dispatcher.Settings(
+                (int) f.whole("rank"),
+                (int) f.whole("fleet_size"),
+                f.textOr("zone"),
+                classes,
+                tenants,
+                models,
+                "on_request".equals(f.textOr("membership_mode")),
                 "nominal".equals(weights) || "rough".equals(weights),
-                "inline".equals(source) ? Dispatcher.Reports.INLINE
+                "inline".equals(source)
+                        ? Dispatcher.Reports.INLINE
                         : "on_probe".equals(source) ? Dispatcher.Reports.ON_PROBE : Dispatcher.Reports.OFF,
                 family == null ? 0 : (long) family.numberOr("progress", 0),
-                new Dispatcher.Limits((int) limits.whole("attempts_cap"), limits.flag("cancel"),
-                        limits.flag("peers"), limits.flag("probes"), limits.flag("retry_after"),
-                        limits.flag("second_copies"), (long) limits.numberOr("max_retry_after", 0)),
-                new Dispatcher.Rules((long) rules.numberOr("answer_slack", 0),
-                        (long) rules.numberOr("ask_within", NANOS), (long) rules.numberOr("cold", 0),
-                        rules.numberOr("cold_share", 1), (long) rules.numberOr("drain_grace", 0),
-                        (long) rules.numberOr("fall", 0), rules.numberOr("overload_factor", 1)));
+                new Dispatcher.Limits(
+                        (int) limits.whole("attempts_cap"),
+                        limits.flag("cancel"),
+                        limits.flag("peers"),
+                        limits.flag("probes"),
+                        limits.flag("retry_after"),
+                        limits.flag("second_copies"),
+                        (long) limits.numberOr("max_retry_after", 0)),
+                new Dispatcher.Rules(
+                        (long) rules.numberOr("answer_slack", 0),
+                        (long) rules.numberOr("ask_within", NANOS),
+                        (long) rules.numberOr("cold", 0),
+                        rules.numberOr("cold_share", 1),
+                        (long) rules.numberOr("drain_grace", 0),
+                        (long) rules.numberOr("fall", 0),
+                        rules.numberOr("overload_factor", 1)));
     }
 
     private static Dispatcher.Repeat repeat(String word) {
@@ -257,7 +293,8 @@
     }
 
     private static Dispatcher.Scope scope(String word) {
-        return "zone".equals(word) ? Dispatcher.Scope.ZONE
+        return "zone".equals(word)
+                ? Dispatcher.Scope.ZONE
                 : "cell".equals(word) ? Dispatcher.Scope.CELL : Dispatcher.Scope.ALL;
     }
 
@@ -437,7 +474,8 @@
     private static Long integer(JsonParser parser) throws IOException {
         // A seed may use all 64 bits without a sign.
         return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                ? parser.getBigIntegerValue().longValue() : parser.getLongValue();
+                ? parser.getBigIntegerValue().longValue()
+                : parser.getLongValue();
     }
 
     private static Map<String, Object> map(Object value) {
--- a/src/main/java/nettlewick/sse/EdgeConfig.java
+++ b/src/main/java/nettlewick/sse/EdgeConfig.java
@@ -14,14 +14,19 @@
  * @param keepStreams most finished streams that are kept
  * @param maxReaders  most streams open to clients at once
  */
-public record EdgeConfig(SocketAddress listen, long retry, long heartbeat, long grace, long keep,
-        int keepStreams, int maxReaders) {
+public record EdgeConfig(
+        SocketAddress listen, long retry, long heartbeat, long grace, long keep, int keepStreams, int maxReaders) {
     /** Takes the settings' block {@code edge} over. */
     public static EdgeConfig of(Block edge) {
         InetSocketAddress listen = edge.address("listen");
-        return new EdgeConfig(SocketAddress.inetSocketAddress(listen.getPort(), listen.getAddress()
-                .getHostAddress()),
-                (long) edge.span("retry"), (long) edge.span("heartbeat"), (long) edge.span("grace"),
-                (long) edge.span("keep"), (int) edge.whole("keep-streams"), (int) edge.whole("max-readers"));
+        return new EdgeConfig(
+                SocketAddress.inetSocketAddress(
+                        listen.getPort(), listen.getAddress().getHostAddress()),
+                (long) edge.span("retry"),
+                (long) edge.span("heartbeat"),
+                (long) edge.span("grace"),
+                (long) edge.span("keep"),
+                (int) edge.whole("keep-streams"),
+                (int) edge.whole("max-readers"));
     }
 }
--- a/src/main/java/nettlewick/sse/EdgeFront.java
+++ b/src/main/java/nettlewick/sse/EdgeFront.java
@@ -19,6 +19,7 @@
     private static final String STREAMS = "/events/";
     /** Kernel memory for one slow reader: left alone, the kernel would grow it to megabytes. */
     private static final int SEND_BUFFER = 32 * 1024;
+
     private static final long SWEEP = 500;
 
     private final EdgeConfig edge;
@@ -82,8 +83,8 @@
             return;
         }
         Figures.Ticket[] ticket = new Figures.Ticket[1];
-        JobStream stream = new JobStream(draft.jobClass(), draft.tenant(),
-                task -> base.loop().runOnContext(v -> task.run()), ended -> {
+        JobStream stream = new JobStream(
+                draft.jobClass(), draft.tenant(), task -> base.loop().runOnContext(v -> task.run()), ended -> {
                     book.ended(draft.id(), ended, base.clock().now());
                     if (ticket[0] != null) {
                         ended.count(ticket[0]);
@@ -133,8 +134,9 @@
             RpcReader.reject(http, 503, "too many streams are open");
             return false;
         }
-        response.putHeader("Content-Location", STREAMS
-                + URLEncoder.encode(id, StandardCharsets.UTF_8).replace("+", "%20"));
+        response.putHeader(
+                "Content-Location",
+                STREAMS + URLEncoder.encode(id, StandardCharsets.UTF_8).replace("+", "%20"));
         if (base.state().leaving()) {
             response.putHeader("Connection", "close");
         }
--- a/src/main/java/nettlewick/sse/Reader.java
+++ b/src/main/java/nettlewick/sse/Reader.java
@@ -25,7 +25,7 @@
         this.after = after;
         response.setChunked(true).setWriteQueueMaxSize(BUFFER);
         response.putHeader("Content-Type", "text/event-stream").putHeader("Cache-Control", "no-store");
-        response.exceptionHandler(e -> { });
+        response.exceptionHandler(e -> {});
         response.drainHandler(v -> flush());
         response.write("retry: " + retry + "\n\n");
     }
--- a/src/main/java/nettlewick/sse/StreamBook.java
+++ b/src/main/java/nettlewick/sse/StreamBook.java
@@ -19,8 +19,7 @@
     /** Characters of final events kept: they share a small heap with everything else. */
     private static final int SIZE_MOST = 2 << 20;
 
-    private record Finished(String id, JobStream stream, double at) {
-    }
+    private record Finished(String id, JobStream stream, double at) {}
 
     private final Map<String, JobStream> streams = new LinkedHashMap<>();
     private final Deque<Finished> finished = new ArrayDeque<>();
@@ -59,8 +58,10 @@
 
     /** Forgets what has been finished for too long, or is too much. */
     void expire(double now) {
-        while (!finished.isEmpty() && (finished.size() > most || size > SIZE_MOST
-                || now - finished.peekFirst().at() >= keep)) {
+        while (!finished.isEmpty()
+                && (finished.size() > most
+                        || size > SIZE_MOST
+                        || now - finished.peekFirst().at() >= keep)) {
             Finished oldest = finished.pollFirst();
             size -= oldest.stream().size();
             streams.remove(oldest.id());
--- a/src/main/java/nettlewick/standins/DiscoveryServer.java
+++ b/src/main/java/nettlewick/standins/DiscoveryServer.java
@@ -21,8 +21,7 @@
     private static final long BEAT = 2000;
 
     /** A runner as the list holds it. */
-    private record Entry(RunnerServer runner, String health, long born) {
-    }
+    private record Entry(RunnerServer runner, String health, long born) {}
 
     private final Vertx vertx;
     private final double callTime;
@@ -31,9 +30,11 @@
     private final Dial dial;
     /** What has changed, from number 1 on. */
     private final List<Entry> changes = new ArrayList<>();
+
     private final Map<Integer, HttpServerResponse> watchers = new LinkedHashMap<>();
     /** The number to which each dispatcher has been told. */
     private final int[] told;
+
     private final double[] lag;
     private volatile double silentUntil;
     private double servedAt;
@@ -50,8 +51,7 @@
     }
 
     /** @param calls how long it takes over one call, one after another; 0: no time */
-    public DiscoveryServer(Vertx vertx, int dispatchers, double calls, Told drains, DoubleSupplier clock,
-            Dial dial) {
+    public DiscoveryServer(Vertx vertx, int dispatchers, double calls, Told drains, DoubleSupplier clock, Dial dial) {
         this.vertx = vertx;
         callTime = calls;
         this.drains = drains;
@@ -91,7 +91,7 @@
         String uri = request.uri();
         int at = uri.indexOf("after=");
         long after = at < 0 ? -1 : Long.parseLong(uri.substring(at + 6));
-        request.response().exceptionHandler(e -> { });
+        request.response().exceptionHandler(e -> {});
         after(servedAt - now, () -> watch(dispatcher, request.response().setChunked(true), after));
     }
 
@@ -114,8 +114,12 @@
     /** Tells all of a change, each after its own lag. */
     public synchronized void change(RunnerServer runner, String health) {
         double born = runner.model.bornAt();
-        changes.add(new Entry(runner, health, born < 0 || Double.isInfinite(born) ? 0
-                : System.currentTimeMillis() - (long) (clock.getAsDouble() - born)));
+        changes.add(new Entry(
+                runner,
+                health,
+                born < 0 || Double.isInfinite(born)
+                        ? 0
+                        : System.currentTimeMillis() - (long) (clock.getAsDouble() - born)));
         int number = changes.size();
         for (int d = 0; d < told.length; d++) {
             int dispatcher = d;
@@ -131,8 +135,7 @@
 
     private void tell(int dispatcher) {
         HttpServerResponse to = watchers.get(dispatcher);
-        if (to == null || to.closed() || clock.getAsDouble() < silentUntil || told[dispatcher] >= changes
-                .size()) {
+        if (to == null || to.closed() || clock.getAsDouble() < silentUntil || told[dispatcher] >= changes.size()) {
             return;
         }
         int from = told[dispatcher];
@@ -168,9 +171,23 @@
                 continue;
             }
             InetSocketAddress to = dial.of(dispatcher, e.runner());
-            hosts.add(Map.of("host", e.runner().model.name, "dial", to.getHostString() + ":" + to.getPort(),
-                    "site", e.runner().model.zone, "class", "std", "block", 0, "health", e.health(), "share",
-                    1.0, "born_ms", e.born()));
+            hosts.add(Map.of(
+                    "host",
+                    e.runner().model.name,
+                    "dial",
+                    to.getHostString() + ":" + to.getPort(),
+                    "site",
+                    e.runner().model.zone,
+                    "class",
+                    "std",
+                    "block",
+                    0,
+                    "health",
+                    e.health(),
+                    "share",
+                    1.0,
+                    "born_ms",
+                    e.born()));
         }
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("seq", told[dispatcher]);
--- a/src/main/java/nettlewick/standins/ProviderModel.java
+++ b/src/main/java/nettlewick/standins/ProviderModel.java
@@ -18,19 +18,20 @@
     private static final double HOUR = 3_600_000;
 
     /** What a member may spend in a month, in hundredths, and the part of it past which nothing is added. */
-    public record Cap(long cents, double near) {
-    }
+    public record Cap(long cents, double near) {}
 
     /** A runner; {@code until} 0: it runs. */
-    public record Runner(String name, String member, String kind, String zone, long since, long until) {
-    }
+    public record Runner(String name, String member, String kind, String zone, long since, long until) {}
 
     /** A wish that was done, in the order in which they were. */
-    public record Act(String member, long fence) {
-    }
+    public record Act(String member, long fence) {}
 
     /** What becomes of a wish. */
-    public enum Way { DONE, STALE, FENCED }
+    public enum Way {
+        DONE,
+        STALE,
+        FENCED
+    }
 
     private static final class Pool {
         int size;
@@ -70,8 +71,8 @@
      * So many are to run from now on; a key that has come before changes nothing, one that comes too late
      * neither.
      */
-    public synchronized Way want(String member, int size, String key, int version, long fence,
-            long notAfter, long now) {
+    public synchronized Way want(
+            String member, int size, String key, int version, long fence, long notAfter, long now) {
         Pool pool = pool(member);
         if (fence < pool.fence) {
             staleFences++;
@@ -106,12 +107,11 @@
     /** The rule that it keeps an eye on: an addition's cost, with what is owed, stays under the mark. */
     private void check(String member, Pool pool, int size, long now) {
         Cap cap = caps.getOrDefault(member, new Cap(0, 0));
-        double owed = pool.runners.stream().mapToDouble(r -> cost(r, now)).sum() + (size - running(member)
-                .size()) * least * cents / HOUR;
+        double owed = pool.runners.stream().mapToDouble(r -> cost(r, now)).sum()
+                + (size - running(member).size()) * least * cents / HOUR;
         overrun = Math.max(overrun, owed - cap.cents());
         if (owed > cap.cents() * cap.near()) {
-            breaks.add("added for " + member + " up to " + size + " with " + (long) owed + " owed of "
-                    + cap.cents());
+            breaks.add("added for " + member + " up to " + size + " with " + (long) owed + " owed of " + cap.cents());
         }
     }
 
@@ -141,8 +141,11 @@
 
     /** What a runner costs of this month, at its least time, if it ends now. */
     private double cost(Runner r, long now) {
-        long month = YearMonth.from(Instant.ofEpochMilli(now).atOffset(ZoneOffset.UTC)).atDay(1)
-                .atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
+        long month = YearMonth.from(Instant.ofEpochMilli(now).atOffset(ZoneOffset.UTC))
+                .atDay(1)
+                .atStartOfDay(ZoneOffset.UTC)
+                .toInstant()
+                .toEpochMilli();
         long until = Math.max(r.until() == 0 ? now : r.until(), r.since() + least);
         return Math.max(0, until - Math.max(r.since(), month)) * cents / HOUR;
     }
@@ -201,7 +204,16 @@
      * that came again.
      */
     public synchronized Map<String, Integer> counts() {
-        return Map.of("provider_added", added, "acts", acts.size(), "stale_acts_tried", staleFences,
-                "stale_versions", staleVersions, "provider_repeated", repeated);
+        return Map.of(
+                "provider_added",
+                added,
+                "acts",
+                acts.size(),
+                "stale_acts_tried",
+                staleFences,
+                "stale_versions",
+                staleVersions,
+                "provider_repeated",
+                repeated);
     }
 }
--- a/src/main/java/nettlewick/standins/ProviderServer.java
+++ b/src/main/java/nettlewick/standins/ProviderServer.java
@@ -63,6 +63,7 @@
     private volatile Fate fate = Fate.GOOD;
     /** What waits, by its fence. */
     private final TreeMap<Long, List<Runnable>> kept = new TreeMap<>();
+
     public final AtomicInteger calls = new AtomicInteger();
     public final AtomicInteger answersLost = new AtomicInteger();
     private HttpServer server;
@@ -112,26 +113,29 @@
 
     private void serve(HttpServerRequest request) {
         calls.incrementAndGet();
-        request.exceptionHandler(e -> { });
-        request.response().exceptionHandler(e -> { });
+        request.exceptionHandler(e -> {});
+        request.response().exceptionHandler(e -> {});
         String member = request.path().replaceFirst(".*/pools/", "");
         request.body().onSuccess(body -> {
             switch (fate) {
                 case DOWN -> request.connection().close();
-                case BUSY -> request.response().setStatusCode(503).putHeader("Retry-After", "1").end();
+                case BUSY ->
+                    request.response()
+                            .setStatusCode(503)
+                            .putHeader("Retry-After", "1")
+                            .end();
                 case MANY -> request.response().setStatusCode(429).end();
                 default -> {
                     if (request.method() == HttpMethod.PUT) {
-                        JsonObject wish = JsonParser.parseString(body.toString()).getAsJsonObject();
+                        JsonObject wish =
+                                JsonParser.parseString(body.toString()).getAsJsonObject();
                         if (fate == Fate.KEEPS) {
-                            keep(Long.parseLong(request.getHeader("X-Fence")), () -> put(request, member,
-                                    wish));
+                            keep(Long.parseLong(request.getHeader("X-Fence")), () -> put(request, member, wish));
                         } else {
                             put(request, member, wish);
                         }
                     } else {
-                        tell(request, fate == Fate.STALE ? before.getOrDefault(member, list(member))
-                                : list(member));
+                        tell(request, fate == Fate.STALE ? before.getOrDefault(member, list(member)) : list(member));
                     }
                 }
             }
@@ -141,10 +145,13 @@
     private void put(HttpServerRequest request, String member, JsonObject wish) {
         String old = list(member);
         int version = Integer.parseInt(request.getHeader("If-Match").replace("\"", ""));
-        ProviderModel.Way way = model.want(member, wish.get("size").getAsInt(),
+        ProviderModel.Way way = model.want(
+                member,
+                wish.get("size").getAsInt(),
                 request.getHeader("Idempotency-Key"),
-                version, Long.parseLong(request.getHeader("X-Fence")), Long.parseLong(request.getHeader(
-                        "X-Not-After")),
+                version,
+                Long.parseLong(request.getHeader("X-Fence")),
+                Long.parseLong(request.getHeader("X-Not-After")),
                 clock.getAsLong());
         if (way == ProviderModel.Way.FENCED) {
             request.response().setStatusCode(409).end("{\"fence\":" + model.fence(member) + "}");
@@ -193,16 +200,34 @@
             return;
         }
         HttpServerResponse response = request.response();
-        String version = JsonParser.parseString(list).getAsJsonObject().get("version").getAsString();
-        response.putHeader("ETag", '"' + version + '"').putHeader("Date", DateTimeFormatter.RFC_1123_DATE_TIME
-                .format(Instant.ofEpochMilli(clock.getAsLong()).atOffset(ZoneOffset.UTC))).end(list);
+        String version =
+                JsonParser.parseString(list).getAsJsonObject().get("version").getAsString();
+        response.putHeader("ETag", '"' + version + '"')
+                .putHeader(
+                        "Date",
+                        DateTimeFormatter.RFC_1123_DATE_TIME.format(
+                                Instant.ofEpochMilli(clock.getAsLong()).atOffset(ZoneOffset.UTC)))
+                .end(list);
     }
 
     private String list(String member) {
         List<Map<String, Object>> runners = new ArrayList<>();
         for (Runner r : model.all(member)) {
-            runners.add(Map.of("name", r.name(), "kind", r.kind(), "zone", r.zone(), "since_ms", r.since(),
-                    "until_ms", r.until(), "cents_per_hour", model.cents(), "least_ms", model.least()));
+            runners.add(Map.of(
+                    "name",
+                    r.name(),
+                    "kind",
+                    r.kind(),
+                    "zone",
+                    r.zone(),
+                    "since_ms",
+                    r.since(),
+                    "until_ms",
+                    r.until(),
+                    "cents_per_hour",
+                    model.cents(),
+                    "least_ms",
+                    model.least()));
         }
         Map<String, Object> pool = new LinkedHashMap<>();
         pool.put("size", model.size(member));
--- a/src/main/java/nettlewick/standins/Receiver.java
+++ b/src/main/java/nettlewick/standins/Receiver.java
@@ -16,7 +16,15 @@
  */
 public final class Receiver implements AutoCloseable {
     /** What becomes of a call. */
-    public enum Fate { TAKEN, REFUSED_BEFORE, ERROR_AFTER, SILENT_BEFORE, SILENT_AFTER, RESET_AFTER, TWICE }
+    public enum Fate {
+        TAKEN,
+        REFUSED_BEFORE,
+        ERROR_AFTER,
+        SILENT_BEFORE,
+        SILENT_AFTER,
+        RESET_AFTER,
+        TWICE
+    }
 
     private final Vertx vertx = Vertx.vertx();
     private final HttpServer server;
@@ -54,7 +62,7 @@
                 + "/"
                 + request.getHeader("X-Batch-Number");
         String sum = request.getHeader("X-Batch-Sum");
-        request.exceptionHandler(e -> { });
+        request.exceptionHandler(e -> {});
         request.body().onSuccess(body -> {
             Fate fate = script.apply(batch);
             if (fate == Fate.REFUSED_BEFORE) {
@@ -74,8 +82,10 @@
             switch (fate) {
                 case ERROR_AFTER -> request.response().setStatusCode(500).end("broke after it was taken");
                 case RESET_AFTER -> request.connection().close();
-                case SILENT_AFTER -> vertx.setTimer(TimeUnit.MINUTES.toMillis(1), t -> request.connection()
-                        .close());
+                case SILENT_AFTER ->
+                    vertx.setTimer(
+                            TimeUnit.MINUTES.toMillis(1),
+                            t -> request.connection().close());
                 default -> request.response().end(before == null ? "taken" : "known");
             }
         });
--- a/src/main/java/nettlewick/standins/RunnerModel.java
+++ b/src/main/java/nettlewick/standins/RunnerModel.java
@@ -23,22 +23,30 @@
      * @param reportAge how old its load report may be
      * @param cancel    whether it stops a job whose caller has closed the connection
      */
-    public record Kind(int slots, int queue, double cold, double share, double factor, double fall,
-            double reportAge, boolean cancel) {
-    }
+    public record Kind(
+            int slots,
+            int queue,
+            double cold,
+            double share,
+            double factor,
+            double fall,
+            double reportAge,
+            boolean cancel) {}
 
     /** What becomes of a job that comes. */
-    public enum Taken { RUNS, WAITS, FULL, DRAINS }
+    public enum Taken {
+        RUNS,
+        WAITS,
+        FULL,
+        DRAINS
+    }
 
     /** A job that begins to run, and for how long. */
-    public record Begun(String id, double millis) {
-    }
+    public record Begun(String id, double millis) {}
 
-    private record Waiting(String id, double work) {
-    }
+    private record Waiting(String id, double work) {}
 
-    private record Offered(double at, double work) {
-    }
+    private record Offered(double at, double work) {}
 
     public final String name;
     public final String zone;
@@ -52,6 +60,7 @@
     private double bornAt;
     /** A step's factor: the runner is so many times slower. */
     private double slowed = 1;
+
     private boolean draining;
     private boolean up = true;
     private boolean fallen;
@@ -115,7 +124,8 @@
 
     private double speedAt(double now) {
         double age = now - bornAt;
-        double warm = kind.cold() <= 0 || age >= kind.cold() ? 1
+        double warm = kind.cold() <= 0 || age >= kind.cold()
+                ? 1
                 : kind.share() + (1 - kind.share()) * Math.max(0, age) / kind.cold();
         return speed * warm / slowed;
     }
--- a/src/main/java/nettlewick/standins/RunnerServer.java
+++ b/src/main/java/nettlewick/standins/RunnerServer.java
@@ -40,8 +40,7 @@
     }
 
     /** A report as it was some time ago. */
-    private record Report(double at, String text) {
-    }
+    private record Report(double at, String text) {}
 
     /** Milliseconds between two words of a job that runs. */
     public static final double PROGRESS = 1000;
@@ -57,6 +56,7 @@
     private InetSocketAddress address;
     /** Until when it swallows what comes, and until when its reports say that it is empty. */
     public volatile double hungUntil;
+
     public volatile double emptyUntil;
     private volatile Report report = new Report(Double.NEGATIVE_INFINITY, "");
     private boolean fell;
@@ -76,9 +76,9 @@
         server.connectionHandler(c -> {
             connections.add(c);
             c.closeHandler(v -> connections.remove(c));
-            c.exceptionHandler(e -> { });
+            c.exceptionHandler(e -> {});
         });
-        server.exceptionHandler(e -> { });
+        server.exceptionHandler(e -> {});
         server.requestHandler(this::serve);
         if (address == null) {
             StandIns.get(server.listen(0, host));
@@ -115,7 +115,7 @@
 
     private void serve(HttpServerRequest request) {
         double now = clock.getAsDouble();
-        request.exceptionHandler(e -> { });
+        request.exceptionHandler(e -> {});
         if (now < hungUntil) {
             return;
         }
@@ -132,8 +132,10 @@
         }
         if (now - report.at() >= model.kind.reportAge()) {
             int free = Math.max(0, model.slots - model.busy());
-            report = new Report(now, "depth=" + model.waiting() + ",concurrent=" + (model.busy()
-                    + model.waiting()) + ",x0=" + free + ",x1=" + free);
+            report = new Report(
+                    now,
+                    "depth=" + model.waiting() + ",concurrent=" + (model.busy() + model.waiting()) + ",x0=" + free
+                            + ",x1=" + free);
         }
         return report.text();
     }
@@ -142,7 +144,7 @@
         double now = clock.getAsDouble();
         String id = request.getHeader("X-Request-Id");
         HttpServerResponse response = request.response();
-        response.exceptionHandler(e -> { });
+        response.exceptionHandler(e -> {});
         if (now < hungUntil || !model.up()) {
             return;
         }
--- a/src/main/java/nettlewick/standins/StandIns.java
+++ b/src/main/java/nettlewick/standins/StandIns.java
@@ -27,6 +27,7 @@
     public final Vertx vertx = Vertx.vertx();
     /** How often each request id began to run, at any runner. */
     public final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
+
     public final List<String> seen = new CopyOnWriteArrayList<>();
     public final List<String> watches = new CopyOnWriteArrayList<>();
     /** Milliseconds that a job runs. */
@@ -41,6 +42,7 @@
     public volatile boolean resetKept;
     /** Whether lists come indented, over several lines. */
     public volatile boolean indented;
+
     public final AtomicInteger resets = new AtomicInteger();
     private final Set<HttpConnection> used = ConcurrentHashMap.newKeySet();
     private final Map<String, String> hosts = new LinkedHashMap<>();
@@ -79,13 +81,17 @@
 
     private String list(boolean whole, Iterable<String> entries) {
         String line = oneLine(whole, entries);
-        return indented ? new com.google.gson.GsonBuilder().setPrettyPrinting().create()
-                .toJson(com.google.gson.JsonParser.parseString(line)) + "\n" : line;
+        return indented
+                ? new com.google.gson.GsonBuilder()
+                                .setPrettyPrinting()
+                                .create()
+                                .toJson(com.google.gson.JsonParser.parseString(line))
+                        + "\n"
+                : line;
     }
 
     private String oneLine(boolean whole, Iterable<String> entries) {
-        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries)
-                + "]}\n";
+        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
     }
 
     /** Starts a sim runner, and has discovery tell of it. */
@@ -172,7 +178,7 @@
             runs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
             int time = timeOf(body.toString());
             HttpServerResponse response = request.response().setChunked(true);
-            response.exceptionHandler(e -> { });
+            response.exceptionHandler(e -> {});
             response.write(line(id, name, "started\"}"));
             after(time / 2, () -> {
                 if (!response.closed()) {
@@ -201,24 +207,86 @@
     }
 
     private static Map<String, Object> jobClass(String name, String repeat) {
-        return Map.of("name", name, "repeat", repeat, "aim", 500_000_000L, "deadline", 5_000_000_000L,
-                "worth", 1, "window", 5_000_000_000L, "dedup_scope", "zone");
+        return Map.of(
+                "name",
+                name,
+                "repeat",
+                repeat,
+                "aim",
+                500_000_000L,
+                "deadline",
+                5_000_000_000L,
+                "worth",
+                1,
+                "window",
+                5_000_000_000L,
+                "dedup_scope",
+                "zone");
     }
 
     /** A configuration in the platform's form, as maps to change before it is written. */
     public Map<String, Object> config() {
-        Map<String, Object> settings = new LinkedHashMap<>(Map.of("rank", 0, "fleet_size", 2, "zone", "a",
-                "models", List.of("std"), "classes", List.of(jobClass("step-view", "retryable"),
-                        jobClass("save-run", "dedup"), jobClass("mark-submit", "fragile")),
-                "tenants", List.of(Map.of("name", "red", "fraction", 1.0)),
-                "report", Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0", "x1")),
-                "ceilings", Map.of("attempts_cap", 6, "cancel", true, "peers", true, "probes", true,
-                        "retry_after", true, "second_copies", true, "max_retry_after", 2_000_000_000L,
-                        "connect_timeout", 200_000_000L, "conn_idle", 5_000_000_000L),
-                "rules", Map.of("cold", 8_900_000_000L, "cold_share", 0.32, "overload_factor", 3.0,
-                        "drain_grace", 3_000_000_000L, "fall", 1_000_000_000L)));
-        return new LinkedHashMap<>(Map.of("name", "n0", "listen", "127.0.0.1:0", "discovery",
-                "127.0.0.1:" + discovery.actualPort(), "seed", "8c1f30d27a5be964", "settings", settings));
+        Map<String, Object> settings = new LinkedHashMap<>(Map.of(
+                "rank",
+                0,
+                "fleet_size",
+                2,
+                "zone",
+                "a",
+                "models",
+                List.of("std"),
+                "classes",
+                List.of(
+                        jobClass("step-view", "retryable"),
+                        jobClass("save-run", "dedup"),
+                        jobClass("mark-submit", "fragile")),
+                "tenants",
+                List.of(Map.of("name", "red", "fraction", 1.0)),
+                "report",
+                Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0", "x1")),
+                "ceilings",
+                Map.of(
+                        "attempts_cap",
+                        6,
+                        "cancel",
+                        true,
+                        "peers",
+                        true,
+                        "probes",
+                        true,
+                        "retry_after",
+                        true,
+                        "second_copies",
+                        true,
+                        "max_retry_after",
+                        2_000_000_000L,
+                        "connect_timeout",
+                        200_000_000L,
+                        "conn_idle",
+                        5_000_000_000L),
+                "rules",
+                Map.of(
+                        "cold",
+                        8_900_000_000L,
+                        "cold_share",
+                        0.32,
+                        "overload_factor",
+                        3.0,
+                        "drain_grace",
+                        3_000_000_000L,
+                        "fall",
+                        1_000_000_000L)));
+        return new LinkedHashMap<>(Map.of(
+                "name",
+                "n0",
+                "listen",
+                "127.0.0.1:0",
+                "discovery",
+                "127.0.0.1:" + discovery.actualPort(),
+                "seed",
+                "8c1f30d27a5be964",
+                "settings",
+                settings));
     }
 
     /** The list as it is, in discovery's form: what a dispatcher may have known before it started. */
--- a/src/main/java/nettlewick/store/Database.java
+++ b/src/main/java/nettlewick/store/Database.java
@@ -65,8 +65,7 @@
 
     private static StoreException failed(String what, String done, SQLException e) {
         int code = e.getErrorCode() & 0xff;
-        boolean damaged = code == SQLiteErrorCode.SQLITE_CORRUPT.code
-                || code == SQLiteErrorCode.SQLITE_NOTADB.code;
+        boolean damaged = code == SQLiteErrorCode.SQLITE_CORRUPT.code || code == SQLiteErrorCode.SQLITE_NOTADB.code;
         return new StoreException(what + " cannot be " + done + ": " + e.getMessage(), e, damaged);
     }
 
@@ -131,7 +130,8 @@
 
     /** The first value of the first row, or null. */
     public String value(String sql, Object... values) throws SQLException {
-        try (PreparedStatement s = prepare(sql, values); ResultSet r = s.executeQuery()) {
+        try (PreparedStatement s = prepare(sql, values);
+                ResultSet r = s.executeQuery()) {
             return r.next() ? r.getString(1) : null;
         }
     }
--- a/src/main/java/nettlewick/waiting/Afterlife.java
+++ b/src/main/java/nettlewick/waiting/Afterlife.java
@@ -5,17 +5,24 @@
 /** What becomes of a job that was accepted by a process that has died. Does no I/O and reads no clock. */
 public final class Afterlife {
     /** How far it had come by what is recorded. */
-    public enum State { WAITING, RELEASED, ENDED }
+    public enum State {
+        WAITING,
+        RELEASED,
+        ENDED
+    }
 
     /** What is done with it. */
-    public enum What { WAIT, RELEASE, FAIL, NOTHING }
+    public enum What {
+        WAIT,
+        RELEASE,
+        FAIL,
+        NOTHING
+    }
 
     /** {@code why} is for the client, where it fails; else null. */
-    public record Verdict(What what, String why) {
-    }
+    public record Verdict(What what, String why) {}
 
-    private Afterlife() {
-    }
+    private Afterlife() {}
 
     /**
      * Decides. A release is recorded before the job is handed in, so one that is recorded may have run, and
@@ -28,9 +35,15 @@
      * @param attempts how many it has had, and {@code most} how many there may be
      * @param left     milliseconds of its own time that are left
      */
-    public static Verdict decide(State state, Repeat repeat, double since, double window, boolean site,
+    public static Verdict decide(
+            State state,
+            Repeat repeat,
+            double since,
+            double window,
+            boolean site,
             int attempts,
-            int most, double left) {
+            int most,
+            double left) {
         if (state == State.ENDED) {
             return new Verdict(What.NOTHING, null);
         }
--- a/src/main/java/nettlewick/waiting/Gate.java
+++ b/src/main/java/nettlewick/waiting/Gate.java
@@ -24,12 +24,12 @@
     private static final double LEAST = 1;
 
     /** A job at the gate; {@code size} is its work as guessed, in slot-milliseconds, above 0. */
-    private record Waiting(String id, String member, double worth, double size, double since) {
-    }
+    private record Waiting(String id, String member, double worth, double size, double since) {}
 
     private static final class Queue {
         /** By worth: within one worth the oldest is always the first. */
         final TreeMap<Double, Deque<Waiting>> byWorth = new TreeMap<>();
+
         double deficit;
         int size;
     }
@@ -40,6 +40,7 @@
     private final Map<String, Queue> queues = new HashMap<>();
     /** Members that have jobs here, in the order of their turns. */
     private final Deque<String> turns = new ArrayDeque<>();
+
     private final Map<String, Waiting> out = new HashMap<>();
     private double window;
     private double halvedUntil = Double.NEGATIVE_INFINITY;
@@ -51,9 +52,8 @@
      */
     public Gate(double age, double quantum, double window, double most) {
         if (!(age > 0 && quantum > 0 && window >= LEAST && most >= window)) {
-            throw new IllegalArgumentException("a gate of age " + age + ", quantum " + quantum + ", window "
-                    + window
-                    + " to " + most);
+            throw new IllegalArgumentException(
+                    "a gate of age " + age + ", quantum " + quantum + ", window " + window + " to " + most);
         }
         this.age = age;
         this.quantum = quantum;
@@ -197,9 +197,8 @@
      * @param largest slot-milliseconds of the largest job
      * @param pace    slot-milliseconds that are handed in each millisecond, at least
      */
-    public static double bound(double age, double worths, int members, double work, double largest,
-            double quantum,
-            double pace) {
+    public static double bound(
+            double age, double worths, int members, double work, double largest, double quantum, double pace) {
         // By turns its member gets, of each round of quantum for all, its own; rounds are whole, and each
         // member may
         // overdraw its turn by one job.
--- a/src/main/java/nettlewick/waiting/Plan.java
+++ b/src/main/java/nettlewick/waiting/Plan.java
@@ -23,14 +23,21 @@
  */
 public final class Plan {
     /** What a job does where one that it waits on failed, was cancelled, or did not come in time. */
-    public enum OnFailure { FAIL, RUN, SKIP }
+    public enum OnFailure {
+        FAIL,
+        RUN,
+        SKIP
+    }
 
     /** How a job that was released ended. REFUSED frees its name without an end: it may come again. */
-    public enum End { SUCCEEDED, FAILED, REFUSED }
+    public enum End {
+        SUCCEEDED,
+        FAILED,
+        REFUSED
+    }
 
     /** A name of a member's; nobody else's names are visible to it. */
-    public record Name(String member, String text) {
-    }
+    public record Name(String member, String text) {}
 
     /**
      * What a job asks for.
@@ -40,40 +47,54 @@
      * @param notBefore when it may start at the earliest; 0 for at once
      * @param until     when it stops waiting
      */
-    public record Ask(String id, String member, String name, List<String> after, double notBefore,
+    public record Ask(
+            String id,
+            String member,
+            String name,
+            List<String> after,
+            double notBefore,
             double until,
-            OnFailure onFailure, int bytes) {
+            OnFailure onFailure,
+            int bytes) {
         public Ask {
             after = List.copyOf(after);
         }
     }
 
     /** Bounds; what passes one is refused. */
-    public record Limits(int jobs, int jobsOfMember, long bytes, long bytesOfMember, int after, int followers,
-            int depth, double ahead, int endsOfMember) {
-    }
+    public record Limits(
+            int jobs,
+            int jobsOfMember,
+            long bytes,
+            long bytesOfMember,
+            int after,
+            int followers,
+            int depth,
+            double ahead,
+            int endsOfMember) {}
 
     /** What is to be done. */
-    public sealed interface Effect permits Ready, Done, Wake {
-    }
+    public sealed interface Effect permits Ready, Done, Wake {}
 
     /** It waits for nothing any more: it goes to the gate. */
-    public record Ready(String id) implements Effect {
-    }
+    public record Ready(String id) implements Effect {}
 
     /**
      * Its final answer: it never ran. {@code cause} is for people and names the predecessor, where there is
      * one.
      */
-    public record Done(String id, Fate fate, String cause) implements Effect {
-    }
+    public record Done(String id, Fate fate, String cause) implements Effect {}
 
     /** {@link #wake} is to be called for it at that time. */
-    public record Wake(String id, double at) implements Effect {
-    }
+    public record Wake(String id, double at) implements Effect {}
 
     /** How a job ended that was never handed in. */
-    public enum Fate { FAILED, SKIPPED, CANCELLED, EXPIRED }
+    public enum Fate {
+        FAILED,
+        SKIPPED,
+        CANCELLED,
+        EXPIRED
+    }
 
     /** Why a job is not accepted; {@code full}: it may come again later, as it is. */
     public static final class Refused extends Exception {
@@ -113,6 +134,7 @@
     private final Map<Name, Set<Node>> followers = new HashMap<>();
     /** By member: ends of names, the oldest first; true where it succeeded. */
     private final Map<String, LinkedHashMap<String, Boolean>> ends = new HashMap<>();
+
     private final Map<String, int[]> counts = new HashMap<>();
     private final Map<String, long[]> sizes = new HashMap<>();
     private long bytes;
@@ -145,7 +167,8 @@
             // A name that comes again waits for its new end.
             ends(ask.member()).remove(ask.name());
         }
-        node.open.forEach(name -> followers.computeIfAbsent(name, n -> new LinkedHashSet<>()).add(node));
+        node.open.forEach(name ->
+                followers.computeIfAbsent(name, n -> new LinkedHashSet<>()).add(node));
         effects.add(new Wake(ask.id(), ask.until()));
         if (ask.notBefore() > now) {
             effects.add(new Wake(ask.id(), ask.notBefore()));
@@ -223,9 +246,12 @@
         }
         if (now >= node.ask.until()) {
             if (node.open.isEmpty()) {
-                finish(node, Fate.EXPIRED, node.held ? "it was held until its time was over"
-                        : "its time was over",
-                        now, effects);
+                finish(
+                        node,
+                        Fate.EXPIRED,
+                        node.held ? "it was held until its time was over" : "its time was over",
+                        now,
+                        effects);
             } else {
                 Name missing = node.open.iterator().next();
                 if (node.ask.onFailure() == OnFailure.RUN) {
@@ -292,7 +318,9 @@
 
     /** The names that a member's jobs here wait on and that have no job here: peers are asked for them. */
     public List<Name> elsewhere() {
-        return followers.keySet().stream().filter(name -> !named.containsKey(name)).toList();
+        return followers.keySet().stream()
+                .filter(name -> !named.containsKey(name))
+                .toList();
     }
 
     public int size() {
@@ -384,7 +412,12 @@
         }
     }
 
-    private void end(Name name, boolean succeeded, String what, double now, Deque<Node> work,
+    private void end(
+            Name name,
+            boolean succeeded,
+            String what,
+            double now,
+            Deque<Node> work,
             Deque<Done> fates,
             List<Effect> effects) {
         LinkedHashMap<String, Boolean> kept = ends(name.member());
--- a/src/main/java/nettlewick/waiting/WaitStore.java
+++ b/src/main/java/nettlewick/waiting/WaitStore.java
@@ -20,23 +20,36 @@
     private static final String TABLE = "CREATE TABLE IF NOT EXISTS job(id TEXT PRIMARY KEY, state INTEGER "
             + "NOT NULL, "
             + "job TEXT NOT NULL, changed REAL NOT NULL, site TEXT, attempts INTEGER NOT NULL, event "
-                    + "INTEGER NOT "
+            + "INTEGER NOT "
             + "NULL, fate TEXT, cause TEXT) WITHOUT ROWID";
 
     /** What is needed to hand a job in again, and to answer for it. Times are Unix milliseconds. */
-    record Job(Plan.Ask ask, String jobClass, double worth, double run, String method, String uri,
+    record Job(
+            Plan.Ask ask,
+            String jobClass,
+            double worth,
+            double run,
+            String method,
+            String uri,
             String body,
-            String key, double slots, double memory, double hint) {
-    }
+            String key,
+            double slots,
+            double memory,
+            double hint) {}
 
     /** A job as it stands; {@code event} is the number of the last event that its watchers may have seen. */
-    record Stored(Job job, Afterlife.State state, double changed, String site, int attempts, long event,
-            String fate, String cause) {
-    }
+    record Stored(
+            Job job,
+            Afterlife.State state,
+            double changed,
+            String site,
+            int attempts,
+            long event,
+            String fate,
+            String cause) {}
 
     /** How a job ended. */
-    record Ended(String id, String fate, String cause, long event) {
-    }
+    record Ended(String id, String fate, String cause, long event) {}
 
     private final Database database;
     private final Gson gson = new Gson();
@@ -46,9 +59,7 @@
     }
 
     static WaitStore open(Path folder, Database.Point point) throws StoreException {
-        WaitStore store = new WaitStore(Database.open(folder.resolve(FILE), false,
-                "the store of waiting jobs",
-                point));
+        WaitStore store = new WaitStore(Database.open(folder.resolve(FILE), false, "the store of waiting jobs", point));
         try {
             store.change(() -> store.database.tables(TABLE));
             return store;
@@ -63,7 +74,7 @@
     }
 
     private void change(Change change) throws StoreException {
-        database.change("written", () -> { }, () -> {
+        database.change("written", () -> {}, () -> {
             change.run();
             return null;
         });
@@ -97,7 +108,9 @@
 
     /** These are about to be handed in. Danger: recorded later, a crash would hand a mark-submit in twice. */
     void release(List<String> ids, double now) throws StoreException {
-        each("UPDATE job SET state = 1, changed = ?, attempts = attempts + 1 WHERE id = ? AND state < 2", ids,
+        each(
+                "UPDATE job SET state = 1, changed = ?, attempts = attempts + 1 WHERE id = ? AND state < 2",
+                ids,
                 (s, id) -> {
                     s.setDouble(1, now);
                     s.setString(2, id);
@@ -106,15 +119,15 @@
 
     /** The module has turned a job away, which proves that it never ran: it waits again. */
     void back(String id, double now) throws StoreException {
-        change(() -> database.run("UPDATE job SET state = 0, changed = ? WHERE id = ? AND state = 1", now,
-                id));
+        change(() -> database.run("UPDATE job SET state = 0, changed = ? WHERE id = ? AND state = 1", now, id));
     }
 
     /** These have their ends; the first end of a job stays. */
     void end(List<Ended> ends, double now) throws StoreException {
-        each("UPDATE job SET state = 2, changed = ?, fate = ?, cause = ?, event = ? WHERE id = ? AND state "
-                + "< 2",
-                ends, (s, end) -> {
+        each(
+                "UPDATE job SET state = 2, changed = ?, fate = ?, cause = ?, event = ? WHERE id = ? AND state " + "< 2",
+                ends,
+                (s, end) -> {
                     s.setDouble(1, now);
                     s.setString(2, end.fate());
                     s.setString(3, end.cause());
@@ -125,8 +138,8 @@
 
     /** Forgets jobs that ended before then. */
     int forget(double before) throws StoreException {
-        return database.change("written", () -> { },
-                () -> database.run("DELETE FROM job WHERE state = 2 AND changed < ?", before));
+        return database.change(
+                "written", () -> {}, () -> database.run("DELETE FROM job WHERE state = 2 AND changed < ?", before));
     }
 
     /** All jobs, those that were accepted first at the beginning. */
@@ -134,12 +147,18 @@
         return database.look(() -> {
             List<Stored> all = new ArrayList<>();
             try (PreparedStatement s = database.prepare("SELECT state, job, changed, site, attempts, event, "
-                    + "fate, cause "
-                    + "FROM job ORDER BY changed, id"); ResultSet r = s.executeQuery()) {
+                            + "fate, cause "
+                            + "FROM job ORDER BY changed, id");
+                    ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    all.add(new Stored(gson.fromJson(r.getString(2), Job.class),
+                    all.add(new Stored(
+                            gson.fromJson(r.getString(2), Job.class),
                             Afterlife.State.values()[r.getInt(1)],
-                            r.getDouble(3), r.getString(4), r.getInt(5), r.getLong(6), r.getString(7),
+                            r.getDouble(3),
+                            r.getString(4),
+                            r.getInt(5),
+                            r.getLong(6),
+                            r.getString(7),
                             r.getString(8)));
                 }
             } catch (JsonParseException e) {
--- a/src/main/java/nettlewick/waiting/Wish.java
+++ b/src/main/java/nettlewick/waiting/Wish.java
@@ -18,13 +18,14 @@
  * @param window    how long after that its start may be spread
  * @param until     when it stops waiting
  */
-public record Wish(String name, List<String> after, double notBefore, double window, double until,
-        OnFailure onFailure) {
+public record Wish(
+        String name, List<String> after, double notBefore, double window, double until, OnFailure onFailure) {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._:-]{1,64}");
     private static final Pattern SECONDS = Pattern.compile("\\d{1,9}(\\.\\d{1,6})?");
     private static final double SECOND = 1000;
-    private static final String[] HEADERS = {"X-Job-Name", "X-After", "X-Not-Before", "X-Window", "X-Wait",
-        "X-On-Failure"};
+    private static final String[] HEADERS = {
+        "X-Job-Name", "X-After", "X-Not-Before", "X-Window", "X-Wait", "X-On-Failure"
+    };
 
     /** A header that is not in order, in one line; the status is 400. */
     public static final class Mistake extends Exception {
@@ -61,8 +62,7 @@
         }
         String name = one(headers, "X-Job-Name");
         if (name != null && !NAME.matcher(name).matches()) {
-            throw new Mistake("X-Job-Name is not a name of letters, digits, '.', '_', ':' and '-', 64 at "
-                    + "most");
+            throw new Mistake("X-Job-Name is not a name of letters, digits, '.', '_', ':' and '-', 64 at " + "most");
         }
         List<String> after = after(one(headers, "X-After"));
         if (name != null && after.contains(name)) {
@@ -120,8 +120,8 @@
         try {
             return Math.max(0, now + (OffsetDateTime.parse(text).toInstant().toEpochMilli() - wall));
         } catch (DateTimeException e) {
-            throw new Mistake("X-Not-Before is neither a time such as 2026-12-01T09:00:00+04:00 nor + and "
-                    + "seconds");
+            throw new Mistake(
+                    "X-Not-Before is neither a time such as 2026-12-01T09:00:00+04:00 nor + and " + "seconds");
         }
     }
 
--- a/src/test/java/nettlewick/cli/Child.java
+++ b/src/test/java/nettlewick/cli/Child.java
@@ -11,19 +11,21 @@
 
 /** The program as a process of its own, to be killed for real. */
 public final class Child {
-    private Child() {
-    }
+    private Child() {}
 
     /** Starts a command; its log goes to that file. */
-    public static Process start(Path log, Map<String, String> environment,
-            String... words) throws IOException {
-        List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-cp",
+    public static Process start(Path log, Map<String, String> environment, String... words) throws IOException {
+        List<String> line = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xshare:auto",
+                "-cp",
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 "nettlewick.cli.Main"));
         line.addAll(List.of(words));
-        ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(line)
+                .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(environment);
         return builder.start();
@@ -33,8 +35,7 @@
     public static void until(Process child, Path log, BooleanSupplier condition) throws Exception {
         while (!condition.getAsBoolean()) {
             if (!child.isAlive()) {
-                throw new AssertionError("the process ended with " + child.exitValue() + ": "
-                        + Files.readString(log));
+                throw new AssertionError("the process ended with " + child.exitValue() + ": " + Files.readString(log));
             }
             TimeUnit.MILLISECONDS.sleep(5);
         }
--- a/src/test/java/nettlewick/cli/DutyProcessTest.java
+++ b/src/test/java/nettlewick/cli/DutyProcessTest.java
@@ -28,10 +28,12 @@
 class DutyProcessTest {
     private static final int SIZE = 5;
     private static final int VOTERS = 3;
-    private static final Pattern HELD = Pattern.compile("\"event\":\"duty-held\".*\"fence\":\"?(\\d+).*\"term\":\"?(\\d+)");
+    private static final Pattern HELD =
+            Pattern.compile("\"event\":\"duty-held\".*\"fence\":\"?(\\d+).*\"term\":\"?(\\d+)");
 
     @TempDir
     private Path dir;
+
     private final Process[] processes = new Process[SIZE];
     private final List<Path> logs = new ArrayList<>();
     private final Path[] log = new Path[SIZE];
@@ -43,10 +45,11 @@
     private final int[] reached = new int[SIZE];
 
     private void start(int number, Map<String, Object> config) throws IOException {
-        StringBuilder all = new StringBuilder("log {\nform json\n}\nduty {\nlisten 127.0.0.1:" + ports[number] + "\nnumber " + number + "\nvoters "
-                + (number == other ? SIZE : VOTERS) + "\n"
-                + "lease 1s\nkey \"" + dir.resolve("key") + "\"\nname pool-red\n"
-                + (folders ? "folder \"" + dir.resolve("voter" + number) + "\"\n" : ""));
+        StringBuilder all = new StringBuilder(
+                "log {\nform json\n}\nduty {\nlisten 127.0.0.1:" + ports[number] + "\nnumber " + number + "\nvoters "
+                        + (number == other ? SIZE : VOTERS) + "\n"
+                        + "lease 1s\nkey \"" + dir.resolve("key") + "\"\nname pool-red\n"
+                        + (folders ? "folder \"" + dir.resolve("voter" + number) + "\"\n" : ""));
         for (int port : reached) {
             all.append("dispatcher 127.0.0.1:").append(port).append('\n');
         }
@@ -55,8 +58,8 @@
         log[number] = dir.resolve("log" + logs.size());
         Files.createFile(log[number]);
         logs.add(log[number]);
-        processes[number] = Child.start(log[number], Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings",
-                settings.toString());
+        processes[number] = Child.start(
+                log[number], Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
     }
 
     private static boolean says(Path log, String event) {
@@ -69,7 +72,9 @@
 
     private static long count(Path log, String event) {
         try {
-            return Files.readAllLines(log).stream().filter(l -> l.contains("\"event\":\"" + event + "\"")).count();
+            return Files.readAllLines(log).stream()
+                    .filter(l -> l.contains("\"event\":\"" + event + "\""))
+                    .count();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -172,7 +177,8 @@
     @Test
     void aDutyGoesOnThroughCutsAndVotersThatForget() throws Exception {
         ask();
-        try (DutyRelay relay = new DutyRelay(ports, 11); StandIns world = new StandIns()) {
+        try (DutyRelay relay = new DutyRelay(ports, 11);
+                StandIns world = new StandIns()) {
             System.arraycopy(relay.ports(), 0, reached, 0, SIZE);
             world.addRunner("s-1");
             relay.fates(0.3, 0.1);
@@ -258,11 +264,16 @@
     private void checkTerms(int least) {
         TreeMap<Long, Long> fences = terms();
         assertTrue(fences.size() >= least, "terms " + fences.keySet());
-        assertEquals(new ArrayList<>(fences.values()), fences.values().stream().sorted().distinct().toList(), "fences grow");
+        assertEquals(
+                new ArrayList<>(fences.values()),
+                fences.values().stream().sorted().distinct().toList(),
+                "fences grow");
     }
 
     private void signal(int number, String signal) throws Exception {
-        new ProcessBuilder("kill", signal, Long.toString(processes[number].pid())).start().waitFor();
+        new ProcessBuilder("kill", signal, Long.toString(processes[number].pid()))
+                .start()
+                .waitFor();
     }
 
     @AfterEach
--- a/src/test/java/nettlewick/cli/DutyRelay.java
+++ b/src/test/java/nettlewick/cli/DutyRelay.java
@@ -43,7 +43,9 @@
     }
 
     int[] ports() {
-        return java.util.Arrays.stream(ends).mapToInt(DatagramSocket::getLocalPort).toArray();
+        return java.util.Arrays.stream(ends)
+                .mapToInt(DatagramSocket::getLocalPort)
+                .toArray();
     }
 
     void fates(double lossPart, double doublePart) {
@@ -105,13 +107,17 @@
     }
 
     private void send(int to, byte[] data, int late) {
-        timer.schedule(() -> {
-            try {
-                ends[to].send(new DatagramPacket(data, data.length, new InetSocketAddress("127.0.0.1", targets[to])));
-            } catch (IOException e) {
-                lost.incrementAndGet();
-            }
-        }, late, TimeUnit.MILLISECONDS);
+        timer.schedule(
+                () -> {
+                    try {
+                        ends[to].send(
+                                new DatagramPacket(data, data.length, new InetSocketAddress("127.0.0.1", targets[to])));
+                    } catch (IOException e) {
+                        lost.incrementAndGet();
+                    }
+                },
+                late,
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/test/java/nettlewick/cli/LabCommandTest.java
+++ b/src/test/java/nettlewick/cli/LabCommandTest.java
@@ -32,7 +32,13 @@
 
     private Process lab(String what, String text) throws Exception {
         Path file = Files.writeString(dir.resolve("scenario.conf"), text);
-        return Child.start(dir.resolve("log"), Map.of("LC_ALL", "C"), "lab", what, file.toString(), "--out",
+        return Child.start(
+                dir.resolve("log"),
+                Map.of("LC_ALL", "C"),
+                "lab",
+                what,
+                file.toString(),
+                "--out",
                 dir.resolve("out").toString());
     }
 
--- a/src/test/java/nettlewick/cli/LedgerKillTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillTest.java
@@ -49,16 +49,16 @@
     }
 
     private Path conf(String name, String more) throws IOException {
-        return Files.writeString(dir.resolve(name), "ledger {\nstore \"" + dir.resolve("store") + "\"\n"
-                + more
-                + "\n}\n");
+        return Files.writeString(
+                dir.resolve(name), "ledger {\nstore \"" + dir.resolve("store") + "\"\n" + more + "\n}\n");
     }
 
     /** One job; whether it was answered whole, whatever the answer. Null where the connection broke. */
     private static Boolean ask(int port, String id) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.getOutputStream().write(StandIns.job("/api", id, "step-view", "{}", "Connection: close")
-                    .getBytes());
+            socket.getOutputStream()
+                    .write(StandIns.job("/api", id, "step-view", "{}", "Connection: close")
+                            .getBytes());
             InputStream in = socket.getInputStream();
             String got = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
             int head = got.indexOf("\r\n\r\n");
@@ -66,7 +66,8 @@
             if (head < 0 || at < 0) {
                 return false;
             }
-            int length = Integer.parseInt(got.substring(at + 16, got.indexOf("\r\n", at)).strip());
+            int length = Integer.parseInt(
+                    got.substring(at + 16, got.indexOf("\r\n", at)).strip());
             return got.length() - head - 4 == length;
         } catch (IOException e) {
             return null;
@@ -91,7 +92,10 @@
                 Map<String, Object> config = world.config();
                 config.put("listen", "127.0.0.1:" + port);
                 Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
-                Process child = Child.start(log, Map.of("ROUTER_CONFIG", file.toString()), "serve",
+                Process child = Child.start(
+                        log,
+                        Map.of("ROUTER_CONFIG", file.toString()),
+                        "serve",
                         "--settings",
                         (kill % 2 == 0 ? sync : batch).toString());
                 StandIns.until(() -> !child.isAlive() || healthy(port));
@@ -128,20 +132,25 @@
             }
         }
         // Any command that writes enters what the last life left.
-        LedgerSettings settings = LedgerSettings.of(Settings.read(batch).block("ledger").orElseThrow());
+        LedgerSettings settings =
+                LedgerSettings.of(Settings.read(batch).block("ledger").orElseThrow());
         StoreProbe.Seen seen = StoreProbe.recover(settings);
         Map<String, Integer> times = new HashMap<>();
         seen.entered().forEach(id -> times.merge(id, 1, Integer::sum));
         seen.doubts().forEach(id -> times.merge(id, 1, Integer::sum));
-        List<String> missing = answered.stream().filter(id -> !times.containsKey(id)).toList();
+        List<String> missing =
+                answered.stream().filter(id -> !times.containsKey(id)).toList();
         assertEquals(List.of(), missing, "answered and neither entered nor in doubt");
-        assertEquals(List.of(), times.entrySet().stream().filter(e -> e.getValue() > 1).toList(),
+        assertEquals(
+                List.of(),
+                times.entrySet().stream().filter(e -> e.getValue() > 1).toList(),
                 "entered twice");
         assertTrue(asked.containsAll(times.keySet()), "invented");
         // What is entered and not answered was on its way when the process was killed: one a client at most.
         long more = times.keySet().stream().filter(id -> !answered.contains(id)).count();
         assertTrue(more <= (long) KILLS * CLIENTS, more + " entered or in doubt and not seen answered");
-        assertEquals(answered.size() + more, seen.entered().size() + seen.doubts().size());
+        assertEquals(
+                answered.size() + more, seen.entered().size() + seen.doubts().size());
         assertTrue(answered.size() > KILLS * 20, answered.size() + " answered");
         assertEquals(List.of(), seen.verify());
     }
@@ -150,8 +159,7 @@
         try (Socket socket = new Socket("127.0.0.1", port)) {
             String call = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
             socket.getOutputStream().write(call.getBytes());
-            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
-                    .contains(" 200 ");
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII).contains(" 200 ");
         } catch (IOException e) {
             return false;
         }
@@ -164,13 +172,21 @@
         Path out = dir.resolve("out");
         ConcurrentLinkedQueue<Process> current = new ConcurrentLinkedQueue<>();
         AtomicInteger left = new AtomicInteger();
-        Receiver.Fate[] fates = {Receiver.Fate.TAKEN, Receiver.Fate.TAKEN, Receiver.Fate.REFUSED_BEFORE,
-            Receiver.Fate.ERROR_AFTER, Receiver.Fate.RESET_AFTER};
+        Receiver.Fate[] fates = {
+            Receiver.Fate.TAKEN,
+            Receiver.Fate.TAKEN,
+            Receiver.Fate.REFUSED_BEFORE,
+            Receiver.Fate.ERROR_AFTER,
+            Receiver.Fate.RESET_AFTER
+        };
         try (Receiver receiver = new Receiver()) {
-            Path conf = conf("export.conf", "export r {\nurl http://127.0.0.1:" + receiver.port()
-                    + "/\nmost 9\n"
-                    + "retry 1ms 5ms\nattempts 50\n}\nexport f {\nfolder \"" + out + "\"\nmost 9\n}");
-            LedgerSettings settings = LedgerSettings.of(Settings.read(conf).block("ledger").orElseThrow());
+            Path conf = conf(
+                    "export.conf",
+                    "export r {\nurl http://127.0.0.1:" + receiver.port()
+                            + "/\nmost 9\n"
+                            + "retry 1ms 5ms\nattempts 50\n}\nexport f {\nfolder \"" + out + "\"\nmost 9\n}");
+            LedgerSettings settings =
+                    LedgerSettings.of(Settings.read(conf).block("ledger").orElseThrow());
             receiver.script(batch -> {
                 if (left.decrementAndGet() == 0) {
                     // Half of the kills come before the batch is taken, half after.
@@ -197,8 +213,11 @@
             assertEquals(0, Main.run("ledger", "export", "--settings", conf.toString(), "--json"));
             assertNull(receiver.conflict());
             List<Long> wanted = List.of(total[0], total[1]);
-            assertEquals(wanted, StoreProbe.totals(receiver.taken().values().stream().map(b -> b.getBytes())
-                    .toList()));
+            assertEquals(
+                    wanted,
+                    StoreProbe.totals(receiver.taken().values().stream()
+                            .map(b -> b.getBytes())
+                            .toList()));
             assertEquals(wanted, StoreProbe.totals(StoreProbe.files(out)));
         }
     }
--- a/src/test/java/nettlewick/cli/ListProcessTest.java
+++ b/src/test/java/nettlewick/cli/ListProcessTest.java
@@ -28,6 +28,7 @@
 
     @TempDir
     private Path dir;
+
     private StandIns world;
     private final List<Process> processes = new ArrayList<>();
 
@@ -52,7 +53,10 @@
         Path log = Files.createFile(dir.resolve("log" + processes.size()));
         Process process = Child.start(log, Map.of("ROUTER_CONFIG", file.toString()), "serve");
         processes.add(process);
-        Child.until(process, log, () -> says(port, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 "));
+        Child.until(
+                process,
+                log,
+                () -> says(port, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 "));
         return port;
     }
 
@@ -72,8 +76,8 @@
     }
 
     private static String job(String id, String jobClass, String tenant, String deadline) {
-        return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + jobClass + "\r\nX-Tenant: " + tenant
-                + "\r\nX-Deadline: " + deadline + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+        return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + jobClass + "\r\nX-Tenant: "
+                + tenant + "\r\nX-Deadline: " + deadline + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     }
 
     /** Guards against a list that is read by lines, and a watch that stays open and says nothing. */
@@ -84,7 +88,9 @@
         int[] ports = new int[3];
         for (int n = 0; n < ports.length; n++) {
             ports[n] = start(world.config());
-            assertTrue(send(ports[n], job("a" + n, "step-view", "red", "5")).contains(" 200 "), "an indented list is read");
+            assertTrue(
+                    send(ports[n], job("a" + n, "step-view", "red", "5")).contains(" 200 "),
+                    "an indented list is read");
         }
         int watches = world.watches.size();
         world.silence();
@@ -104,9 +110,12 @@
         });
         int before = world.seen.size();
         for (int i = 0; i < 30; i++) {
-            assertTrue(send(ports[i % ports.length], job("b" + i, "step-view", "red", "5")).contains(" 200 "));
+            assertTrue(send(ports[i % ports.length], job("b" + i, "step-view", "red", "5"))
+                    .contains(" 200 "));
         }
-        assertTrue(world.seen.subList(before, world.seen.size()).stream().noneMatch(s -> s.startsWith("s-old ")), "one drains");
+        assertTrue(
+                world.seen.subList(before, world.seen.size()).stream().noneMatch(s -> s.startsWith("s-old ")),
+                "one drains");
     }
 
     /** Names, effects and limits come from the settings: one tenant, no zone, one runner, 300 ms. */
@@ -118,8 +127,12 @@
         settings.remove("zone");
         settings.put("fleet_size", 1);
         settings.put("tenants", List.of(Map.of("name", "gilda-do-bairro", "fraction", 1.0)));
-        settings.put("classes", List.of(jobClass("step-view", "fragile"), jobClass("mark-submit", "retryable"),
-                jobClass("zurzir", "dedup")));
+        settings.put(
+                "classes",
+                List.of(
+                        jobClass("step-view", "fragile"),
+                        jobClass("mark-submit", "retryable"),
+                        jobClass("zurzir", "dedup")));
         world.addRunner("s-1");
         int port = start(config);
         Map<String, Integer> failures = new HashMap<>(Map.of("u", 1, "r", 1));
@@ -128,7 +141,9 @@
             if (failures.merge(id, -1, Integer::sum) >= 0) {
                 request.connection().close();
             } else {
-                request.response().end("{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
+                request.response()
+                        .end("{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"r-" + id
+                                + "\"}\n");
             }
         };
         String unsafe = send(port, job("u", "step-view", "gilda-do-bairro", "0.3"));
@@ -145,7 +160,20 @@
     }
 
     private static Map<String, Object> jobClass(String name, String repeat) {
-        return Map.of("name", name, "repeat", repeat, "aim", SECOND / 5, "deadline", 3 * SECOND / 10, "worth", 1, "window", SECOND,
-                "dedup_scope", "all");
+        return Map.of(
+                "name",
+                name,
+                "repeat",
+                repeat,
+                "aim",
+                SECOND / 5,
+                "deadline",
+                3 * SECOND / 10,
+                "worth",
+                1,
+                "window",
+                SECOND,
+                "dedup_scope",
+                "all");
     }
 }
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -91,8 +91,7 @@
     @Test
     void settingsAreCheckedAndShown(@TempDir Path dir) throws Exception {
         Path good = Files.writeString(dir.resolve("good"), "log {\nlevel error\n}\n");
-        Path bad = Files.writeString(dir.resolve("bad"),
-                "ledger {\nstore /x\nterm a from 2026-02-01 to 2026-01-01\n}");
+        Path bad = Files.writeString(dir.resolve("bad"), "ledger {\nstore /x\nterm a from 2026-02-01 to 2026-01-01\n}");
         assertTrue(out(0, "settings", "check", good.toString()).contains("in order"));
         assertTrue(out(0, "settings", "show", good.toString()).contains("level error"));
         assertTrue(run(2, "settings", "check", bad.toString()).contains("bad:3: term is"));
@@ -108,7 +107,8 @@
         SettingsFile settings = new SettingsFile(file.toString());
         try {
             Files.writeString(file, "log {\nlevel debug\n}\nedge {\n}\n");
-            assertTrue(assertThrows(BadSettings.class, settings::reread).getMessage()
+            assertTrue(assertThrows(BadSettings.class, settings::reread)
+                    .getMessage()
                     .contains("c:4: edge lacks"));
             assertFalse(LoggerFactory.getLogger("x").isWarnEnabled(), "the old level stays");
             Files.writeString(file, "log {\nlevel debug\n}\n");
@@ -121,20 +121,25 @@
 
     @Test
     void theLedgersCommandsAnswerWithTablesJsonAndCodes(@TempDir Path dir) throws Exception {
-        Path conf = Files.writeString(dir.resolve("c"), "ledger {\nstore \"" + dir.resolve("s")
-                + "\"\nexport f {\n"
-                + "folder \"" + dir.resolve("out") + "\"\n}\n}\n");
+        Path conf = Files.writeString(
+                dir.resolve("c"),
+                "ledger {\nstore \"" + dir.resolve("s")
+                        + "\"\nexport f {\n"
+                        + "folder \"" + dir.resolve("out") + "\"\n}\n}\n");
         String[] s = {"--settings", conf.toString()};
         assertTrue(run(1, "ledger", "verify", s[0], s[1]).contains("no ledger in"));
-        StoreProbe.fill(LedgerSettings.of(Settings.read(conf).block("ledger").get()),
-                new java.util.Random(1), 3,
-                new long[2]);
+        StoreProbe.fill(
+                LedgerSettings.of(Settings.read(conf).block("ledger").get()), new java.util.Random(1), 3, new long[2]);
         assertTrue(out(0, "ledger", "statement", s[0], s[1]).contains("period 2026-11, open at a"));
-        JsonObject all = JsonParser.parseString(out(0, "ledger", "statement", "2026-11", "--json", s[0],
-                s[1]))
+        JsonObject all = JsonParser.parseString(out(0, "ledger", "statement", "2026-11", "--json", s[0], s[1]))
                 .getAsJsonObject();
-        assertEquals("2026-11", all.getAsJsonArray("statements").get(0).getAsJsonObject().get("period")
-                .getAsString());
+        assertEquals(
+                "2026-11",
+                all.getAsJsonArray("statements")
+                        .get(0)
+                        .getAsJsonObject()
+                        .get("period")
+                        .getAsString());
         assertTrue(out(0, "ledger", "verify", s[0], s[1]).contains("all chains are whole"));
         assertTrue(out(0, "ledger", "export", "--json", s[0], s[1]).contains("\"entries\":3"));
         assertTrue(run(2, "ledger", "close", "2999-01", s[0], s[1]).contains("ends at"));
--- a/src/test/java/nettlewick/cli/RollingProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingProcessTest.java
@@ -41,6 +41,7 @@
 
     @TempDir
     private Path dir;
+
     private final int[] ports = new int[TIER];
     private final Process[] tier = new Process[TIER];
     private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
@@ -66,7 +67,8 @@
             }
             head.append((char) b);
         }
-        java.util.regex.Matcher length = java.util.regex.Pattern.compile("(?i)content-length: (\\d+)").matcher(head);
+        java.util.regex.Matcher length =
+                java.util.regex.Pattern.compile("(?i)content-length: (\\d+)").matcher(head);
         in.readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
         return new Answer(head.substring(9, 12), head.toString());
     }
@@ -82,7 +84,8 @@
 
     private void took(Answer answer, String id) {
         statuses.computeIfAbsent(answer.status(), s -> new AtomicInteger()).incrementAndGet();
-        if (!answer.status().equals("200") && !(answer.status().equals("503") && answer.head().contains("Retry-After"))) {
+        if (!answer.status().equals("200")
+                && !(answer.status().equals("503") && answer.head().contains("Retry-After"))) {
             broken.add(id + " got " + answer.head());
         }
     }
@@ -98,7 +101,7 @@
     private void keep(int client, int at, int together) {
         try (Socket socket = connect(at)) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (boolean last = false; !last && !over;) {
+            for (boolean last = false; !last && !over; ) {
                 java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
                 List<String> ids = new ArrayList<>();
                 for (int i = 0; i < together; i++) {
@@ -172,14 +175,17 @@
         config.put("name", "n" + number);
         config.put("listen", "127.0.0.1:" + ports[number]);
         Path file = Files.writeString(dir.resolve("config" + number), new Gson().toJson(config));
-        tier[number] = Child.start(dir.resolve("log" + number), Map.of("ROUTER_CONFIG", file.toString(),
-                "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir), "serve");
+        tier[number] = Child.start(
+                dir.resolve("log" + number),
+                Map.of("ROUTER_CONFIG", file.toString(), "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir),
+                "serve");
     }
 
     private boolean healthy(int number) {
         try (Socket socket = connect(number)) {
-            socket.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             Answer answer = read(socket.getInputStream());
             return answer != null && answer.status().equals("200");
         } catch (IOException e) {
@@ -208,15 +214,17 @@
             List<Thread> clients = new ArrayList<>();
             for (int c = 0; c < CLIENTS; c++) {
                 int client = c;
-                Thread t = new Thread(() -> {
-                    for (int at = client / 3; !over; at++) {
-                        switch (client % 3) {
-                            case 0 -> keep(client, at % TIER, 1);
-                            case 1 -> keep(client, at % TIER, PIPELINED);
-                            default -> once(client, at % TIER);
-                        }
-                    }
-                }, "client-" + c);
+                Thread t = new Thread(
+                        () -> {
+                            for (int at = client / 3; !over; at++) {
+                                switch (client % 3) {
+                                    case 0 -> keep(client, at % TIER, 1);
+                                    case 1 -> keep(client, at % TIER, PIPELINED);
+                                    default -> once(client, at % TIER);
+                                }
+                            }
+                        },
+                        "client-" + c);
                 t.start();
                 clients.add(t);
             }
@@ -236,7 +244,8 @@
             assertEquals(List.of(), List.copyOf(broken), statuses::toString);
             assertTrue(newBroken.get() <= newOnes.get() / NEW, newBroken + " of " + newOnes + " on new connections");
             assertTrue(statuses.get("200").get() > 300, statuses::toString);
-            world.runs.forEach((id, runs) -> assertTrue(!id.startsWith("mark") || runs.get() <= 1, id + " ran " + runs));
+            world.runs.forEach(
+                    (id, runs) -> assertTrue(!id.startsWith("mark") || runs.get() <= 1, id + " ran " + runs));
         }
     }
 
--- a/src/test/java/nettlewick/cli/SecondSiteProcessTest.java
+++ b/src/test/java/nettlewick/cli/SecondSiteProcessTest.java
@@ -39,6 +39,7 @@
 
     @TempDir
     private Path dir;
+
     private StandIns world;
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, String> statuses = new ConcurrentHashMap<>();
@@ -62,8 +63,21 @@
     }
 
     private static Map<String, Object> jobClass(String name, String repeat) {
-        return Map.of("name", name, "repeat", repeat, "aim", SECOND, "deadline", 25 * SECOND, "worth", 1,
-                "window", 30 * SECOND, "dedup_scope", "zone");
+        return Map.of(
+                "name",
+                name,
+                "repeat",
+                repeat,
+                "aim",
+                SECOND,
+                "deadline",
+                25 * SECOND,
+                "worth",
+                1,
+                "window",
+                30 * SECOND,
+                "dedup_scope",
+                "zone");
     }
 
     /** Settings of a site that is asked for its list and runs long jobs, for one of so many dispatchers. */
@@ -121,8 +135,11 @@
     }
 
     private String job(int port, String id, String jobClass, int millis) {
-        String status = status(exchange(port, StandIns.job("/api", id, jobClass, "" + millis, "Connection: close",
-                "X-Cost-Hint: " + 1000 * millis).toString().replace("X-Deadline: 4\r", "X-Deadline: 24\r")));
+        String status = status(exchange(
+                port,
+                StandIns.job("/api", id, jobClass, "" + millis, "Connection: close", "X-Cost-Hint: " + 1000 * millis)
+                        .toString()
+                        .replace("X-Deadline: 4\r", "X-Deadline: 24\r")));
         statuses.put(id, status);
         return status;
     }
@@ -201,7 +218,7 @@
             StandIns.until(() -> yes(port, "/_health"));
         }
         // From now on discovery takes calls and says nothing.
-        world.discoveryInstead = request -> { };
+        world.discoveryInstead = request -> {};
         world.breakWatches();
         Random random = new Random(29);
         List<Integer> order = new ArrayList<>(IntStream.range(0, 7).boxed().toList());
@@ -274,12 +291,14 @@
             }));
         }
         CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(60, TimeUnit.SECONDS);
-        List<String> swallowed = world.seen.stream().filter(s -> s.startsWith("s-2 ")).toList();
+        List<String> swallowed =
+                world.seen.stream().filter(s -> s.startsWith("s-2 ")).toList();
         assertTrue(swallowed.size() <= 45, swallowed.size() + " of 264 jobs went to the hung runner");
         assertEquals(240, safe.get(), "each safe job was answered, with no deadline waited for");
         for (String line : swallowed) {
             String id = line.split(" ")[3];
-            long sent = world.seen.stream().filter(s -> s.contains(" " + id + " ")).count();
+            long sent =
+                    world.seen.stream().filter(s -> s.contains(" " + id + " ")).count();
             assertTrue(!id.startsWith("mark") || sent == 1, id + " was sent " + sent + " times");
         }
         nothingRanTwice();
@@ -324,7 +343,8 @@
         for (int j = 0; j < 60; j++) {
             job(ports[j % 4], "view-after-" + j, "step-view", 5);
         }
-        List<String> late = world.seen.subList(told, world.seen.size()).stream().filter(s -> s.startsWith("s-1 "))
+        List<String> late = world.seen.subList(told, world.seen.size()).stream()
+                .filter(s -> s.startsWith("s-1 "))
                 .toList();
         assertEquals(List.of(), late, "nothing new where it drains");
     }
@@ -333,7 +353,7 @@
         switch (call % 3) {
             case 0 -> request.response().setStatusCode(503).end();
             case 1 -> request.connection().close();
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -23,6 +23,7 @@
 class SignalsProcessTest {
     @TempDir
     private Path dir;
+
     private Process dispatcher;
 
     @AfterEach
@@ -33,12 +34,19 @@
     }
 
     private void signal(String name) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(dispatcher.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(dispatcher.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private static boolean healthy(int port) {
         try (RawClient client = new RawClient(port)) {
-            return client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").read().status() == 200;
+            return client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+                            .read()
+                            .status()
+                    == 200;
         } catch (IOException e) {
             return false;
         }
@@ -56,19 +64,34 @@
             Map<String, Object> config = world.config();
             config.put("listen", "127.0.0.1:" + port);
             Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
-            dispatcher = Child.start(dir.resolve("log"), Map.of("ROUTER_CONFIG", file.toString(),
-                    "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir), "serve");
+            dispatcher = Child.start(
+                    dir.resolve("log"),
+                    Map.of("ROUTER_CONFIG", file.toString(), "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir),
+                    "serve");
             Child.until(dispatcher, dir.resolve("log"), () -> healthy(port));
-            try (RawClient working = new RawClient(port); RawClient kept = new RawClient(port)) {
-                assertEquals("r-k1", kept.send(StandIns.job("/api", "k1", "step-view", "10")).read().body());
+            try (RawClient working = new RawClient(port);
+                    RawClient kept = new RawClient(port)) {
+                assertEquals(
+                        "r-k1",
+                        kept.send(StandIns.job("/api", "k1", "step-view", "10"))
+                                .read()
+                                .body());
                 working.send(StandIns.job("/api", "w", "mark-submit", "1200"));
                 StandIns.until(() -> world.seen.size() == 2);
                 for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
                     signal(signal);
                 }
-                assertEquals("r-k2", kept.send(StandIns.job("/api", "k2", "step-view", "10")).read().body());
+                assertEquals(
+                        "r-k2",
+                        kept.send(StandIns.job("/api", "k2", "step-view", "10"))
+                                .read()
+                                .body());
                 try (RawClient late = new RawClient(port)) {
-                    assertEquals("r-l", late.send(StandIns.job("/api", "l", "mark-submit", "10")).read().body());
+                    assertEquals(
+                            "r-l",
+                            late.send(StandIns.job("/api", "l", "mark-submit", "10"))
+                                    .read()
+                                    .body());
                 }
                 assertEquals("r-w", working.read().body());
                 assertNull(kept.read(), "ended in good order, not reset");
--- a/src/test/java/nettlewick/contention/EvidenceTest.java
+++ b/src/test/java/nettlewick/contention/EvidenceTest.java
@@ -18,7 +18,6 @@
     private static final int RUNNERS = 8;
     private static final int LIMIT = 40;
 
-
     private final Map<String, Double> shares = new LinkedHashMap<>(Map.of("red", 0.25, "blue", 0.25, "green", 0.5));
     private VirtualTier tier;
 
@@ -223,8 +222,17 @@
 
     @net.jqwik.api.Provide
     net.jqwik.api.Arbitrary<Word> words() {
-        return net.jqwik.api.Arbitraries.longs().between(0, Long.MAX_VALUE / 2).list().ofSize(4).map(n -> new Word(n
-                .get(0), Map.of(7, n.get(1)), n.get(2), n.get(3), Map.of(9, new Word.At(n.get(0) / 2, n.get(0), n
-                        .get(1), n.get(1) / 3)), new Quiet(n.get(2), n.get(2) / 2, n.get(3), n.get(0)), n.get(1) % 2 == 0));
+        return net.jqwik.api.Arbitraries.longs()
+                .between(0, Long.MAX_VALUE / 2)
+                .list()
+                .ofSize(4)
+                .map(n -> new Word(
+                        n.get(0),
+                        Map.of(7, n.get(1)),
+                        n.get(2),
+                        n.get(3),
+                        Map.of(9, new Word.At(n.get(0) / 2, n.get(0), n.get(1), n.get(1) / 3)),
+                        new Quiet(n.get(2), n.get(2) / 2, n.get(3), n.get(0)),
+                        n.get(1) % 2 == 0));
     }
 }
--- a/src/test/java/nettlewick/contention/MoverTest.java
+++ b/src/test/java/nettlewick/contention/MoverTest.java
@@ -114,14 +114,18 @@
         mover.hear(NOISY, 0);
         assertSame(Move.NOWHERE, mover.next(Move.NOWHERE, Will.COMMON, TERMS, view, 0));
         mover.hear(QUIET, 0);
-        assertEquals(Step.RESERVE, mover.next(Move.NOWHERE, Will.POOL, TERMS, view, 0).step());
+        assertEquals(
+                Step.RESERVE,
+                mover.next(Move.NOWHERE, Will.POOL, TERMS, view, 0).step());
         Move open = new Move(Step.OPEN, List.of("s1", "s2"), 0);
         assertEquals(Step.CLOSE, mover.next(open, Will.COMMON, TERMS, view, 0).step());
     }
 
     @Property(tries = 300)
-    void poolsTakeTheirShareZonesInProportionAndNeverMoreThanAllowed(@ForAll @IntRange(min = 1, max = 60) int size,
-            @ForAll @IntRange(min = 1, max = 90) int percent, @ForAll @IntRange(min = 0, max = 20) int elsewhere) {
+    void poolsTakeTheirShareZonesInProportionAndNeverMoreThanAllowed(
+            @ForAll @IntRange(min = 1, max = 60) int size,
+            @ForAll @IntRange(min = 1, max = 90) int percent,
+            @ForAll @IntRange(min = 0, max = 20) int elsewhere) {
         Map<String, Runner> fleet = fleet(size);
         fleet.put("x", new Runner("x", "a", "std", "red"));
         fleet.put("y", new Runner("y", "a", "std", "blue"));
@@ -136,7 +140,8 @@
         assertTrue(common + taken.size() <= size / 2 || common == 0, common + " beside " + taken.size());
         assertTrue(common <= Math.max(1, Math.round(percent / 100.0 * size)));
         if (taken.isEmpty() && common > 0) {
-            long far = pool.stream().filter(r -> fleet.get(r).zone().equals("b")).count();
+            long far =
+                    pool.stream().filter(r -> fleet.get(r).zone().equals("b")).count();
             long all = fleet.values().stream().filter(r -> r.zone().equals("b")).count();
             assertTrue(Math.abs(far - common * all / (double) size) < 1, far + " of " + common);
         }
--- a/src/test/java/nettlewick/contention/SpeakerTest.java
+++ b/src/test/java/nettlewick/contention/SpeakerTest.java
@@ -16,8 +16,8 @@
 /** When a dispatcher speaks of a member. */
 class SpeakerTest {
     private static final double WINDOW = 2000;
-    private final Counters counters = new Counters(List.of(new JobClass("c", Repeat.RETRYABLE, Scope.ALL, 0, 100_000_000,
-            0, 1, 1, 0, false, -1, 0)));
+    private final Counters counters = new Counters(
+            List.of(new JobClass("c", Repeat.RETRYABLE, Scope.ALL, 0, 100_000_000, 0, 1, 1, 0, false, -1, 0)));
     private final Speaker speaker = new Speaker(counters, Map.of("red", 0.05, "blue", 0.75, "green", 0.2));
 
     private void ask(String member, int jobs, boolean again) {
@@ -30,14 +30,23 @@
     void inPeaceItIsSilentUnlessItsHolderListens() {
         ask("red", 2, false);
         ask("blue", 8, false);
-        assertEquals(0, speaker.words("red", 1, false, WINDOW, 0, java.util.Set::of).size());
-        assertEquals(2, speaker.words("red", 1, true, WINDOW, 100, java.util.Set::of).size(), "and of the window that has ended");
+        assertEquals(
+                0, speaker.words("red", 1, false, WINDOW, 0, java.util.Set::of).size());
+        assertEquals(
+                2,
+                speaker.words("red", 1, true, WINDOW, 100, java.util.Set::of).size(),
+                "and of the window that has ended");
         ask("red", 100, false);
-        assertEquals(0, speaker.words("red", 1, false, WINDOW, 2500, java.util.Set::of).size(), "over its share, and nobody is harmed");
+        assertEquals(
+                0,
+                speaker.words("red", 1, false, WINDOW, 2500, java.util.Set::of).size(),
+                "over its share, and nobody is harmed");
     }
 
     private List<Integer> ages(long fence, boolean listens, double now) {
-        return speaker.words("red", fence, listens, WINDOW, now, java.util.Set::of).stream().map(Word::age).toList();
+        return speaker.words("red", fence, listens, WINDOW, now, java.util.Set::of).stream()
+                .map(Word::age)
+                .toList();
     }
 
     @Test
@@ -53,7 +62,11 @@
         assertEquals(List.of(), ages(2, false, 11 * WINDOW));
         assertEquals(List.of(), ages(2, false, 12 * WINDOW));
         assertEquals(List.of(1, 2, 0), ages(2, true, 12 * WINDOW + 1), "one that listens again");
-        assertEquals(10 * 50, Word.of(speaker.words("red", 2, true, WINDOW, 12 * WINDOW + 2, java.util.Set::of).get(0)).total());
+        assertEquals(
+                10 * 50,
+                Word.of(speaker.words("red", 2, true, WINDOW, 12 * WINDOW + 2, java.util.Set::of)
+                                .get(0))
+                        .total());
     }
 
     /** Guards against a word on every small member whose one job comes while others are harmed by somebody's flood. */
@@ -65,7 +78,8 @@
             ask("blue", 4, false);
             ask("green", 40, false);
             harm();
-            spoke.add(!speaker.words("green", 1, false, WINDOW, w * WINDOW, java.util.Set::of).isEmpty());
+            spoke.add(!speaker.words("green", 1, false, WINDOW, w * WINDOW, java.util.Set::of)
+                    .isEmpty());
             assertEquals(List.of(), ages(1, false, w * WINDOW), "red is over its share as well, by little");
         }
         assertEquals(List.of(false, false, true, true), spoke, "what came before it was first asked is no window");
@@ -75,7 +89,8 @@
             ask("red", 20, false);
             ask("green", 40, false);
             harm();
-            then = speaker.words("red", 1, false, WINDOW, w * WINDOW, () -> java.util.Set.of("green")).stream().map(Word::age)
+            then = speaker.words("red", 1, false, WINDOW, w * WINDOW, () -> java.util.Set.of("green")).stream()
+                    .map(Word::age)
                     .toList();
         }
         assertEquals(List.of(1, 2, 3, 4, 5, 6, 0), then);
@@ -93,7 +108,8 @@
         ask("red", 2, false);
         ask("red", 500, true);
         ask("blue", 8, false);
-        Word word = Word.of(speaker.words("red", 1, true, WINDOW, 0, java.util.Set::of).get(0));
+        Word word = Word.of(
+                speaker.words("red", 1, true, WINDOW, 0, java.util.Set::of).get(0));
         assertEquals(100, word.asked().get(Counters.mark("red")));
         assertEquals(500, word.total());
         assertTrue(!word.alarmed());
--- a/src/test/java/nettlewick/contention/VirtualTier.java
+++ b/src/test/java/nettlewick/contention/VirtualTier.java
@@ -34,8 +34,7 @@
     }
 
     /** Jobs of each member at each dispatcher in a window, the part of others' that is harmed, and how they run. */
-    public record Load(Map<String, Double> jobs, double harmed, double drag) {
-    }
+    public record Load(Map<String, Double> jobs, double harmed, double drag) {}
 
     final SplittableRandom random;
     final List<Seen> tier = new ArrayList<>();
@@ -66,8 +65,10 @@
                     s.ran += red ? 0 : (long) (WORK * load.drag());
                     s.hinted += red ? 0 : WORK;
                     boolean harm = !red && random.nextDouble() < load.harmed();
-                    s.at.merge(Counters.mark("s" + random.nextInt(RUNNERS)), new Word.At(red ? WORK : 0, WORK, red ? 0
-                            : 1, harm ? 1 : 0), Word.At::plus);
+                    s.at.merge(
+                            Counters.mark("s" + random.nextInt(RUNNERS)),
+                            new Word.At(red ? WORK : 0, WORK, red ? 0 : 1, harm ? 1 : 0),
+                            Word.At::plus);
                 }
             });
             byte[] word = s.word(shares.get("red")).bytes();
@@ -120,8 +121,16 @@
                 double much = 0.5 + 3 * random.nextDouble();
                 boolean slow = random.nextInt(4) == 0;
                 double harmed = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0.01;
-                load = new Load(Map.of("red", much * (0.2 + 0.8 * random.nextDouble()), "blue", much * (1 + 2 * (random
-                        .nextInt(4) == 0 ? random.nextDouble() : 0)), "green", 2 * much), harmed, slow ? 3 : 1);
+                load = new Load(
+                        Map.of(
+                                "red",
+                                much * (0.2 + 0.8 * random.nextDouble()),
+                                "blue",
+                                much * (1 + 2 * (random.nextInt(4) == 0 ? random.nextDouble() : 0)),
+                                "green",
+                                2 * much),
+                        harmed,
+                        slow ? 3 : 1);
             }
             moves += tier.window(load).noisy() ? 1 : 0;
         }
--- a/src/test/java/nettlewick/core/Attempts.java
+++ b/src/test/java/nettlewick/core/Attempts.java
@@ -2,8 +2,7 @@
 
 /** Attempts as tests of what listens to the core need them. */
 public final class Attempts {
-    private Attempts() {
-    }
+    private Attempts() {}
 
     public static Attempt of(Request request, String worker) {
         return new Attempt(request, 0, worker, 0, Double.MAX_VALUE, () -> true);
--- a/src/test/java/nettlewick/core/CoreEndsTest.java
+++ b/src/test/java/nettlewick/core/CoreEndsTest.java
@@ -14,7 +14,8 @@
     /** Guards against a job failed here, after a pause, in the turn in which the module would refuse it. */
     @Test
     void theModuleHearsOfADeadlineBeforeTheCoreActsOnIt() throws InterruptedException {
-        script = e -> e instanceof Arrival ? List.of(new Dispatch("a", "w", 0))
+        script = e -> e instanceof Arrival
+                ? List.of(new Dispatch("a", "w", 0))
                 : e instanceof Dispatcher.Outcome ? List.of(new Refuse("a", 0)) : List.of();
         request("a", 100);
         at(1);
@@ -69,7 +70,8 @@
         at(2000);
         assertEquals(List.of("send a0", "send a1", "served a"), out);
         assertEquals(List.of(Result.SERVED, Result.SERVED), results());
-        assertTrue(events.stream().filter(e -> e instanceof Dispatcher.Outcome)
+        assertTrue(events.stream()
+                .filter(e -> e instanceof Dispatcher.Outcome)
                 .allMatch(e -> ((Dispatcher.Outcome) e).settled()));
     }
 
--- a/src/test/java/nettlewick/core/CoreFixture.java
+++ b/src/test/java/nettlewick/core/CoreFixture.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import nettlewick.core.Attempt.Outcome;
 import nettlewick.decision.Dispatcher;
 import nettlewick.decision.Dispatcher.*;
 import org.junit.jupiter.api.BeforeEach;
@@ -24,10 +23,19 @@
 
     @BeforeEach
     void open() throws InterruptedException {
-        Settings settings = new Settings(0, 1, null, List.of(new JobClass("c", Repeat.RETRYABLE, Scope.ALL,
-                0, 1,
-                0, 1, 1, 0, false, -1, 0)), List.of(), List.of(), false, false, Reports.OFF, 0,
-                new Limits(2, true, true, true, true, true, 0), new Rules(0, 0, 0, 1, 0, 0, 1));
+        Settings settings = new Settings(
+                0,
+                1,
+                null,
+                List.of(new JobClass("c", Repeat.RETRYABLE, Scope.ALL, 0, 1, 0, 1, 1, 0, false, -1, 0)),
+                List.of(),
+                List.of(),
+                false,
+                false,
+                Reports.OFF,
+                0,
+                new Limits(2, true, true, true, true, true, 0),
+                new Rules(0, 0, 0, 1, 0, 0, 1));
         Dispatcher module = (now, batch) -> {
             decidedAt = now;
             List<Action> actions = new ArrayList<>();
@@ -37,33 +45,39 @@
             }
             return actions;
         };
-        core = new Core(clock, settings, module, 2, new Transport() {
-            @Override
-            public void send(Attempt a) {
-                sent.add(a);
-                out.add("send " + a.request().id() + a.number());
-            }
+        core = new Core(
+                clock,
+                settings,
+                module,
+                2,
+                new Transport() {
+                    @Override
+                    public void send(Attempt a) {
+                        sent.add(a);
+                        out.add("send " + a.request().id() + a.number());
+                    }
 
-            @Override
-            public void drop(Attempt a) {
-                out.add("drop " + a.request().id() + a.number());
-            }
+                    @Override
+                    public void drop(Attempt a) {
+                        out.add("drop " + a.request().id() + a.number());
+                    }
 
-            @Override
-            public void probe(nettlewick.core.Probe p) {
-                asked.add(p);
-            }
+                    @Override
+                    public void probe(nettlewick.core.Probe p) {
+                        asked.add(p);
+                    }
 
-            @Override
-            public void drop(nettlewick.core.Probe p) {
-                out.add("drop probe");
-            }
+                    @Override
+                    public void drop(nettlewick.core.Probe p) {
+                        out.add("drop probe");
+                    }
 
-            @Override
-            public void tell(int rank, byte[] data) {
-                out.add("tell " + rank);
-            }
-        }, books);
+                    @Override
+                    public void tell(int rank, byte[] data) {
+                        out.add("tell " + rank);
+                    }
+                },
+                books);
         core.learn(new Roster(true, List.of(entry("w", Life.READY), entry("d", Life.DRAINING))));
         at(0);
     }
@@ -86,8 +100,7 @@
 
     Request request(String id, double deadline, double hint) {
         Request[] made = new Request[1];
-        made[0] = new Request(id, "c", null, null, START + deadline, 1, 0, hint, false, null,
-                new Request.Caller() {
+        made[0] = new Request(id, "c", null, null, START + deadline, 1, 0, hint, false, null, new Request.Caller() {
             @Override
             public void served(byte[] result) {
                 out.add("served " + id);
@@ -112,7 +125,9 @@
     }
 
     List<Result> results() {
-        return events.stream().filter(e -> e instanceof Dispatcher.Outcome)
-                .map(e -> ((Dispatcher.Outcome) e).result()).toList();
+        return events.stream()
+                .filter(e -> e instanceof Dispatcher.Outcome)
+                .map(e -> ((Dispatcher.Outcome) e).result())
+                .toList();
     }
 }
--- a/src/test/java/nettlewick/core/CoreTest.java
+++ b/src/test/java/nettlewick/core/CoreTest.java
@@ -127,11 +127,17 @@
         core.abandon(request("l", 1000));
         request("a", 1000);
         at(80);
-        assertEquals(List.of(Books.Ending.SERVED, Books.Ending.REFUSED, Books.Ending.LEFT,
-                Books.Ending.FAILED),
-                jobs.stream().map(Books.Job::ending).sorted(java.util.Comparator.comparingInt(
-                        e -> List.of(Books.Ending.SERVED, Books.Ending.REFUSED, Books.Ending.LEFT,
-                                Books.Ending.FAILED).indexOf(e))).toList());
+        assertEquals(
+                List.of(Books.Ending.SERVED, Books.Ending.REFUSED, Books.Ending.LEFT, Books.Ending.FAILED),
+                jobs.stream()
+                        .map(Books.Job::ending)
+                        .sorted(java.util.Comparator.comparingInt(e -> List.of(
+                                        Books.Ending.SERVED,
+                                        Books.Ending.REFUSED,
+                                        Books.Ending.LEFT,
+                                        Books.Ending.FAILED)
+                                .indexOf(e)))
+                        .toList());
     }
 
     @Test
@@ -202,8 +208,12 @@
         at(1001);
         core.probed(asked.get(1), Outcome.of(Result.SERVED));
         at(1002);
-        assertEquals(List.of(Result.SERVED, Result.TIMEOUT), events.stream()
-                .filter(e -> e instanceof ProbeAnswer).map(e -> ((ProbeAnswer) e).result()).toList());
+        assertEquals(
+                List.of(Result.SERVED, Result.TIMEOUT),
+                events.stream()
+                        .filter(e -> e instanceof ProbeAnswer)
+                        .map(e -> ((ProbeAnswer) e).result())
+                        .toList());
     }
 
     /** Guards the thread that all requests depend on against a fault in the module. */
--- a/src/test/java/nettlewick/decision/ColdStartTest.java
+++ b/src/test/java/nettlewick/decision/ColdStartTest.java
@@ -27,13 +27,31 @@
      * @param uneven how much of the fleet's work the busiest dispatcher has, times the mean
      */
     @ParameterizedTest
-    @CsvSource({"1, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 1", "7, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 3", "100, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 1",
-            "100, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8", "400, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8", "100, 16, 20, 0.2, 2.0, 2.0, 2.5, 4",
-            "40, 2, 3, 0.5, 4.0, 0.5, 0.05, 4", "100, 1, 10, 0.1, 1.5, 1.0, 0.5, 4",
-            "20, 2, 6, 0.3, 3.5, 1.2, 0.07, 2", "30, 2, 6, 0.3, 3.5, 1.2, 0.07, 6", "25, 5, 7, 0.35, 2.5, 1.5, 0.3, 3",
-            "2, 8, 5, 0.25, 2.2, 1.0, 0.1, 1", "3, 1, 8, 0.2, 3.0, 1.0, 0.9, 2", "1000, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8"})
-    void theSumOverAllThatWereToldKeepsItUp(int dispatchers, int slots, double cold, double coldShare, double factor,
-            double fall, double mean, double uneven) {
+    @CsvSource({
+        "1, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 1",
+        "7, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 3",
+        "100, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 1",
+        "100, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8",
+        "400, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8",
+        "100, 16, 20, 0.2, 2.0, 2.0, 2.5, 4",
+        "40, 2, 3, 0.5, 4.0, 0.5, 0.05, 4",
+        "100, 1, 10, 0.1, 1.5, 1.0, 0.5, 4",
+        "20, 2, 6, 0.3, 3.5, 1.2, 0.07, 2",
+        "30, 2, 6, 0.3, 3.5, 1.2, 0.07, 6",
+        "25, 5, 7, 0.35, 2.5, 1.5, 0.3, 3",
+        "2, 8, 5, 0.25, 2.2, 1.0, 0.1, 1",
+        "3, 1, 8, 0.2, 3.0, 1.0, 0.9, 2",
+        "1000, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8"
+    })
+    void theSumOverAllThatWereToldKeepsItUp(
+            int dispatchers,
+            int slots,
+            double cold,
+            double coldShare,
+            double factor,
+            double fall,
+            double mean,
+            double uneven) {
         Rules rules = new Rules(0, 0, (long) (cold * SECOND), coldShare, 0, (long) (fall * SECOND), factor);
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -51,8 +69,9 @@
                 Pool p = new Pool(0);
                 p.slots = slots;
                 // All slots of a warm peer are in work: the first has its multiple, the others share the rest.
-                p.carried = d == 0 ? slots * Math.min(1, uneven / dispatchers) : slots * (1 - Math.min(1, uneven / dispatchers))
-                        / Math.max(1, dispatchers - 1);
+                p.carried = d == 0
+                        ? slots * Math.min(1, uneven / dispatchers)
+                        : slots * (1 - Math.min(1, uneven / dispatchers)) / Math.max(1, dispatchers - 1);
                 p.measures = random.nextInt(2) * 100;
                 pools.add(p);
                 toldAt.add(start + random.nextLong(SECOND));
@@ -80,7 +99,9 @@
                 double age = (double) (now - start) / rules.cold();
                 double n = factor * (coldShare + (1 - coldShare) * age) * slots * fall / mean;
                 double most = n + (n < 30 ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2);
-                assertTrue(sends.size() <= most, sends.size() + " of " + most + " after " + (now - start) / 1e9 + " s, seed " + seed);
+                assertTrue(
+                        sends.size() <= most,
+                        sends.size() + " of " + most + " after " + (now - start) / 1e9 + " s, seed " + seed);
             }
         }
     }
--- a/src/test/java/nettlewick/decision/FleetTest.java
+++ b/src/test/java/nettlewick/decision/FleetTest.java
@@ -76,10 +76,16 @@
         for (int each = 0; each < size; each++) {
             int rank = each;
             int[] near = Neighbours.of(rank, size, reach);
-            assertEquals(2 * reach, java.util.Arrays.stream(near).distinct().filter(r -> r != rank).count());
+            assertEquals(
+                    2 * reach,
+                    java.util.Arrays.stream(near)
+                            .distinct()
+                            .filter(r -> r != rank)
+                            .count());
             for (int other : near) {
                 told[other]++;
-                assertTrue(java.util.Arrays.stream(Neighbours.of(other, size, reach)).anyMatch(r -> r == rank));
+                assertTrue(java.util.Arrays.stream(Neighbours.of(other, size, reach))
+                        .anyMatch(r -> r == rank));
                 double apart = Math.abs(Neighbours.place(other) - Neighbours.place(rank));
                 assertTrue(Math.min(apart, 1 - apart) < 3.0 * reach / size, rank + " and " + other + " lie apart");
             }
@@ -92,8 +98,16 @@
     @Test
     void whatOnePeerTellsCountsThoughAnotherIsSilent() {
         Logic logic = new Logic(Samples.settings(0, 3, true), 1);
-        logic.handle(1, List.of(new WorkerList(true, List.of(Samples.entry("w0", Life.READY, 0, "north", 0),
-                Samples.entry("w1", Life.READY, 0, "north", 0))), Samples.answer("w0", 2, 0), Samples.answer("w1", 2, 0)));
+        logic.handle(
+                1,
+                List.of(
+                        new WorkerList(
+                                true,
+                                List.of(
+                                        Samples.entry("w0", Life.READY, 0, "north", 0),
+                                        Samples.entry("w1", Life.READY, 0, "north", 0))),
+                        Samples.answer("w0", 2, 0),
+                        Samples.answer("w1", 2, 0)));
         State.Worker full = new State.Worker("w0");
         full.outSlots = 2;
         SharedLoads peer = new SharedLoads(new Heard());
--- a/src/test/java/nettlewick/decision/KeptTest.java
+++ b/src/test/java/nettlewick/decision/KeptTest.java
@@ -67,8 +67,8 @@
             List<Action> red = at(new Arrival("r" + i, "read", "red", 5 * Samples.SECOND, 1, 0, 0, null, false));
             assertEquals(List.of(), Samples.only(Dispatch.class, red), "job " + i);
             assertTrue(Samples.only(Refuse.class, red).get(0).retryAfter() > 0, "when to come back");
-            List<Dispatch> blue = Samples.only(Dispatch.class, at(new Arrival("b" + i, "read", "blue", 5 * Samples.SECOND, 1, 0,
-                    0, null, false)));
+            List<Dispatch> blue = Samples.only(
+                    Dispatch.class, at(new Arrival("b" + i, "read", "blue", 5 * Samples.SECOND, 1, 0, 0, null, false)));
             assertEquals(1, blue.size(), "job " + i);
             at(Samples.outcome(blue.get(0), 0, Result.SERVED));
         }
@@ -93,8 +93,11 @@
     @Test
     void aTenantWhoseOwnAreAllGoneGoesByTheCommonOnes() {
         assign(true, true, "w1", "w2");
-        at(new WorkerList(false, List.of(Samples.entry("w1", Life.GONE, 0, "south", 0), Samples.entry("w2",
-                Life.DRAINING, 0, "north", 1))));
+        at(new WorkerList(
+                false,
+                List.of(
+                        Samples.entry("w1", Life.GONE, 0, "south", 0),
+                        Samples.entry("w2", Life.DRAINING, 0, "north", 1))));
         Set<String> used = used("red", "keyed", 60);
         assertEquals(Set.of("w0", "w4", "w6"), used);
     }
@@ -105,8 +108,9 @@
         for (int w = 0; w < WORKERS; w++) {
             at(Samples.answer("w" + w, w == 0 ? 3 : 0, 0));
         }
-        Dispatch first = Samples.only(Dispatch.class, at(new Arrival("k", "keyed", "red", 5 * Samples.SECOND, 1, 0, 0,
-                null, false))).get(0);
+        Dispatch first = Samples.only(
+                        Dispatch.class, at(new Arrival("k", "keyed", "red", 5 * Samples.SECOND, 1, 0, 0, null, false)))
+                .get(0);
         assertEquals("w0", first.worker(), "of the north");
         assign(true, true, "w1", "w3");
         List<Action> then = at(Samples.outcome(first, 0, Result.BROKEN));
@@ -114,8 +118,9 @@
         assertEquals(1, Samples.only(Fail.class, then).size());
         assign(true, true, "w1", "w2");
         at(Samples.answer("w1", 3, 0), Samples.answer("w2", 3, 0));
-        Dispatch second = Samples.only(Dispatch.class, at(new Arrival("k2", "keyed", "red", 5 * Samples.SECOND, 1, 0,
-                0, null, false))).get(0);
+        Dispatch second = Samples.only(
+                        Dispatch.class, at(new Arrival("k2", "keyed", "red", 5 * Samples.SECOND, 1, 0, 0, null, false)))
+                .get(0);
         String there = second.worker();
         List<Dispatch> again = Samples.only(Dispatch.class, at(Samples.outcome(second, 0, Result.BROKEN)));
         assertTrue(again.stream().noneMatch(d -> d.worker().equals(there.equals("w1") ? "w2" : "w1")));
