--- a/src/test/java/nettlewick/decision/LogicTest.java
+++ b/src/test/java/nettlewick/decision/LogicTest.java
@@ -82,21 +82,40 @@
         at(now, new Arrival("big", "read", "red", 5 * Samples.SECOND, 1, 0, Samples.SECOND, null, false));
         now += 700 * Samples.MS;
         answers(3, 0, 4);
-        assertEquals(lost, !Samples.only(Dispatch.class, at(now, new Timer("beat"))).isEmpty());
+        assertEquals(
+                lost, !Samples.only(Dispatch.class, at(now, new Timer("beat"))).isEmpty());
     }
 
     /** Guards against a dispatcher that started into a release and leaves all workers that are cold alone. */
     @Test
     void oneThatHasJustStartedUsesColdWorkersToo() {
-        at(10 * Samples.SECOND, new WorkerList(true, List.of(Samples.entry("w0", Life.READY, 0, "north", 0),
-                Samples.entry("w1", Life.READY, 8 * Samples.SECOND, "north", 0))));
+        at(
+                10 * Samples.SECOND,
+                new WorkerList(
+                        true,
+                        List.of(
+                                Samples.entry("w0", Life.READY, 0, "north", 0),
+                                Samples.entry("w1", Life.READY, 8 * Samples.SECOND, "north", 0))));
         answers(2, 0, 2);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 6; i++) {
             now += 100 * Samples.MS;
             answers(2, 0, 2);
-            Samples.only(Dispatch.class, at(now, new Arrival("c" + i, "read", "red", 5 * Samples.SECOND, 1, 0,
-                    100 * Samples.MS, null, false))).forEach(d -> used.add(d.worker()));
+            Samples.only(
+                            Dispatch.class,
+                            at(
+                                    now,
+                                    new Arrival(
+                                            "c" + i,
+                                            "read",
+                                            "red",
+                                            5 * Samples.SECOND,
+                                            1,
+                                            0,
+                                            100 * Samples.MS,
+                                            null,
+                                            false)))
+                    .forEach(d -> used.add(d.worker()));
         }
         assertEquals(Set.of("w0", "w1"), used);
     }
@@ -106,17 +125,41 @@
     @ValueSource(ints = {0, 20})
     void aWorthyJobWaitsOnlyWhileItCanBeInTime(int waiting) {
         Settings s = Samples.settings(0, 1, true);
-        Logic one = new Logic(new Settings(0, 1, s.zone(), List.of(Samples.jobClass("read", Repeat.RETRYABLE, Scope.ALL, 2),
-                Samples.jobClass("dear", Repeat.FRAGILE, Scope.ALL, 20)), s.tenants(), s.kinds(), false, false,
-                s.reports(), 0, s.limits(), s.rules()), 1);
-        one.handle(1, List.of(Samples.workers(1), Samples.answer("w0", 2, 0), Samples.arrival("a", "read", "red"),
-                Samples.arrival("b", "dear", "red")));
+        Logic one = new Logic(
+                new Settings(
+                        0,
+                        1,
+                        s.zone(),
+                        List.of(
+                                Samples.jobClass("read", Repeat.RETRYABLE, Scope.ALL, 2),
+                                Samples.jobClass("dear", Repeat.FRAGILE, Scope.ALL, 20)),
+                        s.tenants(),
+                        s.kinds(),
+                        false,
+                        false,
+                        s.reports(),
+                        0,
+                        s.limits(),
+                        s.rules()),
+                1);
+        one.handle(
+                1,
+                List.of(
+                        Samples.workers(1),
+                        Samples.answer("w0", 2, 0),
+                        Samples.arrival("a", "read", "red"),
+                        Samples.arrival("b", "dear", "red")));
         long later = Samples.SECOND / 2;
-        one.handle(later, List.of(new Outcome("a", 0, "w0", Result.SERVED, later, true, null),
-                new Outcome("b", 0, "w0", Result.SERVED, later, true, null), Samples.answer("w0", 0, waiting),
-                Samples.answer("w0", 0, waiting)));
-        List<Action> actions = one.handle(later + 1, List.of(new Arrival("c", "dear", "red", 5 * Samples.SECOND, 1, 0,
-                300 * Samples.MS, null, false)));
+        one.handle(
+                later,
+                List.of(
+                        new Outcome("a", 0, "w0", Result.SERVED, later, true, null),
+                        new Outcome("b", 0, "w0", Result.SERVED, later, true, null),
+                        Samples.answer("w0", 0, waiting),
+                        Samples.answer("w0", 0, waiting)));
+        List<Action> actions = one.handle(
+                later + 1,
+                List.of(new Arrival("c", "dear", "red", 5 * Samples.SECOND, 1, 0, 300 * Samples.MS, null, false)));
         assertEquals(waiting > 0, actions.stream().anyMatch(Refuse.class::isInstance), actions.toString());
     }
 
@@ -130,8 +173,9 @@
         at(1, new WorkerList(true, twelve));
         Set<String> asked = new HashSet<>();
         for (int beat = 1; beat <= 60; beat++) {
-            for (Probe p : Samples.only(Probe.class, at(1 + beat * 100 * Samples.MS, new Timer("beat"),
-                    Samples.arrival("p" + beat, "read", "red")))) {
+            for (Probe p : Samples.only(
+                    Probe.class,
+                    at(1 + beat * 100 * Samples.MS, new Timer("beat"), Samples.arrival("p" + beat, "read", "red")))) {
                 asked.add(p.worker());
                 at(now, Samples.answer(p.worker(), 2, 0));
             }
@@ -226,7 +270,8 @@
                 String tenant = i == 0 && step % 2 == 0 ? "blue" : "red";
                 List<Action> actions = at(now, Samples.arrival("t" + jobs++, "book", tenant));
                 if (step > 200) {
-                    refused[tenant.equals("red") ? 0 : 1] += Samples.only(Refuse.class, actions).size();
+                    refused[tenant.equals("red") ? 0 : 1] +=
+                            Samples.only(Refuse.class, actions).size();
                 }
                 for (int attempt = 0; !actions.isEmpty() && actions.get(0) instanceof Dispatch d; attempt++) {
                     actions = at(now, Samples.outcome(d, attempt, capacity-- > 0 ? Result.SERVED : Result.FULL));
@@ -246,13 +291,17 @@
         assertFalse(asked.isEmpty());
         assertEquals(List.of(), Samples.only(Dispatch.class, first));
         asked.forEach(p -> at(3, Samples.answer(p.worker(), 2, 0)));
-        Dispatch sent = Samples.only(Dispatch.class, at(2 + 13 * Samples.MS, new Timer("hold"))).get(0);
+        Dispatch sent = Samples.only(Dispatch.class, at(2 + 13 * Samples.MS, new Timer("hold")))
+                .get(0);
         Logic other = new Logic(Samples.settings(2, 3, true), 99);
         other.handle(1, List.of(Samples.workers(8)));
         other.handle(2, List.of(keyed));
         asked.forEach(p -> other.handle(3, List.of(Samples.answer(p.worker(), 2, 0))));
-        assertEquals(sent.worker(), Samples.only(Dispatch.class,
-                other.handle(2 + 13 * Samples.MS, List.of(new Timer("hold")))).get(0).worker());
+        assertEquals(
+                sent.worker(),
+                Samples.only(Dispatch.class, other.handle(2 + 13 * Samples.MS, List.of(new Timer("hold"))))
+                        .get(0)
+                        .worker());
     }
 
     @Test
@@ -272,46 +321,107 @@
         at(2, new WorkerList(false, List.of(Samples.entry("w0", Life.DRAINING, 0, "north", 0))));
         assertEquals("w1", send("read").worker());
         at(now, new WorkerList(true, List.of()));
-        assertEquals(1, Samples.only(Refuse.class, at(now + 1, Samples.arrival("none", "book", "red"))).size());
+        assertEquals(
+                1,
+                Samples.only(Refuse.class, at(now + 1, Samples.arrival("none", "book", "red")))
+                        .size());
     }
 
     @Test
     void theLastSlotOfAKindIsKeptForWorthierJobsBoundToIt() {
         Settings s = Samples.settings(0, 3, true);
         JobClass any = Samples.jobClass("any", Repeat.RETRYABLE, Scope.ALL, 2);
-        JobClass bound = new JobClass("bound", Repeat.RETRYABLE, Scope.ALL, 0, 200 * Samples.MS, 2,
-                5 * Samples.SECOND, 8, 0, false, 1, 0);
-        Logic two = new Logic(new Settings(0, 3, s.zone(), List.of(any, bound), s.tenants(), List.of("box", "rare"),
-                false, false, s.reports(), 0, s.limits(), s.rules()), 5);
-        two.handle(1, List.of(new WorkerList(true, List.of(Samples.entry("w0", Life.READY, 0, "north", 0),
-                new WorkerEntry("w1", Life.READY, 0, 0, "rare", "north", 1)))));
+        JobClass bound = new JobClass(
+                "bound", Repeat.RETRYABLE, Scope.ALL, 0, 200 * Samples.MS, 2, 5 * Samples.SECOND, 8, 0, false, 1, 0);
+        Logic two = new Logic(
+                new Settings(
+                        0,
+                        3,
+                        s.zone(),
+                        List.of(any, bound),
+                        s.tenants(),
+                        List.of("box", "rare"),
+                        false,
+                        false,
+                        s.reports(),
+                        0,
+                        s.limits(),
+                        s.rules()),
+                5);
+        two.handle(
+                1,
+                List.of(new WorkerList(
+                        true,
+                        List.of(
+                                Samples.entry("w0", Life.READY, 0, "north", 0),
+                                new WorkerEntry("w1", Life.READY, 0, 0, "rare", "north", 1)))));
         two.handle(2, List.of(Samples.answer("w0", 1, 0), Samples.answer("w1", 1.5, 0)));
-        assertEquals("w0", Samples.only(Dispatch.class,
-                two.handle(3, List.of(Samples.arrival("a", "any", "red")))).get(0).worker());
-        assertEquals("w1", Samples.only(Dispatch.class,
-                two.handle(3, List.of(Samples.arrival("b", "bound", "red")))).get(0).worker());
+        assertEquals(
+                "w0",
+                Samples.only(Dispatch.class, two.handle(3, List.of(Samples.arrival("a", "any", "red"))))
+                        .get(0)
+                        .worker());
+        assertEquals(
+                "w1",
+                Samples.only(Dispatch.class, two.handle(3, List.of(Samples.arrival("b", "bound", "red"))))
+                        .get(0)
+                        .worker());
     }
 
     @Test
     void aBrokenSubscriptionIsRenewed() {
         Settings s = Samples.settings(0, 3, true);
-        Logic asking = new Logic(new Settings(0, 3, s.zone(), s.classes(), s.tenants(), s.kinds(), true, false,
-                s.reports(), 0, s.limits(), s.rules()), 5);
-        assertEquals(1, Samples.only(Subscribe.class, asking.handle(1, List.of(Samples.workers(2)))).size());
+        Logic asking = new Logic(
+                new Settings(
+                        0,
+                        3,
+                        s.zone(),
+                        s.classes(),
+                        s.tenants(),
+                        s.kinds(),
+                        true,
+                        false,
+                        s.reports(),
+                        0,
+                        s.limits(),
+                        s.rules()),
+                5);
+        assertEquals(
+                1,
+                Samples.only(Subscribe.class, asking.handle(1, List.of(Samples.workers(2))))
+                        .size());
         asking.handle(2, List.of(new ListFailed()));
-        assertEquals(1, Samples.only(Subscribe.class,
-                asking.handle(2 * Samples.SECOND, List.of(new Timer("beat")))).size());
+        assertEquals(
+                1,
+                Samples.only(Subscribe.class, asking.handle(2 * Samples.SECOND, List.of(new Timer("beat"))))
+                        .size());
     }
 
     @Test
     void oddInputIsSurvived() {
-        at(1, new WorkerList(true, List.of(Samples.entry("w0", Life.READY, 0, null, 0),
-                Samples.entry("w0", Life.READY, 0, null, 0), new WorkerEntry("x", Life.READY, 0, 0, "novel", "moon", 1))));
-        at(1, new Abandoned("unknown"), new Outcome("unknown", 3, "w9", Result.SERVED, 1, true, null),
-                new ProbeAnswer("w9", Result.TIMEOUT, 1, null), new Progress("unknown", 0, "w9", 1),
-                new StreamBegan("unknown", 0), new Timer("novel"), new ListFailed());
-        assertEquals(1, Samples.only(Refuse.class, at(1, new Arrival("odd", "novel", "nobody", 5, 1, 0, 0, null, false))).size());
-        Dispatch sent = Samples.only(Dispatch.class, at(1, Samples.arrival("same", "read", "nobody"))).get(0);
+        at(
+                1,
+                new WorkerList(
+                        true,
+                        List.of(
+                                Samples.entry("w0", Life.READY, 0, null, 0),
+                                Samples.entry("w0", Life.READY, 0, null, 0),
+                                new WorkerEntry("x", Life.READY, 0, 0, "novel", "moon", 1))));
+        at(
+                1,
+                new Abandoned("unknown"),
+                new Outcome("unknown", 3, "w9", Result.SERVED, 1, true, null),
+                new ProbeAnswer("w9", Result.TIMEOUT, 1, null),
+                new Progress("unknown", 0, "w9", 1),
+                new StreamBegan("unknown", 0),
+                new Timer("novel"),
+                new ListFailed());
+        assertEquals(
+                1,
+                Samples.only(Refuse.class, at(1, new Arrival("odd", "novel", "nobody", 5, 1, 0, 0, null, false)))
+                        .size());
+        Dispatch sent = Samples.only(Dispatch.class, at(1, Samples.arrival("same", "read", "nobody")))
+                .get(0);
         assertEquals(List.of(), at(0, Samples.arrival("same", "read", "nobody")), "an id twice is passed over");
         at(0, Samples.outcome(sent, 7, Result.SERVED), Samples.outcome(sent, 0, Result.SERVED));
         assertEquals(List.of(), Samples.only(Dispatch.class, at(1, Samples.outcome(sent, 0, Result.BROKEN))));
@@ -320,10 +430,36 @@
     @Test
     void senselessSettingsAreRejectedByName() {
         Settings s = Samples.settings(0, 3, true);
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> new Settings(3, 3, s.zone(),
-                s.classes(), s.tenants(), s.kinds(), false, false, s.reports(), 0, s.limits(), s.rules()));
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class,
+                () -> new Settings(
+                        3,
+                        3,
+                        s.zone(),
+                        s.classes(),
+                        s.tenants(),
+                        s.kinds(),
+                        false,
+                        false,
+                        s.reports(),
+                        0,
+                        s.limits(),
+                        s.rules()));
         assertEquals("setting rank makes no sense: 3", e.getMessage());
-        assertThrows(IllegalArgumentException.class, () -> new Settings(0, 3, s.zone(), List.of(), s.tenants(),
-                s.kinds(), false, false, s.reports(), 0, s.limits(), s.rules()));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Settings(
+                        0,
+                        3,
+                        s.zone(),
+                        List.of(),
+                        s.tenants(),
+                        s.kinds(),
+                        false,
+                        false,
+                        s.reports(),
+                        0,
+                        s.limits(),
+                        s.rules()));
     }
 }
--- a/src/test/java/nettlewick/decision/MeasureFleet.java
+++ b/src/test/java/nettlewick/decision/MeasureFleet.java
@@ -9,8 +9,7 @@
     private static final long SECOND = Samples.SECOND;
     private static final long WORK = SECOND / 4;
 
-    private MeasureFleet() {
-    }
+    private MeasureFleet() {}
 
     public static void main(String[] args) {
         // The first round is for the compiler alone.
--- a/src/test/java/nettlewick/decision/OutliersTest.java
+++ b/src/test/java/nettlewick/decision/OutliersTest.java
@@ -15,7 +15,8 @@
 /** Who is left alone, how many at most, and how they come back. */
 class OutliersTest {
     private static final long MS = 1_000_000;
-    private final List<Worker> fleet = IntStream.range(0, 6).mapToObj(i -> new Worker("w" + i)).toList();
+    private final List<Worker> fleet =
+            IntStream.range(0, 6).mapToObj(i -> new Worker("w" + i)).toList();
     private final Outliers outliers = new Outliers(() -> fleet);
 
     private boolean out(int i, long now) {
--- a/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
+++ b/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
@@ -54,8 +54,18 @@
     private static final long PLAYED = 14 * SECOND;
     private static final String[] CLASSES = {"read", "keyed", "book", "cell"};
     private static final Result[] RESULTS = {
-        Result.SERVED, Result.SERVED, Result.SERVED, Result.SERVED, Result.SERVED, Result.SERVED, Result.SERVED,
-        Result.ERROR, Result.FULL, Result.TIMEOUT, Result.UNREACHABLE, Result.BROKEN
+        Result.SERVED,
+        Result.SERVED,
+        Result.SERVED,
+        Result.SERVED,
+        Result.SERVED,
+        Result.SERVED,
+        Result.SERVED,
+        Result.ERROR,
+        Result.FULL,
+        Result.TIMEOUT,
+        Result.UNREACHABLE,
+        Result.BROKEN
     };
 
     private record Due(long at, long number, int rank, Event event) {}
@@ -64,8 +74,8 @@
     private static final class Fleet {
         private final SplittableRandom random;
         private final List<Dispatcher> members = new ArrayList<>();
-        private final PriorityQueue<Due> queue = new PriorityQueue<>((a, b) ->
-                a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
+        private final PriorityQueue<Due> queue = new PriorityQueue<>(
+                (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
         private final Map<String, Integer> attempts = new LinkedHashMap<>();
         private final Map<String, List<byte[]>> messages = new LinkedHashMap<>();
         private final MessageDigest decided = sha256();
@@ -91,8 +101,18 @@
         private static Settings settings(int rank, int dispatchers, boolean hedged) {
             Settings s = Samples.settings(rank, dispatchers, true);
             Limits limits = new Limits(4, true, true, true, true, hedged, 2 * SECOND);
-            return new Settings(rank, dispatchers, s.zone(), s.classes(), s.tenants(), s.kinds(), s.listOnRequest(),
-                    s.sizesFixed(), hedged ? Reports.ON_PROBE : Reports.INLINE, hedged ? 0 : 100 * MS, limits,
+            return new Settings(
+                    rank,
+                    dispatchers,
+                    s.zone(),
+                    s.classes(),
+                    s.tenants(),
+                    s.kinds(),
+                    s.listOnRequest(),
+                    s.sizesFixed(),
+                    hedged ? Reports.ON_PROBE : Reports.INLINE,
+                    hedged ? 0 : 100 * MS,
+                    limits,
                     s.rules());
         }
 
@@ -105,8 +125,19 @@
                 String tenant = random.nextInt(5) == 0 ? "blue" : "red";
                 long hint = random.nextBoolean() ? 0 : 40 * MS + random.nextLong(400 * MS);
                 long remaining = SECOND + random.nextLong(4 * SECOND);
-                at(time, rank, new Arrival("r" + rank + "-" + time, name, tenant, remaining,
-                        1 + random.nextInt(2), 0, hint, key, false));
+                at(
+                        time,
+                        rank,
+                        new Arrival(
+                                "r" + rank + "-" + time,
+                                name,
+                                tenant,
+                                remaining,
+                                1 + random.nextInt(2),
+                                0,
+                                hint,
+                                key,
+                                false));
             }
         }
 
@@ -114,8 +145,8 @@
             for (long time = 2 * SECOND; time < PLAYED; time += SECOND) {
                 int index = random.nextInt(endpoints);
                 Life life = Life.values()[random.nextInt(Life.values().length)];
-                WorkerEntry changed = Samples.entry("w" + index, life, time / 2,
-                        index % 2 == 0 ? "north" : "south", index / 2);
+                WorkerEntry changed =
+                        Samples.entry("w" + index, life, time / 2, index % 2 == 0 ? "north" : "south", index / 2);
                 at(time + random.nextLong(300 * MS), rank, new WorkerList(false, List.of(changed)));
             }
             at(6 * SECOND, rank, new Ban("w1", true, 0));
@@ -192,8 +223,17 @@
                 at(now + 8 * MS, rank, new Progress(d.id(), number, d.worker(), 0));
             }
             Load load = new Load(random.nextInt(3), Double.NaN, random.nextInt(4), Double.NaN, Double.NaN);
-            at(now + took, rank, new Outcome(d.id(), number, d.worker(), result, took, result == Result.SERVED,
-                    random.nextBoolean() ? load : null));
+            at(
+                    now + took,
+                    rank,
+                    new Outcome(
+                            d.id(),
+                            number,
+                            d.worker(),
+                            result,
+                            took,
+                            result == Result.SERVED,
+                            random.nextBoolean() ? load : null));
         }
 
         private static String kind(byte[] data) {
@@ -205,9 +245,15 @@
 
         String report() {
             StringBuilder text = new StringBuilder();
-            counts.entrySet().stream().sorted(Map.Entry.comparingByKey())
-                    .forEach(e -> text.append(e.getKey()).append(' ').append(e.getValue()).append('\n'));
-            text.append("decided ").append(HexFormat.of().formatHex(decided.digest())).append('\n');
+            counts.entrySet().stream()
+                    .sorted(Map.Entry.comparingByKey())
+                    .forEach(e -> text.append(e.getKey())
+                            .append(' ')
+                            .append(e.getValue())
+                            .append('\n'));
+            text.append("decided ")
+                    .append(HexFormat.of().formatHex(decided.digest()))
+                    .append('\n');
             messages.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(e -> {
                 text.append(e.getKey()).append(": ").append(e.getValue().size()).append('\n');
                 e.getValue().stream().limit(3).forEach(bytes -> text.append(hex(bytes)));
--- a/src/test/java/nettlewick/decision/PeersTest.java
+++ b/src/test/java/nettlewick/decision/PeersTest.java
@@ -15,8 +15,7 @@
 
 /** Transfers between dispatchers, best friends, and messages that are not ours. */
 class PeersTest {
-    private record Mail(long at, int from, int to, byte[] data) {
-    }
+    private record Mail(long at, int from, int to, byte[] data) {}
 
     /** A few dispatchers whose workers are always full, joined by a network that loses, doubles and reorders. */
     private static final class Ring {
@@ -30,6 +29,7 @@
         boolean full = true;
         /** Of ten jobs, so many are lost while workers are full: slices that serve all may grow by themselves. */
         int broken = 5;
+
         boolean[] dead;
 
         Ring(int size, long seed) {
@@ -58,8 +58,9 @@
                 } else if (action instanceof SetTimer t) {
                     beat[rank] = now + t.delay();
                 } else if (action instanceof Probe p) {
-                    carry(rank, members[rank].handle(now, List.of(
-                            Samples.answer(p.worker(), full ? 0 : 3, full ? 9 : 0))));
+                    carry(
+                            rank,
+                            members[rank].handle(now, List.of(Samples.answer(p.worker(), full ? 0 : 3, full ? 9 : 0))));
                 }
             }
         }
@@ -74,7 +75,9 @@
                         mail.removeIf(m -> m.to() == rank);
                         continue;
                     }
-                    for (Mail m : mail.stream().filter(m -> m.to() == rank && m.at() <= now).toList()) {
+                    for (Mail m : mail.stream()
+                            .filter(m -> m.to() == rank && m.at() <= now)
+                            .toList()) {
                         mail.remove(m);
                         carry(i, members[i].handle(now, List.of(new PeerMessage(m.from(), m.data()))));
                     }
@@ -82,8 +85,8 @@
                         carry(i, members[i].handle(now, List.of(new Timer("beat"))));
                     }
                     for (int j = 0; now % (100 * Samples.MS) < 10 * Samples.MS && j < arrivals[i]; j++) {
-                        List<Action> actions = members[i].handle(now,
-                                List.of(Samples.arrival("j" + jobs++, "book", j % 3 == 0 ? "blue" : "red")));
+                        List<Action> actions = members[i].handle(
+                                now, List.of(Samples.arrival("j" + jobs++, "book", j % 3 == 0 ? "blue" : "red")));
                         for (Dispatch d : Samples.only(Dispatch.class, actions)) {
                             Result result = full && random.nextInt(10) < broken ? Result.BROKEN : Result.SERVED;
                             carry(i, members[i].handle(now, List.of(Samples.outcome(d, 0, result))));
@@ -112,7 +115,8 @@
         ring.run(10 * Samples.SECOND, 9, 3, 1, 1);
         double before = ring.sum();
         int moved = 0;
-        double[] slices = java.util.Arrays.stream(ring.members).mapToDouble(Logic::slice).toArray();
+        double[] slices =
+                java.util.Arrays.stream(ring.members).mapToDouble(Logic::slice).toArray();
         for (int second = 11; second < 40; second++) {
             ring.run(second * Samples.SECOND, 9, 3, 1, 1);
             assertTrue(ring.sum() <= before + 1e-3, "the sum rose from " + before + " to " + ring.sum());
@@ -177,7 +181,8 @@
         byte[] ours = new PeerNote(PeerNote.What.GIVE, true, 1, epochOf(logic), 1, 0, 4).bytes();
         double before = logic.slice();
         for (int rank : new int[] {-1, 0, 3, 99}) {
-            assertEquals(0, logic.handle(2, List.of(new PeerMessage(rank, ours))).size());
+            assertEquals(
+                    0, logic.handle(2, List.of(new PeerMessage(rank, ours))).size());
         }
         assertEquals(before, logic.slice());
     }
@@ -188,20 +193,23 @@
             Logic logic = new Logic(s, 3);
             logic.handle(1, List.of(Samples.workers(4)));
             for (int i = 1; i < 60; i++) {
-                assertEquals(List.of(), Samples.only(TellPeer.class,
-                        logic.handle(i * 100 * Samples.MS, List.of(new Timer("beat")))));
+                assertEquals(
+                        List.of(),
+                        Samples.only(TellPeer.class, logic.handle(i * 100 * Samples.MS, List.of(new Timer("beat")))));
             }
         }
     }
 
     private static int acks(Logic logic, byte[] data) {
-        return Samples.only(TellPeer.class, logic.handle(2, List.of(new PeerMessage(1, data)))).size();
+        return Samples.only(TellPeer.class, logic.handle(2, List.of(new PeerMessage(1, data))))
+                .size();
     }
 
     /** A dispatcher's life, as its answer to a question shows it. */
     private static int epochOf(Logic logic) {
         byte[] ask = new PeerNote(PeerNote.What.ASK, false, 111, 0, 0, 0, 0).bytes();
-        TellPeer answer = Samples.only(TellPeer.class, logic.handle(1, List.of(new PeerMessage(1, ask)))).get(0);
+        TellPeer answer = Samples.only(TellPeer.class, logic.handle(1, List.of(new PeerMessage(1, ask))))
+                .get(0);
         return PeerNote.of(answer.data()).epoch();
     }
 }
--- a/src/test/java/nettlewick/decision/RetryAfterTest.java
+++ b/src/test/java/nettlewick/decision/RetryAfterTest.java
@@ -17,17 +17,21 @@
     @Test
     void aRefusalForWantOfAnyWorkerSaysWhenToComeBack() {
         Refuse refused = refusals(true, Samples.arrival("a", "read", "red")).get(0);
-        assertTrue(refused.retryAfter() >= Samples.SECOND && refused.retryAfter() <= 2 * Samples.SECOND,
+        assertTrue(
+                refused.retryAfter() >= Samples.SECOND && refused.retryAfter() <= 2 * Samples.SECOND,
                 refused.toString());
     }
 
     @Test
     void aClassThatIsUnknownIsRefusedForAsLongAsClientsHeed() {
-        assertEquals(2 * Samples.SECOND, refusals(true, Samples.arrival("a", "none", "red")).get(0).retryAfter());
+        assertEquals(
+                2 * Samples.SECOND,
+                refusals(true, Samples.arrival("a", "none", "red")).get(0).retryAfter());
     }
 
     @Test
     void nothingIsAdvisedWhereTheSiteGivesNoAdvice() {
-        assertEquals(0, refusals(false, Samples.arrival("a", "read", "red")).get(0).retryAfter());
+        assertEquals(
+                0, refusals(false, Samples.arrival("a", "read", "red")).get(0).retryAfter());
     }
 }
--- a/src/test/java/nettlewick/decision/RollTest.java
+++ b/src/test/java/nettlewick/decision/RollTest.java
@@ -16,7 +16,9 @@
     private final Roll roll = new Roll();
 
     private WorkerEntry told(Life life, long startedAt) {
-        return roll.heed(new WorkerList(false, List.of(entry("w", life, startedAt, "north", 0)))).entries().get(0);
+        return roll.heed(new WorkerList(false, List.of(entry("w", life, startedAt, "north", 0))))
+                .entries()
+                .get(0);
     }
 
     @Test
@@ -28,7 +30,9 @@
         assertEquals(new Rotation(0, 0), roll.count(id -> true));
         assertEquals(Life.DRAINING, told(Life.READY, 0).life());
         assertEquals(new Rotation(1, 1), roll.count(id -> true));
-        assertEquals(Life.READY, roll.heed(new Ban("w", false, 3 * SECOND)).entries().get(0).life());
+        assertEquals(
+                Life.READY,
+                roll.heed(new Ban("w", false, 3 * SECOND)).entries().get(0).life());
     }
 
     /** Guards against a full load for a worker that was restarted while it was out. */
@@ -46,13 +50,27 @@
     @Test
     void oneThatIsBackGetsTheNextHarmlessJob() {
         Dispatcher module = Dispatcher.create(Samples.settings(0, 1, true), 1);
-        module.handle(1, List.of(Samples.workers(4), Samples.answer("w0", 9, 0), Samples.answer("w2", 9, 0),
-                new Ban("w1", true, 1), Samples.arrival("a", "read", "red")));
-        List<Action> actions = module.handle(SECOND, List.of(new Ban("w1", false, SECOND),
-                Samples.answer("w0", 9, 0), Samples.arrival("b", "book", "red"), Samples.arrival("c", "read", "red"),
-                Samples.arrival("d", "read", "red")));
-        assertEquals(List.of(false, true, false), Samples.only(Dispatch.class, actions).stream()
-                .map(d -> d.worker().equals("w1")).toList());
+        module.handle(
+                1,
+                List.of(
+                        Samples.workers(4),
+                        Samples.answer("w0", 9, 0),
+                        Samples.answer("w2", 9, 0),
+                        new Ban("w1", true, 1),
+                        Samples.arrival("a", "read", "red")));
+        List<Action> actions = module.handle(
+                SECOND,
+                List.of(
+                        new Ban("w1", false, SECOND),
+                        Samples.answer("w0", 9, 0),
+                        Samples.arrival("b", "book", "red"),
+                        Samples.arrival("c", "read", "red"),
+                        Samples.arrival("d", "read", "red")));
+        assertEquals(
+                List.of(false, true, false),
+                Samples.only(Dispatch.class, actions).stream()
+                        .map(d -> d.worker().equals("w1"))
+                        .toList());
     }
 
     /** Guards against loads of one worker taken for another's where dispatchers have different ones out. */
@@ -61,11 +79,21 @@
         List<String> notes = new ArrayList<>();
         for (int out = 0; out < 2; out++) {
             Dispatcher module = Dispatcher.create(Samples.settings(0, 2, true), 1);
-            module.handle(1, List.of(Samples.workers(4), new Ban("w" + out, true, 1), Samples.answer("w2", 9, 0),
-                    Samples.answer("w" + (1 - out), 0, 9), Samples.answer("w3", 0, 9),
-                    Samples.arrival("a", "read", "red")));
+            module.handle(
+                    1,
+                    List.of(
+                            Samples.workers(4),
+                            new Ban("w" + out, true, 1),
+                            Samples.answer("w2", 9, 0),
+                            Samples.answer("w" + (1 - out), 0, 9),
+                            Samples.answer("w3", 0, 9),
+                            Samples.arrival("a", "read", "red")));
             notes.add(Samples.only(TellPeer.class, module.handle(SECOND / 10, List.of(new Timer("beat")))).stream()
-                    .map(TellPeer::data).filter(LoadNote::is).map(Arrays::toString).toList().toString());
+                    .map(TellPeer::data)
+                    .filter(LoadNote::is)
+                    .map(Arrays::toString)
+                    .toList()
+                    .toString());
         }
         assertEquals(notes.get(0), notes.get(1));
         char mark = LoadNote.mark("w2");
@@ -77,12 +105,17 @@
         Dispatcher module = Dispatcher.create(Samples.settings(0, 1, true), 1);
         module.handle(1, List.of(Samples.workers(2), new Ban("w0", true, 1)));
         for (int i = 0; i < 40; i++) {
-            List<Action> actions = module.handle(1 + i * SECOND / 10, List.of(new Timer("beat"),
-                    Samples.answer("w1", 4, 0), Samples.arrival("j" + i, "read", "red")));
-            assertTrue(actions.stream().noneMatch(a -> a instanceof Dispatch d && d.worker().equals("w0")
-                    || a instanceof Probe p && p.worker().equals("w0")), actions.toString());
-            Samples.only(Dispatch.class, actions).forEach(d -> module.handle(1, List.of(
-                    Samples.outcome(d, 0, Result.SERVED))));
+            List<Action> actions = module.handle(
+                    1 + i * SECOND / 10,
+                    List.of(new Timer("beat"), Samples.answer("w1", 4, 0), Samples.arrival("j" + i, "read", "red")));
+            assertTrue(
+                    actions.stream()
+                            .noneMatch(a -> a instanceof Dispatch d
+                                            && d.worker().equals("w0")
+                                    || a instanceof Probe p && p.worker().equals("w0")),
+                    actions.toString());
+            Samples.only(Dispatch.class, actions)
+                    .forEach(d -> module.handle(1, List.of(Samples.outcome(d, 0, Result.SERVED))));
         }
         assertEquals(new Rotation(2, 1), module.rotation());
     }
--- a/src/test/java/nettlewick/decision/RuleChecker.java
+++ b/src/test/java/nettlewick/decision/RuleChecker.java
@@ -43,7 +43,8 @@
             requests.put(e.id(), r);
         } else if (event instanceof WorkerList e) {
             if (e.whole()) {
-                list.replaceAll((id, w) -> new WorkerEntry(id, Life.GONE, w.startedAt(), w.cell(), w.kind(), w.zone(), 1));
+                list.replaceAll(
+                        (id, w) -> new WorkerEntry(id, Life.GONE, w.startedAt(), w.cell(), w.kind(), w.zone(), 1));
             }
             e.entries().forEach(w -> list.put(w.worker(), w));
         } else if (event instanceof Outcome e) {
@@ -118,7 +119,8 @@
         }
         if (first != null && c.repeat() == Repeat.DEDUP) {
             WorkerEntry f = list.get(first.worker);
-            if (now - first.at > c.window() || c.scope() == Scope.ZONE && !f.zone().equals(w.zone())
+            if (now - first.at > c.window()
+                    || c.scope() == Scope.ZONE && !f.zone().equals(w.zone())
                     || c.scope() == Scope.CELL && f.cell() != w.cell()) {
                 broken.add("effect: dedup " + a.id() + " sent again outside its window or group");
             }
@@ -136,13 +138,24 @@
     private void cold(long now, WorkerEntry w) {
         List<Long> sends = coldSends.computeIfAbsent(w.worker(), k -> new ArrayList<>());
         sends.add(now);
-        long recent = sends.stream().filter(at -> now - at < settings.rules().fall()).count();
-        long warm = Math.max(1, list.values().stream().filter(x -> x.startedAt() == 0 && x.life() == Life.READY).count());
+        long recent =
+                sends.stream().filter(at -> now - at < settings.rules().fall()).count();
+        long warm = Math.max(
+                1,
+                list.values().stream()
+                        .filter(x -> x.startedAt() == 0 && x.life() == Life.READY)
+                        .count());
         double seconds = Math.max(1, (now - began) / 1e9);
         double age = (double) (now - w.startedAt()) / settings.rules().cold();
         double ramp = settings.rules().coldShare() + (1 - settings.rules().coldShare()) * age;
-        double budget = settings.rules().overloadFactor() * ramp * warmServed / seconds / warm
-                * settings.rules().fall() / 1e9 + 1;
+        double budget = settings.rules().overloadFactor()
+                        * ramp
+                        * warmServed
+                        / seconds
+                        / warm
+                        * settings.rules().fall()
+                        / 1e9
+                + 1;
         if (recent > budget) {
             broken.add("cold: " + w.worker() + " got " + recent + " of " + budget);
         }
@@ -158,6 +171,9 @@
     }
 
     private JobClass jobClass(Request r) {
-        return settings.classes().stream().filter(c -> c.name().equals(r.arrival.jobClass())).findFirst().orElseThrow();
+        return settings.classes().stream()
+                .filter(c -> c.name().equals(r.arrival.jobClass()))
+                .findFirst()
+                .orElseThrow();
     }
 }
--- a/src/test/java/nettlewick/decision/RulesTest.java
+++ b/src/test/java/nettlewick/decision/RulesTest.java
@@ -17,26 +17,38 @@
 
 /** The four rules over random event sequences, and the checker over planted violations of each. */
 class RulesTest {
-    private record Due(long at, int order, Event event) {
-    }
+    private record Due(long at, int order, Event event) {}
 
     /** Plays seeded random events against one instance and writes down all that it did. */
     private static List<String> play(long seed, Settings settings, RuleChecker checker, UnaryOperator<String> name) {
         SplittableRandom random = new SplittableRandom(seed);
         Dispatcher dispatcher = Dispatcher.create(settings, seed);
-        PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingInt(Due::order));
+        PriorityQueue<Due> due =
+                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingInt(Due::order));
         List<String> trace = new ArrayList<>();
         int[] order = {0};
         long end = 20 * Samples.SECOND;
         due.add(new Due(1, order[0]++, rename(Samples.workers(8), name)));
         for (int i = 0; i < 1500; i++) {
             String id = "r" + i;
-            JobClass c = settings.classes().get(random.nextInt(settings.classes().size()));
-            String tenant = settings.tenants().get(random.nextInt(10) == 0 ? 1 : 0).name();
+            JobClass c =
+                    settings.classes().get(random.nextInt(settings.classes().size()));
+            String tenant =
+                    settings.tenants().get(random.nextInt(10) == 0 ? 1 : 0).name();
             long at = 2 + random.nextLong(end);
-            due.add(new Due(at, order[0]++, new Arrival(id, c.name(), tenant,
-                    50 * Samples.MS + random.nextLong(3 * Samples.SECOND), 1 + random.nextInt(2), 0,
-                    random.nextLong(400) * Samples.MS, null, random.nextInt(5) == 0)));
+            due.add(new Due(
+                    at,
+                    order[0]++,
+                    new Arrival(
+                            id,
+                            c.name(),
+                            tenant,
+                            50 * Samples.MS + random.nextLong(3 * Samples.SECOND),
+                            1 + random.nextInt(2),
+                            0,
+                            random.nextLong(400) * Samples.MS,
+                            null,
+                            random.nextInt(5) == 0)));
             if (random.nextInt(40) == 0) {
                 due.add(new Due(at + random.nextLong(Samples.SECOND), order[0]++, new Abandoned(id)));
             }
@@ -45,8 +57,19 @@
             long at = 2 + random.nextLong(end);
             int w = random.nextInt(12);
             Life life = Life.values()[random.nextInt(3)];
-            due.add(new Due(at, order[0]++, rename(new WorkerList(false, List.of(Samples.entry("w" + w, life,
-                    life == Life.READY && w >= 6 ? at : 0, w % 2 == 0 ? "north" : "south", w / 2))), name)));
+            due.add(new Due(
+                    at,
+                    order[0]++,
+                    rename(
+                            new WorkerList(
+                                    false,
+                                    List.of(Samples.entry(
+                                            "w" + w,
+                                            life,
+                                            life == Life.READY && w >= 6 ? at : 0,
+                                            w % 2 == 0 ? "north" : "south",
+                                            w / 2))),
+                            name)));
         }
         java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
         java.util.Map<String, Long> deadlines = new java.util.HashMap<>();
@@ -75,22 +98,32 @@
                     long left = deadlines.get(d.id()) - now;
                     int lot = random.nextInt(100);
                     long wait = 1 + random.nextLong(400 * Samples.MS);
-                    Result result = lot < 60 ? Result.SERVED : lot < 75 ? Result.FULL : lot < 80 ? Result.ERROR
-                            : lot < 85 ? Result.UNREACHABLE : lot < 90 ? Result.BROKEN : Result.TIMEOUT;
+                    Result result = lot < 60
+                            ? Result.SERVED
+                            : lot < 75
+                                    ? Result.FULL
+                                    : lot < 80
+                                            ? Result.ERROR
+                                            : lot < 85 ? Result.UNREACHABLE : lot < 90 ? Result.BROKEN : Result.TIMEOUT;
                     if (result == Result.TIMEOUT || wait >= left) {
                         result = Result.TIMEOUT;
                         wait = left;
                     }
-                    due.add(new Due(now + Math.max(1, wait), order[0]++, new Outcome(d.id(), number, d.worker(), result,
-                            wait, result == Result.SERVED, null)));
+                    due.add(new Due(
+                            now + Math.max(1, wait),
+                            order[0]++,
+                            new Outcome(d.id(), number, d.worker(), result, wait, result == Result.SERVED, null)));
                 } else if (action instanceof Refuse r) {
                     done.add(r.id());
                 } else if (action instanceof Fail f) {
                     done.add(f.id());
                 } else if (action instanceof Probe p) {
-                    due.add(new Due(now + 1 + random.nextLong(5 * Samples.MS), order[0]++, random.nextInt(10) == 0
-                            ? new ProbeAnswer(p.worker(), Result.TIMEOUT, Samples.MS, null)
-                            : Samples.answer(p.worker(), random.nextInt(4), random.nextInt(3))));
+                    due.add(new Due(
+                            now + 1 + random.nextLong(5 * Samples.MS),
+                            order[0]++,
+                            random.nextInt(10) == 0
+                                    ? new ProbeAnswer(p.worker(), Result.TIMEOUT, Samples.MS, null)
+                                    : Samples.answer(p.worker(), random.nextInt(4), random.nextInt(3))));
                 } else if (action instanceof SetTimer t) {
                     due.add(new Due(now + t.delay(), order[0]++, new Timer(t.name())));
                 }
@@ -101,8 +134,18 @@
     }
 
     private static WorkerList rename(WorkerList list, UnaryOperator<String> name) {
-        return new WorkerList(list.whole(), list.entries().stream().map(w -> new WorkerEntry(name.apply(w.worker()),
-                w.life(), w.startedAt(), w.cell(), w.kind(), w.zone(), w.size())).toList());
+        return new WorkerList(
+                list.whole(),
+                list.entries().stream()
+                        .map(w -> new WorkerEntry(
+                                name.apply(w.worker()),
+                                w.life(),
+                                w.startedAt(),
+                                w.cell(),
+                                w.kind(),
+                                w.zone(),
+                                w.size()))
+                        .toList());
     }
 
     @ParameterizedTest
@@ -118,24 +161,52 @@
     @Test
     void replayGivesTheSameActions() {
         Settings settings = Samples.settings(1, 3, true);
-        assertSame(play(5, settings, new RuleChecker(settings), n -> n),
+        assertSame(
+                play(5, settings, new RuleChecker(settings), n -> n),
                 play(5, settings, new RuleChecker(settings), n -> n));
     }
 
     @Test
     void namesOfWorkersClassesAndTenantsDoNotMatter() {
         Settings settings = Samples.settings(1, 3, true);
-        List<JobClass> classes = settings.classes().stream().map(c -> new JobClass("x" + c.name(), c.repeat(), c.scope(),
-                c.window(), c.aim(), c.stretch(), c.deadline(), c.worth(), c.lateWorth(), c.stream(), c.kind(),
-                c.priority())).toList();
-        List<Tenant> tenants = settings.tenants().stream().map(t -> new Tenant("y" + t.name(), t.fraction(),
-                t.quotaPerSecond())).toList();
-        Settings renamed = new Settings(settings.rank(), settings.fleetSize(), settings.zone(), classes, tenants,
-                settings.kinds(), false, false, settings.reports(), 0, settings.limits(), settings.rules());
+        List<JobClass> classes = settings.classes().stream()
+                .map(c -> new JobClass(
+                        "x" + c.name(),
+                        c.repeat(),
+                        c.scope(),
+                        c.window(),
+                        c.aim(),
+                        c.stretch(),
+                        c.deadline(),
+                        c.worth(),
+                        c.lateWorth(),
+                        c.stream(),
+                        c.kind(),
+                        c.priority()))
+                .toList();
+        List<Tenant> tenants = settings.tenants().stream()
+                .map(t -> new Tenant("y" + t.name(), t.fraction(), t.quotaPerSecond()))
+                .toList();
+        Settings renamed = new Settings(
+                settings.rank(),
+                settings.fleetSize(),
+                settings.zone(),
+                classes,
+                tenants,
+                settings.kinds(),
+                false,
+                false,
+                settings.reports(),
+                0,
+                settings.limits(),
+                settings.rules());
         List<String> plain = play(6, settings, new RuleChecker(settings), n -> n);
         List<String> other = play(6, renamed, new RuleChecker(renamed), n -> "q" + n);
-        assertSame(plain.stream().map(RulesTest::withoutMarks).toList(),
-                other.stream().map(line -> withoutMarks(line.replace("worker=qw", "worker=w"))).toList());
+        assertSame(
+                plain.stream().map(RulesTest::withoutMarks).toList(),
+                other.stream()
+                        .map(line -> withoutMarks(line.replace("worker=qw", "worker=w")))
+                        .toList());
     }
 
     /** Notes to peers name workers by marks of their ids: what is told of each stays, the mark goes. */
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -9,8 +9,7 @@
     static final long MS = 1_000_000;
     static final long SECOND = 1000 * MS;
 
-    private Samples() {
-    }
+    private Samples() {}
 
     static JobClass jobClass(String name, Repeat repeat, Scope scope, double worth) {
         return new JobClass(name, repeat, scope, 4 * SECOND, 200 * MS, 2, 5 * SECOND, worth, 0, false, -1, 0);
@@ -21,12 +20,22 @@
     }
 
     static Settings settings(int rank, int fleet, boolean allowed) {
-        return new Settings(rank, fleet, "north",
-                List.of(jobClass("read", Repeat.RETRYABLE, Scope.ALL, 2), jobClass("keyed", Repeat.DEDUP, Scope.ZONE, 2),
+        return new Settings(
+                rank,
+                fleet,
+                "north",
+                List.of(
+                        jobClass("read", Repeat.RETRYABLE, Scope.ALL, 2),
+                                jobClass("keyed", Repeat.DEDUP, Scope.ZONE, 2),
                         jobClass("book", Repeat.FRAGILE, Scope.ALL, 2), jobClass("cell", Repeat.DEDUP, Scope.CELL, 2)),
-                List.of(new Tenant("red", 0.5, 10), new Tenant("blue", 0.5, 10)), List.of("box"), false, false,
-                Reports.ON_PROBE, 0, limits(allowed), new Rules(5 * MS, 10 * SECOND, 8 * SECOND, 0.25, 250 * MS,
-                        2 * SECOND, 3));
+                List.of(new Tenant("red", 0.5, 10), new Tenant("blue", 0.5, 10)),
+                List.of("box"),
+                false,
+                false,
+                Reports.ON_PROBE,
+                0,
+                limits(allowed),
+                new Rules(5 * MS, 10 * SECOND, 8 * SECOND, 0.25, 250 * MS, 2 * SECOND, 3));
     }
 
     static WorkerEntry entry(String id, Life life, long startedAt, String zone, int cell) {
--- a/src/test/java/nettlewick/decision/SecondSiteTest.java
+++ b/src/test/java/nettlewick/decision/SecondSiteTest.java
@@ -3,7 +3,6 @@
 import static nettlewick.decision.Samples.MS;
 import static nettlewick.decision.Samples.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -22,14 +21,25 @@
         return new JobClass(name, repeat, Scope.ZONE, 30 * SECOND, aim, stretch, 25 * SECOND, worth, 0, false, -1, 0);
     }
 
-    private final Logic logic = new Logic(new Settings(0, 1, "north",
-            List.of(jobClass("light", Repeat.RETRYABLE, 400 * MS, 1.75, 3),
-                    jobClass("heavy", Repeat.RETRYABLE, 1500 * MS, 2.5, 5),
-                    jobClass("dues", Repeat.DEDUP, 1500 * MS, 2.5, 5),
-                    jobClass("transfer", Repeat.FRAGILE, 1500 * MS, 1.75, 10)),
-            List.of(new Tenant("red", 1, 10)), List.of("box"), false, false, Reports.ON_PROBE, SECOND,
-            new Limits(5, true, true, true, true, false, 2 * SECOND),
-            new Rules(5 * MS, 10 * SECOND, 9 * SECOND, 0.3, 250 * MS, SECOND, 3)), 7);
+    private final Logic logic = new Logic(
+            new Settings(
+                    0,
+                    1,
+                    "north",
+                    List.of(
+                            jobClass("light", Repeat.RETRYABLE, 400 * MS, 1.75, 3),
+                            jobClass("heavy", Repeat.RETRYABLE, 1500 * MS, 2.5, 5),
+                            jobClass("dues", Repeat.DEDUP, 1500 * MS, 2.5, 5),
+                            jobClass("transfer", Repeat.FRAGILE, 1500 * MS, 1.75, 10)),
+                    List.of(new Tenant("red", 1, 10)),
+                    List.of("box"),
+                    false,
+                    false,
+                    Reports.ON_PROBE,
+                    SECOND,
+                    new Limits(5, true, true, true, true, false, 2 * SECOND),
+                    new Rules(5 * MS, 10 * SECOND, 9 * SECOND, 0.3, 250 * MS, SECOND, 3)),
+            7);
 
     private List<Action> at(long time, Event... events) {
         now = time;
@@ -69,9 +79,11 @@
     @Test
     void aRunnerWhoseFirstWaitingJobDoesNotFitIsNotSeenAsFree() {
         list("north", "north");
-        assertEquals("w0", sentTo(at(now, report("w0", 4, 4), report("w1", 0, 4), job("a", "heavy", 3 * SECOND, 1, 3))));
+        assertEquals(
+                "w0", sentTo(at(now, report("w0", 4, 4), report("w1", 0, 4), job("a", "heavy", 3 * SECOND, 1, 3))));
         at(now + MS, new Progress("a", 0, "w0", 0));
-        assertEquals("w0", sentTo(at(now, report("w0", 3, 4), report("w1", 0, 4), job("b", "heavy", 3 * SECOND, 1, 3))));
+        assertEquals(
+                "w0", sentTo(at(now, report("w0", 3, 4), report("w1", 0, 4), job("b", "heavy", 3 * SECOND, 1, 3))));
         for (int i = 0; i < 5; i++) {
             at(now + 100 * MS, report("w0", 3, 1), report("w1", 1.2, 4), new Timer("beat"));
         }
@@ -104,7 +116,8 @@
         for (int i = 0; i < 6; i++) {
             runs("s" + i, "heavy", "w0", SECOND, 5 * SECOND);
         }
-        List<Action> actions = at(now, report("w0", 4, 4), report("w1", 4, 4), job("t", "transfer", 4 * SECOND, 1, 0.1));
+        List<Action> actions =
+                at(now, report("w0", 4, 4), report("w1", 4, 4), job("t", "transfer", 4 * SECOND, 1, 0.1));
         assertEquals("w1", sentTo(actions));
     }
 
@@ -116,14 +129,19 @@
         assertEquals("w0", sentTo(at(now, job("tail", "heavy", SECOND, 1, 0.1))));
         at(now + MS, new Progress("tail", 0, "w0", 0));
         for (int second = 1; second <= 22; second++) {
-            List<Action> actions = at(now + SECOND, report("w0", 3, 3.5), report("w1", 0, 4), new Timer("beat"),
+            List<Action> actions = at(
+                    now + SECOND,
+                    report("w0", 3, 3.5),
+                    report("w1", 0, 4),
+                    new Timer("beat"),
                     new Progress("tail", 0, "w0", second / 23.0));
             assertEquals(List.of(), Samples.only(Cancel.class, actions));
             assertEquals(List.of(), Samples.only(Dispatch.class, actions));
         }
         assertEquals(0, logic.rotation().avoided());
         at(now + SECOND, new Outcome("tail", 0, "w0", Result.SERVED, 23 * SECOND, true, null));
-        assertEquals("w0", sentTo(at(now, report("w0", 4, 4), job("next", "transfer", SECOND, 1, 0.1))), "room is room");
+        assertEquals(
+                "w0", sentTo(at(now, report("w0", 4, 4), job("next", "transfer", SECOND, 1, 0.1))), "room is room");
     }
 
     /** A dependency slows every runner at once: nobody is left out for it, and where there is room none refused. */
@@ -134,7 +152,11 @@
         for (int round = 0; round < 20; round++) {
             for (int i = 0; i < 3; i++) {
                 String id = round + "-" + i;
-                List<Action> actions = at(now + 10 * MS, report("w0", 4, 4), report("w1", 4, 4), report("w2", 4, 4),
+                List<Action> actions = at(
+                        now + 10 * MS,
+                        report("w0", 4, 4),
+                        report("w1", 4, 4),
+                        report("w2", 4, 4),
                         job(id, i == 0 ? "light" : i == 1 ? "dues" : "transfer", 1500 * MS, 1, 0.1));
                 refused += Samples.only(Refuse.class, actions).size();
                 String worker = sentTo(actions);
--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/SharedLoadsTest.java
@@ -122,11 +122,14 @@
         receiver.list(ours);
         notes.forEach(n -> assertTrue(receiver.hear(1, n, 0)));
         double known = ours.stream().mapToDouble(w -> w.others).sum();
-        assertTrue(known >= 590 && ours.stream().allMatch(w -> w.others <= 1), known + " of 600; those of one mark are out");
+        assertTrue(
+                known >= 590 && ours.stream().allMatch(w -> w.others <= 1),
+                known + " of 600; those of one mark are out");
         theirs.forEach(w -> w.outSlots = 0);
         sender.news(1).forEach(n -> receiver.hear(1, n, 1));
         assertEquals(0, ours.stream().mapToDouble(w -> w.others).sum());
-        assertTrue(receiver.hear(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2), "a part beyond its number changes nothing");
+        assertTrue(
+                receiver.hear(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2), "a part beyond its number changes nothing");
         assertEquals(0, ours.stream().mapToDouble(w -> w.others).sum());
     }
 }
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -64,15 +64,14 @@
         }
     }
 
-    private record Due(long at, long number, Runnable task) {
-    }
+    private record Due(long at, long number, Runnable task) {}
 
     final Map<String, Runner> runners = new LinkedHashMap<>();
     final List<Logic> instances = new ArrayList<>();
     final Map<String, Long> work = new HashMap<>();
     private final Map<String, Integer> attempts = new HashMap<>();
-    private final PriorityQueue<Due> queue = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Long.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
+    private final PriorityQueue<Due> queue = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
     private final SplittableRandom random;
     private long numbers;
     long now = 1;
@@ -91,12 +90,27 @@
         }
         for (int rank = 0; rank < dispatchers; rank++) {
             Settings s = Samples.settings(rank, dispatchers, true);
-            instances.add(new Logic(new Settings(rank, dispatchers, ZONES[rank % ZONES.length], s.classes(), s.tenants(),
-                    s.kinds(), s.listOnRequest(), s.sizesFixed(), s.reports(), s.progress(), s.limits(), s.rules()),
+            instances.add(new Logic(
+                    new Settings(
+                            rank,
+                            dispatchers,
+                            ZONES[rank % ZONES.length],
+                            s.classes(),
+                            s.tenants(),
+                            s.kinds(),
+                            s.listOnRequest(),
+                            s.sizesFixed(),
+                            s.reports(),
+                            s.progress(),
+                            s.limits(),
+                            s.rules()),
                     seed + rank));
         }
         for (int rank = 0; rank < dispatchers; rank++) {
-            handle(rank, new WorkerList(true, runners.values().stream().map(r -> r.entry).toList()));
+            handle(
+                    rank,
+                    new WorkerList(
+                            true, runners.values().stream().map(r -> r.entry).toList()));
         }
     }
 
@@ -143,14 +157,33 @@
             int number = attempts.merge(d.id(), 1, Integer::sum) - 1;
             long sentAt = now;
             sent++;
-            at(now + HOP, () -> runners.get(d.worker()).take(work.get(d.id()),
-                    () -> later(rank, new Progress(d.id(), number, d.worker(), 0)),
-                    () -> later(rank, new Outcome(d.id(), number, d.worker(), Result.SERVED, now + HOP - sentAt, true,
-                            null))));
+            at(
+                    now + HOP,
+                    () -> runners.get(d.worker())
+                            .take(
+                                    work.get(d.id()),
+                                    () -> later(rank, new Progress(d.id(), number, d.worker(), 0)),
+                                    () -> later(
+                                            rank,
+                                            new Outcome(
+                                                    d.id(),
+                                                    number,
+                                                    d.worker(),
+                                                    Result.SERVED,
+                                                    now + HOP - sentAt,
+                                                    true,
+                                                    null))));
         } else if (action instanceof Probe p) {
             probes++;
-            at(now + HOP, () -> later(rank, new ProbeAnswer(p.worker(), Result.SERVED, 2 * HOP,
-                    runners.get(p.worker()).load())));
+            at(
+                    now + HOP,
+                    () -> later(
+                            rank,
+                            new ProbeAnswer(
+                                    p.worker(),
+                                    Result.SERVED,
+                                    2 * HOP,
+                                    runners.get(p.worker()).load())));
         } else if (action instanceof TellPeer t) {
             datagrams++;
             bytes += t.data().length;
@@ -168,7 +201,8 @@
 
     private static String kind(byte[] data) {
         PeerNote note = PeerNote.of(data);
-        return note != null ? note.what().name().toLowerCase(Locale.ROOT)
+        return note != null
+                ? note.what().name().toLowerCase(Locale.ROOT)
                 : Tally.is(data) ? Tally.kind(data).name().toLowerCase(Locale.ROOT) : "note";
     }
 
--- a/src/test/java/nettlewick/decision/TallyTest.java
+++ b/src/test/java/nettlewick/decision/TallyTest.java
@@ -42,13 +42,14 @@
         out.forEach((rank, datagrams) -> {
             assertTrue(rank != from.rank && rank >= 0 && rank < SIZE, "to rank " + rank);
             datagrams.forEach(d -> assertTrue(d.length <= 256, d.length + " bytes"));
-            members.stream().filter(m -> m.rank == rank).forEach(m -> datagrams.forEach(d ->
-                    assertTrue(m.tally.hear(from.rank, d, now))));
+            members.stream()
+                    .filter(m -> m.rank == rank)
+                    .forEach(m -> datagrams.forEach(d -> assertTrue(m.tally.hear(from.rank, d, now))));
         });
     }
 
     private static String ownedBy(int owner) {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             if (Tally.owner(LoadNote.mark("w" + i), SIZE) == owner) {
                 return "w" + i;
             }
@@ -102,7 +103,10 @@
                 m.tally.expire(t);
             }
         }
-        assertEquals(1, watcher.at(id).others, "an owner that starts anew tells sums again once watchers tell it, each second");
+        assertEquals(
+                1,
+                watcher.at(id).others,
+                "an owner that starts anew tells sums again once watchers tell it, each second");
     }
 
     /** Guards against two datagrams to each watcher for every job at a runner that is busy. */
@@ -121,7 +125,10 @@
                 holder.at(id).outSlots = when == at ? 1 : 2;
                 flush(holder, all, when);
                 flush(watcher, all, when);
-                told += owner.tally.flush(when, owner.workers, List.of()).getOrDefault(5, List.of()).size();
+                told += owner.tally
+                        .flush(when, owner.workers, List.of())
+                        .getOrDefault(5, List.of())
+                        .size();
                 changes++;
             }
         }
@@ -142,19 +149,22 @@
         Member notOwner = member(9, id);
         flush(stranger, List.of(owner), 0);
         assertEquals(new Dispatcher.PeerFaults(0, 0, 0), owner.heard.counts());
-        byte[] hold = stranger.tally.flush(SECOND, stranger.workers, List.of()).get(7).get(0);
+        byte[] hold =
+                stranger.tally.flush(SECOND, stranger.workers, List.of()).get(7).get(0);
         assertTrue(notOwner.tally.hear(3, hold, SECOND));
         assertEquals(1, notOwner.heard.counts().damaged(), "a holding told to one that owns nothing there");
         flush(watcher, List.of(owner), 2);
         flush(owner, List.of(watcher), 3);
         assertEquals(3, watcher.at(id).others);
         byte[] sum = owner.tally.flush(4, owner.workers, List.of()).getOrDefault(5, List.of()).stream()
-                .findFirst().orElse(null);
+                .findFirst()
+                .orElse(null);
         assertEquals(null, sum, "nothing changed, nothing is told");
         Member other = new Member(5, 0);
         stranger.at(id).outSlots = 2;
         flush(stranger, List.of(owner), SECOND / 5);
-        List<byte[]> sums = owner.tally.flush(SECOND / 5 + 1, owner.workers, List.of()).get(5);
+        List<byte[]> sums =
+                owner.tally.flush(SECOND / 5 + 1, owner.workers, List.of()).get(5);
         assertTrue(other.tally.hear(7, sums.get(0), 6));
         assertEquals(1, other.heard.counts().unlisted(), "a sum of a runner this list does not hold");
         assertTrue(watcher.tally.hear(2, sums.get(0), 6));
@@ -168,7 +178,10 @@
         Member holder = new Member(3, 3000);
         holder.workers.forEach(w -> w.outSlots = 1);
         Map<Integer, List<byte[]>> out = holder.tally.flush(0, holder.workers, holder.workers);
-        long entries = out.values().stream().flatMap(List::stream).mapToLong(d -> d.length).sum();
+        long entries = out.values().stream()
+                .flatMap(List::stream)
+                .mapToLong(d -> d.length)
+                .sum();
         assertTrue(out.values().stream().flatMap(List::stream).allMatch(d -> d.length <= 256));
         assertTrue(entries > 2800 * 5, entries + " bytes for holdings and watches of 3,000 runners");
     }
--- a/src/test/java/nettlewick/duty/DutySearchTest.java
+++ b/src/test/java/nettlewick/duty/DutySearchTest.java
@@ -39,8 +39,8 @@
             refused += end[0].refused;
             holders += end[0].holders;
         }
-        System.out.println("voters=" + voters + " walks=" + WALKS + " holders=" + holders + " acts=" + acts + " stale_acts_refused="
-                + refused);
+        System.out.println("voters=" + voters + " walks=" + WALKS + " holders=" + holders + " acts=" + acts
+                + " stale_acts_refused=" + refused);
         assertTrue(refused > 0, "no stale act was tried");
         assertTrue(holders > WALKS / 2, holders + " holders: duties have to change hands");
     }
--- a/src/test/java/nettlewick/duty/DutyWorld.java
+++ b/src/test/java/nettlewick/duty/DutyWorld.java
@@ -16,8 +16,17 @@
     static final double DRIFT = 0.05;
 
     /** What a wrong program might do; each has to be found. */
-    enum Bug { NONE, LEASE_TOO_LONG, FORGETFUL_VOTER_VOTES, GATE_OPEN, GRANTS_IGNORED, PROMISE_TELLS_NOTHING, LISTS_DIFFER,
-        OLD_VERSION_STORED, A_VOTE_COUNTS_TWICE }
+    enum Bug {
+        NONE,
+        LEASE_TOO_LONG,
+        FORGETFUL_VOTER_VOTES,
+        GATE_OPEN,
+        GRANTS_IGNORED,
+        PROMISE_TELLS_NOTHING,
+        LISTS_DIFFER,
+        OLD_VERSION_STORED,
+        A_VOTE_COUNTS_TWICE
+    }
 
     final Bug bug;
     final Terms terms;
@@ -26,6 +35,7 @@
     final List<Post> net = new ArrayList<>();
     /** By candidate: the fence under which it looked and may still act, after a pause of any length; 0: none. */
     final long[] looked = new long[2];
+
     private final long[] versions = new long[2];
     private final TreeMap<Long, String> stored;
     private final FenceGate gate = new FenceGate();
@@ -148,7 +158,14 @@
             case "release" -> {
                 net.addAll(seats[n].copy().retire(1 - n));
                 releases--;
-                seats[n] = new Seat(DUTY, n, 10 + lives++, bug == Bug.LISTS_DIFFER && n == 1 ? List.of(1) : all(), terms, 1, seatClock(n));
+                seats[n] = new Seat(
+                        DUTY,
+                        n,
+                        10 + lives++,
+                        bug == Bug.LISTS_DIFFER && n == 1 ? List.of(1) : all(),
+                        terms,
+                        1,
+                        seatClock(n));
                 versions[n] = 0;
             }
             case "crash" -> {
@@ -195,11 +212,22 @@
                 net.addAll(voters[p.to()].hear(m, voterClock()));
             }
             default -> {
-                Message told = bug == Bug.PROMISE_TELLS_NOTHING && m.kind() == Kind.PROMISED ? m.holding(0, 0, Message.NOTHING) : m;
+                Message told = bug == Bug.PROMISE_TELLS_NOTHING && m.kind() == Kind.PROMISED
+                        ? m.holding(0, 0, Message.NOTHING)
+                        : m;
                 net.addAll(seats[p.to()].hear(told, seatClock(p.to())));
                 if (bug == Bug.A_VOTE_COUNTS_TWICE) {
-                    Message other = new Message(m.kind(), m.duty(), (m.from() + 1) % voters.length, m.echo(), m.ballot(), m.seen(),
-                            m.left(), m.held(), m.version(), m.state());
+                    Message other = new Message(
+                            m.kind(),
+                            m.duty(),
+                            (m.from() + 1) % voters.length,
+                            m.echo(),
+                            m.ballot(),
+                            m.seen(),
+                            m.left(),
+                            m.held(),
+                            m.version(),
+                            m.state());
                     net.addAll(seats[p.to()].hear(other, seatClock(p.to())));
                 }
             }
@@ -237,25 +265,43 @@
 
     /** All that matters for what may come: two worlds with one digest go on alike. */
     String digest() {
-        StringBuilder text = new StringBuilder().append(now).append(losses).append(doublings).append(crashes).append(changes)
-                .append(lastAct).append(Arrays.toString(looked)).append(stored);
+        StringBuilder text = new StringBuilder()
+                .append(now)
+                .append(losses)
+                .append(doublings)
+                .append(crashes)
+                .append(changes)
+                .append(lastAct)
+                .append(Arrays.toString(looked))
+                .append(stored);
         TreeSet<String> messages = new TreeSet<>();
         for (Post p : net) {
             Message m = p.message();
-            String one = p.to() + m.kind().name() + m.from() + "," + m.echo() + "," + m.ballot() + "," + m.seen() + "," + m.left()
-                    + "," + m.held() + "," + m.version() + Arrays.toString(m.state());
+            String one = p.to() + m.kind().name() + m.from() + "," + m.echo() + "," + m.ballot() + "," + m.seen() + ","
+                    + m.left() + "," + m.held() + "," + m.version() + Arrays.toString(m.state());
             while (!messages.add(one)) {
                 one += "+";
             }
         }
         text.append(messages);
         for (Seat s : seats) {
-            text.append(s.stage()).append(s.fence()).append(s.version()).append(Arrays.toString(s.state())).append(s.digest());
+            text.append(s.stage())
+                    .append(s.fence())
+                    .append(s.version())
+                    .append(Arrays.toString(s.state()))
+                    .append(s.digest());
         }
         for (Voter v : voters) {
             text.append(v.votes());
-            v.registers.forEach((d, r) -> text.append(r.promised).append(',').append(r.held).append(',').append(r.version)
-                    .append(Arrays.toString(r.state)).append(r.granted).append(',').append(r.until));
+            v.registers.forEach((d, r) -> text.append(r.promised)
+                    .append(',')
+                    .append(r.held)
+                    .append(',')
+                    .append(r.version)
+                    .append(Arrays.toString(r.state))
+                    .append(r.granted)
+                    .append(',')
+                    .append(r.until));
         }
         return text.toString();
     }
--- a/src/test/java/nettlewick/duty/EnvelopeTest.java
+++ b/src/test/java/nettlewick/duty/EnvelopeTest.java
@@ -17,7 +17,8 @@
 /** What comes over the wire: whole or not at all, once, from those that have the key and the same list. */
 class EnvelopeTest {
     private static final byte[] KEY = new byte[32];
-    private static final Message TOLD = new Message(Kind.PROMISED, "pool é", 3, 7, 11, 13, 2.5, 17, 19, new byte[] {1, 2});
+    private static final Message TOLD =
+            new Message(Kind.PROMISED, "pool é", 3, 7, 11, 13, 2.5, 17, 19, new byte[] {1, 2});
 
     private static Envelope envelope(int list, int number) {
         return new Envelope(KEY, list, number, 5);
@@ -28,8 +29,9 @@
         Message back = envelope(1, 0).open(envelope(1, 3).close(TOLD));
         assertArrayEquals(TOLD.state(), back.state());
         assertEquals(TOLD.toString().replaceAll("state=.*", ""), back.toString().replaceAll("state=.*", ""));
-        assertThrows(IllegalArgumentException.class, () -> envelope(1, 3).close(TOLD.holding(1, 1,
-                new byte[Envelope.STATE_MOST + 1])));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> envelope(1, 3).close(TOLD.holding(1, 1, new byte[Envelope.STATE_MOST + 1])));
     }
 
     @Test
--- a/src/test/java/nettlewick/duty/FollowedTest.java
+++ b/src/test/java/nettlewick/duty/FollowedTest.java
@@ -29,7 +29,9 @@
 
     @Test
     void whatWasMissedIsAskedFor() {
-        assertEquals(Kind.BEHIND, followed.hear(news(1, 100, 3, null)).get(0).message().kind());
+        assertEquals(
+                Kind.BEHIND,
+                followed.hear(news(1, 100, 3, null)).get(0).message().kind());
         assertNull(followed.state());
         assertFalse(followed.upToDate(news(1, 100, 3, null)));
         followed.hear(news(1, 100, 3, "three"));
--- a/src/test/java/nettlewick/duty/HostileDispatcher.java
+++ b/src/test/java/nettlewick/duty/HostileDispatcher.java
@@ -27,7 +27,8 @@
     private final Thread thread = new Thread(this::lie, "hostile");
 
     /** @param settings of the dispatcher that it is, as its file has them */
-    public HostileDispatcher(Path settings, String duty, List<InetSocketAddress> to, Supplier<byte[]> words) throws IOException {
+    public HostileDispatcher(Path settings, String duty, List<InetSocketAddress> to, Supplier<byte[]> words)
+            throws IOException {
         this.settings = DutySettings.of(Settings.read(settings).block("duty").orElseThrow());
         this.duty = duty;
         this.to = to;
@@ -44,7 +45,8 @@
                 if (random.nextDouble() < GARBLED) {
                     word[random.nextInt(word.length)]++;
                 }
-                byte[] data = envelope.close(Message.of(Message.Kind.WORD, duty, settings.number(), 77, 0).holding(0, 0, word));
+                byte[] data = envelope.close(Message.of(Message.Kind.WORD, duty, settings.number(), 77, 0)
+                        .holding(0, 0, word));
                 for (InetSocketAddress one : to) {
                     for (int times = 0; times < 2; times++) {
                         socket.send(new DatagramPacket(data, data.length, one));
--- a/src/test/java/nettlewick/duty/LeaseMessageGoldenTest.java
+++ b/src/test/java/nettlewick/duty/LeaseMessageGoldenTest.java
@@ -14,8 +14,17 @@
     private static final byte[] STATE = "version=7;pool=a,b".getBytes(StandardCharsets.UTF_8);
 
     private static Message message(Message.Kind kind) {
-        return new Message(kind, "pool:ecole-é", 3, 7_000_000_007L, Message.ballot(5, 77, 3), Message.ballot(6, 78, 2),
-                12.625, Message.ballot(4, 76, 1), 19, kind.ordinal() % 2 == 0 ? STATE : Message.NOTHING);
+        return new Message(
+                kind,
+                "pool:ecole-é",
+                3,
+                7_000_000_007L,
+                Message.ballot(5, 77, 3),
+                Message.ballot(6, 78, 2),
+                12.625,
+                Message.ballot(4, 76, 1),
+                19,
+                kind.ordinal() % 2 == 0 ? STATE : Message.NOTHING);
     }
 
     @Test
--- a/src/test/java/nettlewick/duty/VirtualDuties.java
+++ b/src/test/java/nettlewick/duty/VirtualDuties.java
@@ -66,13 +66,17 @@
                 }
             }
             boolean question = p.message().kind().ordinal() <= Kind.RECALL.ordinal();
-            posts.addAll(question ? voters.get(p.to()).hear(p.message(), now)
-                    : seats.get(p.message().duty()).get(p.to()).hear(p.message(), now));
+            posts.addAll(
+                    question
+                            ? voters.get(p.to()).hear(p.message(), now)
+                            : seats.get(p.message().duty()).get(p.to()).hear(p.message(), now));
         }
     }
 
     private long held(double now) {
-        return seats.values().stream().filter(all -> all.values().stream().anyMatch(s -> s.mayAct(now))).count();
+        return seats.values().stream()
+                .filter(all -> all.values().stream().anyMatch(s -> s.mayAct(now)))
+                .count();
     }
 
     /** Bytes that one dispatcher sends a second, the mean, with this many duties of a state of some size. */
--- a/src/test/java/nettlewick/duty/VoterStoreTest.java
+++ b/src/test/java/nettlewick/duty/VoterStoreTest.java
@@ -51,11 +51,14 @@
         try (VoterStore store = VoterStore.openOrAnew(dir)) {
             Voter back = new Voter(0, VOTERS, TERMS, 0, 2).remembering(store.load(42, 0));
             assertEquals(Kind.TOLD, answer(back, Message.of(Kind.RECALL, "", 2, 0, 9), 10), "others may learn of it");
-            assertTrue(back.hear(ask(Kind.PREPARE, Message.ballot(9, 1, 1), 0), 10).isEmpty(), "it abstains for a lease");
+            assertTrue(
+                    back.hear(ask(Kind.PREPARE, Message.ballot(9, 1, 1), 0), 10).isEmpty(), "it abstains for a lease");
             back.tick(1100);
             assertTrue(back.votes(), "by itself");
             assertEquals(Kind.REFUSED, answer(back, ask(Kind.PREPARE, Message.ballot(4, 1, 1), 0), 1100));
-            Message promised = back.hear(ask(Kind.PREPARE, Message.ballot(6, 2, 1), 0), 1100).get(0).message();
+            Message promised = back.hear(ask(Kind.PREPARE, Message.ballot(6, 2, 1), 0), 1100)
+                    .get(0)
+                    .message();
             assertEquals(Kind.PROMISED, promised.kind());
             assertEquals(3, promised.version());
         }
@@ -81,8 +84,9 @@
             assertNull(store.load(43, 0), "in another list");
             assertEquals(1, store.load(42, 0).size());
         }
-        Files.write(dir.resolve("voter.sqlite"), "not a database, but long enough to be read as one".repeat(100)
-                .getBytes());
+        Files.write(
+                dir.resolve("voter.sqlite"),
+                "not a database, but long enough to be read as one".repeat(100).getBytes());
         try (VoterStore store = VoterStore.openOrAnew(dir)) {
             assertNull(store.load(42, 0));
             assertTrue(Files.exists(dir.resolve("voter.sqlite.damaged")));
--- a/src/test/java/nettlewick/duty/VoterTest.java
+++ b/src/test/java/nettlewick/duty/VoterTest.java
@@ -72,8 +72,10 @@
                 }
             }
             int late = seed;
-            assertTrue(voters.stream().allMatch(Voter::votes), () -> "seed " + late + ": "
-                    + voters.stream().filter(Voter::votes).count() + " of " + size + " vote");
+            assertTrue(
+                    voters.stream().allMatch(Voter::votes),
+                    () -> "seed " + late + ": "
+                            + voters.stream().filter(Voter::votes).count() + " of " + size + " vote");
         }
     }
 }
--- a/src/test/java/nettlewick/lab/Baselines.java
+++ b/src/test/java/nettlewick/lab/Baselines.java
@@ -24,8 +24,7 @@
         BEST
     }
 
-    private record Due(double at, long number, Runnable what) {
-    }
+    private record Due(double at, long number, Runnable what) {}
 
     private static final int ATTEMPTS = 6;
 
@@ -33,8 +32,8 @@
     private final Choice choice;
     private final List<RunnerModel> runners = new ArrayList<>();
     private final Map<String, int[]> own = new LinkedHashMap<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Double.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
+    private final PriorityQueue<Due> due = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
     private final SplittableRandom random;
     private final Spread spread;
     private final Map<String, Integer> at = new LinkedHashMap<>();
@@ -49,8 +48,12 @@
         this.choice = choice;
         random = new SplittableRandom(scenario.world().seed() ^ choice.ordinal());
         for (int r = 0; r < scenario.world().runners(); r++) {
-            runners.add(new RunnerModel("s" + r, scenario.world().zone(r), scenario.world().speed(r),
-                    scenario.world().runner(), Double.NEGATIVE_INFINITY));
+            runners.add(new RunnerModel(
+                    "s" + r,
+                    scenario.world().zone(r),
+                    scenario.world().speed(r),
+                    scenario.world().runner(),
+                    Double.NEGATIVE_INFINITY));
         }
         spread = new Spread(runners, scenario.load().meanWork());
     }
--- a/src/test/java/nettlewick/lab/LabProcessTest.java
+++ b/src/test/java/nettlewick/lab/LabProcessTest.java
@@ -38,15 +38,21 @@
                 }
                 """ + more + "steps {\n" + steps + "}\n");
         try (Play play = new Play(scenario, dir)) {
-            play.start(line -> { });
-            Map<String, Double> figures = play.run(line -> { });
-            Results.write(dir.resolve("out"), figures, play.audit().breaks(), play.spread(), play.latency(),
-                    play.seconds());
+            play.start(line -> {});
+            Map<String, Double> figures = play.run(line -> {});
+            Results.write(
+                    dir.resolve("out"), figures, play.audit().breaks(), play.spread(), play.latency(), play.seconds());
             assertEquals("", String.join("\n", play.audit().breaks()));
             assertEquals(0, figures.get("crashed"));
             assertEquals(0, figures.get("too_long"));
-            assertEquals(figures.get("jobs"), figures.get("in_time") + figures.get("late") + figures.get(
-                    "unserved") + figures.get("failed") + figures.get("broken_off"), figures::toString);
+            assertEquals(
+                    figures.get("jobs"),
+                    figures.get("in_time")
+                            + figures.get("late")
+                            + figures.get("unserved")
+                            + figures.get("failed")
+                            + figures.get("broken_off"),
+                    figures::toString);
             assertEquals(figures.get("jobs"), Results.read(dir.resolve("out")).get("jobs"));
             return figures;
         }
--- a/src/test/java/nettlewick/lab/MeasureDuties.java
+++ b/src/test/java/nettlewick/lab/MeasureDuties.java
@@ -18,12 +18,12 @@
     private static final double MEAN = 0.1;
     /** Of all slots that work in peace takes. */
     private static final double PART = 0.5;
+
     private static final double SHARE = 0.1;
     private static final double FLOOD = 25;
     private static final double LOSS = 0.2;
 
-    private MeasureDuties() {
-    }
+    private MeasureDuties() {}
 
     /** @param args dispatchers, runners, members, seconds of load; none: 100, 20, 30 and 50 */
     public static void main(String[] args) throws Exception {
@@ -38,7 +38,13 @@
             load.append(String.format(Locale.ROOT, "member m%d %.4f%%%n", m, 100 * (1 - SHARE) / (members - 1)));
             pools.append("member m").append(m).append('\n');
         }
-        Scenario ours = scenario(dispatchers, runners, seconds, load, pools.toString(), String.format(Locale.ROOT, """
+        Scenario ours = scenario(
+                dispatchers,
+                runners,
+                seconds,
+                load,
+                pools.toString(),
+                String.format(Locale.ROOT, """
                     at 2s flood red by %d for %ds
                     at 12s kill holder-red
                     at 15s start dispatchers
@@ -48,8 +54,8 @@
                     at 30s loss 20%% for 5s
                 """, (int) FLOOD, seconds - 6));
         // Runners added: wishes kept by the provider until a newer holder's was done, a cap soon reached.
-        Scenario acts = scenario(dispatchers, runners, 30, load, pools.toString().replace("cap 2000 most 4",
-                "cap 10 most 6"), """
+        Scenario acts = scenario(
+                dispatchers, runners, 30, load, pools.toString().replace("cap 2000 most 4", "cap 10 most 6"), """
                     at 100ms provider keeps for 16s
                     at 500ms flood red by 20 for 28s
                     at 10s kill holder-red
@@ -62,8 +68,15 @@
         Map<String, Double> today = play(ours.without(true, null), folder.resolve("today"));
         Map<String, Double> alone = play(ours.without(true, "red"), folder.resolve("alone"));
         all.keySet().removeIf(name -> name.matches("(asked|in_time|late|unserved|failed)_m\\d+"));
-        for (String name : List.of("acts", "stale_acts_tried", "stale_acts_accepted", "cap_overrun_cents", "adds_after_near",
-                "adds_unspent_refused", "provider_added", "near_caps")) {
+        for (String name : List.of(
+                "acts",
+                "stale_acts_tried",
+                "stale_acts_accepted",
+                "cap_overrun_cents",
+                "adds_after_near",
+                "adds_unspent_refused",
+                "provider_added",
+                "near_caps")) {
             all.put(name, money.get(name));
         }
         for (String name : List.of("two_holders", "moved_jobs_lost", "rules_broken", "crashed")) {
@@ -75,8 +88,13 @@
         all.forEach((name, value) -> System.out.println(name + "=" + Results.plain(value)));
     }
 
-    private static Scenario scenario(int dispatchers, int runners, int seconds, CharSequence load, String pools, String steps) {
-        return Scenario.parse("measure-duties", String.format(Locale.ROOT, """
+    private static Scenario scenario(
+            int dispatchers, int runners, int seconds, CharSequence load, String pools, String steps) {
+        return Scenario.parse(
+                "measure-duties",
+                String.format(
+                        Locale.ROOT,
+                        """
                 world {
                     seed 20261202
                     dispatchers %d
@@ -113,7 +131,14 @@
                 }
                 steps {
                 %s}
-                """, dispatchers, runners, runners * SLOTS / MEAN * PART, seconds, load, pools, steps));
+                """,
+                        dispatchers,
+                        runners,
+                        runners * SLOTS / MEAN * PART,
+                        seconds,
+                        load,
+                        pools,
+                        steps));
     }
 
     private static void figures(Map<String, Double> all, Map<String, Double> today, Map<String, Double> alone) {
--- a/src/test/java/nettlewick/lab/MeasureSpread.java
+++ b/src/test/java/nettlewick/lab/MeasureSpread.java
@@ -14,17 +14,18 @@
     private static final int SLOTS = 4;
     /** Seconds of work of a mean job, and the part of all slots that is in use. */
     private static final double MEAN = 3.5;
+
     private static final double PART = 0.6;
 
-    private MeasureSpread() {
-    }
+    private MeasureSpread() {}
 
     /** @param args dispatchers, runners, seconds of load; none: 100, 200 and 15 */
     public static void main(String[] args) throws Exception {
         int dispatchers = args.length > 0 ? Integer.parseInt(args[0]) : 100;
         int runners = args.length > 1 ? Integer.parseInt(args[1]) : 200;
         int seconds = args.length > 2 ? Integer.parseInt(args[2]) : 15;
-        Scenario base = Scenario.parse("measure-spread", """
+        Scenario base = Scenario.parse(
+                "measure-spread", """
                 world {
                     seed 20261201
                     dispatchers %d
@@ -56,15 +57,15 @@
         play(base.with(true, 0.2), folder.resolve("loss"), "_loss", all);
         play(base.with(false, 0), folder.resolve("alone"), "_alone", all);
         for (Baselines.Choice choice : Baselines.Choice.values()) {
-            Baselines.play(base, choice).forEach((name, value) -> all.put(name + "_" + choice.name()
-                    .toLowerCase(java.util.Locale.ROOT), value));
+            Baselines.play(base, choice)
+                    .forEach((name, value) ->
+                            all.put(name + "_" + choice.name().toLowerCase(java.util.Locale.ROOT), value));
         }
         System.err.println("runs are in " + folder);
         all.forEach((name, value) -> System.out.println(name + "=" + Results.plain(value)));
     }
 
-    private static void play(Scenario scenario, Path folder, String end, Map<String, Double> all)
-            throws Exception {
+    private static void play(Scenario scenario, Path folder, String end, Map<String, Double> all) throws Exception {
         Map<String, Double> figures = new LinkedHashMap<>();
         Lab.run(scenario, folder, line -> System.err.print("\r" + line + "\u001b[K"), line -> {
             int at = line.indexOf('=');
@@ -75,9 +76,20 @@
             }
         });
         System.err.println();
-        for (String name : end.isEmpty() ? List.copyOf(figures.keySet()) : List.of("sent_to_full", "herds",
-                "load_cv", "idle_while_waiting", "rules_broken", "in_time", "refusals", "datagrams_per_s",
-                "datagram_bytes_per_s", "cores", "limited_by_machine")) {
+        for (String name : end.isEmpty()
+                ? List.copyOf(figures.keySet())
+                : List.of(
+                        "sent_to_full",
+                        "herds",
+                        "load_cv",
+                        "idle_while_waiting",
+                        "rules_broken",
+                        "in_time",
+                        "refusals",
+                        "datagrams_per_s",
+                        "datagram_bytes_per_s",
+                        "cores",
+                        "limited_by_machine")) {
             all.put(name + end, figures.get(name));
         }
     }
--- a/src/test/java/nettlewick/lab/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/lab/PoolsProcessTest.java
@@ -31,15 +31,20 @@
 
     private Map<String, Double> play(String world, String links, String members, String duty, String steps)
             throws Exception {
-        Scenario scenario = Scenario.parse("test", "world {\nseed 11\ndispatchers 12\nrunners " + (rate == 45 ? 6 : 10) + "\nzone a\nzone b\n"
-                + "slots 2\nqueue 6\n" + world + "}\nload {\nrate " + rate + "\nlength " + seconds + "s\nwarm 4s\ntries 2\n"
-                + "member red 20%\nmember blue 40%\nmember green 40%\nclass step-view 60% 100ms 1s\n"
-                + "class save-run 20% 100ms 1s\nclass mark-submit 20% 100ms 1s\n}\nlinks {\n" + links + "}\nduty {\n"
-                + "voters 5\nlease 800ms\ncomes 500ms\n" + duty + "}\npools {\n" + members + "reserve 60%\n"
-                + "window 700ms\nsettle 300ms\nclear 700ms\ncome 3s\nstay 3s\nprice std 100 least 1m\nreach 10s\n"
-                + "timeout 1s\n}\nsteps {\n" + steps + "}\n");
-        try (Play play = new Play(scenario, dir); HostileDispatcher hostile = blamed == null ? null : hostile(play)) {
-            play.start(line -> { });
+        Scenario scenario = Scenario.parse(
+                "test",
+                "world {\nseed 11\ndispatchers 12\nrunners " + (rate == 45 ? 6 : 10) + "\nzone a\nzone b\n"
+                        + "slots 2\nqueue 6\n" + world + "}\nload {\nrate " + rate + "\nlength " + seconds
+                        + "s\nwarm 4s\ntries 2\n"
+                        + "member red 20%\nmember blue 40%\nmember green 40%\nclass step-view 60% 100ms 1s\n"
+                        + "class save-run 20% 100ms 1s\nclass mark-submit 20% 100ms 1s\n}\nlinks {\n" + links
+                        + "}\nduty {\n"
+                        + "voters 5\nlease 800ms\ncomes 500ms\n" + duty + "}\npools {\n" + members + "reserve 60%\n"
+                        + "window 700ms\nsettle 300ms\nclear 700ms\ncome 3s\nstay 3s\nprice std 100 least 1m\nreach 10s\n"
+                        + "timeout 1s\n}\nsteps {\n" + steps + "}\n");
+        try (Play play = new Play(scenario, dir);
+                HostileDispatcher hostile = blamed == null ? null : hostile(play)) {
+            play.start(line -> {});
             if (steps.contains("provider keeps")) {
                 // Before any load: even the first wish for a runner waits.
                 play.duties.provider.fate(ProviderServer.Fate.KEEPS);
@@ -49,7 +54,7 @@
                 watcher.setDaemon(true);
                 watcher.start();
             }
-            Map<String, Double> figures = play.run(line -> { });
+            Map<String, Double> figures = play.run(line -> {});
             assertEquals("", String.join("\n", play.audit().breaks()));
             assertEquals(0, figures.get("crashed"), figures::toString);
             return figures;
@@ -59,7 +64,10 @@
     private HostileDispatcher hostile(Play play) throws Exception {
         int last = play.fleet.members.size() - 1;
         Path settings = java.nio.file.Files.writeString(dir.resolve("hostile.conf"), play.duties.settings(last));
-        return new HostileDispatcher(settings, "pool-" + blamed, play.fleet.members.stream().map(m -> m.duty).toList(),
+        return new HostileDispatcher(
+                settings,
+                "pool-" + blamed,
+                play.fleet.members.stream().map(m -> m.duty).toList(),
                 VirtualTier.blame(blamed, 10));
     }
 
@@ -101,8 +109,12 @@
     /** A third of the duties' datagrams lost, halves that cannot hear one another, requests kept by the network. */
     @Test
     void theTierIsCutWhileAMoveIsUnderWay() throws Exception {
-        Map<String, Double> f = play("clock n1 ahead 1h\nclock n2 behind 1h\nclock n7 ahead 3m\n",
-                "loss 30%\nduplicates 20%\njitter 30ms\n", KEPT, "", """
+        Map<String, Double> f = play(
+                "clock n1 ahead 1h\nclock n2 behind 1h\nclock n7 ahead 3m\n",
+                "loss 30%\nduplicates 20%\njitter 30ms\n",
+                KEPT,
+                "",
+                """
                 at 100ms provider loses for 4s
                 at 500ms flood red by 8 for 17s
                 at 1s cut zone a from b for 2s
@@ -124,8 +136,12 @@
     /** All lose their memory at once; and a cap that is nearly reached, in a month that turns while the holder is cut off. */
     @Test
     void aTierThatHasForgottenAllStaysUnderTheCap() throws Exception {
-        Map<String, Double> f = play("", "", "member red cap 6 most 6\nmember blue\nmember green\nkeep red pool\n",
-                "month-turns 22s\n", """
+        Map<String, Double> f = play(
+                "",
+                "",
+                "member red cap 6 most 6\nmember blue\nmember green\nkeep red pool\n",
+                "month-turns 22s\n",
+                """
                 at 100ms provider down for 2s
                 at 500ms flood red by 8 for 17s
                 at 5s rate by 0 for 6s
@@ -161,8 +177,13 @@
     @Test
     void twoMembersInPoolsShareNoRunner() throws Exception {
         seconds = 11;
-        Map<String, Double> f = play("", "", "member red cap 1000 most 1\nmember blue\nmember green\nkeep green common\n"
-                + "keep red pool\nkeep blue pool\n", "", """
+        Map<String, Double> f = play(
+                "",
+                "",
+                "member red cap 1000 most 1\nmember blue\nmember green\nkeep green common\n"
+                        + "keep red pool\nkeep blue pool\n",
+                "",
+                """
                 at 100ms provider keeps for 8s
                 at 300ms kill holder-blue
                 at 400ms start dispatchers
--- a/src/test/java/nettlewick/lab/RunnerModelTest.java
+++ b/src/test/java/nettlewick/lab/RunnerModelTest.java
@@ -12,8 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 class RunnerModelTest {
-    private static final RunnerModel.Kind KIND = Scenario.parse("x.conf", ScenarioTest.text("").replace("seed 5",
-            "slots 2\nqueue 3\ncold 1s\nfall 200ms")).world().runner();
+    private static final RunnerModel.Kind KIND = Scenario.parse(
+                    "x.conf", ScenarioTest.text("").replace("seed 5", "slots 2\nqueue 3\ncold 1s\nfall 200ms"))
+            .world()
+            .runner();
 
     private static RunnerModel runner(double bornAt) {
         return new RunnerModel("s0", "a", 1, KIND, bornAt);
--- a/src/test/java/nettlewick/lab/ScenarioTest.java
+++ b/src/test/java/nettlewick/lab/ScenarioTest.java
@@ -43,10 +43,14 @@
                 at 3s loss 20% for 1s
                 at 4s lists apart 5s
                 """));
-        assertEquals(List.of("slow", "add", "loss", "lists", "cut", "kill", "pause", "start"),
+        assertEquals(
+                List.of("slow", "add", "loss", "lists", "cut", "kill", "pause", "start"),
                 s.steps().stream().map(Scenario.Step::verb).toList());
-        assertEquals(new Scenario.Step(1000, "slow", new Party("s4", 1), null, 2.5, 500), s.steps().get(0));
-        assertEquals(new Scenario.Step(5000, "cut", new Party("a", 1), new Party("b", 1), Double.NaN, 6000),
+        assertEquals(
+                new Scenario.Step(1000, "slow", new Party("s4", 1), null, 2.5, 500),
+                s.steps().get(0));
+        assertEquals(
+                new Scenario.Step(5000, "cut", new Party("a", 1), new Party("b", 1), Double.NaN, 6000),
                 s.steps().get(4));
         assertEquals(new Party("dispatchers", 0.7), s.steps().get(5).first());
         assertEquals(3000, s.steps().get(7).figure());
@@ -55,14 +59,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "at 1s pause s2 for 1s | dispatchers: only they are processes",
-        "at 1s kill n6 | one of the 6 dispatchers",
-        "at 1s cut zone c from b for 1s | one of the 6 dispatchers",
-        "at 1s kill 700% of dispatchers | written as",
-        "at soon kill n1 | written as",
-        "at 1s expolde n1 | written as",
-        "af 1s kill n1 | the nearest is at"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "at 1s pause s2 for 1s | dispatchers: only they are processes",
+                "at 1s kill n6 | one of the 6 dispatchers",
+                "at 1s cut zone c from b for 1s | one of the 6 dispatchers",
+                "at 1s kill 700% of dispatchers | written as",
+                "at soon kill n1 | written as",
+                "at 1s expolde n1 | written as",
+                "af 1s kill n1 | the nearest is at"
+            })
     void aBadStepIsOneLineWithItsPlace(String step, String wanted) {
         BadSettings bad = assertThrows(BadSettings.class, () -> Scenario.parse("x.conf", text(step)));
         assertTrue(bad.getMessage().startsWith("x.conf:16"), bad.getMessage());
@@ -72,8 +79,9 @@
 
     @Test
     void faultsOfTheRelayWantTheRelay() {
-        BadSettings bad = assertThrows(BadSettings.class, () -> Scenario.parse("x.conf",
-                text("at 1s reset s1 for 1s") + "links {\n tcp direct\n}\n"));
+        BadSettings bad = assertThrows(
+                BadSettings.class,
+                () -> Scenario.parse("x.conf", text("at 1s reset s1 for 1s") + "links {\n tcp direct\n}\n"));
         assertTrue(bad.getMessage().contains("tcp direct"), bad.getMessage());
     }
 
--- a/src/test/java/nettlewick/ledger/BookTest.java
+++ b/src/test/java/nettlewick/ledger/BookTest.java
@@ -41,8 +41,9 @@
 
     @Test
     void theMillisecondOfTheLastByteDecidesFromBothSides() {
-        Book book = book(served(ref("a", 1, 1), DECEMBER - 1, "m", 3), served(ref("a", 1, 2), DECEMBER, "m",
-                5),
+        Book book = book(
+                served(ref("a", 1, 1), DECEMBER - 1, "m", 3),
+                served(ref("a", 1, 2), DECEMBER, "m", 5),
                 served(ref("a", 1, 3), Math.nextDown(DECEMBER), "m", 7));
         assertEquals(10, book.statement("2026-11").billed());
         assertEquals(5, book.statement("2026-12").billed());
@@ -50,28 +51,34 @@
 
     @Test
     void refusalsFailuresAndClientsThatLeftAreCountedAndNotBilled() {
-        Book book = book(job(ref("a", 1, 1), NOVEMBER, "m", null, Ending.REFUSED, 9),
+        Book book = book(
+                job(ref("a", 1, 1), NOVEMBER, "m", null, Ending.REFUSED, 9),
                 job(ref("a", 1, 2), NOVEMBER, "m", null, Ending.FAILED, 9),
-                job(ref("a", 1, 3), NOVEMBER, "m", null, Ending.LEFT, 9), served(ref("a", 1, 4), NOVEMBER,
-                        "m", 4));
-        assertEquals(List.of(new Statement.Row("m", "save-run", 1, 1, 1, 1, 4, 0, 20, 0, 0, 0)),
+                job(ref("a", 1, 3), NOVEMBER, "m", null, Ending.LEFT, 9),
+                served(ref("a", 1, 4), NOVEMBER, "m", 4));
+        assertEquals(
+                List.of(new Statement.Row("m", "save-run", 1, 1, 1, 1, 4, 0, 20, 0, 0, 0)),
                 book.statement("2026-11").rows());
     }
 
     @Test
     void aClosedStatementNeverChangesAndWhatIsFoundLaterNamesIt() {
         Origin a = new Origin("a", 1);
-        Book book = book(served(new Ref(a, 1), NOVEMBER, "m", 10), served(new Ref(a, 2), NOVEMBER, "n", 20),
+        Book book = book(
+                served(new Ref(a, 1), NOVEMBER, "m", 10),
+                served(new Ref(a, 2), NOVEMBER, "n", 20),
                 close(ref("a", 2, 1), Map.of(a, 2L)));
         Statement closed = book.statement("2026-11");
         assertTrue(closed.closed());
         assertEquals(30, closed.billed());
         book.add(served(new Ref(a, 3), NOVEMBER + 5, "m", 4));
-        book.add(Entry.correction(ref("a", 3, 1), DECEMBER + 20, book.entry(new Ref(a, 2)), 15, "op",
-                "wrong"));
+        book.add(Entry.correction(ref("a", 3, 1), DECEMBER + 20, book.entry(new Ref(a, 2)), 15, "op", "wrong"));
         assertEquals(closed, book.statement("2026-11"));
-        assertEquals(List.of(new Statement.Late("2026-11", "m", "save-run", 1, 4),
-                new Statement.Late("2026-11", "n", "save-run", 1, -5)), book.statement("2026-12").late());
+        assertEquals(
+                List.of(
+                        new Statement.Late("2026-11", "m", "save-run", 1, 4),
+                        new Statement.Late("2026-11", "n", "save-run", 1, -5)),
+                book.statement("2026-12").late());
         assertEquals(-1, book.statement("2026-12").billed());
     }
 
@@ -82,16 +89,20 @@
         Entry first = Entry.correction(ref("a", 1, 2), NOVEMBER + 1, entry, 6, "op", "r");
         Entry second = Entry.correction(ref("a", 1, 3), NOVEMBER + 2, entry, 7, "op", "r");
         Entry ofCorrection = Entry.correction(ref("a", 1, 4), NOVEMBER + 3, first, 8, "op", "r");
-        Entry ofNone = Entry.correction(ref("a", 1, 5), NOVEMBER + 4, served(ref("a", 1, 99), 1, "m", 1), 8,
-                "op",
-                "r");
+        Entry ofNone = Entry.correction(ref("a", 1, 5), NOVEMBER + 4, served(ref("a", 1, 99), 1, "m", 1), 8, "op", "r");
         Entry foreign = Entry.correction(ref("b", 1, 1), NOVEMBER + 4, entry, 9, "op", "r");
         Book book = book(foreign, second, ofNone, ofCorrection, first, entry);
         assertEquals(6, book.statement("2026-11").billed());
         assertEquals(first, book.correction(target));
-        assertEquals(List.of("the entry was corrected before", "a correction is not corrected",
-                "its entry is not held here, or not yet", "only the entry's own dispatcher corrects it"),
-                book.statement("2026-11").voided().stream().map(Statement.Void::why).toList());
+        assertEquals(
+                List.of(
+                        "the entry was corrected before",
+                        "a correction is not corrected",
+                        "its entry is not held here, or not yet",
+                        "only the entry's own dispatcher corrects it"),
+                book.statement("2026-11").voided().stream()
+                        .map(Statement.Void::why)
+                        .toList());
     }
 
     @Test
@@ -101,8 +112,8 @@
         Entry later = job(ref("a", 1, 2), NOVEMBER + 15_000, "m", "k", Ending.SERVED, 12);
         Entry other = job(ref("a", 1, 3), NOVEMBER, "n", "k", Ending.SERVED, 100);
         Entry same = job(ref("c", 1, 1), NOVEMBER, "m", "k", Ending.SERVED, 1000);
-        for (List<Entry> order : List.of(List.of(early, late, later, other, same),
-                List.of(same, other, later, late, early))) {
+        for (List<Entry> order :
+                List.of(List.of(early, late, later, other, same), List.of(same, other, later, late, early))) {
             Statement s = book(order.toArray(Entry[]::new)).statement("2026-11");
             assertEquals(10 + 12 + 100, s.billed());
             assertEquals(2, s.rows().stream().mapToLong(Statement.Row::repeats).sum());
@@ -112,21 +123,20 @@
     @Test
     void aRepeatFoundAfterTheCloseIsTakenBackInTheOpenPeriod() {
         Origin a = new Origin("a", 1);
-        Book book = book(job(new Ref(a, 1), NOVEMBER + 9, "m", "k", Ending.SERVED, 10),
-                close(ref("a", 2, 1), Map.of(a, 1L)));
+        Book book = book(
+                job(new Ref(a, 1), NOVEMBER + 9, "m", "k", Ending.SERVED, 10), close(ref("a", 2, 1), Map.of(a, 1L)));
         Statement closed = book.statement("2026-11");
         book.add(job(ref("b", 1, 1), NOVEMBER, "m", "k", Ending.SERVED, 12));
         Statement.Late back = book.statement("2026-12").late().get(0);
         assertEquals(new Statement.Late("2026-11", "m", "save-run", 1, -10), back);
         assertEquals(List.of("b"), book.statement("2026-11").open());
-        assertEquals(closed.rows().get(0).billed() + 12, book.statement("2026-11").billed(),
-                "b's part is open");
+        assertEquals(
+                closed.rows().get(0).billed() + 12, book.statement("2026-11").billed(), "b's part is open");
     }
 
     @Test
     void namesThatLookAlikeWhenJoinedStayApart() {
-        Book book = book(served(ref("a", 1, 1), NOVEMBER, "x, y", 1), served(ref("a", 1, 2), NOVEMBER, "x",
-                2));
+        Book book = book(served(ref("a", 1, 1), NOVEMBER, "x, y", 1), served(ref("a", 1, 2), NOVEMBER, "x", 2));
         assertEquals(2, book.statement("2026-11").rows().size());
     }
 
@@ -164,9 +174,23 @@
                 double at = random.nextInt(6) == 0 ? now - random.nextInt(30) * 8.64e7 : now;
                 made = job(next, at, "m" + random.nextInt(3), key, end, 1 + random.nextInt(1000));
                 if (random.nextInt(12) == 0) {
-                    made = new Entry(next, Kind.DOUBT, at, "m0", "save-run", "r", key, end, 7, false, 0, 1,
-                            1, null,
-                            null, "crash");
+                    made = new Entry(
+                            next,
+                            Kind.DOUBT,
+                            at,
+                            "m0",
+                            "save-run",
+                            "r",
+                            key,
+                            end,
+                            7,
+                            false,
+                            0,
+                            1,
+                            1,
+                            null,
+                            null,
+                            "crash");
                 }
             } else if (what < 13) {
                 List<Entry> mine = new ArrayList<>(held.get(d).values());
@@ -216,7 +240,9 @@
             }
         }
         check(frozen, all);
-        assertEquals(model(all), one.periods().stream().mapToLong(p -> one.statement(p).billed()).sum());
+        assertEquals(
+                model(all),
+                one.periods().stream().mapToLong(p -> one.statement(p).billed()).sum());
     }
 
     /** One side fetches what it lacks, by whole tails of chains; one exchange in five is lost halfway. */
@@ -242,9 +268,12 @@
                 String name = "d" + d;
                 Terms.Period p = TERMS.named(period).orElseThrow();
                 if (book.isClosed(name, p)) {
-                    Entry close = held.values().stream().filter(e -> e.kind() == Kind.CLOSE
-                            && e.ref().origin().dispatcher().equals(name) && e.close().period().equals(p))
-                            .findFirst().orElseThrow();
+                    Entry close = held.values().stream()
+                            .filter(e -> e.kind() == Kind.CLOSE
+                                    && e.ref().origin().dispatcher().equals(name)
+                                    && e.close().period().equals(p))
+                            .findFirst()
+                            .orElseThrow();
                     if (held.keySet().containsAll(covered(close))) {
                         Statement part = part(book, name, p);
                         Statement before = frozen.putIfAbsent(name + " " + period, part);
@@ -276,9 +305,15 @@
             if (e.kind() != Kind.JOB && e.kind() != Kind.DOUBT) {
                 continue;
             }
-            Entry correction = all.values().stream().filter(c -> c.kind() == Kind.CORRECTION
-                    && c.target().equals(e.ref()) && c.ref().origin().dispatcher().equals(
-                            e.ref().origin().dispatcher())).findFirst().orElse(null);
+            Entry correction = all.values().stream()
+                    .filter(c -> c.kind() == Kind.CORRECTION
+                            && c.target().equals(e.ref())
+                            && c.ref()
+                                    .origin()
+                                    .dispatcher()
+                                    .equals(e.ref().origin().dispatcher()))
+                    .findFirst()
+                    .orElse(null);
             if (correction != null) {
                 sum += correction.work();
             } else if (e.kind() == Kind.JOB && e.end() == Ending.SERVED && !repeat(all, e)) {
@@ -292,9 +327,15 @@
         if (e.key() == null) {
             return false;
         }
-        List<Entry> same = all.values().stream().filter(o -> o.kind() == Kind.JOB && o.end() == Ending.SERVED
-                && e.key().equals(o.key()) && e.member().equals(o.member())).sorted((a, b) -> a.at() != b.at()
-                ? Double.compare(a.at(), b.at()) : a.ref().compareTo(b.ref())).toList();
+        List<Entry> same = all.values().stream()
+                .filter(o -> o.kind() == Kind.JOB
+                        && o.end() == Ending.SERVED
+                        && e.key().equals(o.key())
+                        && e.member().equals(o.member()))
+                .sorted((a, b) -> a.at() != b.at()
+                        ? Double.compare(a.at(), b.at())
+                        : a.ref().compareTo(b.ref()))
+                .toList();
         Entry billed = null;
         for (Entry o : same) {
             boolean repeat = billed != null && o.at() - billed.at() < WINDOW;
--- a/src/test/java/nettlewick/ledger/Entries.java
+++ b/src/test/java/nettlewick/ledger/Entries.java
@@ -5,13 +5,26 @@
 
 /** Entries for tests. */
 final class Entries {
-    private Entries() {
-    }
+    private Entries() {}
 
     static Entry job(Ref ref, double at, String member, String key, Ending end, long work) {
-        return new Entry(ref, Kind.JOB, at, member, "save-run", "r" + ref.number(), key, end, work, false, 5,
+        return new Entry(
+                ref,
+                Kind.JOB,
+                at,
+                member,
+                "save-run",
+                "r" + ref.number(),
+                key,
+                end,
+                work,
+                false,
+                5,
                 1,
-                ref.number(), null, null, null);
+                ref.number(),
+                null,
+                null,
+                null);
     }
 
     static Entry served(Ref ref, double at, String member, long work) {
--- a/src/test/java/nettlewick/ledger/ExportTest.java
+++ b/src/test/java/nettlewick/ledger/ExportTest.java
@@ -53,9 +53,8 @@
             long one = random.nextInt(100_000);
             work[0] += one;
             work[1]++;
-            drafts.add(Entries.job(new Ref(new Origin("", 0), 0), NOW, "m" + random.nextInt(5), null,
-                    Ending.SERVED,
-                    one));
+            drafts.add(
+                    Entries.job(new Ref(new Origin("", 0), 0), NOW, "m" + random.nextInt(5), null, Ending.SERVED, one));
         }
         return drafts;
     }
@@ -84,39 +83,64 @@
             };
             boolean files = random.nextBoolean();
             ExportSettings s = settings(out, null, true, 4, 100);
-            Target target = files ? new FileTarget(out, faults) : parcel -> {
-                faults.at("receiver-before");
-                byte[] before = received.putIfAbsent(parcel.number(), parcel.bytes());
-                assertTrue(before == null || java.util.Arrays.equals(before, parcel.bytes()),
-                        "another content");
-                faults.at("receiver-after");
-            };
+            Target target = files
+                    ? new FileTarget(out, faults)
+                    : parcel -> {
+                        faults.at("receiver-before");
+                        byte[] before = received.putIfAbsent(parcel.number(), parcel.bytes());
+                        assertTrue(
+                                before == null || java.util.Arrays.equals(before, parcel.bytes()), "another content");
+                        faults.at("receiver-after");
+                    };
             try (Store store = Store.open(dir.resolve("s"), "a", faults)) {
                 Origin own = store.begin(NOW + crashes);
                 List<Entry> drafts = drafts(random, random.nextInt(12), new long[2]);
                 if (!drafts.isEmpty()) {
                     store.append(own, drafts);
                 }
-                new Exporter(store, new ExportSettings(files ? "f" : "r", s.folder(), null, true, 7, 1, 100,
-                        1, 10, 4),
-                        target, new SplittableRandom(1), millis -> { }, faults).round();
+                new Exporter(
+                                store,
+                                new ExportSettings(files ? "f" : "r", s.folder(), null, true, 7, 1, 100, 1, 10, 4),
+                                target,
+                                new SplittableRandom(1),
+                                millis -> {},
+                                faults)
+                        .round();
             } catch (Crash e) {
                 crashes++;
             } catch (StoreException e) {
                 assertTrue(e.getMessage().contains("made up"), e.toString());
             }
         }
-        assertTrue(points.containsAll(Set.of("commit", "committed", "deliver", "acknowledged", "file-write",
-                "file-sync", "file-rename", "folder-sync", "receiver-before", "receiver-after")),
-                        points.toString());
+        assertTrue(
+                points.containsAll(Set.of(
+                        "commit",
+                        "committed",
+                        "deliver",
+                        "acknowledged",
+                        "file-write",
+                        "file-sync",
+                        "file-rename",
+                        "folder-sync",
+                        "receiver-before",
+                        "receiver-after")),
+                points.toString());
         try (Store store = Store.open(dir.resolve("s"), "a", Faults.NONE)) {
             ExportSettings f = new ExportSettings("f", out, null, true, 7, 1, 100, 1, 10, 4);
             ExportSettings r = new ExportSettings("r", out, null, true, 7, 1, 100, 1, 10, 4);
-            assertNull(new Exporter(store, f, new FileTarget(out, Faults.NONE), new SplittableRandom(1), m ->
-                    { },
-                    Faults.NONE).round().fault());
-            assertNull(new Exporter(store, r, p -> received.putIfAbsent(p.number(), p.bytes()),
-                    new SplittableRandom(1), m -> { }, Faults.NONE).round().fault());
+            assertNull(new Exporter(
+                            store, f, new FileTarget(out, Faults.NONE), new SplittableRandom(1), m -> {}, Faults.NONE)
+                    .round()
+                    .fault());
+            assertNull(new Exporter(
+                            store,
+                            r,
+                            p -> received.putIfAbsent(p.number(), p.bytes()),
+                            new SplittableRandom(1),
+                            m -> {},
+                            Faults.NONE)
+                    .round()
+                    .fault());
             store.each(e -> {
                 work[0] += e.work();
                 work[1]++;
@@ -132,9 +156,12 @@
     static List<byte[]> files(Path folder) throws IOException {
         List<byte[]> all = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".manifest.json")).toList()) {
-                JsonObject manifest = JsonParser.parseString(Files.readString(file)).getAsJsonObject();
-                byte[] bytes = Files.readAllBytes(folder.resolve(manifest.get("file").getAsString()));
+            for (Path file :
+                    files.filter(f -> f.toString().endsWith(".manifest.json")).toList()) {
+                JsonObject manifest =
+                        JsonParser.parseString(Files.readString(file)).getAsJsonObject();
+                byte[] bytes =
+                        Files.readAllBytes(folder.resolve(manifest.get("file").getAsString()));
                 assertEquals(manifest.get("sha256").getAsString(), Batches.sum(bytes));
                 all.add(bytes);
             }
@@ -148,25 +175,33 @@
         Set<String> seen = new HashSet<>();
         for (byte[] batch : batches) {
             for (CSVRecord r : rows(batch)) {
-                assertTrue(seen.add(r.get("dispatcher") + r.get("life") + "/" + r.get("number")), "twice: "
-                        + r);
-                work += new java.math.BigDecimal(r.get("work_slot_ms")).movePointRight(3).longValueExact();
+                assertTrue(seen.add(r.get("dispatcher") + r.get("life") + "/" + r.get("number")), "twice: " + r);
+                work += new java.math.BigDecimal(r.get("work_slot_ms"))
+                        .movePointRight(3)
+                        .longValueExact();
             }
         }
         return List.of((long) seen.size(), work);
     }
 
     private static List<CSVRecord> rows(byte[] batch) throws IOException {
-        return CSVParser.parse(new String(batch, StandardCharsets.UTF_8), CSVFormat.RFC4180.builder()
-                .setHeader()
-                .setSkipHeaderRecord(true).get()).getRecords();
+        return CSVParser.parse(
+                        new String(batch, StandardCharsets.UTF_8),
+                        CSVFormat.RFC4180
+                                .builder()
+                                .setHeader()
+                                .setSkipHeaderRecord(true)
+                                .get())
+                .getRecords();
     }
 
     @Test
     void threeHundredMembersWithOddNamesReadBackAsTheyAre() throws Exception {
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            String name = "m" + i + List.of(",", "\"", "\r\n", "\n", "école ✓", "=1+1", "", " x ").get(i % 8);
+            String name = "m" + i
+                    + List.of(",", "\"", "\r\n", "\n", "école ✓", "=1+1", "", " x ")
+                            .get(i % 8);
             entries.add(Entries.job(Entries.ref("a,\"b", 1, i + 1), NOW, name, null, Ending.SERVED, i));
         }
         List<CSVRecord> rows = rows(Batches.render(entries, true));
@@ -176,8 +211,12 @@
         for (int i = 0; i < 300; i++) {
             assertEquals(entries.get(i).member(), rows.get(i).get("member"));
             assertEquals("a,\"b", rows.get(i).get("dispatcher"));
-            assertEquals(entries.get(i).member(),
-                    JsonParser.parseString(lines[i]).getAsJsonObject().get("member").getAsString());
+            assertEquals(
+                    entries.get(i).member(),
+                    JsonParser.parseString(lines[i])
+                            .getAsJsonObject()
+                            .get("member")
+                            .getAsString());
         }
     }
 
@@ -186,8 +225,8 @@
     void aReceiverThatFailsInEveryWayGetsEachEntryOnce() throws Exception {
         Random random = new Random(8);
         long[] work = new long[2];
-        try (Receiver receiver = new Receiver(); Store store = Store.open(dir.resolve("s"), "a",
-                Faults.NONE)) {
+        try (Receiver receiver = new Receiver();
+                Store store = Store.open(dir.resolve("s"), "a", Faults.NONE)) {
             Receiver.Fate[] fates = Receiver.Fate.values();
             Set<Receiver.Fate> met = new HashSet<>();
             receiver.script(batch -> {
@@ -196,34 +235,39 @@
                 return fate;
             });
             store.append(store.begin(NOW), drafts(random, 200, work));
-            ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true,
-                    40, 60);
-            Exporter.Report report = new Exporter(store, s, Exporter.target(s, Faults.NONE),
-                    new SplittableRandom(2),
-                    millis -> { }, Faults.NONE).round();
+            ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 40, 60);
+            Exporter.Report report = new Exporter(
+                            store,
+                            s,
+                            Exporter.target(s, Faults.NONE),
+                            new SplittableRandom(2),
+                            millis -> {},
+                            Faults.NONE)
+                    .round();
             assertNull(report.fault());
             assertEquals(200, report.entries());
             assertTrue(report.tries() > report.batches() && met.size() == fates.length, met.toString());
             assertNull(receiver.conflict());
-            assertEquals(List.of(work[1], work[0]),
-                    totals(receiver.taken().values().stream().map(b -> b.getBytes()).toList()));
+            assertEquals(
+                    List.of(work[1], work[0]),
+                    totals(receiver.taken().values().stream()
+                            .map(b -> b.getBytes())
+                            .toList()));
         }
     }
 
     @Test
     void aReceiverThatSaysNoForGoodIsToldOfAtOnceAndOneThatIsGoneAfterItsTries() throws Exception {
-        try (Receiver receiver = new Receiver(); Store store = Store.open(dir.resolve("s"), "a",
-                Faults.NONE)) {
+        try (Receiver receiver = new Receiver();
+                Store store = Store.open(dir.resolve("s"), "a", Faults.NONE)) {
             store.append(store.begin(NOW), drafts(new Random(1), 3, new long[2]));
-            ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true,
-                    5, 500);
+            ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 5, 500);
             Target silent = parcel -> {
                 throw new IOException("gone");
             };
             List<Double> pauses = new ArrayList<>();
-            Exporter.Report report = new Exporter(store, s, silent, new SplittableRandom(2), pauses::add,
-                    Faults.NONE)
-                    .round();
+            Exporter.Report report =
+                    new Exporter(store, s, silent, new SplittableRandom(2), pauses::add, Faults.NONE).round();
             assertEquals(5, report.tries());
             assertEquals(4, pauses.size());
             for (int i = 0; i < 4; i++) {
@@ -232,11 +276,16 @@
             }
             // The same number was given to somebody else's content before.
             receiver.script(batch -> Receiver.Fate.TAKEN);
-            new HttpTarget(s.url(), 500, Faults.NONE).deliver(
-                    new Target.Parcel("a", "x", 1, true, 1, new byte[] {1}, "another"));
-            report = new Exporter(store, s, Exporter.target(s, Faults.NONE), new SplittableRandom(2),
-                    pauses::add,
-                    Faults.NONE).round();
+            new HttpTarget(s.url(), 500, Faults.NONE)
+                    .deliver(new Target.Parcel("a", "x", 1, true, 1, new byte[] {1}, "another"));
+            report = new Exporter(
+                            store,
+                            s,
+                            Exporter.target(s, Faults.NONE),
+                            new SplittableRandom(2),
+                            pauses::add,
+                            Faults.NONE)
+                    .round();
             assertEquals(1, report.tries());
             assertTrue(report.fault().contains("409"), report.fault());
         }
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -37,12 +37,12 @@
 
     @TempDir
     private Path dir;
+
     private final List<Ledger> open = new ArrayList<>();
 
     private LedgerSettings settings(boolean sync, double patience, int queue) {
-        return new LedgerSettings(dir, sync, 2, 2, patience, queue, new Terms(ZoneOffset.UTC, List.of()),
-                15_000,
-                List.of(), null);
+        return new LedgerSettings(
+                dir, sync, 2, 2, patience, queue, new Terms(ZoneOffset.UTC, List.of()), 15_000, List.of(), null);
     }
 
     private Ledger ledger(LedgerSettings settings, Clock clock, Faults faults) {
@@ -58,9 +58,8 @@
     }
 
     private static Books.Job job(String id, Ending ending) {
-        return new Books.Job(new Request(id, "c", "m", null, 0, 1, 0, 0, false, null, null), ending,
-                DECEMBER, 1,
-                1000, false, 0);
+        return new Books.Job(
+                new Request(id, "c", "m", null, 0, 1, 0, 0, false, null, null), ending, DECEMBER, 1, 1000, false, 0);
     }
 
     /** A job whose answer is written as soon as it may leave. */
@@ -157,13 +156,20 @@
             answer(ledger, "j" + i, left);
         }
         until(() -> left.size() == 50);
-        assertTrue(has(ledger, "queue", 20) && has(ledger, "gap", 30), ledger.figures().toString());
+        assertTrue(
+                has(ledger, "queue", 20) && has(ledger, "gap", 30),
+                ledger.figures().toString());
         until(() -> has(ledger, "trouble", 1));
         full.set(false);
         until(() -> has(ledger, "queue", 0) && has(ledger, "trouble", 0));
         List<Entry> all = entries();
         assertEquals(20, all.stream().filter(e -> e.kind() == Kind.JOB).count());
-        assertEquals(30, all.stream().filter(e -> e.kind() == Kind.GAP).mapToLong(Entry::job).sum());
+        assertEquals(
+                30,
+                all.stream()
+                        .filter(e -> e.kind() == Kind.GAP)
+                        .mapToLong(Entry::job)
+                        .sum());
         try (Store store = Store.read(dir)) {
             assertEquals(List.of(), store.verify());
         }
@@ -191,8 +197,7 @@
 
     @Test
     void aDamagedStoreIsPutAsideAndANewOneBegins() throws Exception {
-        Files.writeString(dir.resolve(Store.FILE),
-                "no store, but a text that is long enough to be read as one");
+        Files.writeString(dir.resolve(Store.FILE), "no store, but a text that is long enough to be read as one");
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), Faults.NONE);
         Set<String> left = new HashSet<>();
         answer(ledger, "j", left);
@@ -205,16 +210,16 @@
     @Test
     void aClientThatLeavesIsCountedAndNotBilledWhicheverComesFirst() throws Exception {
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), Faults.NONE);
-        ledger.settle(job("before", Ending.LEFT), r -> { });
+        ledger.settle(job("before", Ending.LEFT), r -> {});
         ledger.settle(job("after", Ending.SERVED), Books.Receipt::left);
         ledger.settle(job("both", Ending.SERVED), r -> {
             r.answered();
             r.left();
         });
         until(() -> has(ledger, "entries", 3));
-        assertEquals(Map.of("before", Ending.LEFT, "after", Ending.LEFT, "both", Ending.SERVED), entries()
-                .stream()
-                .collect(java.util.stream.Collectors.toMap(Entry::request, Entry::end)));
+        assertEquals(
+                Map.of("before", Ending.LEFT, "after", Ending.LEFT, "both", Ending.SERVED),
+                entries().stream().collect(java.util.stream.Collectors.toMap(Entry::request, Entry::end)));
         assertEquals(1000, entries().stream().mapToLong(Entry::work).sum());
     }
 
@@ -239,9 +244,9 @@
         receipts.get(2).answered();
         until(() -> has(ledger, "entries", 3));
         Desk desk = new Desk(settings(false, 5, 100), clock);
-        assertEquals(List.of("2026-11", "2026-12", "2027-01"), desk.statements(null).stream()
-                .map(Statement::period)
-                .toList());
+        assertEquals(
+                List.of("2026-11", "2026-12", "2027-01"),
+                desk.statements(null).stream().map(Statement::period).toList());
     }
 
     /** Closing beside a living process waits for what it has answered; the answer decides, not the commit. */
@@ -294,7 +299,10 @@
     }
 
     private Entry closing() throws StoreException {
-        return entries().stream().filter(e -> e.kind() == Kind.CLOSE).findFirst().orElse(null);
+        return entries().stream()
+                .filter(e -> e.kind() == Kind.CLOSE)
+                .findFirst()
+                .orElse(null);
     }
 
     @Test
@@ -311,8 +319,12 @@
         desk.correct(target.toString(), 400, "op", "half of it was ours");
         assertEquals(1000, desk.statements("2026-11").get(0).billed());
         assertEquals(-600, desk.statements("2026-12").get(0).billed());
-        for (String bad : List.of(target.toString(), "a/1/999", "nothing", closing().ref().toString())) {
-            assertTrue(assertThrows(Desk.Refused.class, () -> desk.correct(bad, 1, "op", "r")).misuse(), bad);
+        for (String bad :
+                List.of(target.toString(), "a/1/999", "nothing", closing().ref().toString())) {
+            assertTrue(
+                    assertThrows(Desk.Refused.class, () -> desk.correct(bad, 1, "op", "r"))
+                            .misuse(),
+                    bad);
         }
     }
 
@@ -343,9 +355,17 @@
     void aClosedAndExportedPeriodIsArchivedAndComesBackTheSame() throws Exception {
         Clock clock = Clock.standing(DECEMBER - 5);
         Path out = dir.resolve("out");
-        LedgerSettings s = new LedgerSettings(dir.resolve("s"), false, 2, 2, 5, 100, new Terms(ZoneOffset.UTC,
-                List.of()), 15_000, List.of(new ExportSettings("x", out, null, true, 50, 1, 100, 1, 10, 3)),
-                        null);
+        LedgerSettings s = new LedgerSettings(
+                dir.resolve("s"),
+                false,
+                2,
+                2,
+                5,
+                100,
+                new Terms(ZoneOffset.UTC, List.of()),
+                15_000,
+                List.of(new ExportSettings("x", out, null, true, 50, 1, 100, 1, 10, 3)),
+                null);
         Ledger ledger = new Ledger("a", s, clock);
         ledger.start();
         for (int i = 0; i < 20; i++) {
@@ -355,7 +375,8 @@
         ledger.close();
         Desk desk = new Desk(s, Clock.standing(DECEMBER + 1));
         Path file = dir.resolve("archive/2026-11.gz");
-        assertTrue(assertThrows(Desk.Refused.class, () -> desk.archive("2026-11", file)).getMessage()
+        assertTrue(assertThrows(Desk.Refused.class, () -> desk.archive("2026-11", file))
+                .getMessage()
                 .contains("not closed"));
         desk.close("2026-11", "op");
         Statement before = desk.statements("2026-11").get(0);
@@ -366,7 +387,8 @@
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 1;
         Path changed = Files.write(dir.resolve("changed"), bytes);
-        assertTrue(assertThrows(Desk.Refused.class, () -> desk.restore("2026-11", changed)).getMessage()
+        assertTrue(assertThrows(Desk.Refused.class, () -> desk.restore("2026-11", changed))
+                .getMessage()
                 .contains("its sum is another"));
         assertEquals(20, desk.restore("2026-11", null));
         assertEquals(before, desk.statements("2026-11").get(0));
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -84,9 +84,17 @@
     }
 
     private static LedgerSettings settings(Path store, boolean sync) {
-        return new LedgerSettings(store, sync, 20, 250, 60_000, MILLION, new Terms(java.time.ZoneOffset.UTC,
-                List.of()),
-                15_000, List.of(), null);
+        return new LedgerSettings(
+                store,
+                sync,
+                20,
+                250,
+                60_000,
+                MILLION,
+                new Terms(java.time.ZoneOffset.UTC, List.of()),
+                15_000,
+                List.of(),
+                null);
     }
 
     // Entries a second through the whole of the ledger: intent, answer, entry
@@ -100,16 +108,36 @@
         long jobs = 0;
         while (System.nanoTime() - began < THROUGHPUT_NANOS) {
             room.acquire();
-            ledger.settle(new Books.Job(new Request("00c0ffee" + jobs++, "step-view", "college-nord", null,
-                    0, 1, 0,
-                    0, false, null, null), Books.Ending.SERVED, NOW, 1, 120_000, false, 0), receipt -> {
+            ledger.settle(
+                    new Books.Job(
+                            new Request(
+                                    "00c0ffee" + jobs++,
+                                    "step-view",
+                                    "college-nord",
+                                    null,
+                                    0,
+                                    1,
+                                    0,
+                                    0,
+                                    false,
+                                    null,
+                                    null),
+                            Books.Ending.SERVED,
+                            NOW,
+                            1,
+                            120_000,
+                            false,
+                            0),
+                    receipt -> {
                         receipt.answered();
                         room.release();
                     });
         }
         ledger.close();
-        say("entries_per_s_" + name, ledger.figures().get("ledger.entries").doubleValue()
-                / ((System.nanoTime() - began) / 1e9), "%.0f");
+        say(
+                "entries_per_s_" + name,
+                ledger.figures().get("ledger.entries").doubleValue() / ((System.nanoTime() - began) / 1e9),
+                "%.0f");
     }
 
     // A million entries
@@ -129,12 +157,23 @@
     private static List<Entry> drafts(int count, int from) {
         List<Entry> drafts = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            drafts.add(new Entry(new Ref(new Origin("", 0), 0), Entry.Kind.JOB, NOW + from + i,
+            drafts.add(new Entry(
+                    new Ref(new Origin("", 0), 0),
+                    Entry.Kind.JOB,
+                    NOW + from + i,
                     "college-nord",
-                    i % 4 == 0 ? "save-run" : "step-view", String.format("%016x", (from + i) * 2654435761L),
-                    i % 4 == 0 ? Entry.hash("k" + from + i) : null, Books.Ending.SERVED, 120_000 + i, false,
-                            0, 1,
-                    from + i, null, null, null));
+                    i % 4 == 0 ? "save-run" : "step-view",
+                    String.format("%016x", (from + i) * 2654435761L),
+                    i % 4 == 0 ? Entry.hash("k" + from + i) : null,
+                    Books.Ending.SERVED,
+                    120_000 + i,
+                    false,
+                    0,
+                    1,
+                    from + i,
+                    null,
+                    null,
+                    null));
         }
         return drafts;
     }
@@ -152,10 +191,16 @@
     private void million() throws Exception {
         Path one = folder.resolve("million");
         Files.createDirectories(one);
-        Process filler = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-cp",
-                System.getProperty("java.class.path"), MeasureLedger.class.getName(), "fill", one.toString(),
-                Integer.toString(MILLION)).inheritIO().start();
+        Process filler = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        MeasureLedger.class.getName(),
+                        "fill",
+                        one.toString(),
+                        Integer.toString(MILLION))
+                .inheritIO()
+                .start();
         filler.waitFor();
         long began = System.nanoTime();
         Origin own;
@@ -171,7 +216,8 @@
         Files.copy(one.resolve(Store.FILE), two.resolve(Store.FILE));
         byte[] key = "0123456789abcdef0123456789abcdef".getBytes();
         Vertx vertx = Vertx.vertx();
-        try (Store store = Store.open(one, "a", Faults.NONE); Store other = Store.open(two)) {
+        try (Store store = Store.open(one, "a", Faults.NONE);
+                Store other = Store.open(two)) {
             long ledger = 0;
             for (Origin origin : store.heads().keySet()) {
                 store.append(origin, drafts(100 / (ORIGINS + 1) + 1, MILLION));
@@ -180,14 +226,27 @@
                 }
             }
             ledger = ledger / (ORIGINS * 1000 + 1) * MILLION;
-            PeerFront front = new PeerFront(new PeerSettings(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    null, List.of(new inet.ipaddr.IPAddressString("127.0.0.0/8").getAddress()
-                            .toPrefixBlock()),
-                    List.of(), 10, 5000, 2000), one, new Seal(key), Clock.system());
+            PeerFront front = new PeerFront(
+                    new PeerSettings(
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                            null,
+                            List.of(new inet.ipaddr.IPAddressString("127.0.0.0/8")
+                                    .getAddress()
+                                    .toPrefixBlock()),
+                            List.of(),
+                            10,
+                            5000,
+                            2000),
+                    one,
+                    new Seal(key),
+                    Clock.system());
             int port = StandIns.get(front.listen());
-            PeerClient client = new PeerClient(vertx, new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    port),
-                    new Seal(key), Clock.system(), 5000);
+            PeerClient client = new PeerClient(
+                    vertx,
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                    new Seal(key),
+                    Clock.system(),
+                    5000);
             began = System.nanoTime();
             Reconciler.Report report = new Reconciler(other, client, 2000).round();
             say("reconcile_s", (System.nanoTime() - began) / 1e9, "%.3f");
@@ -243,16 +302,27 @@
                 Map<String, Object> config = world.config();
                 config.put("listen", "127.0.0.1:" + port);
                 Path file = Files.writeString(folder.resolve(mode + ".json"), new Gson().toJson(config));
-                Path conf = Files.writeString(folder.resolve(mode + ".conf"), mode.equals("off") ? ""
-                        : "ledger {\n"
-                        + "store " + folder.resolve("store-" + mode) + "\nmode " + mode
-                        + (mode.equals("batch") ? " 20ms" : "") + "\n}\n");
-                sides.put(mode, new Side(Child.start(folder.resolve(mode + ".log"), Map.of("ROUTER_CONFIG",
-                        file.toString()), "serve", "--settings", conf.toString()), port));
+                Path conf = Files.writeString(
+                        folder.resolve(mode + ".conf"),
+                        mode.equals("off")
+                                ? ""
+                                : "ledger {\n"
+                                        + "store " + folder.resolve("store-" + mode) + "\nmode " + mode
+                                        + (mode.equals("batch") ? " 20ms" : "") + "\n}\n");
+                sides.put(
+                        mode,
+                        new Side(
+                                Child.start(
+                                        folder.resolve(mode + ".log"),
+                                        Map.of("ROUTER_CONFIG", file.toString()),
+                                        "serve",
+                                        "--settings",
+                                        conf.toString()),
+                                port));
             }
             Vertx vertx = Vertx.vertx();
-            HttpClient client = vertx.createHttpClient(new HttpClientOptions().setTcpNoDelay(true),
-                    new PoolOptions().setHttp1MaxSize(100));
+            HttpClient client = vertx.createHttpClient(
+                    new HttpClientOptions().setTcpNoDelay(true), new PoolOptions().setHttp1MaxSize(100));
             TimeUnit.SECONDS.sleep(2);
             for (Side side : sides.values()) {
                 load(client, side, 1000, 2, false);
@@ -272,16 +342,18 @@
                     Histogram h = side.histograms.get(rate);
                     say("p50_ms_" + mode + "_" + rate, h.getValueAtPercentile(50) / 1000.0, "%.2f");
                     say("p99_ms_" + mode + "_" + rate, h.getValueAtPercentile(99) / 1000.0, "%.2f");
-                    say("cpu_ms_a_job_" + mode + "_" + rate, 1000 * side.cpu.get(rate) / side.jobs.get(rate),
-                            "%.3f");
+                    say("cpu_ms_a_job_" + mode + "_" + rate, 1000 * side.cpu.get(rate) / side.jobs.get(rate), "%.3f");
                 });
             }
             for (String mode : List.of("batch", "sync")) {
                 Side side = sides.get(mode);
                 for (int rate : new int[] {200, 1000}) {
                     String end = rate == 1000 ? "" : "_200";
-                    say("p99_ratio_" + mode + end, (double) side.histograms.get(rate).getValueAtPercentile(99)
-                            / off.histograms.get(rate).getValueAtPercentile(99), "%.3f");
+                    say(
+                            "p99_ratio_" + mode + end,
+                            (double) side.histograms.get(rate).getValueAtPercentile(99)
+                                    / off.histograms.get(rate).getValueAtPercentile(99),
+                            "%.3f");
                     say("cpu_ratio_" + mode + end, side.cpu.get(rate) / off.cpu.get(rate), "%.3f");
                 }
             }
@@ -307,16 +379,21 @@
             for (long wait = intended - System.nanoTime(); wait > 0; wait = intended - System.nanoTime()) {
                 LockSupport.parkNanos(wait);
             }
-            client.request(new RequestOptions().setMethod(HttpMethod.POST).setHost("127.0.0.1")
-                    .setPort(side.port)
-                    .setURI("/api").putHeader("X-Request-Id", "q" + number.incrementAndGet())
-                    .putHeader("X-Class", "step-view").putHeader("X-Tenant", "red").putHeader("X-Deadline",
-                            "4"))
-                    .compose(r -> r.send(Buffer.buffer("{}"))).compose(r -> r.body()).onComplete(r -> {
+            client.request(new RequestOptions()
+                            .setMethod(HttpMethod.POST)
+                            .setHost("127.0.0.1")
+                            .setPort(side.port)
+                            .setURI("/api")
+                            .putHeader("X-Request-Id", "q" + number.incrementAndGet())
+                            .putHeader("X-Class", "step-view")
+                            .putHeader("X-Tenant", "red")
+                            .putHeader("X-Deadline", "4"))
+                    .compose(r -> r.send(Buffer.buffer("{}")))
+                    .compose(r -> r.body())
+                    .onComplete(r -> {
                         if (count) {
                             synchronized (histogram) {
-                                histogram.recordValue(Math.min(60_000_000,
-                                        (System.nanoTime() - intended) / 1000));
+                                histogram.recordValue(Math.min(60_000_000, (System.nanoTime() - intended) / 1000));
                             }
                         }
                         done.release();
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -40,6 +40,7 @@
 
     @TempDir
     private Path dir;
+
     private Vertx vertx;
     private final Clock clock = Clock.system();
     private final List<AutoCloseable> open = new ArrayList<>();
@@ -58,10 +59,16 @@
     }
 
     private static PeerSettings settings(String... admit) {
-        return new PeerSettings(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), null,
-                java.util.Arrays.stream(admit).map(a -> new IPAddressString(a).getAddress().toPrefixBlock())
+        return new PeerSettings(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                null,
+                java.util.Arrays.stream(admit)
+                        .map(a -> new IPAddressString(a).getAddress().toPrefixBlock())
                         .toList(),
-                List.of(), 10, 500, 7);
+                List.of(),
+                10,
+                500,
+                7);
     }
 
     private Store store(String name) throws StoreException {
@@ -85,9 +92,8 @@
     }
 
     private PeerClient client(int port, double timeout) {
-        return new PeerClient(vertx, new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                new Seal(KEY),
-                clock, timeout);
+        return new PeerClient(
+                vertx, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), new Seal(KEY), clock, timeout);
     }
 
     private Reconciler.Report round(Store to, int port) throws Exception {
@@ -150,7 +156,9 @@
         round(b, portA);
         Reconciler.Report report = round(b, serve(copy));
         assertEquals(1, report.forks().size());
-        assertTrue(report.forks().get(0).contains("entry 6 has two contents"), report.forks().toString());
+        assertTrue(
+                report.forks().get(0).contains("entry 6 has two contents"),
+                report.forks().toString());
         a.append(one, drafts(1, "x"));
         assertEquals(0, round(b, portA).entries(), "nothing of it is taken over any more");
         assertTrue(b.verify().get(0).contains("quarantined"), b.verify().toString());
@@ -165,8 +173,8 @@
         Seal seal = new Seal(KEY);
         HttpServer server = vertx.createHttpServer().requestHandler(r -> {
             Buffer body = says.apply(r.uri());
-            r.response().putHeader(PeerFront.SEAL, seal.answer(r.getHeader(PeerFront.NONCE), 200,
-                    body.getBytes()))
+            r.response()
+                    .putHeader(PeerFront.SEAL, seal.answer(r.getHeader(PeerFront.NONCE), 200, body.getBytes()))
                     .end(body);
         });
         return StandIns.get(server.listen(0, "127.0.0.1")).actualPort();
@@ -193,14 +201,19 @@
         byte[] wrong = new byte[32];
         wrong[3] = 7;
         String hex = java.util.HexFormat.of().formatHex(wrong);
-        List<byte[]> two = List.of(Entries.served(new Ref(other, 1), NOW, "m", 1).bytes(),
+        List<byte[]> two = List.of(
+                Entries.served(new Ref(other, 1), NOW, "m", 1).bytes(),
                 Entries.served(new Ref(other, 2), NOW, "m", 1).bytes());
-        List<byte[]> holed = List.of(two.get(0), Entries.served(new Ref(other, 3), NOW, "m", 1).bytes());
-        List<byte[]> foreign = List.of(Entries.served(new Ref(own, 1), NOW, "m", 1).bytes());
+        List<byte[]> holed = List.of(
+                two.get(0), Entries.served(new Ref(other, 3), NOW, "m", 1).bytes());
+        List<byte[]> foreign =
+                List.of(Entries.served(new Ref(own, 1), NOW, "m", 1).bytes());
         Buffer cut = frames(two).getBuffer(0, 60);
-        for (Buffer entries : List.of(frames(two), frames(holed), frames(foreign), cut, Buffer.buffer(),
-                frames(List.of(new byte[] {1, 2, 3})))) {
-            int port = liar(uri -> uri.startsWith(PeerFront.HEADS) ? heads(other, 2, wrong)
+        for (Buffer entries : List.of(
+                frames(two), frames(holed), frames(foreign), cut, Buffer.buffer(), frames(List.of(new byte[] {1, 2, 3
+                })))) {
+            int port = liar(uri -> uri.startsWith(PeerFront.HEADS)
+                    ? heads(other, 2, wrong)
                     : uri.startsWith(PeerFront.HASH) ? Buffer.buffer(hex) : entries);
             Reconciler.Report report = round(a, port);
             assertEquals(1, report.faults().size(), report.toString());
@@ -208,7 +221,8 @@
         }
         // It claims another hash for what is held here, and shows the same entry, or none that follows.
         for (List<byte[]> shown : List.of(List.of(a.rows(own, 1, 1).get(0).bytes()), foreign)) {
-            int port = liar(uri -> uri.startsWith(PeerFront.HEADS) ? heads(own, 4, wrong)
+            int port = liar(uri -> uri.startsWith(PeerFront.HEADS)
+                    ? heads(own, 4, wrong)
                     : uri.startsWith(PeerFront.HASH) ? Buffer.buffer(hex) : frames(shown));
             Reconciler.Report report = round(a, port);
             assertEquals(1, report.faults().size(), report.toString());
@@ -220,14 +234,14 @@
     @Test
     void aPeerWithoutTheKeyIsNotBelievedAndASlowOneIsGivenUp() throws Exception {
         Store a = store("a");
-        HttpServer mute = vertx.createHttpServer().requestHandler(r -> { });
+        HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
         int silent = StandIns.get(mute.listen(0, "127.0.0.1")).actualPort();
         double before = clock.now();
         assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).round());
         assertTrue(clock.now() - before < 5000);
         HttpServer trickle = vertx.createHttpServer().requestHandler(r -> {
             r.response().setChunked(true).write("[");
-            r.response().exceptionHandler(e -> { });
+            r.response().exceptionHandler(e -> {});
             vertx.setPeriodic(5, t -> {
                 if (r.response().closed()) {
                     vertx.cancelTimer(t);
@@ -238,9 +252,12 @@
         });
         int slow = StandIns.get(trickle.listen(0, "127.0.0.1")).actualPort();
         assertThrows(IOException.class, () -> new Reconciler(a, client(slow, 60), 7).round());
-        HttpServer plain = vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
+        HttpServer plain =
+                vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
         int unsealed = StandIns.get(plain.listen(0, "127.0.0.1")).actualPort();
-        assertTrue(assertThrows(IOException.class, () -> round(a, unsealed)).getMessage().contains("seal"));
+        assertTrue(assertThrows(IOException.class, () -> round(a, unsealed))
+                .getMessage()
+                .contains("seal"));
     }
 
     /** Cut off halfway: what came whole is kept, and the next round goes on from there. */
@@ -251,18 +268,23 @@
         Origin one = a.begin(NOW);
         a.append(one, drafts(40, "x"));
         int port = serve(a);
-        PeerClient cut = new PeerClient(vertx, new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                new Seal(KEY), clock, 2000) {
-            private int calls;
+        PeerClient cut =
+                new PeerClient(
+                        vertx,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                        new Seal(KEY),
+                        clock,
+                        2000) {
+                    private int calls;
 
-            @Override
-            Buffer get(String uri) throws IOException, InterruptedException {
-                if (++calls > 6) {
-                    throw new IOException("cut off");
-                }
-                return super.get(uri);
-            }
-        };
+                    @Override
+                    Buffer get(String uri) throws IOException, InterruptedException {
+                        if (++calls > 6) {
+                            throw new IOException("cut off");
+                        }
+                        return super.get(uri);
+                    }
+                };
         Reconciler.Report half = new Reconciler(b, cut, 7).round();
         assertEquals(1, half.faults().size());
         long held = numbers(b).get(one);
@@ -279,11 +301,20 @@
         open.add(0, closed);
         int port = StandIns.get(closed.listen());
         HttpClient http = HttpClient.newHttpClient();
-        assertEquals(403, http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port
-                + "/ledger/heads"))
-                .build(), HttpResponse.BodyHandlers.discarding()).statusCode());
-        assertEquals(401, http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + serve(a)
-                + "/ledger/heads")).build(), HttpResponse.BodyHandlers.discarding()).statusCode());
+        assertEquals(
+                403,
+                http.send(
+                                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/ledger/heads"))
+                                        .build(),
+                                HttpResponse.BodyHandlers.discarding())
+                        .statusCode());
+        assertEquals(
+                401,
+                http.send(
+                                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + serve(a) + "/ledger/heads"))
+                                        .build(),
+                                HttpResponse.BodyHandlers.discarding())
+                        .statusCode());
         Seal mine = new Seal(KEY);
         Seal theirs = new Seal(KEY);
         String nonce = "0".repeat(32);
@@ -293,9 +324,9 @@
         assertEquals("a call that was made before", theirs.fault("/x", nonce, time, seal, NOW + 59_500));
         assertEquals("a call of another time", theirs.fault("/x", nonce, time, seal, NOW + 60_001));
         assertEquals("a wrong seal", theirs.fault("/y", nonce, time, seal, NOW));
-        assertEquals("a wrong seal", new Seal("another key, which is also long enough".getBytes())
-                .fault("/x", nonce,
-                time, seal, NOW));
+        assertEquals(
+                "a wrong seal",
+                new Seal("another key, which is also long enough".getBytes()).fault("/x", nonce, time, seal, NOW));
         assertEquals("not sealed", theirs.fault("/x", null, time, seal, NOW));
         assertTrue(mine.fits(nonce, 200, new byte[] {1}, theirs.answer(nonce, 200, new byte[] {1})));
         assertTrue(!mine.fits(nonce, 200, new byte[] {2}, theirs.answer(nonce, 200, new byte[] {1})));
@@ -308,30 +339,56 @@
         List<LedgerService> services = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            LedgerService s = new LedgerService("d" + i, new LedgerSettings(dir.resolve("d" + i), false, 2, 2,
-                    5, 1000,
-                    new Terms(java.time.ZoneOffset.UTC, List.of()), 15_000, List.of(new ExportSettings("x",
-                    dir.resolve("x" + i), null, true, 50, 20, 100, 1, 10, 3)), new PeerSettings(
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), key,
-                    settings("127.0.0.0/8").admit(), List.copyOf(addresses), 20, 2000, 100)), clock, 7);
+            LedgerService s = new LedgerService(
+                    "d" + i,
+                    new LedgerSettings(
+                            dir.resolve("d" + i),
+                            false,
+                            2,
+                            2,
+                            5,
+                            1000,
+                            new Terms(java.time.ZoneOffset.UTC, List.of()),
+                            15_000,
+                            List.of(new ExportSettings("x", dir.resolve("x" + i), null, true, 50, 20, 100, 1, 10, 3)),
+                            new PeerSettings(
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                    key,
+                                    settings("127.0.0.0/8").admit(),
+                                    List.copyOf(addresses),
+                                    20,
+                                    2000,
+                                    100)),
+                    clock,
+                    7);
             s.start();
             open.add(0, s);
             services.add(s);
             addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), s.port()));
         }
         for (int i = 0; i < 90; i++) {
-            services.get(i % 3).books().settle(new nettlewick.core.Books.Job(new nettlewick.core.Request("j"
-                    + i, "c",
-                    "m", null, 0, 1, 0, 0, false, null, null), nettlewick.core.Books.Ending.SERVED, NOW, 1,
-                            1000,
-                    false, 0), nettlewick.core.Books.Receipt::answered);
+            services.get(i % 3)
+                    .books()
+                    .settle(
+                            new nettlewick.core.Books.Job(
+                                    new nettlewick.core.Request("j" + i, "c", "m", null, 0, 1, 0, 0, false, null, null),
+                                    nettlewick.core.Books.Ending.SERVED,
+                                    NOW,
+                                    1,
+                                    1000,
+                                    false,
+                                    0),
+                            nettlewick.core.Books.Receipt::answered);
         }
         LedgerService thief = new LedgerService("d9", services.get(0).books().settings(), clock, 7);
-        assertTrue(assertThrows(IOException.class, thief::start).getMessage()
-                .contains("the ledger of d0, not of"));
+        assertTrue(assertThrows(IOException.class, thief::start).getMessage().contains("the ledger of d0, not of"));
         StandIns.until(() -> count("d2") == 90 && count("d1") == 60);
-        StandIns.until(() -> services.stream().allMatch(s -> s.books().figures()
-                .getOrDefault("ledger.export.x.lag", -1L).longValue() == 0));
+        StandIns.until(() -> services.stream()
+                .allMatch(s -> s.books()
+                                .figures()
+                                .getOrDefault("ledger.export.x.lag", -1L)
+                                .longValue()
+                        == 0));
         assertEquals(30L, ExportTest.totals(ExportTest.files(dir.resolve("x2"))).get(0), "only its own");
     }
 
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/ServedTest.java
@@ -33,6 +33,7 @@
 class ServedTest {
     @TempDir
     private Path dir;
+
     private StandIns world;
     private Ledger ledger;
     private List<Integer> ports;
@@ -43,13 +44,16 @@
         world = new StandIns();
         world.addRunner("s-1");
         world.addRunner("s-2");
-        ledger = new Ledger("n0", new LedgerSettings(dir, true, 2, 2, 500, 1000, new Terms(ZoneOffset.UTC,
-                List.of()),
-                15_000, List.of(), null), Clock.system());
+        ledger = new Ledger(
+                "n0",
+                new LedgerSettings(
+                        dir, true, 2, 2, 500, 1000, new Terms(ZoneOffset.UTC, List.of()), 15_000, List.of(), null),
+                Clock.system());
         ledger.start();
         ledger.await();
         world.books = ledger;
-        EdgeConfig edge = EdgeConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}").block("edge")
+        EdgeConfig edge = EdgeConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}")
+                .block("edge")
                 .get());
         Map<String, Object> config = world.config();
         config.put("admin_addr", "127.0.0.1:0");
@@ -89,7 +93,8 @@
     @Test
     void eachAnswerOnBothFrontsIsAnEntryWithItsWork() throws Exception {
         world.runTime = 60;
-        assertTrue(send(ports.get(0), asked("a", "save-run", "Idempotency-Key: K-1")).contains("r-a"));
+        assertTrue(send(ports.get(0), asked("a", "save-run", "Idempotency-Key: K-1"))
+                .contains("r-a"));
         assertTrue(send(ports.get(1), asked("b", "step-view")).contains("r-b"));
         world.instead = request -> request.connection().close();
         assertTrue(send(ports.get(0), asked("c", "mark-submit")).contains(" 502 "));
@@ -104,9 +109,8 @@
         assertEquals(Ending.FAILED, all.get("c").end());
         assertEquals(0, all.get("c").work());
         String figures = send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertTrue(figures.contains("router.ledger.entries=3\n")
-                && figures.contains("router.ledger.queue=0\n"),
-                figures);
+        assertTrue(
+                figures.contains("router.ledger.entries=3\n") && figures.contains("router.ledger.queue=0\n"), figures);
     }
 
     /** A client that leaves while its job runs, and one that leaves as its answer comes. */
@@ -127,14 +131,19 @@
             }
         }
         Map<String, Entry> all = entries(jobs);
-        Set<Ending> ends = all.values().stream().map(Entry::end)
-                .collect(Collectors.toCollection(HashSet::new));
+        Set<Ending> ends = all.values().stream().map(Entry::end).collect(Collectors.toCollection(HashSet::new));
         assertEquals(Set.of(Ending.SERVED, Ending.LEFT), ends);
         assertTrue(all.values().stream().filter(e -> e.end() == Ending.LEFT).allMatch(e -> e.work() == 0));
-        assertEquals(jobs / 2, all.values().stream().filter(e -> e.end() == Ending.LEFT).count());
+        assertEquals(
+                jobs / 2,
+                all.values().stream().filter(e -> e.end() == Ending.LEFT).count());
         // The same jobs are fulfilled in the figures and served in the ledger.
-        assertEquals(send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n").lines()
-                .filter(l -> l.startsWith("router.operations.step-view.fulfilled=")).findFirst().get(),
+        assertEquals(
+                send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
+                        .lines()
+                        .filter(l -> l.startsWith("router.operations.step-view.fulfilled="))
+                        .findFirst()
+                        .get(),
                 "router.operations.step-view.fulfilled=" + jobs / 2);
     }
 }
--- a/src/test/java/nettlewick/ledger/StoreProbe.java
+++ b/src/test/java/nettlewick/ledger/StoreProbe.java
@@ -13,11 +13,9 @@
     private static final double NOW = 1793491200000.0;
 
     /** Request ids of what is entered and of what is in doubt, and the faults of its chains. */
-    public record Seen(List<String> entered, List<String> doubts, List<String> verify) {
-    }
+    public record Seen(List<String> entered, List<String> doubts, List<String> verify) {}
 
-    private StoreProbe() {
-    }
+    private StoreProbe() {}
 
     /** Enters what dead lives left, then looks. */
     public static Seen recover(LedgerSettings settings) throws StoreException {
@@ -31,16 +29,15 @@
     }
 
     /** Enters so many jobs; adds their number and work to the totals. */
-    public static void fill(LedgerSettings settings, Random random, int count,
-            long[] total) throws StoreException {
+    public static void fill(LedgerSettings settings, Random random, int count, long[] total) throws StoreException {
         try (Store store = Store.open(settings.store(), "a", Faults.NONE)) {
             List<Entry> drafts = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 long work = random.nextInt(100_000);
                 total[0]++;
                 total[1] += work;
-                drafts.add(Entries.job(new Ref(new Origin("", 0), 0), NOW, "m" + random.nextInt(9), null,
-                        Ending.SERVED, work));
+                drafts.add(Entries.job(
+                        new Ref(new Origin("", 0), 0), NOW, "m" + random.nextInt(9), null, Ending.SERVED, work));
             }
             store.append(store.begin(NOW), drafts);
         }
--- a/src/test/java/nettlewick/ledger/StoreTest.java
+++ b/src/test/java/nettlewick/ledger/StoreTest.java
@@ -50,9 +50,23 @@
 
     @Test
     void entriesReadBackAsTheyWereAndChainsGoOnAfterAReopening() throws Exception {
-        Entry odd = new Entry(new Ref(new Origin("", 0), 0), Kind.JOB, NOW, "a,\"b\"\nçé✓", "c", "r", "k",
+        Entry odd = new Entry(
+                new Ref(new Origin("", 0), 0),
+                Kind.JOB,
+                NOW,
+                "a,\"b\"\nçé✓",
+                "c",
+                "r",
+                "k",
                 Ending.FAILED,
-                Long.MAX_VALUE, true, -1, 3, 9, null, "by", "");
+                Long.MAX_VALUE,
+                true,
+                -1,
+                3,
+                9,
+                null,
+                "by",
+                "");
         Origin own;
         try (Store store = open()) {
             own = store.begin(NOW);
@@ -115,7 +129,9 @@
         }
         sql("DELETE FROM entry WHERE number > 6");
         try (Store store = open()) {
-            assertTrue(store.verify().get(0).contains("ends at 6, but entry 9"), store.verify().toString());
+            assertTrue(
+                    store.verify().get(0).contains("ends at 6, but entry 9"),
+                    store.verify().toString());
         }
     }
 
@@ -130,9 +146,10 @@
             store.append(two, drafts(2));
             store.append(one, drafts(2));
             Store.Batch second = store.cut("x", 100);
-            assertEquals(List.of(new Store.Range(one.life(), 5, 7), new Store.Range(two.life(), 1, 2)),
-                    second.ranges());
-            assertArrayEquals(bytes, Exporter.parcel(store, store.batch("x", 1), true).bytes());
+            assertEquals(
+                    List.of(new Store.Range(one.life(), 5, 7), new Store.Range(two.life(), 1, 2)), second.ranges());
+            assertArrayEquals(
+                    bytes, Exporter.parcel(store, store.batch("x", 1), true).bytes());
             assertEquals(null, store.cut("x", 100));
             assertEquals(9, store.lag("x"));
             assertEquals(first, store.pending("x"));
@@ -143,8 +160,7 @@
 
     @Test
     void aFileThatIsNoStoreIsPutAsideNotDeleted() throws Exception {
-        Files.writeString(dir.resolve(Store.FILE),
-                "this is not SQLite at all, but long enough to be looked at");
+        Files.writeString(dir.resolve(Store.FILE), "this is not SQLite at all, but long enough to be looked at");
         StoreException e = assertThrows(StoreException.class, this::open);
         assertTrue(e.damaged());
         Path aside = Store.putAside(dir, NOW);
@@ -161,8 +177,23 @@
     }
 
     private static Entry draft(int job) {
-        return new Entry(new Ref(new Origin("a", 7), 0), Kind.JOB, NOW + job, "m", "c", "r" + job, null,
-                Ending.SERVED, job, false, 0, 1, job, null, null, null);
+        return new Entry(
+                new Ref(new Origin("a", 7), 0),
+                Kind.JOB,
+                NOW + job,
+                "m",
+                "c",
+                "r" + job,
+                null,
+                Ending.SERVED,
+                job,
+                false,
+                0,
+                1,
+                job,
+                null,
+                null,
+                null);
     }
 
     /** Leaves the lock and the files as a killed process would. */
@@ -193,7 +224,8 @@
             List<Entry> all = new ArrayList<>();
             store.each(all::add);
             assertEquals(List.of(1L, 2L, 3L, 4L), all.stream().map(Entry::job).toList());
-            assertEquals(List.of(Ending.SERVED, Ending.LEFT, Ending.SERVED, Ending.SERVED),
+            assertEquals(
+                    List.of(Ending.SERVED, Ending.LEFT, Ending.SERVED, Ending.SERVED),
                     all.stream().map(Entry::end).toList());
             assertEquals(Kind.DOUBT, all.get(3).kind());
             assertEquals(0, all.get(1).work(), "what a client did not wait for is not billed");
@@ -277,9 +309,23 @@
         for (int job = 1; job <= 2000; job++) {
             random.nextBytes(noise);
             Entry d = draft(job);
-            places.add(spool.intent(new Entry(d.ref(), d.kind(), d.at(), "m", "c", java.util.HexFormat.of()
-                    .formatHex(noise)
-                    .substring(0, 9000), null, d.end(), job, false, 0, 1, job, null, null, null)));
+            places.add(spool.intent(new Entry(
+                    d.ref(),
+                    d.kind(),
+                    d.at(),
+                    "m",
+                    "c",
+                    java.util.HexFormat.of().formatHex(noise).substring(0, 9000),
+                    null,
+                    d.end(),
+                    job,
+                    false,
+                    0,
+                    1,
+                    job,
+                    null,
+                    null,
+                    null)));
             spool.prepare(0);
         }
         Spool.Place first = places.get(0);
@@ -298,7 +344,8 @@
 
     private int files() throws IOException {
         try (var all = Files.list(dir)) {
-            return (int) all.filter(f -> f.getFileName().toString().startsWith("spool-")).count();
+            return (int) all.filter(f -> f.getFileName().toString().startsWith("spool-"))
+                    .count();
         }
     }
 }
--- a/src/test/java/nettlewick/ledger/TermsTest.java
+++ b/src/test/java/nettlewick/ledger/TermsTest.java
@@ -16,9 +16,11 @@
 /** The calendar of periods: every moment is in exactly one, and each ends where the next begins. */
 class TermsTest {
     private static final ZoneId ZONE = ZoneId.of("Indian/Mauritius");
-    private static final Terms TERMS = new Terms(ZONE, List.of(
-            new Terms.Term("t2", LocalDate.of(2026, 5, 1), LocalDate.of(2026, 8, 15)),
-            new Terms.Term("t1", LocalDate.of(2026, 1, 10), LocalDate.of(2026, 4, 1))));
+    private static final Terms TERMS = new Terms(
+            ZONE,
+            List.of(
+                    new Terms.Term("t2", LocalDate.of(2026, 5, 1), LocalDate.of(2026, 8, 15)),
+                    new Terms.Term("t1", LocalDate.of(2026, 1, 10), LocalDate.of(2026, 4, 1))));
 
     private static double at(int year, int month, int day) {
         return ZonedDateTime.of(year, month, day, 0, 0, 0, 0, ZONE).toInstant().toEpochMilli();
@@ -36,8 +38,7 @@
     }
 
     @Property(tries = 2000, seed = "42")
-    void everyMomentIsInOnePeriodWhichFollowsOnAnother(@ForAll @DoubleRange(min = 0, max =
-            4e12) double time) {
+    void everyMomentIsInOnePeriodWhichFollowsOnAnother(@ForAll @DoubleRange(min = 0, max = 4e12) double time) {
         Terms.Period p = TERMS.at(time);
         assertTrue(p.holds(time), p.toString());
         assertEquals(p, TERMS.named(p.name()).orElseThrow());
@@ -49,11 +50,20 @@
     @Test
     void termsThatMakeNoSenseAreRefused() {
         LocalDate d = LocalDate.of(2026, 1, 1);
-        assertThrows(IllegalArgumentException.class, () -> new Terms(ZONE, List.of(new Terms.Term("a", d,
-                d))));
-        assertThrows(IllegalArgumentException.class, () -> new Terms(ZONE, List.of(
-                new Terms.Term("a", d, d.plusDays(9)), new Terms.Term("b", d.plusDays(8), d.plusDays(20)))));
-        assertThrows(IllegalArgumentException.class, () -> new Terms(ZONE, List.of(
-                new Terms.Term("a", d, d.plusDays(9)), new Terms.Term("a", d.plusDays(9), d.plusDays(20)))));
+        assertThrows(IllegalArgumentException.class, () -> new Terms(ZONE, List.of(new Terms.Term("a", d, d))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Terms(
+                        ZONE,
+                        List.of(
+                                new Terms.Term("a", d, d.plusDays(9)),
+                                new Terms.Term("b", d.plusDays(8), d.plusDays(20)))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Terms(
+                        ZONE,
+                        List.of(
+                                new Terms.Term("a", d, d.plusDays(9)),
+                                new Terms.Term("a", d.plusDays(9), d.plusDays(20)))));
     }
 }
--- a/src/test/java/nettlewick/log/LogTest.java
+++ b/src/test/java/nettlewick/log/LogTest.java
@@ -41,18 +41,16 @@
     @Test
     void textIsOneLineAsItWas() {
         LogSetup.apply(Optional.empty());
-        String line = said(() -> Part.of("p1").fault("odd", "it\nbroke",
-                new IllegalStateException("why\nnot")));
-        assertTrue(line.matches("\\S+Z SEVERE p1: it broke: java.lang.IllegalStateException: why not at .* "
-                + "< .*\n"),
+        String line = said(() -> Part.of("p1").fault("odd", "it\nbroke", new IllegalStateException("why\nnot")));
+        assertTrue(
+                line.matches("\\S+Z SEVERE p1: it broke: java.lang.IllegalStateException: why not at .* " + "< .*\n"),
                 line);
     }
 
     @Test
     void jsonHoldsPartEventAndFields() {
         set("form json");
-        String line = said(() -> Part.of("p2").warning("late", "a \"job\"", "request", "r\n1", "runner",
-                null, "n", 4));
+        String line = said(() -> Part.of("p2").warning("late", "a \"job\"", "request", "r\n1", "runner", null, "n", 4));
         JsonObject got = JsonParser.parseString(line).getAsJsonObject();
         assertEquals("p2", got.get("part").getAsString());
         assertEquals("late", got.get("event").getAsString());
--- a/src/test/java/nettlewick/net/AskPauseTest.java
+++ b/src/test/java/nettlewick/net/AskPauseTest.java
@@ -36,13 +36,17 @@
         for (int d = 0; d < asks.length; d++) {
             AskPause pause = new AskPause(true, 8, 10_000, new SplittableRandom(100 + d));
             double[] at = {0};
-            asks[d] = DoubleStream.generate(() -> at[0] += pause.next(NO_BOUND)).takeWhile(t -> t < 30_000).toArray();
+            asks[d] = DoubleStream.generate(() -> at[0] += pause.next(NO_BOUND))
+                    .takeWhile(t -> t < 30_000)
+                    .toArray();
         }
-        double[] all = Arrays.stream(asks).flatMapToDouble(Arrays::stream).sorted().toArray();
+        double[] all =
+                Arrays.stream(asks).flatMapToDouble(Arrays::stream).sorted().toArray();
         // 80 ms a call at the slowest: 12 calls a second. Eight agents' rhythm would make 40 in the first one.
         for (int second = 0; second < 30; second++) {
             int from = 1000 * second;
-            assertTrue(Arrays.stream(all).filter(t -> t >= from && t < from + 1000).count() <= 24, from + " ms");
+            assertTrue(
+                    Arrays.stream(all).filter(t -> t >= from && t < from + 1000).count() <= 24, from + " ms");
         }
         assertTrue(all.length <= 8 * 20, all.length + " calls in 30 s");
         assertTrue(Arrays.stream(asks).mapToDouble(a -> a[0]).distinct().count() == 8, "at times of their own");
--- a/src/test/java/nettlewick/net/ClientCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientCloseTest.java
@@ -95,7 +95,8 @@
         Node node = start(clock);
         int port = node.ports().get(0);
         try (RawClient client = new RawClient(port)) {
-            client.send(job("/api", "a", "mark-submit", "", "Connection: close").toString()
+            client.send(job("/api", "a", "mark-submit", "", "Connection: close")
+                    .toString()
                     .replace("X-Deadline: 4", "X-Deadline: 0.5"));
             until(() -> held.size() == 1);
             HeldLoop loop = new HeldLoop(node);
@@ -130,15 +131,19 @@
             assertNull(client.read(), "a connection that asks nothing is ended");
             client.send(job("/api", "b", "step-view", "1"));
             round(port);
-            assertThrows(java.io.IOException.class, () -> {
-                for (int i = 0; i < 100; i++) {
-                    client.send("x");
-                    round(port);
-                }
-            }, "the client is told that nobody reads it");
+            assertThrows(
+                    java.io.IOException.class,
+                    () -> {
+                        for (int i = 0; i < 100; i++) {
+                            client.send("x");
+                            round(port);
+                        }
+                    },
+                    "the client is told that nobody reads it");
         }
         try (RawClient client = new RawClient(port)) {
-            assertEquals(200, client.send(job("/api", "a", "step-view", "1")).read().status());
+            assertEquals(
+                    200, client.send(job("/api", "a", "step-view", "1")).read().status());
             CompletableFuture<Void> end = CompletableFuture.runAsync(world.node()::shutDown);
             assertNull(client.read(), "so is a resting one at the planned end");
             client.send(job("/api", "c", "step-view", "1"));
--- a/src/test/java/nettlewick/net/ClientGuardTest.java
+++ b/src/test/java/nettlewick/net/ClientGuardTest.java
@@ -43,8 +43,10 @@
     private List<String> passed() {
         List<String> all = new ArrayList<>();
         for (Object o = channel.readInbound(); o != null; o = channel.readInbound()) {
-            all.add(o instanceof HttpRequest r ? r.uri()
-                    : ((LastHttpContent) o).content().toString(StandardCharsets.US_ASCII));
+            all.add(
+                    o instanceof HttpRequest r
+                            ? r.uri()
+                            : ((LastHttpContent) o).content().toString(StandardCharsets.US_ASCII));
         }
         return all;
     }
@@ -63,12 +65,24 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: x", "Content-Length: -1", "Content-Length: +1", "Content-Length:",
-            "Content-Length: 99999999999999999999", "Content-Length: 1\r\nContent-Length: 1",
-            "Content-Length: 1, 1", "Content-Length: 1\r\nTransfer-Encoding: chunked",
-            "Transfer-Encoding: chunked\r\nContent-Length: 1", "Content-Length: 1\r\nTransfer-Encoding: gzip",
-            "Transfer-Encoding: gzip, chunked", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
-            "Content-Length : 1", "X: a\u0001b", "no header"})
+    @ValueSource(
+            strings = {
+                "Content-Length: x",
+                "Content-Length: -1",
+                "Content-Length: +1",
+                "Content-Length:",
+                "Content-Length: 99999999999999999999",
+                "Content-Length: 1\r\nContent-Length: 1",
+                "Content-Length: 1, 1",
+                "Content-Length: 1\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding: chunked\r\nContent-Length: 1",
+                "Content-Length: 1\r\nTransfer-Encoding: gzip",
+                "Transfer-Encoding: gzip, chunked",
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+                "Content-Length : 1",
+                "X: a\u0001b",
+                "no header"
+            })
     void aHeadThatFramesNoBodyBeyondDoubtIsRefused(String header) {
         send("POST /a HTTP/1.1\r\n" + header + "\r\n\r\nzGET /hidden HTTP/1.1\r\n\r\n");
         assertEquals(List.of(), passed());
@@ -119,11 +133,15 @@
             send("x".repeat(8192));
         }
         assertFalse(channel.config().isAutoRead(), "a bounded rest is read, then no more");
-        EmbeddedChannel other = new EmbeddedChannel(new StrictDecoder(new HttpServerOptions(), () -> { }),
-                new HttpResponseEncoder(), new ClientGuard(clock, new ClientGuard.Budget(1)));
-        other.writeInbound(Unpooled.copiedBuffer("GET /a HTTP/1.1\r\n" + "A: b\r\n".repeat(4000),
-                StandardCharsets.US_ASCII));
-        assertTrue(((ByteBuf) other.readOutbound()).toString(StandardCharsets.US_ASCII).contains(" 431 "));
+        EmbeddedChannel other = new EmbeddedChannel(
+                new StrictDecoder(new HttpServerOptions(), () -> {}),
+                new HttpResponseEncoder(),
+                new ClientGuard(clock, new ClientGuard.Budget(1)));
+        other.writeInbound(
+                Unpooled.copiedBuffer("GET /a HTTP/1.1\r\n" + "A: b\r\n".repeat(4000), StandardCharsets.US_ASCII));
+        assertTrue(((ByteBuf) other.readOutbound())
+                .toString(StandardCharsets.US_ASCII)
+                .contains(" 431 "));
     }
 
     @Test
@@ -237,8 +255,14 @@
         send(GET + GET.replace("/a", "/b") + "no request\r\n\r\n");
         assertEquals(List.of(), passed());
         String got = answers();
-        assertEquals(List.of("429", "429", "400"), java.util.regex.Pattern.compile("HTTP/1.1 (\\d+)").matcher(got).results()
-                .map(m -> m.group(1)).toList(), got);
+        assertEquals(
+                List.of("429", "429", "400"),
+                java.util.regex.Pattern.compile("HTTP/1.1 (\\d+)")
+                        .matcher(got)
+                        .results()
+                        .map(m -> m.group(1))
+                        .toList(),
+                got);
     }
 
     @Test
@@ -246,12 +270,17 @@
         ClientGuard.Budget budget = new ClientGuard.Budget(10);
         List<EmbeddedChannel> clients = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            clients.add(new EmbeddedChannel(new StrictDecoder(new HttpServerOptions(), () -> { }),
-                    new HttpResponseEncoder(), new ClientGuard(clock, budget)));
-            clients.get(i).writeInbound(Unpooled.copiedBuffer(
-                    "POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\n12345678", StandardCharsets.US_ASCII));
+            clients.add(new EmbeddedChannel(
+                    new StrictDecoder(new HttpServerOptions(), () -> {}),
+                    new HttpResponseEncoder(),
+                    new ClientGuard(clock, budget)));
+            clients.get(i)
+                    .writeInbound(Unpooled.copiedBuffer(
+                            "POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\n12345678", StandardCharsets.US_ASCII));
         }
         assertNull(clients.get(0).readOutbound());
-        assertTrue(((ByteBuf) clients.get(1).readOutbound()).toString(StandardCharsets.US_ASCII).contains(" 503 "));
+        assertTrue(((ByteBuf) clients.get(1).readOutbound())
+                .toString(StandardCharsets.US_ASCII)
+                .contains(" 503 "));
     }
 }
--- a/src/test/java/nettlewick/net/ConnectionModelTest.java
+++ b/src/test/java/nettlewick/net/ConnectionModelTest.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.junit.jupiter.api.Test;
 import nettlewick.decision.Dispatcher.Result;
+import org.junit.jupiter.api.Test;
 
 /** Random steps against the states of a call and of the idle connections, each beside a plain model. */
 class ConnectionModelTest {
@@ -18,8 +18,7 @@
 
     /** The model: how far a call came, and whether it has had its one end. */
     @Property(seed = SEED, tries = 500)
-    void aCallEndsOnceAndKnowsWhetherItMayHaveRun(
-            @ForAll @Size(max = 12) List<@IntRange(max = 4) Integer> steps) {
+    void aCallEndsOnceAndKnowsWhetherItMayHaveRun(@ForAll @Size(max = 12) List<@IntRange(max = 4) Integer> steps) {
         CallState call = new CallState();
         int came = 0;
         boolean over = false;
@@ -51,8 +50,7 @@
 
     /** Guards against jobs on kept connections that break, and against mistrust that never ends. */
     @Property(seed = SEED, tries = 200)
-    void keptConnectionsAreLeftAloneWhileTheyBreakAndUsedAgainOnceTheyHold(
-            @ForAll @Size(max = 30) List<Boolean> uses) {
+    void keptConnectionsAreLeftAloneWhileTheyBreakAndUsedAgainOnceTheyHold(@ForAll @Size(max = 30) List<Boolean> uses) {
         ReuseGauge gauge = new ReuseGauge();
         assertEquals(true, gauge.trusts());
         uses.forEach(gauge::used);
@@ -101,7 +99,7 @@
     /** Guards against a late second answer on a connection that is used again too soon. */
     @Test
     void theNewestLinkThatHasRestedIsTaken() {
-        IdlePool<Integer> pool = new IdlePool<>(() -> 1000, link -> { });
+        IdlePool<Integer> pool = new IdlePool<>(() -> 1000, link -> {});
         pool.put(1, 0);
         pool.put(2, 30);
         pool.put(3, 60);
--- a/src/test/java/nettlewick/net/CrossedAnswersTest.java
+++ b/src/test/java/nettlewick/net/CrossedAnswersTest.java
@@ -21,7 +21,8 @@
             int port = start();
             runner.script = (request, socket) -> RawRunner.write(socket, RawRunner.served("another"));
             try (RawClient client = new RawClient(port)) {
-                RawClient.Answer answer = client.send(job("/api", "mine", "mark-submit", "")).read();
+                RawClient.Answer answer =
+                        client.send(job("/api", "mine", "mark-submit", "")).read();
                 assertEquals(502, answer.status(), answer.body());
             }
             assertEquals(List.of("mine"), runner.ids(), "it may have run, and is not sent again");
@@ -53,12 +54,18 @@
                 }
             };
             try (RawClient client = new RawClient(port)) {
-                assertEquals("r-a", client.send(job("/api", "a", "mark-submit", "")).read().body());
+                assertEquals(
+                        "r-a",
+                        client.send(job("/api", "a", "mark-submit", "")).read().body());
                 // The next one that must not run twice comes at once: it takes a connection of its own.
-                assertEquals("r-b", client.send(job("/api", "b", "mark-submit", "")).read().body());
+                assertEquals(
+                        "r-b",
+                        client.send(job("/api", "b", "mark-submit", "")).read().body());
                 twice.complete();
                 round(port);
-                assertEquals("r-c", client.send(job("/api", "c", "mark-submit", "")).read().body());
+                assertEquals(
+                        "r-c",
+                        client.send(job("/api", "c", "mark-submit", "")).read().body());
             }
             assertEquals(List.of("a", "b", "c"), runner.ids());
             assertNotEquals(runner.seen.get(0).connection(), runner.seen.get(1).connection());
@@ -77,7 +84,10 @@
         assertEquals("/catalog/members?watch=1", world.watches.get(1));
         until(() -> {
             try (RawClient client = new RawClient(port)) {
-                return client.send(job("/api", "x" + System.nanoTime(), "mark-submit", "1")).read().status() == 503;
+                return client.send(job("/api", "x" + System.nanoTime(), "mark-submit", "1"))
+                                .read()
+                                .status()
+                        == 503;
             } catch (java.io.IOException e) {
                 return false;
             }
--- a/src/test/java/nettlewick/net/Crossings.java
+++ b/src/test/java/nettlewick/net/Crossings.java
@@ -89,8 +89,9 @@
 
     static void finish(HttpServerRequest job) {
         String id = job.getHeader("X-Request-Id");
-        job.response().setChunked(true).end("{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"r-"
-                + id + "\"}\n");
+        job.response()
+                .setChunked(true)
+                .end("{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
     }
 
     static void await(CountDownLatch latch) {
--- a/src/test/java/nettlewick/net/CrowdTest.java
+++ b/src/test/java/nettlewick/net/CrowdTest.java
@@ -51,7 +51,8 @@
 
     private static boolean served(int port, String id) {
         try (RawClient client = new RawClient(port)) {
-            RawClient.Answer answer = client.send(job("/api", id, "step-view", "5")).read();
+            RawClient.Answer answer =
+                    client.send(job("/api", id, "step-view", "5")).read();
             return answer != null && answer.body().equals("r-" + id);
         } catch (IOException e) {
             return false;
@@ -72,8 +73,8 @@
         world.addRunner("s-2");
         world.tell("s-1", "Terminating");
         world.discoveryInstead = null;
-        until(() -> served(port, "back" + System.nanoTime())
-                && world.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
+        until(() ->
+                served(port, "back" + System.nanoTime()) && world.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
         assertTrue(node.holdsList());
     }
 
@@ -88,7 +89,11 @@
         int port = node.ports().get(0);
         fill(port);
         try (RawClient client = new RawClient(port)) {
-            assertEquals(200, client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").read().status());
+            assertEquals(
+                    200,
+                    client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+                            .read()
+                            .status());
         }
         assertTrue(served(port, "known"));
         StandIns.get(node.close());
--- a/src/test/java/nettlewick/net/LateConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateConnectionTest.java
@@ -30,7 +30,9 @@
             until(() -> runner.accepted.size() == 1);
             round(port);
             try (RawClient stays = new RawClient(port)) {
-                assertEquals("r-stays", stays.send(job("/api", "stays", "step-view", "")).read().body());
+                assertEquals(
+                        "r-stays",
+                        stays.send(job("/api", "stays", "step-view", "")).read().body());
             }
             assertEquals(List.of("stays"), runner.ids());
             assertEquals(1, runner.accepted.size(), "the connection that came up serves the next job");
@@ -56,7 +58,9 @@
             loop.release();
             round(port);
             try (RawClient stays = new RawClient(port)) {
-                assertEquals("r-stays", stays.send(job("/api", "stays", "step-view", "")).read().body());
+                assertEquals(
+                        "r-stays",
+                        stays.send(job("/api", "stays", "step-view", "")).read().body());
             }
             assertEquals(List.of("stays"), runner.ids());
         }
@@ -68,7 +72,8 @@
         limit("probes", false);
         limit("connect_timeout", 10_000_000_000L);
         for (boolean drains : new boolean[] {true, false}) {
-            try (RawRunner runner = new RawRunner().shut(); StandIns one = new StandIns()) {
+            try (RawRunner runner = new RawRunner().shut();
+                    StandIns one = new StandIns()) {
                 Map<String, Object> mine = one.config();
                 mine.put("settings", config.get("settings"));
                 one.addRunner("s-1", runner.port());
@@ -101,7 +106,8 @@
             classes.add(changed);
         }
         settings.put("classes", classes);
-        try (RawRunner first = new RawRunner().open(); RawRunner second = new RawRunner().shut()) {
+        try (RawRunner first = new RawRunner().open();
+                RawRunner second = new RawRunner().shut()) {
             world.addRunner("s-1", first.port());
             int port = start();
             CountDownLatch listed = new CountDownLatch(1);
@@ -111,7 +117,8 @@
             };
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
-                client.send(job("/api", "k", "save-run", "", "Idempotency-Key: K").toString()
+                client.send(job("/api", "k", "save-run", "", "Idempotency-Key: K")
+                        .toString()
                         .replace("X-Deadline: 4", "X-Deadline: 12"));
                 until(() -> first.seen.size() == 1);
                 world.addRunner("s-2", second.port());
--- a/src/test/java/nettlewick/net/ListClockTest.java
+++ b/src/test/java/nettlewick/net/ListClockTest.java
@@ -16,7 +16,15 @@
 /** The clock of the list: what is missed on a silent watch is had before it counts as told. */
 class ListClockTest {
     /** How a call to discovery may go; all but the last bring no word. */
-    private enum Call { NEVER_CONNECTS, REFUSED, NO_ANSWER, RESET_AT_ONCE, HALF_A_LINE, STATUS, ANSWERS }
+    private enum Call {
+        NEVER_CONNECTS,
+        REFUSED,
+        NO_ANSWER,
+        RESET_AT_ONCE,
+        HALF_A_LINE,
+        STATUS,
+        ANSWERS
+    }
 
     private static ListClock agent(long seed) {
         return new ListClock(new AskPause(false, 100, 10_000, new SplittableRandom(seed)), 10_000);
@@ -176,8 +184,8 @@
     @Test
     void anEmptyLineIsAWordAndPartOfAnObjectIsNone() {
         ListFrames frames = new ListFrames();
-        assertTrue(frames.take("\n".getBytes(StandardCharsets.UTF_8), o -> { }));
-        assertTrue(!frames.take("{\n\n".getBytes(StandardCharsets.UTF_8), o -> { }));
-        assertTrue(frames.take("}".getBytes(StandardCharsets.UTF_8), o -> { }));
+        assertTrue(frames.take("\n".getBytes(StandardCharsets.UTF_8), o -> {}));
+        assertTrue(!frames.take("{\n\n".getBytes(StandardCharsets.UTF_8), o -> {}));
+        assertTrue(frames.take("}".getBytes(StandardCharsets.UTF_8), o -> {}));
     }
 }
