--- a/src/test/java/nettlewick/net/NodeTest.java
+++ b/src/test/java/nettlewick/net/NodeTest.java
@@ -60,7 +60,9 @@
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream().write(bytes.getBytes());
             ByteArrayOutputStream got = new ByteArrayOutputStream();
-            for (int b = socket.getInputStream().read(); b >= 0; b = socket.getInputStream().read()) {
+            for (int b = socket.getInputStream().read();
+                    b >= 0;
+                    b = socket.getInputStream().read()) {
                 got.write(b);
                 String text = got.toString(StandardCharsets.ISO_8859_1);
                 int head = text.indexOf("\r\n\r\n");
@@ -94,9 +96,13 @@
         int port = port("s-1");
         List<String> answers = new ArrayList<>();
         String big = "x".repeat(64 * 1024 + 1);
-        for (Buffer bad : List.of(Buffer.buffer("NONSENSE\r\n\r\n"), job("/api", "1", "step-view", big),
-                job("/other", "1", "step-view", ""), Buffer.buffer("GET /api HTTP/1.1\r\nHost: x\r\n\r\n"),
-                job("/api", "1", "no-class", ""), job("/api", "1", "step-view", "", "X-Cost-Hint: z"),
+        for (Buffer bad : List.of(
+                Buffer.buffer("NONSENSE\r\n\r\n"),
+                job("/api", "1", "step-view", big),
+                job("/other", "1", "step-view", ""),
+                Buffer.buffer("GET /api HTTP/1.1\r\nHost: x\r\n\r\n"),
+                job("/api", "1", "no-class", ""),
+                job("/api", "1", "step-view", "", "X-Cost-Hint: z"),
                 job("/api", "1", "step-view", "", "X-Request-Id: 2"),
                 Buffer.buffer(job("/api", "1", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 5d")),
                 Buffer.buffer("POST /api HTTP/1.1\r\nX-Class: step-view\r\nContent-Length: 0\r\n\r\n"))) {
@@ -120,7 +126,8 @@
             for (int i = 0; i < 120; i++) {
                 crowd.add(new Socket("127.0.0.1", port));
                 if (i % 40 == 0) {
-                    usual.getOutputStream().write(job("/api", "u" + i, "step-view", "").getBytes());
+                    usual.getOutputStream()
+                            .write(job("/api", "u" + i, "step-view", "").getBytes());
                     assertTrue(usual.getInputStream().read(new byte[4096]) > 0, "still connected, and served");
                 }
             }
@@ -185,7 +192,8 @@
         assertTrue(world.watches.get(1).endsWith("after=2"), world.watches.toString());
         world.addRunner("s-2");
         world.tell("s-1", "Terminating");
-        until(() -> send(port, job("/api", "a" + System.nanoTime(), "step-view", "")).contains(" 200 ")
+        until(() -> send(port, job("/api", "a" + System.nanoTime(), "step-view", ""))
+                        .contains(" 200 ")
                 && world.seen.get(world.seen.size() - 1).startsWith("s-2"));
         int before = world.seen.size();
         for (int i = 0; i < 5; i++) {
@@ -201,13 +209,19 @@
         world.breakWatches();
         until(() -> world.watches.size() == 2);
         world.tell("s-2", "Ready");
-        until(() -> send(port, job("/api", "a" + System.nanoTime(), "step-view", "")).contains(" 200 ")
+        until(() -> send(port, job("/api", "a" + System.nanoTime(), "step-view", ""))
+                        .contains(" 200 ")
                 && world.seen.get(world.seen.size() - 1).startsWith("s-2"));
         int before = world.seen.size();
         for (int i = 0; i < 8; i++) {
             send(port, job("/api", "b" + i, "step-view", ""));
         }
-        assertEquals(8, world.seen.stream().skip(before).filter(s -> s.startsWith("s-2")).count());
+        assertEquals(
+                8,
+                world.seen.stream()
+                        .skip(before)
+                        .filter(s -> s.startsWith("s-2"))
+                        .count());
     }
 
     /** A machine that vanished: connections to it never come up, and what waits for one never ran. */
@@ -241,10 +255,11 @@
         Node node = world.start();
         int port = node.ports().get(0);
         until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
-        CompletableFuture<String> taken = CompletableFuture.supplyAsync(
-                () -> send(port, job("/api", "t", "mark-submit", "")));
+        CompletableFuture<String> taken =
+                CompletableFuture.supplyAsync(() -> send(port, job("/api", "t", "mark-submit", "")));
         until(() -> world.seen.size() == 1);
-        try (Socket idle = new Socket("127.0.0.1", port); Socket kept = new Socket("127.0.0.1", port)) {
+        try (Socket idle = new Socket("127.0.0.1", port);
+                Socket kept = new Socket("127.0.0.1", port)) {
             CompletableFuture<Void> end = CompletableFuture.runAsync(node::shutDown);
             until(() -> send(port, HEALTH).contains(" 503 "));
             String late = send(port, job("/api", "late", "step-view", ""));
@@ -282,7 +297,8 @@
             node.reload(Config.of(new Gson().toJson(other.config()), Map.of()));
             until(() -> other.watches.size() == 1);
             assertEquals("/catalog/members?watch=1", other.watches.get(0));
-            until(() -> send(port, job("/api", "b" + System.nanoTime(), "step-view", "")).contains(" 200 ")
+            until(() -> send(port, job("/api", "b" + System.nanoTime(), "step-view", ""))
+                            .contains(" 200 ")
                     && other.seen.size() > 0);
         }
     }
@@ -290,8 +306,7 @@
     @Test
     void theFileCountsOverTheEnvironmentOnceItIsReadAgain(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("c"), new Gson().toJson(world.config()));
-        Map<String, String> environment = Map.of("ROUTER_CONFIG", file.toString(),
-                "ROUTER_DISCOVERY", "127.0.0.9:9");
+        Map<String, String> environment = Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_DISCOVERY", "127.0.0.9:9");
         assertEquals(9, Config.load(environment).discovery().port());
         assertNotEquals(9, Config.reload(environment).discovery().port());
         Files.writeString(file, "{");
--- a/src/test/java/nettlewick/net/OperationsTest.java
+++ b/src/test/java/nettlewick/net/OperationsTest.java
@@ -26,8 +26,7 @@
 /** What operators can ask of a whole dispatcher on loopback. */
 @Timeout(30)
 class OperationsTest {
-    private static final Buffer HEALTH =
-            Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     private StandIns world;
     private Map<String, Object> config;
 
@@ -62,8 +61,8 @@
 
     /** The status of one call, and its body. */
     private String call(String method, String path) {
-        String answer = talk(world.node().adminPort(),
-                Buffer.buffer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"));
+        String answer =
+                talk(world.node().adminPort(), Buffer.buffer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"));
         return answer.replaceAll("(?s)HTTP/1.1 (\\d+).*?\r\n\r\n", "$1 ");
     }
 
@@ -74,17 +73,24 @@
         talk(port, job("/api", "a", "step-view", "", "Connection: close"));
         talk(port, job("/api", "a", "step-view", "", "Connection: close"));
         talk(port, job("/api", "b", "no-class", "", "Connection: close"));
-        world.instead = request -> request.response().setStatusCode(503).putHeader("X-Not-Run", "1").end();
+        world.instead = request -> request.response()
+                .setStatusCode(503)
+                .putHeader("X-Not-Run", "1")
+                .end();
         talk(port, job("/api", "c", "mark-submit", "", "Connection: close"));
-        world.instead = request -> { };
+        world.instead = request -> {};
         Socket waits = new Socket("127.0.0.1", port);
         waits.getOutputStream().write(job("/api", "d", "save-run", "").getBytes());
         until(() -> call("GET", "/-/metrics").contains("router.open_requests=1\n")
                 && call("GET", "/-/metrics").contains("router.relayed=3\n"));
         String figures = call("GET", "/-/metrics");
-        for (String line : List.of("operations.step-view.fulfilled=1", "operations.step-view.faulted=1",
-                "operations.mark-submit.throttled=1", "operations.save-run.fulfilled=0",
-                "registry_entries=1", "out_of_rotation=0")) {
+        for (String line : List.of(
+                "operations.step-view.fulfilled=1",
+                "operations.step-view.faulted=1",
+                "operations.mark-submit.throttled=1",
+                "operations.save-run.fulfilled=0",
+                "registry_entries=1",
+                "out_of_rotation=0")) {
             assertTrue(figures.contains("router." + line + "\n"), line + " in " + figures);
         }
         waits.close();
@@ -119,9 +125,12 @@
     void aDrainSendsClientsAwayAndResumeTakesThemBack() throws Exception {
         int port = start();
         world.runTime = 1500;
-        try (Socket idle = new Socket("127.0.0.1", port); Socket busy = new Socket("127.0.0.1", port)) {
-            idle.getOutputStream().write(HEALTH.toString().replace("Connection: close\r\n", "").getBytes(
-                    StandardCharsets.US_ASCII));
+        try (Socket idle = new Socket("127.0.0.1", port);
+                Socket busy = new Socket("127.0.0.1", port)) {
+            idle.getOutputStream()
+                    .write(HEALTH.toString()
+                            .replace("Connection: close\r\n", "")
+                            .getBytes(StandardCharsets.US_ASCII));
             assertTrue(idle.getInputStream().read() >= 0);
             busy.getOutputStream().write(job("/api", "before", "step-view", "").getBytes());
             until(() -> !world.seen.isEmpty());
@@ -155,7 +164,8 @@
         world.tell("s-1", "Ready");
         until(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=1\n"));
         for (int i = 0; i < 20; i++) {
-            assertTrue(talk(port, job("/api", "b" + i, "step-view", "", "Connection: close")).contains("r-b"));
+            assertTrue(talk(port, job("/api", "b" + i, "step-view", "", "Connection: close"))
+                    .contains("r-b"));
         }
         assertTrue(world.seen.stream().noneMatch(line -> line.startsWith("s-1 ")), world.seen.toString());
         assertTrue(call("POST", "/-/sim-runners/s-1/enable").startsWith("200"));
--- a/src/test/java/nettlewick/net/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/PeerSocketTest.java
@@ -26,7 +26,8 @@
         try (DatagramSocket free = new DatagramSocket(0, loopback)) {
             own = free.getLocalPort();
         }
-        try (StandIns world = new StandIns(); DatagramSocket peer = new DatagramSocket(0, loopback);
+        try (StandIns world = new StandIns();
+                DatagramSocket peer = new DatagramSocket(0, loopback);
                 DatagramSocket stranger = new DatagramSocket(0, loopback)) {
             Map<String, Object> config = world.config();
             config.put("peer_listen", "127.0.0.1:" + own);
@@ -40,8 +41,10 @@
             peer.send(new DatagramPacket(new byte[256], 256, loopback, own));
             assertEquals("1 256", heard.poll(10, TimeUnit.SECONDS));
             assertEquals(0, heard.size());
-            assertEquals(Map.of("peers.passed_over.oversized", 1L, "peers.passed_over.strangers", 1L),
-                    socket.passedOver(), "each passed over is counted");
+            assertEquals(
+                    Map.of("peers.passed_over.oversized", 1L, "peers.passed_over.strangers", 1L),
+                    socket.passedOver(),
+                    "each passed over is counted");
             socket.send(1, new byte[257]);
             socket.send(0, new byte[3]);
             socket.send(1, new byte[5]);
--- a/src/test/java/nettlewick/net/PiecesTest.java
+++ b/src/test/java/nettlewick/net/PiecesTest.java
@@ -40,7 +40,9 @@
 
     private static Buffer chunk(String line) {
         Buffer text = Buffer.buffer(line + "\n");
-        return Buffer.buffer(Integer.toHexString(text.length()) + "\r\n").appendBuffer(text).appendString("\r\n");
+        return Buffer.buffer(Integer.toHexString(text.length()) + "\r\n")
+                .appendBuffer(text)
+                .appendString("\r\n");
     }
 
     private void write(NetSocket to, Buffer bytes, int cut) {
@@ -59,11 +61,13 @@
 
     @Test
     void aRunnersAnswerMayBeCutAnywhere() throws Exception {
-        Buffer answer = Buffer.buffer(OK).appendBuffer(chunk("{\"state\":\"started\"}"))
-                .appendBuffer(chunk("{\"state\":\"done\",\"result\":\"é✓\"}")).appendString("0\r\n\r\n");
+        Buffer answer = Buffer.buffer(OK)
+                .appendBuffer(chunk("{\"state\":\"started\"}"))
+                .appendBuffer(chunk("{\"state\":\"done\",\"result\":\"é✓\"}"))
+                .appendString("0\r\n\r\n");
         AtomicInteger cut = new AtomicInteger(1);
         NetServer runner = vertx.createNetServer().connectHandler(socket -> {
-            socket.exceptionHandler(e -> { });
+            socket.exceptionHandler(e -> {});
             socket.handler(request -> {
                 if (request.toString().startsWith("GET")) {
                     socket.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx0=4,x1=4");
@@ -78,8 +82,9 @@
             int port = world.start().ports().get(0);
             for (; cut.get() < answer.length(); cut.incrementAndGet()) {
                 try (Socket client = new Socket("127.0.0.1", port)) {
-                    client.getOutputStream().write(job("/api", "c" + cut, "step-view", "",
-                            "Connection: close").getBytes());
+                    client.getOutputStream()
+                            .write(job("/api", "c" + cut, "step-view", "", "Connection: close")
+                                    .getBytes());
                     String got = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                     assertTrue(got.endsWith("\r\n\r\né✓"), "cut at " + cut + ": " + got);
                 }
@@ -94,15 +99,19 @@
         Buffer answer = Buffer.buffer(OK).appendBuffer(chunk(list)).appendBuffer(chunk(""));
         AtomicInteger cut = new AtomicInteger();
         NetServer discovery = vertx.createNetServer().connectHandler(socket -> {
-            socket.exceptionHandler(e -> { });
+            socket.exceptionHandler(e -> {});
             socket.handler(request -> write(socket, answer, cut.incrementAndGet()));
         });
         get(discovery.listen(0, "127.0.0.1"));
         SocketAddress at = SocketAddress.inetSocketAddress(discovery.actualPort(), "127.0.0.1");
         List<String> told = new CopyOnWriteArrayList<>();
         for (int i = 1; i < answer.length(); i++) {
-            ResolverWatch watch = new ResolverWatch(vertx, at, Clock.standing(0),
-                    new ListClock(new AskPause(false, 1, 0, new java.util.SplittableRandom(1)), 0), news -> told.add(news.hosts().get(0).entry().worker()));
+            ResolverWatch watch = new ResolverWatch(
+                    vertx,
+                    at,
+                    Clock.standing(0),
+                    new ListClock(new AskPause(false, 1, 0, new java.util.SplittableRandom(1)), 0),
+                    news -> told.add(news.hosts().get(0).entry().worker()));
             watch.start(null);
             int wanted = i;
             until(() -> told.size() >= wanted);
@@ -147,8 +156,10 @@
         for (int cut = 1; cut < call.length; cut++) {
             try (Socket caller = new Socket("127.0.0.1", port)) {
                 write(caller, call, cut);
-                assertEquals("HTTP/1.1 200", new String(caller.getInputStream().readNBytes(12),
-                        StandardCharsets.US_ASCII), "cut at " + cut);
+                assertEquals(
+                        "HTTP/1.1 200",
+                        new String(caller.getInputStream().readNBytes(12), StandardCharsets.US_ASCII),
+                        "cut at " + cut);
             }
             assertEquals(cut, calls.size());
         }
--- a/src/test/java/nettlewick/net/RawClient.java
+++ b/src/test/java/nettlewick/net/RawClient.java
@@ -57,8 +57,8 @@
         }
         Matcher length = LENGTH.matcher(head);
         byte[] body = in.readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
-        return new Answer(Integer.parseInt(head.substring(9, 12)), head.toString(),
-                new String(body, StandardCharsets.UTF_8));
+        return new Answer(
+                Integer.parseInt(head.substring(9, 12)), head.toString(), new String(body, StandardCharsets.UTF_8));
     }
 
     @Override
--- a/src/test/java/nettlewick/net/SpoiltAnswersTest.java
+++ b/src/test/java/nettlewick/net/SpoiltAnswersTest.java
@@ -23,6 +23,7 @@
     private static final double DEADLINE = 1.0;
     /** The final answer may come this much after the deadline on a busy machine; the platform allows half a second. */
     private static final double SLACK = 0.5;
+
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private StandIns world;
     private RawRunner runner;
@@ -98,14 +99,16 @@
         DONE_TWICE(true) {
             @Override
             void write(Socket to, String id) throws IOException {
-                String line = "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n";
+                String line =
+                        "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n";
                 RawRunner.write(to, RawRunner.answer(line + line.replace("r-", "other-")));
             }
         },
         DONE_AND_RESET(true) {
             @Override
             void write(Socket to, String id) throws IOException {
-                String line = "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n";
+                String line =
+                        "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n";
                 RawRunner.write(to, OK + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                 to.setSoLinger(true, 0);
             }
@@ -135,7 +138,10 @@
         port = world.start(config).ports().get(0);
         until(() -> {
             try (RawClient client = new RawClient(port)) {
-                return client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").read().status() == 200;
+                return client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .read()
+                                .status()
+                        == 200;
             } catch (IOException e) {
                 return false;
             }
@@ -165,7 +171,8 @@
             assertTrue(took <= DEADLINE + SLACK, "after " + took + " s");
             runner.script = (request, socket) -> RawRunner.write(socket, RawRunner.served(request.id()));
             // The same connection serves on, and the next request gets its own answer.
-            RawClient.Answer next = client.send(job("/api", "b", "step-view", "")).read();
+            RawClient.Answer next =
+                    client.send(job("/api", "b", "step-view", "")).read();
             assertTrue(next.body().equals("r-b") || next.status() == 503, next.head() + next.body());
         }
         assertEquals(1, runner.ids().stream().filter("a"::equals).count(), "it may have run: never sent again");
@@ -174,7 +181,7 @@
     /** Guards against pipelined requests that go on for a client that has left. */
     @Test
     void whatWaitsBehindARequestWhoseClientLeftIsNeverSent() throws Exception {
-        runner.script = (request, socket) -> { };
+        runner.script = (request, socket) -> {};
         RawClient gone = new RawClient(port);
         gone.send(hurried("first") + hurried("second") + hurried("third"));
         until(() -> runner.seen.size() == 1);
@@ -184,12 +191,19 @@
         try (RawClient stays = new RawClient(port)) {
             until(() -> {
                 try {
-                    return stays.send(job("/api", "x" + System.nanoTime(), "step-view", "")).read().status() == 200;
+                    return stays.send(job("/api", "x" + System.nanoTime(), "step-view", ""))
+                                    .read()
+                                    .status()
+                            == 200;
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
         }
-        assertEquals(List.of(), runner.ids().stream().filter(id -> id.equals("second") || id.equals("third")).toList());
+        assertEquals(
+                List.of(),
+                runner.ids().stream()
+                        .filter(id -> id.equals("second") || id.equals("third"))
+                        .toList());
     }
 }
--- a/src/test/java/nettlewick/net/StandIns.java
+++ b/src/test/java/nettlewick/net/StandIns.java
@@ -14,8 +14,7 @@
     /** What keeps the books of the next dispatcher. */
     public Books books = Books.NONE;
 
-    public StandIns() throws Exception {
-    }
+    public StandIns() throws Exception {}
 
     Node node() {
         return node;
@@ -28,8 +27,11 @@
     public Node start(Map<String, Object> config, Front.Maker... more) throws Exception {
         List<Front.Maker> fronts = new ArrayList<>(List.of(PlatformFront::new));
         fronts.addAll(List.of(more));
-        node = new Node(Config.of(new Gson().toJson(config), Map.of()), Clock.system(),
-                fronts.toArray(Front.Maker[]::new)).keep(books);
+        node = new Node(
+                        Config.of(new Gson().toJson(config), Map.of()),
+                        Clock.system(),
+                        fronts.toArray(Front.Maker[]::new))
+                .keep(books);
         get(node.start());
         if (hasRunners()) {
             until(node::holdsList);
@@ -41,7 +43,7 @@
     public static Buffer job(String path, String id, String jobClass, String body, String... headers) {
         StringBuilder head = new StringBuilder("POST " + path + " HTTP/1.1\r\nHost: backend.local\r\n"
                 + "X-Request-Id: " + id + "\r\nX-Class: " + jobClass
-                        + "\r\nX-Tenant: red\r\nX-Deadline: 4\r\n");
+                + "\r\nX-Tenant: red\r\nX-Deadline: 4\r\n");
         for (String header : headers) {
             head.append(header).append("\r\n");
         }
--- a/src/test/java/nettlewick/net/SuccessionTest.java
+++ b/src/test/java/nettlewick/net/SuccessionTest.java
@@ -104,8 +104,9 @@
             until(heir::hearsPeers);
             get(old.close());
             try (Socket socket = new Socket("127.0.0.1", port)) {
-                socket.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-                        .getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                                .getBytes(StandardCharsets.US_ASCII));
                 assertTrue(new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                         .startsWith("HTTP/1.1 200"));
             }
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -45,8 +45,15 @@
             this.order = order;
             this.nanos = nanos;
             this.link = link;
-            put(ByteBuffer.allocate(24).order(order).putInt(nanos ? 0xa1b23c4d : 0xa1b2c3d4).putShort((short) 2)
-                    .putShort((short) 4).putInt(0).putInt(0).putInt(65535).putInt(link));
+            put(ByteBuffer.allocate(24)
+                    .order(order)
+                    .putInt(nanos ? 0xa1b23c4d : 0xa1b2c3d4)
+                    .putShort((short) 2)
+                    .putShort((short) 4)
+                    .putInt(0)
+                    .putInt(0)
+                    .putInt(65535)
+                    .putInt(link));
         }
 
         private void put(ByteBuffer b) {
@@ -63,11 +70,28 @@
             } else if (link == 0) {
                 p.order(order).putInt(2).order(ByteOrder.BIG_ENDIAN);
             }
-            p.putInt(0x45000000 | 40 + bytes.length).putInt(0).put((byte) 64).put((byte) 6).putShort((short) 0)
-                    .putInt(0x7f000001).putInt(0x7f000002).putShort((short) port).putShort((short) 80).putInt(seq)
-                    .putInt(0).put((byte) 0x50).put((byte) flags).putShort((short) 9).putInt(0).put(bytes);
-            put(ByteBuffer.allocate(16).order(order).putInt(1000 + millis / 1000)
-                    .putInt(millis % 1000 * (nanos ? 1_000_000 : 1000)).putInt(p.position()).putInt(p.position()));
+            p.putInt(0x45000000 | 40 + bytes.length)
+                    .putInt(0)
+                    .put((byte) 64)
+                    .put((byte) 6)
+                    .putShort((short) 0)
+                    .putInt(0x7f000001)
+                    .putInt(0x7f000002)
+                    .putShort((short) port)
+                    .putShort((short) 80)
+                    .putInt(seq)
+                    .putInt(0)
+                    .put((byte) 0x50)
+                    .put((byte) flags)
+                    .putShort((short) 9)
+                    .putInt(0)
+                    .put(bytes);
+            put(ByteBuffer.allocate(16)
+                    .order(order)
+                    .putInt(1000 + millis / 1000)
+                    .putInt(millis % 1000 * (nanos ? 1_000_000 : 1000))
+                    .putInt(p.position())
+                    .putInt(p.position()));
             put(p);
             return this;
         }
@@ -89,7 +113,10 @@
     @CsvSource({"true,true,1", "true,false,0", "false,true,101", "false,false,1", "true,false,101", "false,true,0"})
     void everyFormOfTheFileIsRead(boolean big, boolean nanos, int link) throws IOException {
         Capture c = read(new Tape(big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN, nanos, link)
-                .add(0, 9, 99, 2, "").add(10, 9, 100, 16, ONE).add(1260, 9, 100 + ONE.length(), 16, TWO).bytes());
+                .add(0, 9, 99, 2, "")
+                .add(10, 9, 100, 16, ONE)
+                .add(1260, 9, 100 + ONE.length(), 16, TWO)
+                .bytes());
         assertEquals(List.of("/api?n=1", "/api?n=2"), uris(c));
         assertEquals(1250, c.requests().get(1).at() - c.requests().get(0).at(), 1e-3);
         assertEquals("hello", c.requests().get(0).body().toString());
@@ -116,10 +143,15 @@
 
     @Test
     void aGapCostsItsRequestOnlyAndAReusedPortIsAnotherFlow() throws IOException {
-        Capture c = read(new Tape(ByteOrder.LITTLE_ENDIAN, false, 101).add(0, 9, 99, 2, "")
-                .add(1, 9, 100, 16, ONE.substring(0, 30)).add(2, 9, 100 + ONE.length(), 16, TWO)
-                .add(3, 9, 7000, 2, "").add(4, 9, 7001, 16, ONE.replace("n=1", "n=3"))
-                .add(5, 8, 1, 16, "HTTP/1.1 200 OK\r\n\r\n").add(6, 7, 1, 16, "\u0000\u0001 not HTTP").bytes());
+        Capture c = read(new Tape(ByteOrder.LITTLE_ENDIAN, false, 101)
+                .add(0, 9, 99, 2, "")
+                .add(1, 9, 100, 16, ONE.substring(0, 30))
+                .add(2, 9, 100 + ONE.length(), 16, TWO)
+                .add(3, 9, 7000, 2, "")
+                .add(4, 9, 7001, 16, ONE.replace("n=1", "n=3"))
+                .add(5, 8, 1, 16, "HTTP/1.1 200 OK\r\n\r\n")
+                .add(6, 7, 1, 16, "\u0000\u0001 not HTTP")
+                .bytes());
         assertEquals(List.of("/api?n=2", "/api?n=3"), uris(c));
         assertEquals(1, c.lost());
     }
@@ -127,7 +159,10 @@
     /** Cut anywhere, a file is read to an end in good time: as far as it goes whole, or with one plain line. */
     @Test
     void aTruncatedFileIsOneLine() throws IOException {
-        byte[] whole = new Tape(ByteOrder.BIG_ENDIAN, true, 1).add(0, 9, 99, 2, "").add(1, 9, 100, 16, ONE).bytes();
+        byte[] whole = new Tape(ByteOrder.BIG_ENDIAN, true, 1)
+                .add(0, 9, 99, 2, "")
+                .add(1, 9, 100, 16, ONE)
+                .bytes();
         int refused = 0;
         for (int length = 0; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
@@ -161,13 +196,17 @@
         try (StandIns world = new StandIns()) {
             world.addRunner("s-1");
             CaptureWriter writer = new CaptureWriter(file, Clock.system(), 1 << 20);
-            int port = world.start(base -> new PlatformFront(base, writer)).ports().get(1);
+            int port =
+                    world.start(base -> new PlatformFront(base, writer)).ports().get(1);
             var client = world.vertx.createHttpClient(new HttpClientOptions().setDefaultPort(port));
             for (String id : List.of("a", "b")) {
                 String body = "x".repeat(3000) + id;
-                StandIns.get(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id).compose(r -> r
-                        .putHeader("X-Request-Id", id).putHeader("X-Class", "save-run").putHeader("X-Deadline", "4")
-                        .send(body)).compose(r -> r.body()));
+                StandIns.get(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
+                        .compose(r -> r.putHeader("X-Request-Id", id)
+                                .putHeader("X-Class", "save-run")
+                                .putHeader("X-Deadline", "4")
+                                .send(body))
+                        .compose(r -> r.body()));
             }
         }
         Capture c = read(file.toByteArray());
@@ -180,7 +219,9 @@
                 front.set(new ReplayFront(base, c));
                 return front.get();
             });
-            assertEquals(new ReplayFront.Summary(2, 2, 0, 0, 0, 0), StandIns.get(front.get().done()));
+            assertEquals(
+                    new ReplayFront.Summary(2, 2, 0, 0, 0, 0),
+                    StandIns.get(front.get().done()));
             assertEquals(2, world.seen.size());
         }
     }
--- a/src/test/java/nettlewick/pools/GrowthTest.java
+++ b/src/test/java/nettlewick/pools/GrowthTest.java
@@ -25,6 +25,7 @@
     private static final long HOUR = 3_600_000;
     /** An own clock that has nothing against it. */
     private static final long WALL = Long.MAX_VALUE;
+
     private static final long NOON = Instant.parse("2026-12-10T12:00:00Z").toEpochMilli();
 
     private static Bill bill(long since, long until) {
@@ -56,8 +57,10 @@
 
     /** Whatever runs: one more is within the means only if all that is owed with it stays under the mark. */
     @Property(tries = 500)
-    void whatIsAffordedStaysUnderTheMark(@ForAll @IntRange(min = 0, max = 12) int running,
-            @ForAll @LongRange(min = 0, max = 20 * HOUR) long age, @ForAll @IntRange(min = 0, max = 5000) int capCents,
+    void whatIsAffordedStaysUnderTheMark(
+            @ForAll @IntRange(min = 0, max = 12) int running,
+            @ForAll @LongRange(min = 0, max = 20 * HOUR) long age,
+            @ForAll @IntRange(min = 0, max = 5000) int capCents,
             @ForAll @IntRange(min = 1, max = 50) int wanted) {
         Spending.Cap cap = new Spending.Cap(capCents, 0.95, ZoneOffset.UTC);
         List<Bill> bills = new java.util.ArrayList<>();
@@ -86,8 +89,14 @@
         Growth.Next next = growth.next(intent, empty, 2, 0, WALL, "l");
         assertEquals("k", next.put().key());
         // Another holder finds it, whatever it wants itself, and asks with the same key.
-        assertEquals("k", new Growth(GrowthWorld.TERMS).next(intent, empty, 5, 0, WALL, "other").put().key());
-        assertNull(growth.next(intent, told(2, NOON, 0), 2, 0, WALL, "l").store().intent());
+        assertEquals(
+                "k",
+                new Growth(GrowthWorld.TERMS)
+                        .next(intent, empty, 5, 0, WALL, "other")
+                        .put()
+                        .key());
+        assertNull(
+                growth.next(intent, told(2, NOON, 0), 2, 0, WALL, "l").store().intent());
     }
 
     @Test
@@ -101,7 +110,8 @@
         Money intent = growth.next(near, empty, 20, 0, WALL, "k").store();
         assertEquals(9, intent.intent().size());
         Bill[] bills = new Bill[9];
-        java.util.Arrays.setAll(bills, i -> new Bill("x" + i, "std", "a", NOON, 0, GrowthWorld.CENTS, GrowthWorld.LEAST));
+        java.util.Arrays.setAll(
+                bills, i -> new Bill("x" + i, "std", "a", NOON, 0, GrowthWorld.CENTS, GrowthWorld.LEAST));
         assertSame(Growth.Next.NOTHING, growth.next(near, told(9, NOON, 0, bills), 20, 0, WALL, "k"));
         assertSame(Growth.Next.NOTHING, growth.next(near, told(9, NOON, 0, bills), -1, 0, WALL, "k"));
     }
@@ -110,20 +120,29 @@
     void aMonthNeverComesTwiceAndTheNextOneOpensItsMoneyAlone() {
         Growth growth = new Growth(GrowthWorld.TERMS);
         long next = Instant.parse("2027-01-01T00:00:01Z").toEpochMilli();
-        Money money = growth.next(new Money("2026-12", null, "2026-12"), told(0, next, 0), 1, 0, WALL, "k").store();
+        Money money = growth.next(new Money("2026-12", null, "2026-12"), told(0, next, 0), 1, 0, WALL, "k")
+                .store();
         assertEquals("2027-01", money.month());
         assertSame(Growth.Next.NOTHING, growth.next(money, told(0, NOON, 0), 1, 0, WALL, "k"), "set back");
-        assertNotNull(growth.next(money, told(0, next, 0), 1, 0, WALL, "k").store().intent());
+        assertNotNull(
+                growth.next(money, told(0, next, 0), 1, 0, WALL, "k").store().intent());
         Growth.Next ahead = growth.next(new Money("2026-12", null, ""), told(0, next, 0), 1, 0, NOON, "k");
         assertSame(Growth.Next.NOTHING, ahead, "the provider's clock alone opens no month");
     }
 
     @Test
     void atTheCapItselfAllIsHandedBackWhereThatIsWanted() {
-        Growth.Terms back = new Growth.Terms(GrowthWorld.TERMS.cap(), GrowthWorld.CENTS, GrowthWorld.LEAST, 10_000, true);
+        Growth.Terms back =
+                new Growth.Terms(GrowthWorld.TERMS.cap(), GrowthWorld.CENTS, GrowthWorld.LEAST, 10_000, true);
         Bill old = new Bill("x", "std", "a", NOON - HOUR, 0, GrowthWorld.CENTS, GrowthWorld.LEAST);
         Money m = new Money("2026-12", null, "2026-12");
-        assertEquals(0, new Growth(back).next(m, told(1, NOON, 0, old), 1, 0, WALL, "k").store().intent().size());
+        assertEquals(
+                0,
+                new Growth(back)
+                        .next(m, told(1, NOON, 0, old), 1, 0, WALL, "k")
+                        .store()
+                        .intent()
+                        .size());
         assertSame(Growth.Next.NOTHING, new Growth(GrowthWorld.TERMS).next(m, told(1, NOON, 0, old), 1, 0, WALL, "k"));
     }
 
--- a/src/test/java/nettlewick/pools/GrowthWorld.java
+++ b/src/test/java/nettlewick/pools/GrowthWorld.java
@@ -19,12 +19,18 @@
  */
 final class GrowthWorld {
     /** What is done wrong on purpose; NONE: nothing. */
-    enum Bug { NONE, NO_VERSION, ENDED_FORGOTTEN, OLD_LIST_BELIEVED, LATE_WISH }
+    enum Bug {
+        NONE,
+        NO_VERSION,
+        ENDED_FORGOTTEN,
+        OLD_LIST_BELIEVED,
+        LATE_WISH
+    }
 
     static final long CENTS = 6000;
     static final long LEAST = 60_000;
-    static final Growth.Terms TERMS = new Growth.Terms(new Spending.Cap(1000, 0.95, ZoneOffset.UTC), CENTS, LEAST,
-            10_000, false);
+    static final Growth.Terms TERMS =
+            new Growth.Terms(new Spending.Cap(1000, 0.95, ZoneOffset.UTC), CENTS, LEAST, 10_000, false);
 
     private static final class Holder {
         long fence;
@@ -43,9 +49,13 @@
     private final SplittableRandom random;
     /** Whether the provider's clock is set now and then; else the holders' may be ahead. */
     private final boolean jumps;
+
     private long jumped;
-    final ProviderModel provider = new ProviderModel(CENTS, LEAST, List.of("a"), Map.of("red", new ProviderModel.Cap(
-            TERMS.cap().cap(), TERMS.cap().near())));
+    final ProviderModel provider = new ProviderModel(
+            CENTS,
+            LEAST,
+            List.of("a"),
+            Map.of("red", new ProviderModel.Cap(TERMS.cap().cap(), TERMS.cap().near())));
     private final Map<Integer, Told> versions = new HashMap<>();
     private final List<Step> underWay = new ArrayList<>();
     private long wall = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
@@ -117,8 +127,7 @@
     }
 
     boolean settled() {
-        Growth.Next next = holder.growth.next(stored, holder.told, provider.size("red"), now, wall + holder
-                .off, "end");
+        Growth.Next next = holder.growth.next(stored, holder.told, provider.size("red"), now, wall + holder.off, "end");
         return holder.told != null && stored.intent() == null && next.store() == null && next.put() == null;
     }
 
@@ -146,7 +155,14 @@
         puts++;
         underWay.add(() -> {
             int version = bug == Bug.NO_VERSION ? provider.version("red") : Integer.parseInt(told.etag());
-            ProviderModel.Way way = provider.want("red", intent.size(), intent.key(), version, h.fence, bug == Bug.LATE_WISH ? Long.MAX_VALUE : next.notAfter(), wall + jumped);
+            ProviderModel.Way way = provider.want(
+                    "red",
+                    intent.size(),
+                    intent.key(),
+                    version,
+                    h.fence,
+                    bug == Bug.LATE_WISH ? Long.MAX_VALUE : next.notAfter(),
+                    wall + jumped);
             if (way == ProviderModel.Way.DONE) {
                 tell(h, list(), asked);
             } else {
@@ -159,12 +175,18 @@
     }
 
     private Told list() {
-        List<Bill> bills = provider.all("red").stream().map(r -> new Bill(r.name(), r.kind(), r.zone(), r.since(), r
-                .until(), CENTS, LEAST)).toList();
+        List<Bill> bills = provider.all("red").stream()
+                .map(r -> new Bill(r.name(), r.kind(), r.zone(), r.since(), r.until(), CENTS, LEAST))
+                .toList();
         if (bug == Bug.ENDED_FORGOTTEN) {
             bills = bills.stream().filter(Bill::runs).toList();
         }
-        Told told = new Told(provider.size("red"), Integer.toString(provider.version("red")), bills, (wall + jumped) / 1000 * 1000, now);
+        Told told = new Told(
+                provider.size("red"),
+                Integer.toString(provider.version("red")),
+                bills,
+                (wall + jumped) / 1000 * 1000,
+                now);
         versions.put(provider.version("red"), told);
         return told;
     }
--- a/src/test/java/nettlewick/settings/SettingsTest.java
+++ b/src/test/java/nettlewick/settings/SettingsTest.java
@@ -19,7 +19,8 @@
 /** The form of our settings: what is read, and the one line for whatever is wrong. */
 class SettingsTest {
     private static String fault(String text) {
-        String line = assertThrows(BadSettings.class, () -> Settings.parse("f", text)).getMessage();
+        String line =
+                assertThrows(BadSettings.class, () -> Settings.parse("f", text)).getMessage();
         assertFalse(line.contains("\n"), line);
         return line;
     }
@@ -45,37 +46,42 @@
         assertEquals(15_000, ledger.span("key-window"));
         assertEquals(2, ledger.all("term").size());
         assertEquals("x", ledger.blocks("export").get(0).label());
-        assertEquals(List.of(500.0, 30_000.0), ledger.blocks("export").get(0).one("retry").get().parts());
+        assertEquals(
+                List.of(500.0, 30_000.0),
+                ledger.blocks("export").get(0).one("retry").get().parts());
         assertTrue(s.block("edge").isEmpty());
     }
 
     /** Each fault is one line with file, line, keyword and value. */
     @ParameterizedTest
-    @CsvSource(delimiter = '~', value = {
-        "ledgr {\\n}~ f:1: ledgr is no keyword of the settings; the nearest is ledger",
-        "edge {\\nlisten 1.2.3.4:80\\nretri 4s\\n}~ f:3: retri (4s) is no keyword of edge; the nearest is "
-                + "retry",
-        "edge {\\nlisten localhost:80\\n}~ f:2: listen is localhost:80, but has to be an IP address and a "
-                + "port",
-        "edge {\\nlisten 1.2.3.4:80\\nretry 4\\n}~ f:3: retry is 4, but has to be a time with its unit "
-            + "(ms, s, m, h, d) from 1ms to 1h",
-        "edge {\\nlisten 1.2.3.4:80\\nlisten 1.2.3.4:81\\n}~ f:3: listen is 1.2.3.4:81, but has to be set "
-                + "once "
-            + "only; it is set at f:2",
-        "edge {\\n}~ f:1: edge lacks listen ADDRESS",
-        "edge {\\nlisten 1.2.3.4:80~ f:2: the file ends inside a block: } is missing",
-        "log {\\nlevel loud\\n}~ f:2: level is loud, but has to be one of error, warning, info, debug, off",
-        "log {\\nlevel\\n}~ f:2: level is empty, but has to be written as: level "
-                + "error|warning|info|debug|off",
-        "log {\\nform \"text\\n}~ f:2: the quote before text is not closed",
-        "log {\\n}\\nlog {\\n}~ f:3: log is a second block, but has to be there once only; it is there at "
-                + "f:1",
-        "log\\n~ f:1: log is empty, but has to be a block, which opens with {",
-        "}~ f:1: } closes no block of this file",
-        "ledger {\\nstore /x\\nmode batch 20\\n}~ f:3: mode is batch 20, but has to be written as: "
-            + "mode sync or mode batch SPAN",
-        "ledger {\\nstore /x\\npeers {\\nlisten 1.2.3.4:1\\nkey k\\nadmit 10.0.0.0/33\\n}\\n}~ f:6: admit is "
-            + "10.0.0.0/33, but has to be an IP network such as 127.0.0.0/8"})
+    @CsvSource(
+            delimiter = '~',
+            value = {
+                "ledgr {\\n}~ f:1: ledgr is no keyword of the settings; the nearest is ledger",
+                "edge {\\nlisten 1.2.3.4:80\\nretri 4s\\n}~ f:3: retri (4s) is no keyword of edge; the nearest is "
+                        + "retry",
+                "edge {\\nlisten localhost:80\\n}~ f:2: listen is localhost:80, but has to be an IP address and a "
+                        + "port",
+                "edge {\\nlisten 1.2.3.4:80\\nretry 4\\n}~ f:3: retry is 4, but has to be a time with its unit "
+                        + "(ms, s, m, h, d) from 1ms to 1h",
+                "edge {\\nlisten 1.2.3.4:80\\nlisten 1.2.3.4:81\\n}~ f:3: listen is 1.2.3.4:81, but has to be set "
+                        + "once "
+                        + "only; it is set at f:2",
+                "edge {\\n}~ f:1: edge lacks listen ADDRESS",
+                "edge {\\nlisten 1.2.3.4:80~ f:2: the file ends inside a block: } is missing",
+                "log {\\nlevel loud\\n}~ f:2: level is loud, but has to be one of error, warning, info, debug, off",
+                "log {\\nlevel\\n}~ f:2: level is empty, but has to be written as: level "
+                        + "error|warning|info|debug|off",
+                "log {\\nform \"text\\n}~ f:2: the quote before text is not closed",
+                "log {\\n}\\nlog {\\n}~ f:3: log is a second block, but has to be there once only; it is there at "
+                        + "f:1",
+                "log\\n~ f:1: log is empty, but has to be a block, which opens with {",
+                "}~ f:1: } closes no block of this file",
+                "ledger {\\nstore /x\\nmode batch 20\\n}~ f:3: mode is batch 20, but has to be written as: "
+                        + "mode sync or mode batch SPAN",
+                "ledger {\\nstore /x\\npeers {\\nlisten 1.2.3.4:1\\nkey k\\nadmit 10.0.0.0/33\\n}\\n}~ f:6: admit is "
+                        + "10.0.0.0/33, but has to be an IP network such as 127.0.0.0/8"
+            })
     void faultsAreOneLine(String text, String line) {
         assertEquals(line, fault(text.replace("\\n", "\n")));
     }
@@ -86,7 +92,8 @@
         Files.createDirectory(dir.resolve("sub"));
         Files.writeString(dir.resolve("sub/b"), "log {\nlevel error\n}\n");
         Files.writeString(dir.resolve("sub/c"), "listen 127.0.0.1:1\n");
-        assertEquals(1, Settings.read(file).block("edge").get().address("listen").getPort());
+        assertEquals(
+                1, Settings.read(file).block("edge").get().address("listen").getPort());
         Files.writeString(dir.resolve("sub/b"), "\ninclude ../a\n");
         String line = assertThrows(BadSettings.class, () -> Settings.read(file)).getMessage();
         assertTrue(line.contains("b:2: include is ") && line.contains("loop"), line);
@@ -101,20 +108,22 @@
         String shown = s.show();
         assertTrue(shown.matches("(?s).*retry 4s +# f:3\n.*grace 3s +# default\n.*"), shown);
         assertEquals(List.of(), s.needRestart(Settings.parse("g", shown)));
-        assertEquals(List.of("edge.retry"), s.needRestart(Settings.parse("f",
-                "edge {\nlisten 1.2.3.4:80\n}")));
+        assertEquals(List.of("edge.retry"), s.needRestart(Settings.parse("f", "edge {\nlisten 1.2.3.4:80\n}")));
         assertEquals(List.of("edge"), s.needRestart(Settings.none()));
     }
 
     @Test
     void theReferencePageIsTheTableThatChecks() throws Exception {
-        assertEquals(Reference.page(), Files.readString(Path.of("docs/settings.md")),
+        assertEquals(
+                Reference.page(),
+                Files.readString(Path.of("docs/settings.md")),
                 "run: java -jar target/nettlewick.jar settings reference > docs/settings.md");
     }
 
     @Test
     void theFileUnderDeployIsInOrder() {
-        assertTrue(Settings.read(Path.of("deploy/nettlewick.conf")).block("ledger").isPresent());
+        assertTrue(
+                Settings.read(Path.of("deploy/nettlewick.conf")).block("ledger").isPresent());
     }
 
     /** Whatever is in the file, the answer is settings or one line. */
--- a/src/test/java/nettlewick/sim/WireTest.java
+++ b/src/test/java/nettlewick/sim/WireTest.java
@@ -45,16 +45,23 @@
     }
 
     private static Object event(String item) {
-        return new WireCodec().read("{\"wall\":5,\"batch\":1,\"groups\":[{\"dispatcher_id\":4,\"items\":[" + item
-                + "]}]}").groups().get(0).items().get(0);
+        return new WireCodec()
+                .read("{\"wall\":5,\"batch\":1,\"groups\":[{\"dispatcher_id\":4,\"items\":[" + item + "]}]}")
+                .groups()
+                .get(0)
+                .items()
+                .get(0);
     }
 
     @Test
     void settingsAreRead() {
-        WireCodec.Start start = (WireCodec.Start) new WireCodec().read(start("")).groups().get(0).items().get(0);
+        WireCodec.Start start = (WireCodec.Start)
+                new WireCodec().read(start("")).groups().get(0).items().get(0);
         Settings s = start.settings();
         assertEquals(-1, start.seed());
-        assertEquals(new JobClass("keyed", Repeat.DEDUP, Scope.CELL, 1000, 1, 2.5, 5, 1, 0, false, 0, 1), s.classes().get(1));
+        assertEquals(
+                new JobClass("keyed", Repeat.DEDUP, Scope.CELL, 1000, 1, 2.5, 5, 1, 0, false, 0, 1),
+                s.classes().get(1));
         assertEquals(new Tenant("red", 1, 4.5), s.tenants().get(0));
         assertEquals(new Limits(3, true, false, true, true, false, 9), s.limits());
         assertEquals(new Rules(8, 10, 7, 0.3, 2, 3, 3), s.rules());
@@ -64,20 +71,27 @@
 
     @Test
     void eventsAreRead() {
-        assertEquals(new Arrival("ab", "read", "red", 9, 2, 0.5, 12, "k", true), event("{\"type\":\"ARRIVAL\","
-                + "\"txn\":\"ab\",\"class\":\"read\",\"owner\":\"red\",\"remaining\":9,\"needs\":2,\"mem\":0.5,"
-                + "\"weight_hint\":12,\"name_key\":\"k\",\"repeat\":true,\"is_write\":false,\"novel\":[{}]}"));
-        assertEquals(new Arrival("ab", "read", null, 9, 1, 0, 0, null, false), event(
-                "{\"type\":\"ARRIVAL\",\"txn\":\"ab\",\"class\":\"read\",\"owner\":null,\"remaining\":9}"));
-        assertEquals(new Outcome("ab", 1, "w", Result.FULL, 3, false, new Load(2, Double.NaN, 4, Double.NaN, Double.NaN)),
+        assertEquals(
+                new Arrival("ab", "read", "red", 9, 2, 0.5, 12, "k", true),
+                event("{\"type\":\"ARRIVAL\","
+                        + "\"txn\":\"ab\",\"class\":\"read\",\"owner\":\"red\",\"remaining\":9,\"needs\":2,\"mem\":0.5,"
+                        + "\"weight_hint\":12,\"name_key\":\"k\",\"repeat\":true,\"is_write\":false,\"novel\":[{}]}"));
+        assertEquals(
+                new Arrival("ab", "read", null, 9, 1, 0, 0, null, false),
+                event("{\"type\":\"ARRIVAL\",\"txn\":\"ab\",\"class\":\"read\",\"owner\":null,\"remaining\":9}"));
+        assertEquals(
+                new Outcome("ab", 1, "w", Result.FULL, 3, false, new Load(2, Double.NaN, 4, Double.NaN, Double.NaN)),
                 event("{\"type\":\"REPLY\",\"txn\":\"ab\",\"seq_no\":1,\"worker\":\"w\",\"disposition\":\"saturated\","
                         + "\"latency\":3,\"settled\":false,\"telemetry\":{\"x0\":2,\"depth\":4.0,\"tps\":1}}"));
         assertEquals(new ListFailed(), event("{\"type\":\"ROSTER_CHANGE\",\"scope\":3,\"stamp\":1,\"slot\":0}"));
         assertEquals(new Abandoned("ab"), event("{\"type\":\"VANISHED\",\"txn\":\"ab\"}"));
-        assertEquals(new StreamBegan("ab", 0), event(
-                "{\"type\":\"ACCEPTED\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"latency\":1}"));
-        assertEquals(new Progress("ab", 0, "w", 0.25), event(
-                "{\"type\":\"INTERIM\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"sort\":2,\"amount\":0.25}"));
+        assertEquals(
+                new StreamBegan("ab", 0),
+                event("{\"type\":\"ACCEPTED\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"latency\":1}"));
+        assertEquals(
+                new Progress("ab", 0, "w", 0.25),
+                event(
+                        "{\"type\":\"INTERIM\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"sort\":2,\"amount\":0.25}"));
         assertEquals(new Timer("beat"), event("{\"type\":\"REMINDER\",\"mark\":\"beat\"}"));
     }
 
@@ -86,25 +100,34 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         WireCodec.Reply reply = new WireCodec().reply(out, 7);
         reply.open(4);
-        for (Action a : new ArrayList<>(List.of(new Dispatch("a", "w", 5), new Refuse("b", 0), new Refuse("c", 3),
-                new Fail("d"), new Cancel("e", 1), new Probe("w"), new TellPeer(2, new byte[] {1}),
-                new SetTimer("t", 9), new Subscribe()))) {
+        for (Action a : new ArrayList<>(List.of(
+                new Dispatch("a", "w", 5),
+                new Refuse("b", 0),
+                new Refuse("c", 3),
+                new Fail("d"),
+                new Cancel("e", 1),
+                new Probe("w"),
+                new TellPeer(2, new byte[] {1}),
+                new SetTimer("t", 9),
+                new Subscribe()))) {
             reply.write(a);
         }
         reply.shut();
         reply.end();
-        assertEquals("{\"batch\":7,\"groups\":[{\"dispatcher_id\":4,\"orders\":["
-                + "{\"type\":\"RELAY\",\"txn\":\"a\",\"worker\":\"w\",\"patience\":5},"
-                + "{\"type\":\"OVERLOAD_REPLY\",\"txn\":\"b\"},{\"type\":\"OVERLOAD_REPLY\",\"txn\":\"c\",\"backoff\":3},"
-                + "{\"type\":\"DROP_REQUEST\",\"txn\":\"d\"},{\"type\":\"UNDO_SEND\",\"txn\":\"e\",\"seq_no\":1},"
-                + "{\"type\":\"PING\",\"worker\":\"w\"},{\"type\":\"BROADCAST_TO\",\"neighbour_id\":2,\"data\":\"AQ==\"},"
-                + "{\"type\":\"REMIND\",\"wait\":9,\"mark\":\"t\"},{\"type\":\"SUBSCRIBE\",\"enable\":true}]}]}\n",
+        assertEquals(
+                "{\"batch\":7,\"groups\":[{\"dispatcher_id\":4,\"orders\":["
+                        + "{\"type\":\"RELAY\",\"txn\":\"a\",\"worker\":\"w\",\"patience\":5},"
+                        + "{\"type\":\"OVERLOAD_REPLY\",\"txn\":\"b\"},{\"type\":\"OVERLOAD_REPLY\",\"txn\":\"c\",\"backoff\":3},"
+                        + "{\"type\":\"DROP_REQUEST\",\"txn\":\"d\"},{\"type\":\"UNDO_SEND\",\"txn\":\"e\",\"seq_no\":1},"
+                        + "{\"type\":\"PING\",\"worker\":\"w\"},{\"type\":\"BROADCAST_TO\",\"neighbour_id\":2,\"data\":\"AQ==\"},"
+                        + "{\"type\":\"REMIND\",\"wait\":9,\"mark\":\"t\"},{\"type\":\"SUBSCRIBE\",\"enable\":true}]}]}\n",
                 out.toString(StandardCharsets.UTF_8));
     }
 
     @Test
     void aBatchIsAnsweredByOneLine() throws IOException {
-        String out = serve(start(",{\"type\":\"ARRIVAL\",\"txn\":\"ab\",\"class\":\"read\",\"remaining\":5000000000}"),
+        String out = serve(
+                start(",{\"type\":\"ARRIVAL\",\"txn\":\"ab\",\"class\":\"read\",\"remaining\":5000000000}"),
                 "{\"wall\":6,\"batch\":2,\"groups\":[]}",
                 "{\"wall\":7,\"batch\":3,\"groups\":[{\"dispatcher_id\":4,\"items\":[{\"type\":\"KILL\"},"
                         + "{\"type\":\"REMINDER\",\"mark\":\"beat\"}]}]}");
@@ -116,14 +139,23 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {" ", "7", "{", "[]", "{\"wall\":1,\"batch\":1}", "{\"wall\":\"x\",\"batch\":1,\"groups\":[]}",
-        "{\"wall\":1,\"batch\":1,\"groups\":[]} {}", "{\"wall\":1,\"batch\":1,\"groups\":[{\"items\":[]}]}",
-        "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"NOVEL\"}]}]}",
-        "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{}]}]}",
-        "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"ARRIVAL\",\"txn\":\"a\"}]}]}",
-        "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"MEMO\",\"who\":1,\"data\":\"?\"}]}]}",
-        "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":"
-            + "[{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}]}]}"})
+    @ValueSource(
+            strings = {
+                " ",
+                "7",
+                "{",
+                "[]",
+                "{\"wall\":1,\"batch\":1}",
+                "{\"wall\":\"x\",\"batch\":1,\"groups\":[]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[]} {}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"items\":[]}]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"NOVEL\"}]}]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{}]}]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"ARRIVAL\",\"txn\":\"a\"}]}]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"MEMO\",\"who\":1,\"data\":\"?\"}]}]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":"
+                        + "[{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}]}]}"
+            })
     void malformedLinesEndWithOnePlainLine(String line) {
         WireCodec.Malformed e = assertThrows(WireCodec.Malformed.class, () -> serve(line));
         assertFalse(e.getMessage().isBlank());
@@ -132,8 +164,8 @@
 
     @Test
     void settingsThatMakeNoSenseAreNamed() {
-        WireCodec.Malformed e = assertThrows(WireCodec.Malformed.class,
-                () -> serve(start("").replace("\"rank\":1", "\"rank\":9")));
+        WireCodec.Malformed e =
+                assertThrows(WireCodec.Malformed.class, () -> serve(start("").replace("\"rank\":1", "\"rank\":9")));
         assertEquals("setting rank makes no sense: 9", e.getMessage());
     }
 
@@ -141,8 +173,9 @@
     void aFailureInsideIsReported() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new WireHost((settings, seed) -> (now, events) -> {
-            throw new IllegalStateException("planted");
-        }).serve(new ByteArrayInputStream(start("").getBytes(StandardCharsets.UTF_8)), out);
+                    throw new IllegalStateException("planted");
+                })
+                .serve(new ByteArrayInputStream(start("").getBytes(StandardCharsets.UTF_8)), out);
         String text = out.toString(StandardCharsets.UTF_8);
         assertTrue(text.contains("INTERNAL_ERROR") && text.contains("planted"), text);
     }
--- a/src/test/java/nettlewick/sse/EdgeFrontTest.java
+++ b/src/test/java/nettlewick/sse/EdgeFrontTest.java
@@ -42,12 +42,16 @@
         for (String runner : runners) {
             world.addRunner(runner);
         }
-        EdgeConfig edge = EdgeConfig.of(Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n"
-                + more + "\n}").block("edge").get());
+        EdgeConfig edge =
+                EdgeConfig.of(Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n" + more + "\n}")
+                        .block("edge")
+                        .get());
         port = world.start(base -> {
-            figures = base.core().figures();
-            return new EdgeFront(base, edge);
-        }).ports().get(1);
+                    figures = base.core().figures();
+                    return new EdgeFront(base, edge);
+                })
+                .ports()
+                .get(1);
     }
 
     @AfterEach
@@ -69,9 +73,12 @@
         start("", "s-1");
         Watcher w = watcher("j", "step-view").post(client);
         await(w);
-        assertEquals(List.of(new Watcher.Got(1, "progress", "{\"share\":0.0}"),
-                new Watcher.Got(2, "progress", "{\"share\":0.5}"),
-                new Watcher.Got(3, "result", "{\"result\":\"r-j\"}")), w.events);
+        assertEquals(
+                List.of(
+                        new Watcher.Got(1, "progress", "{\"share\":0.0}"),
+                        new Watcher.Got(2, "progress", "{\"share\":0.5}"),
+                        new Watcher.Got(3, "result", "{\"result\":\"r-j\"}")),
+                w.events);
         StandIns.until(() -> figures.snapshot().open() == 0);
         assertEquals(List.of(1L, 0L, 0L), figures.snapshot().jobs().get("step-view"));
         assertTrue(w.raw.startsWith("retry: 1000\n\n"), w.raw);
@@ -160,7 +167,8 @@
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(2048);
             socket.connect(new InetSocketAddress("127.0.0.1", port));
-            socket.getOutputStream().write(StandIns.job("/api", "s", "step-view", "").getBytes());
+            socket.getOutputStream()
+                    .write(StandIns.job("/api", "s", "step-view", "").getBytes());
             Watcher fast = watcher("s", "step-view").post(client);
             await(fast);
             assertEquals(1, fast.finals());
@@ -210,14 +218,19 @@
         for (Watcher w : all) {
             await(w);
             assertEquals(1, w.finals(), w.events.toString());
-            assertEquals(w.last(), w.events.stream().filter(e -> !e.name().equals("progress")).findFirst()
-                    .get());
+            assertEquals(
+                    w.last(),
+                    w.events.stream()
+                            .filter(e -> !e.name().equals("progress"))
+                            .findFirst()
+                            .get());
         }
         for (int i = 0; i < all.size(); i++) {
             int runs = world.runs.containsKey("r" + i) ? world.runs.get("r" + i).get() : 0;
             assertTrue(runs <= 1 || !all.get(i).jobClass().equals("mark-submit"), "r" + i + " ran " + runs);
         }
-        assertTrue(all.stream().filter(w -> w.last().name().equals("result")).count() > 100,
+        assertTrue(
+                all.stream().filter(w -> w.last().name().equals("result")).count() > 100,
                 all.stream().map(w -> w.last().data()).toList().toString());
     }
 }
--- a/src/test/java/nettlewick/sse/Watcher.java
+++ b/src/test/java/nettlewick/sse/Watcher.java
@@ -18,8 +18,7 @@
     private static final Pattern LAST = Pattern.compile("result|unavailable|failed");
 
     /** One event as it came. */
-    record Got(long id, String name, String data) {
-    }
+    record Got(long id, String name, String data) {}
 
     final List<Got> events = new CopyOnWriteArrayList<>();
     final CompletableFuture<Void> ended = new CompletableFuture<>();
@@ -46,8 +45,8 @@
     }
 
     static HttpClient client(Vertx vertx) {
-        return vertx.createHttpClient(new HttpClientOptions().setKeepAlive(false),
-                new PoolOptions().setHttp1MaxSize(500));
+        return vertx.createHttpClient(
+                new HttpClientOptions().setKeepAlive(false), new PoolOptions().setHttp1MaxSize(500));
     }
 
     Watcher post(HttpClient by) {
@@ -60,13 +59,21 @@
 
     private Watcher open(HttpClient by, HttpMethod method, String uri) {
         int mine = ++round;
-        RequestOptions options = new RequestOptions().setMethod(method).setHost("127.0.0.1").setPort(port)
-                .setURI(uri).putHeader("X-Request-Id", id).putHeader("X-Class", jobClass)
-                .putHeader("X-Tenant", "red").putHeader("X-Deadline", "4");
+        RequestOptions options = new RequestOptions()
+                .setMethod(method)
+                .setHost("127.0.0.1")
+                .setPort(port)
+                .setURI(uri)
+                .putHeader("X-Request-Id", id)
+                .putHeader("X-Class", jobClass)
+                .putHeader("X-Tenant", "red")
+                .putHeader("X-Deadline", "4");
         if (lastId > 0) {
             options.putHeader("Last-Event-ID", Long.toString(lastId));
         }
-        by.request(options).compose(request -> request.send("{}")).onSuccess(r -> read(r, mine))
+        by.request(options)
+                .compose(request -> request.send("{}"))
+                .onSuccess(r -> read(r, mine))
                 .onFailure(ended::completeExceptionally);
         return this;
     }
@@ -75,7 +82,7 @@
         status = response.statusCode();
         connection = response.request().connection();
         StringBuilder text = new StringBuilder();
-        response.exceptionHandler(e -> { });
+        response.exceptionHandler(e -> {});
         response.handler(part -> {
             if (mine != round) {
                 return;
--- a/src/test/java/nettlewick/waiting/AfterlifeTest.java
+++ b/src/test/java/nettlewick/waiting/AfterlifeTest.java
@@ -29,9 +29,9 @@
     @TempDir
     private Path dir;
 
-    private static What after(State state, Repeat repeat, double since, boolean site, int attempts,
-            double left) {
-        return Afterlife.decide(state, repeat, since, WINDOW, site, attempts, 6, left).what();
+    private static What after(State state, Repeat repeat, double since, boolean site, int attempts, double left) {
+        return Afterlife.decide(state, repeat, since, WINDOW, site, attempts, 6, left)
+                .what();
     }
 
     @Test
@@ -44,17 +44,25 @@
         assertEquals(What.RELEASE, after(State.RELEASED, Repeat.DEDUP, WINDOW - 1, true, 1, 100));
         assertEquals(What.FAIL, after(State.RELEASED, Repeat.DEDUP, WINDOW, true, 1, 100));
         assertEquals(What.FAIL, after(State.RELEASED, Repeat.DEDUP, -1, true, 1, 100), "the clock went back");
-        assertEquals(What.FAIL, after(State.RELEASED, Repeat.DEDUP, 1, false, 1, 100),
-                "its site is not known");
+        assertEquals(What.FAIL, after(State.RELEASED, Repeat.DEDUP, 1, false, 1, 100), "its site is not known");
         assertEquals(What.RELEASE, after(State.RELEASED, Repeat.RETRYABLE, 1e9, false, 5, 100));
         assertEquals(What.FAIL, after(State.RELEASED, Repeat.RETRYABLE, 1, false, 6, 100));
         assertEquals(What.FAIL, after(State.RELEASED, Repeat.RETRYABLE, 1, false, 1, 0));
     }
 
     private static WaitStore.Job job(String id, String jobClass) {
-        return new WaitStore.Job(new Plan.Ask(id, "m", "n" + id, List.of("x"), 0, 1e12, Plan.OnFailure.SKIP,
-                9),
-                jobClass, 1, 4000, "POST", "/api", "{\"é\":1}", null, 1, 0, 20);
+        return new WaitStore.Job(
+                new Plan.Ask(id, "m", "n" + id, List.of("x"), 0, 1e12, Plan.OnFailure.SKIP, 9),
+                jobClass,
+                1,
+                4000,
+                "POST",
+                "/api",
+                "{\"é\":1}",
+                null,
+                1,
+                0,
+                20);
     }
 
     /**
@@ -79,9 +87,9 @@
                 for (WaitStore.Stored s : store.load()) {
                     String id = s.job().ask().id();
                     Repeat repeat = s.job().jobClass().equals("mark") ? Repeat.FRAGILE : Repeat.RETRYABLE;
-                    What what = Afterlife.decide(s.state(), repeat, now - s.changed(), WINDOW, false,
-                            s.attempts(), 6,
-                            1).what();
+                    What what = Afterlife.decide(
+                                    s.state(), repeat, now - s.changed(), WINDOW, false, s.attempts(), 6, 1)
+                            .what();
                     if (what == What.FAIL) {
                         store.end(List.of(new WaitStore.Ended(id, "failed", "it may have run", 1)), now);
                         ended.add(id);
@@ -104,15 +112,14 @@
             }
             now += 100;
         }
-        try (WaitStore store = WaitStore.open(dir, name -> { })) {
+        try (WaitStore store = WaitStore.open(dir, name -> {})) {
             Map<String, WaitStore.Stored> all = new HashMap<>();
             store.load().forEach(s -> all.put(s.job().ask().id(), s));
             assertTrue(all.keySet().containsAll(accepted), "accepted and forgotten");
             for (WaitStore.Stored s : all.values()) {
                 String id = s.job().ask().id();
                 int times = handed.getOrDefault(id, 0);
-                assertTrue(times <= (s.job().jobClass().equals("mark") ? 1 : 6), id + " was handed in "
-                        + times);
+                assertTrue(times <= (s.job().jobClass().equals("mark") ? 1 : 6), id + " was handed in " + times);
                 assertTrue(s.state() != State.WAITING || times == 0, "handed in and not recorded: " + id);
                 assertTrue(!ended.contains(id) || s.state() == State.ENDED);
                 assertEquals(job(id, s.job().jobClass()), s.job());
@@ -123,7 +130,7 @@
 
     @Test
     void theFirstEndStaysAndWhatWasTurnedAwayWaitsAgain() throws StoreException {
-        try (WaitStore store = WaitStore.open(dir, name -> { })) {
+        try (WaitStore store = WaitStore.open(dir, name -> {})) {
             store.accept(List.of(job("a", "view"), job("b", "mark")), 1);
             store.release(List.of("a", "b"), 2);
             store.back("b", 3);
@@ -131,8 +138,9 @@
             store.end(List.of(new WaitStore.Ended("a", "failed", "late", 5)), 5);
             store.release(List.of("a"), 6);
             List<WaitStore.Stored> all = store.load();
-            assertEquals(List.of(State.WAITING, State.ENDED), all.stream().map(WaitStore.Stored::state)
-                    .toList());
+            assertEquals(
+                    List.of(State.WAITING, State.ENDED),
+                    all.stream().map(WaitStore.Stored::state).toList());
             assertEquals("result", all.get(1).fate());
             assertEquals(1, all.get(0).attempts());
         }
--- a/src/test/java/nettlewick/waiting/GateTest.java
+++ b/src/test/java/nettlewick/waiting/GateTest.java
@@ -110,15 +110,12 @@
         int most = 60;
         // All of the queue may be one member's; its flood goes on while a light job can still be passed.
         double passed = (10 - 1) * AGE;
-        double bound = Gate.bound(AGE, 10, members, (most + 9) * 10 + Math.min(passed * load, passed), 10,
-                QUANTUM,
-                1);
+        double bound = Gate.bound(AGE, 10, members, (most + 9) * 10 + Math.min(passed * load, passed), 10, QUANTUM, 1);
         for (long seed = 1; seed <= 3; seed++) {
             Map<String, Double> aged = flood(AGE, load, members, most, seed);
             assertTrue(aged.get("l") <= bound && aged.get("w") <= bound, aged + " against " + bound);
             Map<String, Double> starved = flood(Double.POSITIVE_INFINITY, load, members, most, seed);
-            assertTrue(starved.get("l") > bound, starved + " against " + bound
-                    + ": without ageing it starves");
+            assertTrue(starved.get("l") > bound, starved + " against " + bound + ": without ageing it starves");
         }
     }
 
@@ -138,8 +135,9 @@
             gate.ended(id, true);
         }
         for (int m = 0; m < 8; m++) {
-            assertTrue(order.indexOf("small" + m) < 2 * (8 + QUANTUM / 10), "small" + m + " came "
-                    + order.indexOf("small" + m));
+            assertTrue(
+                    order.indexOf("small" + m) < 2 * (8 + QUANTUM / 10),
+                    "small" + m + " came " + order.indexOf("small" + m));
         }
     }
 }
--- a/src/test/java/nettlewick/waiting/PlanTest.java
+++ b/src/test/java/nettlewick/waiting/PlanTest.java
@@ -26,9 +26,8 @@
 
 /** Graphs and calendars of waiting jobs: each job has one end, and none runs before what it comes after. */
 class PlanTest {
-    private static final Plan.Limits WIDE = new Plan.Limits(100_000, 100_000, 1 << 30, 1 << 30, 16, 20_000,
-            20_000,
-            1e9, 100_000);
+    private static final Plan.Limits WIDE =
+            new Plan.Limits(100_000, 100_000, 1 << 30, 1 << 30, 16, 20_000, 20_000, 1e9, 100_000);
 
     private final Plan plan = new Plan(WIDE);
 
@@ -37,11 +36,17 @@
     }
 
     private static List<String> ready(List<Effect> effects) {
-        return effects.stream().filter(e -> e instanceof Ready).map(e -> ((Ready) e).id()).toList();
+        return effects.stream()
+                .filter(e -> e instanceof Ready)
+                .map(e -> ((Ready) e).id())
+                .toList();
     }
 
     private static List<Done> done(List<Effect> effects) {
-        return effects.stream().filter(e -> e instanceof Done).map(e -> (Done) e).toList();
+        return effects.stream()
+                .filter(e -> e instanceof Done)
+                .map(e -> (Done) e)
+                .toList();
     }
 
     @Test
@@ -70,9 +75,12 @@
         plan.accept(ask("skips", OnFailure.SKIP, "top"), 0);
         plan.accept(ask("after-skip", OnFailure.FAIL, "skips"), 0);
         List<Effect> effects = plan.ended("id-top", End.FAILED, 5);
-        assertEquals(List.of(new Done("id-fails", Fate.FAILED, "top failed"),
-                new Done("id-skips", Fate.SKIPPED, "top failed"),
-                new Done("id-next", Fate.FAILED, "fails failed, since top failed")), done(effects));
+        assertEquals(
+                List.of(
+                        new Done("id-fails", Fate.FAILED, "top failed"),
+                        new Done("id-skips", Fate.SKIPPED, "top failed"),
+                        new Done("id-next", Fate.FAILED, "fails failed, since top failed")),
+                done(effects));
         assertEquals(Set.of("id-runs", "id-after-skip"), new HashSet<>(ready(effects)));
     }
 
@@ -133,22 +141,21 @@
                 one.accept(ask(name, OnFailure.FAIL, after), 0);
             }
             List<Effect>[] effects = new List[1];
-            Thread small = new Thread(null, () -> effects[0] = one.ended("id-0", End.FAILED, 1), "small",
-                    128 * 1024);
+            Thread small = new Thread(null, () -> effects[0] = one.ended("id-0", End.FAILED, 1), "small", 128 * 1024);
             small.start();
             small.join();
             List<Done> all = done(effects[0]);
             assertEquals(10_000, all.size());
             assertEquals(10_000, all.stream().map(Done::id).distinct().count());
-            assertTrue(all.stream().allMatch(d -> d.cause().contains("0 failed") && d.cause().length() < 80));
+            assertTrue(all.stream()
+                    .allMatch(d -> d.cause().contains("0 failed") && d.cause().length() < 80));
             assertEquals(0, one.size());
         }
     }
 
     @Test
     void nothingStartsBeforeItsTimeAndWhatWaitsTooLongEndsByWhatItAskedFor() throws Exception {
-        List<Effect> effects = plan.accept(new Ask("t", "m", null, List.of(), 500, 900, OnFailure.FAIL, 1),
-                0);
+        List<Effect> effects = plan.accept(new Ask("t", "m", null, List.of(), 500, 900, OnFailure.FAIL, 1), 0);
         assertEquals(List.of(new Wake("t", 900), new Wake("t", 500)), effects);
         assertEquals(List.of(), plan.wake("t", 499));
         assertEquals(List.of("t"), ready(plan.wake("t", 500)));
@@ -162,7 +169,8 @@
         plan.accept(ask("h", OnFailure.FAIL, "z"), 0);
         assertTrue(plan.hold("id-h", true, 1, held));
         plan.told(new Plan.Name("m", "z"), true, 2);
-        assertEquals(List.of(new Done("id-h", Fate.EXPIRED, "it was held until its time was over")),
+        assertEquals(
+                List.of(new Done("id-h", Fate.EXPIRED, "it was held until its time was over")),
                 plan.wake("id-h", 1000));
     }
 
@@ -180,22 +188,32 @@
         Plan small = new Plan(new Plan.Limits(3, 2, 100, 30, 2, 1, 2, 5000, 10));
         small.accept(ask("a", OnFailure.FAIL), 0);
         small.accept(ask("b", OnFailure.FAIL, "a"), 0);
-        assertTrue(assertThrows(Refused.class, () -> small.accept(ask("c", OnFailure.FAIL), 0)).full());
+        assertTrue(assertThrows(Refused.class, () -> small.accept(ask("c", OnFailure.FAIL), 0))
+                .full());
         small.accept(new Ask("n", "n", null, List.of(), 0, 9, OnFailure.FAIL, 1), 0);
-        assertTrue(assertThrows(Refused.class, () -> small.accept(
-                new Ask("n2", "n", null, List.of(), 0, 9, OnFailure.FAIL, 1), 0)).full());
+        assertTrue(assertThrows(
+                        Refused.class,
+                        () -> small.accept(new Ask("n2", "n", null, List.of(), 0, 9, OnFailure.FAIL, 1), 0))
+                .full());
         Plan other = new Plan(new Plan.Limits(9, 9, 100, 30, 2, 1, 2, 5000, 10));
         other.accept(ask("a", OnFailure.FAIL, "z"), 0);
-        assertTrue(assertThrows(Refused.class, () -> other.accept(ask("b", OnFailure.FAIL, "z"), 0)).full(),
+        assertTrue(
+                assertThrows(Refused.class, () -> other.accept(ask("b", OnFailure.FAIL, "z"), 0))
+                        .full(),
                 "fan");
         other.accept(ask("b", OnFailure.FAIL, "a"), 0);
         assertThrows(Refused.class, () -> other.accept(ask("c", OnFailure.FAIL, "b"), 0), "depth");
         assertThrows(Refused.class, () -> other.accept(ask("d", OnFailure.FAIL, "p", "q", "r"), 0), "fan in");
-        assertThrows(Refused.class, () -> other.accept(new Ask("e", "m", null, List.of(), 0, 6000,
-                OnFailure.FAIL, 1),
-                0), "too far ahead");
-        assertTrue(assertThrows(Refused.class, () -> other.accept(new Ask("f", "m", null, List.of(), 0, 9,
-                OnFailure.FAIL, 11), 0)).full(), "bytes");
+        assertThrows(
+                Refused.class,
+                () -> other.accept(new Ask("e", "m", null, List.of(), 0, 6000, OnFailure.FAIL, 1), 0),
+                "too far ahead");
+        assertTrue(
+                assertThrows(
+                                Refused.class,
+                                () -> other.accept(new Ask("f", "m", null, List.of(), 0, 9, OnFailure.FAIL, 11), 0))
+                        .full(),
+                "bytes");
         assertEquals(2, other.size());
     }
 
@@ -226,10 +244,15 @@
                         after.add(name);
                     }
                 }
-                Ask ask = new Ask("j" + step, "m", random.nextInt(4) == 0 ? null : "n" + random.nextInt(12),
+                Ask ask = new Ask(
+                        "j" + step,
+                        "m",
+                        random.nextInt(4) == 0 ? null : "n" + random.nextInt(12),
                         after,
-                        random.nextBoolean() ? 0 : now + random.nextInt(200), now + 100 + random.nextInt(400),
-                        OnFailure.values()[random.nextInt(3)], 1);
+                        random.nextBoolean() ? 0 : now + random.nextInt(200),
+                        now + 100 + random.nextInt(400),
+                        OnFailure.values()[random.nextInt(3)],
+                        1);
                 try {
                     effects = one.accept(ask, now);
                     asked.put(ask.id(), ask);
@@ -240,7 +263,10 @@
                     assertTrue(!asked.containsKey(ask.id()));
                 }
             } else if (what < 8 && !released.isEmpty()) {
-                String id = released.stream().sorted().skip(random.nextInt(released.size())).findFirst()
+                String id = released.stream()
+                        .sorted()
+                        .skip(random.nextInt(released.size()))
+                        .findFirst()
                         .get();
                 End end = End.values()[random.nextInt(3)];
                 released.remove(id);
@@ -270,13 +296,21 @@
         assertEquals(released.size(), one.size());
     }
 
-    private static void take(List<Effect> effects, Map<String, Ask> asked, Set<String> released,
-            Map<String, Done> finals, List<Wake> wakes, double now) {
+    private static void take(
+            List<Effect> effects,
+            Map<String, Ask> asked,
+            Set<String> released,
+            Map<String, Done> finals,
+            List<Wake> wakes,
+            double now) {
         for (Effect e : effects) {
             if (e instanceof Ready r) {
-                assertTrue(now >= asked.getOrDefault(r.id(), new Ask(r.id(), "m", null, List.of(), 0, 1,
-                        OnFailure.RUN,
-                        0)).notBefore(), "early: " + r);
+                assertTrue(
+                        now
+                                >= asked.getOrDefault(
+                                                r.id(), new Ask(r.id(), "m", null, List.of(), 0, 1, OnFailure.RUN, 0))
+                                        .notBefore(),
+                        "early: " + r);
                 assertTrue(!finals.containsKey(r.id()), "released after its end: " + r);
                 assertTrue(released.add(r.id()), "released twice: " + r);
             } else if (e instanceof Done d) {
--- a/src/test/java/nettlewick/waiting/WishTest.java
+++ b/src/test/java/nettlewick/waiting/WishTest.java
@@ -37,24 +37,41 @@
 
     @Test
     void namesTimesAndPoliciesAreRead() throws Exception {
-        assertEquals(new Wish("b", List.of("a", "c"), 0, 0, NOW + 9500, OnFailure.SKIP),
+        assertEquals(
+                new Wish("b", List.of("a", "c"), 0, 0, NOW + 9500, OnFailure.SKIP),
                 read("X-Job-Name=b;X-After=a, c;X-Wait=9.5;X-On-Failure=skip"));
-        assertEquals(new Wish(null, List.of(), NOW + 2500, 1000, NOW + 60_000, OnFailure.FAIL),
+        assertEquals(
+                new Wish(null, List.of(), NOW + 2500, 1000, NOW + 60_000, OnFailure.FAIL),
                 read("X-Not-Before=+2.5;X-Window=1"));
         // A quarter of an hour ahead on the wall clock, whatever the one clock shows.
-        assertEquals(NOW + 900_000, read("X-Not-Before=2026-12-01T09:15:00+04:00;X-Wait=1000").notBefore());
-        assertEquals(Math.max(0, NOW - 3_600_000), read("X-Not-Before=2026-12-01T04:00:00Z").notBefore());
+        assertEquals(
+                NOW + 900_000,
+                read("X-Not-Before=2026-12-01T09:15:00+04:00;X-Wait=1000").notBefore());
+        assertEquals(
+                Math.max(0, NOW - 3_600_000),
+                read("X-Not-Before=2026-12-01T04:00:00Z").notBefore());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"X-Job-Name=a b|X-Job-Name is not", "X-After=a,,b|no name",
-        "X-After=a,a|names a twice", "X-Job-Name=a;X-After=a|names the job itself",
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "X-Job-Name=a b|X-Job-Name is not",
+                "X-After=a,,b|no name",
+                "X-After=a,a|names a twice",
+                "X-Job-Name=a;X-After=a|names the job itself",
                 "X-Window=1|needs X-Not-Before",
-        "X-On-Failure=run|needs X-After", "X-After=a;X-On-Failure=stop|not one of", "X-Wait=0|not above 0",
-        "X-Wait=-1|not a number of seconds", "X-Wait=1e3|not a number of seconds",
-        "X-Not-Before=tomorrow|neither a time", "X-Not-Before=+x|not a number of seconds",
-        "X-Not-Before=+61|beyond X-Wait", "X-Not-Before=+50;X-Window=10|beyond X-Wait",
-        "X-After=a;X-After=b|more than once"})
+                "X-On-Failure=run|needs X-After",
+                "X-After=a;X-On-Failure=stop|not one of",
+                "X-Wait=0|not above 0",
+                "X-Wait=-1|not a number of seconds",
+                "X-Wait=1e3|not a number of seconds",
+                "X-Not-Before=tomorrow|neither a time",
+                "X-Not-Before=+x|not a number of seconds",
+                "X-Not-Before=+61|beyond X-Wait",
+                "X-Not-Before=+50;X-Window=10|beyond X-Wait",
+                "X-After=a;X-After=b|more than once"
+            })
     void eachMistakeIsOneLine(String headers, String part) {
         String line = assertThrows(Wish.Mistake.class, () -> read(headers)).getMessage();
         assertTrue(line.contains(part) && !line.contains("\n"), line);
