--- /dev/null
+++ b/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
@@ -0,0 +1,49 @@
+package nettlewick.contention;
+
+import static nettlewick.golden.GoldenFile.assertMatches;
+import static nettlewick.golden.GoldenFile.hex;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import nettlewick.contention.Reserve.Runner;
+import org.junit.jupiter.api.Test;
+
+/** The bytes of usage reports, and which endpoints a tenant's pool is made of: other builds must agree on both. */
+class UsageReportGoldenTest {
+    @Test
+    void aReportHasTheRecordedBytes() {
+        Map<Integer, Long> asked = new LinkedHashMap<>();
+        asked.put(17, 1_000_000_007L);
+        asked.put(-5, 3L);
+        Map<Integer, Word.At> at = new LinkedHashMap<>();
+        at.put(0x1234_5678, new Word.At(1, 20, 300, 40));
+        at.put(-1, new Word.At(0, 7, 0, 0));
+        Word report = new Word(123_456_789_012L, asked, 77, 88, at, new Quiet(0.5, 0.25, 12.75, 13.5), true);
+        byte[] bytes = report.bytes();
+        assertEquals(report, Word.of(bytes));
+        assertMatches("contention/usage-report.txt", hex(bytes) + hex(Word.aged(bytes, 6)) + hex(Word.NOTHING.bytes()));
+    }
+
+    @Test
+    void aReservationTakesTheRecordedEndpoints() {
+        StringBuilder text = new StringBuilder();
+        Map<String, Runner> ready = new LinkedHashMap<>();
+        for (int i = 0; i < 24; i++) {
+            String zone = List.of("north", "south", "east").get(i % 3);
+            ready.put("s" + i, new Runner("s" + i, zone, i % 2 == 0 ? "small" : "large", i == 23 ? "red" : null));
+        }
+        for (String tenant : List.of("red", "green", "école")) {
+            for (double share : new double[] {0.05, 0.2, 0.4}) {
+                text.append(tenant).append(' ').append(share).append(' ');
+                List<String> before = List.of("s3", "s8");
+                Set<String> reserved = Set.of("s1", "s2");
+                text.append(Reserve.pick(tenant, ready, before, reserved, share, 0.5))
+                        .append('\n');
+            }
+        }
+        assertMatches("contention/reservations.txt", text.toString());
+    }
+}
