--- /dev/null
+++ b/src/test/java/nettlewick/golden/Fixture.java
@@ -0,0 +1,57 @@
+package nettlewick.golden;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Stream;
+
+/** Folders of stored data under {@code src/test/resources/golden}, each spool file without its long end of zeros. */
+public final class Fixture {
+    /** Zeros that stay at the end of a file that was made longer than what was written to it. */
+    private static final int ZEROS_KEPT = 64;
+
+    private Fixture() {}
+
+    /** Copies a recorded folder, so that a test may write to it. */
+    public static void copy(String name, Path to) throws IOException {
+        Files.createDirectories(to);
+        for (Path file : files(GoldenFile.recorded(name))) {
+            Files.copy(file, to.resolve(file.getFileName()));
+        }
+    }
+
+    /** Records a folder as its files stand, whoever still holds them; those whose name has this end are left out. */
+    public static void record(Path from, String name, String leftOut) throws IOException {
+        Path to = GoldenFile.recorded(name);
+        Files.createDirectories(to);
+        for (Path old : files(to)) {
+            Files.delete(old);
+        }
+        for (Path file : files(from)) {
+            if (!file.toString().endsWith(leftOut)) {
+                byte[] kept = spool(file) ? shortened(Files.readAllBytes(file)) : Files.readAllBytes(file);
+                Files.write(to.resolve(file.getFileName()), kept);
+            }
+        }
+    }
+
+    private static boolean spool(Path file) {
+        return file.getFileName().toString().startsWith("spool-");
+    }
+
+    private static byte[] shortened(byte[] bytes) {
+        int used = bytes.length;
+        while (used > 0 && bytes[used - 1] == 0) {
+            used--;
+        }
+        return Arrays.copyOf(bytes, Math.min(bytes.length, used + ZEROS_KEPT));
+    }
+
+    private static List<Path> files(Path folder) throws IOException {
+        try (Stream<Path> all = Files.list(folder)) {
+            return all.filter(Files::isRegularFile).sorted().toList();
+        }
+    }
+}
