--- /dev/null
+++ b/src/test/java/nettlewick/golden/RecordingServer.java
@@ -0,0 +1,96 @@
+package nettlewick.golden;
+
+import java.io.BufferedInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/** An HTTP server on a plain socket, which keeps the bytes of every request and answers what a script says. */
+final class RecordingServer implements AutoCloseable {
+    /** What to answer; the socket may be closed in place of an answer. */
+    interface Script {
+        void take(String request, Socket socket) throws IOException;
+    }
+
+    private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)");
+
+    /** Requests in the order in which they came whole, a character for each byte. */
+    final List<String> requests = new CopyOnWriteArrayList<>();
+    private final List<Socket> accepted = new CopyOnWriteArrayList<>();
+    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    private final Script script;
+
+    RecordingServer(Script script) throws IOException {
+        this.script = script;
+        background(this::accept);
+    }
+
+    int port() {
+        return listener.getLocalPort();
+    }
+
+    private static void background(Runnable task) {
+        Thread thread = new Thread(task, "recording-server");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private void accept() {
+        try {
+            while (true) {
+                Socket socket = listener.accept();
+                accepted.add(socket);
+                background(() -> read(socket));
+            }
+        } catch (IOException e) {
+            // The test is over.
+        }
+    }
+
+    private void read(Socket socket) {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
+            while (true) {
+                StringBuilder request = new StringBuilder();
+                while (request.indexOf("\r\n\r\n") < 0) {
+                    int b = in.read();
+                    if (b < 0) {
+                        return;
+                    }
+                    request.append((char) b);
+                }
+                Matcher length = LENGTH.matcher(request);
+                if (length.find()) {
+                    request.append(new String(in.readNBytes(Integer.parseInt(length.group(1))),
+                            StandardCharsets.ISO_8859_1));
+                }
+                requests.add(request.toString());
+                script.take(request.toString(), socket);
+            }
+        } catch (IOException e) {
+            // The other side has gone.
+        }
+    }
+
+    static void write(Socket socket, String text) throws IOException {
+        OutputStream out = socket.getOutputStream();
+        out.write(text.getBytes(StandardCharsets.ISO_8859_1));
+        out.flush();
+    }
+
+    @Override
+    public void close() throws IOException {
+        listener.close();
+        for (Socket socket : accepted) {
+            socket.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/nettlewick/golden/WireText.java
@@ -0,0 +1,78 @@
+package nettlewick.golden;
+
+import java.io.BufferedInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/** Bytes of a socket as a text in which every byte can be seen, and answers read from sockets to their end. */
+public final class WireText {
+    private static final int PATIENCE = 15_000;
+    private static final Pattern LENGTH = Pattern.compile("\r\ncontent-length: *(\\d+)");
+
+    private WireText() {}
+
+    /** Control characters and all that is not ASCII are escaped; a line of the text ends where one of the bytes does. */
+    public static String visible(String bytes) {
+        StringBuilder text = new StringBuilder();
+        for (char c : bytes.toCharArray()) {
+            switch (c) {
+                case '\r' -> text.append("\\r");
+                case '\n' -> text.append("\\n\n");
+                case '\\' -> text.append("\\\\");
+                default -> text.append(c >= ' ' && c < 0x7f ? String.valueOf(c) : String.format("\\x%02x", (int) c));
+            }
+        }
+        return text.append(text.length() > 0 && text.charAt(text.length() - 1) != '\n' ? "\n" : "").toString();
+    }
+
+    /** Ports of loopback and the figures of times, which differ from run to run, made the same. */
+    public static String normalised(String bytes) {
+        return bytes.replaceAll("127\\.0\\.0\\.1:\\d+", "127.0.0.1:PORT")
+                .replaceAll("(?i)(x-deadline: )\\d+\\.\\d{3}\r", "$1#.###\r")
+                .replaceAll("(?i)(retry-after: )\\d+\\.\\d{3}\r", "$1#.###\r")
+                .replaceAll("(\"retry_after\":)\\d+\\.\\d+", "$1#.#");
+    }
+
+    /** Sends bytes on a new connection and reads one answer; says whether the connection ends with it. */
+    public static String ask(int port, String bytes) throws IOException {
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(PATIENCE);
+            socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+            InputStream in = new BufferedInputStream(socket.getInputStream());
+            StringBuilder got = new StringBuilder();
+            while (got.indexOf("\r\n\r\n") < 0) {
+                int b = in.read();
+                if (b < 0) {
+                    return got + "[end]";
+                }
+                got.append((char) b);
+            }
+            String head = got.toString().toLowerCase(Locale.ROOT);
+            Matcher length = LENGTH.matcher(head);
+            if (length.find() && !bytes.startsWith("HEAD ")) {
+                got.append(new String(in.readNBytes(Integer.parseInt(length.group(1))), StandardCharsets.ISO_8859_1));
+            }
+            while (head.contains("transfer-encoding: chunked") && !got.toString().endsWith("\r\n0\r\n\r\n")) {
+                int b = in.read();
+                if (b < 0) {
+                    return got + "[cut off]";
+                }
+                got.append((char) b);
+            }
+            if (head.contains("connection: close")) {
+                got.append(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1)).append("[end]");
+            }
+            return got.toString();
+        }
+    }
+
+    /** An exchange with a title, for a recorded file. */
+    public static String entry(String title, String bytes) {
+        return "== " + title + "\n" + visible(normalised(bytes));
+    }
+}
