--- /dev/null
+++ b/src/test/java/nettlewick/sim/SimulatorWireGoldenTest.java
@@ -0,0 +1,133 @@
+package nettlewick.sim;
+
+import static nettlewick.golden.GoldenFile.assertMatches;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Lines of the simulator and the lines that answer them, and what is said of lines that cannot be read. */
+class SimulatorWireGoldenTest {
+    private static final long MS = 1_000_000;
+    private static final String SETUP = """
+            {"fleet_size":2,"rank":%RANK%,"zone":"north","zones":["north"],"models":["box"],"novel":{"x":[1]},\
+            "classes":[{"name":"read","repeat":"retryable","aim":200000000,"deadline":5000000000,"worth":2.0},\
+            {"name":"keyed","repeat":"dedup","dedup_scope":"cell","window":1000000000,"aim":200000000,\
+            "deadline":5000000000},{"name":"mark","repeat":"fragile","aim":200000000,"deadline":5000000000}],\
+            "tenants":[{"name":"red","fraction":1.0,"quota_per_s":40.5}],\
+            "report":{"source":"on_probe","names":["x0"]},"membership_mode":"%MODE%","weights":"nominal",\
+            "ceilings":{"attempts_cap":3,"cancel":true,"peers":true,"probes":true,"retry_after":true,\
+            "second_copies":true,"max_retry_after":2000000000},\
+            "rules":{"answer_slack":8000000,"ask_within":1000000000,"cold":7000000000,"cold_share":0.3,\
+            "drain_grace":2000000000,"fall":1000000000,"overload_factor":3.0}}""";
+
+    /** A line for the simulator's instance 4, or for 4 and 5. */
+    private static String line(long millis, int batch, String... groups) {
+        StringBuilder text = new StringBuilder("{\"wall\":" + millis * MS + ",\"batch\":" + batch + ",\"groups\":[");
+        for (int i = 0; i < groups.length; i++) {
+            text.append(i > 0 ? "," : "").append("{\"dispatcher_id\":").append(4 + i).append(",\"items\":[")
+                    .append(groups[i]).append("]}");
+        }
+        return text + "]}";
+    }
+
+    private static String start(int rank, String mode) {
+        StringBuilder elements = new StringBuilder();
+        for (int i = 0; i < 3; i++) {
+            elements.append(i > 0 ? "," : "").append("{\"worker\":\"10.0.0.").append(i).append(":90\",\"lifecycle\":0,")
+                    .append("\"started_at\":null,\"cohort\":").append(i).append(",\"generation_hw\":\"box\",")
+                    .append("\"campus\":\"north\",\"size\":1.5}");
+        }
+        return "{\"type\":\"LEDGER\",\"slot\":0,\"elements\":[" + elements + "]},"
+                + "{\"type\":\"NEW_INSTANCE\",\"init_seed\":18446744073709551615,\"setup\":"
+                + SETUP.replace("%RANK%", Integer.toString(rank)).replace("%MODE%", mode) + "},"
+                + "{\"type\":\"ROSTER_CHANGE\",\"scope\":2,\"stamp\":1,\"slot\":0}";
+    }
+
+    private static String arrival(String id, String jobClass, String more) {
+        return "{\"type\":\"ARRIVAL\",\"txn\":\"" + id + "\",\"class\":\"" + jobClass
+                + "\",\"owner\":\"red\",\"remaining\":5000000000" + more + "}";
+    }
+
+    private static String reply(String id, int attempt, String worker, String disposition) {
+        return "{\"type\":\"REPLY\",\"txn\":\"" + id + "\",\"seq_no\":" + attempt + ",\"worker\":\"" + worker
+                + "\",\"disposition\":\"" + disposition + "\",\"latency\":3000000,\"settled\":false,"
+                + "\"telemetry\":{\"x0\":2,\"depth\":4.0}}";
+    }
+
+    private static String timer(String mark) {
+        return "{\"type\":\"REMINDER\",\"mark\":\"" + mark + "\"}";
+    }
+
+    private static List<String> lines(String mode) {
+        String read = arrival("r1", "read", ",\"needs\":2,\"mem\":0.5,\"weight_hint\":12");
+        return List.of(line(5, 1, start(0, mode), start(1, mode)),
+                line(6, 2, read + "," + arrival("k1", "keyed", ",\"name_key\":\"k\""),
+                        arrival("m1", "mark", ",\"repeat\":true,\"is_write\":true,\"novel\":[{}]")),
+                line(7, 3),
+                line(9, 4, "{\"type\":\"ACCEPTED\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"latency\":1},"
+                        + "{\"type\":\"INTERIM\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"sort\":2,"
+                        + "\"amount\":0.25}", "{\"type\":\"VANISHED\",\"txn\":\"m1\"}"),
+                line(12, 5, reply("r1", 0, "10.0.0.0:90", "saturated") + "," + reply("r1", 0, "10.0.0.1:90", "saturated")
+                        + "," + reply("r1", 0, "10.0.0.2:90", "saturated"), timer("beat")),
+                line(60, 6, timer("beat") + "," + arrival("r2", "read", "") + "," + arrival("r3", "read", ""),
+                        "{\"type\":\"ROSTER_CHANGE\",\"scope\":3,\"stamp\":2,\"slot\":0}"),
+                line(500, 7, timer("beat") + "," + timer("unknown"), timer("beat")),
+                line(3000, 8, timer("beat") + "," + arrival("m2", "mark", ""), arrival("r4", "read", "")),
+                line(3001, 9, "{\"type\":\"KILL\"}," + arrival("r5", "read", ""), timer("beat")));
+    }
+
+    private static String serve(List<String> lines) throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        new WireHost().serve(new ByteArrayInputStream((String.join("\n", lines) + "\n")
+                .getBytes(StandardCharsets.UTF_8)), out);
+        return out.toString(StandardCharsets.UTF_8);
+    }
+
+    @Test
+    void roundsWithAPushedList() throws IOException {
+        rounds("pushed");
+    }
+
+    @Test
+    void roundsWithAListThatIsAskedFor() throws IOException {
+        rounds("on_request");
+    }
+
+    private static void rounds(String mode) throws IOException {
+        StringBuilder text = new StringBuilder();
+        String[] answers = serve(lines(mode)).split("(?<=\n)");
+        for (int i = 0; i < answers.length; i++) {
+            text.append("> ").append(lines(mode).get(i)).append("\n< ").append(answers[i]);
+        }
+        assertMatches("wire/simulator-" + mode + ".txt", text.toString());
+    }
+
+    @Test
+    void badLines() {
+        String good = line(5, 1, start(0, "pushed"));
+        StringBuilder text = new StringBuilder();
+        for (String line : List.of("", " ", "7", "{", "[]", "{\"wall\":1,\"batch\":1}",
+                "{\"wall\":\"x\",\"batch\":1,\"groups\":[]}", line(1, 1) + " {}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"items\":[]}]}", line(1, 1, "{\"type\":\"NOVEL\"}"),
+                line(1, 1, "{}"), line(1, 1, "{\"type\":\"ARRIVAL\",\"txn\":\"a\"}"),
+                line(1, 1, "{\"type\":\"MEMO\",\"who\":1,\"data\":\"?\"}"),
+                line(1, 1, "{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}"),
+                line(1, 1, reply("a", 0, "w", "strange")),
+                good.replace("\"rank\":0", "\"rank\":9"), good.replace("retryable", "sometimes"),
+                good.replace("\"fleet_size\":2", "\"fleet_size\":0"), good.replace("\"attempts_cap\":3,", ""),
+                good.replace("\"lifecycle\":0", "\"lifecycle\":17"))) {
+            text.append("> ").append(line.length() > 200 ? "a line of " + line.length() + " characters" : line);
+            try {
+                text.append("\n< ").append(serve(List.of(line)));
+            } catch (IOException | RuntimeException e) {
+                // The message alone is printed; the name of its type is not part of the format.
+                text.append("\n! ").append(e.getMessage()).append('\n');
+            }
+        }
+        assertMatches("wire/simulator-bad-lines.txt", text.toString());
+    }
+}
--- /dev/null
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -0,0 +1,103 @@
+package nettlewick.sse;
+
+import static nettlewick.golden.GoldenFile.assertMatches;
+import static nettlewick.golden.WireText.ask;
+import static nettlewick.golden.WireText.entry;
+import static nettlewick.net.StandIns.job;
+import static nettlewick.net.StandIns.until;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import nettlewick.net.StandIns;
+import nettlewick.settings.Settings;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** The bytes of the answers that the front for progress streams gives, on loopback. */
+@Timeout(60)
+class EventStreamGoldenTest {
+    private static final String BEAT = "3\r\n:\n\n\r\n";
+    private StandIns world;
+    private int port;
+
+    @BeforeEach
+    void open() throws Exception {
+        world = new StandIns();
+    }
+
+    @AfterEach
+    void close() {
+        world.close();
+    }
+
+    private void start(String... settings) throws Exception {
+        world.addRunner("s-1");
+        EdgeConfig edge = EdgeConfig.of(Settings.parse("test", "edge {\nlisten 127.0.0.1:0\n"
+                + String.join("\n", settings) + "\n}").block("edge").get());
+        port = world.start(base -> new EdgeFront(base, edge)).ports().get(1);
+    }
+
+    private static String post(String id, String jobClass, String... headers) {
+        return job("/api", id, jobClass, "", headers).toString();
+    }
+
+    private static String get(String path, String... headers) {
+        return "GET " + path + " HTTP/1.1\r\nHost: x\r\n" + (headers.length == 0 ? "" : headers[0] + "\r\n") + "\r\n";
+    }
+
+    @Test
+    void wholeStreams() throws Exception {
+        start("heartbeat 600s");
+        StringBuilder text = new StringBuilder();
+        world.runTime = 60;
+        text.append(entry("a job to its result", ask(port, post("a b+c", "step-view"))));
+        text.append(entry("the same job again", ask(port, post("a b+c", "step-view"))));
+        text.append(entry("its stream by its address", ask(port, get("/events/a%20b+c"))));
+        text.append(entry("its stream from event 2 on", ask(port, get("/events/a%20b+c", "Last-Event-ID: 2"))));
+        text.append(entry("its stream, all seen", ask(port, get("/events/a%20b+c", "Last-Event-ID: 3"))));
+        text.append(entry("an unreadable number of the event last seen",
+                ask(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
+        text.append(entry("last on its connection", ask(port, post("d", "mark-submit", "Connection: close"))));
+        text.append(entry("begun in an earlier life", ask(port, post("e", "mark-submit", "Last-Event-ID: 7"))));
+        world.instead = request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
+        text.append(entry("a result with quotes and other letters", ask(port, post("f", "mark-submit"))));
+        world.instead = request -> request.response().setStatusCode(503).putHeader("X-Not-Run", "1").end();
+        text.append(entry("unavailable", ask(port, post("g", "mark-submit"))));
+        world.instead = request -> request.connection().close();
+        text.append(entry("failed", ask(port, post("h", "mark-submit"))));
+        assertMatches("wire/streams.txt", text.toString());
+    }
+
+    @Test
+    void errors() throws Exception {
+        start("heartbeat 600s", "max-readers 1");
+        ask(port, post("a", "step-view"));
+        StringBuilder text = new StringBuilder();
+        text.append(entry("another job under this id", ask(port, post("a", "save-run"))));
+        text.append(entry("no such path", ask(port, get("/_health"))));
+        text.append(entry("a job by GET", ask(port, get("/api"))));
+        text.append(entry("a stream by POST", ask(port, get("/events/a").replace("GET", "POST"))));
+        text.append(entry("no such stream", ask(port, get("/events/z"))));
+        text.append(entry("an id that is not percent-encoded", ask(port, get("/events/%zz"))));
+        text.append(entry("an unknown class", ask(port, post("b", "no-class"))));
+        world.instead = request -> { };
+        try (Socket open = new Socket("127.0.0.1", port)) {
+            open.getOutputStream().write(post("c", "mark-submit").getBytes(StandardCharsets.US_ASCII));
+            until(() -> world.seen.size() == 2);
+            text.append(entry("too many streams", ask(port, post("d", "step-view"))));
+        }
+        assertMatches("wire/stream-errors.txt", text.toString());
+    }
+
+    @Test
+    void heartbeats() throws Exception {
+        start("heartbeat 20ms", "retry 2500ms");
+        world.runTime = 400;
+        String got = ask(port, post("a", "step-view"));
+        assertTrue(got.contains(BEAT), got);
+        assertMatches("wire/stream-heartbeats.txt", entry("heartbeats left out", got.replace(BEAT, "")));
+    }
+}
