--- a/src/test/java/nettlewick/sim/SimulatorWireGoldenTest.java
+++ b/src/test/java/nettlewick/sim/SimulatorWireGoldenTest.java
@@ -1,17 +1,33 @@
 package nettlewick.sim;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import nettlewick.decision.Dispatcher.Cancel;
 import org.junit.jupiter.api.Test;
 
 /** Lines of the simulator and the lines that answer them, and what is said of lines that cannot be read. */
 class SimulatorWireGoldenTest {
     private static final long MS = 1_000_000;
+    /** An order that something follows from: its kind, and its first two fields. */
+    private static final Pattern ORDER = Pattern.compile("\\{\"type\":\"(RELAY|PING|BROADCAST_TO|REMIND)\","
+            + "\"\\w+\":\"?([^\",}]+)\"?(?:,\"\\w+\":\"?([^\",}]+))?");
+    /** A worker that falls silent, so that its requests are waited for in vain. */
+    private static final String SILENT = "10.0.0.0:90";
+    /** Workers report progress this often, so that one that does not is noticed. */
+    private static final String PROGRESS = "\"family_info\":{\"class_kind\":[-1,0,0],\"class_stretch\":[2.0,2.5,2.5],"
+            + "\"class_priority\":[0,1,0],\"progress\":10000000},";
     private static final String SETUP = """
             {"fleet_size":2,"rank":%RANK%,"zone":"north","zones":["north"],"models":["box"],"novel":{"x":[1]},\
             "classes":[{"name":"read","repeat":"retryable","aim":200000000,"deadline":5000000000,"worth":2.0},\
@@ -106,6 +122,86 @@
         assertMatches("wire/simulator-" + mode + ".txt", text.toString());
     }
 
+    /**
+     * Plays two instances: a relayed request is answered some rounds later, each disposition in its turn, timers come
+     * when they are due, memos reach the other instance, and probes are answered. One worker falls silent.
+     */
+    @Test
+    void aPlayedExchange() throws IOException {
+        String[] dispositions = {"completed", "saturated", "errored", "overdue", "completed", "refused_conn", "severed",
+            "recalled", "superseded"};
+        String[] classes = {"read", "keyed", "mark"};
+        WireHost host = new WireHost();
+        StringBuilder text = new StringBuilder();
+        TreeMap<Long, List<List<String>>> due = new TreeMap<>();
+        Map<String, Integer> attempts = new HashMap<>();
+        add(due, 5, 0, start(0, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
+        add(due, 5, 1, start(1, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
+        int relays = 0;
+        for (int i = 0; i < 90; i++) {
+            String more = i % 3 == 1 ? ",\"name_key\":\"k" + i % 5 + "\"" : ",\"weight_hint\":" + 1000 * i;
+            add(due, 10 + 4L * i, i % 2, arrival("t" + i, classes[i % 3], more));
+            if (i % 10 == 7 || i % 10 == 2) {
+                add(due, 15 + 4L * i, i % 2, "{\"type\":\"VANISHED\",\"txn\":\"t" + i + "\"}");
+            }
+        }
+        for (int batch = 1; batch <= 300 && !due.isEmpty(); batch++) {
+            long now = due.firstKey();
+            List<List<String>> items = due.remove(now);
+            String line = line(now, batch, String.join(",", items.get(0)), String.join(",", items.get(1)));
+            ByteArrayOutputStream out = new ByteArrayOutputStream();
+            host.serve(new ByteArrayInputStream((line + "\n").getBytes(StandardCharsets.UTF_8)), out);
+            String answer = out.toString(StandardCharsets.UTF_8);
+            text.append("> ").append(line).append("\n< ").append(answer);
+            int second = answer.indexOf("{\"dispatcher_id\":5");
+            Matcher order = ORDER.matcher(answer);
+            while (order.find()) {
+                int instance = order.start() > second ? 1 : 0;
+                String first = order.group(2);
+                boolean silent = now > 40 && SILENT.equals(order.group(1).equals("PING") ? first : order.group(3));
+                if (order.group(1).equals("RELAY")) {
+                    String worker = order.group(3);
+                    int attempt = attempts.merge(first, 1, Integer::sum) - 1;
+                    String result = dispositions[relays++ % dispositions.length];
+                    if (relays % 3 == 0) {
+                        add(due, now + 2, instance, "{\"type\":\"ACCEPTED\",\"txn\":\"" + first + "\",\"seq_no\":"
+                                + attempt + ",\"worker\":\"" + worker + "\",\"latency\":1}");
+                    }
+                    add(due, now + 1, instance, "{\"type\":\"INTERIM\",\"txn\":\"" + first + "\",\"seq_no\":"
+                            + attempt + ",\"worker\":\"" + worker + "\",\"sort\":2,\"amount\":0}");
+                    add(due, now + (silent ? 3000 : 9), instance, reply(first, attempt, worker, result));
+                } else if (order.group(1).equals("PING")) {
+                    add(due, now + (silent ? 100 : 3), instance, "{\"type\":\"HEALTH\",\"worker\":\"" + first
+                            + "\",\"disposition\":\"" + (silent ? "overdue" : "completed") + "\",\"latency\":2000000,\"telemetry\":{\"x0\":1,"
+                            + "\"concurrent\":2}}");
+                } else if (order.group(1).equals("BROADCAST_TO")) {
+                    add(due, now + 1, 1 - instance, "{\"type\":\"MEMO\",\"who\":" + instance + ",\"data\":\""
+                            + order.group(3) + "\"}");
+                } else {
+                    add(due, now + Math.max(1, Long.parseLong(first) / MS), instance, timer(order.group(3)));
+                }
+            }
+        }
+        for (String kind : List.of("RELAY", "OVERLOAD_REPLY", "DROP_REQUEST", "PING", "BROADCAST_TO",
+                "REMIND", "SUBSCRIBE")) {
+            assertTrue(text.indexOf("{\"type\":\"" + kind + "\"") > 0, kind + " was not played");
+        }
+        assertMatches("wire/simulator-played.txt", text.toString());
+    }
+
+    /** The order that the played exchange does not bring about, from a module that gives nothing else. */
+    @Test
+    void anAttemptIsCalledOff() throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        new WireHost((settings, seed) -> (now, events) -> List.of(new Cancel("e", 1), new Cancel("\"\u00e9", 12)))
+                .serve(new ByteArrayInputStream(line(5, 1, start(0, "pushed")).getBytes(StandardCharsets.UTF_8)), out);
+        assertMatches("wire/simulator-call-off.txt", out.toString(StandardCharsets.UTF_8));
+    }
+
+    private static void add(TreeMap<Long, List<List<String>>> due, long at, int instance, String item) {
+        due.computeIfAbsent(at, t -> List.of(new ArrayList<>(), new ArrayList<>())).get(instance).add(item);
+    }
+
     @Test
     void badLines() {
         String good = line(5, 1, start(0, "pushed"));
