--- a/src/test/java/nettlewick/cli/PrintedGoldenTest.java
+++ b/src/test/java/nettlewick/cli/PrintedGoldenTest.java
@@ -43,7 +43,9 @@
         } finally {
             System.setOut(before);
         }
-        return out.toString(StandardCharsets.UTF_8).replace(dir.toString(), "DIR").replaceAll(NEW_LIFE, "north/NEW");
+        return out.toString(StandardCharsets.UTF_8)
+                .replace(dir.toString(), "DIR")
+                .replaceAll(NEW_LIFE, "north/NEW");
     }
 
     @Test
@@ -69,8 +71,10 @@
     private Path copy() throws Exception {
         Fixture.copy("ledger/store", dir.resolve("store"));
         Files.copy(GoldenFile.recorded("ledger/archive/2024-10.archive"), dir.resolve("2024-10"));
-        return Files.writeString(dir.resolve("conf"), "ledger {\nstore \"" + dir.resolve("store")
-                + "\"\nexport files {\nfolder \"" + dir.resolve("out") + "\"\n}\n}\n");
+        return Files.writeString(
+                dir.resolve("conf"),
+                "ledger {\nstore \"" + dir.resolve("store") + "\"\nexport files {\nfolder \"" + dir.resolve("out")
+                        + "\"\n}\n}\n");
     }
 
     /** What a call of the ledger prints as JSON, and before it the table where the call changes nothing. */
--- a/src/test/java/nettlewick/duty/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/duty/StoredVoterGoldenTest.java
@@ -47,18 +47,34 @@
         try (VoterStore store = VoterStore.open(dir)) {
             StringBuilder text = new StringBuilder();
             Map<String, Voter.Register> known = store.load(42, 0);
-            known.forEach((duty, r) -> text.append(duty).append(" promised ").append(r.promised).append(" held ")
-                    .append(r.held).append(" version ").append(r.version).append(" state ")
-                    .append(HexFormat.of().formatHex(r.state)).append('\n'));
-            text.append("as another voter ").append(store.load(42, 1)).append(", in another list ")
-                    .append(store.load(43, 0)).append('\n');
+            known.forEach((duty, r) -> text.append(duty)
+                    .append(" promised ")
+                    .append(r.promised)
+                    .append(" held ")
+                    .append(r.held)
+                    .append(" version ")
+                    .append(r.version)
+                    .append(" state ")
+                    .append(HexFormat.of().formatHex(r.state))
+                    .append('\n'));
+            text.append("as another voter ")
+                    .append(store.load(42, 1))
+                    .append(", in another list ")
+                    .append(store.load(43, 0))
+                    .append('\n');
             Voter back = new Voter(0, List.of(0, 1, 2), new Terms(1000, 0.05), 0, 2).remembering(known);
             back.tick(1100);
             for (long round : new long[] {4, 6}) {
-                Message answer = back.hear(ask(Kind.PREPARE, "red", Message.ballot(round, 2, 1), 0), 1100).get(0)
+                Message answer = back.hear(ask(Kind.PREPARE, "red", Message.ballot(round, 2, 1), 0), 1100)
+                        .get(0)
                         .message();
-                text.append("asked in round ").append(round).append(": ").append(answer.kind()).append(" version ")
-                        .append(answer.version()).append('\n');
+                text.append("asked in round ")
+                        .append(round)
+                        .append(": ")
+                        .append(answer.kind())
+                        .append(" version ")
+                        .append(answer.version())
+                        .append('\n');
             }
             assertMatches("lease/voter.txt", text.toString());
         }
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -41,7 +41,8 @@
         config.put("admin_addr", "127.0.0.1:0");
         node = world.start(config);
         int port = node.ports().get(0);
-        until(() -> answers(port, HEALTH).startsWith("HTTP/1.1 200") && node.adminPort() > 0
+        until(() -> answers(port, HEALTH).startsWith("HTTP/1.1 200")
+                && node.adminPort() > 0
                 && answers(node.adminPort(), call("GET", "/-/ready")).startsWith("HTTP/1.1 200"));
         return port;
     }
@@ -82,17 +83,21 @@
         requests.put("served, last on its connection", post("b", "mark-submit", "{}", "Connection: close"));
         requests.put("served over HTTP/1.0", post("c", "step-view", "{}").replace("HTTP/1.1", "HTTP/1.0"));
         StringBuilder text = new StringBuilder(all(port, requests));
-        world.instead = request -> request.response().setStatusCode(503).putHeader("X-Not-Run", "1").end();
+        world.instead = request -> request.response()
+                .setStatusCode(503)
+                .putHeader("X-Not-Run", "1")
+                .end();
         text.append(entry("rejected", ask(port, post("d", "mark-submit", ""))));
         world.instead = request -> request.connection().close();
         text.append(entry("failed", ask(port, post("e", "mark-submit", ""))));
         world.instead = request -> request.response().setStatusCode(500).end();
         text.append(entry("an error of the runner", ask(port, post("f", "mark-submit", ""))));
-        world.instead = request -> { };
-        text.append(entry("past its deadline", ask(port,
-                post("g", "mark-submit", "").replace("X-Deadline: 4", "X-Deadline: 0.4"))));
-        text.append(entry("no time at all", ask(port,
-                post("h", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0"))));
+        world.instead = request -> {};
+        text.append(entry(
+                "past its deadline",
+                ask(port, post("g", "mark-submit", "").replace("X-Deadline: 4", "X-Deadline: 0.4"))));
+        text.append(entry(
+                "no time at all", ask(port, post("h", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0"))));
         ask(node.adminPort(), call("POST", "/-/drain"));
         text.append(entry("health while draining", ask(port, HEALTH)));
         world.instead = null;
@@ -156,19 +161,37 @@
         start();
         int port = node.adminPort();
         Map<String, String> calls = new LinkedHashMap<>();
-        for (String line : new String[] {"GET /-/ready", "POST /-/ready", "GET /-/nothing", "GET /", "GET /-/drain",
-            "POST /-/metrics", "GET /-/sim-runners/s-1/disable", "POST /-/sim-runners/s-9/disable",
-            "POST /-/sim-runners/%zz/disable", "POST /-/sim-runners/s-1/other", "POST /-/sim-runners/s-1/disable",
-            "POST /-/sim-runners/s-1/enable", "POST /-/drain", "GET /-/ready ", "POST /-/resume", "GET /-/resume"}) {
+        for (String line : new String[] {
+            "GET /-/ready",
+            "POST /-/ready",
+            "GET /-/nothing",
+            "GET /",
+            "GET /-/drain",
+            "POST /-/metrics",
+            "GET /-/sim-runners/s-1/disable",
+            "POST /-/sim-runners/s-9/disable",
+            "POST /-/sim-runners/%zz/disable",
+            "POST /-/sim-runners/s-1/other",
+            "POST /-/sim-runners/s-1/disable",
+            "POST /-/sim-runners/s-1/enable",
+            "POST /-/drain",
+            "GET /-/ready ",
+            "POST /-/resume",
+            "GET /-/resume"
+        }) {
             calls.put(line, call(line.split(" ")[0], line.split(" ")[1]));
         }
-        calls.put("a body that is too long", "POST /-/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 4097\r\n\r\n"
-                + "x".repeat(4097));
+        calls.put(
+                "a body that is too long",
+                "POST /-/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 4097\r\n\r\n" + "x".repeat(4097));
         assertMatches("wire/operators.txt", all(port, calls));
         String figures = ask(port, call("GET", "/-/metrics"));
         int body = figures.indexOf("\r\n\r\n") + 4;
-        String names = Arrays.stream(figures.substring(body).replace("[end]", "").split("\n"))
-                .map(line -> line.replaceFirst("=.*", "")).sorted().collect(Collectors.joining("\n", "", "\n"));
+        String names = Arrays.stream(
+                        figures.substring(body).replace("[end]", "").split("\n"))
+                .map(line -> line.replaceFirst("=.*", ""))
+                .sorted()
+                .collect(Collectors.joining("\n", "", "\n"));
         String head = figures.substring(0, body).replaceAll("(?i)(content-length: )\\d+", "$1#");
         assertMatches("wire/figure-names.txt", entry("head", head) + "== names\n" + names);
     }
--- a/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
@@ -25,7 +25,8 @@
 class OutgoingWireGoldenTest {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     private static final String LOAD = "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ndepth=0,concurrent=0,x0=4";
-    private static final String NOT_RUN = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+    private static final String NOT_RUN =
+            "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
     private static String served(String id) {
         String line = "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n";
@@ -48,7 +49,8 @@
 
     private static String job(String method, String uri, String id, String jobClass, String body, String... headers) {
         return method + " " + uri + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Class: "
-                + jobClass + "\r\nX-Deadline: 4\r\n" + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n")
+                + jobClass + "\r\nX-Deadline: 4\r\n"
+                + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n")
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -64,7 +66,8 @@
     void requestsAndProbesToRunners() throws Exception {
         AtomicInteger refusals = new AtomicInteger();
         StandIns world = new StandIns();
-        try (world; RecordingServer one = new RecordingServer((r, s) -> runner(r, s, refusals));
+        try (world;
+                RecordingServer one = new RecordingServer((r, s) -> runner(r, s, refusals));
                 RecordingServer two = new RecordingServer((r, s) -> runner(r, s, refusals))) {
             world.addRunner("s-1", one.port());
             world.addRunner("s-2", two.port());
@@ -78,9 +81,20 @@
                     job("POST", "/api/x%2Fy?a=1&&b=%7e+", "00Ab body", "step-view", "{\"x\": \"\u00c3\u00a9\"}"),
                     job("POST", "/api", "keyed", "save-run", "{}", "Idempotency-Key: K-1"),
                     job("POST", "/api", "fragile", "mark-submit", "{}", "X-Tenant: red"),
-                    job("POST", "/api", "hints", "step-view", "12", "X-Tenant: red", "X-Cost-Hint: 250",
-                            "X-Extras: slots=2,mem=0.5", "X-Retry: 1", "Cookie: a=b; user=u-7", "X-Other: kept?",
-                            "Content-Type: application/json", "User-Agent: golden"),
+                    job(
+                            "POST",
+                            "/api",
+                            "hints",
+                            "step-view",
+                            "12",
+                            "X-Tenant: red",
+                            "X-Cost-Hint: 250",
+                            "X-Extras: slots=2,mem=0.5",
+                            "X-Retry: 1",
+                            "Cookie: a=b; user=u-7",
+                            "X-Other: kept?",
+                            "Content-Type: application/json",
+                            "User-Agent: golden"),
                     job("POST", "/api", "keyed hints", "save-run", "{}", "Idempotency-Key: K 2", "X-Extras: memory=3"),
                     job("POST", "/api", "again", "step-view", "{\"n\":1}", "Idempotency-Key: K-3"),
                     "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: chunked\r\nX-Class: step-view\r\nX-Deadline: 4\r\n"
@@ -121,7 +135,10 @@
     /** The probes as they came, each kind once. */
     private static Set<String> probes(RecordingServer runner) {
         Set<String> kinds = new TreeSet<>();
-        runner.requests.stream().filter(r -> r.startsWith("GET ")).map(WireText::normalised).forEach(kinds::add);
+        runner.requests.stream()
+                .filter(r -> r.startsWith("GET "))
+                .map(WireText::normalised)
+                .forEach(kinds::add);
         return kinds;
     }
 
@@ -138,13 +155,15 @@
         for (boolean known : new boolean[] {false, true}) {
             AtomicInteger calls = new AtomicInteger();
             StandIns world = new StandIns();
-            try (world; RecordingServer discovery = new RecordingServer((request, socket) -> {
-                int call = calls.incrementAndGet();
-                RecordingServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + list(40 + call));
-                if (call < 3) {
-                    socket.close();
-                }
-            })) {
+            try (world;
+                    RecordingServer discovery = new RecordingServer((request, socket) -> {
+                        int call = calls.incrementAndGet();
+                        RecordingServer.write(
+                                socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + list(40 + call));
+                        if (call < 3) {
+                            socket.close();
+                        }
+                    })) {
                 Map<String, Object> config = world.config();
                 config.put("discovery", "127.0.0.1:" + discovery.port());
                 ((Map<String, Object>) config.get("settings")).put("membership_mode", mode);
@@ -154,7 +173,8 @@
                 world.start(config);
                 until(() -> discovery.requests.size() >= 3);
                 for (int call = 0; call < 3; call++) {
-                    text.append(entry((known ? "list known before, call " : "nothing known, call ") + (call + 1),
+                    text.append(entry(
+                            (known ? "list known before, call " : "nothing known, call ") + (call + 1),
                             discovery.requests.get(call)));
                 }
             }
--- a/src/test/java/nettlewick/golden/RecordingServer.java
+++ b/src/test/java/nettlewick/golden/RecordingServer.java
@@ -24,6 +24,7 @@
 
     /** Requests in the order in which they came whole, a character for each byte. */
     final List<String> requests = new CopyOnWriteArrayList<>();
+
     private final List<Socket> accepted = new CopyOnWriteArrayList<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     private final Script script;
@@ -69,8 +70,8 @@
                 }
                 Matcher length = LENGTH.matcher(request);
                 if (length.find()) {
-                    request.append(new String(in.readNBytes(Integer.parseInt(length.group(1))),
-                            StandardCharsets.ISO_8859_1));
+                    request.append(
+                            new String(in.readNBytes(Integer.parseInt(length.group(1))), StandardCharsets.ISO_8859_1));
                 }
                 requests.add(request.toString());
                 script.take(request.toString(), socket);
--- a/src/test/java/nettlewick/golden/WireText.java
+++ b/src/test/java/nettlewick/golden/WireText.java
@@ -27,7 +27,8 @@
                 default -> text.append(c >= ' ' && c < 0x7f ? String.valueOf(c) : String.format("\\x%02x", (int) c));
             }
         }
-        return text.append(text.length() > 0 && text.charAt(text.length() - 1) != '\n' ? "\n" : "").toString();
+        return text.append(text.length() > 0 && text.charAt(text.length() - 1) != '\n' ? "\n" : "")
+                .toString();
     }
 
     /** Ports of loopback and the figures of times, which differ from run to run, made the same. */
@@ -57,7 +58,8 @@
             if (length.find() && !bytes.startsWith("HEAD ")) {
                 got.append(new String(in.readNBytes(Integer.parseInt(length.group(1))), StandardCharsets.ISO_8859_1));
             }
-            while (head.contains("transfer-encoding: chunked") && !got.toString().endsWith("\r\n0\r\n\r\n")) {
+            while (head.contains("transfer-encoding: chunked")
+                    && !got.toString().endsWith("\r\n0\r\n\r\n")) {
                 int b = in.read();
                 if (b < 0) {
                     return got + "[cut off]";
@@ -65,7 +67,8 @@
                 got.append((char) b);
             }
             if (head.contains("connection: close")) {
-                got.append(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1)).append("[end]");
+                got.append(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1))
+                        .append("[end]");
             }
             return got.toString();
         }
--- a/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
+++ b/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
@@ -51,7 +51,10 @@
             Origin third = store.begin(DECEMBER);
             try (Spool spool = new Spool(made, third, Faults.NONE)) {
                 fill(spool, third);
-                store.append(third, List.of(Spool.ended(intent(third, 1), DECEMBER + 50, true).in(TERMS)));
+                store.append(
+                        third,
+                        List.of(Spool.ended(intent(third, 1), DECEMBER + 50, true)
+                                .in(TERMS)));
                 // Both are open: what a killed process leaves, with the newest entry in the write-ahead log.
                 Fixture.record(made, FOLDER, "-shm");
             }
@@ -59,20 +62,54 @@
     }
 
     private static Entry job(double at, String member, String key, Ending end, long work, boolean estimate, long job) {
-        return new Entry(new Ref(new Origin("", 0), 0), Kind.JOB, at, member, "mark-submit", "request-" + job, key, end,
-                work, estimate, 70 * job, 2, job, null, null, TERMS.at(at).name());
+        return new Entry(
+                new Ref(new Origin("", 0), 0),
+                Kind.JOB,
+                at,
+                member,
+                "mark-submit",
+                "request-" + job,
+                key,
+                end,
+                work,
+                estimate,
+                70 * job,
+                2,
+                job,
+                null,
+                null,
+                TERMS.at(at).name());
     }
 
     private static void october(Store store) throws Exception {
         Origin own = store.begin(OCTOBER);
-        Entry doubt = new Entry(new Ref(own, 0), Kind.DOUBT, OCTOBER + 6, "blue", "step-view", "request-6", null,
-                Ending.SERVED, 600, true, 0, 1, 6, null, null, "the process ended before its answer was confirmed");
-        store.append(own, List.of(job(OCTOBER + 1, "red", "0123456789abcdef", Ending.SERVED, 1234, false, 1),
-                job(OCTOBER + 2, "red", "0123456789abcdef", Ending.SERVED, 99, false, 2),
-                job(OCTOBER + 3, "blue, \"école\" ✓", null, Ending.REFUSED, 0, false, 3),
-                job(OCTOBER + 4, "blue", null, Ending.FAILED, 0, false, 4),
-                job(OCTOBER + 5, "", null, Ending.LEFT, 0, true, 5), doubt,
-                Entry.gap(new Ref(own, 0), OCTOBER + 7, OCTOBER + 9, 3)));
+        Entry doubt = new Entry(
+                new Ref(own, 0),
+                Kind.DOUBT,
+                OCTOBER + 6,
+                "blue",
+                "step-view",
+                "request-6",
+                null,
+                Ending.SERVED,
+                600,
+                true,
+                0,
+                1,
+                6,
+                null,
+                null,
+                "the process ended before its answer was confirmed");
+        store.append(
+                own,
+                List.of(
+                        job(OCTOBER + 1, "red", "0123456789abcdef", Ending.SERVED, 1234, false, 1),
+                        job(OCTOBER + 2, "red", "0123456789abcdef", Ending.SERVED, 99, false, 2),
+                        job(OCTOBER + 3, "blue, \"école\" ✓", null, Ending.REFUSED, 0, false, 3),
+                        job(OCTOBER + 4, "blue", null, Ending.FAILED, 0, false, 4),
+                        job(OCTOBER + 5, "", null, Ending.LEFT, 0, true, 5),
+                        doubt,
+                        Entry.gap(new Ref(own, 0), OCTOBER + 7, OCTOBER + 9, 3)));
         store.delivered(store.cut("files", 100));
         store.settled(own, OCTOBER + 10);
         store.close(own, TERMS.at(OCTOBER), NOVEMBER, "operator");
@@ -84,30 +121,50 @@
         });
         Path file = GoldenFile.recorded(ARCHIVE);
         String sum = Archive.write(file, jobs, Faults.NONE);
-        store.prune("2024-10", "/var/lib/nettlewick/2024-10.archive", sum, jobs.stream().map(Entry::ref).toList());
+        store.prune(
+                "2024-10",
+                "/var/lib/nettlewick/2024-10.archive",
+                sum,
+                jobs.stream().map(Entry::ref).toList());
     }
 
     private static void november(Store store) throws Exception {
         Origin own = store.begin(NOVEMBER);
         Entry target = store.entry(new Ref(new Origin("north", (long) (OCTOBER / 1000)), 6));
-        store.append(own, List.of(job(NOVEMBER + 1, "red", null, Ending.SERVED, 5000, true, 1),
-                job(OCTOBER + 20, "red", null, Ending.SERVED, 700, false, 2),
-                Entry.correction(new Ref(own, 0), NOVEMBER + 3, target, 450, "operator", "answer was seen")));
+        store.append(
+                own,
+                List.of(
+                        job(NOVEMBER + 1, "red", null, Ending.SERVED, 5000, true, 1),
+                        job(OCTOBER + 20, "red", null, Ending.SERVED, 700, false, 2),
+                        Entry.correction(new Ref(own, 0), NOVEMBER + 3, target, 450, "operator", "answer was seen")));
         store.cut("files", 2);
         store.delivered(store.cut("web", 5));
         store.mark(TERMS.at(NOVEMBER));
         Origin south = new Origin("south", 7);
-        byte[] first = job(NOVEMBER + 4, "green", null, Ending.SERVED, 800, false, 1).at(new Ref(south, 1)).bytes();
-        byte[] second = job(NOVEMBER + 5, "red", null, Ending.SERVED, 900, false, 2).at(new Ref(south, 2)).bytes();
+        byte[] first = job(NOVEMBER + 4, "green", null, Ending.SERVED, 800, false, 1)
+                .at(new Ref(south, 1))
+                .bytes();
+        byte[] second = job(NOVEMBER + 5, "red", null, Ending.SERVED, 900, false, 2)
+                .at(new Ref(south, 2))
+                .bytes();
         byte[] link = Entry.link(Entry.NO_HASH, first);
-        store.merge(south, Store.Head.NONE, List.of(new Store.Row(1, first, link),
-                new Store.Row(2, second, Entry.link(link, second))));
+        store.merge(
+                south,
+                Store.Head.NONE,
+                List.of(new Store.Row(1, first, link), new Store.Row(2, second, Entry.link(link, second))));
         store.quarantine(new Origin("west", 8), "two entries have number 4");
     }
 
     private static Entry intent(Origin own, long job) {
-        return job(DECEMBER + job, job == 4 ? "blue" : "red", job == 2 ? "fedcba9876543210" : null, Ending.SERVED,
-                1000 * job, job == 3, job).at(new Ref(own, 0));
+        return job(
+                        DECEMBER + job,
+                        job == 4 ? "blue" : "red",
+                        job == 2 ? "fedcba9876543210" : null,
+                        Ending.SERVED,
+                        1000 * job,
+                        job == 3,
+                        job)
+                .at(new Ref(own, 0));
     }
 
     private static void fill(Spool spool, Origin own) throws Exception {
@@ -123,11 +180,26 @@
     }
 
     private static String describe(Entry e) {
-        return String.join(" | ", List.of(e.ref().toString(), e.kind().name(), Double.toString(e.at()), e.member(),
-                e.jobClass(), e.request(), String.valueOf(e.key()), e.end().name(), Long.toString(e.work()),
-                Boolean.toString(e.estimate()), Long.toString(e.spare()), Integer.toString(e.attempts()),
-                Long.toString(e.job()), String.valueOf(e.target()), String.valueOf(e.by()),
-                String.valueOf(e.text()).replace("\n", " / "))) + "\n";
+        return String.join(
+                        " | ",
+                        List.of(
+                                e.ref().toString(),
+                                e.kind().name(),
+                                Double.toString(e.at()),
+                                e.member(),
+                                e.jobClass(),
+                                e.request(),
+                                String.valueOf(e.key()),
+                                e.end().name(),
+                                Long.toString(e.work()),
+                                Boolean.toString(e.estimate()),
+                                Long.toString(e.spare()),
+                                Integer.toString(e.attempts()),
+                                Long.toString(e.job()),
+                                String.valueOf(e.target()),
+                                String.valueOf(e.by()),
+                                String.valueOf(e.text()).replace("\n", " / ")))
+                + "\n";
     }
 
     private static String entries(Store store) throws Exception {
@@ -137,47 +209,111 @@
         StringBuilder text = new StringBuilder("entries\n");
         all.forEach(e -> text.append(describe(e)));
         text.append("ends of chains\n");
-        store.heads().forEach((origin, head) -> text.append(origin).append(' ').append(head.number()).append(' ')
-                .append(HexFormat.of().formatHex(head.hash())).append('\n'));
+        store.heads()
+                .forEach((origin, head) -> text.append(origin)
+                        .append(' ')
+                        .append(head.number())
+                        .append(' ')
+                        .append(HexFormat.of().formatHex(head.hash()))
+                        .append('\n'));
         return text.append("faults ").append(store.verify()).append('\n').toString();
     }
 
     private static String batch(Store.Batch b) {
-        return b == null ? "none" : b.export() + " " + b.number() + " " + b.ranges() + " " + b.entries() + " "
-                + b.delivered();
+        return b == null
+                ? "none"
+                : b.export() + " " + b.number() + " " + b.ranges() + " " + b.entries() + " " + b.delivered();
     }
 
     private static String state(Store store) throws Exception {
         Origin first = new Origin("north", (long) (OCTOBER / 1000));
         StringBuilder text = new StringBuilder("dispatcher " + store.dispatcher() + "\n");
-        text.append("counts ").append(store.counts(false)).append(" own ").append(store.counts(true)).append('\n');
+        text.append("counts ")
+                .append(store.counts(false))
+                .append(" own ")
+                .append(store.counts(true))
+                .append('\n');
         text.append("quarantined ").append(store.quarantined()).append('\n');
-        text.append("archives ").append(store.archives()).append(' ').append(store.archive("2024-10")).append('\n');
-        text.append("marked ").append(store.marked()).append(" settled ").append(store.settled(first.life()))
+        text.append("archives ")
+                .append(store.archives())
+                .append(' ')
+                .append(store.archive("2024-10"))
+                .append('\n');
+        text.append("marked ")
+                .append(store.marked())
+                .append(" settled ")
+                .append(store.settled(first.life()))
                 .append('\n');
         for (String export : List.of("files", "web")) {
-            text.append(export).append(": first ").append(batch(store.batch(export, 1))).append(", second ")
-                    .append(batch(store.batch(export, 2))).append(", pending ").append(batch(store.pending(export)))
-                    .append(", lag ").append(store.lag(export)).append('\n');
+            text.append(export)
+                    .append(": first ")
+                    .append(batch(store.batch(export, 1)))
+                    .append(", second ")
+                    .append(batch(store.batch(export, 2)))
+                    .append(", pending ")
+                    .append(batch(store.pending(export)))
+                    .append(", lag ")
+                    .append(store.lag(export))
+                    .append('\n');
         }
-        return text.append("exported ").append(store.exported(new Ref(first, 1))).append(' ')
-                .append(store.exported(new Ref(first, 8))).append('\n').toString();
+        return text.append("exported ")
+                .append(store.exported(new Ref(first, 1)))
+                .append(' ')
+                .append(store.exported(new Ref(first, 8)))
+                .append('\n')
+                .toString();
     }
 
     private static String statement(Store store, String period) throws Exception {
         Book book = new Book(TERMS, KEY_WINDOW);
         store.each(book::add);
         Statement s = book.statement(period);
-        StringBuilder text = new StringBuilder("statement " + s.period() + " closed " + s.closed() + " open "
-                + s.open() + " billed " + s.billed() + "\n");
-        s.rows().forEach(r -> text.append(String.join(" | ", List.of(r.member(), r.jobClass(), "" + r.served(),
-                "" + r.refused(), "" + r.failed(), "" + r.left(), "" + r.billed(), "" + r.estimated(), "" + r.spare(),
-                "" + r.doubts(), "" + r.repeats()))).append('\n'));
-        s.late().forEach(l -> text.append("late ").append(l.closed()).append(' ').append(l.member()).append(' ')
-                .append(l.jobClass()).append(' ').append(l.entries()).append(' ').append(l.work()).append('\n'));
-        s.gaps().forEach(g -> text.append("gap ").append(g.ref()).append(' ').append(g.from()).append(' ')
-                .append(g.to()).append(' ').append(g.jobs()).append('\n'));
-        s.voided().forEach(v -> text.append("void ").append(v.ref()).append(' ').append(v.target()).append('\n'));
+        StringBuilder text = new StringBuilder("statement " + s.period() + " closed " + s.closed() + " open " + s.open()
+                + " billed " + s.billed() + "\n");
+        s.rows()
+                .forEach(r -> text.append(String.join(
+                                " | ",
+                                List.of(
+                                        r.member(),
+                                        r.jobClass(),
+                                        "" + r.served(),
+                                        "" + r.refused(),
+                                        "" + r.failed(),
+                                        "" + r.left(),
+                                        "" + r.billed(),
+                                        "" + r.estimated(),
+                                        "" + r.spare(),
+                                        "" + r.doubts(),
+                                        "" + r.repeats())))
+                        .append('\n'));
+        s.late()
+                .forEach(l -> text.append("late ")
+                        .append(l.closed())
+                        .append(' ')
+                        .append(l.member())
+                        .append(' ')
+                        .append(l.jobClass())
+                        .append(' ')
+                        .append(l.entries())
+                        .append(' ')
+                        .append(l.work())
+                        .append('\n'));
+        s.gaps()
+                .forEach(g -> text.append("gap ")
+                        .append(g.ref())
+                        .append(' ')
+                        .append(g.from())
+                        .append(' ')
+                        .append(g.to())
+                        .append(' ')
+                        .append(g.jobs())
+                        .append('\n'));
+        s.voided()
+                .forEach(v -> text.append("void ")
+                        .append(v.ref())
+                        .append(' ')
+                        .append(v.target())
+                        .append('\n'));
         return text.toString();
     }
 
@@ -199,10 +335,13 @@
                     + statement(store, "2024-12");
             try (var left = Files.list(dir)) {
                 text += "spool files left "
-                        + left.filter(f -> f.getFileName().toString().startsWith("spool")).count() + "\n";
+                        + left.filter(f -> f.getFileName().toString().startsWith("spool"))
+                                .count() + "\n";
             }
-            assertMatches("ledger/recovered.txt", text + "idle after it "
-                    + Recovery.run(store, DECEMBER + DAY, TERMS).idle() + "\n");
+            assertMatches(
+                    "ledger/recovered.txt",
+                    text + "idle after it "
+                            + Recovery.run(store, DECEMBER + DAY, TERMS).idle() + "\n");
         }
     }
 
@@ -210,7 +349,8 @@
     void theArchiveComesBackAndBatchesAreMadeAsTheyWere() throws Exception {
         Fixture.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
-            List<Entry> back = Archive.read(GoldenFile.recorded(ARCHIVE), store.archive("2024-10").get(1));
+            List<Entry> back = Archive.read(
+                    GoldenFile.recorded(ARCHIVE), store.archive("2024-10").get(1));
             String text = "brought back " + store.unprune("2024-10", back) + "\n" + entries(store)
                     + statement(store, "2024-10");
             for (boolean csv : List.of(true, false)) {
@@ -218,8 +358,10 @@
                 text += new String(parcel.bytes(), StandardCharsets.UTF_8) + parcel.sum() + "\n";
             }
             Target.Parcel pending = Exporter.parcel(store, store.pending("files"), true);
-            assertMatches("ledger/restored.txt", text + new String(pending.bytes(), StandardCharsets.UTF_8)
-                    + pending.sum() + "\nnext " + batch(store.cut("files", 100)) + "\n");
+            assertMatches(
+                    "ledger/restored.txt",
+                    text + new String(pending.bytes(), StandardCharsets.UTF_8) + pending.sum() + "\nnext "
+                            + batch(store.cut("files", 100)) + "\n");
         }
     }
 
--- a/src/test/java/nettlewick/net/BanFileGoldenTest.java
+++ b/src/test/java/nettlewick/net/BanFileGoldenTest.java
@@ -44,9 +44,11 @@
     void theFileReadsAsItDid() throws Exception {
         Path file = Files.copy(GoldenFile.recorded(FILE), dir.resolve("bans"));
         BanStore store = new BanStore(file);
-        String text = store.news().stream().map(b -> b.runner() + " | " + b.out() + " | " + b.since() + "\n")
+        String text = store.news().stream()
+                .map(b -> b.runner() + " | " + b.out() + " | " + b.since() + "\n")
                 .collect(Collectors.joining());
-        text += store.out("runner-1") + " " + store.out("10.0.0.7:8080") + " " + store.news().size() + "\n";
+        text += store.out("runner-1") + " " + store.out("10.0.0.7:8080") + " "
+                + store.news().size() + "\n";
         store.set("runner-3", true, NOW + 100_000);
         assertMatches("net/bans-read.txt", text + Files.readString(file) + "\n");
     }
--- a/src/test/java/nettlewick/sim/SimulatorWireGoldenTest.java
+++ b/src/test/java/nettlewick/sim/SimulatorWireGoldenTest.java
@@ -28,6 +28,7 @@
     /** Workers report progress this often, so that one that does not is noticed. */
     private static final String PROGRESS = "\"family_info\":{\"class_kind\":[-1,0,0],\"class_stretch\":[2.0,2.5,2.5],"
             + "\"class_priority\":[0,1,0],\"progress\":10000000},";
+
     private static final String SETUP = """
             {"fleet_size":2,"rank":%RANK%,"zone":"north","zones":["north"],"models":["box"],"novel":{"x":[1]},\
             "classes":[{"name":"read","repeat":"retryable","aim":200000000,"deadline":5000000000,"worth":2.0},\
@@ -44,8 +45,12 @@
     private static String line(long millis, int batch, String... groups) {
         StringBuilder text = new StringBuilder("{\"wall\":" + millis * MS + ",\"batch\":" + batch + ",\"groups\":[");
         for (int i = 0; i < groups.length; i++) {
-            text.append(i > 0 ? "," : "").append("{\"dispatcher_id\":").append(4 + i).append(",\"items\":[")
-                    .append(groups[i]).append("]}");
+            text.append(i > 0 ? "," : "")
+                    .append("{\"dispatcher_id\":")
+                    .append(4 + i)
+                    .append(",\"items\":[")
+                    .append(groups[i])
+                    .append("]}");
         }
         return text + "]}";
     }
@@ -53,8 +58,13 @@
     private static String start(int rank, String mode) {
         StringBuilder elements = new StringBuilder();
         for (int i = 0; i < 3; i++) {
-            elements.append(i > 0 ? "," : "").append("{\"worker\":\"10.0.0.").append(i).append(":90\",\"lifecycle\":0,")
-                    .append("\"started_at\":null,\"cohort\":").append(i).append(",\"generation_hw\":\"box\",")
+            elements.append(i > 0 ? "," : "")
+                    .append("{\"worker\":\"10.0.0.")
+                    .append(i)
+                    .append(":90\",\"lifecycle\":0,")
+                    .append("\"started_at\":null,\"cohort\":")
+                    .append(i)
+                    .append(",\"generation_hw\":\"box\",")
                     .append("\"campus\":\"north\",\"size\":1.5}");
         }
         return "{\"type\":\"LEDGER\",\"slot\":0,\"elements\":[" + elements + "]},"
@@ -80,16 +90,31 @@
 
     private static List<String> lines(String mode) {
         String read = arrival("r1", "read", ",\"needs\":2,\"mem\":0.5,\"weight_hint\":12");
-        return List.of(line(5, 1, start(0, mode), start(1, mode)),
-                line(6, 2, read + "," + arrival("k1", "keyed", ",\"name_key\":\"k\""),
+        return List.of(
+                line(5, 1, start(0, mode), start(1, mode)),
+                line(
+                        6,
+                        2,
+                        read + "," + arrival("k1", "keyed", ",\"name_key\":\"k\""),
                         arrival("m1", "mark", ",\"repeat\":true,\"is_write\":true,\"novel\":[{}]")),
                 line(7, 3),
-                line(9, 4, "{\"type\":\"ACCEPTED\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"latency\":1},"
-                        + "{\"type\":\"INTERIM\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"sort\":2,"
-                        + "\"amount\":0.25}", "{\"type\":\"VANISHED\",\"txn\":\"m1\"}"),
-                line(12, 5, reply("r1", 0, "10.0.0.0:90", "saturated") + "," + reply("r1", 0, "10.0.0.1:90", "saturated")
-                        + "," + reply("r1", 0, "10.0.0.2:90", "saturated"), timer("beat")),
-                line(60, 6, timer("beat") + "," + arrival("r2", "read", "") + "," + arrival("r3", "read", ""),
+                line(
+                        9,
+                        4,
+                        "{\"type\":\"ACCEPTED\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"latency\":1},"
+                                + "{\"type\":\"INTERIM\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"sort\":2,"
+                                + "\"amount\":0.25}",
+                        "{\"type\":\"VANISHED\",\"txn\":\"m1\"}"),
+                line(
+                        12,
+                        5,
+                        reply("r1", 0, "10.0.0.0:90", "saturated") + "," + reply("r1", 0, "10.0.0.1:90", "saturated")
+                                + "," + reply("r1", 0, "10.0.0.2:90", "saturated"),
+                        timer("beat")),
+                line(
+                        60,
+                        6,
+                        timer("beat") + "," + arrival("r2", "read", "") + "," + arrival("r3", "read", ""),
                         "{\"type\":\"ROSTER_CHANGE\",\"scope\":3,\"stamp\":2,\"slot\":0}"),
                 line(500, 7, timer("beat") + "," + timer("unknown"), timer("beat")),
                 line(3000, 8, timer("beat") + "," + arrival("m2", "mark", ""), arrival("r4", "read", "")),
@@ -98,8 +123,10 @@
 
     private static String serve(List<String> lines) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost().serve(new ByteArrayInputStream((String.join("\n", lines) + "\n")
-                .getBytes(StandardCharsets.UTF_8)), out);
+        new WireHost()
+                .serve(
+                        new ByteArrayInputStream((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8)),
+                        out);
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -128,8 +155,17 @@
      */
     @Test
     void aPlayedExchange() throws IOException {
-        String[] dispositions = {"completed", "saturated", "errored", "overdue", "completed", "refused_conn", "severed",
-            "recalled", "superseded"};
+        String[] dispositions = {
+            "completed",
+            "saturated",
+            "errored",
+            "overdue",
+            "completed",
+            "refused_conn",
+            "severed",
+            "recalled",
+            "superseded"
+        };
         String[] classes = {"read", "keyed", "mark"};
         WireHost host = new WireHost();
         StringBuilder text = new StringBuilder();
@@ -164,26 +200,42 @@
                     int attempt = attempts.merge(first, 1, Integer::sum) - 1;
                     String result = dispositions[relays++ % dispositions.length];
                     if (relays % 3 == 0) {
-                        add(due, now + 2, instance, "{\"type\":\"ACCEPTED\",\"txn\":\"" + first + "\",\"seq_no\":"
-                                + attempt + ",\"worker\":\"" + worker + "\",\"latency\":1}");
+                        add(
+                                due,
+                                now + 2,
+                                instance,
+                                "{\"type\":\"ACCEPTED\",\"txn\":\"" + first + "\",\"seq_no\":" + attempt
+                                        + ",\"worker\":\"" + worker + "\",\"latency\":1}");
                     }
-                    add(due, now + 1, instance, "{\"type\":\"INTERIM\",\"txn\":\"" + first + "\",\"seq_no\":"
-                            + attempt + ",\"worker\":\"" + worker + "\",\"sort\":2,\"amount\":0}");
+                    add(
+                            due,
+                            now + 1,
+                            instance,
+                            "{\"type\":\"INTERIM\",\"txn\":\"" + first + "\",\"seq_no\":" + attempt + ",\"worker\":\""
+                                    + worker + "\",\"sort\":2,\"amount\":0}");
                     add(due, now + (silent ? 3000 : 9), instance, reply(first, attempt, worker, result));
                 } else if (order.group(1).equals("PING")) {
-                    add(due, now + (silent ? 100 : 3), instance, "{\"type\":\"HEALTH\",\"worker\":\"" + first
-                            + "\",\"disposition\":\"" + (silent ? "overdue" : "completed") + "\",\"latency\":2000000,\"telemetry\":{\"x0\":1,"
-                            + "\"concurrent\":2}}");
+                    add(
+                            due,
+                            now + (silent ? 100 : 3),
+                            instance,
+                            "{\"type\":\"HEALTH\",\"worker\":\"" + first
+                                    + "\",\"disposition\":\"" + (silent ? "overdue" : "completed")
+                                    + "\",\"latency\":2000000,\"telemetry\":{\"x0\":1,"
+                                    + "\"concurrent\":2}}");
                 } else if (order.group(1).equals("BROADCAST_TO")) {
-                    add(due, now + 1, 1 - instance, "{\"type\":\"MEMO\",\"who\":" + instance + ",\"data\":\""
-                            + order.group(3) + "\"}");
+                    add(
+                            due,
+                            now + 1,
+                            1 - instance,
+                            "{\"type\":\"MEMO\",\"who\":" + instance + ",\"data\":\"" + order.group(3) + "\"}");
                 } else {
                     add(due, now + Math.max(1, Long.parseLong(first) / MS), instance, timer(order.group(3)));
                 }
             }
         }
-        for (String kind : List.of("RELAY", "OVERLOAD_REPLY", "DROP_REQUEST", "PING", "BROADCAST_TO",
-                "REMIND", "SUBSCRIBE")) {
+        for (String kind :
+                List.of("RELAY", "OVERLOAD_REPLY", "DROP_REQUEST", "PING", "BROADCAST_TO", "REMIND", "SUBSCRIBE")) {
             assertTrue(text.indexOf("{\"type\":\"" + kind + "\"") > 0, kind + " was not played");
         }
         assertMatches("wire/simulator-played.txt", text.toString());
@@ -199,22 +251,35 @@
     }
 
     private static void add(TreeMap<Long, List<List<String>>> due, long at, int instance, String item) {
-        due.computeIfAbsent(at, t -> List.of(new ArrayList<>(), new ArrayList<>())).get(instance).add(item);
+        due.computeIfAbsent(at, t -> List.of(new ArrayList<>(), new ArrayList<>()))
+                .get(instance)
+                .add(item);
     }
 
     @Test
     void badLines() {
         String good = line(5, 1, start(0, "pushed"));
         StringBuilder text = new StringBuilder();
-        for (String line : List.of("", " ", "7", "{", "[]", "{\"wall\":1,\"batch\":1}",
-                "{\"wall\":\"x\",\"batch\":1,\"groups\":[]}", line(1, 1) + " {}",
-                "{\"wall\":1,\"batch\":1,\"groups\":[{\"items\":[]}]}", line(1, 1, "{\"type\":\"NOVEL\"}"),
-                line(1, 1, "{}"), line(1, 1, "{\"type\":\"ARRIVAL\",\"txn\":\"a\"}"),
+        for (String line : List.of(
+                "",
+                " ",
+                "7",
+                "{",
+                "[]",
+                "{\"wall\":1,\"batch\":1}",
+                "{\"wall\":\"x\",\"batch\":1,\"groups\":[]}",
+                line(1, 1) + " {}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"items\":[]}]}",
+                line(1, 1, "{\"type\":\"NOVEL\"}"),
+                line(1, 1, "{}"),
+                line(1, 1, "{\"type\":\"ARRIVAL\",\"txn\":\"a\"}"),
                 line(1, 1, "{\"type\":\"MEMO\",\"who\":1,\"data\":\"?\"}"),
                 line(1, 1, "{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}"),
                 line(1, 1, reply("a", 0, "w", "strange")),
-                good.replace("\"rank\":0", "\"rank\":9"), good.replace("retryable", "sometimes"),
-                good.replace("\"fleet_size\":2", "\"fleet_size\":0"), good.replace("\"attempts_cap\":3,", ""),
+                good.replace("\"rank\":0", "\"rank\":9"),
+                good.replace("retryable", "sometimes"),
+                good.replace("\"fleet_size\":2", "\"fleet_size\":0"),
+                good.replace("\"attempts_cap\":3,", ""),
                 good.replace("\"lifecycle\":0", "\"lifecycle\":17"))) {
             text.append("> ").append(line.length() > 200 ? "a line of " + line.length() + " characters" : line);
             try {
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -35,8 +35,10 @@
 
     private void start(String... settings) throws Exception {
         world.addRunner("s-1");
-        EdgeConfig edge = EdgeConfig.of(Settings.parse("test", "edge {\nlisten 127.0.0.1:0\n"
-                + String.join("\n", settings) + "\n}").block("edge").get());
+        EdgeConfig edge = EdgeConfig.of(
+                Settings.parse("test", "edge {\nlisten 127.0.0.1:0\n" + String.join("\n", settings) + "\n}")
+                        .block("edge")
+                        .get());
         port = world.start(base -> new EdgeFront(base, edge)).ports().get(1);
     }
 
@@ -58,13 +60,16 @@
         text.append(entry("its stream by its address", ask(port, get("/events/a%20b+c"))));
         text.append(entry("its stream from event 2 on", ask(port, get("/events/a%20b+c", "Last-Event-ID: 2"))));
         text.append(entry("its stream, all seen", ask(port, get("/events/a%20b+c", "Last-Event-ID: 3"))));
-        text.append(entry("an unreadable number of the event last seen",
-                ask(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
+        text.append(entry(
+                "an unreadable number of the event last seen", ask(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
         text.append(entry("last on its connection", ask(port, post("d", "mark-submit", "Connection: close"))));
         text.append(entry("begun in an earlier life", ask(port, post("e", "mark-submit", "Last-Event-ID: 7"))));
         world.instead = request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
         text.append(entry("a result with quotes and other letters", ask(port, post("f", "mark-submit"))));
-        world.instead = request -> request.response().setStatusCode(503).putHeader("X-Not-Run", "1").end();
+        world.instead = request -> request.response()
+                .setStatusCode(503)
+                .putHeader("X-Not-Run", "1")
+                .end();
         text.append(entry("unavailable", ask(port, post("g", "mark-submit"))));
         world.instead = request -> request.connection().close();
         text.append(entry("failed", ask(port, post("h", "mark-submit"))));
@@ -83,7 +88,7 @@
         text.append(entry("no such stream", ask(port, get("/events/z"))));
         text.append(entry("an id that is not percent-encoded", ask(port, get("/events/%zz"))));
         text.append(entry("an unknown class", ask(port, post("b", "no-class"))));
-        world.instead = request -> { };
+        world.instead = request -> {};
         try (Socket open = new Socket("127.0.0.1", port)) {
             open.getOutputStream().write(post("c", "mark-submit").getBytes(StandardCharsets.US_ASCII));
             until(() -> world.seen.size() == 2);
--- a/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
+++ b/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
@@ -18,9 +18,26 @@
     private Path dir;
 
     private static WaitStore.Job job(String id, Plan.OnFailure onFailure, String key, String... after) {
-        return new WaitStore.Job(new Plan.Ask(id, "blue, \"école\" ✓", "name-" + id, List.of(after), NOW + 1000,
-                NOW + 60_000.5, onFailure, 17), "save-run", 2.5, 300, "POST", "/api?x=1&y=<2>", "{\"a\": 'b'}\n", key,
-                1, 0.25, 40);
+        return new WaitStore.Job(
+                new Plan.Ask(
+                        id,
+                        "blue, \"école\" ✓",
+                        "name-" + id,
+                        List.of(after),
+                        NOW + 1000,
+                        NOW + 60_000.5,
+                        onFailure,
+                        17),
+                "save-run",
+                2.5,
+                300,
+                "POST",
+                "/api?x=1&y=<2>",
+                "{\"a\": 'b'}\n",
+                key,
+                1,
+                0.25,
+                40);
     }
 
     /** Writes the store anew; only where that was asked for. */
@@ -29,14 +46,21 @@
         if (!Boolean.getBoolean("golden.record")) {
             return;
         }
-        try (WaitStore store = WaitStore.open(made, name -> { })) {
-            store.accept(List.of(job("one", Plan.OnFailure.FAIL, "key"), job("two", Plan.OnFailure.RUN, null, "one"),
-                    job("three", Plan.OnFailure.SKIP, null, "one", "two"),
-                    job("four", Plan.OnFailure.FAIL, null)), NOW);
+        try (WaitStore store = WaitStore.open(made, name -> {})) {
+            store.accept(
+                    List.of(
+                            job("one", Plan.OnFailure.FAIL, "key"),
+                            job("two", Plan.OnFailure.RUN, null, "one"),
+                            job("three", Plan.OnFailure.SKIP, null, "one", "two"),
+                            job("four", Plan.OnFailure.FAIL, null)),
+                    NOW);
             store.release(List.of("one", "two", "four"), NOW + 1);
             store.back("four", NOW + 2);
-            store.end(List.of(new WaitStore.Ended("one", "SUCCEEDED", null, 7),
-                    new WaitStore.Ended("three", "FAILED", "the deadline passed", 8)), NOW + 3);
+            store.end(
+                    List.of(
+                            new WaitStore.Ended("one", "SUCCEEDED", null, 7),
+                            new WaitStore.Ended("three", "FAILED", "the deadline passed", 8)),
+                    NOW + 3);
             Fixture.record(made, FOLDER, "-shm");
         }
     }
@@ -46,11 +70,34 @@
         for (WaitStore.Stored s : store.load()) {
             WaitStore.Job j = s.job();
             Plan.Ask a = j.ask();
-            text.append(String.join(" | ", a.id(), a.member(), a.name(), "" + a.after(), "" + a.notBefore(),
-                    "" + a.until(), a.onFailure().name(), "" + a.bytes(), j.jobClass(), "" + j.worth(), "" + j.run(),
-                    j.method(), j.uri(), j.body().trim(), j.key(), "" + j.slots(), "" + j.memory(), "" + j.hint(),
-                    s.state().name(), "" + s.changed(), s.site(), "" + s.attempts(), "" + s.event(), s.fate(),
-                    s.cause())).append('\n');
+            text.append(String.join(
+                            " | ",
+                            a.id(),
+                            a.member(),
+                            a.name(),
+                            "" + a.after(),
+                            "" + a.notBefore(),
+                            "" + a.until(),
+                            a.onFailure().name(),
+                            "" + a.bytes(),
+                            j.jobClass(),
+                            "" + j.worth(),
+                            "" + j.run(),
+                            j.method(),
+                            j.uri(),
+                            j.body().trim(),
+                            j.key(),
+                            "" + j.slots(),
+                            "" + j.memory(),
+                            "" + j.hint(),
+                            s.state().name(),
+                            "" + s.changed(),
+                            s.site(),
+                            "" + s.attempts(),
+                            "" + s.event(),
+                            s.fate(),
+                            s.cause()))
+                    .append('\n');
         }
         return text.toString();
     }
@@ -58,7 +105,7 @@
     @Test
     void theJobsReadAsTheyDidAndGoOnFromThere() throws Exception {
         Fixture.copy(FOLDER, dir);
-        try (WaitStore store = WaitStore.open(dir, name -> { })) {
+        try (WaitStore store = WaitStore.open(dir, name -> {})) {
             String text = jobs(store);
             store.release(List.of("four"), NOW + 10);
             text += "forgotten " + store.forget(NOW + 4) + "\n" + jobs(store);
