--- a/src/main/java/nettlewick/admin/AdminFront.java
+++ b/src/main/java/nettlewick/admin/AdminFrontend.java
@@ -23,7 +23,7 @@
  * The operators' way in: one call a connection. Has an event loop and a listener of its own, so that neither
  * a crowd of clients nor work for them holds an answer up. Holds no state of the dispatcher.
  */
-public final class AdminFront {
+public final class AdminFrontend {
     /** Callers held at once. Danger: silent ones would use up the descriptors; the oldest makes way. */
     public static final int CALLERS_MOST = 24;
     /** Time for one call, from connecting to the close. */
@@ -39,7 +39,7 @@
     private final Context loop;
     private final Set<HttpConnection> callers = new LinkedHashSet<>();
 
-    public AdminFront(SocketAddress address, Operations operations) {
+    public AdminFrontend(SocketAddress address, Operations operations) {
         this.address = address;
         this.operations = operations;
         vertx = Vertx.vertx(new VertxOptions()
@@ -95,25 +95,25 @@
 
     private void call(HttpServerRequest request) {
         String path = String.valueOf(request.path());
-        Matcher runner = RUNNER.matcher(path);
+        Matcher endpoint = RUNNER.matcher(path);
         HttpMethod wanted = switch (path) {
             case "/-/ready", "/-/metrics" -> HttpMethod.GET;
             case "/-/drain", "/-/resume" -> HttpMethod.POST;
-            default -> runner.matches() ? HttpMethod.POST : null;
+            default -> endpoint.matches() ? HttpMethod.POST : null;
         };
         if (wanted == null) {
             answer(request, 404, "no such call\n");
         } else if (!wanted.equals(request.method())) {
             request.response().putHeader("Allow", wanted.name());
             answer(request, 405, "this call comes by " + wanted + "\n");
-        } else if (runner.matches()) {
-            ban(request, runner.group(1), runner.group(2).equals("disable"));
+        } else if (endpoint.matches()) {
+            ban(request, endpoint.group(1), endpoint.group(2).equals("disable"));
         } else {
             switch (path) {
                 case "/-/ready" -> yes(request, operations.ready(), 503, "takes no clients\n");
                 case "/-/drain" -> yes(request, operations.drain(), 409, "starts or ends\n");
                 case "/-/resume" -> yes(request, operations.resume(), 409, "ends\n");
-                default -> answer(request, OK, FiguresText.of(operations.figures(), operations.more()));
+                default -> answer(request, OK, MetricsText.of(operations.figures(), operations.more()));
             }
         }
     }
--- a/src/main/java/nettlewick/admin/FiguresText.java
+++ b/src/main/java/nettlewick/admin/MetricsText.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import nettlewick.core.Figures;
-import nettlewick.core.Figures.End;
+import nettlewick.core.Metrics;
+import nettlewick.core.Metrics.End;
 
 /** The figures as operators read them: one {@code name=value} a line. */
-final class FiguresText {
+final class MetricsText {
     private static final String PREFIX = "router.";
 
-    private FiguresText() {}
+    private MetricsText() {}
 
-    static String of(Figures.Snapshot figures, Map<String, Number> more) {
+    static String of(Metrics.Snapshot figures, Map<String, Number> more) {
         StringBuilder text = new StringBuilder();
         figures.jobs().forEach((name, counts) -> ends(text, name, counts));
         line(text, "relayed", figures.relayed());
--- a/src/main/java/nettlewick/admin/Operations.java
+++ b/src/main/java/nettlewick/admin/Operations.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.Future;
 import java.util.Map;
-import nettlewick.core.Figures;
+import nettlewick.core.Metrics;
 
 /** What operators can ask of a dispatcher. Called on the operators' event loop; nothing here blocks. */
 public interface Operations {
@@ -10,7 +10,7 @@
     boolean ready();
 
     /** The figures now. */
-    Figures.Snapshot figures();
+    Metrics.Snapshot figures();
 
     /** Figures of parts that not every dispatcher has, by name. */
     default Map<String, Number> more() {
@@ -18,7 +18,7 @@
     }
 
     /** Takes a sim runner out, or puts it back; false if none has this id. In force once it is told. */
-    Future<Boolean> ban(String runner, boolean out);
+    Future<Boolean> ban(String endpoint, boolean out);
 
     /** Sends clients away; false while this process starts or ends. */
     boolean drain();
--- a/src/main/java/nettlewick/cli/Demo.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -15,19 +15,19 @@
 import nettlewick.ledger.LedgerService;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.log.LogSetup;
-import nettlewick.net.Config;
-import nettlewick.net.Node;
-import nettlewick.net.PlatformFront;
+import nettlewick.net.DispatcherServer;
+import nettlewick.net.PlatformConfig;
+import nettlewick.net.PlatformFrontend;
 import nettlewick.settings.Settings;
-import nettlewick.sse.EdgeConfig;
-import nettlewick.sse.EdgeFront;
-import nettlewick.standins.StandIns;
+import nettlewick.sse.EventStreamConfig;
+import nettlewick.sse.EventStreamFrontend;
+import nettlewick.standins.StubPlatform;
 
 @Parameters(
         commandNames = "demo",
         commandDescription =
                 "Run discovery, four sim runners and a dispatcher in one process on loopback, and say how to call it")
-final class Demo implements Command {
+final class DemoCommand implements Command {
     @Parameter(names = "--seconds", description = "End by itself after so long; 0: at Ctrl-C")
     private int seconds;
 
@@ -52,22 +52,23 @@
                     """.formatted(folder.resolve("ledger")));
             Settings settings = SettingsCommand.read(file.toString());
             LogSetup.apply(settings.block("log"));
-            StandIns world = new StandIns();
+            StubPlatform world = new StubPlatform();
             world.runTime = RUN_MILLIS;
             for (int i = 1; i <= RUNNERS; i++) {
                 world.addRunner("runner-" + i);
             }
             Map<String, Object> text = world.config();
             text.put("admin_addr", "127.0.0.1:0");
-            Config config = Config.of(new Gson().toJson(text), Map.of());
+            PlatformConfig config = PlatformConfig.of(new Gson().toJson(text), Map.of());
             Clock clock = Clock.system();
             LedgerService ledger = new LedgerService(
                     config.name(), LedgerSettings.of(settings.block("ledger").orElseThrow()), clock, config.seed());
             ledger.start();
-            EdgeConfig edge = EdgeConfig.of(settings.block("edge").orElseThrow());
-            Node node =
-                    new Node(config, clock, PlatformFront::new, base -> new EdgeFront(base, edge)).keep(ledger.books());
-            StandIns.get(node.start());
+            EventStreamConfig edge = EventStreamConfig.of(settings.block("edge").orElseThrow());
+            DispatcherServer node = new DispatcherServer(
+                            config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, edge))
+                    .keep(ledger.books());
+            StubPlatform.get(node.start());
             Thread end = new Thread(() -> end(node, ledger, world, folder), "demo-end");
             Runtime.getRuntime().addShutdownHook(end);
             print(node.ports(), node.adminPort(), file);
@@ -80,15 +81,15 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.FAILED;
-        } catch (Misuse e) {
+        } catch (UsageException e) {
             throw e;
         } catch (Exception e) {
-            throw new Misuse(Main.FAILED, "the demonstration cannot start: " + e);
+            throw new UsageException(Main.FAILED, "the demonstration cannot start: " + e);
         }
     }
 
     private static void print(List<Integer> ports, int admin, Path file) {
-        String jar = Path.of(Demo.class
+        String jar = Path.of(DemoCommand.class
                         .getProtectionDomain()
                         .getCodeSource()
                         .getLocation()
@@ -106,9 +107,9 @@
         System.out.flush();
     }
 
-    private static void end(Node node, LedgerService ledger, StandIns world, Path folder) {
+    private static void end(DispatcherServer node, LedgerService ledger, StubPlatform world, Path folder) {
         try {
-            StandIns.get(node.close());
+            StubPlatform.get(node.close());
             ledger.close();
             world.close();
             try (Stream<Path> files = Files.walk(folder)) {
--- a/src/main/java/nettlewick/cli/LabCommand.java
+++ b/src/main/java/nettlewick/cli/FleetTestCommand.java
@@ -8,13 +8,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import nettlewick.lab.Lab;
-import nettlewick.settings.BadSettings;
+import nettlewick.settings.InvalidSettingsException;
 
 @Parameters(
         commandNames = "lab",
         commandDescription = "check FILE, run FILE (a fleet of real processes with"
                 + " faults between them), or compare FOLDER FOLDER")
-final class LabCommand implements Command {
+final class FleetTestCommand implements Command {
     @Parameter(description = "check FILE | run FILE | compare FOLDER FOLDER", required = true)
     private List<String> words = new ArrayList<>();
 
@@ -26,7 +26,7 @@
         String what = words.get(0);
         boolean two = what.equals("compare");
         if (!List.of("check", "run", "compare").contains(what) || words.size() != (two ? 3 : 2)) {
-            throw new Misuse(
+            throw new UsageException(
                     Main.MISUSED,
                     "lab: expected check FILE, run FILE or compare FOLDER FOLDER, got " + String.join(" ", words));
         }
@@ -41,15 +41,15 @@
                 return 0;
             }
             return Lab.run(first, Path.of(out), this::progress, this::figure) ? 0 : Main.FAILED;
-        } catch (BadSettings | InvalidPathException e) {
-            throw new Misuse(Main.MISUSED, e.getMessage());
+        } catch (InvalidSettingsException | InvalidPathException e) {
+            throw new UsageException(Main.MISUSED, e.getMessage());
         } catch (IOException e) {
-            throw new Misuse(Main.FAILED, "lab: " + e.getMessage());
+            throw new UsageException(Main.FAILED, "lab: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.FAILED;
         } catch (Exception e) {
-            throw new Misuse(Main.FAILED, "lab: " + e);
+            throw new UsageException(Main.FAILED, "lab: " + e);
         }
     }
 
--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.core.Clock;
-import nettlewick.ledger.Desk;
+import nettlewick.ledger.LedgerAdmin;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.ledger.Statement;
 import nettlewick.settings.Block;
@@ -46,8 +46,8 @@
     public int run() {
         Block block = SettingsCommand.read(file)
                 .block("ledger")
-                .orElseThrow(() -> new Misuse(Main.MISUSED, file + ": has no block ledger"));
-        Desk desk = new Desk(LedgerSettings.of(block), Clock.system());
+                .orElseThrow(() -> new UsageException(Main.MISUSED, file + ": has no block ledger"));
+        LedgerAdmin desk = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
         try {
             return switch (words.get(0)) {
                 case "statement" -> statement(desk, word(1, 2));
@@ -67,10 +67,10 @@
                             needed(1, 3, "PERIOD [FILE]"),
                             desk.restore(
                                     needed(1, 3, "PERIOD [FILE]"), word(2, 3) == null ? null : Path.of(word(2, 3))));
-                default -> throw new Misuse(Main.MISUSED, "ledger: no such call: " + words.get(0));
+                default -> throw new UsageException(Main.MISUSED, "ledger: no such call: " + words.get(0));
             };
-        } catch (Desk.Refused e) {
-            throw new Misuse(e.misuse() ? Main.MISUSED : Main.FAILED, e.getMessage());
+        } catch (LedgerAdmin.Refused e) {
+            throw new UsageException(e.misuse() ? Main.MISUSED : Main.FAILED, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.FAILED;
@@ -79,7 +79,8 @@
 
     private String word(int at, int most) {
         if (words.size() > most) {
-            throw new Misuse(Main.MISUSED, "ledger " + words.get(0) + ": too many words: " + String.join(" ", words));
+            throw new UsageException(
+                    Main.MISUSED, "ledger " + words.get(0) + ": too many words: " + String.join(" ", words));
         }
         return words.size() > at ? words.get(at) : null;
     }
@@ -87,7 +88,7 @@
     private String needed(int at, int most, String form) {
         String word = word(at, most);
         if (word == null) {
-            throw new Misuse(Main.MISUSED, "ledger " + words.get(0) + ": needs " + form);
+            throw new UsageException(Main.MISUSED, "ledger " + words.get(0) + ": needs " + form);
         }
         return word;
     }
@@ -101,7 +102,7 @@
         return BigDecimal.valueOf(micros).divide(MICROS).setScale(3).toPlainString();
     }
 
-    private int statement(Desk desk, String period) throws Desk.Refused {
+    private int statement(LedgerAdmin desk, String period) throws LedgerAdmin.Refused {
         List<Statement> statements =
                 desk.statements(period).stream().map(this::ofMember).toList();
         StringBuilder text = new StringBuilder();
@@ -113,7 +114,7 @@
                                     ? ", closed\n"
                                     : ", open at " + (s.open().isEmpty() ? "nobody" : String.join(", ", s.open()))
                                             + "\n");
-            Table rows = new Table(
+            TextTable rows = new TextTable(
                     "member",
                     "class",
                     "served",
@@ -139,13 +140,13 @@
                             r.doubts(),
                             r.repeats()));
             text.append(rows);
-            Table late = new Table("found after the close of", "member", "class", "entries", "slot-ms");
+            TextTable late = new TextTable("found after the close of", "member", "class", "entries", "slot-ms");
             s.late().forEach(l -> late.row(l.closed(), l.member(), l.jobClass(), l.entries(), millis(l.work())));
             text.append(late.empty() ? "" : "\n" + late);
-            Table gaps = new Table("gap", "from", "to", "jobs not entered");
+            TextTable gaps = new TextTable("gap", "from", "to", "jobs not entered");
             s.gaps().forEach(g -> gaps.row(g.ref(), g.from(), g.to(), g.jobs()));
             text.append(gaps.empty() ? "" : "\n" + gaps);
-            Table voided = new Table("correction", "of", "does not count, since");
+            TextTable voided = new TextTable("correction", "of", "does not count, since");
             s.voided().forEach(v -> voided.row(v.ref(), v.target(), v.why()));
             text.append(voided.empty() ? "" : "\n" + voided)
                     .append("billed in all: ")
@@ -169,18 +170,18 @@
                         s.voided());
     }
 
-    private int close(Desk desk, String period) throws Desk.Refused, InterruptedException {
+    private int close(LedgerAdmin desk, String period) throws LedgerAdmin.Refused, InterruptedException {
         desk.close(period, by.isBlank() ? System.getProperty("user.name") : by);
         say(Map.of("closed", period), "period " + period + " is closed\n");
         return 0;
     }
 
-    private int correct(Desk desk, String entry, String value) throws Desk.Refused, InterruptedException {
+    private int correct(LedgerAdmin desk, String entry, String value) throws LedgerAdmin.Refused, InterruptedException {
         long work;
         try {
             work = new BigDecimal(value).multiply(MICROS).longValueExact();
         } catch (ArithmeticException | NumberFormatException e) {
-            throw new Misuse(
+            throw new UsageException(
                     Main.MISUSED,
                     "the new value is " + value + ", but has to be slot-milliseconds with three decimals at most");
         }
@@ -189,9 +190,9 @@
         return 0;
     }
 
-    private int export(Desk desk, String name) throws Desk.Refused, InterruptedException {
+    private int export(LedgerAdmin desk, String name) throws LedgerAdmin.Refused, InterruptedException {
         Map<String, Object> said = new LinkedHashMap<>();
-        Table table = new Table("export", "batches", "entries", "tries", "fault");
+        TextTable table = new TextTable("export", "batches", "entries", "tries", "fault");
         boolean[] failed = new boolean[1];
         desk.export(name).forEach((export, r) -> {
             said.put(export, r);
@@ -202,9 +203,9 @@
         return failed[0] ? Main.FAILED : 0;
     }
 
-    private int reconcile(Desk desk) throws Desk.Refused, InterruptedException {
+    private int reconcile(LedgerAdmin desk) throws LedgerAdmin.Refused, InterruptedException {
         Map<String, Object> said = new LinkedHashMap<>();
-        Table table = new Table("peer", "entries", "origins", "forks", "faults");
+        TextTable table = new TextTable("peer", "entries", "origins", "forks", "faults");
         boolean[] failed = new boolean[1];
         desk.reconcile().forEach((peer, r) -> {
             said.put(peer, r);
@@ -220,7 +221,7 @@
         return failed[0] ? Main.FAILED : 0;
     }
 
-    private int verify(Desk desk) throws Desk.Refused {
+    private int verify(LedgerAdmin desk) throws LedgerAdmin.Refused {
         List<String> faults = desk.verify();
         say(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults) + "\n");
         return faults.isEmpty() ? 0 : Main.FAILED;
--- a/src/main/java/nettlewick/cli/Main.java
+++ b/src/main/java/nettlewick/cli/Main.java
@@ -24,7 +24,7 @@
     private Main() {}
 
     public static void main(String[] args) {
-        Hangup.install();
+        ReloadSignal.install();
         int code = run(args);
         if (code != 0) {
             System.exit(code);
@@ -38,15 +38,15 @@
 
     private static Command command(String name) {
         return switch (name) {
-            case "serve" -> new Serve();
-            case "drill" -> new Drill();
-            case "replay" -> new Replay();
-            case "demo" -> new Demo();
+            case "serve" -> new ServeCommand();
+            case "drill" -> new SimulatorAdapterCommand();
+            case "replay" -> new ReplayCommand();
+            case "demo" -> new DemoCommand();
             case "ledger" -> new LedgerCommand();
             case "settings" -> new SettingsCommand();
-            case "lab" -> new LabCommand();
-            case "version" -> new Version();
-            default -> new Warm();
+            case "lab" -> new FleetTestCommand();
+            case "version" -> new VersionCommand();
+            default -> new WarmUpCommand();
         };
     }
 
@@ -77,7 +77,7 @@
                 line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
         try {
             return command.run();
-        } catch (Misuse e) {
+        } catch (UsageException e) {
             System.err.println("nettlewick: " + e.getMessage());
             return e.code;
         }
--- a/src/main/java/nettlewick/cli/Additions.java
+++ b/src/main/java/nettlewick/cli/OptionalFeatures.java
@@ -2,31 +2,31 @@
 
 import java.io.IOException;
 import java.util.List;
-import nettlewick.core.Books;
 import nettlewick.core.Clock;
-import nettlewick.core.Witness;
-import nettlewick.net.Config;
-import nettlewick.net.Front;
+import nettlewick.core.RequestListener;
+import nettlewick.core.UsageRecorder;
+import nettlewick.net.Frontend;
+import nettlewick.net.PlatformConfig;
 
 /** What a settings file adds to a dispatcher. Without one, none of its classes is loaded. */
-interface Additions {
+interface OptionalFeatures {
     /** No file, nothing added. */
-    Additions NONE = new Additions() {};
+    OptionalFeatures NONE = new OptionalFeatures() {};
 
     /** Starts what has to be there before the first job. */
-    default void start(Config config, Clock clock) throws IOException {}
+    default void start(PlatformConfig config, Clock clock) throws IOException {}
 
     /** Further ways in. */
-    default void fronts(List<Front.Maker> fronts) {}
+    default void fronts(List<Frontend.Maker> fronts) {}
 
     /** What keeps the books. */
-    default Books books() {
-        return Books.NONE;
+    default UsageRecorder books() {
+        return UsageRecorder.NONE;
     }
 
     /** Who is told of jobs and attempts. */
-    default Witness witness() {
-        return Witness.NONE;
+    default RequestListener witness() {
+        return RequestListener.NONE;
     }
 
     /** Reads the file again; the step that takes it over comes back, so that all or nothing counts. */
--- a/src/main/java/nettlewick/cli/Hangup.java
+++ b/src/main/java/nettlewick/cli/ReloadSignal.java
@@ -7,10 +7,10 @@
  * SIGHUP: the configuration is to be read again. Caught from the first line of {@code main} on and kept until
  * somebody asks. Danger: left to the JVM, it ends the process like SIGTERM.
  */
-final class Hangup {
+final class ReloadSignal {
     private static final Semaphore CAUGHT = new Semaphore(0);
 
-    private Hangup() {}
+    private ReloadSignal() {}
 
     /** By reflection: the class is in the JDK's supported module, but the compiler warns of its name. */
     static void install() {
--- a/src/main/java/nettlewick/cli/Replay.java
+++ b/src/main/java/nettlewick/cli/ReplayCommand.java
@@ -8,16 +8,16 @@
 import java.nio.file.Path;
 import java.util.concurrent.ExecutionException;
 import nettlewick.core.Clock;
-import nettlewick.net.Config;
-import nettlewick.net.Fields;
-import nettlewick.net.Node;
+import nettlewick.net.DispatcherServer;
+import nettlewick.net.JsonFields;
+import nettlewick.net.PlatformConfig;
 import nettlewick.pcap.Capture;
-import nettlewick.pcap.ReplayFront;
+import nettlewick.pcap.CaptureReplayer;
 
 @Parameters(
         commandNames = "replay",
         commandDescription = "Send the requests of a capture file at their recorded spacing")
-final class Replay implements Command {
+final class ReplayCommand implements Command {
     @Parameter(description = "FILE", required = true)
     private String file;
 
@@ -27,24 +27,25 @@
         try {
             capture = Capture.read(Path.of(file));
         } catch (IOException | IllegalArgumentException e) {
-            throw new Misuse(Main.FAILED, file + ": " + e.getMessage());
+            throw new UsageException(Main.FAILED, file + ": " + e.getMessage());
         }
-        Promise<ReplayFront> made = Promise.promise();
+        Promise<CaptureReplayer> made = Promise.promise();
         try {
-            Node node = new Node(Config.load(System.getenv()), Clock.system(), base -> {
-                ReplayFront front = new ReplayFront(base, capture);
+            DispatcherServer node = new DispatcherServer(PlatformConfig.load(System.getenv()), Clock.system(), base -> {
+                CaptureReplayer front = new CaptureReplayer(base, capture);
                 made.complete(front);
                 return front;
             });
-            Future<ReplayFront.Summary> done =
-                    node.start().compose(v -> made.future()).compose(ReplayFront::done);
+            Future<CaptureReplayer.Summary> done =
+                    node.start().compose(v -> made.future()).compose(CaptureReplayer::done);
             System.out.println(done.toCompletionStage().toCompletableFuture().get());
             node.close();
             return 0;
-        } catch (Fields.Bad e) {
-            throw new Misuse(Main.MISUSED, e.getMessage());
+        } catch (JsonFields.InvalidFieldException e) {
+            throw new UsageException(Main.MISUSED, e.getMessage());
         } catch (ExecutionException e) {
-            throw new Misuse(Main.FAILED, "cannot replay: " + e.getCause().getMessage());
+            throw new UsageException(
+                    Main.FAILED, "cannot replay: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.FAILED;
--- a/src/main/java/nettlewick/cli/Serve.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import nettlewick.core.Clock;
-import nettlewick.log.Part;
-import nettlewick.net.Config;
-import nettlewick.net.Fields;
-import nettlewick.net.Front;
-import nettlewick.net.Node;
-import nettlewick.net.PlatformFront;
-import nettlewick.net.Succession;
-import nettlewick.net.Tap;
+import nettlewick.log.ComponentLogger;
+import nettlewick.net.DispatcherServer;
+import nettlewick.net.Frontend;
+import nettlewick.net.HotRestart;
+import nettlewick.net.JsonFields;
+import nettlewick.net.PlatformConfig;
+import nettlewick.net.PlatformFrontend;
+import nettlewick.net.TrafficListener;
 import nettlewick.pcap.CaptureWriter;
 
 @Parameters(commandNames = "serve", commandDescription = "Run one real dispatcher, as $ROUTER_CONFIG tells")
-final class Serve implements Command {
+final class ServeCommand implements Command {
     @Parameter(names = "--settings", description = "File with settings of our own: further fronts, logs, ledger")
     private String settingsFile;
 
@@ -39,28 +39,29 @@
             description = "Milliseconds by which this process's clock is off, for the lab")
     private long clockAhead;
 
-    private static final Part LOG = Part.of("node");
+    private static final ComponentLogger LOG = ComponentLogger.of("node");
     private static final long MEGABYTE = 1 << 20;
     private static final int START_SECONDS = 20;
 
     @Override
     public int run() {
-        Additions more = settingsFile == null ? Additions.NONE : new SettingsFile(settingsFile);
-        Config config;
-        List<Front.Maker> fronts = new ArrayList<>();
+        OptionalFeatures more = settingsFile == null ? OptionalFeatures.NONE : new SettingsFile(settingsFile);
+        PlatformConfig config;
+        List<Frontend.Maker> fronts = new ArrayList<>();
         Clock clock = Clock.system(clockAhead);
         try {
-            config = Config.load(System.getenv());
-            Tap tap = capture == null ? Tap.NONE : writer(clock);
-            fronts.add(base -> new PlatformFront(base, tap));
+            config = PlatformConfig.load(System.getenv());
+            TrafficListener tap = capture == null ? TrafficListener.NONE : writer(clock);
+            fronts.add(base -> new PlatformFrontend(base, tap));
             more.fronts(fronts);
             more.start(config, clock);
-        } catch (Fields.Bad e) {
-            throw new Misuse(Main.MISUSED, e.getMessage());
+        } catch (JsonFields.InvalidFieldException e) {
+            throw new UsageException(Main.MISUSED, e.getMessage());
         } catch (IOException e) {
-            throw new Misuse(Main.FAILED, "cannot start: " + e.getMessage());
+            throw new UsageException(Main.FAILED, "cannot start: " + e.getMessage());
         }
-        Node node = new Node(config, clock, succession(config, clock), fronts.toArray(Front.Maker[]::new))
+        DispatcherServer node = new DispatcherServer(
+                        config, clock, succession(config, clock), fronts.toArray(Frontend.Maker[]::new))
                 .keep(more.books())
                 .tell(more.witness());
         // Danger: by itself the JVM ends on SIGTERM with code 143; what was taken is answered first, then 0.
@@ -72,7 +73,7 @@
                             Runtime.getRuntime().halt(0);
                         },
                         "shutdown"));
-        Hangup.serve(() -> reread(node, more));
+        ReloadSignal.serve(() -> reread(node, more));
         try {
             node.start().toCompletionStage().toCompletableFuture().get(START_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
@@ -85,11 +86,11 @@
     }
 
     /** Tells this process from others of the same dispatcher; null where that cannot be told. */
-    private static Succession succession(Config config, Clock clock) {
+    private static HotRestart succession(PlatformConfig config, Clock clock) {
         try {
             return config.listen().port() == 0
                     ? null
-                    : new Succession(
+                    : new HotRestart(
                             Path.of(System.getProperty("java.io.tmpdir")),
                             config.name() + "-" + config.listen().port(),
                             (long) clock.now());
@@ -100,9 +101,9 @@
     }
 
     /** Danger: a bad file must not cost what is in force. Both are read before either counts. */
-    private static void reread(Node node, Additions more) {
+    private static void reread(DispatcherServer node, OptionalFeatures more) {
         try {
-            Config config = Config.reload(System.getenv());
+            PlatformConfig config = PlatformConfig.reload(System.getenv());
             more.reread().run();
             node.reload(config);
         } catch (RuntimeException e) {
@@ -110,11 +111,11 @@
         }
     }
 
-    private Tap writer(Clock clock) {
+    private TrafficListener writer(Clock clock) {
         try {
             return new CaptureWriter(Files.newOutputStream(Path.of(capture)), clock, captureMost * MEGABYTE);
         } catch (IOException | IllegalArgumentException e) {
-            throw new Misuse(Main.FAILED, "--capture " + capture + " cannot be written: " + e.getMessage());
+            throw new UsageException(Main.FAILED, "--capture " + capture + " cannot be written: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import nettlewick.ledger.LedgerSettings;
-import nettlewick.settings.BadSettings;
+import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Reference;
 import nettlewick.settings.Settings;
 
@@ -26,7 +26,7 @@
             return 0;
         }
         if (!List.of("check", "show").contains(what) || words.size() != 2) {
-            throw new Misuse(
+            throw new UsageException(
                     Main.MISUSED,
                     "settings: expected check FILE, show FILE or reference, got " + String.join(" ", words));
         }
@@ -45,8 +45,8 @@
     static Settings read(String file) {
         try {
             return whole(Settings.read(Path.of(file)));
-        } catch (BadSettings | InvalidPathException e) {
-            throw new Misuse(Main.MISUSED, e.getMessage());
+        } catch (InvalidSettingsException | InvalidPathException e) {
+            throw new UsageException(Main.MISUSED, e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/SettingsFile.java
+++ b/src/main/java/nettlewick/cli/SettingsFile.java
@@ -4,32 +4,32 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import nettlewick.core.Books;
 import nettlewick.core.Clock;
-import nettlewick.core.Witness;
-import nettlewick.duty.Charge;
-import nettlewick.duty.DutyService;
-import nettlewick.duty.DutySettings;
+import nettlewick.core.RequestListener;
+import nettlewick.core.UsageRecorder;
+import nettlewick.duty.LeaseService;
+import nettlewick.duty.LeaseSettings;
+import nettlewick.duty.LeaseTask;
 import nettlewick.ledger.LedgerService;
 import nettlewick.ledger.LedgerSettings;
+import nettlewick.log.ComponentLogger;
 import nettlewick.log.LogSetup;
-import nettlewick.log.Part;
-import nettlewick.net.Config;
-import nettlewick.net.Front;
+import nettlewick.net.Frontend;
+import nettlewick.net.PlatformConfig;
 import nettlewick.pools.PoolsService;
-import nettlewick.settings.BadSettings;
+import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Settings;
-import nettlewick.sse.EdgeConfig;
-import nettlewick.sse.EdgeFront;
+import nettlewick.sse.EventStreamConfig;
+import nettlewick.sse.EventStreamFrontend;
 
 /** What the file of {@code serve --settings} adds. */
-final class SettingsFile implements Additions {
-    private static final Part LOG = Part.of("node");
+final class SettingsFile implements OptionalFeatures {
+    private static final ComponentLogger LOG = ComponentLogger.of("node");
 
     private final String file;
     private final Settings first;
     private LedgerService ledger;
-    private DutyService duties;
+    private LeaseService duties;
     private PoolsService pools;
 
     SettingsFile(String file) {
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void start(Config config, Clock clock) throws IOException {
+    public void start(PlatformConfig config, Clock clock) throws IOException {
         LedgerSettings settings = first.block("ledger").map(LedgerSettings::of).orElse(null);
         if (settings != null) {
             ledger = new LedgerService(config.name(), settings, clock, config.seed());
@@ -47,37 +47,39 @@
         }
         try {
             duties(config, clock);
-        } catch (BadSettings e) {
-            throw new Misuse(Main.MISUSED, e.getMessage());
+        } catch (InvalidSettingsException e) {
+            throw new UsageException(Main.MISUSED, e.getMessage());
         }
     }
 
-    private void duties(Config config, Clock clock) throws IOException {
+    private void duties(PlatformConfig config, Clock clock) throws IOException {
         if (first.block("duty").isPresent()) {
-            Map<String, Charge> charges = Map.of();
+            Map<String, LeaseTask> charges = Map.of();
             if (first.block("pools").isPresent()) {
                 pools = new PoolsService(first.block("pools").get(), config.settings(), clock, config.seed());
                 charges = pools.charges();
             }
-            duties = DutyService.start(DutySettings.of(first.block("duty").get()), charges);
+            duties = LeaseService.start(LeaseSettings.of(first.block("duty").get()), charges);
         } else if (first.block("pools").isPresent()) {
             throw first.block("pools").get().bad("member", "beside a block `duty`: its holders decide");
         }
     }
 
     @Override
-    public void fronts(List<Front.Maker> fronts) {
-        first.block("edge").map(EdgeConfig::of).ifPresent(edge -> fronts.add(base -> new EdgeFront(base, edge)));
+    public void fronts(List<Frontend.Maker> fronts) {
+        first.block("edge")
+                .map(EventStreamConfig::of)
+                .ifPresent(edge -> fronts.add(base -> new EventStreamFrontend(base, edge)));
     }
 
     @Override
-    public Books books() {
-        return ledger == null ? Books.NONE : ledger.books();
+    public UsageRecorder books() {
+        return ledger == null ? UsageRecorder.NONE : ledger.books();
     }
 
     @Override
-    public Witness witness() {
-        return pools == null ? Witness.NONE : pools;
+    public RequestListener witness() {
+        return pools == null ? RequestListener.NONE : pools;
     }
 
     @Override
--- a/src/main/java/nettlewick/cli/Table.java
+++ b/src/main/java/nettlewick/cli/TextTable.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /** A table for people: columns as wide as need be, numbers to the right. */
-final class Table {
+final class TextTable {
     private final List<List<String>> rows = new ArrayList<>();
 
-    Table(String... heads) {
+    TextTable(String... heads) {
         rows.add(List.of(heads));
     }
 
--- a/src/main/java/nettlewick/cli/Version.java
+++ b/src/main/java/nettlewick/cli/VersionCommand.java
@@ -3,10 +3,10 @@
 import com.beust.jcommander.Parameters;
 
 @Parameters(commandNames = "version", commandDescription = "Print the version")
-final class Version implements Command {
+final class VersionCommand implements Command {
     @Override
     public int run() {
-        String version = Version.class.getPackage().getImplementationVersion();
+        String version = VersionCommand.class.getPackage().getImplementationVersion();
         System.out.println("nettlewick " + (version == null ? "(not packaged)" : version));
         return 0;
     }
--- a/src/main/java/nettlewick/cli/Warm.java
+++ b/src/main/java/nettlewick/cli/WarmUpCommand.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import nettlewick.core.Clock;
-import nettlewick.net.Config;
-import nettlewick.net.Node;
-import nettlewick.net.PlatformFront;
+import nettlewick.net.DispatcherServer;
+import nettlewick.net.PlatformConfig;
+import nettlewick.net.PlatformFrontend;
 
 /** What the build runs to record the classes of a start in an archive, which makes later starts faster. */
 @Parameters(commandNames = "warm", commandDescription = "Start on a free loopback port, warm up, and end")
-final class Warm implements Command {
+final class WarmUpCommand implements Command {
     /** Nobody answers at port 1: the watch on discovery runs into its retry, as it does on a bad day. */
     private static final String CONFIG = """
             {"name":"warm","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
@@ -26,12 +26,13 @@
     @Override
     public int run() {
         try {
-            Node node = new Node(Config.of(CONFIG, Map.of()), Clock.system(), PlatformFront::new);
+            DispatcherServer node =
+                    new DispatcherServer(PlatformConfig.of(CONFIG, Map.of()), Clock.system(), PlatformFrontend::new);
             node.start().toCompletionStage().toCompletableFuture().get(SECONDS, TimeUnit.SECONDS);
             node.close().toCompletionStage().toCompletableFuture().get(SECONDS, TimeUnit.SECONDS);
             return 0;
         } catch (Exception e) {
-            throw new Misuse(Main.FAILED, "cannot warm up: " + e);
+            throw new UsageException(Main.FAILED, "cannot warm up: " + e);
         }
     }
 }
--- a/src/main/java/nettlewick/contention/Evidence.java
+++ b/src/main/java/nettlewick/contention/ContentionEvidence.java
@@ -14,7 +14,7 @@
  * What the tier has seen of one member, by windows, and whether its work harms the others' (docs/pools.md).
  * One for each holding of the member's duty. Pure.
  */
-public final class Evidence {
+public final class ContentionEvidence {
     /** Windows that a verdict looks at, and how many of them have to show a member over its share. */
     static final int WINDOWS = 6;
 
@@ -35,12 +35,12 @@
     /** A life of a dispatcher, with what it had counted by the end of each window. */
     private static final class Teller {
         long life;
-        final TreeMap<Long, Word> counted = new TreeMap<>();
+        final TreeMap<Long, UsageReport> counted = new TreeMap<>();
     }
 
     /** What a window, or some of them, came to without one dispatcher. */
     private static final class View {
-        Word sum = Word.NOTHING;
+        UsageReport sum = UsageReport.NOTHING;
         int over;
     }
 
@@ -60,7 +60,7 @@
     /** The number of the window that is open. */
     private long open = WINDOWS;
 
-    private Quiet quiet = Quiet.NONE;
+    private UncontendedBaseline quiet = UncontendedBaseline.NONE;
     private int alarms;
     /** Marks of the other members that are apart, and of their runners. */
     private final Set<Integer> others = new HashSet<>();
@@ -68,11 +68,11 @@
     private final Set<Integer> elsewhere = new HashSet<>();
 
     /** @param shares of all members, by name; they add up to one or less */
-    public Evidence(String member, Map<String, Double> shares) {
-        this.member = Counters.mark(member);
-        share = shares.getOrDefault(member, 0.0);
+    public ContentionEvidence(String tenant, Map<String, Double> shares) {
+        this.member = UsageCounters.mark(tenant);
+        share = shares.getOrDefault(tenant, 0.0);
         this.shares = new HashMap<>();
-        shares.forEach((name, part) -> this.shares.put(Counters.mark(name), part));
+        shares.forEach((name, part) -> this.shares.put(UsageCounters.mark(name), part));
     }
 
     /**
@@ -80,8 +80,8 @@
      * tell what was true some windows ago: a new holder is told what the one before it had heard.
      */
     public boolean hear(int from, long life, byte[] data) {
-        Word word = Word.of(data);
-        if (word == null || Word.age(data) < 0 || Word.age(data) > WINDOWS) {
+        UsageReport word = UsageReport.of(data);
+        if (word == null || UsageReport.age(data) < 0 || UsageReport.age(data) > WINDOWS) {
             return false;
         }
         alarms += word.alarmed() ? 1 : 0;
@@ -91,7 +91,7 @@
             t.life = life;
             t.counted.clear();
         }
-        t.counted.merge(open - Word.age(data), word, Word::most);
+        t.counted.merge(open - UsageReport.age(data), word, UsageReport::most);
         return true;
     }
 
@@ -104,21 +104,21 @@
     public Finding window(Map<String, Set<String>> apart) {
         others.clear();
         elsewhere.clear();
-        apart.forEach((name, runners) -> {
-            others.add(Counters.mark(name));
-            runners.forEach(r -> elsewhere.add(Counters.mark(r)));
+        apart.forEach((name, endpoints) -> {
+            others.add(UsageCounters.mark(name));
+            endpoints.forEach(r -> elsewhere.add(UsageCounters.mark(r)));
         });
-        List<Map<Integer, Word>> windows = new ArrayList<>();
+        List<Map<Integer, UsageReport>> windows = new ArrayList<>();
         for (int n = 0; n < WINDOWS; n++) {
             windows.add(new LinkedHashMap<>());
         }
         long first = open - WINDOWS + 1;
         tellers.forEach((from, t) -> {
             t.counted.headMap(first - 1).clear();
-            Word before = null;
-            for (Map.Entry<Long, Word> e : t.counted.entrySet()) {
+            UsageReport before = null;
+            for (Map.Entry<Long, UsageReport> e : t.counted.entrySet()) {
                 // Danger: a word that came late may say less than one of an older window.
-                Word all = before == null ? e.getValue() : before.most(e.getValue());
+                UsageReport all = before == null ? e.getValue() : before.most(e.getValue());
                 if (before != null) {
                     windows.get((int) (e.getKey() - first)).put(from, all.minus(before));
                 }
@@ -126,7 +126,7 @@
             }
         });
         open++;
-        Word last = sum(windows.get(WINDOWS - 1), -1);
+        UsageReport last = sum(windows.get(WINDOWS - 1), -1);
         boolean over = over(last, member, share);
         return new Finding(over && noisy(windows), over, part(last, member));
     }
@@ -138,24 +138,24 @@
         return any;
     }
 
-    private static double part(Word sum, int of) {
+    private static double part(UsageReport sum, int of) {
         return sum.total() <= 0 ? 0 : sum.asked().getOrDefault(of, 0L) / (double) sum.total();
     }
 
-    static boolean over(Word sum, int member, double share) {
-        return part(sum, member) > OVER * share;
+    static boolean over(UsageReport sum, int tenant, double share) {
+        return part(sum, tenant) > OVER * share;
     }
 
-    private static Word sum(Map<Integer, Word> window, int without) {
-        Word sum = Word.NOTHING;
-        for (Map.Entry<Integer, Word> e : window.entrySet()) {
+    private static UsageReport sum(Map<Integer, UsageReport> window, int without) {
+        UsageReport sum = UsageReport.NOTHING;
+        for (Map.Entry<Integer, UsageReport> e : window.entrySet()) {
             sum = e.getKey() == without ? sum : sum.plus(e.getValue());
         }
         return sum;
     }
 
     /** Danger: one that lies, or whose links are broken, must not move a member by itself. */
-    private boolean noisy(List<Map<Integer, Word>> windows) {
+    private boolean noisy(List<Map<Integer, UsageReport>> windows) {
         if (!holds(windows, -1)) {
             return false;
         }
@@ -164,14 +164,14 @@
         return all.size() > 1 && all.stream().allMatch(one -> holds(windows, one));
     }
 
-    private boolean holds(List<Map<Integer, Word>> windows, int without) {
-        quiet = Quiet.NONE;
+    private boolean holds(List<Map<Integer, UsageReport>> windows, int without) {
+        quiet = UncontendedBaseline.NONE;
         tellers.forEach((from, t) -> quiet = from == without || t.counted.isEmpty()
                 ? quiet
                 : quiet.plus(t.counted.lastEntry().getValue().quiet()));
         View v = new View();
-        for (Map<Integer, Word> window : windows) {
-            Word sum = sum(window, without);
+        for (Map<Integer, UsageReport> window : windows) {
+            UsageReport sum = sum(window, without);
             v.sum = v.sum.plus(sum);
             v.over += over(sum, member, share) ? 1 : 0;
         }
@@ -183,28 +183,28 @@
      *
      * @param shares by the marks of names
      */
-    static boolean worth(Word sum, int member, Map<Integer, Double> shares, Set<Integer> apart) {
+    static boolean worth(UsageReport sum, int tenant, Map<Integer, Double> shares, Set<Integer> apart) {
         double beyond = 0;
         for (int other : sum.asked().keySet()) {
             beyond += apart.contains(other) ? 0 : Math.max(0, part(sum, other) - shares.getOrDefault(other, 0.0));
         }
-        return part(sum, member) - shares.getOrDefault(member, 0.0) >= WORTH * beyond;
+        return part(sum, tenant) - shares.getOrDefault(tenant, 0.0) >= WORTH * beyond;
     }
 
-    private boolean slowed(Word sum) {
+    private boolean slowed(UsageReport sum) {
         return quiet.hinted() > 0
                 && sum.hinted() > 0
                 && sum.ran() / (double) sum.hinted() > SLOWED * quiet.ran() / quiet.hinted();
     }
 
     /** Whether others are harmed more often where this member is than where, or when, it is not. */
-    private boolean attributable(Word sum) {
+    private boolean attributable(UsageReport sum) {
         long with = 0;
         long harmedWith = 0;
         double rest = 0;
         double harmedRest = 0;
-        for (Map.Entry<Integer, Word.At> e : sum.at().entrySet()) {
-            Word.At a = elsewhere.contains(e.getKey()) ? Word.At.NONE : e.getValue();
+        for (Map.Entry<Integer, UsageReport.At> e : sum.at().entrySet()) {
+            UsageReport.At a = elsewhere.contains(e.getKey()) ? UsageReport.At.NONE : e.getValue();
             if (a.all() > 0 && a.own() > share * a.all()) {
                 with += a.others();
                 harmedWith += a.harmed();
--- a/src/main/java/nettlewick/contention/Move.java
+++ b/src/main/java/nettlewick/contention/MigrationState.java
@@ -8,7 +8,7 @@
  * @param runners those reserved from the common ones, and those added, by name
  * @param returns how often it has come back lately: each doubles its next stay
  */
-public record Move(Step step, List<String> runners, int returns) {
+public record MigrationState(Step step, List<String> runners, int returns) {
     /** Where others' and the member's jobs may go; see docs/pools.md. */
     public enum Step {
         NONE,
@@ -23,17 +23,17 @@
         }
     }
 
-    public static final Move NOWHERE = new Move(Step.NONE, List.of(), 0);
+    public static final MigrationState NOWHERE = new MigrationState(Step.NONE, List.of(), 0);
 
-    public Move {
+    public MigrationState {
         runners = List.copyOf(runners);
     }
 
-    Move to(Step next) {
-        return new Move(next, runners, returns);
+    MigrationState to(Step next) {
+        return new MigrationState(next, runners, returns);
     }
 
-    Move with(List<String> others) {
-        return new Move(step, others, returns);
+    MigrationState with(List<String> others) {
+        return new MigrationState(step, others, returns);
     }
 }
--- a/src/main/java/nettlewick/contention/Mover.java
+++ b/src/main/java/nettlewick/contention/PoolMigration.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.contention.Move.Step;
+import nettlewick.contention.MigrationState.Step;
 
 /**
  * Takes a member to runners of its own and back, a step at a time (docs/pools.md). One for each holding of
  * its
  * duty: the times of a step begin anew with a new holder. Time is handed in, in milliseconds. Pure.
  */
-public final class Mover {
+public final class PoolMigration {
     /** Returns are forgotten one by one after this long. */
     private static final double FORGIVEN = 600_000;
     /** A stay is doubled so often at most. */
@@ -44,7 +44,7 @@
      * @param taken held by other members' pools
      * @param whole whether all runners that were asked for are there
      */
-    public record View(Map<String, Reserve.Runner> ready, Set<String> taken, boolean whole) {}
+    public record View(Map<String, PoolReservation.Runner> ready, Set<String> taken, boolean whole) {}
 
     private final String member;
     private Step step;
@@ -53,12 +53,12 @@
     private double overAt = Double.NEGATIVE_INFINITY;
     private double forgivenAt;
 
-    public Mover(String member) {
-        this.member = member;
+    public PoolMigration(String tenant) {
+        this.member = tenant;
     }
 
     /** What a window came to. */
-    public void hear(Evidence.Finding finding, double now) {
+    public void hear(ContentionEvidence.Finding finding, double now) {
         noisy = finding.noisy();
         if (finding.over()) {
             overAt = now;
@@ -66,13 +66,14 @@
     }
 
     /** Where things go from here; the same as it was while nothing changes. */
-    public Move next(Move m, Will will, Terms terms, View view, double now) {
+    public MigrationState next(MigrationState m, Will will, Terms terms, View view, double now) {
         if (step != m.step()) {
             step = m.step();
             since = now;
             forgivenAt = now;
         }
-        List<String> pool = Reserve.pick(member, view.ready(), m.runners(), view.taken(), terms.share(), terms.part());
+        List<String> pool =
+                PoolReservation.pick(member, view.ready(), m.runners(), view.taken(), terms.share(), terms.part());
         boolean wanted = will == Will.POOL || will == Will.NONE && noisy;
         boolean kept = will == Will.POOL
                 || will == Will.NONE
@@ -84,7 +85,7 @@
                 }
                 if (m.returns() > 0 && now - forgivenAt >= FORGIVEN) {
                     forgivenAt = now;
-                    return new Move(Step.NONE, List.of(), m.returns() - 1);
+                    return new MigrationState(Step.NONE, List.of(), m.returns() - 1);
                 }
                 return m;
             }
@@ -99,7 +100,7 @@
                 return changed(m, pool, kept && !pool.isEmpty() ? m.step() : Step.CLOSE);
             }
             default -> {
-                return now - since >= terms.clear() ? new Move(Step.NONE, List.of(), m.returns() + 1) : m;
+                return now - since >= terms.clear() ? new MigrationState(Step.NONE, List.of(), m.returns() + 1) : m;
             }
         }
     }
@@ -108,9 +109,9 @@
      * Danger: a list that says less for a moment would empty the pool; what is left stays until others
      * come.
      */
-    private static Move changed(Move m, List<String> pool, Step to) {
+    private static MigrationState changed(MigrationState m, List<String> pool, Step to) {
         Set<String> now = new HashSet<>(m.runners());
-        Move next = pool.isEmpty() || now.equals(new HashSet<>(pool)) ? m : m.with(pool);
+        MigrationState next = pool.isEmpty() || now.equals(new HashSet<>(pool)) ? m : m.with(pool);
         return next.step() == to ? next : next.to(to);
     }
 }
--- a/src/main/java/nettlewick/contention/Reserve.java
+++ b/src/main/java/nettlewick/contention/PoolReservation.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import nettlewick.duty.Order;
+import nettlewick.duty.CandidateRanking;
 
 /**
  * Which of the common runners a member's pool is made of: rendezvous by member and runner, so that views that
  * differ in one runner differ in one, with zones and kinds in proportion. Pure.
  */
-public final class Reserve {
+public final class PoolReservation {
     /** A runner that is ready, and whether it was added for a member (null: it is for all). */
     public record Runner(String name, String zone, String kind, String addedFor) {}
 
     /** So many common runners at most: their names are part of a duty's state, which is short. */
     private static final int MOST = 150;
 
-    private Reserve() {}
+    private PoolReservation() {}
 
     /**
      * @param had   the pool as it is: what of it is still ready stays
@@ -30,11 +30,11 @@
      * @param part  the part of all runners that pools may hold together
      */
     public static List<String> pick(
-            String member, Map<String, Runner> ready, List<String> had, Set<String> taken, double share, double part) {
+            String tenant, Map<String, Runner> ready, List<String> had, Set<String> taken, double share, double part) {
         List<Runner> common =
                 ready.values().stream().filter(r -> r.addedFor() == null).toList();
         List<String> pool = new ArrayList<>(ready.values().stream()
-                .filter(r -> member.equals(r.addedFor()))
+                .filter(r -> tenant.equals(r.addedFor()))
                 .map(Runner::name)
                 .sorted()
                 .toList());
@@ -44,7 +44,7 @@
         int size = Math.max(0, Math.min(Math.min(room, MOST), wanted));
         Set<String> before = new HashSet<>(had);
         Comparator<Runner> first = Comparator.comparing((Runner r) -> !before.contains(r.name()))
-                .thenComparingLong(r -> weight(member, r.name()))
+                .thenComparingLong(r -> weight(tenant, r.name()))
                 .thenComparing(Runner::name);
         Map<String, List<Runner>> groups = new TreeMap<>();
         common.stream()
@@ -74,7 +74,7 @@
         return quotas;
     }
 
-    private static long weight(String member, String runner) {
-        return Order.mix(member.hashCode() * 0x9E3779B97F4A7C15L + runner.hashCode());
+    private static long weight(String tenant, String endpoint) {
+        return CandidateRanking.mix(tenant.hashCode() * 0x9E3779B97F4A7C15L + endpoint.hashCode());
     }
 }
--- a/src/main/java/nettlewick/contention/Quiet.java
+++ b/src/main/java/nettlewick/contention/UncontendedBaseline.java
@@ -11,26 +11,26 @@
  * @param ran    how long others' jobs ran, in milliseconds
  * @param hinted what their hints said
  */
-public record Quiet(double others, double harmed, double ran, double hinted) {
-    static final Quiet NONE = new Quiet(0, 0, 0, 0);
+public record UncontendedBaseline(double others, double harmed, double ran, double hinted) {
+    static final UncontendedBaseline NONE = new UncontendedBaseline(0, 0, 0, 0);
     static final int BYTES = 4 * Double.BYTES;
     private static final double FADES = 0.97;
 
     /** With one more window, if the member kept to its share in it. */
-    Quiet after(Word news, int member, double share) {
-        if (news.total() <= 0 || Evidence.over(news, member, share)) {
+    UncontendedBaseline after(UsageReport news, int tenant, double share) {
+        if (news.total() <= 0 || ContentionEvidence.over(news, tenant, share)) {
             return this;
         }
-        Word.At all = news.everywhere();
-        return new Quiet(
+        UsageReport.At all = news.everywhere();
+        return new UncontendedBaseline(
                 others * FADES + all.others(),
                 harmed * FADES + all.harmed(),
                 ran * FADES + news.ran(),
                 hinted * FADES + news.hinted());
     }
 
-    Quiet plus(Quiet o) {
-        return new Quiet(others + o.others, harmed + o.harmed, ran + o.ran, hinted + o.hinted);
+    UncontendedBaseline plus(UncontendedBaseline o) {
+        return new UncontendedBaseline(others + o.others, harmed + o.harmed, ran + o.ran, hinted + o.hinted);
     }
 
     boolean good() {
@@ -41,7 +41,7 @@
         to.putDouble(others).putDouble(harmed).putDouble(ran).putDouble(hinted);
     }
 
-    static Quiet get(ByteBuffer from) {
-        return new Quiet(from.getDouble(), from.getDouble(), from.getDouble(), from.getDouble());
+    static UncontendedBaseline get(ByteBuffer from) {
+        return new UncontendedBaseline(from.getDouble(), from.getDouble(), from.getDouble(), from.getDouble());
     }
 }
--- a/src/main/java/nettlewick/contention/Counters.java
+++ b/src/main/java/nettlewick/contention/UsageCounters.java
@@ -10,12 +10,12 @@
 import java.util.stream.Collectors;
 import nettlewick.core.Attempt;
 import nettlewick.core.Request;
-import nettlewick.core.Witness;
-import nettlewick.decision.Dispatcher.JobClass;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.core.RequestListener;
+import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Dispatcher.RequestClass;
 
 /** What this dispatcher sees of its members' work, counted since its life began. Any thread. */
-public final class Counters implements Witness {
+public final class UsageCounters implements RequestListener {
     /** An attempt that begins later than this part of its class's aim was harmed. */
     private static final double WAITED = 0.25;
     /** So many members, and so many sim runners, those seen last, go into a word. */
@@ -48,8 +48,9 @@
 
     private long events;
 
-    public Counters(List<JobClass> classes) {
-        aims = classes.stream().collect(Collectors.toMap(JobClass::name, c -> c.aim() / 1e6, (a, b) -> a));
+    public UsageCounters(List<RequestClass> classes) {
+        aims = classes.stream()
+                .collect(Collectors.toMap(RequestClass::name, c -> c.latencyObjective() / 1e6, (a, b) -> a));
     }
 
     /** Stands for a name in words. */
@@ -61,19 +62,19 @@
     public synchronized void asked(Request r) {
         if (!r.repeat()) {
             // Danger: what was turned away and comes again would make a refused member look noisy.
-            double[] mean = runs.getOrDefault(r.jobClass(), new double[] {1, 1});
-            sums(r.tenant()).asked += r.slots() * (r.hint() > 0 ? r.hint() : mean[0] / mean[1]);
+            double[] mean = runs.getOrDefault(r.requestClass(), new double[] {1, 1});
+            sums(r.tenant()).asked += r.slots() * (r.costHint() > 0 ? r.costHint() : mean[0] / mean[1]);
         }
     }
 
-    private Sums sums(String member) {
-        return members.computeIfAbsent(String.valueOf(member), m -> new Sums());
+    private Sums sums(String tenant) {
+        return members.computeIfAbsent(String.valueOf(tenant), m -> new Sums());
     }
 
     @Override
-    public synchronized void ended(Attempt a, Result result) {
+    public synchronized void ended(Attempt a, AttemptResult result) {
         Request r = a.request();
-        Runner at = runners.computeIfAbsent(a.worker(), w -> new Runner());
+        Runner at = runners.computeIfAbsent(a.endpoint(), w -> new Runner());
         at.seen = ++events;
         if (runners.size() > KEPT_MOST) {
             runners.remove(Collections.min(runners.entrySet(), Comparator.comparingLong(e -> e.getValue().seen))
@@ -83,78 +84,78 @@
         double ran = a.ran();
         here.busy += ran * r.slots();
         boolean began = !Double.isNaN(a.waited());
-        if (result == Result.SERVED && began) {
-            double[] mean = runs.computeIfAbsent(r.jobClass(), c -> new double[2]);
+        if (result == AttemptResult.SERVED && began) {
+            double[] mean = runs.computeIfAbsent(r.requestClass(), c -> new double[2]);
             mean[0] += ran;
             mean[1]++;
-            if (r.hint() > 0) {
+            if (r.costHint() > 0) {
                 Sums all = sums(r.tenant());
                 all.ran += ran;
-                all.hinted += r.hint();
+                all.hinted += r.costHint();
             }
         }
-        boolean harmed = result == Result.FULL
-                || !began && (result == Result.TIMEOUT || result == Result.CANCELLED)
-                || began && a.waited() > WAITED * aims.getOrDefault(r.jobClass(), 1e9);
-        if (harmed || result == Result.SERVED) {
+        boolean harmed = result == AttemptResult.OVERLOADED
+                || !began && (result == AttemptResult.TIMEOUT || result == AttemptResult.CANCELLED)
+                || began && a.waited() > WAITED * aims.getOrDefault(r.requestClass(), 1e9);
+        if (harmed || result == AttemptResult.SERVED) {
             here.ended++;
             here.harmed += harmed ? 1 : 0;
         }
     }
 
     /** What there is to say of this member. */
-    Word word(String member) {
-        return word(member, MEMBERS_MOST, RUNNERS_MOST);
+    UsageReport word(String tenant) {
+        return word(tenant, MEMBERS_MOST, RUNNERS_MOST);
     }
 
     /** All that was seen of this member. */
-    Word all(String member) {
-        return word(member, Integer.MAX_VALUE, Integer.MAX_VALUE);
+    UsageReport all(String tenant) {
+        return word(tenant, Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
 
-    private synchronized Word word(String member, int membersMost, int runnersMost) {
+    private synchronized UsageReport word(String tenant, int membersMost, int runnersMost) {
         Map<Integer, Long> asked = new LinkedHashMap<>();
         members.entrySet().stream()
                 .sorted(Comparator.comparingDouble(e -> -e.getValue().asked))
                 .limit(membersMost)
                 .forEach(e -> asked.put(mark(e.getKey()), Math.round(e.getValue().asked)));
-        asked.computeIfAbsent(mark(member), m -> Math.round(sums(member).asked));
-        Map<Integer, Word.At> at = new LinkedHashMap<>();
+        asked.computeIfAbsent(mark(tenant), m -> Math.round(sums(tenant).asked));
+        Map<Integer, UsageReport.At> at = new LinkedHashMap<>();
         runners.entrySet().stream()
                 .sorted(Comparator.comparingLong(e -> -e.getValue().seen))
                 .limit(runnersMost)
-                .forEach(e -> at.put(mark(e.getKey()), at(e.getValue(), member)));
-        return new Word(
+                .forEach(e -> at.put(mark(e.getKey()), at(e.getValue(), tenant)));
+        return new UsageReport(
                 Math.round(members.values().stream().mapToDouble(s -> s.asked).sum()),
                 asked,
-                others(member, s -> Math.round(s.ran)),
-                others(member, s -> Math.round(s.hinted)),
+                others(tenant, s -> Math.round(s.ran)),
+                others(tenant, s -> Math.round(s.hinted)),
                 at,
-                Quiet.NONE,
+                UncontendedBaseline.NONE,
                 false);
     }
 
-    private long others(String member, ToLongFunction<Sums> what) {
+    private long others(String tenant, ToLongFunction<Sums> what) {
         return members.entrySet().stream()
-                .filter(e -> !e.getKey().equals(member))
+                .filter(e -> !e.getKey().equals(tenant))
                 .mapToLong(e -> what.applyAsLong(e.getValue()))
                 .sum();
     }
 
-    private static Word.At at(Runner runner, String member) {
+    private static UsageReport.At at(Runner endpoint, String tenant) {
         double own = 0;
         double all = 0;
         long others = 0;
         long harmed = 0;
-        for (Map.Entry<String, Sums> e : runner.members.entrySet()) {
+        for (Map.Entry<String, Sums> e : endpoint.members.entrySet()) {
             all += e.getValue().busy;
-            if (e.getKey().equals(member)) {
+            if (e.getKey().equals(tenant)) {
                 own += e.getValue().busy;
             } else {
                 others += e.getValue().ended;
                 harmed += e.getValue().harmed;
             }
         }
-        return new Word.At((long) own, (long) all, others, harmed);
+        return new UsageReport.At((long) own, (long) all, others, harmed);
     }
 }
--- a/src/main/java/nettlewick/contention/Word.java
+++ b/src/main/java/nettlewick/contention/UsageReport.java
@@ -18,13 +18,13 @@
  * @param quiet    what others' jobs are like here without it; the newest word's counts
  * @param alarmed  whether the sender speaks of its own accord
  */
-public record Word(
+public record UsageReport(
         long total,
         Map<Integer, Long> asked,
         long ran,
         long hinted,
         Map<Integer, At> at,
-        Quiet quiet,
+        UncontendedBaseline quiet,
         boolean alarmed) {
     /**
      * What was seen at one sim runner.
@@ -51,13 +51,13 @@
         }
     }
 
-    static final Word NOTHING = new Word(0, Map.of(), 0, 0, Map.of(), Quiet.NONE, false);
+    static final UsageReport NOTHING = new UsageReport(0, Map.of(), 0, 0, Map.of(), UncontendedBaseline.NONE, false);
     private static final byte FORM = 3;
     private static final int AGE_AT = 2;
 
     byte[] bytes() {
-        ByteBuffer b =
-                ByteBuffer.allocate(3 + Quiet.BYTES + 3 * Long.BYTES + 2 + asked.size() * 12 + 2 + at.size() * 36);
+        ByteBuffer b = ByteBuffer.allocate(
+                3 + UncontendedBaseline.BYTES + 3 * Long.BYTES + 2 + asked.size() * 12 + 2 + at.size() * 36);
         b.put(FORM).put((byte) (alarmed ? 1 : 0)).put((byte) 0);
         quiet.put(b);
         b.putLong(total).putLong(ran).putLong(hinted).putShort((short) asked.size());
@@ -84,7 +84,7 @@
     }
 
     /** Null for what no version here has written, or what makes no sense. */
-    static Word of(byte[] data) {
+    static UsageReport of(byte[] data) {
         try {
             ByteBuffer b = ByteBuffer.wrap(data);
             if (b.get() != FORM) {
@@ -92,7 +92,7 @@
             }
             boolean alarmed = b.get() == 1;
             b.get();
-            Quiet quiet = Quiet.get(b);
+            UncontendedBaseline quiet = UncontendedBaseline.get(b);
             long total = b.getLong();
             long ran = b.getLong();
             long hinted = b.getLong();
@@ -111,7 +111,7 @@
                 good &= a.own() >= 0 && a.all() >= a.own() && a.harmed() >= 0 && a.others() >= a.harmed();
                 at.put(mark, a);
             }
-            return good ? new Word(total, asked, ran, hinted, at, quiet, alarmed) : null;
+            return good ? new UsageReport(total, asked, ran, hinted, at, quiet, alarmed) : null;
         } catch (BufferUnderflowException e) {
             return null;
         }
@@ -121,40 +121,40 @@
         long of(long mine, long other);
     }
 
-    private Word join(Word o, Join join, java.util.function.BinaryOperator<At> joinAt) {
+    private UsageReport join(UsageReport o, Join join, java.util.function.BinaryOperator<At> joinAt) {
         Map<Integer, Long> sums = new LinkedHashMap<>(asked);
         o.asked.forEach((mark, work) -> sums.put(mark, join.of(sums.getOrDefault(mark, 0L), work)));
-        Map<Integer, At> runners = new LinkedHashMap<>(at);
-        o.at.forEach((mark, a) -> runners.put(mark, joinAt.apply(runners.getOrDefault(mark, At.NONE), a)));
-        Word newer = o.total >= total ? o : this;
-        return new Word(
+        Map<Integer, At> endpoints = new LinkedHashMap<>(at);
+        o.at.forEach((mark, a) -> endpoints.put(mark, joinAt.apply(endpoints.getOrDefault(mark, At.NONE), a)));
+        UsageReport newer = o.total >= total ? o : this;
+        return new UsageReport(
                 join.of(total, o.total),
                 sums,
                 join.of(ran, o.ran),
                 join.of(hinted, o.hinted),
-                runners,
+                endpoints,
                 newer.quiet,
                 newer.alarmed);
     }
 
-    Word most(Word o) {
+    UsageReport most(UsageReport o) {
         return join(o, Math::max, At::most);
     }
 
     /** What came since that word; of what is not in this one, nothing. */
-    Word minus(Word o) {
-        Word all = join(o, (a, b) -> a - b, At::minus);
+    UsageReport minus(UsageReport o) {
+        UsageReport all = join(o, (a, b) -> a - b, At::minus);
         all.asked.keySet().retainAll(asked.keySet());
         all.at.keySet().retainAll(at.keySet());
         return all;
     }
 
-    Word plus(Word o) {
+    UsageReport plus(UsageReport o) {
         return join(o, Long::sum, At::plus);
     }
 
-    Word saying(Quiet without, boolean alarm) {
-        return new Word(total, asked, ran, hinted, at, without, alarm);
+    UsageReport saying(UncontendedBaseline without, boolean alarm) {
+        return new UsageReport(total, asked, ran, hinted, at, without, alarm);
     }
 
     /** Of all runners together. */
--- a/src/main/java/nettlewick/contention/Speaker.java
+++ b/src/main/java/nettlewick/contention/UsageReporter.java
@@ -14,14 +14,14 @@
  * What is told to the holders of members' duties, and when it is worth a word: where a member asks for more
  * than its share here while others are harmed, and wherever its holder listens. Not to be shared by threads.
  */
-public final class Speaker {
+public final class UsageReporter {
     /** A dispatcher speaks of its own accord after so many windows in a row. */
     private static final int IN_A_ROW = 2;
 
     private static final class Told {
-        Word last;
+        UsageReport last;
         double windowAt;
-        Quiet quiet = Quiet.NONE;
+        UncontendedBaseline quiet = UncontendedBaseline.NONE;
         boolean alarmed;
         /** Windows in a row in which the member was over its share here. */
         int over;
@@ -33,15 +33,15 @@
         int silent;
     }
 
-    private final Counters counters;
+    private final UsageCounters counters;
     private final Map<String, Double> shares;
     private final Map<Integer, Double> byMark = new HashMap<>();
     private final Map<String, Told> told = new HashMap<>();
 
-    public Speaker(Counters counters, Map<String, Double> shares) {
+    public UsageReporter(UsageCounters counters, Map<String, Double> shares) {
         this.counters = counters;
         this.shares = Map.copyOf(shares);
-        shares.forEach((name, part) -> byMark.put(Counters.mark(name), part));
+        shares.forEach((name, part) -> byMark.put(UsageCounters.mark(name), part));
     }
 
     /**
@@ -54,49 +54,49 @@
      * @param apart   other members that are in pools of their own; asked for at a window's end only
      */
     public List<byte[]> words(
-            String member, long fence, boolean listens, double window, double now, Supplier<Set<String>> apart) {
-        Told t = told.computeIfAbsent(member, m -> new Told());
+            String tenant, long fence, boolean listens, double window, double now, Supplier<Set<String>> apart) {
+        Told t = told.computeIfAbsent(tenant, m -> new Told());
         if (t.last == null || now >= t.windowAt) {
             t.windowAt = now + window;
-            Word all = counters.all(member);
-            look(t, t.last == null ? Word.NOTHING : all.minus(t.last), member, apart.get());
+            UsageReport all = counters.all(tenant);
+            look(t, t.last == null ? UsageReport.NOTHING : all.minus(t.last), tenant, apart.get());
             t.last = all;
-            t.past.addFirst(bytes(t, member));
-            if (t.past.size() > Evidence.WINDOWS) {
+            t.past.addFirst(bytes(t, tenant));
+            if (t.past.size() > ContentionEvidence.WINDOWS) {
                 t.past.removeLast();
             }
-            t.silent = Math.min(Evidence.WINDOWS, t.silent + 1);
+            t.silent = Math.min(ContentionEvidence.WINDOWS, t.silent + 1);
         }
         if (!listens && !t.alarmed) {
             return List.of();
         }
         List<byte[]> words = new ArrayList<>();
         int ago = 0;
-        int unheard = fence == t.spokenTo ? t.silent : Evidence.WINDOWS;
+        int unheard = fence == t.spokenTo ? t.silent : ContentionEvidence.WINDOWS;
         for (byte[] old : t.past) {
             if (++ago <= unheard) {
-                words.add(Word.aged(old, ago));
+                words.add(UsageReport.aged(old, ago));
             }
         }
-        words.add(bytes(t, member));
+        words.add(bytes(t, tenant));
         t.spokenTo = fence;
         t.silent = 0;
         return words;
     }
 
-    private byte[] bytes(Told t, String member) {
-        return counters.word(member).saying(t.quiet, t.alarmed).bytes();
+    private byte[] bytes(Told t, String tenant) {
+        return counters.word(tenant).saying(t.quiet, t.alarmed).bytes();
     }
 
-    private void look(Told t, Word news, String member, Set<String> apart) {
-        double share = shares.get(member);
-        int mark = Counters.mark(member);
-        Set<Integer> left = apart.stream().map(Counters::mark).collect(Collectors.toSet());
-        t.quiet = t.quiet.after(news, Counters.mark(member), share);
-        Word.At all = news.everywhere();
+    private void look(Told t, UsageReport news, String tenant, Set<String> apart) {
+        double share = shares.get(tenant);
+        int mark = UsageCounters.mark(tenant);
+        Set<Integer> left = apart.stream().map(UsageCounters::mark).collect(Collectors.toSet());
+        t.quiet = t.quiet.after(news, UsageCounters.mark(tenant), share);
+        UsageReport.At all = news.everywhere();
         // Danger: one that sees a few jobs in a window finds every small member over its share now and then.
-        boolean most = Evidence.over(news, mark, share) && Evidence.worth(news, mark, byMark, left);
+        boolean most = ContentionEvidence.over(news, mark, share) && ContentionEvidence.worth(news, mark, byMark, left);
         t.over = most ? t.over + 1 : 0;
-        t.alarmed = t.over >= IN_A_ROW && all.harmed() > 0 && all.harmed() >= Evidence.HARMED * all.others();
+        t.alarmed = t.over >= IN_A_ROW && all.harmed() > 0 && all.harmed() >= ContentionEvidence.HARMED * all.others();
     }
 }
--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -1,11 +1,11 @@
 package nettlewick.core;
 
 import java.util.function.BooleanSupplier;
-import nettlewick.decision.Dispatcher.Load;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Dispatcher.EndpointLoad;
 
 /** One sending of a request to one worker. */
-public final class Attempt extends Outgoing {
+public final class Attempt extends OutboundCall {
     private final Request request;
     private final int number;
     private final double lastBegin;
@@ -19,8 +19,8 @@
      * @param lastBegin until when it may begin, in milliseconds
      * @param open      tells, on any thread, whether the request's end is still undecided
      */
-    Attempt(Request request, int number, String worker, double sentAt, double lastBegin, BooleanSupplier open) {
-        super(worker, sentAt);
+    Attempt(Request request, int number, String endpoint, double sentAt, double lastBegin, BooleanSupplier open) {
+        super(endpoint, sentAt);
         this.request = request;
         this.number = number;
         this.lastBegin = lastBegin;
@@ -94,8 +94,8 @@
     }
 
     /** How an attempt, or a probe, ended. {@code body} is the result where it was served, else null. */
-    public record Outcome(Result result, byte[] body, Load load) {
-        public static Outcome of(Result result) {
+    public record Outcome(AttemptResult result, byte[] body, EndpointLoad load) {
+        public static Outcome of(AttemptResult result) {
             return new Outcome(result, null, null);
         }
     }
--- a/src/main/java/nettlewick/core/Turns.java
+++ b/src/main/java/nettlewick/core/CoreLoop.java
@@ -12,23 +12,23 @@
 import java.util.concurrent.TimeUnit;
 import nettlewick.decision.Dispatcher;
 import nettlewick.decision.Dispatcher.*;
-import nettlewick.log.Part;
+import nettlewick.log.ComponentLogger;
 
 /** The core's one thread: its queue, its timers, and the rounds in which the module decides. */
-abstract class Turns implements Runnable {
-    static final Part LOG = Part.of("core");
+abstract class CoreLoop implements Runnable {
+    static final ComponentLogger LOG = ComponentLogger.of("core");
     static final double NANOS = 1e6;
     private static final int BATCH = 512;
     /** How often the workers left out are counted. */
     private static final double COUNT = 50;
 
     final Clock clock;
-    final Figures figures;
+    final Metrics figures;
     final BlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
     private final Dispatcher module;
     private final PriorityQueue<Due> timers = new PriorityQueue<>();
     private final Set<String> seenFaults = new HashSet<>();
-    private PeerFaults lastFaults = new PeerFaults(0, 0, 0);
+    private PeerMessageFaults lastFaults = new PeerMessageFaults(0, 0, 0);
     List<Event> batch = new ArrayList<>();
     double now;
     private double countedAt;
@@ -43,10 +43,11 @@
         }
     }
 
-    Turns(Clock clock, Settings settings, Dispatcher module) {
+    CoreLoop(Clock clock, SchedulerSettings settings, Dispatcher module) {
         this.clock = clock;
         this.module = module;
-        figures = new Figures(settings.classes().stream().map(JobClass::name).toList());
+        figures =
+                new Metrics(settings.classes().stream().map(RequestClass::name).toList());
         now = clock.now();
     }
 
@@ -54,7 +55,7 @@
     abstract void carryOut(Action action);
 
     /** What operators count. */
-    public Figures figures() {
+    public Metrics figures() {
         return figures;
     }
 
@@ -99,14 +100,14 @@
         }
         if (now - countedAt >= COUNT) {
             countedAt = now;
-            Rotation rotation = module.rotation();
-            figures.list(rotation.listed(), rotation.avoided());
-            passedOver(module.peerFaults());
+            EndpointCounts rotation = module.endpointCounts();
+            figures.list(rotation.listed(), rotation.ejected());
+            passedOver(module.peerMessageFaults());
         }
     }
 
     /** Counts what peers sent and the module passed over; each kind is logged at its first sight. */
-    private void passedOver(PeerFaults faults) {
+    private void passedOver(PeerMessageFaults faults) {
         if (faults.equals(lastFaults)) {
             return;
         }
--- a/src/main/java/nettlewick/core/Parting.java
+++ b/src/main/java/nettlewick/core/DrainPolicy.java
@@ -7,7 +7,7 @@
  * What a process that is to end still takes, by how long jobs run: docs/deployments.md, "Leaving with work in
  * hand". Pure: times are the caller's, in milliseconds; all it knows is what it is told.
  */
-final class Parting {
+final class DrainPolicy {
     /** Take it; hold it back until the planned end begins; refuse it. */
     enum Verdict {
         TAKE,
@@ -40,19 +40,19 @@
     private boolean over;
 
     /** A job of that class ran for so long. */
-    void ran(String jobClass, double hint, double span) {
+    void ran(String requestClass, double hint, double span) {
         if (span <= 0) {
             return;
         }
-        Pace p = paces.computeIfAbsent(jobClass, c -> new Pace());
+        Pace p = paces.computeIfAbsent(requestClass, c -> new Pace());
         p.count = Math.min(p.count + 1, JOBS);
         p.span += (span - p.span) / p.count;
         p.drag += hint > 0 ? (Math.log(span / hint) - p.drag) / p.count : 0;
     }
 
     /** How long a job is expected to run; by its hint alone where none of its class has run, else 0. */
-    double expected(String jobClass, double hint) {
-        Pace p = paces.get(jobClass);
+    double expected(String requestClass, double hint) {
+        Pace p = paces.get(requestClass);
         return hint > 0 ? hint * Math.exp(p == null ? 0 : p.drag) : p == null ? 0 : p.span;
     }
 
@@ -90,11 +90,11 @@
     }
 
     /** What becomes of a job that comes now. Danger: one that outlives this process is lost with it. */
-    Verdict verdict(String jobClass, double hint, double now) {
+    Verdict verdict(String requestClass, double hint, double now) {
         if (over) {
             return Verdict.REFUSE;
         }
-        if (Double.isNaN(kill) || !begun && now >= heldUntil() || inTime(now, expected(jobClass, hint), kill)) {
+        if (Double.isNaN(kill) || !begun && now >= heldUntil() || inTime(now, expected(requestClass, hint), kill)) {
             return Verdict.TAKE;
         }
         return begun ? Verdict.REFUSE : Verdict.HOLD;
--- a/src/main/java/nettlewick/core/Open.java
+++ b/src/main/java/nettlewick/core/InFlightRequest.java
@@ -2,20 +2,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.decision.Dispatcher.JobClass;
-import nettlewick.decision.Dispatcher.Repeat;
+import nettlewick.decision.Dispatcher.Idempotency;
+import nettlewick.decision.Dispatcher.RequestClass;
 
 /** A request until its final answer and its last outcome. */
-final class Open {
+final class InFlightRequest {
     final Request request;
-    final JobClass jobClass;
+    final RequestClass jobClass;
     final List<Attempt> attempts = new ArrayList<>(2);
     /** Its end is decided. Written by the core's thread alone; the event loop reads it before each send. */
     volatile boolean answered;
 
-    Open(Request request, JobClass jobClass) {
+    InFlightRequest(Request request, RequestClass requestClass) {
         this.request = request;
-        this.jobClass = jobClass;
+        this.jobClass = requestClass;
     }
 
     /**
@@ -23,10 +23,10 @@
      * its window, counted from the first attempt that may have run.
      */
     double lastBegin() {
-        if (jobClass.repeat() == Repeat.DEDUP) {
+        if (jobClass.idempotency() == Idempotency.KEYED) {
             for (Attempt a : attempts) {
                 if (a.mayHaveRun()) {
-                    return Math.min(request.deadline(), a.sentAt() + jobClass.window() / Turns.NANOS);
+                    return Math.min(request.deadline(), a.sentAt() + jobClass.dedupWindow() / CoreLoop.NANOS);
                 }
             }
         }
--- a/src/main/java/nettlewick/core/Figures.java
+++ b/src/main/java/nettlewick/core/Metrics.java
@@ -12,7 +12,7 @@
  * What operators count. Each figure is counted by whoever sees the thing happen, on any thread; readers get
  * an immutable copy. Counts start with the process, all classes at 0.
  */
-public final class Figures {
+public final class Metrics {
     /** How a job ended for its client. */
     public enum End {
         FULFILLED,
@@ -35,7 +35,7 @@
     private volatile int avoided;
     private volatile Map<String, Long> peers = Map.of();
 
-    Figures(List<String> classes) {
+    Metrics(List<String> classes) {
         classes.forEach(
                 name -> jobs.put(name, new AtomicLong[] {new AtomicLong(), new AtomicLong(), new AtomicLong()}));
     }
@@ -43,15 +43,15 @@
     /** One job from its taking to its end; only its first end counts. Belongs to one thread. */
     public final class Ticket {
         private final String jobClass;
-        private Books.Receipt owed = Books.Receipt.NONE;
+        private UsageRecorder.Receipt owed = UsageRecorder.Receipt.NONE;
         private boolean over;
 
-        private Ticket(String jobClass) {
-            this.jobClass = jobClass;
+        private Ticket(String requestClass) {
+            this.jobClass = requestClass;
         }
 
         /** The books wait for word of how it ends. */
-        public void owe(Books.Receipt receipt) {
+        public void owe(UsageRecorder.Receipt receipt) {
             if (over) {
                 receipt.left();
             } else {
@@ -85,14 +85,14 @@
     }
 
     /** A job of a class of the settings has been taken. */
-    public Ticket taken(String jobClass) {
+    public Ticket taken(String requestClass) {
         open.incrementAndGet();
-        return new Ticket(jobClass);
+        return new Ticket(requestClass);
     }
 
     /** A job ended so; one of an unknown class is none. */
-    public void count(String jobClass, End end) {
-        AtomicLong[] counts = jobs.get(jobClass);
+    public void count(String requestClass, End end) {
+        AtomicLong[] counts = jobs.get(requestClass);
         if (counts != null) {
             counts[end.ordinal()].incrementAndGet();
         }
@@ -104,8 +104,8 @@
     }
 
     /** How many workers are on the list, and how many of them get no job now. */
-    void list(int workers, int leftOut) {
-        listed = workers;
+    void list(int endpoints, int leftOut) {
+        listed = endpoints;
         avoided = leftOut;
     }
 
--- a/src/main/java/nettlewick/core/Outgoing.java
+++ b/src/main/java/nettlewick/core/OutboundCall.java
@@ -1,17 +1,17 @@
 package nettlewick.core;
 
 /** Something sent to a worker that ends once. The core thread owns it; others read what is final. */
-abstract class Outgoing {
+abstract class OutboundCall {
     private final String worker;
     private final double sentAt;
     private boolean over;
 
-    Outgoing(String worker, double sentAt) {
-        this.worker = worker;
+    OutboundCall(String endpoint, double sentAt) {
+        this.worker = endpoint;
         this.sentAt = sentAt;
     }
 
-    public final String worker() {
+    public final String endpoint() {
         return worker;
     }
 
--- a/src/main/java/nettlewick/core/Probe.java
+++ b/src/main/java/nettlewick/core/Probe.java
@@ -1,8 +1,8 @@
 package nettlewick.core;
 
 /** One question to a worker for its load. */
-public final class Probe extends Outgoing {
-    Probe(String worker, double sentAt) {
-        super(worker, sentAt);
+public final class Probe extends OutboundCall {
+    Probe(String endpoint, double sentAt) {
+        super(endpoint, sentAt);
     }
 }
--- a/src/main/java/nettlewick/core/Request.java
+++ b/src/main/java/nettlewick/core/Request.java
@@ -9,13 +9,13 @@
  */
 public record Request(
         String id,
-        String jobClass,
+        String requestClass,
         String tenant,
         String key,
         double deadline,
         double slots,
         double memory,
-        double hint,
+        double costHint,
         boolean repeat,
         Cargo cargo,
         Caller caller) {
@@ -33,7 +33,7 @@
         /**
          * The books wait for word of the final answer, which comes next. By default it counts as answered.
          */
-        default void receipt(Books.Receipt receipt) {
+        default void receipt(UsageRecorder.Receipt receipt) {
             receipt.answered();
         }
 
@@ -52,7 +52,7 @@
         void served(byte[] result);
 
         /** Final: turned away, trying again is harmless, after so many milliseconds (0: no advice). */
-        void refused(double retryAfter);
+        void rejected(double retryAfter);
 
         /** Final: no result, and nothing is promised. */
         void failed(String reason);
--- a/src/main/java/nettlewick/core/Accounts.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -2,45 +2,45 @@
 
 import java.util.List;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.Settings;
+import nettlewick.decision.Dispatcher.SchedulerSettings;
 
 /** How the end of a job comes into the books before its answer goes. */
-abstract class Accounts extends Turns {
+abstract class UsageAccounting extends CoreLoop {
     private static final double MICROS = 1e3;
-    private final Books books;
-    Witness witness = Witness.NONE;
+    private final UsageRecorder books;
+    RequestListener witness = RequestListener.NONE;
 
-    Accounts(Clock clock, Settings settings, Dispatcher module, Books books) {
+    UsageAccounting(Clock clock, SchedulerSettings settings, Dispatcher module, UsageRecorder books) {
         super(clock, settings, module);
         this.books = books;
     }
 
     /** Tells it of all that happens from now on; before the thread starts. */
-    public void tell(Witness one) {
+    public void setListener(RequestListener one) {
         witness = one;
     }
 
     /**
      * Has the end entered in the books, which let the answer go; {@code by} is the attempt that served it.
      */
-    final void settle(Request r, Open o, Books.Ending ending, Attempt by, Runnable answer) {
-        if (ending == Books.Ending.REFUSED) {
+    final void settle(Request r, InFlightRequest o, UsageRecorder.Ending ending, Attempt by, Runnable answer) {
+        if (ending == UsageRecorder.Ending.REFUSED) {
             witness.refused(r);
         }
-        if (books == Books.NONE) {
+        if (books == UsageRecorder.NONE) {
             answer.run();
             return;
         }
         double work = 0;
         boolean estimate = by != null && !by.hasStarted();
         if (by != null) {
-            work = estimate && r.hint() > 0 ? r.hint() : by.span(now, estimate);
+            work = estimate && r.costHint() > 0 ? r.costHint() : by.span(now, estimate);
         }
         double spare = 0;
         for (Attempt a : o == null ? List.<Attempt>of() : o.attempts) {
             spare += a == by ? 0 : a.span(now, false);
         }
-        Books.Job job = new Books.Job(
+        UsageRecorder.FinishedRequest job = new UsageRecorder.FinishedRequest(
                 r,
                 ending,
                 now,
@@ -49,7 +49,7 @@
                 estimate,
                 Math.round(spare * r.slots() * MICROS));
         Runnable overdue = books.settle(job, receipt -> {
-            if (receipt != Books.Receipt.NONE) {
+            if (receipt != UsageRecorder.Receipt.NONE) {
                 r.caller().receipt(receipt);
             }
             answer.run();
--- a/src/main/java/nettlewick/core/Books.java
+++ b/src/main/java/nettlewick/core/UsageRecorder.java
@@ -7,7 +7,7 @@
  * Keeps account of how jobs end. Hangs on the core and can be left out: {@link #NONE} lets each answer go at
  * once and remembers nothing.
  */
-public interface Books {
+public interface UsageRecorder {
     /** How a job ended for its client. */
     enum Ending {
         SERVED,
@@ -26,7 +26,8 @@
      *                 was told
      * @param spare    work seen of all other attempts until now: second copies, lost and cancelled ones
      */
-    record Job(Request request, Ending ending, double at, int attempts, long work, boolean estimate, long spare) {}
+    record FinishedRequest(
+            Request request, Ending ending, double at, int attempts, long work, boolean estimate, long spare) {}
 
     /** What the front tells of an answer that was let go; only the first word counts. Any thread. */
     interface Receipt {
@@ -50,7 +51,7 @@
     }
 
     /** Keeps no account. */
-    Books NONE = (job, send) -> {
+    UsageRecorder NONE = (job, send) -> {
         send.accept(Receipt.NONE);
         return null;
     };
@@ -62,7 +63,7 @@
      *             Nobody is told of a job whose client has left: there the receipt means nothing
      * @return lets an answer go that still waits, harmless to call later; null where it has gone
      */
-    Runnable settle(Job job, Consumer<Receipt> send);
+    Runnable settle(FinishedRequest job, Consumer<Receipt> send);
 
     /** How long an answer may wait for the books, in milliseconds. */
     default double patience() {
--- a/src/main/java/nettlewick/decision/Allowance.java
+++ b/src/main/java/nettlewick/decision/Allowance.java
@@ -15,30 +15,30 @@
     /** What a binding slice may be above the rate it serves, and grows each Δ while it serves all. */
     static final double GROWTH = 0.1;
 
-    final Map<String, Tenure> tenants = new HashMap<>();
-    final List<Tenure> tenures = new ArrayList<>();
+    final Map<String, TenantCredit> tenants = new HashMap<>();
+    final List<TenantCredit> tenures = new ArrayList<>();
     double arrivals;
     /** Danger: started into a full fleet, a slice that binds at once would stay at its floor for good. */
     boolean untried = true;
 
     long deltaAt, creditAt;
 
-    Allowance(Settings settings, long seed) {
+    Allowance(SchedulerSettings settings, long seed) {
         super(settings, seed);
         double parts = settings.tenants().stream().mapToDouble(Tenant::fraction).sum();
         for (Tenant t : settings.tenants()) {
-            Tenure tenure = new Tenure(
+            TenantCredit tenure = new TenantCredit(
                     parts > 0 ? t.fraction() / parts : 1.0 / settings.tenants().size());
             tenants.put(t.name(), tenure);
             tenures.add(tenure);
         }
         if (tenures.isEmpty()) {
-            tenures.add(new Tenure(1));
+            tenures.add(new TenantCredit(1));
         }
     }
 
-    long retryAfter(Job job) {
-        double wait = (meanCost.value - job.tenure.credit) / Math.max(slice * job.tenure.weight, 1e-9) * 1e9;
+    long retryAfter(ScheduledRequest request) {
+        double wait = (meanCost.value - request.tenure.credit) / Math.max(slice * request.tenure.weight, 1e-9) * 1e9;
         return (long) Math.min(settings.limits().maxRetryAfter(), Math.max(DELTA, wait));
     }
 
@@ -48,14 +48,14 @@
         creditAt = now;
         for (int round = 0; round < 3 && left > 1e-12; round++) {
             double weights = 0;
-            for (Tenure t : tenures) {
+            for (TenantCredit t : tenures) {
                 weights += t.credit < depth(t) ? t.weight : 0;
             }
             if (weights <= 0) {
                 return;
             }
             double dealt = 0;
-            for (Tenure t : tenures) {
+            for (TenantCredit t : tenures) {
                 if (t.credit < depth(t)) {
                     double part = Math.min(depth(t) - t.credit, left * t.weight / weights);
                     t.credit += part;
@@ -69,7 +69,7 @@
         }
     }
 
-    double depth(Tenure t) {
+    double depth(TenantCredit t) {
         return Math.max(2 * meanCost.value, slice * t.weight * DELTA / 2e9);
     }
 
@@ -77,10 +77,10 @@
     void bind() {
         boolean fresh = false;
         boolean free = false;
-        for (Worker w : shared(watched)) {
-            if (w.ready && now - w.answeredAt <= DELTA) {
+        for (Endpoint endpoint : shared(watched)) {
+            if (endpoint.ready && now - endpoint.answeredAt <= DELTA) {
                 fresh = true;
-                free |= left(w) - w.outSlots >= 1;
+                free |= left(endpoint) - endpoint.outSlots >= 1;
             }
         }
         credit();
@@ -91,7 +91,7 @@
     void share() {
         credit();
         double seconds = DELTA / 1e9;
-        for (Tenure t : tenures) {
+        for (TenantCredit t : tenures) {
             t.demand += (t.offered / seconds - t.demand) / 2;
             t.offered = 0;
         }
@@ -115,8 +115,8 @@
         accepted = 0;
         lost = 0;
         served = 0;
-        double fair = Tenure.fairShare(tenures, slice);
-        augmented = fair + ALPHA * Math.max(0, slice - Tenure.carried(tenures, fair));
+        double fair = TenantCredit.fairShare(tenures, slice);
+        augmented = fair + ALPHA * Math.max(0, slice - TenantCredit.carried(tenures, fair));
         exchange(floor);
     }
 }
--- a/src/main/java/nettlewick/decision/Choice.java
+++ b/src/main/java/nettlewick/decision/Choice.java
@@ -29,23 +29,23 @@
     boolean roomAtHome;
     double awayTokens;
 
-    Choice(Settings settings, long seed) {
+    Choice(SchedulerSettings settings, long seed) {
         super(settings, seed);
         pace = new Mean[settings.classes().size()];
         bound = new double[settings.kinds().size() + 1];
         for (int i = 0; i < pace.length; i++) {
-            JobClass c = settings.classes().get(i);
+            RequestClass c = settings.classes().get(i);
             pace[i] = new Mean();
-            bound[c.kind() + 1] = Math.max(bound[c.kind() + 1], c.worth());
+            bound[c.kind() + 1] = Math.max(bound[c.kind() + 1], c.priorityWeight());
         }
     }
 
     /** Exception to the allowance: a job that would wait past its aim at the best worker is refused. */
-    boolean hopeless(Job job, Worker w) {
-        double wait = wait(job, w);
+    boolean hopeless(ScheduledRequest request, Endpoint endpoint) {
+        double wait = wait(request, endpoint);
         // Danger: worthy jobs that would be late too pile up at a slowed worker and make each other late.
-        double left = patience(job) - run(job, w);
-        return now - w.answeredAt <= DELTA && wait > Math.max(WAIT_PART * job.kind.aim(), left);
+        double left = patience(request) - run(request, endpoint);
+        return now - endpoint.answeredAt <= DELTA && wait > Math.max(WAIT_PART * request.kind.latencyObjective(), left);
     }
 
     /**
@@ -53,101 +53,104 @@
      * now. Danger: what is ahead in a queue are jobs of all classes; its own class says nothing of them.
      * And a process that has just started knows nothing of a queue that reports do not tell.
      */
-    double wait(Job job, Worker w) {
-        return Math.max(ahead(job, w) * pools.get(w.kind + 1).waits.factor(), Outliers.waited(w, now));
+    double wait(ScheduledRequest request, Endpoint endpoint) {
+        return Math.max(
+                ahead(request, endpoint) * pools.get(endpoint.kind + 1).waits.factor(),
+                OutlierDetector.waited(endpoint, now));
     }
 
-    double ahead(Job job, Worker w) {
-        return Math.max(0, -spare(job, w)) * runs.value / Math.max(1, pools.get(w.kind + 1).slots);
+    double ahead(ScheduledRequest request, Endpoint endpoint) {
+        return Math.max(0, -spare(request, endpoint)) * runs.value / Math.max(1, pools.get(endpoint.kind + 1).slots);
     }
 
     /** Time after arrival within which an answer is worth its full worth, as far as can be told. */
-    double patience(Job job) {
-        return job.kind.aim() + job.kind.stretch() * work(job);
+    double patience(ScheduledRequest request) {
+        return request.kind.latencyObjective() + request.kind.objectiveStretch() * work(request);
     }
 
-    boolean worthy(Job job) {
-        return job.density() > WORTHY * meanDensity.value;
+    boolean worthy(ScheduledRequest request) {
+        return request.density() > WORTHY * meanDensity.value;
     }
 
     /** How long it would run there, by its hint and by how that worker and its kind run against hints. */
-    double run(Job job, Worker w) {
-        return work(job) * (job.arrival.hint() > 0 ? outliers.drag(w, pools.get(w.kind + 1)) : 1);
+    double run(ScheduledRequest request, Endpoint endpoint) {
+        return work(request)
+                * (request.arrival.costHint() > 0 ? outliers.drag(endpoint, pools.get(endpoint.kind + 1)) : 1);
     }
 
-    double work(Job job) {
-        return job.arrival.hint() > 0 ? job.arrival.hint() : pace[job.index].value;
+    double work(ScheduledRequest request) {
+        return request.arrival.costHint() > 0 ? request.arrival.costHint() : pace[request.index].value;
     }
 
     /** Danger: a repeated effect. True only if one more attempt is legal now, at some worker at least. */
-    boolean mayRepeat(Job job) {
-        if (job.attempts.size() >= settings.limits().attempts()
-                || now >= job.deadline
-                || job.out() > (settings.limits().secondCopies() ? 1 : 0)) {
+    boolean mayRepeat(ScheduledRequest request) {
+        if (request.attempts.size() >= settings.limits().maxAttempts()
+                || now >= request.deadline
+                || request.out() > (settings.limits().hedgedRequests() ? 1 : 0)) {
             return false;
         }
-        Attempt ran = job.firstThatMayHaveRun();
+        Attempt ran = request.firstThatMayHaveRun();
         return ran == null
-                || job.kind.repeat() == Repeat.RETRYABLE
-                || job.kind.repeat() == Repeat.DEDUP && now - ran.sentAt <= job.kind.window();
+                || request.kind.idempotency() == Idempotency.IDEMPOTENT
+                || request.kind.idempotency() == Idempotency.KEYED && now - ran.sentAt <= request.kind.dedupWindow();
     }
 
-    boolean inScope(Job job, Worker w) {
-        Attempt ran = job.kind.repeat() == Repeat.DEDUP ? job.firstThatMayHaveRun() : null;
-        if (ran == null || job.kind.scope() == Scope.ALL) {
+    boolean inScope(ScheduledRequest request, Endpoint endpoint) {
+        Attempt ran = request.kind.idempotency() == Idempotency.KEYED ? request.firstThatMayHaveRun() : null;
+        if (ran == null || request.kind.dedupScope() == Scope.ALL) {
             return true;
         }
-        WorkerEntry first = ran.worker.entry;
-        return job.kind.scope() == Scope.CELL
-                ? first.cell() == w.entry.cell()
-                : first.zone() != null && first.zone().equals(w.entry.zone());
+        EndpointEntry first = ran.worker.entry;
+        return request.kind.dedupScope() == Scope.CELL
+                ? first.cell() == endpoint.entry.cell()
+                : first.zone() != null && first.zone().equals(endpoint.entry.zone());
     }
 
-    boolean usable(Job job, Worker w) {
-        return w.ready
-                && Outliers.trusts(w, job, now)
-                && inScope(job, w)
-                && !job.wasAt(w)
-                && coldStart.allows(w, pools.get(w.kind + 1), meanCost.value, now);
+    boolean usable(ScheduledRequest request, Endpoint endpoint) {
+        return endpoint.ready
+                && OutlierDetector.trusts(endpoint, request, now)
+                && inScope(request, endpoint)
+                && !request.wasAt(endpoint)
+                && coldStart.allows(endpoint, pools.get(endpoint.kind + 1), meanCost.value, now);
     }
 
     /** The roomiest of the pool's fresh answers, own zone first; without any, a random one of the kind. */
-    Worker choose(Job job) {
-        Pool pool = candidates(job, pools.get(job.kind.kind() + 1));
+    Endpoint choose(ScheduledRequest request) {
+        Pool pool = candidates(request, pools.get(request.kind.kind() + 1));
         roomy = true;
-        for (Worker w : pool.ready) {
+        for (Endpoint endpoint : pool.ready) {
             // Exception: one put back by hand would stay unused while the own zone has room.
-            if (roll.back(w.id)
-                    && w.out.isEmpty()
-                    && job.cost <= meanCost.value
-                    && job.attempts.isEmpty()
-                    && job.kind.repeat() != Repeat.FRAGILE
-                    && usable(job, w)) {
-                return w;
+            if (roll.back(endpoint.id)
+                    && endpoint.out.isEmpty()
+                    && request.cost <= meanCost.value
+                    && request.attempts.isEmpty()
+                    && request.kind.idempotency() != Idempotency.NON_IDEMPOTENT
+                    && usable(request, endpoint)) {
+                return endpoint;
             }
         }
-        Worker home = job.arrival.key() == null ? null : home(job, pool);
+        Endpoint home = request.arrival.key() == null ? null : home(request, pool);
         if (home != null && (roomy || awayTokens < 1)) {
             return home;
         }
         roomy = true;
-        Worker best = null;
+        Endpoint best = null;
         double most = 0;
         boolean roomAtBest = false;
-        for (Worker w : pool.members) {
-            if (now - w.answeredAt <= DELTA && usable(job, w)) {
-                double room = spare(job, w);
+        for (Endpoint endpoint : pool.members) {
+            if (now - endpoint.answeredAt <= DELTA && usable(request, endpoint)) {
+                double room = spare(request, endpoint);
                 // Crossing zones costs: another zone's room counts only when the own zone has none.
-                double rank = room >= 0 ? room + (w.near ? 1000 : 500) : room + (w.near ? 0.5 : 0);
+                double rank = room >= 0 ? room + (endpoint.near ? 1000 : 500) : room + (endpoint.near ? 0.5 : 0);
                 // Danger: a full worker answers fast and looks less busy than one with a queue. It is last.
-                rank -= wasFull(job, w) ? 2000 : 0;
+                rank -= wasFull(request, endpoint) ? 2000 : 0;
                 // Danger: a slowed worker with room takes jobs that will be late. Which ones, they tell;
                 // being late costs its whole worth, crossing zones a part.
-                rank -= room >= 0 && run(job, w) > patience(job) ? 600 : 0;
+                rank -= room >= 0 && run(request, endpoint) > patience(request) ? 600 : 0;
                 if (best == null || rank > most) {
-                    best = w;
+                    best = endpoint;
                     most = rank;
-                    roomAtBest = room >= 0 && !wasFull(job, w);
+                    roomAtBest = room >= 0 && !wasFull(request, endpoint);
                 }
             }
         }
@@ -156,29 +159,29 @@
             return home != null && !roomy ? home : best;
         }
         for (int tries = 0; tries < 2 * POOL_LEAST && !pool.ready.isEmpty(); tries++) {
-            Worker w = pool.ready.get(random.nextInt(pool.ready.size()));
-            if (usable(job, w) && (w.near || tries >= POOL_LEAST)) {
-                return w;
+            Endpoint endpoint = pool.ready.get(random.nextInt(pool.ready.size()));
+            if (usable(request, endpoint) && (endpoint.near || tries >= POOL_LEAST)) {
+                return endpoint;
             }
         }
-        return lastResort(job, pool);
+        return lastResort(request, pool);
     }
 
     /**
      * Exception for keyed jobs: the pool of a key is the few workers that follow it on a hash ring, so that
      * all dispatchers keep its data warm at the same workers. The first of them with room takes the job.
      */
-    Worker home(Job job, Pool pool) {
-        Worker best = null;
+    Endpoint home(ScheduledRequest request, Pool pool) {
+        Endpoint best = null;
         roomAtHome = false;
-        for (Worker w : homes(job, pool)) {
-            if (usable(job, w)) {
-                if (now - w.answeredAt > DELTA ? w.outSlots < 1 : spare(job, w) >= 0) {
+        for (Endpoint endpoint : homes(request, pool)) {
+            if (usable(request, endpoint)) {
+                if (now - endpoint.answeredAt > DELTA ? endpoint.outSlots < 1 : spare(request, endpoint) >= 0) {
                     roomAtHome = true;
-                    return w;
+                    return endpoint;
                 }
-                if (best == null || spare(job, w) > spare(job, best)) {
-                    best = w;
+                if (best == null || spare(request, endpoint) > spare(request, best)) {
+                    best = endpoint;
                 }
             }
         }
@@ -186,9 +189,9 @@
         return best;
     }
 
-    static List<Worker> homes(Job job, Pool pool) {
-        List<Worker> homes = pool.nearRing.follow(job.arrival.key(), HOMES);
-        homes.addAll(pool.ring.follow(job.arrival.key(), HOMES));
+    static List<Endpoint> homes(ScheduledRequest request, Pool pool) {
+        List<Endpoint> homes = pool.nearRing.follow(request.arrival.key(), HOMES);
+        homes.addAll(pool.ring.follow(request.arrival.key(), HOMES));
         return homes;
     }
 
@@ -196,29 +199,33 @@
      * Slots, and memory, that would be left at a worker beside this job; below 0 it has to wait.
      * Danger: all herd onto one roomy worker. What others leave is from reports; own sends count exactly.
      */
-    double spare(Job job, Worker w) {
-        double room = left(w) - w.outSlots;
-        double waiting = Outliers.waiting(w, now);
-        room = wasFull(job, w) || waiting > 0 ? Math.min(-waiting, room) : room;
-        room -= job.kind.kind() < 0 && w.kind >= 0 && bound[w.kind + 1] > job.kind.worth() ? RESERVE : 0;
-        return (job.arrival.memory() > w.memory ? Math.min(room, 0) : room) - job.arrival.slots();
+    double spare(ScheduledRequest request, Endpoint endpoint) {
+        double room = left(endpoint) - endpoint.outSlots;
+        double waiting = OutlierDetector.waiting(endpoint, now);
+        room = wasFull(request, endpoint) || waiting > 0 ? Math.min(-waiting, room) : room;
+        room -= request.kind.kind() < 0
+                        && endpoint.kind >= 0
+                        && bound[endpoint.kind + 1] > request.kind.priorityWeight()
+                ? RESERVE
+                : 0;
+        return (request.arrival.memory() > endpoint.memory ? Math.min(room, 0) : room) - request.arrival.slots();
     }
 
     /** A worker that was full is taken to be full until a slot or so can have become free. */
-    boolean wasFull(Job job, Worker w) {
-        return now - w.fullAt < (long) Math.max(BEAT / 2, pace[job.index].value / 4);
+    boolean wasFull(ScheduledRequest request, Endpoint endpoint) {
+        return now - endpoint.fullAt < (long) Math.max(BEAT / 2, pace[request.index].value / 4);
     }
 
     /** Where trouble leaves no healthy worker, one that is shunned may still take a first attempt. */
-    Worker lastResort(Job job, Pool pool) {
-        if (!job.attempts.isEmpty() || pool.ready.isEmpty()) {
+    Endpoint lastResort(ScheduledRequest request, Pool pool) {
+        if (!request.attempts.isEmpty() || pool.ready.isEmpty()) {
             return null;
         }
         int start = random.nextInt(pool.ready.size());
         for (int i = 0; i < pool.ready.size(); i++) {
-            Worker w = pool.ready.get((start + i) % pool.ready.size());
-            if (coldStart.allows(w, pools.get(w.kind + 1), meanCost.value, now)) {
-                return w;
+            Endpoint endpoint = pool.ready.get((start + i) % pool.ready.size());
+            if (coldStart.allows(endpoint, pools.get(endpoint.kind + 1), meanCost.value, now)) {
+                return endpoint;
             }
         }
         return null;
--- a/src/main/java/nettlewick/decision/Kept.java
+++ b/src/main/java/nettlewick/decision/DedicatedEndpoints.java
@@ -7,38 +7,41 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.decision.Dispatcher.Assignment;
+import nettlewick.decision.Dispatcher.PoolAssignment;
+import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.Pool;
-import nettlewick.decision.State.Worker;
 
 /**
  * Workers that are kept for tenants, as they were assigned, and the pools that this leaves to each of these.
  * Chooses nothing: a tenant's jobs go by the same rules among its own candidates.
  */
-final class Kept {
-    private final List<Assignment> assignments;
+final class DedicatedEndpoints {
+    private final List<PoolAssignment> assignments;
     private final Set<String> shut = new HashSet<>();
     /** By tenant, then by kind from -1 on. */
     private final Map<String, List<Pool>> pools = new HashMap<>();
 
-    Kept(List<Assignment> assignments) {
+    DedicatedEndpoints(List<PoolAssignment> assignments) {
         this.assignments = List.copyOf(assignments);
-        for (Assignment a : assignments) {
-            if (a.shut()) {
-                shut.addAll(a.workers());
+        for (PoolAssignment a : assignments) {
+            if (a.exclusive()) {
+                shut.addAll(a.endpoints());
             }
         }
     }
 
     /** Those that are for all. */
-    Collection<Worker> common(Collection<Worker> workers) {
-        return workers.stream().filter(w -> !shut.contains(w.id)).toList();
+    Collection<Endpoint> common(Collection<Endpoint> endpoints) {
+        return endpoints.stream()
+                .filter(endpoint -> !shut.contains(endpoint.id))
+                .toList();
     }
 
-    void refill(Collection<Worker> workers, List<Pool> common, int ringPlaces) {
-        for (Assignment a : assignments) {
-            List<Worker> candidates = workers.stream()
-                    .filter(w -> a.workers().contains(w.id) || !a.confined() && !shut.contains(w.id))
+    void refill(Collection<Endpoint> endpoints, List<Pool> common, int ringPlaces) {
+        for (PoolAssignment a : assignments) {
+            List<Endpoint> candidates = endpoints.stream()
+                    .filter(endpoint ->
+                            a.endpoints().contains(endpoint.id) || !a.confined() && !shut.contains(endpoint.id))
                     .toList();
             List<Pool> own = pools.computeIfAbsent(
                     a.tenant(), t -> common.stream().map(p -> new Pool(p.kind)).toList());
--- a/src/main/java/nettlewick/decision/Dispatcher.java
+++ b/src/main/java/nettlewick/decision/Dispatcher.java
@@ -10,11 +10,11 @@
  * calls {@link #handle} from one thread at a time, with the events in the order in which they happened, and
  * carries the actions out in the order given. It reports exactly one {@link Outcome} for each
  * {@link Dispatch} and one {@link ProbeAnswer} for each {@link Probe}, delivers each {@link SetTimer} as a
- * {@link Timer} not before its time, and hands an arrival's id out only once. A first {@link Result#SERVED}
+ * {@link Timer} not before its time, and hands an arrival's id out only once. A first {@link AttemptResult#SERVED}
  * outcome ends its request by itself.
  *
  * <p>The module guarantees one final answer for each arrival within its time (a served outcome,
- * {@link Refuse} or {@link Fail}), sends nothing for it afterwards, and sends only to workers that its list
+ * {@link Reject} or {@link Fail}), sends nothing for it afterwards, and sends only to workers that its list
  * names as ready. It never blocks, reads no clock and draws random numbers from its seed alone: the same
  * events give the same actions.
  */
@@ -23,16 +23,16 @@
     List<Action> handle(long now, List<Event> events);
 
     /** How many workers are on the list, and how many of them get no job now. */
-    default Rotation rotation() {
-        return new Rotation(0, 0);
+    default EndpointCounts endpointCounts() {
+        return new EndpointCounts(0, 0);
     }
 
     /** Workers on the list, and those of them that are left out, by hand or by choice. */
-    record Rotation(int listed, int avoided) {}
+    record EndpointCounts(int listed, int ejected) {}
 
     /** Peers' datagrams passed over since the start, whole or in part. */
-    default PeerFaults peerFaults() {
-        return new PeerFaults(0, 0, 0);
+    default PeerMessageFaults peerMessageFaults() {
+        return new PeerMessageFaults(0, 0, 0);
     }
 
     /**
@@ -42,18 +42,18 @@
      * @param late     notes that a later one of the same peer had overtaken
      * @param unlisted entries that name no sim runner of this dispatcher's list
      */
-    record PeerFaults(long damaged, long late, long unlisted) {}
+    record PeerMessageFaults(long damaged, long late, long unlisted) {}
 
     /** Makes one instance of the decision module; instances share nothing. */
-    static Dispatcher create(Settings settings, long seed) {
-        return new Logic(settings, seed);
+    static Dispatcher create(SchedulerSettings settings, long seed) {
+        return new RequestScheduler(settings, seed);
     }
 
     /** What a repeated job may do: nothing bad, nothing while workers remember it, or harm. */
-    enum Repeat {
-        RETRYABLE,
-        DEDUP,
-        FRAGILE
+    enum Idempotency {
+        IDEMPOTENT,
+        KEYED,
+        NON_IDEMPOTENT
     }
 
     /** The group of workers that drops repeats of a dedup job. */
@@ -64,23 +64,23 @@
     }
 
     /** Whether load reports come with outcomes and probes, with probes only, or not at all. */
-    enum Reports {
+    enum LoadReporting {
         INLINE,
         ON_PROBE,
         OFF
     }
 
     /** A class of jobs. {@code kind} is the one worker kind that runs it, an index, or -1 for any. */
-    record JobClass(
+    record RequestClass(
             String name,
-            Repeat repeat,
-            Scope scope,
-            long window,
-            long aim,
-            double stretch,
+            Idempotency idempotency,
+            Scope dedupScope,
+            long dedupWindow,
+            long latencyObjective,
+            double objectiveStretch,
             long deadline,
-            double worth,
-            double lateWorth,
+            double priorityWeight,
+            double latePriorityWeight,
             boolean stream,
             int kind,
             int priority) {}
@@ -90,54 +90,57 @@
 
     /** What this site allows. */
     record Limits(
-            int attempts,
+            int maxAttempts,
             boolean cancel,
             boolean peers,
             boolean probes,
             boolean retryAfter,
-            boolean secondCopies,
+            boolean hedgedRequests,
             long maxRetryAfter) {}
 
     /** The figures of the four rules. */
     record Rules(
             long answerSlack,
             long askWithin,
-            long cold,
-            double coldShare,
+            long slowStart,
+            double slowStartShare,
             long drainGrace,
             long fall,
             double overloadFactor) {}
 
     /** What one instance is told at its start. {@code rank} counts from 0 below {@code fleetSize}. */
-    record Settings(
+    record SchedulerSettings(
             int rank,
             int fleetSize,
             String zone,
-            List<JobClass> classes,
+            List<RequestClass> classes,
             List<Tenant> tenants,
             List<String> kinds,
             boolean listOnRequest,
             boolean sizesFixed,
-            Reports reports,
+            LoadReporting loadReporting,
             long progress,
             Limits limits,
             Rules rules) {
         /** Copies the lists and rejects settings that make no sense, naming the setting and the value. */
-        public Settings {
+        public SchedulerSettings {
             check(fleetSize >= 1, "fleetSize", fleetSize);
             check(rank >= 0 && rank < fleetSize, "rank", rank);
             check(!classes.isEmpty(), "classes", classes);
-            check(limits.attempts() >= 1, "limits.attempts", limits.attempts());
+            check(limits.maxAttempts() >= 1, "limits.attempts", limits.maxAttempts());
             check(limits.maxRetryAfter() >= 0, "limits.maxRetryAfter", limits.maxRetryAfter());
-            check(rules.coldShare() >= 0 && rules.coldShare() <= 1, "rules.coldShare", rules.coldShare());
-            check(rules.cold() >= 0, "rules.cold", rules.cold());
+            check(
+                    rules.slowStartShare() >= 0 && rules.slowStartShare() <= 1,
+                    "rules.coldShare",
+                    rules.slowStartShare());
+            check(rules.slowStart() >= 0, "rules.cold", rules.slowStart());
             check(rules.fall() >= 0, "rules.fall", rules.fall());
             check(rules.overloadFactor() > 0, "rules.overloadFactor", rules.overloadFactor());
-            for (JobClass c : classes) {
+            for (RequestClass c : classes) {
                 check(c.kind() >= -1 && c.kind() < kinds.size(), "classes[" + c.name() + "].kind", c.kind());
-                check(c.aim() > 0, "classes[" + c.name() + "].aim", c.aim());
-                check(c.window() >= 0, "classes[" + c.name() + "].window", c.window());
-                check(c.worth() >= 0, "classes[" + c.name() + "].worth", c.worth());
+                check(c.latencyObjective() > 0, "classes[" + c.name() + "].aim", c.latencyObjective());
+                check(c.dedupWindow() >= 0, "classes[" + c.name() + "].window", c.dedupWindow());
+                check(c.priorityWeight() >= 0, "classes[" + c.name() + "].worth", c.priorityWeight());
             }
             for (Tenant t : tenants) {
                 check(t.fraction() >= 0 && t.fraction() <= 1, "tenants[" + t.name() + "].fraction", t.fraction());
@@ -155,26 +158,27 @@
     }
 
     /** Life of a worker as the list tells it. */
-    enum Life {
+    enum EndpointState {
         READY,
         DRAINING,
         GONE
     }
 
     /** A worker in the list; {@code startedAt} 0 means long ago, {@code size} compares it with its kind. */
-    record WorkerEntry(String worker, Life life, long startedAt, int cell, String kind, String zone, double size) {}
+    record EndpointEntry(
+            String id, EndpointState state, long startedAt, int cell, String kind, String zone, double size) {}
 
     /** A load report; a value that is not reported is NaN. */
-    record Load(double freeSlots, double freeMemory, double waiting, double inHand, double busyShare) {}
+    record EndpointLoad(double freeSlots, double freeMemory, double waiting, double inHand, double busyShare) {}
 
     /** How an attempt ended. */
-    enum Result {
+    enum AttemptResult {
         /** The worker answered. */
         SERVED(false),
         /** The worker answered with an error; the job may have run. */
         ERROR(false),
         /** Turned away unseen. */
-        FULL(true),
+        OVERLOADED(true),
         /** No answer in time; the job may have run or run still. */
         TIMEOUT(false),
         /** No connection could be made. */
@@ -184,39 +188,39 @@
         /** Called off; the job may have run. */
         CANCELLED(false),
         /** Never sent. */
-        MOOT(true);
+        NOT_SENT(true);
 
         /** True if this result proves that the job never ran. */
         public final boolean neverRan;
 
-        Result(boolean neverRan) {
+        AttemptResult(boolean neverRan) {
             this.neverRan = neverRan;
         }
     }
 
     /** News for the module. */
     sealed interface Event
-            permits WorkerList,
-                    Ban,
-                    Assigned,
-                    ListFailed,
+            permits EndpointList,
+                    EndpointAdminChange,
+                    PoolsAssigned,
+                    EndpointListFailed,
                     Arrival,
                     Outcome,
-                    StreamBegan,
+                    StreamStarted,
                     Abandoned,
                     Progress,
                     ProbeAnswer,
-                    PeerMessage,
+                    PeerMessageReceived,
                     Timer {}
 
     /** The list of workers: whole (what is missing is gone) or only what changed. */
-    record WorkerList(boolean whole, List<WorkerEntry> entries) implements Event {}
+    record EndpointList(boolean whole, List<EndpointEntry> entries) implements Event {}
 
     /**
      * An operator has taken a worker out, or put it back: nothing new goes there meanwhile, whatever the list
      * says, and one that is back counts as started at {@code since}. Repeats and unknown workers are fine.
      */
-    record Ban(String worker, boolean out, long since) implements Event {}
+    record EndpointAdminChange(String endpoint, boolean disabled, long since) implements Event {}
 
     /**
      * A tenant's own workers.
@@ -224,62 +228,69 @@
      * @param shut     whether others' jobs keep away from them
      * @param confined whether the tenant's jobs go there only, while one of them is ready
      */
-    record Assignment(String tenant, Set<String> workers, boolean shut, boolean confined) {
+    record PoolAssignment(String tenant, Set<String> endpoints, boolean exclusive, boolean confined) {
         /** Copies the set. */
-        public Assignment {
-            workers = Set.copyOf(workers);
+        public PoolAssignment {
+            endpoints = Set.copyOf(endpoints);
         }
     }
 
     /** All tenants' own workers from now on; who is not named goes by the common ones again. */
-    record Assigned(List<Assignment> assignments) implements Event {}
+    record PoolsAssigned(List<PoolAssignment> assignments) implements Event {}
 
     /** A subscription or a fetch of the list failed or broke; the old list stands. */
-    record ListFailed() implements Event {}
+    record EndpointListFailed() implements Event {}
 
     /** A job that now needs one final answer. {@code tenant} is null where there is none; hint 0 is none. */
     record Arrival(
             String id,
-            String jobClass,
+            String requestClass,
             String tenant,
             long remaining,
             double slots,
             double memory,
-            long hint,
+            long costHint,
             String key,
             boolean repeat)
             implements Event {}
 
     /** An attempt is over. {@code settled}: the request is over too. {@code load} may be null. */
-    record Outcome(String id, int attempt, String worker, Result result, long latency, boolean settled, Load load)
+    record Outcome(
+            String id,
+            int attempt,
+            String endpoint,
+            AttemptResult result,
+            long latency,
+            boolean settled,
+            EndpointLoad load)
             implements Event {}
 
     /** A streamed answer has begun: the attempt is the client's from now on. */
-    record StreamBegan(String id, int attempt) implements Event {}
+    record StreamStarted(String id, int attempt) implements Event {}
 
     /** Nobody waits for this request any more. */
     record Abandoned(String id) implements Event {}
 
     /** A sign of life from an attempt that is still out; {@code share} is the part done. */
-    record Progress(String id, int attempt, String worker, double share) implements Event {}
+    record Progress(String id, int attempt, String endpoint, double share) implements Event {}
 
     /** The answer to a probe. {@code load} may be null. */
-    record ProbeAnswer(String worker, Result result, long latency, Load load) implements Event {}
+    record ProbeAnswer(String endpoint, AttemptResult result, long latency, EndpointLoad load) implements Event {}
 
     /** A message from the dispatcher of that rank. */
-    record PeerMessage(int rank, byte[] data) implements Event {}
+    record PeerMessageReceived(int rank, byte[] data) implements Event {}
 
     /** A timer is due. */
     record Timer(String name) implements Event {}
 
     /** What the module wants done. */
-    sealed interface Action permits Dispatch, Refuse, Fail, Cancel, Probe, TellPeer, SetTimer, Subscribe {}
+    sealed interface Action permits Dispatch, Reject, Fail, Cancel, Probe, SendToPeer, SetTimer, Subscribe {}
 
     /** Send the job to a worker; attempts count from 0. {@code timeout} 0: as long as the client waits. */
-    record Dispatch(String id, String worker, long timeout) implements Action {}
+    record Dispatch(String id, String endpoint, long timeout) implements Action {}
 
     /** Final answer: turned away, trying again is harmless. {@code retryAfter} 0 is no advice. */
-    record Refuse(String id, long retryAfter) implements Action {}
+    record Reject(String id, long retryAfter) implements Action {}
 
     /** Final answer: failed; nothing is promised. */
     record Fail(String id) implements Action {}
@@ -288,10 +299,10 @@
     record Cancel(String id, int attempt) implements Action {}
 
     /** Ask a worker for its load. */
-    record Probe(String worker) implements Action {}
+    record Probe(String endpoint) implements Action {}
 
     /** Send bytes to the dispatcher of that rank. */
-    record TellPeer(int rank, byte[] data) implements Action {}
+    record SendToPeer(int rank, byte[] data) implements Action {}
 
     /** Ask for a {@link Timer} after {@code delay}. */
     record SetTimer(String name, long delay) implements Action {}
--- a/src/main/java/nettlewick/decision/EventLoop.java
+++ b/src/main/java/nettlewick/decision/EventLoop.java
@@ -3,19 +3,19 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import nettlewick.decision.State.Job;
+import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.Pool;
-import nettlewick.decision.State.Worker;
+import nettlewick.decision.State.ScheduledRequest;
 
 /** Takes a batch apart for the decision module and gathers its actions. Decides nothing. */
 abstract class EventLoop implements Dispatcher {
     /** The clock of the batch; it never goes back, whatever the host says. */
     protected long now;
 
-    protected final Roll roll = new Roll();
-    protected final Heard heard = new Heard();
+    protected final EndpointRegistry roll = new EndpointRegistry();
+    protected final PeerFaultCounters heard = new PeerFaultCounters();
     /** Which workers tenants have of their own; null, and no class of it loaded, where none has any. */
-    private Kept kept;
+    private DedicatedEndpoints kept;
 
     private List<Action> actions = new ArrayList<>();
     private boolean started;
@@ -39,21 +39,21 @@
                 due(e.name());
             } else if (event instanceof Progress e) {
                 progress(e);
-            } else if (event instanceof PeerMessage e) {
+            } else if (event instanceof PeerMessageReceived e) {
                 peer(e);
-            } else if (event instanceof WorkerList e) {
+            } else if (event instanceof EndpointList e) {
                 learn(roll.heed(e));
-            } else if (event instanceof Ban e) {
+            } else if (event instanceof EndpointAdminChange e) {
                 learn(roll.heed(e));
-            } else if (event instanceof ListFailed) {
+            } else if (event instanceof EndpointListFailed) {
                 listFailed();
             } else if (event instanceof Abandoned e) {
                 abandon(e.id());
-            } else if (event instanceof StreamBegan e) {
+            } else if (event instanceof StreamStarted e) {
                 streamBegan(e);
-            } else if (event instanceof Assigned e) {
-                kept = e.assignments().isEmpty() ? null : new Kept(e.assignments());
-                learn(new WorkerList(false, List.of()));
+            } else if (event instanceof PoolsAssigned e) {
+                kept = e.assignments().isEmpty() ? null : new DedicatedEndpoints(e.assignments());
+                learn(new EndpointList(false, List.of()));
             }
         }
         after();
@@ -61,8 +61,8 @@
     }
 
     /** Danger: anybody may send bytes to the peers' port. What no version here reads is counted only. */
-    private void peer(PeerMessage e) {
-        if (LoadNote.is(e.data()) || Tally.is(e.data()) || PeerNote.of(e.data()) != null) {
+    private void peer(PeerMessageReceived e) {
+        if (LoadGossip.is(e.data()) || LoadAggregator.is(e.data()) || PeerMessage.of(e.data()) != null) {
             hear(e.rank(), e.data());
         } else {
             heard.damaged++;
@@ -70,21 +70,21 @@
     }
 
     @Override
-    public final PeerFaults peerFaults() {
+    public final PeerMessageFaults peerMessageFaults() {
         return heard.counts();
     }
 
     @Override
-    public final Rotation rotation() {
+    public final EndpointCounts endpointCounts() {
         return roll.count(this::avoided);
     }
 
     /** Sorts the workers out: which are for all, and which for one tenant. */
-    final void sort(Collection<Worker> workers, List<Pool> pools, int ringPlaces) {
-        Collection<Worker> common = kept == null ? workers : kept.common(workers);
+    final void sort(Collection<Endpoint> endpoints, List<Pool> pools, int ringPlaces) {
+        Collection<Endpoint> common = kept == null ? endpoints : kept.common(endpoints);
         pools.forEach(pool -> pool.refill(common, ringPlaces));
         if (kept != null) {
-            kept.refill(workers, pools, ringPlaces);
+            kept.refill(endpoints, pools, ringPlaces);
         }
     }
 
@@ -94,22 +94,22 @@
     }
 
     /** Where a job of this tenant may go, of the workers that its kind leaves. */
-    final Pool candidates(Job job, Pool common) {
-        return kept == null ? common : kept.pool(job.arrival.tenant(), common);
+    final Pool candidates(ScheduledRequest request, Pool common) {
+        return kept == null ? common : kept.pool(request.arrival.tenant(), common);
     }
 
     /** Whether the job has its tenant's own workers alone: where these are full, no other has room. */
-    final boolean apart(Job job) {
-        return kept != null && kept.apart(job.arrival.tenant());
+    final boolean apart(ScheduledRequest request) {
+        return kept != null && kept.apart(request.arrival.tenant());
     }
 
     /** Those of them that are for all. */
-    final Collection<Worker> shared(Collection<Worker> workers) {
-        return kept == null ? workers : kept.common(workers);
+    final Collection<Endpoint> shared(Collection<Endpoint> endpoints) {
+        return kept == null ? endpoints : kept.common(endpoints);
     }
 
     /** Whether a worker of the list gets no job now. */
-    abstract boolean avoided(String worker);
+    abstract boolean avoided(String endpoint);
 
     protected final void act(Action action) {
         actions.add(action);
@@ -120,7 +120,7 @@
     /** At the end of each batch, once all its events are taken in. */
     abstract void after();
 
-    abstract void learn(WorkerList list);
+    abstract void learn(EndpointList list);
 
     abstract void listFailed();
 
@@ -128,7 +128,7 @@
 
     abstract void end(Outcome outcome);
 
-    abstract void streamBegan(StreamBegan event);
+    abstract void streamBegan(StreamStarted event);
 
     abstract void abandon(String id);
 
--- a/src/main/java/nettlewick/decision/Exchange.java
+++ b/src/main/java/nettlewick/decision/Exchange.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import nettlewick.decision.PeerNote.What;
+import nettlewick.decision.PeerMessage.What;
 import nettlewick.decision.State.Peer;
 
 /** The ring of binding dispatchers: conserved transfers of the slice, and best friends that inherit. */
@@ -20,7 +20,7 @@
     double augmented;
     boolean binding;
 
-    Exchange(Settings settings, long seed) {
+    Exchange(SchedulerSettings settings, long seed) {
         super(settings, seed);
     }
 
@@ -109,12 +109,12 @@
     }
 
     void tell(int rank, What what, int peerEpoch, int number, double amount) {
-        act(new TellPeer(rank, new PeerNote(what, binding, epoch, peerEpoch, number, augmented, amount).bytes()));
+        act(new SendToPeer(rank, new PeerMessage(what, binding, epoch, peerEpoch, number, augmented, amount).bytes()));
     }
 
     @Override
     void hear(int rank, byte[] data) {
-        PeerNote note = PeerNote.of(data);
+        PeerMessage note = PeerMessage.of(data);
         if (rank < 0
                 || rank >= settings.fleetSize()
                 || rank == settings.rank()
--- a/src/main/java/nettlewick/decision/Tally.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.State.Worker;
+import nettlewick.decision.State.Endpoint;
 
 /**
  * What all dispatchers hold at each sim runner, summed at the runner's owner and told to those that watch
@@ -18,7 +18,7 @@
  * it at most ten times a second, and again while it is not 0. Everything told is believed for a while only.
  * Pure: time is handed in.
  */
-final class Tally {
+final class LoadAggregator {
     /** Tiers of so many dispatchers or fewer tell every peer directly. */
     static final int SMALL = 16;
     /** The first byte tells version and kind; entries of a mark, and mostly a number, follow. */
@@ -72,19 +72,19 @@
 
     private final int rank;
     private final int size;
-    private final Heard heard;
+    private final PeerFaultCounters heard;
     /** As a holder: what each owner was last told, and when. */
-    private final Map<Worker, Held> told = new HashMap<>();
+    private final Map<Endpoint, Held> told = new HashMap<>();
 
     private long watchedAt = State.NEVER;
     /** As a watcher: when the sum of each runner came. */
-    private final Map<Worker, Long> sums = new HashMap<>();
+    private final Map<Endpoint, Long> sums = new HashMap<>();
 
     private final Map<Character, Owned> owned = new HashMap<>();
-    private Map<Character, Worker> listed = Map.of();
+    private Map<Character, Endpoint> listed = Map.of();
     private boolean again;
 
-    Tally(int rank, int size, Heard heard) {
+    LoadAggregator(int rank, int size, PeerFaultCounters heard) {
         this.rank = rank;
         this.size = size;
         this.heard = heard;
@@ -113,7 +113,7 @@
     }
 
     /** The list by marks; those that share one stand for none. */
-    void list(Map<Character, Worker> byMark) {
+    void list(Map<Character, Endpoint> byMark) {
         listed = byMark;
     }
 
@@ -144,13 +144,13 @@
     private void own(Kind kind, char mark, int from, int slots, long now) {
         Owned o = owned.computeIfAbsent(mark, m -> new Owned());
         if (kind == Kind.WATCH) {
-            Watcher w = o.watchers.get(from);
-            if (w == null) {
-                w = new Watcher();
-                o.watchers.put(from, w);
+            Watcher endpoint = o.watchers.get(from);
+            if (endpoint == null) {
+                endpoint = new Watcher();
+                o.watchers.put(from, endpoint);
                 o.news = true;
             }
-            w.saidAt = now;
+            endpoint.saidAt = now;
         } else {
             Held before = slots == 0 ? o.holders.remove(from) : o.holders.put(from, new Held(slots, now));
             o.news |= (before == null ? 0 : before.slots()) != slots;
@@ -158,19 +158,19 @@
     }
 
     private void believe(char mark, int others, long now) {
-        Worker w = listed.get(mark);
-        if (w == null) {
+        Endpoint endpoint = listed.get(mark);
+        if (endpoint == null) {
             heard.unlisted++;
         } else {
-            w.others = others;
-            sums.put(w, now);
+            endpoint.others = others;
+            sums.put(endpoint, now);
         }
     }
 
     /** Forgets what is too old: sums a watcher had, and holders and watchers an owner had. */
     void expire(long now) {
-        for (Iterator<Map.Entry<Worker, Long>> i = sums.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Worker, Long> e = i.next();
+        for (Iterator<Map.Entry<Endpoint, Long>> i = sums.entrySet().iterator(); i.hasNext(); ) {
+            Map.Entry<Endpoint, Long> e = i.next();
             if (now - e.getValue() > SUMMED) {
                 e.getKey().others = 0;
                 i.remove();
@@ -178,7 +178,7 @@
         }
         for (Owned o : owned.values()) {
             o.news |= o.holders.values().removeIf(h -> now - h.at() > HELD);
-            o.watchers.values().removeIf(w -> now - w.saidAt > WATCHED);
+            o.watchers.values().removeIf(endpoint -> now - endpoint.saidAt > WATCHED);
         }
         owned.values().removeIf(o -> o.holders.isEmpty() && o.watchers.isEmpty());
         again = true;
@@ -191,16 +191,16 @@
      * @param all     every runner this dispatcher knows
      * @param watched the runners of its pool
      */
-    Map<Integer, List<byte[]>> flush(long now, Collection<Worker> all, List<Worker> watched) {
+    Map<Integer, List<byte[]>> flush(long now, Collection<Endpoint> all, List<Endpoint> watched) {
         Map<Integer, Entries> out = new LinkedHashMap<>();
-        for (Worker w : all) {
-            if (w.outSlots > 0 || !told.isEmpty()) {
-                hold(w, now, out);
+        for (Endpoint endpoint : all) {
+            if (endpoint.outSlots > 0 || !told.isEmpty()) {
+                hold(endpoint, now, out);
             }
         }
         if (now - watchedAt >= WATCH_AGAIN) {
             watchedAt = now;
-            watched.forEach(w -> put(Kind.WATCH, LoadNote.mark(w.id), 0, now, out));
+            watched.forEach(endpoint -> put(Kind.WATCH, LoadGossip.mark(endpoint.id), 0, now, out));
         }
         owned.forEach((mark, o) -> {
             if (o.news || again) {
@@ -214,18 +214,18 @@
         return datagrams;
     }
 
-    private void hold(Worker w, long now, Map<Integer, Entries> out) {
-        int slots = (int) Math.min(BYTE, Math.ceil(w.outSlots - 1e-9));
-        Held last = told.get(w);
+    private void hold(Endpoint endpoint, long now, Map<Integer, Entries> out) {
+        int slots = (int) Math.min(BYTE, Math.ceil(endpoint.outSlots - 1e-9));
+        Held last = told.get(endpoint);
         if (slots == (last == null ? 0 : last.slots()) && (slots == 0 || now - last.at() < HELD_AGAIN)) {
             return;
         }
         if (slots == 0) {
-            told.remove(w);
+            told.remove(endpoint);
         } else {
-            told.put(w, new Held(slots, now));
+            told.put(endpoint, new Held(slots, now));
         }
-        put(Kind.HOLD, LoadNote.mark(w.id), slots, now, out);
+        put(Kind.HOLD, LoadGossip.mark(endpoint.id), slots, now, out);
     }
 
     /** An entry for the owner, which may be this dispatcher. */
@@ -241,15 +241,15 @@
     /** As an owner: tells each watcher what the others hold, where that has changed or is due again. */
     private void sum(char mark, Owned o, long now, Map<Integer, Entries> out) {
         int total = o.total();
-        o.watchers.forEach((watcher, w) -> {
+        o.watchers.forEach((watcher, endpoint) -> {
             Held own = o.holders.get(watcher);
             int others = Math.min(BYTE, total - (own == null ? 0 : own.slots()));
             // Danger: more that is told late sends many to a runner that is full; less costs a little room.
-            if (others < w.told && now - w.toldAt < LESS) {
+            if (others < endpoint.told && now - endpoint.toldAt < LESS) {
                 o.news = true;
-            } else if (others != w.told || others > 0 && now - w.toldAt >= SUM_AGAIN) {
-                w.told = others;
-                w.toldAt = now;
+            } else if (others != endpoint.told || others > 0 && now - endpoint.toldAt >= SUM_AGAIN) {
+                endpoint.told = others;
+                endpoint.toldAt = now;
                 if (watcher == rank) {
                     believe(mark, others, now);
                 } else {
--- a/src/main/java/nettlewick/decision/LoadNote.java
+++ b/src/main/java/nettlewick/decision/LoadGossip.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.decision.State.Worker;
+import nettlewick.decision.State.Endpoint;
 
 /**
  * What a dispatcher tells the others of its own slots in work at each worker: exact, and as old as a
  * datagram, where a report is a second old. A worker goes by sixteen bits of its id's hash. Danger: by its
  * place in a list, a note would mean other workers at one that was told of a release sooner or later.
  */
-final class LoadNote {
+final class LoadGossip {
     private static final byte MAGIC = (byte) 0xD3;
     private static final byte VERSION = 3;
     private static final int HEAD = 4;
@@ -34,9 +34,9 @@
      * @param number   of the sending, modulo 256: a note of a lower one is late
      * @param unlisted entries that name no worker of this dispatcher's list
      */
-    record Told(int part, int parts, int number, Map<Worker, Integer> slots, int unlisted) {}
+    record Told(int part, int parts, int number, Map<Endpoint, Integer> slots, int unlisted) {}
 
-    private LoadNote() {}
+    private LoadGossip() {}
 
     /** Sixteen bits that stand for an id, the same in every process. */
     static char mark(String id) {
@@ -45,12 +45,12 @@
     }
 
     /** The workers by their marks; those that share one stand for none of them. */
-    static Map<Character, Worker> byMark(List<Worker> workers) {
-        Map<Character, Worker> marks = new HashMap<>();
+    static Map<Character, Endpoint> byMark(List<Endpoint> endpoints) {
+        Map<Character, Endpoint> marks = new HashMap<>();
         Set<Character> shared = new HashSet<>();
-        for (Worker w : workers) {
-            if (marks.put(mark(w.id), w) != null) {
-                shared.add(mark(w.id));
+        for (Endpoint endpoint : endpoints) {
+            if (marks.put(mark(endpoint.id), endpoint) != null) {
+                shared.add(mark(endpoint.id));
             }
         }
         marks.keySet().removeAll(shared);
@@ -61,8 +61,9 @@
      * The messages on all of these workers that hold something, in their order, as many to a datagram as fit;
      * what would need more than fifteen datagrams is left out from the end.
      */
-    static List<byte[]> bytes(List<Worker> workers) {
-        List<Worker> holding = workers.stream().filter(w -> w.outSlots > 1e-9).toList();
+    static List<byte[]> bytes(List<Endpoint> endpoints) {
+        List<Endpoint> holding =
+                endpoints.stream().filter(endpoint -> endpoint.outSlots > 1e-9).toList();
         int parts = Math.min(BYTE / 16, Math.max(1, (holding.size() + PER_NOTE - 1) / PER_NOTE));
         List<byte[]> notes = new ArrayList<>();
         for (int part = 0; part < parts; part++) {
@@ -70,8 +71,8 @@
             int to = Math.min(holding.size(), from + PER_NOTE);
             ByteBuffer b = ByteBuffer.allocate(HEAD + (to - from) * ENTRY);
             b.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
-            for (Worker w : holding.subList(from, to)) {
-                b.putChar(mark(w.id)).put((byte) Math.min(BYTE, Math.ceil(w.outSlots - 1e-9)));
+            for (Endpoint endpoint : holding.subList(from, to)) {
+                b.putChar(mark(endpoint.id)).put((byte) Math.min(BYTE, Math.ceil(endpoint.outSlots - 1e-9)));
             }
             notes.add(b.array());
         }
@@ -99,17 +100,17 @@
     }
 
     /** Slots in work by worker; workers that this dispatcher's list does not name are passed over. */
-    static Told of(byte[] data, Map<Character, Worker> byMark) {
+    static Told of(byte[] data, Map<Character, Endpoint> byMark) {
         int parts = (data[2] & BYTE) >> 4;
         int part = data[2] & 0x0F;
-        Map<Worker, Integer> slots = new HashMap<>();
+        Map<Endpoint, Integer> slots = new HashMap<>();
         int unlisted = 0;
         ByteBuffer b = ByteBuffer.wrap(data).position(HEAD);
         while (b.hasRemaining()) {
-            Worker w = byMark.get(b.getChar());
+            Endpoint endpoint = byMark.get(b.getChar());
             int held = b.get() & BYTE;
-            if (w != null) {
-                slots.put(w, held);
+            if (endpoint != null) {
+                slots.put(endpoint, held);
             } else {
                 unlisted++;
             }
--- a/src/main/java/nettlewick/decision/Outliers.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-import nettlewick.decision.Dispatcher.Repeat;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Dispatcher.Idempotency;
 import nettlewick.decision.State.Attempt;
-import nettlewick.decision.State.Job;
+import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.Mean;
 import nettlewick.decision.State.Pool;
-import nettlewick.decision.State.Worker;
+import nettlewick.decision.State.ScheduledRequest;
 
 /** Outlier detection: which workers are left alone for how they end what is sent, and their way back. */
-final class Outliers {
+final class OutlierDetector {
     /** First time for which a failing worker is left alone; it doubles up to eight times this. */
     private static final long SHUN = 500_000_000;
     /** Breaks in a row that count as the worker's own: at least so many, and too many for chance. */
@@ -41,35 +41,35 @@
 
     private static final int COPIES_MOST = 6;
 
-    private final Supplier<List<Worker>> ready;
+    private final Supplier<List<Endpoint>> ready;
     private int copies;
     /** Share of connections that break, over the whole fleet. */
     private final Mean breaks = new Mean(100);
 
-    Outliers(Supplier<List<Worker>> ready) {
+    OutlierDetector(Supplier<List<Endpoint>> ready) {
         this.ready = ready;
         breaks.count = 50;
     }
 
     /** Takes over how an attempt, or a probe that failed, ended at this worker. */
-    void judge(Worker w, Result result, long latency, long now) {
+    void judge(Endpoint endpoint, AttemptResult result, long latency, long now) {
         switch (result) {
             case SERVED -> {
-                alive(w, now);
+                alive(endpoint, now);
                 breaks.add(0);
-                w.shunnedUntil = Math.min(w.shunnedUntil, now);
+                endpoint.shunnedUntil = Math.min(endpoint.shunnedUntil, now);
             }
-            case FULL -> {
-                w.signAt = now;
-                w.fullAt = now;
+            case OVERLOADED -> {
+                endpoint.signAt = now;
+                endpoint.fullAt = now;
             }
             // Danger: a worker that answers every job with an error at once always shows room.
-            case ERROR, TIMEOUT -> shun(w, now);
+            case ERROR, TIMEOUT -> shun(endpoint, now);
             // Danger: connections break on the way, one here and one there, at workers that are well.
             case UNREACHABLE, BROKEN -> {
                 breaks.add(1);
-                if (++w.failures >= inARow() || result == Result.UNREACHABLE && latency > REFUSED) {
-                    shun(w, now);
+                if (++endpoint.failures >= inARow() || result == AttemptResult.UNREACHABLE && latency > REFUSED) {
+                    shun(endpoint, now);
                 }
             }
             default -> {}
@@ -83,17 +83,18 @@
     }
 
     /** A sign of life that only a worker at work gives. */
-    void alive(Worker w, long now) {
-        w.signAt = now;
-        w.strikes = 0;
-        w.failures = 0;
+    void alive(Endpoint endpoint, long now) {
+        endpoint.signAt = now;
+        endpoint.strikes = 0;
+        endpoint.failures = 0;
     }
 
-    void shun(Worker w, long now) {
+    void shun(Endpoint endpoint, long now) {
         long out = ready.get().stream().filter(o -> now < o.shunnedUntil).count();
-        if (now >= w.shunnedUntil && out + 1 <= Math.max(1, MOST * ready.get().size())) {
-            w.shunnedUntil = now + (SHUN << Math.min(w.strikes, 3));
-            w.strikes++;
+        if (now >= endpoint.shunnedUntil
+                && out + 1 <= Math.max(1, MOST * ready.get().size())) {
+            endpoint.shunnedUntil = now + (SHUN << Math.min(endpoint.strikes, 3));
+            endpoint.strikes++;
         }
     }
 
@@ -140,11 +141,11 @@
     }
 
     /** Whether a worker has been silent too long: in expected job times, summed over what is out there. */
-    static boolean silent(Worker w, long now, Mean[] pace, long least) {
+    static boolean silent(Endpoint endpoint, long now, Mean[] pace, long least) {
         double silence = 0;
-        for (Attempt a : w.out) {
-            double expected = Math.max(pace[a.job.index].value, a.job.arrival.hint());
-            long silent = now - Math.max(a.sentAt, w.signAt);
+        for (Attempt a : endpoint.out) {
+            double expected = Math.max(pace[a.job.index].value, a.job.arrival.costHint());
+            long silent = now - Math.max(a.sentAt, endpoint.signAt);
             silence += expected <= 0 ? 0 : silent / Math.max(expected, least);
         }
         return silence > SILENCE;
@@ -152,8 +153,8 @@
 
     /** An attempt was served: compares how long it ran with its hint. */
     void ran(Attempt a, Pool kind, long now) {
-        if (a.startedAt != State.NEVER && a.job.arrival.hint() > 0 && now > a.startedAt) {
-            double drag = Math.log((double) (now - a.startedAt) / a.job.arrival.hint());
+        if (a.startedAt != State.NEVER && a.job.arrival.costHint() > 0 && now > a.startedAt) {
+            double drag = Math.log((double) (now - a.startedAt) / a.job.arrival.costHint());
             a.worker.drag.add(drag);
             kind.drag.add(drag);
         }
@@ -165,28 +166,28 @@
     }
 
     /** How long the own job that waits there longest has waited, in nanoseconds; 0 if none waits. */
-    static long waited(Worker w, long now) {
+    static long waited(Endpoint endpoint, long now) {
         long longest = 0;
-        for (Attempt a : w.out) {
+        for (Attempt a : endpoint.out) {
             longest = waits(a) ? Math.max(longest, now - a.sentAt) : longest;
         }
         return longest > START ? longest : 0;
     }
 
     /** How many times its hint a job is expected to run there: few jobs there count beside its kind's. */
-    double drag(Worker w, Pool kind) {
-        double own = w.drag.count;
-        return Math.exp((own * w.drag.value + BELIEVED * kind.drag.value) / (own + BELIEVED));
+    double drag(Endpoint endpoint, Pool kind) {
+        double own = endpoint.drag.count;
+        return Math.exp((own * endpoint.drag.value + BELIEVED * kind.drag.value) / (own + BELIEVED));
     }
 
     /**
      * Slots of own jobs that wait there, 0 if none has waited for longer than a start takes. Danger: where
      * reports tell no queue, slots may be free and a first job that fits none of them hold up all others.
      */
-    static double waiting(Worker w, long now) {
+    static double waiting(Endpoint endpoint, long now) {
         double slots = 0;
         boolean blocked = false;
-        for (Attempt a : w.out) {
+        for (Attempt a : endpoint.out) {
             boolean waits = waits(a);
             slots += waits ? a.job.arrival.slots() : 0;
             blocked |= waits && now - a.sentAt > START;
@@ -195,7 +196,9 @@
     }
 
     /** Danger: a worker whose time is over may be ill still. One harmless job is its probe, then more. */
-    static boolean trusts(Worker w, Job job, long now) {
-        return now >= w.shunnedUntil && (w.strikes == 0 || w.out.isEmpty() && job.kind.repeat() != Repeat.FRAGILE);
+    static boolean trusts(Endpoint endpoint, ScheduledRequest request, long now) {
+        return now >= endpoint.shunnedUntil
+                && (endpoint.strikes == 0
+                        || endpoint.out.isEmpty() && request.kind.idempotency() != Idempotency.NON_IDEMPOTENT);
     }
 }
--- a/src/main/java/nettlewick/decision/PeerNote.java
+++ b/src/main/java/nettlewick/decision/PeerMessage.java
@@ -13,7 +13,7 @@
  * @param augmented   for a state: the sender's augmented share
  * @param amount      for a state the sender's slice, for a gift its size
  */
-record PeerNote(What what, boolean binding, int epoch, int peerEpoch, int number, double augmented, double amount) {
+record PeerMessage(What what, boolean binding, int epoch, int peerEpoch, int number, double augmented, double amount) {
     private static final byte MAGIC = (byte) 0xD2;
     private static final byte VERSION = 1;
 
@@ -41,7 +41,7 @@
     }
 
     /** The message in these bytes; null if they are truncated, foreign or of another version. */
-    static PeerNote of(byte[] data) {
+    static PeerMessage of(byte[] data) {
         if (data.length < length(What.ASK)
                 || data[0] != MAGIC
                 || data[1] != VERSION
@@ -61,7 +61,7 @@
         double augmented = what == What.STATE ? b.getFloat() : 0;
         double amount = what == What.STATE || what == What.GIVE ? b.getFloat() : 0;
         boolean sound = Double.isFinite(augmented + amount) && augmented >= 0 && amount >= 0;
-        return sound ? new PeerNote(what, binding, epoch, peerEpoch, number, augmented, amount) : null;
+        return sound ? new PeerMessage(what, binding, epoch, peerEpoch, number, augmented, amount) : null;
     }
 
     private static int length(What what) {
--- a/src/main/java/nettlewick/decision/Pools.java
+++ b/src/main/java/nettlewick/decision/Pools.java
@@ -29,18 +29,18 @@
 
     static final int RING_PLACES = 20;
 
-    final Settings settings;
+    final SchedulerSettings settings;
     final SplittableRandom random;
     final int epoch;
-    final Map<String, Worker> workers = new LinkedHashMap<>();
+    final Map<String, Endpoint> workers = new LinkedHashMap<>();
     final List<Pool> pools = new ArrayList<>();
-    List<Worker> watched = List.of();
+    List<Endpoint> watched = List.of();
     final SharedLoads loads;
     /** Danger: notes to all grow with the square of the tier. Past a small one, tallies at owners serve. */
-    final Tally tally;
+    final LoadAggregator tally;
 
-    final ColdStart coldStart;
-    final Outliers outliers = new Outliers(() -> pools.get(0).ready);
+    final SlowStartBudget coldStart;
+    final OutlierDetector outliers = new OutlierDetector(() -> pools.get(0).ready);
     long subscribeAt = Long.MAX_VALUE;
     final Mean meanCost = new Mean();
     final Needs most = new Needs();
@@ -51,41 +51,43 @@
     double probeTokens = POOL_LEAST;
     int beats, probeCursor;
 
-    Pools(Settings settings, long seed) {
+    Pools(SchedulerSettings settings, long seed) {
         this.settings = settings;
-        coldStart = new ColdStart(settings.rules(), settings.fleetSize());
+        coldStart = new SlowStartBudget(settings.rules(), settings.fleetSize());
         random = new SplittableRandom(seed);
         epoch = random.nextInt();
         loads = new SharedLoads(heard);
         int size = settings.fleetSize();
-        tally = size > Tally.SMALL ? new Tally(settings.rank(), size, heard) : null;
+        tally = size > LoadAggregator.SMALL ? new LoadAggregator(settings.rank(), size, heard) : null;
         for (int kind = -1; kind < settings.kinds().size(); kind++) {
             pools.add(new Pool(kind));
         }
     }
 
     @Override
-    void learn(WorkerList list) {
+    void learn(EndpointList list) {
         if (list.whole()) {
-            workers.values().forEach(w -> w.ready = false);
+            workers.values().forEach(endpoint -> endpoint.ready = false);
         }
-        for (WorkerEntry entry : list.entries()) {
-            Worker w = workers.computeIfAbsent(entry.worker(), Worker::new);
-            if (w.entry == null || entry.startedAt() != w.entry.startedAt()) {
-                w.forget();
-                w.coldAt = now;
-                double debt = random.nextDouble() * ColdStart.debt(meanCost.value);
-                w.coldTokens = roll.back(w.id) ? Double.MIN_NORMAL : -debt;
+        for (EndpointEntry entry : list.entries()) {
+            Endpoint endpoint = workers.computeIfAbsent(entry.id(), Endpoint::new);
+            if (endpoint.entry == null || entry.startedAt() != endpoint.entry.startedAt()) {
+                endpoint.forget();
+                endpoint.coldAt = now;
+                double debt = random.nextDouble() * SlowStartBudget.debt(meanCost.value);
+                endpoint.coldTokens = roll.back(endpoint.id) ? Double.MIN_NORMAL : -debt;
             }
-            w.entry = entry;
-            w.kind = settings.kinds().indexOf(entry.kind());
-            w.near = settings.zone() == null || settings.zone().equals(entry.zone());
+            endpoint.entry = entry;
+            endpoint.kind = settings.kinds().indexOf(entry.kind());
+            endpoint.near = settings.zone() == null || settings.zone().equals(entry.zone());
             // Danger: work sent to a worker that drains. It leaves every pool at once, with no grace used.
-            w.ready = entry.life() == Life.READY;
+            endpoint.ready = entry.state() == EndpointState.READY;
         }
         sort(workers.values(), pools, RING_PLACES);
         fill();
-        loads.list(workers.values().stream().filter(w -> roll.tellsReady(w.id)).toList());
+        loads.list(workers.values().stream()
+                .filter(endpoint -> roll.tellsReady(endpoint.id))
+                .toList());
         if (tally != null) {
             tally.list(loads.byMark());
         }
@@ -95,7 +97,7 @@
     void after() {
         if (tally != null && hasPeers()) {
             tally.flush(now, workers.values(), watched)
-                    .forEach((rank, notes) -> notes.forEach(n -> act(new TellPeer(rank, n))));
+                    .forEach((rank, notes) -> notes.forEach(n -> act(new SendToPeer(rank, n))));
         }
     }
 
@@ -110,8 +112,8 @@
 
     @Override
     boolean avoided(String id) {
-        Worker w = workers.get(id);
-        return w == null || !w.ready || now < w.shunnedUntil;
+        Endpoint endpoint = workers.get(id);
+        return endpoint == null || !endpoint.ready || now < endpoint.shunnedUntil;
     }
 
     @Override
@@ -135,8 +137,8 @@
     }
 
     /** Danger: alike pools herd dispatchers. Each begins at its own place, spread by the golden ratio. */
-    void stretch(List<Worker> from, int size, List<Worker> to) {
-        int start = (int) (Neighbours.place(settings.rank()) * from.size());
+    void stretch(List<Endpoint> from, int size, List<Endpoint> to) {
+        int start = (int) (ProbePoolNeighbors.place(settings.rank()) * from.size());
         for (int i = 0; i < Math.min(size, from.size()); i++) {
             to.add(from.get((start + i) % from.size()));
         }
@@ -145,7 +147,9 @@
     /** Every Δ: what a warm worker of each kind carries for this dispatcher, by the jobs that it finished. */
     void measureCarry() {
         for (Pool pool : pools) {
-            long warm = pool.ready.stream().filter(w -> !coldStart.cold(w, now)).count();
+            long warm = pool.ready.stream()
+                    .filter(endpoint -> !coldStart.cold(endpoint, now))
+                    .count();
             if (warm > 0) {
                 pool.measures++;
                 pool.carried += (pool.served * 1e9 / DELTA / warm - pool.carried) / 4;
@@ -161,49 +165,49 @@
         probeTokens = Math.min(probeTokens + (double) BEAT / DELTA, watched.size());
         int each = (int) Math.ceil(2.0 * watched.size() * BEAT / DELTA);
         for (int i = 0; i < watched.size() && each > 0 && probeTokens >= 1; i++) {
-            Worker w = watched.get(probeCursor++ % watched.size());
-            if (!w.asked && w.ready && now - w.answeredAt >= DELTA / 4) {
+            Endpoint endpoint = watched.get(probeCursor++ % watched.size());
+            if (!endpoint.asked && endpoint.ready && now - endpoint.answeredAt >= DELTA / 4) {
                 each--;
-                ask(w);
+                ask(endpoint);
             }
         }
     }
 
-    void ask(Worker w) {
-        w.asked = true;
+    void ask(Endpoint endpoint) {
+        endpoint.asked = true;
         probeTokens--;
-        act(new Probe(w.id));
+        act(new Probe(endpoint.id));
     }
 
     @Override
     void probed(ProbeAnswer e) {
-        Worker w = workers.get(e.worker());
-        if (w == null) {
+        Endpoint endpoint = workers.get(e.endpoint());
+        if (endpoint == null) {
             return;
         }
-        w.asked = false;
-        if (e.result() == Result.SERVED) {
+        endpoint.asked = false;
+        if (e.result() == AttemptResult.SERVED) {
             if (e.load() != null) {
-                report(w, e.load());
+                report(endpoint, e.load());
             }
-        } else if (e.result() != Result.FULL && e.result() != Result.MOOT) {
-            outliers.judge(w, e.result(), e.latency(), now);
+        } else if (e.result() != AttemptResult.OVERLOADED && e.result() != AttemptResult.NOT_SENT) {
+            outliers.judge(endpoint, e.result(), e.latency(), now);
         }
     }
 
-    void report(Worker w, Load load) {
-        w.report(load, now, pools.get(w.kind + 1), most);
-        double left = w.free - w.waiting + w.outAt(beats - (int) (REPORT_LAG / BEAT));
+    void report(Endpoint endpoint, EndpointLoad load) {
+        endpoint.report(load, now, pools.get(endpoint.kind + 1), most);
+        double left = endpoint.free - endpoint.waiting + endpoint.outAt(beats - (int) (REPORT_LAG / BEAT));
         // Danger: a report is as old as a job is long. What it says is told apart into what was known to be
         // in work then, which is known better now, and what only it can tell: a queue, or work nobody awaits.
-        left = Math.min(left, Math.max(1, pools.get(w.kind + 1).slots));
-        w.left = now - w.leftAt > DELTA ? left : w.left + (left - w.left) / 2;
-        w.leftAt = now;
+        left = Math.min(left, Math.max(1, pools.get(endpoint.kind + 1).slots));
+        endpoint.left = now - endpoint.leftAt > DELTA ? left : endpoint.left + (left - endpoint.left) / 2;
+        endpoint.leftAt = now;
     }
 
     /** Slots that others leave: what a smoothed report leaves to all, less what peers hold by their notes. */
-    double left(Worker w) {
-        return w.left - w.others + NOISE;
+    double left(Endpoint endpoint) {
+        return endpoint.left - endpoint.others + NOISE;
     }
 
     boolean hasPeers() {
--- a/src/main/java/nettlewick/decision/Neighbours.java
+++ b/src/main/java/nettlewick/decision/ProbePoolNeighbors.java
@@ -10,13 +10,13 @@
  * that every dispatcher draws alike from its size alone, and its neighbours are the nearest on either side.
  * Pure.
  */
-final class Neighbours {
+final class ProbePoolNeighbors {
     /** Neighbours on each side: the notes' fan-out is twice this, whatever the size of the tier. */
     static final int REACH = 2;
 
     private static final double GOLDEN = 0.6180339887498949;
 
-    private Neighbours() {}
+    private ProbePoolNeighbors() {}
 
     /** Where a dispatcher's pool begins, as a part of a list, in [0, 1): spread by the golden ratio. */
     static double place(int rank) {
@@ -38,7 +38,7 @@
             return IntStream.range(0, size).filter(r -> r != rank).toArray();
         }
         Integer[] ring = IntStream.range(0, size).boxed().toArray(Integer[]::new);
-        Arrays.sort(ring, Comparator.comparingDouble(Neighbours::place));
+        Arrays.sort(ring, Comparator.comparingDouble(ProbePoolNeighbors::place));
         int at = Arrays.asList(ring).indexOf(rank);
         int[] near = new int[2 * reach];
         for (int d = 1; d <= reach; d++) {
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/SharedLoads.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.State.Worker;
+import nettlewick.decision.State.Endpoint;
 
 /** What all dispatchers hold at the workers, by their notes to one another. */
 final class SharedLoads {
@@ -16,28 +16,30 @@
     /** A part of what a dispatcher tells. */
     private record From(int rank, int part) {}
 
-    private record Told(Map<Worker, Integer> slots, long at, int number) {}
+    private record Told(Map<Endpoint, Integer> slots, long at, int number) {}
 
     private final Map<From, Told> told = new HashMap<>();
-    private final Heard heard;
-    private List<Worker> byName = List.of();
-    private Map<Character, Worker> byMark = Map.of();
+    private final PeerFaultCounters heard;
+    private List<Endpoint> byName = List.of();
+    private Map<Character, Endpoint> byMark = Map.of();
     private List<byte[]> last = List.of();
     private long lastAt = State.NEVER;
     private int sendings;
 
     /** Counts into {@code heard} what it passes over. */
-    SharedLoads(Heard heard) {
+    SharedLoads(PeerFaultCounters heard) {
         this.heard = heard;
     }
 
-    void list(Collection<Worker> ready) {
-        byName = ready.stream().sorted(Comparator.comparing(w -> w.id)).toList();
-        byMark = LoadNote.byMark(byName);
+    void list(Collection<Endpoint> ready) {
+        byName = ready.stream()
+                .sorted(Comparator.comparing(endpoint -> endpoint.id))
+                .toList();
+        byMark = LoadGossip.byMark(byName);
     }
 
     /** The ready workers by their marks; those that share one stand for none of them. */
-    Map<Character, Worker> byMark() {
+    Map<Character, Endpoint> byMark() {
         return byMark;
     }
 
@@ -48,10 +50,10 @@
      * word is old.
      */
     boolean hear(int rank, byte[] data, long now) {
-        if (!LoadNote.is(data)) {
+        if (!LoadGossip.is(data)) {
             return false;
         }
-        LoadNote.Told note = LoadNote.of(data, byMark);
+        LoadGossip.Told note = LoadGossip.of(data, byMark);
         if (note == null) {
             heard.damaged++;
             return true;
@@ -65,7 +67,7 @@
         }
         heard.unlisted += note.unlisted();
         forget(told.put(from, new Told(note.slots(), now, note.number())));
-        note.slots().forEach((w, held) -> w.others += held);
+        note.slots().forEach((endpoint, held) -> endpoint.others += held);
         for (int gone = note.parts(); forget(told.remove(new From(rank, gone))); gone++) {
             continue;
         }
@@ -78,18 +80,18 @@
      * nothing.
      */
     List<byte[]> news(long now) {
-        List<byte[]> notes = LoadNote.bytes(byName);
+        List<byte[]> notes = LoadGossip.bytes(byName);
         boolean same = notes.size() == last.size();
         for (int i = 0; same && i < notes.size(); i++) {
             same = Arrays.equals(notes.get(i), last.get(i));
         }
-        if (same && (now - lastAt <= BELIEVED / 2 || LoadNote.empty(notes))) {
+        if (same && (now - lastAt <= BELIEVED / 2 || LoadGossip.empty(notes))) {
             return List.of();
         }
         last = notes;
         lastAt = now;
         int number = sendings++;
-        return notes.stream().map(note -> LoadNote.numbered(note, number)).toList();
+        return notes.stream().map(note -> LoadGossip.numbered(note, number)).toList();
     }
 
     /** Leaves out what peers said that have been silent since. */
@@ -99,7 +101,7 @@
 
     private static boolean forget(Told old) {
         if (old != null) {
-            old.slots().forEach((w, held) -> w.others -= held);
+            old.slots().forEach((endpoint, held) -> endpoint.others -= held);
         }
         return old != null;
     }
--- a/src/main/java/nettlewick/decision/ColdStart.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -1,11 +1,11 @@
 package nettlewick.decision;
 
 import nettlewick.decision.Dispatcher.Rules;
+import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.Pool;
-import nettlewick.decision.State.Worker;
 
 /** How much a worker that just started is sent, so that all dispatchers together do not push it over. */
-final class ColdStart {
+final class SlowStartBudget {
     /** Part of a cold worker's allowed load that all dispatchers together aim at. */
     private static final double PART = 0.4;
 
@@ -20,7 +20,7 @@
     private final Rules rules;
     private final int fleetSize;
 
-    ColdStart(Rules rules, int fleetSize) {
+    SlowStartBudget(Rules rules, int fleetSize) {
         this.rules = rules;
         this.fleetSize = fleetSize;
     }
@@ -30,8 +30,8 @@
         return Math.max(meanCost, LEAST_DEBT);
     }
 
-    boolean cold(Worker w, long now) {
-        return w.entry.startedAt() > 0 && now - w.entry.startedAt() < rules.cold();
+    boolean cold(Endpoint endpoint, long now) {
+        return endpoint.entry.startedAt() > 0 && now - endpoint.entry.startedAt() < rules.slowStart();
     }
 
     /**
@@ -45,17 +45,17 @@
     }
 
     /** Whether one more job may go there; {@code most} bounds the credit that piles up. */
-    boolean allows(Worker w, Pool pool, double most, long now) {
-        if (!cold(w, now)) {
+    boolean allows(Endpoint endpoint, Pool pool, double most, long now) {
+        if (!cold(endpoint, now)) {
             return true;
         }
         // Danger: all dispatchers find a new worker empty and push it over. Each alone sends it no more than
         // its own part of what warm peers carry, ramped by age; credit never piles up into a burst.
-        double age = (double) Math.max(0, now - w.entry.startedAt()) / rules.cold();
-        double ramp = rules.coldShare() + (1 - rules.coldShare()) * age;
+        double age = (double) Math.max(0, now - endpoint.entry.startedAt()) / rules.slowStart();
+        double ramp = rules.slowStartShare() + (1 - rules.slowStartShare()) * age;
         double rate = PART * rules.overloadFactor() * carried(pool) * ramp;
-        w.coldTokens = Math.min(w.coldTokens + rate * (now - w.coldAt) / 1e9, most);
-        w.coldAt = now;
-        return w.coldTokens > 0;
+        endpoint.coldTokens = Math.min(endpoint.coldTokens + rate * (now - endpoint.coldAt) / 1e9, most);
+        endpoint.coldAt = now;
+        return endpoint.coldTokens > 0;
     }
 }
