--- a/src/main/java/nettlewick/decision/State.java
+++ b/src/main/java/nettlewick/decision/State.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the decision module remembers. Plain data: decisions on it stand in {@link Logic}. */
+/** What the decision module remembers. Plain data: decisions on it stand in {@link RequestScheduler}. */
 final class State {
     /** A moment before all others. */
     static final long NEVER = Long.MIN_VALUE / 2;
@@ -16,9 +16,9 @@
     private State() {}
 
     /** A worker as this dispatcher knows it. */
-    static final class Worker {
+    static final class Endpoint {
         final String id;
-        Dispatcher.WorkerEntry entry;
+        Dispatcher.EndpointEntry entry;
         int kind;
         boolean ready;
         boolean near;
@@ -58,7 +58,7 @@
         double coldTokens;
         long coldAt;
 
-        Worker(String id) {
+        Endpoint(String id) {
             this.id = id;
         }
 
@@ -75,7 +75,7 @@
         }
 
         /** Takes a report over in slots, whichever values this site's reports hold. */
-        void report(Dispatcher.Load load, long now, Pool kind, Needs most) {
+        void report(Dispatcher.EndpointLoad load, long now, Pool kind, Needs most) {
             answeredAt = now;
             memory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
             double held = Double.isNaN(load.inHand()) ? 0 : load.inHand();
@@ -136,8 +136,8 @@
 
     /** One sending of a job. */
     static final class Attempt {
-        final Job job;
-        final Worker worker;
+        final ScheduledRequest job;
+        final Endpoint worker;
         final int number;
         final long sentAt;
         boolean over;
@@ -154,20 +154,20 @@
         /** How long it was foretold to wait where none was seen, in nanoseconds. */
         double foretold;
 
-        Attempt(Job job, Worker worker, int number, long sentAt) {
-            this.job = job;
-            this.worker = worker;
+        Attempt(ScheduledRequest request, Endpoint endpoint, int number, long sentAt) {
+            this.job = request;
+            this.worker = endpoint;
             this.number = number;
             this.sentAt = sentAt;
         }
     }
 
     /** A client's request until its final answer and its last outcome. */
-    static final class Job {
+    static final class ScheduledRequest {
         final Dispatcher.Arrival arrival;
-        final Dispatcher.JobClass kind;
+        final Dispatcher.RequestClass kind;
         final int index;
-        final Tenure tenure;
+        final TenantCredit tenure;
         final long arrivedAt;
         final long deadline;
         final double cost;
@@ -175,19 +175,20 @@
         boolean streaming;
         final List<Attempt> attempts = new ArrayList<>(2);
 
-        Job(Dispatcher.Arrival arrival, Dispatcher.JobClass kind, int index, Tenure tenure, long now) {
+        ScheduledRequest(
+                Dispatcher.Arrival arrival, Dispatcher.RequestClass kind, int index, TenantCredit tenure, long now) {
             this.arrival = arrival;
             this.kind = kind;
             this.index = index;
             this.tenure = tenure;
             arrivedAt = now;
             deadline = now + arrival.remaining();
-            cost = arrival.slots() * (arrival.hint() > 0 ? arrival.hint() / 1e9 : 1);
+            cost = arrival.slots() * (arrival.costHint() > 0 ? arrival.costHint() / 1e9 : 1);
         }
 
         /** Worth of a slot that the job takes. */
         double density() {
-            return kind.worth() / Math.max(arrival.slots(), 1e-3);
+            return kind.priorityWeight() / Math.max(arrival.slots(), 1e-3);
         }
 
         int out() {
@@ -198,9 +199,9 @@
             return n;
         }
 
-        boolean wasAt(Worker w) {
+        boolean wasAt(Endpoint endpoint) {
             for (Attempt a : attempts) {
-                if (a.worker == w) {
+                if (a.worker == endpoint) {
                     return true;
                 }
             }
@@ -221,16 +222,16 @@
     /** The workers that may run a class: all that are ready, and the small pool that is probed. */
     static final class Pool {
         final int kind;
-        List<Worker> ready = new ArrayList<>();
-        List<Worker> near = new ArrayList<>();
-        List<Worker> far = new ArrayList<>();
+        List<Endpoint> ready = new ArrayList<>();
+        List<Endpoint> near = new ArrayList<>();
+        List<Endpoint> far = new ArrayList<>();
         int zones;
-        List<Worker> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         /** Hash places of the ready workers, of all and of the own zone. */
-        final HashRing<Worker> ring = new HashRing<>();
+        final HashRing<Endpoint> ring = new HashRing<>();
 
-        final HashRing<Worker> nearRing = new HashRing<>();
-        private final Set<Worker> onRing = new LinkedHashSet<>();
+        final HashRing<Endpoint> nearRing = new HashRing<>();
+        private final Set<Endpoint> onRing = new LinkedHashSet<>();
         /** Work finished for this dispatcher since the last Δ, and a warm worker's part of it a second. */
         double served;
 
@@ -249,60 +250,60 @@
         }
 
         /** Sorts out who of these is ready and of the kind. */
-        void refill(Collection<Worker> workers, int ringPlaces) {
-            ready = workers.stream()
-                    .filter(w -> w.ready && (kind < 0 || w.kind == kind))
+        void refill(Collection<Endpoint> endpoints, int ringPlaces) {
+            ready = endpoints.stream()
+                    .filter(endpoint -> endpoint.ready && (kind < 0 || endpoint.kind == kind))
                     .toList();
-            near = ready.stream().filter(w -> w.near).toList();
-            far = ready.stream().filter(w -> !w.near).toList();
+            near = ready.stream().filter(endpoint -> endpoint.near).toList();
+            far = ready.stream().filter(endpoint -> !endpoint.near).toList();
             zones = (int) ready.stream()
-                    .map(w -> String.valueOf(w.entry.zone()))
+                    .map(endpoint -> String.valueOf(endpoint.entry.zone()))
                     .distinct()
                     .count();
             // Danger: a growing fleet changes its list many times a second: only what changed is set.
-            Set<Worker> stays = new LinkedHashSet<>(ready);
-            for (Worker w : stays) {
-                if (onRing.add(w)) {
-                    set(w, ringPlaces, true);
+            Set<Endpoint> stays = new LinkedHashSet<>(ready);
+            for (Endpoint endpoint : stays) {
+                if (onRing.add(endpoint)) {
+                    set(endpoint, ringPlaces, true);
                 }
             }
-            onRing.removeIf(w -> {
-                boolean leaves = !stays.contains(w);
+            onRing.removeIf(endpoint -> {
+                boolean leaves = !stays.contains(endpoint);
                 if (leaves) {
-                    set(w, ringPlaces, false);
+                    set(endpoint, ringPlaces, false);
                 }
                 return leaves;
             });
         }
 
-        private void set(Worker w, int ringPlaces, boolean on) {
-            ring.set(w.id, w, ringPlaces, on);
-            if (w.near) {
-                nearRing.set(w.id, w, ringPlaces, on);
+        private void set(Endpoint endpoint, int ringPlaces, boolean on) {
+            ring.set(endpoint.id, endpoint, ringPlaces, on);
+            if (endpoint.near) {
+                nearRing.set(endpoint.id, endpoint, ringPlaces, on);
             }
         }
     }
 
     /** A tenant's queue in the deficit round robin, kept virtually: credit instead of waiting jobs. */
-    static final class Tenure {
+    static final class TenantCredit {
         final double weight;
         double credit;
         double offered;
         double demand;
 
-        Tenure(double weight) {
+        TenantCredit(double weight) {
             this.weight = weight;
         }
 
         /** g(v): what all tenants carry when none gets more than {@code level} for its weight. */
-        static double carried(List<Tenure> all, double level) {
+        static double carried(List<TenantCredit> all, double level) {
             return all.stream()
                     .mapToDouble(t -> Math.min(t.demand, level * t.weight))
                     .sum();
         }
 
         /** The largest rate for its weight that any tenant gets from the slice. */
-        static double fairShare(List<Tenure> all, double slice) {
+        static double fairShare(List<TenantCredit> all, double slice) {
             double high =
                     all.stream().mapToDouble(t -> t.demand / t.weight).max().orElse(0);
             if (carried(all, high) <= slice) {
@@ -336,7 +337,7 @@
         double inherited;
 
         /** True once for each gift, however often it comes. */
-        boolean firstTaken(PeerNote gift) {
+        boolean firstTaken(PeerMessage gift) {
             boolean first = gift.number() > taken.getOrDefault(gift.epoch(), 0);
             if (first) {
                 taken.put(gift.epoch(), gift.number());
--- a/src/main/java/nettlewick/duty/Order.java
+++ b/src/main/java/nettlewick/duty/CandidateRanking.java
@@ -5,8 +5,8 @@
 import java.util.stream.IntStream;
 
 /** Who prefers which duty: rendezvous hashing, the same order at every dispatcher. Pure. */
-public final class Order {
-    private Order() {}
+public final class CandidateRanking {
+    private CandidateRanking() {}
 
     /** The dispatchers 0 to {@code size - 1}, the one that should hold the duty first. */
     static List<Integer> of(String duty, int size) {
--- a/src/main/java/nettlewick/duty/Seat.java
+++ b/src/main/java/nettlewick/duty/LeaseCandidate.java
@@ -4,14 +4,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.duty.Message.Kind;
-import nettlewick.duty.Message.Post;
+import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.duty.LeaseMessage.Post;
 
 /**
  * One dispatcher's part in one duty: a candidate, or its holder (docs/duties.md). Times are milliseconds of
  * its own monotonic clock, handed in. Pure.
  */
-final class Seat {
+final class LeaseCandidate {
     /** What it is at; RETIRED holds back for good. */
     enum Stage {
         WAITS,
@@ -34,13 +34,13 @@
     private final int number;
     private final int life;
     private final List<Integer> voters;
-    private final Terms terms;
+    private final LeaseTerms terms;
     private final double turn;
 
     private Stage stage = Stage.WAITS;
     private double nextAt;
     private double askedAt;
-    private Message asked;
+    private LeaseMessage asked;
     private int puts;
     /** When this ballot was prepared: one that has not come through within a lease is dropped. */
     private double preparedAt;
@@ -50,23 +50,23 @@
     private long ballot;
     private double until = Double.NEGATIVE_INFINITY;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
-    private final Map<Integer, Message> answers = new HashMap<>();
+    private final Map<Integer, LeaseMessage> answers = new HashMap<>();
     private double longestLeft;
     /** What a majority has stored, and what is on its way there. */
     private long version;
 
-    private byte[] state = Message.NOTHING;
+    private byte[] state = LeaseMessage.NOTHING;
     private byte[] wanted;
 
     /**
-     * @param life a number of this process's own, drawn at random below {@link Message#LIVES}
+     * @param life a number of this process's own, drawn at random below {@link LeaseMessage#LIVES}
      * @param turn its place in the duty's order, from 0: later ones leave earlier ones the time to stand
      * @param now  when it begins to look
      */
-    Seat(String duty, int number, int life, List<Integer> voters, Terms terms, int turn, double now) {
+    LeaseCandidate(String duty, int number, int life, List<Integer> voters, LeaseTerms terms, int turn, double now) {
         this.life = life;
         echo = (long) life << Integer.SIZE;
-        ballot = Message.ballot(0, life, number);
+        ballot = LeaseMessage.ballot(0, life, number);
         this.duty = duty;
         this.number = number;
         this.voters = voters;
@@ -75,8 +75,8 @@
         nextAt = now + turn * terms.lease() / 2;
     }
 
-    Seat copy() {
-        Seat s = new Seat(duty, number, life, voters, terms, (int) turn, 0);
+    LeaseCandidate copy() {
+        LeaseCandidate s = new LeaseCandidate(duty, number, life, voters, terms, (int) turn, 0);
         s.stage = stage;
         s.nextAt = nextAt;
         s.askedAt = askedAt;
@@ -148,7 +148,7 @@
     List<Post> outdo(long fence, double now) {
         List<Post> out = new ArrayList<>();
         if (stage != Stage.RETIRED && fence >= ballot) {
-            voters.forEach(v -> out.add(new Post(v, Message.of(Kind.RELEASE, duty, number, 0, ballot))));
+            voters.forEach(v -> out.add(new Post(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
             highest = Math.max(highest, fence);
             waits(now);
         }
@@ -159,8 +159,8 @@
     List<Post> retire(int successor) {
         List<Post> out = new ArrayList<>();
         if (stage == Stage.HOLDS) {
-            voters.forEach(v -> out.add(new Post(v, Message.of(Kind.RELEASE, duty, number, 0, ballot))));
-            out.add(new Post(successor, Message.of(Kind.HANDOVER, duty, number, 0, ballot)));
+            voters.forEach(v -> out.add(new Post(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
+            out.add(new Post(successor, LeaseMessage.of(Kind.HANDOVER, duty, number, 0, ballot)));
         }
         stage = Stage.RETIRED;
         until = Double.NEGATIVE_INFINITY;
@@ -204,7 +204,7 @@
         answers.clear();
         longestLeft = 0;
         askedAt = now;
-        Message m = Message.of(kind, duty, number, echo, ballot);
+        LeaseMessage m = LeaseMessage.of(kind, duty, number, echo, ballot);
         if (kind == Kind.ACCEPT) {
             m = m.holding(ballot, wanted == null ? version : version + 1, wanted == null ? state : wanted);
         }
@@ -226,7 +226,7 @@
         }
     }
 
-    List<Post> hear(Message m, double now) {
+    List<Post> hear(LeaseMessage m, double now) {
         List<Post> out = new ArrayList<>();
         highest = Math.max(highest, m.seen());
         if (stage == Stage.RETIRED || !voters.contains(m.from()) && m.kind() != Kind.HANDOVER) {
@@ -268,7 +268,7 @@
     }
 
     private void prepare(double now, List<Post> out) {
-        ballot = Message.ballot(Message.counter(highest) + 1, life, number);
+        ballot = LeaseMessage.ballot(LeaseMessage.counter(highest) + 1, life, number);
         highest = ballot;
         preparedAt = now;
         ask(Kind.PREPARE, now, out);
@@ -278,8 +278,8 @@
     private void take(double now, List<Post> out) {
         long held = 0;
         version = 0;
-        state = Message.NOTHING;
-        for (Message told : answers.values()) {
+        state = LeaseMessage.NOTHING;
+        for (LeaseMessage told : answers.values()) {
             if (told.held() > held || told.held() == held && told.version() > version) {
                 held = told.held();
                 version = told.version();
@@ -308,7 +308,7 @@
         echo++;
     }
 
-    private void refused(Message m, double now) {
+    private void refused(LeaseMessage m, double now) {
         if (stage == Stage.HOLDS) {
             // Another has a higher ballot: this one's lease may run on, but a change under it may not pass.
             return;
--- a/src/main/java/nettlewick/duty/Followed.java
+++ b/src/main/java/nettlewick/duty/LeaseFollower.java
@@ -2,14 +2,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.duty.Message.Kind;
-import nettlewick.duty.Message.Post;
+import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.duty.LeaseMessage.Post;
 
 /**
  * What a dispatcher knows of a duty that it follows: who holds it, and the newest version told. A fence below
  * the highest seen is refused, as by whoever else is acted on. Pure.
  */
-final class Followed {
+final class LeaseFollower {
     /** In the echo of news: the state goes with it. */
     static final long WHOLE = 1;
 
@@ -24,7 +24,7 @@
 
     private final FenceGate gate = new FenceGate();
 
-    Followed(String duty, int number) {
+    LeaseFollower(String duty, int number) {
         this.duty = duty;
         this.number = number;
     }
@@ -62,7 +62,7 @@
     }
 
     /** Takes the holder's word; what to answer comes back. */
-    List<Post> hear(Message m) {
+    List<Post> hear(LeaseMessage m) {
         List<Post> out = new ArrayList<>();
         if (!gate.admits(duty, m.ballot())) {
             return out;
@@ -74,13 +74,13 @@
             state = m.state();
             toldUnder = fence;
         } else if (!upToDate(m)) {
-            out.add(new Post(m.from(), Message.of(Kind.BEHIND, duty, number, 0, m.ballot())));
+            out.add(new Post(m.from(), LeaseMessage.of(Kind.BEHIND, duty, number, 0, m.ballot())));
         }
         return out;
     }
 
     /** Whether what is known is what this word of the holder's says. */
-    boolean upToDate(Message m) {
+    boolean upToDate(LeaseMessage m) {
         return m.ballot() == toldUnder && m.version() == version;
     }
 }
--- a/src/main/java/nettlewick/duty/Message.java
+++ b/src/main/java/nettlewick/duty/LeaseMessage.java
@@ -1,7 +1,7 @@
 package nettlewick.duty;
 
 /**
- * What candidates and voters say to one another about one duty. Plain data; its bytes are {@link Envelope}'s.
+ * What candidates and voters say to one another about one duty. Plain data; its bytes are {@link MessageCodec}'s.
  *
  * @param kind    what is asked or answered
  * @param duty    the duty's name
@@ -14,7 +14,7 @@
  * @param version the state's version
  * @param state   the state; never null
  */
-record Message(
+record LeaseMessage(
         Kind kind,
         String duty,
         int from,
@@ -52,20 +52,20 @@
 
     static final byte[] NOTHING = {};
 
-    static Message of(Kind kind, String duty, int from, long echo, long ballot) {
-        return new Message(kind, duty, from, echo, ballot, 0, 0, 0, 0, NOTHING);
+    static LeaseMessage of(Kind kind, String duty, int from, long echo, long ballot) {
+        return new LeaseMessage(kind, duty, from, echo, ballot, 0, 0, 0, 0, NOTHING);
     }
 
-    Message holding(long heldUnder, long newVersion, byte[] newState) {
-        return new Message(kind, duty, from, echo, ballot, seen, left, heldUnder, newVersion, newState);
+    LeaseMessage holding(long heldUnder, long newVersion, byte[] newState) {
+        return new LeaseMessage(kind, duty, from, echo, ballot, seen, left, heldUnder, newVersion, newState);
     }
 
-    Message telling(long highest, double millis) {
-        return new Message(kind, duty, from, echo, ballot, highest, millis, held, version, state);
+    LeaseMessage telling(long highest, double millis) {
+        return new LeaseMessage(kind, duty, from, echo, ballot, highest, millis, held, version, state);
     }
 
     /** A message and whom it is for. */
-    record Post(int to, Message message) {}
+    record Post(int to, LeaseMessage message) {}
 
     private static final int NUMBER_BITS = 16;
     private static final int LIFE_BITS = 23;
--- a/src/main/java/nettlewick/duty/DutyService.java
+++ b/src/main/java/nettlewick/duty/LeaseService.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import nettlewick.duty.Message.Post;
-import nettlewick.log.Part;
+import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.log.ComponentLogger;
 
 /**
  * This dispatcher's part in all duties: a thread that owns a socket, a voter and seats, tells all what is
- * stored of a duty that it holds, and follows the others. What is done with a duty is its {@link Charge}'s.
+ * stored of a duty that it holds, and follows the others. What is done with a duty is its {@link LeaseTask}'s.
  */
-public final class DutyService implements AutoCloseable, Charge.Desk {
-    private static final Part LOG = Part.of("duty");
+public final class LeaseService implements AutoCloseable, LeaseTask.Desk {
+    private static final ComponentLogger LOG = ComponentLogger.of("duty");
     /** So many in a duty's order may hold it; later ones would only ask. */
     private static final int CANDIDATES = 8;
 
@@ -39,21 +39,21 @@
 
     private static final int END_MILLIS = 2000;
 
-    private final DutySettings settings;
+    private final LeaseSettings settings;
     private final DatagramChannel channel;
     private final Selector selector;
-    private final Envelope envelope;
+    private final MessageCodec envelope;
     /** Null where this dispatcher does not vote. */
-    private final KeptVoter voter;
+    private final PersistentVoter voter;
 
-    private final Map<String, Seat> seats = new LinkedHashMap<>();
+    private final Map<String, LeaseCandidate> seats = new LinkedHashMap<>();
     private final Map<String, List<Integer>> orders = new HashMap<>();
-    private final int life = new SecureRandom().nextInt(Message.LIVES);
+    private final int life = new SecureRandom().nextInt(LeaseMessage.LIVES);
     /** The fence under which each duty is held here. */
     private final Map<String, Long> holds = new HashMap<>();
 
-    private final Map<String, Followed> followed = new LinkedHashMap<>();
-    private final Map<String, Charge> charges;
+    private final Map<String, LeaseFollower> followed = new LinkedHashMap<>();
+    private final Map<String, LeaseTask> charges;
     private final Queue<Runnable> inbox = new ConcurrentLinkedQueue<>();
     private final Map<String, Double> beatAt = new HashMap<>();
     private final Map<String, Integer> attached = new HashMap<>();
@@ -63,28 +63,28 @@
     private volatile boolean ends;
 
     /** @throws IOException where the address cannot be had */
-    public static DutyService start(DutySettings settings, Map<String, Charge> charges) throws IOException {
-        DutyService service = new DutyService(settings, charges);
+    public static LeaseService start(LeaseSettings settings, Map<String, LeaseTask> charges) throws IOException {
+        LeaseService service = new LeaseService(settings, charges);
         service.thread.setDaemon(true);
         service.thread.start();
         return service;
     }
 
-    private DutyService(DutySettings settings, Map<String, Charge> given) throws IOException {
+    private LeaseService(LeaseSettings settings, Map<String, LeaseTask> given) throws IOException {
         this.settings = settings;
         charges = new LinkedHashMap<>(given);
-        settings.duties().forEach(duty -> charges.putIfAbsent(duty, new CountTerms(duty)));
+        settings.duties().forEach(duty -> charges.putIfAbsent(duty, new TermCounter(duty)));
         int number = settings.number();
-        envelope = new Envelope(settings.key(), settings.list(), number, life);
+        envelope = new MessageCodec(settings.key(), settings.list(), number, life);
         List<Integer> voters = settings.voters();
-        voter = voters.contains(number) ? new KeptVoter(settings, now(), life) : null;
+        voter = voters.contains(number) ? new PersistentVoter(settings, now(), life) : null;
         for (String duty : charges.keySet()) {
-            followed.put(duty, new Followed(duty, number));
-            List<Integer> order = Order.of(duty, settings.all().size());
+            followed.put(duty, new LeaseFollower(duty, number));
+            List<Integer> order = CandidateRanking.of(duty, settings.all().size());
             orders.put(duty, order);
             int turn = order.indexOf(number);
             if (turn < CANDIDATES) {
-                seats.put(duty, new Seat(duty, number, life, voters, settings.terms(), turn, now()));
+                seats.put(duty, new LeaseCandidate(duty, number, life, voters, settings.terms(), turn, now()));
             }
         }
         selector = Selector.open();
@@ -140,13 +140,13 @@
 
     @Override
     public boolean mayAct(String duty) {
-        Seat seat = seats.get(duty);
+        LeaseCandidate seat = seats.get(duty);
         return seat != null && seat.mayAct(now());
     }
 
     @Override
     public void outdo(String duty, long fence) {
-        Seat seat = seats.get(duty);
+        LeaseCandidate seat = seats.get(duty);
         if (seat != null) {
             send(seat.outdo(fence, now()));
         }
@@ -157,9 +157,9 @@
         for (SocketAddress from = channel.receive(data); from != null; from = channel.receive(data)) {
             byte[] bytes = new byte[data.flip().remaining()];
             data.get(bytes).clear();
-            long others = envelope.faults(Envelope.Fault.OTHER_LIST);
-            Message m = envelope.open(bytes);
-            if (others == 0 && envelope.faults(Envelope.Fault.OTHER_LIST) > 0) {
+            long others = envelope.faults(MessageCodec.Fault.OTHER_LIST);
+            LeaseMessage m = envelope.open(bytes);
+            if (others == 0 && envelope.faults(MessageCodec.Fault.OTHER_LIST) > 0) {
                 LOG.warning(
                         "other-list",
                         "a dispatcher with another list of dispatchers or voters is passed over",
@@ -172,7 +172,7 @@
         }
     }
 
-    private void hear(Message m) {
+    private void hear(LeaseMessage m) {
         switch (m.kind()) {
             case ASK, PREPARE, ACCEPT, RELEASE, RECALL, TOLD, BLANK -> {
                 if (voter != null) {
@@ -191,7 +191,7 @@
                 }
             }
             default -> {
-                Seat seat = seats.get(m.duty());
+                LeaseCandidate seat = seats.get(m.duty());
                 if (seat != null) {
                     send(seat.hear(m, now()));
                 }
@@ -199,8 +199,8 @@
         }
     }
 
-    private void news(Message m) {
-        Followed f = followed.get(m.duty());
+    private void news(LeaseMessage m) {
+        LeaseFollower f = followed.get(m.duty());
         if (f != null && !mayAct(m.duty())) {
             send(f.hear(m));
             if (f.upToDate(m)) {
@@ -213,14 +213,14 @@
     /** To the holder of each duty, what was seen here. */
     private void tell() {
         charges.forEach((duty, charge) -> {
-            Followed f = followed.get(duty);
+            LeaseFollower f = followed.get(duty);
             for (byte[] word : charge.tell(f.fence(), now())) {
                 send(
                         f.holder() < 0
                                 ? List.of()
                                 : List.of(new Post(
                                         f.holder(),
-                                        Message.of(Message.Kind.WORD, duty, settings.number(), life, 0)
+                                        LeaseMessage.of(LeaseMessage.Kind.WORD, duty, settings.number(), life, 0)
                                                 .holding(0, 0, word))));
             }
         });
@@ -238,12 +238,12 @@
     }
 
     /** What has become of a duty here, and what its holder does next. */
-    private void look(String duty, Seat seat) {
+    private void look(String duty, LeaseCandidate seat) {
         double now = now();
         boolean may = seat.mayAct(now);
         long fence = seat.fence();
         Long held = holds.get(duty);
-        Charge charge = charges.get(duty);
+        LeaseTask charge = charges.get(duty);
         if (held != null && (!may || held != fence)) {
             holds.remove(duty);
             attached.remove(duty);
@@ -253,7 +253,7 @@
         if (!may || seat.changing()) {
             return;
         }
-        Followed f = followed.get(duty);
+        LeaseFollower f = followed.get(duty);
         if (holds.put(duty, fence) == null || f.version() != seat.version()) {
             f.own(fence, seat.version(), seat.state());
             attached.put(duty, ATTACHED);
@@ -261,8 +261,8 @@
             charge.news(fence, seat.version(), seat.state(), charge.listens(), now);
         }
         beat(duty, f, now);
-        byte[] next = charge.turn(new Charge.Hold(fence, seat.version(), seat.state(), now));
-        if (next != null && next.length > Envelope.STATE_MOST) {
+        byte[] next = charge.turn(new LeaseTask.HeldLease(fence, seat.version(), seat.state(), now));
+        if (next != null && next.length > MessageCodec.STATE_MOST) {
             LOG.warning(
                     "state-too-long",
                     "the next state of " + duty + " is too long and is left out",
@@ -278,8 +278,8 @@
     }
 
     /** Tells all what is stored: the state a few times, since words get lost, then only its version. */
-    private void beat(String duty, Followed f, double now) {
-        Charge charge = charges.get(duty);
+    private void beat(String duty, LeaseFollower f, double now) {
+        LeaseTask charge = charges.get(duty);
         boolean turned = charge.listens() != Boolean.TRUE.equals(listened.put(duty, charge.listens()));
         if (now < beatAt.get(duty) && !turned) {
             return;
@@ -288,7 +288,7 @@
         double lease = settings.terms().lease();
         beatAt.put(duty, now + (left > 1 ? lease / 4 : charge.idle() ? IDLE * lease : lease / 2));
         attached.put(duty, Math.max(0, left - 1));
-        Message m = told(f, left > 0);
+        LeaseMessage m = told(f, left > 0);
         for (int to = 0; to < settings.all().size(); to++) {
             if (to != settings.number()) {
                 send(List.of(new Post(to, m)));
@@ -297,14 +297,15 @@
         charge.news(f.fence(), f.version(), f.state(), charge.listens(), now);
     }
 
-    private Message told(Followed f, boolean whole) {
-        return Message.of(
-                        Message.Kind.NEWS,
+    private LeaseMessage told(LeaseFollower f, boolean whole) {
+        return LeaseMessage.of(
+                        LeaseMessage.Kind.NEWS,
                         f.duty(),
                         settings.number(),
-                        (whole ? Followed.WHOLE : 0) | (charges.get(f.duty()).listens() ? LISTENS : 0),
+                        (whole ? LeaseFollower.WHOLE : 0)
+                                | (charges.get(f.duty()).listens() ? LISTENS : 0),
                         f.fence())
-                .holding(f.fence(), f.version(), whole ? f.state() : Message.NOTHING);
+                .holding(f.fence(), f.version(), whole ? f.state() : LeaseMessage.NOTHING);
     }
 
     private void send(List<Post> posts) {
@@ -350,7 +351,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (Envelope.Fault fault : Envelope.Fault.values()) {
+        for (MessageCodec.Fault fault : MessageCodec.Fault.values()) {
             if (envelope.faults(fault) > 0) {
                 LOG.info("duty-passed-over", "messages passed over", "kind", fault, "count", envelope.faults(fault));
             }
--- a/src/main/java/nettlewick/duty/DutySettings.java
+++ b/src/main/java/nettlewick/duty/LeaseSettings.java
@@ -18,12 +18,12 @@
  * @param duties names, in the order of the file
  * @param folder where a voter keeps what it promised and accepted; null: in memory alone
  */
-public record DutySettings(
+public record LeaseSettings(
         int number,
         InetSocketAddress listen,
         List<InetSocketAddress> all,
         List<Integer> voters,
-        Terms terms,
+        LeaseTerms terms,
         byte[] key,
         List<String> duties,
         Path folder) {
@@ -31,7 +31,7 @@
     private static final double PERCENT = 100;
 
     /** @throws nettlewick.settings.BadSettings where the lines do not fit one another */
-    public static DutySettings of(Block block) {
+    public static LeaseSettings of(Block block) {
         List<String> duties =
                 block.all("name").stream().map(v -> v.<String>part(0)).toList();
         List<InetSocketAddress> all = block.all("dispatcher").stream()
@@ -48,16 +48,16 @@
         }
         int voters = (int) Math.min(block.whole("voters"), all.size());
         if (duties.stream()
-                .anyMatch(d -> d.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > Envelope.NAME_MOST)) {
-            throw block.bad("name", "of " + Envelope.NAME_MOST + " bytes at most");
+                .anyMatch(d -> d.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > MessageCodec.NAME_MOST)) {
+            throw block.bad("name", "of " + MessageCodec.NAME_MOST + " bytes at most");
         }
         List<Integer> first = IntStream.range(0, voters).boxed().toList();
-        return new DutySettings(
+        return new LeaseSettings(
                 number,
                 block.address("listen"),
                 all,
                 first,
-                new Terms(block.span("lease"), block.whole("drift") / PERCENT),
+                new LeaseTerms(block.span("lease"), block.whole("drift") / PERCENT),
                 key(block),
                 duties,
                 block.has("folder") ? block.get("folder") : null);
--- a/src/main/java/nettlewick/duty/Charge.java
+++ b/src/main/java/nettlewick/duty/LeaseTask.java
@@ -1,20 +1,20 @@
 package nettlewick.duty;
 
 import java.util.List;
-import nettlewick.log.Part;
+import nettlewick.log.ComponentLogger;
 
 /**
  * What is done with one duty, by its holder and by those who follow it. All calls come on the duties' thread,
  * one at a time; none may block.
  */
-public interface Charge {
+public interface LeaseTask {
     /**
      * What a holder has in hand, right after its lease was looked at.
      *
      * @param state as a majority has stored it; empty at the first time
      * @param now   milliseconds of the monotonic clock
      */
-    record Hold(long fence, long version, byte[] state, double now) {}
+    record HeldLease(long fence, long version, byte[] state, double now) {}
 
     /** The ways back from another thread, and out of the duties' own. */
     interface Desk {
@@ -29,8 +29,8 @@
     }
 
     /** Tells operators that a duty is held, once its term is stored. */
-    static void held(String duty, Hold hold, long term) {
-        Part.of("duty")
+    static void held(String duty, HeldLease hold, long term) {
+        ComponentLogger.of("duty")
                 .info(
                         "duty-held",
                         "holds " + duty + ", term " + term,
@@ -48,7 +48,7 @@
     default void joins(Desk desk) {}
 
     /** While the duty is held and no change on its way, many times a lease: the next state, or null. */
-    byte[] turn(Hold hold);
+    byte[] turn(HeldLease hold);
 
     /** It is held no more. */
     default void lost() {}
--- a/src/main/java/nettlewick/duty/Terms.java
+++ b/src/main/java/nettlewick/duty/LeaseTerms.java
@@ -6,7 +6,7 @@
  * @param lease milliseconds that a grant lasts
  * @param drift by which part two clocks' rates may differ at most
  */
-record Terms(double lease, double drift) {
+record LeaseTerms(double lease, double drift) {
     int majority(int voters) {
         return voters / 2 + 1;
     }
--- a/src/main/java/nettlewick/duty/Voter.java
+++ b/src/main/java/nettlewick/duty/LeaseVoter.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import nettlewick.duty.Message.Kind;
-import nettlewick.duty.Message.Post;
+import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.duty.LeaseMessage.Post;
 
 /**
  * A voter's memory of all duties, and what it answers (docs/duties.md). It counts its grants by its own
  * monotonic clock, in milliseconds, which is handed in. Pure.
  */
-final class Voter {
+final class LeaseVoter {
     /** What it knows of one duty. */
     static final class Register {
         long promised;
         long held;
         long version;
-        byte[] state = Message.NOTHING;
+        byte[] state = LeaseMessage.NOTHING;
         /** The ballot that is granted, and until when. */
         long granted;
 
@@ -38,7 +38,7 @@
         }
 
         /** Takes over what another voter promised and accepted, where that is newer. */
-        void learn(Message m) {
+        void learn(LeaseMessage m) {
             promised = Math.max(promised, m.seen());
             if (m.held() > held || m.held() == held && m.version() > version) {
                 held = m.held();
@@ -53,7 +53,7 @@
 
     private final int number;
     private final List<Integer> voters;
-    private final Terms terms;
+    private final LeaseTerms terms;
     final Map<String, Register> registers = new TreeMap<>();
     /** Without memory: until when it abstains, and who has told it what. Empty once it votes. */
     private double abstainsUntil;
@@ -79,7 +79,7 @@
     private double askedAt = Double.NEGATIVE_INFINITY;
 
     /** One that starts at {@code now} without any memory. */
-    Voter(int number, List<Integer> voters, Terms terms, double now, long life) {
+    LeaseVoter(int number, List<Integer> voters, LeaseTerms terms, double now, long life) {
         this.life = life;
         this.number = number;
         this.voters = voters;
@@ -91,7 +91,7 @@
      * With all that it knew in its last life; whom it granted what is not known, so it abstains for a
      * lease.
      */
-    Voter remembering(Map<String, Register> known) {
+    LeaseVoter remembering(Map<String, Register> known) {
         registers.putAll(known);
         remembers = true;
         return this;
@@ -102,8 +102,8 @@
         return changed;
     }
 
-    Voter copy() {
-        Voter v = new Voter(number, voters, terms, 0, life);
+    LeaseVoter copy() {
+        LeaseVoter v = new LeaseVoter(number, voters, terms, 0, life);
         registers.forEach((duty, r) -> v.registers.put(duty, r.copy()));
         v.abstainsUntil = abstainsUntil;
         told.forEach((from, duties) -> v.told.put(from, new HashSet<>(duties)));
@@ -124,7 +124,7 @@
     }
 
     /** At a new tier's first start, or in a test: it votes from the first moment on. */
-    Voter trusted() {
+    LeaseVoter trusted() {
         votes = true;
         return this;
     }
@@ -140,7 +140,7 @@
             askedAt = now;
             for (int other : voters) {
                 if (other != number) {
-                    out.add(new Post(other, Message.of(Kind.RECALL, "", number, 0, life)));
+                    out.add(new Post(other, LeaseMessage.of(Kind.RECALL, "", number, 0, life)));
                 }
             }
         }
@@ -167,7 +167,7 @@
         }
     }
 
-    List<Post> hear(Message m, double now) {
+    List<Post> hear(LeaseMessage m, double now) {
         switch (m.kind()) {
             case RECALL -> {
                 return recall(m);
@@ -186,7 +186,7 @@
     }
 
     /** Danger: words of which some were lost are not all that a voter knows; the last tells how many. */
-    private void take(Message m) {
+    private void take(LeaseMessage m) {
         Set<String> duties = told.computeIfAbsent(m.from(), f -> new HashSet<>());
         if (m.kind() == Kind.BLANK) {
             blank.put(m.from(), m.seen());
@@ -203,28 +203,29 @@
     }
 
     /** All that it knows, a message for each duty; the last one, of no duty, says how many they were. */
-    private List<Post> recall(Message m) {
+    private List<Post> recall(LeaseMessage m) {
         if (!votes && !remembers) {
             return List.of(new Post(
-                    m.from(), Message.of(Kind.BLANK, "", number, 0, m.ballot()).telling(life, 0)));
+                    m.from(),
+                    LeaseMessage.of(Kind.BLANK, "", number, 0, m.ballot()).telling(life, 0)));
         }
         List<Post> out = new ArrayList<>();
         registers.forEach((duty, r) -> out.add(new Post(
                 m.from(),
-                Message.of(Kind.TOLD, duty, number, 0, m.ballot())
+                LeaseMessage.of(Kind.TOLD, duty, number, 0, m.ballot())
                         .telling(Math.max(r.promised, r.held), 0)
                         .holding(r.held, r.version, r.state))));
         boolean seen = founded && blank.getOrDefault(m.from(), -1L) == m.ballot();
         out.add(new Post(
                 m.from(),
-                Message.of(Kind.TOLD, "", number, 0, m.ballot())
-                        .holding(seen ? FOUNDER : 0, registers.size(), Message.NOTHING)));
+                LeaseMessage.of(Kind.TOLD, "", number, 0, m.ballot())
+                        .holding(seen ? FOUNDER : 0, registers.size(), LeaseMessage.NOTHING)));
         return out;
     }
 
-    private List<Post> vote(Message m, double now) {
+    private List<Post> vote(LeaseMessage m, double now) {
         Register r = registers.computeIfAbsent(m.duty(), d -> new Register());
-        boolean others = now < r.until && Message.holder(r.granted) != Message.holder(m.ballot());
+        boolean others = now < r.until && LeaseMessage.holder(r.granted) != LeaseMessage.holder(m.ballot());
         Kind answer = Kind.REFUSED;
         switch (m.kind()) {
             case ASK -> answer = others ? Kind.REFUSED : Kind.FREE;
@@ -263,12 +264,14 @@
                 return List.of();
             }
         }
-        Message reply = Message.of(answer, m.duty(), number, m.echo(), m.ballot())
+        LeaseMessage reply = LeaseMessage.of(answer, m.duty(), number, m.echo(), m.ballot())
                 .telling(Math.max(r.promised, r.held), others ? r.until - now : 0);
         return List.of(new Post(
                 m.from(),
                 answer == Kind.PROMISED
                         ? reply.holding(r.held, r.version, r.state)
-                        : answer == Kind.ACCEPTED ? reply.holding(m.ballot(), m.version(), Message.NOTHING) : reply));
+                        : answer == Kind.ACCEPTED
+                                ? reply.holding(m.ballot(), m.version(), LeaseMessage.NOTHING)
+                                : reply));
     }
 }
--- a/src/main/java/nettlewick/duty/Envelope.java
+++ b/src/main/java/nettlewick/duty/MessageCodec.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import nettlewick.duty.Message.Kind;
+import nettlewick.duty.LeaseMessage.Kind;
 
 /**
  * Messages as bytes, with the voters' list they count under, the sender's life and number, and an HMAC by the
  * shared key over all of it. What does not verify, comes twice or counts under another list is passed over
  * and counted. One for each process; not to be shared by threads.
  */
-final class Envelope {
+final class MessageCodec {
     /** The state of a duty holds so many bytes at most, its name so many. */
     static final int STATE_MOST = 4096;
 
@@ -52,7 +52,7 @@
      * @param list stands for who votes
      * @param life a number of this process's own, drawn at random
      */
-    Envelope(byte[] key, int list, int number, int life) {
+    MessageCodec(byte[] key, int list, int number, int life) {
         this.key = new SecretKeySpec(key, "HmacSHA256");
         this.number = number;
         this.life = life;
@@ -64,7 +64,7 @@
     }
 
     /** @throws IllegalArgumentException for a name or a state that is too long */
-    byte[] close(Message m) {
+    byte[] close(LeaseMessage m) {
         byte[] name = m.duty().getBytes(StandardCharsets.UTF_8);
         if (name.length > NAME_MOST || m.state().length > STATE_MOST) {
             throw new IllegalArgumentException(
@@ -92,7 +92,7 @@
     }
 
     /** The message in these bytes; null where it is passed over. */
-    Message open(byte[] data) {
+    LeaseMessage open(byte[] data) {
         int end = data.length - SUM;
         if (end < HEAD + BODY || !MessageDigest.isEqual(sum(data, end), Arrays.copyOfRange(data, end, data.length))) {
             return fault(Fault.DAMAGED);
@@ -125,7 +125,7 @@
             b.get(name);
             byte[] state = new byte[b.getShort()];
             b.get(state);
-            return new Message(
+            return new LeaseMessage(
                     Kind.values()[kind],
                     new String(name, StandardCharsets.UTF_8),
                     from,
@@ -141,7 +141,7 @@
         }
     }
 
-    private Message fault(Fault fault) {
+    private LeaseMessage fault(Fault fault) {
         faults[fault.ordinal()]++;
         return null;
     }
--- a/src/main/java/nettlewick/duty/KeptVoter.java
+++ b/src/main/java/nettlewick/duty/PersistentVoter.java
@@ -4,32 +4,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import nettlewick.duty.Message.Post;
-import nettlewick.log.Part;
+import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.log.ComponentLogger;
 import nettlewick.store.StoreException;
 
 /** A voter, and the folder where it keeps what it promised and accepted, if there is one. */
-final class KeptVoter {
-    private static final Part LOG = Part.of("duty");
+final class PersistentVoter {
+    private static final ComponentLogger LOG = ComponentLogger.of("duty");
 
-    private final DutySettings settings;
-    private final Voter voter;
+    private final LeaseSettings settings;
+    private final LeaseVoter voter;
     /** Null where a voter's memory is its process's. */
     private final VoterStore store;
     /** Whether the store says that this voter votes. */
     private boolean begun;
 
     /** @throws IOException where the folder cannot be had */
-    KeptVoter(DutySettings settings, double now, int life) throws IOException {
+    PersistentVoter(LeaseSettings settings, double now, int life) throws IOException {
         this.settings = settings;
-        voter = new Voter(settings.number(), settings.voters(), settings.terms(), now, life);
+        voter = new LeaseVoter(settings.number(), settings.voters(), settings.terms(), now, life);
         store = settings.folder() == null ? null : remember();
     }
 
     private VoterStore remember() throws IOException {
         try {
             VoterStore opened = VoterStore.openOrAnew(settings.folder());
-            Map<String, Voter.Register> known = opened.load(settings.list(), settings.number());
+            Map<String, LeaseVoter.Register> known = opened.load(settings.list(), settings.number());
             if (known != null) {
                 voter.remembering(known);
                 begun = true;
@@ -48,7 +48,7 @@
     }
 
     /** Its answers to a message, once what they promise is kept. */
-    List<Post> hear(Message m, double now) {
+    List<Post> hear(LeaseMessage m, double now) {
         return saying(() -> voter.hear(m, now));
     }
 
--- a/src/main/java/nettlewick/duty/CountTerms.java
+++ b/src/main/java/nettlewick/duty/TermCounter.java
@@ -3,17 +3,17 @@
 import java.nio.ByteBuffer;
 
 /** A duty that nothing is done with: its state is how many times it has been held. */
-final class CountTerms implements Charge {
+final class TermCounter implements LeaseTask {
     private final String duty;
     private long counted = -1;
     private long told = -1;
 
-    CountTerms(String duty) {
+    TermCounter(String duty) {
         this.duty = duty;
     }
 
     @Override
-    public byte[] turn(Hold hold) {
+    public byte[] turn(HeldLease hold) {
         long term = hold.state().length == Long.BYTES
                 ? ByteBuffer.wrap(hold.state()).getLong()
                 : 0;
@@ -23,7 +23,7 @@
         }
         if (told != hold.fence()) {
             told = hold.fence();
-            Charge.held(duty, hold, term);
+            LeaseTask.held(duty, hold, term);
         }
         return null;
     }
--- a/src/main/java/nettlewick/duty/VoterStore.java
+++ b/src/main/java/nettlewick/duty/VoterStore.java
@@ -66,10 +66,10 @@
     /**
      * What this voter knew; null where the folder is of none that has voted in this list under this number.
      */
-    Map<String, Voter.Register> load(int list, int number) throws StoreException {
+    Map<String, LeaseVoter.Register> load(int list, int number) throws StoreException {
         return database.look(() -> {
             String whose = database.value("SELECT list || ' ' || number FROM whose");
-            Map<String, Voter.Register> registers = new TreeMap<>();
+            Map<String, LeaseVoter.Register> registers = new TreeMap<>();
             try (PreparedStatement s = database.prepare("SELECT duty, promised, held, version, state FROM register");
                     ResultSet rows = s.executeQuery()) {
                 while (rows.next()) {
@@ -98,8 +98,8 @@
                         + database.run("INSERT INTO whose VALUES (?, ?)", list, number));
     }
 
-    private static Voter.Register row(ResultSet rows) throws SQLException {
-        Voter.Register r = new Voter.Register();
+    private static LeaseVoter.Register row(ResultSet rows) throws SQLException {
+        LeaseVoter.Register r = new LeaseVoter.Register();
         r.promised = rows.getLong(2);
         r.held = rows.getLong(3);
         r.version = rows.getLong(4);
@@ -108,10 +108,10 @@
     }
 
     /** Durable when it returns. */
-    void save(Map<String, Voter.Register> changed) throws StoreException {
+    void save(Map<String, LeaseVoter.Register> changed) throws StoreException {
         database.change("written", () -> {}, () -> {
-            for (Map.Entry<String, Voter.Register> e : changed.entrySet()) {
-                Voter.Register r = e.getValue();
+            for (Map.Entry<String, LeaseVoter.Register> e : changed.entrySet()) {
+                LeaseVoter.Register r = e.getValue();
                 database.run(
                         "INSERT OR REPLACE INTO register VALUES (?, ?, ?, ?, ?)",
                         e.getKey(),
--- a/src/main/java/nettlewick/lab/Clients.java
+++ b/src/main/java/nettlewick/lab/Clients.java
@@ -36,13 +36,13 @@
 
     /** A job on its way: its tries have ids of their own and one key. */
     private static final class Asked {
-        final Trace.Arrival arrival;
+        final RequestTrace.Arrival arrival;
         final double meant;
         final String key;
         final SplittableRandom random;
         int tries;
 
-        Asked(Trace.Arrival arrival, double meant, long seed) {
+        Asked(RequestTrace.Arrival arrival, double meant, long seed) {
             this.arrival = arrival;
             this.meant = meant;
             key = String.format("%016x", seed << 32 | arrival.number());
@@ -54,20 +54,26 @@
     private final Fleet fleet;
     private final Vertx vertx;
     private final HttpClient client;
-    private final Audit audit;
-    private final Spread spread;
+    private final InvariantChecker audit;
+    private final LoadBalanceStats spread;
     private final DoubleSupplier clock;
     private final Map<String, Integer> ends = new TreeMap<>();
     final Histogram latency = new ConcurrentHistogram((long) LONGEST, 3);
     private volatile double countFrom;
     /** Which jobs are asked for at all. */
-    volatile Predicate<Trace.Arrival> asks = a -> true;
+    volatile Predicate<RequestTrace.Arrival> asks = a -> true;
 
     final AtomicInteger open = new AtomicInteger();
     final AtomicInteger served = new AtomicInteger();
     final AtomicInteger refusals = new AtomicInteger();
 
-    Clients(Scenario scenario, Fleet fleet, Vertx vertx, Audit audit, Spread spread, DoubleSupplier clock) {
+    Clients(
+            Scenario scenario,
+            Fleet fleet,
+            Vertx vertx,
+            InvariantChecker audit,
+            LoadBalanceStats spread,
+            DoubleSupplier clock) {
         this.scenario = scenario;
         this.fleet = fleet;
         this.vertx = vertx;
@@ -88,7 +94,7 @@
     }
 
     /** A client asks now for what it meant to ask for at {@code meant}. */
-    void ask(Trace.Arrival arrival, double meant) {
+    void ask(RequestTrace.Arrival arrival, double meant) {
         if (!asks.test(arrival)) {
             return;
         }
@@ -99,7 +105,7 @@
     private void again(Asked job) {
         double now = clock.getAsDouble();
         double left = job.meant + job.arrival.jobClass().deadline() - now;
-        Fleet.Member to = pick(job);
+        Fleet.DispatcherProcess to = pick(job);
         if (left <= 0) {
             end(job, "unserved");
         } else if (to == null) {
@@ -121,10 +127,10 @@
     }
 
     /** One of the zone's dispatchers that the front takes for alive. */
-    private Fleet.Member pick(Asked job) {
-        List<Fleet.Member> zone = new ArrayList<>();
+    private Fleet.DispatcherProcess pick(Asked job) {
+        List<Fleet.DispatcherProcess> zone = new ArrayList<>();
         int zones = scenario.world().zones().size();
-        for (Fleet.Member m : fleet.members) {
+        for (Fleet.DispatcherProcess m : fleet.members) {
             if (m.ready && m.number % zones == job.arrival.zone()) {
                 zone.add(m);
             }
@@ -138,7 +144,7 @@
         return zone.get(Math.max(0, Math.min(zone.size() - 1, at)));
     }
 
-    private void send(Asked job, Fleet.Member to, HttpClientRequest request, double left) {
+    private void send(Asked job, Fleet.DispatcherProcess to, HttpClientRequest request, double left) {
         String id = job.key + "-" + job.tries;
         Scenario.JobClass jobClass = job.arrival.jobClass();
         audit.asked(id, job.key, jobClass, to.number, clock.getAsDouble(), job.arrival.member());
@@ -155,7 +161,7 @@
             request.putHeader("X-Retry", "1");
         }
         AtomicBoolean over = new AtomicBoolean();
-        long timer = vertx.setTimer((long) (left + Audit.SPARE), t -> {
+        long timer = vertx.setTimer((long) (left + InvariantChecker.SPARE), t -> {
             if (over.compareAndSet(false, true)) {
                 audit.answered(id, 0, "none in time", clock.getAsDouble());
                 request.reset();
--- a/src/main/java/nettlewick/lab/DatagramRelay.java
+++ b/src/main/java/nettlewick/lab/DatagramRelay.java
@@ -32,7 +32,7 @@
     private final List<DatagramChannel> ends = new ArrayList<>();
     private final List<InetSocketAddress> dispatchers;
     private final Map<SocketAddress, Integer> senders = new HashMap<>();
-    private final Links links;
+    private final LinkFaults links;
     private final DoubleSupplier clock;
     private final AtomicLongArray sent;
     private final AtomicLongArray bytes;
@@ -41,7 +41,7 @@
     private volatile boolean open = true;
 
     /** @param dispatchers where each listens for its peers; @param net where the others reach them instead */
-    DatagramRelay(List<InetSocketAddress> dispatchers, String net, Links links, DoubleSupplier clock, int threads)
+    DatagramRelay(List<InetSocketAddress> dispatchers, String net, LinkFaults links, DoubleSupplier clock, int threads)
             throws IOException {
         this.dispatchers = dispatchers;
         this.links = links;
--- a/src/main/java/nettlewick/lab/Duties.java
+++ b/src/main/java/nettlewick/lab/Duties.java
@@ -12,9 +12,9 @@
 import java.util.Locale;
 import java.util.Map;
 import nettlewick.settings.Block;
+import nettlewick.standins.EndpointServer;
 import nettlewick.standins.ProviderModel;
 import nettlewick.standins.ProviderServer;
-import nettlewick.standins.RunnerServer;
 
 /**
  * What a scenario with members' pools needs beside the rest: ways between the duties' sockets, and a
@@ -33,7 +33,7 @@
     /** What was still within the means when the mark was reached has come by then. */
     private static final double SETTLES = 5000;
 
-    private final Play play;
+    private final ScenarioRun play;
     private final Scenario scenario;
     private final Path folder;
     /** By how many milliseconds all clocks are ahead, so that the month turns when it is to. */
@@ -42,11 +42,11 @@
     private DatagramRelay relay;
     private List<InetSocketAddress> reached;
     private final Map<Integer, InetSocketAddress> providers = new HashMap<>();
-    private final Map<String, RunnerServer> added = new HashMap<>();
+    private final Map<String, EndpointServer> added = new HashMap<>();
     ProviderModel model;
     ProviderServer provider;
 
-    Duties(Play play, Scenario scenario, Path folder) throws IOException {
+    Duties(ScenarioRun play, Scenario scenario, Path folder) throws IOException {
         this.play = play;
         this.scenario = scenario;
         this.folder = Files.createDirectories(folder);
@@ -103,7 +103,7 @@
         }
     }
 
-    private void end(RunnerServer runner) {
+    private void end(EndpointServer runner) {
         play.discovery.change(runner, "Terminating");
         runner.model.drain();
         play.steps.plan(play.now() + ENDS, () -> {
@@ -124,21 +124,22 @@
     /** Our own settings of one process. */
     String settings(int number) {
         StringBuilder text = new StringBuilder("log {\nform json\nrepeats 1000\n}\nduty {\nlisten "
-                + Play.text(play.fleet.members.get(number).duty) + "\nnumber " + number + "\nvoters "
+                + ScenarioRun.text(play.fleet.members.get(number).duty) + "\nnumber " + number + "\nvoters "
                 + scenario.duty().voters() + "\nlease " + (long) scenario.duty().lease() + "ms\nkey \""
                 + folder.resolve("duty.key") + "\"\n");
-        reached.forEach(a -> text.append("dispatcher ").append(Play.text(a)).append('\n'));
+        reached.forEach(
+                a -> text.append("dispatcher ").append(ScenarioRun.text(a)).append('\n'));
         text.append("}\npools {\n").append(scenario.duty().pools().lines());
         if (provider != null) {
             text.append("provider http://")
-                    .append(Play.text(providers.get(number)))
+                    .append(ScenarioRun.text(providers.get(number)))
                     .append('\n');
         }
         return text.append("}\n").toString();
     }
 
     /** What became of members' pools, and to the audit whether all went by them. */
-    Map<String, Double> close(Moves moves, Map<String, Integer> ends, Audit audit, double loadAt) {
+    Map<String, Double> close(MigrationAudit moves, Map<String, Integer> ends, InvariantChecker audit, double loadAt) {
         List<Double> losses = scenario.steps().stream()
                 .filter(s -> s.verb().equals("kill")
                         && s.first().part() == 1
--- a/src/main/java/nettlewick/lab/Fleet.java
+++ b/src/main/java/nettlewick/lab/Fleet.java
@@ -16,7 +16,7 @@
 import java.util.function.IntFunction;
 import java.util.function.IntToLongFunction;
 import java.util.stream.Stream;
-import nettlewick.standins.RunnerServer;
+import nettlewick.standins.EndpointServer;
 
 /**
  * The real processes: each a {@code serve} of the built jar with an address, a configuration and a log of
@@ -42,7 +42,7 @@
     private static final double TICKS = 10;
 
     /** One process of the fleet, alive or not. */
-    static final class Member {
+    static final class DispatcherProcess {
         final int number;
         final InetSocketAddress listen;
         final InetSocketAddress peer;
@@ -58,7 +58,7 @@
 
         int lives;
 
-        Member(
+        DispatcherProcess(
                 int number,
                 InetSocketAddress listen,
                 InetSocketAddress peer,
@@ -87,7 +87,7 @@
     private final IntFunction<Map<String, Object>> config;
     private final IntFunction<String> more;
     private final IntToLongFunction ahead;
-    final List<Member> members = new ArrayList<>();
+    final List<DispatcherProcess> members = new ArrayList<>();
     private final Thread hook = new Thread(this::end, "lab-end");
 
     /**
@@ -114,7 +114,7 @@
                     ServerSocket admin = new ServerSocket(0, 1, own);
                     DatagramSocket peer = new DatagramSocket(0, own);
                     DatagramSocket duty = new DatagramSocket(0, own)) {
-                members.add(new Member(
+                members.add(new DispatcherProcess(
                         i,
                         new InetSocketAddress(own, listen.getLocalPort()),
                         new InetSocketAddress(own, peer.getLocalPort()),
@@ -160,7 +160,7 @@
 
     /** Starts a process for this member, unless it has one. */
     synchronized void start(int number) throws IOException {
-        Member m = members.get(number);
+        DispatcherProcess m = members.get(number);
         if (m.alive()) {
             return;
         }
@@ -189,7 +189,7 @@
 
     /** Ends a process at once, as a power loss would. */
     void kill(int number) {
-        Member m = members.get(number);
+        DispatcherProcess m = members.get(number);
         if (m.alive()) {
             m.cpuBefore += cpu(m.process);
             m.killed = true;
@@ -199,7 +199,7 @@
 
     /** A planned end, by SIGTERM. */
     void end(int number) {
-        Member m = members.get(number);
+        DispatcherProcess m = members.get(number);
         if (m.alive()) {
             m.killed = true;
             m.process.destroy();
@@ -208,13 +208,13 @@
 
     /** The clients' front finds that a process is dead. */
     void noticed(int number) {
-        Member m = members.get(number);
+        DispatcherProcess m = members.get(number);
         m.ready &= m.alive();
     }
 
     /** Stops a process where it is, or lets it go on: what it believes grows old meanwhile. */
     void pause(int number, boolean stop) throws IOException, InterruptedException {
-        Member m = members.get(number);
+        DispatcherProcess m = members.get(number);
         if (m.alive()) {
             m.paused = stop;
             new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", Long.toString(m.process.pid()))
@@ -242,7 +242,7 @@
 
     /** Memory of a process, what it shares with others by its part, in megabytes; 0 where not told. */
     double megabytes(int number) {
-        Member m = members.get(number);
+        DispatcherProcess m = members.get(number);
         if (!m.alive()) {
             return 0;
         }
@@ -257,7 +257,7 @@
     }
 
     private void end() {
-        for (Member m : members) {
+        for (DispatcherProcess m : members) {
             Process p = m.process;
             if (p != null) {
                 p.destroyForcibly();
@@ -268,7 +268,7 @@
     @Override
     public void close() {
         end();
-        for (Member m : members) {
+        for (DispatcherProcess m : members) {
             try {
                 if (m.process != null) {
                     m.process.waitFor(10, TimeUnit.SECONDS);
@@ -319,12 +319,12 @@
                         .map(m -> Map.of("name", m.name(), "fraction", m.share()))
                         .toList());
         settings.put("report", Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0", "x1")));
-        settings.put("family_info", Map.of("progress", nanos(RunnerServer.PROGRESS), "tells_start", true));
+        settings.put("family_info", Map.of("progress", nanos(EndpointServer.PROGRESS), "tells_start", true));
         settings.put(
                 "ceilings",
                 Map.of(
                         "attempts_cap",
-                        Play.ATTEMPTS,
+                        ScenarioRun.ATTEMPTS,
                         "cancel",
                         w.runner().cancel(),
                         "peers",
--- a/src/main/java/nettlewick/lab/Audit.java
+++ b/src/main/java/nettlewick/lab/InvariantChecker.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import nettlewick.standins.RunnerModel;
+import nettlewick.standins.EndpointModel;
 
 /**
  * The rules, checked on every job as it runs. A break names the rule, the job and the time, with all that
  * happened to the job. Pure; called from several threads; times in milliseconds of the lab's clock.
  */
-final class Audit {
+final class InvariantChecker {
     /** Past the deadline, for an answer that this machine is slow to bring. */
     static final double SPARE = 1000;
     /** Between a send and its arrival, on a busy machine and a delayed link. */
@@ -60,7 +60,7 @@
     /** An attempt of a member's at a runner. */
     record Arrival(double at, int dispatcher, String member, String runner, String id) {}
 
-    Audit(Scenario scenario, int attemptsMost) {
+    InvariantChecker(Scenario scenario, int attemptsMost) {
         this.scenario = scenario;
         this.attemptsMost = attemptsMost;
     }
@@ -79,7 +79,7 @@
     }
 
     /** An attempt has come whole to a runner. */
-    synchronized void arrived(String id, RunnerModel runner, RunnerModel.Taken taken, double now) {
+    synchronized void arrived(String id, EndpointModel runner, EndpointModel.Taken taken, double now) {
         add("attempts", now);
         Job job = jobs.get(id);
         if (job == null) {
@@ -103,11 +103,11 @@
                 && !excused(job.dispatcher, told, now, true)) {
             broken("drain", id, now, job.history);
         }
-        if (taken == RunnerModel.Taken.FULL) {
+        if (taken == EndpointModel.Taken.FULL) {
             add("sent_to_full", now);
         }
         // What was turned away never ran: it binds no later send.
-        if (job.jobClass.keyed() && (taken == RunnerModel.Taken.RUNS || taken == RunnerModel.Taken.WAITS)) {
+        if (job.jobClass.keyed() && (taken == EndpointModel.Taken.RUNS || taken == EndpointModel.Taken.WAITS)) {
             First first = firsts.putIfAbsent(job.key, new First(now, runner.zone));
             if (first != null
                     && (now - first.at() > scenario.load().window() + WAY
@@ -118,7 +118,7 @@
     }
 
     /** A job begins to run. */
-    synchronized void ran(String id, RunnerModel runner, double now) {
+    synchronized void ran(String id, EndpointModel runner, double now) {
         Job job = jobs.get(id);
         if (job == null) {
             return;
--- a/src/main/java/nettlewick/lab/Lab.java
+++ b/src/main/java/nettlewick/lab/Lab.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import nettlewick.settings.BadSettings;
 
 /** What the command line offers of the lab. */
 public final class Lab {
@@ -36,7 +35,7 @@
     }
 
     static boolean run(Scenario scenario, Path folder, Consumer<String> line, Consumer<String> out) throws Exception {
-        try (Play play = new Play(scenario, folder.resolve("processes"))) {
+        try (ScenarioRun play = new ScenarioRun(scenario, folder.resolve("processes"))) {
             play.start(line);
             play.idle(IDLE);
             Map<String, Double> figures = play.run(line);
--- a/src/main/java/nettlewick/lab/Links.java
+++ b/src/main/java/nettlewick/lab/LinkFaults.java
@@ -11,7 +11,7 @@
  * past the dispatchers, discovery by the last. The fate of each datagram is drawn from the seed, its sender,
  * its receiver and its number alone. Pure; steps change it while relays read it.
  */
-final class Links {
+final class LinkFaults {
     /** How a connection is treated from now on. */
     enum Way {
         OPEN,
@@ -37,7 +37,7 @@
     private final List<Spell> spells = new CopyOnWriteArrayList<>();
     private volatile Loss loss = new Loss(0, 0);
 
-    Links(Scenario.LinkSettings settings, long seed) {
+    LinkFaults(Scenario.LinkSettings settings, long seed) {
         this.settings = settings;
         this.seed = seed;
     }
--- a/src/main/java/nettlewick/lab/Spread.java
+++ b/src/main/java/nettlewick/lab/LoadBalanceStats.java
@@ -5,14 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.standins.RunnerModel;
+import nettlewick.standins.EndpointModel;
 import org.HdrHistogram.Histogram;
 
 /**
  * How evenly work lies on the runners, from samples of them all and from the times at which attempts came.
  * Pure; one thread samples, others tell of arrivals.
  */
-final class Spread {
+final class LoadBalanceStats {
     /** Milliseconds between two samples. */
     static final double EACH = 50;
 
@@ -24,11 +24,11 @@
     /** One sample: the load of each runner at a time; NaN where it is down. */
     record Sample(double at, double[] loads) {}
 
-    private final List<RunnerModel> runners;
+    private final List<EndpointModel> runners;
     private final double meanWork;
     private final List<Sample> samples = new ArrayList<>();
-    private final Map<RunnerModel, double[]> arrivals = new LinkedHashMap<>();
-    private final Map<RunnerModel, Integer> counts = new LinkedHashMap<>();
+    private final Map<EndpointModel, double[]> arrivals = new LinkedHashMap<>();
+    private final Map<EndpointModel, Integer> counts = new LinkedHashMap<>();
     /** Load of each runner at each sample, in thousandths of its slots. */
     private final Histogram loads = new Histogram(LOAD_MOST, 3);
 
@@ -39,13 +39,13 @@
     private long cvCount;
 
     /** @param runners may grow while this is used; @param meanWork of a job, in slot milliseconds */
-    Spread(List<RunnerModel> runners, double meanWork) {
+    LoadBalanceStats(List<EndpointModel> runners, double meanWork) {
         this.runners = runners;
         this.meanWork = meanWork;
     }
 
     /** An attempt has come to a runner. */
-    synchronized void arrived(RunnerModel runner, double now) {
+    synchronized void arrived(EndpointModel runner, double now) {
         int n = counts.merge(runner, 1, Integer::sum);
         double[] times = arrivals.getOrDefault(runner, new double[64]);
         if (n > times.length) {
@@ -64,15 +64,16 @@
     synchronized void sample(double now) {
         boolean waits = refused;
         refused = false;
-        List<RunnerModel> serving = runners.stream().filter(RunnerModel::serves).toList();
+        List<EndpointModel> serving =
+                runners.stream().filter(EndpointModel::serves).toList();
         double[] all = new double[runners.size()];
         double sum = 0;
         double squares = 0;
         for (int i = 0; i < all.length; i++) {
-            RunnerModel r = runners.get(i);
+            EndpointModel r = runners.get(i);
             all[i] = r.up() ? r.load() : Double.NaN;
         }
-        for (RunnerModel r : serving) {
+        for (EndpointModel r : serving) {
             // By speed: one that is twice as fast carries twice the jobs in the same time.
             double load = r.load();
             waits |= r.waiting() > 0;
@@ -106,13 +107,13 @@
         double capacity = runners.stream().mapToDouble(r -> r.slots * r.speed).sum();
         double from = Double.MAX_VALUE;
         double to = 0;
-        for (Map.Entry<RunnerModel, double[]> e : arrivals.entrySet()) {
+        for (Map.Entry<EndpointModel, double[]> e : arrivals.entrySet()) {
             from = Math.min(from, e.getValue()[0]);
             to = Math.max(to, e.getValue()[counts.get(e.getKey()) - 1]);
         }
         int herds = 0;
-        for (Map.Entry<RunnerModel, double[]> e : arrivals.entrySet()) {
-            RunnerModel r = e.getKey();
+        for (Map.Entry<EndpointModel, double[]> e : arrivals.entrySet()) {
+            EndpointModel r = e.getKey();
             double window = meanWork / r.speed;
             double fair = total * r.slots * r.speed / capacity * window / Math.max(1, to - from);
             int n = counts.get(r);
--- a/src/main/java/nettlewick/lab/Moves.java
+++ b/src/main/java/nettlewick/lab/MigrationAudit.java
@@ -21,7 +21,7 @@
  * What the processes' logs tell of duties and pools, held against where members' jobs went: nobody at a pool
  * that it had been told of as another's, no member outside its own, no term of a duty held twice.
  */
-final class Moves {
+final class MigrationAudit {
     /** What a process said at a time of the lab's clock. */
     record Line(double at, int dispatcher, int life, JsonObject said) {
         String event() {
@@ -39,17 +39,17 @@
     private static final String FOLLOWED = "pools-followed";
     private final List<Line> lines;
 
-    Moves(List<Line> lines) {
+    MigrationAudit(List<Line> lines) {
         this.lines = lines;
     }
 
     /** @param wall the Unix time of the lab clock's beginning */
-    static Moves read(Path folder, double wall) throws IOException {
+    static MigrationAudit read(Path folder, double wall) throws IOException {
         return read(folder, wall, "");
     }
 
     /** Of lines with that word alone: all that hundreds of processes have said takes seconds to read. */
-    static Moves read(Path folder, double wall, String word) throws IOException {
+    static MigrationAudit read(Path folder, double wall, String word) throws IOException {
         List<Line> lines = new ArrayList<>();
         try (Stream<Path> logs = Files.list(folder)) {
             for (Path process : logs.filter(p -> p.getFileName().toString().matches("n\\d+-\\d+"))
@@ -68,7 +68,7 @@
             }
         }
         lines.sort((a, b) -> Double.compare(a.at(), b.at()));
-        return new Moves(lines);
+        return new MigrationAudit(lines);
     }
 
     /** Lines that are cut off by a kill are none. */
@@ -150,14 +150,14 @@
      * @param margin between a dispatcher's choice and the attempt's arrival at the runner
      * @param serves whether a runner serves at the end
      */
-    void check(Audit audit, List<Double> losses, double margin, Predicate<String> serves) {
+    void check(InvariantChecker audit, List<Double> losses, double margin, Predicate<String> serves) {
         terms(audit, losses);
         Map<Integer, List<Line>> followed = new HashMap<>();
         lines.stream()
                 .filter(l -> l.event().equals(FOLLOWED) || l.event().equals("listens"))
                 .forEach(l -> followed.computeIfAbsent(l.dispatcher(), d -> new ArrayList<>())
                         .add(l));
-        for (Audit.Arrival a : audit.arrivals()) {
+        for (InvariantChecker.Arrival a : audit.arrivals()) {
             for (Pool pool : inForce(followed.getOrDefault(a.dispatcher(), List.of()), a, margin)) {
                 boolean own = pool.member().equals(a.member());
                 if (!own && pool.shut() && pool.runners().contains(a.runner())) {
@@ -185,7 +185,7 @@
      * by
      * nothing until it has heard.
      */
-    private static List<Pool> inForce(List<Line> followed, Audit.Arrival a, double margin) {
+    private static List<Pool> inForce(List<Line> followed, InvariantChecker.Arrival a, double margin) {
         Line before = null;
         for (Line l : followed) {
             if (l.at() > a.at()) {
@@ -211,7 +211,7 @@
     }
 
     /** Danger: a tier that has lost all memory at once counts anew; what it did before is another matter. */
-    private void terms(Audit audit, List<Double> losses) {
+    private void terms(InvariantChecker audit, List<Double> losses) {
         double from = Double.NEGATIVE_INFINITY;
         for (double loss : losses) {
             terms(audit, from, loss);
@@ -220,7 +220,7 @@
         terms(audit, from, Double.POSITIVE_INFINITY);
     }
 
-    private void terms(Audit audit, double from, double to) {
+    private void terms(InvariantChecker audit, double from, double to) {
         Map<String, TreeMap<Long, Long>> fences = new HashMap<>();
         for (Line l : all("duty-held").stream()
                 .filter(l -> l.at() >= from && l.at() < to)
--- a/src/main/java/nettlewick/lab/Trace.java
+++ b/src/main/java/nettlewick/lab/RequestTrace.java
@@ -8,7 +8,7 @@
  * The jobs of a run in the order in which clients mean to ask, drawn from the scenario's seed: a Poisson
  * stream whose rate the steps change. Pure.
  */
-final class Trace {
+final class RequestTrace {
     /**
      * @param at     when it is meant to be asked, in milliseconds after the load began; below 0 to warm up
      * @param work   slot milliseconds at the speed of 1
@@ -18,7 +18,7 @@
     record Arrival(
             int number, double at, Scenario.JobClass jobClass, double work, int zone, double choice, String member) {}
 
-    private Trace() {}
+    private RequestTrace() {}
 
     static List<Arrival> of(Scenario scenario) {
         SplittableRandom random = new SplittableRandom(scenario.world().seed());
--- a/src/main/java/nettlewick/lab/Results.java
+++ b/src/main/java/nettlewick/lab/Results.java
@@ -40,7 +40,7 @@
             Path folder,
             Map<String, Double> figures,
             List<String> breaks,
-            Spread spread,
+            LoadBalanceStats spread,
             Histogram latency,
             List<Second> seconds)
             throws IOException {
@@ -59,7 +59,7 @@
         }
         try (CSVPrinter csv = csv(folder.resolve("loads.csv"))) {
             csv.printRecord("at_ms", "load of each runner over its slots");
-            for (Spread.Sample s : spread.samples()) {
+            for (LoadBalanceStats.Sample s : spread.samples()) {
                 csv.print(Math.round(s.at()));
                 for (double load : s.loads()) {
                     csv.print(plain(load));
@@ -93,14 +93,14 @@
         }
     }
 
-    private static void charts(Path folder, Spread spread, List<Second> seconds) throws IOException {
+    private static void charts(Path folder, LoadBalanceStats spread, List<Second> seconds) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYSeriesCollection loads = new XYSeriesCollection();
-        List<Spread.Sample> samples = spread.samples();
+        List<LoadBalanceStats.Sample> samples = spread.samples();
         int runners = samples.stream().mapToInt(s -> s.loads().length).max().orElse(0);
         for (int r = 0; r < runners; r++) {
             XYSeries line = new XYSeries("s" + r);
-            for (Spread.Sample s : samples) {
+            for (LoadBalanceStats.Sample s : samples) {
                 line.add(s.at() / SECOND, r < s.loads().length ? s.loads()[r] : Double.NaN);
             }
             loads.addSeries(line);
--- a/src/main/java/nettlewick/lab/Scenario.java
+++ b/src/main/java/nettlewick/lab/Scenario.java
@@ -7,10 +7,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.settings.BadSettings;
 import nettlewick.settings.Block;
+import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Settings;
-import nettlewick.standins.RunnerModel;
+import nettlewick.standins.EndpointModel;
 
 /**
  * A scenario, read from a file in the form of the settings and checked: world, load, links and timed steps.
@@ -31,7 +31,7 @@
             int dispatchers,
             List<Kind> kinds,
             List<String> zones,
-            RunnerModel.Kind runner,
+            EndpointModel.Kind runner,
             boolean peers,
             boolean known,
             boolean asked,
@@ -122,9 +122,9 @@
      * @param figure its number: a part, a factor, a count, or a time in which it happens
      * @param span   for how long; infinite where it stays
      */
-    record Step(double at, String verb, Party first, Party second, double figure, double span) {}
+    record Step(double at, String verb, ScenarioTarget first, ScenarioTarget second, double figure, double span) {}
 
-    /** Reads and checks a file; throws {@link BadSettings} with one line for the first fault. */
+    /** Reads and checks a file; throws {@link InvalidSettingsException} with one line for the first fault. */
     static Scenario read(Path file) {
         return of(Settings.read(file, ScenarioTable.ROOT), file.toString());
     }
@@ -147,13 +147,14 @@
         Map<String, Double> clocks = new HashMap<>();
         w.all("clock")
                 .forEach(v -> clocks.put(
-                        v.<Party>part(0).name(), v.part(1).equals("ahead") ? v.<Double>part(2) : -v.<Double>part(2)));
+                        v.<ScenarioTarget>part(0).name(),
+                        v.part(1).equals("ahead") ? v.<Double>part(2) : -v.<Double>part(2)));
         World world = new World(
                 w.whole("seed"),
                 (int) w.whole("dispatchers"),
                 kinds,
                 zones.isEmpty() ? List.of("a") : zones,
-                new RunnerModel.Kind(
+                new EndpointModel.Kind(
                         (int) w.whole("slots"),
                         (int) w.whole("queue"),
                         w.span("cold"),
@@ -223,8 +224,9 @@
         return members.isEmpty() ? List.of(new Member("red", 1, 1)) : List.copyOf(members);
     }
 
-    private static BadSettings missing(String file, String block) {
-        return new BadSettings(new nettlewick.settings.Place(file, 1), "there is no block " + block);
+    private static InvalidSettingsException missing(String file, String block) {
+        return new InvalidSettingsException(
+                new nettlewick.settings.SourceLocation(file, 1), "there is no block " + block);
     }
 
     /** What stands in a line's words: the whom, then figures after their literal words. */
@@ -233,17 +235,17 @@
         String verb = words.get(1);
         // A flood's member, and a provider's fate, are words of their own.
         boolean named = verb.equals("flood") || verb.equals("provider");
-        Party first = named ? new Party(words.get(2), 1) : null;
-        Party second = null;
+        ScenarioTarget first = named ? new ScenarioTarget(words.get(2), 1) : null;
+        ScenarioTarget second = null;
         double figure = Double.NaN;
         double span = Double.POSITIVE_INFINITY;
         for (int i = named ? 3 : 2; i < words.size(); i++) {
             Object part = v.parts().get(i);
             String before = words.get(i - 1);
-            if (part instanceof Party p && first == null) {
-                first = new Party(p.name(), Double.isNaN(figure) ? 1 : figure);
+            if (part instanceof ScenarioTarget p && first == null) {
+                first = new ScenarioTarget(p.name(), Double.isNaN(figure) ? 1 : figure);
                 figure = Double.NaN;
-            } else if (part instanceof Party p) {
+            } else if (part instanceof ScenarioTarget p) {
                 second = p;
             } else if (part instanceof Double d && before.equals("for")) {
                 span = d;
@@ -262,17 +264,18 @@
         if (step.verb().equals("flood")) {
             if (load.members().stream()
                     .noneMatch(m -> m.name().equals(step.first().name()))) {
-                throw BadSettings.value(v.place(), "at", step.first().name(), "a member of the load");
+                throw InvalidSettingsException.value(
+                        v.place(), "at", step.first().name(), "a member of the load");
             }
             return;
         }
-        for (Party p : Arrays.asList(step.first(), step.second())) {
+        for (ScenarioTarget p : Arrays.asList(step.first(), step.second())) {
             if (p != null
                     && !p.group()
                     && !world.zones().contains(p.name())
                     && (p.single('n') < 0 || p.single('n') >= world.dispatchers())
                     && p.single('s') < 0) {
-                throw BadSettings.value(
+                throw InvalidSettingsException.value(
                         v.place(),
                         "at",
                         p.name(),
@@ -282,7 +285,7 @@
         }
         boolean relay = List.of("refuse", "stall", "reset", "trickle").contains(step.verb());
         if (relay && !links.relayed()) {
-            throw BadSettings.value(
+            throw InvalidSettingsException.value(
                     v.place(),
                     "at",
                     String.join(" ", v.words()),
@@ -291,7 +294,8 @@
         List<String> own = List.of("pause", "garble");
         boolean runner = step.first() != null && step.first().single('s') >= 0;
         if (own.contains(step.verb()) && (runner || step.first().name().equals("runners"))) {
-            throw BadSettings.value(v.place(), "at", step.first().name(), "dispatchers: only they are " + "processes");
+            throw InvalidSettingsException.value(
+                    v.place(), "at", step.first().name(), "dispatchers: only they are " + "processes");
         }
     }
 
--- a/src/main/java/nettlewick/lab/Play.java
+++ b/src/main/java/nettlewick/lab/ScenarioRun.java
@@ -21,13 +21,13 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import nettlewick.standins.DiscoveryServer;
-import nettlewick.standins.RunnerModel;
-import nettlewick.standins.RunnerServer;
-import nettlewick.standins.StandIns;
+import nettlewick.standins.EndpointModel;
+import nettlewick.standins.EndpointServer;
+import nettlewick.standins.StubPlatform;
 import org.HdrHistogram.Histogram;
 
 /** One run of a scenario: builds the world, starts the fleet, asks, does the steps, and counts. */
-final class Play implements AutoCloseable, RunnerServer.Watch {
+final class ScenarioRun implements AutoCloseable, EndpointServer.Watch {
     private static final String RUNNERS_NET = Fleet.net(2);
     /** Most sends of one request. */
     static final int ATTEMPTS = 6;
@@ -47,11 +47,11 @@
     /** When the load that counts begins, by the lab's clock. */
     private volatile double loadAt = Double.POSITIVE_INFINITY;
 
-    final Links links;
-    final Audit audit;
-    private final Spread spread;
-    final List<RunnerModel> models = new CopyOnWriteArrayList<>();
-    final List<RunnerServer> runners = new ArrayList<>();
+    final LinkFaults links;
+    final InvariantChecker audit;
+    private final LoadBalanceStats spread;
+    final List<EndpointModel> models = new CopyOnWriteArrayList<>();
+    final List<EndpointServer> runners = new ArrayList<>();
     private final TcpRelay tcp;
     private final Map<String, InetSocketAddress> dials = new java.util.concurrent.ConcurrentHashMap<>();
     final DiscoveryServer discovery;
@@ -68,7 +68,7 @@
     /** Unix time at the lab clock's beginning. */
     final double wall = System.currentTimeMillis();
 
-    private final Map<RunnerServer, Integer> places = new java.util.concurrent.ConcurrentHashMap<>();
+    private final Map<EndpointServer, Integer> places = new java.util.concurrent.ConcurrentHashMap<>();
     /** Set from outside: what the run was for has happened. */
     volatile boolean enough;
 
@@ -76,7 +76,7 @@
     private final Map<String, Double> figures = new LinkedHashMap<>();
     private final List<Results.Second> seconds = new ArrayList<>();
 
-    Play(Scenario scenario, Path folder) throws Exception {
+    ScenarioRun(Scenario scenario, Path folder) throws Exception {
         this.scenario = scenario;
         world = scenario.world();
         vertx = Vertx.vertx(new VertxOptions()
@@ -86,9 +86,9 @@
         health = vertx.createHttpClient(
                 new HttpClientOptions().setConnectTimeout(500).setKeepAlive(false),
                 new PoolOptions().setHttp1MaxSize(4));
-        links = new Links(scenario.links(), world.seed());
-        audit = new Audit(scenario, ATTEMPTS);
-        spread = new Spread(models, scenario.load().meanWork());
+        links = new LinkFaults(scenario.links(), world.seed());
+        audit = new InvariantChecker(scenario, ATTEMPTS);
+        spread = new LoadBalanceStats(models, scenario.load().meanWork());
         tcp = scenario.links().relayed() ? new TcpRelay(vertx, links, this::now) : null;
         discovery = new DiscoveryServer(
                 vertx,
@@ -119,7 +119,7 @@
                 links,
                 this::now,
                 Math.max(1, Math.min(3, world.dispatchers() / 50)));
-        peers = datagrams.addresses().stream().map(Play::text).toList();
+        peers = datagrams.addresses().stream().map(ScenarioRun::text).toList();
         clients = new Clients(scenario, fleet, vertx, audit, spread, this::now);
         steps = new Steps(this, world);
         if (duties != null) {
@@ -160,7 +160,7 @@
 
     /** Who holds a member's duty, by what the processes have said. */
     int holder(String member) throws IOException {
-        return Moves.read(folder, wall, "duty-held").holder(member);
+        return MigrationAudit.read(folder, wall, "duty-held").holder(member);
     }
 
     /** The dispatchers that share a listener go by the first of them. */
@@ -174,15 +174,15 @@
         return (tcp == null ? "" : group(dispatcher) + " ") + runner;
     }
 
-    RunnerServer add(double born) throws Exception {
+    EndpointServer add(double born) throws Exception {
         return add(born, "s" + runners.size());
     }
 
-    RunnerServer add(double born, String name) throws Exception {
+    EndpointServer add(double born, String name) throws Exception {
         int r = runners.size();
-        RunnerModel model = new RunnerModel(name, world.zone(r), world.speed(r), world.runner(), born);
-        RunnerServer server =
-                new RunnerServer(Fleet.address(RUNNERS_NET, r).getHostAddress(), model, vertx, this, this::now);
+        EndpointModel model = new EndpointModel(name, world.zone(r), world.speed(r), world.runner(), born);
+        EndpointServer server =
+                new EndpointServer(Fleet.address(RUNNERS_NET, r).getHostAddress(), model, vertx, this, this::now);
         InetSocketAddress direct = server.listen();
         for (int d = 0; d < world.dispatchers(); d++) {
             String key = dial(d, r);
@@ -197,7 +197,7 @@
     }
 
     private Map<String, Object> config(int number) {
-        Fleet.Member m = fleet.members.get(number);
+        Fleet.DispatcherProcess m = fleet.members.get(number);
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "n" + number);
         config.put("listen", text(m.listen));
@@ -227,7 +227,7 @@
                 fleet.start(next);
             }
             look();
-            for (Fleet.Member m : fleet.members.subList(0, next)) {
+            for (Fleet.DispatcherProcess m : fleet.members.subList(0, next)) {
                 if (!m.alive()) {
                     throw new IOException("n" + m.number + " ended with code " + m.process.exitValue()
                             + "; its log is in the folder");
@@ -266,7 +266,7 @@
 
     /** Asks those that are not known to be ready, and forgets those that have been dead for a while. */
     private void look() {
-        for (Fleet.Member m : fleet.members) {
+        for (Fleet.DispatcherProcess m : fleet.members) {
             if (m.alive() && !m.ready && !m.paused) {
                 Process asked = m.process;
                 health.request(HttpMethod.GET, m.listen.getPort(), m.listen.getHostString(), "/_health")
@@ -278,12 +278,12 @@
 
     /** Asks and does the steps; done once every job has its end. */
     Map<String, Double> run(Consumer<String> progress) throws Exception {
-        List<Trace.Arrival> trace = Trace.of(scenario);
+        List<RequestTrace.Arrival> trace = RequestTrace.of(scenario);
         loadAt = now() + scenario.load().warm();
         audit.countFrom(loadAt);
         clients.countFrom(loadAt);
         scenario.steps().forEach(s -> steps.plan(loadAt + s.at(), s));
-        for (double t = 0; t < scenario.load().length(); t += Spread.EACH) {
+        for (double t = 0; t < scenario.load().length(); t += LoadBalanceStats.EACH) {
             double sampled = t;
             steps.plan(loadAt + t, () -> spread.sample(sampled));
         }
@@ -301,9 +301,9 @@
         while (!enough
                 && (load() < until
                         || !steps.done()
-                        || clients.open.get() > 0 && load() < until + longest + 2 * Audit.SPARE)) {
+                        || clients.open.get() > 0 && load() < until + longest + 2 * InvariantChecker.SPARE)) {
             while (next < trace.size() && trace.get(next).at() <= load()) {
-                Trace.Arrival a = trace.get(next++);
+                RequestTrace.Arrival a = trace.get(next++);
                 if (a.at() >= 0) {
                     lateness.recordValue((long) Math.min(60_000, load() - a.at()));
                 }
@@ -349,7 +349,7 @@
         }
         audit.close(now());
         if (duties != null) {
-            figures.putAll(duties.close(Moves.read(folder, wall), clients.ends(), audit, loadAt));
+            figures.putAll(duties.close(MigrationAudit.read(folder, wall), clients.ends(), audit, loadAt));
         }
         return count((int) trace.stream().filter(a -> a.at() >= 0).count());
     }
@@ -380,7 +380,7 @@
         figures.put("discovery_calls", (double) discovery.calls.get());
         figures.put("too_long", (double) datagrams.tooLong());
         figures.put("crashed", (double)
-                fleet.members.stream().filter(Fleet.Member::crashed).count());
+                fleet.members.stream().filter(Fleet.DispatcherProcess::crashed).count());
         figures.put("rules_broken", (double) audit.breaks().size());
         figures.put("generator_late_p99", (double) lateness.getValueAtPercentile(99));
         figures.put("limited_by_machine", lateness.getValueAtPercentile(99) > LIMIT_LATE ? 1.0 : 0.0);
@@ -388,31 +388,31 @@
     }
 
     @Override
-    public void arrived(String id, RunnerModel runner, RunnerModel.Taken how, double now) {
+    public void arrived(String id, EndpointModel runner, EndpointModel.Taken how, double now) {
         if (now >= loadAt) {
             spread.arrived(runner, now);
         }
         audit.arrived(id, runner, how, now);
-        if (how == RunnerModel.Taken.FULL || how == RunnerModel.Taken.DRAINS) {
+        if (how == EndpointModel.Taken.FULL || how == EndpointModel.Taken.DRAINS) {
             spread.refused();
         }
     }
 
     @Override
-    public void ran(String id, RunnerModel runner, double now) {
+    public void ran(String id, EndpointModel runner, double now) {
         audit.ran(id, runner, now);
     }
 
     @Override
-    public void fell(RunnerModel runner, double now) {
+    public void fell(EndpointModel runner, double now) {
         audit.fell(runner.name, now);
     }
 
-    Audit audit() {
+    InvariantChecker audit() {
         return audit;
     }
 
-    Spread spread() {
+    LoadBalanceStats spread() {
         return spread;
     }
 
@@ -428,7 +428,7 @@
     public void close() throws Exception {
         try {
             // First: connections that processes reset as they end would each be logged.
-            StandIns.get(vertx.close());
+            StubPlatform.get(vertx.close());
         } finally {
             fleet.close();
             datagrams.close();
--- a/src/main/java/nettlewick/lab/Party.java
+++ b/src/main/java/nettlewick/lab/ScenarioTarget.java
@@ -1,7 +1,7 @@
 package nettlewick.lab;
 
 import java.util.List;
-import nettlewick.settings.Type;
+import nettlewick.settings.ValueType;
 
 /**
  * Whom a step of a scenario means: {@code n3} (a dispatcher), {@code s7} (a sim runner), {@code discovery},
@@ -11,15 +11,15 @@
  *
  * @param part the part of them that is meant, from 0 to 1, drawn from the scenario's seed
  */
-record Party(String name, double part) {
+record ScenarioTarget(String name, double part) {
     private static final List<String> GROUPS = List.of("discovery", "provider", "dispatchers", "runners", "all");
     private static final String HOLDER = "holder-";
 
-    static Type<Party> type() {
-        return new Type<>(
+    static ValueType<ScenarioTarget> type() {
+        return new ValueType<>(
                 "PARTY",
                 "n3, s7, discovery, dispatchers, runners, all or a zone",
-                word -> word.matches("[A-Za-z][A-Za-z0-9_-]{0,40}") ? new Party(word, 1) : null);
+                word -> word.matches("[A-Za-z][A-Za-z0-9_-]{0,40}") ? new ScenarioTarget(word, 1) : null);
     }
 
     /** The number in {@code n3} or {@code s7}; -1 where this names no single one of that kind. */
--- a/src/main/java/nettlewick/lab/Steps.java
+++ b/src/main/java/nettlewick/lab/Steps.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import nettlewick.standins.RunnerServer;
+import nettlewick.standins.EndpointServer;
 
 /** The steps of a run: what is due when, whom a party names, and what each verb does to the world. */
 final class Steps {
@@ -27,7 +27,7 @@
 
     private record Due(double at, int order, Task what) {}
 
-    private final Play play;
+    private final ScenarioRun play;
     private final Scenario.World world;
     private final PriorityQueue<Due> due = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Integer.compare(a.order(), b.order()));
@@ -39,7 +39,7 @@
 
     private final Queue<Task> posted = new ConcurrentLinkedQueue<>();
 
-    Steps(Play play, Scenario.World world) {
+    Steps(ScenarioRun play, Scenario.World world) {
         this.play = play;
         this.world = world;
         random = new Random(world.seed());
@@ -51,7 +51,7 @@
 
     /** Danger: a look through the logs for a holder, done here, would keep the clients waiting. */
     void plan(double at, Scenario.Step step) {
-        List<Party> held = Stream.of(step.first(), step.second())
+        List<ScenarioTarget> held = Stream.of(step.first(), step.second())
                 .filter(p -> p != null && p.holder() != null)
                 .toList();
         plan(
@@ -72,9 +72,9 @@
                         });
     }
 
-    private void look(List<Party> held) {
+    private void look(List<ScenarioTarget> held) {
         try {
-            for (Party p : held) {
+            for (ScenarioTarget p : held) {
                 holders.put(p.holder(), play.holder(p.holder()));
             }
         } catch (IOException e) {
@@ -101,7 +101,7 @@
         }
     }
 
-    private List<Integer> dispatchers(Party p) throws IOException {
+    private List<Integer> dispatchers(ScenarioTarget p) throws IOException {
         if (p.holder() != null) {
             int holder = holders.getOrDefault(p.holder(), -1);
             return holder < 0 ? List.of() : List.of(holder);
@@ -115,7 +115,7 @@
                                 || world.zone(d).equals(p.name())));
     }
 
-    private List<Integer> runners(Party p) {
+    private List<Integer> runners(ScenarioTarget p) {
         return some(
                 p,
                 IntStream.range(0, play.runners.size())
@@ -125,7 +125,7 @@
                                 || world.zone(r).equals(p.name())));
     }
 
-    private List<Integer> some(Party p, IntStream which) {
+    private List<Integer> some(ScenarioTarget p, IntStream which) {
         List<Integer> all = new ArrayList<>(which.boxed().toList());
         if (p.part() < 1) {
             Collections.shuffle(all, random);
@@ -135,7 +135,7 @@
     }
 
     /** All parties by their numbers at the links. */
-    private BitSet all(Party p) throws IOException {
+    private BitSet all(ScenarioTarget p) throws IOException {
         BitSet set = new BitSet();
         dispatchers(p).forEach(set::set);
         runners(p).forEach(r -> set.set(play.number(r)));
@@ -167,7 +167,7 @@
                 }
             }
             case "add" -> {
-                List<RunnerServer> added = new ArrayList<>();
+                List<EndpointServer> added = new ArrayList<>();
                 for (int i = 0; i < s.figure(); i++) {
                     added.add(play.add(play.now()));
                 }
@@ -192,10 +192,10 @@
                 play.links.treat(
                         all(s.first()),
                         switch (s.verb()) {
-                            case "refuse" -> Links.Way.REFUSED;
-                            case "stall" -> Links.Way.STALLED;
-                            case "reset" -> Links.Way.RESET;
-                            default -> Links.Way.TRICKLES;
+                            case "refuse" -> LinkFaults.Way.REFUSED;
+                            case "stall" -> LinkFaults.Way.STALLED;
+                            case "reset" -> LinkFaults.Way.RESET;
+                            default -> LinkFaults.Way.TRICKLES;
                         },
                         until);
             case "provider" -> play.duties.fate(s.first().name(), until);
@@ -209,7 +209,7 @@
         }
     }
 
-    private void kill(Party p) throws IOException {
+    private void kill(ScenarioTarget p) throws IOException {
         for (int d : dispatchers(p)) {
             play.audit.excuse(d, play.now(), play.now() + world.notice(), false);
             play.fleet.kill(d);
@@ -234,21 +234,21 @@
 
     private void pause(Scenario.Step s, double until) throws Exception {
         for (int d : dispatchers(s.first())) {
-            play.audit.excuse(d, play.now(), until + 2 * Audit.SPARE, false);
+            play.audit.excuse(d, play.now(), until + 2 * InvariantChecker.SPARE, false);
             play.fleet.pause(d, true);
             plan(until, () -> play.fleet.pause(d, false));
         }
     }
 
-    private void garble(Party p, double until) throws IOException {
+    private void garble(ScenarioTarget p, double until) throws IOException {
         SplittableRandom bytes = new SplittableRandom(random.nextLong());
         for (int d : dispatchers(p)) {
             for (int i = 0; i < 20; i++) {
                 play.datagrams.garble(d, bytes);
             }
         }
-        if (play.now() + Spread.EACH < until) {
-            plan(play.now() + Spread.EACH, () -> garble(p, until));
+        if (play.now() + LoadBalanceStats.EACH < until) {
+            plan(play.now() + LoadBalanceStats.EACH, () -> garble(p, until));
         }
     }
 }
--- a/src/main/java/nettlewick/lab/TcpRelay.java
+++ b/src/main/java/nettlewick/lab/TcpRelay.java
@@ -11,7 +11,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import nettlewick.standins.StandIns;
+import nettlewick.standins.StubPlatform;
 
 /**
  * Carries the dispatchers' connections to runners and discovery: a listener for each server and group of
@@ -27,10 +27,10 @@
 
     private final Vertx vertx;
     private final NetClient client;
-    private final Links links;
+    private final LinkFaults links;
     private final DoubleSupplier clock;
 
-    TcpRelay(Vertx vertx, Links links, DoubleSupplier clock) {
+    TcpRelay(Vertx vertx, LinkFaults links, DoubleSupplier clock) {
         this.vertx = vertx;
         this.links = links;
         this.clock = clock;
@@ -47,13 +47,13 @@
     InetSocketAddress open(int group, int server, InetSocketAddress target) throws Exception {
         NetServer listener = vertx.createNetServer();
         listener.connectHandler(socket -> accept(socket, group, server, target));
-        StandIns.get(listener.listen(0, "127.0.0.1"));
+        StubPlatform.get(listener.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", listener.actualPort());
     }
 
     private void accept(NetSocket front, int group, int server, InetSocketAddress target) {
-        Links.Way way = links.way(group, server, server, clock.getAsDouble());
-        if (way == Links.Way.REFUSED || way == Links.Way.RESET) {
+        LinkFaults.Way way = links.way(group, server, server, clock.getAsDouble());
+        if (way == LinkFaults.Way.REFUSED || way == LinkFaults.Way.RESET) {
             front.close();
             return;
         }
@@ -121,11 +121,11 @@
         /** Passes on what may pass now. */
         void flow() {
             double now = clock.getAsDouble();
-            Links.Way way = links.way(sender, receiver, server, now);
-            if (way == Links.Way.RESET) {
+            LinkFaults.Way way = links.way(sender, receiver, server, now);
+            if (way == LinkFaults.Way.RESET) {
                 from.close();
                 to.close();
-            } else if (way == Links.Way.TRICKLES && !held.isEmpty()) {
+            } else if (way == LinkFaults.Way.TRICKLES && !held.isEmpty()) {
                 Buffer first = held.poll();
                 int some = Math.min(TRICKLE, first.length());
                 to.write(first.getBuffer(0, some));
@@ -134,7 +134,7 @@
                 } else {
                     due.poll();
                 }
-            } else if (way == Links.Way.OPEN || way == Links.Way.REFUSED) {
+            } else if (way == LinkFaults.Way.OPEN || way == LinkFaults.Way.REFUSED) {
                 while (!held.isEmpty() && due.peek() <= now) {
                     to.write(held.poll());
                     due.poll();
@@ -146,14 +146,14 @@
         void end() {
             List<Buffer> rest = new ArrayList<>(held);
             held.clear();
-            if (links.way(sender, receiver, server, clock.getAsDouble()) != Links.Way.STALLED) {
+            if (links.way(sender, receiver, server, clock.getAsDouble()) != LinkFaults.Way.STALLED) {
                 rest.forEach(to::write);
                 to.close();
             } else {
                 // A cut hides the end, too: the other side learns of it when the way is open again.
                 long[] timer = new long[1];
                 timer[0] = vertx.setPeriodic(LOOK, id -> {
-                    if (links.way(sender, receiver, server, clock.getAsDouble()) != Links.Way.STALLED) {
+                    if (links.way(sender, receiver, server, clock.getAsDouble()) != LinkFaults.Way.STALLED) {
                         vertx.cancelTimer(timer[0]);
                         rest.forEach(to::write);
                         to.close();
--- a/src/main/java/nettlewick/ledger/Archive.java
+++ b/src/main/java/nettlewick/ledger/Archive.java
@@ -23,7 +23,7 @@
     private Archive() {}
 
     /** Writes the file beside its place, syncs and renames it; the sum of its bytes. */
-    static String write(Path file, List<Entry> entries, Faults faults) throws IOException {
+    static String write(Path file, List<Entry> entries, FaultInjection faults) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(new GZIPOutputStream(bytes, 1 << 16))) {
             out.writeInt(MAGIC);
@@ -45,13 +45,13 @@
             channel.force(true);
         }
         faults.at("archive-renamed");
-        return Batches.sum(bytes.toByteArray());
+        return BatchCodec.sum(bytes.toByteArray());
     }
 
     /** The entries of a file whose bytes have that sum. */
     static List<Entry> read(Path file, String sum) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
-        if (!Batches.sum(bytes).equals(sum)) {
+        if (!BatchCodec.sum(bytes).equals(sum)) {
             throw new IOException(file + " is not the file that was written: its sum is another");
         }
         List<Entry> entries = new ArrayList<>();
--- a/src/main/java/nettlewick/ledger/Batches.java
+++ b/src/main/java/nettlewick/ledger/BatchCodec.java
@@ -17,7 +17,7 @@
 import org.apache.commons.csv.CSVPrinter;
 
 /** The bytes of a batch: the same entries give the same bytes, for ever. */
-final class Batches {
+final class BatchCodec {
     private static final String[] COLUMNS = {
         "dispatcher",
         "life",
@@ -40,7 +40,7 @@
         "text"
     };
 
-    private Batches() {}
+    private BatchCodec() {}
 
     /** One line an entry: CSV with a head (RFC 4180), or JSON objects. */
     static byte[] render(List<Entry> entries, boolean csv) {
@@ -84,7 +84,7 @@
     }
 
     private static Object[] values(Entry e) {
-        Ref r = e.ref();
+        EntryRef r = e.ref();
         return new Object[] {
             r.origin().dispatcher(),
             r.origin().life(),
--- a/src/main/java/nettlewick/ledger/Origin.java
+++ b/src/main/java/nettlewick/ledger/ChainOrigin.java
@@ -3,12 +3,12 @@
 import java.util.Comparator;
 
 /** Who wrote a chain of entries: a dispatcher by name, and one life of it. */
-public record Origin(String dispatcher, long life) implements Comparable<Origin> {
-    private static final Comparator<Origin> ORDER =
-            Comparator.comparing(Origin::dispatcher).thenComparingLong(Origin::life);
+public record ChainOrigin(String dispatcher, long life) implements Comparable<ChainOrigin> {
+    private static final Comparator<ChainOrigin> ORDER =
+            Comparator.comparing(ChainOrigin::dispatcher).thenComparingLong(ChainOrigin::life);
 
     @Override
-    public int compareTo(Origin other) {
+    public int compareTo(ChainOrigin other) {
         return ORDER.compare(this, other);
     }
 
--- a/src/main/java/nettlewick/ledger/Entry.java
+++ b/src/main/java/nettlewick/ledger/Entry.java
@@ -12,7 +12,7 @@
 import java.util.HexFormat;
 import java.util.Map;
 import java.util.TreeMap;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 
 /**
  * One line of the ledger; it is never changed. Work is in slot-microseconds, times are Unix milliseconds.
@@ -29,7 +29,7 @@
  *                 correction; period, bounds and vector of a close; bounds of a gap
  */
 public record Entry(
-        Ref ref,
+        EntryRef ref,
         Kind kind,
         double at,
         String member,
@@ -42,7 +42,7 @@
         long spare,
         int attempts,
         long job,
-        Ref target,
+        EntryRef target,
         String by,
         String text) {
     /** Longest text of any field: the form on the wire holds no longer ones. */
@@ -65,7 +65,7 @@
     }
 
     /** A correction of an entry to a new value. */
-    static Entry correction(Ref ref, double at, Entry target, long work, String by, String reason) {
+    static Entry correction(EntryRef ref, double at, Entry target, long work, String by, String reason) {
         return new Entry(
                 ref,
                 Kind.CORRECTION,
@@ -86,13 +86,13 @@
     }
 
     /** So many jobs, the first and the last answered at those times, are not entered one by one. */
-    static Entry gap(Ref ref, double from, double to, long jobs) {
+    static Entry gap(EntryRef ref, double from, double to, long jobs) {
         return new Entry(
                 ref, Kind.GAP, to, "", "", "", null, Ending.FAILED, 0, false, 0, 0, jobs, null, null, from + " " + to);
     }
 
     /** The dispatcher's part of a period is what the vector covers. */
-    static Entry close(Ref ref, double at, Terms.Period period, Map<Origin, Long> vector, String by) {
+    static Entry close(EntryRef ref, double at, Terms.Period period, Map<ChainOrigin, Long> vector, String by) {
         return new Entry(
                 ref,
                 Kind.CLOSE,
@@ -113,7 +113,7 @@
     }
 
     /** What a close says: the period and, for each origin, the last number that was held. */
-    public record Close(Terms.Period period, Map<Origin, Long> vector) {
+    public record Close(Terms.Period period, Map<ChainOrigin, Long> vector) {
         private String text() {
             StringBuilder text = new StringBuilder(period.name() + " " + period.from() + " " + period.to());
             new TreeMap<>(vector)
@@ -125,16 +125,16 @@
         static Close parse(String text) {
             String[] lines = text.split("\n");
             String[] head = lines[0].split(" ");
-            Map<Origin, Long> vector = new TreeMap<>();
+            Map<ChainOrigin, Long> vector = new TreeMap<>();
             for (int i = 1; i < lines.length; i++) {
-                Ref last = Ref.parse(lines[i]);
+                EntryRef last = EntryRef.parse(lines[i]);
                 vector.put(last.origin(), last.number());
             }
             return new Close(
                     new Terms.Period(head[0], Double.parseDouble(head[1]), Double.parseDouble(head[2])), vector);
         }
 
-        boolean covers(Ref ref) {
+        boolean covers(EntryRef ref) {
             return vector.getOrDefault(ref.origin(), 0L) >= ref.number();
         }
     }
@@ -145,7 +145,7 @@
     }
 
     /** The same entry at another place of a chain. */
-    Entry at(Ref place) {
+    Entry at(EntryRef place) {
         return new Entry(
                 place, kind, at, member, jobClass, request, key, end, work, estimate, spare, attempts, job, target, by,
                 text);
@@ -234,7 +234,7 @@
                 throw new IllegalArgumentException("an entry of another version");
             }
             Kind kind = Kind.values()[in.readByte()];
-            Ref ref = new Ref(new Origin(in.readUTF(), in.readLong()), in.readLong());
+            EntryRef ref = new EntryRef(new ChainOrigin(in.readUTF(), in.readLong()), in.readLong());
             Entry entry = new Entry(
                     ref,
                     kind,
@@ -261,8 +261,8 @@
         }
     }
 
-    private static Ref target(String text) {
-        return text == null ? null : Ref.parse(text);
+    private static EntryRef target(String text) {
+        return text == null ? null : EntryRef.parse(text);
     }
 
     private static final ThreadLocal<MessageDigest> DIGEST = ThreadLocal.withInitial(() -> {
--- a/src/main/java/nettlewick/ledger/Ref.java
+++ b/src/main/java/nettlewick/ledger/EntryRef.java
@@ -4,20 +4,20 @@
 import java.util.regex.Pattern;
 
 /** One entry: its origin, and its place in the origin's chain, from 1 on without holes. */
-public record Ref(Origin origin, long number) implements Comparable<Ref> {
+public record EntryRef(ChainOrigin origin, long number) implements Comparable<EntryRef> {
     private static final Pattern FORM = Pattern.compile("(.+)/(\\d{1,18})/(\\d{1,18})");
 
     /** Reads {@code dispatcher/life/number}; IllegalArgumentException for anything else. */
-    public static Ref parse(String text) {
+    public static EntryRef parse(String text) {
         Matcher m = FORM.matcher(text);
         if (!m.matches()) {
             throw new IllegalArgumentException(text + " names no entry: an entry is DISPATCHER/LIFE/NUMBER");
         }
-        return new Ref(new Origin(m.group(1), Long.parseLong(m.group(2))), Long.parseLong(m.group(3)));
+        return new EntryRef(new ChainOrigin(m.group(1), Long.parseLong(m.group(2))), Long.parseLong(m.group(3)));
     }
 
     @Override
-    public int compareTo(Ref other) {
+    public int compareTo(EntryRef other) {
         int order = origin.compareTo(other.origin);
         return order != 0 ? order : Long.compare(number, other.number);
     }
--- a/src/main/java/nettlewick/ledger/Exporter.java
+++ b/src/main/java/nettlewick/ledger/Exporter.java
@@ -32,9 +32,15 @@
     private final Target target;
     private final Backoff backoff;
     private final Pause pause;
-    private final Faults faults;
+    private final FaultInjection faults;
 
-    Exporter(Store store, ExportSettings settings, Target target, RandomGenerator random, Pause pause, Faults faults) {
+    Exporter(
+            Store store,
+            ExportSettings settings,
+            Target target,
+            RandomGenerator random,
+            Pause pause,
+            FaultInjection faults) {
         this.store = store;
         this.settings = settings;
         this.target = target;
@@ -44,7 +50,7 @@
     }
 
     /** The target that the settings name. */
-    static Target target(ExportSettings settings, Faults faults) {
+    static Target target(ExportSettings settings, FaultInjection faults) {
         return settings.folder() != null
                 ? new FileTarget(settings.folder(), faults)
                 : new HttpTarget(settings.url(), settings.timeout(), faults);
@@ -110,7 +116,7 @@
     static Target.Parcel parcel(Store store, Store.Batch batch, boolean csv) throws StoreException {
         List<Entry> entries = new ArrayList<>();
         for (Store.Range range : batch.ranges()) {
-            Origin origin = new Origin(store.dispatcher(), range.life());
+            ChainOrigin origin = new ChainOrigin(store.dispatcher(), range.life());
             for (Store.Row row : store.rows(origin, range.from(), range.to())) {
                 if (row.bytes() == null) {
                     throw new StoreException(
@@ -121,8 +127,8 @@
                 entries.add(Entry.of(row.bytes()));
             }
         }
-        byte[] bytes = Batches.render(entries, csv);
+        byte[] bytes = BatchCodec.render(entries, csv);
         return new Target.Parcel(
-                store.dispatcher(), batch.export(), batch.number(), csv, entries.size(), bytes, Batches.sum(bytes));
+                store.dispatcher(), batch.export(), batch.number(), csv, entries.size(), bytes, BatchCodec.sum(bytes));
     }
 }
--- a/src/main/java/nettlewick/ledger/Faults.java
+++ b/src/main/java/nettlewick/ledger/FaultInjection.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 
 /** Places at which tests let the disk, or the whole process, fail. */
-interface Faults {
+interface FaultInjection {
     /** Nothing fails by itself. */
-    Faults NONE = point -> {};
+    FaultInjection NONE = point -> {};
 
     /** Comes past a place; throws what is to go wrong there. */
     void at(String point) throws IOException;
--- a/src/main/java/nettlewick/ledger/FileTarget.java
+++ b/src/main/java/nettlewick/ledger/FileTarget.java
@@ -17,9 +17,9 @@
  */
 final class FileTarget implements Target {
     private final Path folder;
-    private final Faults faults;
+    private final FaultInjection faults;
 
-    FileTarget(Path folder, Faults faults) {
+    FileTarget(Path folder, FaultInjection faults) {
         this.folder = folder;
         this.faults = faults;
     }
--- a/src/main/java/nettlewick/ledger/HttpTarget.java
+++ b/src/main/java/nettlewick/ledger/HttpTarget.java
@@ -26,10 +26,10 @@
 
     private final URI url;
     private final double timeout;
-    private final Faults faults;
+    private final FaultInjection faults;
     private final HttpClient client;
 
-    HttpTarget(URI url, double timeout, Faults faults) {
+    HttpTarget(URI url, double timeout, FaultInjection faults) {
         this.url = url;
         this.timeout = timeout;
         this.faults = faults;
--- a/src/main/java/nettlewick/ledger/Ledger.java
+++ b/src/main/java/nettlewick/ledger/Ledger.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import nettlewick.core.Books;
 import nettlewick.core.Clock;
 import nettlewick.core.Request;
-import nettlewick.log.Part;
+import nettlewick.core.UsageRecorder;
+import nettlewick.log.ComponentLogger;
 import nettlewick.store.StoreException;
 
 /**
@@ -26,8 +26,8 @@
  * jobs
  * in the store. Whatever the disk does, answers leave, and what cannot be entered is counted.
  */
-public final class Ledger implements Books, AutoCloseable {
-    private static final Part LOG = Part.of("ledger");
+public final class Ledger implements UsageRecorder, AutoCloseable {
+    private static final ComponentLogger LOG = ComponentLogger.of("ledger");
     /** Pause after a failure of the disk before it is tried again. */
     private static final double AGAIN = 1000;
 
@@ -36,7 +36,7 @@
     private static final long MARK_LOOK = 200;
     private static final long CLOSE_SECONDS = 10;
     private static final long OPEN_SECONDS = 15;
-    private static final Origin NOBODY = new Origin("", 0);
+    private static final ChainOrigin NOBODY = new ChainOrigin("", 0);
 
     /** A job from its end's decision to its entry. */
     private final class Item implements Receipt {
@@ -90,7 +90,7 @@
 
     private final String dispatcher;
     private final Clock clock;
-    private final Faults faults;
+    private final FaultInjection faults;
     private volatile LedgerSettings settings;
     private final Object order = new Object();
     /** Answers that wait until their intents are forced. */
@@ -110,7 +110,7 @@
 
     private volatile boolean stopping;
     private volatile boolean spooled;
-    private volatile Origin own = NOBODY;
+    private volatile ChainOrigin own = NOBODY;
     private volatile long head;
     // Figures
     private final AtomicLong entered = new AtomicLong();
@@ -125,10 +125,10 @@
     private long gapJobs;
 
     public Ledger(String dispatcher, LedgerSettings settings, Clock clock) {
-        this(dispatcher, settings, clock, Faults.NONE);
+        this(dispatcher, settings, clock, FaultInjection.NONE);
     }
 
-    Ledger(String dispatcher, LedgerSettings settings, Clock clock, Faults faults) {
+    Ledger(String dispatcher, LedgerSettings settings, Clock clock, FaultInjection faults) {
         this.dispatcher = dispatcher;
         this.settings = settings;
         this.clock = clock;
@@ -190,7 +190,7 @@
     // The core's side
 
     @Override
-    public Runnable settle(Job job, Consumer<Receipt> send) {
+    public Runnable settle(FinishedRequest job, Consumer<Receipt> send) {
         if (held.get() >= settings.queue()) {
             synchronized (order) {
                 gapFrom = gapJobs == 0 ? job.at() : gapFrom;
@@ -225,15 +225,15 @@
         };
     }
 
-    private Entry draft(Job job) {
+    private Entry draft(FinishedRequest job) {
         Request r = job.request();
         String key = r.cargo() instanceof Request.Keyed keyed ? keyed.idempotencyKey() : null;
         return new Entry(
-                new Ref(NOBODY, 0),
+                new EntryRef(NOBODY, 0),
                 Entry.Kind.JOB,
                 job.at(),
                 Entry.fit(r.tenant()),
-                Entry.fit(r.jobClass()),
+                Entry.fit(r.requestClass()),
                 Entry.fit(r.id()),
                 key == null ? null : Entry.hash(key),
                 job.ending(),
@@ -291,7 +291,7 @@
     }
 
     private void keep() throws IOException {
-        Origin mine = own;
+        ChainOrigin mine = own;
         Spool now = spool;
         if (now != null) {
             now.force();
@@ -459,7 +459,7 @@
         synchronized (order) {
             gap = gapJobs;
             if (gap > 0) {
-                drafts.add(Entry.gap(new Ref(own, 0), gapFrom, gapTo, gap));
+                drafts.add(Entry.gap(new EntryRef(own, 0), gapFrom, gapTo, gap));
             }
         }
         if (drafts.isEmpty()) {
@@ -511,7 +511,7 @@
     }
 
     /** The origin that it writes now, or null while the store is not open. */
-    Origin origin() {
+    ChainOrigin origin() {
         return own == NOBODY ? null : own;
     }
 
--- a/src/main/java/nettlewick/ledger/Desk.java
+++ b/src/main/java/nettlewick/ledger/LedgerAdmin.java
@@ -16,7 +16,7 @@
  * life
  * of its own, after what dead lives left has been entered.
  */
-public final class Desk {
+public final class LedgerAdmin {
     private static final long LOOK = 50;
     private static final double WAIT = 15_000;
 
@@ -39,19 +39,19 @@
     private final LedgerSettings settings;
     private final Clock clock;
 
-    public Desk(LedgerSettings settings, Clock clock) {
+    public LedgerAdmin(LedgerSettings settings, Clock clock) {
         this.settings = settings;
         this.clock = clock;
     }
 
     private interface Task<T> {
-        T run(Store store, Origin own) throws StoreException, IOException, InterruptedException, Refused;
+        T run(Store store, ChainOrigin own) throws StoreException, IOException, InterruptedException, Refused;
     }
 
     private <T> T write(Task<T> task) throws Refused, InterruptedException {
         try (Store store = Store.open(settings.store())) {
             Recovery.run(store, clock.now(), settings.terms());
-            Origin own = store.begin(clock.now());
+            ChainOrigin own = store.begin(clock.now());
             try (AutoCloseable held = Spool.claim(settings.store(), own.life())) {
                 return task.run(store, own);
             } catch (StoreException | IOException | InterruptedException | Refused | RuntimeException e) {
@@ -64,8 +64,8 @@
         }
     }
 
-    private Book book(Store store) throws StoreException {
-        Book book = new Book(settings.terms(), settings.keyWindow());
+    private UsageBook book(Store store) throws StoreException {
+        UsageBook book = new UsageBook(settings.terms(), settings.keyWindow());
         store.each(book::add);
         return book;
     }
@@ -80,7 +80,7 @@
             if (period != null && archived.contains(period)) {
                 throw new Refused("period " + period + " is archived; restore it first", false);
             }
-            Book book = book(store);
+            UsageBook book = book(store);
             String contradiction = book.contradiction();
             if (contradiction != null) {
                 throw new Refused(contradiction, true);
@@ -108,10 +108,10 @@
     public void close(String name, String by) throws Refused, InterruptedException {
         Terms.Period period = period(name);
         if (clock.now() < period.to()) {
-            throw new Refused("period " + name + " ends at " + Batches.time(period.to()), true);
+            throw new Refused("period " + name + " ends at " + BatchCodec.time(period.to()), true);
         }
         write((store, own) -> {
-            Book book = book(store);
+            UsageBook book = book(store);
             if (book.isClosed(store.dispatcher(), period)) {
                 throw new Refused(
                         "period " + name + " is closed already; what is found later goes into the open " + "one", true);
@@ -139,7 +139,7 @@
         });
     }
 
-    private List<Long> living(Origin own) throws IOException {
+    private List<Long> living(ChainOrigin own) throws IOException {
         List<Long> living = new ArrayList<>();
         try (java.nio.file.DirectoryStream<Path> locks =
                 java.nio.file.Files.newDirectoryStream(settings.store(), "life-*.lock")) {
@@ -154,10 +154,10 @@
     }
 
     /** Enters another value for an entry, in slot-microseconds; the name of the correction. */
-    public Ref correct(String ref, long work, String by, String reason) throws Refused, InterruptedException {
-        Ref target;
+    public EntryRef correct(String ref, long work, String by, String reason) throws Refused, InterruptedException {
+        EntryRef target;
         try {
-            target = Ref.parse(ref);
+            target = EntryRef.parse(ref);
         } catch (IllegalArgumentException e) {
             throw new Refused(e.getMessage(), true);
         }
@@ -188,9 +188,9 @@
                                 + ": an entry is corrected once",
                         true);
             }
-            long number =
-                    store.append(own, List.of(Entry.correction(new Ref(own, 0), clock.now(), entry, work, by, reason)));
-            return new Ref(own, number);
+            long number = store.append(
+                    own, List.of(Entry.correction(new EntryRef(own, 0), clock.now(), entry, work, by, reason)));
+            return new EntryRef(own, number);
         });
     }
 
@@ -210,10 +210,10 @@
                         new Exporter(
                                         store,
                                         e,
-                                        Exporter.target(e, Faults.NONE),
+                                        Exporter.target(e, FaultInjection.NONE),
                                         new SplittableRandom(),
                                         millis -> TimeUnit.MILLISECONDS.sleep((long) millis),
-                                        Faults.NONE)
+                                        FaultInjection.NONE)
                                 .round());
             }
             return reports;
@@ -227,7 +227,7 @@
             throw new Refused("the settings name no peers", true);
         }
         return write((store, own) -> {
-            Seal seal = LedgerService.seal(peers.key());
+            MessageSeal seal = LedgerService.seal(peers.key());
             io.vertx.core.Vertx vertx = LedgerService.clients();
             Map<String, Reconciler.Report> reports = new java.util.LinkedHashMap<>();
             try {
@@ -259,7 +259,7 @@
     public long archive(String name, Path file) throws Refused, InterruptedException {
         Terms.Period period = period(name);
         return write((store, own) -> {
-            Book book = book(store);
+            UsageBook book = book(store);
             Statement statement = book.statement(name);
             if (!statement.closed() || !book.isClosed(store.dispatcher(), period)) {
                 throw new Refused(
@@ -268,7 +268,7 @@
                         true);
             }
             List<Entry> entries = new ArrayList<>();
-            List<Ref> open = new ArrayList<>();
+            List<EntryRef> open = new ArrayList<>();
             store.each(e -> {
                 if (period.holds(e.at())
                         && (e.kind() == Entry.Kind.JOB || e.kind() == Entry.Kind.GAP)
@@ -288,7 +288,7 @@
             if (store.archive(name) != null) {
                 throw new Refused("period " + name + " is archived already", true);
             }
-            String sum = Archive.write(file, entries, Faults.NONE);
+            String sum = Archive.write(file, entries, FaultInjection.NONE);
             store.prune(
                     name,
                     file.toAbsolutePath().toString(),
--- a/src/main/java/nettlewick/ledger/LedgerService.java
+++ b/src/main/java/nettlewick/ledger/LedgerService.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import nettlewick.core.Clock;
-import nettlewick.log.Part;
+import nettlewick.log.ComponentLogger;
 import nettlewick.store.StoreException;
 
 /**
@@ -23,7 +23,7 @@
  * peers in turn, and their listener. Each has a store of its own.
  */
 public final class LedgerService implements AutoCloseable {
-    private static final Part LOG = Part.of("ledger");
+    private static final ComponentLogger LOG = ComponentLogger.of("ledger");
     private static final int KEY_MOST = 4096;
     private static final long JOIN_SECONDS = 5;
     private static final double LOOK = 100;
@@ -62,7 +62,8 @@
     /** Starts all of it; IOException where the key cannot be read or the listener not be opened. */
     public void start() throws IOException {
         mine();
-        Seal seal = settings.peers() == null ? null : seal(settings.peers().key());
+        MessageSeal seal =
+                settings.peers() == null ? null : seal(settings.peers().key());
         ledger.start();
         ledger.await();
         for (ExportSettings export : settings.exports()) {
@@ -99,12 +100,12 @@
     }
 
     /** Reads the shared key. */
-    static Seal seal(Path file) throws IOException {
+    static MessageSeal seal(Path file) throws IOException {
         if (Files.size(file) > KEY_MOST) {
             throw new IOException("the key " + file + " is larger than " + KEY_MOST + " bytes");
         }
         try {
-            return new Seal(Files.readAllBytes(file));
+            return new MessageSeal(Files.readAllBytes(file));
         } catch (IllegalArgumentException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
@@ -156,18 +157,19 @@
         String said = null;
         // An export that the settings name no longer goes on until the restart that this change needs.
         ExportSettings now = export(name);
-        Target target = Exporter.target(now, Faults.NONE);
+        Target target = Exporter.target(now, FaultInjection.NONE);
         while (waited(now.every())) {
             ExportSettings next = export(name) == null ? now : export(name);
             if (next.timeout() != now.timeout()) {
-                target = Exporter.target(next, Faults.NONE);
+                target = Exporter.target(next, FaultInjection.NONE);
             }
             now = next;
             if (ledger.origin() == null) {
                 continue;
             }
             try (Store store = Store.open(settings.store())) {
-                Exporter exporter = new Exporter(store, now, target, random, millis -> waited(millis), Faults.NONE);
+                Exporter exporter =
+                        new Exporter(store, now, target, random, millis -> waited(millis), FaultInjection.NONE);
                 Exporter.Report report = exporter.round();
                 lags.put(name, store.lag(name));
                 ledger.lags(lags);
@@ -187,7 +189,7 @@
         }
     }
 
-    private void peers(Seal seal) throws InterruptedException {
+    private void peers(MessageSeal seal) throws InterruptedException {
         Map<InetSocketAddress, PeerClient> clients = new HashMap<>();
         Map<InetSocketAddress, Backoff> pauses = new HashMap<>();
         Map<InetSocketAddress, Double> due = new HashMap<>();
--- a/src/main/java/nettlewick/ledger/Seal.java
+++ b/src/main/java/nettlewick/ledger/MessageSeal.java
@@ -14,7 +14,7 @@
  * played
  * again: HMAC-SHA256 over its parts, a nonce of its own, and a time. Reads no clock. Safe for any thread.
  */
-final class Seal {
+final class MessageSeal {
     static final int KEY_LEAST = 32;
     /** A call counts this many milliseconds around its time. */
     static final double WINDOW = 60_000;
@@ -26,7 +26,7 @@
     /** Nonces seen, the oldest first, each with when it may be forgotten. */
     private final Map<String, Double> seen = new LinkedHashMap<>();
 
-    Seal(byte[] key) {
+    MessageSeal(byte[] key) {
         if (key.length < KEY_LEAST) {
             throw new IllegalArgumentException("the key has " + key.length + " bytes, but needs " + KEY_LEAST);
         }
--- a/src/main/java/nettlewick/ledger/PeerClient.java
+++ b/src/main/java/nettlewick/ledger/PeerClient.java
@@ -39,7 +39,7 @@
     private static final int SAME = 204;
 
     private final InetSocketAddress peer;
-    private final Seal seal;
+    private final MessageSeal seal;
     private final Clock clock;
     private final double timeout;
     private final Vertx vertx;
@@ -47,7 +47,7 @@
     private final SecureRandom random = new SecureRandom();
     private long bytes;
 
-    PeerClient(Vertx vertx, InetSocketAddress peer, Seal seal, Clock clock, double timeout) {
+    PeerClient(Vertx vertx, InetSocketAddress peer, MessageSeal seal, Clock clock, double timeout) {
         this.vertx = vertx;
         this.peer = peer;
         this.seal = seal;
@@ -63,12 +63,12 @@
     }
 
     /** The peer's chains; null where they are the same as ours. */
-    Map<Origin, Head> heads(Map<Origin, Head> ours) throws IOException, InterruptedException {
+    Map<ChainOrigin, Head> heads(Map<ChainOrigin, Head> ours) throws IOException, InterruptedException {
         Buffer body = get(PeerFront.HEADS + "?digest=" + PeerFront.digest(ours));
         if (body.length() == 0) {
             return null;
         }
-        Map<Origin, Head> heads = new TreeMap<>();
+        Map<ChainOrigin, Head> heads = new TreeMap<>();
         try {
             for (JsonElement one : JsonParser.parseString(PeerFront.utf8(body)).getAsJsonArray()) {
                 JsonObject o = one.getAsJsonObject();
@@ -77,7 +77,7 @@
                     throw new IllegalArgumentException("a chain without a hash");
                 }
                 heads.put(
-                        new Origin(o.get("d").getAsString(), o.get("l").getAsLong()),
+                        new ChainOrigin(o.get("d").getAsString(), o.get("l").getAsLong()),
                         new Head(o.get("n").getAsLong(), hash));
             }
         } catch (JsonParseException | IllegalStateException | IllegalArgumentException | NullPointerException e) {
@@ -87,7 +87,7 @@
     }
 
     /** The hash at a place of a chain; null where the peer has none. */
-    byte[] hash(Origin origin, long number) throws IOException, InterruptedException {
+    byte[] hash(ChainOrigin origin, long number) throws IOException, InterruptedException {
         String text = PeerFront.utf8(get(PeerFront.HASH + "?" + name(origin) + "&n=" + number));
         if (text.equals("none")) {
             return null;
@@ -100,7 +100,7 @@
     }
 
     /** Entries from one number on, at most up to another; at least one. */
-    List<byte[]> entries(Origin origin, long from, long to) throws IOException, InterruptedException {
+    List<byte[]> entries(ChainOrigin origin, long from, long to) throws IOException, InterruptedException {
         Buffer body = get(PeerFront.ENTRIES + "?" + name(origin) + "&from=" + from + "&to=" + to);
         List<byte[]> entries = new ArrayList<>();
         int at = 0;
@@ -118,7 +118,7 @@
         return entries;
     }
 
-    private static String name(Origin origin) {
+    private static String name(ChainOrigin origin) {
         return "d=" + URLEncoder.encode(origin.dispatcher(), StandardCharsets.UTF_8) + "&l=" + origin.life();
     }
 
--- a/src/main/java/nettlewick/ledger/PeerFront.java
+++ b/src/main/java/nettlewick/ledger/PeerFront.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import nettlewick.core.Clock;
-import nettlewick.log.Part;
+import nettlewick.log.ComponentLogger;
 import nettlewick.store.StoreException;
 
 /**
@@ -35,7 +35,7 @@
     static final String HEADS = "/ledger/heads";
     static final String HASH = "/ledger/hash";
     static final String ENTRIES = "/ledger/entries";
-    private static final Part LOG = Part.of("ledger");
+    private static final ComponentLogger LOG = ComponentLogger.of("ledger");
     private static final int ENTRIES_MOST = 100_000;
     private static final int BYTES_MOST = 8 << 20;
     private static final int IDLE_SECONDS = 30;
@@ -44,11 +44,11 @@
 
     private final PeerSettings settings;
     private final Path folder;
-    private final Seal seal;
+    private final MessageSeal seal;
     private final Clock clock;
     private final Vertx vertx;
 
-    PeerFront(PeerSettings settings, Path folder, Seal seal, Clock clock) {
+    PeerFront(PeerSettings settings, Path folder, MessageSeal seal, Clock clock) {
         this.settings = settings;
         this.folder = folder;
         this.seal = seal;
@@ -134,7 +134,7 @@
         try (Store store = Store.read(folder)) {
             return switch (path) {
                 case HEADS -> {
-                    Map<Origin, Store.Head> heads = store.heads();
+                    Map<ChainOrigin, Store.Head> heads = store.heads();
                     yield digest(heads).equals(asked.get("digest")) ? Buffer.buffer() : heads(heads);
                 }
                 case HASH -> {
@@ -155,11 +155,11 @@
     }
 
     /** One digest for all chains: equal ones hold the same entries. */
-    static String digest(Map<Origin, Store.Head> heads) {
-        return Batches.sum(heads(heads).getBytes());
+    static String digest(Map<ChainOrigin, Store.Head> heads) {
+        return BatchCodec.sum(heads(heads).getBytes());
     }
 
-    private static Buffer heads(Map<Origin, Store.Head> heads) {
+    private static Buffer heads(Map<ChainOrigin, Store.Head> heads) {
         JsonArray all = new JsonArray();
         heads.forEach((origin, head) -> {
             JsonObject one = new JsonObject();
@@ -190,11 +190,11 @@
         return all;
     }
 
-    private static Origin origin(Map<String, String> asked) {
+    private static ChainOrigin origin(Map<String, String> asked) {
         if (!asked.containsKey("d")) {
             throw new IllegalArgumentException("d is missing");
         }
-        return new Origin(asked.get("d"), number(asked, "l"));
+        return new ChainOrigin(asked.get("d"), number(asked, "l"));
     }
 
     private static long number(Map<String, String> asked, String name) {
--- a/src/main/java/nettlewick/ledger/Plan.java
+++ b/src/main/java/nettlewick/ledger/Plan.java
@@ -19,12 +19,12 @@
     }
 
     /** {@code theirs} is the peer's end of the chain, {@code ours} our own. */
-    record Step(What what, Origin origin, Head ours, Head theirs) {}
+    record Step(What what, ChainOrigin origin, Head ours, Head theirs) {}
 
     private Plan() {}
 
     /** The steps for all origins that the peer has, but those in quarantine; what is the same needs none. */
-    static List<Step> steps(Map<Origin, Head> ours, Map<Origin, Head> theirs, Set<Origin> quarantined) {
+    static List<Step> steps(Map<ChainOrigin, Head> ours, Map<ChainOrigin, Head> theirs, Set<ChainOrigin> quarantined) {
         List<Step> steps = new ArrayList<>();
         theirs.forEach((origin, their) -> {
             Head our = ours.getOrDefault(origin, Head.NONE);
@@ -40,11 +40,11 @@
      * does
      * not follow: another origin, a number out of turn, bytes that are no entry.
      */
-    static List<Row> link(Origin origin, Head after, List<byte[]> entries) {
+    static List<Row> link(ChainOrigin origin, Head after, List<byte[]> entries) {
         List<Row> rows = new ArrayList<>(entries.size());
         Head head = after;
         for (byte[] bytes : entries) {
-            Ref expected = new Ref(origin, head.number() + 1);
+            EntryRef expected = new EntryRef(origin, head.number() + 1);
             if (!Entry.of(bytes).ref().equals(expected)) {
                 throw new IllegalArgumentException("entry " + Entry.of(bytes).ref() + " in place of " + expected);
             }
--- a/src/main/java/nettlewick/ledger/Reconciler.java
+++ b/src/main/java/nettlewick/ledger/Reconciler.java
@@ -34,7 +34,7 @@
         List<String> faults = new ArrayList<>();
         long entries = 0;
         int origins = 0;
-        Map<Origin, Head> theirs = peer.heads(store.heads());
+        Map<ChainOrigin, Head> theirs = peer.heads(store.heads());
         if (theirs == null) {
             return new Report(0, 0, forks, faults);
         }
@@ -57,7 +57,7 @@
         return new Report(entries, origins, forks, faults);
     }
 
-    private byte[] ourHash(Origin origin, long number) throws StoreException {
+    private byte[] ourHash(ChainOrigin origin, long number) throws StoreException {
         List<Row> rows = store.rows(origin, number, number);
         return rows.isEmpty() ? null : rows.get(0).hash();
     }
@@ -70,7 +70,7 @@
     }
 
     private long fetch(Step step, List<String> forks) throws StoreException, IOException, InterruptedException {
-        Origin origin = step.origin();
+        ChainOrigin origin = step.origin();
         Head head = step.ours();
         if (head.number() > 0 && !Arrays.equals(head.hash(), peer.hash(origin, head.number()))) {
             fork(origin, head.number(), forks);
@@ -100,7 +100,7 @@
      * Two chains of one origin differ. Only a peer that shows an entry that follows from the last common hash
      * proves a fork; any other is at fault itself.
      */
-    private void fork(Origin origin, long differs, List<String> forks)
+    private void fork(ChainOrigin origin, long differs, List<String> forks)
             throws StoreException, IOException, InterruptedException {
         Plan.Search search = new Plan.Search(differs);
         for (int asked = 0; !search.done() && asked < SEARCH_MOST; asked++) {
--- a/src/main/java/nettlewick/ledger/Spool.java
+++ b/src/main/java/nettlewick/ledger/Spool.java
@@ -24,7 +24,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.zip.CRC32C;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 
 /**
  * Intents and answers of one life before they are in the store: append-only files of a fixed size, mapped
@@ -98,7 +98,7 @@
 
     /** What a dead life's files hold. */
     record Found(
-            Origin origin,
+            ChainOrigin origin,
             long head,
             Map<Long, Entry> intents,
             Map<Long, Entry> ended,
@@ -106,8 +106,8 @@
             List<String> damage) {}
 
     private final Path folder;
-    private final Origin origin;
-    private final Faults faults;
+    private final ChainOrigin origin;
+    private final FaultInjection faults;
     private final FileChannel lock;
     private final Deque<Segment> segments = new ArrayDeque<>();
     private Segment current;
@@ -115,7 +115,7 @@
     private int next = 1;
 
     /** Makes a life's spool and holds its lock. */
-    Spool(Path folder, Origin origin, Faults faults) throws IOException {
+    Spool(Path folder, ChainOrigin origin, FaultInjection faults) throws IOException {
         this.folder = folder;
         this.origin = origin;
         this.faults = faults;
@@ -165,7 +165,7 @@
 
     // Writing
 
-    Origin origin() {
+    ChainOrigin origin() {
         return origin;
     }
 
@@ -392,7 +392,7 @@
             if (length >= 0 && length <= 4096 && in.remaining() >= length + 16) {
                 byte[] name = new byte[length];
                 in.get(name);
-                Origin origin = new Origin(new String(name, StandardCharsets.UTF_8), in.getLong());
+                ChainOrigin origin = new ChainOrigin(new String(name, StandardCharsets.UTF_8), in.getLong());
                 long head = in.getLong();
                 in.position(Math.min(in.limit(), (in.position() + ALIGNED - 1) / ALIGNED * ALIGNED));
                 found = found != null
--- a/src/main/java/nettlewick/ledger/Statement.java
+++ b/src/main/java/nettlewick/ledger/Statement.java
@@ -39,10 +39,10 @@
     public record Late(String closed, String member, String jobClass, long entries, long work) {}
 
     /** Answered between those times. */
-    public record Gap(Ref ref, double from, double to, long jobs) {}
+    public record Gap(EntryRef ref, double from, double to, long jobs) {}
 
     /** A correction that does not count. */
-    public record Void(Ref ref, Ref target, String why) {}
+    public record Void(EntryRef ref, EntryRef target, String why) {}
 
     /** All that is billed here, late differences too. */
     public long billed() {
--- a/src/main/java/nettlewick/ledger/Store.java
+++ b/src/main/java/nettlewick/ledger/Store.java
@@ -81,19 +81,19 @@
 
     private final Path folder;
     private final Database database;
-    private final Faults faults;
-    private final Map<Origin, Integer> ids = new HashMap<>();
-    private final Map<Origin, Head> heads = new HashMap<>();
+    private final FaultInjection faults;
+    private final Map<ChainOrigin, Integer> ids = new HashMap<>();
+    private final Map<ChainOrigin, Head> heads = new HashMap<>();
     private String dispatcher;
 
-    private Store(Path folder, Database database, Faults faults) {
+    private Store(Path folder, Database database, FaultInjection faults) {
         this.folder = folder;
         this.database = database;
         this.faults = faults;
     }
 
     /** Opens the store of a folder to write, and makes it where there is none. */
-    static Store open(Path folder, String dispatcher, Faults faults) throws StoreException {
+    static Store open(Path folder, String dispatcher, FaultInjection faults) throws StoreException {
         Store store = connect(folder, false, faults);
         try {
             store.begin(dispatcher);
@@ -109,7 +109,7 @@
         if (!Files.exists(folder.resolve(FILE))) {
             throw new StoreException("no ledger in " + folder, null, false);
         }
-        return open(folder, null, Faults.NONE);
+        return open(folder, null, FaultInjection.NONE);
     }
 
     /** Opens it to read alone, beside whoever writes. */
@@ -117,12 +117,12 @@
         if (!Files.exists(folder.resolve(FILE))) {
             throw new StoreException("no ledger in " + folder, null, false);
         }
-        Store store = connect(folder, true, Faults.NONE);
+        Store store = connect(folder, true, FaultInjection.NONE);
         store.dispatcher = store.meta("dispatcher");
         return store;
     }
 
-    private static Store connect(Path folder, boolean readOnly, Faults faults) throws StoreException {
+    private static Store connect(Path folder, boolean readOnly, FaultInjection faults) throws StoreException {
         return new Store(folder, Database.open(folder.resolve(FILE), readOnly, "the ledger", faults::at), faults);
     }
 
@@ -191,7 +191,7 @@
     // Lives and chains
 
     /** Begins a life of this dispatcher: Unix seconds, or one more than the largest that is known. */
-    Origin begin(double now) throws StoreException {
+    ChainOrigin begin(double now) throws StoreException {
         return change("written", () -> {
             String last = value(
                     "SELECT max(life) FROM (SELECT life FROM origin WHERE dispatcher = ? UNION "
@@ -200,11 +200,11 @@
                     dispatcher);
             long life = Math.max((long) (now / 1000), last == null ? 1 : Long.parseLong(last) + 1);
             run("INSERT INTO life VALUES(?, ?, ?)", life, now, 0);
-            return new Origin(dispatcher, life);
+            return new ChainOrigin(dispatcher, life);
         });
     }
 
-    private int id(Origin origin, boolean make) throws SQLException {
+    private int id(ChainOrigin origin, boolean make) throws SQLException {
         Integer known = ids.get(origin);
         if (known != null) {
             return known;
@@ -222,7 +222,7 @@
         return Integer.parseInt(id);
     }
 
-    private Head headOf(Origin origin) throws SQLException {
+    private Head headOf(ChainOrigin origin) throws SQLException {
         int id = id(origin, false);
         try (PreparedStatement s = prepare(
                         "SELECT number, hash FROM entry WHERE origin = ? ORDER BY number " + "DESC LIMIT 1", id);
@@ -232,21 +232,21 @@
     }
 
     /** The end of an origin's chain. */
-    Head head(Origin origin) throws StoreException {
+    Head head(ChainOrigin origin) throws StoreException {
         return look(() -> headOf(origin));
     }
 
     /** The ends of all chains. */
-    Map<Origin, Head> heads() throws StoreException {
+    Map<ChainOrigin, Head> heads() throws StoreException {
         return look(() -> {
-            Map<Origin, Head> all = new TreeMap<>();
+            Map<ChainOrigin, Head> all = new TreeMap<>();
             try (PreparedStatement s = prepare("SELECT dispatcher, life FROM origin");
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    all.put(new Origin(r.getString(1), r.getLong(2)), Head.NONE);
+                    all.put(new ChainOrigin(r.getString(1), r.getLong(2)), Head.NONE);
                 }
             }
-            for (Map.Entry<Origin, Head> e : all.entrySet()) {
+            for (Map.Entry<ChainOrigin, Head> e : all.entrySet()) {
                 e.setValue(headOf(e.getKey()));
             }
             return all;
@@ -254,13 +254,13 @@
     }
 
     /** The numbers up to which each origin is held, for a close's vector. */
-    private Map<Origin, Long> vector() throws SQLException {
-        Map<Origin, Long> vector = new TreeMap<>();
+    private Map<ChainOrigin, Long> vector() throws SQLException {
+        Map<ChainOrigin, Long> vector = new TreeMap<>();
         try (PreparedStatement s = prepare("SELECT dispatcher, life, (SELECT max(number) FROM entry "
                         + "WHERE entry.origin = origin.id) FROM origin");
                 ResultSet r = s.executeQuery()) {
             while (r.next()) {
-                vector.put(new Origin(r.getString(1), r.getLong(2)), r.getLong(3));
+                vector.put(new ChainOrigin(r.getString(1), r.getLong(2)), r.getLong(3));
             }
         }
         return vector;
@@ -272,7 +272,7 @@
      *
      * @return the number of the last entry
      */
-    long append(Origin own, List<Entry> drafts) throws StoreException {
+    long append(ChainOrigin own, List<Entry> drafts) throws StoreException {
         return change("written", () -> {
             faults.at("append");
             insert(own, drafts);
@@ -280,13 +280,13 @@
         });
     }
 
-    private void insert(Origin own, List<Entry> drafts) throws SQLException {
+    private void insert(ChainOrigin own, List<Entry> drafts) throws SQLException {
         Head head = heads.get(own);
         head = head == null ? headOf(own) : head;
         int id = id(own, true);
         try (PreparedStatement s = database.prepare("INSERT INTO entry VALUES(?, ?, ?, ?, ?, ?, " + "?)")) {
             for (Entry draft : drafts) {
-                Entry entry = draft.at(new Ref(own, head.number() + 1));
+                Entry entry = draft.at(new EntryRef(own, head.number() + 1));
                 byte[] bytes = entry.bytes();
                 head = new Head(entry.ref().number(), Entry.link(head.hash(), bytes));
                 row(s, id, entry, bytes, head.hash());
@@ -312,7 +312,7 @@
      * head
      * given. False where the chain has another end by now.
      */
-    boolean merge(Origin origin, Head after, List<Row> rows) throws StoreException {
+    boolean merge(ChainOrigin origin, Head after, List<Row> rows) throws StoreException {
         return change("written", () -> {
             if (!headOf(origin).same(after) || quarantineOf(origin) != null) {
                 return false;
@@ -330,7 +330,7 @@
     }
 
     /** Entries of a chain from one number to another, both included. */
-    List<Row> rows(Origin origin, long from, long to) throws StoreException {
+    List<Row> rows(ChainOrigin origin, long from, long to) throws StoreException {
         return look(() -> {
             List<Row> rows = new ArrayList<>();
             try (PreparedStatement s = prepare(
@@ -363,7 +363,7 @@
     }
 
     /** The entry of that name, or null. */
-    Entry entry(Ref ref) throws StoreException {
+    Entry entry(EntryRef ref) throws StoreException {
         List<Row> rows = rows(ref.origin(), ref.number(), ref.number());
         return rows.isEmpty() || rows.get(0).bytes() == null
                 ? null
@@ -371,7 +371,7 @@
     }
 
     /** The correction of an entry by its own dispatcher that counts, or null. */
-    Entry correctionOf(Ref target) throws StoreException {
+    Entry correctionOf(EntryRef target) throws StoreException {
         return look(() -> {
             Entry first = null;
             try (PreparedStatement s = prepare("SELECT bytes FROM entry WHERE target = ?", target.toString());
@@ -408,13 +408,13 @@
 
     // Forks
 
-    private String quarantineOf(Origin origin) throws SQLException {
+    private String quarantineOf(ChainOrigin origin) throws SQLException {
         return value(
                 "SELECT quarantine FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(), origin.life());
     }
 
     /** From now on nothing of this origin is taken over; the first reason stays. */
-    void quarantine(Origin origin, String why) throws StoreException {
+    void quarantine(ChainOrigin origin, String why) throws StoreException {
         change("written", () -> {
             id(origin, true);
             return run(
@@ -426,14 +426,14 @@
     }
 
     /** The origins that are quarantined, each with why. */
-    Map<Origin, String> quarantined() throws StoreException {
+    Map<ChainOrigin, String> quarantined() throws StoreException {
         return look(() -> {
-            Map<Origin, String> all = new TreeMap<>();
+            Map<ChainOrigin, String> all = new TreeMap<>();
             try (PreparedStatement s = prepare(
                             "SELECT dispatcher, life, quarantine FROM origin WHERE " + "quarantine " + "IS NOT NULL");
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    all.put(new Origin(r.getString(1), r.getLong(2)), r.getString(3));
+                    all.put(new ChainOrigin(r.getString(1), r.getLong(2)), r.getString(3));
                 }
             }
             return all;
@@ -456,7 +456,7 @@
     }
 
     /** All that this life answered before then is durable. */
-    void settled(Origin own, double until) throws StoreException {
+    void settled(ChainOrigin own, double until) throws StoreException {
         change("written", () -> run("UPDATE life SET settled = max(settled, ?) WHERE life = ?", until, own.life()));
     }
 
@@ -468,9 +468,9 @@
     }
 
     /** Closes this dispatcher's part of a period over all that is held, in one transaction. */
-    void close(Origin own, Terms.Period period, double now, String by) throws StoreException {
+    void close(ChainOrigin own, Terms.Period period, double now, String by) throws StoreException {
         change("written", () -> {
-            insert(own, List.of(Entry.close(new Ref(own, 0), now, period, vector(), by)));
+            insert(own, List.of(Entry.close(new EntryRef(own, 0), now, period, vector(), by)));
             return run("DELETE FROM mark WHERE period = ?", period.name());
         });
     }
@@ -572,7 +572,7 @@
     }
 
     /** Whether every export that has ever cut has delivered this entry. */
-    boolean exported(Ref ref) throws StoreException {
+    boolean exported(EntryRef ref) throws StoreException {
         return look(() -> {
             try (PreparedStatement s = prepare(
                             "SELECT export, upto FROM cut WHERE life = ?",
@@ -593,12 +593,12 @@
     // Archives
 
     /** A period's entries are in a file: their bytes go, their hashes stay and hold the chain together. */
-    void prune(String period, String file, String sum, List<Ref> refs) throws StoreException {
+    void prune(String period, String file, String sum, List<EntryRef> refs) throws StoreException {
         change("written", () -> {
             run("INSERT OR REPLACE INTO archive VALUES(?, ?, ?, ?)", period, file, sum, refs.size());
             try (PreparedStatement s =
                     database.prepare("UPDATE entry SET bytes = NULL WHERE " + "origin = ? " + "AND number = ?")) {
-                for (Ref ref : refs) {
+                for (EntryRef ref : refs) {
                     s.setInt(1, id(ref.origin(), false));
                     s.setLong(2, ref.number());
                     s.addBatch();
@@ -638,7 +638,7 @@
         return change("written", () -> {
             long back = 0;
             for (Entry entry : entries) {
-                Ref ref = entry.ref();
+                EntryRef ref = entry.ref();
                 byte[] bytes = entry.bytes();
                 byte[] before = ref.number() == 1 ? Entry.NO_HASH : hash(ref.origin(), ref.number() - 1);
                 byte[] mine = hash(ref.origin(), ref.number());
@@ -656,7 +656,7 @@
         });
     }
 
-    private byte[] hash(Origin origin, long number) throws SQLException {
+    private byte[] hash(ChainOrigin origin, long number) throws SQLException {
         try (PreparedStatement s =
                         prepare("SELECT hash FROM entry WHERE origin = ? AND number = ?", id(origin, false), number);
                 ResultSet r = s.executeQuery()) {
@@ -676,7 +676,7 @@
             }
             return null;
         });
-        for (Origin origin : heads().keySet()) {
+        for (ChainOrigin origin : heads().keySet()) {
             look(() -> {
                 long next = 1;
                 byte[] before = Entry.NO_HASH;
@@ -686,7 +686,7 @@
                         ResultSet r = s.executeQuery()) {
                     while (r.next()) {
                         long number = r.getLong(1);
-                        Ref ref = new Ref(origin, number);
+                        EntryRef ref = new EntryRef(origin, number);
                         byte[] bytes = r.getBytes(2);
                         if (number != next) {
                             faultsFound.add(ref + ": entries " + next + " to " + (number - 1) + " are missing");
@@ -710,12 +710,12 @@
 
     /** A chain cut off at its end is whole in itself: only what names a later number shows it. */
     private void tails(List<String> faultsFound) throws StoreException {
-        Map<Origin, Long> named = new TreeMap<>();
+        Map<ChainOrigin, Long> named = new TreeMap<>();
         look(() -> {
             try (PreparedStatement s = prepare("SELECT life, upto FROM cut");
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    named.merge(new Origin(dispatcher, r.getLong(1)), r.getLong(2), Math::max);
+                    named.merge(new ChainOrigin(dispatcher, r.getLong(1)), r.getLong(2), Math::max);
                 }
             }
             try (PreparedStatement s = prepare(
@@ -728,7 +728,7 @@
             }
             return null;
         });
-        for (Map.Entry<Origin, Long> e : named.entrySet()) {
+        for (Map.Entry<ChainOrigin, Long> e : named.entrySet()) {
             long last = head(e.getKey()).number();
             if (last < e.getValue()) {
                 faultsFound.add(e.getKey() + ": ends at " + last + ", but entry " + e.getValue()
@@ -737,7 +737,7 @@
         }
     }
 
-    private static boolean fits(Ref ref, byte[] bytes) {
+    private static boolean fits(EntryRef ref, byte[] bytes) {
         try {
             return Entry.of(bytes).ref().equals(ref);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/nettlewick/ledger/Book.java
+++ b/src/main/java/nettlewick/ledger/UsageBook.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Close;
 import nettlewick.ledger.Entry.Kind;
 
@@ -26,7 +26,7 @@
  * covered, for good; what is found later is stated as a difference in the next period whose close covers it,
  * or which is open.
  */
-public final class Book {
+public final class UsageBook {
     /** Entries with one key of one member's class, the earliest first: only the first is billed. */
     private record Key(String member, String jobClass, String hash) {}
 
@@ -45,11 +45,11 @@
 
     private final Terms terms;
     private final double keyWindow;
-    private final Set<Ref> held = new HashSet<>();
+    private final Set<EntryRef> held = new HashSet<>();
     private final List<Entry> billable = new ArrayList<>();
     private final List<Entry> gaps = new ArrayList<>();
-    private final Map<Ref, Entry> byRef = new HashMap<>();
-    private final Map<Ref, List<Entry>> corrections = new HashMap<>();
+    private final Map<EntryRef, Entry> byRef = new HashMap<>();
+    private final Map<EntryRef, List<Entry>> corrections = new HashMap<>();
     private final Map<Key, List<Entry>> keyed = new HashMap<>();
     /** By dispatcher, then by the beginning of the period; of several the earliest in its chain counts. */
     private final Map<String, NavigableMap<Double, Entry>> closes = new TreeMap<>();
@@ -57,7 +57,7 @@
     private Map<String, Statement> statements;
 
     /** {@code keyWindow}: a key answered again within so many milliseconds is not billed again. */
-    public Book(Terms terms, double keyWindow) {
+    public UsageBook(Terms terms, double keyWindow) {
         this.terms = terms;
         this.keyWindow = keyWindow;
     }
@@ -96,12 +96,12 @@
     }
 
     /** The entry of that name, of any kind; null if it is not held. */
-    public Entry entry(Ref ref) {
+    public Entry entry(EntryRef ref) {
         return byRef.get(ref);
     }
 
     /** The correction that counts for an entry, or null. */
-    public Entry correction(Ref target) {
+    public Entry correction(EntryRef target) {
         return effective(target, r -> true);
     }
 
@@ -165,7 +165,7 @@
 
     // What an entry is worth to who knows only some of the entries
 
-    private Entry effective(Ref target, Predicate<Ref> known) {
+    private Entry effective(EntryRef target, Predicate<EntryRef> known) {
         List<Entry> all = corrections.get(target);
         if (all == null) {
             return null;
@@ -186,7 +186,7 @@
     }
 
     /** Whether an earlier answer under the same key is billed in its place. */
-    private boolean repeats(Entry e, Predicate<Ref> known) {
+    private boolean repeats(Entry e, Predicate<EntryRef> known) {
         List<Entry> same = e.key() == null || e.kind() != Kind.JOB || e.end() != Ending.SERVED
                 ? null
                 : keyed.get(new Key(e.member(), e.jobClass(), e.key()));
@@ -214,7 +214,7 @@
                                 < 2);
     }
 
-    private long value(Entry e, Predicate<Ref> known) {
+    private long value(Entry e, Predicate<EntryRef> known) {
         if (!known.test(e.ref())) {
             return 0;
         }
@@ -320,7 +320,7 @@
         return close == null ? null : parsed.computeIfAbsent(close.ref(), r -> close.close());
     }
 
-    private final Map<Ref, Close> parsed = new HashMap<>();
+    private final Map<EntryRef, Close> parsed = new HashMap<>();
 
     private interface Placed {
         void in(Draft draft, Terms.Period nominal);
@@ -370,11 +370,11 @@
         long stated = 0;
         boolean known = false;
         Terms.Period period = nominal;
-        Predicate<Ref> before = r -> false;
+        Predicate<EntryRef> before = r -> false;
         while (true) {
             Close close = close(dispatcher, period);
             // What an earlier period has stated stays known, also where that was closed after the later one.
-            Predicate<Ref> sees = close == null ? r -> true : before.or(close::covers);
+            Predicate<EntryRef> sees = close == null ? r -> true : before.or(close::covers);
             before = sees;
             long value = plain
                     ? sees.test(e.ref()) && e.kind() == Kind.JOB && e.end() == Ending.SERVED ? e.work() : 0
@@ -400,7 +400,7 @@
         }
     }
 
-    private void bill(Entry e, Draft draft, long value, Predicate<Ref> sees, boolean plain) {
+    private void bill(Entry e, Draft draft, long value, Predicate<EntryRef> sees, boolean plain) {
         long[] row = draft.row(e);
         row[4] += value;
         row[5] += e.estimate() && value == e.work() ? value : 0;
--- a/src/main/java/nettlewick/log/Part.java
+++ b/src/main/java/nettlewick/log/ComponentLogger.java
@@ -10,18 +10,18 @@
  * of
  * a name and a value ({@code "request", id, "runner", host}).
  */
-public final class Part {
+public final class ComponentLogger {
     /** The field that holds the event's name. */
     static final String EVENT = "event";
 
     private final Logger logger;
 
-    private Part(String name) {
+    private ComponentLogger(String name) {
         logger = LoggerFactory.getLogger(name);
     }
 
-    public static Part of(String name) {
-        return new Part(name);
+    public static ComponentLogger of(String name) {
+        return new ComponentLogger(name);
     }
 
     public void debug(String event, String message, Object... fields) {
--- a/src/main/java/nettlewick/log/LineForm.java
+++ b/src/main/java/nettlewick/log/LineFormat.java
@@ -15,7 +15,7 @@
 /**
  * How one line looks, as text or as a JSON object. A fault's cause and first places stand on the same line.
  */
-enum LineForm {
+enum LineFormat {
     /** Time, level, part and message, as they always were. */
     TEXT {
         @Override
--- a/src/main/java/nettlewick/log/LogSetup.java
+++ b/src/main/java/nettlewick/log/LogSetup.java
@@ -25,13 +25,13 @@
 
     /** Writes to standard error, as it is at each line. */
     private static final class Out extends AppenderBase<ILoggingEvent> {
-        private volatile LineForm form = LineForm.TEXT;
-        private Repeats repeats = new Repeats(REPEATS, WINDOW);
+        private volatile LineFormat form = LineFormat.TEXT;
+        private RepeatLimiter repeats = new RepeatLimiter(REPEATS, WINDOW);
 
         @Override
         protected void append(ILoggingEvent event) {
             int heldBack = repeats.take(event.getLoggerName() + ' ' + kind(event), event.getTimeStamp());
-            if (heldBack != Repeats.HELD_BACK) {
+            if (heldBack != RepeatLimiter.HELD_BACK) {
                 byte[] line = form.of(event, heldBack).getBytes(StandardCharsets.UTF_8);
                 System.err.write(line, 0, line.length);
                 System.err.flush();
@@ -41,12 +41,12 @@
         /** Lines of libraries have no event: their text before it is filled in tells them apart. */
         private static String kind(ILoggingEvent event) {
             List<KeyValuePair> fields = event.getKeyValuePairs();
-            return fields != null && !fields.isEmpty() && fields.get(0).key.equals(Part.EVENT)
+            return fields != null && !fields.isEmpty() && fields.get(0).key.equals(ComponentLogger.EVENT)
                     ? String.valueOf(fields.get(0).value)
                     : event.getMessage();
         }
 
-        synchronized void set(LineForm to, Repeats bounds) {
+        synchronized void set(LineFormat to, RepeatLimiter bounds) {
             form = to;
             repeats = bounds;
         }
@@ -76,15 +76,15 @@
                                 ? level(log == null ? "info" : log.text("level"))
                                 : null));
         if (log == null) {
-            out.set(LineForm.TEXT, new Repeats(REPEATS, WINDOW));
+            out.set(LineFormat.TEXT, new RepeatLimiter(REPEATS, WINDOW));
             return;
         }
         for (Block.Value part : log.all("part")) {
             context.getLogger(part.<String>part(0)).setLevel(level(part.part(1)));
         }
         out.set(
-                log.text("form").equals("json") ? LineForm.JSON : LineForm.TEXT,
-                new Repeats((int) log.whole("repeats"), log.span("window")));
+                log.text("form").equals("json") ? LineFormat.JSON : LineFormat.TEXT,
+                new RepeatLimiter((int) log.whole("repeats"), log.span("window")));
     }
 
     private static Level level(String name) {
--- a/src/main/java/nettlewick/log/Repeats.java
+++ b/src/main/java/nettlewick/log/RepeatLimiter.java
@@ -8,7 +8,7 @@
  * Reads
  * no clock; times are in milliseconds. Not safe for several threads.
  */
-final class Repeats {
+final class RepeatLimiter {
     /** Kinds remembered: more are forgotten all at once, which lets a few lines too many through. */
     private static final int KINDS_MOST = 1000;
     /** What {@link #take} answers for a line that is not to be written. */
@@ -24,7 +24,7 @@
     private final int most;
     private final double window;
 
-    Repeats(int most, double window) {
+    RepeatLimiter(int most, double window) {
         this.most = most;
         this.window = window;
     }
--- a/src/main/java/nettlewick/net/Address.java
+++ b/src/main/java/nettlewick/net/Address.java
@@ -24,6 +24,6 @@
         } catch (IllegalArgumentException e) {
             // said below
         }
-        throw new Fields.Bad(field, '"' + text + '"', "an IP address and a port");
+        throw new JsonFields.InvalidFieldException(field, '"' + text + '"', "an IP address and a port");
     }
 }
--- a/src/main/java/nettlewick/net/NodeOperations.java
+++ b/src/main/java/nettlewick/net/AdminOperations.java
@@ -5,15 +5,15 @@
 import java.io.IOException;
 import java.util.Map;
 import nettlewick.admin.Operations;
-import nettlewick.core.Figures;
-import nettlewick.log.Part;
+import nettlewick.core.Metrics;
+import nettlewick.log.ComponentLogger;
 
 /** What operators may ask of a node and tell it. */
-final class NodeOperations implements Operations {
-    private static final Part LOG = Part.of("node");
-    private final Node node;
+final class AdminOperations implements Operations {
+    private static final ComponentLogger LOG = ComponentLogger.of("node");
+    private final DispatcherServer node;
 
-    NodeOperations(Node node) {
+    AdminOperations(DispatcherServer node) {
         this.node = node;
     }
 
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public Figures.Snapshot figures() {
+    public Metrics.Snapshot figures() {
         return node.core.figures().snapshot();
     }
 
@@ -33,32 +33,32 @@
     }
 
     @Override
-    public Future<Boolean> ban(String runner, boolean out) {
+    public Future<Boolean> ban(String endpoint, boolean out) {
         Promise<Boolean> done = Promise.promise();
-        node.loop.runOnContext(v -> take(runner, out, done));
+        node.loop.runOnContext(v -> take(endpoint, out, done));
         return done.future();
     }
 
     /** Stored first, then in force, then the yes: a yes that a restart forgets would be none. */
-    private void take(String runner, boolean out, Promise<Boolean> done) {
-        if (!node.subchannels.lists(runner) && !node.bans.out(runner)) {
+    private void take(String endpoint, boolean out, Promise<Boolean> done) {
+        if (!node.subchannels.lists(endpoint) && !node.bans.out(endpoint)) {
             done.complete(false);
             return;
         }
         try {
-            node.bans.set(runner, out, node.clock.now()).forEach(node::heed);
+            node.bans.set(endpoint, out, node.clock.now()).forEach(node::heed);
             LOG.info(
                     out ? "taken-out" : "put-back",
-                    "sim runner " + runner + (out ? " taken out by hand" : " put back by hand"),
+                    "sim runner " + endpoint + (out ? " taken out by hand" : " put back by hand"),
                     "runner",
-                    runner);
+                    endpoint);
             done.complete(true);
         } catch (IOException e) {
             LOG.warning(
                     "ban-not-stored",
-                    "cannot store that " + runner + (out ? " is out: " : " is back: ") + e,
+                    "cannot store that " + endpoint + (out ? " is out: " : " is back: ") + e,
                     "runner",
-                    runner);
+                    endpoint);
             done.fail(e);
         }
     }
--- a/src/main/java/nettlewick/net/CallAttempt.java
+++ b/src/main/java/nettlewick/net/AttemptExchange.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import nettlewick.core.Attempt;
 import nettlewick.core.Request;
-import nettlewick.decision.Dispatcher.Load;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Dispatcher.EndpointLoad;
 
 /** One attempt of an RPC at a sim runner; the answer tells of it line by line. */
-final class CallAttempt extends Call {
+final class AttemptExchange extends OutboundRequest {
     /** A result is 64 KiB at most, and JSON may write a byte of it in six. */
     private static final int LINE_MOST = 6 * 65536 + 4096;
 
@@ -21,7 +21,7 @@
 
     private final Attempt attempt;
 
-    CallAttempt(Attempt attempt, Subchannels subchannels) {
+    AttemptExchange(Attempt attempt, EndpointConnectionPools subchannels) {
         super(subchannels);
         this.attempt = attempt;
     }
@@ -29,13 +29,13 @@
     @Override
     RequestOptions head() {
         Request request = attempt.request();
-        Rpc rpc = (Rpc) request.cargo();
+        ForwardedRequest rpc = (ForwardedRequest) request.cargo();
         double left = Math.max(0.001, (request.deadline() - subchannels.now()) / 1000);
         RequestOptions head = new RequestOptions()
                 .setMethod(rpc.method())
                 .setURI(rpc.uri())
                 .putHeader("X-Request-Id", request.id())
-                .putHeader("X-Class", request.jobClass())
+                .putHeader("X-Class", request.requestClass())
                 .putHeader("X-Deadline", String.format(Locale.ROOT, "%.3f", left))
                 .putHeader("Content-Length", Integer.toString(rpc.body().length()));
         if (rpc.idempotencyKey() != null) {
@@ -51,12 +51,12 @@
 
     @Override
     double rest() {
-        return subchannels.config().mayRepeat(attempt.request().jobClass()) ? 0 : SECOND_ANSWER;
+        return subchannels.config().mayRepeat(attempt.request().requestClass()) ? 0 : SECOND_ANSWER;
     }
 
     @Override
     Buffer body() {
-        return ((Rpc) attempt.request().cargo()).body();
+        return ((ForwardedRequest) attempt.request().cargo()).body();
     }
 
     @Override
@@ -66,7 +66,7 @@
             return;
         }
         RecordParser lines = RecordParser.newDelimited("\n").maxRecordSize(LINE_MOST);
-        lines.exceptionHandler(e -> finish(Result.ERROR, null, null));
+        lines.exceptionHandler(e -> finish(AttemptResult.ERROR, null, null));
         lines.handler(line -> {
             if (!over() && line.length() > 0) {
                 line(line.toString(StandardCharsets.UTF_8));
@@ -77,25 +77,25 @@
 
     private void line(String text) {
         try {
-            Fields f = Fields.parse("a line", text);
+            JsonFields f = JsonFields.parse("a line", text);
             if (f.has("id") && !f.text("id").equals(attempt.request().id())) {
                 // Meant for another request: what became of this one is not known, and it is served by
                 // nobody.
-                finish(Result.ERROR, null, null);
+                finish(AttemptResult.ERROR, null, null);
                 return;
             }
-            Load load = f.has("load") ? LoadReport.of(f.part("load")) : null;
+            EndpointLoad load = f.has("load") ? LoadReport.of(f.part("load")) : null;
             switch (f.text("state")) {
-                case "started" -> subchannels.core().progress(attempt, 0);
-                case "running" -> subchannels.core().progress(attempt, f.numberOr("share", 0, 0, 1));
-                case "done" -> finish(Result.SERVED, f.text("result").getBytes(StandardCharsets.UTF_8), load);
-                case "failed" -> finish(Result.ERROR, null, load);
-                case "returned" -> finish(Result.FULL, null, load);
-                case "lost" -> finish(Result.BROKEN, null, load);
+                case "started" -> subchannels.core().reportProgress(attempt, 0);
+                case "running" -> subchannels.core().reportProgress(attempt, f.numberOr("share", 0, 0, 1));
+                case "done" -> finish(AttemptResult.SERVED, f.text("result").getBytes(StandardCharsets.UTF_8), load);
+                case "failed" -> finish(AttemptResult.ERROR, null, load);
+                case "returned" -> finish(AttemptResult.OVERLOADED, null, load);
+                case "lost" -> finish(AttemptResult.BROKEN, null, load);
                 default -> {}
             }
-        } catch (Fields.Bad e) {
-            finish(Result.ERROR, null, null);
+        } catch (JsonFields.InvalidFieldException e) {
+            finish(AttemptResult.ERROR, null, null);
         }
     }
 
@@ -112,6 +112,6 @@
 
     @Override
     void tell(Attempt.Outcome outcome) {
-        subchannels.core().ended(attempt, outcome);
+        subchannels.core().attemptEnded(attempt, outcome);
     }
 }
--- a/src/main/java/nettlewick/net/CallState.java
+++ b/src/main/java/nettlewick/net/AttemptState.java
@@ -1,12 +1,12 @@
 package nettlewick.net;
 
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
 
 /**
  * What is known of one call attempt from its place on a connection: whether it may have run, and its one end.
  * Holds no socket, so that a model can be checked against it.
  */
-final class CallState {
+final class AttemptState {
     /** How far the call has come. */
     enum Phase {
         CONNECTING,
@@ -16,14 +16,14 @@
     }
 
     private Phase phase = Phase.CONNECTING;
-    private Result end;
+    private AttemptResult end;
 
     Phase phase() {
         return phase;
     }
 
     /** How it ended; null while it has not. */
-    Result end() {
+    AttemptResult end() {
         return end;
     }
 
@@ -47,14 +47,14 @@
     }
 
     /** The connection never came up, broke or ended. Returns the end, or null if there was one before. */
-    Result broke() {
+    AttemptResult broke() {
         // Danger: a request cut off before its last byte never ran and may go again, a mark-submit too;
         // one that broke after it may have run.
-        return finish(phase == Phase.SENT ? Result.BROKEN : Result.UNREACHABLE);
+        return finish(phase == Phase.SENT ? AttemptResult.BROKEN : AttemptResult.UNREACHABLE);
     }
 
     /** The runner, or this side, ended the call so. Returns the end, or null if there was one before. */
-    Result finish(Result result) {
+    AttemptResult finish(AttemptResult result) {
         if (phase == Phase.OVER) {
             return null;
         }
--- a/src/main/java/nettlewick/net/ClientGuard.java
+++ b/src/main/java/nettlewick/net/ClientConnection.java
@@ -31,15 +31,16 @@
 /**
  * Stands between a client's bytes and the server: only whole requests in order pass, one at a time. All else
  * is refused here, before anything is made for it; what was read before it gets its own answer first. Ends
- * the connection by a lingering close. Lives on the event loop; its states are those of {@link ClientState}.
+ * the connection by a lingering close. Lives on the event loop; its states are those of {@link ClientConnectionState}.
  */
-final class ClientGuard extends ChannelDuplexHandler {
+final class ClientConnection extends ChannelDuplexHandler {
     /** Whole requests that may wait behind the one that is worked on. */
     private static final int WAITING_MOST = 4;
     /** The end of a connection stands behind what was sent before it: one read for that, one for the end. */
     private static final int READS_FOR_AN_END = 2;
     /** What a request gets that was read whole and stands before one that is refused. Harmless to repeat. */
-    private static final HeadCheck.Refusal STANDS_BEFORE = new HeadCheck.Refusal(429, "what came behind it is refused");
+    private static final FramingValidator.Refusal STANDS_BEFORE =
+            new FramingValidator.Refusal(429, "what came behind it is refused");
     /** Bytes read after a refusal, so that it is not eaten by a reset; then the client's sending stalls. */
     private static final long REST_MOST = 256 * 1024;
 
@@ -70,7 +71,7 @@
     private final DoubleSupplier cameAt;
 
     private final Budget budget;
-    private final ClientState state;
+    private final ClientConnectionState state;
     private final Deque<Whole> waiting = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private HttpRequest head;
@@ -78,7 +79,7 @@
     private int held;
     private long rest;
     /** Why nothing more is taken; null while requests are. Written once the request in work is answered. */
-    private HeadCheck.Refusal refusal;
+    private FramingValidator.Refusal refusal;
 
     private double arrivedAt;
     private boolean job;
@@ -87,19 +88,19 @@
     /** Whether the client itself asked for the connection's end. */
     private boolean clientCloses;
 
-    ClientGuard(Clock clock, Budget budget) {
+    ClientConnection(Clock clock, Budget budget) {
         this(clock, clock::now, budget);
     }
 
     /** {@code cameAt} tells the earliest time at which what is read now may have come. */
-    ClientGuard(Clock clock, DoubleSupplier cameAt, Budget budget) {
+    ClientConnection(Clock clock, DoubleSupplier cameAt, Budget budget) {
         this.clock = clock;
         this.cameAt = cameAt;
         this.budget = budget;
-        state = new ClientState(clock.now());
+        state = new ClientConnectionState(clock.now());
     }
 
-    ClientState state() {
+    ClientConnectionState state() {
         return state;
     }
 
@@ -143,7 +144,7 @@
     }
 
     private void begin(HttpRequest request) {
-        HeadCheck.Refusal refusal = HeadCheck.of(request);
+        FramingValidator.Refusal refusal = FramingValidator.of(request);
         if (refusal != null) {
             refuse(refusal.status(), refusal.message());
         } else if (waiting.size() >= WAITING_MOST) {
@@ -158,14 +159,14 @@
     }
 
     private void more(HttpContent content) {
-        HeadCheck.Refusal refusal = HeadCheck.of(content.decoderResult());
+        FramingValidator.Refusal refusal = FramingValidator.of(content.decoderResult());
         int length = content.content().readableBytes();
-        if (refusal == null && body.readableBytes() + length > HeadCheck.BODY_MOST) {
-            refusal = HeadCheck.tooLong();
+        if (refusal == null && body.readableBytes() + length > FramingValidator.BODY_MOST) {
+            refusal = FramingValidator.tooLong();
         }
         held += length;
         if (!budget.take(length) && refusal == null) {
-            refusal = new HeadCheck.Refusal(503, "too much is being sent at once");
+            refusal = new FramingValidator.Refusal(503, "too much is being sent at once");
         }
         if (refusal != null) {
             refuse(refusal.status(), refusal.message());
@@ -243,7 +244,7 @@
     }
 
     private void beginAnswer(HttpResponse response) {
-        result = job && response.status().code() == Call.OK;
+        result = job && response.status().code() == OutboundRequest.OK;
         closes = response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
         boolean more = !waiting.isEmpty() || head != null || refusal != null;
         if (closes && !clientCloses && more) {
@@ -276,11 +277,11 @@
         if (!state.takesRequests() || refusal != null) {
             return;
         }
-        refusal = new HeadCheck.Refusal(status, message);
+        refusal = new FramingValidator.Refusal(status, message);
         head = null;
         body = null;
         stopParsing();
-        if (state.phase() != ClientState.Phase.ANSWERING) {
+        if (state.phase() != ClientConnectionState.Phase.ANSWERING) {
             writeRefusal();
         }
     }
@@ -297,8 +298,8 @@
     }
 
     private void stopParsing() {
-        if (context.pipeline().get(StrictDecoder.class) != null) {
-            context.pipeline().remove(StrictDecoder.class);
+        if (context.pipeline().get(StrictHttpDecoder.class) != null) {
+            context.pipeline().remove(StrictHttpDecoder.class);
         }
     }
 
@@ -312,16 +313,16 @@
         boolean unread = unread();
         if (!state.late(now, unread)) {
             readOn();
-        } else if (state.phase() == ClientState.Phase.READING) {
+        } else if (state.phase() == ClientConnectionState.Phase.READING) {
             refuse(408, "the request took too long to come");
-        } else if (unread || state.phase() != ClientState.Phase.WAITING || stillIdle()) {
+        } else if (unread || state.phase() != ClientConnectionState.Phase.WAITING || stillIdle()) {
             close();
         }
     }
 
     /** The next portion of what is thrown away while a request is in work. */
     private void readOn() {
-        if (refusal != null && state.phase() == ClientState.Phase.ANSWERING) {
+        if (refusal != null && state.phase() == ClientConnectionState.Phase.ANSWERING) {
             rest = 0;
             context.channel().config().setAutoRead(true);
         }
@@ -363,9 +364,10 @@
     /** The server's own close after a last answer: the lingering close that has begun does it. */
     @Override
     public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
-        boolean lingers = state.phase() == ClientState.Phase.CLOSING || state.phase() == ClientState.Phase.LINGERING;
+        boolean lingers = state.phase() == ClientConnectionState.Phase.CLOSING
+                || state.phase() == ClientConnectionState.Phase.LINGERING;
         if (lingers && ctx.channel() instanceof DuplexChannel) {
-            long linger = (long) ClientState.LINGER;
+            long linger = (long) ClientConnectionState.LINGER;
             ctx.executor().schedule(() -> ctx.close(promise), linger, TimeUnit.MILLISECONDS);
         } else {
             ctx.close(promise);
--- a/src/main/java/nettlewick/net/ClientState.java
+++ b/src/main/java/nettlewick/net/ClientConnectionState.java
@@ -13,7 +13,7 @@
  *
  * <p>An event that a state does not name leaves it as it is. From CLOSING on no request is taken any more.
  */
-final class ClientState {
+final class ClientConnectionState {
     /** What the connection is at. */
     enum Phase {
         /** Idle: everything that came is answered. */
@@ -50,7 +50,7 @@
     private int answers;
     private int served;
 
-    ClientState(double now) {
+    ClientConnectionState(double now) {
         openedAt = now;
         since = now;
     }
--- a/src/main/java/nettlewick/net/AcceptGate.java
+++ b/src/main/java/nettlewick/net/ConnectionLimiter.java
@@ -23,7 +23,7 @@
  * a crowd would use up all descriptors before the event loop has closed the first of its connections. At the
  * bound, newcomers wait in the kernel's queue until a connection is closed.
  */
-final class AcceptGate implements Transport {
+final class ConnectionLimiter implements Transport {
     /** How often, and how many times at the most, it is looked whether the kernel's queue is empty; in ms. */
     private static final long LOOK = 20;
 
@@ -34,7 +34,7 @@
     private final Set<Channel> listeners = ConcurrentHashMap.newKeySet();
     private final Set<Channel> held = ConcurrentHashMap.newKeySet();
 
-    AcceptGate(int most) {
+    ConnectionLimiter(int most) {
         this.most = most;
     }
 
--- a/src/main/java/nettlewick/net/ReuseGauge.java
+++ b/src/main/java/nettlewick/net/ConnectionReusePolicy.java
@@ -5,7 +5,7 @@
  * or reset kept connections, a request written to one ends as a reset: it may have run for all that is known,
  * and a mark-submit cannot go again. Probes go on using kept ones, and so tell when they are safe again.
  */
-final class ReuseGauge {
+final class ConnectionReusePolicy {
     /** Weight of the latest use. */
     private static final double GAIN = 0.1;
     /** Share of bad uses from which a new connection is the cheaper way. */
--- a/src/main/java/nettlewick/net/BanStore.java
+++ b/src/main/java/nettlewick/net/DisabledEndpointStore.java
@@ -15,44 +15,44 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import nettlewick.log.Part;
+import nettlewick.log.ComponentLogger;
 
 /**
  * Which sim runners are out by hand, kept in a file that the processes of an upgrade share. Lives on one
  * thread of each process.
  */
-final class BanStore {
-    private static final Part LOG = Part.of("bans");
+final class DisabledEndpointStore {
+    private static final ComponentLogger LOG = ComponentLogger.of("bans");
     /** How long a return is remembered: a process that starts meanwhile has to know of a cold runner. */
     private static final double RETURN_KEPT = 60_000;
 
     private static final double LATEST = 1e15;
 
     /** A sim runner that was taken out, or put back, at that time in milliseconds. */
-    record Ban(String runner, boolean out, double since) {}
+    record DisabledEndpoint(String runner, boolean out, double since) {}
 
     private final Path file;
-    private Map<String, Ban> bans = new LinkedHashMap<>();
+    private Map<String, DisabledEndpoint> bans = new LinkedHashMap<>();
     private Object seen;
 
     /** Keeps bans in this file; null keeps them in memory alone. */
-    BanStore(Path file) {
+    DisabledEndpointStore(Path file) {
         this.file = file;
     }
 
     /** Whether this runner is out. */
-    boolean out(String runner) {
-        return bans.containsKey(runner) && bans.get(runner).out();
+    boolean out(String endpoint) {
+        return bans.containsKey(endpoint) && bans.get(endpoint).out();
     }
 
     /**
      * Takes a runner out or puts it back, on the file first; what is so already stays. What has changed comes
      * back. Where the file cannot be written, nothing is changed.
      */
-    List<Ban> set(String runner, boolean out, double now) throws IOException {
-        Map<String, Ban> before = new LinkedHashMap<>(bans);
+    List<DisabledEndpoint> set(String endpoint, boolean out, double now) throws IOException {
+        Map<String, DisabledEndpoint> before = new LinkedHashMap<>(bans);
         if (file == null) {
-            change(runner, out, now);
+            change(endpoint, out, now);
             return since(before);
         }
         // Danger: both processes of an upgrade may be called at once; the later would undo the earlier.
@@ -60,7 +60,7 @@
                         FileChannel.open(beside(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.lock()) {
             read();
-            change(runner, out, now);
+            change(endpoint, out, now);
             Path next = Files.writeString(beside(".new"), text());
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
@@ -71,25 +71,25 @@
         return since(before);
     }
 
-    private List<Ban> since(Map<String, Ban> before) {
+    private List<DisabledEndpoint> since(Map<String, DisabledEndpoint> before) {
         return bans.values().stream()
                 .filter(b -> !b.equals(before.get(b.runner())))
                 .toList();
     }
 
-    private void change(String runner, boolean out, double now) {
+    private void change(String endpoint, boolean out, double now) {
         bans.values().removeIf(b -> !b.out() && now - b.since() > RETURN_KEPT);
-        if (out != out(runner)) {
-            bans.put(runner, new Ban(runner, out, now));
+        if (out != out(endpoint)) {
+            bans.put(endpoint, new DisabledEndpoint(endpoint, out, now));
         }
     }
 
     /** What has changed on the file since this was asked last; everything at first. */
-    List<Ban> news() {
+    List<DisabledEndpoint> news() {
         if (file == null || Objects.equals(seen, stamp())) {
             return List.of();
         }
-        Map<String, Ban> before = bans;
+        Map<String, DisabledEndpoint> before = bans;
         seen = stamp();
         read();
         return since(before);
@@ -111,23 +111,25 @@
     /** Danger: a file that cannot be read must not bring runners back that are being repaired. */
     private void read() {
         try {
-            Map<String, Ban> read = new LinkedHashMap<>();
-            List<Fields> rows = Fields.parse("the bans", Files.readString(file)).parts("bans");
-            for (Fields row : rows) {
-                Ban ban = new Ban(row.text("runner"), row.flag("out"), row.number("since", 0, LATEST));
+            Map<String, DisabledEndpoint> read = new LinkedHashMap<>();
+            List<JsonFields> rows =
+                    JsonFields.parse("the bans", Files.readString(file)).parts("bans");
+            for (JsonFields row : rows) {
+                DisabledEndpoint ban =
+                        new DisabledEndpoint(row.text("runner"), row.flag("out"), row.number("since", 0, LATEST));
                 read.put(ban.runner(), ban);
             }
             bans = read;
         } catch (NoSuchFileException e) {
             // nothing was ever out
-        } catch (IOException | Fields.Bad e) {
+        } catch (IOException | JsonFields.InvalidFieldException e) {
             LOG.warning("bans-unreadable", "the bans held stay: " + e.getMessage());
         }
     }
 
     private String text() {
         JsonArray rows = new JsonArray();
-        for (Ban ban : bans.values()) {
+        for (DisabledEndpoint ban : bans.values()) {
             JsonObject row = new JsonObject();
             row.addProperty("runner", ban.runner());
             row.addProperty("out", ban.out());
