--- a/src/main/java/nettlewick/net/ResolverWatch.java
+++ b/src/main/java/nettlewick/net/DiscoveryWatch.java
@@ -12,27 +12,32 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.function.Consumer;
 import nettlewick.core.Clock;
-import nettlewick.log.Part;
+import nettlewick.log.ComponentLogger;
 
 /** The standing watch on discovery: resumed where it broke, with growing pauses. Lives on the event loop. */
-final class ResolverWatch {
-    private static final Part LOG = Part.of("resolver");
+final class DiscoveryWatch {
+    private static final ComponentLogger LOG = ComponentLogger.of("resolver");
     private static final int CONNECT_TIMEOUT = 1000;
 
     private final Vertx vertx;
     private final HttpClientAgent client;
     private final Clock clock;
-    private final Consumer<ResolverResult> sink;
+    private final Consumer<EndpointListSnapshot> sink;
     private SocketAddress discovery;
     /** Version of the list as this address counts; below 0 before its first word. */
     private long seq = -1;
 
-    private final ListClock times;
+    private final WatchStalenessTimer times;
     private int round;
     private boolean stopped;
     private HttpClientConnection connection;
 
-    ResolverWatch(Vertx vertx, SocketAddress discovery, Clock clock, ListClock times, Consumer<ResolverResult> sink) {
+    DiscoveryWatch(
+            Vertx vertx,
+            SocketAddress discovery,
+            Clock clock,
+            WatchStalenessTimer times,
+            Consumer<EndpointListSnapshot> sink) {
         this.times = times;
         this.vertx = vertx;
         client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT));
@@ -42,7 +47,7 @@
     }
 
     /** Applies the list that was known before, if there is one, then watches. */
-    void start(ResolverResult known) {
+    void start(EndpointListSnapshot known) {
         if (known != null) {
             seq = known.seq();
             sink.accept(known);
@@ -53,7 +58,7 @@
     /** Looks when the call that is open would count as broken; words that come meanwhile move that on. */
     private void lookAt(int mine) {
         double left = times.deadline() - clock.now();
-        vertx.setTimer((long) Math.max(1, Math.ceil(Math.min(left, ListClock.TOLD))), id -> {
+        vertx.setTimer((long) Math.max(1, Math.ceil(Math.min(left, WatchStalenessTimer.TOLD))), id -> {
             if (mine == round && clock.now() >= times.deadline()) {
                 broken(mine, "silent");
             } else if (mine == round) {
@@ -94,18 +99,18 @@
                 .compose(request -> request.send())
                 .onFailure(e -> broken(mine, "no answer"))
                 .onSuccess(response -> {
-                    if (response.statusCode() != Call.OK) {
+                    if (response.statusCode() != OutboundRequest.OK) {
                         broken(mine, "status " + response.statusCode());
                         return;
                     }
-                    ListFrames frames = new ListFrames();
+                    JsonObjectFramer frames = new JsonObjectFramer();
                     response.exceptionHandler(e -> broken(mine, "broken off"));
                     response.endHandler(v -> broken(mine, "ended"));
                     response.handler(bytes -> hear(bytes, frames, mine));
                 });
     }
 
-    private void hear(Buffer bytes, ListFrames frames, int mine) {
+    private void hear(Buffer bytes, JsonObjectFramer frames, int mine) {
         if (mine != round) {
             return;
         }
@@ -114,7 +119,7 @@
             if (frames.take(bytes.getBytes(), text -> take(text, mine))) {
                 times.word(clock.now());
             }
-        } catch (Fields.Bad e) {
+        } catch (JsonFields.InvalidFieldException e) {
             broken(mine, "unreadable: " + e.getMessage());
         }
     }
@@ -123,7 +128,7 @@
         if (mine != round) {
             return;
         }
-        ResolverResult news = ResolverResult.of(Fields.parse("the list", text));
+        EndpointListSnapshot news = EndpointListSnapshot.of(JsonFields.parse("the list", text));
         times.list();
         if (!news.faults().isEmpty()) {
             LOG.warning(
--- a/src/main/java/nettlewick/net/Node.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -11,17 +11,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import nettlewick.admin.AdminFront;
-import nettlewick.core.Books;
+import nettlewick.admin.AdminFrontend;
 import nettlewick.core.Clock;
-import nettlewick.core.Core;
-import nettlewick.core.Witness;
-import nettlewick.decision.Dispatcher.Settings;
-import nettlewick.log.Part;
+import nettlewick.core.RequestCoordinator;
+import nettlewick.core.RequestListener;
+import nettlewick.core.UsageRecorder;
+import nettlewick.decision.Dispatcher.SchedulerSettings;
+import nettlewick.log.ComponentLogger;
 
 /** One real dispatcher: puts core, subchannels, resolver watch, peers and the platform's front together. */
-public final class Node {
-    private static final Part LOG = Part.of("node");
+public final class DispatcherServer {
+    private static final ComponentLogger LOG = ComponentLogger.of("node");
     /** How long a successor waits for discovery's first word; after that the list it was given counts. */
     private static final long TOLD = 1000;
     /** How often it is looked whether another process shares the limits. */
@@ -40,43 +40,43 @@
     /** Connections accepted beyond those a front keeps: the front chooses which of them stays. */
     private static final int SPARE = 8;
     /** Descriptors of the operators' front: its callers, its listener, its two selectors. */
-    static final int ADMIN = AdminFront.CALLERS_MOST + 8;
+    static final int ADMIN = AdminFrontend.CALLERS_MOST + 8;
 
-    private volatile Config config;
+    private volatile PlatformConfig config;
     final Clock clock;
     final Vertx vertx;
-    private final Succession succession;
-    final BanStore bans;
+    private final HotRestart succession;
+    final DisabledEndpointStore bans;
     private final int clients;
     private final int perFront;
-    final AcceptGate gate;
+    final ConnectionLimiter gate;
     final Context loop;
     /** When the process that is to succeed this one started; NaN: none is. */
     private double heirAt = Double.NaN;
 
     PeerSocket peers;
-    private Books books = Books.NONE;
-    private Witness witness = Witness.NONE;
-    Core core;
-    Subchannels subchannels;
-    private ResolverWatch watch;
-    private final List<Front.Maker> makers;
-    private final List<Front> fronts = new ArrayList<>();
+    private UsageRecorder books = UsageRecorder.NONE;
+    private RequestListener witness = RequestListener.NONE;
+    RequestCoordinator core;
+    EndpointConnectionPools subchannels;
+    private DiscoveryWatch watch;
+    private final List<Frontend.Maker> makers;
+    private final List<Frontend> fronts = new ArrayList<>();
     private final ServiceState state = new ServiceState();
-    private final AdminFront admin;
+    private final AdminFrontend admin;
     private volatile int adminPort;
     private volatile boolean holdsList;
     private volatile boolean warm;
     private volatile List<Integer> ports = List.of();
 
-    public Node(Config config, Clock clock, Front.Maker... makers) {
+    public DispatcherServer(PlatformConfig config, Clock clock, Frontend.Maker... makers) {
         this(config, clock, null, makers);
     }
 
     /** One that may share its address with an older or newer process; {@code succession} null: never. */
-    public Node(Config config, Clock clock, Succession succession, Front.Maker... makers) {
+    public DispatcherServer(PlatformConfig config, Clock clock, HotRestart succession, Frontend.Maker... makers) {
         this.succession = succession;
-        bans = new BanStore(succession == null ? null : succession.file("bans.json"));
+        bans = new DisabledEndpointStore(succession == null ? null : succession.file("bans.json"));
         this.makers = List.of(makers);
         this.config = config;
         this.clock = clock;
@@ -86,7 +86,7 @@
         // CPU at each start, twice that on half a core, while clients wait.
         System.setProperty("io.netty.jfr.enabled", "false");
         clients = config.sockets() / CLIENTS_PART;
-        gate = new AcceptGate(clients);
+        gate = new ConnectionLimiter(clients);
         perFront = Math.max(1, clients / Math.max(1, makers.length) - SPARE);
         vertx = Vertx.builder()
                 .with(new VertxOptions()
@@ -99,17 +99,17 @@
                 .withTransport(gate)
                 .build();
         loop = vertx.getOrCreateContext();
-        admin = config.adminAddr() == null ? null : new AdminFront(config.adminAddr(), new NodeOperations(this));
+        admin = config.adminAddr() == null ? null : new AdminFrontend(config.adminAddr(), new AdminOperations(this));
     }
 
     /** Has the books kept; before the start. */
-    public Node keep(Books kept) {
+    public DispatcherServer keep(UsageRecorder kept) {
         books = kept;
         return this;
     }
 
     /** Has all told to it; before the start. */
-    public Node tell(Witness one) {
+    public DispatcherServer tell(RequestListener one) {
         witness = one;
         return this;
     }
@@ -120,13 +120,13 @@
         loop.runOnContext(v -> {
             boolean heir = succession != null && succession.shared();
             peers = new PeerSocket(vertx, config);
-            subchannels = new Subchannels(vertx, loop, config, clock, peers);
-            core = new Core(clock, config.settings(), seed(heir), config.maxOpen(), subchannels, books);
-            core.tell(witness);
+            subchannels = new EndpointConnectionPools(vertx, loop, config, clock, peers);
+            core = new RequestCoordinator(clock, config.settings(), seed(heir), config.maxOpen(), subchannels, books);
+            core.setListener(witness);
             witness.joins(core);
             subchannels.bind(core);
-            Front.Base base =
-                    new Front.Base(vertx, loop, config, clock, core, () -> holdsList && warm, state, perFront);
+            Frontend.Base base =
+                    new Frontend.Base(vertx, loop, config, clock, core, () -> holdsList && warm, state, perFront);
             makers.forEach(maker -> fronts.add(maker.make(base)));
             Thread thread = new Thread(core, "core");
             thread.setDaemon(true);
@@ -134,8 +134,8 @@
             bans.news().forEach(this::heed);
             vertx.setPeriodic(BANS, id -> bans.news().forEach(this::heed));
             Promise<Void> told = Promise.promise();
-            ListClock lists = ListClock.of(config.settings(), ~seed(heir));
-            watch = new ResolverWatch(vertx, config.discovery(), clock, lists, news -> {
+            WatchStalenessTimer lists = WatchStalenessTimer.of(config.settings(), ~seed(heir));
+            watch = new DiscoveryWatch(vertx, config.discovery(), clock, lists, news -> {
                 subchannels.update(news);
                 holdsList = true;
                 if (news != config.known()) {
@@ -157,24 +157,24 @@
                                 + config.listen().hostAddress() + ":" + ports.get(0)));
     }
 
-    void heed(BanStore.Ban ban) {
+    void heed(DisabledEndpointStore.DisabledEndpoint ban) {
         subchannels.ban(ban.runner(), ban.out(), ban.since());
     }
 
     /** Starts where nobody serves at this address: listens at once and says yes once warm. */
     private Future<Void> begin() {
-        return listen().compose(all -> peers.listen(core::heard)).compose(all -> warmUp(ports.get(0)));
+        return listen().compose(all -> peers.listen(core::receivePeerMessage)).compose(all -> warmUp(ports.get(0)));
     }
 
     /**
      * Starts beside a process that serves at this address. Danger: a client that the kernel deals to this one
      * is lost to the other, and a health that says no turns the front away from both. All else comes first.
      */
-    private Future<Void> succeed(Future<Void> told, Front.Base base) {
+    private Future<Void> succeed(Future<Void> told, Frontend.Base base) {
         LOG.info("succeeds", "another process serves here; this one is to succeed it");
-        peers.await(core::heard);
-        Front own = new PlatformFront(
-                new Front.Base(vertx, loop, config.atFreePort(), clock, core, () -> true, state, perFront));
+        peers.await(core::receivePeerMessage);
+        Frontend own = new PlatformFrontend(
+                new Frontend.Base(vertx, loop, config.atFreePort(), clock, core, () -> true, state, perFront));
         return own.listen()
                 .compose(this::warmUp)
                 .compose(v -> own.shut(0))
@@ -204,22 +204,22 @@
         double heir = state.leaving() ? Double.NaN : succession.heir();
         if (!Double.isNaN(heir) && heirAt != heir) {
             heirAt = heir;
-            core.foresee(heir + HEIR, heir + HEIR + killSpan());
+            core.expectSuccessor(heir + HEIR, heir + HEIR + killSpan());
             LOG.info("awaits-successor", "another process is to succeed this one; long jobs are held back");
             spare();
         } else if (Double.isNaN(heir) && !Double.isNaN(heirAt) && !state.leaving() && !succession.successor()) {
             heirAt = Double.NaN;
-            core.stay();
+            core.cancelDraining();
         }
     }
 
     private void spare() {
-        core.saves(
+        core.askWhetherWaitingHelps(
                 killSpan(),
                 saves -> loop.runOnContext(v -> {
                     if (!saves) {
                         // From now on the successor may take clients at any time.
-                        core.foresee(heirAt + HEIR, clock.now() + killSpan());
+                        core.expectSuccessor(heirAt + HEIR, clock.now() + killSpan());
                         succession.spared();
                     } else {
                         vertx.setTimer(SAVED, id -> spare());
@@ -233,7 +233,7 @@
     }
 
     private Future<CompositeFuture> listen() {
-        return Future.all(fronts.stream().map(Front::listen).toList()).onSuccess(all -> ports = all.list());
+        return Future.all(fronts.stream().map(Frontend::listen).toList()).onSuccess(all -> ports = all.list());
     }
 
     private void serve() {
@@ -280,7 +280,7 @@
     }
 
     /** The ways in, for tests. */
-    List<Front> fronts() {
+    List<Frontend> fronts() {
         return fronts;
     }
 
@@ -308,7 +308,7 @@
     }
 
     /** The site's settings in force. */
-    Settings settings() {
+    SchedulerSettings settings() {
         return config.settings();
     }
 
@@ -337,13 +337,13 @@
     }
 
     /** Takes a configuration that was read anew over, as far as that can be done while serving. */
-    public void reload(Config next) {
+    public void reload(PlatformConfig next) {
         loop.runOnContext(v -> {
             List<String> stay = config.needRestart(next);
             config = config.changed(next);
             watch.move(config.discovery());
             subchannels.reload(config);
-            core.reload(config.maxOpen());
+            core.setMaxInFlight(config.maxOpen());
             LOG.info(
                     "reread",
                     "configuration reread, discovery at " + config.discovery().hostAddress() + ":"
--- a/src/main/java/nettlewick/net/Subchannels.java
+++ b/src/main/java/nettlewick/net/EndpointConnectionPools.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 import nettlewick.core.Attempt;
 import nettlewick.core.Clock;
-import nettlewick.core.Core;
 import nettlewick.core.Probe;
+import nettlewick.core.RequestCoordinator;
 import nettlewick.core.Transport;
 
 /** All sim runners of the resolver's list, and the calls to them. Lives on the event loop. */
-final class Subchannels implements Transport {
+final class EndpointConnectionPools implements Transport {
     /** Descriptors for neither clients nor sim runners: the jars, the listeners, the watch, selectors. */
     private static final int RESERVE = 64;
 
@@ -25,21 +25,21 @@
 
     private final Vertx vertx;
     private final Context loop;
-    private Config config;
+    private PlatformConfig config;
     private final Clock clock;
     private final HttpClientAgent client;
     private final PeerSocket peers;
-    private final Map<String, Subchannel> all = new LinkedHashMap<>();
-    private final Map<Object, Call> calls = new IdentityHashMap<>();
-    private final Map<Call, Object> owners = new IdentityHashMap<>();
+    private final Map<String, EndpointConnections> all = new LinkedHashMap<>();
+    private final Map<Object, OutboundRequest> calls = new IdentityHashMap<>();
+    private final Map<OutboundRequest, Object> owners = new IdentityHashMap<>();
     private final Set<String> banned = new HashSet<>();
-    private final ReuseGauge gauge = new ReuseGauge();
-    private Core core;
+    private final ConnectionReusePolicy gauge = new ConnectionReusePolicy();
+    private RequestCoordinator core;
     private int open;
     private volatile int opening;
     private boolean shared;
 
-    Subchannels(Vertx vertx, Context loop, Config config, Clock clock, PeerSocket peers) {
+    EndpointConnectionPools(Vertx vertx, Context loop, PlatformConfig config, Clock clock, PeerSocket peers) {
         this.vertx = vertx;
         this.loop = loop;
         this.config = config;
@@ -57,7 +57,7 @@
     }
 
     /** Ties the knot; before the event loop starts work. */
-    void bind(Core to) {
+    void bind(RequestCoordinator to) {
         core = to;
         vertx.setPeriodic(SWEEP, id -> all.values().forEach(s -> s.idle().expire(now())));
     }
@@ -68,20 +68,20 @@
     }
 
     /** Takes over what may change: the addresses of peers and the patience of idle connections. */
-    void reload(Config next) {
+    void reload(PlatformConfig next) {
         config = next;
         peers.reload(next);
     }
 
-    ReuseGauge gauge() {
+    ConnectionReusePolicy gauge() {
         return gauge;
     }
 
-    Core core() {
+    RequestCoordinator core() {
         return core;
     }
 
-    Config config() {
+    PlatformConfig config() {
         return config;
     }
 
@@ -107,18 +107,18 @@
 
     /** Connections to sim runners where so many descriptors are allowed and a third is for clients. */
     static int mostOpen(int sockets) {
-        return Math.max(sockets / 8, sockets - sockets / Node.CLIENTS_PART - RESERVE);
+        return Math.max(sockets / 8, sockets - sockets / DispatcherServer.CLIENTS_PART - RESERVE);
     }
 
     /** Whether one more connection may be opened; the longest idle one anywhere makes way for it. */
     boolean room() {
-        int operators = config.adminAddr() == null ? 0 : Node.ADMIN;
+        int operators = config.adminAddr() == null ? 0 : DispatcherServer.ADMIN;
         int mine = mostOpen(config.sockets()) - operators;
         // Two processes have two sets of jars, listeners and selectors too.
         if (open < (shared ? Math.max(mine / 4, (mine - RESERVE) / 2) : mine)) {
             return true;
         }
-        for (Subchannel s : all.values()) {
+        for (EndpointConnections s : all.values()) {
             if (s.idle().closeOldest()) {
                 return true;
             }
@@ -127,40 +127,40 @@
     }
 
     /** Takes the resolver's news over: from now on nothing starts at a runner that is not ready. */
-    void update(ResolverResult news) {
+    void update(EndpointListSnapshot news) {
         if (news.whole()) {
-            Map<String, Subchannel> missing = new LinkedHashMap<>(all);
-            news.hosts().forEach(h -> missing.remove(h.entry().worker()));
-            missing.values().forEach(Subchannel::gone);
+            Map<String, EndpointConnections> missing = new LinkedHashMap<>(all);
+            news.hosts().forEach(h -> missing.remove(h.entry().id()));
+            missing.values().forEach(EndpointConnections::gone);
         }
-        for (ResolverResult.Host h : news.hosts()) {
-            Subchannel s = all.computeIfAbsent(h.entry().worker(), id -> new Subchannel(id, this));
+        for (EndpointListSnapshot.Host h : news.hosts()) {
+            EndpointConnections s = all.computeIfAbsent(h.entry().id(), id -> new EndpointConnections(id, this));
             s.ban(banned.contains(s.host));
             s.update(h);
         }
-        all.values().removeIf(Subchannel::unused);
-        core.learn(news.roster());
+        all.values().removeIf(EndpointConnections::unused);
+        core.updateEndpoints(news.roster());
     }
 
     /** Whether this runner is on the list. */
-    boolean lists(String runner) {
-        return all.containsKey(runner) && all.get(runner).listed();
+    boolean lists(String endpoint) {
+        return all.containsKey(endpoint) && all.get(endpoint).listed();
     }
 
     /** An operator has taken a runner out, or put it back, at that time. */
-    void ban(String runner, boolean out, double since) {
+    void ban(String endpoint, boolean out, double since) {
         if (out) {
-            banned.add(runner);
+            banned.add(endpoint);
         } else {
-            banned.remove(runner);
+            banned.remove(endpoint);
         }
-        if (all.containsKey(runner)) {
-            all.get(runner).ban(out);
+        if (all.containsKey(endpoint)) {
+            all.get(endpoint).ban(out);
         }
-        core.ban(runner, out, since);
+        core.setEndpointDisabled(endpoint, out, since);
     }
 
-    void over(Call call) {
+    void over(OutboundRequest call) {
         Object owner = owners.remove(call);
         if (owner != null) {
             calls.remove(owner);
@@ -168,9 +168,9 @@
     }
 
     /** Sends a call that never reached its runner once more, on a new connection. */
-    void startAnew(Call call) {
+    void startAnew(OutboundRequest call) {
         Object owner = owners.get(call);
-        Subchannel to = owner instanceof Probe probe ? all.get(probe.worker()) : null;
+        EndpointConnections to = owner instanceof Probe probe ? all.get(probe.endpoint()) : null;
         if (to == null) {
             call.broke();
         } else {
@@ -178,11 +178,11 @@
         }
     }
 
-    private void start(Object owner, String worker, Call call) {
+    private void start(Object owner, String endpoint, OutboundRequest call) {
         loop.runOnContext(v -> {
             calls.put(owner, call);
             owners.put(call, owner);
-            Subchannel to = all.get(worker);
+            EndpointConnections to = all.get(endpoint);
             if (to == null) {
                 call.broke();
             } else {
@@ -193,7 +193,7 @@
 
     private void stop(Object owner) {
         loop.runOnContext(v -> {
-            Call call = calls.get(owner);
+            OutboundRequest call = calls.get(owner);
             if (call != null) {
                 call.drop();
             }
@@ -202,7 +202,7 @@
 
     @Override
     public void send(Attempt attempt) {
-        start(attempt, attempt.worker(), new CallAttempt(attempt, this));
+        start(attempt, attempt.endpoint(), new AttemptExchange(attempt, this));
     }
 
     @Override
@@ -212,7 +212,7 @@
 
     @Override
     public void probe(Probe probe) {
-        start(probe, probe.worker(), new LoadProbe(probe, this));
+        start(probe, probe.endpoint(), new LoadProbe(probe, this));
     }
 
     @Override
@@ -231,8 +231,8 @@
     }
 
     /** How often discovery has told of this runner, for tests. */
-    int changes(String runner) {
-        return all.containsKey(runner) ? all.get(runner).changes() : 0;
+    int changes(String endpoint) {
+        return all.containsKey(endpoint) ? all.get(endpoint).changes() : 0;
     }
 
     /** The hosts by name, for tests. */
--- a/src/main/java/nettlewick/net/Subchannel.java
+++ b/src/main/java/nettlewick/net/EndpointConnections.java
@@ -3,14 +3,14 @@
 import io.vertx.core.http.HttpClientConnection;
 import io.vertx.core.http.HttpConnectOptions;
 import io.vertx.core.net.SocketAddress;
-import nettlewick.decision.Dispatcher.Life;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Dispatcher.EndpointState;
 
 /**
  * A sim runner and this dispatcher's connections to it. Connecting and sending are apart, so that a call that
  * never reached the runner is known as such. All of it lives on the event loop.
  */
-final class Subchannel {
+final class EndpointConnections {
     /** Idle connections are closed after this part of the time at which the runner's machine closes them. */
     private static final double IDLE_PART = 0.6;
 
@@ -20,7 +20,7 @@
     final class Link {
         final HttpClientConnection connection;
         private final double madeIn;
-        private Call call;
+        private OutboundRequest call;
         private boolean closed;
         private boolean kept;
 
@@ -38,7 +38,7 @@
                 subchannels.opened(-1);
                 idle.remove(this);
             }
-            Call last = call;
+            OutboundRequest last = call;
             call = null;
             if (last != null) {
                 last.broke();
@@ -68,14 +68,14 @@
         }
 
         /** The call's answer has come to its end: the connection may carry the next one. */
-        void free(Call done) {
+        void free(OutboundRequest done) {
             if (call == done && !closed) {
                 call = null;
                 keep(this);
             }
         }
 
-        void closeIf(Call still) {
+        void closeIf(OutboundRequest still) {
             if (call == still) {
                 close();
             }
@@ -88,19 +88,19 @@
     }
 
     final String host;
-    private final Subchannels subchannels;
-    private final IdlePool<Link> idle;
+    private final EndpointConnectionPools subchannels;
+    private final IdleConnections<Link> idle;
     private SocketAddress dial;
-    private Life life = Life.GONE;
+    private EndpointState life = EndpointState.GONE;
     private double startedAt;
     private boolean banned;
     private int open;
     private volatile int changes;
 
-    Subchannel(String host, Subchannels subchannels) {
+    EndpointConnections(String host, EndpointConnectionPools subchannels) {
         this.host = host;
         this.subchannels = subchannels;
-        idle = new IdlePool<>(() -> subchannels.config().connIdle() * IDLE_PART, Link::close);
+        idle = new IdleConnections<>(() -> subchannels.config().connIdle() * IDLE_PART, Link::close);
     }
 
     /** How often discovery has told of it. */
@@ -109,16 +109,16 @@
     }
 
     /** Takes news of the runner over. */
-    void update(ResolverResult.Host news) {
+    void update(EndpointListSnapshot.Host news) {
         changes++;
         boolean moved = news.dial() != null && !news.dial().equals(dial);
-        if (moved || news.entry().startedAt() != startedAt || news.entry().life() != Life.READY) {
+        if (moved || news.entry().startedAt() != startedAt || news.entry().state() != EndpointState.READY) {
             // A process that started anew knows nothing of its former connections.
             idle.closeAll();
         }
         dial = news.dial() != null ? news.dial() : dial;
         startedAt = news.entry().startedAt();
-        life = news.entry().life();
+        life = news.entry().state();
     }
 
     /** Taken out by hand: nothing new starts here, no kept connection stays, calls in work end. */
@@ -130,31 +130,31 @@
     }
 
     void gone() {
-        life = Life.GONE;
+        life = EndpointState.GONE;
         idle.closeAll();
     }
 
     boolean ready() {
-        return life == Life.READY && !banned;
+        return life == EndpointState.READY && !banned;
     }
 
     /** Whether the runner is on the list. */
     boolean listed() {
-        return life != Life.GONE;
+        return life != EndpointState.GONE;
     }
 
     boolean unused() {
-        return life == Life.GONE && open == 0;
+        return life == EndpointState.GONE && open == 0;
     }
 
-    IdlePool<Link> idle() {
+    IdleConnections<Link> idle() {
         return idle;
     }
 
     /** Carries a call out, on the newest idle connection or on a new one. */
-    void start(Call call) {
+    void start(OutboundRequest call) {
         if (!ready()) {
-            call.finish(Result.FULL, null, null);
+            call.finish(AttemptResult.OVERLOADED, null, null);
             return;
         }
         Link link = call.harmless() || subchannels.gauge().trusts() ? idle.take(subchannels.now(), call.rest()) : null;
@@ -166,7 +166,7 @@
     }
 
     /** Carries a call out on a new connection. */
-    void startAnew(Call call) {
+    void startAnew(OutboundRequest call) {
         if (!subchannels.room()) {
             call.broke();
         } else {
@@ -174,7 +174,7 @@
         }
     }
 
-    private void connect(Call call) {
+    private void connect(OutboundRequest call) {
         open++;
         subchannels.opened(1);
         subchannels.opening(1);
@@ -199,7 +199,7 @@
             } else if (!ready() || startedAt != chosen) {
                 // While the connection came up the runner began to drain and takes nothing new, or it started
                 // anew and what was chosen for a warm runner is not in its slow-start budget.
-                call.finish(Result.FULL, null, null);
+                call.finish(AttemptResult.OVERLOADED, null, null);
                 keep(link);
             } else {
                 use(link, call);
@@ -207,7 +207,7 @@
         });
     }
 
-    private void use(Link link, Call call) {
+    private void use(Link link, OutboundRequest call) {
         link.call = call;
         call.write(link);
     }
--- a/src/main/java/nettlewick/net/Rpc.java
+++ b/src/main/java/nettlewick/net/ForwardedRequest.java
@@ -5,4 +5,5 @@
 import nettlewick.core.Request;
 
 /** What of an RPC goes on to a sim runner as it came: method, path with query, body and idempotency key. */
-public record Rpc(HttpMethod method, String uri, Buffer body, String idempotencyKey) implements Request.Keyed {}
+public record ForwardedRequest(HttpMethod method, String uri, Buffer body, String idempotencyKey)
+        implements Request.Keyed {}
--- a/src/main/java/nettlewick/net/HeadCheck.java
+++ b/src/main/java/nettlewick/net/FramingValidator.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** Whether a request's head frames its body beyond doubt. What is not in order goes no further. */
-final class HeadCheck {
+final class FramingValidator {
     static final int BODY_MOST = 64 * 1024;
     private static final int DIGITS_MOST = 18;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    private HeadCheck() {}
+    private FramingValidator() {}
 
     /** Why the request is refused; null if it is not. */
     static Refusal of(HttpRequest request) {
--- a/src/main/java/nettlewick/net/Front.java
+++ b/src/main/java/nettlewick/net/Frontend.java
@@ -5,24 +5,24 @@
 import io.vertx.core.Vertx;
 import java.util.function.BooleanSupplier;
 import nettlewick.core.Clock;
-import nettlewick.core.Core;
+import nettlewick.core.RequestCoordinator;
 
 /** A way in for clients. Lives on the event loop; all fronts share one core and so its rules. */
-public interface Front {
+public interface Frontend {
     /** What a front is built on; {@code connections} is how many it may hold. */
     record Base(
             Vertx vertx,
             Context loop,
-            Config config,
+            PlatformConfig config,
             Clock clock,
-            Core core,
+            RequestCoordinator core,
             BooleanSupplier holdsList,
             ServiceState state,
             int connections) {}
 
     /** Makes a front on the event loop. */
     interface Maker {
-        Front make(Base base);
+        Frontend make(Base base);
     }
 
     /** Listens; the port that is held comes back. */
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -3,9 +3,9 @@
 import io.vertx.core.Future;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import nettlewick.decision.Dispatcher.JobClass;
-import nettlewick.decision.Dispatcher.Settings;
-import nettlewick.log.Part;
+import nettlewick.decision.Dispatcher.RequestClass;
+import nettlewick.decision.Dispatcher.SchedulerSettings;
+import nettlewick.log.ComponentLogger;
 
 /**
  * The planned end of a dispatcher after SIGTERM, in milliseconds from it:
@@ -20,7 +20,7 @@
  * <p>With a successor that takes clients, new connections are left to it from the start.
  */
 final class GracefulShutdown {
-    private static final Part LOG = Part.of("node");
+    private static final ComponentLogger LOG = ComponentLogger.of("node");
     /** New connections keep coming for this long after SIGTERM. */
     private static final long ACCEPT_ON = 700;
 
@@ -39,22 +39,26 @@
     private static final long LAST_ANSWERED = 250;
     private static final long LOOK = 50;
 
-    private final Node node;
+    private final DispatcherServer node;
     private final boolean successor;
     private final CountDownLatch done = new CountDownLatch(1);
 
     /** {@code successor} tells whether another process takes clients at this address. */
-    GracefulShutdown(Node node, boolean successor) {
+    GracefulShutdown(DispatcherServer node, boolean successor) {
         this.node = node;
         this.successor = successor;
     }
 
-    private static long longestDeadline(Settings settings) {
-        return settings.classes().stream().mapToLong(JobClass::deadline).max().orElse(0) / 1_000_000;
+    private static long longestDeadline(SchedulerSettings settings) {
+        return settings.classes().stream()
+                        .mapToLong(RequestClass::deadline)
+                        .max()
+                        .orElse(0)
+                / 1_000_000;
     }
 
     /** From SIGTERM to SIGKILL at the least, in milliseconds. */
-    static long killSpan(Settings settings) {
+    static long killSpan(SchedulerSettings settings) {
         return Math.min(longestDeadline(settings), LONGEST) + KILL;
     }
 
@@ -63,7 +67,7 @@
         LOG.info(
                 successor ? "hands-over" : "shutting-down",
                 successor ? "handing over to the process that succeeds this one" : "shutting down");
-        Settings settings = node.settings();
+        SchedulerSettings settings = node.settings();
         long longest = longestDeadline(settings);
         long kill = killSpan(settings);
         double began = node.clock.now();
@@ -83,7 +87,7 @@
             return;
         }
         node.state().end(successor);
-        node.core.part(began + kill);
+        node.core.startDraining(began + kill);
         if (successor) {
             node.gate.closeOnceEmpty();
             node.peers.close();
@@ -96,12 +100,12 @@
                         .onComplete(
                                 closed -> node.vertx.setTimer(LOOK, then -> end(began + kill - LAST_TAKEN, patience))));
         // All of it, also what came before the signal: a kill finds nothing that is owed an answer.
-        node.vertx.setTimer(Math.max(ACCEPT_ON, kill - LAST_ANSWERED), id -> node.core.endAll());
+        node.vertx.setTimer(Math.max(ACCEPT_ON, kill - LAST_ANSWERED), id -> node.core.answerAllNow());
     }
 
     /** Ends the fronts at that time, or as soon as nobody is connected. */
     private void end(double at, long patience) {
-        if (node.clock.now() < at && node.fronts().stream().anyMatch(Front::connected)) {
+        if (node.clock.now() < at && node.fronts().stream().anyMatch(Frontend::connected)) {
             node.vertx.setTimer(LOOK, id -> end(at, patience));
         } else {
             node.state().shut();
--- a/src/main/java/nettlewick/net/Succession.java
+++ b/src/main/java/nettlewick/net/HotRestart.java
@@ -20,7 +20,7 @@
  * Which other processes serve as the same dispatcher, told by files in a folder they share. Each process
  * holds a lock on its own file; the kernel gives it back however the process ends. Safe for any thread.
  */
-public final class Succession implements AutoCloseable {
+public final class HotRestart implements AutoCloseable {
     private static final String END = ".alive";
     private static final byte[] SPARED = "nothing to save\n".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] TAKES = "takes clients\n".getBytes(StandardCharsets.US_ASCII);
@@ -39,7 +39,7 @@
      * @param dispatcher tells dispatchers apart that share the folder
      * @param startedAt  Unix time in milliseconds: of two processes, the later one is the successor
      */
-    public Succession(Path folder, String dispatcher, long startedAt) {
+    public HotRestart(Path folder, String dispatcher, long startedAt) {
         this.folder = folder;
         prefix = dispatcher.replaceAll("[^A-Za-z0-9.]", "_") + '-';
         own = String.format(
--- a/src/main/java/nettlewick/net/HttpFront.java
+++ b/src/main/java/nettlewick/net/HttpFrontend.java
@@ -20,9 +20,9 @@
 
 /**
  * A front that listens for HTTP: its connections, how many there may be, how long each may take, and its
- * planned end. A {@link ClientGuard} stands before each connection.
+ * planned end. A {@link ClientConnection} stands before each connection.
  */
-public abstract class HttpFront implements Front {
+public abstract class HttpFrontend implements Frontend {
     private static final int BACKLOG = 1024;
     private static final int HEAD_MOST = 8 * 1024;
     private static final int LINE_MOST = 4 * 1024;
@@ -49,12 +49,12 @@
     private final int most;
     private final long look;
     private final long beat;
-    private final ClientGuard.Budget budget = new ClientGuard.Budget(HELD_MOST);
-    private final Map<HttpConnection, ClientGuard> connections = new LinkedHashMap<>();
+    private final ClientConnection.Budget budget = new ClientConnection.Budget(HELD_MOST);
+    private final Map<HttpConnection, ClientConnection> connections = new LinkedHashMap<>();
     private double beatAt;
 
     /** {@code sendBuffer} bounds what the kernel holds for a slow reader; -1 leaves it to the kernel. */
-    protected HttpFront(Base base, SocketAddress listen, int sendBuffer) {
+    protected HttpFrontend(Base base, SocketAddress listen, int sendBuffer) {
         this.base = base;
         vertx = base.vertx();
         most = base.connections();
@@ -103,13 +103,13 @@
 
     /** When the last byte of a connection's request in work came, in milliseconds on the clock. */
     protected final double arrivedAt(HttpServerRequest request) {
-        ClientGuard guard = connections.get(request.connection());
+        ClientConnection guard = connections.get(request.connection());
         return guard == null ? base.clock().now() : guard.arrivedAt();
     }
 
     /** Whether the client of a request in work is still connected, by what its socket says now. */
     protected final boolean connected(HttpServerRequest request) {
-        ClientGuard guard = connections.get(request.connection());
+        ClientConnection guard = connections.get(request.connection());
         return guard != null && guard.connected();
     }
 
@@ -118,7 +118,7 @@
 
     private void opened(HttpConnection connection) {
         Channel channel = ((ConnectionBase) connection).channel();
-        ClientGuard guard = new ClientGuard(base.clock(), this::cameAt, budget);
+        ClientConnection guard = new ClientConnection(base.clock(), this::cameAt, budget);
         connections.put(connection, guard);
         connection.exceptionHandler(e -> {});
         connection.closeHandler(v -> {
@@ -129,7 +129,7 @@
                 .setRecvByteBufAllocator(
                         new AdaptiveRecvByteBufAllocator(256, 2048, READ_MOST).maxMessagesPerRead(READS_A_TURN));
         channel.pipeline()
-                .replace(VertxHttpRequestDecoder.class, "httpDecoder", new StrictDecoder(options, guard::bytes));
+                .replace(VertxHttpRequestDecoder.class, "httpDecoder", new StrictHttpDecoder(options, guard::bytes));
         channel.pipeline().addBefore("handler", "guard", guard);
         if (connections.size() > most) {
             makeWay(guard);
@@ -140,9 +140,9 @@
      * The connection that deserves it least is closed: one that was served nothing, else the one used least.
      * Danger: by age alone a crowd that says nothing would drive the usual clients out.
      */
-    private void makeWay(ClientGuard newcomer) {
+    private void makeWay(ClientConnection newcomer) {
         for (int tries = 0; tries < MAKE_WAY_TRIES; tries++) {
-            ClientGuard least = connections.values().stream()
+            ClientConnection least = connections.values().stream()
                     .filter(g -> g != newcomer && g.state().idle())
                     .min(Comparator.comparingInt(g -> g.state().merit()))
                     .orElse(null);
@@ -186,7 +186,7 @@
         // Danger: a client that has just had its answer may have sent its next request; that one's answer
         // says that it is the last.
         double now = base.clock().now();
-        for (ClientGuard guard : List.copyOf(connections.values())) {
+        for (ClientConnection guard : List.copyOf(connections.values())) {
             guard.closeIfQuiet(now);
             if (guard.state().lingered(now)) {
                 guard.close();
--- a/src/main/java/nettlewick/net/IdlePool.java
+++ b/src/main/java/nettlewick/net/IdleConnections.java
@@ -7,7 +7,7 @@
 import java.util.function.DoubleSupplier;
 
 /** Connections that carry nothing: the newest is reused first, and none that has idled too long. */
-final class IdlePool<T> {
+final class IdleConnections<T> {
     private record Idle<T>(T link, double since) {}
 
     private final Deque<Idle<T>> idle = new ArrayDeque<>();
@@ -18,7 +18,7 @@
      * @param patience milliseconds of idling; well below the time at which the runner's side closes, since a
      *                 request on a connection closed by then ends as a reset that a mark-submit cannot repeat
      */
-    IdlePool(DoubleSupplier patience, Consumer<T> close) {
+    IdleConnections(DoubleSupplier patience, Consumer<T> close) {
         this.patience = patience;
         this.close = close;
     }
--- a/src/main/java/nettlewick/net/Fields.java
+++ b/src/main/java/nettlewick/net/JsonFields.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /** The fields of one JSON object, with one plain line for what is missing or makes no sense. */
-public final class Fields {
+public final class JsonFields {
     /** Names the field and its value in one line. */
-    public static final class Bad extends RuntimeException {
+    public static final class InvalidFieldException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        public Bad(String field, Object value, String wanted) {
+        public InvalidFieldException(String field, Object value, String wanted) {
             super(line(field + " is " + value + ", but has to be " + wanted));
         }
 
@@ -28,25 +28,25 @@
     private final String where;
     private final JsonObject object;
 
-    private Fields(String where, JsonObject object) {
+    private JsonFields(String where, JsonObject object) {
         this.where = where;
         this.object = object;
     }
 
     /** Reads a text that holds one object; {@code name} is what it is called in messages. */
-    public static Fields parse(String name, String text) {
+    public static JsonFields parse(String name, String text) {
         JsonElement element;
         try {
             element = JsonParser.parseString(text);
         } catch (JsonParseException e) {
-            throw new Bad(name, "not JSON (" + e.getMessage() + ")", "a JSON object");
+            throw new InvalidFieldException(name, "not JSON (" + e.getMessage() + ")", "a JSON object");
         }
-        return new Fields("", object(name, element));
+        return new JsonFields("", object(name, element));
     }
 
     private static JsonObject object(String name, JsonElement element) {
         if (element == null || !element.isJsonObject()) {
-            throw new Bad(name, element, "an object");
+            throw new InvalidFieldException(name, element, "an object");
         }
         return element.getAsJsonObject();
     }
@@ -64,7 +64,7 @@
         if (e instanceof JsonPrimitive p && p.isString()) {
             return p.getAsString();
         }
-        throw new Bad(path(name), e, "a text");
+        throw new InvalidFieldException(path(name), e, "a text");
     }
 
     public String textOr(String name, String otherwise) {
@@ -75,7 +75,7 @@
         JsonElement e = object.get(name);
         double value = e instanceof JsonPrimitive p && p.isNumber() ? p.getAsDouble() : Double.NaN;
         if (!(value >= least && value <= most)) {
-            throw new Bad(path(name), e, "a number from " + plain(least) + " to " + plain(most));
+            throw new InvalidFieldException(path(name), e, "a number from " + plain(least) + " to " + plain(most));
         }
         return value;
     }
@@ -87,7 +87,7 @@
     public long whole(String name, long least, long most) {
         double value = number(name, least, most);
         if (value != Math.rint(value)) {
-            throw new Bad(path(name), object.get(name), "a whole number");
+            throw new InvalidFieldException(path(name), object.get(name), "a whole number");
         }
         return object.get(name).getAsLong();
     }
@@ -103,16 +103,16 @@
         if (object.get(name) instanceof JsonPrimitive p && p.isBoolean()) {
             return p.getAsBoolean();
         }
-        throw new Bad(path(name), object.get(name), "true or false");
+        throw new InvalidFieldException(path(name), object.get(name), "true or false");
     }
 
-    public Fields part(String name) {
-        return new Fields(path(name) + ".", object(path(name), object.get(name)));
+    public JsonFields part(String name) {
+        return new JsonFields(path(name) + ".", object(path(name), object.get(name)));
     }
 
     /** The part, or an empty one. */
-    public Fields partOr(String name) {
-        return has(name) ? part(name) : new Fields(path(name) + ".", new JsonObject());
+    public JsonFields partOr(String name) {
+        return has(name) ? part(name) : new JsonFields(path(name) + ".", new JsonObject());
     }
 
     public int size(String name) {
@@ -120,13 +120,13 @@
     }
 
     /** The part of that number in an array. */
-    public Fields part(String name, int number) {
+    public JsonFields part(String name, int number) {
         String place = path(name) + "[" + number + "]";
-        return new Fields(place + ".", object(place, array(name).get(number)));
+        return new JsonFields(place + ".", object(place, array(name).get(number)));
     }
 
-    public List<Fields> parts(String name) {
-        List<Fields> parts = new ArrayList<>();
+    public List<JsonFields> parts(String name) {
+        List<JsonFields> parts = new ArrayList<>();
         for (int i = 0; i < size(name); i++) {
             parts.add(part(name, i));
         }
@@ -137,7 +137,7 @@
         List<String> texts = new ArrayList<>();
         for (JsonElement e : array(name)) {
             if (!(e instanceof JsonPrimitive p && p.isString())) {
-                throw new Bad(path(name) + "[" + texts.size() + "]", e, "a text");
+                throw new InvalidFieldException(path(name) + "[" + texts.size() + "]", e, "a text");
             }
             texts.add(e.getAsString());
         }
@@ -148,7 +148,7 @@
         List<Double> numbers = new ArrayList<>();
         for (JsonElement e : array(name)) {
             if (!(e instanceof JsonPrimitive p && p.isNumber())) {
-                throw new Bad(path(name) + "[" + numbers.size() + "]", e, "a number");
+                throw new InvalidFieldException(path(name) + "[" + numbers.size() + "]", e, "a number");
             }
             numbers.add(e.getAsDouble());
         }
@@ -162,7 +162,7 @@
         if (object.get(name) instanceof JsonArray array) {
             return array;
         }
-        throw new Bad(path(name), object.get(name), "an array");
+        throw new InvalidFieldException(path(name), object.get(name), "an array");
     }
 
     private static String plain(double value) {
--- a/src/main/java/nettlewick/net/ListFrames.java
+++ b/src/main/java/nettlewick/net/JsonObjectFramer.java
@@ -8,7 +8,7 @@
  * Cuts what discovery writes into JSON objects, on one line each or indented over several, wherever the bytes
  * are cut. Between objects only white space may stand; a line that ends there is a sign of life. Pure.
  */
-final class ListFrames {
+final class JsonObjectFramer {
     /** One object may be so long, in bytes. */
     static final int MOST = 4 << 20;
 
@@ -28,14 +28,15 @@
         for (byte b : bytes) {
             if (depth == 0 && b != '{') {
                 if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
-                    throw new Fields.Bad("the list", "no object: " + (char) (b & 0xFF), "JSON objects");
+                    throw new JsonFields.InvalidFieldException(
+                            "the list", "no object: " + (char) (b & 0xFF), "JSON objects");
                 }
                 word |= b == '\n';
                 continue;
             }
             object.write(b);
             if (object.size() > MOST) {
-                throw new Fields.Bad("the list", "over " + MOST + " bytes", "shorter");
+                throw new JsonFields.InvalidFieldException("the list", "over " + MOST + " bytes", "shorter");
             }
             follow(b);
             if (depth == 0) {
--- a/src/main/java/nettlewick/net/LoadProbe.java
+++ b/src/main/java/nettlewick/net/LoadProbe.java
@@ -7,17 +7,17 @@
 import java.nio.charset.StandardCharsets;
 import nettlewick.core.Attempt;
 import nettlewick.core.Probe;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
 
 /** A question to a sim runner for its load. */
-final class LoadProbe extends Call {
+final class LoadProbe extends OutboundRequest {
     private static final int MOST = 4096;
 
     private final Probe probe;
     private final Buffer report = Buffer.buffer();
-    private Result result;
+    private AttemptResult result;
 
-    LoadProbe(Probe probe, Subchannels subchannels) {
+    LoadProbe(Probe probe, EndpointConnectionPools subchannels) {
         super(subchannels);
         this.probe = probe;
     }
@@ -39,7 +39,7 @@
 
     @Override
     void answer(HttpClientResponse response) {
-        result = response.statusCode() == OK ? Result.SERVED : unserved(response);
+        result = response.statusCode() == OK ? AttemptResult.SERVED : unserved(response);
         response.handler(part -> {
             if (report.length() + part.length() <= MOST) {
                 report.appendBuffer(part);
@@ -54,6 +54,6 @@
 
     @Override
     void tell(Attempt.Outcome outcome) {
-        subchannels.core().probed(probe, outcome);
+        subchannels.core().probeAnswered(probe, outcome);
     }
 }
--- a/src/main/java/nettlewick/net/LoadReport.java
+++ b/src/main/java/nettlewick/net/LoadReport.java
@@ -2,21 +2,21 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import nettlewick.decision.Dispatcher.Load;
+import nettlewick.decision.Dispatcher.EndpointLoad;
 
 /** Load reports as sim runners write them: {@code name=value,name=value}, or the same as a JSON object. */
 final class LoadReport {
     private LoadReport() {}
 
     /** The report in a header or body; null if it says nothing that can be read. */
-    static Load parse(String text) {
+    static EndpointLoad parse(String text) {
         if (text == null || text.isBlank()) {
             return null;
         }
         if (text.stripLeading().startsWith("{")) {
             try {
-                return of(Fields.parse("the load report", text));
-            } catch (Fields.Bad e) {
+                return of(JsonFields.parse("the load report", text));
+            } catch (JsonFields.InvalidFieldException e) {
                 return null;
             }
         }
@@ -24,7 +24,7 @@
         return values.isEmpty() ? null : load(name -> values.getOrDefault(name, Double.NaN));
     }
 
-    static Load of(Fields f) {
+    static EndpointLoad of(JsonFields f) {
         return load(name -> f.numberOr(name, Double.NaN, -1e15, 1e15));
     }
 
@@ -57,8 +57,8 @@
     }
 
     /** The same value has one name in the settings and may have the simulator's on the sockets. */
-    private static Load load(Values v) {
-        return new Load(
+    private static EndpointLoad load(Values v) {
+        return new EndpointLoad(
                 v.get("x0"),
                 v.get("x1"),
                 v.either("depth", "queue"),
--- a/src/main/java/nettlewick/net/Call.java
+++ b/src/main/java/nettlewick/net/OutboundRequest.java
@@ -5,11 +5,11 @@
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.RequestOptions;
 import nettlewick.core.Attempt;
-import nettlewick.decision.Dispatcher.Load;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Dispatcher.EndpointLoad;
 
 /** One request to a sim runner and what comes back: a call attempt or a probe. Lives on the event loop. */
-abstract class Call {
+abstract class OutboundRequest {
     /** Time for the rest of an answer whose meaning is known; then its connection is closed. */
     private static final long TAIL = 1000;
 
@@ -17,13 +17,13 @@
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    protected final Subchannels subchannels;
-    private final CallState state = new CallState();
-    private Subchannel.Link link;
+    protected final EndpointConnectionPools subchannels;
+    private final AttemptState state = new AttemptState();
+    private EndpointConnections.Link link;
     private boolean answering;
     private boolean whole;
 
-    Call(Subchannels subchannels) {
+    OutboundRequest(EndpointConnectionPools subchannels) {
         this.subchannels = subchannels;
     }
 
@@ -59,13 +59,13 @@
     abstract void tell(Attempt.Outcome outcome);
 
     boolean over() {
-        return state.phase() == CallState.Phase.OVER;
+        return state.phase() == AttemptState.Phase.OVER;
     }
 
     /** A connection is there: sends the request on it, if it may still go. */
-    void write(Subchannel.Link on) {
+    void write(EndpointConnections.Link on) {
         if (!over() && !mayBegin()) {
-            finish(Result.MOOT, null, null);
+            finish(AttemptResult.NOT_SENT, null, null);
         }
         if (!state.write()) {
             on.free(this);
@@ -106,7 +106,7 @@
         if (mayBegin()) {
             request.end(rest).onSuccess(v -> whole());
         } else {
-            finish(Result.MOOT, null, null);
+            finish(AttemptResult.NOT_SENT, null, null);
             link.close();
         }
     }
@@ -140,11 +140,11 @@
     }
 
     /** What an answer without a result means. */
-    static Result unserved(HttpClientResponse response) {
+    static AttemptResult unserved(HttpClientResponse response) {
         int status = response.statusCode();
         boolean never =
                 (status == UNAVAILABLE || status == GATEWAY_TIMEOUT) && "1".equals(response.getHeader("X-Not-Run"));
-        return never ? Result.FULL : Result.ERROR;
+        return never ? AttemptResult.OVERLOADED : AttemptResult.ERROR;
     }
 
     void broke() {
@@ -157,7 +157,7 @@
                 return;
             }
         }
-        Result result = state.broke();
+        AttemptResult result = state.broke();
         if (result != null) {
             tell(Attempt.Outcome.of(result));
             subchannels.over(this);
@@ -165,12 +165,12 @@
     }
 
     /** The call has its end; what is left of its answer is read so that the connection can be used again. */
-    void finish(Result result, byte[] body, Load load) {
+    void finish(AttemptResult result, byte[] body, EndpointLoad load) {
         if (state.finish(result) != null) {
             tell(new Attempt.Outcome(result, body, load));
             subchannels.over(this);
             if (link != null) {
-                Subchannel.Link mine = link;
+                EndpointConnections.Link mine = link;
                 subchannels.after(TAIL, () -> mine.closeIf(this));
             }
         }
@@ -178,7 +178,7 @@
 
     /** Nobody waits for it any more: its connection is closed. */
     void drop() {
-        if (state.finish(Result.CANCELLED) != null) {
+        if (state.finish(AttemptResult.CANCELLED) != null) {
             subchannels.over(this);
             if (link != null) {
                 link.close();
--- a/src/main/java/nettlewick/net/PeerSocket.java
+++ b/src/main/java/nettlewick/net/PeerSocket.java
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiConsumer;
-import nettlewick.log.Part;
+import nettlewick.log.ComponentLogger;
 
 /** Short messages to and from the other dispatchers. Lives on the event loop. */
 final class PeerSocket {
-    private static final Part LOG = Part.of("peers");
+    private static final ComponentLogger LOG = ComponentLogger.of("peers");
     private static final int MOST = 256;
     /** Between two tries for a port that another process still holds. */
     private static final long AGAIN = 100;
 
-    private Config config;
+    private PlatformConfig config;
     private volatile boolean bound;
     private boolean closed;
     private final Vertx vertx;
@@ -30,13 +30,13 @@
 
     private final AtomicLong strangers = new AtomicLong();
 
-    PeerSocket(Vertx vertx, Config config) {
+    PeerSocket(Vertx vertx, PlatformConfig config) {
         this.vertx = vertx;
         reload(config);
     }
 
     /** Takes the peers' addresses over. */
-    void reload(Config next) {
+    void reload(PlatformConfig next) {
         config = next;
         ranks.clear();
         for (int rank = 0; rank < config.peers().size(); rank++) {
--- a/src/main/java/nettlewick/net/Config.java
+++ b/src/main/java/nettlewick/net/PlatformConfig.java
@@ -9,12 +9,14 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
+import java.util.Set;
 import nettlewick.decision.Dispatcher.*;
 
 /** What the platform tells a dispatcher: {@code $ROUTER_CONFIG}, with the other variables over it. */
-public record Config(
+public record PlatformConfig(
         String name,
         SocketAddress listen,
         SocketAddress discovery,
@@ -22,8 +24,8 @@
         int sockets,
         SocketAddress peerListen,
         List<SocketAddress> peers,
-        ResolverResult known,
-        Settings settings,
+        EndpointListSnapshot known,
+        SchedulerSettings settings,
         double connectTimeout,
         double connIdle,
         int maxOpen,
@@ -31,17 +33,19 @@
         SocketAddress adminAddr) {
     private static final double MILLION = 1e6;
     private static final long LONG_TIME = Long.MAX_VALUE / 4;
+    private static final Map<String, Idempotency> IDEMPOTENCY_NAMES = idempotencyNames();
+    private static final Map<String, Scope> SCOPE_NAMES = scopeNames();
 
     /** Reads the configuration that these environment variables name. */
-    public static Config load(Map<String, String> environment) {
+    public static PlatformConfig load(Map<String, String> environment) {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null) {
-            throw new Fields.Bad("ROUTER_CONFIG", null, "the path of the configuration");
+            throw new JsonFields.InvalidFieldException("ROUTER_CONFIG", null, "the path of the configuration");
         }
         try {
             return of(Files.readString(Path.of(file)), environment);
         } catch (IOException | InvalidPathException e) {
-            throw new Fields.Bad("ROUTER_CONFIG", file + " (" + e + ")", "a readable file");
+            throw new JsonFields.InvalidFieldException("ROUTER_CONFIG", file + " (" + e + ")", "a readable file");
         }
     }
 
@@ -49,17 +53,17 @@
      * Reads it once more, after SIGHUP. Danger: $ROUTER_DISCOVERY is as old as the process; the address that
      * the file names now counts over it.
      */
-    public static Config reload(Map<String, String> environment) {
+    public static PlatformConfig reload(Map<String, String> environment) {
         Map<String, String> rest = new HashMap<>(environment);
         rest.remove("ROUTER_DISCOVERY");
         return load(rest);
     }
 
     /** Reads a configuration from its text. */
-    public static Config of(String text, Map<String, String> environment) {
-        Fields f = Fields.parse("the configuration", text);
+    public static PlatformConfig of(String text, Map<String, String> environment) {
+        JsonFields f = JsonFields.parse("the configuration", text);
         String seed = f.text("seed");
-        Settings settings = settings(f.part("settings"));
+        SchedulerSettings settings = settings(f.part("settings"));
         List<SocketAddress> peers = new ArrayList<>();
         for (String peer : f.texts("peers")) {
             peers.add(Address.parse(f.path("peers") + "[" + peers.size() + "]", peer));
@@ -67,11 +71,12 @@
         if (f.has("peers")
                 && peers.size() != settings.fleetSize()
                 && settings.limits().peers()) {
-            throw new Fields.Bad("peers", peers.size() + " addresses", "one for each of settings.fleet_size");
+            throw new JsonFields.InvalidFieldException(
+                    "peers", peers.size() + " addresses", "one for each of settings.fleet_size");
         }
-        Fields limits = f.partOr("limits");
-        Fields ceilings = f.part("settings").part("ceilings");
-        return new Config(
+        JsonFields limits = f.partOr("limits");
+        JsonFields ceilings = f.part("settings").part("ceilings");
+        return new PlatformConfig(
                 environment.getOrDefault("ROUTER_NAME", f.textOr("name", "nettlewick")),
                 address(f, "listen", environment.get("ROUTER_LISTEN")),
                 address(f, "discovery", environment.get("ROUTER_DISCOVERY")),
@@ -90,8 +95,8 @@
                         : null);
     }
 
-    private static ResolverResult known(Fields f) {
-        ResolverResult known = ResolverResult.of(f);
+    private static EndpointListSnapshot known(JsonFields f) {
+        EndpointListSnapshot known = EndpointListSnapshot.of(f);
         if (!known.faults().isEmpty()) {
             throw known.faults().get(0);
         }
@@ -102,26 +107,26 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new Fields.Bad("seed", '"' + text + '"', "up to 16 hexadecimal digits");
+            throw new JsonFields.InvalidFieldException("seed", '"' + text + '"', "up to 16 hexadecimal digits");
         }
     }
 
-    private static SocketAddress address(Fields f, String name, String over) {
+    private static SocketAddress address(JsonFields f, String name, String over) {
         return Address.parse(name, over != null ? over : f.text(name));
     }
 
-    private static Settings settings(Fields f) {
-        Fields family = f.partOr("family_info");
+    private static SchedulerSettings settings(JsonFields f) {
+        JsonFields family = f.partOr("family_info");
         List<Double> kinds = family.numbers("class_kind");
         List<Double> stretches = family.numbers("class_stretch");
         List<Double> priorities = family.numbers("class_priority");
-        List<JobClass> classes = new ArrayList<>();
-        for (Fields c : f.parts("classes")) {
+        List<RequestClass> classes = new ArrayList<>();
+        for (JsonFields c : f.parts("classes")) {
             int at = classes.size();
-            classes.add(new JobClass(
+            classes.add(new RequestClass(
                     c.text("name"),
-                    choice(c, "repeat", Repeat.values(), null),
-                    choice(c, "dedup_scope", Scope.values(), Scope.ALL),
+                    choice(c, "repeat", IDEMPOTENCY_NAMES, null),
+                    choice(c, "dedup_scope", SCOPE_NAMES, Scope.ALL),
                     c.wholeOr("window", 0, 0, LONG_TIME),
                     c.whole("aim", 1, LONG_TIME),
                     c.numberOr("aim_stretch", at(stretches, at, 0), 0, 1e9),
@@ -133,16 +138,16 @@
                     (int) at(priorities, at, 0)));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (Fields t : f.parts("tenants")) {
+        for (JsonFields t : f.parts("tenants")) {
             tenants.add(
                     new Tenant(t.text("name"), t.numberOr("fraction", 0, 0, 1), t.numberOr("quota_per_s", 0, 0, 1e9)));
         }
-        Fields l = f.part("ceilings");
-        Fields r = f.part("rules");
+        JsonFields l = f.part("ceilings");
+        JsonFields r = f.part("rules");
         String source = f.partOr("report").textOr("source", "off");
         String weights = f.textOr("weights", "off");
         try {
-            return new Settings(
+            return new SchedulerSettings(
                     (int) f.whole("rank", 0, 1 << 20),
                     (int) f.whole("fleet_size", 1, 1 << 20),
                     f.textOr("zone", null),
@@ -152,8 +157,8 @@
                     "on_request".equals(f.textOr("membership_mode", "pushed")),
                     "nominal".equals(weights) || "rough".equals(weights),
                     "inline".equals(source)
-                            ? Reports.INLINE
-                            : "on_probe".equals(source) ? Reports.ON_PROBE : Reports.OFF,
+                            ? LoadReporting.INLINE
+                            : "on_probe".equals(source) ? LoadReporting.ON_PROBE : LoadReporting.OFF,
                     family.wholeOr("progress", 0, 0, LONG_TIME),
                     new Limits(
                             (int) l.whole("attempts_cap", 1, 1000),
@@ -172,7 +177,7 @@
                             r.wholeOr("fall", 0, 0, LONG_TIME),
                             r.numberOr("overload_factor", 1, 0, 1e9)));
         } catch (IllegalArgumentException e) {
-            throw new Fields.Bad("settings", e.getMessage(), "settings that make sense");
+            throw new JsonFields.InvalidFieldException("settings", e.getMessage(), "settings that make sense");
         }
     }
 
@@ -180,20 +185,41 @@
         return index < list.size() ? list.get(index) : otherwise;
     }
 
-    private static <E extends Enum<E>> E choice(Fields f, String name, E[] values, E otherwise) {
-        if (otherwise != null && !f.has(name)) {
+    /** The words of the settings for what a repeated request may do, in the order in which an error lists them. */
+    private static Map<String, Idempotency> idempotencyNames() {
+        Map<String, Idempotency> names = new LinkedHashMap<>();
+        names.put("retryable", Idempotency.IDEMPOTENT);
+        names.put("dedup", Idempotency.KEYED);
+        names.put("fragile", Idempotency.NON_IDEMPOTENT);
+        return names;
+    }
+
+    private static Map<String, Scope> scopeNames() {
+        Map<String, Scope> names = new LinkedHashMap<>();
+        for (Scope scope : Scope.values()) {
+            names.put(scope.name().toLowerCase(Locale.ROOT), scope);
+        }
+        return names;
+    }
+
+    private static <E> E choice(JsonFields fields, String name, Map<String, E> values, E otherwise) {
+        if (otherwise != null && !fields.has(name)) {
             return otherwise;
         }
-        for (E value : values) {
-            if (value.name().toLowerCase(java.util.Locale.ROOT).equals(f.text(name))) {
-                return value;
-            }
+        E value = values.get(fields.text(name));
+        if (value == null) {
+            throw new JsonFields.InvalidFieldException(
+                    fields.path(name), fields.text(name), "one of " + names(values.keySet()));
         }
-        throw new Fields.Bad(f.path(name), f.text(name), "one of " + List.of(values));
+        return value;
+    }
+
+    private static List<String> names(Set<String> values) {
+        return values.stream().map(value -> value.toUpperCase(Locale.ROOT)).toList();
     }
 
     /** The fields in which that one differs and which cannot change while the dispatcher runs. */
-    List<String> needRestart(Config next) {
+    List<String> needRestart(PlatformConfig next) {
         Map<String, Boolean> same = new LinkedHashMap<>();
         same.put("name", name.equals(next.name));
         same.put("listen", listen.equals(next.listen));
@@ -209,8 +235,8 @@
     }
 
     /** This one, with what may change while the dispatcher runs as in that one. */
-    Config changed(Config next) {
-        return new Config(
+    PlatformConfig changed(PlatformConfig next) {
+        return new PlatformConfig(
                 name,
                 listen,
                 next.discovery,
@@ -228,8 +254,8 @@
     }
 
     /** The same, but for clients at any free port: for a warm-up that nobody else sees. */
-    Config atFreePort() {
-        return new Config(
+    PlatformConfig atFreePort() {
+        return new PlatformConfig(
                 name,
                 SocketAddress.inetSocketAddress(0, listen.hostAddress()),
                 discovery,
@@ -247,8 +273,9 @@
     }
 
     /** Whether a job of this class may run more than once without harm. */
-    boolean mayRepeat(String jobClass) {
-        return settings.classes().stream().anyMatch(c -> c.name().equals(jobClass) && c.repeat() == Repeat.RETRYABLE);
+    boolean mayRepeat(String requestClass) {
+        return settings.classes().stream()
+                .anyMatch(c -> c.name().equals(requestClass) && c.idempotency() == Idempotency.IDEMPOTENT);
     }
 
     /** True if this is a class of the settings. */
--- a/src/main/java/nettlewick/net/PlatformFront.java
+++ b/src/main/java/nettlewick/net/PlatformFrontend.java
@@ -8,35 +8,35 @@
 import io.vertx.core.http.HttpServerResponse;
 import java.util.Locale;
 import java.util.function.BooleanSupplier;
-import nettlewick.core.Books;
 import nettlewick.core.Clock;
-import nettlewick.core.Core;
-import nettlewick.core.Figures;
+import nettlewick.core.Metrics;
 import nettlewick.core.Request;
+import nettlewick.core.RequestCoordinator;
+import nettlewick.core.UsageRecorder;
 
 /** The platform's own front: one job, one request, one answer. Lives on the event loop. */
-public final class PlatformFront extends HttpFront {
+public final class PlatformFrontend extends HttpFrontend {
     private static final int UNAVAILABLE = 503;
 
     private final Context loop;
     private final Clock clock;
-    private final Core core;
-    private final RpcReader reader;
+    private final RequestCoordinator core;
+    private final RequestReader reader;
     private final BooleanSupplier holdsList;
-    private final Tap tap;
+    private final TrafficListener tap;
 
-    public PlatformFront(Base base) {
-        this(base, Tap.NONE);
+    public PlatformFrontend(Base base) {
+        this(base, TrafficListener.NONE);
     }
 
-    public PlatformFront(Base base, Tap tap) {
+    public PlatformFrontend(Base base, TrafficListener tap) {
         super(base, base.config().listen(), -1);
         this.tap = tap;
         loop = base.loop();
         clock = base.clock();
         core = base.core();
         holdsList = base.holdsList();
-        reader = new RpcReader(base.config());
+        reader = new RequestReader(base.config());
     }
 
     @Override
@@ -44,11 +44,11 @@
         String path = request.path();
         if ("/_health".equals(path)) {
             health(request);
-        } else if (!RpcReader.isJob(path)) {
-            RpcReader.reject(request, 404, "no such path");
+        } else if (!RequestReader.isJob(path)) {
+            RequestReader.reject(request, 404, "no such path");
         } else if (!HttpMethod.POST.equals(request.method())) {
             request.response().putHeader("Allow", "POST");
-            RpcReader.reject(request, 405, "jobs come by POST");
+            RequestReader.reject(request, 405, "jobs come by POST");
         } else {
             reader.read(request, arrivedAt(request), draft -> take(request, draft));
         }
@@ -62,18 +62,19 @@
     private void health(HttpServerRequest request) {
         if (!HttpMethod.GET.equals(request.method()) && !HttpMethod.HEAD.equals(request.method())) {
             request.response().putHeader("Allow", "GET, HEAD");
-            RpcReader.reject(request, 405, "health is asked for by GET");
+            RequestReader.reject(request, 405, "health is asked for by GET");
         } else if (holdsList.getAsBoolean() && base.state().healthy()) {
             request.response().end();
         } else {
-            RpcReader.reject(request, UNAVAILABLE, base.state().healthy() ? "no list of sim runners yet" : "draining");
+            RequestReader.reject(
+                    request, UNAVAILABLE, base.state().healthy() ? "no list of sim runners yet" : "draining");
         }
     }
 
-    private void take(HttpServerRequest http, RpcReader.Draft draft) {
+    private void take(HttpServerRequest http, RequestReader.Draft draft) {
         HttpServerResponse response = http.response();
         tap.request(http, draft.rpc().body());
-        Figures.Ticket ticket = core.figures().taken(draft.jobClass());
+        Metrics.Ticket ticket = core.figures().taken(draft.jobClass());
         Request request = draft.with(new Request.Caller() {
             @Override
             public boolean present() {
@@ -81,7 +82,7 @@
             }
 
             @Override
-            public void receipt(Books.Receipt receipt) {
+            public void receipt(UsageRecorder.Receipt receipt) {
                 loop.runOnContext(v -> ticket.owe(receipt));
             }
 
@@ -91,7 +92,7 @@
             }
 
             @Override
-            public void refused(double retryAfter) {
+            public void rejected(double retryAfter) {
                 loop.runOnContext(v -> {
                     if (retryAfter > 0 && !response.closed()) {
                         response.putHeader("Retry-After", seconds(retryAfter));
@@ -116,7 +117,7 @@
         return String.format(Locale.ROOT, "%.3f", millis / 1000);
     }
 
-    private void answer(HttpServerRequest http, int status, Buffer body, Figures.Ticket ticket) {
+    private void answer(HttpServerRequest http, int status, Buffer body, Metrics.Ticket ticket) {
         HttpServerResponse response = http.response();
         if (response.ended() || response.closed()) {
             return;
@@ -126,9 +127,9 @@
         }
         response.setStatusCode(status);
         tap.answer(http, response, body);
-        Figures.End end = status == Call.OK
-                ? Figures.End.FULFILLED
-                : status == UNAVAILABLE ? Figures.End.THROTTLED : Figures.End.FAULTED;
+        Metrics.End end = status == OutboundRequest.OK
+                ? Metrics.End.FULFILLED
+                : status == UNAVAILABLE ? Metrics.End.THROTTLED : Metrics.End.FAULTED;
         response.end(body).onSuccess(v -> ticket.answered(end)).onFailure(e -> ticket.left());
     }
 }
--- a/src/main/java/nettlewick/net/AskPause.java
+++ b/src/main/java/nettlewick/net/PollBackoff.java
@@ -8,7 +8,7 @@
  * works through calls one after another: what all ask together grows with the tier, and calls that are given
  * up and made again take the place of others. Pure; the random numbers are the caller's.
  */
-final class AskPause {
+final class PollBackoff {
     private static final double LEAST = 100;
     private static final double MOST = 2000;
     /** The most at an agent, which bears any number of calls: what it gets at its return counts at once. */
@@ -30,7 +30,7 @@
      * @param askers dispatchers of the tier
      * @param within who has not asked for so long counts as told (the settings' {@code ask_within}), in ms
      */
-    AskPause(boolean asked, int askers, double within, SplittableRandom random) {
+    PollBackoff(boolean asked, int askers, double within, SplittableRandom random) {
         this.asked = asked;
         this.random = random;
         most = asked ? Math.max(MOST, within / 2) : AGENT_MOST;
--- a/src/main/java/nettlewick/net/RpcReader.java
+++ b/src/main/java/nettlewick/net/RequestReader.java
@@ -14,7 +14,7 @@
  * Reads an RPC from an HTTP request, whole and checked, for every front alike. What is not in order is
  * answered here with its status and never reaches the core.
  */
-public final class RpcReader {
+public final class RequestReader {
     private static final String JOBS = "/api";
     /** Answers are due this much before the client gives up: it counts from its send, not from our read. */
     private static final double MARGIN = 20;
@@ -23,9 +23,9 @@
     private static final int ID_MOST = 256;
     private static final Pattern NUMBER = Pattern.compile("\\d{1,15}(\\.\\d{0,15})?");
 
-    private final Config config;
+    private final PlatformConfig config;
 
-    public RpcReader(Config config) {
+    public RequestReader(PlatformConfig config) {
         this.config = config;
     }
 
@@ -40,18 +40,18 @@
             double memory,
             double hint,
             boolean repeat,
-            Rpc rpc) {
+            ForwardedRequest rpc) {
         public Request with(Request.Caller caller) {
             return new Request(id, jobClass, tenant, key, deadline, slots, memory, hint, repeat, rpc, caller);
         }
     }
 
     /** Says what is wrong with a request, and the status for it. */
-    public static final class Rejected extends Exception {
+    public static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1;
         private final int status;
 
-        public Rejected(int status, String message) {
+        public InvalidRequestException(int status, String message) {
             super(message);
             this.status = status;
         }
@@ -75,7 +75,7 @@
         request.endHandler(v -> {
             try {
                 then.handle(draft(request.method(), request.uri(), request.headers(), body, now));
-            } catch (Rejected e) {
+            } catch (InvalidRequestException e) {
                 reject(request, e.status(), e.getMessage());
             }
         });
@@ -94,11 +94,12 @@
     }
 
     /** Checks the parts of a request that came whole at this time, by whatever way. */
-    public Draft draft(HttpMethod method, String uri, MultiMap request, Buffer body, double now) throws Rejected {
+    public Draft draft(HttpMethod method, String uri, MultiMap request, Buffer body, double now)
+            throws InvalidRequestException {
         String id = visible(request, "X-Request-Id");
-        String jobClass = need(request, "X-Class");
-        if (!config.hasClass(jobClass)) {
-            throw new Rejected(400, "unknown class in X-Class");
+        String requestClass = need(request, "X-Class");
+        if (!config.hasClass(requestClass)) {
+            throw new InvalidRequestException(400, "unknown class in X-Class");
         }
         double seconds = number(need(request, "X-Deadline"), "X-Deadline", LONGEST);
         boolean keyed = request.contains("Idempotency-Key");
@@ -109,11 +110,11 @@
         double slots = more.getOrDefault("slots", more.getOrDefault("needs", 1.0));
         double memory = more.getOrDefault("mem", more.getOrDefault("memory", 0.0));
         if (slots < 0 || memory < 0) {
-            throw new Rejected(400, "X-Extras holds a figure below 0");
+            throw new InvalidRequestException(400, "X-Extras holds a figure below 0");
         }
         return new Draft(
                 id,
-                jobClass,
+                requestClass,
                 request.get("X-Tenant"),
                 user(request),
                 now + Math.max(0, seconds * 1000 - MARGIN),
@@ -121,42 +122,42 @@
                 memory,
                 hint == null ? 0 : number(hint, "X-Cost-Hint", 1e12) / 1000,
                 "1".equals(request.get("X-Retry")),
-                new Rpc(method, checked(uri), body, key));
+                new ForwardedRequest(method, checked(uri), body, key));
     }
 
-    private static String checked(String uri) throws Rejected {
+    private static String checked(String uri) throws InvalidRequestException {
         // Danger: what is not ASCII would go on as other bytes than came. A URI has nothing else.
         if (!uri.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
-            throw new Rejected(400, "the path is not a URI");
+            throw new InvalidRequestException(400, "the path is not a URI");
         }
         return uri;
     }
 
-    private static String need(MultiMap request, String header) throws Rejected {
+    private static String need(MultiMap request, String header) throws InvalidRequestException {
         if (request.getAll(header).size() > 1) {
-            throw new Rejected(400, header + " stands there more than once");
+            throw new InvalidRequestException(400, header + " stands there more than once");
         }
         String value = request.get(header);
         if (value == null || value.isBlank()) {
-            throw new Rejected(400, header + " is missing");
+            throw new InvalidRequestException(400, header + " is missing");
         }
         return value;
     }
 
     /** A header that goes on as it came, so nothing that a header cannot carry unchanged. */
-    private static String visible(MultiMap request, String header) throws Rejected {
+    private static String visible(MultiMap request, String header) throws InvalidRequestException {
         String value = need(request, header);
         if (value.length() > ID_MOST || !value.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
-            throw new Rejected(400, header + " is not an id");
+            throw new InvalidRequestException(400, header + " is not an id");
         }
         return value;
     }
 
-    private static double number(String text, String header, double most) throws Rejected {
+    private static double number(String text, String header, double most) throws InvalidRequestException {
         // Danger: Java would read "5d", "0x1p3" and "1e9" as numbers too; clients write plain decimals.
         double value = NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
         if (!(value >= 0 && value <= most)) {
-            throw new Rejected(400, header + " is not a number from 0 to " + (long) most);
+            throw new InvalidRequestException(400, header + " is not a number from 0 to " + (long) most);
         }
         return value;
     }
--- a/src/main/java/nettlewick/net/StrictDecoder.java
+++ b/src/main/java/nettlewick/net/StrictHttpDecoder.java
@@ -6,10 +6,10 @@
 import io.vertx.core.http.impl.VertxHttpRequestDecoder;
 
 /** The server's decoder, less its kindness to a request of two lengths; it tells when bytes come. */
-final class StrictDecoder extends VertxHttpRequestDecoder {
+final class StrictHttpDecoder extends VertxHttpRequestDecoder {
     private final Runnable bytes;
 
-    StrictDecoder(HttpServerOptions options, Runnable bytes) {
+    StrictHttpDecoder(HttpServerOptions options, Runnable bytes) {
         super(options);
         this.bytes = bytes;
     }
--- a/src/main/java/nettlewick/net/Tap.java
+++ b/src/main/java/nettlewick/net/TrafficListener.java
@@ -6,9 +6,9 @@
 import io.vertx.core.http.HttpServerResponse;
 
 /** Is shown the traffic that a front serves. Called on the event loop. */
-public interface Tap {
+public interface TrafficListener {
     /** Shows nothing to anybody. */
-    Tap NONE = new Tap() {};
+    TrafficListener NONE = new TrafficListener() {};
 
     /** A request has come whole. */
     default void request(HttpServerRequest request, Buffer body) {}
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -46,26 +46,27 @@
     }
 
     /** Lets an instance that nobody hears decide on jobs that nobody sent. */
-    static void module(Settings settings) {
+    static void module(SchedulerSettings settings) {
         Dispatcher module = Dispatcher.create(settings, 1);
-        List<WorkerEntry> workers = new ArrayList<>();
+        List<EndpointEntry> workers = new ArrayList<>();
         for (int i = 0; i < WORKERS; i++) {
             List<String> kinds = settings.kinds();
             String kind = kinds.isEmpty() ? null : kinds.get(i % kinds.size());
-            workers.add(new WorkerEntry("w" + i, Life.READY, 0, 0, kind, settings.zone(), 1));
+            workers.add(new EndpointEntry("w" + i, EndpointState.READY, 0, 0, kind, settings.zone(), 1));
         }
-        List<Event> next = new ArrayList<>(List.of(new WorkerList(true, workers)));
+        List<Event> next = new ArrayList<>(List.of(new EndpointList(true, workers)));
         for (int job = 0; job < JOBS; job++) {
-            JobClass kind = settings.classes().get(job % settings.classes().size());
+            RequestClass kind = settings.classes().get(job % settings.classes().size());
             next.add(new Arrival("j" + job, kind.name(), null, kind.deadline(), 1, 0, 0, null, false));
             long now = job * STEP;
             List<Action> actions = module.handle(now, next);
             next = new ArrayList<>();
             for (Action action : actions) {
                 if (action instanceof Dispatch d) {
-                    next.add(new Outcome(d.id(), 0, d.worker(), Result.SERVED, STEP, true, null));
+                    next.add(new Outcome(d.id(), 0, d.endpoint(), AttemptResult.SERVED, STEP, true, null));
                 } else if (action instanceof Dispatcher.Probe p) {
-                    next.add(new ProbeAnswer(p.worker(), Result.SERVED, STEP, new Load(4, 4, 0, 0, 0)));
+                    next.add(
+                            new ProbeAnswer(p.endpoint(), AttemptResult.SERVED, STEP, new EndpointLoad(4, 4, 0, 0, 0)));
                 } else if (action instanceof SetTimer t && job % 20 == 0) {
                     next.add(new Timer(t.name()));
                 }
--- a/src/main/java/nettlewick/net/ListClock.java
+++ b/src/main/java/nettlewick/net/WatchStalenessTimer.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import java.util.SplittableRandom;
-import nettlewick.decision.Dispatcher.Settings;
+import nettlewick.decision.Dispatcher.SchedulerSettings;
 
 /**
  * The one clock for the list of runners (docs/service.md): when a watch on discovery counts as broken, and
@@ -10,7 +10,7 @@
  * be found out, opened and answered inside that time, with calls that fail between. Times are milliseconds.
  * Pure: time is handed in, the pauses' random numbers are the caller's.
  */
-final class ListClock {
+final class WatchStalenessTimer {
     /** What a silent watch missed counts as told after this long. */
     static final double TOLD = 6000;
     /** Discovery writes an empty line this often while nothing changes. */
@@ -33,7 +33,7 @@
 
     private static final int CUT_SHORT = 2;
 
-    private final AskPause pause;
+    private final PollBackoff pause;
     private final double silence;
     private final double told;
     /** Whether this address has ever said a word. */
@@ -54,17 +54,17 @@
      * @param pause  the pauses between calls
      * @param within where discovery is asked: for how long a call may wait, in ms
      */
-    ListClock(AskPause pause, double within) {
+    WatchStalenessTimer(PollBackoff pause, double within) {
         this.pause = pause;
         silence = pause.asked() ? ASKED_SILENCE : AGENT_SILENCE;
         told = pause.asked() ? Math.max(TOLD, within + AFTER_WAIT) : TOLD;
     }
 
     /** By a site's settings; the seed is that of the pauses. */
-    static ListClock of(Settings settings, long seed) {
+    static WatchStalenessTimer of(SchedulerSettings settings, long seed) {
         double within = settings.rules().askWithin() / 1e6;
-        return new ListClock(
-                new AskPause(settings.listOnRequest(), settings.fleetSize(), within, new SplittableRandom(seed)),
+        return new WatchStalenessTimer(
+                new PollBackoff(settings.listOnRequest(), settings.fleetSize(), within, new SplittableRandom(seed)),
                 within);
     }
 
--- a/src/main/java/nettlewick/pcap/Capture.java
+++ b/src/main/java/nettlewick/pcap/Capture.java
@@ -28,7 +28,7 @@
 
     private static final Pattern REQUEST = Pattern.compile("[A-Z]{3,10} \\S+ HTTP/1\\.[01]\\r\\n.*", Pattern.DOTALL);
 
-    private final List<Recorded> requests = new ArrayList<>();
+    private final List<RecordedRequest> requests = new ArrayList<>();
     private final Map<String, TcpFlow> flows = new LinkedHashMap<>();
     private int lost;
 
@@ -36,10 +36,10 @@
 
     public static Capture read(Path file) throws IOException {
         if (!Files.isRegularFile(file)) {
-            throw new CaptureError(file + " is not a file");
+            throw new CaptureFormatException(file + " is not a file");
         }
         if (Files.size(file) > FILE_MOST) {
-            throw new CaptureError(file + " is larger than " + (FILE_MOST >> 20) + " MiB");
+            throw new CaptureFormatException(file + " is larger than " + (FILE_MOST >> 20) + " MiB");
         }
         try (InputStream in = Files.newInputStream(file)) {
             return read(in);
@@ -48,22 +48,22 @@
 
     static Capture read(InputStream in) throws IOException {
         CaptureReader reader = new CaptureReader(in);
-        if (!Segment.knows(reader.link())) {
-            throw new CaptureError("packets of link type " + reader.link() + " cannot be read");
+        if (!TcpSegment.knows(reader.link())) {
+            throw new CaptureFormatException("packets of link type " + reader.link() + " cannot be read");
         }
         Capture capture = new Capture();
         reader.read((at, packet) -> {
-            Segment s = Segment.of(reader.link(), at, packet);
+            TcpSegment s = TcpSegment.of(reader.link(), at, packet);
             if (s != null) {
                 capture.take(s);
             }
         });
         capture.flows.values().forEach(TcpFlow::end);
-        capture.requests.sort(Comparator.comparingDouble(Recorded::at));
+        capture.requests.sort(Comparator.comparingDouble(RecordedRequest::at));
         return capture;
     }
 
-    List<Recorded> requests() {
+    List<RecordedRequest> requests() {
         return requests;
     }
 
@@ -72,7 +72,7 @@
         return lost;
     }
 
-    private void take(Segment s) {
+    private void take(TcpSegment s) {
         TcpFlow flow = flows.get(s.flow());
         if (flow != null && flow.isAnother(s)) {
             // A port that is used anew.
@@ -128,7 +128,7 @@
             if (part instanceof LastHttpContent && head != null) {
                 MultiMap headers = MultiMap.caseInsensitiveMultiMap();
                 head.headers().forEach(h -> headers.add(h.getKey(), h.getValue()));
-                requests.add(new Recorded(at, head.method().name(), head.uri(), headers, body));
+                requests.add(new RecordedRequest(at, head.method().name(), head.uri(), headers, body));
                 head = null;
             }
         }
--- a/src/main/java/nettlewick/pcap/CaptureReader.java
+++ b/src/main/java/nettlewick/pcap/CaptureReader.java
@@ -28,26 +28,26 @@
         byte[] bytes = new byte[PcapGlobalHeader.SIZE];
         int got = in.readNBytes(bytes, 0, bytes.length);
         if (got < MAGIC) {
-            throw new CaptureError("not a capture file: it has only " + got + " bytes");
+            throw new CaptureFormatException("not a capture file: it has only " + got + " bytes");
         }
         int magic = ByteBuffer.wrap(bytes).getInt();
         boolean nanos = magic == 0xa1b23c4d || magic == 0x4d3cb2a1;
         boolean big = magic == 0xa1b2c3d4 || magic == 0xa1b23c4d;
         if (magic == 0x0a0d0d0a) {
-            throw new CaptureError("a pcapng file, not a classic one: convert it with editcap -F pcap");
+            throw new CaptureFormatException("a pcapng file, not a classic one: convert it with editcap -F pcap");
         }
         if (!nanos && !big && magic != 0xd4c3b2a1) {
-            throw new CaptureError(String.format("not a capture file: it begins with %08x", magic));
+            throw new CaptureFormatException(String.format("not a capture file: it begins with %08x", magic));
         }
         if (got < bytes.length) {
-            throw new CaptureError("the file ends within its header");
+            throw new CaptureFormatException("the file ends within its header");
         }
         header = new PcapGlobalHeader(
                 big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN,
                 Arrays.copyOfRange(bytes, MAGIC, bytes.length),
                 nanos);
         if (header.getMajorVersion() != 2) {
-            throw new CaptureError("version " + header.getMajorVersion() + " of the format is not known");
+            throw new CaptureFormatException("version " + header.getMajorVersion() + " of the format is not known");
         }
     }
 
@@ -66,17 +66,17 @@
                 return cut;
             }
             if (got < head.length) {
-                throw new CaptureError("the file ends within the header of packet " + number);
+                throw new CaptureFormatException("the file ends within the header of packet " + number);
             }
             PcapRecordHeader record =
                     new PcapRecordHeader(header.getByteOrder(), Buffers.wrap(head), header.timestampsInNs());
             long length = record.getCapturedLength();
             if (length < 0 || length > PACKET_MOST) {
-                throw new CaptureError("packet " + number + " claims " + length + " bytes");
+                throw new CaptureFormatException("packet " + number + " claims " + length + " bytes");
             }
             byte[] data = in.readNBytes((int) length);
             if (data.length < length) {
-                throw new CaptureError(
+                throw new CaptureFormatException(
                         "the file ends within packet " + number + ": " + data.length + " of " + length + " bytes");
             }
             cut += record.getTotalLength() > length ? 1 : 0;
--- a/src/main/java/nettlewick/pcap/ReplayFront.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -5,17 +5,17 @@
 import io.vertx.core.http.HttpMethod;
 import java.util.List;
 import nettlewick.core.Request;
-import nettlewick.net.Front;
-import nettlewick.net.RpcReader;
+import nettlewick.net.Frontend;
+import nettlewick.net.RequestReader;
 
 /** A capture file as a source of traffic: its requests go to the core at their recorded spacing. */
-public final class ReplayFront implements Front {
+public final class CaptureReplayer implements Frontend {
     private static final long LOOK = 20;
     private static final int LOOKS_MOST = 500;
 
     private final Base base;
     private final Capture capture;
-    private final RpcReader reader;
+    private final RequestReader reader;
     private final Promise<Summary> done = Promise.promise();
     private int left;
     private int served;
@@ -33,10 +33,10 @@
         }
     }
 
-    public ReplayFront(Base base, Capture capture) {
+    public CaptureReplayer(Base base, Capture capture) {
         this.base = base;
         this.capture = capture;
-        reader = new RpcReader(base.config());
+        reader = new RequestReader(base.config());
     }
 
     /** Done when every request has its final answer. */
@@ -65,22 +65,22 @@
             base.vertx().setTimer(LOOK, id -> begin(looks + 1));
             return;
         }
-        List<Recorded> requests = capture.requests();
+        List<RecordedRequest> requests = capture.requests();
         left = requests.size();
         finish();
-        for (Recorded r : requests) {
+        for (RecordedRequest r : requests) {
             double wait = r.at() - requests.get(0).at();
             base.vertx().setTimer(Math.max(1, Math.round(wait)), id -> send(r));
         }
     }
 
-    private void send(Recorded r) {
+    private void send(RecordedRequest r) {
         String path = r.uri().split("\\?", 2)[0];
         try {
-            if (!"POST".equals(r.method()) || !RpcReader.isJob(path)) {
-                throw new RpcReader.Rejected(404, "not a job");
+            if (!"POST".equals(r.method()) || !RequestReader.isJob(path)) {
+                throw new RequestReader.InvalidRequestException(404, "not a job");
             }
-            RpcReader.Draft draft = reader.draft(
+            RequestReader.Draft draft = reader.draft(
                     HttpMethod.POST,
                     r.uri(),
                     r.headers(),
@@ -93,7 +93,7 @@
                 }
 
                 @Override
-                public void refused(double retryAfter) {
+                public void rejected(double retryAfter) {
                     over(() -> refused++);
                 }
 
@@ -102,7 +102,7 @@
                     over(() -> failed++);
                 }
             }));
-        } catch (RpcReader.Rejected e) {
+        } catch (RequestReader.InvalidRequestException e) {
             over(() -> skipped++);
         }
     }
--- a/src/main/java/nettlewick/pcap/CaptureWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureWriter.java
@@ -18,16 +18,16 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 import nettlewick.core.Clock;
-import nettlewick.log.Part;
-import nettlewick.net.Tap;
+import nettlewick.log.ComponentLogger;
+import nettlewick.net.TrafficListener;
 
 /**
  * Writes the traffic that a front serves as a classic capture file of raw IP packets. The packets are made
  * from the requests and answers, not taken off the wire: each connection opens, carries both sides' bytes in
  * order and closes, with right sums, so that any reader of captures can follow it.
  */
-public final class CaptureWriter implements Tap, Closeable {
-    private static final Part LOG = Part.of("capture");
+public final class CaptureWriter implements TrafficListener, Closeable {
+    private static final ComponentLogger LOG = ComponentLogger.of("capture");
     private static final int LINK_RAW = 101;
     private static final int SNAP = 65_535;
     private static final int PIECE = 1400;
--- a/src/main/java/nettlewick/pcap/TcpFlow.java
+++ b/src/main/java/nettlewick/pcap/TcpFlow.java
@@ -32,11 +32,11 @@
     }
 
     /** Whether this segment opens a connection other than the one that this flow holds. */
-    boolean isAnother(Segment s) {
+    boolean isAnother(TcpSegment s) {
         return begun && s.syn() && s.seq() + 1 != nextSeq - (int) next;
     }
 
-    void take(Segment s) {
+    void take(TcpSegment s) {
         int seq = s.syn() ? s.seq() + 1 : s.seq();
         if (!begun) {
             begun = true;
--- a/src/main/java/nettlewick/pcap/Segment.java
+++ b/src/main/java/nettlewick/pcap/TcpSegment.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 
 /** A TCP segment found in a packet. {@code flow} names the two ends and the direction. */
-record Segment(double at, String flow, int seq, boolean syn, boolean fin, byte[] payload) {
+record TcpSegment(double at, String flow, int seq, boolean syn, boolean fin, byte[] payload) {
     private static final int NULL = 0;
     private static final int ETHERNET = 1;
     private static final int RAW = 101;
@@ -27,7 +27,7 @@
     }
 
     /** The segment in a packet; null if it holds none, or only part of a header. */
-    static Segment of(int link, double at, byte[] packet) {
+    static TcpSegment of(int link, double at, byte[] packet) {
         try {
             ByteBuffer in = ByteBuffer.wrap(packet);
             if (link == ETHERNET) {
@@ -51,7 +51,7 @@
         }
     }
 
-    private static Segment ip(double at, ByteBuffer in) {
+    private static TcpSegment ip(double at, ByteBuffer in) {
         int start = in.position();
         int version = (in.get(start) & 0xff) >> 4;
         if (version == 4) {
@@ -78,14 +78,14 @@
         return null;
     }
 
-    private static Segment tcp(double at, ByteBuffer in, int start, int end, String from, String to) {
+    private static TcpSegment tcp(double at, ByteBuffer in, int start, int end, String from, String to) {
         int head = ((in.get(start + 12) & 0xff) >> 4) * 4;
         int flags = in.get(start + 13);
         if (head < 20 || start + head > end) {
             return null;
         }
         String flow = from + ':' + (in.getShort(start) & 0xffff) + '>' + to + ':' + (in.getShort(start + 2) & 0xffff);
-        return new Segment(
+        return new TcpSegment(
                 at,
                 flow,
                 in.getInt(start + 4),
--- a/src/main/java/nettlewick/pools/Bill.java
+++ b/src/main/java/nettlewick/pools/InstanceCharge.java
@@ -7,7 +7,7 @@
  * @param cents a running hour's price, in hundredths
  * @param least the least time that is billed
  */
-public record Bill(String name, String kind, String zone, long since, long until, long cents, long least) {
+public record InstanceCharge(String name, String kind, String zone, long since, long until, long cents, long least) {
     private static final double HOUR = 3_600_000;
 
     boolean runs() {
--- a/src/main/java/nettlewick/pools/Board.java
+++ b/src/main/java/nettlewick/pools/PoolAssignments.java
@@ -8,68 +8,69 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import nettlewick.contention.Move.Step;
-import nettlewick.contention.Reserve;
-import nettlewick.core.Roster;
-import nettlewick.core.Witness;
-import nettlewick.decision.Dispatcher.Assignment;
-import nettlewick.decision.Dispatcher.Life;
+import nettlewick.contention.MigrationState.Step;
+import nettlewick.contention.PoolReservation;
+import nettlewick.core.EndpointUpdate;
+import nettlewick.core.RequestListener;
+import nettlewick.decision.Dispatcher.EndpointState;
+import nettlewick.decision.Dispatcher.PoolAssignment;
 
 /**
  * What this dispatcher knows of all members' pools, and what that says to its module. Belongs to the duties'
  * thread, but for the list of runners, which the core's thread brings.
  */
-final class Board implements Witness {
+final class PoolAssignments implements RequestListener {
     private record Known(PoolState state, double at) {}
 
     private final double forget;
-    private final Map<String, Roster.Entry> ready = new ConcurrentHashMap<>();
+    private final Map<String, EndpointUpdate.Entry> ready = new ConcurrentHashMap<>();
     private final Map<String, Known> pools = new LinkedHashMap<>();
 
     /** @param forget after so many milliseconds without a word, a pool keeps nobody else away */
-    Board(double forget) {
+    PoolAssignments(double forget) {
         this.forget = forget;
     }
 
     @Override
-    public void listed(Roster roster) {
+    public void listed(EndpointUpdate roster) {
         if (roster.whole()) {
             Set<String> named = new HashSet<>();
-            roster.entries().forEach(e -> named.add(e.worker()));
+            roster.entries().forEach(e -> named.add(e.id()));
             ready.keySet().retainAll(named);
         }
-        for (Roster.Entry e : roster.entries()) {
-            if (e.life() == Life.READY) {
-                ready.put(e.worker(), e);
+        for (EndpointUpdate.Entry e : roster.entries()) {
+            if (e.state() == EndpointState.READY) {
+                ready.put(e.id(), e);
             } else {
-                ready.remove(e.worker());
+                ready.remove(e.id());
             }
         }
     }
 
     /** The newest state of a member's pool, heard of now. */
-    void take(String member, PoolState state, double now) {
-        pools.put(member, new Known(state, now));
+    void take(String tenant, PoolState state, double now) {
+        pools.put(tenant, new Known(state, now));
     }
 
     /** The runners that are ready, as this list and the members' states tell. */
-    Map<String, Reserve.Runner> ready() {
+    Map<String, PoolReservation.Runner> ready() {
         Map<String, String> addedFor = new HashMap<>();
-        pools.forEach((member, known) -> known.state().added().forEach(name -> addedFor.put(name, member)));
-        Map<String, Reserve.Runner> runners = new HashMap<>();
-        ready.forEach((name, e) -> runners.put(
+        pools.forEach((tenant, known) -> known.state().added().forEach(name -> addedFor.put(name, tenant)));
+        Map<String, PoolReservation.Runner> endpoints = new HashMap<>();
+        ready.forEach((name, e) -> endpoints.put(
                 name,
-                new Reserve.Runner(name, String.valueOf(e.zone()), String.valueOf(e.kind()), addedFor.get(name))));
-        return runners;
+                new PoolReservation.Runner(
+                        name, String.valueOf(e.zone()), String.valueOf(e.kind()), addedFor.get(name))));
+        return endpoints;
     }
 
     /** What other members' pools hold. Danger: where two hold one, the first of them by name keeps it. */
-    Set<String> taken(String member, List<String> own) {
+    Set<String> taken(String tenant, List<String> own) {
         Set<String> taken = new HashSet<>();
         pools.forEach((other, known) -> {
-            if (!other.equals(member) && known.state().move().step() != Step.NONE) {
+            if (!other.equals(tenant) && known.state().move().step() != Step.NONE) {
                 known.state().move().runners().stream()
-                        .filter(r -> other.compareTo(member) < 0 || !own.contains(r))
+                        .filter(r -> other.compareTo(tenant) < 0 || !own.contains(r))
                         .forEach(taken::add);
             }
         });
@@ -79,22 +80,23 @@
     /** Other members whose work goes to pools of their own alone, with their runners. */
     Map<String, Set<String>> apart(String but) {
         Map<String, Set<String>> apart = new HashMap<>();
-        pools.forEach((member, known) -> {
-            if (known.state().move().step() == Step.OPEN && !member.equals(but)) {
-                apart.put(member, Set.copyOf(known.state().move().runners()));
+        pools.forEach((tenant, known) -> {
+            if (known.state().move().step() == Step.OPEN && !tenant.equals(but)) {
+                apart.put(tenant, Set.copyOf(known.state().move().runners()));
             }
         });
         return apart;
     }
 
     /** What the module has to go by now. */
-    List<Assignment> assignments(double now) {
-        List<Assignment> all = new ArrayList<>();
-        pools.forEach((member, known) -> {
+    List<PoolAssignment> assignments(double now) {
+        List<PoolAssignment> all = new ArrayList<>();
+        pools.forEach((tenant, known) -> {
             Step step = known.state().move().step();
             if (step.shut()) {
                 boolean heard = now - known.at() < forget;
-                all.add(new Assignment(member, Set.copyOf(known.state().move().runners()), heard, step == Step.OPEN));
+                all.add(new PoolAssignment(
+                        tenant, Set.copyOf(known.state().move().runners()), heard, step == Step.OPEN));
             }
         });
         return all;
--- a/src/main/java/nettlewick/pools/PoolSettings.java
+++ b/src/main/java/nettlewick/pools/PoolSettings.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.contention.Mover;
+import nettlewick.contention.PoolMigration;
 import nettlewick.decision.Dispatcher.Tenant;
 import nettlewick.settings.Block;
 
@@ -36,19 +36,19 @@
      * @param kind   of runners that are added
      * @param most   so many of them at once
      */
-    record Member(Mover.Will will, Growth.Terms growth, String kind, int most) {}
+    record Member(PoolMigration.Will will, ScaleOutPolicy.Terms growth, String kind, int most) {}
 
-    static String duty(String member) {
-        return PREFIX + member;
+    static String duty(String tenant) {
+        return PREFIX + tenant;
     }
 
     /** @throws nettlewick.settings.BadSettings where the lines do not fit one another, or the tenants */
     static PoolSettings of(Block block, List<Tenant> tenants) {
         Map<String, Double> shares = new LinkedHashMap<>();
         tenants.forEach(t -> shares.put(t.name(), t.fraction()));
-        Map<String, Mover.Will> wills = new LinkedHashMap<>();
+        Map<String, PoolMigration.Will> wills = new LinkedHashMap<>();
         for (Block.Value v : block.all("keep")) {
-            wills.put(v.part(0), v.part(1).equals("pool") ? Mover.Will.POOL : Mover.Will.COMMON);
+            wills.put(v.part(0), v.part(1).equals("pool") ? PoolMigration.Will.POOL : PoolMigration.Will.COMMON);
         }
         Map<String, Member> members = new LinkedHashMap<>();
         for (Block.Value v : block.all("member")) {
@@ -56,7 +56,7 @@
             if (!shares.containsKey(name)) {
                 throw block.bad("member", "a tenant of the platform's configuration");
             }
-            Mover.Will will = wills.getOrDefault(name, Mover.Will.NONE);
+            PoolMigration.Will will = wills.getOrDefault(name, PoolMigration.Will.NONE);
             members.put(
                     name,
                     v.words().size() == 1
@@ -86,13 +86,13 @@
                 block.span("timeout"));
     }
 
-    private static Growth.Terms growth(Block block, long cap) {
+    private static ScaleOutPolicy.Terms growth(Block block, long cap) {
         if (!block.has("provider") || !block.has("price")) {
             throw block.bad(block.has("provider") ? "price" : "provider", "set where a member has a cap");
         }
         Block.Value price = block.one("price").get();
-        Spending.Cap means = new Spending.Cap(cap, block.get("near"), block.<ZoneId>get("zone"));
-        return new Growth.Terms(
+        SpendingCap.Cap means = new SpendingCap.Cap(cap, block.get("near"), block.<ZoneId>get("zone"));
+        return new ScaleOutPolicy.Terms(
                 means,
                 price.part(1),
                 price.<Double>part(3).longValue(),
@@ -100,7 +100,7 @@
                 block.text("at-cap").equals("return"));
     }
 
-    Mover.Terms moves(String member) {
-        return new Mover.Terms(shares.get(member), part, settle, come, clear, stay);
+    PoolMigration.Terms moves(String tenant) {
+        return new PoolMigration.Terms(shares.get(tenant), part, settle, come, clear, stay);
     }
 }
--- a/src/main/java/nettlewick/pools/PoolState.java
+++ b/src/main/java/nettlewick/pools/PoolState.java
@@ -4,7 +4,7 @@
 import com.google.gson.JsonParseException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import nettlewick.contention.Move;
+import nettlewick.contention.MigrationState;
 
 /**
  * All that a member's duty remembers: one JSON object of some hundred bytes.
@@ -14,9 +14,9 @@
  * @param added runners that the provider runs for it, by name, as last seen
  * @param money what was asked of the provider
  */
-record PoolState(long term, Move move, List<String> added, Money money) {
+record PoolState(long term, MigrationState move, List<String> added, Money money) {
     private static final Gson GSON = new Gson();
-    static final PoolState FIRST = new PoolState(0, Move.NOWHERE, List.of(), Money.NONE);
+    static final PoolState FIRST = new PoolState(0, MigrationState.NOWHERE, List.of(), Money.NONE);
 
     /**
      * @param month  the latest month that has begun, such as 2026-12; empty before the first
@@ -63,7 +63,7 @@
         }
     }
 
-    PoolState moved(Move next) {
+    PoolState moved(MigrationState next) {
         return new PoolState(term, next, added, money);
     }
 
--- a/src/main/java/nettlewick/pools/PoolsService.java
+++ b/src/main/java/nettlewick/pools/PoolsService.java
@@ -5,47 +5,47 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import nettlewick.contention.Counters;
-import nettlewick.contention.Speaker;
+import nettlewick.contention.UsageCounters;
+import nettlewick.contention.UsageReporter;
 import nettlewick.core.Attempt;
 import nettlewick.core.Clock;
-import nettlewick.core.Core;
+import nettlewick.core.EndpointUpdate;
 import nettlewick.core.Request;
-import nettlewick.core.Roster;
-import nettlewick.core.Witness;
-import nettlewick.decision.Dispatcher.Assignment;
-import nettlewick.decision.Dispatcher.Result;
-import nettlewick.decision.Dispatcher.Settings;
-import nettlewick.duty.Charge;
-import nettlewick.log.Part;
+import nettlewick.core.RequestCoordinator;
+import nettlewick.core.RequestListener;
+import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Dispatcher.PoolAssignment;
+import nettlewick.decision.Dispatcher.SchedulerSettings;
+import nettlewick.duty.LeaseTask;
+import nettlewick.log.ComponentLogger;
 import nettlewick.settings.Block;
 
 /** Joins members' pools to the duties on one side and to the core on the other. */
-public final class PoolsService implements Witness, AutoCloseable {
-    private static final Part LOG = Part.of("pools");
+public final class PoolsService implements RequestListener, AutoCloseable {
+    private static final ComponentLogger LOG = ComponentLogger.of("pools");
 
     private volatile PoolSettings settings;
-    private final Settings platform;
-    private final Counters counters;
-    private final Board board;
+    private final SchedulerSettings platform;
+    private final UsageCounters counters;
+    private final PoolAssignments board;
     private final Provider provider;
-    private final Map<String, MemberCharge> members = new LinkedHashMap<>();
-    private volatile Core core;
-    private List<Assignment> last = List.of();
+    private final Map<String, TenantPoolTask> members = new LinkedHashMap<>();
+    private volatile RequestCoordinator core;
+    private List<PoolAssignment> last = List.of();
 
     /** @throws nettlewick.settings.BadSettings where the block does not fit the platform's settings */
-    public PoolsService(Block block, Settings platform, Clock clock, long seed) {
+    public PoolsService(Block block, SchedulerSettings platform, Clock clock, long seed) {
         this.platform = platform;
         settings = PoolSettings.of(block, platform.tenants());
-        counters = new Counters(platform.classes());
-        board = new Board(settings.forget());
+        counters = new UsageCounters(platform.classes());
+        board = new PoolAssignments(settings.forget());
         provider = settings.url() == null ? null : new Provider(settings.url(), settings.timeout());
-        Speaker speaker = new Speaker(counters, settings.shares());
+        UsageReporter speaker = new UsageReporter(counters, settings.shares());
         settings.members()
                 .keySet()
                 .forEach(name -> members.put(
                         name,
-                        new MemberCharge(
+                        new TenantPoolTask(
                                 name,
                                 () -> settings,
                                 board,
@@ -57,8 +57,8 @@
     }
 
     /** What is done with each member's duty, by the duty's name. */
-    public Map<String, Charge> charges() {
-        Map<String, Charge> charges = new LinkedHashMap<>();
+    public Map<String, LeaseTask> charges() {
+        Map<String, LeaseTask> charges = new LinkedHashMap<>();
         members.forEach((name, charge) -> charges.put(PoolSettings.duty(name), charge));
         return charges;
     }
@@ -83,28 +83,28 @@
 
     /** On the duties' thread: what has changed for the module goes to it. */
     private void follow(double now) {
-        List<Assignment> next = board.assignments(now);
-        Core to = core;
+        List<PoolAssignment> next = board.assignments(now);
+        RequestCoordinator to = core;
         if (to != null && !next.equals(last)) {
             last = next;
             LOG.info("pools-followed", "members with runners of their own: " + next.size(), "follows", text(next));
-            to.assign(next);
+            to.assignPools(next);
         }
     }
 
     /**
      * {@code red:1:0:s1,s2;blue:1:1:s3}: member, whether others keep away, whether it stays there, runners.
      */
-    private static String text(List<Assignment> all) {
+    private static String text(List<PoolAssignment> all) {
         return all.stream()
-                .map(a -> a.tenant() + ":" + (a.shut() ? 1 : 0) + ":" + (a.confined() ? 1 : 0)
+                .map(a -> a.tenant() + ":" + (a.exclusive() ? 1 : 0) + ":" + (a.confined() ? 1 : 0)
                         + ":"
-                        + a.workers().stream().sorted().collect(Collectors.joining(",")))
+                        + a.endpoints().stream().sorted().collect(Collectors.joining(",")))
                 .collect(Collectors.joining(";"));
     }
 
     @Override
-    public void joins(Core one) {
+    public void joins(RequestCoordinator one) {
         core = one;
     }
 
@@ -114,12 +114,12 @@
     }
 
     @Override
-    public void ended(Attempt attempt, Result result) {
+    public void ended(Attempt attempt, AttemptResult result) {
         counters.ended(attempt, result);
     }
 
     @Override
-    public void listed(Roster roster) {
+    public void listed(EndpointUpdate roster) {
         board.listed(roster);
     }
 
@@ -127,7 +127,7 @@
     public Map<String, Number> figures() {
         Map<String, Number> figures = new TreeMap<>();
         members.forEach((name, charge) -> {
-            Growth.Means means = charge.means();
+            ScaleOutPolicy.Means means = charge.means();
             if (means != null) {
                 figures.put("pools." + name + ".spent_cents", means.spent());
                 figures.put("pools." + name + ".committed_cents", means.committed());
--- a/src/main/java/nettlewick/pools/Provider.java
+++ b/src/main/java/nettlewick/pools/Provider.java
@@ -43,7 +43,7 @@
      * @param fence where it is FENCED: the highest that the provider has seen
      * @param later where it is LATER: after how many milliseconds to come back; 0: not told
      */
-    record Answer(Way way, Told told, long fence, double later) {
+    record Answer(Way way, ProviderReport told, long fence, double later) {
         static final Answer NONE = new Answer(Way.LOST, null, 0, 0);
     }
 
@@ -63,8 +63,8 @@
     }
 
     /** What runs and ran for this member. */
-    void list(String member, double now, Consumer<Answer> then) {
-        ask(HttpMethod.GET, member, null, null, 0, now, then);
+    void list(String tenant, double now, Consumer<Answer> then) {
+        ask(HttpMethod.GET, tenant, null, null, 0, now, then);
     }
 
     /**
@@ -73,14 +73,21 @@
      * would
      * spend by what was reckoned then.
      */
-    void put(String member, Growth.Next next, String etag, long fence, String kind, double now, Consumer<Answer> then) {
+    void put(
+            String tenant,
+            ScaleOutPolicy.Next next,
+            String etag,
+            long fence,
+            String kind,
+            double now,
+            Consumer<Answer> then) {
         Intent intent = next.put();
         JsonObject body = new JsonObject();
         body.addProperty("size", intent.size());
         body.addProperty("kind", kind);
         ask(
                 HttpMethod.PUT,
-                member,
+                tenant,
                 new String[] {intent.key(), etag, Long.toString(next.notAfter())},
                 body.toString(),
                 fence,
@@ -90,13 +97,13 @@
 
     private void ask(
             HttpMethod method,
-            String member,
+            String tenant,
             String[] condition,
             String body,
             long fence,
             double now,
             Consumer<Answer> then) {
-        String path = (url.getPath() == null ? "" : url.getPath()).replaceAll("/+$", "") + "/pools/" + member;
+        String path = (url.getPath() == null ? "" : url.getPath()).replaceAll("/+$", "") + "/pools/" + tenant;
         Future<Answer> answer = client.request(new RequestOptions()
                         .setMethod(method)
                         .setHost(url.getHost())
@@ -126,7 +133,8 @@
                 long date = ZonedDateTime.parse(response.getHeader("Date"), DateTimeFormatter.RFC_1123_DATE_TIME)
                         .toInstant()
                         .toEpochMilli();
-                return new Answer(Way.TOLD, Told.of(body.toString(), response.getHeader("ETag"), date, now), 0, 0);
+                return new Answer(
+                        Way.TOLD, ProviderReport.of(body.toString(), response.getHeader("ETag"), date, now), 0, 0);
             }
             case STALE -> {
                 return new Answer(Way.STALE, null, 0, 0);
--- a/src/main/java/nettlewick/pools/Told.java
+++ b/src/main/java/nettlewick/pools/ProviderReport.java
@@ -15,14 +15,14 @@
  * @param date  its clock when it answered, in milliseconds of Unix time
  * @param at    when it was asked, on the own monotonic clock
  */
-record Told(int size, String etag, List<Bill> bills, long date, double at) {
+record ProviderReport(int size, String etag, List<InstanceCharge> bills, long date, double at) {
     /** @throws RuntimeException where the answer is no such list */
-    static Told of(String body, String etag, long date, double at) {
+    static ProviderReport of(String body, String etag, long date, double at) {
         JsonObject pool = JsonParser.parseString(body).getAsJsonObject();
-        List<Bill> bills = new ArrayList<>();
+        List<InstanceCharge> bills = new ArrayList<>();
         for (JsonElement one : pool.getAsJsonArray("runners")) {
             JsonObject r = one.getAsJsonObject();
-            Bill bill = new Bill(
+            InstanceCharge bill = new InstanceCharge(
                     r.get("name").getAsString(),
                     r.get("kind").getAsString(),
                     r.get("zone").getAsString(),
@@ -38,7 +38,7 @@
         if (etag == null) {
             throw new IllegalArgumentException("no ETag");
         }
-        return new Told(pool.get("size").getAsInt(), etag, bills, date, at);
+        return new ProviderReport(pool.get("size").getAsInt(), etag, bills, date, at);
     }
 
     /** The provider's clock by now. Danger: its word is rounded down to a second. */
@@ -46,7 +46,7 @@
         return date + 1000 + Math.round(ownNow - at);
     }
 
-    List<Bill> running() {
-        return bills.stream().filter(Bill::runs).toList();
+    List<InstanceCharge> running() {
+        return bills.stream().filter(InstanceCharge::runs).toList();
     }
 }
--- a/src/main/java/nettlewick/pools/Growth.java
+++ b/src/main/java/nettlewick/pools/ScaleOutPolicy.java
@@ -11,7 +11,7 @@
  * ask
  * of the provider, given what it has told. Time is handed in, in milliseconds. Pure.
  */
-final class Growth {
+final class ScaleOutPolicy {
     /** A list older than this is asked for again, so long as anything hangs on it. */
     private static final double OLD = 5000;
     /** So often while runners are still to come. */
@@ -24,9 +24,9 @@
      * @param reach longest time until someone can end what is no longer wanted
      * @param back  whether all is handed back once the cap itself is reached
      */
-    record Terms(Spending.Cap cap, long cents, long least, long reach, boolean back) {
+    record Terms(SpendingCap.Cap cap, long cents, long least, long reach, boolean back) {
         long leastCost() {
-            return Bill.cost(Math.max(least, reach), cents);
+            return InstanceCharge.cost(Math.max(least, reach), cents);
         }
     }
 
@@ -51,7 +51,7 @@
     private final Terms terms;
     private Means means;
 
-    Growth(Terms terms) {
+    ScaleOutPolicy(Terms terms) {
         this.terms = terms;
         zone = terms.cap().zone();
     }
@@ -67,7 +67,7 @@
      * @param wall   the own clock in milliseconds of Unix time, right or wrong
      * @param key    a new one, drawn for this question
      */
-    Next next(Money m, Told told, int wanted, double now, long wall, String key) {
+    Next next(Money m, ProviderReport told, int wanted, double now, long wall, String key) {
         boolean idle = wanted <= 0 && m.intent() == null && (told == null || told.size() == 0);
         boolean coming = told != null && told.running().size() < told.size();
         if (told == null || now - told.at() > (coming ? SOON : OLD)) {
@@ -78,14 +78,14 @@
         if (!month.toString().equals(m.month())) {
             return Next.store(m.in(month.toString()));
         }
-        Spending spending = new Spending(terms.cap(), month);
+        SpendingCap spending = new SpendingCap(terms.cap(), month);
         long spent = spending.spent(told.bills(), date);
         long committed = spending.committed(told.bills(), date, terms.reach());
         means = new Means(spent, committed, terms.cap().cap(), month.plusMonths(1));
         // What is to run and does not yet costs as well.
         long bound = Math.max(0, told.size() - told.running().size()) * terms.leastCost();
         // Danger: while clocks differ on the month, one month's costs would be paid from another's means.
-        boolean turning = !Spending.monthOf(date, zone).equals(month);
+        boolean turning = !SpendingCap.monthOf(date, zone).equals(month);
         int affordable = turning
                 ? 0
                 : spending.affords(told.bills(), date, terms.reach(), Integer.MAX_VALUE / 2, terms.leastCost(), bound);
@@ -120,12 +120,12 @@
      * It takes the provider's clock and the own one to turn a month, and it only goes forward.
      */
     private YearMonth month(Money m, long date) {
-        YearMonth now = Spending.monthOf(date, zone);
+        YearMonth now = SpendingCap.monthOf(date, zone);
         return m.month().isEmpty() || now.isAfter(YearMonth.parse(m.month())) ? now : YearMonth.parse(m.month());
     }
 
     /** Those whose least billed time is over: to end them sooner saves nothing. */
-    private static long over(List<Bill> running, long date) {
+    private static long over(List<InstanceCharge> running, long date) {
         return running.stream().filter(b -> date >= b.since() + b.least()).count();
     }
 }
--- a/src/main/java/nettlewick/pools/MemberCharge.java
+++ b/src/main/java/nettlewick/pools/TenantPoolTask.java
@@ -8,22 +8,22 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 import java.util.function.Supplier;
-import nettlewick.contention.Evidence;
-import nettlewick.contention.Move;
-import nettlewick.contention.Mover;
-import nettlewick.contention.Reserve;
-import nettlewick.contention.Speaker;
+import nettlewick.contention.ContentionEvidence;
+import nettlewick.contention.MigrationState;
+import nettlewick.contention.PoolMigration;
+import nettlewick.contention.PoolReservation;
+import nettlewick.contention.UsageReporter;
 import nettlewick.core.Clock;
-import nettlewick.duty.Charge;
-import nettlewick.log.Part;
+import nettlewick.duty.LeaseTask;
+import nettlewick.log.ComponentLogger;
 
 /**
  * What is done with one member's duty: its holder judges, moves, and asks the provider; everyone else
  * follows,
  * and tells what it sees. Belongs to the duties' thread.
  */
-final class MemberCharge implements Charge {
-    private static final Part LOG = Part.of("pools");
+final class TenantPoolTask implements LeaseTask {
+    private static final ComponentLogger LOG = ComponentLogger.of("pools");
     /** What may come next is looked at once in so many milliseconds, and after each version. */
     private static final double EACH = 20;
     /** A demand is taken for gone only once this many windows show less. */
@@ -37,8 +37,8 @@
 
     private final String member;
     private final Supplier<PoolSettings> settings;
-    private final Board board;
-    private final Speaker speaker;
+    private final PoolAssignments board;
+    private final UsageReporter speaker;
     private final Provider provider;
     private final Clock clock;
     private final DoubleConsumer changed;
@@ -52,8 +52,8 @@
     private boolean announced;
     private long lastVersion;
     private double turnAt;
-    private Evidence evidence;
-    private Mover mover;
+    private ContentionEvidence evidence;
+    private PoolMigration mover;
     private double windowAt;
     /**
      * For so many windows more, whatever they bring, words are wanted; and whether the member is being
@@ -63,29 +63,29 @@
 
     private boolean lately;
     private final ArrayDeque<Double> parts = new ArrayDeque<>();
-    private Told told;
+    private ProviderReport told;
     private boolean asking;
     private double askAt;
     private int failures;
     private boolean settled;
-    private Growth growth;
-    private Growth.Terms grownBy;
+    private ScaleOutPolicy growth;
+    private ScaleOutPolicy.Terms grownBy;
     /** Read by whoever asks for figures; null while it is not held here. */
-    private volatile Growth.Means means;
+    private volatile ScaleOutPolicy.Means means;
 
     private long keys;
 
     /** @param changed told at each word and each beat, with the time */
-    MemberCharge(
-            String member,
+    TenantPoolTask(
+            String tenant,
             Supplier<PoolSettings> settings,
-            Board board,
-            Speaker speaker,
+            PoolAssignments board,
+            UsageReporter speaker,
             Provider provider,
             Clock clock,
             long seed,
             DoubleConsumer changed) {
-        this.member = member;
+        this.member = tenant;
         this.settings = settings;
         this.board = board;
         this.speaker = speaker;
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public byte[] turn(Hold hold) {
+    public byte[] turn(HeldLease hold) {
         PoolState s = PoolState.of(hold.state());
         if (fence != hold.fence()) {
             begin(hold);
@@ -118,20 +118,20 @@
         turnAt = hold.now() + EACH;
         if (!announced) {
             announced = true;
-            Charge.held(PoolSettings.duty(member), hold, s.term());
+            LeaseTask.held(PoolSettings.duty(member), hold, s.term());
         }
-        lately = s.move().step() != Move.Step.NONE;
+        lately = s.move().step() != MigrationState.Step.NONE;
         judge(hold.now());
         PoolState next = step(s, hold.now());
         return next == s ? null : next.bytes();
     }
 
-    private void begin(Hold hold) {
+    private void begin(HeldLease hold) {
         fence = hold.fence();
         announced = false;
         lastVersion = -1;
-        evidence = new Evidence(member, settings.get().shares());
-        mover = new Mover(member);
+        evidence = new ContentionEvidence(member, settings.get().shares());
+        mover = new PoolMigration(member);
         windowAt = hold.now() + settings.get().window();
         parts.clear();
         alarmedFor = 0;
@@ -145,7 +145,7 @@
     private void judge(double now) {
         if (now >= windowAt) {
             windowAt = now + settings.get().window();
-            Evidence.Finding finding = evidence.window(board.apart(member));
+            ContentionEvidence.Finding finding = evidence.window(board.apart(member));
             alarmedFor = Math.max(0, alarmedFor - 1);
             mover.hear(finding, now);
             parts.add(finding.part());
@@ -157,10 +157,11 @@
 
     /** The next state, or the same one. */
     private PoolState step(PoolState s, double now) {
-        Map<String, Reserve.Runner> ready = board.ready();
+        Map<String, PoolReservation.Runner> ready = board.ready();
         boolean whole = own().growth() == null || settled;
-        Mover.View view = new Mover.View(ready, board.taken(member, s.move().runners()), whole);
-        Move next = mover.next(s.move(), own().will(), settings.get().moves(member), view, now);
+        PoolMigration.View view =
+                new PoolMigration.View(ready, board.taken(member, s.move().runners()), whole);
+        MigrationState next = mover.next(s.move(), own().will(), settings.get().moves(member), view, now);
         if (!next.equals(s.move())) {
             LOG.info(
                     "pool-" + next.step().name().toLowerCase(Locale.ROOT),
@@ -178,26 +179,26 @@
         }
         List<String> names = told == null
                 ? s.added()
-                : told.running().stream().map(Bill::name).sorted().toList();
+                : told.running().stream().map(InstanceCharge::name).sorted().toList();
         return names.equals(s.added()) ? grow(s, ready, now) : s.with(names);
     }
 
-    private PoolState grow(PoolState s, Map<String, Reserve.Runner> ready, double now) {
+    private PoolState grow(PoolState s, Map<String, PoolReservation.Runner> ready, double now) {
         if (!own().growth().equals(grownBy)) {
             grownBy = own().growth();
-            growth = new Growth(grownBy);
+            growth = new ScaleOutPolicy(grownBy);
         }
         String key = PoolSettings.duty(member) + "-" + Long.toHexString(fence) + "-" + keys;
-        Growth.Next next = growth.next(s.money(), told, wanted(s.move(), ready), now, (long) clock.now(), key);
+        ScaleOutPolicy.Next next = growth.next(s.money(), told, wanted(s.move(), ready), now, (long) clock.now(), key);
         means = growth.means();
-        settled = next == Growth.Next.NOTHING
+        settled = next == ScaleOutPolicy.Next.NOTHING
                 && told != null
                 && told.running().size() >= told.size()
                 && told.running().stream().allMatch(b -> ready.containsKey(b.name()));
         if (next.store() != null) {
             keys++;
             if (!next.store().near().equals(s.money().near())) {
-                Growth.Means m = growth.means();
+                ScaleOutPolicy.Means m = growth.means();
                 LOG.warning(
                         "near-cap",
                         "member " + member + " is near its cap: spent " + m.spent()
@@ -284,8 +285,8 @@
     }
 
     /** How many runners its demand is worth beyond its share; below 0: not known yet. */
-    private int wanted(Move move, Map<String, Reserve.Runner> ready) {
-        if (move.step() == Move.Step.NONE || move.step() == Move.Step.CLOSE) {
+    private int wanted(MigrationState move, Map<String, PoolReservation.Runner> ready) {
+        if (move.step() == MigrationState.Step.NONE || move.step() == MigrationState.Step.CLOSE) {
             return 0;
         }
         double part = parts.stream().mapToDouble(p -> p).max().orElse(-1);
@@ -344,7 +345,7 @@
     }
 
     /** Figures for operators while it is held here. */
-    Growth.Means means() {
+    ScaleOutPolicy.Means means() {
         return means;
     }
 }
--- a/src/main/java/nettlewick/settings/Block.java
+++ b/src/main/java/nettlewick/settings/Block.java
@@ -10,7 +10,7 @@
 /** A block of settings that were checked: its values have the types that its section gives them. */
 public final class Block {
     /** One line: its words as they stand, and the values they stand for. */
-    public record Value(Place place, List<String> words, List<Object> parts) {
+    public record Value(SourceLocation place, List<String> words, List<Object> parts) {
         @SuppressWarnings("unchecked")
         public <T> T part(int number) {
             return (T) parts.get(number);
@@ -19,11 +19,11 @@
 
     private final Section section;
     private final String label;
-    private final Place place;
+    private final SourceLocation place;
     private final Map<String, List<Value>> values = new LinkedHashMap<>();
     private final List<Block> inner = new ArrayList<>();
 
-    Block(Section section, String label, Place place) {
+    Block(Section section, String label, SourceLocation place) {
         this.section = section;
         this.label = label;
         this.place = place;
@@ -37,14 +37,14 @@
         return label;
     }
 
-    public Place place() {
+    public SourceLocation place() {
         return place;
     }
 
     void set(Keyword keyword, Value value) {
         List<Value> before = values.computeIfAbsent(keyword.name(), k -> new ArrayList<>());
         if (!before.isEmpty() && !keyword.many()) {
-            throw BadSettings.value(
+            throw InvalidSettingsException.value(
                     value.place(),
                     keyword.name(),
                     String.join(" ", value.words()),
@@ -57,7 +57,7 @@
         for (Block other : inner) {
             if (other.section == block.section
                     && (!block.section.many() || java.util.Objects.equals(other.label, block.label))) {
-                throw BadSettings.value(
+                throw InvalidSettingsException.value(
                         block.place,
                         block.section.name(),
                         block.label == null ? "a second block" : block.label,
@@ -81,7 +81,7 @@
             return List.of();
         }
         List<String> words = List.of(keyword.fallback().split(" "));
-        return List.of(new Value(Place.DEFAULT, words, keyword.read(Place.DEFAULT, words)));
+        return List.of(new Value(SourceLocation.DEFAULT, words, keyword.read(SourceLocation.DEFAULT, words)));
     }
 
     public Optional<Value> one(String name) {
@@ -140,15 +140,15 @@
         StringBuilder text = new StringBuilder();
         values.forEach((name, set) -> set.forEach(v -> text.append(name)
                 .append(' ')
-                .append(v.words().stream().map(Type::quote).collect(java.util.stream.Collectors.joining(" ")))
+                .append(v.words().stream().map(ValueType::quote).collect(java.util.stream.Collectors.joining(" ")))
                 .append('\n')));
         return text.toString();
     }
 
     /** Where a keyword stands, for what only its user can check. */
-    public BadSettings bad(String name, String wanted) {
+    public InvalidSettingsException bad(String name, String wanted) {
         Value value = one(name).orElse(null);
-        return BadSettings.value(
+        return InvalidSettingsException.value(
                 value == null ? place : value.place(),
                 name,
                 value == null ? "not set" : String.join(" ", value.words()),
--- a/src/main/java/nettlewick/settings/BadSettings.java
+++ b/src/main/java/nettlewick/settings/InvalidSettingsException.java
@@ -1,17 +1,17 @@
 package nettlewick.settings;
 
 /** Settings that are not in order, in one line that names file, line, keyword and value. */
-public final class BadSettings extends RuntimeException {
+public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1;
     private static final int LONGEST = 400;
 
-    public BadSettings(Place place, String message) {
+    public InvalidSettingsException(SourceLocation place, String message) {
         super(line(place + ": " + message));
     }
 
     /** A keyword whose value is not what it has to be. */
-    public static BadSettings value(Place place, String keyword, String value, String wanted) {
-        return new BadSettings(
+    public static InvalidSettingsException value(SourceLocation place, String keyword, String value, String wanted) {
+        return new InvalidSettingsException(
                 place, keyword + " is " + (value.isEmpty() ? "empty" : value) + ", but has to be " + wanted);
     }
 
--- a/src/main/java/nettlewick/settings/Keyword.java
+++ b/src/main/java/nettlewick/settings/Keyword.java
@@ -15,29 +15,29 @@
  */
 public record Keyword(
         String name,
-        List<List<Type<?>>> forms,
+        List<List<ValueType<?>>> forms,
         String fallback,
         boolean many,
         boolean required,
         boolean live,
         String about) {
     /** A keyword with one value and a value for where nobody sets it. */
-    public static Keyword of(String name, Type<?> type, String fallback, String about) {
+    public static Keyword of(String name, ValueType<?> type, String fallback, String about) {
         return new Keyword(name, List.of(List.of(type)), fallback, false, false, false, about);
     }
 
     /** One that has to be set. */
-    public static Keyword needed(String name, Type<?> type, String about) {
+    public static Keyword needed(String name, ValueType<?> type, String about) {
         return new Keyword(name, List.of(List.of(type)), null, false, true, false, about);
     }
 
     /** One that may be left out, without a value for that. */
-    public static Keyword free(String name, Type<?> type, String about) {
+    public static Keyword free(String name, ValueType<?> type, String about) {
         return new Keyword(name, List.of(List.of(type)), null, false, false, false, about);
     }
 
     /** One of several words that may stand more than once. */
-    public static Keyword several(String name, String about, Type<?>... types) {
+    public static Keyword several(String name, String about, ValueType<?>... types) {
         return new Keyword(name, List.of(List.of(types)), null, true, false, true, about);
     }
 
@@ -47,8 +47,8 @@
     }
 
     /** The same, with one more way to write it. */
-    public Keyword or(Type<?>... types) {
-        List<List<Type<?>>> all = new java.util.ArrayList<>(forms);
+    public Keyword or(ValueType<?>... types) {
+        List<List<ValueType<?>>> all = new java.util.ArrayList<>(forms);
         all.add(List.of(types));
         return new Keyword(name, all, fallback, many, required, live, about);
     }
@@ -58,19 +58,19 @@
         return usage(forms);
     }
 
-    private String usage(List<List<Type<?>>> some) {
+    private String usage(List<List<ValueType<?>>> some) {
         return some.stream()
-                .map(form -> name + " " + form.stream().map(Type::name).collect(Collectors.joining(" ")))
+                .map(form -> name + " " + form.stream().map(ValueType::name).collect(Collectors.joining(" ")))
                 .collect(Collectors.joining(" or "));
     }
 
     /** The values that these words stand for; BadSettings where they stand for none. */
-    List<Object> read(Place place, List<String> words) {
+    List<Object> read(SourceLocation place, List<String> words) {
         String wrong = null;
         String wanted = null;
         int furthest = 0;
-        List<List<Type<?>>> near = new java.util.ArrayList<>();
-        for (List<Type<?>> form : forms) {
+        List<List<ValueType<?>>> near = new java.util.ArrayList<>();
+        for (List<ValueType<?>> form : forms) {
             List<Object> values = new java.util.ArrayList<>();
             for (int i = 0; i < Math.min(form.size(), words.size()); i++) {
                 Object value = form.get(i).read(words.get(i));
@@ -95,8 +95,8 @@
             }
         }
         throw wrong != null && forms.size() == 1
-                ? BadSettings.value(place, name, wrong, wanted)
-                : BadSettings.value(
+                ? InvalidSettingsException.value(place, name, wrong, wanted)
+                : InvalidSettingsException.value(
                         place, name, String.join(" ", words), "written as: " + usage(furthest > 1 ? near : forms));
     }
 }
--- a/src/main/java/nettlewick/settings/Lines.java
+++ b/src/main/java/nettlewick/settings/LineParser.java
@@ -17,34 +17,34 @@
  * a
  * line that ends in an open brace to a line with a closing one alone.
  */
-final class Lines {
+final class LineParser {
     private static final int DEPTH_MOST = 16;
     private static final int LINES_MOST = 100_000;
     private static final String INCLUDE = "include";
 
     /** One line that says something. {@code closes}: the closing brace of a block, without words. */
-    record Line(Place place, List<String> words, boolean opens, boolean closes) {}
+    record Line(SourceLocation place, List<String> words, boolean opens, boolean closes) {}
 
     private final List<Line> lines = new ArrayList<>();
     private final Deque<Path> open = new ArrayDeque<>();
 
-    private Lines() {}
+    private LineParser() {}
 
     /** All lines of a file and of those that it includes, in the order in which they count. */
     static List<Line> of(Path file) {
-        Lines all = new Lines();
-        all.file(file, new Place("command line", 0));
+        LineParser all = new LineParser();
+        all.file(file, new SourceLocation("command line", 0));
         return all.lines;
     }
 
     /** The lines of a text that stands in no file; what it includes is looked for in the current folder. */
     static List<Line> ofText(String name, String text) {
-        Lines all = new Lines();
+        LineParser all = new LineParser();
         all.text(name, Path.of(name).toAbsolutePath(), text);
         return all.lines;
     }
 
-    private void file(Path file, Place asked) {
+    private void file(Path file, SourceLocation asked) {
         Path real;
         String text;
         try {
@@ -54,17 +54,18 @@
                     .decode(java.nio.ByteBuffer.wrap(Files.readAllBytes(real)))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new BadSettings(asked, file + " is not UTF-8 text");
+            throw new InvalidSettingsException(asked, file + " is not UTF-8 text");
         } catch (IOException e) {
-            throw new BadSettings(
+            throw new InvalidSettingsException(
                     asked, file + " cannot be read (" + e.getClass().getSimpleName() + ")");
         }
         if (open.contains(real)) {
-            throw BadSettings.value(
+            throw InvalidSettingsException.value(
                     asked, INCLUDE, file.toString(), "a file that does not include itself: " + "this is a loop");
         }
         if (open.size() >= DEPTH_MOST) {
-            throw BadSettings.value(asked, INCLUDE, file.toString(), "nested less than " + DEPTH_MOST + " deep");
+            throw InvalidSettingsException.value(
+                    asked, INCLUDE, file.toString(), "nested less than " + DEPTH_MOST + " deep");
         }
         text(file.toString(), real, text);
     }
@@ -74,14 +75,14 @@
         int number = 0;
         int depth = 0;
         for (String raw : text.split("\n", -1)) {
-            Place place = new Place(name, ++number);
+            SourceLocation place = new SourceLocation(name, ++number);
             Line line = line(place, raw.endsWith("\r") ? raw.substring(0, raw.length() - 1) : raw);
             if (line == null) {
                 continue;
             }
             depth += line.opens() ? 1 : line.closes() ? -1 : 0;
             if (depth < 0) {
-                throw new BadSettings(place, "} closes no block of this file");
+                throw new InvalidSettingsException(place, "} closes no block of this file");
             }
             if (!line.closes() && line.words().get(0).equals(INCLUDE)) {
                 include(line, real);
@@ -89,18 +90,19 @@
                 lines.add(line);
             }
             if (lines.size() > LINES_MOST) {
-                throw new BadSettings(place, "more than " + LINES_MOST + " lines");
+                throw new InvalidSettingsException(place, "more than " + LINES_MOST + " lines");
             }
         }
         if (depth > 0) {
-            throw new BadSettings(new Place(name, number), "the file ends inside a block: } is missing");
+            throw new InvalidSettingsException(
+                    new SourceLocation(name, number), "the file ends inside a block: } is missing");
         }
         open.pop();
     }
 
     private void include(Line line, Path from) {
         if (line.words().size() != 2 || line.opens()) {
-            throw BadSettings.value(
+            throw InvalidSettingsException.value(
                     line.place(),
                     INCLUDE,
                     String.join(" ", line.words().subList(1, line.words().size())),
@@ -109,12 +111,13 @@
         try {
             file(from.resolveSibling(line.words().get(1)), line.place());
         } catch (InvalidPathException e) {
-            throw BadSettings.value(line.place(), INCLUDE, line.words().get(1), "the path of a file");
+            throw InvalidSettingsException.value(
+                    line.place(), INCLUDE, line.words().get(1), "the path of a file");
         }
     }
 
     /** The words of a line; null where it says nothing. */
-    private static Line line(Place place, String raw) {
+    private static Line line(SourceLocation place, String raw) {
         List<String> words = new ArrayList<>();
         boolean opens = false;
         int at = 0;
@@ -128,7 +131,7 @@
                 break;
             }
             if (opens) {
-                throw new BadSettings(place, "{ has to be the last of its line");
+                throw new InvalidSettingsException(place, "{ has to be the last of its line");
             }
             StringBuilder word = new StringBuilder();
             if (c == '"') {
@@ -139,7 +142,7 @@
                     word.append(raw.charAt(at));
                 }
                 if (word.indexOf("\"") >= 0) {
-                    throw new BadSettings(place, "a quote inside " + word);
+                    throw new InvalidSettingsException(place, "a quote inside " + word);
                 }
                 if (word.toString().equals("{")) {
                     opens = true;
@@ -152,20 +155,20 @@
             return new Line(place, List.of(), false, true);
         }
         if (words.contains("}")) {
-            throw new BadSettings(place, "} has to stand alone on its line");
+            throw new InvalidSettingsException(place, "} has to stand alone on its line");
         }
         if (words.isEmpty() && opens) {
-            throw new BadSettings(place, "{ without the name of a block");
+            throw new InvalidSettingsException(place, "{ without the name of a block");
         }
         return words.isEmpty() ? null : new Line(place, List.copyOf(words), opens, false);
     }
 
-    private static int quoted(Place place, String raw, int from, StringBuilder word) {
+    private static int quoted(SourceLocation place, String raw, int from, StringBuilder word) {
         for (int at = from; at < raw.length(); at++) {
             char c = raw.charAt(at);
             if (c == '"') {
                 if (at + 1 < raw.length() && !Character.isWhitespace(raw.charAt(at + 1))) {
-                    throw new BadSettings(place, "no space after the quote of \"" + word + '"');
+                    throw new InvalidSettingsException(place, "no space after the quote of \"" + word + '"');
                 }
                 return at + 1;
             }
@@ -173,13 +176,13 @@
                 at++;
                 int known = at < raw.length() ? "\"\\nt".indexOf(raw.charAt(at)) : -1;
                 if (known < 0) {
-                    throw new BadSettings(place, "a backslash before neither \" nor \\ nor n nor t");
+                    throw new InvalidSettingsException(place, "a backslash before neither \" nor \\ nor n nor t");
                 }
                 word.append("\"\\\n\t".charAt(known));
             } else {
                 word.append(c);
             }
         }
-        throw new BadSettings(place, "the quote before " + word + " is not closed");
+        throw new InvalidSettingsException(place, "the quote before " + word + " is not closed");
     }
 }
--- a/src/main/java/nettlewick/settings/Reference.java
+++ b/src/main/java/nettlewick/settings/Reference.java
@@ -21,7 +21,7 @@
                 from. SIGHUP reads the file again and takes all of it or nothing; what only a restart
                 changes is named in the log.
                 """);
-        section(Table.ROOT, "", page);
+        section(SettingsSchema.ROOT, "", page);
         return page.toString();
     }
 
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -9,7 +9,7 @@
  * @param many  whether there may be several (each with a label of its own, where it has one)
  */
 public record Section(
-        String name, Type<String> label, boolean many, String about, List<Keyword> keywords, List<Section> inner) {
+        String name, ValueType<String> label, boolean many, String about, List<Keyword> keywords, List<Section> inner) {
     Keyword keyword(String word) {
         return keywords.stream().filter(k -> k.name().equals(word)).findFirst().orElse(null);
     }
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -18,35 +18,35 @@
         this.root = root;
     }
 
-    /** Reads and checks a file; throws {@link BadSettings} with one line for the first fault. */
+    /** Reads and checks a file; throws {@link InvalidSettingsException} with one line for the first fault. */
     public static Settings read(Path file) {
-        return read(Lines.of(file), Table.ROOT);
+        return read(LineParser.of(file), SettingsSchema.ROOT);
     }
 
     /** Checks a text as if it stood in a file of that name. */
     public static Settings parse(String name, String text) {
-        return read(Lines.ofText(name, text), Table.ROOT);
+        return read(LineParser.ofText(name, text), SettingsSchema.ROOT);
     }
 
     /** Reads and checks a file of the same form with keywords of its own. */
     public static Settings read(Path file, Section table) {
-        return read(Lines.of(file), table);
+        return read(LineParser.of(file), table);
     }
 
     /** Checks a text of the same form with keywords of its own, as if it stood in a file of that name. */
     public static Settings parse(String name, String text, Section table) {
-        return read(Lines.ofText(name, text), table);
+        return read(LineParser.ofText(name, text), table);
     }
 
     /** What is in force where there is no file. */
     public static Settings none() {
-        return read(List.of(), Table.ROOT);
+        return read(List.of(), SettingsSchema.ROOT);
     }
 
-    static Settings read(List<Lines.Line> lines, Section table) {
+    static Settings read(List<LineParser.Line> lines, Section table) {
         Deque<Block> open = new ArrayDeque<>();
-        open.push(new Block(table, null, Place.DEFAULT));
-        for (Lines.Line line : lines) {
+        open.push(new Block(table, null, SourceLocation.DEFAULT));
+        for (LineParser.Line line : lines) {
             if (line.closes()) {
                 complete(open.pop());
             } else if (line.opens()) {
@@ -59,7 +59,7 @@
         return new Settings(open.peek());
     }
 
-    private static Block open(Block in, Lines.Line line) {
+    private static Block open(Block in, LineParser.Line line) {
         String name = line.words().get(0);
         Section section = in.section().section(name);
         if (section == null) {
@@ -70,7 +70,7 @@
         if (section.label() == null
                 ? !rest.isEmpty()
                 : rest.size() != 1 || (label = section.label().read(rest.get(0))) == null) {
-            throw BadSettings.value(
+            throw InvalidSettingsException.value(
                     line.place(),
                     name,
                     String.join(" ", rest),
@@ -83,7 +83,7 @@
         return block;
     }
 
-    private static void set(Block in, Lines.Line line) {
+    private static void set(Block in, LineParser.Line line) {
         String name = line.words().get(0);
         Keyword keyword = in.section().keyword(name);
         if (keyword == null) {
@@ -96,17 +96,18 @@
     private static void complete(Block block) {
         for (Keyword keyword : block.section().keywords()) {
             if (keyword.required() && !block.has(keyword.name())) {
-                throw new BadSettings(block.place(), block.section().name() + " lacks " + keyword.usage());
+                throw new InvalidSettingsException(
+                        block.place(), block.section().name() + " lacks " + keyword.usage());
             }
         }
     }
 
-    private static BadSettings unknown(Section in, Lines.Line line) {
+    private static InvalidSettingsException unknown(Section in, LineParser.Line line) {
         String word = line.words().get(0);
         String value = String.join(" ", line.words().subList(1, line.words().size()));
         boolean other = line.opens() ? in.keyword(word) != null : in.section(word) != null;
         if (other) {
-            return BadSettings.value(
+            return InvalidSettingsException.value(
                     line.place(),
                     word,
                     value + (line.opens() ? " {" : ""),
@@ -118,7 +119,7 @@
                 .min(java.util.Comparator.comparingInt(
                         known -> LevenshteinDistance.getDefaultInstance().apply(word, known)))
                 .orElse("none");
-        return new BadSettings(
+        return new InvalidSettingsException(
                 line.place(),
                 word + (value.isEmpty() ? "" : " (" + value + ")") + " is no keyword of " + in.name()
                         + "; the nearest is " + nearest);
@@ -178,7 +179,7 @@
                 text.append(String.format(
                         "%-50s # %s%n",
                         indent + keyword.name() + " "
-                                + value.words().stream().map(Type::quote).collect(Collectors.joining(" ")),
+                                + value.words().stream().map(ValueType::quote).collect(Collectors.joining(" ")),
                         value.place()));
             }
         }
@@ -190,8 +191,8 @@
         for (Block inner : block.inner()) {
             text.append(String.format(
                     "%-50s # %s%n",
-                    indent + inner.section().name() + (inner.label() == null ? "" : " " + Type.quote(inner.label()))
-                            + " {",
+                    indent + inner.section().name()
+                            + (inner.label() == null ? "" : " " + ValueType.quote(inner.label())) + " {",
                     inner.place()));
             show(inner, indent + "    ", text);
             text.append(indent).append("}\n");
--- a/src/main/java/nettlewick/settings/Table.java
+++ b/src/main/java/nettlewick/settings/SettingsSchema.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** All keywords there are: what checks the settings and what the reference is made from. */
-public final class Table {
+public final class SettingsSchema {
     private static final double HOUR = 3.6e6;
     private static final double DAY = 24 * HOUR;
 
@@ -15,23 +15,27 @@
             false,
             "How log lines are written, on standard error.",
             List.of(
-                    Keyword.of("form", Type.choice("text", "json"), "text", "Plain lines, or one JSON object a line.")
+                    Keyword.of(
+                                    "form",
+                                    ValueType.choice("text", "json"),
+                                    "text",
+                                    "Plain lines, or one JSON object a line.")
                             .changing(),
-                    Keyword.of("level", Type.level(), "info", "Least level that is written, of all parts.")
+                    Keyword.of("level", ValueType.level(), "info", "Least level that is written, of all parts.")
                             .changing(),
                     Keyword.several(
                             "part",
                             "Least level of one part, as the lines name it (`node`, `core`, " + "`ledger`).",
-                            Type.word("PART"),
-                            Type.level()),
+                            ValueType.word("PART"),
+                            ValueType.level()),
                     Keyword.of(
                                     "repeats",
-                                    Type.whole(1, 1_000_000),
+                                    ValueType.whole(1, 1_000_000),
                                     "10",
                                     "Most lines of one part and event in each `window`; the rest are counted, and told with "
                                             + "the next one.")
                             .changing(),
-                    Keyword.of("window", Type.span(100, HOUR), "10s", "The window of `repeats`.")
+                    Keyword.of("window", ValueType.span(100, HOUR), "10s", "The window of `repeats`.")
                             .changing()),
             List.of());
 
@@ -41,48 +45,53 @@
             false,
             "The front for progress streams (server-sent events).",
             List.of(
-                    Keyword.needed("listen", Type.address(), "Where it listens."),
+                    Keyword.needed("listen", ValueType.address(), "Where it listens."),
                     Keyword.of(
                             "retry",
-                            Type.span(1, HOUR),
+                            ValueType.span(1, HOUR),
                             "1s",
                             "What clients are told to wait before they connect again."),
-                    Keyword.of("heartbeat", Type.span(10, HOUR), "5s", "Pause between comments on a silent stream."),
+                    Keyword.of(
+                            "heartbeat", ValueType.span(10, HOUR), "5s", "Pause between comments on a silent stream."),
                     Keyword.of(
                             "grace",
-                            Type.span(0, HOUR),
+                            ValueType.span(0, HOUR),
                             "3s",
                             "How long a job whose clients are all gone is kept going."),
-                    Keyword.of("keep", Type.span(0, HOUR), "30s", "How long a finished stream can be read again."),
+                    Keyword.of("keep", ValueType.span(0, HOUR), "30s", "How long a finished stream can be read again."),
                     Keyword.of(
                             "keep-streams",
-                            Type.whole(0, 100_000),
+                            ValueType.whole(0, 100_000),
                             "500",
                             "Most finished streams that can be read again."),
-                    Keyword.of("max-readers", Type.whole(1, 100_000), "200", "Most streams open at once.")),
+                    Keyword.of("max-readers", ValueType.whole(1, 100_000), "200", "Most streams open at once.")),
             List.of());
 
     private static final Section EXPORT = new Section(
             "export",
-            Type.word("NAME"),
+            ValueType.word("NAME"),
             true,
             "Somewhere the dispatcher's own entries go, each exactly once, in numbered batches. Has either a "
                     + "`folder` or a `url`.",
             List.of(
                     Keyword.free(
                             "folder",
-                            Type.path(),
+                            ValueType.path(),
                             "Files go here, with a `manifest.jsonl` that names each " + "with its sum."),
-                    Keyword.free("url", Type.url(), "Batches are sent here by POST; see the operators' page."),
-                    Keyword.of("format", Type.choice("csv", "jsonl"), "csv", "The form of a batch."),
-                    Keyword.of("most", Type.whole(1, 1_000_000), "5000", "Most entries of a batch."),
-                    Keyword.of("every", Type.span(100, DAY), "1m", "How often `serve` exports.")
+                    Keyword.free("url", ValueType.url(), "Batches are sent here by POST; see the operators' page."),
+                    Keyword.of("format", ValueType.choice("csv", "jsonl"), "csv", "The form of a batch."),
+                    Keyword.of("most", ValueType.whole(1, 1_000_000), "5000", "Most entries of a batch."),
+                    Keyword.of("every", ValueType.span(100, DAY), "1m", "How often `serve` exports.")
                             .changing(),
-                    Keyword.of("timeout", Type.span(10, HOUR), "10s", "How long a receiver may take for one batch.")
+                    Keyword.of(
+                                    "timeout",
+                                    ValueType.span(10, HOUR),
+                                    "10s",
+                                    "How long a receiver may take for one batch.")
                             .changing(),
                     new Keyword(
                             "retry",
-                            List.of(List.of(Type.span(1, HOUR), Type.span(1, HOUR))),
+                            List.of(List.of(ValueType.span(1, HOUR), ValueType.span(1, HOUR))),
                             "500ms 30s",
                             false,
                             false,
@@ -90,7 +99,7 @@
                             "First and longest pause between tries; pauses double and are drawn at random."),
                     Keyword.of(
                                     "attempts",
-                                    Type.whole(1, 1000),
+                                    ValueType.whole(1, 1000),
                                     "8",
                                     "Tries of one batch before the round is given up; "
                                             + "the next round tries it again.")
@@ -103,10 +112,10 @@
             false,
             "Reconciling with other dispatchers: each can hold the entries of all.",
             List.of(
-                    Keyword.needed("listen", Type.address(), "Where the other dispatchers call."),
+                    Keyword.needed("listen", ValueType.address(), "Where the other dispatchers call."),
                     Keyword.needed(
                             "key",
-                            Type.path(),
+                            ValueType.path(),
                             "File with the shared key, 32 bytes at least; all " + "dispatchers have the same."),
                     new Keyword(
                             "admit",
@@ -116,11 +125,11 @@
                             false,
                             false,
                             "An IP network whose callers are let in."),
-                    Keyword.several("peer", "A dispatcher that is asked for its entries.", Type.address()),
-                    Keyword.of("every", Type.span(10, DAY), "30s", "How often each peer is asked.")
+                    Keyword.several("peer", "A dispatcher that is asked for its entries.", ValueType.address()),
+                    Keyword.of("every", ValueType.span(10, DAY), "30s", "How often each peer is asked.")
                             .changing(),
-                    Keyword.of("timeout", Type.span(10, HOUR), "5s", "How long a peer may take for one answer."),
-                    Keyword.of("chunk", Type.whole(1, 100_000), "2000", "Most entries fetched at once.")
+                    Keyword.of("timeout", ValueType.span(10, HOUR), "5s", "How long a peer may take for one answer."),
+                    Keyword.of("chunk", ValueType.whole(1, 100_000), "2000", "Most entries fetched at once.")
                             .changing()),
             List.of());
 
@@ -130,12 +139,12 @@
             false,
             "The billing ledger: an entry for each job answered, on a disk that lasts.",
             List.of(
-                    Keyword.needed("store", Type.path(), "Folder that holds the store; made if it is not there."),
+                    Keyword.needed("store", ValueType.path(), "Folder that holds the store; made if it is not there."),
                     new Keyword(
                             "mode",
                             List.of(
-                                    List.of(Type.literal("sync")),
-                                    List.of(Type.literal("batch"), Type.span(1, 60_000))),
+                                    List.of(ValueType.literal("sync")),
+                                    List.of(ValueType.literal("batch"), ValueType.span(1, 60_000))),
                             "batch 20ms",
                             false,
                             false,
@@ -145,38 +154,38 @@
                                     + "the disk is told every SPAN."),
                     Keyword.of(
                                     "commit",
-                                    Type.span(1, 60_000),
+                                    ValueType.span(1, 60_000),
                                     "250ms",
                                     "How often jobs that have ended are moved from the spool into the store.")
                             .changing(),
                     Keyword.of(
                                     "patience",
-                                    Type.span(1, 60_000),
+                                    ValueType.span(1, 60_000),
                                     "250ms",
                                     "Longest that an answer waits for a disk that is slow; then it leaves all the same.")
                             .changing(),
                     Keyword.of(
                                     "queue",
-                                    Type.whole(16, 10_000_000),
+                                    ValueType.whole(16, 10_000_000),
                                     "50000",
                                     "Most jobs that wait in memory while the store cannot be written; what passes it goes "
                                             + "into a gap "
                                             + "entry.")
                             .changing(),
-                    Keyword.of("zone", Type.zone(), "UTC", "The time zone of terms' dates."),
+                    Keyword.of("zone", ValueType.zone(), "UTC", "The time zone of terms' dates."),
                     Keyword.several(
                             "term",
                             "A billing period: from the first day's midnight to the second day's. "
                                     + "Time "
                                     + "outside all terms is billed by calendar month.",
-                            Type.word("NAME"),
-                            Type.literal("from"),
-                            Type.date(),
-                            Type.literal("to"),
-                            Type.date()),
+                            ValueType.word("NAME"),
+                            ValueType.literal("from"),
+                            ValueType.date(),
+                            ValueType.literal("to"),
+                            ValueType.date()),
                     Keyword.of(
                             "key-window",
-                            Type.span(0, DAY),
+                            ValueType.span(0, DAY),
                             "15s",
                             "A key answered at two dispatchers within this is billed once.")),
             List.of(EXPORT, PEERS));
@@ -187,39 +196,39 @@
             false,
             "Duties that one dispatcher holds at a time, see docs/duties.md.",
             List.of(
-                    Keyword.needed("listen", Type.address(), "Where this dispatcher hears of duties (UDP)."),
+                    Keyword.needed("listen", ValueType.address(), "Where this dispatcher hears of duties (UDP)."),
                     Keyword.free(
                             "number",
-                            Type.whole(0, 65_535),
+                            ValueType.whole(0, 65_535),
                             "Its place among the `dispatcher` lines, from 0, "
                                     + "where others reach it at another address than `listen`."),
                     new Keyword(
                             "dispatcher",
-                            List.of(List.of(Type.address())),
+                            List.of(List.of(ValueType.address())),
                             null,
                             true,
                             true,
                             false,
                             "A dispatcher of the tier, all of them in the same order everywhere."),
-                    Keyword.of("voters", Type.whole(1, 9), "5", "So many of the first dispatchers grant duties."),
-                    Keyword.of("lease", Type.span(100, 60_000), "3s", "How long a grant lasts."),
+                    Keyword.of("voters", ValueType.whole(1, 9), "5", "So many of the first dispatchers grant duties."),
+                    Keyword.of("lease", ValueType.span(100, 60_000), "3s", "How long a grant lasts."),
                     Keyword.of(
                             "drift",
-                            Type.whole(0, 20),
+                            ValueType.whole(0, 20),
                             "5",
                             "By how many percent two clocks' rates may differ at most."),
                     Keyword.needed(
                             "key",
-                            Type.path(),
+                            ValueType.path(),
                             "File with the shared key, 32 bytes at least; all dispatchers " + "have the same."),
                     Keyword.free(
                             "folder",
-                            Type.path(),
+                            ValueType.path(),
                             "Where a voter keeps what it promised and accepted, on a disk that "
                                     + "lasts; else a restart forgets it, and asks the others."),
                     new Keyword(
                             "name",
-                            List.of(List.of(Type.word("NAME"))),
+                            List.of(List.of(ValueType.word("NAME"))),
                             null,
                             true,
                             false,
@@ -237,13 +246,13 @@
                     new Keyword(
                             "member",
                             List.of(
-                                    List.of(Type.word("MEMBER")),
+                                    List.of(ValueType.word("MEMBER")),
                                     List.of(
-                                            Type.word("MEMBER"),
-                                            Type.literal("cap"),
-                                            Type.whole(0, 1_000_000_000_000L),
-                                            Type.literal("most"),
-                                            Type.whole(1, 1000))),
+                                            ValueType.word("MEMBER"),
+                                            ValueType.literal("cap"),
+                                            ValueType.whole(0, 1_000_000_000_000L),
+                                            ValueType.literal("most"),
+                                            ValueType.whole(1, 1000))),
                             null,
                             true,
                             true,
@@ -253,73 +262,74 @@
                     Keyword.several(
                             "keep",
                             "A member that stays in a pool, or is never moved to one.",
-                            Type.word("MEMBER"),
-                            Type.choice("pool", "common")),
-                    Keyword.of("reserve", Type.percent(), "40%", "The part of all runners that pools may hold.")
+                            ValueType.word("MEMBER"),
+                            ValueType.choice("pool", "common")),
+                    Keyword.of("reserve", ValueType.percent(), "40%", "The part of all runners that pools may hold.")
                             .changing(),
-                    Keyword.of("window", Type.span(100, HOUR), "2s", "Evidence is judged once in each.")
+                    Keyword.of("window", ValueType.span(100, HOUR), "2s", "Evidence is judged once in each.")
                             .changing(),
                     Keyword.of(
                                     "settle",
-                                    Type.span(0, HOUR),
+                                    ValueType.span(0, HOUR),
                                     "1s",
                                     "How long a reserved pool is told before others leave it.")
                             .changing(),
-                    Keyword.of("come", Type.span(0, HOUR), "2s", "How long runners that are added are waited for.")
+                    Keyword.of("come", ValueType.span(0, HOUR), "2s", "How long runners that are added are waited for.")
                             .changing(),
-                    Keyword.of("clear", Type.span(0, HOUR), "3s", "How long others' work in hand has to end.")
+                    Keyword.of("clear", ValueType.span(0, HOUR), "3s", "How long others' work in hand has to end.")
                             .changing(),
                     Keyword.of(
                                     "stay",
-                                    Type.span(0, DAY),
+                                    ValueType.span(0, DAY),
                                     "1m",
                                     "How long a member has kept to its share before it comes back.")
                             .changing(),
                     Keyword.of(
                             "forget",
-                            Type.span(100, DAY),
+                            ValueType.span(100, DAY),
                             "30s",
                             "After so long without a word of it, a pool keeps nobody else away."),
-                    Keyword.free("provider", Type.url(), "Who starts and stops runners."),
-                    Keyword.of("timeout", Type.span(10, HOUR), "5s", "How long the provider may take for an answer."),
+                    Keyword.free("provider", ValueType.url(), "Who starts and stops runners."),
+                    Keyword.of(
+                            "timeout", ValueType.span(10, HOUR), "5s", "How long the provider may take for an answer."),
                     new Keyword(
                             "price",
                             List.of(List.of(
-                                    Type.word("KIND"),
-                                    Type.whole(0, 1_000_000_000),
-                                    Type.literal("least"),
-                                    Type.span(0, DAY))),
+                                    ValueType.word("KIND"),
+                                    ValueType.whole(0, 1_000_000_000),
+                                    ValueType.literal("least"),
+                                    ValueType.span(0, DAY))),
                             null,
                             false,
                             false,
                             true,
                             "The kind of runner that is added, an hour's price in hundredths, and the least time "
                                     + "billed."),
-                    Keyword.of("near", Type.percent(), "95%", "The part of a cap past which nothing is added.")
+                    Keyword.of("near", ValueType.percent(), "95%", "The part of a cap past which nothing is added.")
                             .changing(),
                     Keyword.of(
                                     "reach",
-                                    Type.span(0, DAY),
+                                    ValueType.span(0, DAY),
                                     "1m",
                                     "Longest time until someone can end a runner; its cost counts as bound to be spent.")
                             .changing(),
                     Keyword.of(
                                     "at-cap",
-                                    Type.choice("stay", "return"),
+                                    ValueType.choice("stay", "return"),
                                     "stay",
                                     "Whether added runners stay at the cap itself, or are handed back.")
                             .changing(),
-                    Keyword.of("zone", Type.zone(), "UTC", "The time zone of the months.")),
+                    Keyword.of("zone", ValueType.zone(), "UTC", "The time zone of the months.")),
             List.of());
 
     /** The file itself. */
     static final Section ROOT =
             new Section("the settings", null, false, "", List.of(), List.of(LOG, EDGE, LEDGER, DUTY, POOLS));
 
-    private Table() {}
+    private SettingsSchema() {}
 
-    private static Type<IPAddress> network() {
-        return new Type<>("NETWORK", "an IP network such as 127.0.0.0/8", word -> {
+    private static ValueType<IPAddress> network() {
+        return new ValueType<>("NETWORK", "an IP network such as 127.0.0.0/8", word -> {
             IPAddressString text = new IPAddressString(word);
             IPAddress network = word.isEmpty() || word.contains("*") ? null : text.getAddress();
             return network == null ? null : network.toPrefixBlock();
--- a/src/main/java/nettlewick/settings/Place.java
+++ b/src/main/java/nettlewick/settings/SourceLocation.java
@@ -1,9 +1,9 @@
 package nettlewick.settings;
 
 /** Where a setting stands; {@code line} counts from 1, 0 for what stands in no file. */
-public record Place(String file, int line) {
+public record SourceLocation(String file, int line) {
     /** The place of what nobody has set. */
-    public static final Place DEFAULT = new Place("default", 0);
+    public static final SourceLocation DEFAULT = new SourceLocation("default", 0);
 
     @Override
     public String toString() {
--- a/src/main/java/nettlewick/settings/Type.java
+++ b/src/main/java/nettlewick/settings/ValueType.java
@@ -19,7 +19,7 @@
  * @param wanted ends the sentence "... has to be"
  * @param reader makes the value of a word; throws what it likes on others
  */
-public record Type<T>(String name, String wanted, Function<String, T> reader) {
+public record ValueType<T>(String name, String wanted, Function<String, T> reader) {
     private static final Pattern UNIT = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([a-z]*)");
 
     /** The value of a word, or null where it is none. */
@@ -32,46 +32,46 @@
     }
 
     /** Any text that is not empty. */
-    public static Type<String> text(String name) {
-        return new Type<>(name, "a text", word -> word.isEmpty() ? null : word);
+    public static ValueType<String> text(String name) {
+        return new ValueType<>(name, "a text", word -> word.isEmpty() ? null : word);
     }
 
     /** A name: letters, digits, dot, dash and underscore. */
-    public static Type<String> word(String name) {
-        return new Type<>(
+    public static ValueType<String> word(String name) {
+        return new ValueType<>(
                 name,
                 "a name of letters, digits, '.', '-' and '_', 64 at most",
                 word -> word.matches("[A-Za-z0-9._-]{1,64}") ? word : null);
     }
 
     /** This word and no other. */
-    public static Type<String> literal(String only) {
-        return new Type<>(only, only, word -> word.equals(only) ? word : null);
+    public static ValueType<String> literal(String only) {
+        return new ValueType<>(only, only, word -> word.equals(only) ? word : null);
     }
 
-    public static Type<String> choice(String... words) {
+    public static ValueType<String> choice(String... words) {
         List<String> all = List.of(words);
-        return new Type<>(
+        return new ValueType<>(
                 String.join("|", all), "one of " + String.join(", ", all), word -> all.contains(word) ? word : null);
     }
 
-    public static Type<Boolean> flag() {
-        return new Type<>(
+    public static ValueType<Boolean> flag() {
+        return new ValueType<>(
                 "yes|no",
                 "yes or no",
                 word -> word.equals("yes") ? Boolean.TRUE : word.equals("no") ? Boolean.FALSE : null);
     }
 
-    public static Type<Long> whole(long least, long most) {
-        return new Type<>("NUMBER", "a whole number from " + least + " to " + most, word -> {
+    public static ValueType<Long> whole(long least, long most) {
+        return new ValueType<>("NUMBER", "a whole number from " + least + " to " + most, word -> {
             long value = Long.parseLong(word);
             return value >= least && value <= most ? value : null;
         });
     }
 
     /** A time span, as milliseconds: 250ms, 15s, 10m, 24h, 7d. */
-    public static Type<Double> span(double least, double most) {
-        return new Type<>(
+    public static ValueType<Double> span(double least, double most) {
+        return new ValueType<>(
                 "SPAN",
                 "a time with its unit (ms, s, m, h, d) from " + spanText(least) + " to " + spanText(most),
                 word -> {
@@ -100,16 +100,16 @@
     }
 
     /** A part such as 20%, as a number from 0 to 1. */
-    public static Type<Double> percent() {
-        return new Type<>("PERCENT", "a part such as 20%", word -> {
+    public static ValueType<Double> percent() {
+        return new ValueType<>("PERCENT", "a part such as 20%", word -> {
             double value = word.endsWith("%") ? Double.parseDouble(word.substring(0, word.length() - 1)) : -1;
             return value >= 0 && value <= 100 ? value / 100 : null;
         });
     }
 
     /** A number of bytes: 512, 64k, 16m, 2g (powers of 1,024). */
-    public static Type<Long> size(long least, long most) {
-        return new Type<>("SIZE", "a size in bytes, or with k, m or g, from " + least + " to " + most, word -> {
+    public static ValueType<Long> size(long least, long most) {
+        return new ValueType<>("SIZE", "a size in bytes, or with k, m or g, from " + least + " to " + most, word -> {
             Matcher m = UNIT.matcher(word);
             int shift = !m.matches() || m.group(1).contains(".")
                     ? -1
@@ -126,8 +126,8 @@
     }
 
     /** An IP address and a port; a name would ask DNS. */
-    public static Type<InetSocketAddress> address() {
-        return new Type<>("ADDRESS", "an IP address and a port", word -> {
+    public static ValueType<InetSocketAddress> address() {
+        return new ValueType<>("ADDRESS", "an IP address and a port", word -> {
             int colon = word.lastIndexOf(':');
             String host = word.substring(0, colon);
             boolean six = host.startsWith("[") && host.endsWith("]") && host.contains(":");
@@ -142,28 +142,28 @@
         });
     }
 
-    public static Type<Path> path() {
-        return new Type<>("FILE", "a path", word -> word.isEmpty() ? null : Path.of(word));
+    public static ValueType<Path> path() {
+        return new ValueType<>("FILE", "a path", word -> word.isEmpty() ? null : Path.of(word));
     }
 
-    public static Type<LocalDate> date() {
-        return new Type<>("DATE", "a date such as 2026-09-01", LocalDate::parse);
+    public static ValueType<LocalDate> date() {
+        return new ValueType<>("DATE", "a date such as 2026-09-01", LocalDate::parse);
     }
 
-    public static Type<ZoneId> zone() {
-        return new Type<>("ZONE", "a time zone such as Indian/Mauritius or UTC", ZoneId::of);
+    public static ValueType<ZoneId> zone() {
+        return new ValueType<>("ZONE", "a time zone such as Indian/Mauritius or UTC", ZoneId::of);
     }
 
     /** An address that is called by plain HTTP. */
-    public static Type<java.net.URI> url() {
-        return new Type<>("URL", "a URL such as http://127.0.0.1:9000/batches", word -> {
+    public static ValueType<java.net.URI> url() {
+        return new ValueType<>("URL", "a URL such as http://127.0.0.1:9000/batches", word -> {
             java.net.URI uri = java.net.URI.create(word);
             return "http".equals(uri.getScheme()) && uri.getHost() != null ? uri : null;
         });
     }
 
     /** A level of log lines. */
-    public static Type<String> level() {
+    public static ValueType<String> level() {
         return choice("error", "warning", "info", "debug", "off");
     }
 
