--- a/src/main/java/nettlewick/sim/WireHost.java
+++ b/src/main/java/nettlewick/sim/WireHost.java
@@ -19,14 +19,14 @@
 public final class WireHost {
     private final Map<Integer, Dispatcher> instances = new HashMap<>();
     private final WireCodec codec = new WireCodec();
-    private final BiFunction<Dispatcher.Settings, Long, Dispatcher> module;
+    private final BiFunction<Dispatcher.SchedulerSettings, Long, Dispatcher> module;
 
     public WireHost() {
         this(Dispatcher::create);
     }
 
     /** Hosts instances of another module. */
-    WireHost(BiFunction<Dispatcher.Settings, Long, Dispatcher> module) {
+    WireHost(BiFunction<Dispatcher.SchedulerSettings, Long, Dispatcher> module) {
         this.module = module;
     }
 
--- a/src/main/java/nettlewick/sse/EdgeConfig.java
+++ b/src/main/java/nettlewick/sse/EventStreamConfig.java
@@ -14,12 +14,12 @@
  * @param keepStreams most finished streams that are kept
  * @param maxReaders  most streams open to clients at once
  */
-public record EdgeConfig(
+public record EventStreamConfig(
         SocketAddress listen, long retry, long heartbeat, long grace, long keep, int keepStreams, int maxReaders) {
     /** Takes the settings' block {@code edge} over. */
-    public static EdgeConfig of(Block edge) {
+    public static EventStreamConfig of(Block edge) {
         InetSocketAddress listen = edge.address("listen");
-        return new EdgeConfig(
+        return new EventStreamConfig(
                 SocketAddress.inetSocketAddress(
                         listen.getPort(), listen.getAddress().getHostAddress()),
                 (long) edge.span("retry"),
--- a/src/main/java/nettlewick/sse/EdgeFront.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -6,33 +6,33 @@
 import java.net.URLDecoder;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
-import nettlewick.core.Figures;
+import nettlewick.core.Metrics;
 import nettlewick.core.Request;
-import nettlewick.net.HttpFront;
-import nettlewick.net.RpcReader;
+import nettlewick.net.HttpFrontend;
+import nettlewick.net.RequestReader;
 
 /**
  * Server-sent events for progress. A POST starts a job and answers with its stream; the same id once more,
  * or a GET of {@code /events/ID}, attaches to the job and never sends it anew. Lives on the event loop.
  */
-public final class EdgeFront extends HttpFront {
+public final class EventStreamFrontend extends HttpFrontend {
     private static final String STREAMS = "/events/";
     /** Kernel memory for one slow reader: left alone, the kernel would grow it to megabytes. */
     private static final int SEND_BUFFER = 32 * 1024;
 
     private static final long SWEEP = 500;
 
-    private final EdgeConfig edge;
-    private final RpcReader reader;
-    private final StreamBook book;
+    private final EventStreamConfig edge;
+    private final RequestReader reader;
+    private final StreamRegistry book;
     private int readers;
 
-    public EdgeFront(Base base, EdgeConfig edge) {
+    public EventStreamFrontend(Base base, EventStreamConfig edge) {
         super(base, edge.listen(), SEND_BUFFER);
         this.edge = edge;
-        reader = new RpcReader(base.config());
-        book = new StreamBook(edge.keep(), edge.keepStreams());
-        base.vertx().setPeriodic(edge.heartbeat(), id -> book.all().forEach(JobStream::heartbeat));
+        reader = new RequestReader(base.config());
+        book = new StreamRegistry(edge.keep(), edge.keepStreams());
+        base.vertx().setPeriodic(edge.heartbeat(), id -> book.all().forEach(RequestStream::heartbeat));
         base.vertx().setPeriodic(SWEEP, id -> book.expire(base.clock().now()));
     }
 
@@ -44,13 +44,13 @@
                 resume(http, path.substring(STREAMS.length()));
             } else {
                 http.response().putHeader("Allow", "GET");
-                RpcReader.reject(http, 405, "streams are read by GET");
+                RequestReader.reject(http, 405, "streams are read by GET");
             }
-        } else if (!RpcReader.isJob(path)) {
-            RpcReader.reject(http, 404, "no such path");
+        } else if (!RequestReader.isJob(path)) {
+            RequestReader.reject(http, 404, "no such path");
         } else if (!HttpMethod.POST.equals(http.method())) {
             http.response().putHeader("Allow", "POST");
-            RpcReader.reject(http, 405, "jobs come by POST");
+            RequestReader.reject(http, 405, "jobs come by POST");
         } else {
             reader.read(http, arrivedAt(http), draft -> take(http, draft));
         }
@@ -61,29 +61,29 @@
         try {
             id = URLDecoder.decode(encoded.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            RpcReader.reject(http, 400, "the stream's id is not percent-encoded");
+            RequestReader.reject(http, 400, "the stream's id is not percent-encoded");
             return;
         }
-        JobStream stream = book.get(id);
+        RequestStream stream = book.get(id);
         if (stream != null) {
             attach(http, id, stream);
         } else {
-            RpcReader.reject(http, 404, "no such stream");
+            RequestReader.reject(http, 404, "no such stream");
         }
     }
 
-    private void take(HttpServerRequest http, RpcReader.Draft draft) {
-        JobStream known = book.get(draft.id());
+    private void take(HttpServerRequest http, RequestReader.Draft draft) {
+        RequestStream known = book.get(draft.id());
         if (known != null) {
             if (known.same(draft.jobClass(), draft.tenant())) {
                 attach(http, draft.id(), known);
             } else {
-                RpcReader.reject(http, 409, "another job has this id");
+                RequestReader.reject(http, 409, "another job has this id");
             }
             return;
         }
-        Figures.Ticket[] ticket = new Figures.Ticket[1];
-        JobStream stream = new JobStream(
+        Metrics.Ticket[] ticket = new Metrics.Ticket[1];
+        RequestStream stream = new RequestStream(
                 draft.jobClass(), draft.tenant(), task -> base.loop().runOnContext(v -> task.run()), ended -> {
                     book.ended(draft.id(), ended, base.clock().now());
                     if (ticket[0] != null) {
@@ -121,7 +121,7 @@
     }
 
     /** Makes the response a stream of the job; false if it was answered otherwise. */
-    private boolean attach(HttpServerRequest http, String id, JobStream stream) {
+    private boolean attach(HttpServerRequest http, String id, RequestStream stream) {
         HttpServerResponse response = http.response();
         long after = lastSeen(http);
         if (stream.allSeen(after)) {
@@ -131,7 +131,7 @@
         }
         if (readers >= edge.maxReaders()) {
             response.putHeader("Retry-After", Long.toString(Math.max(1, edge.retry() / 1000)));
-            RpcReader.reject(http, 503, "too many streams are open");
+            RequestReader.reject(http, 503, "too many streams are open");
             return false;
         }
         response.putHeader(
@@ -140,7 +140,7 @@
         if (base.state().leaving()) {
             response.putHeader("Connection", "close");
         }
-        Reader joined = new Reader(response, after, edge.retry());
+        StreamSubscriber joined = new StreamSubscriber(response, after, edge.retry());
         readers++;
         // Either may come first, or both: the final event is written, or the client goes away.
         response.closeHandler(v -> gone(stream, joined));
@@ -149,7 +149,7 @@
         return true;
     }
 
-    private void gone(JobStream stream, Reader left) {
+    private void gone(RequestStream stream, StreamSubscriber left) {
         if (!left.leave()) {
             return;
         }
--- a/src/main/java/nettlewick/sse/JobStream.java
+++ b/src/main/java/nettlewick/sse/RequestStream.java
@@ -4,30 +4,30 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import nettlewick.core.Books;
-import nettlewick.core.Figures;
+import nettlewick.core.Metrics;
 import nettlewick.core.Request;
+import nettlewick.core.UsageRecorder;
 
 /**
  * A job and what clients are told of it: the latest progress and, exactly once, the final event. Readers come
  * and go without the job noticing. Calls from the core are brought to the event loop, where all of it lives.
  */
-final class JobStream implements Request.Caller {
+final class RequestStream implements Request.Caller {
     private static final int READERS_MOST = 4;
 
     private final String jobClass;
     private final String tenant;
     private final Consumer<Runnable> loop;
-    private final Consumer<JobStream> onEnd;
-    private final List<Reader> readers = new ArrayList<>(1);
+    private final Consumer<RequestStream> onEnd;
+    private final List<StreamSubscriber> readers = new ArrayList<>(1);
     private long lastId;
-    private Event progress;
-    private Event end;
+    private StreamEvent progress;
+    private StreamEvent end;
     private Request request;
-    private Books.Receipt owed = Books.Receipt.NONE;
+    private UsageRecorder.Receipt owed = UsageRecorder.Receipt.NONE;
 
-    JobStream(String jobClass, String tenant, Consumer<Runnable> loop, Consumer<JobStream> onEnd) {
-        this.jobClass = jobClass;
+    RequestStream(String requestClass, String tenant, Consumer<Runnable> loop, Consumer<RequestStream> onEnd) {
+        this.jobClass = requestClass;
         this.tenant = tenant;
         this.loop = loop;
         this.onEnd = onEnd;
@@ -59,10 +59,10 @@
         return end != null && after >= end.id();
     }
 
-    void attach(Reader reader) {
+    void attach(StreamSubscriber reader) {
         if (readers.size() >= READERS_MOST) {
             // The connection that a reconnecting client left behind may look open for long.
-            Reader oldest = readers.remove(0);
+            StreamSubscriber oldest = readers.remove(0);
             oldest.close();
         }
         readers.add(reader);
@@ -71,16 +71,16 @@
     }
 
     /** Takes a reader off; true if it was the last one of a job that still runs. */
-    boolean detach(Reader reader) {
+    boolean detach(StreamSubscriber reader) {
         return readers.remove(reader) && readers.isEmpty() && end == null;
     }
 
     void heartbeat() {
-        List.copyOf(readers).forEach(Reader::heartbeat);
+        List.copyOf(readers).forEach(StreamSubscriber::heartbeat);
     }
 
     void closeReaders() {
-        List.copyOf(readers).forEach(Reader::close);
+        List.copyOf(readers).forEach(StreamSubscriber::close);
     }
 
     /** Numbers the events from the one that a client saw last in a stream that is gone. */
@@ -89,14 +89,14 @@
     }
 
     /** Counts how it ended; one that nobody waited for any more counts nowhere. */
-    void count(Figures.Ticket ticket) {
+    void count(Metrics.Ticket ticket) {
         ticket.owe(owed);
         switch (end.name()) {
-            case "result" -> ticket.answered(Figures.End.FULFILLED);
-            case "unavailable" -> ticket.answered(Figures.End.THROTTLED);
+            case "result" -> ticket.answered(Metrics.End.FULFILLED);
+            case "unavailable" -> ticket.answered(Metrics.End.THROTTLED);
             default -> {
                 if (watched()) {
-                    ticket.answered(Figures.End.FAULTED);
+                    ticket.answered(Metrics.End.FAULTED);
                 } else {
                     ticket.left();
                 }
@@ -111,10 +111,10 @@
 
     /** Ends the stream from this side; an end that it has already stands. */
     void giveUp(String reason) {
-        end(Event.failed(lastId + 1, reason));
+        end(StreamEvent.failed(lastId + 1, reason));
     }
 
-    private void end(Event event) {
+    private void end(StreamEvent event) {
         if (end == null) {
             end = event;
             lastId = event.id();
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void receipt(Books.Receipt receipt) {
+    public void receipt(UsageRecorder.Receipt receipt) {
         loop.accept(() -> {
             if (end == null) {
                 owed = receipt;
@@ -139,7 +139,7 @@
     public void progress(double share) {
         loop.accept(() -> {
             if (end == null) {
-                progress = Event.progress(++lastId, share);
+                progress = StreamEvent.progress(++lastId, share);
                 List.copyOf(readers).forEach(r -> r.offer(progress));
             }
         });
@@ -147,16 +147,16 @@
 
     @Override
     public void served(byte[] result) {
-        loop.accept(() -> end(Event.result(lastId + 1, new String(result, StandardCharsets.UTF_8))));
+        loop.accept(() -> end(StreamEvent.result(lastId + 1, new String(result, StandardCharsets.UTF_8))));
     }
 
     @Override
-    public void refused(double retryAfter) {
-        loop.accept(() -> end(Event.unavailable(lastId + 1, retryAfter)));
+    public void rejected(double retryAfter) {
+        loop.accept(() -> end(StreamEvent.unavailable(lastId + 1, retryAfter)));
     }
 
     @Override
     public void failed(String reason) {
-        loop.accept(() -> end(Event.failed(lastId + 1, reason)));
+        loop.accept(() -> end(StreamEvent.failed(lastId + 1, reason)));
     }
 }
--- a/src/main/java/nettlewick/sse/Event.java
+++ b/src/main/java/nettlewick/sse/StreamEvent.java
@@ -3,30 +3,30 @@
 import com.google.gson.JsonObject;
 
 /** One event of a stream as the WHATWG text frames it. The data is JSON on one line: nothing to split. */
-record Event(long id, String name, String data, boolean last) {
-    static Event progress(long id, double share) {
+record StreamEvent(long id, String name, String data, boolean last) {
+    static StreamEvent progress(long id, double share) {
         JsonObject data = new JsonObject();
         data.addProperty("share", share);
-        return new Event(id, "progress", data.toString(), false);
+        return new StreamEvent(id, "progress", data.toString(), false);
     }
 
-    static Event result(long id, String result) {
+    static StreamEvent result(long id, String result) {
         JsonObject data = new JsonObject();
         data.addProperty("result", result);
-        return new Event(id, "result", data.toString(), true);
+        return new StreamEvent(id, "result", data.toString(), true);
     }
 
     /** {@code retryAfter} is in milliseconds; the event gives it in seconds, as a Retry-After would. */
-    static Event unavailable(long id, double retryAfter) {
+    static StreamEvent unavailable(long id, double retryAfter) {
         JsonObject data = new JsonObject();
         data.addProperty("retry_after", retryAfter / 1000);
-        return new Event(id, "unavailable", data.toString(), true);
+        return new StreamEvent(id, "unavailable", data.toString(), true);
     }
 
-    static Event failed(long id, String reason) {
+    static StreamEvent failed(long id, String reason) {
         JsonObject data = new JsonObject();
         data.addProperty("reason", reason);
-        return new Event(id, "failed", data.toString(), true);
+        return new StreamEvent(id, "failed", data.toString(), true);
     }
 
     String text() {
--- a/src/main/java/nettlewick/sse/StreamBook.java
+++ b/src/main/java/nettlewick/sse/StreamRegistry.java
@@ -12,32 +12,32 @@
  * Streams by request id. Finished ones are kept for a bounded time and number; of those forgotten the id
  * alone is remembered, so that a request that comes again is never taken for a new one.
  */
-final class StreamBook {
+final class StreamRegistry {
     /** Ids remembered of streams that are forgotten. */
     private static final int IDS_MOST = 20_000;
 
     /** Characters of final events kept: they share a small heap with everything else. */
     private static final int SIZE_MOST = 2 << 20;
 
-    private record Finished(String id, JobStream stream, double at) {}
+    private record Finished(String id, RequestStream stream, double at) {}
 
-    private final Map<String, JobStream> streams = new LinkedHashMap<>();
+    private final Map<String, RequestStream> streams = new LinkedHashMap<>();
     private final Deque<Finished> finished = new ArrayDeque<>();
     private final Set<String> past = new LinkedHashSet<>();
     private final double keep;
     private final int most;
     private int size;
 
-    StreamBook(double keep, int most) {
+    StreamRegistry(double keep, int most) {
         this.keep = keep;
         this.most = most;
     }
 
-    void add(String id, JobStream stream) {
+    void add(String id, RequestStream stream) {
         streams.put(id, stream);
     }
 
-    JobStream get(String id) {
+    RequestStream get(String id) {
         return streams.get(id);
     }
 
@@ -46,11 +46,11 @@
         return past.contains(id);
     }
 
-    Collection<JobStream> all() {
+    Collection<RequestStream> all() {
         return streams.values();
     }
 
-    void ended(String id, JobStream stream, double now) {
+    void ended(String id, RequestStream stream, double now) {
         finished.addLast(new Finished(id, stream, now));
         size += stream.size();
         expire(now);
--- a/src/main/java/nettlewick/sse/Reader.java
+++ b/src/main/java/nettlewick/sse/StreamSubscriber.java
@@ -9,18 +9,18 @@
  * while its buffer is full, newer progress takes the place of older, and the final event waits. Lives on the
  * event loop.
  */
-final class Reader {
+final class StreamSubscriber {
     private static final int BUFFER = 8 * 1024;
 
     private final HttpServerResponse response;
     private final long after;
-    private Event progress;
-    private Event last;
+    private StreamEvent progress;
+    private StreamEvent last;
     private boolean left;
     private final Promise<Void> written = Promise.promise();
 
     /** {@code after} is the id of the last event that the client has seen. */
-    Reader(HttpServerResponse response, long after, long retry) {
+    StreamSubscriber(HttpServerResponse response, long after, long retry) {
         this.response = response;
         this.after = after;
         response.setChunked(true).setWriteQueueMaxSize(BUFFER);
@@ -42,7 +42,7 @@
         return first;
     }
 
-    void offer(Event event) {
+    void offer(StreamEvent event) {
         if (event == null || event.id() <= after) {
             return;
         }
--- a/src/main/java/nettlewick/standins/DiscoveryServer.java
+++ b/src/main/java/nettlewick/standins/DiscoveryServer.java
@@ -21,7 +21,7 @@
     private static final long BEAT = 2000;
 
     /** A runner as the list holds it. */
-    private record Entry(RunnerServer runner, String health, long born) {}
+    private record Entry(EndpointServer runner, String health, long born) {}
 
     private final Vertx vertx;
     private final double callTime;
@@ -47,7 +47,7 @@
 
     /** Where a dispatcher reaches a runner. */
     public interface Dial {
-        InetSocketAddress of(int dispatcher, RunnerServer runner);
+        InetSocketAddress of(int dispatcher, EndpointServer runner);
     }
 
     /** @param calls how long it takes over one call, one after another; 0: no time */
@@ -65,7 +65,7 @@
     public InetSocketAddress listen(int dispatcher) throws Exception {
         HttpServer server = vertx.createHttpServer();
         server.requestHandler(request -> called(dispatcher, request));
-        StandIns.get(server.listen(0, "127.0.0.1"));
+        StubPlatform.get(server.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", server.actualPort());
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Tells all of a change, each after its own lag. */
-    public synchronized void change(RunnerServer runner, String health) {
+    public synchronized void change(EndpointServer runner, String health) {
         double born = runner.model.bornAt();
         changes.add(new Entry(
                 runner,
--- a/src/main/java/nettlewick/standins/RunnerModel.java
+++ b/src/main/java/nettlewick/standins/EndpointModel.java
@@ -11,7 +11,7 @@
  * A sim runner: slots, a bounded queue in the order of arrival, a speed, a cold start, and falling over when
  * pushed while cold. Pure: time is handed in, in milliseconds; the caller ends each job when it is due.
  */
-public final class RunnerModel {
+public final class EndpointModel {
     /**
      * What a runner is like; times in milliseconds.
      *
@@ -66,7 +66,7 @@
     private boolean fallen;
 
     /** @param bornAt when it started; negative infinity for one that is warm */
-    public RunnerModel(String name, String zone, double speed, Kind kind, double bornAt) {
+    public EndpointModel(String name, String zone, double speed, Kind kind, double bornAt) {
         this.name = name;
         this.zone = zone;
         this.speed = speed;
--- a/src/main/java/nettlewick/standins/ProviderServer.java
+++ b/src/main/java/nettlewick/standins/ProviderServer.java
@@ -79,7 +79,7 @@
 
     public InetSocketAddress listen() throws Exception {
         server = vertx.createHttpServer().requestHandler(this::serve);
-        StandIns.get(server.listen(0, "127.0.0.1"));
+        StubPlatform.get(server.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", server.actualPort());
     }
 
--- a/src/main/java/nettlewick/standins/Receiver.java
+++ b/src/main/java/nettlewick/standins/Receiver.java
@@ -35,7 +35,7 @@
 
     public Receiver() throws Exception {
         server = vertx.createHttpServer().requestHandler(this::serve);
-        StandIns.get(server.listen(0, "127.0.0.1"));
+        StubPlatform.get(server.listen(0, "127.0.0.1"));
     }
 
     public int port() {
@@ -93,6 +93,6 @@
 
     @Override
     public void close() throws Exception {
-        StandIns.get(vertx.close());
+        StubPlatform.get(vertx.close());
     }
 }
--- a/src/main/java/nettlewick/standins/StandIns.java
+++ b/src/main/java/nettlewick/standins/StubPlatform.java
@@ -23,7 +23,7 @@
  * Discovery and sim runners on loopback, written from the protocol page: for the demonstration and for tests.
  * Runners count how often each job ran, and can be killed, drained and made to misbehave.
  */
-public class StandIns implements AutoCloseable {
+public class StubPlatform implements AutoCloseable {
     public final Vertx vertx = Vertx.vertx();
     /** How often each request id began to run, at any runner. */
     public final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
@@ -52,7 +52,7 @@
     private final HttpServer discovery;
     private int seq = 1;
 
-    public StandIns() throws Exception {
+    public StubPlatform() throws Exception {
         discovery = vertx.createHttpServer().requestHandler(this::watch);
         get(discovery.listen(0, "127.0.0.1"));
     }
--- a/src/main/java/nettlewick/waiting/Afterlife.java
+++ b/src/main/java/nettlewick/waiting/Afterlife.java
@@ -1,6 +1,6 @@
 package nettlewick.waiting;
 
-import nettlewick.decision.Dispatcher.Repeat;
+import nettlewick.decision.Dispatcher.Idempotency;
 
 /** What becomes of a job that was accepted by a process that has died. Does no I/O and reads no clock. */
 public final class Afterlife {
@@ -37,7 +37,7 @@
      */
     public static Verdict decide(
             State state,
-            Repeat repeat,
+            Idempotency repeat,
             double since,
             double window,
             boolean site,
@@ -51,7 +51,7 @@
             // What waits is looked at by the plan, which knows what it asked for where its time is over.
             return new Verdict(What.WAIT, null);
         }
-        if (repeat == Repeat.FRAGILE) {
+        if (repeat == Idempotency.NON_IDEMPOTENT) {
             return fail("it may have run, and is never run again");
         }
         if (left <= 0) {
@@ -60,10 +60,10 @@
         if (attempts >= most) {
             return fail("it has had its " + most + " attempts");
         }
-        if (repeat == Repeat.DEDUP && !site) {
+        if (repeat == Idempotency.KEYED && !site) {
             return fail("it may have run, and where is not known");
         }
-        if (repeat == Repeat.DEDUP && !(since >= 0 && since < window)) {
+        if (repeat == Idempotency.KEYED && !(since >= 0 && since < window)) {
             // A clock that went back says nothing about how long ago it was.
             return fail("it may have run, and its key is no longer remembered");
         }
