--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/SharedLoadsTest.java
@@ -6,35 +6,35 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import nettlewick.decision.State.Worker;
+import nettlewick.decision.State.Endpoint;
 import org.junit.jupiter.api.Test;
 
 /** Guards against belief in old reports where peers know better, and in notes that mean other workers. */
 class SharedLoadsTest {
     private static final long SECOND = 1_000_000_000;
 
-    private static List<Worker> fleet(int count) {
-        List<Worker> fleet = new java.util.ArrayList<>();
+    private static List<Endpoint> fleet(int count) {
+        List<Endpoint> fleet = new java.util.ArrayList<>();
         for (int i = count - 1; i >= 0; i--) {
-            fleet.add(new Worker("w" + i));
+            fleet.add(new Endpoint("w" + i));
         }
         return fleet;
     }
 
     @Test
     void whatAPeerHoldsIsCountedWhileItsNoteIsYoung() {
-        List<Worker> theirs = fleet(3);
+        List<Endpoint> theirs = fleet(3);
         theirs.get(0).outSlots = 2;
-        SharedLoads sender = new SharedLoads(new Heard());
+        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.list(theirs);
         byte[] note = sender.news(0).get(0);
         assertEquals(List.of(), sender.news(1), "nothing new");
         byte[] again = sender.news(SECOND).get(0);
         assertEquals(note.length, again.length, "told again before it is too old");
-        assertArrayEquals(LoadNote.numbered(note, 1), again, "with the next number");
+        assertArrayEquals(LoadGossip.numbered(note, 1), again, "with the next number");
 
-        List<Worker> ours = fleet(3);
-        SharedLoads receiver = new SharedLoads(new Heard());
+        List<Endpoint> ours = fleet(3);
+        SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
         receiver.list(ours);
         assertFalse(receiver.hear(1, new byte[] {(byte) 0xD2, 1, 0}, 0));
         assertTrue(receiver.hear(1, note, 0));
@@ -50,8 +50,8 @@
     /** An idle dispatcher of a large tier would send empty notes to its peers for nothing, twice a second. */
     @Test
     void thatNothingIsHeldIsToldOnce() {
-        List<Worker> theirs = fleet(3);
-        SharedLoads sender = new SharedLoads(new Heard());
+        List<Endpoint> theirs = fleet(3);
+        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.list(theirs);
         assertEquals(1, sender.news(0).size());
         assertEquals(List.of(), sender.news(SECOND));
@@ -68,68 +68,76 @@
      */
     @Test
     void lateDamagedAndUnlistedNotesChangeNothingAndAreCounted() {
-        List<Worker> theirs = fleet(3);
-        SharedLoads sender = new SharedLoads(new Heard());
+        List<Endpoint> theirs = fleet(3);
+        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.list(theirs);
         theirs.get(2).outSlots = 2;
         byte[] older = sender.news(0).get(0);
         theirs.get(2).outSlots = 0;
         theirs.get(1).outSlots = 1;
         byte[] newer = sender.news(1).get(0);
-        Heard heard = new Heard();
-        List<Worker> ours = fleet(2);
+        PeerFaultCounters heard = new PeerFaultCounters();
+        List<Endpoint> ours = fleet(2);
         SharedLoads receiver = new SharedLoads(heard);
         receiver.list(ours);
         assertTrue(receiver.hear(1, newer, 2));
         assertTrue(receiver.hear(1, older, 3));
-        assertEquals(List.of(1.0, 0.0), ours.stream().map(w -> w.others).toList(), "w1 held, the late w0 not");
-        assertEquals(new Dispatcher.PeerFaults(0, 1, 0), heard.counts());
+        assertEquals(
+                List.of(1.0, 0.0),
+                ours.stream().map(endpoint -> endpoint.others).toList(),
+                "w1 held, the late w0 not");
+        assertEquals(new Dispatcher.PeerMessageFaults(0, 1, 0), heard.counts());
         theirs.get(0).outSlots = 1;
         receiver.hear(1, sender.news(4).get(0), 4);
-        assertEquals(new Dispatcher.PeerFaults(0, 1, 1), heard.counts(), "w2 is not on this list");
+        assertEquals(new Dispatcher.PeerMessageFaults(0, 1, 1), heard.counts(), "w2 is not on this list");
         assertTrue(receiver.hear(1, new byte[] {(byte) 0xD3, 3, 0x15, 0}, 5));
-        assertEquals(new Dispatcher.PeerFaults(1, 1, 1), heard.counts());
-        assertEquals(List.of(1.0, 0.0), ours.stream().map(w -> w.others).toList());
+        assertEquals(new Dispatcher.PeerMessageFaults(1, 1, 1), heard.counts());
+        assertEquals(
+                List.of(1.0, 0.0),
+                ours.stream().map(endpoint -> endpoint.others).toList());
         assertTrue(receiver.hear(2, older, SECOND), "another peer's first word is no late one");
-        assertEquals(List.of(1.0, 2.0), ours.stream().map(w -> w.others).toList());
+        assertEquals(
+                List.of(1.0, 2.0),
+                ours.stream().map(endpoint -> endpoint.others).toList());
     }
 
     /** While a release is under way, lists of one length differ: a note must not mean another worker. */
     @Test
     void aNoteMeansTheSameWorkersWhateverListTheOtherHas() {
-        List<Worker> theirs = fleet(4);
-        theirs.forEach(w -> w.outSlots = w.id.equals("w2") ? 1 : 0);
-        SharedLoads sender = new SharedLoads(new Heard());
+        List<Endpoint> theirs = fleet(4);
+        theirs.forEach(endpoint -> endpoint.outSlots = endpoint.id.equals("w2") ? 1 : 0);
+        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.list(theirs);
-        List<Worker> ours = fleet(5).stream().filter(w -> !w.id.equals("w1")).toList();
-        SharedLoads receiver = new SharedLoads(new Heard());
+        List<Endpoint> ours =
+                fleet(5).stream().filter(endpoint -> !endpoint.id.equals("w1")).toList();
+        SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
         receiver.list(ours);
         receiver.hear(1, sender.news(0).get(0), 0);
-        ours.forEach(w -> assertEquals(w.id.equals("w2") ? 1 : 0, w.others, w.id));
+        ours.forEach(endpoint -> assertEquals(endpoint.id.equals("w2") ? 1 : 0, endpoint.others, endpoint.id));
     }
 
     /** Several hundred workers in use do not fit in one datagram; what shrinks to fewer leaves nothing behind. */
     @Test
     void whatDoesNotFitInOneDatagramIsSpreadOverSeveral() {
-        List<Worker> theirs = fleet(600);
-        theirs.forEach(w -> w.outSlots = 1);
-        SharedLoads sender = new SharedLoads(new Heard());
+        List<Endpoint> theirs = fleet(600);
+        theirs.forEach(endpoint -> endpoint.outSlots = 1);
+        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.list(theirs);
         List<byte[]> notes = sender.news(0);
         assertTrue(notes.size() > 1 && notes.stream().allMatch(n -> n.length <= 256), notes.size() + " notes");
-        List<Worker> ours = fleet(600);
-        SharedLoads receiver = new SharedLoads(new Heard());
+        List<Endpoint> ours = fleet(600);
+        SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
         receiver.list(ours);
         notes.forEach(n -> assertTrue(receiver.hear(1, n, 0)));
-        double known = ours.stream().mapToDouble(w -> w.others).sum();
+        double known = ours.stream().mapToDouble(endpoint -> endpoint.others).sum();
         assertTrue(
-                known >= 590 && ours.stream().allMatch(w -> w.others <= 1),
+                known >= 590 && ours.stream().allMatch(endpoint -> endpoint.others <= 1),
                 known + " of 600; those of one mark are out");
-        theirs.forEach(w -> w.outSlots = 0);
+        theirs.forEach(endpoint -> endpoint.outSlots = 0);
         sender.news(1).forEach(n -> receiver.hear(1, n, 1));
-        assertEquals(0, ours.stream().mapToDouble(w -> w.others).sum());
+        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.others).sum());
         assertTrue(
                 receiver.hear(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2), "a part beyond its number changes nothing");
-        assertEquals(0, ours.stream().mapToDouble(w -> w.others).sum());
+        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.others).sum());
     }
 }
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -25,20 +25,21 @@
 
     /** A worker: what runs, what waits, and the load it last reported. */
     final class Runner {
-        final WorkerEntry entry;
+        final EndpointEntry entry;
         final Deque<Runnable> waiting = new ArrayDeque<>();
         int running;
-        private Load report;
+        private EndpointLoad report;
         private long reportAt = State.NEVER;
 
-        Runner(WorkerEntry entry) {
+        Runner(EndpointEntry entry) {
             this.entry = entry;
         }
 
-        Load load() {
+        EndpointLoad load() {
             if (now - reportAt >= REPORT) {
                 reportAt = now;
-                report = new Load(SLOTS - running, Double.NaN, waiting.size(), running + waiting.size(), Double.NaN);
+                report = new EndpointLoad(
+                        SLOTS - running, Double.NaN, waiting.size(), running + waiting.size(), Double.NaN);
             }
             return report;
         }
@@ -67,7 +68,7 @@
     private record Due(long at, long number, Runnable task) {}
 
     final Map<String, Runner> runners = new LinkedHashMap<>();
-    final List<Logic> instances = new ArrayList<>();
+    final List<RequestScheduler> instances = new ArrayList<>();
     final Map<String, Long> work = new HashMap<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final PriorityQueue<Due> queue = new PriorityQueue<>(
@@ -82,16 +83,19 @@
     /** Nanoseconds that the module took, of all instances together. */
     long cpu;
 
-    SmallFleet(int dispatchers, int workers, long seed) {
+    SmallFleet(int dispatchers, int endpoints, long seed) {
         random = new SplittableRandom(seed);
-        for (int i = 0; i < workers; i++) {
+        for (int i = 0; i < endpoints; i++) {
             String id = "w" + i;
-            runners.put(id, new Runner(new WorkerEntry(id, Life.READY, 0, i / 2, "box", ZONES[i % ZONES.length], 1)));
+            runners.put(
+                    id,
+                    new Runner(
+                            new EndpointEntry(id, EndpointState.READY, 0, i / 2, "box", ZONES[i % ZONES.length], 1)));
         }
         for (int rank = 0; rank < dispatchers; rank++) {
-            Settings s = Samples.settings(rank, dispatchers, true);
-            instances.add(new Logic(
-                    new Settings(
+            SchedulerSettings s = Samples.settings(rank, dispatchers, true);
+            instances.add(new RequestScheduler(
+                    new SchedulerSettings(
                             rank,
                             dispatchers,
                             ZONES[rank % ZONES.length],
@@ -100,7 +104,7 @@
                             s.kinds(),
                             s.listOnRequest(),
                             s.sizesFixed(),
-                            s.reports(),
+                            s.loadReporting(),
                             s.progress(),
                             s.limits(),
                             s.rules()),
@@ -109,7 +113,7 @@
         for (int rank = 0; rank < dispatchers; rank++) {
             handle(
                     rank,
-                    new WorkerList(
+                    new EndpointList(
                             true, runners.values().stream().map(r -> r.entry).toList()));
         }
     }
@@ -159,17 +163,17 @@
             sent++;
             at(
                     now + HOP,
-                    () -> runners.get(d.worker())
+                    () -> runners.get(d.endpoint())
                             .take(
                                     work.get(d.id()),
-                                    () -> later(rank, new Progress(d.id(), number, d.worker(), 0)),
+                                    () -> later(rank, new Progress(d.id(), number, d.endpoint(), 0)),
                                     () -> later(
                                             rank,
                                             new Outcome(
                                                     d.id(),
                                                     number,
-                                                    d.worker(),
-                                                    Result.SERVED,
+                                                    d.endpoint(),
+                                                    AttemptResult.SERVED,
                                                     now + HOP - sentAt,
                                                     true,
                                                     null))));
@@ -180,30 +184,30 @@
                     () -> later(
                             rank,
                             new ProbeAnswer(
-                                    p.worker(),
-                                    Result.SERVED,
+                                    p.endpoint(),
+                                    AttemptResult.SERVED,
                                     2 * HOP,
-                                    runners.get(p.worker()).load())));
-        } else if (action instanceof TellPeer t) {
+                                    runners.get(p.endpoint()).load())));
+        } else if (action instanceof SendToPeer t) {
             datagrams++;
             bytes += t.data().length;
             longest = Math.max(longest, t.data().length);
             long[] kind = byKind.computeIfAbsent(kind(t.data()), k -> new long[2]);
             kind[0]++;
             kind[1] += t.data().length;
-            at(now + HOP, () -> handle(t.rank(), new PeerMessage(rank, t.data())));
+            at(now + HOP, () -> handle(t.rank(), new PeerMessageReceived(rank, t.data())));
         } else if (action instanceof SetTimer t) {
             at(now + t.delay(), () -> handle(rank, new Timer(t.name())));
-        } else if (action instanceof Refuse) {
+        } else if (action instanceof Reject) {
             refused++;
         }
     }
 
     private static String kind(byte[] data) {
-        PeerNote note = PeerNote.of(data);
+        PeerMessage note = PeerMessage.of(data);
         return note != null
                 ? note.what().name().toLowerCase(Locale.ROOT)
-                : Tally.is(data) ? Tally.kind(data).name().toLowerCase(Locale.ROOT) : "note";
+                : LoadAggregator.is(data) ? LoadAggregator.kind(data).name().toLowerCase(Locale.ROOT) : "note";
     }
 
     private void later(int rank, Event event) {
--- a/src/test/java/nettlewick/decision/TallyTest.java
+++ b/src/test/java/nettlewick/decision/TallyTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.State.Worker;
+import nettlewick.decision.State.Endpoint;
 import org.junit.jupiter.api.Test;
 
 /** Owners' tallies where peers die, start anew, lie or send what is not theirs to send. */
@@ -18,21 +18,24 @@
     /** One dispatcher of the tier with its own list of the same runners. */
     private static final class Member {
         final int rank;
-        final Heard heard = new Heard();
-        final Tally tally;
-        final List<Worker> workers = new ArrayList<>();
+        final PeerFaultCounters heard = new PeerFaultCounters();
+        final LoadAggregator tally;
+        final List<Endpoint> workers = new ArrayList<>();
 
         Member(int rank, int runners) {
             this.rank = rank;
-            tally = new Tally(rank, SIZE, heard);
+            tally = new LoadAggregator(rank, SIZE, heard);
             for (int i = 0; i < runners; i++) {
-                workers.add(new Worker("w" + i));
+                workers.add(new Endpoint("w" + i));
             }
-            tally.list(LoadNote.byMark(workers));
+            tally.list(LoadGossip.byMark(workers));
         }
 
-        Worker at(String id) {
-            return workers.stream().filter(w -> w.id.equals(id)).findFirst().orElseThrow();
+        Endpoint at(String id) {
+            return workers.stream()
+                    .filter(endpoint -> endpoint.id.equals(id))
+                    .findFirst()
+                    .orElseThrow();
         }
     }
 
@@ -50,7 +53,7 @@
 
     private static String ownedBy(int owner) {
         for (int i = 0; ; i++) {
-            if (Tally.owner(LoadNote.mark("w" + i), SIZE) == owner) {
+            if (LoadAggregator.owner(LoadGossip.mark("w" + i), SIZE) == owner) {
                 return "w" + i;
             }
         }
@@ -148,7 +151,7 @@
         // not own reaches rank 9, which is not the owner.
         Member notOwner = member(9, id);
         flush(stranger, List.of(owner), 0);
-        assertEquals(new Dispatcher.PeerFaults(0, 0, 0), owner.heard.counts());
+        assertEquals(new Dispatcher.PeerMessageFaults(0, 0, 0), owner.heard.counts());
         byte[] hold =
                 stranger.tally.flush(SECOND, stranger.workers, List.of()).get(7).get(0);
         assertTrue(notOwner.tally.hear(3, hold, SECOND));
@@ -176,7 +179,7 @@
     @Test
     void manyRunnersAreToldInDatagramsOf256BytesAtMost() {
         Member holder = new Member(3, 3000);
-        holder.workers.forEach(w -> w.outSlots = 1);
+        holder.workers.forEach(endpoint -> endpoint.outSlots = 1);
         Map<Integer, List<byte[]>> out = holder.tally.flush(0, holder.workers, holder.workers);
         long entries = out.values().stream()
                 .flatMap(List::stream)
--- a/src/test/java/nettlewick/duty/DutyWorld.java
+++ b/src/test/java/nettlewick/duty/DutyWorld.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import nettlewick.duty.Message.Kind;
-import nettlewick.duty.Message.Post;
+import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.duty.LeaseMessage.Post;
 
 /** Voters and two candidates with messages in any order, losses, doublings, a crash, pauses and drifting clocks. */
 final class DutyWorld {
@@ -29,9 +29,9 @@
     }
 
     final Bug bug;
-    final Terms terms;
-    final Voter[] voters;
-    final Seat[] seats = new Seat[2];
+    final LeaseTerms terms;
+    final LeaseVoter[] voters;
+    final LeaseCandidate[] seats = new LeaseCandidate[2];
     final List<Post> net = new ArrayList<>();
     /** By candidate: the fence under which it looked and may still act, after a pause of any length; 0: none. */
     final long[] looked = new long[2];
@@ -46,14 +46,14 @@
 
     DutyWorld(int voters, Bug bug) {
         this.bug = bug;
-        terms = new Terms(LEASE, bug == Bug.LEASE_TOO_LONG ? -0.4 : DRIFT);
-        this.voters = new Voter[voters];
+        terms = new LeaseTerms(LEASE, bug == Bug.LEASE_TOO_LONG ? -0.4 : DRIFT);
+        this.voters = new LeaseVoter[voters];
         stored = new TreeMap<>();
         for (int v = 0; v < voters; v++) {
-            this.voters[v] = new Voter(v, all(), terms, 0, lives++).trusted();
+            this.voters[v] = new LeaseVoter(v, all(), terms, 0, lives++).trusted();
         }
-        seats[0] = new Seat(DUTY, 0, 1, all(), terms, 0, 0);
-        seats[1] = new Seat(DUTY, 1, 2, bug == Bug.LISTS_DIFFER ? List.of(1) : all(), terms, 0, 0);
+        seats[0] = new LeaseCandidate(DUTY, 0, 1, all(), terms, 0, 0);
+        seats[1] = new LeaseCandidate(DUTY, 1, 2, bug == Bug.LISTS_DIFFER ? List.of(1) : all(), terms, 0, 0);
     }
 
     private List<Integer> all() {
@@ -63,7 +63,7 @@
     DutyWorld(DutyWorld w) {
         bug = w.bug;
         terms = w.terms;
-        voters = Arrays.stream(w.voters).map(Voter::copy).toArray(Voter[]::new);
+        voters = Arrays.stream(w.voters).map(LeaseVoter::copy).toArray(LeaseVoter[]::new);
         for (int i = 0; i < 2; i++) {
             seats[i] = w.seats[i].copy();
             looked[i] = w.looked[i];
@@ -116,7 +116,7 @@
             if (changes > 0 && seats[s].mayAct(seatClock(s)) && !seats[s].changing()) {
                 all.add("change " + s);
             }
-            if (releases > 0 && seats[s].stage() == Seat.Stage.HOLDS) {
+            if (releases > 0 && seats[s].stage() == LeaseCandidate.Stage.HOLDS) {
                 all.add("release " + s);
             }
         }
@@ -158,7 +158,7 @@
             case "release" -> {
                 net.addAll(seats[n].copy().retire(1 - n));
                 releases--;
-                seats[n] = new Seat(
+                seats[n] = new LeaseCandidate(
                         DUTY,
                         n,
                         10 + lives++,
@@ -170,14 +170,14 @@
             }
             case "crash" -> {
                 crashes--;
-                voters[n] = new Voter(n, all(), terms, voterClock(), 100 + lives++);
+                voters[n] = new LeaseVoter(n, all(), terms, voterClock(), 100 + lives++);
                 if (bug == Bug.FORGETFUL_VOTER_VOTES) {
                     voters[n].trusted();
                 }
             }
             default -> {
                 now += LEASE / 5;
-                for (Voter v : voters) {
+                for (LeaseVoter v : voters) {
                     net.addAll(v.tick(voterClock()));
                 }
             }
@@ -199,10 +199,10 @@
     }
 
     private void deliver(Post p) {
-        Message m = p.message();
+        LeaseMessage m = p.message();
         switch (m.kind()) {
             case ASK, PREPARE, ACCEPT, RELEASE, RECALL, TOLD, BLANK -> {
-                Voter.Register r = voters[p.to()].registers.get(m.duty());
+                LeaseVoter.Register r = voters[p.to()].registers.get(m.duty());
                 if (r != null && bug == Bug.GRANTS_IGNORED) {
                     r.until = Double.NEGATIVE_INFINITY;
                 }
@@ -212,12 +212,12 @@
                 net.addAll(voters[p.to()].hear(m, voterClock()));
             }
             default -> {
-                Message told = bug == Bug.PROMISE_TELLS_NOTHING && m.kind() == Kind.PROMISED
-                        ? m.holding(0, 0, Message.NOTHING)
+                LeaseMessage told = bug == Bug.PROMISE_TELLS_NOTHING && m.kind() == Kind.PROMISED
+                        ? m.holding(0, 0, LeaseMessage.NOTHING)
                         : m;
                 net.addAll(seats[p.to()].hear(told, seatClock(p.to())));
                 if (bug == Bug.A_VOTE_COUNTS_TWICE) {
-                    Message other = new Message(
+                    LeaseMessage other = new LeaseMessage(
                             m.kind(),
                             m.duty(),
                             (m.from() + 1) % voters.length,
@@ -240,7 +240,7 @@
             return "two may act at " + now;
         }
         for (int s = 0; s < 2; s++) {
-            if (seats[s].stage() != Seat.Stage.HOLDS) {
+            if (seats[s].stage() != LeaseCandidate.Stage.HOLDS) {
                 versions[s] = -1;
                 continue;
             }
@@ -276,7 +276,7 @@
                 .append(stored);
         TreeSet<String> messages = new TreeSet<>();
         for (Post p : net) {
-            Message m = p.message();
+            LeaseMessage m = p.message();
             String one = p.to() + m.kind().name() + m.from() + "," + m.echo() + "," + m.ballot() + "," + m.seen() + ","
                     + m.left() + "," + m.held() + "," + m.version() + Arrays.toString(m.state());
             while (!messages.add(one)) {
@@ -284,14 +284,14 @@
             }
         }
         text.append(messages);
-        for (Seat s : seats) {
+        for (LeaseCandidate s : seats) {
             text.append(s.stage())
                     .append(s.fence())
                     .append(s.version())
                     .append(Arrays.toString(s.state()))
                     .append(s.digest());
         }
-        for (Voter v : voters) {
+        for (LeaseVoter v : voters) {
             text.append(v.votes());
             v.registers.forEach((d, r) -> text.append(r.promised)
                     .append(',')
@@ -346,7 +346,7 @@
         List<String> choices = choices();
         if (dice > 96 && releases > 0) {
             int s = dice % 2;
-            return seats[s].stage() == Seat.Stage.HOLDS ? "release " + s : "tick " + s;
+            return seats[s].stage() == LeaseCandidate.Stage.HOLDS ? "release " + s : "tick " + s;
         }
         // Who has looked is mostly stopped for a while before it acts.
         String some = random.nextInt(8) == 0 ? "(look|act|change) ." : "(look|change) .";
@@ -368,7 +368,7 @@
     static String walkAnew(int voters, SplittableRandom random, int steps, DutyWorld[] end) {
         DutyWorld w = new DutyWorld(voters, Bug.NONE);
         for (int v = 0; v < voters; v++) {
-            w.voters[v] = new Voter(v, w.all(), w.terms, 0, 100 + w.lives++);
+            w.voters[v] = new LeaseVoter(v, w.all(), w.terms, 0, 100 + w.lives++);
         }
         return walk(w, random, steps, end);
     }
--- a/src/test/java/nettlewick/duty/EnvelopeTest.java
+++ b/src/test/java/nettlewick/duty/EnvelopeTest.java
@@ -10,34 +10,34 @@
 
 import java.util.Arrays;
 import java.util.List;
-import nettlewick.duty.Envelope.Fault;
-import nettlewick.duty.Message.Kind;
+import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.duty.MessageCodec.Fault;
 import org.junit.jupiter.api.Test;
 
 /** What comes over the wire: whole or not at all, once, from those that have the key and the same list. */
 class EnvelopeTest {
     private static final byte[] KEY = new byte[32];
-    private static final Message TOLD =
-            new Message(Kind.PROMISED, "pool é", 3, 7, 11, 13, 2.5, 17, 19, new byte[] {1, 2});
+    private static final LeaseMessage TOLD =
+            new LeaseMessage(Kind.PROMISED, "pool é", 3, 7, 11, 13, 2.5, 17, 19, new byte[] {1, 2});
 
-    private static Envelope envelope(int list, int number) {
-        return new Envelope(KEY, list, number, 5);
+    private static MessageCodec envelope(int list, int number) {
+        return new MessageCodec(KEY, list, number, 5);
     }
 
     @Test
     void aMessageComesBackAsItWas() {
-        Message back = envelope(1, 0).open(envelope(1, 3).close(TOLD));
+        LeaseMessage back = envelope(1, 0).open(envelope(1, 3).close(TOLD));
         assertArrayEquals(TOLD.state(), back.state());
         assertEquals(TOLD.toString().replaceAll("state=.*", ""), back.toString().replaceAll("state=.*", ""));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> envelope(1, 3).close(TOLD.holding(1, 1, new byte[Envelope.STATE_MOST + 1])));
+                () -> envelope(1, 3).close(TOLD.holding(1, 1, new byte[MessageCodec.STATE_MOST + 1])));
     }
 
     @Test
     void everyByteIsCoveredAndEveryCutIsSeen() {
         byte[] good = envelope(1, 3).close(TOLD);
-        Envelope ear = envelope(1, 0);
+        MessageCodec ear = envelope(1, 0);
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 1;
@@ -50,8 +50,8 @@
 
     @Test
     void eachIsHeardOnceInWhateverOrderAndOldOnesNever() {
-        Envelope mouth = envelope(1, 3);
-        Envelope ear = envelope(1, 0);
+        MessageCodec mouth = envelope(1, 3);
+        MessageCodec ear = envelope(1, 0);
         byte[][] sent = new byte[100][];
         for (int i = 0; i < sent.length; i++) {
             sent[i] = mouth.close(TOLD);
@@ -66,10 +66,10 @@
 
     @Test
     void thoseWithAnotherListOrKeyAreNotHeard() {
-        Envelope ear = envelope(1, 0);
+        MessageCodec ear = envelope(1, 0);
         assertNull(ear.open(envelope(2, 3).close(TOLD)));
         assertEquals(1, ear.faults(Fault.OTHER_LIST));
-        assertNull(ear.open(new Envelope(new byte[] {1}, 1, 3, 5).close(TOLD)));
+        assertNull(ear.open(new MessageCodec(new byte[] {1}, 1, 3, 5).close(TOLD)));
         assertEquals(1, ear.faults(Fault.DAMAGED));
     }
 
@@ -77,10 +77,10 @@
     void dutiesLieOnAllAndMoveOnlyFromWhoIsGone() {
         int[] first = new int[10];
         for (int d = 0; d < 1000; d++) {
-            List<Integer> order = Order.of("pool-" + d, 10);
+            List<Integer> order = CandidateRanking.of("pool-" + d, 10);
             assertEquals(10, order.stream().distinct().count());
             first[order.get(0)]++;
-            List<Integer> fewer = Order.of("pool-" + d, 9);
+            List<Integer> fewer = CandidateRanking.of("pool-" + d, 9);
             assertEquals(order.stream().filter(r -> r != 9).toList(), fewer);
         }
         assertTrue(Arrays.stream(first).allMatch(n -> n > 60 && n < 150), Arrays.toString(first));
--- a/src/test/java/nettlewick/duty/FollowedTest.java
+++ b/src/test/java/nettlewick/duty/FollowedTest.java
@@ -6,16 +6,16 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import nettlewick.duty.Message.Kind;
+import nettlewick.duty.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 
 /** What a dispatcher believes of a duty that others hold. */
 class FollowedTest {
-    private final Followed followed = new Followed("pool-red", 4);
+    private final LeaseFollower followed = new LeaseFollower("pool-red", 4);
 
-    private static Message news(int from, long fence, long version, String state) {
-        Message m = Message.of(Kind.NEWS, "pool-red", from, state == null ? 0 : Followed.WHOLE, fence);
-        return m.holding(fence, version, state == null ? Message.NOTHING : state.getBytes());
+    private static LeaseMessage news(int from, long fence, long version, String state) {
+        LeaseMessage m = LeaseMessage.of(Kind.NEWS, "pool-red", from, state == null ? 0 : LeaseFollower.WHOLE, fence);
+        return m.holding(fence, version, state == null ? LeaseMessage.NOTHING : state.getBytes());
     }
 
     @Test
--- a/src/test/java/nettlewick/duty/HostileDispatcher.java
+++ b/src/test/java/nettlewick/duty/HostileDispatcher.java
@@ -18,8 +18,8 @@
     private static final double GARBLED = 0.2;
 
     private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    private final Envelope envelope;
-    private final DutySettings settings;
+    private final MessageCodec envelope;
+    private final LeaseSettings settings;
     private final String duty;
     private final List<InetSocketAddress> to;
     private final Supplier<byte[]> words;
@@ -29,11 +29,11 @@
     /** @param settings of the dispatcher that it is, as its file has them */
     public HostileDispatcher(Path settings, String duty, List<InetSocketAddress> to, Supplier<byte[]> words)
             throws IOException {
-        this.settings = DutySettings.of(Settings.read(settings).block("duty").orElseThrow());
+        this.settings = LeaseSettings.of(Settings.read(settings).block("duty").orElseThrow());
         this.duty = duty;
         this.to = to;
         this.words = words;
-        envelope = new Envelope(this.settings.key(), this.settings.list(), this.settings.number(), 77);
+        envelope = new MessageCodec(this.settings.key(), this.settings.list(), this.settings.number(), 77);
         thread.setDaemon(true);
         thread.start();
     }
@@ -45,7 +45,7 @@
                 if (random.nextDouble() < GARBLED) {
                     word[random.nextInt(word.length)]++;
                 }
-                byte[] data = envelope.close(Message.of(Message.Kind.WORD, duty, settings.number(), 77, 0)
+                byte[] data = envelope.close(LeaseMessage.of(LeaseMessage.Kind.WORD, duty, settings.number(), 77, 0)
                         .holding(0, 0, word));
                 for (InetSocketAddress one : to) {
                     for (int times = 0; times < 2; times++) {
--- a/src/test/java/nettlewick/duty/LeaseMessageGoldenTest.java
+++ b/src/test/java/nettlewick/duty/LeaseMessageGoldenTest.java
@@ -13,29 +13,29 @@
     private static final byte[] KEY = "0123456789abcdef0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] STATE = "version=7;pool=a,b".getBytes(StandardCharsets.UTF_8);
 
-    private static Message message(Message.Kind kind) {
-        return new Message(
+    private static LeaseMessage message(LeaseMessage.Kind kind) {
+        return new LeaseMessage(
                 kind,
                 "pool:ecole-é",
                 3,
                 7_000_000_007L,
-                Message.ballot(5, 77, 3),
-                Message.ballot(6, 78, 2),
+                LeaseMessage.ballot(5, 77, 3),
+                LeaseMessage.ballot(6, 78, 2),
                 12.625,
-                Message.ballot(4, 76, 1),
+                LeaseMessage.ballot(4, 76, 1),
                 19,
-                kind.ordinal() % 2 == 0 ? STATE : Message.NOTHING);
+                kind.ordinal() % 2 == 0 ? STATE : LeaseMessage.NOTHING);
     }
 
     @Test
     void eachKindHasTheRecordedBytes() {
-        Envelope sender = new Envelope(KEY, 0x1234_5678, 3, 424_242);
-        Envelope receiver = new Envelope(KEY, 0x1234_5678, 1, 99);
+        MessageCodec sender = new MessageCodec(KEY, 0x1234_5678, 3, 424_242);
+        MessageCodec receiver = new MessageCodec(KEY, 0x1234_5678, 1, 99);
         StringBuilder text = new StringBuilder();
-        for (Message.Kind kind : Message.Kind.values()) {
+        for (LeaseMessage.Kind kind : LeaseMessage.Kind.values()) {
             byte[] sent = sender.close(message(kind));
             text.append(kind.ordinal()).append('\n').append(hex(sent));
-            Message read = receiver.open(sent);
+            LeaseMessage read = receiver.open(sent);
             assertNotNull(read);
             assertEquals(message(kind).ballot(), read.ballot());
         }
--- a/src/test/java/nettlewick/duty/SeatTest.java
+++ b/src/test/java/nettlewick/duty/SeatTest.java
@@ -5,20 +5,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.duty.Message.Kind;
-import nettlewick.duty.Message.Post;
+import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.duty.LeaseMessage.Post;
 import org.junit.jupiter.api.Test;
 
 /** A candidate whose questions and answers get lost. */
 class SeatTest {
     private static final double LEASE = 1200;
-    private final Terms terms = new Terms(LEASE, 0.05);
+    private final LeaseTerms terms = new LeaseTerms(LEASE, 0.05);
     private final List<Integer> all = List.of(0, 1, 2);
-    private final List<Voter> voters = new ArrayList<>();
-    private final Seat seat = new Seat("pool-red", 7, 1, all, terms, 0, 0);
+    private final List<LeaseVoter> voters = new ArrayList<>();
+    private final LeaseCandidate seat = new LeaseCandidate("pool-red", 7, 1, all, terms, 0, 0);
 
     SeatTest() {
-        all.forEach(v -> voters.add(new Voter(v, all, terms, 0, v).trusted()));
+        all.forEach(v -> voters.add(new LeaseVoter(v, all, terms, 0, v).trusted()));
     }
 
     /** Has voters answer, but for those from whom nothing comes back; what the seat says then. */
@@ -48,7 +48,7 @@
             assertTrue(again.stream().allMatch(p -> p.message().kind() == kind), kind + " in " + again);
             asked = answer(again, now);
         }
-        assertEquals(Seat.Stage.HOLDS, seat.stage());
+        assertEquals(LeaseCandidate.Stage.HOLDS, seat.stage());
         assertTrue(seat.mayAct(now));
         // A lease counts from when it was asked first, not from when it was asked again.
         double first = now - LEASE / 12;
@@ -69,7 +69,7 @@
         assertEquals(3, renewal.size());
         assertEquals(List.of(), answer(renewal, terms.counted() + 1));
         assertTrue(!seat.mayAct(terms.counted() + 1));
-        assertEquals(Seat.Stage.WAITS, seat.stage());
+        assertEquals(LeaseCandidate.Stage.WAITS, seat.stage());
     }
 
     @Test
@@ -80,7 +80,7 @@
             puts += seat.tick(now).isEmpty() ? 0 : 1;
         }
         assertEquals(3, puts);
-        assertEquals(Seat.Stage.WAITS, seat.stage());
+        assertEquals(LeaseCandidate.Stage.WAITS, seat.stage());
         assertTrue(seat.tick(LEASE).stream().allMatch(p -> p.message().kind() == Kind.ASK));
     }
 
--- a/src/test/java/nettlewick/duty/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/duty/StoredVoterGoldenTest.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import nettlewick.duty.Message.Kind;
+import nettlewick.duty.LeaseMessage.Kind;
 import nettlewick.golden.Fixture;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -19,8 +19,8 @@
     @TempDir
     private Path dir;
 
-    private static Message ask(Kind kind, String duty, long ballot, long version) {
-        return Message.of(kind, duty, 1, 7, ballot).holding(ballot, version, new byte[] {(byte) version, -1, 0});
+    private static LeaseMessage ask(Kind kind, String duty, long ballot, long version) {
+        return LeaseMessage.of(kind, duty, 1, 7, ballot).holding(ballot, version, new byte[] {(byte) version, -1, 0});
     }
 
     /** Writes the folder anew; only where that was asked for. */
@@ -31,10 +31,10 @@
         }
         try (VoterStore store = VoterStore.openOrAnew(made)) {
             store.forget();
-            Voter voter = new Voter(0, List.of(0, 1, 2), new Terms(1000, 0.05), 0, 1).trusted();
-            voter.hear(ask(Kind.PREPARE, "red", Message.ballot(5, 1, 1), 0), 0);
-            voter.hear(ask(Kind.ACCEPT, "red", Message.ballot(5, 1, 1), 3), 0);
-            voter.hear(ask(Kind.PREPARE, "blue", Message.ballot(9, 2, 4), 0), 0);
+            LeaseVoter voter = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 1).trusted();
+            voter.hear(ask(Kind.PREPARE, "red", LeaseMessage.ballot(5, 1, 1), 0), 0);
+            voter.hear(ask(Kind.ACCEPT, "red", LeaseMessage.ballot(5, 1, 1), 3), 0);
+            voter.hear(ask(Kind.PREPARE, "blue", LeaseMessage.ballot(9, 2, 4), 0), 0);
             store.save(voter.changed());
             store.begin(42, 0);
             Fixture.record(made, FOLDER, "-shm");
@@ -46,7 +46,7 @@
         Fixture.copy(FOLDER, dir);
         try (VoterStore store = VoterStore.open(dir)) {
             StringBuilder text = new StringBuilder();
-            Map<String, Voter.Register> known = store.load(42, 0);
+            Map<String, LeaseVoter.Register> known = store.load(42, 0);
             known.forEach((duty, r) -> text.append(duty)
                     .append(" promised ")
                     .append(r.promised)
@@ -62,10 +62,10 @@
                     .append(", in another list ")
                     .append(store.load(43, 0))
                     .append('\n');
-            Voter back = new Voter(0, List.of(0, 1, 2), new Terms(1000, 0.05), 0, 2).remembering(known);
+            LeaseVoter back = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 2).remembering(known);
             back.tick(1100);
             for (long round : new long[] {4, 6}) {
-                Message answer = back.hear(ask(Kind.PREPARE, "red", Message.ballot(round, 2, 1), 0), 1100)
+                LeaseMessage answer = back.hear(ask(Kind.PREPARE, "red", LeaseMessage.ballot(round, 2, 1), 0), 1100)
                         .get(0)
                         .message();
                 text.append("asked in round ")
--- a/src/test/java/nettlewick/duty/VirtualDuties.java
+++ b/src/test/java/nettlewick/duty/VirtualDuties.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import nettlewick.duty.Message.Kind;
-import nettlewick.duty.Message.Post;
+import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.duty.LeaseMessage.Post;
 
 /** The pure machines of a tier in virtual time: what its duties' datagrams come to, and what losses cost. */
 public final class VirtualDuties {
@@ -19,26 +19,26 @@
     private static final int CANDIDATES = 8;
     private static final int STATE = 250;
 
-    private final Terms terms = new Terms(LEASE, 0.05);
+    private final LeaseTerms terms = new LeaseTerms(LEASE, 0.05);
     private final List<Integer> numbers;
-    private final List<Voter> voters = new ArrayList<>();
-    private final Map<String, Map<Integer, Seat>> seats = new LinkedHashMap<>();
+    private final List<LeaseVoter> voters = new ArrayList<>();
+    private final Map<String, Map<Integer, LeaseCandidate>> seats = new LinkedHashMap<>();
     private final SplittableRandom random;
     private final double loss;
-    private final Envelope envelope = new Envelope(new byte[32], 1, 0, 1);
+    private final MessageCodec envelope = new MessageCodec(new byte[32], 1, 0, 1);
     private long bytes;
 
     private VirtualDuties(int dispatchers, int voting, int duties, double loss, long seed) {
         this.loss = loss;
         random = new SplittableRandom(seed);
         numbers = IntStream.range(0, voting).boxed().toList();
-        numbers.forEach(v -> voters.add(new Voter(v, numbers, terms, 0, v).trusted()));
+        numbers.forEach(v -> voters.add(new LeaseVoter(v, numbers, terms, 0, v).trusted()));
         for (int d = 0; d < duties; d++) {
             String duty = "pool-member-" + d;
-            List<Integer> order = Order.of(duty, dispatchers);
-            Map<Integer, Seat> all = new HashMap<>();
+            List<Integer> order = CandidateRanking.of(duty, dispatchers);
+            Map<Integer, LeaseCandidate> all = new HashMap<>();
             for (int turn = 0; turn < Math.min(dispatchers, CANDIDATES); turn++) {
-                all.put(order.get(turn), new Seat(duty, order.get(turn), turn + 1, numbers, terms, turn, 0));
+                all.put(order.get(turn), new LeaseCandidate(duty, order.get(turn), turn + 1, numbers, terms, turn, 0));
             }
             seats.put(duty, all);
         }
@@ -47,8 +47,8 @@
     /** One tick of all, and all that is said at it. */
     private void tick(double now) {
         Deque<Post> posts = new ArrayDeque<>();
-        for (Map<Integer, Seat> all : seats.values()) {
-            for (Seat seat : all.values()) {
+        for (Map<Integer, LeaseCandidate> all : seats.values()) {
+            for (LeaseCandidate seat : all.values()) {
                 posts.addAll(seat.tick(now));
                 if (seat.mayAct(now) && seat.version() == 0 && !seat.changing()) {
                     List<Post> out = new ArrayList<>();
@@ -91,8 +91,8 @@
         if (tier.held(millis) < duties) {
             throw new IllegalStateException(tier.held(millis) + " of " + duties + " are held");
         }
-        Message news = Message.of(Kind.NEWS, "pool-member-1", 0, 0, 1).holding(1, 1, Message.NOTHING);
-        double beats = duties * (dispatchers - 1.0) * tier.envelope.close(news).length / (DutyService.IDLE * LEASE);
+        LeaseMessage news = LeaseMessage.of(Kind.NEWS, "pool-member-1", 0, 0, 1).holding(1, 1, LeaseMessage.NOTHING);
+        double beats = duties * (dispatchers - 1.0) * tier.envelope.close(news).length / (LeaseService.IDLE * LEASE);
         return (tier.bytes / (millis / 2) + beats) * 1000 / dispatchers;
     }
 
--- a/src/test/java/nettlewick/duty/VoterStoreTest.java
+++ b/src/test/java/nettlewick/duty/VoterStoreTest.java
@@ -9,23 +9,23 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import nettlewick.duty.Message.Kind;
+import nettlewick.duty.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A voter whose memory is on a disk. */
 class VoterStoreTest {
-    private static final Terms TERMS = new Terms(1000, 0.05);
+    private static final LeaseTerms TERMS = new LeaseTerms(1000, 0.05);
     private static final List<Integer> VOTERS = List.of(0, 1, 2);
 
     @TempDir
     private Path dir;
 
-    private static Message ask(Kind kind, long ballot, long version) {
-        return Message.of(kind, "red", 1, 7, ballot).holding(ballot, version, new byte[] {(byte) version});
+    private static LeaseMessage ask(Kind kind, long ballot, long version) {
+        return LeaseMessage.of(kind, "red", 1, 7, ballot).holding(ballot, version, new byte[] {(byte) version});
     }
 
-    private static Kind answer(Voter voter, Message m, double now) {
+    private static Kind answer(LeaseVoter voter, LeaseMessage m, double now) {
         return voter.hear(m, now).get(0).message().kind();
     }
 
@@ -33,13 +33,13 @@
     private void live() throws Exception {
         try (VoterStore store = VoterStore.openOrAnew(dir)) {
             store.forget();
-            Voter voter = new Voter(0, VOTERS, TERMS, 0, 1).trusted();
-            assertEquals(Kind.PROMISED, answer(voter, ask(Kind.PREPARE, Message.ballot(5, 1, 1), 0), 0));
-            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, Message.ballot(5, 1, 1), 3), 0));
+            LeaseVoter voter = new LeaseVoter(0, VOTERS, TERMS, 0, 1).trusted();
+            assertEquals(Kind.PROMISED, answer(voter, ask(Kind.PREPARE, LeaseMessage.ballot(5, 1, 1), 0), 0));
+            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, LeaseMessage.ballot(5, 1, 1), 3), 0));
             assertEquals(1, voter.changed().size());
             store.save(voter.changed());
             voter.changed().clear();
-            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, Message.ballot(5, 1, 1), 3), 300));
+            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, LeaseMessage.ballot(5, 1, 1), 3), 300));
             assertTrue(voter.changed().isEmpty(), "a renewal alone is not written");
             store.begin(42, 0);
         }
@@ -49,14 +49,17 @@
     void whatWasPromisedHoldsAfterALossOfPower() throws Exception {
         live();
         try (VoterStore store = VoterStore.openOrAnew(dir)) {
-            Voter back = new Voter(0, VOTERS, TERMS, 0, 2).remembering(store.load(42, 0));
-            assertEquals(Kind.TOLD, answer(back, Message.of(Kind.RECALL, "", 2, 0, 9), 10), "others may learn of it");
+            LeaseVoter back = new LeaseVoter(0, VOTERS, TERMS, 0, 2).remembering(store.load(42, 0));
+            assertEquals(
+                    Kind.TOLD, answer(back, LeaseMessage.of(Kind.RECALL, "", 2, 0, 9), 10), "others may learn of it");
             assertTrue(
-                    back.hear(ask(Kind.PREPARE, Message.ballot(9, 1, 1), 0), 10).isEmpty(), "it abstains for a lease");
+                    back.hear(ask(Kind.PREPARE, LeaseMessage.ballot(9, 1, 1), 0), 10)
+                            .isEmpty(),
+                    "it abstains for a lease");
             back.tick(1100);
             assertTrue(back.votes(), "by itself");
-            assertEquals(Kind.REFUSED, answer(back, ask(Kind.PREPARE, Message.ballot(4, 1, 1), 0), 1100));
-            Message promised = back.hear(ask(Kind.PREPARE, Message.ballot(6, 2, 1), 0), 1100)
+            assertEquals(Kind.REFUSED, answer(back, ask(Kind.PREPARE, LeaseMessage.ballot(4, 1, 1), 0), 1100));
+            LeaseMessage promised = back.hear(ask(Kind.PREPARE, LeaseMessage.ballot(6, 2, 1), 0), 1100)
                     .get(0)
                     .message();
             assertEquals(Kind.PROMISED, promised.kind());
@@ -69,7 +72,7 @@
     void oneThatHasNotVotedYetRemembersNothing() throws Exception {
         try (VoterStore store = VoterStore.openOrAnew(dir)) {
             store.forget();
-            store.save(Map.of("red", new Voter.Register()));
+            store.save(Map.of("red", new LeaseVoter.Register()));
         }
         try (VoterStore store = VoterStore.openOrAnew(dir)) {
             assertNull(store.load(42, 0));
--- a/src/test/java/nettlewick/duty/VoterTest.java
+++ b/src/test/java/nettlewick/duty/VoterTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import nettlewick.duty.Message.Post;
+import nettlewick.duty.LeaseMessage.Post;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -22,14 +22,14 @@
     /** Guards against voters that lost what they had accepted and vote since one that remembers saw them without it. */
     @Test
     void oneThatRemembersTellsNobodyThatAllBeginsAnew() {
-        Terms terms = new Terms(LEASE, 0.05);
+        LeaseTerms terms = new LeaseTerms(LEASE, 0.05);
         List<Integer> numbers = List.of(0, 1, 2);
-        List<Voter> voters = new ArrayList<>();
-        numbers.forEach(v -> voters.add(new Voter(v, numbers, terms, 0, 100 + v)));
-        voters.get(0).remembering(java.util.Map.of("pool-red", new Voter.Register()));
+        List<LeaseVoter> voters = new ArrayList<>();
+        numbers.forEach(v -> voters.add(new LeaseVoter(v, numbers, terms, 0, 100 + v)));
+        voters.get(0).remembering(java.util.Map.of("pool-red", new LeaseVoter.Register()));
         for (double now = 0; now < LONG; now += TICK) {
             Deque<Post> posts = new ArrayDeque<>();
-            for (Voter v : voters) {
+            for (LeaseVoter v : voters) {
                 posts.addAll(v.tick(now));
             }
             while (!posts.isEmpty()) {
@@ -48,16 +48,16 @@
     @ParameterizedTest
     @CsvSource({"3, 0", "3, 0.3", "5, 0", "5, 0.3", "9, 0.3"})
     void allVoteInTheEnd(int size, double loss) {
-        Terms terms = new Terms(LEASE, 0.05);
+        LeaseTerms terms = new LeaseTerms(LEASE, 0.05);
         List<Integer> numbers = IntStream.range(0, size).boxed().toList();
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            List<Voter> voters = new ArrayList<>();
+            List<LeaseVoter> voters = new ArrayList<>();
             double[] starts = random.doubles(size, 0, 5 * LEASE).toArray();
             for (int v = 0; v < size; v++) {
-                voters.add(new Voter(v, numbers, terms, starts[v], 100 + v));
+                voters.add(new LeaseVoter(v, numbers, terms, starts[v], 100 + v));
             }
-            for (double now = 0; now < LONG && !voters.stream().allMatch(Voter::votes); now += TICK) {
+            for (double now = 0; now < LONG && !voters.stream().allMatch(LeaseVoter::votes); now += TICK) {
                 Deque<Post> posts = new ArrayDeque<>();
                 for (int v = 0; v < size; v++) {
                     if (now >= starts[v]) {
@@ -73,9 +73,9 @@
             }
             int late = seed;
             assertTrue(
-                    voters.stream().allMatch(Voter::votes),
+                    voters.stream().allMatch(LeaseVoter::votes),
                     () -> "seed " + late + ": "
-                            + voters.stream().filter(Voter::votes).count() + " of " + size + " vote");
+                            + voters.stream().filter(LeaseVoter::votes).count() + " of " + size + " vote");
         }
     }
 }
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -11,7 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.stream.Collectors;
-import nettlewick.net.Node;
+import nettlewick.net.DispatcherServer;
 import nettlewick.net.StandIns;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -23,7 +23,7 @@
 class ClientWireGoldenTest {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     private StandIns world;
-    private Node node;
+    private DispatcherServer node;
 
     @BeforeEach
     void open() throws Exception {
--- a/src/test/java/nettlewick/lab/AuditTest.java
+++ b/src/test/java/nettlewick/lab/AuditTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import nettlewick.standins.RunnerModel;
+import nettlewick.standins.EndpointModel;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -14,17 +14,19 @@
     private final Scenario.JobClass unsafe = new Scenario.JobClass("mark-submit", 1, 40, 400, 4000);
     private final Scenario.JobClass keyed = new Scenario.JobClass("save-run", 1, 40, 400, 4000);
     private final Scenario.JobClass safe = new Scenario.JobClass("step-view", 1, 40, 400, 4000);
-    private final RunnerModel a = new RunnerModel("s0", "a", 1, scenario.world().runner(), Double.NEGATIVE_INFINITY);
-    private final RunnerModel b = new RunnerModel("s1", "b", 1, scenario.world().runner(), Double.NEGATIVE_INFINITY);
-    private Audit audit;
+    private final EndpointModel a =
+            new EndpointModel("s0", "a", 1, scenario.world().runner(), Double.NEGATIVE_INFINITY);
+    private final EndpointModel b =
+            new EndpointModel("s1", "b", 1, scenario.world().runner(), Double.NEGATIVE_INFINITY);
+    private InvariantChecker audit;
 
     @BeforeEach
     void open() {
-        audit = new Audit(scenario, 2);
+        audit = new InvariantChecker(scenario, 2);
     }
 
-    private void send(String id, RunnerModel to, double now) {
-        audit.arrived(id, to, RunnerModel.Taken.RUNS, now);
+    private void send(String id, EndpointModel to, double now) {
+        audit.arrived(id, to, EndpointModel.Taken.RUNS, now);
         audit.ran(id, to, now);
     }
 
@@ -56,7 +58,7 @@
     @Test
     void aKeyedJobThatWasTurnedAwayMayGoAnywhere() {
         audit.asked("k-1", "k", keyed, 0, 0, "red");
-        audit.arrived("k-1", a, RunnerModel.Taken.DRAINS, 10);
+        audit.arrived("k-1", a, EndpointModel.Taken.DRAINS, 10);
         send("k-1", b, 20);
         assertEquals(List.of(), audit.breaks());
     }
@@ -68,7 +70,7 @@
         send("k-1", a, 10 + scenario.load().window());
         assertEquals(List.of(), audit.breaks());
         audit.asked("k-2", "k", keyed, 0, 0, "red");
-        audit.arrived("k-2", a, RunnerModel.Taken.RUNS, 11 + scenario.load().window() + Audit.WAY);
+        audit.arrived("k-2", a, EndpointModel.Taken.RUNS, 11 + scenario.load().window() + InvariantChecker.WAY);
         finds("repeat");
     }
 
@@ -89,7 +91,7 @@
         send("k-2", a, 4000);
         send("k-1", a, 3000);
         assertEquals(List.of(), audit.breaks());
-        send("k-1", a, 100 + scenario.world().grace() + Audit.WAY + 1);
+        send("k-1", a, 100 + scenario.world().grace() + InvariantChecker.WAY + 1);
         finds("drain");
     }
 
@@ -98,9 +100,9 @@
         audit.asked("k-1", "k", safe, 0, 0, "red");
         audit.asked("k-2", "k2", safe, 1, 0, "red");
         audit.excuse(1, 100, 200, false);
-        audit.close(4000 + Audit.SPARE);
+        audit.close(4000 + InvariantChecker.SPARE);
         assertEquals(List.of(), audit.breaks());
-        audit.close(4001 + Audit.SPARE);
+        audit.close(4001 + InvariantChecker.SPARE);
         finds("one answer");
     }
 
--- a/src/test/java/nettlewick/lab/Baselines.java
+++ b/src/test/java/nettlewick/lab/Baselines.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import nettlewick.standins.RunnerModel;
+import nettlewick.standins.EndpointModel;
 
 /**
  * The same arrivals on the same runners in virtual time, with other choices: what the real fleet's figures
@@ -30,12 +30,12 @@
 
     private final Scenario scenario;
     private final Choice choice;
-    private final List<RunnerModel> runners = new ArrayList<>();
+    private final List<EndpointModel> runners = new ArrayList<>();
     private final Map<String, int[]> own = new LinkedHashMap<>();
     private final PriorityQueue<Due> due = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
     private final SplittableRandom random;
-    private final Spread spread;
+    private final LoadBalanceStats spread;
     private final Map<String, Integer> at = new LinkedHashMap<>();
     private long numbers;
     private double now;
@@ -48,14 +48,14 @@
         this.choice = choice;
         random = new SplittableRandom(scenario.world().seed() ^ choice.ordinal());
         for (int r = 0; r < scenario.world().runners(); r++) {
-            runners.add(new RunnerModel(
+            runners.add(new EndpointModel(
                     "s" + r,
                     scenario.world().zone(r),
                     scenario.world().speed(r),
                     scenario.world().runner(),
                     Double.NEGATIVE_INFINITY));
         }
-        spread = new Spread(runners, scenario.load().meanWork());
+        spread = new LoadBalanceStats(runners, scenario.load().meanWork());
     }
 
     /** Plays the scenario's load; the figures by name, with {@code sent_to_full} as a part of attempts. */
@@ -64,10 +64,10 @@
     }
 
     private Map<String, Double> play() {
-        for (Trace.Arrival a : Trace.of(scenario)) {
+        for (RequestTrace.Arrival a : RequestTrace.of(scenario)) {
             plan(a.at(), () -> send(a, 0));
         }
-        for (double t = 0; t < scenario.load().length(); t += Spread.EACH) {
+        for (double t = 0; t < scenario.load().length(); t += LoadBalanceStats.EACH) {
             double sampled = t;
             plan(t, () -> spread.sample(sampled));
         }
@@ -86,18 +86,18 @@
         due.add(new Due(when, numbers++, what));
     }
 
-    private void send(Trace.Arrival a, int tried) {
+    private void send(RequestTrace.Arrival a, int tried) {
         int dispatcher = (int) (a.choice() * scenario.world().dispatchers());
         int r = pick(dispatcher);
-        RunnerModel runner = runners.get(r);
+        EndpointModel runner = runners.get(r);
         String id = a.number() + "." + tried;
-        List<RunnerModel.Begun> begun = new ArrayList<>();
+        List<EndpointModel.Begun> begun = new ArrayList<>();
         if (now >= 0) {
             attempts++;
             spread.arrived(runner, now);
         }
-        RunnerModel.Taken taken = runner.offer(id, a.work(), now, begun);
-        if (taken == RunnerModel.Taken.FULL) {
+        EndpointModel.Taken taken = runner.offer(id, a.work(), now, begun);
+        if (taken == EndpointModel.Taken.FULL) {
             full += now >= 0 ? 1 : 0;
             spread.refused();
             if (tried + 1 < ATTEMPTS) {
@@ -112,10 +112,10 @@
         begun.forEach(b -> begins(r, b));
     }
 
-    private void begins(int r, RunnerModel.Begun b) {
+    private void begins(int r, EndpointModel.Begun b) {
         plan(now + b.millis(), () -> {
             own(r)[at.remove(b.id())]--;
-            List<RunnerModel.Begun> more = new ArrayList<>();
+            List<EndpointModel.Begun> more = new ArrayList<>();
             runners.get(r).end(b.id(), now, more);
             more.forEach(m -> begins(r, m));
         });
@@ -145,7 +145,7 @@
     }
 
     private double weight(int r) {
-        RunnerModel m = runners.get(r);
+        EndpointModel m = runners.get(r);
         return (m.busy() + m.waiting() + 1) / (m.slots * m.speed);
     }
 }
--- a/src/test/java/nettlewick/lab/LabProcessTest.java
+++ b/src/test/java/nettlewick/lab/LabProcessTest.java
@@ -37,7 +37,7 @@
                     class mark-submit 30% 100ms 1s
                 }
                 """ + more + "steps {\n" + steps + "}\n");
-        try (Play play = new Play(scenario, dir)) {
+        try (ScenarioRun play = new ScenarioRun(scenario, dir)) {
             play.start(line -> {});
             Map<String, Double> figures = play.run(line -> {});
             Results.write(
--- a/src/test/java/nettlewick/lab/LinksTest.java
+++ b/src/test/java/nettlewick/lab/LinksTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class LinksTest {
-    private static Links links(double loss, double duplicates, double jitter) {
-        return new Links(new Scenario.LinkSettings(loss, duplicates, 1, jitter, true), 9);
+    private static LinkFaults links(double loss, double duplicates, double jitter) {
+        return new LinkFaults(new Scenario.LinkSettings(loss, duplicates, 1, jitter, true), 9);
     }
 
     private static BitSet of(int... which) {
@@ -28,7 +28,7 @@
 
     @Test
     void lossAndDuplicatesAreAsManyAsTheySay() {
-        Links links = links(0.2, 0.1, 5);
+        LinkFaults links = links(0.2, 0.1, 5);
         int[] copies = new int[3];
         for (int from = 0; from < 10; from++) {
             for (int n = 0; n < 1000; n++) {
@@ -41,7 +41,7 @@
 
     @Test
     void aOneWayCutLetsTheOtherWayPassAndEnds() {
-        Links links = links(0, 0, 0);
+        LinkFaults links = links(0, 0, 0);
         links.cut(of(1, 2), of(3), false, 100);
         assertEquals(List.of(), links.fate(1, 3, 0, 99));
         assertEquals(1, links.fate(3, 1, 0, 99).size());
@@ -53,11 +53,11 @@
 
     @Test
     void aServersSpellHoldsForAllWhoCallIt() {
-        Links links = links(0, 0, 0);
-        links.treat(of(8), Links.Way.RESET, 50);
-        assertEquals(Links.Way.RESET, links.way(1, 8, 8, 10));
-        assertEquals(Links.Way.RESET, links.way(8, 1, 8, 10));
-        assertEquals(Links.Way.OPEN, links.way(1, 7, 7, 10));
-        assertEquals(Links.Way.OPEN, links.way(1, 8, 8, 50));
+        LinkFaults links = links(0, 0, 0);
+        links.treat(of(8), LinkFaults.Way.RESET, 50);
+        assertEquals(LinkFaults.Way.RESET, links.way(1, 8, 8, 10));
+        assertEquals(LinkFaults.Way.RESET, links.way(8, 1, 8, 10));
+        assertEquals(LinkFaults.Way.OPEN, links.way(1, 7, 7, 10));
+        assertEquals(LinkFaults.Way.OPEN, links.way(1, 8, 8, 50));
     }
 }
--- a/src/test/java/nettlewick/lab/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/lab/PoolsProcessTest.java
@@ -42,7 +42,7 @@
                         + "voters 5\nlease 800ms\ncomes 500ms\n" + duty + "}\npools {\n" + members + "reserve 60%\n"
                         + "window 700ms\nsettle 300ms\nclear 700ms\ncome 3s\nstay 3s\nprice std 100 least 1m\nreach 10s\n"
                         + "timeout 1s\n}\nsteps {\n" + steps + "}\n");
-        try (Play play = new Play(scenario, dir);
+        try (ScenarioRun play = new ScenarioRun(scenario, dir);
                 HostileDispatcher hostile = blamed == null ? null : hostile(play)) {
             play.start(line -> {});
             if (steps.contains("provider keeps")) {
@@ -61,7 +61,7 @@
         }
     }
 
-    private HostileDispatcher hostile(Play play) throws Exception {
+    private HostileDispatcher hostile(ScenarioRun play) throws Exception {
         int last = play.fleet.members.size() - 1;
         Path settings = java.nio.file.Files.writeString(dir.resolve("hostile.conf"), play.duties.settings(last));
         return new HostileDispatcher(
@@ -220,14 +220,14 @@
      * Kills the dispatcher that first says each of these of red, and starts it again. Red asks for nothing more once it is
      * in a pool, and the run ends once it is back.
      */
-    private void watch(Play play) {
+    private void watch(ScenarioRun play) {
         java.util.Set<String> seen = new java.util.HashSet<>();
         try {
             while (!play.enough) {
-                Moves moves = Moves.read(dir, play.wall);
-                for (Moves.Line l : moves.lines(watched)) {
+                MigrationAudit moves = MigrationAudit.read(dir, play.wall);
+                for (MigrationAudit.Line l : moves.lines(watched)) {
                     if (l.field("member").equals("red") && seen.add(l.event())) {
-                        Fleet.Member holder = play.fleet.members.get(l.dispatcher());
+                        Fleet.DispatcherProcess holder = play.fleet.members.get(l.dispatcher());
                         play.steps.post(() -> {
                             play.audit.excuse(holder.number, play.now(), play.now() + 1000, false);
                             play.fleet.kill(holder.number);
--- a/src/test/java/nettlewick/lab/RunnerModelTest.java
+++ b/src/test/java/nettlewick/lab/RunnerModelTest.java
@@ -8,33 +8,33 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import nettlewick.standins.RunnerModel;
+import nettlewick.standins.EndpointModel;
 import org.junit.jupiter.api.Test;
 
 class RunnerModelTest {
-    private static final RunnerModel.Kind KIND = Scenario.parse(
+    private static final EndpointModel.Kind KIND = Scenario.parse(
                     "x.conf", ScenarioTest.text("").replace("seed 5", "slots 2\nqueue 3\ncold 1s\nfall 200ms"))
             .world()
             .runner();
 
-    private static RunnerModel runner(double bornAt) {
-        return new RunnerModel("s0", "a", 1, KIND, bornAt);
+    private static EndpointModel runner(double bornAt) {
+        return new EndpointModel("s0", "a", 1, KIND, bornAt);
     }
 
     /** Nothing that was taken is lost, and no more runs than there are slots, whatever comes and goes. */
     @Test
     void jobsAreConserved() {
         SplittableRandom random = new SplittableRandom(4);
-        RunnerModel r = runner(Double.NEGATIVE_INFINITY);
+        EndpointModel r = runner(Double.NEGATIVE_INFINITY);
         List<String> inHand = new ArrayList<>();
         int begunOf = 0;
         int takenOf = 0;
         for (int i = 0; i < 5000; i++) {
-            List<RunnerModel.Begun> begun = new ArrayList<>();
+            List<EndpointModel.Begun> begun = new ArrayList<>();
             if (random.nextInt(3) > 0) {
-                RunnerModel.Taken how = r.offer("j" + i, 10, i, begun);
-                assertEquals(inHand.size() >= 5, how == RunnerModel.Taken.FULL);
-                if (how != RunnerModel.Taken.FULL) {
+                EndpointModel.Taken how = r.offer("j" + i, 10, i, begun);
+                assertEquals(inHand.size() >= 5, how == EndpointModel.Taken.FULL);
+                if (how != EndpointModel.Taken.FULL) {
                     inHand.add("j" + i);
                     takenOf++;
                 }
@@ -50,15 +50,15 @@
 
     @Test
     void aColdRunnerThatIsPushedFallsAndAWarmOneDoesNot() {
-        RunnerModel cold = runner(0);
-        RunnerModel warm = runner(-2000);
+        EndpointModel cold = runner(0);
+        EndpointModel warm = runner(-2000);
         for (int i = 0; i < 20; i++) {
             cold.offer("j" + i, 100, 10 + i, new ArrayList<>());
             warm.offer("j" + i, 100, 10 + i, new ArrayList<>());
         }
         assertTrue(cold.fallen());
         assertFalse(warm.fallen());
-        RunnerModel spared = runner(0);
+        EndpointModel spared = runner(0);
         for (int i = 0; i < 20; i++) {
             spared.offer("j" + i, 20, 100 * i, new ArrayList<>());
         }
--- a/src/test/java/nettlewick/lab/ScenarioTest.java
+++ b/src/test/java/nettlewick/lab/ScenarioTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import nettlewick.settings.BadSettings;
+import nettlewick.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -47,12 +47,13 @@
                 List.of("slow", "add", "loss", "lists", "cut", "kill", "pause", "start"),
                 s.steps().stream().map(Scenario.Step::verb).toList());
         assertEquals(
-                new Scenario.Step(1000, "slow", new Party("s4", 1), null, 2.5, 500),
+                new Scenario.Step(1000, "slow", new ScenarioTarget("s4", 1), null, 2.5, 500),
                 s.steps().get(0));
         assertEquals(
-                new Scenario.Step(5000, "cut", new Party("a", 1), new Party("b", 1), Double.NaN, 6000),
+                new Scenario.Step(
+                        5000, "cut", new ScenarioTarget("a", 1), new ScenarioTarget("b", 1), Double.NaN, 6000),
                 s.steps().get(4));
-        assertEquals(new Party("dispatchers", 0.7), s.steps().get(5).first());
+        assertEquals(new ScenarioTarget("dispatchers", 0.7), s.steps().get(5).first());
         assertEquals(3000, s.steps().get(7).figure());
         assertEquals(5, s.world().runners());
         assertEquals(0.5, s.world().speed(4));
@@ -71,7 +72,8 @@
                 "af 1s kill n1 | the nearest is at"
             })
     void aBadStepIsOneLineWithItsPlace(String step, String wanted) {
-        BadSettings bad = assertThrows(BadSettings.class, () -> Scenario.parse("x.conf", text(step)));
+        InvalidSettingsException bad =
+                assertThrows(InvalidSettingsException.class, () -> Scenario.parse("x.conf", text(step)));
         assertTrue(bad.getMessage().startsWith("x.conf:16"), bad.getMessage());
         assertTrue(bad.getMessage().contains(wanted), bad.getMessage());
         assertEquals(1, bad.getMessage().lines().count());
@@ -79,8 +81,8 @@
 
     @Test
     void faultsOfTheRelayWantTheRelay() {
-        BadSettings bad = assertThrows(
-                BadSettings.class,
+        InvalidSettingsException bad = assertThrows(
+                InvalidSettingsException.class,
                 () -> Scenario.parse("x.conf", text("at 1s reset s1 for 1s") + "links {\n tcp direct\n}\n"));
         assertTrue(bad.getMessage().contains("tcp direct"), bad.getMessage());
     }
@@ -89,8 +91,8 @@
     @Test
     void theRateIsAsTheStepsSay() {
         Scenario s = Scenario.parse("x.conf", text("at 4s rate by 3 for 2s"));
-        List<Trace.Arrival> trace = Trace.of(s);
-        assertEquals(trace, Trace.of(s));
+        List<RequestTrace.Arrival> trace = RequestTrace.of(s);
+        assertEquals(trace, RequestTrace.of(s));
         long burst = trace.stream().filter(a -> a.at() >= 4000 && a.at() < 6000).count();
         assertTrue(Math.abs(burst - 240) < 60, burst + " of 240");
         assertTrue(Math.abs(trace.size() - burst - 240) < 60, trace.size() - burst + " of 240");
--- a/src/test/java/nettlewick/ledger/BookTest.java
+++ b/src/test/java/nettlewick/ledger/BookTest.java
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
 import org.junit.jupiter.api.Test;
 
@@ -27,21 +27,21 @@
     private static final Terms TERMS = new Terms(ZoneOffset.UTC, List.of());
     private static final double WINDOW = 15_000;
 
-    private static Book book(Entry... entries) {
-        Book book = new Book(TERMS, WINDOW);
+    private static UsageBook book(Entry... entries) {
+        UsageBook book = new UsageBook(TERMS, WINDOW);
         for (Entry e : entries) {
             assertTrue(book.add(e));
         }
         return book;
     }
 
-    private static Entry close(Ref ref, Map<Origin, Long> vector) {
+    private static Entry close(EntryRef ref, Map<ChainOrigin, Long> vector) {
         return Entry.close(ref, DECEMBER + 10, TERMS.at(NOVEMBER), vector, "op");
     }
 
     @Test
     void theMillisecondOfTheLastByteDecidesFromBothSides() {
-        Book book = book(
+        UsageBook book = book(
                 served(ref("a", 1, 1), DECEMBER - 1, "m", 3),
                 served(ref("a", 1, 2), DECEMBER, "m", 5),
                 served(ref("a", 1, 3), Math.nextDown(DECEMBER), "m", 7));
@@ -51,7 +51,7 @@
 
     @Test
     void refusalsFailuresAndClientsThatLeftAreCountedAndNotBilled() {
-        Book book = book(
+        UsageBook book = book(
                 job(ref("a", 1, 1), NOVEMBER, "m", null, Ending.REFUSED, 9),
                 job(ref("a", 1, 2), NOVEMBER, "m", null, Ending.FAILED, 9),
                 job(ref("a", 1, 3), NOVEMBER, "m", null, Ending.LEFT, 9),
@@ -63,16 +63,16 @@
 
     @Test
     void aClosedStatementNeverChangesAndWhatIsFoundLaterNamesIt() {
-        Origin a = new Origin("a", 1);
-        Book book = book(
-                served(new Ref(a, 1), NOVEMBER, "m", 10),
-                served(new Ref(a, 2), NOVEMBER, "n", 20),
+        ChainOrigin a = new ChainOrigin("a", 1);
+        UsageBook book = book(
+                served(new EntryRef(a, 1), NOVEMBER, "m", 10),
+                served(new EntryRef(a, 2), NOVEMBER, "n", 20),
                 close(ref("a", 2, 1), Map.of(a, 2L)));
         Statement closed = book.statement("2026-11");
         assertTrue(closed.closed());
         assertEquals(30, closed.billed());
-        book.add(served(new Ref(a, 3), NOVEMBER + 5, "m", 4));
-        book.add(Entry.correction(ref("a", 3, 1), DECEMBER + 20, book.entry(new Ref(a, 2)), 15, "op", "wrong"));
+        book.add(served(new EntryRef(a, 3), NOVEMBER + 5, "m", 4));
+        book.add(Entry.correction(ref("a", 3, 1), DECEMBER + 20, book.entry(new EntryRef(a, 2)), 15, "op", "wrong"));
         assertEquals(closed, book.statement("2026-11"));
         assertEquals(
                 List.of(
@@ -84,14 +84,14 @@
 
     @Test
     void correctionsOfEveryKindHaveAnAnswer() {
-        Ref target = ref("a", 1, 1);
+        EntryRef target = ref("a", 1, 1);
         Entry entry = served(target, NOVEMBER, "m", 10);
         Entry first = Entry.correction(ref("a", 1, 2), NOVEMBER + 1, entry, 6, "op", "r");
         Entry second = Entry.correction(ref("a", 1, 3), NOVEMBER + 2, entry, 7, "op", "r");
         Entry ofCorrection = Entry.correction(ref("a", 1, 4), NOVEMBER + 3, first, 8, "op", "r");
         Entry ofNone = Entry.correction(ref("a", 1, 5), NOVEMBER + 4, served(ref("a", 1, 99), 1, "m", 1), 8, "op", "r");
         Entry foreign = Entry.correction(ref("b", 1, 1), NOVEMBER + 4, entry, 9, "op", "r");
-        Book book = book(foreign, second, ofNone, ofCorrection, first, entry);
+        UsageBook book = book(foreign, second, ofNone, ofCorrection, first, entry);
         assertEquals(6, book.statement("2026-11").billed());
         assertEquals(first, book.correction(target));
         assertEquals(
@@ -122,9 +122,10 @@
 
     @Test
     void aRepeatFoundAfterTheCloseIsTakenBackInTheOpenPeriod() {
-        Origin a = new Origin("a", 1);
-        Book book = book(
-                job(new Ref(a, 1), NOVEMBER + 9, "m", "k", Ending.SERVED, 10), close(ref("a", 2, 1), Map.of(a, 1L)));
+        ChainOrigin a = new ChainOrigin("a", 1);
+        UsageBook book = book(
+                job(new EntryRef(a, 1), NOVEMBER + 9, "m", "k", Ending.SERVED, 10),
+                close(ref("a", 2, 1), Map.of(a, 1L)));
         Statement closed = book.statement("2026-11");
         book.add(job(ref("b", 1, 1), NOVEMBER, "m", "k", Ending.SERVED, 12));
         Statement.Late back = book.statement("2026-12").late().get(0);
@@ -136,7 +137,7 @@
 
     @Test
     void namesThatLookAlikeWhenJoinedStayApart() {
-        Book book = book(served(ref("a", 1, 1), NOVEMBER, "x, y", 1), served(ref("a", 1, 2), NOVEMBER, "x", 2));
+        UsageBook book = book(served(ref("a", 1, 1), NOVEMBER, "x, y", 1), served(ref("a", 1, 2), NOVEMBER, "x", 2));
         assertEquals(2, book.statement("2026-11").rows().size());
     }
 
@@ -150,7 +151,7 @@
     void sixDispatchersStateTheSame(@ForAll long seed) {
         Random random = new Random(seed);
         int n = 6;
-        List<TreeMap<Ref, Entry>> held = new ArrayList<>();
+        List<TreeMap<EntryRef, Entry>> held = new ArrayList<>();
         List<List<Entry>> logs = new ArrayList<>();
         long[] life = new long[n];
         long[] number = new long[n];
@@ -163,9 +164,9 @@
         double now = NOVEMBER + 20 * 8.64e7;
         for (int step = 0; step < 120; step++) {
             int d = random.nextInt(n);
-            Origin own = new Origin("d" + d, life[d]);
+            ChainOrigin own = new ChainOrigin("d" + d, life[d]);
             now += random.nextInt(4) == 0 ? random.nextInt(3) * 8.64e7 : random.nextInt(20_000);
-            Ref next = new Ref(own, number[d] + 1);
+            EntryRef next = new EntryRef(own, number[d] + 1);
             int what = random.nextInt(20);
             Entry made = null;
             if (what < 11) {
@@ -199,11 +200,11 @@
                     made = Entry.correction(next, now, target, random.nextInt(500), "op", "r");
                 }
             } else if (what == 13) {
-                Book book = new Book(TERMS, WINDOW);
+                UsageBook book = new UsageBook(TERMS, WINDOW);
                 held.get(d).values().forEach(book::add);
                 Terms.Period first = book.firstOpen("d" + d);
                 if (first != null && first.to() <= now) {
-                    Map<Origin, Long> vector = new TreeMap<>();
+                    Map<ChainOrigin, Long> vector = new TreeMap<>();
                     held.get(d).keySet().forEach(r -> vector.merge(r.origin(), r.number(), Math::max));
                     made = Entry.close(next, now, first, vector, "op");
                 }
@@ -224,15 +225,15 @@
                 exchange(random, held.get(d), held.get((d + 1 + random.nextInt(n - 1)) % n));
             }
         }
-        TreeMap<Ref, Entry> all = new TreeMap<>();
+        TreeMap<EntryRef, Entry> all = new TreeMap<>();
         held.forEach(all::putAll);
-        Book one = new Book(TERMS, WINDOW);
+        UsageBook one = new UsageBook(TERMS, WINDOW);
         all.values().forEach(one::add);
         for (int d = 0; d < n; d++) {
             assertEquals(all.keySet(), held.get(d).keySet(), "after enough exchanges all hold the same");
             List<Entry> order = new ArrayList<>(held.get(d).values());
             Collections.shuffle(order, random);
-            Book book = new Book(TERMS, WINDOW);
+            UsageBook book = new UsageBook(TERMS, WINDOW);
             order.forEach(book::add);
             assertEquals(List.copyOf(one.periods()), List.copyOf(book.periods()));
             for (String period : one.periods()) {
@@ -246,12 +247,12 @@
     }
 
     /** One side fetches what it lacks, by whole tails of chains; one exchange in five is lost halfway. */
-    private static void exchange(Random random, TreeMap<Ref, Entry> to, TreeMap<Ref, Entry> from) {
+    private static void exchange(Random random, TreeMap<EntryRef, Entry> to, TreeMap<EntryRef, Entry> from) {
         boolean lost = random.nextInt(5) == 0;
         int left = lost ? random.nextInt(3) : Integer.MAX_VALUE;
-        for (Map.Entry<Ref, Entry> e : from.entrySet()) {
-            Ref r = e.getKey();
-            boolean follows = r.number() == 1 || to.containsKey(new Ref(r.origin(), r.number() - 1));
+        for (Map.Entry<EntryRef, Entry> e : from.entrySet()) {
+            EntryRef r = e.getKey();
+            boolean follows = r.number() == 1 || to.containsKey(new EntryRef(r.origin(), r.number() - 1));
             if (!to.containsKey(r) && follows && left-- > 0) {
                 to.put(r, e.getValue());
             }
@@ -259,8 +260,8 @@
     }
 
     /** A statement that all known dispatchers have closed stays as it was when it was first seen so. */
-    private static void check(Map<String, Statement> frozen, TreeMap<Ref, Entry> held) {
-        Book book = new Book(TERMS, WINDOW);
+    private static void check(Map<String, Statement> frozen, TreeMap<EntryRef, Entry> held) {
+        UsageBook book = new UsageBook(TERMS, WINDOW);
         held.values().forEach(book::add);
         for (String period : book.periods()) {
             for (int d = 0; d < 6; d++) {
@@ -284,22 +285,22 @@
         }
     }
 
-    private static List<Ref> covered(Entry close) {
-        List<Ref> refs = new ArrayList<>();
+    private static List<EntryRef> covered(Entry close) {
+        List<EntryRef> refs = new ArrayList<>();
         close.close().vector().forEach((o, last) -> {
             for (long i = 1; i <= last; i++) {
-                refs.add(new Ref(o, i));
+                refs.add(new EntryRef(o, i));
             }
         });
         return refs;
     }
 
-    private static Statement part(Book book, String dispatcher, Terms.Period period) {
+    private static Statement part(UsageBook book, String dispatcher, Terms.Period period) {
         return book.part(dispatcher, period);
     }
 
     /** What everything together is worth, worked out the long way. */
-    private static long model(TreeMap<Ref, Entry> all) {
+    private static long model(TreeMap<EntryRef, Entry> all) {
         long sum = 0;
         for (Entry e : all.values()) {
             if (e.kind() != Kind.JOB && e.kind() != Kind.DOUBT) {
@@ -323,7 +324,7 @@
         return sum;
     }
 
-    private static boolean repeat(TreeMap<Ref, Entry> all, Entry e) {
+    private static boolean repeat(TreeMap<EntryRef, Entry> all, Entry e) {
         if (e.key() == null) {
             return false;
         }
@@ -349,7 +350,7 @@
 
     @Test
     void anEntryHeldTwiceCountsOnce() {
-        Book book = book(served(ref("a", 1, 1), NOVEMBER, "m", 10));
+        UsageBook book = book(served(ref("a", 1, 1), NOVEMBER, "m", 10));
         assertFalse(book.add(served(ref("a", 1, 1), NOVEMBER, "m", 10)));
         assertEquals(10, book.statement("2026-11").billed());
     }
--- a/src/test/java/nettlewick/ledger/Entries.java
+++ b/src/test/java/nettlewick/ledger/Entries.java
@@ -1,13 +1,13 @@
 package nettlewick.ledger;
 
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
 
 /** Entries for tests. */
 final class Entries {
     private Entries() {}
 
-    static Entry job(Ref ref, double at, String member, String key, Ending end, long work) {
+    static Entry job(EntryRef ref, double at, String member, String key, Ending end, long work) {
         return new Entry(
                 ref,
                 Kind.JOB,
@@ -27,11 +27,11 @@
                 null);
     }
 
-    static Entry served(Ref ref, double at, String member, long work) {
+    static Entry served(EntryRef ref, double at, String member, long work) {
         return job(ref, at, member, null, Ending.SERVED, work);
     }
 
-    static Ref ref(String dispatcher, long life, long number) {
-        return new Ref(new Origin(dispatcher, life), number);
+    static EntryRef ref(String dispatcher, long life, long number) {
+        return new EntryRef(new ChainOrigin(dispatcher, life), number);
     }
 }
--- a/src/test/java/nettlewick/ledger/ExportTest.java
+++ b/src/test/java/nettlewick/ledger/ExportTest.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.standins.Receiver;
 import nettlewick.store.StoreException;
 import org.apache.commons.csv.CSVFormat;
@@ -53,8 +53,8 @@
             long one = random.nextInt(100_000);
             work[0] += one;
             work[1]++;
-            drafts.add(
-                    Entries.job(new Ref(new Origin("", 0), 0), NOW, "m" + random.nextInt(5), null, Ending.SERVED, one));
+            drafts.add(Entries.job(
+                    new EntryRef(new ChainOrigin("", 0), 0), NOW, "m" + random.nextInt(5), null, Ending.SERVED, one));
         }
         return drafts;
     }
@@ -72,7 +72,7 @@
         int crashes = 0;
         while (crashes < 600) {
             int[] left = {random.nextInt(40)};
-            Faults faults = point -> {
+            FaultInjection faults = point -> {
                 if (left[0]-- == 0) {
                     points.add(point);
                     throw new Crash();
@@ -93,7 +93,7 @@
                         faults.at("receiver-after");
                     };
             try (Store store = Store.open(dir.resolve("s"), "a", faults)) {
-                Origin own = store.begin(NOW + crashes);
+                ChainOrigin own = store.begin(NOW + crashes);
                 List<Entry> drafts = drafts(random, random.nextInt(12), new long[2]);
                 if (!drafts.isEmpty()) {
                     store.append(own, drafts);
@@ -125,11 +125,16 @@
                         "receiver-before",
                         "receiver-after")),
                 points.toString());
-        try (Store store = Store.open(dir.resolve("s"), "a", Faults.NONE)) {
+        try (Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
             ExportSettings f = new ExportSettings("f", out, null, true, 7, 1, 100, 1, 10, 4);
             ExportSettings r = new ExportSettings("r", out, null, true, 7, 1, 100, 1, 10, 4);
             assertNull(new Exporter(
-                            store, f, new FileTarget(out, Faults.NONE), new SplittableRandom(1), m -> {}, Faults.NONE)
+                            store,
+                            f,
+                            new FileTarget(out, FaultInjection.NONE),
+                            new SplittableRandom(1),
+                            m -> {},
+                            FaultInjection.NONE)
                     .round()
                     .fault());
             assertNull(new Exporter(
@@ -138,7 +143,7 @@
                             p -> received.putIfAbsent(p.number(), p.bytes()),
                             new SplittableRandom(1),
                             m -> {},
-                            Faults.NONE)
+                            FaultInjection.NONE)
                     .round()
                     .fault());
             store.each(e -> {
@@ -162,7 +167,7 @@
                         JsonParser.parseString(Files.readString(file)).getAsJsonObject();
                 byte[] bytes =
                         Files.readAllBytes(folder.resolve(manifest.get("file").getAsString()));
-                assertEquals(manifest.get("sha256").getAsString(), Batches.sum(bytes));
+                assertEquals(manifest.get("sha256").getAsString(), BatchCodec.sum(bytes));
                 all.add(bytes);
             }
         }
@@ -204,8 +209,8 @@
                             .get(i % 8);
             entries.add(Entries.job(Entries.ref("a,\"b", 1, i + 1), NOW, name, null, Ending.SERVED, i));
         }
-        List<CSVRecord> rows = rows(Batches.render(entries, true));
-        String[] lines = new String(Batches.render(entries, false), StandardCharsets.UTF_8).split("\n");
+        List<CSVRecord> rows = rows(BatchCodec.render(entries, true));
+        String[] lines = new String(BatchCodec.render(entries, false), StandardCharsets.UTF_8).split("\n");
         assertEquals(300, rows.size());
         assertEquals(300, lines.length);
         for (int i = 0; i < 300; i++) {
@@ -226,7 +231,7 @@
         Random random = new Random(8);
         long[] work = new long[2];
         try (Receiver receiver = new Receiver();
-                Store store = Store.open(dir.resolve("s"), "a", Faults.NONE)) {
+                Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
             Receiver.Fate[] fates = Receiver.Fate.values();
             Set<Receiver.Fate> met = new HashSet<>();
             receiver.script(batch -> {
@@ -239,10 +244,10 @@
             Exporter.Report report = new Exporter(
                             store,
                             s,
-                            Exporter.target(s, Faults.NONE),
+                            Exporter.target(s, FaultInjection.NONE),
                             new SplittableRandom(2),
                             millis -> {},
-                            Faults.NONE)
+                            FaultInjection.NONE)
                     .round();
             assertNull(report.fault());
             assertEquals(200, report.entries());
@@ -259,7 +264,7 @@
     @Test
     void aReceiverThatSaysNoForGoodIsToldOfAtOnceAndOneThatIsGoneAfterItsTries() throws Exception {
         try (Receiver receiver = new Receiver();
-                Store store = Store.open(dir.resolve("s"), "a", Faults.NONE)) {
+                Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
             store.append(store.begin(NOW), drafts(new Random(1), 3, new long[2]));
             ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 5, 500);
             Target silent = parcel -> {
@@ -267,7 +272,7 @@
             };
             List<Double> pauses = new ArrayList<>();
             Exporter.Report report =
-                    new Exporter(store, s, silent, new SplittableRandom(2), pauses::add, Faults.NONE).round();
+                    new Exporter(store, s, silent, new SplittableRandom(2), pauses::add, FaultInjection.NONE).round();
             assertEquals(5, report.tries());
             assertEquals(4, pauses.size());
             for (int i = 0; i < 4; i++) {
@@ -276,15 +281,15 @@
             }
             // The same number was given to somebody else's content before.
             receiver.script(batch -> Receiver.Fate.TAKEN);
-            new HttpTarget(s.url(), 500, Faults.NONE)
+            new HttpTarget(s.url(), 500, FaultInjection.NONE)
                     .deliver(new Target.Parcel("a", "x", 1, true, 1, new byte[] {1}, "another"));
             report = new Exporter(
                             store,
                             s,
-                            Exporter.target(s, Faults.NONE),
+                            Exporter.target(s, FaultInjection.NONE),
                             new SplittableRandom(2),
                             pauses::add,
-                            Faults.NONE)
+                            FaultInjection.NONE)
                     .round();
             assertEquals(1, report.tries());
             assertTrue(report.fault().contains("409"), report.fault());
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -1,6 +1,6 @@
 package nettlewick.ledger;
 
-import static nettlewick.standins.StandIns.until;
+import static nettlewick.standins.StubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -19,10 +19,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import nettlewick.core.Books;
-import nettlewick.core.Books.Ending;
 import nettlewick.core.Clock;
 import nettlewick.core.Request;
+import nettlewick.core.UsageRecorder;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
 import nettlewick.store.StoreException;
 import org.junit.jupiter.api.AfterEach;
@@ -45,7 +45,7 @@
                 dir, sync, 2, 2, patience, queue, new Terms(ZoneOffset.UTC, List.of()), 15_000, List.of(), null);
     }
 
-    private Ledger ledger(LedgerSettings settings, Clock clock, Faults faults) {
+    private Ledger ledger(LedgerSettings settings, Clock clock, FaultInjection faults) {
         Ledger ledger = new Ledger("a", settings, clock, faults);
         open.add(ledger);
         ledger.start();
@@ -57,8 +57,8 @@
         open.forEach(Ledger::close);
     }
 
-    private static Books.Job job(String id, Ending ending) {
-        return new Books.Job(
+    private static UsageRecorder.FinishedRequest job(String id, Ending ending) {
+        return new UsageRecorder.FinishedRequest(
                 new Request(id, "c", "m", null, 0, 1, 0, 0, false, null, null), ending, DECEMBER, 1, 1000, false, 0);
     }
 
@@ -198,7 +198,7 @@
     @Test
     void aDamagedStoreIsPutAsideAndANewOneBegins() throws Exception {
         Files.writeString(dir.resolve(Store.FILE), "no store, but a text that is long enough to be read as one");
-        Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), Faults.NONE);
+        Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
         Set<String> left = new HashSet<>();
         answer(ledger, "j", left);
         until(() -> has(ledger, "entries", 1));
@@ -209,9 +209,9 @@
 
     @Test
     void aClientThatLeavesIsCountedAndNotBilledWhicheverComesFirst() throws Exception {
-        Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), Faults.NONE);
+        Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
         ledger.settle(job("before", Ending.LEFT), r -> {});
-        ledger.settle(job("after", Ending.SERVED), Books.Receipt::left);
+        ledger.settle(job("after", Ending.SERVED), UsageRecorder.Receipt::left);
         ledger.settle(job("both", Ending.SERVED), r -> {
             r.answered();
             r.left();
@@ -227,8 +227,8 @@
     @Test
     void theTimeOfTheLastByteDecidesThePeriod() throws Exception {
         Clock clock = Clock.standing(DECEMBER - 1);
-        Ledger ledger = ledger(settings(false, 5, 100), clock, Faults.NONE);
-        List<Books.Receipt> receipts = new ArrayList<>();
+        Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
+        List<UsageRecorder.Receipt> receipts = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             ledger.settle(job("j" + i, Ending.SERVED), r -> {
                 synchronized (receipts) {
@@ -243,7 +243,7 @@
         clock.set(DECEMBER + 40 * 8.64e7);
         receipts.get(2).answered();
         until(() -> has(ledger, "entries", 3));
-        Desk desk = new Desk(settings(false, 5, 100), clock);
+        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
         assertEquals(
                 List.of("2026-11", "2026-12", "2027-01"),
                 desk.statements(null).stream().map(Statement::period).toList());
@@ -266,13 +266,13 @@
         answer(ledger, "early", left);
         until(() -> left.contains("early"));
         clock.set(DECEMBER + 5);
-        Desk desk = new Desk(settings(false, 5, 100), clock);
-        Desk.Refused soon = assertThrows(Desk.Refused.class, () -> desk.close("2026-12", "op"));
+        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
+        LedgerAdmin.Refused soon = assertThrows(LedgerAdmin.Refused.class, () -> desk.close("2026-12", "op"));
         assertTrue(soon.misuse() && soon.getMessage().contains("ends at"), soon.getMessage());
         Thread closer = new Thread(() -> {
             try {
                 desk.close("2026-11", "op");
-            } catch (Desk.Refused | InterruptedException e) {
+            } catch (LedgerAdmin.Refused | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
@@ -287,7 +287,7 @@
         Statement statement = desk.statements("2026-11").get(0);
         assertTrue(statement.closed());
         assertEquals(1000, statement.billed());
-        assertThrows(Desk.Refused.class, () -> desk.close("2026-11", "op"));
+        assertThrows(LedgerAdmin.Refused.class, () -> desk.close("2026-11", "op"));
     }
 
     private static double marked(Store store) {
@@ -308,21 +308,21 @@
     @Test
     void aPeriodThatEndedWhileNobodyRanIsClosedFromWhatWasLeft() throws Exception {
         Clock clock = Clock.standing(DECEMBER - 5);
-        Ledger ledger = ledger(settings(false, 5, 100), clock, Faults.NONE);
+        Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
         until(() -> ledger.origin() != null);
         answer(ledger, "j", new HashSet<>());
         ledger.close();
-        Desk desk = new Desk(settings(false, 5, 100), Clock.standing(DECEMBER + 1));
+        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), Clock.standing(DECEMBER + 1));
         desk.close("2026-11", "op");
         assertEquals(1000, desk.statements("2026-11").get(0).billed());
-        Ref target = entries().get(0).ref();
+        EntryRef target = entries().get(0).ref();
         desk.correct(target.toString(), 400, "op", "half of it was ours");
         assertEquals(1000, desk.statements("2026-11").get(0).billed());
         assertEquals(-600, desk.statements("2026-12").get(0).billed());
         for (String bad :
                 List.of(target.toString(), "a/1/999", "nothing", closing().ref().toString())) {
             assertTrue(
-                    assertThrows(Desk.Refused.class, () -> desk.correct(bad, 1, "op", "r"))
+                    assertThrows(LedgerAdmin.Refused.class, () -> desk.correct(bad, 1, "op", "r"))
                             .misuse(),
                     bad);
         }
@@ -331,8 +331,8 @@
     /** An upgrade: two processes on one store, each in a life of its own. */
     @Test
     void twoProcessesOnOneStoreEnterEachJobOnce() throws Exception {
-        Ledger old = ledger(settings(false, 5, 10_000), Clock.system(), Faults.NONE);
-        Ledger heir = ledger(settings(true, 500, 10_000), Clock.system(), Faults.NONE);
+        Ledger old = ledger(settings(false, 5, 10_000), Clock.system(), FaultInjection.NONE);
+        Ledger heir = ledger(settings(true, 500, 10_000), Clock.system(), FaultInjection.NONE);
         Set<String> left = new HashSet<>();
         for (int i = 0; i < 2000; i++) {
             answer(i % 2 == 0 ? old : heir, "j" + i, left);
@@ -373,21 +373,21 @@
         }
         until(() -> has(ledger, "entries", 20));
         ledger.close();
-        Desk desk = new Desk(s, Clock.standing(DECEMBER + 1));
+        LedgerAdmin desk = new LedgerAdmin(s, Clock.standing(DECEMBER + 1));
         Path file = dir.resolve("archive/2026-11.gz");
-        assertTrue(assertThrows(Desk.Refused.class, () -> desk.archive("2026-11", file))
+        assertTrue(assertThrows(LedgerAdmin.Refused.class, () -> desk.archive("2026-11", file))
                 .getMessage()
                 .contains("not closed"));
         desk.close("2026-11", "op");
         Statement before = desk.statements("2026-11").get(0);
         desk.export(null);
         assertEquals(20, desk.archive("2026-11", file));
-        assertThrows(Desk.Refused.class, () -> desk.statements("2026-11"));
+        assertThrows(LedgerAdmin.Refused.class, () -> desk.statements("2026-11"));
         assertEquals(List.of(), desk.verify());
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 1;
         Path changed = Files.write(dir.resolve("changed"), bytes);
-        assertTrue(assertThrows(Desk.Refused.class, () -> desk.restore("2026-11", changed))
+        assertTrue(assertThrows(LedgerAdmin.Refused.class, () -> desk.restore("2026-11", changed))
                 .getMessage()
                 .contains("its sum is another"));
         assertEquals(20, desk.restore("2026-11", null));
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -26,9 +26,9 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
 import nettlewick.cli.Child;
-import nettlewick.core.Books;
 import nettlewick.core.Clock;
 import nettlewick.core.Request;
+import nettlewick.core.UsageRecorder;
 import nettlewick.net.StandIns;
 import org.HdrHistogram.Histogram;
 
@@ -109,7 +109,7 @@
         while (System.nanoTime() - began < THROUGHPUT_NANOS) {
             room.acquire();
             ledger.settle(
-                    new Books.Job(
+                    new UsageRecorder.FinishedRequest(
                             new Request(
                                     "00c0ffee" + jobs++,
                                     "step-view",
@@ -122,7 +122,7 @@
                                     false,
                                     null,
                                     null),
-                            Books.Ending.SERVED,
+                            UsageRecorder.Ending.SERVED,
                             NOW,
                             1,
                             120_000,
@@ -143,9 +143,9 @@
     // A million entries
 
     private static void fill(Path store, int count) throws Exception {
-        try (Store s = Store.open(store, "a", Faults.NONE)) {
+        try (Store s = Store.open(store, "a", FaultInjection.NONE)) {
             for (int o = 0; o < ORIGINS; o++) {
-                Origin origin = s.begin(NOW);
+                ChainOrigin origin = s.begin(NOW);
                 for (int done = 0; done < count / ORIGINS; done += 10_000) {
                     s.append(origin, drafts(10_000, done));
                 }
@@ -158,14 +158,14 @@
         List<Entry> drafts = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             drafts.add(new Entry(
-                    new Ref(new Origin("", 0), 0),
+                    new EntryRef(new ChainOrigin("", 0), 0),
                     Entry.Kind.JOB,
                     NOW + from + i,
                     "college-nord",
                     i % 4 == 0 ? "save-run" : "step-view",
                     String.format("%016x", (from + i) * 2654435761L),
                     i % 4 == 0 ? Entry.hash("k" + from + i) : null,
-                    Books.Ending.SERVED,
+                    UsageRecorder.Ending.SERVED,
                     120_000 + i,
                     false,
                     0,
@@ -203,8 +203,8 @@
                 .start();
         filler.waitFor();
         long began = System.nanoTime();
-        Origin own;
-        try (Store store = Store.open(one, "a", Faults.NONE)) {
+        ChainOrigin own;
+        try (Store store = Store.open(one, "a", FaultInjection.NONE)) {
             Recovery.run(store, NOW, settings(one, true).terms());
             own = store.begin(NOW);
             store.append(own, drafts(1, 0));
@@ -216,10 +216,10 @@
         Files.copy(one.resolve(Store.FILE), two.resolve(Store.FILE));
         byte[] key = "0123456789abcdef0123456789abcdef".getBytes();
         Vertx vertx = Vertx.vertx();
-        try (Store store = Store.open(one, "a", Faults.NONE);
+        try (Store store = Store.open(one, "a", FaultInjection.NONE);
                 Store other = Store.open(two)) {
             long ledger = 0;
-            for (Origin origin : store.heads().keySet()) {
+            for (ChainOrigin origin : store.heads().keySet()) {
                 store.append(origin, drafts(100 / (ORIGINS + 1) + 1, MILLION));
                 for (Store.Row row : store.rows(origin, 1, 1000)) {
                     ledger += row.bytes().length;
@@ -238,13 +238,13 @@
                             5000,
                             2000),
                     one,
-                    new Seal(key),
+                    new MessageSeal(key),
                     Clock.system());
             int port = StandIns.get(front.listen());
             PeerClient client = new PeerClient(
                     vertx,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                    new Seal(key),
+                    new MessageSeal(key),
                     Clock.system(),
                     5000);
             began = System.nanoTime();
@@ -257,7 +257,7 @@
         }
         StandIns.get(vertx.close());
         began = System.nanoTime();
-        Book book = new Book(new Terms(java.time.ZoneOffset.UTC, List.of()), 15_000);
+        UsageBook book = new UsageBook(new Terms(java.time.ZoneOffset.UTC, List.of()), 15_000);
         try (Store store = Store.read(one)) {
             store.each(book::add);
         }
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -24,7 +24,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import nettlewick.core.Clock;
-import nettlewick.standins.StandIns;
+import nettlewick.standins.StubPlatform;
 import nettlewick.store.StoreException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -55,7 +55,7 @@
         for (AutoCloseable one : open) {
             one.close();
         }
-        StandIns.get(vertx.close());
+        StubPlatform.get(vertx.close());
     }
 
     private static PeerSettings settings(String... admit) {
@@ -72,7 +72,7 @@
     }
 
     private Store store(String name) throws StoreException {
-        Store store = Store.open(dir.resolve(name), name.substring(0, 1), Faults.NONE);
+        Store store = Store.open(dir.resolve(name), name.substring(0, 1), FaultInjection.NONE);
         open.add(store);
         return store;
     }
@@ -80,28 +80,32 @@
     private static List<Entry> drafts(int count, String member) {
         List<Entry> drafts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            drafts.add(Entries.served(new Ref(new Origin("", 0), 0), NOW + i, member, i));
+            drafts.add(Entries.served(new EntryRef(new ChainOrigin("", 0), 0), NOW + i, member, i));
         }
         return drafts;
     }
 
     private int serve(Store store) throws Exception {
-        PeerFront front = new PeerFront(settings("127.0.0.0/8"), store.folder(), new Seal(KEY), clock);
+        PeerFront front = new PeerFront(settings("127.0.0.0/8"), store.folder(), new MessageSeal(KEY), clock);
         open.add(0, front);
-        return StandIns.get(front.listen());
+        return StubPlatform.get(front.listen());
     }
 
     private PeerClient client(int port, double timeout) {
         return new PeerClient(
-                vertx, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), new Seal(KEY), clock, timeout);
+                vertx,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                new MessageSeal(KEY),
+                clock,
+                timeout);
     }
 
     private Reconciler.Report round(Store to, int port) throws Exception {
         return new Reconciler(to, client(port, 2000), 7).round();
     }
 
-    private static Map<Origin, Long> numbers(Store store) throws StoreException {
-        Map<Origin, Long> numbers = new TreeMap<>();
+    private static Map<ChainOrigin, Long> numbers(Store store) throws StoreException {
+        Map<ChainOrigin, Long> numbers = new TreeMap<>();
         store.heads().forEach((o, h) -> numbers.put(o, h.number()));
         return numbers;
     }
@@ -110,8 +114,8 @@
     void eachComesToHoldWhatBothHoldAndThenNothingIsFetched() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        Origin one = a.begin(NOW);
-        Origin two = b.begin(NOW);
+        ChainOrigin one = a.begin(NOW);
+        ChainOrigin two = b.begin(NOW);
         a.append(one, drafts(40, "x"));
         b.append(two, drafts(3, "y"));
         int portA = serve(a);
@@ -129,11 +133,11 @@
     void aLostDiskIsRebuiltUnderANewLife() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        Origin one = a.begin(NOW);
+        ChainOrigin one = a.begin(NOW);
         a.append(one, drafts(10, "x"));
         round(b, serve(a));
         Store rebuilt = store("a2");
-        Origin next = rebuilt.begin(NOW + 5000);
+        ChainOrigin next = rebuilt.begin(NOW + 5000);
         assertNotEquals(one, next);
         rebuilt.append(next, drafts(1, "x"));
         assertEquals(10, round(rebuilt, serve(b)).entries());
@@ -146,7 +150,7 @@
     void aForkIsFoundAtItsFirstEntryQuarantinedAndNeverMerged() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        Origin one = a.begin(NOW);
+        ChainOrigin one = a.begin(NOW);
         a.append(one, drafts(5, "x"));
         Store copy = store("a-copy");
         int portA = serve(a);
@@ -170,17 +174,17 @@
 
     /** A peer that seals its answers but may say what it likes. */
     private int liar(java.util.function.Function<String, Buffer> says) throws Exception {
-        Seal seal = new Seal(KEY);
+        MessageSeal seal = new MessageSeal(KEY);
         HttpServer server = vertx.createHttpServer().requestHandler(r -> {
             Buffer body = says.apply(r.uri());
             r.response()
                     .putHeader(PeerFront.SEAL, seal.answer(r.getHeader(PeerFront.NONCE), 200, body.getBytes()))
                     .end(body);
         });
-        return StandIns.get(server.listen(0, "127.0.0.1")).actualPort();
+        return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
     }
 
-    private static Buffer heads(Origin origin, long number, byte[] hash) {
+    private static Buffer heads(ChainOrigin origin, long number, byte[] hash) {
         return Buffer.buffer("[{\"d\":\"" + origin.dispatcher() + "\",\"l\":" + origin.life() + ",\"n\":"
                 + number
                 + ",\"h\":\"" + java.util.HexFormat.of().formatHex(hash) + "\"}]");
@@ -195,19 +199,19 @@
     @Test
     void aPeerThatLiesChangesNothingAndAccusesNobody() throws Exception {
         Store a = store("a");
-        Origin own = a.begin(NOW);
+        ChainOrigin own = a.begin(NOW);
         a.append(own, drafts(4, "x"));
-        Origin other = new Origin("c", 9);
+        ChainOrigin other = new ChainOrigin("c", 9);
         byte[] wrong = new byte[32];
         wrong[3] = 7;
         String hex = java.util.HexFormat.of().formatHex(wrong);
         List<byte[]> two = List.of(
-                Entries.served(new Ref(other, 1), NOW, "m", 1).bytes(),
-                Entries.served(new Ref(other, 2), NOW, "m", 1).bytes());
+                Entries.served(new EntryRef(other, 1), NOW, "m", 1).bytes(),
+                Entries.served(new EntryRef(other, 2), NOW, "m", 1).bytes());
         List<byte[]> holed = List.of(
-                two.get(0), Entries.served(new Ref(other, 3), NOW, "m", 1).bytes());
+                two.get(0), Entries.served(new EntryRef(other, 3), NOW, "m", 1).bytes());
         List<byte[]> foreign =
-                List.of(Entries.served(new Ref(own, 1), NOW, "m", 1).bytes());
+                List.of(Entries.served(new EntryRef(own, 1), NOW, "m", 1).bytes());
         Buffer cut = frames(two).getBuffer(0, 60);
         for (Buffer entries : List.of(
                 frames(two), frames(holed), frames(foreign), cut, Buffer.buffer(), frames(List.of(new byte[] {1, 2, 3
@@ -235,7 +239,7 @@
     void aPeerWithoutTheKeyIsNotBelievedAndASlowOneIsGivenUp() throws Exception {
         Store a = store("a");
         HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
-        int silent = StandIns.get(mute.listen(0, "127.0.0.1")).actualPort();
+        int silent = StubPlatform.get(mute.listen(0, "127.0.0.1")).actualPort();
         double before = clock.now();
         assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).round());
         assertTrue(clock.now() - before < 5000);
@@ -250,11 +254,11 @@
                 }
             });
         });
-        int slow = StandIns.get(trickle.listen(0, "127.0.0.1")).actualPort();
+        int slow = StubPlatform.get(trickle.listen(0, "127.0.0.1")).actualPort();
         assertThrows(IOException.class, () -> new Reconciler(a, client(slow, 60), 7).round());
         HttpServer plain =
                 vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
-        int unsealed = StandIns.get(plain.listen(0, "127.0.0.1")).actualPort();
+        int unsealed = StubPlatform.get(plain.listen(0, "127.0.0.1")).actualPort();
         assertTrue(assertThrows(IOException.class, () -> round(a, unsealed))
                 .getMessage()
                 .contains("seal"));
@@ -265,14 +269,14 @@
     void anExchangeThatIsCutOffGoesOnNextTime() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        Origin one = a.begin(NOW);
+        ChainOrigin one = a.begin(NOW);
         a.append(one, drafts(40, "x"));
         int port = serve(a);
         PeerClient cut =
                 new PeerClient(
                         vertx,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                        new Seal(KEY),
+                        new MessageSeal(KEY),
                         clock,
                         2000) {
                     private int calls;
@@ -297,9 +301,9 @@
     @Test
     void callersAreAdmittedByNetworkSealTimeAndOnlyOnce() throws Exception {
         Store a = store("a");
-        PeerFront closed = new PeerFront(settings("10.0.0.0/8", "::1"), a.folder(), new Seal(KEY), clock);
+        PeerFront closed = new PeerFront(settings("10.0.0.0/8", "::1"), a.folder(), new MessageSeal(KEY), clock);
         open.add(0, closed);
-        int port = StandIns.get(closed.listen());
+        int port = StubPlatform.get(closed.listen());
         HttpClient http = HttpClient.newHttpClient();
         assertEquals(
                 403,
@@ -315,8 +319,8 @@
                                         .build(),
                                 HttpResponse.BodyHandlers.discarding())
                         .statusCode());
-        Seal mine = new Seal(KEY);
-        Seal theirs = new Seal(KEY);
+        MessageSeal mine = new MessageSeal(KEY);
+        MessageSeal theirs = new MessageSeal(KEY);
         String nonce = "0".repeat(32);
         String seal = mine.call("/x", nonce, NOW);
         String time = Long.toString((long) NOW);
@@ -326,7 +330,8 @@
         assertEquals("a wrong seal", theirs.fault("/y", nonce, time, seal, NOW));
         assertEquals(
                 "a wrong seal",
-                new Seal("another key, which is also long enough".getBytes()).fault("/x", nonce, time, seal, NOW));
+                new MessageSeal("another key, which is also long enough".getBytes())
+                        .fault("/x", nonce, time, seal, NOW));
         assertEquals("not sealed", theirs.fault("/x", null, time, seal, NOW));
         assertTrue(mine.fits(nonce, 200, new byte[] {1}, theirs.answer(nonce, 200, new byte[] {1})));
         assertTrue(!mine.fits(nonce, 200, new byte[] {2}, theirs.answer(nonce, 200, new byte[] {1})));
@@ -370,20 +375,20 @@
             services.get(i % 3)
                     .books()
                     .settle(
-                            new nettlewick.core.Books.Job(
+                            new nettlewick.core.UsageRecorder.FinishedRequest(
                                     new nettlewick.core.Request("j" + i, "c", "m", null, 0, 1, 0, 0, false, null, null),
-                                    nettlewick.core.Books.Ending.SERVED,
+                                    nettlewick.core.UsageRecorder.Ending.SERVED,
                                     NOW,
                                     1,
                                     1000,
                                     false,
                                     0),
-                            nettlewick.core.Books.Receipt::answered);
+                            nettlewick.core.UsageRecorder.Receipt::answered);
         }
         LedgerService thief = new LedgerService("d9", services.get(0).books().settings(), clock, 7);
         assertTrue(assertThrows(IOException.class, thief::start).getMessage().contains("the ledger of d0, not of"));
-        StandIns.until(() -> count("d2") == 90 && count("d1") == 60);
-        StandIns.until(() -> services.stream()
+        StubPlatform.until(() -> count("d2") == 90 && count("d1") == 60);
+        StubPlatform.until(() -> services.stream()
                 .allMatch(s -> s.books()
                                 .figures()
                                 .getOrDefault("ledger.export.x.lag", -1L)
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/ServedTest.java
@@ -1,7 +1,7 @@
 package nettlewick.ledger;
 
 import static nettlewick.net.StandIns.job;
-import static nettlewick.standins.StandIns.until;
+import static nettlewick.standins.StubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,13 +15,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import nettlewick.core.Books.Ending;
 import nettlewick.core.Clock;
-import nettlewick.net.Node;
+import nettlewick.core.UsageRecorder.Ending;
+import nettlewick.net.DispatcherServer;
 import nettlewick.net.StandIns;
 import nettlewick.settings.Settings;
-import nettlewick.sse.EdgeConfig;
-import nettlewick.sse.EdgeFront;
+import nettlewick.sse.EventStreamConfig;
+import nettlewick.sse.EventStreamFrontend;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
     private StandIns world;
     private Ledger ledger;
     private List<Integer> ports;
-    private Node node;
+    private DispatcherServer node;
 
     @BeforeEach
     void open() throws Exception {
@@ -52,12 +52,12 @@
         ledger.start();
         ledger.await();
         world.books = ledger;
-        EdgeConfig edge = EdgeConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}")
+        EventStreamConfig edge = EventStreamConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}")
                 .block("edge")
                 .get());
         Map<String, Object> config = world.config();
         config.put("admin_addr", "127.0.0.1:0");
-        node = world.start(config, base -> new EdgeFront(base, edge));
+        node = world.start(config, base -> new EventStreamFrontend(base, edge));
         ports = node.ports();
     }
 
@@ -74,10 +74,10 @@
         }
     }
 
-    private static String asked(String id, String jobClass, String... headers) {
+    private static String asked(String id, String requestClass, String... headers) {
         List<String> all = new ArrayList<>(List.of(headers));
         all.add("Connection: close");
-        return job("/api", id, jobClass, "{}", all.toArray(String[]::new)).toString();
+        return job("/api", id, requestClass, "{}", all.toArray(String[]::new)).toString();
     }
 
     private Map<String, Entry> entries(int count) throws Exception {
--- a/src/test/java/nettlewick/ledger/StoreProbe.java
+++ b/src/test/java/nettlewick/ledger/StoreProbe.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.store.StoreException;
 
 /** Looks into a store, and fills one, for tests of other packages. */
@@ -30,14 +30,19 @@
 
     /** Enters so many jobs; adds their number and work to the totals. */
     public static void fill(LedgerSettings settings, Random random, int count, long[] total) throws StoreException {
-        try (Store store = Store.open(settings.store(), "a", Faults.NONE)) {
+        try (Store store = Store.open(settings.store(), "a", FaultInjection.NONE)) {
             List<Entry> drafts = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 long work = random.nextInt(100_000);
                 total[0]++;
                 total[1] += work;
                 drafts.add(Entries.job(
-                        new Ref(new Origin("", 0), 0), NOW, "m" + random.nextInt(9), null, Ending.SERVED, work));
+                        new EntryRef(new ChainOrigin("", 0), 0),
+                        NOW,
+                        "m" + random.nextInt(9),
+                        null,
+                        Ending.SERVED,
+                        work));
             }
             store.append(store.begin(NOW), drafts);
         }
--- a/src/test/java/nettlewick/ledger/StoreTest.java
+++ b/src/test/java/nettlewick/ledger/StoreTest.java
@@ -15,7 +15,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
 import nettlewick.store.StoreException;
 import org.junit.jupiter.api.Test;
@@ -33,13 +33,13 @@
     private static List<Entry> drafts(int count) {
         List<Entry> drafts = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            drafts.add(served(new Ref(new Origin("", 0), i), NOW + i, "m", i));
+            drafts.add(served(new EntryRef(new ChainOrigin("", 0), i), NOW + i, "m", i));
         }
         return drafts;
     }
 
     private Store open() throws StoreException {
-        return Store.open(dir, "a", Faults.NONE);
+        return Store.open(dir, "a", FaultInjection.NONE);
     }
 
     private void sql(String statement) throws Exception {
@@ -51,7 +51,7 @@
     @Test
     void entriesReadBackAsTheyWereAndChainsGoOnAfterAReopening() throws Exception {
         Entry odd = new Entry(
-                new Ref(new Origin("", 0), 0),
+                new EntryRef(new ChainOrigin("", 0), 0),
                 Kind.JOB,
                 NOW,
                 "a,\"b\"\nçé✓",
@@ -67,7 +67,7 @@
                 null,
                 "by",
                 "");
-        Origin own;
+        ChainOrigin own;
         try (Store store = open()) {
             own = store.begin(NOW);
             assertEquals(3, store.append(own, drafts(3)));
@@ -75,37 +75,37 @@
         }
         try (Store store = open()) {
             assertEquals(5, store.append(own, drafts(1)));
-            assertEquals(odd.at(new Ref(own, 4)), store.entry(new Ref(own, 4)));
+            assertEquals(odd.at(new EntryRef(own, 4)), store.entry(new EntryRef(own, 4)));
             assertEquals(List.of(), store.verify());
-            Origin next = store.begin(NOW);
+            ChainOrigin next = store.begin(NOW);
             assertTrue(next.life() > own.life(), "two lives in one second have two numbers");
         }
-        assertThrows(StoreException.class, () -> Store.open(dir, "b", Faults.NONE));
+        assertThrows(StoreException.class, () -> Store.open(dir, "b", FaultInjection.NONE));
     }
 
     /** Guards against a close that cannot be written any more once there have been thousands of lives. */
     @Test
     void aCloseOverThousandsOfOriginsReadsBack() throws Exception {
-        java.util.Map<Origin, Long> vector = new java.util.TreeMap<>();
+        java.util.Map<ChainOrigin, Long> vector = new java.util.TreeMap<>();
         for (int i = 0; i < 5000; i++) {
-            vector.put(new Origin("college-nord-" + i % 300, 1_796_134_423L + i), (long) i + 1);
+            vector.put(new ChainOrigin("college-nord-" + i % 300, 1_796_134_423L + i), (long) i + 1);
         }
         try (Store store = open()) {
-            Origin own = store.begin(NOW);
-            Entry close = Entry.close(new Ref(own, 0), NOW, TERMS.at(NOW), vector, "op");
+            ChainOrigin own = store.begin(NOW);
+            Entry close = Entry.close(new EntryRef(own, 0), NOW, TERMS.at(NOW), vector, "op");
             store.append(own, List.of(close));
-            assertEquals(vector, store.entry(new Ref(own, 1)).close().vector());
+            assertEquals(vector, store.entry(new EntryRef(own, 1)).close().vector());
         }
     }
 
     @Test
     void tamperingIsToldWithItsPlace() throws Exception {
-        Origin own;
+        ChainOrigin own;
         try (Store store = open()) {
             own = store.begin(NOW);
             store.append(own, drafts(9));
         }
-        byte[] other = served(new Ref(own, 4), NOW, "thief", 1).bytes();
+        byte[] other = served(new EntryRef(own, 4), NOW, "thief", 1).bytes();
         StringBuilder hex = new StringBuilder();
         for (byte b : other) {
             hex.append(String.format("%02x", b));
@@ -123,7 +123,7 @@
     @Test
     void aTailThatWasCutOffShowsByWhatNamesIt() throws Exception {
         try (Store store = open()) {
-            Origin own = store.begin(NOW);
+            ChainOrigin own = store.begin(NOW);
             store.append(own, drafts(9));
             store.cut("x", 100);
         }
@@ -138,11 +138,11 @@
     @Test
     void aBatchOnceCutIsTheSameForEver() throws Exception {
         try (Store store = open()) {
-            Origin one = store.begin(NOW);
+            ChainOrigin one = store.begin(NOW);
             store.append(one, drafts(5));
             Store.Batch first = store.cut("x", 4);
             byte[] bytes = Exporter.parcel(store, first, true).bytes();
-            Origin two = store.begin(NOW);
+            ChainOrigin two = store.begin(NOW);
             store.append(two, drafts(2));
             store.append(one, drafts(2));
             Store.Batch second = store.cut("x", 100);
@@ -170,15 +170,15 @@
 
     // The spool
 
-    private Spool spool(Origin own, long head) throws IOException {
-        Spool spool = new Spool(dir, own, Faults.NONE);
+    private Spool spool(ChainOrigin own, long head) throws IOException {
+        Spool spool = new Spool(dir, own, FaultInjection.NONE);
         spool.prepare(head);
         return spool;
     }
 
     private static Entry draft(int job) {
         return new Entry(
-                new Ref(new Origin("a", 7), 0),
+                new EntryRef(new ChainOrigin("a", 7), 0),
                 Kind.JOB,
                 NOW + job,
                 "m",
@@ -206,7 +206,7 @@
     @Test
     void aDeadLifesJobsAreEnteredOrInDoubtAndNeverTwice() throws Exception {
         try (Store store = open()) {
-            Origin own = store.begin(NOW);
+            ChainOrigin own = store.begin(NOW);
             Spool spool = spool(own, 0);
             for (int job = 1; job <= 4; job++) {
                 spool.intent(draft(job));
@@ -237,7 +237,7 @@
     /** Cut anywhere, what is whole before the cut is found, and nothing else is made of the rest. */
     @Test
     void aSpoolCutAtEveryByteOrWithAnyByteChangedNeverInventsAJob() throws Exception {
-        Origin own = new Origin("a", 7);
+        ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 0);
         spool.intent(draft(1));
         spool.ended(1, NOW, true);
@@ -286,7 +286,7 @@
 
     @Test
     void theSpoolOfAStoreThatWasLostIsInDoubtInAChainOfItsOwn() throws Exception {
-        Origin own = new Origin("a", 7);
+        ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 12);
         spool.intent(draft(1));
         spool.ended(1, NOW, true);
@@ -301,7 +301,7 @@
 
     @Test
     void segmentsGoOnlyWhenAllTheirJobsAreEntered() throws Exception {
-        Origin own = new Origin("a", 7);
+        ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 0);
         Random random = new Random(5);
         List<Spool.Place> places = new ArrayList<>();
--- a/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
+++ b/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
@@ -12,7 +12,7 @@
 import java.util.Comparator;
 import java.util.HexFormat;
 import java.util.List;
-import nettlewick.core.Books.Ending;
+import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.golden.Fixture;
 import nettlewick.golden.GoldenFile;
 import nettlewick.ledger.Entry.Kind;
@@ -43,13 +43,13 @@
         if (!Boolean.getBoolean("golden.record")) {
             return;
         }
-        try (Store store = Store.open(made, "north", Faults.NONE)) {
+        try (Store store = Store.open(made, "north", FaultInjection.NONE)) {
             october(store);
             november(store);
         }
         try (Store store = Store.open(made)) {
-            Origin third = store.begin(DECEMBER);
-            try (Spool spool = new Spool(made, third, Faults.NONE)) {
+            ChainOrigin third = store.begin(DECEMBER);
+            try (Spool spool = new Spool(made, third, FaultInjection.NONE)) {
                 fill(spool, third);
                 store.append(
                         third,
@@ -63,7 +63,7 @@
 
     private static Entry job(double at, String member, String key, Ending end, long work, boolean estimate, long job) {
         return new Entry(
-                new Ref(new Origin("", 0), 0),
+                new EntryRef(new ChainOrigin("", 0), 0),
                 Kind.JOB,
                 at,
                 member,
@@ -82,9 +82,9 @@
     }
 
     private static void october(Store store) throws Exception {
-        Origin own = store.begin(OCTOBER);
+        ChainOrigin own = store.begin(OCTOBER);
         Entry doubt = new Entry(
-                new Ref(own, 0),
+                new EntryRef(own, 0),
                 Kind.DOUBT,
                 OCTOBER + 6,
                 "blue",
@@ -109,7 +109,7 @@
                         job(OCTOBER + 4, "blue", null, Ending.FAILED, 0, false, 4),
                         job(OCTOBER + 5, "", null, Ending.LEFT, 0, true, 5),
                         doubt,
-                        Entry.gap(new Ref(own, 0), OCTOBER + 7, OCTOBER + 9, 3)));
+                        Entry.gap(new EntryRef(own, 0), OCTOBER + 7, OCTOBER + 9, 3)));
         store.delivered(store.cut("files", 100));
         store.settled(own, OCTOBER + 10);
         store.close(own, TERMS.at(OCTOBER), NOVEMBER, "operator");
@@ -120,7 +120,7 @@
             }
         });
         Path file = GoldenFile.recorded(ARCHIVE);
-        String sum = Archive.write(file, jobs, Faults.NONE);
+        String sum = Archive.write(file, jobs, FaultInjection.NONE);
         store.prune(
                 "2024-10",
                 "/var/lib/nettlewick/2024-10.archive",
@@ -129,33 +129,34 @@
     }
 
     private static void november(Store store) throws Exception {
-        Origin own = store.begin(NOVEMBER);
-        Entry target = store.entry(new Ref(new Origin("north", (long) (OCTOBER / 1000)), 6));
+        ChainOrigin own = store.begin(NOVEMBER);
+        Entry target = store.entry(new EntryRef(new ChainOrigin("north", (long) (OCTOBER / 1000)), 6));
         store.append(
                 own,
                 List.of(
                         job(NOVEMBER + 1, "red", null, Ending.SERVED, 5000, true, 1),
                         job(OCTOBER + 20, "red", null, Ending.SERVED, 700, false, 2),
-                        Entry.correction(new Ref(own, 0), NOVEMBER + 3, target, 450, "operator", "answer was seen")));
+                        Entry.correction(
+                                new EntryRef(own, 0), NOVEMBER + 3, target, 450, "operator", "answer was seen")));
         store.cut("files", 2);
         store.delivered(store.cut("web", 5));
         store.mark(TERMS.at(NOVEMBER));
-        Origin south = new Origin("south", 7);
+        ChainOrigin south = new ChainOrigin("south", 7);
         byte[] first = job(NOVEMBER + 4, "green", null, Ending.SERVED, 800, false, 1)
-                .at(new Ref(south, 1))
+                .at(new EntryRef(south, 1))
                 .bytes();
         byte[] second = job(NOVEMBER + 5, "red", null, Ending.SERVED, 900, false, 2)
-                .at(new Ref(south, 2))
+                .at(new EntryRef(south, 2))
                 .bytes();
         byte[] link = Entry.link(Entry.NO_HASH, first);
         store.merge(
                 south,
                 Store.Head.NONE,
                 List.of(new Store.Row(1, first, link), new Store.Row(2, second, Entry.link(link, second))));
-        store.quarantine(new Origin("west", 8), "two entries have number 4");
+        store.quarantine(new ChainOrigin("west", 8), "two entries have number 4");
     }
 
-    private static Entry intent(Origin own, long job) {
+    private static Entry intent(ChainOrigin own, long job) {
         return job(
                         DECEMBER + job,
                         job == 4 ? "blue" : "red",
@@ -164,10 +165,10 @@
                         1000 * job,
                         job == 3,
                         job)
-                .at(new Ref(own, 0));
+                .at(new EntryRef(own, 0));
     }
 
-    private static void fill(Spool spool, Origin own) throws Exception {
+    private static void fill(Spool spool, ChainOrigin own) throws Exception {
         spool.prepare(0);
         spool.prepare(0);
         for (long job = 1; job <= 4; job++) {
@@ -226,7 +227,7 @@
     }
 
     private static String state(Store store) throws Exception {
-        Origin first = new Origin("north", (long) (OCTOBER / 1000));
+        ChainOrigin first = new ChainOrigin("north", (long) (OCTOBER / 1000));
         StringBuilder text = new StringBuilder("dispatcher " + store.dispatcher() + "\n");
         text.append("counts ")
                 .append(store.counts(false))
@@ -257,15 +258,15 @@
                     .append('\n');
         }
         return text.append("exported ")
-                .append(store.exported(new Ref(first, 1)))
+                .append(store.exported(new EntryRef(first, 1)))
                 .append(' ')
-                .append(store.exported(new Ref(first, 8)))
+                .append(store.exported(new EntryRef(first, 8)))
                 .append('\n')
                 .toString();
     }
 
     private static String statement(Store store, String period) throws Exception {
-        Book book = new Book(TERMS, KEY_WINDOW);
+        UsageBook book = new UsageBook(TERMS, KEY_WINDOW);
         store.each(book::add);
         Statement s = book.statement(period);
         StringBuilder text = new StringBuilder("statement " + s.period() + " closed " + s.closed() + " open " + s.open()
@@ -367,8 +368,8 @@
 
     @Test
     void theSpoolIsWrittenByteForByteAsItWas() throws Exception {
-        Origin own = new Origin("north", 9);
-        try (Spool spool = new Spool(dir, own, Faults.NONE)) {
+        ChainOrigin own = new ChainOrigin("north", 9);
+        try (Spool spool = new Spool(dir, own, FaultInjection.NONE)) {
             fill(spool, own);
             byte[] all = Files.readAllBytes(dir.resolve("spool-9-000001.copy"));
             int used = all.length;
--- a/src/test/java/nettlewick/log/LogTest.java
+++ b/src/test/java/nettlewick/log/LogTest.java
@@ -41,7 +41,8 @@
     @Test
     void textIsOneLineAsItWas() {
         LogSetup.apply(Optional.empty());
-        String line = said(() -> Part.of("p1").fault("odd", "it\nbroke", new IllegalStateException("why\nnot")));
+        String line =
+                said(() -> ComponentLogger.of("p1").fault("odd", "it\nbroke", new IllegalStateException("why\nnot")));
         assertTrue(
                 line.matches("\\S+Z SEVERE p1: it broke: java.lang.IllegalStateException: why not at .* " + "< .*\n"),
                 line);
@@ -50,7 +51,8 @@
     @Test
     void jsonHoldsPartEventAndFields() {
         set("form json");
-        String line = said(() -> Part.of("p2").warning("late", "a \"job\"", "request", "r\n1", "runner", null, "n", 4));
+        String line = said(
+                () -> ComponentLogger.of("p2").warning("late", "a \"job\"", "request", "r\n1", "runner", null, "n", 4));
         JsonObject got = JsonParser.parseString(line).getAsJsonObject();
         assertEquals("p2", got.get("part").getAsString());
         assertEquals("late", got.get("event").getAsString());
@@ -63,27 +65,27 @@
     @Test
     void levelsAreSetByPartAndTakenBack() {
         set("level warning\npart p3 debug");
-        assertTrue(said(() -> Part.of("p3").debug("d", "seen")).contains("DEBUG p3: seen"));
-        assertEquals("", said(() -> Part.of("p4").info("i", "unseen")));
+        assertTrue(said(() -> ComponentLogger.of("p3").debug("d", "seen")).contains("DEBUG p3: seen"));
+        assertEquals("", said(() -> ComponentLogger.of("p4").info("i", "unseen")));
         LogSetup.apply(Optional.empty());
-        assertEquals("", said(() -> Part.of("p3").debug("d", "unseen")));
+        assertEquals("", said(() -> ComponentLogger.of("p3").debug("d", "unseen")));
     }
 
     @Test
     void repeatsAreCountedAndToldWithTheNextLine() {
-        Repeats repeats = new Repeats(2, 100);
+        RepeatLimiter repeats = new RepeatLimiter(2, 100);
         assertEquals(0, repeats.take("a", 0));
         assertEquals(0, repeats.take("a", 10));
-        assertEquals(Repeats.HELD_BACK, repeats.take("a", 20));
+        assertEquals(RepeatLimiter.HELD_BACK, repeats.take("a", 20));
         assertEquals(0, repeats.take("b", 20));
-        assertEquals(Repeats.HELD_BACK, repeats.take("a", 99));
+        assertEquals(RepeatLimiter.HELD_BACK, repeats.take("a", 99));
         assertEquals(2, repeats.take("a", 100));
         assertEquals(0, repeats.take("a", 101));
         set("repeats 1\nwindow 1h");
         String text = said(() -> {
             for (int i = 0; i < 50; i++) {
-                Part.of("p5").info("again", "line " + i);
-                Part.of("p5").info("other", "x");
+                ComponentLogger.of("p5").info("again", "line " + i);
+                ComponentLogger.of("p5").info("other", "x");
             }
         });
         assertEquals(2, text.lines().count(), text);
--- a/src/test/java/nettlewick/net/AskPauseTest.java
+++ b/src/test/java/nettlewick/net/AskPauseTest.java
@@ -16,7 +16,7 @@
     /** An agent on the own machine: what it was before there were sites that ask. */
     @Test
     void anAgentIsAskedAgainSoon() {
-        AskPause pause = new AskPause(false, 100, 10_000, new SplittableRandom(1));
+        PollBackoff pause = new PollBackoff(false, 100, 10_000, new SplittableRandom(1));
         double most = 100;
         for (int i = 0; i < 8; i++) {
             double next = pause.next(NO_BOUND);
@@ -34,7 +34,7 @@
     void eightThatShareOneDiscoveryAskItRarelyAndApart() {
         double[][] asks = new double[8][];
         for (int d = 0; d < asks.length; d++) {
-            AskPause pause = new AskPause(true, 8, 10_000, new SplittableRandom(100 + d));
+            PollBackoff pause = new PollBackoff(true, 8, 10_000, new SplittableRandom(100 + d));
             double[] at = {0};
             asks[d] = DoubleStream.generate(() -> at[0] += pause.next(NO_BOUND))
                     .takeWhile(t -> t < 30_000)
@@ -55,9 +55,9 @@
     /** Guards against a call given up while it waits its turn, and against being told while it pauses. */
     @Test
     void settingsBoundThePauseAndTheFirstWord() {
-        AskPause pause = new AskPause(true, 500, 10_000, new SplittableRandom(3));
+        PollBackoff pause = new PollBackoff(true, 500, 10_000, new SplittableRandom(3));
         assertEquals(5000, pause.first());
         IntStream.range(0, 1000).forEach(i -> assertTrue(pause.next(NO_BOUND) <= 5000));
-        assertEquals(1500, new AskPause(true, 3, 1000, new SplittableRandom(3)).first());
+        assertEquals(1500, new PollBackoff(true, 3, 1000, new SplittableRandom(3)).first());
     }
 }
--- a/src/test/java/nettlewick/net/BanFileGoldenTest.java
+++ b/src/test/java/nettlewick/net/BanFileGoldenTest.java
@@ -27,7 +27,7 @@
     }
 
     private static String written(Path file) throws Exception {
-        BanStore store = new BanStore(file);
+        DisabledEndpointStore store = new DisabledEndpointStore(file);
         store.set("runner-1", true, NOW);
         store.set("10.0.0.7:8080", true, NOW + 0.5);
         store.set("école \"2\" <a&b>", true, NOW + 1);
@@ -43,7 +43,7 @@
     @Test
     void theFileReadsAsItDid() throws Exception {
         Path file = Files.copy(GoldenFile.recorded(FILE), dir.resolve("bans"));
-        BanStore store = new BanStore(file);
+        DisabledEndpointStore store = new DisabledEndpointStore(file);
         String text = store.news().stream()
                 .map(b -> b.runner() + " | " + b.out() + " | " + b.since() + "\n")
                 .collect(Collectors.joining());
--- a/src/test/java/nettlewick/net/ClientCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientCloseTest.java
@@ -92,7 +92,7 @@
         List<HttpServerRequest> held = holdJobs();
         double start = System.currentTimeMillis();
         Clock clock = Clock.standing(start);
-        Node node = start(clock);
+        DispatcherServer node = start(clock);
         int port = node.ports().get(0);
         try (RawClient client = new RawClient(port)) {
             client.send(job("/api", "a", "mark-submit", "", "Connection: close")
@@ -106,7 +106,7 @@
             boolean[] ended = new boolean[1];
             while (!ended[0]) {
                 CompletableFuture<Integer> open = new CompletableFuture<>();
-                node.core.unanswered(open::complete);
+                node.core.withUnansweredCount(open::complete);
                 ended[0] = open.get() == 0;
             }
             loop.release();
@@ -157,7 +157,7 @@
     void whatWaitsInTheKernelsQueueIsAnsweredBeforeTheEnd() throws Exception {
         world.addRunner("s-1");
         int port = start();
-        Node node = world.node();
+        DispatcherServer node = world.node();
         try (RawClient first = new RawClient(port)) {
             assertEquals(200, first.send(HEALTH).read().status());
             node.gate.bound(1);
--- a/src/test/java/nettlewick/net/ClientGuardTest.java
+++ b/src/test/java/nettlewick/net/ClientGuardTest.java
@@ -27,11 +27,11 @@
 class ClientGuardTest {
     private static final String GET = "GET /a HTTP/1.1\r\n\r\n";
     private final Clock clock = Clock.standing(1000);
-    private final ClientGuard guard = new ClientGuard(clock, new ClientGuard.Budget(100_000));
+    private final ClientConnection guard = new ClientConnection(clock, new ClientConnection.Budget(100_000));
     private final EmbeddedChannel channel = new EmbeddedChannel(
-            new StrictDecoder(new HttpServerOptions(), () -> guard().bytes()), new HttpResponseEncoder(), guard);
+            new StrictHttpDecoder(new HttpServerOptions(), () -> guard().bytes()), new HttpResponseEncoder(), guard);
 
-    private ClientGuard guard() {
+    private ClientConnection guard() {
         return guard;
     }
 
@@ -134,9 +134,9 @@
         }
         assertFalse(channel.config().isAutoRead(), "a bounded rest is read, then no more");
         EmbeddedChannel other = new EmbeddedChannel(
-                new StrictDecoder(new HttpServerOptions(), () -> {}),
+                new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                 new HttpResponseEncoder(),
-                new ClientGuard(clock, new ClientGuard.Budget(1)));
+                new ClientConnection(clock, new ClientConnection.Budget(1)));
         other.writeInbound(
                 Unpooled.copiedBuffer("GET /a HTTP/1.1\r\n" + "A: b\r\n".repeat(4000), StandardCharsets.US_ASCII));
         assertTrue(((ByteBuf) other.readOutbound())
@@ -162,8 +162,9 @@
     void aRequestMayBeCutAnywhere(String rest) {
         byte[] request = ("POST /a HTTP/1.1\r\nX: y\r\n" + rest).getBytes(StandardCharsets.UTF_8);
         for (int cut = 1; cut < request.length; cut++) {
-            ClientGuard one = new ClientGuard(clock, new ClientGuard.Budget(100));
-            EmbeddedChannel through = new EmbeddedChannel(new StrictDecoder(new HttpServerOptions(), one::bytes), one);
+            ClientConnection one = new ClientConnection(clock, new ClientConnection.Budget(100));
+            EmbeddedChannel through =
+                    new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), one::bytes), one);
             through.writeInbound(Unpooled.copiedBuffer(request, 0, cut));
             through.writeInbound(Unpooled.copiedBuffer(request, cut, request.length - cut));
             assertEquals("/a", ((HttpRequest) through.readInbound()).uri(), "cut at " + cut);
@@ -202,14 +203,14 @@
 
     @Test
     void aSilentClientIsClosedASlowOneToldAndOneThatIsWorkedForLeftAlone() {
-        clock.set(1000 + ClientState.READ - 1);
+        clock.set(1000 + ClientConnectionState.READ - 1);
         guard.sweep(clock.now());
         assertTrue(channel.isOpen());
         send("GET /a HT");
-        clock.set(1000 + ClientState.READ);
+        clock.set(1000 + ClientConnectionState.READ);
         guard.sweep(clock.now());
         assertTrue(answers().startsWith("HTTP/1.1 408 "));
-        clock.set(clock.now() + ClientState.LINGER);
+        clock.set(clock.now() + ClientConnectionState.LINGER);
         guard.sweep(clock.now());
         assertFalse(channel.isOpen());
     }
@@ -228,7 +229,7 @@
     void aConnectionIsNotEndedOverAnAnswerThatIsStillOnItsWay() {
         send(GET);
         channel.write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
-        clock.set(1000 + ClientState.QUIET + 1);
+        clock.set(1000 + ClientConnectionState.QUIET + 1);
         guard.closeIfQuiet(clock.now());
         assertTrue(channel.isOpen(), "its answer is written and not on the socket yet");
         channel.flush();
@@ -246,7 +247,7 @@
         channel.write(last);
         send(GET);
         assertEquals(List.of(), passed());
-        assertEquals(ClientState.Phase.CLOSING, guard.state().phase());
+        assertEquals(ClientConnectionState.Phase.CLOSING, guard.state().phase());
     }
 
     /** Guards against whole requests that end unanswered for what stands behind them, and against their dispatch. */
@@ -267,13 +268,13 @@
 
     @Test
     void bodiesOfAllClientsTogetherAreBounded() {
-        ClientGuard.Budget budget = new ClientGuard.Budget(10);
+        ClientConnection.Budget budget = new ClientConnection.Budget(10);
         List<EmbeddedChannel> clients = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             clients.add(new EmbeddedChannel(
-                    new StrictDecoder(new HttpServerOptions(), () -> {}),
+                    new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                     new HttpResponseEncoder(),
-                    new ClientGuard(clock, budget)));
+                    new ClientConnection(clock, budget)));
             clients.get(i)
                     .writeInbound(Unpooled.copiedBuffer(
                             "POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\n12345678", StandardCharsets.US_ASCII));
--- a/src/test/java/nettlewick/net/ConnectionModelTest.java
+++ b/src/test/java/nettlewick/net/ConnectionModelTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import nettlewick.decision.Dispatcher.Result;
+import nettlewick.decision.Dispatcher.AttemptResult;
 import org.junit.jupiter.api.Test;
 
 /** Random steps against the states of a call and of the idle connections, each beside a plain model. */
@@ -19,7 +19,7 @@
     /** The model: how far a call came, and whether it has had its one end. */
     @Property(seed = SEED, tries = 500)
     void aCallEndsOnceAndKnowsWhetherItMayHaveRun(@ForAll @Size(max = 12) List<@IntRange(max = 4) Integer> steps) {
-        CallState call = new CallState();
+        AttemptState call = new AttemptState();
         int came = 0;
         boolean over = false;
         for (int step : steps) {
@@ -33,17 +33,17 @@
                     came = !over && came == 1 ? 2 : came;
                 }
                 case 2 -> {
-                    Result wanted = over ? null : came == 2 ? Result.BROKEN : Result.UNREACHABLE;
+                    AttemptResult wanted = over ? null : came == 2 ? AttemptResult.BROKEN : AttemptResult.UNREACHABLE;
                     assertEquals(wanted, call.broke());
                     over = true;
                 }
                 default -> {
-                    Result end = step == 3 ? Result.SERVED : Result.CANCELLED;
+                    AttemptResult end = step == 3 ? AttemptResult.SERVED : AttemptResult.CANCELLED;
                     assertEquals(over ? null : end, call.finish(end));
                     over = true;
                 }
             }
-            assertEquals(over, call.phase() == CallState.Phase.OVER);
+            assertEquals(over, call.phase() == AttemptState.Phase.OVER);
             assertEquals(over, call.end() != null);
         }
     }
@@ -51,7 +51,7 @@
     /** Guards against jobs on kept connections that break, and against mistrust that never ends. */
     @Property(seed = SEED, tries = 200)
     void keptConnectionsAreLeftAloneWhileTheyBreakAndUsedAgainOnceTheyHold(@ForAll @Size(max = 30) List<Boolean> uses) {
-        ReuseGauge gauge = new ReuseGauge();
+        ConnectionReusePolicy gauge = new ConnectionReusePolicy();
         assertEquals(true, gauge.trusts());
         uses.forEach(gauge::used);
         gauge.used(true);
@@ -66,7 +66,7 @@
     @Property(seed = SEED, tries = 500)
     void theNewestIdleLinkIsTakenAndNoOldOne(@ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps) {
         List<Integer> closed = new ArrayList<>();
-        IdlePool<Integer> pool = new IdlePool<>(() -> 10, closed::add);
+        IdleConnections<Integer> pool = new IdleConnections<>(() -> 10, closed::add);
         List<int[]> model = new ArrayList<>();
         List<Integer> gone = new ArrayList<>();
         int now = 0;
@@ -99,7 +99,7 @@
     /** Guards against a late second answer on a connection that is used again too soon. */
     @Test
     void theNewestLinkThatHasRestedIsTaken() {
-        IdlePool<Integer> pool = new IdlePool<>(() -> 1000, link -> {});
+        IdleConnections<Integer> pool = new IdleConnections<>(() -> 1000, link -> {});
         pool.put(1, 0);
         pool.put(2, 30);
         pool.put(3, 60);
@@ -113,7 +113,7 @@
     @Property(seed = SEED, tries = 2000)
     void aClientsConnectionEndsInTimeAndNeverWhileItIsWorkedFor(
             @ForAll @Size(max = 30) List<@IntRange(max = 7) Integer> steps) {
-        ClientState state = new ClientState(0);
+        ClientConnectionState state = new ClientConnectionState(0);
         char phase = 'W';
         double now = 0;
         double since = 0;
--- a/src/test/java/nettlewick/net/CrossedAnswersTest.java
+++ b/src/test/java/nettlewick/net/CrossedAnswersTest.java
@@ -16,16 +16,16 @@
     @Test
     void aLineForAnotherRequestServesNobody() throws Exception {
         limit("probes", false);
-        try (RawRunner runner = new RawRunner().open()) {
-            world.addRunner("s-1", runner.port());
+        try (RawEndpoint endpoint = new RawEndpoint().open()) {
+            world.addRunner("s-1", endpoint.port());
             int port = start();
-            runner.script = (request, socket) -> RawRunner.write(socket, RawRunner.served("another"));
+            endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served("another"));
             try (RawClient client = new RawClient(port)) {
                 RawClient.Answer answer =
                         client.send(job("/api", "mine", "mark-submit", "")).read();
                 assertEquals(502, answer.status(), answer.body());
             }
-            assertEquals(List.of("mine"), runner.ids(), "it may have run, and is not sent again");
+            assertEquals(List.of("mine"), endpoint.ids(), "it may have run, and is not sent again");
         }
     }
 
@@ -36,17 +36,17 @@
     @Test
     void aSecondAnswerOnARestingConnectionIsNobodys() throws Exception {
         limit("probes", false);
-        try (RawRunner runner = new RawRunner().open()) {
-            world.addRunner("s-1", runner.port());
-            Node node = start(Clock.standing(System.currentTimeMillis()));
+        try (RawEndpoint endpoint = new RawEndpoint().open()) {
+            world.addRunner("s-1", endpoint.port());
+            DispatcherServer node = start(Clock.standing(System.currentTimeMillis()));
             int port = node.ports().get(0);
             Promise<Void> twice = Promise.promise();
-            runner.script = (request, socket) -> {
-                RawRunner.write(socket, RawRunner.served(request.id()));
+            endpoint.script = (request, socket) -> {
+                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
                 if (request.id().equals("a")) {
                     twice.future().onComplete(v -> {
                         try {
-                            RawRunner.write(socket, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+                            RawEndpoint.write(socket, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
                         } catch (java.io.IOException e) {
                             // The connection is closed by now.
                         }
@@ -67,8 +67,9 @@
                         "r-c",
                         client.send(job("/api", "c", "mark-submit", "")).read().body());
             }
-            assertEquals(List.of("a", "b", "c"), runner.ids());
-            assertNotEquals(runner.seen.get(0).connection(), runner.seen.get(1).connection());
+            assertEquals(List.of("a", "b", "c"), endpoint.ids());
+            assertNotEquals(
+                    endpoint.seen.get(0).connection(), endpoint.seen.get(1).connection());
             StandIns.get(node.close());
         }
     }
--- a/src/test/java/nettlewick/net/Crossings.java
+++ b/src/test/java/nettlewick/net/Crossings.java
@@ -43,15 +43,16 @@
     }
 
     int start() throws Exception {
-        Node node = world.start(config);
+        DispatcherServer node = world.start(config);
         int port = node.ports().get(0);
         until(() -> healthy(port));
         return port;
     }
 
     /** Starts a dispatcher whose time is the test's; the test closes it. */
-    Node start(Clock clock) throws Exception {
-        Node node = new Node(Config.of(new Gson().toJson(config), Map.of()), clock, PlatformFront::new);
+    DispatcherServer start(Clock clock) throws Exception {
+        DispatcherServer node = new DispatcherServer(
+                PlatformConfig.of(new Gson().toJson(config), Map.of()), clock, PlatformFrontend::new);
         StandIns.get(node.start());
         until(() -> healthy(node.ports().get(0)));
         return node;
@@ -106,7 +107,7 @@
     static final class HeldLoop {
         private final CountDownLatch release = new CountDownLatch(1);
 
-        HeldLoop(Node node) throws InterruptedException {
+        HeldLoop(DispatcherServer node) throws InterruptedException {
             CountDownLatch stands = new CountDownLatch(1);
             node.loop.runOnContext(v -> {
                 stands.countDown();
--- a/src/test/java/nettlewick/net/CrowdTest.java
+++ b/src/test/java/nettlewick/net/CrowdTest.java
@@ -62,7 +62,7 @@
     /** Guards against descriptors that idle clients take from runners and from discovery. */
     @Test
     void discoveryAndRunnersAreReachedThroughACrowd() throws Exception {
-        Node node = world.start(config);
+        DispatcherServer node = world.start(config);
         int port = node.ports().get(0);
         until(() -> served(port, "first" + System.nanoTime()));
         world.discoveryInstead = request -> request.connection().close();
@@ -84,7 +84,8 @@
         ConcurrentLinkedQueue<HttpServerRequest> silent = new ConcurrentLinkedQueue<>();
         world.discoveryInstead = silent::add;
         config.put("known", world.known());
-        Node node = new Node(Config.of(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFront::new);
+        DispatcherServer node = new DispatcherServer(
+                PlatformConfig.of(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFrontend::new);
         StandIns.get(node.start());
         int port = node.ports().get(0);
         fill(port);
--- a/src/test/java/nettlewick/net/DeadlineToldTest.java
+++ b/src/test/java/nettlewick/net/DeadlineToldTest.java
@@ -15,21 +15,21 @@
     void theDeadlineIsWorkedOutWhenTheConnectionIsUp() throws Exception {
         limit("probes", false);
         limit("connect_timeout", 10_000_000_000L);
-        try (RawRunner runner = new RawRunner().shut()) {
-            world.addRunner("s-1", runner.port());
+        try (RawEndpoint endpoint = new RawEndpoint().shut()) {
+            world.addRunner("s-1", endpoint.port());
             int port = start();
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
                 client.send(job("/api", "late", "step-view", ""));
                 until(() -> world.node().subchannels.opening() == 1);
-                runner.open();
+                endpoint.open();
                 long[] came = new long[1];
-                runner.script = (request, socket) -> {
+                endpoint.script = (request, socket) -> {
                     came[0] = System.nanoTime();
-                    RawRunner.write(socket, RawRunner.served(request.id()));
+                    RawEndpoint.write(socket, RawEndpoint.served(request.id()));
                 };
                 assertEquals("r-late", client.read().body());
-                assertTold(4, sent, came[0], runner.seen.get(0));
+                assertTold(4, sent, came[0], endpoint.seen.get(0));
             }
         }
     }
@@ -38,27 +38,27 @@
     @Test
     void theTimeARequestWaitsBehindAnotherOnItsConnectionCounts() throws Exception {
         limit("probes", false);
-        try (RawRunner runner = new RawRunner().open()) {
-            world.addRunner("s-1", runner.port());
+        try (RawEndpoint endpoint = new RawEndpoint().open()) {
+            world.addRunner("s-1", endpoint.port());
             int port = start();
             CountDownLatch release = new CountDownLatch(1);
             long[] came = new long[1];
-            runner.script = (request, socket) -> {
+            endpoint.script = (request, socket) -> {
                 if (request.id().equals("first")) {
                     await(release);
                 }
                 came[0] = System.nanoTime();
-                RawRunner.write(socket, RawRunner.served(request.id()));
+                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
             };
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
                 client.send(job("/api", "first", "step-view", ""), job("/api", "second", "step-view", ""));
-                until(() -> runner.seen.size() == 1);
+                until(() -> endpoint.seen.size() == 1);
                 until(() -> System.nanoTime() - sent > 600_000_000L);
                 release.countDown();
                 assertEquals("r-first", client.read().body());
                 assertEquals("r-second", client.read().body());
-                assertTold(4, sent, came[0], runner.seen.get(1));
+                assertTold(4, sent, came[0], endpoint.seen.get(1));
             }
         }
     }
@@ -67,13 +67,13 @@
     @Test
     void theTimeARequestWaitsUnreadCounts() throws Exception {
         limit("probes", false);
-        try (RawRunner runner = new RawRunner().open()) {
-            world.addRunner("s-1", runner.port());
+        try (RawEndpoint endpoint = new RawEndpoint().open()) {
+            world.addRunner("s-1", endpoint.port());
             int port = start();
             long[] came = new long[1];
-            runner.script = (request, socket) -> {
+            endpoint.script = (request, socket) -> {
                 came[0] = System.nanoTime();
-                RawRunner.write(socket, RawRunner.served(request.id()));
+                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
             };
             try (RawClient client = new RawClient(port)) {
                 HeldLoop loop = new HeldLoop(world.node());
@@ -82,12 +82,12 @@
                 until(() -> System.nanoTime() - sent > 500_000_000L);
                 loop.release();
                 assertEquals("r-unread", client.read().body());
-                assertTold(4, sent, came[0], runner.seen.get(0));
+                assertTold(4, sent, came[0], endpoint.seen.get(0));
             }
         }
     }
 
-    private static void assertTold(double whole, long sent, long came, RawRunner.Seen seen) {
+    private static void assertTold(double whole, long sent, long came, RawEndpoint.Seen seen) {
         double told = Double.parseDouble(seen.header("x-deadline"));
         double left = whole - (came - sent) / 1e9;
         assertTrue(told <= left + 0.15, "told " + told + " s with " + left + " s left");
--- a/src/test/java/nettlewick/net/LateConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateConnectionTest.java
@@ -18,24 +18,24 @@
     void nothingIsSentOnAConnectionThatComesUpAfterTheClientHasGone() throws Exception {
         limit("probes", false);
         limit("connect_timeout", 10_000_000_000L);
-        try (RawRunner runner = new RawRunner().shut()) {
-            world.addRunner("s-1", runner.port());
+        try (RawEndpoint endpoint = new RawEndpoint().shut()) {
+            world.addRunner("s-1", endpoint.port());
             int port = start();
             RawClient gone = new RawClient(port);
             gone.send(job("/api", "gone", "mark-submit", ""));
             until(() -> world.node().subchannels.opening() == 1);
             gone.close();
             until(() -> !world.node().fronts().get(0).connected());
-            runner.open();
-            until(() -> runner.accepted.size() == 1);
+            endpoint.open();
+            until(() -> endpoint.accepted.size() == 1);
             round(port);
             try (RawClient stays = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
                         stays.send(job("/api", "stays", "step-view", "")).read().body());
             }
-            assertEquals(List.of("stays"), runner.ids());
-            assertEquals(1, runner.accepted.size(), "the connection that came up serves the next job");
+            assertEquals(List.of("stays"), endpoint.ids());
+            assertEquals(1, endpoint.accepted.size(), "the connection that came up serves the next job");
         }
     }
 
@@ -44,16 +44,16 @@
     void anEndThatCameWithTheRequestIsSeenBeforeItIsSentOn() throws Exception {
         limit("probes", false);
         limit("connect_timeout", 10_000_000_000L);
-        try (RawRunner runner = new RawRunner().shut()) {
-            world.addRunner("s-1", runner.port());
+        try (RawEndpoint endpoint = new RawEndpoint().shut()) {
+            world.addRunner("s-1", endpoint.port());
             int port = start();
             RawClient gone = new RawClient(port);
             gone.send(job("/api", "gone", "mark-submit", ""));
             until(() -> world.node().subchannels.opening() == 1);
             HeldLoop loop = new HeldLoop(world.node());
             // While the loop stands still, the connection to the runner comes up and the client leaves after it.
-            runner.open();
-            until(() -> runner.accepted.size() == 1);
+            endpoint.open();
+            until(() -> endpoint.accepted.size() == 1);
             gone.close();
             loop.release();
             round(port);
@@ -62,7 +62,7 @@
                         "r-stays",
                         stays.send(job("/api", "stays", "step-view", "")).read().body());
             }
-            assertEquals(List.of("stays"), runner.ids());
+            assertEquals(List.of("stays"), endpoint.ids());
         }
     }
 
@@ -72,11 +72,11 @@
         limit("probes", false);
         limit("connect_timeout", 10_000_000_000L);
         for (boolean drains : new boolean[] {true, false}) {
-            try (RawRunner runner = new RawRunner().shut();
+            try (RawEndpoint endpoint = new RawEndpoint().shut();
                     StandIns one = new StandIns()) {
                 Map<String, Object> mine = one.config();
                 mine.put("settings", config.get("settings"));
-                one.addRunner("s-1", runner.port());
+                one.addRunner("s-1", endpoint.port());
                 int port = one.start(mine).ports().get(0);
                 until(() -> healthy(port));
                 try (RawClient client = new RawClient(port)) {
@@ -84,9 +84,9 @@
                     until(() -> one.node().subchannels.opening() == 1);
                     one.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
                     until(() -> one.node().subchannels.changes("s-1") == 2);
-                    runner.open();
+                    endpoint.open();
                     assertEquals(503, client.read().status());
-                    assertEquals(List.of(), runner.ids());
+                    assertEquals(List.of(), endpoint.ids());
                 }
             }
         }
@@ -106,8 +106,8 @@
             classes.add(changed);
         }
         settings.put("classes", classes);
-        try (RawRunner first = new RawRunner().open();
-                RawRunner second = new RawRunner().shut()) {
+        try (RawEndpoint first = new RawEndpoint().open();
+                RawEndpoint second = new RawEndpoint().shut()) {
             world.addRunner("s-1", first.port());
             int port = start();
             CountDownLatch listed = new CountDownLatch(1);
--- a/src/test/java/nettlewick/net/ListClockTest.java
+++ b/src/test/java/nettlewick/net/ListClockTest.java
@@ -26,15 +26,15 @@
         ANSWERS
     }
 
-    private static ListClock agent(long seed) {
-        return new ListClock(new AskPause(false, 100, 10_000, new SplittableRandom(seed)), 10_000);
+    private static WatchStalenessTimer agent(long seed) {
+        return new WatchStalenessTimer(new PollBackoff(false, 100, 10_000, new SplittableRandom(seed)), 10_000);
     }
 
     /**
      * Plays calls from a silence on; when the first word after it comes. A call that brings nothing is over at
      * the clock's deadline, or at once where it is refused or reset.
      */
-    private static double recovers(ListClock clock, double silentAt, Call[] calls, double wait) {
+    private static double recovers(WatchStalenessTimer clock, double silentAt, Call[] calls, double wait) {
         double now = Math.max(clock.deadline(), silentAt);
         for (Call call : calls) {
             now += clock.broken(now);
@@ -63,7 +63,7 @@
     @Property(tries = 500, seed = "11")
     void anAgentsNewestListIsHadInTimeThoughTwoCallsFail(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ListClock clock = agent(seed);
+        WatchStalenessTimer clock = agent(seed);
         clock.opens(0);
         double now = 20;
         clock.word(now);
@@ -76,14 +76,14 @@
         Call first = Call.values()[random.nextInt(Call.values().length - 1)];
         Call second = Call.values()[random.nextInt(Call.values().length - 1)];
         double again = recovers(clock, now, new Call[] {first, second, Call.ANSWERS}, 50);
-        assertTrue(again <= now + ListClock.TOLD, first + ", " + second + ": " + (again - now));
-        assertTrue(again <= silentAt + ListClock.TOLD);
+        assertTrue(again <= now + WatchStalenessTimer.TOLD, first + ", " + second + ": " + (again - now));
+        assertTrue(again <= silentAt + WatchStalenessTimer.TOLD);
     }
 
     /** Guards against a first word that stops after half a line and is waited for until the told time is past. */
     @Test
     void halfALineIsNoWord() {
-        ListClock clock = agent(3);
+        WatchStalenessTimer clock = agent(3);
         clock.opens(0);
         clock.part(5);
         clock.part(2900);
@@ -93,7 +93,7 @@
     /** Guards against an agent that is only slow and would be given up for ever in the middle of its list. */
     @Test
     void anAgentThatIsSlowWithItsListIsWaitedForInTheEnd() {
-        ListClock clock = agent(4);
+        WatchStalenessTimer clock = agent(4);
         clock.opens(0);
         clock.word(10);
         double now = clock.deadline();
@@ -114,7 +114,8 @@
         double within = 10_000;
         List<Double> calls = new ArrayList<>();
         for (int d = 0; d < 100; d++) {
-            ListClock clock = new ListClock(new AskPause(true, 100, within, new SplittableRandom(d)), within);
+            WatchStalenessTimer clock =
+                    new WatchStalenessTimer(new PollBackoff(true, 100, within, new SplittableRandom(d)), within);
             clock.opens(0);
             clock.word(10);
             double found = clock.deadline();
@@ -133,7 +134,8 @@
     /** Where a service cannot be had at all, each asks it less and less often. */
     @Test
     void askingBacksOff() {
-        ListClock clock = new ListClock(new AskPause(true, 8, 20_000, new SplittableRandom(5)), 20_000);
+        WatchStalenessTimer clock =
+                new WatchStalenessTimer(new PollBackoff(true, 8, 20_000, new SplittableRandom(5)), 20_000);
         double now = 0;
         int early = 0;
         int late = 0;
@@ -149,7 +151,7 @@
 
     @Test
     void aMovedDiscoveryIsNotTakenForOneThatAnswersAtOnce() {
-        ListClock clock = agent(9);
+        WatchStalenessTimer clock = agent(9);
         clock.opens(0);
         clock.word(10);
         clock.opens(5000);
@@ -160,7 +162,7 @@
     }
 
     private static List<String> cut(String text, int each) {
-        ListFrames frames = new ListFrames();
+        JsonObjectFramer frames = new JsonObjectFramer();
         List<String> objects = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int at = 0; at < bytes.length; at += each) {
@@ -178,12 +180,12 @@
             assertEquals(List.of(one, two), cut("\n  " + one + "\r\n\n" + two + "\n\n", each), "pieces of " + each);
         }
         assertEquals(List.of(), cut(one.substring(0, one.length() - 1), 7));
-        assertThrows(Fields.Bad.class, () -> cut("<html>", 3));
+        assertThrows(JsonFields.InvalidFieldException.class, () -> cut("<html>", 3));
     }
 
     @Test
     void anEmptyLineIsAWordAndPartOfAnObjectIsNone() {
-        ListFrames frames = new ListFrames();
+        JsonObjectFramer frames = new JsonObjectFramer();
         assertTrue(frames.take("\n".getBytes(StandardCharsets.UTF_8), o -> {}));
         assertTrue(!frames.take("{\n\n".getBytes(StandardCharsets.UTF_8), o -> {}));
         assertTrue(frames.take("}".getBytes(StandardCharsets.UTF_8), o -> {}));
--- a/src/test/java/nettlewick/net/NodeTest.java
+++ b/src/test/java/nettlewick/net/NodeTest.java
@@ -46,9 +46,9 @@
     }
 
     /** Starts a dispatcher with these runners and waits until it is healthy. */
-    private int port(String... runners) throws Exception {
-        for (String runner : runners) {
-            world.addRunner(runner);
+    private int port(String... endpoints) throws Exception {
+        for (String endpoint : endpoints) {
+            world.addRunner(endpoint);
         }
         int port = world.start().ports().get(0);
         until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
@@ -252,7 +252,7 @@
     void aPlannedEndAnswersAllThatWasTaken() throws Exception {
         world.addRunner("s-1");
         world.runTime = 1200;
-        Node node = world.start();
+        DispatcherServer node = world.start();
         int port = node.ports().get(0);
         until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
         CompletableFuture<String> taken =
@@ -282,19 +282,19 @@
     @Test
     void aNewDiscoveryIsAskedForItsWholeListAndTheHeldOneServesMeanwhile() throws Exception {
         int port = port("s-1");
-        Node node = world.node();
+        DispatcherServer node = world.node();
         Map<String, Object> config = world.config();
         String file = new Gson().toJson(config);
         try (StandIns other = new StandIns()) {
             config.put("discovery", "127.0.0.1:1");
             config.put("name", "n9");
-            Config moved = Config.of(new Gson().toJson(config), Map.of());
-            assertEquals(List.of("name"), Config.of(file, Map.of()).needRestart(moved));
+            PlatformConfig moved = PlatformConfig.of(new Gson().toJson(config), Map.of());
+            assertEquals(List.of("name"), PlatformConfig.of(file, Map.of()).needRestart(moved));
             node.reload(moved);
             until(() -> node.discovery().port() == 1);
             assertTrue(send(port, job("/api", "a", "step-view", "")).endsWith("r-a"), "served from what is held");
             other.addRunner("s-2");
-            node.reload(Config.of(new Gson().toJson(other.config()), Map.of()));
+            node.reload(PlatformConfig.of(new Gson().toJson(other.config()), Map.of()));
             until(() -> other.watches.size() == 1);
             assertEquals("/catalog/members?watch=1", other.watches.get(0));
             until(() -> send(port, job("/api", "b" + System.nanoTime(), "step-view", ""))
@@ -307,16 +307,16 @@
     void theFileCountsOverTheEnvironmentOnceItIsReadAgain(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("c"), new Gson().toJson(world.config()));
         Map<String, String> environment = Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_DISCOVERY", "127.0.0.9:9");
-        assertEquals(9, Config.load(environment).discovery().port());
-        assertNotEquals(9, Config.reload(environment).discovery().port());
+        assertEquals(9, PlatformConfig.load(environment).discovery().port());
+        assertNotEquals(9, PlatformConfig.reload(environment).discovery().port());
         Files.writeString(file, "{");
-        assertThrows(Fields.Bad.class, () -> Config.reload(environment));
+        assertThrows(JsonFields.InvalidFieldException.class, () -> PlatformConfig.reload(environment));
     }
 
     @Test
     void descriptorsAreSharedOutBelowTheirLimit() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            int left = sockets - sockets / 3 - Subchannels.mostOpen(sockets);
+            int left = sockets - sockets / 3 - EndpointConnectionPools.mostOpen(sockets);
             assertTrue(left >= 64 && left < 70, sockets + " leave " + left);
         }
     }
@@ -334,7 +334,9 @@
     void badConfigurationIsOneLineThatNamesFieldAndValue() throws Exception {
         Map<String, Object> config = world.config();
         config.put("listen", "localhost:80\n80");
-        String line = assertThrows(Fields.Bad.class, () -> Config.of(new Gson().toJson(config), Map.of()))
+        String line = assertThrows(
+                        JsonFields.InvalidFieldException.class,
+                        () -> PlatformConfig.of(new Gson().toJson(config), Map.of()))
                 .getMessage();
         assertTrue(line.contains("listen") && line.contains("localhost:80"), line);
         assertFalse(line.contains("\n"), line);
--- a/src/test/java/nettlewick/net/OperationsTest.java
+++ b/src/test/java/nettlewick/net/OperationsTest.java
@@ -16,7 +16,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import nettlewick.admin.AdminFront;
+import nettlewick.admin.AdminFrontend;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -44,7 +44,7 @@
     }
 
     private int start() throws Exception {
-        Node node = world.start(config);
+        DispatcherServer node = world.start(config);
         until(() -> node.adminPort() > 0 && call("GET", "/-/ready").startsWith("200"));
         return node.ports().get(0);
     }
@@ -111,7 +111,7 @@
     void silentCallersHoldNobodyUp() throws Exception {
         start();
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * AdminFront.CALLERS_MOST; i++) {
+        for (int i = 0; i < 3 * AdminFrontend.CALLERS_MOST; i++) {
             silent.add(new Socket("127.0.0.1", world.node().adminPort()));
             silent.get(i).getOutputStream().write("GET /-/re".getBytes(StandardCharsets.US_ASCII));
         }
@@ -180,11 +180,11 @@
     @Test
     void bansAreSharedByAFileAndOutliveTheirProcess(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("bans.json");
-        BanStore one = new BanStore(file);
-        BanStore other = new BanStore(file);
+        DisabledEndpointStore one = new DisabledEndpointStore(file);
+        DisabledEndpointStore other = new DisabledEndpointStore(file);
         assertEquals(1, one.set("s-1", true, 10).size());
         assertEquals(0, one.set("s-1", true, 20).size());
-        assertEquals(List.of(new BanStore.Ban("s-1", true, 10)), other.news());
+        assertEquals(List.of(new DisabledEndpointStore.DisabledEndpoint("s-1", true, 10)), other.news());
         other.set("s-2", true, 30);
         other.set("s-1", false, 40);
         assertEquals(2, one.news().size());
@@ -192,7 +192,7 @@
         Files.writeString(file, "{\"bans\":[{\"runner\":7}]}");
         assertEquals(List.of(), one.news());
         assertTrue(one.out("s-2"), "what cannot be read brings nobody back");
-        BanStore none = new BanStore(dir.resolve("no/where"));
+        DisabledEndpointStore none = new DisabledEndpointStore(dir.resolve("no/where"));
         assertThrows(IOException.class, () -> none.set("s-1", true, 1));
         assertFalse(none.out("s-1"));
     }
--- a/src/test/java/nettlewick/net/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/PeerSocketTest.java
@@ -32,7 +32,7 @@
             Map<String, Object> config = world.config();
             config.put("peer_listen", "127.0.0.1:" + own);
             config.put("peers", List.of("127.0.0.1:" + own, "127.0.0.1:" + peer.getLocalPort()));
-            PeerSocket socket = new PeerSocket(vertx, Config.of(new Gson().toJson(config), Map.of()));
+            PeerSocket socket = new PeerSocket(vertx, PlatformConfig.of(new Gson().toJson(config), Map.of()));
             socket.send(1, new byte[4]);
             BlockingQueue<String> heard = new LinkedBlockingQueue<>();
             StandIns.get(socket.listen((rank, data) -> heard.add(rank + " " + data.length)));
--- a/src/test/java/nettlewick/net/PiecesTest.java
+++ b/src/test/java/nettlewick/net/PiecesTest.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import nettlewick.admin.AdminFront;
+import nettlewick.admin.AdminFrontend;
 import nettlewick.admin.Operations;
 import nettlewick.core.Clock;
-import nettlewick.core.Figures;
+import nettlewick.core.Metrics;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -66,7 +66,7 @@
                 .appendBuffer(chunk("{\"state\":\"done\",\"result\":\"é✓\"}"))
                 .appendString("0\r\n\r\n");
         AtomicInteger cut = new AtomicInteger(1);
-        NetServer runner = vertx.createNetServer().connectHandler(socket -> {
+        NetServer endpoint = vertx.createNetServer().connectHandler(socket -> {
             socket.exceptionHandler(e -> {});
             socket.handler(request -> {
                 if (request.toString().startsWith("GET")) {
@@ -76,9 +76,9 @@
                 }
             });
         });
-        get(runner.listen(0, "127.0.0.1"));
+        get(endpoint.listen(0, "127.0.0.1"));
         try (StandIns world = new StandIns()) {
-            world.addRunner("s-1", runner.actualPort());
+            world.addRunner("s-1", endpoint.actualPort());
             int port = world.start().ports().get(0);
             for (; cut.get() < answer.length(); cut.incrementAndGet()) {
                 try (Socket client = new Socket("127.0.0.1", port)) {
@@ -106,12 +106,12 @@
         SocketAddress at = SocketAddress.inetSocketAddress(discovery.actualPort(), "127.0.0.1");
         List<String> told = new CopyOnWriteArrayList<>();
         for (int i = 1; i < answer.length(); i++) {
-            ResolverWatch watch = new ResolverWatch(
+            DiscoveryWatch watch = new DiscoveryWatch(
                     vertx,
                     at,
                     Clock.standing(0),
-                    new ListClock(new AskPause(false, 1, 0, new java.util.SplittableRandom(1)), 0),
-                    news -> told.add(news.hosts().get(0).entry().worker()));
+                    new WatchStalenessTimer(new PollBackoff(false, 1, 0, new java.util.SplittableRandom(1)), 0),
+                    news -> told.add(news.hosts().get(0).entry().id()));
             watch.start(null);
             int wanted = i;
             until(() -> told.size() >= wanted);
@@ -123,20 +123,20 @@
     @Test
     void anOperatorsCallMayBeCutAnywhere() throws Exception {
         List<String> calls = new CopyOnWriteArrayList<>();
-        AdminFront front = new AdminFront(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
+        AdminFrontend front = new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
             @Override
             public boolean ready() {
                 return true;
             }
 
             @Override
-            public Figures.Snapshot figures() {
+            public Metrics.Snapshot figures() {
                 return null;
             }
 
             @Override
-            public Future<Boolean> ban(String runner, boolean out) {
-                calls.add(runner + out);
+            public Future<Boolean> ban(String endpoint, boolean out) {
+                calls.add(endpoint + out);
                 return Future.succeededFuture(true);
             }
 
--- a/src/test/java/nettlewick/net/RawRunner.java
+++ b/src/test/java/nettlewick/net/RawEndpoint.java
@@ -18,7 +18,7 @@
  * A sim runner on a plain socket, for crossings that a library would not let happen: it accepts only once it is
  * let, and answers what a script says.
  */
-final class RawRunner implements AutoCloseable {
+final class RawEndpoint implements AutoCloseable {
     /** A request as it came. */
     record Seen(int connection, String id, String head) {
         /** A header's value, or null. */
@@ -47,7 +47,7 @@
     private final List<Socket> fillers = new ArrayList<>();
     private final CountDownLatch opened = new CountDownLatch(1);
 
-    RawRunner() throws IOException {
+    RawEndpoint() throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(this::accept, "raw-runner");
         thread.setDaemon(true);
@@ -59,7 +59,7 @@
     }
 
     /** From now on no connection comes up: the queue is full until {@link #open}. */
-    RawRunner shut() throws IOException {
+    RawEndpoint shut() throws IOException {
         for (int i = 0; i <= BACKLOG; i++) {
             fillers.add(new Socket(listener.getInetAddress(), port()));
         }
@@ -67,7 +67,7 @@
     }
 
     /** Accepts all that waits and comes. */
-    RawRunner open() {
+    RawEndpoint open() {
         opened.countDown();
         return this;
     }
--- a/src/test/java/nettlewick/net/SpoiltAnswersTest.java
+++ b/src/test/java/nettlewick/net/SpoiltAnswersTest.java
@@ -26,7 +26,7 @@
 
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private StandIns world;
-    private RawRunner runner;
+    private RawEndpoint runner;
     private int port;
 
     /** How an answer may be spoilt, and whether the job's result was whole before that. */
@@ -46,43 +46,43 @@
         NOT_HTTP(false) {
             @Override
             void write(Socket to, String id) throws IOException {
-                RawRunner.write(to, "what is this\r\n\r\n");
+                RawEndpoint.write(to, "what is this\r\n\r\n");
             }
         },
         A_HEAD_WITHOUT_END(false) {
             @Override
             void write(Socket to, String id) throws IOException {
-                RawRunner.write(to, "HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(20_000));
+                RawEndpoint.write(to, "HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(20_000));
             }
         },
         NO_CHUNK(false) {
             @Override
             void write(Socket to, String id) throws IOException {
-                RawRunner.write(to, OK + "zz\r\n");
+                RawEndpoint.write(to, OK + "zz\r\n");
             }
         },
         HALF_A_LINE_AND_THE_END(false) {
             @Override
             void write(Socket to, String id) throws IOException {
-                RawRunner.write(to, RawRunner.answer("{\"id\":\"" + id + "\",\"state\":\"do"));
+                RawEndpoint.write(to, RawEndpoint.answer("{\"id\":\"" + id + "\",\"state\":\"do"));
             }
         },
         HALF_A_LINE_AND_SILENCE(false) {
             @Override
             void write(Socket to, String id) throws IOException {
-                RawRunner.write(to, OK + "10\r\n{\"id\":\"" + id);
+                RawEndpoint.write(to, OK + "10\r\n{\"id\":\"" + id);
             }
         },
         NO_JSON(false) {
             @Override
             void write(Socket to, String id) throws IOException {
-                RawRunner.write(to, RawRunner.answer("done, I think\n"));
+                RawEndpoint.write(to, RawEndpoint.answer("done, I think\n"));
             }
         },
         DONE_WITHOUT_RESULT(false) {
             @Override
             void write(Socket to, String id) throws IOException {
-                RawRunner.write(to, RawRunner.answer("{\"id\":\"" + id + "\",\"state\":\"done\"}\n"));
+                RawEndpoint.write(to, RawEndpoint.answer("{\"id\":\"" + id + "\",\"state\":\"done\"}\n"));
             }
         },
         LINES_WITHOUT_END(false) {
@@ -90,9 +90,9 @@
             void write(Socket to, String id) throws IOException {
                 String line = "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"running\",\"share\":0.1}\n";
                 String chunk = Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
-                RawRunner.write(to, OK);
+                RawEndpoint.write(to, OK);
                 while (true) {
-                    RawRunner.write(to, chunk);
+                    RawEndpoint.write(to, chunk);
                 }
             }
         },
@@ -101,7 +101,7 @@
             void write(Socket to, String id) throws IOException {
                 String line =
                         "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n";
-                RawRunner.write(to, RawRunner.answer(line + line.replace("r-", "other-")));
+                RawEndpoint.write(to, RawEndpoint.answer(line + line.replace("r-", "other-")));
             }
         },
         DONE_AND_RESET(true) {
@@ -109,7 +109,7 @@
             void write(Socket to, String id) throws IOException {
                 String line =
                         "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n";
-                RawRunner.write(to, OK + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                RawEndpoint.write(to, OK + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                 to.setSoLinger(true, 0);
             }
         };
@@ -126,7 +126,7 @@
     @BeforeEach
     void open() throws Exception {
         world = new StandIns();
-        runner = new RawRunner().open();
+        runner = new RawEndpoint().open();
         world.addRunner("s-1", runner.port());
         Map<String, Object> config = world.config();
         @SuppressWarnings("unchecked")
@@ -169,7 +169,7 @@
             assertEquals(spoilt.served ? 200 : 502, answer.status(), answer.body());
             assertEquals(spoilt.served, answer.body().equals("r-a"), answer.body());
             assertTrue(took <= DEADLINE + SLACK, "after " + took + " s");
-            runner.script = (request, socket) -> RawRunner.write(socket, RawRunner.served(request.id()));
+            runner.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
             // The same connection serves on, and the next request gets its own answer.
             RawClient.Answer next =
                     client.send(job("/api", "b", "step-view", "")).read();
@@ -187,7 +187,7 @@
         until(() -> runner.seen.size() == 1);
         gone.close();
         until(() -> !world.node().fronts().get(0).connected());
-        runner.script = (request, socket) -> RawRunner.write(socket, RawRunner.served(request.id()));
+        runner.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
         try (RawClient stays = new RawClient(port)) {
             until(() -> {
                 try {
--- a/src/test/java/nettlewick/net/StandIns.java
+++ b/src/test/java/nettlewick/net/StandIns.java
@@ -5,32 +5,32 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import nettlewick.core.Books;
 import nettlewick.core.Clock;
+import nettlewick.core.UsageRecorder;
 
 /** The stand-ins with a dispatcher among them. */
-public final class StandIns extends nettlewick.standins.StandIns {
-    private Node node;
+public final class StandIns extends nettlewick.standins.StubPlatform {
+    private DispatcherServer node;
     /** What keeps the books of the next dispatcher. */
-    public Books books = Books.NONE;
+    public UsageRecorder books = UsageRecorder.NONE;
 
     public StandIns() throws Exception {}
 
-    Node node() {
+    DispatcherServer node() {
         return node;
     }
 
-    public Node start(Front.Maker... more) throws Exception {
+    public DispatcherServer start(Frontend.Maker... more) throws Exception {
         return start(config(), more);
     }
 
-    public Node start(Map<String, Object> config, Front.Maker... more) throws Exception {
-        List<Front.Maker> fronts = new ArrayList<>(List.of(PlatformFront::new));
+    public DispatcherServer start(Map<String, Object> config, Frontend.Maker... more) throws Exception {
+        List<Frontend.Maker> fronts = new ArrayList<>(List.of(PlatformFrontend::new));
         fronts.addAll(List.of(more));
-        node = new Node(
-                        Config.of(new Gson().toJson(config), Map.of()),
+        node = new DispatcherServer(
+                        PlatformConfig.of(new Gson().toJson(config), Map.of()),
                         Clock.system(),
-                        fronts.toArray(Front.Maker[]::new))
+                        fronts.toArray(Frontend.Maker[]::new))
                 .keep(books);
         get(node.start());
         if (hasRunners()) {
@@ -40,9 +40,9 @@
     }
 
     /** Bytes for a socket: a job as a client hands it in. */
-    public static Buffer job(String path, String id, String jobClass, String body, String... headers) {
+    public static Buffer job(String path, String id, String requestClass, String body, String... headers) {
         StringBuilder head = new StringBuilder("POST " + path + " HTTP/1.1\r\nHost: backend.local\r\n"
-                + "X-Request-Id: " + id + "\r\nX-Class: " + jobClass
+                + "X-Request-Id: " + id + "\r\nX-Class: " + requestClass
                 + "\r\nX-Tenant: red\r\nX-Deadline: 4\r\n");
         for (String header : headers) {
             head.append(header).append("\r\n");
--- a/src/test/java/nettlewick/net/SuccessionTest.java
+++ b/src/test/java/nettlewick/net/SuccessionTest.java
@@ -29,10 +29,10 @@
     void theLivingAreToldFromTheDead(@TempDir Path dir) throws Exception {
         Path dead = Files.writeString(dir.resolve("n0_80-0000000000005-7.alive"), "takes clients\n");
         Files.writeString(dir.resolve("n1_80-0000000000005-7.alive"), "");
-        try (Succession old = new Succession(dir, "n0:80", 10)) {
+        try (HotRestart old = new HotRestart(dir, "n0:80", 10)) {
             assertFalse(old.shared() || old.successor());
             assertFalse(Files.exists(dead));
-            Succession heir = new Succession(dir, "n0:80", 11);
+            HotRestart heir = new HotRestart(dir, "n0:80", 11);
             assertTrue(old.shared() && heir.shared());
             old.takesClients();
             assertFalse(old.successor() || heir.successor());
@@ -81,13 +81,15 @@
             text.put("listen", "127.0.0.1:" + port);
             text.put("peer_listen", "127.0.0.1:" + port);
             text.put("peers", java.util.List.of("127.0.0.1:" + port, "127.0.0.1:1"));
-            Config config = Config.of(new Gson().toJson(text), Map.of());
-            Node old = new Node(config, Clock.system(), new Succession(dir, "n0", 1), PlatformFront::new);
+            PlatformConfig config = PlatformConfig.of(new Gson().toJson(text), Map.of());
+            DispatcherServer old =
+                    new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 1), PlatformFrontend::new);
             get(old.start());
             until(old::holdsList);
             Socket kept = new Socket("127.0.0.1", port);
             assertTrue(ask(kept, "before").contains("200"));
-            Node heir = new Node(config, Clock.system(), new Succession(dir, "n0", 2), PlatformFront::new);
+            DispatcherServer heir =
+                    new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 2), PlatformFrontend::new);
             get(heir.start());
             CompletableFuture<Void> end = CompletableFuture.runAsync(old::shutDown);
             until(() -> old.state().leaving());
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -19,7 +19,7 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicReference;
 import nettlewick.core.Clock;
-import nettlewick.net.PlatformFront;
+import nettlewick.net.PlatformFrontend;
 import nettlewick.net.StandIns;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -106,7 +106,7 @@
     }
 
     private static List<String> uris(Capture c) {
-        return c.requests().stream().map(Recorded::uri).toList();
+        return c.requests().stream().map(RecordedRequest::uri).toList();
     }
 
     @ParameterizedTest
@@ -168,7 +168,7 @@
             byte[] cut = Arrays.copyOf(whole, length);
             try {
                 assertTrue(read(cut).requests().isEmpty());
-            } catch (CaptureError e) {
+            } catch (CaptureFormatException e) {
                 assertFalse(e.getMessage().isBlank() || e.getMessage().contains("\n"), e.getMessage());
                 refused++;
             }
@@ -182,11 +182,11 @@
             }
             try {
                 read(odd);
-            } catch (CaptureError e) {
+            } catch (CaptureFormatException e) {
                 assertFalse(e.getMessage().contains("\n"));
             }
         }
-        assertThrows(CaptureError.class, () -> read("{\"no\":\"capture\"}          ".getBytes()));
+        assertThrows(CaptureFormatException.class, () -> read("{\"no\":\"capture\"}          ".getBytes()));
     }
 
     /** What the writer writes, the reader reads; and what the reader reads goes through the core. */
@@ -196,8 +196,9 @@
         try (StandIns world = new StandIns()) {
             world.addRunner("s-1");
             CaptureWriter writer = new CaptureWriter(file, Clock.system(), 1 << 20);
-            int port =
-                    world.start(base -> new PlatformFront(base, writer)).ports().get(1);
+            int port = world.start(base -> new PlatformFrontend(base, writer))
+                    .ports()
+                    .get(1);
             var client = world.vertx.createHttpClient(new HttpClientOptions().setDefaultPort(port));
             for (String id : List.of("a", "b")) {
                 String body = "x".repeat(3000) + id;
@@ -214,13 +215,13 @@
         assertEquals("x".repeat(3000) + "b", c.requests().get(1).body().toString());
         try (StandIns world = new StandIns()) {
             world.addRunner("s-1");
-            AtomicReference<ReplayFront> front = new AtomicReference<>();
+            AtomicReference<CaptureReplayer> front = new AtomicReference<>();
             world.start(base -> {
-                front.set(new ReplayFront(base, c));
+                front.set(new CaptureReplayer(base, c));
                 return front.get();
             });
             assertEquals(
-                    new ReplayFront.Summary(2, 2, 0, 0, 0, 0),
+                    new CaptureReplayer.Summary(2, 2, 0, 0, 0, 0),
                     StandIns.get(front.get().done()));
             assertEquals(2, world.seen.size());
         }
