--- a/src/test/java/nettlewick/pools/GrowthTest.java
+++ b/src/test/java/nettlewick/pools/GrowthTest.java
@@ -28,18 +28,18 @@
 
     private static final long NOON = Instant.parse("2026-12-10T12:00:00Z").toEpochMilli();
 
-    private static Bill bill(long since, long until) {
-        return new Bill("x", "std", "a", since, until, 100, HOUR / 2);
+    private static InstanceCharge bill(long since, long until) {
+        return new InstanceCharge("x", "std", "a", since, until, 100, HOUR / 2);
     }
 
     @Test
     void timeIsBilledInTheMonthInWhichItRanAndAtLeastTheLeastTime() {
-        Spending.Cap cap = new Spending.Cap(10_000, 0.95, ZoneOffset.UTC);
+        SpendingCap.Cap cap = new SpendingCap.Cap(10_000, 0.95, ZoneOffset.UTC);
         long turn = Instant.parse("2026-12-01T00:00:00Z").toEpochMilli();
-        List<Bill> over = List.of(bill(turn - 3 * HOUR, turn + 2 * HOUR));
-        assertEquals(300, new Spending(cap, YearMonth.of(2026, 11)).spent(over, NOON));
-        assertEquals(200, new Spending(cap, YearMonth.of(2026, 12)).spent(over, NOON));
-        Spending now = new Spending(cap, YearMonth.of(2026, 12));
+        List<InstanceCharge> over = List.of(bill(turn - 3 * HOUR, turn + 2 * HOUR));
+        assertEquals(300, new SpendingCap(cap, YearMonth.of(2026, 11)).spent(over, NOON));
+        assertEquals(200, new SpendingCap(cap, YearMonth.of(2026, 12)).spent(over, NOON));
+        SpendingCap now = new SpendingCap(cap, YearMonth.of(2026, 12));
         assertEquals(1, now.spent(List.of(bill(NOON - 1000, 0)), NOON), "a second is a hundredth");
         assertEquals(50, now.spent(List.of(bill(NOON - HOUR, NOON - HOUR + 1)), NOON), "its least time");
         assertEquals(100, now.committed(List.of(bill(NOON, 0)), NOON, HOUR), "until someone can act");
@@ -51,8 +51,8 @@
     void monthsTurnInTheMembersZone() {
         ZoneId mauritius = ZoneId.of("Indian/Mauritius");
         long late = Instant.parse("2026-11-30T21:00:00Z").toEpochMilli();
-        assertEquals(YearMonth.of(2026, 12), Spending.monthOf(late, mauritius));
-        assertEquals(YearMonth.of(2026, 11), Spending.monthOf(late, ZoneOffset.UTC));
+        assertEquals(YearMonth.of(2026, 12), SpendingCap.monthOf(late, mauritius));
+        assertEquals(YearMonth.of(2026, 11), SpendingCap.monthOf(late, ZoneOffset.UTC));
     }
 
     /** Whatever runs: one more is within the means only if all that is owed with it stays under the mark. */
@@ -62,36 +62,36 @@
             @ForAll @LongRange(min = 0, max = 20 * HOUR) long age,
             @ForAll @IntRange(min = 0, max = 5000) int capCents,
             @ForAll @IntRange(min = 1, max = 50) int wanted) {
-        Spending.Cap cap = new Spending.Cap(capCents, 0.95, ZoneOffset.UTC);
-        List<Bill> bills = new java.util.ArrayList<>();
+        SpendingCap.Cap cap = new SpendingCap.Cap(capCents, 0.95, ZoneOffset.UTC);
+        List<InstanceCharge> bills = new java.util.ArrayList<>();
         for (int i = 0; i < running; i++) {
             bills.add(bill(NOON - age * (i + 1) / (running + 1), i % 3 == 0 ? NOON - age * i / (running + 1) : 0));
         }
-        Spending s = new Spending(cap, YearMonth.of(2026, 12));
+        SpendingCap s = new SpendingCap(cap, YearMonth.of(2026, 12));
         int more = s.affords(bills, NOON, HOUR, wanted, 100, 0);
         long owed = s.spent(bills, NOON) + s.committed(bills, NOON, HOUR) + more * 100L;
         assertTrue(more == 0 || owed < capCents * 0.95, owed + " of " + capCents);
         assertTrue(more == wanted || owed + 100 >= Math.floor(capCents * 0.95), "one more would not have been");
     }
 
-    private static Told told(int size, long date, double at, Bill... bills) {
-        return new Told(size, "7", List.of(bills), date, at);
+    private static ProviderReport told(int size, long date, double at, InstanceCharge... bills) {
+        return new ProviderReport(size, "7", List.of(bills), date, at);
     }
 
     @Test
     void anIntentIsStoredBeforeTheProviderIsAskedAndSettledByItsList() {
-        Growth growth = new Growth(GrowthWorld.TERMS);
+        ScaleOutPolicy growth = new ScaleOutPolicy(GrowthWorld.TERMS);
         Money m = new Money("2026-12", null, "");
         assertTrue(growth.next(m, null, 2, 0, WALL, "k").list(), "nothing without a list");
-        Told empty = told(0, NOON, 0);
+        ProviderReport empty = told(0, NOON, 0);
         Money intent = growth.next(m, empty, 2, 0, WALL, "k").store();
         assertEquals(2, intent.intent().size());
-        Growth.Next next = growth.next(intent, empty, 2, 0, WALL, "l");
+        ScaleOutPolicy.Next next = growth.next(intent, empty, 2, 0, WALL, "l");
         assertEquals("k", next.put().key());
         // Another holder finds it, whatever it wants itself, and asks with the same key.
         assertEquals(
                 "k",
-                new Growth(GrowthWorld.TERMS)
+                new ScaleOutPolicy(GrowthWorld.TERMS)
                         .next(intent, empty, 5, 0, WALL, "other")
                         .put()
                         .key());
@@ -101,49 +101,51 @@
 
     @Test
     void pastTheNearMarkNothingIsAddedAndSaidOnceAMonth() {
-        Growth growth = new Growth(GrowthWorld.TERMS);
+        ScaleOutPolicy growth = new ScaleOutPolicy(GrowthWorld.TERMS);
         Money m = new Money("2026-12", null, "");
         // 100 a minute, 950 to spend: eight are within the means, the ninth is not.
-        Told empty = told(0, NOON, 0);
+        ProviderReport empty = told(0, NOON, 0);
         Money near = growth.next(m, empty, 20, 0, WALL, "k").store();
         assertEquals("2026-12", near.near());
         Money intent = growth.next(near, empty, 20, 0, WALL, "k").store();
         assertEquals(9, intent.intent().size());
-        Bill[] bills = new Bill[9];
+        InstanceCharge[] bills = new InstanceCharge[9];
         java.util.Arrays.setAll(
-                bills, i -> new Bill("x" + i, "std", "a", NOON, 0, GrowthWorld.CENTS, GrowthWorld.LEAST));
-        assertSame(Growth.Next.NOTHING, growth.next(near, told(9, NOON, 0, bills), 20, 0, WALL, "k"));
-        assertSame(Growth.Next.NOTHING, growth.next(near, told(9, NOON, 0, bills), -1, 0, WALL, "k"));
+                bills, i -> new InstanceCharge("x" + i, "std", "a", NOON, 0, GrowthWorld.CENTS, GrowthWorld.LEAST));
+        assertSame(ScaleOutPolicy.Next.NOTHING, growth.next(near, told(9, NOON, 0, bills), 20, 0, WALL, "k"));
+        assertSame(ScaleOutPolicy.Next.NOTHING, growth.next(near, told(9, NOON, 0, bills), -1, 0, WALL, "k"));
     }
 
     @Test
     void aMonthNeverComesTwiceAndTheNextOneOpensItsMoneyAlone() {
-        Growth growth = new Growth(GrowthWorld.TERMS);
+        ScaleOutPolicy growth = new ScaleOutPolicy(GrowthWorld.TERMS);
         long next = Instant.parse("2027-01-01T00:00:01Z").toEpochMilli();
         Money money = growth.next(new Money("2026-12", null, "2026-12"), told(0, next, 0), 1, 0, WALL, "k")
                 .store();
         assertEquals("2027-01", money.month());
-        assertSame(Growth.Next.NOTHING, growth.next(money, told(0, NOON, 0), 1, 0, WALL, "k"), "set back");
+        assertSame(ScaleOutPolicy.Next.NOTHING, growth.next(money, told(0, NOON, 0), 1, 0, WALL, "k"), "set back");
         assertNotNull(
                 growth.next(money, told(0, next, 0), 1, 0, WALL, "k").store().intent());
-        Growth.Next ahead = growth.next(new Money("2026-12", null, ""), told(0, next, 0), 1, 0, NOON, "k");
-        assertSame(Growth.Next.NOTHING, ahead, "the provider's clock alone opens no month");
+        ScaleOutPolicy.Next ahead = growth.next(new Money("2026-12", null, ""), told(0, next, 0), 1, 0, NOON, "k");
+        assertSame(ScaleOutPolicy.Next.NOTHING, ahead, "the provider's clock alone opens no month");
     }
 
     @Test
     void atTheCapItselfAllIsHandedBackWhereThatIsWanted() {
-        Growth.Terms back =
-                new Growth.Terms(GrowthWorld.TERMS.cap(), GrowthWorld.CENTS, GrowthWorld.LEAST, 10_000, true);
-        Bill old = new Bill("x", "std", "a", NOON - HOUR, 0, GrowthWorld.CENTS, GrowthWorld.LEAST);
+        ScaleOutPolicy.Terms back =
+                new ScaleOutPolicy.Terms(GrowthWorld.TERMS.cap(), GrowthWorld.CENTS, GrowthWorld.LEAST, 10_000, true);
+        InstanceCharge old = new InstanceCharge("x", "std", "a", NOON - HOUR, 0, GrowthWorld.CENTS, GrowthWorld.LEAST);
         Money m = new Money("2026-12", null, "2026-12");
         assertEquals(
                 0,
-                new Growth(back)
+                new ScaleOutPolicy(back)
                         .next(m, told(1, NOON, 0, old), 1, 0, WALL, "k")
                         .store()
                         .intent()
                         .size());
-        assertSame(Growth.Next.NOTHING, new Growth(GrowthWorld.TERMS).next(m, told(1, NOON, 0, old), 1, 0, WALL, "k"));
+        assertSame(
+                ScaleOutPolicy.Next.NOTHING,
+                new ScaleOutPolicy(GrowthWorld.TERMS).next(m, told(1, NOON, 0, old), 1, 0, WALL, "k"));
     }
 
     private static final int WALKS = Integer.getInteger("search.walks", 1500);
--- a/src/test/java/nettlewick/pools/GrowthWorld.java
+++ b/src/test/java/nettlewick/pools/GrowthWorld.java
@@ -29,13 +29,13 @@
 
     static final long CENTS = 6000;
     static final long LEAST = 60_000;
-    static final Growth.Terms TERMS =
-            new Growth.Terms(new Spending.Cap(1000, 0.95, ZoneOffset.UTC), CENTS, LEAST, 10_000, false);
+    static final ScaleOutPolicy.Terms TERMS =
+            new ScaleOutPolicy.Terms(new SpendingCap.Cap(1000, 0.95, ZoneOffset.UTC), CENTS, LEAST, 10_000, false);
 
     private static final class Holder {
         long fence;
-        Growth growth = new Growth(TERMS);
-        Told told;
+        ScaleOutPolicy growth = new ScaleOutPolicy(TERMS);
+        ProviderReport told;
         boolean asking;
         /** How far its own clock is off. */
         long off;
@@ -56,7 +56,7 @@
             LEAST,
             List.of("a"),
             Map.of("red", new ProviderModel.Cap(TERMS.cap().cap(), TERMS.cap().near())));
-    private final Map<Integer, Told> versions = new HashMap<>();
+    private final Map<Integer, ProviderReport> versions = new HashMap<>();
     private final List<Step> underWay = new ArrayList<>();
     private long wall = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
     private double now;
@@ -127,12 +127,13 @@
     }
 
     boolean settled() {
-        Growth.Next next = holder.growth.next(stored, holder.told, provider.size("red"), now, wall + holder.off, "end");
+        ScaleOutPolicy.Next next =
+                holder.growth.next(stored, holder.told, provider.size("red"), now, wall + holder.off, "end");
         return holder.told != null && stored.intent() == null && next.store() == null && next.put() == null;
     }
 
     private void turn(Holder h) {
-        Growth.Next next = h.growth.next(stored, h.told, wanted, now, wall + h.off, "k" + keys);
+        ScaleOutPolicy.Next next = h.growth.next(stored, h.told, wanted, now, wall + h.off, "k" + keys);
         if (next.store() != null) {
             if (h.fence >= storedUnder) {
                 keys++;
@@ -149,7 +150,7 @@
         }
     }
 
-    private void put(Holder h, Growth.Next next, Told told) {
+    private void put(Holder h, ScaleOutPolicy.Next next, ProviderReport told) {
         Intent intent = next.put();
         double asked = now;
         puts++;
@@ -174,14 +175,14 @@
         });
     }
 
-    private Told list() {
-        List<Bill> bills = provider.all("red").stream()
-                .map(r -> new Bill(r.name(), r.kind(), r.zone(), r.since(), r.until(), CENTS, LEAST))
+    private ProviderReport list() {
+        List<InstanceCharge> bills = provider.all("red").stream()
+                .map(r -> new InstanceCharge(r.name(), r.kind(), r.zone(), r.since(), r.until(), CENTS, LEAST))
                 .toList();
         if (bug == Bug.ENDED_FORGOTTEN) {
-            bills = bills.stream().filter(Bill::runs).toList();
+            bills = bills.stream().filter(InstanceCharge::runs).toList();
         }
-        Told told = new Told(
+        ProviderReport told = new ProviderReport(
                 provider.size("red"),
                 Integer.toString(provider.version("red")),
                 bills,
@@ -191,11 +192,12 @@
         return told;
     }
 
-    private void tell(Holder h, Told told, double asked) {
+    private void tell(Holder h, ProviderReport told, double asked) {
         underWay.add(() -> {
             h.asking = false;
             boolean old = bug == Bug.OLD_LIST_BELIEVED;
-            Told taken = new Told(told.size(), told.etag(), told.bills(), told.date(), old ? now : asked);
+            ProviderReport taken =
+                    new ProviderReport(told.size(), told.etag(), told.bills(), told.date(), old ? now : asked);
             if (h.told == null || taken.at() >= h.told.at()) {
                 h.told = taken;
             }
--- a/src/test/java/nettlewick/pools/PoolStateGoldenTest.java
+++ b/src/test/java/nettlewick/pools/PoolStateGoldenTest.java
@@ -5,7 +5,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import nettlewick.contention.Move;
+import nettlewick.contention.MigrationState;
 import org.junit.jupiter.api.Test;
 
 /** The JSON that a lease carries for a tenant's pool: other builds of the fleet and stored voters read it. */
@@ -13,13 +13,13 @@
     @Test
     void eachStepHasTheRecordedJson() {
         StringBuilder text = new StringBuilder();
-        for (Move.Step step : Move.Step.values()) {
+        for (MigrationState.Step step : MigrationState.Step.values()) {
             PoolState.Intent intent = step.ordinal() % 2 == 0 ? null : new PoolState.Intent("key-7", 3, 1250);
             PoolState state = new PoolState(
                     4,
-                    new Move(step, List.of("s1", "x0"), 2),
+                    new MigrationState(step, List.of("s1", "x0"), 2),
                     List.of("x0"),
-                    new PoolState.Money("2026-12", intent, step == Move.Step.OPEN ? "2026-12" : ""));
+                    new PoolState.Money("2026-12", intent, step == MigrationState.Step.OPEN ? "2026-12" : ""));
             text.append(new String(state.bytes(), StandardCharsets.UTF_8)).append('\n');
             assertEquals(state, PoolState.of(state.bytes()));
         }
--- a/src/test/java/nettlewick/settings/SettingsTest.java
+++ b/src/test/java/nettlewick/settings/SettingsTest.java
@@ -19,8 +19,8 @@
 /** The form of our settings: what is read, and the one line for whatever is wrong. */
 class SettingsTest {
     private static String fault(String text) {
-        String line =
-                assertThrows(BadSettings.class, () -> Settings.parse("f", text)).getMessage();
+        String line = assertThrows(InvalidSettingsException.class, () -> Settings.parse("f", text))
+                .getMessage();
         assertFalse(line.contains("\n"), line);
         return line;
     }
@@ -95,10 +95,12 @@
         assertEquals(
                 1, Settings.read(file).block("edge").get().address("listen").getPort());
         Files.writeString(dir.resolve("sub/b"), "\ninclude ../a\n");
-        String line = assertThrows(BadSettings.class, () -> Settings.read(file)).getMessage();
+        String line = assertThrows(InvalidSettingsException.class, () -> Settings.read(file))
+                .getMessage();
         assertTrue(line.contains("b:2: include is ") && line.contains("loop"), line);
         Files.delete(dir.resolve("sub/b"));
-        line = assertThrows(BadSettings.class, () -> Settings.read(file)).getMessage();
+        line = assertThrows(InvalidSettingsException.class, () -> Settings.read(file))
+                .getMessage();
         assertTrue(line.contains("a:1: ") && line.contains("cannot be read"), line);
     }
 
@@ -132,7 +134,7 @@
         String shaped = text.replaceAll("[^ -~]", "\n").replace("q", "log {\n").replace("z", "\n}\n");
         try {
             Settings.parse("f", shaped);
-        } catch (BadSettings e) {
+        } catch (InvalidSettingsException e) {
             assertFalse(e.getMessage().contains("\n"));
             assertTrue(e.getMessage().startsWith("f:") || e.getMessage().contains("include"), e.getMessage());
         }
--- a/src/test/java/nettlewick/sim/WireTest.java
+++ b/src/test/java/nettlewick/sim/WireTest.java
@@ -57,16 +57,16 @@
     void settingsAreRead() {
         WireCodec.Start start = (WireCodec.Start)
                 new WireCodec().read(start("")).groups().get(0).items().get(0);
-        Settings s = start.settings();
+        SchedulerSettings s = start.settings();
         assertEquals(-1, start.seed());
         assertEquals(
-                new JobClass("keyed", Repeat.DEDUP, Scope.CELL, 1000, 1, 2.5, 5, 1, 0, false, 0, 1),
+                new RequestClass("keyed", Idempotency.KEYED, Scope.CELL, 1000, 1, 2.5, 5, 1, 0, false, 0, 1),
                 s.classes().get(1));
         assertEquals(new Tenant("red", 1, 4.5), s.tenants().get(0));
         assertEquals(new Limits(3, true, false, true, true, false, 9), s.limits());
         assertEquals(new Rules(8, 10, 7, 0.3, 2, 3, 3), s.rules());
         assertTrue(s.listOnRequest() && s.sizesFixed());
-        assertEquals(Reports.ON_PROBE, s.reports());
+        assertEquals(LoadReporting.ON_PROBE, s.loadReporting());
     }
 
     @Test
@@ -80,13 +80,21 @@
                 new Arrival("ab", "read", null, 9, 1, 0, 0, null, false),
                 event("{\"type\":\"ARRIVAL\",\"txn\":\"ab\",\"class\":\"read\",\"owner\":null,\"remaining\":9}"));
         assertEquals(
-                new Outcome("ab", 1, "w", Result.FULL, 3, false, new Load(2, Double.NaN, 4, Double.NaN, Double.NaN)),
+                new Outcome(
+                        "ab",
+                        1,
+                        "w",
+                        AttemptResult.OVERLOADED,
+                        3,
+                        false,
+                        new EndpointLoad(2, Double.NaN, 4, Double.NaN, Double.NaN)),
                 event("{\"type\":\"REPLY\",\"txn\":\"ab\",\"seq_no\":1,\"worker\":\"w\",\"disposition\":\"saturated\","
                         + "\"latency\":3,\"settled\":false,\"telemetry\":{\"x0\":2,\"depth\":4.0,\"tps\":1}}"));
-        assertEquals(new ListFailed(), event("{\"type\":\"ROSTER_CHANGE\",\"scope\":3,\"stamp\":1,\"slot\":0}"));
+        assertEquals(
+                new EndpointListFailed(), event("{\"type\":\"ROSTER_CHANGE\",\"scope\":3,\"stamp\":1,\"slot\":0}"));
         assertEquals(new Abandoned("ab"), event("{\"type\":\"VANISHED\",\"txn\":\"ab\"}"));
         assertEquals(
-                new StreamBegan("ab", 0),
+                new StreamStarted("ab", 0),
                 event("{\"type\":\"ACCEPTED\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"latency\":1}"));
         assertEquals(
                 new Progress("ab", 0, "w", 0.25),
@@ -102,12 +110,12 @@
         reply.open(4);
         for (Action a : new ArrayList<>(List.of(
                 new Dispatch("a", "w", 5),
-                new Refuse("b", 0),
-                new Refuse("c", 3),
+                new Reject("b", 0),
+                new Reject("c", 3),
                 new Fail("d"),
                 new Cancel("e", 1),
                 new Probe("w"),
-                new TellPeer(2, new byte[] {1}),
+                new SendToPeer(2, new byte[] {1}),
                 new SetTimer("t", 9),
                 new Subscribe()))) {
             reply.write(a);
@@ -157,15 +165,16 @@
                         + "[{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}]}]}"
             })
     void malformedLinesEndWithOnePlainLine(String line) {
-        WireCodec.Malformed e = assertThrows(WireCodec.Malformed.class, () -> serve(line));
+        WireCodec.MalformedMessageException e =
+                assertThrows(WireCodec.MalformedMessageException.class, () -> serve(line));
         assertFalse(e.getMessage().isBlank());
         assertFalse(e.getMessage().contains("\n"));
     }
 
     @Test
     void settingsThatMakeNoSenseAreNamed() {
-        WireCodec.Malformed e =
-                assertThrows(WireCodec.Malformed.class, () -> serve(start("").replace("\"rank\":1", "\"rank\":9")));
+        WireCodec.MalformedMessageException e = assertThrows(
+                WireCodec.MalformedMessageException.class, () -> serve(start("").replace("\"rank\":1", "\"rank\":9")));
         assertEquals("setting rank makes no sense: 9", e.getMessage());
     }
 
--- a/src/test/java/nettlewick/sse/EdgeFrontTest.java
+++ b/src/test/java/nettlewick/sse/EdgeFrontTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-import nettlewick.core.Figures;
+import nettlewick.core.Metrics;
 import nettlewick.net.StandIns;
 import nettlewick.settings.Settings;
 import org.junit.jupiter.api.AfterEach;
@@ -30,7 +30,7 @@
     private StandIns world;
     private HttpClient client;
     private int port;
-    private Figures figures;
+    private Metrics figures;
 
     @BeforeEach
     void open() throws Exception {
@@ -42,13 +42,13 @@
         for (String runner : runners) {
             world.addRunner(runner);
         }
-        EdgeConfig edge =
-                EdgeConfig.of(Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n" + more + "\n}")
+        EventStreamConfig edge = EventStreamConfig.of(
+                Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n" + more + "\n}")
                         .block("edge")
                         .get());
         port = world.start(base -> {
                     figures = base.core().figures();
-                    return new EdgeFront(base, edge);
+                    return new EventStreamFrontend(base, edge);
                 })
                 .ports()
                 .get(1);
@@ -59,8 +59,8 @@
         world.close();
     }
 
-    private Watcher watcher(String id, String jobClass) {
-        return new Watcher(world.vertx, port, id, jobClass);
+    private Watcher watcher(String id, String requestClass) {
+        return new Watcher(world.vertx, port, id, requestClass);
     }
 
     private static void await(Watcher w) throws Exception {
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -35,15 +35,15 @@
 
     private void start(String... settings) throws Exception {
         world.addRunner("s-1");
-        EdgeConfig edge = EdgeConfig.of(
+        EventStreamConfig edge = EventStreamConfig.of(
                 Settings.parse("test", "edge {\nlisten 127.0.0.1:0\n" + String.join("\n", settings) + "\n}")
                         .block("edge")
                         .get());
-        port = world.start(base -> new EdgeFront(base, edge)).ports().get(1);
+        port = world.start(base -> new EventStreamFrontend(base, edge)).ports().get(1);
     }
 
-    private static String post(String id, String jobClass, String... headers) {
-        return job("/api", id, jobClass, "", headers).toString();
+    private static String post(String id, String requestClass, String... headers) {
+        return job("/api", id, requestClass, "", headers).toString();
     }
 
     private static String get(String path, String... headers) {
--- a/src/test/java/nettlewick/sse/Watcher.java
+++ b/src/test/java/nettlewick/sse/Watcher.java
@@ -32,11 +32,11 @@
     private volatile long lastId;
     private volatile int round;
 
-    Watcher(Vertx vertx, int port, String id, String jobClass) {
+    Watcher(Vertx vertx, int port, String id, String requestClass) {
         this.vertx = vertx;
         this.port = port;
         this.id = id;
-        this.jobClass = jobClass;
+        this.jobClass = requestClass;
     }
 
     Watcher seen(long last) {
--- a/src/test/java/nettlewick/waiting/AfterlifeTest.java
+++ b/src/test/java/nettlewick/waiting/AfterlifeTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import nettlewick.decision.Dispatcher.Repeat;
+import nettlewick.decision.Dispatcher.Idempotency;
 import nettlewick.store.StoreException;
 import nettlewick.waiting.Afterlife.State;
 import nettlewick.waiting.Afterlife.What;
@@ -29,25 +29,25 @@
     @TempDir
     private Path dir;
 
-    private static What after(State state, Repeat repeat, double since, boolean site, int attempts, double left) {
+    private static What after(State state, Idempotency repeat, double since, boolean site, int attempts, double left) {
         return Afterlife.decide(state, repeat, since, WINDOW, site, attempts, 6, left)
                 .what();
     }
 
     @Test
     void eachClassKeepsItsRule() {
-        for (Repeat repeat : Repeat.values()) {
+        for (Idempotency repeat : Idempotency.values()) {
             assertEquals(What.WAIT, after(State.WAITING, repeat, 0, false, 0, 100));
             assertEquals(What.NOTHING, after(State.ENDED, repeat, 0, true, 1, 100));
         }
-        assertEquals(What.FAIL, after(State.RELEASED, Repeat.FRAGILE, 0, true, 1, 100));
-        assertEquals(What.RELEASE, after(State.RELEASED, Repeat.DEDUP, WINDOW - 1, true, 1, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Repeat.DEDUP, WINDOW, true, 1, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Repeat.DEDUP, -1, true, 1, 100), "the clock went back");
-        assertEquals(What.FAIL, after(State.RELEASED, Repeat.DEDUP, 1, false, 1, 100), "its site is not known");
-        assertEquals(What.RELEASE, after(State.RELEASED, Repeat.RETRYABLE, 1e9, false, 5, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Repeat.RETRYABLE, 1, false, 6, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Repeat.RETRYABLE, 1, false, 1, 0));
+        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.NON_IDEMPOTENT, 0, true, 1, 100));
+        assertEquals(What.RELEASE, after(State.RELEASED, Idempotency.KEYED, WINDOW - 1, true, 1, 100));
+        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.KEYED, WINDOW, true, 1, 100));
+        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.KEYED, -1, true, 1, 100), "the clock went back");
+        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.KEYED, 1, false, 1, 100), "its site is not known");
+        assertEquals(What.RELEASE, after(State.RELEASED, Idempotency.IDEMPOTENT, 1e9, false, 5, 100));
+        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 6, 100));
+        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 1, 0));
     }
 
     private static WaitStore.Job job(String id, String jobClass) {
@@ -86,7 +86,8 @@
             })) {
                 for (WaitStore.Stored s : store.load()) {
                     String id = s.job().ask().id();
-                    Repeat repeat = s.job().jobClass().equals("mark") ? Repeat.FRAGILE : Repeat.RETRYABLE;
+                    Idempotency repeat =
+                            s.job().jobClass().equals("mark") ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
                     What what = Afterlife.decide(
                                     s.state(), repeat, now - s.changed(), WINDOW, false, s.attempts(), 6, 1)
                             .what();
