--- a/Makefile
+++ b/Makefile
@@ -45,13 +45,13 @@
 measure-spread: build
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -XX:+UseSerialGC -Xmx2g -cp target/nettlewick.jar:target/test-classes:$$(cat target/classpath) \
-		nettlewick.lab.MeasureSpread
+		nettlewick.fleettest.MeasureSpread
 
 # Noisy members moved by many real processes, against the program with that off; some minutes, wants all cores.
 measure-duties: build
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -XX:+UseSerialGC -Xmx2g -cp target/nettlewick.jar:target/test-classes:$$(cat target/classpath) \
-		nettlewick.lab.MeasureDuties $(SIZE)
+		nettlewick.fleettest.MeasureDuties $(SIZE)
 
 # The duties' machines over more orders of messages and faults than the tests take; some minutes, one core.
 search-duty:
--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -21,7 +21,7 @@
 import nettlewick.settings.Settings;
 import nettlewick.sse.EventStreamConfig;
 import nettlewick.sse.EventStreamFrontend;
-import nettlewick.standins.StubPlatform;
+import nettlewick.stubs.StubPlatform;
 
 @Parameters(
         commandNames = "demo",
--- a/src/main/java/nettlewick/cli/FleetTestCommand.java
+++ b/src/main/java/nettlewick/cli/FleetTestCommand.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.lab.Lab;
+import nettlewick.fleettest.Lab;
 import nettlewick.settings.InvalidSettingsException;
 
 @Parameters(
--- a/src/main/java/nettlewick/cli/SettingsFile.java
+++ b/src/main/java/nettlewick/cli/SettingsFile.java
@@ -7,20 +7,20 @@
 import nettlewick.core.Clock;
 import nettlewick.core.RequestListener;
 import nettlewick.core.UsageRecorder;
-import nettlewick.duty.LeaseService;
-import nettlewick.duty.LeaseSettings;
-import nettlewick.duty.LeaseTask;
+import nettlewick.lease.LeaseService;
+import nettlewick.lease.LeaseSettings;
+import nettlewick.lease.LeaseTask;
 import nettlewick.ledger.LedgerService;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.log.ComponentLogger;
 import nettlewick.log.LogSetup;
 import nettlewick.net.Frontend;
 import nettlewick.net.PlatformConfig;
-import nettlewick.pools.PoolsService;
 import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Settings;
 import nettlewick.sse.EventStreamConfig;
 import nettlewick.sse.EventStreamFrontend;
+import nettlewick.tenantpools.PoolsService;
 
 /** What the file of {@code serve --settings} adds. */
 final class SettingsFile implements OptionalFeatures {
--- a/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
+++ b/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
@@ -2,8 +2,8 @@
 
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
-import nettlewick.sim.WireCodec;
-import nettlewick.sim.WireHost;
+import nettlewick.simulator.WireCodec;
+import nettlewick.simulator.WireHost;
 
 @Parameters(commandNames = "drill", commandDescription = "Serve the simulator's wire on standard input and output")
 final class SimulatorAdapterCommand implements Command {
--- a/src/main/java/nettlewick/contention/PoolReservation.java
+++ b/src/main/java/nettlewick/contention/PoolReservation.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import nettlewick.duty.CandidateRanking;
+import nettlewick.lease.CandidateRanking;
 
 /**
  * Which of the common runners a member's pool is made of: rendezvous by member and runner, so that views that
--- a/src/main/java/nettlewick/lab/Clients.java
+++ b/src/main/java/nettlewick/fleettest/Clients.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/src/main/java/nettlewick/lab/DatagramRelay.java
+++ b/src/main/java/nettlewick/fleettest/DatagramRelay.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/nettlewick/lab/Duties.java
+++ b/src/main/java/nettlewick/fleettest/Duties.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,9 +12,9 @@
 import java.util.Locale;
 import java.util.Map;
 import nettlewick.settings.Block;
-import nettlewick.standins.EndpointServer;
-import nettlewick.standins.ProviderModel;
-import nettlewick.standins.ProviderServer;
+import nettlewick.stubs.EndpointServer;
+import nettlewick.stubs.ProviderModel;
+import nettlewick.stubs.ProviderServer;
 
 /**
  * What a scenario with members' pools needs beside the rest: ways between the duties' sockets, and a
--- a/src/main/java/nettlewick/lab/Fleet.java
+++ b/src/main/java/nettlewick/fleettest/Fleet.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import com.google.gson.Gson;
 import java.io.IOException;
@@ -16,7 +16,7 @@
 import java.util.function.IntFunction;
 import java.util.function.IntToLongFunction;
 import java.util.stream.Stream;
-import nettlewick.standins.EndpointServer;
+import nettlewick.stubs.EndpointServer;
 
 /**
  * The real processes: each a {@code serve} of the built jar with an address, a configuration and a log of
--- a/src/main/java/nettlewick/lab/InvariantChecker.java
+++ b/src/main/java/nettlewick/fleettest/InvariantChecker.java
@@ -1,11 +1,11 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import nettlewick.standins.EndpointModel;
+import nettlewick.stubs.EndpointModel;
 
 /**
  * The rules, checked on every job as it runs. A break names the rule, the job and the time, with all that
--- a/src/main/java/nettlewick/lab/LinkFaults.java
+++ b/src/main/java/nettlewick/fleettest/LinkFaults.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.util.ArrayList;
 import java.util.BitSet;
--- a/src/main/java/nettlewick/lab/LoadBalanceStats.java
+++ b/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
@@ -1,11 +1,11 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.standins.EndpointModel;
+import nettlewick.stubs.EndpointModel;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/nettlewick/lab/MigrationAudit.java
+++ b/src/main/java/nettlewick/fleettest/MigrationAudit.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
--- a/src/main/java/nettlewick/lab/Results.java
+++ b/src/main/java/nettlewick/fleettest/Results.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.awt.Color;
 import java.io.IOException;
--- a/src/main/java/nettlewick/lab/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
 import nettlewick.settings.Block;
 import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Settings;
-import nettlewick.standins.EndpointModel;
+import nettlewick.stubs.EndpointModel;
 
 /**
  * A scenario, read from a file in the form of the settings and checked: world, load, links and timed steps.
--- a/src/main/java/nettlewick/lab/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import com.google.gson.Gson;
 import io.vertx.core.Vertx;
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import nettlewick.standins.DiscoveryServer;
-import nettlewick.standins.EndpointModel;
-import nettlewick.standins.EndpointServer;
-import nettlewick.standins.StubPlatform;
+import nettlewick.stubs.DiscoveryServer;
+import nettlewick.stubs.EndpointModel;
+import nettlewick.stubs.EndpointServer;
+import nettlewick.stubs.StubPlatform;
 import org.HdrHistogram.Histogram;
 
 /** One run of a scenario: builds the world, starts the fleet, asks, does the steps, and counts. */
--- a/src/main/java/nettlewick/lab/ScenarioTable.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioTable.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,7 @@
 import nettlewick.settings.Section;
 import nettlewick.settings.SettingsSchema;
 import nettlewick.settings.ValueType;
-import nettlewick.standins.ProviderServer;
+import nettlewick.stubs.ProviderServer;
 
 /** The keywords of a scenario; {@code docs/lab.md} tells of each. */
 final class ScenarioTable {
--- a/src/main/java/nettlewick/lab/Steps.java
+++ b/src/main/java/nettlewick/fleettest/Steps.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -16,7 +16,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import nettlewick.standins.EndpointServer;
+import nettlewick.stubs.EndpointServer;
 
 /** The steps of a run: what is due when, whom a party names, and what each verb does to the world. */
 final class Steps {
--- a/src/main/java/nettlewick/lab/TcpRelay.java
+++ b/src/main/java/nettlewick/fleettest/TcpRelay.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -11,7 +11,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import nettlewick.standins.StubPlatform;
+import nettlewick.stubs.StubPlatform;
 
 /**
  * Carries the dispatchers' connections to runners and discovery: a listener for each server and group of
--- a/src/main/java/nettlewick/duty/CandidateRanking.java
+++ b/src/main/java/nettlewick/lease/CandidateRanking.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/nettlewick/duty/LeaseCandidate.java
+++ b/src/main/java/nettlewick/lease/LeaseCandidate.java
@@ -1,11 +1,11 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.duty.LeaseMessage.Kind;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Post;
 
 /**
  * One dispatcher's part in one duty: a candidate, or its holder (docs/duties.md). Times are milliseconds of
--- a/src/main/java/nettlewick/duty/LeaseFollower.java
+++ b/src/main/java/nettlewick/lease/LeaseFollower.java
@@ -1,9 +1,9 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.duty.LeaseMessage.Kind;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Post;
 
 /**
  * What a dispatcher knows of a duty that it follows: who holds it, and the newest version told. A fence below
--- a/src/main/java/nettlewick/duty/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 /**
  * What candidates and voters say to one another about one duty. Plain data; its bytes are {@link MessageCodec}'s.
--- a/src/main/java/nettlewick/duty/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Post;
 import nettlewick.log.ComponentLogger;
 
 /**
--- a/src/main/java/nettlewick/duty/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/nettlewick/duty/LeaseTerms.java
+++ b/src/main/java/nettlewick/lease/LeaseTerms.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 /**
  * What all dispatchers of a tier agree on.
--- a/src/main/java/nettlewick/duty/LeaseVoter.java
+++ b/src/main/java/nettlewick/lease/LeaseVoter.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import nettlewick.duty.LeaseMessage.Kind;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Post;
 
 /**
  * A voter's memory of all duties, and what it answers (docs/duties.md). It counts its grants by its own
--- a/src/main/java/nettlewick/duty/MessageCodec.java
+++ b/src/main/java/nettlewick/lease/MessageCodec.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Kind;
 
 /**
  * Messages as bytes, with the voters' list they count under, the sender's life and number, and an HMAC by the
--- a/src/main/java/nettlewick/duty/PersistentVoter.java
+++ b/src/main/java/nettlewick/lease/PersistentVoter.java
@@ -1,12 +1,12 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Post;
 import nettlewick.log.ComponentLogger;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /** A voter, and the folder where it keeps what it promised and accepted, if there is one. */
 final class PersistentVoter {
--- a/src/main/java/nettlewick/duty/VoterStore.java
+++ b/src/main/java/nettlewick/lease/VoterStore.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static java.nio.file.StandardCopyOption.REPLACE_EXISTING;
 
@@ -10,8 +10,8 @@
 import java.sql.SQLException;
 import java.util.Map;
 import java.util.TreeMap;
-import nettlewick.store.Database;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.Database;
+import nettlewick.sqlite.StoreException;
 
 /** What a voter promised and accepted, on a disk that lasts: forced there before its answer leaves. */
 final class VoterStore implements AutoCloseable {
--- a/src/main/java/nettlewick/ledger/Exporter.java
+++ b/src/main/java/nettlewick/ledger/Exporter.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /**
  * Brings this dispatcher's own entries to one target, each exactly once: batches are cut with their cursor,
--- a/src/main/java/nettlewick/ledger/Ledger.java
+++ b/src/main/java/nettlewick/ledger/Ledger.java
@@ -17,7 +17,7 @@
 import nettlewick.core.Request;
 import nettlewick.core.UsageRecorder;
 import nettlewick.log.ComponentLogger;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /**
  * The books of a dispatcher that serves. The core notes an intent, the event loop an end, both by a copy into
--- a/src/main/java/nettlewick/ledger/LedgerAdmin.java
+++ b/src/main/java/nettlewick/ledger/LedgerAdmin.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import nettlewick.core.Clock;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /**
  * What people ask of a ledger, beside a process that serves or without one. Whatever writes does so under a
--- a/src/main/java/nettlewick/ledger/LedgerService.java
+++ b/src/main/java/nettlewick/ledger/LedgerService.java
@@ -15,7 +15,7 @@
 import java.util.random.RandomGenerator;
 import nettlewick.core.Clock;
 import nettlewick.log.ComponentLogger;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /**
  * The ledger of a process that serves, with what goes on beside it: a thread for each export, one that asks
--- a/src/main/java/nettlewick/ledger/PeerFront.java
+++ b/src/main/java/nettlewick/ledger/PeerFront.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import nettlewick.core.Clock;
 import nettlewick.log.ComponentLogger;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /**
  * Where other dispatchers read this one's entries. Admits callers by their network and by a seal; changes
--- a/src/main/java/nettlewick/ledger/Reconciler.java
+++ b/src/main/java/nettlewick/ledger/Reconciler.java
@@ -9,7 +9,7 @@
 import nettlewick.ledger.Plan.What;
 import nettlewick.ledger.Store.Head;
 import nettlewick.ledger.Store.Row;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /** Brings a store up to what one peer holds, each entry checked against the chain before it is taken over. */
 public final class Reconciler {
--- a/src/main/java/nettlewick/ledger/Recovery.java
+++ b/src/main/java/nettlewick/ledger/Recovery.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import nettlewick.ledger.Entry.Kind;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /** Enters what lives that are dead left in their spools: each job once, as answered or as in doubt. */
 final class Recovery {
--- a/src/main/java/nettlewick/ledger/Store.java
+++ b/src/main/java/nettlewick/ledger/Store.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import nettlewick.store.Database;
-import nettlewick.store.Database.Work;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.Database;
+import nettlewick.sqlite.Database.Work;
+import nettlewick.sqlite.StoreException;
 
 /**
  * The entries on a disk: one SQLite file in WAL mode. Several processes may hold it, each with stores of its
--- a/src/main/java/nettlewick/sim/WireCodec.java
+++ b/src/main/java/nettlewick/simulator/WireCodec.java
@@ -1,4 +1,4 @@
-package nettlewick.sim;
+package nettlewick.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/nettlewick/sim/WireHost.java
+++ b/src/main/java/nettlewick/simulator/WireHost.java
@@ -1,4 +1,4 @@
-package nettlewick.sim;
+package nettlewick.simulator;
 
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
--- a/src/main/java/nettlewick/store/Database.java
+++ b/src/main/java/nettlewick/sqlite/Database.java
@@ -1,4 +1,4 @@
-package nettlewick.store;
+package nettlewick.sqlite;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/nettlewick/store/StoreException.java
+++ b/src/main/java/nettlewick/sqlite/StoreException.java
@@ -1,4 +1,4 @@
-package nettlewick.store;
+package nettlewick.sqlite;
 
 /** The store cannot do what was asked, in one line. */
 public final class StoreException extends Exception {
--- a/src/main/java/nettlewick/standins/DiscoveryServer.java
+++ b/src/main/java/nettlewick/stubs/DiscoveryServer.java
@@ -1,4 +1,4 @@
-package nettlewick.standins;
+package nettlewick.stubs;
 
 import com.google.gson.Gson;
 import io.vertx.core.Vertx;
--- a/src/main/java/nettlewick/standins/EndpointModel.java
+++ b/src/main/java/nettlewick/stubs/EndpointModel.java
@@ -1,4 +1,4 @@
-package nettlewick.standins;
+package nettlewick.stubs;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/nettlewick/standins/EndpointServer.java
+++ b/src/main/java/nettlewick/stubs/EndpointServer.java
@@ -1,4 +1,4 @@
-package nettlewick.standins;
+package nettlewick.stubs;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpConnection;
--- a/src/main/java/nettlewick/standins/ProviderModel.java
+++ b/src/main/java/nettlewick/stubs/ProviderModel.java
@@ -1,4 +1,4 @@
-package nettlewick.standins;
+package nettlewick.stubs;
 
 import java.time.Instant;
 import java.time.YearMonth;
--- a/src/main/java/nettlewick/standins/ProviderServer.java
+++ b/src/main/java/nettlewick/stubs/ProviderServer.java
@@ -1,4 +1,4 @@
-package nettlewick.standins;
+package nettlewick.stubs;
 
 import com.google.gson.Gson;
 import com.google.gson.JsonObject;
@@ -22,7 +22,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongSupplier;
-import nettlewick.standins.ProviderModel.Runner;
+import nettlewick.stubs.ProviderModel.Runner;
 
 /** The provider on a socket, by docs/pools.md: slow where it is told so, and with faults. */
 public final class ProviderServer {
--- a/src/main/java/nettlewick/standins/StubPlatform.java
+++ b/src/main/java/nettlewick/stubs/StubPlatform.java
@@ -1,4 +1,4 @@
-package nettlewick.standins;
+package nettlewick.stubs;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
--- a/src/main/java/nettlewick/pools/InstanceCharge.java
+++ b/src/main/java/nettlewick/tenantpools/InstanceCharge.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 /**
  * A runner that the provider runs or ran for a member, by the provider's clock in milliseconds of Unix time.
--- a/src/main/java/nettlewick/pools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/nettlewick/pools/PoolSettings.java
+++ b/src/main/java/nettlewick/tenantpools/PoolSettings.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import java.net.URI;
 import java.time.ZoneId;
--- a/src/main/java/nettlewick/pools/PoolState.java
+++ b/src/main/java/nettlewick/tenantpools/PoolState.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
--- a/src/main/java/nettlewick/pools/PoolsService.java
+++ b/src/main/java/nettlewick/tenantpools/PoolsService.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -16,7 +16,7 @@
 import nettlewick.decision.Dispatcher.AttemptResult;
 import nettlewick.decision.Dispatcher.PoolAssignment;
 import nettlewick.decision.Dispatcher.SchedulerSettings;
-import nettlewick.duty.LeaseTask;
+import nettlewick.lease.LeaseTask;
 import nettlewick.log.ComponentLogger;
 import nettlewick.settings.Block;
 
--- a/src/main/java/nettlewick/pools/Provider.java
+++ b/src/main/java/nettlewick/tenantpools/Provider.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -17,7 +17,7 @@
 import java.time.format.DateTimeFormatter;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import nettlewick.pools.PoolState.Intent;
+import nettlewick.tenantpools.PoolState.Intent;
 
 /** Asks the provider over HTTP (docs/pools.md); each question gets exactly one answer, on any thread. */
 final class Provider implements AutoCloseable {
--- a/src/main/java/nettlewick/pools/ProviderReport.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderReport.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/nettlewick/pools/ScaleOutPolicy.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
@@ -1,10 +1,10 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import java.time.YearMonth;
 import java.time.ZoneId;
 import java.util.List;
-import nettlewick.pools.PoolState.Intent;
-import nettlewick.pools.PoolState.Money;
+import nettlewick.tenantpools.PoolState.Intent;
+import nettlewick.tenantpools.PoolState.Money;
 
 /**
  * How many runners are added for a member, within its means (docs/pools.md): what to store next, or what to
--- a/src/main/java/nettlewick/pools/SpendingCap.java
+++ b/src/main/java/nettlewick/tenantpools/SpendingCap.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import java.time.Instant;
 import java.time.YearMonth;
--- a/src/main/java/nettlewick/pools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import java.util.ArrayDeque;
 import java.util.List;
@@ -14,7 +14,7 @@
 import nettlewick.contention.PoolReservation;
 import nettlewick.contention.UsageReporter;
 import nettlewick.core.Clock;
-import nettlewick.duty.LeaseTask;
+import nettlewick.lease.LeaseTask;
 import nettlewick.log.ComponentLogger;
 
 /**
--- a/src/main/java/nettlewick/waiting/WaitStore.java
+++ b/src/main/java/nettlewick/waiting/WaitStore.java
@@ -7,8 +7,8 @@
 import java.sql.ResultSet;
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.store.Database;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.Database;
+import nettlewick.sqlite.StoreException;
 
 /**
  * Jobs that were accepted to wait, on a disk: accepted before the client is told, released before it is
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -23,13 +23,13 @@
     private static final Set<String> LONG = Set.of(
             "ledger/Store.java",
             "ledger/Ledger.java",
-            "sim/WireCodec.java",
+            "simulator/WireCodec.java",
             "ledger/Spool.java",
             "waiting/Plan.java",
             "core/RequestCoordinator.java",
             "net/ClientConnection.java",
             "ledger/UsageBook.java",
-            "lab/ScenarioRun.java");
+            "fleettest/ScenarioRun.java");
 
     private static final int MOST = 400;
 
--- a/src/test/java/nettlewick/cli/DutyProcessTest.java
+++ b/src/test/java/nettlewick/cli/DutyProcessTest.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import nettlewick.standins.StubPlatform;
+import nettlewick.stubs.StubPlatform;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/nettlewick/cli/LabCommandTest.java
+++ b/src/test/java/nettlewick/cli/LabCommandTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import nettlewick.standins.StubPlatform;
+import nettlewick.stubs.StubPlatform;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/nettlewick/cli/LedgerKillTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillTest.java
@@ -26,7 +26,7 @@
 import nettlewick.ledger.StoreProbe;
 import nettlewick.net.StandIns;
 import nettlewick.settings.Settings;
-import nettlewick.standins.Receiver;
+import nettlewick.stubs.Receiver;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/nettlewick/cli/ListProcessTest.java
+++ b/src/test/java/nettlewick/cli/ListProcessTest.java
@@ -14,7 +14,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.standins.StubPlatform;
+import nettlewick.stubs.StubPlatform;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/nettlewick/lab/AuditTest.java
+++ b/src/test/java/nettlewick/fleettest/AuditTest.java
@@ -1,10 +1,10 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import nettlewick.standins.EndpointModel;
+import nettlewick.stubs.EndpointModel;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/nettlewick/lab/Baselines.java
+++ b/src/test/java/nettlewick/fleettest/Baselines.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import nettlewick.standins.EndpointModel;
+import nettlewick.stubs.EndpointModel;
 
 /**
  * The same arrivals on the same runners in virtual time, with other choices: what the real fleet's figures
--- a/src/test/java/nettlewick/lab/LabProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/LabProcessTest.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/nettlewick/lab/MeasureDuties.java
+++ b/src/test/java/nettlewick/fleettest/MeasureDuties.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 import nettlewick.contention.VirtualTier;
-import nettlewick.duty.VirtualDuties;
+import nettlewick.lease.VirtualDuties;
 
 /**
  * Members' pools by many processes and members, against the program with them off and against a load without the
--- a/src/test/java/nettlewick/lab/MeasureSpread.java
+++ b/src/test/java/nettlewick/fleettest/MeasureSpread.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/nettlewick/lab/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.contention.VirtualTier;
-import nettlewick.duty.HostileDispatcher;
-import nettlewick.standins.ProviderServer;
+import nettlewick.lease.HostileDispatcher;
+import nettlewick.stubs.ProviderServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/nettlewick/lab/RunnerModelTest.java
+++ b/src/test/java/nettlewick/fleettest/RunnerModelTest.java
@@ -1,4 +1,4 @@
-package nettlewick.lab;
+package nettlewick.fleettest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import nettlewick.standins.EndpointModel;
+import nettlewick.stubs.EndpointModel;
 import org.junit.jupiter.api.Test;
 
 class RunnerModelTest {
--- a/src/test/java/nettlewick/duty/DutySearchTest.java
+++ b/src/test/java/nettlewick/lease/DutySearchTest.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import nettlewick.duty.DutyWorld.Bug;
+import nettlewick.lease.DutyWorld.Bug;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/nettlewick/duty/DutyWorld.java
+++ b/src/test/java/nettlewick/lease/DutyWorld.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import nettlewick.duty.LeaseMessage.Kind;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Post;
 
 /** Voters and two candidates with messages in any order, losses, doublings, a crash, pauses and drifting clocks. */
 final class DutyWorld {
--- a/src/test/java/nettlewick/duty/EnvelopeTest.java
+++ b/src/test/java/nettlewick/lease/EnvelopeTest.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,8 +10,8 @@
 
 import java.util.Arrays;
 import java.util.List;
-import nettlewick.duty.LeaseMessage.Kind;
-import nettlewick.duty.MessageCodec.Fault;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.MessageCodec.Fault;
 import org.junit.jupiter.api.Test;
 
 /** What comes over the wire: whole or not at all, once, from those that have the key and the same list. */
--- a/src/test/java/nettlewick/duty/FollowedTest.java
+++ b/src/test/java/nettlewick/lease/FollowedTest.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 
 /** What a dispatcher believes of a duty that others hold. */
--- a/src/test/java/nettlewick/duty/LeaseMessageGoldenTest.java
+++ b/src/test/java/nettlewick/lease/LeaseMessageGoldenTest.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static nettlewick.golden.GoldenFile.hex;
--- a/src/test/java/nettlewick/duty/SeatTest.java
+++ b/src/test/java/nettlewick/lease/SeatTest.java
@@ -1,12 +1,12 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.duty.LeaseMessage.Kind;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Post;
 import org.junit.jupiter.api.Test;
 
 /** A candidate whose questions and answers get lost. */
--- a/src/test/java/nettlewick/duty/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
 
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import nettlewick.duty.LeaseMessage.Kind;
 import nettlewick.golden.Fixture;
+import nettlewick.lease.LeaseMessage.Kind;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/nettlewick/duty/VirtualDuties.java
+++ b/src/test/java/nettlewick/lease/VirtualDuties.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import nettlewick.duty.LeaseMessage.Kind;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Post;
 
 /** The pure machines of a tier in virtual time: what its duties' datagrams come to, and what losses cost. */
 public final class VirtualDuties {
--- a/src/test/java/nettlewick/duty/VoterStoreTest.java
+++ b/src/test/java/nettlewick/lease/VoterStoreTest.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import nettlewick.duty.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/nettlewick/duty/VoterTest.java
+++ b/src/test/java/nettlewick/lease/VoterTest.java
@@ -1,4 +1,4 @@
-package nettlewick.duty;
+package nettlewick.lease;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import nettlewick.duty.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Post;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -1,6 +1,6 @@
 package nettlewick.ledger;
 
-import static nettlewick.standins.StubPlatform.until;
+import static nettlewick.stubs.StubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -24,7 +24,7 @@
 import nettlewick.core.UsageRecorder;
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/ServedTest.java
@@ -1,7 +1,7 @@
 package nettlewick.ledger;
 
 import static nettlewick.net.StandIns.job;
-import static nettlewick.standins.StubPlatform.until;
+import static nettlewick.stubs.StubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/nettlewick/ledger/StoreProbe.java
+++ b/src/test/java/nettlewick/ledger/StoreProbe.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 import nettlewick.core.UsageRecorder.Ending;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 
 /** Looks into a store, and fills one, for tests of other packages. */
 public final class StoreProbe {
--- a/src/test/java/nettlewick/ledger/StoreTest.java
+++ b/src/test/java/nettlewick/ledger/StoreTest.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/nettlewick/net/StandIns.java
+++ b/src/test/java/nettlewick/net/StandIns.java
@@ -9,7 +9,7 @@
 import nettlewick.core.UsageRecorder;
 
 /** The stand-ins with a dispatcher among them. */
-public final class StandIns extends nettlewick.standins.StubPlatform {
+public final class StandIns extends nettlewick.stubs.StubPlatform {
     private DispatcherServer node;
     /** What keeps the books of the next dispatcher. */
     public UsageRecorder books = UsageRecorder.NONE;
--- a/src/test/java/nettlewick/sim/SimulatorWireGoldenTest.java
+++ b/src/test/java/nettlewick/simulator/SimulatorWireGoldenTest.java
@@ -1,4 +1,4 @@
-package nettlewick.sim;
+package nettlewick.simulator;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/nettlewick/sim/WireTest.java
+++ b/src/test/java/nettlewick/simulator/WireTest.java
@@ -1,4 +1,4 @@
-package nettlewick.sim;
+package nettlewick.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/nettlewick/pools/GrowthTest.java
+++ b/src/test/java/nettlewick/tenantpools/GrowthTest.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
-import nettlewick.pools.PoolState.Money;
+import nettlewick.tenantpools.PoolState.Money;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/nettlewick/pools/GrowthWorld.java
+++ b/src/test/java/nettlewick/tenantpools/GrowthWorld.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import java.time.Instant;
 import java.time.ZoneOffset;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import nettlewick.pools.PoolState.Intent;
-import nettlewick.pools.PoolState.Money;
-import nettlewick.standins.ProviderModel;
+import nettlewick.stubs.ProviderModel;
+import nettlewick.tenantpools.PoolState.Intent;
+import nettlewick.tenantpools.PoolState.Money;
 
 /**
  * Holders of one member's duty, one after the other, and a provider: messages are lost, doubled and late, a
--- a/src/test/java/nettlewick/pools/PoolStateGoldenTest.java
+++ b/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
@@ -1,4 +1,4 @@
-package nettlewick.pools;
+package nettlewick.tenantpools;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/nettlewick/waiting/AfterlifeTest.java
+++ b/src/test/java/nettlewick/waiting/AfterlifeTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import nettlewick.decision.Dispatcher.Idempotency;
-import nettlewick.store.StoreException;
+import nettlewick.sqlite.StoreException;
 import nettlewick.waiting.Afterlife.State;
 import nettlewick.waiting.Afterlife.What;
 import org.junit.jupiter.api.Test;
