--- a/src/main/java/nettlewick/contention/UsageCounters.java
+++ b/src/main/java/nettlewick/contention/UsageCounters.java
@@ -11,8 +11,8 @@
 import nettlewick.core.Attempt;
 import nettlewick.core.Request;
 import nettlewick.core.RequestListener;
-import nettlewick.decision.Dispatcher.AttemptResult;
-import nettlewick.decision.Dispatcher.RequestClass;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /** What this dispatcher sees of its members' work, counted since its life began. Any thread. */
 public final class UsageCounters implements RequestListener {
--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -1,8 +1,8 @@
 package nettlewick.core;
 
 import java.util.function.BooleanSupplier;
-import nettlewick.decision.Dispatcher.AttemptResult;
-import nettlewick.decision.Dispatcher.EndpointLoad;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.EndpointLoad;
 
 /** One sending of a request to one worker. */
 public final class Attempt extends OutboundCall {
--- a/src/main/java/nettlewick/core/CoreLoop.java
+++ b/src/main/java/nettlewick/core/CoreLoop.java
@@ -10,8 +10,13 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import nettlewick.decision.Action;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Dispatcher.EndpointCounts;
+import nettlewick.decision.Dispatcher.PeerMessageFaults;
+import nettlewick.decision.Event;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.RequestClass;
 import nettlewick.log.ComponentLogger;
 
 /** The core's one thread: its queue, its timers, and the rounds in which the module decides. */
--- a/src/main/java/nettlewick/core/EndpointStates.java
+++ b/src/main/java/nettlewick/core/EndpointStates.java
@@ -4,9 +4,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import nettlewick.decision.Dispatcher.EndpointEntry;
-import nettlewick.decision.Dispatcher.EndpointList;
-import nettlewick.decision.Dispatcher.EndpointState;
+import nettlewick.decision.EndpointEntry;
+import nettlewick.decision.EndpointState;
+import nettlewick.decision.Event.EndpointList;
 
 /** Which workers discovery has named, and which of them take jobs now. */
 final class EndpointStates {
--- a/src/main/java/nettlewick/core/EndpointUpdate.java
+++ b/src/main/java/nettlewick/core/EndpointUpdate.java
@@ -1,7 +1,7 @@
 package nettlewick.core;
 
 import java.util.List;
-import nettlewick.decision.Dispatcher.EndpointState;
+import nettlewick.decision.EndpointState;
 
 /** News of the workers: the whole list, which replaces the former one, or the entries that changed. */
 public record EndpointUpdate(boolean whole, List<Entry> entries) {
--- a/src/main/java/nettlewick/core/InFlightRequest.java
+++ b/src/main/java/nettlewick/core/InFlightRequest.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.decision.Dispatcher.Idempotency;
-import nettlewick.decision.Dispatcher.RequestClass;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /** A request until its final answer and its last outcome. */
 final class InFlightRequest {
--- a/src/main/java/nettlewick/core/RequestCoordinator.java
+++ b/src/main/java/nettlewick/core/RequestCoordinator.java
@@ -6,8 +6,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import nettlewick.decision.Action;
+import nettlewick.decision.Action.Cancel;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Action.SetTimer;
+import nettlewick.decision.AttemptResult;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Event.Abandoned;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointAdminChange;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.PeerMessageReceived;
+import nettlewick.decision.Event.PoolsAssigned;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.PoolAssignment;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /**
  * Joins requests, attempts and outcomes to the decision module, and keeps the books that the rules ask for:
@@ -378,7 +398,7 @@
             if (o != null && c.attempt() >= 0 && c.attempt() < o.attempts.size()) {
                 giveUp(o.attempts.get(c.attempt()), AttemptResult.CANCELLED);
             }
-        } else if (action instanceof Dispatcher.Probe p) {
+        } else if (action instanceof Action.Probe p) {
             Probe probe = new Probe(p.endpoint(), now);
             after(now + PROBE_PATIENCE, () -> {
                 answered(probe, Attempt.Outcome.of(AttemptResult.TIMEOUT), now);
--- a/src/main/java/nettlewick/core/RequestListener.java
+++ b/src/main/java/nettlewick/core/RequestListener.java
@@ -1,7 +1,7 @@
 package nettlewick.core;
 
 import java.util.Map;
-import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.AttemptResult;
 
 /** Sees what becomes of jobs and attempts. Called on the core's thread: must not block, throws nothing. */
 public interface RequestListener {
--- a/src/main/java/nettlewick/core/UsageAccounting.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings;
 
 /** How the end of a job comes into the books before its answer goes. */
 abstract class UsageAccounting extends CoreLoop {
--- a/src/main/java/nettlewick/decision/Allowance.java
+++ b/src/main/java/nettlewick/decision/Allowance.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import nettlewick.decision.SchedulerSettings.Tenant;
 import nettlewick.decision.State.*;
 
 /** The allowance: the slice that a dispatcher owns, when it binds, and how tenants are dealt credit of it. */
--- a/src/main/java/nettlewick/decision/Choice.java
+++ b/src/main/java/nettlewick/decision/Choice.java
@@ -1,6 +1,9 @@
 package nettlewick.decision;
 
 import java.util.List;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Scope;
 import nettlewick.decision.State.*;
 
 /** Which worker a job goes to, whether it may go at all once more, and whether it would be too late there. */
--- a/src/main/java/nettlewick/decision/DedicatedEndpoints.java
+++ b/src/main/java/nettlewick/decision/DedicatedEndpoints.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.decision.Dispatcher.PoolAssignment;
 import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.Pool;
 
--- a/src/main/java/nettlewick/decision/EndpointRegistry.java
+++ b/src/main/java/nettlewick/decision/EndpointRegistry.java
@@ -8,11 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import nettlewick.decision.Dispatcher.EndpointAdminChange;
 import nettlewick.decision.Dispatcher.EndpointCounts;
-import nettlewick.decision.Dispatcher.EndpointEntry;
-import nettlewick.decision.Dispatcher.EndpointList;
-import nettlewick.decision.Dispatcher.EndpointState;
+import nettlewick.decision.Event.EndpointAdminChange;
+import nettlewick.decision.Event.EndpointList;
 
 /** The list of workers as it was told, and what operators make of it: a banned worker counts as draining. */
 final class EndpointRegistry {
--- a/src/main/java/nettlewick/decision/Exchange.java
+++ b/src/main/java/nettlewick/decision/Exchange.java
@@ -2,6 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import nettlewick.decision.Action.SendToPeer;
 import nettlewick.decision.PeerMessage.What;
 import nettlewick.decision.State.Peer;
 
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -2,8 +2,7 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-import nettlewick.decision.Dispatcher.AttemptResult;
-import nettlewick.decision.Dispatcher.Idempotency;
+import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.State.Attempt;
 import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.Mean;
--- a/src/main/java/nettlewick/decision/Pools.java
+++ b/src/main/java/nettlewick/decision/Pools.java
@@ -5,6 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.ProbeAnswer;
 import nettlewick.decision.State.*;
 
 /** Which workers a dispatcher knows, watches and asks, and what it believes of their room. */
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -4,6 +4,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import nettlewick.decision.Action.Cancel;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Action.SetTimer;
+import nettlewick.decision.Action.Subscribe;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.Event.StreamStarted;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Scope;
 import nettlewick.decision.State.*;
 
 /**
--- a/src/main/java/nettlewick/decision/SlowStartBudget.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-import nettlewick.decision.Dispatcher.Rules;
+import nettlewick.decision.SchedulerSettings.Rules;
 import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.Pool;
 
--- a/src/main/java/nettlewick/decision/State.java
+++ b/src/main/java/nettlewick/decision/State.java
@@ -7,6 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /** What the decision module remembers. Plain data: decisions on it stand in {@link RequestScheduler}. */
 final class State {
@@ -18,7 +20,7 @@
     /** A worker as this dispatcher knows it. */
     static final class Endpoint {
         final String id;
-        Dispatcher.EndpointEntry entry;
+        EndpointEntry entry;
         int kind;
         boolean ready;
         boolean near;
@@ -75,7 +77,7 @@
         }
 
         /** Takes a report over in slots, whichever values this site's reports hold. */
-        void report(Dispatcher.EndpointLoad load, long now, Pool kind, Needs most) {
+        void report(EndpointLoad load, long now, Pool kind, Needs most) {
             answeredAt = now;
             memory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
             double held = Double.isNaN(load.inHand()) ? 0 : load.inHand();
@@ -128,7 +130,7 @@
         double slots = 1;
         double memory;
 
-        void add(Dispatcher.Arrival a) {
+        void add(Arrival a) {
             slots = Math.max(slots, a.slots());
             memory = Math.max(memory, a.memory());
         }
@@ -164,8 +166,8 @@
 
     /** A client's request until its final answer and its last outcome. */
     static final class ScheduledRequest {
-        final Dispatcher.Arrival arrival;
-        final Dispatcher.RequestClass kind;
+        final Arrival arrival;
+        final RequestClass kind;
         final int index;
         final TenantCredit tenure;
         final long arrivedAt;
@@ -175,8 +177,7 @@
         boolean streaming;
         final List<Attempt> attempts = new ArrayList<>(2);
 
-        ScheduledRequest(
-                Dispatcher.Arrival arrival, Dispatcher.RequestClass kind, int index, TenantCredit tenure, long now) {
+        ScheduledRequest(Arrival arrival, RequestClass kind, int index, TenantCredit tenure, long now) {
             this.arrival = arrival;
             this.kind = kind;
             this.index = index;
--- a/src/main/java/nettlewick/net/AttemptExchange.java
+++ b/src/main/java/nettlewick/net/AttemptExchange.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import nettlewick.core.Attempt;
 import nettlewick.core.Request;
-import nettlewick.decision.Dispatcher.AttemptResult;
-import nettlewick.decision.Dispatcher.EndpointLoad;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.EndpointLoad;
 
 /** One attempt of an RPC at a sim runner; the answer tells of it line by line. */
 final class AttemptExchange extends OutboundRequest {
--- a/src/main/java/nettlewick/net/AttemptState.java
+++ b/src/main/java/nettlewick/net/AttemptState.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.AttemptResult;
 
 /**
  * What is known of one call attempt from its place on a connection: whether it may have run, and its one end.
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -16,7 +16,7 @@
 import nettlewick.core.RequestCoordinator;
 import nettlewick.core.RequestListener;
 import nettlewick.core.UsageRecorder;
-import nettlewick.decision.Dispatcher.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings;
 import nettlewick.log.ComponentLogger;
 
 /** One real dispatcher: puts core, subchannels, resolver watch, peers and the platform's front together. */
--- a/src/main/java/nettlewick/net/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/EndpointConnections.java
@@ -3,8 +3,8 @@
 import io.vertx.core.http.HttpClientConnection;
 import io.vertx.core.http.HttpConnectOptions;
 import io.vertx.core.net.SocketAddress;
-import nettlewick.decision.Dispatcher.AttemptResult;
-import nettlewick.decision.Dispatcher.EndpointState;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.EndpointState;
 
 /**
  * A sim runner and this dispatcher's connections to it. Connecting and sending are apart, so that a call that
--- a/src/main/java/nettlewick/net/EndpointListSnapshot.java
+++ b/src/main/java/nettlewick/net/EndpointListSnapshot.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.core.EndpointUpdate;
-import nettlewick.decision.Dispatcher.EndpointState;
+import nettlewick.decision.EndpointState;
 
 /**
  * What discovery told: a version of the list of sim runners, whole or only what changed. {@code faults} says
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Future;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import nettlewick.decision.Dispatcher.RequestClass;
-import nettlewick.decision.Dispatcher.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.RequestClass;
 import nettlewick.log.ComponentLogger;
 
 /**
--- a/src/main/java/nettlewick/net/LoadProbe.java
+++ b/src/main/java/nettlewick/net/LoadProbe.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import nettlewick.core.Attempt;
 import nettlewick.core.Probe;
-import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.AttemptResult;
 
 /** A question to a sim runner for its load. */
 final class LoadProbe extends OutboundRequest {
--- a/src/main/java/nettlewick/net/LoadReport.java
+++ b/src/main/java/nettlewick/net/LoadReport.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import nettlewick.decision.Dispatcher.EndpointLoad;
+import nettlewick.decision.EndpointLoad;
 
 /** Load reports as sim runners write them: {@code name=value,name=value}, or the same as a JSON object. */
 final class LoadReport {
--- a/src/main/java/nettlewick/net/OutboundRequest.java
+++ b/src/main/java/nettlewick/net/OutboundRequest.java
@@ -5,8 +5,8 @@
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.RequestOptions;
 import nettlewick.core.Attempt;
-import nettlewick.decision.Dispatcher.AttemptResult;
-import nettlewick.decision.Dispatcher.EndpointLoad;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.EndpointLoad;
 
 /** One request to a sim runner and what comes back: a call attempt or a probe. Lives on the event loop. */
 abstract class OutboundRequest {
--- a/src/main/java/nettlewick/net/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/PlatformConfig.java
@@ -13,7 +13,14 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Limits;
+import nettlewick.decision.SchedulerSettings.LoadReporting;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Rules;
+import nettlewick.decision.SchedulerSettings.Scope;
+import nettlewick.decision.SchedulerSettings.Tenant;
 
 /** What the platform tells a dispatcher: {@code $ROUTER_CONFIG}, with the other variables over it. */
 public record PlatformConfig(
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -9,8 +9,23 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import nettlewick.decision.Action;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.SetTimer;
+import nettlewick.decision.AttemptResult;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.EndpointEntry;
+import nettlewick.decision.EndpointLoad;
+import nettlewick.decision.EndpointState;
+import nettlewick.decision.Event;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /**
  * Runs the ways that a request takes before the first one comes, so that none pays for loading and compiling
@@ -64,7 +79,7 @@
             for (Action action : actions) {
                 if (action instanceof Dispatch d) {
                     next.add(new Outcome(d.id(), 0, d.endpoint(), AttemptResult.SERVED, STEP, true, null));
-                } else if (action instanceof Dispatcher.Probe p) {
+                } else if (action instanceof Probe p) {
                     next.add(
                             new ProbeAnswer(p.endpoint(), AttemptResult.SERVED, STEP, new EndpointLoad(4, 4, 0, 0, 0)));
                 } else if (action instanceof SetTimer t && job % 20 == 0) {
--- a/src/main/java/nettlewick/net/WatchStalenessTimer.java
+++ b/src/main/java/nettlewick/net/WatchStalenessTimer.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import java.util.SplittableRandom;
-import nettlewick.decision.Dispatcher.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings;
 
 /**
  * The one clock for the list of runners (docs/service.md): when a watch on discovery counts as broken, and
--- a/src/main/java/nettlewick/simulator/WireCodec.java
+++ b/src/main/java/nettlewick/simulator/WireCodec.java
@@ -11,7 +11,37 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import nettlewick.decision.Action;
+import nettlewick.decision.Action.Cancel;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Action.SetTimer;
+import nettlewick.decision.AttemptResult;
 import nettlewick.decision.Dispatcher;
+import nettlewick.decision.EndpointEntry;
+import nettlewick.decision.EndpointLoad;
+import nettlewick.decision.EndpointState;
+import nettlewick.decision.Event.Abandoned;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.EndpointListFailed;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.PeerMessageReceived;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.Event.StreamStarted;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Limits;
+import nettlewick.decision.SchedulerSettings.LoadReporting;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Rules;
+import nettlewick.decision.SchedulerSettings.Scope;
+import nettlewick.decision.SchedulerSettings.Tenant;
 
 /** The bench's JSON wire to the types of {@link Dispatcher} and back. Decides nothing. */
 public final class WireCodec {
@@ -25,7 +55,7 @@
     }
 
     /** A new instance of the module begins. */
-    record Start(Dispatcher.SchedulerSettings settings, long seed) {}
+    record Start(SchedulerSettings settings, long seed) {}
 
     /** The instance dies. */
     record Kill() {}
@@ -39,7 +69,7 @@
     private static final double NANOS = 1e9;
 
     private final JsonFactory json = new JsonFactory();
-    private final Map<Long, List<Dispatcher.EndpointEntry>> ledgers = new HashMap<>();
+    private final Map<Long, List<EndpointEntry>> ledgers = new HashMap<>();
 
     /** Reads one batch. */
     Batch read(String line) {
@@ -118,16 +148,16 @@
             case "ROSTER_CHANGE":
                 long scope = f.whole("scope");
                 if (scope == 3) {
-                    return new Dispatcher.EndpointListFailed();
+                    return new EndpointListFailed();
                 }
-                List<Dispatcher.EndpointEntry> entries = ledgers.get(f.whole("slot"));
+                List<EndpointEntry> entries = ledgers.get(f.whole("slot"));
                 if (entries == null || scope < 0 || scope > 3) {
                     throw new MalformedMessageException(
                             "ROSTER_CHANGE of scope " + scope + " names no known slot or scope");
                 }
-                return new Dispatcher.EndpointList(scope != 0, entries);
+                return new EndpointList(scope != 0, entries);
             case "ARRIVAL":
-                return new Dispatcher.Arrival(
+                return new Arrival(
                         f.text("txn"),
                         f.text("class"),
                         f.textOr("owner"),
@@ -138,15 +168,15 @@
                         f.textOr("name_key"),
                         f.flag("repeat"));
             case "MEMO":
-                return new Dispatcher.PeerMessageReceived((int) f.whole("who"), bytes(f.text("data")));
+                return new PeerMessageReceived((int) f.whole("who"), bytes(f.text("data")));
             case "VANISHED":
-                return new Dispatcher.Abandoned(f.text("txn"));
+                return new Abandoned(f.text("txn"));
             case "ACCEPTED":
-                return new Dispatcher.StreamStarted(f.text("txn"), (int) f.whole("seq_no"));
+                return new StreamStarted(f.text("txn"), (int) f.whole("seq_no"));
             case "KILL":
                 return new Kill();
             case "REPLY":
-                return new Dispatcher.Outcome(
+                return new Outcome(
                         f.text("txn"),
                         (int) f.whole("seq_no"),
                         f.text("worker"),
@@ -155,39 +185,37 @@
                         f.flag("settled"),
                         load(f));
             case "INTERIM":
-                return new Dispatcher.Progress(
-                        f.text("txn"), (int) f.whole("seq_no"), f.text("worker"), f.numberOr("amount", 0));
+                return new Progress(f.text("txn"), (int) f.whole("seq_no"), f.text("worker"), f.numberOr("amount", 0));
             case "REMINDER":
-                return new Dispatcher.Timer(f.text("mark"));
+                return new Timer(f.text("mark"));
             case "HEALTH":
-                return new Dispatcher.ProbeAnswer(
-                        f.text("worker"), result(f.text("disposition")), f.whole("latency"), load(f));
+                return new ProbeAnswer(f.text("worker"), result(f.text("disposition")), f.whole("latency"), load(f));
             default:
                 throw new MalformedMessageException("unknown event type " + type);
         }
     }
 
-    private static Dispatcher.AttemptResult result(String code) {
+    private static AttemptResult result(String code) {
         return switch (code) {
-            case "completed" -> Dispatcher.AttemptResult.SERVED;
-            case "errored" -> Dispatcher.AttemptResult.ERROR;
-            case "saturated" -> Dispatcher.AttemptResult.OVERLOADED;
-            case "overdue" -> Dispatcher.AttemptResult.TIMEOUT;
-            case "refused_conn" -> Dispatcher.AttemptResult.UNREACHABLE;
-            case "severed" -> Dispatcher.AttemptResult.BROKEN;
-            case "recalled" -> Dispatcher.AttemptResult.CANCELLED;
-            case "superseded" -> Dispatcher.AttemptResult.NOT_SENT;
+            case "completed" -> AttemptResult.SERVED;
+            case "errored" -> AttemptResult.ERROR;
+            case "saturated" -> AttemptResult.OVERLOADED;
+            case "overdue" -> AttemptResult.TIMEOUT;
+            case "refused_conn" -> AttemptResult.UNREACHABLE;
+            case "severed" -> AttemptResult.BROKEN;
+            case "recalled" -> AttemptResult.CANCELLED;
+            case "superseded" -> AttemptResult.NOT_SENT;
             default -> throw new MalformedMessageException("unknown disposition " + code);
         };
     }
 
-    private static Dispatcher.EndpointLoad load(Fields f) {
+    private static EndpointLoad load(Fields f) {
         Fields report = f.partOr("telemetry");
         if (report == null) {
             return null;
         }
         double nan = Double.NaN;
-        return new Dispatcher.EndpointLoad(
+        return new EndpointLoad(
                 report.numberOr("x0", nan),
                 report.numberOr("x1", nan),
                 report.numberOr("depth", nan),
@@ -195,8 +223,8 @@
                 report.numberOr("load_share", nan));
     }
 
-    private static List<Dispatcher.EndpointEntry> entries(List<?> elements) {
-        List<Dispatcher.EndpointEntry> entries = new ArrayList<>(elements.size());
+    private static List<EndpointEntry> entries(List<?> elements) {
+        List<EndpointEntry> entries = new ArrayList<>(elements.size());
         for (Object element : elements) {
             Fields f = new Fields(map(element));
             f.where = "list entry";
@@ -204,11 +232,9 @@
             if (life != 0 && life != 2 && life != 3) {
                 throw new MalformedMessageException("unknown lifecycle " + life);
             }
-            entries.add(new Dispatcher.EndpointEntry(
+            entries.add(new EndpointEntry(
                     f.text("worker"),
-                    life == 0
-                            ? Dispatcher.EndpointState.READY
-                            : life == 3 ? Dispatcher.EndpointState.DRAINING : Dispatcher.EndpointState.GONE,
+                    life == 0 ? EndpointState.READY : life == 3 ? EndpointState.DRAINING : EndpointState.GONE,
                     (long) f.numberOr("started_at", 0),
                     (int) f.numberOr("cohort", 0),
                     f.textOr("generation_hw"),
@@ -218,18 +244,18 @@
         return entries;
     }
 
-    private static Dispatcher.SchedulerSettings settings(Fields f) {
+    private static SchedulerSettings settings(Fields f) {
         f.where = "setup";
         Fields family = f.partOr("family_info");
         List<?> kinds = family == null ? List.of() : family.listOr("class_kind");
         List<?> stretches = family == null ? List.of() : family.listOr("class_stretch");
         List<?> priorities = family == null ? List.of() : family.listOr("class_priority");
-        List<Dispatcher.RequestClass> classes = new ArrayList<>();
+        List<RequestClass> classes = new ArrayList<>();
         for (Object element : f.list("classes")) {
             Fields c = new Fields(map(element));
             c.where = "setup.classes";
             int at = classes.size();
-            classes.add(new Dispatcher.RequestClass(
+            classes.add(new RequestClass(
                     c.text("name"),
                     repeat(c.text("repeat")),
                     scope(c.textOr("dedup_scope")),
@@ -243,10 +269,10 @@
                     at < kinds.size() ? (int) number(kinds.get(at)) : -1,
                     at < priorities.size() ? (int) number(priorities.get(at)) : 0));
         }
-        List<Dispatcher.Tenant> tenants = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
         for (Object element : f.listOr("tenants")) {
             Fields t = new Fields(map(element));
-            tenants.add(new Dispatcher.Tenant(t.text("name"), t.numberOr("fraction", 0), t.numberOr("quota_per_s", 0)));
+            tenants.add(new Tenant(t.text("name"), t.numberOr("fraction", 0), t.numberOr("quota_per_s", 0)));
         }
         List<String> models = new ArrayList<>();
         f.listOr("models").forEach(model -> models.add(String.valueOf(model)));
@@ -255,7 +281,7 @@
         Fields report = f.partOr("report");
         String source = report == null ? "off" : report.textOr("source");
         String weights = f.textOr("weights");
-        return new Dispatcher.SchedulerSettings(
+        return new SchedulerSettings(
                 (int) f.whole("rank"),
                 (int) f.whole("fleet_size"),
                 f.textOr("zone"),
@@ -265,10 +291,10 @@
                 "on_request".equals(f.textOr("membership_mode")),
                 "nominal".equals(weights) || "rough".equals(weights),
                 "inline".equals(source)
-                        ? Dispatcher.LoadReporting.INLINE
-                        : "on_probe".equals(source) ? Dispatcher.LoadReporting.ON_PROBE : Dispatcher.LoadReporting.OFF,
+                        ? LoadReporting.INLINE
+                        : "on_probe".equals(source) ? LoadReporting.ON_PROBE : LoadReporting.OFF,
                 family == null ? 0 : (long) family.numberOr("progress", 0),
-                new Dispatcher.Limits(
+                new Limits(
                         (int) limits.whole("attempts_cap"),
                         limits.flag("cancel"),
                         limits.flag("peers"),
@@ -276,7 +302,7 @@
                         limits.flag("retry_after"),
                         limits.flag("second_copies"),
                         (long) limits.numberOr("max_retry_after", 0)),
-                new Dispatcher.Rules(
+                new Rules(
                         (long) rules.numberOr("answer_slack", 0),
                         (long) rules.numberOr("ask_within", NANOS),
                         (long) rules.numberOr("cold", 0),
@@ -286,19 +312,17 @@
                         rules.numberOr("overload_factor", 1)));
     }
 
-    private static Dispatcher.Idempotency repeat(String word) {
+    private static Idempotency repeat(String word) {
         return switch (word) {
-            case "retryable" -> Dispatcher.Idempotency.IDEMPOTENT;
-            case "dedup" -> Dispatcher.Idempotency.KEYED;
-            case "fragile" -> Dispatcher.Idempotency.NON_IDEMPOTENT;
+            case "retryable" -> Idempotency.IDEMPOTENT;
+            case "dedup" -> Idempotency.KEYED;
+            case "fragile" -> Idempotency.NON_IDEMPOTENT;
             default -> throw new MalformedMessageException("setup.classes has an unknown repeat " + word);
         };
     }
 
-    private static Dispatcher.Scope scope(String word) {
-        return "zone".equals(word)
-                ? Dispatcher.Scope.ZONE
-                : "cell".equals(word) ? Dispatcher.Scope.CELL : Dispatcher.Scope.ALL;
+    private static Scope scope(String word) {
+        return "zone".equals(word) ? Scope.ZONE : "cell".equals(word) ? Scope.CELL : Scope.ALL;
     }
 
     /** Starts a reply on {@code out}. */
@@ -346,31 +370,31 @@
             out.writeStringField("type", type);
         }
 
-        void write(Dispatcher.Action action) throws IOException {
-            if (action instanceof Dispatcher.Dispatch a) {
+        void write(Action action) throws IOException {
+            if (action instanceof Dispatch a) {
                 type("RELAY");
                 out.writeStringField("txn", a.id());
                 out.writeStringField("worker", a.endpoint());
                 optional("patience", a.timeout());
-            } else if (action instanceof Dispatcher.Reject a) {
+            } else if (action instanceof Reject a) {
                 type("OVERLOAD_REPLY");
                 out.writeStringField("txn", a.id());
                 optional("backoff", a.retryAfter());
-            } else if (action instanceof Dispatcher.Fail a) {
+            } else if (action instanceof Fail a) {
                 type("DROP_REQUEST");
                 out.writeStringField("txn", a.id());
-            } else if (action instanceof Dispatcher.Cancel a) {
+            } else if (action instanceof Cancel a) {
                 type("UNDO_SEND");
                 out.writeStringField("txn", a.id());
                 out.writeNumberField("seq_no", a.attempt());
-            } else if (action instanceof Dispatcher.Probe a) {
+            } else if (action instanceof Probe a) {
                 type("PING");
                 out.writeStringField("worker", a.endpoint());
-            } else if (action instanceof Dispatcher.SendToPeer a) {
+            } else if (action instanceof SendToPeer a) {
                 type("BROADCAST_TO");
                 out.writeNumberField("neighbour_id", a.rank());
                 out.writeStringField("data", Base64.getEncoder().encodeToString(a.data()));
-            } else if (action instanceof Dispatcher.SetTimer a) {
+            } else if (action instanceof SetTimer a) {
                 type("REMIND");
                 out.writeNumberField("wait", a.delay());
                 out.writeStringField("mark", a.name());
--- a/src/main/java/nettlewick/simulator/WireHost.java
+++ b/src/main/java/nettlewick/simulator/WireHost.java
@@ -13,20 +13,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiFunction;
+import nettlewick.decision.Action;
 import nettlewick.decision.Dispatcher;
+import nettlewick.decision.Event;
+import nettlewick.decision.SchedulerSettings;
 
 /** Hosts many instances of the decision module in one process and joins them to the wire. Decides nothing. */
 public final class WireHost {
     private final Map<Integer, Dispatcher> instances = new HashMap<>();
     private final WireCodec codec = new WireCodec();
-    private final BiFunction<Dispatcher.SchedulerSettings, Long, Dispatcher> module;
+    private final BiFunction<SchedulerSettings, Long, Dispatcher> module;
 
     public WireHost() {
         this(Dispatcher::create);
     }
 
     /** Hosts instances of another module. */
-    WireHost(BiFunction<Dispatcher.SchedulerSettings, Long, Dispatcher> module) {
+    WireHost(BiFunction<SchedulerSettings, Long, Dispatcher> module) {
         this.module = module;
     }
 
@@ -56,9 +59,9 @@
     }
 
     private void handle(WireCodec.Group group, long now, WireCodec.Reply reply) throws IOException {
-        List<Dispatcher.Event> events = new ArrayList<>(group.items().size());
+        List<Event> events = new ArrayList<>(group.items().size());
         for (Object item : group.items()) {
-            if (item instanceof Dispatcher.Event event) {
+            if (item instanceof Event event) {
                 events.add(event);
                 continue;
             }
@@ -72,11 +75,10 @@
         deliver(group.instance(), now, events, reply);
     }
 
-    private void deliver(int instance, long now, List<Dispatcher.Event> events, WireCodec.Reply reply)
-            throws IOException {
+    private void deliver(int instance, long now, List<Event> events, WireCodec.Reply reply) throws IOException {
         Dispatcher dispatcher = instances.get(instance);
         if (!events.isEmpty() && dispatcher != null) {
-            for (Dispatcher.Action action : dispatcher.handle(now, events)) {
+            for (Action action : dispatcher.handle(now, events)) {
                 reply.write(action);
             }
         }
--- a/src/main/java/nettlewick/tenantpools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -12,8 +12,8 @@
 import nettlewick.contention.PoolReservation;
 import nettlewick.core.EndpointUpdate;
 import nettlewick.core.RequestListener;
-import nettlewick.decision.Dispatcher.EndpointState;
-import nettlewick.decision.Dispatcher.PoolAssignment;
+import nettlewick.decision.EndpointState;
+import nettlewick.decision.PoolAssignment;
 
 /**
  * What this dispatcher knows of all members' pools, and what that says to its module. Belongs to the duties'
--- a/src/main/java/nettlewick/tenantpools/PoolSettings.java
+++ b/src/main/java/nettlewick/tenantpools/PoolSettings.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.contention.PoolMigration;
-import nettlewick.decision.Dispatcher.Tenant;
+import nettlewick.decision.SchedulerSettings.Tenant;
 import nettlewick.settings.Block;
 
 /**
--- a/src/main/java/nettlewick/waiting/Afterlife.java
+++ b/src/main/java/nettlewick/waiting/Afterlife.java
@@ -1,6 +1,6 @@
 package nettlewick.waiting;
 
-import nettlewick.decision.Dispatcher.Idempotency;
+import nettlewick.decision.SchedulerSettings.Idempotency;
 
 /** What becomes of a job that was accepted by a process that has died. Does no I/O and reads no clock. */
 public final class Afterlife {
--- a/src/test/java/nettlewick/ArchitectureTest.java
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -37,7 +37,15 @@
     /** Files of the decision module that hold messages, records or collections and decide nothing. */
     private static final Set<String> DECIDES_NOTHING = Set.of(
             "SlowStartBudget.java",
+            "Action.java",
+            "AttemptResult.java",
             "Dispatcher.java",
+            "EndpointEntry.java",
+            "EndpointLoad.java",
+            "EndpointState.java",
+            "Event.java",
+            "PoolAssignment.java",
+            "SchedulerSettings.java",
             "EventLoop.java",
             "HashRing.java",
             "PeerFaultCounters.java",
--- a/src/test/java/nettlewick/contention/SpeakerTest.java
+++ b/src/test/java/nettlewick/contention/SpeakerTest.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import nettlewick.core.Attempts;
 import nettlewick.core.Request;
-import nettlewick.decision.Dispatcher.AttemptResult;
-import nettlewick.decision.Dispatcher.Idempotency;
-import nettlewick.decision.Dispatcher.RequestClass;
-import nettlewick.decision.Dispatcher.Scope;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.Test;
 
 /** When a dispatcher speaks of a member. */
--- a/src/test/java/nettlewick/core/CoreEndsTest.java
+++ b/src/test/java/nettlewick/core/CoreEndsTest.java
@@ -5,8 +5,13 @@
 
 import java.util.List;
 import nettlewick.core.Attempt.Outcome;
-import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.Event;
+import nettlewick.decision.Event.Abandoned;
+import nettlewick.decision.Event.Arrival;
 import org.junit.jupiter.api.Test;
 
 /** How requests end in the core: once, in time, and with nothing sent on after it. */
@@ -16,7 +21,7 @@
     void theModuleHearsOfADeadlineBeforeTheCoreActsOnIt() throws InterruptedException {
         script = e -> e instanceof Arrival
                 ? List.of(new Dispatch("a", "w", 0))
-                : e instanceof Dispatcher.Outcome ? List.of(new Reject("a", 0)) : List.of();
+                : e instanceof Event.Outcome ? List.of(new Reject("a", 0)) : List.of();
         request("a", 100);
         at(1);
         at(200);
@@ -70,9 +75,8 @@
         at(2000);
         assertEquals(List.of("send a0", "send a1", "served a"), out);
         assertEquals(List.of(AttemptResult.SERVED, AttemptResult.SERVED), results());
-        assertTrue(events.stream()
-                .filter(e -> e instanceof Dispatcher.Outcome)
-                .allMatch(e -> ((Dispatcher.Outcome) e).settled()));
+        assertTrue(
+                events.stream().filter(e -> e instanceof Event.Outcome).allMatch(e -> ((Event.Outcome) e).settled()));
     }
 
     @Test
--- a/src/test/java/nettlewick/core/CoreFixture.java
+++ b/src/test/java/nettlewick/core/CoreFixture.java
@@ -3,8 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
+import nettlewick.decision.Action;
+import nettlewick.decision.AttemptResult;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.EndpointState;
+import nettlewick.decision.Event;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Limits;
+import nettlewick.decision.SchedulerSettings.LoadReporting;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Rules;
+import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.BeforeEach;
 
 /** A core with a scripted module, a transport that only notes, and a clock that stands. */
@@ -127,8 +139,8 @@
 
     List<AttemptResult> results() {
         return events.stream()
-                .filter(e -> e instanceof Dispatcher.Outcome)
-                .map(e -> ((Dispatcher.Outcome) e).result())
+                .filter(e -> e instanceof Outcome)
+                .map(e -> ((Outcome) e).result())
                 .toList();
     }
 }
--- a/src/test/java/nettlewick/core/CoreTest.java
+++ b/src/test/java/nettlewick/core/CoreTest.java
@@ -6,8 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import nettlewick.core.Attempt.Outcome;
-import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.ProbeAnswer;
 import org.junit.jupiter.api.Test;
 
 /** The books of the core, with a scripted module. */
@@ -205,7 +210,7 @@
 
     @Test
     void aProbeHasOneAnswer() throws InterruptedException {
-        onArrival(new Dispatcher.Probe("w"), new Dispatcher.Probe("w"));
+        onArrival(new Action.Probe("w"), new Action.Probe("w"));
         request("a", 5000);
         at(0);
         core.probeAnswered(asked.get(0), Outcome.of(AttemptResult.SERVED));
--- a/src/test/java/nettlewick/decision/ExampleTest.java
+++ b/src/test/java/nettlewick/decision/ExampleTest.java
@@ -7,7 +7,20 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.PeerMessageReceived;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Limits;
+import nettlewick.decision.SchedulerSettings.LoadReporting;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Rules;
+import nettlewick.decision.SchedulerSettings.Scope;
+import nettlewick.decision.SchedulerSettings.Tenant;
 import org.junit.jupiter.api.Test;
 
 /** The README's example: it runs, and the README shows it as it stands here. */
--- a/src/test/java/nettlewick/decision/FleetTest.java
+++ b/src/test/java/nettlewick/decision/FleetTest.java
@@ -4,7 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.PeerMessageReceived;
 import org.junit.jupiter.api.Test;
 
 /** What is fine for one dispatcher, or for few, and hurts where there are many. */
--- a/src/test/java/nettlewick/decision/KeptTest.java
+++ b/src/test/java/nettlewick/decision/KeptTest.java
@@ -6,7 +6,12 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.PoolsAssigned;
 import org.junit.jupiter.api.Test;
 
 /** Tenants with workers of their own: who goes where, through each step of a move. */
--- a/src/test/java/nettlewick/decision/OutliersTest.java
+++ b/src/test/java/nettlewick/decision/OutliersTest.java
@@ -6,7 +6,10 @@
 
 import java.util.List;
 import java.util.stream.IntStream;
-import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Scope;
 import nettlewick.decision.State.Attempt;
 import nettlewick.decision.State.Endpoint;
 import nettlewick.decision.State.ScheduledRequest;
@@ -67,8 +70,7 @@
     @Test
     void oneThatNeverStartsWhileNothingWaitsIsLostAndHoldsNoSlot() {
         Endpoint endpoint = fleet.get(0);
-        Dispatcher.RequestClass read =
-                Samples.jobClass("read", Dispatcher.Idempotency.IDEMPOTENT, Dispatcher.Scope.ALL, 1);
+        RequestClass read = Samples.jobClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 1);
         ScheduledRequest request = new ScheduledRequest(Samples.arrival("a", "read", "red"), read, 0, null, 0);
         Attempt sent = new Attempt(request, endpoint, 0, 0);
         endpoint.sent(sent);
@@ -99,16 +101,16 @@
     void aReportWithoutAQueueProvesItEmptyOnlyWithRoomForAnyJob() {
         State.Pool kind = new State.Pool(-1);
         State.Needs most = new State.Needs();
-        most.add(new Dispatcher.Arrival("a", "read", null, MS, 2, 1.5, 0, null, false));
+        most.add(new Arrival("a", "read", null, MS, 2, 1.5, 0, null, false));
         Endpoint endpoint = fleet.get(0);
         Attempt sent = new Attempt(null, endpoint, 0, 0);
         double none = Double.NaN;
         double[][] freeAndMemory = {{0, 4}, {1, 4}, {4, 1}, {4, 4}};
         for (double[] f : freeAndMemory) {
-            endpoint.report(new Dispatcher.EndpointLoad(f[0], f[1], none, none, none), 2000 * MS, kind, most);
+            endpoint.report(new EndpointLoad(f[0], f[1], none, none, none), 2000 * MS, kind, most);
             assertEquals(f == freeAndMemory[3], OutlierDetector.lost(sent, 2000 * MS, 0), f[0] + " slots, " + f[1]);
         }
-        endpoint.report(new Dispatcher.EndpointLoad(4, 4, 1, none, none), 2000 * MS, kind, most);
+        endpoint.report(new EndpointLoad(4, 4, 1, none, none), 2000 * MS, kind, most);
         assertFalse(OutlierDetector.lost(sent, 2000 * MS, 0), "one waits");
     }
 
--- a/src/test/java/nettlewick/decision/RetryAfterTest.java
+++ b/src/test/java/nettlewick/decision/RetryAfterTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Reject;
 import org.junit.jupiter.api.Test;
 
 /** Guards against refusals that do not say when to come back: clients then come back when they like. */
--- a/src/test/java/nettlewick/decision/RollTest.java
+++ b/src/test/java/nettlewick/decision/RollTest.java
@@ -8,7 +8,13 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Dispatcher.EndpointCounts;
+import nettlewick.decision.Event.EndpointAdminChange;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Timer;
 import org.junit.jupiter.api.Test;
 
 /** What the module sees of the list while operators take workers out and put them back. */
--- a/src/test/java/nettlewick/decision/RuleChecker.java
+++ b/src/test/java/nettlewick/decision/RuleChecker.java
@@ -4,7 +4,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Cancel;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Event.Abandoned;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Scope;
 
 /** Watches one instance from outside and notes each broken rule. Shares no code with the module. */
 final class RuleChecker {
--- a/src/test/java/nettlewick/decision/RulesTest.java
+++ b/src/test/java/nettlewick/decision/RulesTest.java
@@ -10,7 +10,20 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Action.SetTimer;
+import nettlewick.decision.Event.Abandoned;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Tenant;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -209,7 +222,7 @@
         assertSame(
                 plain.stream().map(RulesTest::withoutMarks).toList(),
                 other.stream()
-                        .map(line -> withoutMarks(line.replace("worker=qw", "worker=w")))
+                        .map(line -> withoutMarks(line.replace("endpoint=qw", "endpoint=w")))
                         .toList());
     }
 
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -2,7 +2,18 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Limits;
+import nettlewick.decision.SchedulerSettings.LoadReporting;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Rules;
+import nettlewick.decision.SchedulerSettings.Scope;
+import nettlewick.decision.SchedulerSettings.Tenant;
 
 /** Settings and events that the tests share. */
 final class Samples {
--- a/src/test/java/nettlewick/decision/SecondSiteTest.java
+++ b/src/test/java/nettlewick/decision/SecondSiteTest.java
@@ -6,7 +6,22 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Cancel;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Limits;
+import nettlewick.decision.SchedulerSettings.LoadReporting;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Rules;
+import nettlewick.decision.SchedulerSettings.Scope;
+import nettlewick.decision.SchedulerSettings.Tenant;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -11,7 +11,18 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import nettlewick.decision.Dispatcher.*;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Action.SendToPeer;
+import nettlewick.decision.Action.SetTimer;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.PeerMessageReceived;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.Event.Timer;
 
 /**
  * Many module instances before one fleet of workers of two slots, in virtual time, by a script and a seed. It is no
--- a/src/test/java/nettlewick/net/ConnectionModelTest.java
+++ b/src/test/java/nettlewick/net/ConnectionModelTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import nettlewick.decision.Dispatcher.AttemptResult;
+import nettlewick.decision.AttemptResult;
 import org.junit.jupiter.api.Test;
 
 /** Random steps against the states of a call and of the idle connections, each beside a plain model. */
--- a/src/test/java/nettlewick/simulator/SimulatorWireGoldenTest.java
+++ b/src/test/java/nettlewick/simulator/SimulatorWireGoldenTest.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import nettlewick.decision.Dispatcher.Cancel;
+import nettlewick.decision.Action.Cancel;
 import org.junit.jupiter.api.Test;
 
 /** Lines of the simulator and the lines that answer them, and what is said of lines that cannot be read. */
--- a/src/test/java/nettlewick/waiting/AfterlifeTest.java
+++ b/src/test/java/nettlewick/waiting/AfterlifeTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import nettlewick.decision.Dispatcher.Idempotency;
+import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.sqlite.StoreException;
 import nettlewick.waiting.Afterlife.State;
 import nettlewick.waiting.Afterlife.What;
