--- a/src/test/java/nettlewick/golden/WireText.java
+++ b/src/test/java/nettlewick/golden/WireText.java
@@ -16,7 +16,7 @@
 
     private WireText() {}
 
-    /** Control characters and all that is not ASCII are escaped; a line of the text ends where one of the bytes does. */
+    /** Escapes control characters and all that is not ASCII; a line of the text ends where one of the bytes does. */
     public static String visible(String bytes) {
         StringBuilder text = new StringBuilder();
         for (char c : bytes.toCharArray()) {
