--- /dev/null
+++ b/src/test/java/nettlewick/KnownRedExtensionTest.java
@@ -0,0 +1,20 @@
+package nettlewick;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+
+class KnownRedExtensionTest {
+    private static final String LIST = "# heading\nFooTest.failsUnderLoad | seen once | issue 1\n";
+
+    @Test
+    void aListedTestIsFoundByItsWholeNameAlone() {
+        assertEquals(
+                Optional.of("FooTest.failsUnderLoad | seen once | issue 1"),
+                KnownRedExtension.entryOf("FooTest.failsUnderLoad", LIST));
+        assertEquals(Optional.empty(), KnownRedExtension.entryOf("FooTest.fails", LIST));
+        assertEquals(Optional.empty(), KnownRedExtension.entryOf("FooTest.failsUnderLoadToo", LIST));
+        assertEquals(Optional.empty(), KnownRedExtension.entryOf("OtherFooTest.failsUnderLoad", LIST));
+    }
+}
