--- a/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
+++ b/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
@@ -2,17 +2,17 @@
 
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
-import nettlewick.simulator.WireCodec;
-import nettlewick.simulator.WireHost;
+import nettlewick.simulator.MalformedMessageException;
+import nettlewick.simulator.SimulatorAdapter;
 
 @Parameters(commandNames = "drill", commandDescription = "Serve the simulator's wire on standard input and output")
 final class SimulatorAdapterCommand implements Command {
     @Override
     public int run() {
         try {
-            new WireHost().serve(System.in, System.out);
+            new SimulatorAdapter().serve(System.in, System.out);
             return 0;
-        } catch (WireCodec.MalformedMessageException e) {
+        } catch (MalformedMessageException e) {
             throw new UsageException(Main.FAILED, e.getMessage());
         } catch (IOException e) {
             throw new UsageException(Main.FAILED, "cannot read or write the wire: " + e.getMessage());
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -23,7 +23,6 @@
     private static final Set<String> LONG = Set.of(
             "ledger/Store.java",
             "ledger/Ledger.java",
-            "simulator/WireCodec.java",
             "ledger/Spool.java",
             "waiting/Plan.java",
             "core/RequestCoordinator.java",
--- a/src/test/java/nettlewick/simulator/WireTest.java
+++ b/src/test/java/nettlewick/simulator/SimulatorAdapterTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.core.JsonFactory;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -22,6 +23,7 @@
 import nettlewick.decision.Action.Subscribe;
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.EndpointLoad;
+import nettlewick.decision.Event;
 import nettlewick.decision.Event.Abandoned;
 import nettlewick.decision.Event.Arrival;
 import nettlewick.decision.Event.EndpointListFailed;
@@ -42,7 +44,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The wire: events in, actions out, and plain words for what is malformed. */
-class WireTest {
+class SimulatorAdapterTest {
     private static final String SETUP = """
             {"fleet_size":3,"rank":1,"zone":"north","zones":["north"],"models":["box"],"novel":{"x":[1]},\
             "classes":[{"name":"read","repeat":"retryable","aim":200000000,"deadline":5000000000,"worth":2.0},\
@@ -65,23 +67,28 @@
 
     private static String serve(String... lines) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost().serve(new ByteArrayInputStream(String.join("\n", lines).getBytes(StandardCharsets.UTF_8)), out);
+        new SimulatorAdapter()
+                .serve(new ByteArrayInputStream(String.join("\n", lines).getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static Object event(String item) {
-        return new WireCodec()
-                .read("{\"wall\":5,\"batch\":1,\"groups\":[{\"dispatcher_id\":4,\"items\":[" + item + "]}]}")
+    private static Batch read(String line) {
+        return new BatchReader(new JsonFactory()).read(line);
+    }
+
+    private static Event event(String item) {
+        Batch.Item read = read("{\"wall\":5,\"batch\":1,\"groups\":[{\"dispatcher_id\":4,\"items\":[" + item + "]}]}")
                 .groups()
                 .get(0)
                 .items()
                 .get(0);
+        return ((Batch.Occurrence) read).event();
     }
 
     @Test
     void settingsAreRead() {
-        WireCodec.Start start = (WireCodec.Start)
-                new WireCodec().read(start("")).groups().get(0).items().get(0);
+        Batch.NewInstance start =
+                (Batch.NewInstance) read(start("")).groups().get(0).items().get(0);
         SchedulerSettings s = start.settings();
         assertEquals(-1, start.seed());
         assertEquals(
@@ -123,16 +130,16 @@
                 event("{\"type\":\"ACCEPTED\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"latency\":1}"));
         assertEquals(
                 new Progress("ab", 0, "w", 0.25),
-                event(
-                        "{\"type\":\"INTERIM\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"sort\":2,\"amount\":0.25}"));
+                event("{\"type\":\"INTERIM\",\"txn\":\"ab\",\"seq_no\":0,\"worker\":\"w\",\"sort\":2,"
+                        + "\"amount\":0.25}"));
         assertEquals(new Timer("beat"), event("{\"type\":\"REMINDER\",\"mark\":\"beat\"}"));
     }
 
     @Test
     void actionsAreWritten() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        WireCodec.Reply reply = new WireCodec().reply(out, 7);
-        reply.open(4);
+        ReplyWriter reply = new ReplyWriter(new JsonFactory(), out, 7);
+        reply.startGroup(4);
         for (Action a : new ArrayList<>(List.of(
                 new Dispatch("a", "w", 5),
                 new Reject("b", 0),
@@ -145,15 +152,19 @@
                 new Subscribe()))) {
             reply.write(a);
         }
-        reply.shut();
-        reply.end();
+        reply.endGroup();
+        reply.endReply();
         assertEquals(
                 "{\"batch\":7,\"groups\":[{\"dispatcher_id\":4,\"orders\":["
                         + "{\"type\":\"RELAY\",\"txn\":\"a\",\"worker\":\"w\",\"patience\":5},"
-                        + "{\"type\":\"OVERLOAD_REPLY\",\"txn\":\"b\"},{\"type\":\"OVERLOAD_REPLY\",\"txn\":\"c\",\"backoff\":3},"
-                        + "{\"type\":\"DROP_REQUEST\",\"txn\":\"d\"},{\"type\":\"UNDO_SEND\",\"txn\":\"e\",\"seq_no\":1},"
-                        + "{\"type\":\"PING\",\"worker\":\"w\"},{\"type\":\"BROADCAST_TO\",\"neighbour_id\":2,\"data\":\"AQ==\"},"
-                        + "{\"type\":\"REMIND\",\"wait\":9,\"mark\":\"t\"},{\"type\":\"SUBSCRIBE\",\"enable\":true}]}]}\n",
+                        + "{\"type\":\"OVERLOAD_REPLY\",\"txn\":\"b\"},{\"type\":\"OVERLOAD_REPLY\","
+                        + "\"txn\":\"c\",\"backoff\":3},"
+                        + "{\"type\":\"DROP_REQUEST\",\"txn\":\"d\"},{\"type\":\"UNDO_SEND\",\"txn\":\"e\","
+                        + "\"seq_no\":1},"
+                        + "{\"type\":\"PING\",\"worker\":\"w\"},{\"type\":\"BROADCAST_TO\",\"neighbour_id\":2,"
+                        + "\"data\":\"AQ==\"},"
+                        + "{\"type\":\"REMIND\",\"wait\":9,\"mark\":\"t\"},{\"type\":\"SUBSCRIBE\","
+                        + "\"enable\":true}]}]}\n",
                 out.toString(StandardCharsets.UTF_8));
     }
 
@@ -184,29 +195,30 @@
                 "{\"wall\":1,\"batch\":1,\"groups\":[{\"items\":[]}]}",
                 "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"NOVEL\"}]}]}",
                 "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{}]}]}",
-                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"ARRIVAL\",\"txn\":\"a\"}]}]}",
-                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"MEMO\",\"who\":1,\"data\":\"?\"}]}]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"ARRIVAL\","
+                        + "\"txn\":\"a\"}]}]}",
+                "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":[{\"type\":\"MEMO\","
+                        + "\"who\":1,\"data\":\"?\"}]}]}",
                 "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":"
                         + "[{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}]}]}"
             })
     void malformedLinesEndWithOnePlainLine(String line) {
-        WireCodec.MalformedMessageException e =
-                assertThrows(WireCodec.MalformedMessageException.class, () -> serve(line));
+        MalformedMessageException e = assertThrows(MalformedMessageException.class, () -> serve(line));
         assertFalse(e.getMessage().isBlank());
         assertFalse(e.getMessage().contains("\n"));
     }
 
     @Test
     void settingsThatMakeNoSenseAreNamed() {
-        WireCodec.MalformedMessageException e = assertThrows(
-                WireCodec.MalformedMessageException.class, () -> serve(start("").replace("\"rank\":1", "\"rank\":9")));
+        MalformedMessageException e = assertThrows(
+                MalformedMessageException.class, () -> serve(start("").replace("\"rank\":1", "\"rank\":9")));
         assertEquals("setting rank makes no sense: 9", e.getMessage());
     }
 
     @Test
     void aFailureInsideIsReported() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost((settings, seed) -> (now, events) -> {
+        new SimulatorAdapter((settings, seed) -> (now, events) -> {
                     throw new IllegalStateException("planted");
                 })
                 .serve(new ByteArrayInputStream(start("").getBytes(StandardCharsets.UTF_8)), out);
--- a/src/test/java/nettlewick/simulator/SimulatorWireGoldenTest.java
+++ b/src/test/java/nettlewick/simulator/SimulatorWireGoldenTest.java
@@ -102,7 +102,8 @@
                         9,
                         4,
                         "{\"type\":\"ACCEPTED\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"latency\":1},"
-                                + "{\"type\":\"INTERIM\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\",\"sort\":2,"
+                                + "{\"type\":\"INTERIM\",\"txn\":\"r1\",\"seq_no\":0,\"worker\":\"10.0.0.0:90\","
+                                + "\"sort\":2,"
                                 + "\"amount\":0.25}",
                         "{\"type\":\"VANISHED\",\"txn\":\"m1\"}"),
                 line(
@@ -123,7 +124,7 @@
 
     private static String serve(List<String> lines) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost()
+        new SimulatorAdapter()
                 .serve(
                         new ByteArrayInputStream((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8)),
                         out);
@@ -149,13 +150,9 @@
         assertMatches("wire/simulator-" + mode + ".txt", text.toString());
     }
 
-    /**
-     * Plays two instances: a relayed request is answered some rounds later, each disposition in its turn, timers come
-     * when they are due, memos reach the other instance, and probes are answered. One worker falls silent.
-     */
-    @Test
-    void aPlayedExchange() throws IOException {
-        String[] dispositions = {
+    /** Two instances whose orders are answered some rounds later; all lines in and out are noted. */
+    private static final class Exchange {
+        private static final String[] DISPOSITIONS = {
             "completed",
             "saturated",
             "errored",
@@ -166,86 +163,103 @@
             "recalled",
             "superseded"
         };
-        String[] classes = {"read", "keyed", "mark"};
-        WireHost host = new WireHost();
-        StringBuilder text = new StringBuilder();
-        TreeMap<Long, List<List<String>>> due = new TreeMap<>();
-        Map<String, Integer> attempts = new HashMap<>();
-        add(due, 5, 0, start(0, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
-        add(due, 5, 1, start(1, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
-        int relays = 0;
-        for (int i = 0; i < 90; i++) {
-            String more = i % 3 == 1 ? ",\"name_key\":\"k" + i % 5 + "\"" : ",\"weight_hint\":" + 1000 * i;
-            add(due, 10 + 4L * i, i % 2, arrival("t" + i, classes[i % 3], more));
-            if (i % 10 == 7 || i % 10 == 2) {
-                add(due, 15 + 4L * i, i % 2, "{\"type\":\"VANISHED\",\"txn\":\"t" + i + "\"}");
+        private static final String[] CLASSES = {"read", "keyed", "mark"};
+
+        private final SimulatorAdapter host = new SimulatorAdapter();
+        private final StringBuilder text = new StringBuilder();
+        private final TreeMap<Long, List<List<String>>> due = new TreeMap<>();
+        private final Map<String, Integer> attempts = new HashMap<>();
+        private int relays;
+
+        private void schedule() {
+            add(due, 5, 0, start(0, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
+            add(due, 5, 1, start(1, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
+            for (int i = 0; i < 90; i++) {
+                String more = i % 3 == 1 ? ",\"name_key\":\"k" + i % 5 + "\"" : ",\"weight_hint\":" + 1000 * i;
+                add(due, 10 + 4L * i, i % 2, arrival("t" + i, CLASSES[i % 3], more));
+                if (i % 10 == 7 || i % 10 == 2) {
+                    add(due, 15 + 4L * i, i % 2, "{\"type\":\"VANISHED\",\"txn\":\"t" + i + "\"}");
+                }
             }
         }
-        for (int batch = 1; batch <= 300 && !due.isEmpty(); batch++) {
-            long now = due.firstKey();
-            List<List<String>> items = due.remove(now);
-            String line = line(now, batch, String.join(",", items.get(0)), String.join(",", items.get(1)));
-            ByteArrayOutputStream out = new ByteArrayOutputStream();
-            host.serve(new ByteArrayInputStream((line + "\n").getBytes(StandardCharsets.UTF_8)), out);
-            String answer = out.toString(StandardCharsets.UTF_8);
-            text.append("> ").append(line).append("\n< ").append(answer);
-            int second = answer.indexOf("{\"dispatcher_id\":5");
-            Matcher order = ORDER.matcher(answer);
-            while (order.find()) {
-                int instance = order.start() > second ? 1 : 0;
-                String first = order.group(2);
-                boolean silent = now > 40 && SILENT.equals(order.group(1).equals("PING") ? first : order.group(3));
-                if (order.group(1).equals("RELAY")) {
-                    String worker = order.group(3);
-                    int attempt = attempts.merge(first, 1, Integer::sum) - 1;
-                    String result = dispositions[relays++ % dispositions.length];
-                    if (relays % 3 == 0) {
-                        add(
-                                due,
-                                now + 2,
-                                instance,
-                                "{\"type\":\"ACCEPTED\",\"txn\":\"" + first + "\",\"seq_no\":" + attempt
-                                        + ",\"worker\":\"" + worker + "\",\"latency\":1}");
-                    }
-                    add(
-                            due,
-                            now + 1,
-                            instance,
-                            "{\"type\":\"INTERIM\",\"txn\":\"" + first + "\",\"seq_no\":" + attempt + ",\"worker\":\""
-                                    + worker + "\",\"sort\":2,\"amount\":0}");
-                    add(due, now + (silent ? 3000 : 9), instance, reply(first, attempt, worker, result));
-                } else if (order.group(1).equals("PING")) {
-                    add(
-                            due,
-                            now + (silent ? 100 : 3),
-                            instance,
-                            "{\"type\":\"HEALTH\",\"worker\":\"" + first
-                                    + "\",\"disposition\":\"" + (silent ? "overdue" : "completed")
-                                    + "\",\"latency\":2000000,\"telemetry\":{\"x0\":1,"
-                                    + "\"concurrent\":2}}");
-                } else if (order.group(1).equals("BROADCAST_TO")) {
+
+        private String play() throws IOException {
+            schedule();
+            for (int batch = 1; batch <= 300 && !due.isEmpty(); batch++) {
+                long now = due.firstKey();
+                List<List<String>> items = due.remove(now);
+                String line = line(now, batch, String.join(",", items.get(0)), String.join(",", items.get(1)));
+                ByteArrayOutputStream out = new ByteArrayOutputStream();
+                host.serve(new ByteArrayInputStream((line + "\n").getBytes(StandardCharsets.UTF_8)), out);
+                String answer = out.toString(StandardCharsets.UTF_8);
+                text.append("> ").append(line).append("\n< ").append(answer);
+                int second = answer.indexOf("{\"dispatcher_id\":5");
+                Matcher order = ORDER.matcher(answer);
+                while (order.find()) {
+                    obey(now, order.start() > second ? 1 : 0, order.group(1), order.group(2), order.group(3));
+                }
+            }
+            return text.toString();
+        }
+
+        private void obey(long now, int instance, String type, String first, String last) {
+            switch (type) {
+                case "RELAY" -> answerRelay(now, instance, first, last);
+                case "PING" -> answerProbe(now, instance, first);
+                case "BROADCAST_TO" ->
                     add(
                             due,
                             now + 1,
                             1 - instance,
-                            "{\"type\":\"MEMO\",\"who\":" + instance + ",\"data\":\"" + order.group(3) + "\"}");
-                } else {
-                    add(due, now + Math.max(1, Long.parseLong(first) / MS), instance, timer(order.group(3)));
-                }
+                            "{\"type\":\"MEMO\",\"who\":" + instance + ",\"data\":\"" + last + "\"}");
+                default -> add(due, now + Math.max(1, Long.parseLong(first) / MS), instance, timer(last));
             }
         }
+
+        private void answerRelay(long now, int instance, String id, String endpoint) {
+            int attempt = attempts.merge(id, 1, Integer::sum) - 1;
+            String result = DISPOSITIONS[relays++ % DISPOSITIONS.length];
+            String about = "\"txn\":\"" + id + "\",\"seq_no\":" + attempt + ",\"worker\":\"" + endpoint + "\"";
+            if (relays % 3 == 0) {
+                add(due, now + 2, instance, "{\"type\":\"ACCEPTED\"," + about + ",\"latency\":1}");
+            }
+            add(due, now + 1, instance, "{\"type\":\"INTERIM\"," + about + ",\"sort\":2,\"amount\":0}");
+            add(due, now + (isSilent(now, endpoint) ? 3000 : 9), instance, reply(id, attempt, endpoint, result));
+        }
+
+        private void answerProbe(long now, int instance, String endpoint) {
+            boolean silent = isSilent(now, endpoint);
+            String answer = "{\"type\":\"HEALTH\",\"worker\":\"" + endpoint + "\",\"disposition\":\""
+                    + (silent ? "overdue" : "completed")
+                    + "\",\"latency\":2000000,\"telemetry\":{\"x0\":1,\"concurrent\":2}}";
+            add(due, now + (silent ? 100 : 3), instance, answer);
+        }
+
+        private static boolean isSilent(long now, String endpoint) {
+            return now > 40 && SILENT.equals(endpoint);
+        }
+    }
+
+    /**
+     * Plays two instances: a relayed request is answered some rounds later, each disposition in its turn, timers come
+     * when they are due, memos reach the other instance, and probes are answered. One endpoint falls silent.
+     */
+    @Test
+    void aPlayedExchange() throws IOException {
+        String text = new Exchange().play();
         for (String kind :
                 List.of("RELAY", "OVERLOAD_REPLY", "DROP_REQUEST", "PING", "BROADCAST_TO", "REMIND", "SUBSCRIBE")) {
             assertTrue(text.indexOf("{\"type\":\"" + kind + "\"") > 0, kind + " was not played");
         }
-        assertMatches("wire/simulator-played.txt", text.toString());
+        assertMatches("wire/simulator-played.txt", text);
     }
 
     /** The order that the played exchange does not bring about, from a module that gives nothing else. */
     @Test
     void anAttemptIsCalledOff() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost((settings, seed) -> (now, events) -> List.of(new Cancel("e", 1), new Cancel("\"\u00e9", 12)))
+        new SimulatorAdapter(
+                        (settings, seed) -> (now, events) -> List.of(new Cancel("e", 1), new Cancel("\"\u00e9", 12)))
                 .serve(new ByteArrayInputStream(line(5, 1, start(0, "pushed")).getBytes(StandardCharsets.UTF_8)), out);
         assertMatches("wire/simulator-call-off.txt", out.toString(StandardCharsets.UTF_8));
     }
