--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -8,12 +8,12 @@
 public final class Attempt extends OutboundCall {
     private final Request request;
     private final int number;
-    private final double lastBegin;
-    private final BooleanSupplier open;
+    private final double latestStartMillis;
+    private final BooleanSupplier requestUndecided;
     private boolean neverRan;
-    private double startedAt = Double.NaN;
-    private double endedAt = Double.NaN;
-    private double share;
+    private double startedAtMillis = Double.NaN;
+    private double endedAtMillis = Double.NaN;
+    private double shareDone;
 
     /**
      * @param lastBegin until when it may begin, in milliseconds
@@ -23,8 +23,8 @@
         super(endpoint, sentAt);
         this.request = request;
         this.number = number;
-        this.lastBegin = lastBegin;
-        this.open = open;
+        this.latestStartMillis = lastBegin;
+        this.requestUndecided = open;
     }
 
     public Request request() {
@@ -40,57 +40,59 @@
      * and time is left. Asked in the turn that writes, by whoever owns the client's connection.
      */
     public boolean mayBegin(double now) {
-        return open.getAsBoolean() && now < lastBegin && request.caller().present();
+        return requestUndecided.getAsBoolean()
+                && now < latestStartMillis
+                && request.caller().present();
     }
 
     /** The worker tells that it has begun; only its first word counts. */
-    void started(double at) {
-        startedAt = Double.isNaN(startedAt) ? at : startedAt;
+    void recordStart(double at) {
+        startedAtMillis = Double.isNaN(startedAtMillis) ? at : startedAtMillis;
     }
 
     /** The worker tells how much of the job is done. */
-    void done(double part) {
-        share = Math.max(share, part);
+    void recordProgress(double part) {
+        shareDone = Math.max(shareDone, part);
     }
 
     /** Milliseconds that it has left to run, where it is expected to run for {@code whole} in all. */
-    double left(double now, double whole) {
-        double span = span(now, false);
-        return share > 0.05 && span > 0 ? span * (1 - share) / share : Math.max(whole / 4, whole - span);
+    double remainingMillis(double now, double whole) {
+        double span = elapsedMillis(now, false);
+        return shareDone > 0.05 && span > 0 ? span * (1 - shareDone) / shareDone : Math.max(whole / 4, whole - span);
     }
 
     /** Milliseconds from its sending to the start that was told; NaN where none was. */
     public double waited() {
-        return startedAt - sentAt();
+        return startedAtMillis - sentAtMillis();
     }
 
     /** Milliseconds from the start that was told to its end; 0 where none was, or it is out. */
     public double ran() {
-        return Double.isNaN(endedAt) ? 0 : span(endedAt, false);
+        return Double.isNaN(endedAtMillis) ? 0 : elapsedMillis(endedAtMillis, false);
     }
 
     /** Its end, and whether it is proved that it never ran. */
-    void endedAt(double at, boolean never) {
-        endedAt = at;
+    void recordEnd(double at, boolean never) {
+        endedAtMillis = at;
         neverRan = never;
     }
 
     /** Whether it has run, may have, or may yet. */
     boolean mayHaveRun() {
-        return !over() || !neverRan;
+        return !isEnded() || !neverRan;
     }
 
     /** Whether its start was told. */
     boolean hasStarted() {
-        return !Double.isNaN(startedAt);
+        return !Double.isNaN(startedAtMillis);
     }
 
     /**
      * Milliseconds from its start to its end, or to that time while it is out; from its sending, if asked.
      */
-    double span(double now, boolean fromSending) {
-        double from = fromSending ? sentAt() : startedAt;
-        return Double.isNaN(from) ? 0 : Math.max(0, (Double.isNaN(endedAt) ? now : endedAt) - from);
+    double elapsedMillis(double now, boolean fromSending) {
+        double from = fromSending ? sentAtMillis() : startedAtMillis;
+        return Double.isNaN(from) ? 0 : Math.max(0, (Double.isNaN(endedAtMillis) ? now : endedAtMillis) - from);
     }
 
     /** How an attempt, or a probe, ended. {@code body} is the result where it was served, else null. */
--- a/src/main/java/nettlewick/core/CoreLoop.java
+++ b/src/main/java/nettlewick/core/CoreLoop.java
@@ -23,18 +23,18 @@
 abstract class CoreLoop implements Runnable {
     static final ComponentLogger LOG = ComponentLogger.of("core");
     static final double NANOS = 1e6;
-    private static final int BATCH = 512;
+    private static final int MAX_TASKS_PER_ITERATION = 512;
     /** How often the workers left out are counted. */
-    private static final double COUNT = 50;
+    private static final double STATS_INTERVAL_MILLIS = 50;
 
     final Clock clock;
-    final Metrics figures;
-    final BlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
+    final Metrics metrics;
+    final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final Dispatcher module;
     private final PriorityQueue<Due> timers = new PriorityQueue<>();
     private final Set<String> seenFaults = new HashSet<>();
     private PeerMessageFaults lastFaults = new PeerMessageFaults(0, 0, 0);
-    List<Event> batch = new ArrayList<>();
+    List<Event> pendingEvents = new ArrayList<>();
     double now;
     private double countedAt;
     private long timerNumber;
@@ -51,21 +51,21 @@
     CoreLoop(Clock clock, SchedulerSettings settings, Dispatcher module) {
         this.clock = clock;
         this.module = module;
-        figures =
+        metrics =
                 new Metrics(settings.classes().stream().map(RequestClass::name).toList());
         now = clock.now();
     }
 
     /** Carries one of the module's wishes out. */
-    abstract void carryOut(Action action);
+    abstract void execute(Action action);
 
     /** What operators count. */
     public Metrics figures() {
-        return figures;
+        return metrics;
     }
 
     public void stop() {
-        inbox.add(() -> stopped = true);
+        queue.add(() -> stopped = true);
     }
 
     @Override
@@ -73,7 +73,7 @@
         decide();
         while (!stopped) {
             try {
-                turn(waiting());
+                runIteration(millisUntilWork());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -81,38 +81,38 @@
         }
     }
 
-    private double waiting() {
-        if (!batch.isEmpty()) {
+    private double millisUntilWork() {
+        if (!pendingEvents.isEmpty()) {
             return 0;
         }
         return timers.isEmpty() ? 1000 : Math.max(0, timers.peek().at() - clock.now());
     }
 
     /** One round: waits so many milliseconds for news at most, then takes all there is and decides on it. */
-    void turn(double wait) throws InterruptedException {
-        Runnable first = inbox.poll((long) Math.ceil(wait * 1000), TimeUnit.MICROSECONDS);
+    void runIteration(double wait) throws InterruptedException {
+        Runnable first = queue.poll((long) Math.ceil(wait * 1000), TimeUnit.MICROSECONDS);
         now = clock.now();
-        for (int taken = 0; first != null; first = ++taken < BATCH ? inbox.poll() : null) {
-            guarded(first);
+        for (int taken = 0; first != null; first = ++taken < MAX_TASKS_PER_ITERATION ? queue.poll() : null) {
+            runGuarded(first);
         }
         List<Due> due = new ArrayList<>();
         while (!timers.isEmpty() && timers.peek().at() <= now) {
             due.add(timers.poll());
         }
-        due.forEach(d -> guarded(d.task()));
-        while (!batch.isEmpty()) {
+        due.forEach(d -> runGuarded(d.task()));
+        while (!pendingEvents.isEmpty()) {
             decide();
         }
-        if (now - countedAt >= COUNT) {
+        if (now - countedAt >= STATS_INTERVAL_MILLIS) {
             countedAt = now;
             EndpointCounts rotation = module.endpointCounts();
-            figures.list(rotation.listed(), rotation.ejected());
-            passedOver(module.peerMessageFaults());
+            metrics.setEndpointCounts(rotation.listed(), rotation.ejected());
+            reportPeerFaults(module.peerMessageFaults());
         }
     }
 
     /** Counts what peers sent and the module passed over; each kind is logged at its first sight. */
-    private void passedOver(PeerMessageFaults faults) {
+    private void reportPeerFaults(PeerMessageFaults faults) {
         if (faults.equals(lastFaults)) {
             return;
         }
@@ -129,11 +129,11 @@
                         kind);
             }
         });
-        figures.peers(kinds);
+        metrics.setPeerMessageFaults(kinds);
     }
 
     /** Danger: a fault in one task must not end the thread that all requests depend on. */
-    private static void guarded(Runnable task) {
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -142,25 +142,25 @@
     }
 
     private void decide() {
-        List<Event> events = batch;
-        batch = new ArrayList<>();
+        List<Event> events = pendingEvents;
+        pendingEvents = new ArrayList<>();
         List<Action> actions;
         try {
-            actions = module.handle(nanos(now), events);
+            actions = module.handle(toNanos(now), events);
         } catch (RuntimeException e) {
             LOG.fault("module-failed", "decision module failed on " + events.size() + " events", e);
             return;
         }
         for (Action action : actions) {
-            guarded(() -> carryOut(action));
+            runGuarded(() -> execute(action));
         }
     }
 
-    static long nanos(double millis) {
+    static long toNanos(double millis) {
         return Math.round(millis * NANOS);
     }
 
-    final void after(double at, Runnable task) {
+    final void schedule(double at, Runnable task) {
         timers.add(new Due(at, timerNumber++, task));
     }
 }
--- a/src/main/java/nettlewick/core/DrainPolicy.java
+++ b/src/main/java/nettlewick/core/DrainPolicy.java
@@ -9,106 +9,111 @@
  */
 final class DrainPolicy {
     /** Take it; hold it back until the planned end begins; refuse it. */
-    enum Verdict {
-        TAKE,
+    enum Decision {
+        ADMIT,
         HOLD,
-        REFUSE
+        REJECT
     }
 
     /** Running times are rough: so many times what is expected is counted. */
-    private static final double MARGIN = 1.3;
+    private static final double RUN_TIME_SAFETY_FACTOR = 1.3;
     /** And a wait is worth while where this part of what is expected ends in time: it costs little. */
-    private static final double HOPE = 0.8;
+    private static final double OPTIMISTIC_RUN_TIME_FACTOR = 0.8;
     /** Time from a job's end to its answer's last byte, and for clocks of two processes to differ. */
-    private static final double SPARE = 300;
+    private static final double KILL_MARGIN_MILLIS = 300;
     /** A planned end that has not come so long after it was foreseen does not come. */
-    static final double LATE = 1000;
+    static final double MAX_DRAIN_DELAY_MILLIS = 1000;
     /** Jobs over which running times are learned. */
-    private static final double JOBS = 30;
+    private static final double SAMPLE_WINDOW = 30;
 
     /** How long a class's jobs run: against their hints (the logarithm's mean), and where they have none. */
-    private static final class Pace {
-        double count;
-        double drag;
-        double span;
+    private static final class ClassRunTimes {
+        double sampleCount;
+        double meanLogSlowdown;
+        double meanRunMillis;
     }
 
-    private final Map<String, Pace> paces = new HashMap<>();
-    private double term = Double.NaN;
-    private double kill = Double.NaN;
-    private boolean begun;
-    private boolean over;
+    private final Map<String, ClassRunTimes> runTimesByClass = new HashMap<>();
+    private double expectedDrainAtMillis = Double.NaN;
+    private double killAtMillis = Double.NaN;
+    private boolean draining;
+    private boolean stopped;
 
     /** A job of that class ran for so long. */
-    void ran(String requestClass, double hint, double span) {
+    void recordRunTime(String requestClass, double hint, double span) {
         if (span <= 0) {
             return;
         }
-        Pace p = paces.computeIfAbsent(requestClass, c -> new Pace());
-        p.count = Math.min(p.count + 1, JOBS);
-        p.span += (span - p.span) / p.count;
-        p.drag += hint > 0 ? (Math.log(span / hint) - p.drag) / p.count : 0;
+        ClassRunTimes p = runTimesByClass.computeIfAbsent(requestClass, c -> new ClassRunTimes());
+        p.sampleCount = Math.min(p.sampleCount + 1, SAMPLE_WINDOW);
+        p.meanRunMillis += (span - p.meanRunMillis) / p.sampleCount;
+        p.meanLogSlowdown += hint > 0 ? (Math.log(span / hint) - p.meanLogSlowdown) / p.sampleCount : 0;
     }
 
     /** How long a job is expected to run; by its hint alone where none of its class has run, else 0. */
-    double expected(String requestClass, double hint) {
-        Pace p = paces.get(requestClass);
-        return hint > 0 ? hint * Math.exp(p == null ? 0 : p.drag) : p == null ? 0 : p.span;
+    double expectedRunMillis(String requestClass, double hint) {
+        ClassRunTimes p = runTimesByClass.get(requestClass);
+        return hint > 0 ? hint * Math.exp(p == null ? 0 : p.meanLogSlowdown) : p == null ? 0 : p.meanRunMillis;
     }
 
     /** The planned end is expected to begin and the kill to come at these times. */
-    void foresee(double termAt, double killAt) {
-        if (!begun) {
-            term = termAt;
-            kill = killAt;
+    void expectDraining(double termAt, double killAt) {
+        if (!draining) {
+            expectedDrainAtMillis = termAt;
+            killAtMillis = killAt;
         }
     }
 
     /** It is not to end after all. */
-    void stay() {
-        foresee(Double.NaN, Double.NaN);
+    void cancelExpectedDraining() {
+        expectDraining(Double.NaN, Double.NaN);
     }
 
     /** The planned end has begun; the kill comes no sooner than at that time. */
-    void begin(double killAt) {
-        begun = true;
-        kill = killAt;
+    void startDraining(double killAt) {
+        draining = true;
+        killAtMillis = killAt;
     }
 
     /** The kill is so near that nothing more is begun. */
-    void over() {
-        over = true;
+    void stopAdmitting() {
+        stopped = true;
     }
 
-    boolean isOver() {
-        return over;
+    boolean hasStoppedAdmitting() {
+        return stopped;
     }
 
     /** When a held job is let go if the planned end has not begun. */
-    double heldUntil() {
-        return term + LATE;
+    double holdUntilMillis() {
+        return expectedDrainAtMillis + MAX_DRAIN_DELAY_MILLIS;
     }
 
     /** What becomes of a job that comes now. Danger: one that outlives this process is lost with it. */
-    Verdict verdict(String requestClass, double hint, double now) {
-        if (over) {
-            return Verdict.REFUSE;
+    Decision decide(String requestClass, double hint, double now) {
+        if (stopped) {
+            return Decision.REJECT;
         }
-        if (Double.isNaN(kill) || !begun && now >= heldUntil() || inTime(now, expected(requestClass, hint), kill)) {
-            return Verdict.TAKE;
+        if (Double.isNaN(killAtMillis)
+                || !draining && now >= holdUntilMillis()
+                || endsInTime(now, expectedRunMillis(requestClass, hint), killAtMillis)) {
+            return Decision.ADMIT;
         }
-        return begun ? Verdict.REFUSE : Verdict.HOLD;
+        return draining ? Decision.REJECT : Decision.HOLD;
     }
 
     /**
      * Whether waiting until the foreseen end saves a job with that much left to run: it ends before the kill
      * then, and would not if the planned end began now, the kill {@code span} later.
      */
-    boolean saves(double left, double now, double span) {
-        return !begun && now < term && now + HOPE * left <= kill - SPARE && !inTime(now, left, now + span);
+    boolean isSavedByWaiting(double left, double now, double span) {
+        return !draining
+                && now < expectedDrainAtMillis
+                && now + OPTIMISTIC_RUN_TIME_FACTOR * left <= killAtMillis - KILL_MARGIN_MILLIS
+                && !endsInTime(now, left, now + span);
     }
 
-    private static boolean inTime(double now, double run, double killAt) {
-        return run <= 0 || now + MARGIN * run <= killAt - SPARE;
+    private static boolean endsInTime(double now, double run, double killAt) {
+        return run <= 0 || now + RUN_TIME_SAFETY_FACTOR * run <= killAt - KILL_MARGIN_MILLIS;
     }
 }
--- a/src/main/java/nettlewick/core/EndpointStates.java
+++ b/src/main/java/nettlewick/core/EndpointStates.java
@@ -12,10 +12,10 @@
 final class EndpointStates {
     private final Set<String> ready = new HashSet<>();
     private final Set<String> known = new HashSet<>();
-    private final Set<String> banned = new HashSet<>();
+    private final Set<String> disabled = new HashSet<>();
 
     /** Takes news of the list over; the same as the module reads it comes back. */
-    EndpointList take(EndpointUpdate roster) {
+    EndpointList apply(EndpointUpdate roster) {
         if (roster.whole()) {
             ready.clear();
         }
@@ -30,7 +30,7 @@
             entries.add(new EndpointEntry(
                     e.id(),
                     e.state(),
-                    e.startedAt() > 0 ? CoreLoop.nanos(e.startedAt()) : 0,
+                    e.startedAt() > 0 ? CoreLoop.toNanos(e.startedAt()) : 0,
                     e.cell(),
                     e.kind(),
                     e.zone(),
@@ -39,19 +39,19 @@
         return new EndpointList(roster.whole(), entries);
     }
 
-    void ban(String endpoint, boolean out) {
+    void setDisabled(String endpoint, boolean out) {
         if (out) {
-            banned.add(endpoint);
+            disabled.add(endpoint);
         } else {
-            banned.remove(endpoint);
+            disabled.remove(endpoint);
         }
     }
 
-    boolean knows(String endpoint) {
+    boolean isKnown(String endpoint) {
         return known.contains(endpoint);
     }
 
-    boolean takes(String endpoint) {
-        return ready.contains(endpoint) && !banned.contains(endpoint);
+    boolean isAccepting(String endpoint) {
+        return ready.contains(endpoint) && !disabled.contains(endpoint);
     }
 }
--- a/src/main/java/nettlewick/core/InFlightRequest.java
+++ b/src/main/java/nettlewick/core/InFlightRequest.java
@@ -8,32 +8,32 @@
 /** A request until its final answer and its last outcome. */
 final class InFlightRequest {
     final Request request;
-    final RequestClass jobClass;
+    final RequestClass requestClass;
     final List<Attempt> attempts = new ArrayList<>(2);
     /** Its end is decided. Written by the core's thread alone; the event loop reads it before each send. */
     volatile boolean answered;
 
     InFlightRequest(Request request, RequestClass requestClass) {
         this.request = request;
-        this.jobClass = requestClass;
+        this.requestClass = requestClass;
     }
 
     /**
      * Until when one more attempt may begin, in milliseconds: its deadline, and for a keyed job the end of
      * its window, counted from the first attempt that may have run.
      */
-    double lastBegin() {
-        if (jobClass.idempotency() == Idempotency.KEYED) {
+    double latestStartMillis() {
+        if (requestClass.idempotency() == Idempotency.KEYED) {
             for (Attempt a : attempts) {
                 if (a.mayHaveRun()) {
-                    return Math.min(request.deadline(), a.sentAt() + jobClass.dedupWindow() / CoreLoop.NANOS);
+                    return Math.min(request.deadline(), a.sentAtMillis() + requestClass.dedupWindow() / CoreLoop.NANOS);
                 }
             }
         }
         return request.deadline();
     }
 
-    boolean out() {
-        return attempts.stream().anyMatch(a -> !a.over());
+    boolean hasAttemptInFlight() {
+        return attempts.stream().anyMatch(a -> !a.isEnded());
     }
 }
--- a/src/main/java/nettlewick/core/Metrics.java
+++ b/src/main/java/nettlewick/core/Metrics.java
@@ -104,13 +104,13 @@
     }
 
     /** How many workers are on the list, and how many of them get no job now. */
-    void list(int endpoints, int leftOut) {
+    void setEndpointCounts(int endpoints, int leftOut) {
         listed = endpoints;
         avoided = leftOut;
     }
 
     /** What the module passed over of the peers' datagrams, by kind, since the start. */
-    void peers(Map<String, Long> passedOver) {
+    void setPeerMessageFaults(Map<String, Long> passedOver) {
         peers = Map.copyOf(passedOver);
     }
 
--- a/src/main/java/nettlewick/core/RequestCoordinator.java
+++ b/src/main/java/nettlewick/core/RequestCoordinator.java
@@ -87,16 +87,16 @@
 
     /** Takes a request; its caller gets exactly one final answer. */
     public void submit(Request request) {
-        inbox.add(() -> arrive(request));
+        queue.add(() -> arrive(request));
     }
 
     /** Nobody waits for this request any more: no answer is owed. */
     public void abandon(Request request) {
-        inbox.add(() -> {
+        queue.add(() -> {
             InFlightRequest o = open.get(request.id());
             if (o != null && o.request == request && answer(o)) {
                 settle(request, o, UsageRecorder.Ending.LEFT, null, () -> {});
-                batch.add(new Abandoned(request.id()));
+                pendingEvents.add(new Abandoned(request.id()));
                 forget(o);
             }
         });
@@ -104,33 +104,33 @@
 
     /** News of the workers. */
     public void updateEndpoints(EndpointUpdate roster) {
-        inbox.add(() -> {
-            batch.add(workers.take(roster));
-            witness.listed(roster);
+        queue.add(() -> {
+            pendingEvents.add(workers.apply(roster));
+            listener.listed(roster);
         });
     }
 
     /** An operator has taken a worker out, or put it back, at that time. */
     public void setEndpointDisabled(String endpoint, boolean out, double since) {
-        inbox.add(() -> {
-            workers.ban(endpoint, out);
-            batch.add(new EndpointAdminChange(endpoint, out, nanos(since)));
+        queue.add(() -> {
+            workers.setDisabled(endpoint, out);
+            pendingEvents.add(new EndpointAdminChange(endpoint, out, toNanos(since)));
         });
     }
 
     /** From now on these are the members' own workers, all of them; others keep away as each says. */
     public void assignPools(List<PoolAssignment> assignments) {
-        inbox.add(() -> batch.add(new PoolsAssigned(assignments)));
+        queue.add(() -> pendingEvents.add(new PoolsAssigned(assignments)));
     }
 
     /** An attempt shows a sign of life. */
     public void reportProgress(Attempt attempt, double share) {
         double at = clock.now();
-        inbox.add(() -> {
-            if (!attempt.over()) {
-                attempt.started(at);
-                attempt.done(share);
-                batch.add(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), share));
+        queue.add(() -> {
+            if (!attempt.isEnded()) {
+                attempt.recordStart(at);
+                attempt.recordProgress(share);
+                pendingEvents.add(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), share));
                 InFlightRequest o = open.get(attempt.request().id());
                 if (o != null && !o.answered) {
                     o.request.caller().progress(share);
@@ -142,28 +142,28 @@
     /** An attempt is over. Only its first end counts. */
     public void attemptEnded(Attempt attempt, Attempt.Outcome outcome) {
         double at = clock.now();
-        inbox.add(() -> end(attempt, outcome, at));
+        queue.add(() -> end(attempt, outcome, at));
     }
 
     /** A probe is over. Only its first end counts. */
     public void probeAnswered(Probe probe, Attempt.Outcome outcome) {
         double at = clock.now();
-        inbox.add(() -> answered(probe, outcome, at));
+        queue.add(() -> answered(probe, outcome, at));
     }
 
     /** A message from the dispatcher of that rank. */
     public void receivePeerMessage(int rank, byte[] data) {
-        inbox.add(() -> batch.add(new PeerMessageReceived(rank, data)));
+        queue.add(() -> pendingEvents.add(new PeerMessageReceived(rank, data)));
     }
 
     /** Runs {@code then} with the number of requests that still wait for their final answer. */
     public void withUnansweredCount(java.util.function.IntConsumer then) {
-        inbox.add(() -> then.accept(unanswered));
+        queue.add(() -> then.accept(unanswered));
     }
 
     /** From now on so many requests may wait for their final answer at once. */
     public void setMaxInFlight(int most) {
-        inbox.add(() -> maxOpen = most);
+        queue.add(() -> maxOpen = most);
     }
 
     /**
@@ -171,16 +171,16 @@
      * harmless, else failed, since it may be running. What comes from now on is refused.
      */
     public void answerAllNow() {
-        inbox.add(() -> {
-            parting.over();
+        queue.add(() -> {
+            parting.stopAdmitting();
             open.values().stream().filter(o -> !o.answered).toList().forEach(this::endNow);
         });
     }
 
     private void endNow(InFlightRequest o) {
         answer(o);
-        batch.add(new Abandoned(o.request.id()));
-        boolean harmless = o.attempts.isEmpty() || o.jobClass.idempotency() == Idempotency.IDEMPOTENT;
+        pendingEvents.add(new Abandoned(o.request.id()));
+        boolean harmless = o.attempts.isEmpty() || o.requestClass.idempotency() == Idempotency.IDEMPOTENT;
         if (harmless) {
             refuse(o.request, o, settings.limits().retryAfter() ? RESTART : 0);
         } else {
@@ -194,21 +194,21 @@
      * these times. Jobs that would outlive this process are held back until then.
      */
     public void expectSuccessor(double term, double kill) {
-        inbox.add(() -> parting.foresee(term, kill));
+        queue.add(() -> parting.expectDraining(term, kill));
     }
 
     /** Nobody succeeds this process after all. */
     public void cancelDraining() {
-        inbox.add(() -> {
-            parting.stay();
+        queue.add(() -> {
+            parting.cancelExpectedDraining();
             letGo();
         });
     }
 
     /** The planned end begins: what would outlive this process is given back, while that is harmless. */
     public void startDraining(double kill) {
-        inbox.add(() -> {
-            parting.begin(kill);
+        queue.add(() -> {
+            parting.startDraining(kill);
             List.copyOf(held).forEach(this::giveBack);
             held.clear();
         });
@@ -216,16 +216,16 @@
 
     /** Tells whether a job in work ends only if the planned end waits; the kill is {@code span} after it. */
     public void askWhetherWaitingHelps(double span, java.util.function.Consumer<Boolean> then) {
-        inbox.add(() -> then.accept(open.values().stream()
+        queue.add(() -> then.accept(open.values().stream()
                 .filter(o -> !o.answered && !held.contains(o))
-                .anyMatch(o -> parting.saves(left(o), now, span))));
+                .anyMatch(o -> parting.isSavedByWaiting(left(o), now, span))));
     }
 
     private double left(InFlightRequest o) {
-        double whole = parting.expected(o.request.requestClass(), o.request.costHint());
+        double whole = parting.expectedRunMillis(o.request.requestClass(), o.request.costHint());
         return o.attempts.stream()
-                .filter(a -> !a.over())
-                .mapToDouble(a -> a.left(now, whole))
+                .filter(a -> !a.isEnded())
+                .mapToDouble(a -> a.remainingMillis(now, whole))
                 .min()
                 .orElse(whole);
     }
@@ -233,7 +233,10 @@
     private void giveBack(InFlightRequest o) {
         if (answer(o)) {
             // To a successor there is no need to wait; else the next process takes a while to start.
-            refuse(o.request, o, parting.isOver() && settings.limits().retryAfter() ? RESTART : 0);
+            refuse(
+                    o.request,
+                    o,
+                    parting.hasStoppedAdmitting() && settings.limits().retryAfter() ? RESTART : 0);
             forget(o);
         }
     }
@@ -264,14 +267,14 @@
         InFlightRequest o = new InFlightRequest(r, jobClass(r));
         open.put(r.id(), o);
         unanswered++;
-        witness.asked(r);
-        after(r.deadline() + GUARD, () -> endAtDeadline(o, true));
-        switch (parting.verdict(r.requestClass(), r.costHint(), now)) {
-            case TAKE -> hand(o);
-            case REFUSE -> giveBack(o);
+        listener.asked(r);
+        schedule(r.deadline() + GUARD, () -> endAtDeadline(o, true));
+        switch (parting.decide(r.requestClass(), r.costHint(), now)) {
+            case ADMIT -> hand(o);
+            case REJECT -> giveBack(o);
             case HOLD -> {
                 held.add(o);
-                after(parting.heldUntil(), this::letGo);
+                schedule(parting.holdUntilMillis(), this::letGo);
             }
         }
     }
@@ -287,14 +290,14 @@
     /** Hands a request to the module. */
     private void hand(InFlightRequest o) {
         Request r = o.request;
-        batch.add(new Arrival(
+        pendingEvents.add(new Arrival(
                 r.id(),
                 r.requestClass(),
                 r.tenant(),
-                nanos(r.deadline()) - nanos(now),
+                toNanos(r.deadline()) - toNanos(now),
                 r.slots(),
                 r.memory(),
-                nanos(r.costHint()),
+                toNanos(r.costHint()),
                 r.key(),
                 r.repeat()));
     }
@@ -306,8 +309,8 @@
      * turn.
      */
     private void endAtDeadline(InFlightRequest o, boolean once) {
-        if (!o.answered && once && !batch.isEmpty()) {
-            after(now, () -> endAtDeadline(o, false));
+        if (!o.answered && once && !pendingEvents.isEmpty()) {
+            schedule(now, () -> endAtDeadline(o, false));
         } else if (answer(o)) {
             LOG.warning(
                     "left-open",
@@ -316,37 +319,44 @@
                     o.request.id(),
                     "member",
                     o.request.tenant());
-            batch.add(new Abandoned(o.request.id()));
+            pendingEvents.add(new Abandoned(o.request.id()));
             fail(o.request, o, "no answer in time");
             forget(o);
         }
     }
 
     private void end(Attempt a, Attempt.Outcome outcome, double at) {
-        if (!a.end()) {
+        if (!a.markEnded()) {
             return;
         }
-        a.endedAt(at, outcome.result().neverRan);
-        witness.ended(a, outcome.result());
+        a.recordEnd(at, outcome.result().neverRan);
+        listener.ended(a, outcome.result());
         Request r = a.request();
         InFlightRequest o = open.get(r.id());
         boolean settled = o == null || o.answered;
         if (!settled && outcome.result() == AttemptResult.SERVED) {
             answer(o);
-            parting.ran(r.requestClass(), r.costHint(), a.span(now, false));
+            parting.recordRunTime(r.requestClass(), r.costHint(), a.elapsedMillis(now, false));
             settle(r, o, UsageRecorder.Ending.SERVED, a, () -> r.caller().served(outcome.body()));
             settled = true;
         }
-        batch.add(new Outcome(
-                r.id(), a.number(), a.endpoint(), outcome.result(), nanos(at - a.sentAt()), settled, outcome.load()));
+        pendingEvents.add(new Outcome(
+                r.id(),
+                a.number(),
+                a.endpoint(),
+                outcome.result(),
+                toNanos(at - a.sentAtMillis()),
+                settled,
+                outcome.load()));
         if (o != null) {
             forget(o);
         }
     }
 
     private void answered(Probe probe, Attempt.Outcome outcome, double at) {
-        if (probe.end()) {
-            batch.add(new ProbeAnswer(probe.endpoint(), outcome.result(), nanos(at - probe.sentAt()), outcome.load()));
+        if (probe.markEnded()) {
+            pendingEvents.add(new ProbeAnswer(
+                    probe.endpoint(), outcome.result(), toNanos(at - probe.sentAtMillis()), outcome.load()));
         }
     }
 
@@ -367,7 +377,7 @@
     }
 
     private void forget(InFlightRequest o) {
-        if (o.answered && !o.out() && open.remove(o.request.id(), o)) {
+        if (o.answered && !o.hasAttemptInFlight() && open.remove(o.request.id(), o)) {
             past.add(o.request.id());
             if (past.size() > PAST_MOST) {
                 past.remove(past.iterator().next());
@@ -378,7 +388,7 @@
     // Actions
 
     @Override
-    void carryOut(Action action) {
+    void execute(Action action) {
         if (action instanceof Dispatch d) {
             dispatch(d);
         } else if (action instanceof Reject a) {
@@ -400,7 +410,7 @@
             }
         } else if (action instanceof Action.Probe p) {
             Probe probe = new Probe(p.endpoint(), now);
-            after(now + PROBE_PATIENCE, () -> {
+            schedule(now + PROBE_PATIENCE, () -> {
                 answered(probe, Attempt.Outcome.of(AttemptResult.TIMEOUT), now);
                 transport.drop(probe);
             });
@@ -408,7 +418,7 @@
         } else if (action instanceof SendToPeer t) {
             transport.tell(t.rank(), t.data());
         } else if (action instanceof SetTimer t) {
-            after(now + t.delay() / NANOS, () -> batch.add(new Timer(t.name())));
+            schedule(now + t.delay() / NANOS, () -> pendingEvents.add(new Timer(t.name())));
         }
     }
 
@@ -418,25 +428,25 @@
             return;
         }
         Request r = o.request;
-        Attempt a = new Attempt(r, o.attempts.size(), d.endpoint(), now, o.lastBegin(), () -> !o.answered);
+        Attempt a = new Attempt(r, o.attempts.size(), d.endpoint(), now, o.latestStartMillis(), () -> !o.answered);
         o.attempts.add(a);
         if (o.answered || now >= r.deadline() || a.number() >= settings.limits().maxAttempts()) {
             end(a, Attempt.Outcome.of(AttemptResult.NOT_SENT), now);
-        } else if (!workers.knows(d.endpoint())) {
+        } else if (!workers.isKnown(d.endpoint())) {
             end(a, Attempt.Outcome.of(AttemptResult.UNREACHABLE), now);
-        } else if (!workers.takes(d.endpoint())) {
+        } else if (!workers.isAccepting(d.endpoint())) {
             // Danger: sent to a runner that drains. It is looked at again here and before the first byte.
             end(a, Attempt.Outcome.of(AttemptResult.OVERLOADED), now);
         } else {
             double until = d.timeout() > 0 ? Math.min(r.deadline(), now + d.timeout() / NANOS) : r.deadline();
-            after(until, () -> giveUp(a, AttemptResult.TIMEOUT));
+            schedule(until, () -> giveUp(a, AttemptResult.TIMEOUT));
             transport.send(a);
         }
     }
 
     /** Stops waiting for an attempt; what comes of it later counts no more. */
     private void giveUp(Attempt a, AttemptResult result) {
-        if (!a.over()) {
+        if (!a.isEnded()) {
             end(a, Attempt.Outcome.of(result), now);
             transport.drop(a);
         }
--- a/src/main/java/nettlewick/core/UsageAccounting.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -7,17 +7,17 @@
 /** How the end of a job comes into the books before its answer goes. */
 abstract class UsageAccounting extends CoreLoop {
     private static final double MICROS = 1e3;
-    private final UsageRecorder books;
-    RequestListener witness = RequestListener.NONE;
+    private final UsageRecorder recorder;
+    RequestListener listener = RequestListener.NONE;
 
     UsageAccounting(Clock clock, SchedulerSettings settings, Dispatcher module, UsageRecorder books) {
         super(clock, settings, module);
-        this.books = books;
+        this.recorder = books;
     }
 
     /** Tells it of all that happens from now on; before the thread starts. */
     public void setListener(RequestListener one) {
-        witness = one;
+        listener = one;
     }
 
     /**
@@ -25,20 +25,20 @@
      */
     final void settle(Request r, InFlightRequest o, UsageRecorder.Ending ending, Attempt by, Runnable answer) {
         if (ending == UsageRecorder.Ending.REFUSED) {
-            witness.refused(r);
+            listener.refused(r);
         }
-        if (books == UsageRecorder.NONE) {
+        if (recorder == UsageRecorder.NONE) {
             answer.run();
             return;
         }
         double work = 0;
         boolean estimate = by != null && !by.hasStarted();
         if (by != null) {
-            work = estimate && r.costHint() > 0 ? r.costHint() : by.span(now, estimate);
+            work = estimate && r.costHint() > 0 ? r.costHint() : by.elapsedMillis(now, estimate);
         }
         double spare = 0;
         for (Attempt a : o == null ? List.<Attempt>of() : o.attempts) {
-            spare += a == by ? 0 : a.span(now, false);
+            spare += a == by ? 0 : a.elapsedMillis(now, false);
         }
         UsageRecorder.FinishedRequest job = new UsageRecorder.FinishedRequest(
                 r,
@@ -48,14 +48,14 @@
                 Math.round(work * r.slots() * MICROS),
                 estimate,
                 Math.round(spare * r.slots() * MICROS));
-        Runnable overdue = books.settle(job, receipt -> {
+        Runnable overdue = recorder.settle(job, receipt -> {
             if (receipt != UsageRecorder.Receipt.NONE) {
                 r.caller().receipt(receipt);
             }
             answer.run();
         });
         if (overdue != null) {
-            after(Math.min(now + books.patience(), Math.max(now, r.deadline())), overdue);
+            schedule(Math.min(now + recorder.patience(), Math.max(now, r.deadline())), overdue);
         }
     }
 }
--- a/src/test/java/nettlewick/core/ClockTest.java
+++ b/src/test/java/nettlewick/core/ClockTest.java
@@ -10,7 +10,7 @@
 class ClockTest {
     /** Guards against threads that queue for the time: whoever is stopped while it reads stops nobody else. */
     @Test
-    void nobodyWaitsForAnotherToReadIt() throws Exception {
+    void readersDoNotBlockEachOther() throws Exception {
         Clock clock = Clock.system();
         synchronized (clock) {
             double then = CompletableFuture.supplyAsync(clock::now).get(20, TimeUnit.SECONDS);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void itNeverGoesBack() {
+    void timeNeverGoesBack() {
         Clock clock = Clock.standing(1000);
         clock.set(2000);
         clock.set(1500);
--- /dev/null
+++ b/src/test/java/nettlewick/core/FinalAnswerTest.java
@@ -0,0 +1,132 @@
+package nettlewick.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import nettlewick.core.Attempt.Outcome;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Fail;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.Event;
+import nettlewick.decision.Event.Abandoned;
+import nettlewick.decision.Event.Arrival;
+import org.junit.jupiter.api.Test;
+
+/** How requests end in the core: once, in time, and with nothing sent on after it. */
+class FinalAnswerTest extends RequestCoordinatorFixture {
+    /** Guards against a job failed here, after a pause, in the turn in which the module would refuse it. */
+    @Test
+    void theModuleHandlesADeadlineBeforeTheGuardActs() throws InterruptedException {
+        script = e -> e instanceof Arrival
+                ? List.of(new Dispatch("a", "w", 0))
+                : e instanceof Event.Outcome ? List.of(new Reject("a", 0)) : List.of();
+        submit("a", 100);
+        advanceTo(1);
+        advanceTo(200);
+        assertTrue(sideEffects.contains("refused a 0.0") && !sideEffects.contains("failed a"), sideEffects.toString());
+    }
+
+    /** Guards against a final answer that waits for a turn without news, which a flood on other connections never has. */
+    @Test
+    void theDeadlineAnswerDoesNotWaitForAFloodOfEventsToEnd() throws InterruptedException {
+        submit("a", 100);
+        advanceTo(0);
+        for (int turn = 0; turn < 3; turn++) {
+            coordinator.receivePeerMessage(1, new byte[0]);
+            clock.set(START + 111 + turn);
+            coordinator.runIteration(0);
+        }
+        assertEquals(List.of("failed a"), sideEffects);
+    }
+
+    /** Guards against a request that waited behind others until its time was up, and is told that it may have run. */
+    @Test
+    void aRequestThatArrivesAfterItsDeadlineIsRejectedUnsent() throws InterruptedException {
+        submit("a", 0);
+        advanceTo(0);
+        assertEquals(List.of("refused a 0.0"), sideEffects);
+    }
+
+    /** Guards against an attempt that begins for a request whose end is decided, or whose time is up. */
+    @Test
+    void anAttemptMayStartOnlyWhileItsRequestIsUndecidedAndTimeIsLeft() throws InterruptedException {
+        onArrival(new Dispatch("a", "w", 0));
+        Request a = submit("a", 100);
+        advanceTo(0);
+        Attempt attempt = sentAttempts.get(0);
+        assertTrue(attempt.mayBegin(START + 99));
+        assertTrue(!attempt.mayBegin(START + 100));
+        coordinator.abandon(a);
+        advanceTo(1);
+        assertTrue(!attempt.mayBegin(START + 2));
+    }
+
+    /** Guards the rules of one outcome for each dispatch and one final answer for each request. */
+    @Test
+    void onlyTheFirstEndCounts() throws InterruptedException {
+        onArrival(new Dispatch("a", "w", 0), new Dispatch("a", "w", 0));
+        submit("a", 1000);
+        advanceTo(0);
+        coordinator.attemptEnded(sentAttempts.get(0), new Outcome(AttemptResult.SERVED, new byte[0], null));
+        coordinator.attemptEnded(sentAttempts.get(0), Outcome.of(AttemptResult.BROKEN));
+        coordinator.attemptEnded(sentAttempts.get(1), new Outcome(AttemptResult.SERVED, new byte[0], null));
+        advanceTo(2000);
+        assertEquals(List.of("send a0", "send a1", "served a"), sideEffects);
+        assertEquals(List.of(AttemptResult.SERVED, AttemptResult.SERVED), attemptResults());
+        assertTrue(moduleEvents.stream()
+                .filter(e -> e instanceof Event.Outcome)
+                .allMatch(e -> ((Event.Outcome) e).settled()));
+    }
+
+    @Test
+    void anAttemptTimesOutAtItsTimeoutAndAtTheDeadlineAtTheLatest() throws InterruptedException {
+        onArrival(new Dispatch("a", "w", 50_000_000), new Dispatch("a", "w", 0));
+        submit("a", 100);
+        advanceTo(0);
+        advanceTo(49.9);
+        assertEquals(List.of(), attemptResults());
+        advanceTo(50);
+        assertEquals(List.of(AttemptResult.TIMEOUT), attemptResults());
+        advanceTo(100);
+        assertEquals(List.of(AttemptResult.TIMEOUT, AttemptResult.TIMEOUT), attemptResults());
+        assertEquals(List.of("send a0", "send a1", "drop a0", "drop a1"), sideEffects);
+    }
+
+    /** Guards against a request that the module forgets: its client gets an answer all the same. */
+    @Test
+    void aRequestLeftUnansweredIsFailedAtItsDeadline() throws InterruptedException {
+        submit("a", 100);
+        advanceTo(0);
+        advanceTo(111);
+        assertEquals(List.of("failed a"), sideEffects);
+        assertTrue(moduleEvents.contains(new Abandoned("a")));
+    }
+
+    /** Guards against a kill that finds unanswered what was taken, before the signal or after it. */
+    @Test
+    void answerAllNowEndsRequestsInFlightAndRejectsLaterOnes() throws InterruptedException {
+        script = e -> e instanceof Arrival a && a.id().equals("b") ? List.of(new Dispatch("b", "w", 0)) : List.of();
+        submit("a", 5000);
+        advanceTo(0);
+        submit("b", 5000);
+        advanceTo(10);
+        coordinator.answerAllNow();
+        advanceTo(20);
+        submit("c", 5000);
+        advanceTo(30);
+        assertEquals(List.of("send b0", "refused a 1000.0", "refused b 1000.0", "refused c 1000.0"), sideEffects);
+        assertTrue(moduleEvents.contains(new Abandoned("a")) && moduleEvents.contains(new Abandoned("b")));
+    }
+
+    @Test
+    void anAbandonedRequestGetsNoAnswerAndIsNotSent() throws InterruptedException {
+        script = e -> e instanceof Abandoned ? List.of(new Dispatch("a", "w", 0), new Fail("a")) : List.of();
+        Request a = submit("a", 100);
+        advanceTo(0);
+        coordinator.abandon(a);
+        advanceTo(200);
+        assertEquals(List.of(), sideEffects);
+    }
+}
--- a/src/test/java/nettlewick/core/CoreFixture.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
@@ -20,21 +20,21 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A core with a scripted module, a transport that only notes, and a clock that stands. */
-abstract class CoreFixture {
+abstract class RequestCoordinatorFixture {
     static final double START = 1_000_000;
     final Clock clock = Clock.standing(START);
-    final List<Event> events = new ArrayList<>();
-    final List<String> out = new ArrayList<>();
-    final List<Attempt> sent = new ArrayList<>();
-    final List<nettlewick.core.Probe> asked = new ArrayList<>();
+    final List<Event> moduleEvents = new ArrayList<>();
+    final List<String> sideEffects = new ArrayList<>();
+    final List<Attempt> sentAttempts = new ArrayList<>();
+    final List<nettlewick.core.Probe> probes = new ArrayList<>();
     Function<Event, List<Action>> script = e -> List.of();
-    long decidedAt;
-    RequestCoordinator core;
+    long lastDecisionNanos;
+    RequestCoordinator coordinator;
     /** What keeps the books; set before {@link #open} by tests that look at them. */
-    UsageRecorder books = UsageRecorder.NONE;
+    UsageRecorder usageRecorder = UsageRecorder.NONE;
 
     @BeforeEach
-    void open() throws InterruptedException {
+    void createCoordinator() throws InterruptedException {
         SchedulerSettings settings = new SchedulerSettings(
                 0,
                 1,
@@ -49,15 +49,15 @@
                 new Limits(2, true, true, true, true, true, 0),
                 new Rules(0, 0, 0, 1, 0, 0, 1));
         Dispatcher module = (now, batch) -> {
-            decidedAt = now;
+            lastDecisionNanos = now;
             List<Action> actions = new ArrayList<>();
             for (Event e : batch) {
-                events.add(e);
+                moduleEvents.add(e);
                 actions.addAll(script.apply(e));
             }
             return actions;
         };
-        core = new RequestCoordinator(
+        coordinator = new RequestCoordinator(
                 clock,
                 settings,
                 module,
@@ -65,71 +65,71 @@
                 new Transport() {
                     @Override
                     public void send(Attempt a) {
-                        sent.add(a);
-                        out.add("send " + a.request().id() + a.number());
+                        sentAttempts.add(a);
+                        sideEffects.add("send " + a.request().id() + a.number());
                     }
 
                     @Override
                     public void drop(Attempt a) {
-                        out.add("drop " + a.request().id() + a.number());
+                        sideEffects.add("drop " + a.request().id() + a.number());
                     }
 
                     @Override
                     public void probe(nettlewick.core.Probe p) {
-                        asked.add(p);
+                        probes.add(p);
                     }
 
                     @Override
                     public void drop(nettlewick.core.Probe p) {
-                        out.add("drop probe");
+                        sideEffects.add("drop probe");
                     }
 
                     @Override
                     public void tell(int rank, byte[] data) {
-                        out.add("tell " + rank);
+                        sideEffects.add("tell " + rank);
                     }
                 },
-                books);
-        core.updateEndpoints(
-                new EndpointUpdate(true, List.of(entry("w", EndpointState.READY), entry("d", EndpointState.DRAINING))));
-        at(0);
+                usageRecorder);
+        coordinator.updateEndpoints(new EndpointUpdate(
+                true, List.of(endpoint("w", EndpointState.READY), endpoint("d", EndpointState.DRAINING))));
+        advanceTo(0);
     }
 
-    static EndpointUpdate.Entry entry(String endpoint, EndpointState life) {
+    static EndpointUpdate.Entry endpoint(String endpoint, EndpointState life) {
         return new EndpointUpdate.Entry(endpoint, life, 2.5, 0, "k", "z", 1);
     }
 
     /** Sets the clock to so many milliseconds after the start and lets the core take what there is. */
-    void at(double millis) throws InterruptedException {
+    void advanceTo(double millis) throws InterruptedException {
         clock.set(START + millis);
         for (int i = 0; i < 8; i++) {
-            core.turn(0);
+            coordinator.runIteration(0);
         }
     }
 
-    Request request(String id, double deadline) {
-        return request(id, deadline, 1.5);
+    Request submit(String id, double deadline) {
+        return submit(id, deadline, 1.5);
     }
 
-    Request request(String id, double deadline, double hint) {
+    Request submit(String id, double deadline, double hint) {
         Request[] made = new Request[1];
         made[0] = new Request(id, "c", null, null, START + deadline, 1, 0, hint, false, null, new Request.Caller() {
             @Override
             public void served(byte[] result) {
-                out.add("served " + id);
+                sideEffects.add("served " + id);
             }
 
             @Override
             public void rejected(double retryAfter) {
-                out.add("refused " + id + " " + retryAfter);
+                sideEffects.add("refused " + id + " " + retryAfter);
             }
 
             @Override
             public void failed(String reason) {
-                out.add("failed " + id);
+                sideEffects.add("failed " + id);
             }
         });
-        core.submit(made[0]);
+        coordinator.submit(made[0]);
         return made[0];
     }
 
@@ -137,8 +137,8 @@
         script = e -> e instanceof Arrival ? List.of(actions) : List.of();
     }
 
-    List<AttemptResult> results() {
-        return events.stream()
+    List<AttemptResult> attemptResults() {
+        return moduleEvents.stream()
                 .filter(e -> e instanceof Outcome)
                 .map(e -> ((Outcome) e).result())
                 .toList();
--- /dev/null
+++ b/src/test/java/nettlewick/core/RequestCoordinatorTest.java
@@ -0,0 +1,243 @@
+package nettlewick.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import nettlewick.core.Attempt.Outcome;
+import nettlewick.decision.Action;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.ProbeAnswer;
+import org.junit.jupiter.api.Test;
+
+/** The books of the core, with a scripted module. */
+class RequestCoordinatorTest extends RequestCoordinatorFixture {
+    /** A core whose books only note, and let answers go when the test says so. */
+    private List<UsageRecorder.FinishedRequest> createWithRecorder(
+            List<java.util.function.Consumer<UsageRecorder.Receipt>> waiting, double patience)
+            throws InterruptedException {
+        List<UsageRecorder.FinishedRequest> jobs = new ArrayList<>();
+        usageRecorder = new UsageRecorder() {
+            @Override
+            public Runnable settle(FinishedRequest job, java.util.function.Consumer<Receipt> send) {
+                jobs.add(job);
+                waiting.add(send);
+                return () -> sideEffects.add("overdue " + job.request().id());
+            }
+
+            @Override
+            public double patience() {
+                return patience;
+            }
+        };
+        createCoordinator();
+        return jobs;
+    }
+
+    /** Guards against long jobs lost with a process that is succeeded: see PartingTest for which. */
+    @Test
+    void requestsThatWouldOutliveTheProcessAreHeldAndRejectedUnsent() throws InterruptedException {
+        script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
+        coordinator.expectSuccessor(START + 4000, START + 7700);
+        submit("long", 60_000, 9000);
+        submit("gone", 60_000, 9000);
+        advanceTo(1000);
+        assertTrue(sentAttempts.isEmpty(), sideEffects.toString());
+        coordinator.startDraining(START + 5000);
+        advanceTo(1300);
+        submit("after", 60_000, 9000);
+        advanceTo(1400);
+        assertEquals(List.of("refused long 0.0", "refused gone 0.0", "refused after 0.0"), sideEffects);
+        submit("short", 60_000, 900);
+        advanceTo(1500);
+        assertEquals("send short0", sideEffects.get(sideEffects.size() - 1));
+        assertTrue(moduleEvents.stream().noneMatch(e -> e instanceof Arrival a && !a.id().equals("short")));
+    }
+
+    /** Guards against a job that is held for good, or handed on after its client has gone. */
+    @Test
+    void heldRequestsProceedWhenDrainingDoesNotStart() throws InterruptedException {
+        script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
+        coordinator.expectSuccessor(START + 4000, START + 7700);
+        submit("late", 60_000, 9000);
+        Request left = submit("left", 60_000, 9000);
+        advanceTo(10);
+        coordinator.abandon(left);
+        advanceTo(4999);
+        assertTrue(sentAttempts.isEmpty());
+        advanceTo(5000);
+        assertEquals(List.of("send late0"), sideEffects);
+        coordinator.expectSuccessor(START + 8000, START + 11_700);
+        submit("next", 60_000, 9000);
+        advanceTo(5010);
+        coordinator.cancelDraining();
+        advanceTo(5020);
+        assertEquals(List.of("send late0", "send next0"), sideEffects);
+    }
+
+    /** A successor is made to wait for what ends only if it does, and for nothing else. */
+    @Test
+    void reportedProgressDecidesWhetherWaitingSavesARequest() throws InterruptedException {
+        script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
+        List<Boolean> saves = new ArrayList<>();
+        submit("job", 60_000, 4000);
+        advanceTo(0);
+        coordinator.expectSuccessor(START + 4000, START + 7700);
+        coordinator.askWhetherWaitingHelps(3700, saves::add);
+        advanceTo(1);
+        coordinator.reportProgress(sentAttempts.get(0), 0);
+        advanceTo(2);
+        coordinator.reportProgress(sentAttempts.get(0), 0.8);
+        advanceTo(1000);
+        coordinator.askWhetherWaitingHelps(3700, saves::add);
+        advanceTo(1001);
+        assertEquals(List.of(true, false), saves);
+    }
+
+    @Test
+    void usageRecorderSeesEachEndOnceWithServedAndExtraWork() throws InterruptedException {
+        List<java.util.function.Consumer<UsageRecorder.Receipt>> waiting = new ArrayList<>();
+        List<UsageRecorder.FinishedRequest> jobs = createWithRecorder(waiting, 50);
+        script = e -> e instanceof Arrival a && a.id().equals("a")
+                ? List.of(new Dispatch("a", "w", 0), new Dispatch("a", "w", 0))
+                : e instanceof Arrival a && a.id().equals("r") ? List.of(new Reject("r", 0)) : List.of();
+        submit("a", 1000);
+        advanceTo(0);
+        coordinator.reportProgress(sentAttempts.get(0), 0);
+        advanceTo(10);
+        coordinator.reportProgress(sentAttempts.get(1), 0);
+        advanceTo(25);
+        coordinator.reportProgress(sentAttempts.get(1), 0.5);
+        coordinator.attemptEnded(sentAttempts.get(1), new Outcome(AttemptResult.SERVED, new byte[0], null));
+        advanceTo(25);
+        assertEquals(1, jobs.size());
+        UsageRecorder.FinishedRequest a = jobs.get(0);
+        assertEquals(UsageRecorder.Ending.SERVED, a.ending());
+        assertEquals(2, a.attempts());
+        assertEquals(15_000, a.work(), "slot-microseconds of the attempt that served it");
+        assertEquals(25_000, a.spare(), "of the one that still runs");
+        assertEquals(false, a.estimate());
+        assertTrue(sideEffects.stream().noneMatch(s -> s.startsWith("served")), "held until the books let it go");
+        advanceTo(74);
+        assertTrue(sideEffects.stream().noneMatch(s -> s.startsWith("overdue")));
+        advanceTo(75);
+        assertTrue(sideEffects.contains("overdue a"), "let go all the same after the patience");
+        waiting.get(0).accept(UsageRecorder.Receipt.NONE);
+        assertTrue(sideEffects.contains("served a"));
+        submit("r", 1000);
+        coordinator.abandon(submit("l", 1000));
+        submit("a", 1000);
+        advanceTo(80);
+        assertEquals(
+                List.of(
+                        UsageRecorder.Ending.SERVED,
+                        UsageRecorder.Ending.REFUSED,
+                        UsageRecorder.Ending.LEFT,
+                        UsageRecorder.Ending.FAILED),
+                jobs.stream()
+                        .map(UsageRecorder.FinishedRequest::ending)
+                        .sorted(java.util.Comparator.comparingInt(e -> List.of(
+                                        UsageRecorder.Ending.SERVED,
+                                        UsageRecorder.Ending.REFUSED,
+                                        UsageRecorder.Ending.LEFT,
+                                        UsageRecorder.Ending.FAILED)
+                                .indexOf(e)))
+                        .toList());
+    }
+
+    @Test
+    void workIsAnEstimateWhenNoStartWasReported() throws InterruptedException {
+        List<UsageRecorder.FinishedRequest> jobs = createWithRecorder(new ArrayList<>(), 0);
+        onArrival(new Dispatch("a", "w", 0));
+        submit("a", 1000);
+        advanceTo(5);
+        coordinator.attemptEnded(sentAttempts.get(0), new Outcome(AttemptResult.SERVED, new byte[0], null));
+        advanceTo(6);
+        assertEquals(1500, jobs.get(0).work(), "the hint, 1.5 ms");
+        assertTrue(jobs.get(0).estimate());
+    }
+
+    @Test
+    void timesReachTheModuleInNanoseconds() throws InterruptedException {
+        submit("a", 250.5);
+        advanceTo(100);
+        Arrival arrival = (Arrival) moduleEvents.get(1);
+        assertEquals(1_000_100_000_000L, lastDecisionNanos);
+        assertEquals(150_500_000, arrival.remaining());
+        assertEquals(1_500_000, arrival.costHint());
+        assertEquals(
+                2_500_000, ((EndpointList) moduleEvents.get(0)).entries().get(0).startedAt());
+    }
+
+    /** Guards against one client's id in another's hands: the first is left alone, and nothing runs twice. */
+    @Test
+    void aRequestIdIsAcceptedOnceInFlightAndAfterwards() throws InterruptedException {
+        onArrival(new Dispatch("a", "w", 0));
+        submit("a", 1000);
+        advanceTo(0);
+        submit("a", 1000);
+        advanceTo(1);
+        coordinator.attemptEnded(sentAttempts.get(0), new Outcome(AttemptResult.SERVED, new byte[0], null));
+        advanceTo(2);
+        submit("a", 1000);
+        advanceTo(3);
+        assertEquals(List.of("send a0", "failed a", "served a", "failed a"), sideEffects);
+    }
+
+    @Test
+    void nothingIsSentToDrainingOrUnknownEndpointsNorBeyondTheAttemptLimit() throws InterruptedException {
+        onArrival(new Dispatch("a", "d", 0), new Dispatch("a", "x", 0), new Dispatch("a", "w", 0));
+        submit("a", 100);
+        advanceTo(0);
+        assertEquals(
+                List.of(AttemptResult.OVERLOADED, AttemptResult.UNREACHABLE, AttemptResult.NOT_SENT), attemptResults());
+        assertEquals(List.of(), sideEffects);
+    }
+
+    @Test
+    void duplicateIdsAndRequestsOverTheLimitNeverReachTheModule() throws InterruptedException {
+        submit("a", 100);
+        submit("a", 100);
+        submit("b", 100);
+        submit("c", 100);
+        advanceTo(0);
+        assertEquals(List.of("failed a", "refused c 0.0"), sideEffects);
+        assertEquals(2, moduleEvents.stream().filter(e -> e instanceof Arrival).count());
+    }
+
+    @Test
+    void aProbeHasOneAnswer() throws InterruptedException {
+        onArrival(new Action.Probe("w"), new Action.Probe("w"));
+        submit("a", 5000);
+        advanceTo(0);
+        coordinator.probeAnswered(probes.get(0), Outcome.of(AttemptResult.SERVED));
+        advanceTo(10);
+        advanceTo(1001);
+        coordinator.probeAnswered(probes.get(1), Outcome.of(AttemptResult.SERVED));
+        advanceTo(1002);
+        assertEquals(
+                List.of(AttemptResult.SERVED, AttemptResult.TIMEOUT),
+                moduleEvents.stream()
+                        .filter(e -> e instanceof ProbeAnswer)
+                        .map(e -> ((ProbeAnswer) e).result())
+                        .toList());
+    }
+
+    /** Guards the thread that all requests depend on against a fault in the module. */
+    @Test
+    void aModuleFaultDoesNotStopTheLoop() throws InterruptedException {
+        script = e -> {
+            throw new IllegalStateException("made up");
+        };
+        submit("a", 100);
+        advanceTo(0);
+        script = e -> List.of();
+        advanceTo(200);
+        assertEquals(List.of("failed a"), sideEffects);
+    }
+}
