--- /dev/null
+++ b/src/main/java/nettlewick/core/AttemptTracker.java
@@ -0,0 +1,121 @@
+package nettlewick.core;
+
+import nettlewick.decision.Action.Cancel;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.SchedulerSettings;
+
+/** Sends attempts, times them out, and reports exactly one outcome for each to the decision module. Core thread. */
+final class AttemptTracker {
+    private final CoreLoop loop;
+    private final InFlightTable table;
+    private final EndpointStates endpoints;
+    private final FinalAnswers answers;
+    private final DrainHandover drainHandover;
+    private final RequestListener listener;
+    private final Transport transport;
+    private final int maxAttempts;
+
+    AttemptTracker(
+            CoreLoop loop,
+            InFlightTable table,
+            EndpointStates endpoints,
+            FinalAnswers answers,
+            DrainHandover drainHandover,
+            RequestListener listener,
+            Transport transport,
+            SchedulerSettings settings) {
+        this.loop = loop;
+        this.table = table;
+        this.endpoints = endpoints;
+        this.answers = answers;
+        this.drainHandover = drainHandover;
+        this.listener = listener;
+        this.transport = transport;
+        maxAttempts = settings.limits().maxAttempts();
+    }
+
+    /** Starts the attempt that the module asked for, or ends it at once where it may not be sent. */
+    void dispatch(Dispatch dispatch) {
+        InFlightRequest inFlight = table.get(dispatch.id());
+        if (inFlight == null) {
+            return;
+        }
+        double now = loop.nowMillis();
+        Attempt attempt = inFlight.addAttempt(dispatch.endpoint(), now);
+        AttemptResult obstacle = findObstacle(inFlight, attempt, now);
+        if (obstacle != null) {
+            end(attempt, Attempt.Outcome.of(obstacle), now);
+            return;
+        }
+        double deadline = inFlight.request().deadline();
+        double timeoutAt =
+                dispatch.timeout() > 0 ? Math.min(deadline, now + ModuleTime.toMillis(dispatch.timeout())) : deadline;
+        loop.schedule(timeoutAt, () -> giveUp(attempt, AttemptResult.TIMEOUT));
+        transport.send(attempt);
+    }
+
+    /** The result of an attempt that may not be sent; null where it may. */
+    private AttemptResult findObstacle(InFlightRequest inFlight, Attempt attempt, double now) {
+        if (inFlight.isAnswered() || now >= inFlight.request().deadline() || attempt.number() >= maxAttempts) {
+            return AttemptResult.NOT_SENT;
+        }
+        if (!endpoints.isKnown(attempt.endpoint())) {
+            return AttemptResult.UNREACHABLE;
+        }
+        // The module's view may lag behind: an endpoint that drains gets nothing new.
+        return endpoints.isAccepting(attempt.endpoint()) ? null : AttemptResult.OVERLOADED;
+    }
+
+    /** Stops waiting for the attempt that the module names. */
+    void cancel(Cancel cancel) {
+        InFlightRequest inFlight = table.get(cancel.id());
+        if (inFlight != null
+                && cancel.attempt() >= 0
+                && cancel.attempt() < inFlight.attempts().size()) {
+            giveUp(inFlight.attempts().get(cancel.attempt()), AttemptResult.CANCELLED);
+        }
+    }
+
+    private void giveUp(Attempt attempt, AttemptResult result) {
+        if (!attempt.isEnded()) {
+            end(attempt, Attempt.Outcome.of(result), loop.nowMillis());
+            transport.drop(attempt);
+        }
+    }
+
+    /** Passes on that an endpoint reported progress at that time. */
+    void reportProgress(Attempt attempt, double share, double reportedAtMillis) {
+        if (attempt.isEnded()) {
+            return;
+        }
+        attempt.recordStart(reportedAtMillis);
+        attempt.recordProgress(share);
+        loop.addEvent(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), share));
+        InFlightRequest inFlight = table.get(attempt.request().id());
+        if (inFlight != null && !inFlight.isAnswered()) {
+            inFlight.request().caller().progress(share);
+        }
+    }
+
+    /** Takes the end of an attempt; only its first end counts. */
+    void end(Attempt attempt, Attempt.Outcome outcome, double endedAtMillis) {
+        if (!attempt.markEnded()) {
+            return;
+        }
+        attempt.recordEnd(endedAtMillis, outcome.result().neverRan);
+        listener.ended(attempt, outcome.result());
+        InFlightRequest inFlight = table.get(attempt.request().id());
+        boolean isSettled = inFlight == null || inFlight.isAnswered();
+        if (!isSettled && outcome.result() == AttemptResult.SERVED) {
+            drainHandover.learnRunTime(attempt);
+            answers.serve(inFlight, attempt, outcome.body());
+            isSettled = true;
+        }
+        loop.addEvent(ModuleEvents.outcome(attempt, outcome, endedAtMillis, isSettled));
+        if (inFlight != null) {
+            table.removeIfFinished(inFlight);
+        }
+    }
+}
--- a/src/main/java/nettlewick/core/CoreLoop.java
+++ b/src/main/java/nettlewick/core/CoreLoop.java
@@ -1,75 +1,84 @@
 package nettlewick.core;
 
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.Set;
-import java.util.TreeMap;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import nettlewick.decision.Action;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Dispatcher.EndpointCounts;
-import nettlewick.decision.Dispatcher.PeerMessageFaults;
 import nettlewick.decision.Event;
-import nettlewick.decision.SchedulerSettings;
-import nettlewick.decision.SchedulerSettings.RequestClass;
 import nettlewick.log.ComponentLogger;
 
-/** The core's one thread: its queue, its timers, and the rounds in which the module decides. */
-abstract class CoreLoop implements Runnable {
+/**
+ * The core thread's loop. It owns the decision module: takes tasks from the queue and the timers, hands the events
+ * that they raise to the module in batches, and has the resulting actions executed.
+ *
+ * <p>{@link #post} and {@link #stop} may be called by any thread. All else belongs to the core thread, which is the
+ * first one to run the loop; assertions check that.
+ */
+final class CoreLoop implements Runnable {
     static final ComponentLogger LOG = ComponentLogger.of("core");
-    static final double NANOS = 1e6;
     private static final int MAX_TASKS_PER_ITERATION = 512;
-    /** How often the workers left out are counted. */
-    private static final double STATS_INTERVAL_MILLIS = 50;
+    private static final double MAX_IDLE_MILLIS = 1000;
+    private static final double MICROS_PER_MILLI = 1000;
 
-    final Clock clock;
-    final Metrics metrics;
-    final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+    private final Clock clock;
     private final Dispatcher module;
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
-    private final Set<String> seenFaults = new HashSet<>();
-    private PeerMessageFaults lastFaults = new PeerMessageFaults(0, 0, 0);
-    List<Event> pendingEvents = new ArrayList<>();
-    double now;
-    private double countedAt;
-    private long timerNumber;
+    private final ModuleStatsSampler statsSampler;
+    private final Consumer<Action> actionExecutor;
+    private final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+    private final TimerQueue timers = new TimerQueue();
+    private List<Event> pendingEvents = new ArrayList<>();
+    private double nowMillis;
+    private Thread owner;
     private volatile boolean stopped;
 
-    private record Due(double at, long number, Runnable task) implements Comparable<Due> {
-        @Override
-        public int compareTo(Due other) {
-            int order = Double.compare(at, other.at);
-            return order != 0 ? order : Long.compare(number, other.number);
-        }
-    }
-
-    CoreLoop(Clock clock, SchedulerSettings settings, Dispatcher module) {
+    CoreLoop(Clock clock, Dispatcher module, Metrics metrics, Consumer<Action> actionExecutor) {
         this.clock = clock;
         this.module = module;
-        metrics =
-                new Metrics(settings.classes().stream().map(RequestClass::name).toList());
-        now = clock.now();
+        this.actionExecutor = actionExecutor;
+        statsSampler = new ModuleStatsSampler(module, metrics);
+        nowMillis = clock.now();
     }
 
-    /** Carries one of the module's wishes out. */
-    abstract void execute(Action action);
+    /** Queues a task for the core thread. Any thread. */
+    void post(Runnable task) {
+        queue.add(task);
+    }
 
-    /** What operators count. */
-    public Metrics figures() {
-        return metrics;
+    /** Ends {@link #run} once the tasks queued before have run. Any thread. */
+    void stop() {
+        post(() -> stopped = true);
     }
 
-    public void stop() {
-        queue.add(() -> stopped = true);
+    /** The time at which the current iteration began. */
+    double nowMillis() {
+        assert isCoreThread();
+        return nowMillis;
+    }
+
+    /** Adds an event to the next batch for the module. */
+    void addEvent(Event event) {
+        assert isCoreThread();
+        pendingEvents.add(event);
+    }
+
+    boolean hasPendingEvents() {
+        assert isCoreThread();
+        return !pendingEvents.isEmpty();
+    }
+
+    /** Runs the task in the first iteration that begins at or after that time. */
+    void schedule(double dueAtMillis, Runnable task) {
+        assert isCoreThread();
+        timers.add(dueAtMillis, task);
     }
 
     @Override
     public void run() {
+        claimOwnership();
         decide();
         while (!stopped) {
             try {
@@ -82,62 +91,29 @@
     }
 
     private double millisUntilWork() {
-        if (!pendingEvents.isEmpty()) {
-            return 0;
-        }
-        return timers.isEmpty() ? 1000 : Math.max(0, timers.peek().at() - clock.now());
+        return pendingEvents.isEmpty() ? timers.millisUntilNext(clock.now(), MAX_IDLE_MILLIS) : 0;
     }
 
-    /** One round: waits so many milliseconds for news at most, then takes all there is and decides on it. */
-    void runIteration(double wait) throws InterruptedException {
-        Runnable first = queue.poll((long) Math.ceil(wait * 1000), TimeUnit.MICROSECONDS);
-        now = clock.now();
-        for (int taken = 0; first != null; first = ++taken < MAX_TASKS_PER_ITERATION ? queue.poll() : null) {
-            runGuarded(first);
-        }
-        List<Due> due = new ArrayList<>();
-        while (!timers.isEmpty() && timers.peek().at() <= now) {
-            due.add(timers.poll());
-        }
-        due.forEach(d -> runGuarded(d.task()));
+    /** Waits for a task for at most that long, then runs all tasks that are ready and decides on their events. */
+    void runIteration(double maxWaitMillis) throws InterruptedException {
+        claimOwnership();
+        Runnable first = queue.poll((long) Math.ceil(maxWaitMillis * MICROS_PER_MILLI), TimeUnit.MICROSECONDS);
+        nowMillis = clock.now();
+        runQueued(first);
+        timers.removeDue(nowMillis).forEach(CoreLoop::runGuarded);
         while (!pendingEvents.isEmpty()) {
             decide();
         }
-        if (now - countedAt >= STATS_INTERVAL_MILLIS) {
-            countedAt = now;
-            EndpointCounts rotation = module.endpointCounts();
-            metrics.setEndpointCounts(rotation.listed(), rotation.ejected());
-            reportPeerFaults(module.peerMessageFaults());
-        }
+        statsSampler.sampleIfDue(nowMillis);
     }
 
-    /** Counts what peers sent and the module passed over; each kind is logged at its first sight. */
-    private void reportPeerFaults(PeerMessageFaults faults) {
-        if (faults.equals(lastFaults)) {
-            return;
-        }
-        lastFaults = faults;
-        Map<String, Long> kinds = new TreeMap<>(
-                Map.of("damaged", faults.damaged(), "late", faults.late(), "unlisted", faults.unlisted()));
-        kinds.forEach((kind, count) -> {
-            if (count > 0 && seenFaults.add(kind)) {
-                LOG.warning(
-                        "peer-" + kind,
-                        "peers' datagrams passed over: " + count + " " + kind
-                                + "; counted from now on in the figures, not logged again",
-                        "kind",
-                        kind);
-            }
-        });
-        metrics.setPeerMessageFaults(kinds);
-    }
-
-    /** Danger: a fault in one task must not end the thread that all requests depend on. */
-    private static void runGuarded(Runnable task) {
-        try {
-            task.run();
-        } catch (RuntimeException e) {
-            LOG.fault("task-failed", "core task failed", e);
+    private void runQueued(Runnable first) {
+        Runnable task = first;
+        int taken = 0;
+        while (task != null) {
+            runGuarded(task);
+            taken++;
+            task = taken < MAX_TASKS_PER_ITERATION ? queue.poll() : null;
         }
     }
 
@@ -146,21 +122,33 @@
         pendingEvents = new ArrayList<>();
         List<Action> actions;
         try {
-            actions = module.handle(toNanos(now), events);
+            actions = module.handle(ModuleTime.toNanos(nowMillis), events);
         } catch (RuntimeException e) {
             LOG.fault("module-failed", "decision module failed on " + events.size() + " events", e);
             return;
         }
         for (Action action : actions) {
-            runGuarded(() -> execute(action));
+            runGuarded(() -> actionExecutor.accept(action));
+        }
+    }
+
+    /** A fault in one task must not end the thread that all requests depend on. */
+    private static void runGuarded(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            LOG.fault("task-failed", "core task failed", e);
         }
     }
 
-    static long toNanos(double millis) {
-        return Math.round(millis * NANOS);
+    private void claimOwnership() {
+        if (owner == null) {
+            owner = Thread.currentThread();
+        }
+        assert isCoreThread();
     }
 
-    final void schedule(double at, Runnable task) {
-        timers.add(new Due(at, timerNumber++, task));
+    private boolean isCoreThread() {
+        return owner == Thread.currentThread();
     }
 }
--- /dev/null
+++ b/src/main/java/nettlewick/core/DeadlineGuard.java
@@ -0,0 +1,41 @@
+package nettlewick.core;
+
+/** Fails each request that the decision module has not answered by its deadline. Core thread. */
+final class DeadlineGuard {
+    private static final double GRACE_MILLIS = 10;
+
+    private final CoreLoop loop;
+    private final FinalAnswers answers;
+
+    DeadlineGuard(CoreLoop loop, FinalAnswers answers) {
+        this.loop = loop;
+        this.answers = answers;
+    }
+
+    void watch(InFlightRequest inFlight) {
+        loop.schedule(inFlight.request().deadline() + GRACE_MILLIS, () -> check(inFlight, true));
+    }
+
+    /**
+     * After a pause of the thread the outcome of an attempt that timed out may be pending in this iteration too, and
+     * the module may still reject what would be failed here. So the module goes first, but only once: under a flood
+     * there are pending events in every iteration.
+     */
+    private void check(InFlightRequest inFlight, boolean mayPostpone) {
+        if (inFlight.isAnswered()) {
+            return;
+        }
+        if (mayPostpone && loop.hasPendingEvents()) {
+            loop.schedule(loop.nowMillis(), () -> check(inFlight, false));
+            return;
+        }
+        CoreLoop.LOG.warning(
+                "left-open",
+                "request " + inFlight.id() + " was still in flight at its deadline",
+                "request",
+                inFlight.id(),
+                "member",
+                inFlight.request().tenant());
+        answers.failAndWithdraw(inFlight, "no answer in time");
+    }
+}
--- a/src/main/java/nettlewick/core/EndpointStates.java
+++ b/src/main/java/nettlewick/core/EndpointStates.java
@@ -30,7 +30,7 @@
             entries.add(new EndpointEntry(
                     e.id(),
                     e.state(),
-                    e.startedAt() > 0 ? CoreLoop.toNanos(e.startedAt()) : 0,
+                    e.startedAt() > 0 ? ModuleTime.toNanos(e.startedAt()) : 0,
                     e.cell(),
                     e.kind(),
                     e.zone(),
--- /dev/null
+++ b/src/main/java/nettlewick/core/ModuleEvents.java
@@ -0,0 +1,43 @@
+package nettlewick.core;
+
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.ProbeAnswer;
+
+/** Makes the decision module's events from what this package knows. */
+final class ModuleEvents {
+    private ModuleEvents() {}
+
+    static Arrival arrival(Request request, double nowMillis) {
+        return new Arrival(
+                request.id(),
+                request.requestClass(),
+                request.tenant(),
+                ModuleTime.toNanos(request.deadline()) - ModuleTime.toNanos(nowMillis),
+                request.slots(),
+                request.memory(),
+                ModuleTime.toNanos(request.costHint()),
+                request.key(),
+                request.repeat());
+    }
+
+    /** {@code requestSettled} says whether the request has its final answer. */
+    static Outcome outcome(Attempt attempt, Attempt.Outcome outcome, double endedAtMillis, boolean requestSettled) {
+        return new Outcome(
+                attempt.request().id(),
+                attempt.number(),
+                attempt.endpoint(),
+                outcome.result(),
+                ModuleTime.toNanos(endedAtMillis - attempt.sentAtMillis()),
+                requestSettled,
+                outcome.load());
+    }
+
+    static ProbeAnswer probeAnswer(Probe probe, Attempt.Outcome outcome, double endedAtMillis) {
+        return new ProbeAnswer(
+                probe.endpoint(),
+                outcome.result(),
+                ModuleTime.toNanos(endedAtMillis - probe.sentAtMillis()),
+                outcome.load());
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/core/ModuleStatsSampler.java
@@ -0,0 +1,60 @@
+package nettlewick.core;
+
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import nettlewick.decision.Dispatcher;
+import nettlewick.decision.Dispatcher.EndpointCounts;
+import nettlewick.decision.Dispatcher.PeerMessageFaults;
+
+/** Copies the decision module's own counts into the {@link Metrics} at intervals. Core thread. */
+final class ModuleStatsSampler {
+    private static final double SAMPLE_INTERVAL_MILLIS = 50;
+
+    private final Dispatcher module;
+    private final Metrics metrics;
+    private final Set<String> loggedFaultKinds = new HashSet<>();
+    private PeerMessageFaults lastFaults = new PeerMessageFaults(0, 0, 0);
+    private double sampledAtMillis;
+
+    ModuleStatsSampler(Dispatcher module, Metrics metrics) {
+        this.module = module;
+        this.metrics = metrics;
+    }
+
+    void sampleIfDue(double nowMillis) {
+        if (nowMillis - sampledAtMillis < SAMPLE_INTERVAL_MILLIS) {
+            return;
+        }
+        sampledAtMillis = nowMillis;
+        EndpointCounts counts = module.endpointCounts();
+        metrics.setEndpointCounts(counts.listed(), counts.ejected());
+        reportPeerFaults(module.peerMessageFaults());
+    }
+
+    /** Publishes the counts of discarded peer messages; each kind is logged when it is first seen. */
+    private void reportPeerFaults(PeerMessageFaults faults) {
+        if (faults.equals(lastFaults)) {
+            return;
+        }
+        lastFaults = faults;
+        Map<String, Long> countsByKind = new TreeMap<>(
+                Map.of("damaged", faults.damaged(), "late", faults.late(), "unlisted", faults.unlisted()));
+        countsByKind.forEach((kind, count) -> {
+            if (count > 0 && loggedFaultKinds.add(kind)) {
+                logFirst(kind, count);
+            }
+        });
+        metrics.setPeerMessageFaults(countsByKind);
+    }
+
+    private static void logFirst(String kind, long count) {
+        CoreLoop.LOG.warning(
+                "peer-" + kind,
+                "peer datagrams discarded: " + count + " " + kind
+                        + "; counted from now on in the metrics, not logged again",
+                "kind",
+                kind);
+    }
+}
--- a/src/main/java/nettlewick/core/RequestCoordinator.java
+++ b/src/main/java/nettlewick/core/RequestCoordinator.java
@@ -1,454 +1,213 @@
 package nettlewick.core;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.IntConsumer;
 import nettlewick.decision.Action;
-import nettlewick.decision.Action.Cancel;
-import nettlewick.decision.Action.Dispatch;
-import nettlewick.decision.Action.Fail;
-import nettlewick.decision.Action.Reject;
-import nettlewick.decision.Action.SendToPeer;
-import nettlewick.decision.Action.SetTimer;
-import nettlewick.decision.AttemptResult;
 import nettlewick.decision.Dispatcher;
-import nettlewick.decision.Event.Abandoned;
-import nettlewick.decision.Event.Arrival;
 import nettlewick.decision.Event.EndpointAdminChange;
-import nettlewick.decision.Event.Outcome;
 import nettlewick.decision.Event.PeerMessageReceived;
 import nettlewick.decision.Event.PoolsAssigned;
-import nettlewick.decision.Event.ProbeAnswer;
-import nettlewick.decision.Event.Progress;
-import nettlewick.decision.Event.Timer;
 import nettlewick.decision.PoolAssignment;
 import nettlewick.decision.SchedulerSettings;
-import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /**
- * Joins requests, attempts and outcomes to the decision module, and keeps the books that the rules ask for:
- * one outcome for each dispatch, one answer for each probe, one final answer for each request, in time.
+ * Connects requests, attempts and outcomes to the decision module and guarantees what its interface asks for: one
+ * outcome for each dispatch, one answer for each probe, and one final answer for each request, in time.
  *
- * <p>One thread runs {@link #run} and owns the module and all state here. Every other thread comes in by one
- * queue, through the public methods; actions leave through {@link Transport} and {@link Request.Caller}.
- * Time is in milliseconds; only here is it turned into the module's nanoseconds.
+ * <p>One thread runs {@link #run}; it owns the module and all state. The other public methods may be called by any
+ * thread: they queue a task for the core thread and return at once. Results leave through {@link Transport} and
+ * {@link Request.Caller}. Times are in milliseconds on the {@link Clock}.
  */
-public final class RequestCoordinator extends UsageAccounting {
-    /** How long a probe is waited for: an answer older than this is worth nothing to the module. */
-    private static final double PROBE_PATIENCE = 1000;
-    /** Past the deadline by this much, a request that the module left open is failed here. */
-    private static final double GUARD = 10;
-    /** When to come back to a dispatcher that ends: it is started anew within seconds. */
-    private static final double RESTART = 1000;
-    /** Ids remembered of requests that are over: some minutes of traffic. */
-    private static final int PAST_MOST = 10_000;
-
-    private final SchedulerSettings settings;
-    private final Transport transport;
-    private int maxOpen;
-    private final Map<String, InFlightRequest> open = new HashMap<>();
-    private final DrainPolicy parting = new DrainPolicy();
-    /** Held back while this process is about to be succeeded. */
-    private final List<InFlightRequest> held = new ArrayList<>();
-    /** Ids of requests that are over, the oldest first. */
-    private final Set<String> past = new LinkedHashSet<>();
-
-    private final EndpointStates workers = new EndpointStates();
-    private int unanswered;
-
-    public RequestCoordinator(Clock clock, SchedulerSettings settings, long seed, int maxOpen, Transport transport) {
-        this(clock, settings, seed, maxOpen, transport, UsageRecorder.NONE);
+public final class RequestCoordinator implements Runnable {
+    private final Clock clock;
+    private final Metrics metrics;
+    private final CoreLoop loop;
+    private final InFlightTable table;
+    private final EndpointStates endpoints = new EndpointStates();
+    private final ReplaceableListener listener = new ReplaceableListener();
+    private final FinalAnswers answers;
+    private final DrainHandover drainHandover;
+    private final RequestIntake intake;
+    private final AttemptTracker attempts;
+    private final ProbeTracker probes;
+    private final ActionExecutor actions;
+
+    /** Creates a coordinator that records no usage; see the other constructor. */
+    public RequestCoordinator(
+            Clock clock, SchedulerSettings settings, long seed, int maxInFlight, Transport transport) {
+        this(clock, settings, seed, maxInFlight, transport, UsageRecorder.NONE);
     }
 
-    /** One whose books are kept. */
+    /**
+     * Creates a coordinator with a decision module of its own.
+     *
+     * @param seed        of the module's random numbers
+     * @param maxInFlight how many requests may wait for their final answer at once; more are rejected
+     */
     public RequestCoordinator(
-            Clock clock, SchedulerSettings settings, long seed, int maxOpen, Transport transport, UsageRecorder books) {
-        this(clock, settings, Dispatcher.create(settings, seed), maxOpen, transport, books);
+            Clock clock,
+            SchedulerSettings settings,
+            long seed,
+            int maxInFlight,
+            Transport transport,
+            UsageRecorder recorder) {
+        this(clock, settings, Dispatcher.create(settings, seed), maxInFlight, transport, recorder);
     }
 
     RequestCoordinator(
             Clock clock,
             SchedulerSettings settings,
             Dispatcher module,
-            int maxOpen,
+            int maxInFlight,
             Transport transport,
-            UsageRecorder books) {
-        super(clock, settings, module, books);
-        this.settings = settings;
-        this.maxOpen = maxOpen;
-        this.transport = transport;
+            UsageRecorder recorder) {
+        this.clock = clock;
+        metrics =
+                new Metrics(settings.classes().stream().map(RequestClass::name).toList());
+        loop = new CoreLoop(clock, module, metrics, this::execute);
+        table = new InFlightTable(maxInFlight);
+        answers = new FinalAnswers(loop, table, new UsageAccounting(loop, recorder), listener);
+        drainHandover = new DrainHandover(loop, table, answers, settings);
+        DeadlineGuard deadlineGuard = new DeadlineGuard(loop, answers);
+        intake = new RequestIntake(loop, table, answers, deadlineGuard, drainHandover, listener, settings);
+        attempts = new AttemptTracker(loop, table, endpoints, answers, drainHandover, listener, transport, settings);
+        probes = new ProbeTracker(loop, transport);
+        actions = new ActionExecutor(loop, table, answers, attempts, probes, transport);
+    }
+
+    private void execute(Action action) {
+        actions.accept(action);
+    }
+
+    /** Notifies this listener of all that happens; to be set before the core thread starts. */
+    public void setListener(RequestListener one) {
+        listener.replace(one);
+    }
+
+    /** Metrics for operators. */
+    public Metrics figures() {
+        return metrics;
+    }
+
+    /** Runs the core loop on the calling thread until {@link #stop} or an interrupt. */
+    @Override
+    public void run() {
+        loop.run();
     }
 
-    // Ways in, from any thread
+    /** Ends {@link #run} once the tasks queued before have run. */
+    public void stop() {
+        loop.stop();
+    }
+
+    /** Runs one iteration of the loop on the calling thread, for tests without a core thread. */
+    void runIteration(double maxWaitMillis) throws InterruptedException {
+        loop.runIteration(maxWaitMillis);
+    }
 
     /** Takes a request; its caller gets exactly one final answer. */
     public void submit(Request request) {
-        queue.add(() -> arrive(request));
+        loop.post(() -> intake.accept(request));
     }
 
-    /** Nobody waits for this request any more: no answer is owed. */
+    /** Nobody waits for this request any more: it gets no answer. */
     public void abandon(Request request) {
-        queue.add(() -> {
-            InFlightRequest o = open.get(request.id());
-            if (o != null && o.request == request && answer(o)) {
-                settle(request, o, UsageRecorder.Ending.LEFT, null, () -> {});
-                pendingEvents.add(new Abandoned(request.id()));
-                forget(o);
+        loop.post(() -> {
+            InFlightRequest inFlight = table.get(request.id());
+            if (inFlight != null && inFlight.request() == request) {
+                answers.abandon(inFlight);
             }
         });
     }
 
-    /** News of the workers. */
-    public void updateEndpoints(EndpointUpdate roster) {
-        queue.add(() -> {
-            pendingEvents.add(workers.apply(roster));
-            listener.listed(roster);
+    /** Applies an update of the endpoint list. */
+    public void updateEndpoints(EndpointUpdate update) {
+        loop.post(() -> {
+            loop.addEvent(endpoints.apply(update));
+            listener.listed(update);
         });
     }
 
-    /** An operator has taken a worker out, or put it back, at that time. */
-    public void setEndpointDisabled(String endpoint, boolean out, double since) {
-        queue.add(() -> {
-            workers.setDisabled(endpoint, out);
-            pendingEvents.add(new EndpointAdminChange(endpoint, out, toNanos(since)));
+    /** An operator disabled an endpoint, or enabled it again, at that time in milliseconds. */
+    public void setEndpointDisabled(String endpoint, boolean disabled, double sinceMillis) {
+        loop.post(() -> {
+            endpoints.setDisabled(endpoint, disabled);
+            loop.addEvent(new EndpointAdminChange(endpoint, disabled, ModuleTime.toNanos(sinceMillis)));
         });
     }
 
-    /** From now on these are the members' own workers, all of them; others keep away as each says. */
+    /** Replaces the tenants' dedicated endpoints; each assignment says whether others stay away from them. */
     public void assignPools(List<PoolAssignment> assignments) {
-        queue.add(() -> pendingEvents.add(new PoolsAssigned(assignments)));
+        loop.post(() -> loop.addEvent(new PoolsAssigned(assignments)));
     }
 
-    /** An attempt shows a sign of life. */
+    /** An endpoint reported that it works on an attempt; {@code share} from 0 to 1 is done. */
     public void reportProgress(Attempt attempt, double share) {
-        double at = clock.now();
-        queue.add(() -> {
-            if (!attempt.isEnded()) {
-                attempt.recordStart(at);
-                attempt.recordProgress(share);
-                pendingEvents.add(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), share));
-                InFlightRequest o = open.get(attempt.request().id());
-                if (o != null && !o.answered) {
-                    o.request.caller().progress(share);
-                }
-            }
-        });
+        double reportedAt = clock.now();
+        loop.post(() -> attempts.reportProgress(attempt, share, reportedAt));
     }
 
     /** An attempt is over. Only its first end counts. */
     public void attemptEnded(Attempt attempt, Attempt.Outcome outcome) {
-        double at = clock.now();
-        queue.add(() -> end(attempt, outcome, at));
+        double endedAt = clock.now();
+        loop.post(() -> attempts.end(attempt, outcome, endedAt));
     }
 
     /** A probe is over. Only its first end counts. */
     public void probeAnswered(Probe probe, Attempt.Outcome outcome) {
-        double at = clock.now();
-        queue.add(() -> answered(probe, outcome, at));
+        double endedAt = clock.now();
+        loop.post(() -> probes.end(probe, outcome, endedAt));
     }
 
-    /** A message from the dispatcher of that rank. */
+    /** A message came from the dispatcher of that rank. */
     public void receivePeerMessage(int rank, byte[] data) {
-        queue.add(() -> pendingEvents.add(new PeerMessageReceived(rank, data)));
+        loop.post(() -> loop.addEvent(new PeerMessageReceived(rank, data)));
     }
 
-    /** Runs {@code then} with the number of requests that still wait for their final answer. */
-    public void withUnansweredCount(java.util.function.IntConsumer then) {
-        queue.add(() -> then.accept(unanswered));
+    /** Runs {@code then} on the core thread with the number of requests that wait for their final answer. */
+    public void withUnansweredCount(IntConsumer then) {
+        loop.post(() -> then.accept(table.unansweredCount()));
     }
 
-    /** From now on so many requests may wait for their final answer at once. */
-    public void setMaxInFlight(int most) {
-        queue.add(() -> maxOpen = most);
+    /** Sets how many requests may wait for their final answer at once. */
+    public void setMaxInFlight(int maxInFlight) {
+        loop.post(() -> table.setMaxUnanswered(maxInFlight));
     }
 
     /**
-     * Ends all that is still open, for an end of the program that cannot wait: refused where that is
-     * harmless, else failed, since it may be running. What comes from now on is refused.
+     * Answers all requests in flight, for a shutdown that cannot wait: they are rejected where a retry is harmless,
+     * else failed, since they may be running. Requests that arrive later are rejected.
      */
     public void answerAllNow() {
-        queue.add(() -> {
-            parting.stopAdmitting();
-            open.values().stream().filter(o -> !o.answered).toList().forEach(this::endNow);
-        });
-    }
-
-    private void endNow(InFlightRequest o) {
-        answer(o);
-        pendingEvents.add(new Abandoned(o.request.id()));
-        boolean harmless = o.attempts.isEmpty() || o.requestClass.idempotency() == Idempotency.IDEMPOTENT;
-        if (harmless) {
-            refuse(o.request, o, settings.limits().retryAfter() ? RESTART : 0);
-        } else {
-            fail(o.request, o, "this dispatcher ends");
-        }
-        forget(o);
+        loop.post(drainHandover::endAll);
     }
 
     /**
-     * Another process is to succeed this one: the planned end is expected to begin and the kill to come at
-     * these times. Jobs that would outlive this process are held back until then.
+     * A successor process is about to take over: draining and the kill are expected at these times, in milliseconds.
+     * Requests that would outlive this process are held back until draining starts.
      */
-    public void expectSuccessor(double term, double kill) {
-        queue.add(() -> parting.expectDraining(term, kill));
+    public void expectSuccessor(double drainAtMillis, double killAtMillis) {
+        loop.post(() -> drainHandover.expectSuccessor(drainAtMillis, killAtMillis));
     }
 
-    /** Nobody succeeds this process after all. */
+    /** No successor takes over after all: what was held back proceeds. */
     public void cancelDraining() {
-        queue.add(() -> {
-            parting.cancelExpectedDraining();
-            letGo();
-        });
-    }
-
-    /** The planned end begins: what would outlive this process is given back, while that is harmless. */
-    public void startDraining(double kill) {
-        queue.add(() -> {
-            parting.startDraining(kill);
-            List.copyOf(held).forEach(this::giveBack);
-            held.clear();
-        });
-    }
-
-    /** Tells whether a job in work ends only if the planned end waits; the kill is {@code span} after it. */
-    public void askWhetherWaitingHelps(double span, java.util.function.Consumer<Boolean> then) {
-        queue.add(() -> then.accept(open.values().stream()
-                .filter(o -> !o.answered && !held.contains(o))
-                .anyMatch(o -> parting.isSavedByWaiting(left(o), now, span))));
-    }
-
-    private double left(InFlightRequest o) {
-        double whole = parting.expectedRunMillis(o.request.requestClass(), o.request.costHint());
-        return o.attempts.stream()
-                .filter(a -> !a.isEnded())
-                .mapToDouble(a -> a.remainingMillis(now, whole))
-                .min()
-                .orElse(whole);
+        loop.post(drainHandover::cancel);
     }
 
-    private void giveBack(InFlightRequest o) {
-        if (answer(o)) {
-            // To a successor there is no need to wait; else the next process takes a while to start.
-            refuse(
-                    o.request,
-                    o,
-                    parting.hasStoppedAdmitting() && settings.limits().retryAfter() ? RESTART : 0);
-            forget(o);
-        }
-    }
-
-    private void letGo() {
-        held.stream().filter(o -> !o.answered).forEach(this::hand);
-        held.clear();
-    }
-
-    // Events
-
-    private void arrive(Request r) {
-        if (open.containsKey(r.id()) || past.contains(r.id())) {
-            // Danger: the module takes an id once; a second request under it would never be answered. Nor may
-            // one under the id of a request that has just ended run: a mark-submit would run twice.
-            fail(r, null, "the id of a request that was taken before");
-            return;
-        }
-        if (unanswered >= maxOpen) {
-            refuse(r, null, settings.limits().maxRetryAfter() / NANOS / 2);
-            return;
-        }
-        if (r.deadline() <= now) {
-            // It has waited behind others on its connection, or before this thread, and was never sent.
-            refuse(r, null, 0);
-            return;
-        }
-        InFlightRequest o = new InFlightRequest(r, jobClass(r));
-        open.put(r.id(), o);
-        unanswered++;
-        listener.asked(r);
-        schedule(r.deadline() + GUARD, () -> endAtDeadline(o, true));
-        switch (parting.decide(r.requestClass(), r.costHint(), now)) {
-            case ADMIT -> hand(o);
-            case REJECT -> giveBack(o);
-            case HOLD -> {
-                held.add(o);
-                schedule(parting.holdUntilMillis(), this::letGo);
-            }
-        }
-    }
-
-    /** The fronts let no other class in. */
-    private RequestClass jobClass(Request r) {
-        return settings.classes().stream()
-                .filter(c -> c.name().equals(r.requestClass()))
-                .findFirst()
-                .orElseThrow();
-    }
-
-    /** Hands a request to the module. */
-    private void hand(InFlightRequest o) {
-        Request r = o.request;
-        pendingEvents.add(new Arrival(
-                r.id(),
-                r.requestClass(),
-                r.tenant(),
-                toNanos(r.deadline()) - toNanos(now),
-                r.slots(),
-                r.memory(),
-                toNanos(r.costHint()),
-                r.key(),
-                r.repeat()));
+    /** Draining starts, the kill comes at that time: requests that would outlive this process are rejected. */
+    public void startDraining(double killAtMillis) {
+        loop.post(() -> drainHandover.start(killAtMillis));
     }
 
     /**
-     * The last answer that a request can have: nothing else is needed for it. After a pause of the thread the
-     * deadline's own outcome is due in this turn too, and the module may still refuse what would be failed
-     * here; so it is let go first, but {@code once}: under a flood there is news for the module in every
-     * turn.
+     * Tells {@code then}, on the core thread, whether a request in flight ends in time only if draining waits.
+     *
+     * @param killDelayMillis from the start of draining to the kill
      */
-    private void endAtDeadline(InFlightRequest o, boolean once) {
-        if (!o.answered && once && !pendingEvents.isEmpty()) {
-            schedule(now, () -> endAtDeadline(o, false));
-        } else if (answer(o)) {
-            LOG.warning(
-                    "left-open",
-                    "request " + o.request.id() + " was left open until its deadline",
-                    "request",
-                    o.request.id(),
-                    "member",
-                    o.request.tenant());
-            pendingEvents.add(new Abandoned(o.request.id()));
-            fail(o.request, o, "no answer in time");
-            forget(o);
-        }
-    }
-
-    private void end(Attempt a, Attempt.Outcome outcome, double at) {
-        if (!a.markEnded()) {
-            return;
-        }
-        a.recordEnd(at, outcome.result().neverRan);
-        listener.ended(a, outcome.result());
-        Request r = a.request();
-        InFlightRequest o = open.get(r.id());
-        boolean settled = o == null || o.answered;
-        if (!settled && outcome.result() == AttemptResult.SERVED) {
-            answer(o);
-            parting.recordRunTime(r.requestClass(), r.costHint(), a.elapsedMillis(now, false));
-            settle(r, o, UsageRecorder.Ending.SERVED, a, () -> r.caller().served(outcome.body()));
-            settled = true;
-        }
-        pendingEvents.add(new Outcome(
-                r.id(),
-                a.number(),
-                a.endpoint(),
-                outcome.result(),
-                toNanos(at - a.sentAtMillis()),
-                settled,
-                outcome.load()));
-        if (o != null) {
-            forget(o);
-        }
-    }
-
-    private void answered(Probe probe, Attempt.Outcome outcome, double at) {
-        if (probe.markEnded()) {
-            pendingEvents.add(new ProbeAnswer(
-                    probe.endpoint(), outcome.result(), toNanos(at - probe.sentAtMillis()), outcome.load()));
-        }
-    }
-
-    /** True once only: guards the rule of one final answer for each request. */
-    private boolean answer(InFlightRequest o) {
-        boolean first = !o.answered;
-        o.answered = true;
-        unanswered -= first ? 1 : 0;
-        return first;
-    }
-
-    private void refuse(Request r, InFlightRequest o, double retryAfter) {
-        settle(r, o, UsageRecorder.Ending.REFUSED, null, () -> r.caller().rejected(retryAfter));
-    }
-
-    private void fail(Request r, InFlightRequest o, String reason) {
-        settle(r, o, UsageRecorder.Ending.FAILED, null, () -> r.caller().failed(reason));
-    }
-
-    private void forget(InFlightRequest o) {
-        if (o.answered && !o.hasAttemptInFlight() && open.remove(o.request.id(), o)) {
-            past.add(o.request.id());
-            if (past.size() > PAST_MOST) {
-                past.remove(past.iterator().next());
-            }
-        }
-    }
-
-    // Actions
-
-    @Override
-    void execute(Action action) {
-        if (action instanceof Dispatch d) {
-            dispatch(d);
-        } else if (action instanceof Reject a) {
-            InFlightRequest o = open.get(a.id());
-            if (o != null && answer(o)) {
-                refuse(o.request, o, a.retryAfter() / NANOS);
-                forget(o);
-            }
-        } else if (action instanceof Fail a) {
-            InFlightRequest o = open.get(a.id());
-            if (o != null && answer(o)) {
-                fail(o.request, o, "given up");
-                forget(o);
-            }
-        } else if (action instanceof Cancel c) {
-            InFlightRequest o = open.get(c.id());
-            if (o != null && c.attempt() >= 0 && c.attempt() < o.attempts.size()) {
-                giveUp(o.attempts.get(c.attempt()), AttemptResult.CANCELLED);
-            }
-        } else if (action instanceof Action.Probe p) {
-            Probe probe = new Probe(p.endpoint(), now);
-            schedule(now + PROBE_PATIENCE, () -> {
-                answered(probe, Attempt.Outcome.of(AttemptResult.TIMEOUT), now);
-                transport.drop(probe);
-            });
-            transport.probe(probe);
-        } else if (action instanceof SendToPeer t) {
-            transport.tell(t.rank(), t.data());
-        } else if (action instanceof SetTimer t) {
-            schedule(now + t.delay() / NANOS, () -> pendingEvents.add(new Timer(t.name())));
-        }
-    }
-
-    private void dispatch(Dispatch d) {
-        InFlightRequest o = open.get(d.id());
-        if (o == null) {
-            return;
-        }
-        Request r = o.request;
-        Attempt a = new Attempt(r, o.attempts.size(), d.endpoint(), now, o.latestStartMillis(), () -> !o.answered);
-        o.attempts.add(a);
-        if (o.answered || now >= r.deadline() || a.number() >= settings.limits().maxAttempts()) {
-            end(a, Attempt.Outcome.of(AttemptResult.NOT_SENT), now);
-        } else if (!workers.isKnown(d.endpoint())) {
-            end(a, Attempt.Outcome.of(AttemptResult.UNREACHABLE), now);
-        } else if (!workers.isAccepting(d.endpoint())) {
-            // Danger: sent to a runner that drains. It is looked at again here and before the first byte.
-            end(a, Attempt.Outcome.of(AttemptResult.OVERLOADED), now);
-        } else {
-            double until = d.timeout() > 0 ? Math.min(r.deadline(), now + d.timeout() / NANOS) : r.deadline();
-            schedule(until, () -> giveUp(a, AttemptResult.TIMEOUT));
-            transport.send(a);
-        }
-    }
-
-    /** Stops waiting for an attempt; what comes of it later counts no more. */
-    private void giveUp(Attempt a, AttemptResult result) {
-        if (!a.isEnded()) {
-            end(a, Attempt.Outcome.of(result), now);
-            transport.drop(a);
-        }
+    public void askWhetherWaitingHelps(double killDelayMillis, Consumer<Boolean> then) {
+        loop.post(() -> then.accept(drainHandover.isWaitingUseful(killDelayMillis)));
     }
 }
--- /dev/null
+++ b/src/main/java/nettlewick/core/RequestIntake.java
@@ -0,0 +1,59 @@
+package nettlewick.core;
+
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+
+/** Accepts requests, or answers at once those that cannot be accepted. Core thread. */
+final class RequestIntake {
+    private final CoreLoop loop;
+    private final InFlightTable table;
+    private final FinalAnswers answers;
+    private final DeadlineGuard deadlineGuard;
+    private final DrainHandover drainHandover;
+    private final RequestListener listener;
+    private final SchedulerSettings settings;
+
+    RequestIntake(
+            CoreLoop loop,
+            InFlightTable table,
+            FinalAnswers answers,
+            DeadlineGuard deadlineGuard,
+            DrainHandover drainHandover,
+            RequestListener listener,
+            SchedulerSettings settings) {
+        this.loop = loop;
+        this.table = table;
+        this.answers = answers;
+        this.deadlineGuard = deadlineGuard;
+        this.drainHandover = drainHandover;
+        this.listener = listener;
+        this.settings = settings;
+    }
+
+    void accept(Request request) {
+        if (table.isKnownId(request.id())) {
+            // The module takes an id once, so a second request under it would never be answered. One under the id
+            // of a request that has just finished might execute twice.
+            answers.failUnaccepted(request, "the id of a request that was taken before");
+        } else if (table.isFull()) {
+            answers.rejectUnaccepted(
+                    request, ModuleTime.toMillis(settings.limits().maxRetryAfter()) / 2);
+        } else if (request.deadline() <= loop.nowMillis()) {
+            // It waited on its connection or in the queue and was never sent, so a retry is harmless.
+            answers.rejectUnaccepted(request, 0);
+        } else {
+            InFlightRequest inFlight = table.add(request, classOf(request));
+            listener.asked(request);
+            deadlineGuard.watch(inFlight);
+            drainHandover.admit(inFlight);
+        }
+    }
+
+    /** Frontends accept no request of an unknown class. */
+    private RequestClass classOf(Request request) {
+        return settings.classes().stream()
+                .filter(c -> c.name().equals(request.requestClass()))
+                .findFirst()
+                .orElseThrow();
+    }
+}
--- a/src/main/java/nettlewick/core/UsageAccounting.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -1,61 +1,77 @@
 package nettlewick.core;
 
 import java.util.List;
-import nettlewick.decision.Dispatcher;
-import nettlewick.decision.SchedulerSettings;
+import nettlewick.core.UsageRecorder.Ending;
+import nettlewick.core.UsageRecorder.FinishedRequest;
+import nettlewick.core.UsageRecorder.Receipt;
 
-/** How the end of a job comes into the books before its answer goes. */
-abstract class UsageAccounting extends CoreLoop {
-    private static final double MICROS = 1e3;
+/** Has each request's end and the work it took recorded before its final answer is released. Core thread. */
+final class UsageAccounting {
+    private static final double MICROS_PER_MILLI = 1e3;
+
+    private final CoreLoop loop;
     private final UsageRecorder recorder;
-    RequestListener listener = RequestListener.NONE;
 
-    UsageAccounting(Clock clock, SchedulerSettings settings, Dispatcher module, UsageRecorder books) {
-        super(clock, settings, module);
-        this.recorder = books;
+    UsageAccounting(CoreLoop loop, UsageRecorder recorder) {
+        this.loop = loop;
+        this.recorder = recorder;
     }
 
-    /** Tells it of all that happens from now on; before the thread starts. */
-    public void setListener(RequestListener one) {
-        listener = one;
+    /** Records the end of a request that was never in flight, then lets {@code answer} run. */
+    void record(Request request, Ending ending, Runnable answer) {
+        record(request, List.of(), ending, null, answer);
     }
 
-    /**
-     * Has the end entered in the books, which let the answer go; {@code by} is the attempt that served it.
-     */
-    final void settle(Request r, InFlightRequest o, UsageRecorder.Ending ending, Attempt by, Runnable answer) {
-        if (ending == UsageRecorder.Ending.REFUSED) {
-            listener.refused(r);
-        }
+    /** Records the end of a request in flight, then lets {@code answer} run; {@code server} may be null. */
+    void record(InFlightRequest inFlight, Ending ending, Attempt server, Runnable answer) {
+        record(inFlight.request(), inFlight.attempts(), ending, server, answer);
+    }
+
+    private void record(Request request, List<Attempt> attempts, Ending ending, Attempt server, Runnable answer) {
         if (recorder == UsageRecorder.NONE) {
             answer.run();
             return;
         }
-        double work = 0;
-        boolean estimate = by != null && !by.hasStarted();
-        if (by != null) {
-            work = estimate && r.costHint() > 0 ? r.costHint() : by.elapsedMillis(now, estimate);
+        FinishedRequest finished = measure(request, attempts, ending, server);
+        Runnable releaseOverdue = recorder.settle(finished, receipt -> {
+            if (receipt != Receipt.NONE) {
+                request.caller().receipt(receipt);
+            }
+            answer.run();
+        });
+        if (releaseOverdue != null) {
+            double now = loop.nowMillis();
+            loop.schedule(Math.min(now + recorder.patience(), Math.max(now, request.deadline())), releaseOverdue);
         }
-        double spare = 0;
-        for (Attempt a : o == null ? List.<Attempt>of() : o.attempts) {
-            spare += a == by ? 0 : a.elapsedMillis(now, false);
+    }
+
+    private FinishedRequest measure(Request request, List<Attempt> attempts, Ending ending, Attempt server) {
+        double now = loop.nowMillis();
+        boolean isEstimate = server != null && !server.hasStarted();
+        double extraMillis = 0;
+        for (Attempt attempt : attempts) {
+            extraMillis += attempt == server ? 0 : attempt.elapsedMillis(now, false);
         }
-        UsageRecorder.FinishedRequest job = new UsageRecorder.FinishedRequest(
-                r,
+        return new FinishedRequest(
+                request,
                 ending,
                 now,
-                o == null ? 0 : o.attempts.size(),
-                Math.round(work * r.slots() * MICROS),
-                estimate,
-                Math.round(spare * r.slots() * MICROS));
-        Runnable overdue = recorder.settle(job, receipt -> {
-            if (receipt != UsageRecorder.Receipt.NONE) {
-                r.caller().receipt(receipt);
-            }
-            answer.run();
-        });
-        if (overdue != null) {
-            schedule(Math.min(now + recorder.patience(), Math.max(now, r.deadline())), overdue);
+                attempts.size(),
+                toSlotMicros(servedMillis(request, server, isEstimate), request),
+                isEstimate,
+                toSlotMicros(extraMillis, request));
+    }
+
+    private double servedMillis(Request request, Attempt server, boolean isEstimate) {
+        if (server == null) {
+            return 0;
         }
+        return isEstimate && request.costHint() > 0
+                ? request.costHint()
+                : server.elapsedMillis(loop.nowMillis(), isEstimate);
+    }
+
+    private static long toSlotMicros(double millis, Request request) {
+        return Math.round(millis * request.slots() * MICROS_PER_MILLI);
     }
 }
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -26,7 +26,6 @@
             "simulator/WireCodec.java",
             "ledger/Spool.java",
             "waiting/Plan.java",
-            "core/RequestCoordinator.java",
             "net/ClientConnection.java",
             "ledger/UsageBook.java",
             "fleettest/ScenarioRun.java");
