--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -4,8 +4,16 @@
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.EndpointLoad;
 
-/** One sending of a request to one worker. */
+/**
+ * One try of a request at one endpoint. The core thread owns it; other threads may call {@link #request},
+ * {@link #number}, {@link #endpoint} and {@link #mayBegin}.
+ */
 public final class Attempt extends OutboundCall {
+    /** Below this share of progress, an extrapolation of the run time is too rough. */
+    private static final double MIN_SHARE_TO_EXTRAPOLATE = 0.05;
+    /** Least part of the expected run time that is assumed to remain without progress to go by. */
+    private static final double MIN_REMAINING_PART = 0.25;
+
     private final Request request;
     private final int number;
     private final double latestStartMillis;
@@ -16,87 +24,111 @@
     private double shareDone;
 
     /**
-     * @param lastBegin until when it may begin, in milliseconds
-     * @param open      tells, on any thread, whether the request's end is still undecided
+     * @param latestStartMillis until when it may start
+     * @param requestUndecided  tells, on any thread, whether the request's final answer is still undecided
      */
-    Attempt(Request request, int number, String endpoint, double sentAt, double lastBegin, BooleanSupplier open) {
-        super(endpoint, sentAt);
+    Attempt(
+            Request request,
+            int number,
+            String endpoint,
+            double sentAtMillis,
+            double latestStartMillis,
+            BooleanSupplier requestUndecided) {
+        super(endpoint, sentAtMillis);
         this.request = request;
         this.number = number;
-        this.latestStartMillis = lastBegin;
-        this.requestUndecided = open;
+        this.latestStartMillis = latestStartMillis;
+        this.requestUndecided = requestUndecided;
     }
 
+    /** The request that it is for. */
     public Request request() {
         return request;
     }
 
+    /** Its place among the request's attempts, from 0. */
     public int number() {
         return number;
     }
 
     /**
-     * Whether it may still be written to its worker at that time: its request is open, its client is there,
-     * and time is left. Asked in the turn that writes, by whoever owns the client's connection.
+     * Whether it may still be written to its endpoint at that time, in milliseconds: its request is undecided, the
+     * client is present, and time is left. To be asked right before the write, on the event loop that owns the
+     * client's connection.
      */
-    public boolean mayBegin(double now) {
+    public boolean mayBegin(double nowMillis) {
         return requestUndecided.getAsBoolean()
-                && now < latestStartMillis
+                && nowMillis < latestStartMillis
                 && request.caller().present();
     }
 
-    /** The worker tells that it has begun; only its first word counts. */
-    void recordStart(double at) {
-        startedAtMillis = Double.isNaN(startedAtMillis) ? at : startedAtMillis;
+    /** The endpoint reported that it works on it; only the first report counts as its start. */
+    void recordStart(double atMillis) {
+        startedAtMillis = Double.isNaN(startedAtMillis) ? atMillis : startedAtMillis;
+    }
+
+    /** The endpoint reported which share is done, from 0 to 1. */
+    void recordProgress(double share) {
+        shareDone = Math.max(shareDone, share);
     }
 
-    /** The worker tells how much of the job is done. */
-    void recordProgress(double part) {
-        shareDone = Math.max(shareDone, part);
+    /** Records its end; {@code provenNeverRan} says that the endpoint certainly did not execute it. */
+    void recordEnd(double atMillis, boolean provenNeverRan) {
+        endedAtMillis = atMillis;
+        neverRan = provenNeverRan;
     }
 
-    /** Milliseconds that it has left to run, where it is expected to run for {@code whole} in all. */
-    double remainingMillis(double now, double whole) {
-        double span = elapsedMillis(now, false);
-        return shareDone > 0.05 && span > 0 ? span * (1 - shareDone) / shareDone : Math.max(whole / 4, whole - span);
+    /** Milliseconds that it has left to run, where the whole is expected to take {@code expectedRunMillis}. */
+    double remainingMillis(double nowMillis, double expectedRunMillis) {
+        double elapsed = runMillis(nowMillis);
+        if (shareDone > MIN_SHARE_TO_EXTRAPOLATE && elapsed > 0) {
+            return elapsed * (1 - shareDone) / shareDone;
+        }
+        return Math.max(expectedRunMillis * MIN_REMAINING_PART, expectedRunMillis - elapsed);
     }
 
-    /** Milliseconds from its sending to the start that was told; NaN where none was. */
+    /** Milliseconds from its sending to its reported start; NaN where no start was reported. */
     public double waited() {
         return startedAtMillis - sentAtMillis();
     }
 
-    /** Milliseconds from the start that was told to its end; 0 where none was, or it is out. */
+    /** Milliseconds from its reported start to its end; 0 where there was no report or it is in flight. */
     public double ran() {
-        return Double.isNaN(endedAtMillis) ? 0 : elapsedMillis(endedAtMillis, false);
+        return Double.isNaN(endedAtMillis) ? 0 : runMillis(endedAtMillis);
     }
 
-    /** Its end, and whether it is proved that it never ran. */
-    void recordEnd(double at, boolean never) {
-        endedAtMillis = at;
-        neverRan = never;
-    }
-
-    /** Whether it has run, may have, or may yet. */
+    /** Whether the endpoint may have executed it, or may yet. */
     boolean mayHaveRun() {
         return !isEnded() || !neverRan;
     }
 
-    /** Whether its start was told. */
+    /** Whether its start was reported. */
     boolean hasStarted() {
         return !Double.isNaN(startedAtMillis);
     }
 
-    /**
-     * Milliseconds from its start to its end, or to that time while it is out; from its sending, if asked.
-     */
-    double elapsedMillis(double now, boolean fromSending) {
-        double from = fromSending ? sentAtMillis() : startedAtMillis;
-        return Double.isNaN(from) ? 0 : Math.max(0, (Double.isNaN(endedAtMillis) ? now : endedAtMillis) - from);
+    /** Milliseconds from its reported start to its end, or to {@code nowMillis} while in flight; 0 without a report. */
+    double runMillis(double nowMillis) {
+        return hasStarted() ? millisSince(startedAtMillis, nowMillis) : 0;
+    }
+
+    /** Milliseconds from its sending to its end, or to {@code nowMillis} while in flight. */
+    double totalMillis(double nowMillis) {
+        return millisSince(sentAtMillis(), nowMillis);
     }
 
-    /** How an attempt, or a probe, ended. {@code body} is the result where it was served, else null. */
+    private double millisSince(double fromMillis, double nowMillis) {
+        return Math.max(0, (Double.isNaN(endedAtMillis) ? nowMillis : endedAtMillis) - fromMillis);
+    }
+
+    /**
+     * How an attempt or a probe ended.
+     *
+     * @param body the result where the attempt was served, else null
+     * @param load the load that the endpoint reported with it, or null
+     */
     public record Outcome(AttemptResult result, byte[] body, EndpointLoad load) {
+        /** An outcome that carries neither a body nor a load. */
         public static Outcome of(AttemptResult result) {
             return new Outcome(result, null, null);
         }
--- a/src/main/java/nettlewick/core/Clock.java
+++ b/src/main/java/nettlewick/core/Clock.java
@@ -4,10 +4,12 @@
 
 /**
  * The one source of time: milliseconds since the Unix epoch, as a floating-point number that never goes back.
- * It is anchored to Unix time once, at its making, and follows the monotonic clock from then on, so that a
- * corrected system clock moves no deadline.
+ * It is anchored to Unix time once, when it is created, and follows the monotonic clock from then on, so that a
+ * corrected system clock moves no deadline. Any thread may use it.
  */
 public final class Clock {
+    private static final double NANOS_PER_MILLI = 1e6;
+
     private volatile DoubleSupplier source;
 
     private Clock(DoubleSupplier source) {
@@ -19,29 +21,29 @@
         return system(0);
     }
 
-    /** The machine's clock as if it were so many milliseconds ahead, for trials of clocks that differ. */
-    public static Clock system(long ahead) {
-        double anchor = System.currentTimeMillis() + ahead;
-        long start = System.nanoTime();
-        return new Clock(() -> anchor + (System.nanoTime() - start) / 1e6);
+    /** The machine's clock moved ahead by that many milliseconds, for trials of clocks that differ. */
+    public static Clock system(long aheadMillis) {
+        double anchorMillis = System.currentTimeMillis() + aheadMillis;
+        long startNanos = System.nanoTime();
+        return new Clock(() -> anchorMillis + (System.nanoTime() - startNanos) / NANOS_PER_MILLI);
     }
 
-    /** A clock that stands at {@code now} until {@link #set} moves it. */
-    public static Clock standing(double now) {
-        return new Clock(() -> now);
+    /** A clock that stands at {@code nowMillis} until {@link #set} moves it. */
+    public static Clock standing(double nowMillis) {
+        return new Clock(() -> nowMillis);
     }
 
     /**
-     * Milliseconds since the Unix epoch. Danger: all threads ask at every turn. Under a lock, one that is
-     * stopped inside makes the others queue for it from then on, each handing it to the next.
+     * Milliseconds since the Unix epoch. Takes no lock: all threads read it all the time, and one that is suspended
+     * inside a lock would make the others queue for it.
      */
     public double now() {
         return source.getAsDouble();
     }
 
-    /** Lets the clock stand at this time; a time in the past leaves it where it is. */
-    public synchronized void set(double now) {
-        double next = Math.max(now, now());
+    /** Stops the clock at this time, in milliseconds; at the current time where this one is in the past. */
+    public synchronized void set(double nowMillis) {
+        double next = Math.max(nowMillis, now());
         source = () -> next;
     }
 }
--- a/src/main/java/nettlewick/core/DrainHandover.java
+++ b/src/main/java/nettlewick/core/DrainHandover.java
@@ -104,7 +104,7 @@
     /** Learns from an attempt that was served how long requests of its class run. */
     void learnRunTime(Attempt served) {
         Request request = served.request();
-        double ranMillis = served.elapsedMillis(loop.nowMillis(), false);
+        double ranMillis = served.runMillis(loop.nowMillis());
         policy.recordRunTime(request.requestClass(), request.costHint(), ranMillis);
     }
 }
--- a/src/main/java/nettlewick/core/DrainPolicy.java
+++ b/src/main/java/nettlewick/core/DrainPolicy.java
@@ -1,81 +1,62 @@
 package nettlewick.core;
 
-import java.util.HashMap;
-import java.util.Map;
-
 /**
- * What a process that is to end still takes, by how long jobs run: docs/deployments.md, "Leaving with work in
- * hand". Pure: times are the caller's, in milliseconds; all it knows is what it is told.
+ * Decides which requests a process that will be drained still takes, by how long they are expected to run before the
+ * kill; see docs/deployments.md. Pure: it reads no clock, and all times and durations are milliseconds.
  */
 final class DrainPolicy {
-    /** Take it; hold it back until the planned end begins; refuse it. */
+    /** What becomes of a request: it proceeds, is held back until draining starts, or is rejected. */
     enum Decision {
         ADMIT,
         HOLD,
         REJECT
     }
 
-    /** Running times are rough: so many times what is expected is counted. */
+    /** Applied to expected run times where a request must end in time. */
     private static final double RUN_TIME_SAFETY_FACTOR = 1.3;
-    /** And a wait is worth while where this part of what is expected ends in time: it costs little. */
+    /** Applied to expected run times where waiting is worth while even if the request may end too late. */
     private static final double OPTIMISTIC_RUN_TIME_FACTOR = 0.8;
-    /** Time from a job's end to its answer's last byte, and for clocks of two processes to differ. */
+    /** Covers the writing of the answer and a difference between two processes' clocks. */
     private static final double KILL_MARGIN_MILLIS = 300;
-    /** A planned end that has not come so long after it was foreseen does not come. */
+    /** Draining that has not started that long after it was expected is not coming. */
     static final double MAX_DRAIN_DELAY_MILLIS = 1000;
-    /** Jobs over which running times are learned. */
-    private static final double SAMPLE_WINDOW = 30;
-
-    /** How long a class's jobs run: against their hints (the logarithm's mean), and where they have none. */
-    private static final class ClassRunTimes {
-        double sampleCount;
-        double meanLogSlowdown;
-        double meanRunMillis;
-    }
 
-    private final Map<String, ClassRunTimes> runTimesByClass = new HashMap<>();
+    private final RunTimeEstimator runTimes = new RunTimeEstimator();
     private double expectedDrainAtMillis = Double.NaN;
     private double killAtMillis = Double.NaN;
     private boolean draining;
     private boolean stopped;
 
-    /** A job of that class ran for so long. */
-    void recordRunTime(String requestClass, double hint, double span) {
-        if (span <= 0) {
-            return;
-        }
-        ClassRunTimes p = runTimesByClass.computeIfAbsent(requestClass, c -> new ClassRunTimes());
-        p.sampleCount = Math.min(p.sampleCount + 1, SAMPLE_WINDOW);
-        p.meanRunMillis += (span - p.meanRunMillis) / p.sampleCount;
-        p.meanLogSlowdown += hint > 0 ? (Math.log(span / hint) - p.meanLogSlowdown) / p.sampleCount : 0;
+    /** Records how long a request ran; without a hint, {@code hintMillis} is 0. */
+    void recordRunTime(String requestClass, double hintMillis, double runMillis) {
+        runTimes.record(requestClass, hintMillis, runMillis);
     }
 
-    /** How long a job is expected to run; by its hint alone where none of its class has run, else 0. */
-    double expectedRunMillis(String requestClass, double hint) {
-        ClassRunTimes p = runTimesByClass.get(requestClass);
-        return hint > 0 ? hint * Math.exp(p == null ? 0 : p.meanLogSlowdown) : p == null ? 0 : p.meanRunMillis;
+    /** How long a request is expected to run, 0 if unknown. */
+    double expectedRunMillis(String requestClass, double hintMillis) {
+        return runTimes.expectedMillis(requestClass, hintMillis);
     }
 
-    /** The planned end is expected to begin and the kill to come at these times. */
-    void expectDraining(double termAt, double killAt) {
+    /** Draining and the kill are expected at these times; ignored once draining has started. */
+    void expectDraining(double drainAtMillis, double killAtMillis) {
         if (!draining) {
-            expectedDrainAtMillis = termAt;
-            killAtMillis = killAt;
+            expectedDrainAtMillis = drainAtMillis;
+            this.killAtMillis = killAtMillis;
         }
     }
 
-    /** It is not to end after all. */
+    /** No draining is expected any more; ignored once draining has started. */
     void cancelExpectedDraining() {
         expectDraining(Double.NaN, Double.NaN);
     }
 
-    /** The planned end has begun; the kill comes no sooner than at that time. */
-    void startDraining(double killAt) {
+    /** Draining has started; the kill comes no sooner than at that time. */
+    void startDraining(double killAtMillis) {
         draining = true;
-        killAtMillis = killAt;
+        this.killAtMillis = killAtMillis;
     }
 
-    /** The kill is so near that nothing more is begun. */
+    /** The kill is so near that every further request is rejected. */
     void stopAdmitting() {
         stopped = true;
     }
@@ -84,36 +65,35 @@
         return stopped;
     }
 
-    /** When a held job is let go if the planned end has not begun. */
+    /** When held requests proceed if draining has not started. */
     double holdUntilMillis() {
         return expectedDrainAtMillis + MAX_DRAIN_DELAY_MILLIS;
     }
 
-    /** What becomes of a job that comes now. Danger: one that outlives this process is lost with it. */
-    Decision decide(String requestClass, double hint, double now) {
+    /** Decides about a request that arrives now. One that outlived this process would be lost with it. */
+    Decision decide(String requestClass, double hintMillis, double nowMillis) {
         if (stopped) {
             return Decision.REJECT;
         }
-        if (Double.isNaN(killAtMillis)
-                || !draining && now >= holdUntilMillis()
-                || endsInTime(now, expectedRunMillis(requestClass, hint), killAtMillis)) {
+        boolean noKillExpected = Double.isNaN(killAtMillis) || !draining && nowMillis >= holdUntilMillis();
+        if (noKillExpected || endsInTime(nowMillis, expectedRunMillis(requestClass, hintMillis), killAtMillis)) {
             return Decision.ADMIT;
         }
         return draining ? Decision.REJECT : Decision.HOLD;
     }
 
     /**
-     * Whether waiting until the foreseen end saves a job with that much left to run: it ends before the kill
-     * then, and would not if the planned end began now, the kill {@code span} later.
+     * Whether a request with that much left to run is saved if draining waits until its expected start: it may end
+     * before the kill then, and would not if draining started now with the kill {@code killDelayMillis} later.
      */
-    boolean isSavedByWaiting(double left, double now, double span) {
-        return !draining
-                && now < expectedDrainAtMillis
-                && now + OPTIMISTIC_RUN_TIME_FACTOR * left <= killAtMillis - KILL_MARGIN_MILLIS
-                && !endsInTime(now, left, now + span);
+    boolean isSavedByWaiting(double remainingMillis, double nowMillis, double killDelayMillis) {
+        boolean canWait = !draining && nowMillis < expectedDrainAtMillis;
+        boolean mayEndAfterWaiting =
+                nowMillis + OPTIMISTIC_RUN_TIME_FACTOR * remainingMillis <= killAtMillis - KILL_MARGIN_MILLIS;
+        return canWait && mayEndAfterWaiting && !endsInTime(nowMillis, remainingMillis, nowMillis + killDelayMillis);
     }
 
-    private static boolean endsInTime(double now, double run, double killAt) {
-        return run <= 0 || now + RUN_TIME_SAFETY_FACTOR * run <= killAt - KILL_MARGIN_MILLIS;
+    private static boolean endsInTime(double nowMillis, double runMillis, double killAtMillis) {
+        return runMillis <= 0 || nowMillis + RUN_TIME_SAFETY_FACTOR * runMillis <= killAtMillis - KILL_MARGIN_MILLIS;
     }
 }
--- a/src/main/java/nettlewick/core/EndpointStates.java
+++ b/src/main/java/nettlewick/core/EndpointStates.java
@@ -1,56 +1,63 @@
 package nettlewick.core;
 
-import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
 import nettlewick.decision.EndpointEntry;
 import nettlewick.decision.EndpointState;
 import nettlewick.decision.Event.EndpointList;
 
-/** Which workers discovery has named, and which of them take jobs now. */
+/** Which endpoints have ever been listed, and which of them take requests now. Core thread. */
 final class EndpointStates {
-    private final Set<String> ready = new HashSet<>();
     private final Set<String> known = new HashSet<>();
+    private final Set<String> ready = new HashSet<>();
     private final Set<String> disabled = new HashSet<>();
 
-    /** Takes news of the list over; the same as the module reads it comes back. */
-    EndpointList apply(EndpointUpdate roster) {
-        if (roster.whole()) {
+    /** Applies an update and returns it as the decision module reads it. */
+    EndpointList apply(EndpointUpdate update) {
+        if (update.whole()) {
             ready.clear();
         }
-        List<EndpointEntry> entries = new ArrayList<>();
-        for (EndpointUpdate.Entry e : roster.entries()) {
-            known.add(e.id());
-            if (e.state() == EndpointState.READY) {
-                ready.add(e.id());
-            } else {
-                ready.remove(e.id());
-            }
-            entries.add(new EndpointEntry(
-                    e.id(),
-                    e.state(),
-                    e.startedAt() > 0 ? ModuleTime.toNanos(e.startedAt()) : 0,
-                    e.cell(),
-                    e.kind(),
-                    e.zone(),
-                    e.size()));
+        update.entries().forEach(this::apply);
+        return new EndpointList(
+                update.whole(),
+                update.entries().stream().map(EndpointStates::toModuleEntry).toList());
+    }
+
+    private void apply(EndpointUpdate.Entry entry) {
+        known.add(entry.id());
+        if (entry.state() == EndpointState.READY) {
+            ready.add(entry.id());
+        } else {
+            ready.remove(entry.id());
         }
-        return new EndpointList(roster.whole(), entries);
     }
 
-    void setDisabled(String endpoint, boolean out) {
-        if (out) {
+    private static EndpointEntry toModuleEntry(EndpointUpdate.Entry entry) {
+        return new EndpointEntry(
+                entry.id(),
+                entry.state(),
+                entry.startedAt() > 0 ? ModuleTime.toNanos(entry.startedAt()) : 0,
+                entry.cell(),
+                entry.kind(),
+                entry.zone(),
+                entry.size());
+    }
+
+    /** Takes over whether an operator has disabled the endpoint. */
+    void setDisabled(String endpoint, boolean isDisabled) {
+        if (isDisabled) {
             disabled.add(endpoint);
         } else {
             disabled.remove(endpoint);
         }
     }
 
+    /** Whether the endpoint has ever been listed. */
     boolean isKnown(String endpoint) {
         return known.contains(endpoint);
     }
 
+    /** Whether the endpoint is listed as ready and not disabled. */
     boolean isAccepting(String endpoint) {
         return ready.contains(endpoint) && !disabled.contains(endpoint);
     }
--- a/src/main/java/nettlewick/core/InFlightTable.java
+++ b/src/main/java/nettlewick/core/InFlightTable.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
-/** The requests in flight by id, the ids of those that finished lately, and the limit on unanswered ones. Core thread. */
+/** The requests in flight, the ids of those that finished lately, and the limit on unanswered ones. Core thread. */
 final class InFlightTable {
     /** Some minutes of traffic. */
     private static final int MAX_FINISHED_IDS = 10_000;
--- a/src/main/java/nettlewick/core/Metrics.java
+++ b/src/main/java/nettlewick/core/Metrics.java
@@ -1,7 +1,7 @@
 package nettlewick.core;
 
-import java.util.ArrayList;
 import java.util.Collections;
+import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -9,121 +9,146 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What operators count. Each figure is counted by whoever sees the thing happen, on any thread; readers get
- * an immutable copy. Counts start with the process, all classes at 0.
+ * Metrics for operators. Whoever sees something happen counts it, on any thread; readers get an immutable copy. Counts
+ * start with the process, all request classes at 0.
  */
 public final class Metrics {
-    /** How a job ended for its client. */
+    /** How a request ended for its client. Snapshots hold counts in this order. */
     public enum End {
-        FULFILLED,
-        THROTTLED,
-        FAULTED
+        FULFILLED("fulfilled"),
+        THROTTLED("throttled"),
+        FAULTED("faulted");
+
+        private final String metricName;
+
+        End(String metricName) {
+            this.metricName = metricName;
+        }
+
+        /** Its part of the metric's name that operators read. */
+        public String metricName() {
+            return metricName;
+        }
     }
 
     /**
-     * All figures at one moment; {@code jobs} holds a count for each {@link End} in its order, {@code peers}
-     * the peers' datagrams passed over by the module, by kind ({@code damaged}, {@code late},
-     * {@code unlisted}).
+     * All metrics at one moment.
+     *
+     * @param jobs    for each request class a count for each {@link End}, in its order
+     * @param relayed attempts forwarded to an endpoint in full
+     * @param open    requests in flight
+     * @param listed  endpoints on the list
+     * @param avoided endpoints on the list that get no requests now
+     * @param peers   peer datagrams that the decision module discarded, by kind ({@code damaged}, {@code late},
+     *                {@code unlisted})
      */
     public record Snapshot(
             Map<String, List<Long>> jobs, long relayed, int open, int listed, int avoided, Map<String, Long> peers) {}
 
-    private final Map<String, AtomicLong[]> jobs = new LinkedHashMap<>();
-    private final AtomicLong relayed = new AtomicLong();
-    private final AtomicInteger open = new AtomicInteger();
-    private volatile int listed;
-    private volatile int avoided;
-    private volatile Map<String, Long> peers = Map.of();
+    private final Map<String, Map<End, AtomicLong>> endsByClass = new LinkedHashMap<>();
+    private final AtomicLong forwarded = new AtomicLong();
+    private final AtomicInteger inFlight = new AtomicInteger();
+    private volatile int listedEndpoints;
+    private volatile int ejectedEndpoints;
+    private volatile Map<String, Long> peerMessageFaults = Map.of();
 
-    Metrics(List<String> classes) {
-        classes.forEach(
-                name -> jobs.put(name, new AtomicLong[] {new AtomicLong(), new AtomicLong(), new AtomicLong()}));
+    Metrics(List<String> requestClasses) {
+        requestClasses.forEach(name -> endsByClass.put(name, newCounters()));
     }
 
-    /** One job from its taking to its end; only its first end counts. Belongs to one thread. */
+    private static Map<End, AtomicLong> newCounters() {
+        Map<End, AtomicLong> counters = new EnumMap<>(End.class);
+        for (End end : End.values()) {
+            counters.put(end, new AtomicLong());
+        }
+        return counters;
+    }
+
+    /** Counts one request from its acceptance to its end; only the first end counts. Confined to one thread. */
     public final class Ticket {
-        private final String jobClass;
-        private UsageRecorder.Receipt owed = UsageRecorder.Receipt.NONE;
-        private boolean over;
+        private final String requestClass;
+        private UsageRecorder.Receipt receipt = UsageRecorder.Receipt.NONE;
+        private boolean ended;
 
         private Ticket(String requestClass) {
-            this.jobClass = requestClass;
+            this.requestClass = requestClass;
         }
 
-        /** The books wait for word of how it ends. */
-        public void owe(UsageRecorder.Receipt receipt) {
-            if (over) {
-                receipt.left();
+        /** Sets the receipt that is notified of the end; at once where the request has ended. */
+        public void owe(UsageRecorder.Receipt pending) {
+            if (ended) {
+                pending.left();
             } else {
-                owed = receipt;
+                receipt = pending;
             }
         }
 
-        /** The last byte of its answer is written. */
+        /** The last byte of the answer is written. */
         public void answered(End end) {
-            if (leave()) {
-                count(jobClass, end);
-                owed.answered();
+            if (markEnded()) {
+                count(requestClass, end);
+                receipt.answered();
             }
         }
 
-        /** Its client has gone: no answer counts. */
+        /** The client has gone: no answer counts. */
         public void left() {
-            if (leave()) {
-                owed.left();
+            if (markEnded()) {
+                receipt.left();
             }
         }
 
-        private boolean leave() {
-            boolean first = !over;
-            over = true;
+        private boolean markEnded() {
+            boolean first = !ended;
+            ended = true;
             if (first) {
-                open.decrementAndGet();
+                inFlight.decrementAndGet();
             }
             return first;
         }
     }
 
-    /** A job of a class of the settings has been taken. */
+    /** Counts a request as in flight until its ticket ends. */
     public Ticket taken(String requestClass) {
-        open.incrementAndGet();
+        inFlight.incrementAndGet();
         return new Ticket(requestClass);
     }
 
-    /** A job ended so; one of an unknown class is none. */
+    /** Counts the end of a request; one of an unknown class is not counted. */
     public void count(String requestClass, End end) {
-        AtomicLong[] counts = jobs.get(requestClass);
-        if (counts != null) {
-            counts[end.ordinal()].incrementAndGet();
+        Map<End, AtomicLong> counters = endsByClass.get(requestClass);
+        if (counters != null) {
+            counters.get(end).incrementAndGet();
         }
     }
 
-    /** An attempt is whole on the socket. */
+    /** Counts an attempt that was written to its endpoint in full. */
     public void relayed() {
-        relayed.incrementAndGet();
+        forwarded.incrementAndGet();
     }
 
-    /** How many workers are on the list, and how many of them get no job now. */
-    void setEndpointCounts(int endpoints, int leftOut) {
-        listed = endpoints;
-        avoided = leftOut;
+    /** Sets how many endpoints are on the list, and how many of them get no requests now. */
+    void setEndpointCounts(int listed, int ejected) {
+        listedEndpoints = listed;
+        ejectedEndpoints = ejected;
     }
 
-    /** What the module passed over of the peers' datagrams, by kind, since the start. */
-    void setPeerMessageFaults(Map<String, Long> passedOver) {
-        peers = Map.copyOf(passedOver);
+    /** Sets how many peer datagrams the decision module has discarded since the start, by kind. */
+    void setPeerMessageFaults(Map<String, Long> countsByKind) {
+        peerMessageFaults = Map.copyOf(countsByKind);
     }
 
-    /** The figures now. */
+    /** A copy of all metrics now. */
     public Snapshot snapshot() {
-        Map<String, List<Long>> copy = new LinkedHashMap<>();
-        jobs.forEach((name, counts) -> {
-            List<Long> row = new ArrayList<>();
-            for (AtomicLong count : counts) {
-                row.add(count.get());
-            }
-            copy.put(name, List.copyOf(row));
-        });
-        return new Snapshot(Collections.unmodifiableMap(copy), relayed.get(), open.get(), listed, avoided, peers);
+        Map<String, List<Long>> ends = new LinkedHashMap<>();
+        endsByClass.forEach((name, counters) ->
+                ends.put(name, counters.values().stream().map(AtomicLong::get).toList()));
+        return new Snapshot(
+                Collections.unmodifiableMap(ends),
+                forwarded.get(),
+                inFlight.get(),
+                listedEndpoints,
+                ejectedEndpoints,
+                peerMessageFaults);
     }
 }
--- a/src/main/java/nettlewick/core/OutboundCall.java
+++ b/src/main/java/nettlewick/core/OutboundCall.java
@@ -1,16 +1,20 @@
 package nettlewick.core;
 
-/** Something sent to a worker that ends once. The core thread owns it; others read what is final. */
+/**
+ * Something sent to an endpoint that ends once. The core thread owns its state; the endpoint's id may be read by any
+ * thread.
+ */
 abstract class OutboundCall {
     private final String endpoint;
     private final double sentAtMillis;
     private boolean ended;
 
-    OutboundCall(String endpoint, double sentAt) {
+    OutboundCall(String endpoint, double sentAtMillis) {
         this.endpoint = endpoint;
-        this.sentAtMillis = sentAt;
+        this.sentAtMillis = sentAtMillis;
     }
 
+    /** The id of the endpoint that it goes to. */
     public final String endpoint() {
         return endpoint;
     }
@@ -19,7 +23,7 @@
         return sentAtMillis;
     }
 
-    /** True once only: guards the rule of one end for each that is sent. */
+    /** Marks it as ended; true for the first call only. */
     final boolean markEnded() {
         boolean first = !ended;
         ended = true;
--- a/src/main/java/nettlewick/core/Probe.java
+++ b/src/main/java/nettlewick/core/Probe.java
@@ -1,8 +1,8 @@
 package nettlewick.core;
 
-/** One question to a worker for its load. */
+/** One request to an endpoint for its load. */
 public final class Probe extends OutboundCall {
-    Probe(String endpoint, double sentAt) {
-        super(endpoint, sentAt);
+    Probe(String endpoint, double sentAtMillis) {
+        super(endpoint, sentAtMillis);
     }
 }
--- a/src/main/java/nettlewick/core/Request.java
+++ b/src/main/java/nettlewick/core/Request.java
@@ -1,11 +1,19 @@
 package nettlewick.core;
 
 /**
- * A job that a client has handed in, without the wire it came by.
+ * A client's request, independent of the protocol that it came by. Immutable; any thread.
  *
- * @param deadline when the client stops waiting, in milliseconds on the {@link Clock}
- * @param hint     the client's guess at the work, in milliseconds; 0 for none
- * @param cargo    what goes on to the worker unchanged
+ * @param id           chosen by the client, accepted once
+ * @param requestClass one of the classes of the settings
+ * @param tenant       whose request it is; null for none
+ * @param key          what requests that belong together share, for affinity; null for none
+ * @param deadline     when the client stops waiting, in milliseconds on the {@link Clock}
+ * @param slots        the endpoint slots that it occupies
+ * @param memory       the endpoint memory that it occupies
+ * @param costHint     the client's estimate of the work, in milliseconds; 0 for none
+ * @param repeat       whether the client says that it is a retry
+ * @param cargo        what goes on to the endpoint unchanged
+ * @param caller       who waits for the answer
  */
 public record Request(
         String id,
@@ -20,41 +28,43 @@
         Cargo cargo,
         Caller caller) {
 
-    /** What passes through untouched; only the front that made it and the transport look inside. */
+    /** What passes through unchanged; only the frontend that made it and the transport look inside. */
     public interface Cargo {}
 
-    /** A cargo that carries an idempotency key, or null in its place. */
+    /** A cargo that may carry an idempotency key. */
     public interface Keyed extends Cargo {
+        /** The key, or null for none. */
         String idempotencyKey();
     }
 
-    /** The side that waits for a request. Exactly one of the three final answers comes. */
+    /**
+     * The side that waits for a request. Exactly one of the three final answers comes. Calls come from the core
+     * thread, or from the usage recorder's thread where one holds answers back, and must not block.
+     */
     public interface Caller {
-        /**
-         * The books wait for word of the final answer, which comes next. By default it counts as answered.
-         */
+        /** The receipt to notify once the final answer, which comes next, is written. By default it is at once. */
         default void receipt(UsageRecorder.Receipt receipt) {
             receipt.answered();
         }
 
         /**
-         * Whether anybody still waits for the answer. Asked on the event loop, in the turn that would send
-         * the request on; a client that comes back for its job counts as present all the time.
+         * Whether anybody still waits for the answer. Asked on the event loop right before an attempt is written; a
+         * client that may reconnect for its answer counts as present all the time.
          */
         default boolean present() {
             return true;
         }
 
-        /** A sign of life: the share of the job that is done. Not final. */
+        /** Not final: this share of the work is done, from 0 to 1. */
         default void progress(double share) {}
 
-        /** Final: the worker's result. */
+        /** Final: the endpoint's result. */
         void served(byte[] result);
 
-        /** Final: turned away, trying again is harmless, after so many milliseconds (0: no advice). */
-        void rejected(double retryAfter);
+        /** Final: rejected, a retry is harmless, best after that many milliseconds (0 for no advice). */
+        void rejected(double retryAfterMillis);
 
-        /** Final: no result, and nothing is promised. */
+        /** Final: no result, and the request may have been executed. */
         void failed(String reason);
     }
 }
--- a/src/main/java/nettlewick/core/RequestListener.java
+++ b/src/main/java/nettlewick/core/RequestListener.java
@@ -3,27 +3,27 @@
 import java.util.Map;
 import nettlewick.decision.AttemptResult;
 
-/** Sees what becomes of jobs and attempts. Called on the core's thread: must not block, throws nothing. */
+/** Observes requests, attempts and endpoints. Called on the core thread unless noted: must not block or throw. */
 public interface RequestListener {
-    /** Sees nothing. */
+    /** Observes nothing. */
     RequestListener NONE = new RequestListener() {};
 
-    /** The core that it sees, before anything else; any thread. */
-    default void joins(RequestCoordinator core) {}
+    /** The coordinator that it observes; called before anything else, on any thread. */
+    default void joins(RequestCoordinator coordinator) {}
 
-    /** A job has been taken. */
+    /** A request has been accepted. */
     default void asked(Request request) {}
 
     /** An attempt is over, and how; also one that was never sent. */
     default void ended(Attempt attempt, AttemptResult result) {}
 
-    /** A job was turned away. */
+    /** A request was rejected. */
     default void refused(Request request) {}
 
-    /** News of the workers. */
-    default void listed(EndpointUpdate roster) {}
+    /** The endpoint list was updated. */
+    default void listed(EndpointUpdate update) {}
 
-    /** Figures for operators, by name; any thread. */
+    /** Metrics for operators, by name; any thread. */
     default Map<String, Number> figures() {
         return Map.of();
     }
--- a/src/main/java/nettlewick/core/Transport.java
+++ b/src/main/java/nettlewick/core/Transport.java
@@ -1,8 +1,8 @@
 package nettlewick.core;
 
 /**
- * The way out: what the core wants done on the wire. Calls come from the core's thread and must not block;
- * what comes of them is told through {@link RequestCoordinator}.
+ * Carries out on the wire what was decided. Called on the core thread: must not block. Results come back through
+ * {@link RequestCoordinator}.
  */
 public interface Transport {
     /** Starts an attempt; it ends by {@link RequestCoordinator#attemptEnded} or by {@link #drop}. */
@@ -11,12 +11,12 @@
     /** Nobody waits for the attempt any more: its connection is to be closed. */
     void drop(Attempt attempt);
 
-    /** Asks a worker for its load; ends by {@link RequestCoordinator#probeAnswered} or {@link #drop(Probe)}. */
+    /** Asks an endpoint for its load; ends by {@link RequestCoordinator#probeAnswered} or {@link #drop(Probe)}. */
     void probe(Probe probe);
 
     /** Nobody waits for the probe any more. */
     void drop(Probe probe);
 
-    /** Sends a message to the dispatcher of that rank. */
+    /** Sends a message to the dispatcher of that rank; it may be lost. */
     void tell(int rank, byte[] data);
 }
--- a/src/main/java/nettlewick/core/UsageAccounting.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -50,7 +50,7 @@
         boolean isEstimate = server != null && !server.hasStarted();
         double extraMillis = 0;
         for (Attempt attempt : attempts) {
-            extraMillis += attempt == server ? 0 : attempt.elapsedMillis(now, false);
+            extraMillis += attempt == server ? 0 : attempt.runMillis(now);
         }
         return new FinishedRequest(
                 request,
@@ -66,9 +66,11 @@
         if (server == null) {
             return 0;
         }
-        return isEstimate && request.costHint() > 0
-                ? request.costHint()
-                : server.elapsedMillis(loop.nowMillis(), isEstimate);
+        double now = loop.nowMillis();
+        if (!isEstimate) {
+            return server.runMillis(now);
+        }
+        return request.costHint() > 0 ? request.costHint() : server.totalMillis(now);
     }
 
     private static long toSlotMicros(double millis, Request request) {
--- a/src/main/java/nettlewick/core/UsageRecorder.java
+++ b/src/main/java/nettlewick/core/UsageRecorder.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps account of how jobs end. Hangs on the core and can be left out: {@link #NONE} lets each answer go at
- * once and remembers nothing.
+ * Records how requests end and what work they took, before their answers are released. Optional: {@link #NONE}
+ * releases each answer at once and records nothing.
  */
 public interface UsageRecorder {
-    /** How a job ended for its client. */
+    /** How a request ended for its client. The order is stored, and the names are exported. */
     enum Ending {
         SERVED,
         REFUSED,
@@ -17,60 +17,61 @@
     }
 
     /**
-     * A job whose end is decided. Work is in slot-microseconds.
+     * A request whose end is decided.
      *
      * @param at       when it was decided, in milliseconds on the {@link Clock}
      * @param attempts how many attempts there were
-     * @param work     what the attempt that served it took from its start to its end; 0 where none served it
-     * @param estimate whether the work is from the client's hint, or from the whole attempt, since no start
-     *                 was told
-     * @param spare    work seen of all other attempts until now: second copies, lost and cancelled ones
+     * @param work     slot-microseconds from start to end of the attempt that served it; 0 where none did
+     * @param estimate whether the work is taken from the client's hint, or from the time since the attempt was sent,
+     *                 because no start was reported
+     * @param spare    slot-microseconds seen so far of all other attempts: hedged, lost and cancelled ones
      */
     record FinishedRequest(
             Request request, Ending ending, double at, int attempts, long work, boolean estimate, long spare) {}
 
-    /** What the front tells of an answer that was let go; only the first word counts. Any thread. */
+    /** Takes what became of a released answer; only the first call counts. Any thread. */
     interface Receipt {
+        /** Takes no notice. */
         Receipt NONE = new Receipt() {
             @Override
             public void answered() {
-                // Nobody keeps account.
+                // Nothing is recorded.
             }
 
             @Override
             public void left() {
-                // Nobody keeps account.
+                // Nothing is recorded.
             }
         };
 
-        /** Its last byte is written, now. */
+        /** The last byte of the answer has just been written. */
         void answered();
 
-        /** The client has gone before that. */
+        /** The client went away before that. */
         void left();
     }
 
-    /** Keeps no account. */
-    UsageRecorder NONE = (job, send) -> {
-        send.accept(Receipt.NONE);
+    /** Records nothing. */
+    UsageRecorder NONE = (finished, release) -> {
+        release.accept(Receipt.NONE);
         return null;
     };
 
     /**
-     * The one final answer of a job is decided. Called on the core's thread, must not block; no exceptions.
+     * Records the end of a request. Called on the core thread: must not block or throw.
      *
-     * @param send lets the answer go; called exactly once, on any thread, now or once the books allow it.
-     *             Nobody is told of a job whose client has left: there the receipt means nothing
-     * @return lets an answer go that still waits, harmless to call later; null where it has gone
+     * @param release releases the answer; to be called exactly once, on any thread, now or when the record allows it.
+     *                Where the client has gone there is no answer and the receipt means nothing
+     * @return releases the answer if that has not happened, for use after {@link #patience}; null where it has
      */
-    Runnable settle(FinishedRequest job, Consumer<Receipt> send);
+    Runnable settle(FinishedRequest finished, Consumer<Receipt> release);
 
-    /** How long an answer may wait for the books, in milliseconds. */
+    /** How long an answer may be held back, in milliseconds. */
     default double patience() {
         return 0;
     }
 
-    /** Figures for operators, by name. */
+    /** Metrics for operators, by name. */
     default Map<String, Number> figures() {
         return Map.of();
     }
--- a/src/test/java/nettlewick/core/Attempts.java
+++ b/src/test/java/nettlewick/core/Attempts.java
@@ -1,6 +1,6 @@
 package nettlewick.core;
 
-/** Attempts as tests of what listens to the core need them. */
+/** Makes attempts for tests of {@link RequestListener}s in other packages. */
 public final class Attempts {
     private Attempts() {}
 
--- a/src/test/java/nettlewick/core/ClockTest.java
+++ b/src/test/java/nettlewick/core/ClockTest.java
@@ -7,8 +7,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** The clock never blocks its readers and never goes back. */
 class ClockTest {
-    /** Guards against threads that queue for the time: whoever is stopped while it reads stops nobody else. */
+    /** A thread that is suspended while it reads the time must not block the others. */
     @Test
     void readersDoNotBlockEachOther() throws Exception {
         Clock clock = Clock.system();
--- a/src/test/java/nettlewick/core/DrainPolicyTest.java
+++ b/src/test/java/nettlewick/core/DrainPolicyTest.java
@@ -8,7 +8,7 @@
 import nettlewick.core.DrainPolicy.Decision;
 import org.junit.jupiter.api.Test;
 
-/** What a process that is to end still takes. */
+/** Which requests a process that will be drained still takes. */
 class DrainPolicyTest {
     private final DrainPolicy policy = new DrainPolicy();
 
@@ -18,7 +18,7 @@
         assertFalse(policy.isSavedByWaiting(5000, 0, 3700));
     }
 
-    /** Guards against long jobs taken shortly before the end, and lost with the process. */
+    /** Long requests admitted shortly before the kill would be lost with the process. */
     @Test
     void requestsThatOutliveTheProcessAreHeldThenRejected() {
         policy.expectDraining(4000, 7700);
@@ -28,12 +28,15 @@
         policy.startDraining(7700);
         assertEquals(Decision.REJECT, policy.decide("transfer", 5000, 4100));
         assertEquals(Decision.ADMIT, policy.decide("statement", 500, 4100));
-        assertEquals(Decision.ADMIT, policy.decide("unknown", 0, 7600), "nothing is known of it");
+        assertEquals(Decision.ADMIT, policy.decide("unknown", 0, 7600), "nothing is known of its class");
         policy.cancelExpectedDraining();
-        assertEquals(Decision.REJECT, policy.decide("transfer", 5000, 4100), "an end that has begun stays");
+        assertEquals(
+                Decision.REJECT,
+                policy.decide("transfer", 5000, 4100),
+                "draining that has started cannot be cancelled");
     }
 
-    /** Guards against a request that comes after the last look at what is open, is sent on, and never answered. */
+    /** A request that arrives after all in flight were answered must not be forwarded: nobody would answer it. */
     @Test
     void nothingIsAdmittedAfterAdmissionStopped() {
         policy.startDraining(7700);
@@ -43,7 +46,7 @@
         assertEquals(Decision.REJECT, policy.decide("statement", 1, 7460));
     }
 
-    /** Guards against jobs held for a successor that never came up. */
+    /** Requests must not be held for a successor that never came up. */
     @Test
     void holdingEndsWhenDrainingDoesNotStart() {
         policy.expectDraining(4000, 7700);
@@ -66,18 +69,18 @@
         assertEquals(0, policy.expectedRunMillis("other", 0));
     }
 
-    /** Guards against a wait that saves nothing: what ends in time anyway, and what outlives the wait too. */
+    /** Waiting saves neither requests that end in time anyway nor those that outlive the wait too. */
     @Test
     void waitingSavesOnlyRequestsThatEndBetweenTheTwoKillTimes() {
         policy.expectDraining(4000, 7700);
         assertFalse(policy.isSavedByWaiting(2000, 0, 3700));
         assertTrue(policy.isSavedByWaiting(4000, 0, 3700));
-        assertTrue(policy.isSavedByWaiting(7000, 0, 3700), "it may, and the wait costs little");
+        assertTrue(policy.isSavedByWaiting(7000, 0, 3700), "it may end in time, and waiting costs little");
         assertFalse(policy.isSavedByWaiting(9500, 0, 3700));
-        assertFalse(policy.isSavedByWaiting(4000, 4000, 3700), "the time for it is over");
+        assertFalse(policy.isSavedByWaiting(4000, 4000, 3700), "draining was expected to have started");
     }
 
-    /** Whatever comes when: nothing is taken that is expected to outlive the kill, nothing held for too long. */
+    /** At any time, no request is admitted that is expected to outlive the kill, and none is held for too long. */
     @Test
     void randomRequestsAreNeverAdmittedToBeLost() {
         SplittableRandom random = new SplittableRandom(23);
--- a/src/test/java/nettlewick/core/FinalAnswerTest.java
+++ b/src/test/java/nettlewick/core/FinalAnswerTest.java
@@ -14,9 +14,9 @@
 import nettlewick.decision.Event.Arrival;
 import org.junit.jupiter.api.Test;
 
-/** How requests end in the core: once, in time, and with nothing sent on after it. */
+/** Each request gets its final answer once and in time, and nothing is sent for it afterwards. */
 class FinalAnswerTest extends RequestCoordinatorFixture {
-    /** Guards against a job failed here, after a pause, in the turn in which the module would refuse it. */
+    /** After a pause of the thread, a request that the module would reject must not be failed by the guard. */
     @Test
     void theModuleHandlesADeadlineBeforeTheGuardActs() throws InterruptedException {
         script = e -> e instanceof Arrival
@@ -28,7 +28,7 @@
         assertTrue(sideEffects.contains("refused a 0.0") && !sideEffects.contains("failed a"), sideEffects.toString());
     }
 
-    /** Guards against a final answer that waits for a turn without news, which a flood on other connections never has. */
+    /** A flood on other connections leaves no iteration without events, so the answer must not wait for one. */
     @Test
     void theDeadlineAnswerDoesNotWaitForAFloodOfEventsToEnd() throws InterruptedException {
         submit("a", 100);
@@ -41,7 +41,7 @@
         assertEquals(List.of("failed a"), sideEffects);
     }
 
-    /** Guards against a request that waited behind others until its time was up, and is told that it may have run. */
+    /** A request that only waited until its deadline must not be answered as one that may have been executed. */
     @Test
     void aRequestThatArrivesAfterItsDeadlineIsRejectedUnsent() throws InterruptedException {
         submit("a", 0);
@@ -49,7 +49,7 @@
         assertEquals(List.of("refused a 0.0"), sideEffects);
     }
 
-    /** Guards against an attempt that begins for a request whose end is decided, or whose time is up. */
+    /** No attempt may start for a request that is decided or past its deadline. */
     @Test
     void anAttemptMayStartOnlyWhileItsRequestIsUndecidedAndTimeIsLeft() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0));
@@ -63,7 +63,7 @@
         assertTrue(!attempt.mayBegin(START + 2));
     }
 
-    /** Guards the rules of one outcome for each dispatch and one final answer for each request. */
+    /** One outcome for each dispatch and one final answer for each request. */
     @Test
     void onlyTheFirstEndCounts() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0), new Dispatch("a", "w", 0));
@@ -94,7 +94,7 @@
         assertEquals(List.of("send a0", "send a1", "drop a0", "drop a1"), sideEffects);
     }
 
-    /** Guards against a request that the module forgets: its client gets an answer all the same. */
+    /** The client of a request that the module forgets gets an answer all the same. */
     @Test
     void aRequestLeftUnansweredIsFailedAtItsDeadline() throws InterruptedException {
         submit("a", 100);
@@ -104,7 +104,7 @@
         assertTrue(moduleEvents.contains(new Abandoned("a")));
     }
 
-    /** Guards against a kill that finds unanswered what was taken, before the signal or after it. */
+    /** The kill must find no accepted request unanswered, whether it came before the signal or after it. */
     @Test
     void answerAllNowEndsRequestsInFlightAndRejectsLaterOnes() throws InterruptedException {
         script = e -> e instanceof Arrival a && a.id().equals("b") ? List.of(new Dispatch("b", "w", 0)) : List.of();
--- a/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
@@ -19,7 +19,7 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A core with a scripted module, a transport that only notes, and a clock that stands. */
+/** A coordinator with a scripted decision module, a transport that only records, and a manual clock. */
 abstract class RequestCoordinatorFixture {
     static final double START = 1_000_000;
     final Clock clock = Clock.standing(START);
@@ -30,7 +30,7 @@
     Function<Event, List<Action>> script = e -> List.of();
     long lastDecisionNanos;
     RequestCoordinator coordinator;
-    /** What keeps the books; set before {@link #open} by tests that look at them. */
+    /** Tests of usage records set it before {@link #createCoordinator}. */
     UsageRecorder usageRecorder = UsageRecorder.NONE;
 
     @BeforeEach
@@ -95,11 +95,11 @@
         advanceTo(0);
     }
 
-    static EndpointUpdate.Entry endpoint(String endpoint, EndpointState life) {
-        return new EndpointUpdate.Entry(endpoint, life, 2.5, 0, "k", "z", 1);
+    static EndpointUpdate.Entry endpoint(String endpoint, EndpointState state) {
+        return new EndpointUpdate.Entry(endpoint, state, 2.5, 0, "k", "z", 1);
     }
 
-    /** Sets the clock to so many milliseconds after the start and lets the core take what there is. */
+    /** Sets the clock to that many milliseconds after the start and runs all tasks that are ready. */
     void advanceTo(double millis) throws InterruptedException {
         clock.set(START + millis);
         for (int i = 0; i < 8; i++) {
--- a/src/test/java/nettlewick/core/RequestCoordinatorTest.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorTest.java
@@ -4,7 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
+import java.util.function.Consumer;
 import nettlewick.core.Attempt.Outcome;
 import nettlewick.decision.Action;
 import nettlewick.decision.Action.Dispatch;
@@ -15,31 +17,30 @@
 import nettlewick.decision.Event.ProbeAnswer;
 import org.junit.jupiter.api.Test;
 
-/** The books of the core, with a scripted module. */
+/** What the coordinator does for requests, attempts and probes, with a scripted decision module. */
 class RequestCoordinatorTest extends RequestCoordinatorFixture {
-    /** A core whose books only note, and let answers go when the test says so. */
+    /** Creates a coordinator whose recorder collects records, and answers that the test releases. */
     private List<UsageRecorder.FinishedRequest> createWithRecorder(
-            List<java.util.function.Consumer<UsageRecorder.Receipt>> waiting, double patience)
-            throws InterruptedException {
-        List<UsageRecorder.FinishedRequest> jobs = new ArrayList<>();
+            List<Consumer<UsageRecorder.Receipt>> waiting, double timeoutMillis) throws InterruptedException {
+        List<UsageRecorder.FinishedRequest> records = new ArrayList<>();
         usageRecorder = new UsageRecorder() {
             @Override
-            public Runnable settle(FinishedRequest job, java.util.function.Consumer<Receipt> send) {
-                jobs.add(job);
-                waiting.add(send);
-                return () -> sideEffects.add("overdue " + job.request().id());
+            public Runnable settle(FinishedRequest finished, Consumer<Receipt> release) {
+                records.add(finished);
+                waiting.add(release);
+                return () -> sideEffects.add("overdue " + finished.request().id());
             }
 
             @Override
             public double patience() {
-                return patience;
+                return timeoutMillis;
             }
         };
         createCoordinator();
-        return jobs;
+        return records;
     }
 
-    /** Guards against long jobs lost with a process that is succeeded: see PartingTest for which. */
+    /** Long requests must not be lost at a hot restart; {@link DrainPolicyTest} shows which. */
     @Test
     void requestsThatWouldOutliveTheProcessAreHeldAndRejectedUnsent() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
@@ -59,7 +60,7 @@
         assertTrue(moduleEvents.stream().noneMatch(e -> e instanceof Arrival a && !a.id().equals("short")));
     }
 
-    /** Guards against a job that is held for good, or handed on after its client has gone. */
+    /** No request is held for ever, or forwarded after its client has gone. */
     @Test
     void heldRequestsProceedWhenDrainingDoesNotStart() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
@@ -80,7 +81,7 @@
         assertEquals(List.of("send late0", "send next0"), sideEffects);
     }
 
-    /** A successor is made to wait for what ends only if it does, and for nothing else. */
+    /** A successor waits only for requests that end in time if it does. */
     @Test
     void reportedProgressDecidesWhetherWaitingSavesARequest() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
@@ -101,8 +102,8 @@
 
     @Test
     void usageRecorderSeesEachEndOnceWithServedAndExtraWork() throws InterruptedException {
-        List<java.util.function.Consumer<UsageRecorder.Receipt>> waiting = new ArrayList<>();
-        List<UsageRecorder.FinishedRequest> jobs = createWithRecorder(waiting, 50);
+        List<Consumer<UsageRecorder.Receipt>> waiting = new ArrayList<>();
+        List<UsageRecorder.FinishedRequest> records = createWithRecorder(waiting, 50);
         script = e -> e instanceof Arrival a && a.id().equals("a")
                 ? List.of(new Dispatch("a", "w", 0), new Dispatch("a", "w", 0))
                 : e instanceof Arrival a && a.id().equals("r") ? List.of(new Reject("r", 0)) : List.of();
@@ -115,18 +116,20 @@
         coordinator.reportProgress(sentAttempts.get(1), 0.5);
         coordinator.attemptEnded(sentAttempts.get(1), new Outcome(AttemptResult.SERVED, new byte[0], null));
         advanceTo(25);
-        assertEquals(1, jobs.size());
-        UsageRecorder.FinishedRequest a = jobs.get(0);
+        assertEquals(1, records.size());
+        UsageRecorder.FinishedRequest a = records.get(0);
         assertEquals(UsageRecorder.Ending.SERVED, a.ending());
         assertEquals(2, a.attempts());
         assertEquals(15_000, a.work(), "slot-microseconds of the attempt that served it");
-        assertEquals(25_000, a.spare(), "of the one that still runs");
+        assertEquals(25_000, a.spare(), "slot-microseconds of the attempt that still runs");
         assertEquals(false, a.estimate());
-        assertTrue(sideEffects.stream().noneMatch(s -> s.startsWith("served")), "held until the books let it go");
+        assertTrue(
+                sideEffects.stream().noneMatch(s -> s.startsWith("served")),
+                "held back until the recorder releases it");
         advanceTo(74);
         assertTrue(sideEffects.stream().noneMatch(s -> s.startsWith("overdue")));
         advanceTo(75);
-        assertTrue(sideEffects.contains("overdue a"), "let go all the same after the patience");
+        assertTrue(sideEffects.contains("overdue a"), "released all the same after the timeout");
         waiting.get(0).accept(UsageRecorder.Receipt.NONE);
         assertTrue(sideEffects.contains("served a"));
         submit("r", 1000);
@@ -139,9 +142,9 @@
                         UsageRecorder.Ending.REFUSED,
                         UsageRecorder.Ending.LEFT,
                         UsageRecorder.Ending.FAILED),
-                jobs.stream()
+                records.stream()
                         .map(UsageRecorder.FinishedRequest::ending)
-                        .sorted(java.util.Comparator.comparingInt(e -> List.of(
+                        .sorted(Comparator.comparingInt(e -> List.of(
                                         UsageRecorder.Ending.SERVED,
                                         UsageRecorder.Ending.REFUSED,
                                         UsageRecorder.Ending.LEFT,
@@ -152,14 +155,14 @@
 
     @Test
     void workIsAnEstimateWhenNoStartWasReported() throws InterruptedException {
-        List<UsageRecorder.FinishedRequest> jobs = createWithRecorder(new ArrayList<>(), 0);
+        List<UsageRecorder.FinishedRequest> records = createWithRecorder(new ArrayList<>(), 0);
         onArrival(new Dispatch("a", "w", 0));
         submit("a", 1000);
         advanceTo(5);
         coordinator.attemptEnded(sentAttempts.get(0), new Outcome(AttemptResult.SERVED, new byte[0], null));
         advanceTo(6);
-        assertEquals(1500, jobs.get(0).work(), "the hint, 1.5 ms");
-        assertTrue(jobs.get(0).estimate());
+        assertEquals(1500, records.get(0).work(), "the hint, 1.5 ms");
+        assertTrue(records.get(0).estimate());
     }
 
     @Test
@@ -174,7 +177,7 @@
                 2_500_000, ((EndpointList) moduleEvents.get(0)).entries().get(0).startedAt());
     }
 
-    /** Guards against one client's id in another's hands: the first is left alone, and nothing runs twice. */
+    /** A second request under the same id must neither disturb the first nor execute it twice. */
     @Test
     void aRequestIdIsAcceptedOnceInFlightAndAfterwards() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0));
@@ -228,7 +231,7 @@
                         .toList());
     }
 
-    /** Guards the thread that all requests depend on against a fault in the module. */
+    /** All requests depend on the core thread, so a fault in the module must not end it. */
     @Test
     void aModuleFaultDoesNotStopTheLoop() throws InterruptedException {
         script = e -> {
