--- a/src/main/java/nettlewick/admin/AdminFrontend.java
+++ b/src/main/java/nettlewick/admin/AdminFrontend.java
@@ -27,17 +27,17 @@
     /** Callers held at once. Danger: silent ones would use up the descriptors; the oldest makes way. */
     public static final int CALLERS_MOST = 24;
     /** Time for one call, from connecting to the close. */
-    private static final long PATIENCE = 4500;
+    private static final long CALL_TIMEOUT_MILLIS = 4500;
 
-    private static final int BODY_MOST = 4096;
-    private static final int OK = 200;
-    private static final Pattern RUNNER = Pattern.compile("/-/sim-runners/([^/]+)/(disable|enable)");
+    private static final int MAX_BODY_BYTES = 4096;
+    private static final int STATUS_OK = 200;
+    private static final Pattern ENDPOINT_PATH = Pattern.compile("/-/sim-runners/([^/]+)/(disable|enable)");
 
     private final Operations operations;
     private final SocketAddress address;
     private final Vertx vertx;
-    private final Context loop;
-    private final Set<HttpConnection> callers = new LinkedHashSet<>();
+    private final Context eventLoop;
+    private final Set<HttpConnection> connections = new LinkedHashSet<>();
 
     public AdminFrontend(SocketAddress address, Operations operations) {
         this.address = address;
@@ -48,7 +48,7 @@
                 .setInternalBlockingPoolSize(1)
                 .setFileSystemOptions(
                         new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
-        loop = vertx.getOrCreateContext();
+        eventLoop = vertx.getOrCreateContext();
     }
 
     /** Listens; the port that is held comes back. */
@@ -56,26 +56,26 @@
         HttpServer server = vertx.createHttpServer(new HttpServerOptions()
                 .setTcpNoDelay(true)
                 .setHttp2ClearTextEnabled(false)
-                .setMaxHeaderSize(BODY_MOST)
+                .setMaxHeaderSize(MAX_BODY_BYTES)
                 .setAcceptBacklog(128));
         server.exceptionHandler(e -> {});
-        server.connectionHandler(this::opened);
+        server.connectionHandler(this::accept);
         server.requestHandler(this::read);
         return server.listen(address).map(HttpServer::actualPort);
     }
 
-    private void opened(HttpConnection caller) {
+    private void accept(HttpConnection caller) {
         caller.exceptionHandler(e -> {});
-        if (callers.size() >= CALLERS_MOST) {
-            HttpConnection oldest = callers.iterator().next();
-            callers.remove(oldest);
+        if (connections.size() >= CALLERS_MOST) {
+            HttpConnection oldest = connections.iterator().next();
+            connections.remove(oldest);
             oldest.close();
         }
-        callers.add(caller);
-        long timer = vertx.setTimer(PATIENCE, id -> caller.close());
+        connections.add(caller);
+        long timer = vertx.setTimer(CALL_TIMEOUT_MILLIS, id -> caller.close());
         caller.closeHandler(v -> {
             vertx.cancelTimer(timer);
-            callers.remove(caller);
+            connections.remove(caller);
         });
     }
 
@@ -85,17 +85,17 @@
         request.exceptionHandler(e -> {});
         request.handler(part -> length[0] += part.length());
         request.endHandler(v -> {
-            if (length[0] > BODY_MOST) {
+            if (length[0] > MAX_BODY_BYTES) {
                 answer(request, 413, "a call needs no body\n");
             } else {
-                call(request);
+                route(request);
             }
         });
     }
 
-    private void call(HttpServerRequest request) {
+    private void route(HttpServerRequest request) {
         String path = String.valueOf(request.path());
-        Matcher endpoint = RUNNER.matcher(path);
+        Matcher endpoint = ENDPOINT_PATH.matcher(path);
         HttpMethod wanted = switch (path) {
             case "/-/ready", "/-/metrics" -> HttpMethod.GET;
             case "/-/drain", "/-/resume" -> HttpMethod.POST;
@@ -107,18 +107,18 @@
             request.response().putHeader("Allow", wanted.name());
             answer(request, 405, "this call comes by " + wanted + "\n");
         } else if (endpoint.matches()) {
-            ban(request, endpoint.group(1), endpoint.group(2).equals("disable"));
+            setEndpointDisabled(request, endpoint.group(1), endpoint.group(2).equals("disable"));
         } else {
             switch (path) {
-                case "/-/ready" -> yes(request, operations.ready(), 503, "takes no clients\n");
-                case "/-/drain" -> yes(request, operations.drain(), 409, "starts or ends\n");
-                case "/-/resume" -> yes(request, operations.resume(), 409, "ends\n");
-                default -> answer(request, OK, MetricsText.of(operations.figures(), operations.more()));
+                case "/-/ready" -> answerYesOr(request, operations.ready(), 503, "takes no clients\n");
+                case "/-/drain" -> answerYesOr(request, operations.drain(), 409, "starts or ends\n");
+                case "/-/resume" -> answerYesOr(request, operations.resume(), 409, "ends\n");
+                default -> answer(request, STATUS_OK, MetricsText.format(operations.figures(), operations.more()));
             }
         }
     }
 
-    private void ban(HttpServerRequest request, String encoded, boolean out) {
+    private void setEndpointDisabled(HttpServerRequest request, String encoded, boolean out) {
         String id;
         try {
             id = URLDecoder.decode(encoded.replace("+", "%2B"), StandardCharsets.UTF_8);
@@ -128,17 +128,17 @@
         }
         operations
                 .ban(id, out)
-                .onComplete(done -> loop.runOnContext(v -> {
+                .onComplete(done -> eventLoop.runOnContext(v -> {
                     if (done.failed()) {
                         answer(request, 500, "cannot be stored: " + done.cause().getMessage() + "\n");
                     } else {
-                        yes(request, done.result(), 404, "no such sim runner\n");
+                        answerYesOr(request, done.result(), 404, "no such sim runner\n");
                     }
                 }));
     }
 
-    private static void yes(HttpServerRequest request, boolean yes, int otherwise, String why) {
-        answer(request, yes ? OK : otherwise, yes ? "yes\n" : why);
+    private static void answerYesOr(HttpServerRequest request, boolean yes, int otherwise, String why) {
+        answer(request, yes ? STATUS_OK : otherwise, yes ? "yes\n" : why);
     }
 
     private static void answer(HttpServerRequest request, int status, String text) {
--- a/src/main/java/nettlewick/admin/MetricsText.java
+++ b/src/main/java/nettlewick/admin/MetricsText.java
@@ -12,25 +12,26 @@
 
     private MetricsText() {}
 
-    static String of(Metrics.Snapshot figures, Map<String, Number> more) {
+    static String format(Metrics.Snapshot figures, Map<String, Number> more) {
         StringBuilder text = new StringBuilder();
-        figures.jobs().forEach((name, counts) -> ends(text, name, counts));
-        line(text, "relayed", figures.relayed());
-        line(text, "open_requests", figures.open());
-        line(text, "registry_entries", figures.listed());
-        line(text, "out_of_rotation", figures.avoided());
-        figures.peers().forEach((kind, count) -> line(text, "peers.passed_over." + kind, count));
-        more.forEach((name, value) -> line(text, name, value.longValue()));
+        figures.jobs().forEach((name, counts) -> appendEnds(text, name, counts));
+        appendLine(text, "relayed", figures.relayed());
+        appendLine(text, "open_requests", figures.open());
+        appendLine(text, "registry_entries", figures.listed());
+        appendLine(text, "out_of_rotation", figures.avoided());
+        figures.peers().forEach((kind, count) -> appendLine(text, "peers.passed_over." + kind, count));
+        more.forEach((name, value) -> appendLine(text, name, value.longValue()));
         return text.toString();
     }
 
-    private static void ends(StringBuilder text, String name, List<Long> counts) {
+    private static void appendEnds(StringBuilder text, String name, List<Long> counts) {
         for (End end : End.values()) {
-            line(text, "operations." + name + '.' + end.name().toLowerCase(Locale.ROOT), counts.get(end.ordinal()));
+            appendLine(
+                    text, "operations." + name + '.' + end.name().toLowerCase(Locale.ROOT), counts.get(end.ordinal()));
         }
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/nettlewick/pcap/Capture.java
+++ b/src/main/java/nettlewick/pcap/Capture.java
@@ -24,13 +24,14 @@
 /** The HTTP/1.1 requests in a capture file, in the order of their times. */
 public final class Capture {
     /** A file is held in memory as a whole while it is put in order. */
-    private static final long FILE_MOST = 64L << 20;
+    private static final long MAX_FILE_BYTES = 64L << 20;
 
-    private static final Pattern REQUEST = Pattern.compile("[A-Z]{3,10} \\S+ HTTP/1\\.[01]\\r\\n.*", Pattern.DOTALL);
+    private static final Pattern REQUEST_START =
+            Pattern.compile("[A-Z]{3,10} \\S+ HTTP/1\\.[01]\\r\\n.*", Pattern.DOTALL);
 
     private final List<RecordedRequest> requests = new ArrayList<>();
-    private final Map<String, TcpFlow> flows = new LinkedHashMap<>();
-    private int lost;
+    private final Map<String, TcpFlowReassembler> flows = new LinkedHashMap<>();
+    private int incompleteCount;
 
     private Capture() {}
 
@@ -38,8 +39,8 @@
         if (!Files.isRegularFile(file)) {
             throw new CaptureFormatException(file + " is not a file");
         }
-        if (Files.size(file) > FILE_MOST) {
-            throw new CaptureFormatException(file + " is larger than " + (FILE_MOST >> 20) + " MiB");
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new CaptureFormatException(file + " is larger than " + (MAX_FILE_BYTES >> 20) + " MiB");
         }
         try (InputStream in = Files.newInputStream(file)) {
             return read(in);
@@ -48,18 +49,18 @@
 
     static Capture read(InputStream in) throws IOException {
         CaptureReader reader = new CaptureReader(in);
-        if (!TcpSegment.knows(reader.link())) {
-            throw new CaptureFormatException("packets of link type " + reader.link() + " cannot be read");
+        if (!TcpSegment.isSupportedLinkType(reader.linkType())) {
+            throw new CaptureFormatException("packets of link type " + reader.linkType() + " cannot be read");
         }
         Capture capture = new Capture();
-        reader.read((at, packet) -> {
-            TcpSegment s = TcpSegment.of(reader.link(), at, packet);
+        reader.readPackets((at, packet) -> {
+            TcpSegment s = TcpSegment.parse(reader.linkType(), at, packet);
             if (s != null) {
-                capture.take(s);
+                capture.addSegment(s);
             }
         });
-        capture.flows.values().forEach(TcpFlow::end);
-        capture.requests.sort(Comparator.comparingDouble(RecordedRequest::at));
+        capture.flows.values().forEach(TcpFlowReassembler::end);
+        capture.requests.sort(Comparator.comparingDouble(RecordedRequest::capturedAtMillis));
         return capture;
     }
 
@@ -68,35 +69,36 @@
     }
 
     /** Requests of which some bytes are missing or make no sense. */
-    int lost() {
-        return lost;
+    int incompleteCount() {
+        return incompleteCount;
     }
 
-    private void take(TcpSegment s) {
-        TcpFlow flow = flows.get(s.flow());
-        if (flow != null && flow.isAnother(s)) {
+    private void addSegment(TcpSegment s) {
+        TcpFlowReassembler flow = flows.get(s.flow());
+        if (flow != null && flow.isNewConnection(s)) {
             // A port that is used anew.
             flow.end();
             flow = null;
         }
         if (flow == null) {
-            flow = new TcpFlow(new Requests());
+            flow = new TcpFlowReassembler(new HttpRequestExtractor());
             flows.put(s.flow(), flow);
         }
-        flow.take(s);
+        flow.add(s);
     }
 
     /** Takes the requests out of one flow. */
-    private final class Requests implements TcpFlow.Sink {
+    private final class HttpRequestExtractor implements TcpFlowReassembler.Sink {
         private EmbeddedChannel decoder;
         private HttpRequest head;
         private Buffer body = Buffer.buffer();
 
         @Override
-        public void bytes(double at, byte[] bytes) {
+        public void onBytes(double at, byte[] bytes) {
             if (decoder == null) {
                 // The other direction, another protocol, or the rest of a request that began in a gap.
-                if (!REQUEST.matcher(new String(bytes, StandardCharsets.ISO_8859_1))
+                if (!REQUEST_START
+                        .matcher(new String(bytes, StandardCharsets.ISO_8859_1))
                         .matches()) {
                     return;
                 }
@@ -105,7 +107,7 @@
             decoder.writeInbound(Unpooled.wrappedBuffer(bytes));
             for (HttpObject part = decoder.readInbound(); part != null; part = decoder.readInbound()) {
                 if (part.decoderResult().isFailure()) {
-                    lost++;
+                    incompleteCount++;
                     decoder = null;
                     head = null;
                     return;
@@ -134,7 +136,7 @@
         }
 
         @Override
-        public void gap() {
+        public void onGap() {
             boolean cut = head != null;
             if (decoder != null) {
                 // At its end the decoder tells of a head that it has seen in part only.
@@ -143,7 +145,7 @@
                     cut |= part.decoderResult().isFailure();
                 }
             }
-            lost += cut ? 1 : 0;
+            incompleteCount += cut ? 1 : 0;
             decoder = null;
             head = null;
         }
--- a/src/main/java/nettlewick/pcap/CaptureReader.java
+++ b/src/main/java/nettlewick/pcap/CaptureReader.java
@@ -16,9 +16,9 @@
  * headers apart; the checks round it are made here, since it trusts what a file says of its lengths.
  */
 final class CaptureReader {
-    private static final int MAGIC = 4;
+    private static final int MAGIC_BYTES = 4;
     /** Larger packets are on no link: a record that claims one is damaged. */
-    private static final long PACKET_MOST = 256 * 1024;
+    private static final long MAX_PACKET_BYTES = 256 * 1024;
 
     private final InputStream in;
     private final PcapGlobalHeader header;
@@ -27,7 +27,7 @@
         in = new BufferedInputStream(stream, 1 << 16);
         byte[] bytes = new byte[PcapGlobalHeader.SIZE];
         int got = in.readNBytes(bytes, 0, bytes.length);
-        if (got < MAGIC) {
+        if (got < MAGIC_BYTES) {
             throw new CaptureFormatException("not a capture file: it has only " + got + " bytes");
         }
         int magic = ByteBuffer.wrap(bytes).getInt();
@@ -44,7 +44,7 @@
         }
         header = new PcapGlobalHeader(
                 big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN,
-                Arrays.copyOfRange(bytes, MAGIC, bytes.length),
+                Arrays.copyOfRange(bytes, MAGIC_BYTES, bytes.length),
                 nanos);
         if (header.getMajorVersion() != 2) {
             throw new CaptureFormatException("version " + header.getMajorVersion() + " of the format is not known");
@@ -52,12 +52,12 @@
     }
 
     /** The link type; its upper bits tell of check sequences and are no part of it. */
-    int link() {
+    int linkType() {
         return header.getDataLinkType() & 0xffff;
     }
 
     /** Hands on each packet with its time in milliseconds; returns how many were cut short by the capture. */
-    int read(BiConsumer<Double, byte[]> packets) throws IOException {
+    int readPackets(BiConsumer<Double, byte[]> packets) throws IOException {
         int cut = 0;
         byte[] head = new byte[PcapRecordHeader.SIZE];
         for (long number = 1; ; number++) {
@@ -71,7 +71,7 @@
             PcapRecordHeader record =
                     new PcapRecordHeader(header.getByteOrder(), Buffers.wrap(head), header.timestampsInNs());
             long length = record.getCapturedLength();
-            if (length < 0 || length > PACKET_MOST) {
+            if (length < 0 || length > MAX_PACKET_BYTES) {
                 throw new CaptureFormatException("packet " + number + " claims " + length + " bytes");
             }
             byte[] data = in.readNBytes((int) length);
--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -10,26 +10,26 @@
 
 /** A capture file as a source of traffic: its requests go to the core at their recorded spacing. */
 public final class CaptureReplayer implements Frontend {
-    private static final long LOOK = 20;
-    private static final int LOOKS_MOST = 500;
+    private static final long LIST_POLL_INTERVAL_MILLIS = 20;
+    private static final int MAX_LIST_POLLS = 500;
 
     private final Base base;
     private final Capture capture;
     private final RequestReader reader;
     private final Promise<Summary> done = Promise.promise();
-    private int left;
-    private int served;
-    private int refused;
-    private int failed;
-    private int skipped;
+    private int unansweredCount;
+    private int servedCount;
+    private int rejectedCount;
+    private int failedCount;
+    private int skippedCount;
 
     /** What became of the requests. */
-    public record Summary(int sent, int served, int refused, int failed, int skipped, int lost) {
+    public record Summary(int sent, int served, int rejected, int failed, int skipped, int incomplete) {
         @Override
         public String toString() {
-            return "replayed " + sent + " requests: " + served + " served, " + refused + " unavailable, "
+            return "replayed " + sent + " requests: " + served + " served, " + rejected + " unavailable, "
                     + failed + " failed; left out " + skipped + " that are no jobs in order and "
-                    + lost + " incomplete";
+                    + incomplete + " incomplete";
         }
     }
 
@@ -46,7 +46,7 @@
 
     @Override
     public Future<Integer> listen() {
-        begin(0);
+        startWhenListed(0);
         return Future.succeededFuture(0);
     }
 
@@ -60,16 +60,16 @@
         return Future.succeededFuture();
     }
 
-    private void begin(int looks) {
-        if (!base.holdsList().getAsBoolean() && looks < LOOKS_MOST) {
-            base.vertx().setTimer(LOOK, id -> begin(looks + 1));
+    private void startWhenListed(int looks) {
+        if (!base.holdsList().getAsBoolean() && looks < MAX_LIST_POLLS) {
+            base.vertx().setTimer(LIST_POLL_INTERVAL_MILLIS, id -> startWhenListed(looks + 1));
             return;
         }
         List<RecordedRequest> requests = capture.requests();
-        left = requests.size();
-        finish();
+        unansweredCount = requests.size();
+        completeIfAllAnswered();
         for (RecordedRequest r : requests) {
-            double wait = r.at() - requests.get(0).at();
+            double wait = r.capturedAtMillis() - requests.get(0).capturedAtMillis();
             base.vertx().setTimer(Math.max(1, Math.round(wait)), id -> send(r));
         }
     }
@@ -89,35 +89,41 @@
             base.core().submit(draft.with(new Request.Caller() {
                 @Override
                 public void served(byte[] result) {
-                    over(() -> served++);
+                    countEnd(() -> servedCount++);
                 }
 
                 @Override
                 public void rejected(double retryAfter) {
-                    over(() -> refused++);
+                    countEnd(() -> rejectedCount++);
                 }
 
                 @Override
                 public void failed(String reason) {
-                    over(() -> failed++);
+                    countEnd(() -> failedCount++);
                 }
             }));
         } catch (RequestReader.InvalidRequestException e) {
-            over(() -> skipped++);
+            countEnd(() -> skippedCount++);
         }
     }
 
-    private void over(Runnable count) {
+    private void countEnd(Runnable count) {
         base.loop().runOnContext(v -> {
             count.run();
-            left--;
-            finish();
+            unansweredCount--;
+            completeIfAllAnswered();
         });
     }
 
-    private void finish() {
-        if (left == 0) {
-            done.tryComplete(new Summary(served + refused + failed, served, refused, failed, skipped, capture.lost()));
+    private void completeIfAllAnswered() {
+        if (unansweredCount == 0) {
+            done.tryComplete(new Summary(
+                    servedCount + rejectedCount + failedCount,
+                    servedCount,
+                    rejectedCount,
+                    failedCount,
+                    skippedCount,
+                    capture.incompleteCount()));
         }
     }
 }
--- a/src/main/java/nettlewick/pcap/CaptureWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureWriter.java
@@ -29,44 +29,44 @@
 public final class CaptureWriter implements TrafficListener, Closeable {
     private static final ComponentLogger LOG = ComponentLogger.of("capture");
     private static final int LINK_RAW = 101;
-    private static final int SNAP = 65_535;
-    private static final int PIECE = 1400;
+    private static final int MAX_PACKET_BYTES = 65_535;
+    private static final int SEGMENT_BYTES = 1400;
     private static final int FIN = 1;
     private static final int SYN = 2;
     private static final int PUSH = 8;
     private static final int ACK = 16;
-    private static final int FIRST = 1000;
+    private static final int INITIAL_SEQUENCE = 1000;
 
     private final OutputStream out;
     private final Clock clock;
-    private long left;
-    private boolean full;
-    private final Map<HttpConnection, Conversation> open = new IdentityHashMap<>();
+    private long remainingBytes;
+    private boolean stopped;
+    private final Map<HttpConnection, RecordedConnection> connections = new IdentityHashMap<>();
 
     /** {@code most} bounds the file in bytes: where files count as memory, it must not grow for ever. */
     public CaptureWriter(OutputStream to, Clock clock, long most) throws IOException {
         out = new BufferedOutputStream(to, 1 << 14);
         this.clock = clock;
-        left = most - PcapGlobalHeader.SIZE;
+        remainingBytes = most - PcapGlobalHeader.SIZE;
         // The library writes the magic number itself.
         ByteBuffer header = ByteBuffer.allocate(PcapGlobalHeader.SIZE - 4).order(ByteOrder.BIG_ENDIAN);
         header.putShort((short) 2)
                 .putShort((short) 4)
                 .putInt(0)
                 .putInt(0)
-                .putInt(SNAP)
+                .putInt(MAX_PACKET_BYTES)
                 .putInt(LINK_RAW);
         new PcapGlobalHeader(ByteOrder.BIG_ENDIAN, header.array()).write(out);
         out.flush();
     }
 
     /** A connection as the file shows it: both ends and how far each side's bytes have come. */
-    private final class Conversation {
+    private final class RecordedConnection {
         private final byte[][] hosts;
         private final int[] ports;
-        private final int[] seq = {FIRST, FIRST};
+        private final int[] seq = {INITIAL_SEQUENCE, INITIAL_SEQUENCE};
 
-        Conversation(SocketAddress client, SocketAddress server) throws UnknownHostException {
+        RecordedConnection(SocketAddress client, SocketAddress server) throws UnknownHostException {
             hosts = new byte[][] {
                 InetAddress.getByName(client.hostAddress()).getAddress(),
                 InetAddress.getByName(server.hostAddress()).getAddress()
@@ -78,8 +78,8 @@
         }
 
         void send(int side, byte[] bytes) {
-            for (int at = 0; at < bytes.length; at += PIECE) {
-                int length = Math.min(PIECE, bytes.length - at);
+            for (int at = 0; at < bytes.length; at += SEGMENT_BYTES) {
+                int length = Math.min(SEGMENT_BYTES, bytes.length - at);
                 packet(side, ACK | (at + length == bytes.length ? PUSH : 0), bytes, at, length);
             }
         }
@@ -104,7 +104,7 @@
                         .putShort((short) 0)
                         .put(from)
                         .put(to);
-                p.putShort(10, sum(0, p.array(), 0, head));
+                p.putShort(10, checksum(0, p.array(), 0, head));
             } else {
                 p.putInt(0x60000000)
                         .putShort((short) (20 + length))
@@ -119,7 +119,7 @@
                     .putInt((flags & ACK) != 0 ? seq[1 - side] : 0)
                     .put((byte) 0x50)
                     .put((byte) flags)
-                    .putShort((short) SNAP)
+                    .putShort((short) MAX_PACKET_BYTES)
                     .putInt(0)
                     .put(bytes, at, length);
             // The sum of TCP counts the addresses, the protocol and the length before the segment itself.
@@ -129,13 +129,13 @@
                     pseudo += (address[i] & 0xff) << 8 | address[i + 1] & 0xff;
                 }
             }
-            p.putShort(head + 16, sum(pseudo, p.array(), head, p.capacity()));
+            p.putShort(head + 16, checksum(pseudo, p.array(), head, p.capacity()));
             seq[side] += length + ((flags & (SYN | FIN)) != 0 ? 1 : 0);
-            write(p.array());
+            writePacket(p.array());
         }
     }
 
-    private static short sum(int start, byte[] bytes, int from, int to) {
+    private static short checksum(int start, byte[] bytes, int from, int to) {
         long sum = start;
         for (int i = from; i < to; i += 2) {
             sum += (bytes[i] & 0xff) << 8 | (i + 1 < to ? bytes[i + 1] & 0xff : 0);
@@ -146,13 +146,13 @@
         return (short) ~sum;
     }
 
-    private void write(byte[] packet) {
-        if (full) {
+    private void writePacket(byte[] packet) {
+        if (stopped) {
             return;
         }
-        left -= packet.length + 16;
-        if (left < 0) {
-            full = true;
+        remainingBytes -= packet.length + 16;
+        if (remainingBytes < 0) {
+            stopped = true;
             LOG.warning("capture-full", "capture file is full; no more is written to it");
             return;
         }
@@ -167,15 +167,15 @@
             out.write(packet);
             out.flush();
         } catch (IOException e) {
-            full = true;
+            stopped = true;
             LOG.warning("capture-failed", "capture file cannot be written: " + e.getMessage());
         }
     }
 
-    private Conversation conversation(HttpConnection connection) {
-        return open.computeIfAbsent(connection, c -> {
+    private RecordedConnection connectionOf(HttpConnection connection) {
+        return connections.computeIfAbsent(connection, c -> {
             try {
-                return new Conversation(c.remoteAddress(), c.localAddress());
+                return new RecordedConnection(c.remoteAddress(), c.localAddress());
             } catch (UnknownHostException e) {
                 throw new IllegalStateException(e);
             }
@@ -197,7 +197,7 @@
             }
         });
         head.append(chunked[0] ? "Content-Length: " + body.length() + "\r\n\r\n" : "\r\n");
-        conversation(request.connection()).send(0, bytes(head, body));
+        connectionOf(request.connection()).send(0, bytes(head, body));
     }
 
     @Override
@@ -211,12 +211,12 @@
                 .forEach((name, value) ->
                         head.append(name).append(": ").append(value).append("\r\n"));
         head.append("Content-Length: ").append(body.length()).append("\r\n\r\n");
-        conversation(request.connection()).send(1, bytes(head, body));
+        connectionOf(request.connection()).send(1, bytes(head, body));
     }
 
     @Override
     public void closed(HttpConnection connection) {
-        Conversation c = open.remove(connection);
+        RecordedConnection c = connections.remove(connection);
         if (c != null) {
             c.close();
         }
--- a/src/main/java/nettlewick/pcap/RecordedRequest.java
+++ b/src/main/java/nettlewick/pcap/RecordedRequest.java
@@ -4,4 +4,4 @@
 import io.vertx.core.buffer.Buffer;
 
 /** An HTTP request from a capture; {@code at} is when its last byte was captured, in milliseconds. */
-record RecordedRequest(double at, String method, String uri, MultiMap headers, Buffer body) {}
+record RecordedRequest(double capturedAtMillis, String method, String uri, MultiMap headers, Buffer body) {}
--- a/src/main/java/nettlewick/pcap/TcpSegment.java
+++ b/src/main/java/nettlewick/pcap/TcpSegment.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 
 /** A TCP segment found in a packet. {@code flow} names the two ends and the direction. */
-record TcpSegment(double at, String flow, int seq, boolean syn, boolean fin, byte[] payload) {
+record TcpSegment(double capturedAtMillis, String flow, int sequence, boolean syn, boolean fin, byte[] payload) {
     private static final int NULL = 0;
     private static final int ETHERNET = 1;
     private static final int RAW = 101;
@@ -15,7 +15,7 @@
     private static final int TCP = 6;
 
     /** Whether packets of this link type can be read. */
-    static boolean knows(int link) {
+    static boolean isSupportedLinkType(int link) {
         return link == NULL
                 || link == ETHERNET
                 || link == RAW
@@ -27,7 +27,7 @@
     }
 
     /** The segment in a packet; null if it holds none, or only part of a header. */
-    static TcpSegment of(int link, double at, byte[] packet) {
+    static TcpSegment parse(int link, double at, byte[] packet) {
         try {
             ByteBuffer in = ByteBuffer.wrap(packet);
             if (link == ETHERNET) {
@@ -44,14 +44,14 @@
                 // The address family, in the byte order of whoever captured; the IP version tells the same.
                 in.getInt();
             }
-            return ip(at, in);
+            return parseIp(at, in);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
             // Danger: lengths in a damaged packet point anywhere.
             return null;
         }
     }
 
-    private static TcpSegment ip(double at, ByteBuffer in) {
+    private static TcpSegment parseIp(double at, ByteBuffer in) {
         int start = in.position();
         int version = (in.get(start) & 0xff) >> 4;
         if (version == 4) {
@@ -63,7 +63,7 @@
             if (head < 20 || fragment || in.get(start + 9) != TCP) {
                 return null;
             }
-            return tcp(at, in, start + head, end, address(in, start + 12, 4), address(in, start + 16, 4));
+            return parseTcp(at, in, start + head, end, address(in, start + 12, 4), address(in, start + 16, 4));
         }
         if (version == 6) {
             int end = Math.min(in.limit(), start + 40 + (in.getShort(start + 4) & 0xffff));
@@ -73,12 +73,14 @@
                 next = in.get(at6);
                 at6 += 8 + (in.get(at6 + 1) & 0xff) * 8;
             }
-            return next != TCP ? null : tcp(at, in, at6, end, address(in, start + 8, 16), address(in, start + 24, 16));
+            return next != TCP
+                    ? null
+                    : parseTcp(at, in, at6, end, address(in, start + 8, 16), address(in, start + 24, 16));
         }
         return null;
     }
 
-    private static TcpSegment tcp(double at, ByteBuffer in, int start, int end, String from, String to) {
+    private static TcpSegment parseTcp(double at, ByteBuffer in, int start, int end, String from, String to) {
         int head = ((in.get(start + 12) & 0xff) >> 4) * 4;
         int flags = in.get(start + 13);
         if (head < 20 || start + head > end) {
--- a/src/main/java/nettlewick/sse/EventStreamConfig.java
+++ b/src/main/java/nettlewick/sse/EventStreamConfig.java
@@ -15,7 +15,13 @@
  * @param maxReaders  most streams open to clients at once
  */
 public record EventStreamConfig(
-        SocketAddress listen, long retry, long heartbeat, long grace, long keep, int keepStreams, int maxReaders) {
+        SocketAddress listen,
+        long retryMillis,
+        long heartbeatMillis,
+        long abandonGraceMillis,
+        long retentionMillis,
+        int maxFinishedStreams,
+        int maxSubscribers) {
     /** Takes the settings' block {@code edge} over. */
     public static EventStreamConfig of(Block edge) {
         InetSocketAddress listen = edge.address("listen");
--- a/src/main/java/nettlewick/sse/EventStreamFrontend.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -16,32 +16,36 @@
  * or a GET of {@code /events/ID}, attaches to the job and never sends it anew. Lives on the event loop.
  */
 public final class EventStreamFrontend extends HttpFrontend {
-    private static final String STREAMS = "/events/";
+    private static final String STREAM_PATH_PREFIX = "/events/";
     /** Kernel memory for one slow reader: left alone, the kernel would grow it to megabytes. */
-    private static final int SEND_BUFFER = 32 * 1024;
+    private static final int SEND_BUFFER_BYTES = 32 * 1024;
 
-    private static final long SWEEP = 500;
+    private static final long EXPIRY_INTERVAL_MILLIS = 500;
 
-    private final EventStreamConfig edge;
-    private final RequestReader reader;
-    private final StreamRegistry book;
-    private int readers;
+    private final EventStreamConfig config;
+    private final RequestReader requestReader;
+    private final StreamRegistry streams;
+    private int subscriberCount;
 
     public EventStreamFrontend(Base base, EventStreamConfig edge) {
-        super(base, edge.listen(), SEND_BUFFER);
-        this.edge = edge;
-        reader = new RequestReader(base.config());
-        book = new StreamRegistry(edge.keep(), edge.keepStreams());
-        base.vertx().setPeriodic(edge.heartbeat(), id -> book.all().forEach(RequestStream::heartbeat));
-        base.vertx().setPeriodic(SWEEP, id -> book.expire(base.clock().now()));
+        super(base, edge.listen(), SEND_BUFFER_BYTES);
+        this.config = edge;
+        requestReader = new RequestReader(base.config());
+        streams = new StreamRegistry(edge.retentionMillis(), edge.maxFinishedStreams());
+        base.vertx()
+                .setPeriodic(edge.heartbeatMillis(), id -> streams.streams().forEach(RequestStream::sendHeartbeats));
+        base.vertx()
+                .setPeriodic(
+                        EXPIRY_INTERVAL_MILLIS,
+                        id -> streams.forgetExpired(base.clock().now()));
     }
 
     @Override
     protected void handle(HttpServerRequest http) {
         String path = http.path();
-        if (path != null && path.startsWith(STREAMS)) {
+        if (path != null && path.startsWith(STREAM_PATH_PREFIX)) {
             if (HttpMethod.GET.equals(http.method())) {
-                resume(http, path.substring(STREAMS.length()));
+                resume(http, path.substring(STREAM_PATH_PREFIX.length()));
             } else {
                 http.response().putHeader("Allow", "GET");
                 RequestReader.reject(http, 405, "streams are read by GET");
@@ -52,7 +56,7 @@
             http.response().putHeader("Allow", "POST");
             RequestReader.reject(http, 405, "jobs come by POST");
         } else {
-            reader.read(http, arrivedAt(http), draft -> take(http, draft));
+            requestReader.read(http, arrivedAt(http), draft -> startOrAttach(http, draft));
         }
     }
 
@@ -64,7 +68,7 @@
             RequestReader.reject(http, 400, "the stream's id is not percent-encoded");
             return;
         }
-        RequestStream stream = book.get(id);
+        RequestStream stream = streams.get(id);
         if (stream != null) {
             attach(http, id, stream);
         } else {
@@ -72,10 +76,10 @@
         }
     }
 
-    private void take(HttpServerRequest http, RequestReader.Draft draft) {
-        RequestStream known = book.get(draft.id());
+    private void startOrAttach(HttpServerRequest http, RequestReader.Draft draft) {
+        RequestStream known = streams.get(draft.id());
         if (known != null) {
-            if (known.same(draft.jobClass(), draft.tenant())) {
+            if (known.isSameRequest(draft.jobClass(), draft.tenant())) {
                 attach(http, draft.id(), known);
             } else {
                 RequestReader.reject(http, 409, "another job has this id");
@@ -85,33 +89,33 @@
         Metrics.Ticket[] ticket = new Metrics.Ticket[1];
         RequestStream stream = new RequestStream(
                 draft.jobClass(), draft.tenant(), task -> base.loop().runOnContext(v -> task.run()), ended -> {
-                    book.ended(draft.id(), ended, base.clock().now());
+                    streams.retainFinished(draft.id(), ended, base.clock().now());
                     if (ticket[0] != null) {
-                        ended.count(ticket[0]);
+                        ended.countEnd(ticket[0]);
                     }
                 });
-        if (book.isPast(draft.id()) || lastSeen(http) > 0) {
+        if (streams.isForgotten(draft.id()) || lastSeenId(http) > 0) {
             // Danger: the job ran under this id, here or in a life of this dispatcher that is over. Its end
             // is forgotten, and sending it again might do it twice.
-            stream.startAfter(lastSeen(http));
-            stream.giveUp("the job was started before and its end is no longer known");
+            stream.numberEventsAfter(lastSeenId(http));
+            stream.fail("the job was started before and its end is no longer known");
             if (attach(http, draft.id(), stream)) {
-                book.add(draft.id(), stream);
+                streams.add(draft.id(), stream);
             }
             return;
         }
         // Attached before it is submitted: a job that no client can be told of is not begun.
         if (attach(http, draft.id(), stream)) {
-            book.add(draft.id(), stream);
+            streams.add(draft.id(), stream);
             Request request = draft.with(stream);
-            stream.is(request);
+            stream.setRequest(request);
             ticket[0] = base.core().figures().taken(draft.jobClass());
             base.core().submit(request);
         }
     }
 
     /** The id of the last event that the client says it has seen; 0 for none. */
-    private static long lastSeen(HttpServerRequest http) {
+    private static long lastSeenId(HttpServerRequest http) {
         String text = http.getHeader("Last-Event-ID");
         try {
             return text == null ? 0 : Math.max(0, Long.parseLong(text.strip()));
@@ -123,42 +127,43 @@
     /** Makes the response a stream of the job; false if it was answered otherwise. */
     private boolean attach(HttpServerRequest http, String id, RequestStream stream) {
         HttpServerResponse response = http.response();
-        long after = lastSeen(http);
-        if (stream.allSeen(after)) {
+        long after = lastSeenId(http);
+        if (stream.isFullySeen(after)) {
             // To an EventSource this status says: do not connect again.
             response.setStatusCode(204).end();
             return false;
         }
-        if (readers >= edge.maxReaders()) {
-            response.putHeader("Retry-After", Long.toString(Math.max(1, edge.retry() / 1000)));
+        if (subscriberCount >= config.maxSubscribers()) {
+            response.putHeader("Retry-After", Long.toString(Math.max(1, config.retryMillis() / 1000)));
             RequestReader.reject(http, 503, "too many streams are open");
             return false;
         }
         response.putHeader(
                 "Content-Location",
-                STREAMS + URLEncoder.encode(id, StandardCharsets.UTF_8).replace("+", "%20"));
+                STREAM_PATH_PREFIX
+                        + URLEncoder.encode(id, StandardCharsets.UTF_8).replace("+", "%20"));
         if (base.state().leaving()) {
             response.putHeader("Connection", "close");
         }
-        StreamSubscriber joined = new StreamSubscriber(response, after, edge.retry());
-        readers++;
+        StreamSubscriber joined = new StreamSubscriber(response, after, config.retryMillis());
+        subscriberCount++;
         // Either may come first, or both: the final event is written, or the client goes away.
-        response.closeHandler(v -> gone(stream, joined));
-        joined.written().onComplete(r -> gone(stream, joined));
+        response.closeHandler(v -> onSubscriberLeft(stream, joined));
+        joined.whenFinalEventWritten().onComplete(r -> onSubscriberLeft(stream, joined));
         stream.attach(joined);
         return true;
     }
 
-    private void gone(RequestStream stream, StreamSubscriber left) {
-        if (!left.leave()) {
+    private void onSubscriberLeft(RequestStream stream, StreamSubscriber left) {
+        if (!left.markLeft()) {
             return;
         }
-        readers--;
+        subscriberCount--;
         if (stream.detach(left)) {
-            base.vertx().setTimer(Math.max(1, edge.grace()), id -> {
-                if (!stream.watched() && !stream.ended()) {
+            base.vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> {
+                if (!stream.hasSubscribers() && !stream.isEnded()) {
                     base.core().abandon(stream.request());
-                    stream.giveUp("its client went away");
+                    stream.fail("its client went away");
                 }
             });
         }
--- a/src/main/java/nettlewick/sse/RequestStream.java
+++ b/src/main/java/nettlewick/sse/RequestStream.java
@@ -13,27 +13,27 @@
  * and go without the job noticing. Calls from the core are brought to the event loop, where all of it lives.
  */
 final class RequestStream implements Request.Caller {
-    private static final int READERS_MOST = 4;
+    private static final int MAX_SUBSCRIBERS = 4;
 
-    private final String jobClass;
+    private final String requestClass;
     private final String tenant;
-    private final Consumer<Runnable> loop;
+    private final Consumer<Runnable> eventLoop;
     private final Consumer<RequestStream> onEnd;
-    private final List<StreamSubscriber> readers = new ArrayList<>(1);
-    private long lastId;
-    private StreamEvent progress;
-    private StreamEvent end;
+    private final List<StreamSubscriber> subscribers = new ArrayList<>(1);
+    private long lastEventId;
+    private StreamEvent latestProgress;
+    private StreamEvent finalEvent;
     private Request request;
-    private UsageRecorder.Receipt owed = UsageRecorder.Receipt.NONE;
+    private UsageRecorder.Receipt pendingReceipt = UsageRecorder.Receipt.NONE;
 
     RequestStream(String requestClass, String tenant, Consumer<Runnable> loop, Consumer<RequestStream> onEnd) {
-        this.jobClass = requestClass;
+        this.requestClass = requestClass;
         this.tenant = tenant;
-        this.loop = loop;
+        this.eventLoop = loop;
         this.onEnd = onEnd;
     }
 
-    void is(Request of) {
+    void setRequest(Request of) {
         request = of;
     }
 
@@ -41,61 +41,61 @@
         return request;
     }
 
-    boolean ended() {
-        return end != null;
+    boolean isEnded() {
+        return finalEvent != null;
     }
 
-    boolean watched() {
-        return !readers.isEmpty();
+    boolean hasSubscribers() {
+        return !subscribers.isEmpty();
     }
 
     /** Whether a request under the same id is the same job, not another tenant's that hit on its id. */
-    boolean same(String otherClass, String otherTenant) {
-        return jobClass.equals(otherClass) && java.util.Objects.equals(tenant, otherTenant);
+    boolean isSameRequest(String otherClass, String otherTenant) {
+        return requestClass.equals(otherClass) && java.util.Objects.equals(tenant, otherTenant);
     }
 
     /** Whether a client that has seen this event has seen all. */
-    boolean allSeen(long after) {
-        return end != null && after >= end.id();
+    boolean isFullySeen(long after) {
+        return finalEvent != null && after >= finalEvent.id();
     }
 
     void attach(StreamSubscriber reader) {
-        if (readers.size() >= READERS_MOST) {
+        if (subscribers.size() >= MAX_SUBSCRIBERS) {
             // The connection that a reconnecting client left behind may look open for long.
-            StreamSubscriber oldest = readers.remove(0);
+            StreamSubscriber oldest = subscribers.remove(0);
             oldest.close();
         }
-        readers.add(reader);
-        reader.offer(progress);
-        reader.offer(end);
+        subscribers.add(reader);
+        reader.offer(latestProgress);
+        reader.offer(finalEvent);
     }
 
     /** Takes a reader off; true if it was the last one of a job that still runs. */
     boolean detach(StreamSubscriber reader) {
-        return readers.remove(reader) && readers.isEmpty() && end == null;
+        return subscribers.remove(reader) && subscribers.isEmpty() && finalEvent == null;
     }
 
-    void heartbeat() {
-        List.copyOf(readers).forEach(StreamSubscriber::heartbeat);
+    void sendHeartbeats() {
+        List.copyOf(subscribers).forEach(StreamSubscriber::sendHeartbeat);
     }
 
-    void closeReaders() {
-        List.copyOf(readers).forEach(StreamSubscriber::close);
+    void closeSubscribers() {
+        List.copyOf(subscribers).forEach(StreamSubscriber::close);
     }
 
     /** Numbers the events from the one that a client saw last in a stream that is gone. */
-    void startAfter(long id) {
-        lastId = id;
+    void numberEventsAfter(long id) {
+        lastEventId = id;
     }
 
     /** Counts how it ended; one that nobody waited for any more counts nowhere. */
-    void count(Metrics.Ticket ticket) {
-        ticket.owe(owed);
-        switch (end.name()) {
+    void countEnd(Metrics.Ticket ticket) {
+        ticket.owe(pendingReceipt);
+        switch (finalEvent.name()) {
             case "result" -> ticket.answered(Metrics.End.FULFILLED);
             case "unavailable" -> ticket.answered(Metrics.End.THROTTLED);
             default -> {
-                if (watched()) {
+                if (hasSubscribers()) {
                     ticket.answered(Metrics.End.FAULTED);
                 } else {
                     ticket.left();
@@ -105,30 +105,30 @@
     }
 
     /** Characters of its final event; 0 while there is none. */
-    int size() {
-        return end == null ? 0 : end.data().length();
+    int finalEventLength() {
+        return finalEvent == null ? 0 : finalEvent.data().length();
     }
 
     /** Ends the stream from this side; an end that it has already stands. */
-    void giveUp(String reason) {
-        end(StreamEvent.failed(lastId + 1, reason));
+    void fail(String reason) {
+        finish(StreamEvent.failed(lastEventId + 1, reason));
     }
 
-    private void end(StreamEvent event) {
-        if (end == null) {
-            end = event;
-            lastId = event.id();
+    private void finish(StreamEvent event) {
+        if (finalEvent == null) {
+            finalEvent = event;
+            lastEventId = event.id();
             // Danger: a reader may leave while it is offered its final event.
-            List.copyOf(readers).forEach(r -> r.offer(event));
+            List.copyOf(subscribers).forEach(r -> r.offer(event));
             onEnd.accept(this);
         }
     }
 
     @Override
     public void receipt(UsageRecorder.Receipt receipt) {
-        loop.accept(() -> {
-            if (end == null) {
-                owed = receipt;
+        eventLoop.accept(() -> {
+            if (finalEvent == null) {
+                pendingReceipt = receipt;
             } else {
                 receipt.left();
             }
@@ -137,26 +137,26 @@
 
     @Override
     public void progress(double share) {
-        loop.accept(() -> {
-            if (end == null) {
-                progress = StreamEvent.progress(++lastId, share);
-                List.copyOf(readers).forEach(r -> r.offer(progress));
+        eventLoop.accept(() -> {
+            if (finalEvent == null) {
+                latestProgress = StreamEvent.progress(++lastEventId, share);
+                List.copyOf(subscribers).forEach(r -> r.offer(latestProgress));
             }
         });
     }
 
     @Override
     public void served(byte[] result) {
-        loop.accept(() -> end(StreamEvent.result(lastId + 1, new String(result, StandardCharsets.UTF_8))));
+        eventLoop.accept(() -> finish(StreamEvent.result(lastEventId + 1, new String(result, StandardCharsets.UTF_8))));
     }
 
     @Override
     public void rejected(double retryAfter) {
-        loop.accept(() -> end(StreamEvent.unavailable(lastId + 1, retryAfter)));
+        eventLoop.accept(() -> finish(StreamEvent.unavailable(lastEventId + 1, retryAfter)));
     }
 
     @Override
     public void failed(String reason) {
-        loop.accept(() -> end(StreamEvent.failed(lastId + 1, reason)));
+        eventLoop.accept(() -> finish(StreamEvent.failed(lastEventId + 1, reason)));
     }
 }
--- a/src/main/java/nettlewick/sse/StreamEvent.java
+++ b/src/main/java/nettlewick/sse/StreamEvent.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonObject;
 
 /** One event of a stream as the WHATWG text frames it. The data is JSON on one line: nothing to split. */
-record StreamEvent(long id, String name, String data, boolean last) {
+record StreamEvent(long id, String name, String data, boolean isFinal) {
     static StreamEvent progress(long id, double share) {
         JsonObject data = new JsonObject();
         data.addProperty("share", share);
@@ -29,7 +29,7 @@
         return new StreamEvent(id, "failed", data.toString(), true);
     }
 
-    String text() {
+    String toWireText() {
         return "id: " + id + "\nevent: " + name + "\ndata: " + data + "\n\n";
     }
 }
--- a/src/main/java/nettlewick/sse/StreamRegistry.java
+++ b/src/main/java/nettlewick/sse/StreamRegistry.java
@@ -14,23 +14,23 @@
  */
 final class StreamRegistry {
     /** Ids remembered of streams that are forgotten. */
-    private static final int IDS_MOST = 20_000;
+    private static final int MAX_FORGOTTEN_IDS = 20_000;
 
     /** Characters of final events kept: they share a small heap with everything else. */
-    private static final int SIZE_MOST = 2 << 20;
+    private static final int MAX_RETAINED_CHARS = 2 << 20;
 
-    private record Finished(String id, RequestStream stream, double at) {}
+    private record FinishedStream(String id, RequestStream stream, double endedAtMillis) {}
 
     private final Map<String, RequestStream> streams = new LinkedHashMap<>();
-    private final Deque<Finished> finished = new ArrayDeque<>();
-    private final Set<String> past = new LinkedHashSet<>();
-    private final double keep;
-    private final int most;
-    private int size;
+    private final Deque<FinishedStream> finished = new ArrayDeque<>();
+    private final Set<String> forgottenIds = new LinkedHashSet<>();
+    private final double retentionMillis;
+    private final int maxFinished;
+    private int retainedChars;
 
     StreamRegistry(double keep, int most) {
-        this.keep = keep;
-        this.most = most;
+        this.retentionMillis = keep;
+        this.maxFinished = most;
     }
 
     void add(String id, RequestStream stream) {
@@ -42,35 +42,35 @@
     }
 
     /** True if a stream of this id was here and is forgotten. */
-    boolean isPast(String id) {
-        return past.contains(id);
+    boolean isForgotten(String id) {
+        return forgottenIds.contains(id);
     }
 
-    Collection<RequestStream> all() {
+    Collection<RequestStream> streams() {
         return streams.values();
     }
 
-    void ended(String id, RequestStream stream, double now) {
-        finished.addLast(new Finished(id, stream, now));
-        size += stream.size();
-        expire(now);
+    void retainFinished(String id, RequestStream stream, double now) {
+        finished.addLast(new FinishedStream(id, stream, now));
+        retainedChars += stream.finalEventLength();
+        forgetExpired(now);
     }
 
     /** Forgets what has been finished for too long, or is too much. */
-    void expire(double now) {
+    void forgetExpired(double now) {
         while (!finished.isEmpty()
-                && (finished.size() > most
-                        || size > SIZE_MOST
-                        || now - finished.peekFirst().at() >= keep)) {
-            Finished oldest = finished.pollFirst();
-            size -= oldest.stream().size();
+                && (finished.size() > maxFinished
+                        || retainedChars > MAX_RETAINED_CHARS
+                        || now - finished.peekFirst().endedAtMillis() >= retentionMillis)) {
+            FinishedStream oldest = finished.pollFirst();
+            retainedChars -= oldest.stream().finalEventLength();
             streams.remove(oldest.id());
-            past.add(oldest.id());
-            if (past.size() > IDS_MOST) {
-                past.remove(past.iterator().next());
+            forgottenIds.add(oldest.id());
+            if (forgottenIds.size() > MAX_FORGOTTEN_IDS) {
+                forgottenIds.remove(forgottenIds.iterator().next());
             }
             // Danger: a reader that never reads would hold its connection and its events for good.
-            oldest.stream().closeReaders();
+            oldest.stream().closeSubscribers();
         }
     }
 }
--- a/src/main/java/nettlewick/sse/StreamSubscriber.java
+++ b/src/main/java/nettlewick/sse/StreamSubscriber.java
@@ -10,20 +10,20 @@
  * event loop.
  */
 final class StreamSubscriber {
-    private static final int BUFFER = 8 * 1024;
+    private static final int WRITE_QUEUE_BYTES = 8 * 1024;
 
     private final HttpServerResponse response;
-    private final long after;
-    private StreamEvent progress;
-    private StreamEvent last;
+    private final long lastSeenId;
+    private StreamEvent pendingProgress;
+    private StreamEvent pendingFinal;
     private boolean left;
-    private final Promise<Void> written = Promise.promise();
+    private final Promise<Void> finalEventWritten = Promise.promise();
 
     /** {@code after} is the id of the last event that the client has seen. */
     StreamSubscriber(HttpServerResponse response, long after, long retry) {
         this.response = response;
-        this.after = after;
-        response.setChunked(true).setWriteQueueMaxSize(BUFFER);
+        this.lastSeenId = after;
+        response.setChunked(true).setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
         response.putHeader("Content-Type", "text/event-stream").putHeader("Cache-Control", "no-store");
         response.exceptionHandler(e -> {});
         response.drainHandler(v -> flush());
@@ -31,25 +31,25 @@
     }
 
     /** Done when the final event is written. */
-    Future<Void> written() {
-        return written.future();
+    Future<Void> whenFinalEventWritten() {
+        return finalEventWritten.future();
     }
 
     /** True once only: the reader is counted off once, however its connection ended. */
-    boolean leave() {
+    boolean markLeft() {
         boolean first = !left;
         left = true;
         return first;
     }
 
     void offer(StreamEvent event) {
-        if (event == null || event.id() <= after) {
+        if (event == null || event.id() <= lastSeenId) {
             return;
         }
-        if (event.last()) {
-            last = event;
+        if (event.isFinal()) {
+            pendingFinal = event;
         } else {
-            progress = event;
+            pendingProgress = event;
         }
         flush();
     }
@@ -58,17 +58,17 @@
         if (response.ended() || response.closed() || response.writeQueueFull()) {
             return;
         }
-        if (progress != null) {
-            response.write(progress.text());
-            progress = null;
+        if (pendingProgress != null) {
+            response.write(pendingProgress.toWireText());
+            pendingProgress = null;
         }
-        if (last != null) {
-            response.end(last.text()).onComplete(written);
+        if (pendingFinal != null) {
+            response.end(pendingFinal.toWireText()).onComplete(finalEventWritten);
         }
     }
 
     /** A comment, so that no one on the way takes the stream for dead. */
-    void heartbeat() {
+    void sendHeartbeat() {
         if (!response.ended() && !response.closed() && !response.writeQueueFull()) {
             response.write(":\n\n");
         }
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -30,18 +30,19 @@
 /** Capture files: read in all their forms, put in order, refused in one line, replayed, and written. */
 @Timeout(30)
 class CaptureTest {
-    private static final String ONE = "POST /api?n=1 HTTP/1.1\r\nX-Request-Id: a\r\nX-Class: step-view\r\n"
+    private static final String FIRST_REQUEST = "POST /api?n=1 HTTP/1.1\r\nX-Request-Id: a\r\nX-Class: step-view\r\n"
             + "X-Deadline: 3\r\nContent-Length: 5\r\n\r\nhello";
-    private static final String TWO = ONE.replace("n=1", "n=2").replace("Id: a", "Id: b");
+    private static final String SECOND_REQUEST =
+            FIRST_REQUEST.replace("n=1", "n=2").replace("Id: a", "Id: b");
 
     /** A capture being made by hand: form of the file, then packet after packet. */
-    private static final class Tape {
+    private static final class CaptureFileBuilder {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
         private final ByteOrder order;
         private final boolean nanos;
         private final int link;
 
-        Tape(ByteOrder order, boolean nanos, int link) {
+        CaptureFileBuilder(ByteOrder order, boolean nanos, int link) {
             this.order = order;
             this.nanos = nanos;
             this.link = link;
@@ -61,7 +62,7 @@
         }
 
         /** A segment from the client's port at this millisecond. */
-        Tape add(int millis, int port, int seq, int flags, String text) {
+        CaptureFileBuilder add(int millis, int port, int seq, int flags, String text) {
             byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
             ByteBuffer p = ByteBuffer.allocate(100 + bytes.length);
             if (link == 1) {
@@ -111,23 +112,26 @@
 
     @ParameterizedTest
     @CsvSource({"true,true,1", "true,false,0", "false,true,101", "false,false,1", "true,false,101", "false,true,0"})
-    void everyFormOfTheFileIsRead(boolean big, boolean nanos, int link) throws IOException {
-        Capture c = read(new Tape(big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN, nanos, link)
+    void everyFileFormatIsRead(boolean big, boolean nanos, int link) throws IOException {
+        Capture c = read(new CaptureFileBuilder(big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN, nanos, link)
                 .add(0, 9, 99, 2, "")
-                .add(10, 9, 100, 16, ONE)
-                .add(1260, 9, 100 + ONE.length(), 16, TWO)
+                .add(10, 9, 100, 16, FIRST_REQUEST)
+                .add(1260, 9, 100 + FIRST_REQUEST.length(), 16, SECOND_REQUEST)
                 .bytes());
         assertEquals(List.of("/api?n=1", "/api?n=2"), uris(c));
-        assertEquals(1250, c.requests().get(1).at() - c.requests().get(0).at(), 1e-3);
+        assertEquals(
+                1250,
+                c.requests().get(1).capturedAtMillis() - c.requests().get(0).capturedAtMillis(),
+                1e-3);
         assertEquals("hello", c.requests().get(0).body().toString());
     }
 
     /** Segments repeated, overlapping and out of order, over the point where sequence numbers wrap round. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void segmentsArePutInOrder(long seed) throws IOException {
+    void segmentsAreReassembledInOrder(long seed) throws IOException {
         Random random = new Random(seed);
-        String text = ONE + TWO;
+        String text = FIRST_REQUEST + SECOND_REQUEST;
         int start = -60;
         List<int[]> pieces = new ArrayList<>();
         for (int at = 0; at < text.length(); at += 1 + random.nextInt(40)) {
@@ -136,32 +140,33 @@
         List<int[]> shuffled = new ArrayList<>(pieces);
         java.util.Collections.shuffle(shuffled, random);
         shuffled.addAll(pieces.subList(0, 3));
-        Tape tape = new Tape(ByteOrder.LITTLE_ENDIAN, false, 101).add(0, 9, start - 1, 2, "");
+        CaptureFileBuilder tape =
+                new CaptureFileBuilder(ByteOrder.LITTLE_ENDIAN, false, 101).add(0, 9, start - 1, 2, "");
         shuffled.forEach(p -> tape.add(5, 9, start + p[0], 16, text.substring(p[0], p[1])));
         assertEquals(List.of("/api?n=1", "/api?n=2"), uris(read(tape.bytes())));
     }
 
     @Test
-    void aGapCostsItsRequestOnlyAndAReusedPortIsAnotherFlow() throws IOException {
-        Capture c = read(new Tape(ByteOrder.LITTLE_ENDIAN, false, 101)
+    void aGapLosesOneRequestOnlyAndAReusedPortIsANewFlow() throws IOException {
+        Capture c = read(new CaptureFileBuilder(ByteOrder.LITTLE_ENDIAN, false, 101)
                 .add(0, 9, 99, 2, "")
-                .add(1, 9, 100, 16, ONE.substring(0, 30))
-                .add(2, 9, 100 + ONE.length(), 16, TWO)
+                .add(1, 9, 100, 16, FIRST_REQUEST.substring(0, 30))
+                .add(2, 9, 100 + FIRST_REQUEST.length(), 16, SECOND_REQUEST)
                 .add(3, 9, 7000, 2, "")
-                .add(4, 9, 7001, 16, ONE.replace("n=1", "n=3"))
+                .add(4, 9, 7001, 16, FIRST_REQUEST.replace("n=1", "n=3"))
                 .add(5, 8, 1, 16, "HTTP/1.1 200 OK\r\n\r\n")
                 .add(6, 7, 1, 16, "\u0000\u0001 not HTTP")
                 .bytes());
         assertEquals(List.of("/api?n=2", "/api?n=3"), uris(c));
-        assertEquals(1, c.lost());
+        assertEquals(1, c.incompleteCount());
     }
 
     /** Cut anywhere, a file is read to an end in good time: as far as it goes whole, or with one plain line. */
     @Test
-    void aTruncatedFileIsOneLine() throws IOException {
-        byte[] whole = new Tape(ByteOrder.BIG_ENDIAN, true, 1)
+    void aTruncatedFileIsReportedInOneLine() throws IOException {
+        byte[] whole = new CaptureFileBuilder(ByteOrder.BIG_ENDIAN, true, 1)
                 .add(0, 9, 99, 2, "")
-                .add(1, 9, 100, 16, ONE)
+                .add(1, 9, 100, 16, FIRST_REQUEST)
                 .bytes();
         int refused = 0;
         for (int length = 0; length < whole.length; length++) {
@@ -191,7 +196,7 @@
 
     /** What the writer writes, the reader reads; and what the reader reads goes through the core. */
     @Test
-    void trafficServedIsWrittenReadAndReplayed() throws Exception {
+    void servedTrafficIsWrittenReadAndReplayed() throws Exception {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         try (StandIns world = new StandIns()) {
             world.addRunner("s-1");
@@ -228,7 +233,7 @@
     }
 
     @Test
-    void aFullFileStaysAWholeOne() throws IOException {
+    void aFullFileStaysReadable() throws IOException {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         CaptureWriter writer = new CaptureWriter(file, Clock.standing(1000), 24);
         writer.close();
--- a/src/test/java/nettlewick/sse/Watcher.java
+++ b/src/test/java/nettlewick/sse/EventStreamClient.java
@@ -14,32 +14,32 @@
 import java.util.regex.Pattern;
 
 /** A client of one stream, after the WHATWG text: keeps the last event's id and can drop and come again. */
-final class Watcher {
-    private static final Pattern LAST = Pattern.compile("result|unavailable|failed");
+final class EventStreamClient {
+    private static final Pattern FINAL_EVENT_NAME = Pattern.compile("result|unavailable|failed");
 
     /** One event as it came. */
-    record Got(long id, String name, String data) {}
+    record ReceivedEvent(long id, String name, String data) {}
 
-    final List<Got> events = new CopyOnWriteArrayList<>();
+    final List<ReceivedEvent> events = new CopyOnWriteArrayList<>();
     final CompletableFuture<Void> ended = new CompletableFuture<>();
     volatile int status;
-    volatile String raw = "";
+    volatile String rawText = "";
     private final Vertx vertx;
     private final int port;
     private final String id;
-    private final String jobClass;
+    private final String requestClass;
     private volatile HttpConnection connection;
     private volatile long lastId;
-    private volatile int round;
+    private volatile int connectionNumber;
 
-    Watcher(Vertx vertx, int port, String id, String requestClass) {
+    EventStreamClient(Vertx vertx, int port, String id, String requestClass) {
         this.vertx = vertx;
         this.port = port;
         this.id = id;
-        this.jobClass = requestClass;
+        this.requestClass = requestClass;
     }
 
-    Watcher seen(long last) {
+    EventStreamClient lastSeen(long last) {
         lastId = last;
         return this;
     }
@@ -49,23 +49,23 @@
                 new HttpClientOptions().setKeepAlive(false), new PoolOptions().setHttp1MaxSize(500));
     }
 
-    Watcher post(HttpClient by) {
+    EventStreamClient post(HttpClient by) {
         return open(by, HttpMethod.POST, "/api/run");
     }
 
-    Watcher get(HttpClient by) {
+    EventStreamClient get(HttpClient by) {
         return open(by, HttpMethod.GET, "/events/" + id);
     }
 
-    private Watcher open(HttpClient by, HttpMethod method, String uri) {
-        int mine = ++round;
+    private EventStreamClient open(HttpClient by, HttpMethod method, String uri) {
+        int mine = ++connectionNumber;
         RequestOptions options = new RequestOptions()
                 .setMethod(method)
                 .setHost("127.0.0.1")
                 .setPort(port)
                 .setURI(uri)
                 .putHeader("X-Request-Id", id)
-                .putHeader("X-Class", jobClass)
+                .putHeader("X-Class", requestClass)
                 .putHeader("X-Tenant", "red")
                 .putHeader("X-Deadline", "4");
         if (lastId > 0) {
@@ -84,24 +84,24 @@
         StringBuilder text = new StringBuilder();
         response.exceptionHandler(e -> {});
         response.handler(part -> {
-            if (mine != round) {
+            if (mine != connectionNumber) {
                 return;
             }
-            raw += part;
+            rawText += part;
             text.append(part);
             for (int end = text.indexOf("\n\n"); end >= 0; end = text.indexOf("\n\n")) {
-                take(text.substring(0, end));
+                parseEvent(text.substring(0, end));
                 text.delete(0, end + 2);
             }
         });
         response.endHandler(v -> {
-            if (mine == round) {
+            if (mine == connectionNumber) {
                 ended.complete(null);
             }
         });
     }
 
-    private void take(String block) {
+    private void parseEvent(String block) {
         String data = null;
         String name = "message";
         for (String line : block.split("\n")) {
@@ -114,32 +114,34 @@
             }
         }
         if (data != null) {
-            events.add(new Got(lastId, name, data));
+            events.add(new ReceivedEvent(lastId, name, data));
         }
     }
 
     /** Closes the connection as a tablet on a poor link does, and comes again. */
     void reconnect(HttpClient by) {
-        drop();
+        disconnect();
         post(by);
     }
 
-    void drop() {
-        round++;
+    void disconnect() {
+        connectionNumber++;
         if (connection != null) {
             connection.close();
         }
     }
 
-    String jobClass() {
-        return jobClass;
+    String requestClass() {
+        return requestClass;
     }
 
-    long finals() {
-        return events.stream().filter(e -> LAST.matcher(e.name()).matches()).count();
+    long finalEventCount() {
+        return events.stream()
+                .filter(e -> FINAL_EVENT_NAME.matcher(e.name()).matches())
+                .count();
     }
 
-    Got last() {
+    ReceivedEvent lastEvent() {
         return events.get(events.size() - 1);
     }
 }
--- a/src/test/java/nettlewick/sse/EdgeFrontTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
@@ -26,16 +26,16 @@
 
 /** The front for progress streams on loopback: one final event for each stream, one run for each mark. */
 @Timeout(60)
-class EdgeFrontTest {
+class EventStreamFrontendTest {
     private StandIns world;
     private HttpClient client;
     private int port;
-    private Metrics figures;
+    private Metrics metrics;
 
     @BeforeEach
     void open() throws Exception {
         world = new StandIns();
-        client = Watcher.client(world.vertx);
+        client = EventStreamClient.client(world.vertx);
     }
 
     private void start(String more, String... runners) throws Exception {
@@ -47,7 +47,7 @@
                         .block("edge")
                         .get());
         port = world.start(base -> {
-                    figures = base.core().figures();
+                    metrics = base.core().figures();
                     return new EventStreamFrontend(base, edge);
                 })
                 .ports()
@@ -59,102 +59,105 @@
         world.close();
     }
 
-    private Watcher watcher(String id, String requestClass) {
-        return new Watcher(world.vertx, port, id, requestClass);
+    private EventStreamClient streamClient(String id, String requestClass) {
+        return new EventStreamClient(world.vertx, port, id, requestClass);
     }
 
-    private static void await(Watcher w) throws Exception {
+    private static void awaitEnd(EventStreamClient w) throws Exception {
         w.ended.get(10, TimeUnit.SECONDS);
     }
 
     @Test
-    void aJobIsToldOfFromItsStartToOneResult() throws Exception {
+    void aRequestIsReportedFromItsStartToOneResult() throws Exception {
         world.runTime = 100;
         start("", "s-1");
-        Watcher w = watcher("j", "step-view").post(client);
-        await(w);
+        EventStreamClient w = streamClient("j", "step-view").post(client);
+        awaitEnd(w);
         assertEquals(
                 List.of(
-                        new Watcher.Got(1, "progress", "{\"share\":0.0}"),
-                        new Watcher.Got(2, "progress", "{\"share\":0.5}"),
-                        new Watcher.Got(3, "result", "{\"result\":\"r-j\"}")),
+                        new EventStreamClient.ReceivedEvent(1, "progress", "{\"share\":0.0}"),
+                        new EventStreamClient.ReceivedEvent(2, "progress", "{\"share\":0.5}"),
+                        new EventStreamClient.ReceivedEvent(3, "result", "{\"result\":\"r-j\"}")),
                 w.events);
-        StandIns.until(() -> figures.snapshot().open() == 0);
-        assertEquals(List.of(1L, 0L, 0L), figures.snapshot().jobs().get("step-view"));
-        assertTrue(w.raw.startsWith("retry: 1000\n\n"), w.raw);
-        assertTrue(w.raw.contains("\n:\n\n"), "a heartbeat: " + w.raw);
+        StandIns.until(() -> metrics.snapshot().open() == 0);
+        assertEquals(List.of(1L, 0L, 0L), metrics.snapshot().jobs().get("step-view"));
+        assertTrue(w.rawText.startsWith("retry: 1000\n\n"), w.rawText);
+        assertTrue(w.rawText.contains("\n:\n\n"), "a heartbeat: " + w.rawText);
     }
 
     @Test
-    void aMarkSubmitThatComesAgainAttachesAndRunsOnce() throws Exception {
+    void aRepeatedNonIdempotentRequestAttachesAndRunsOnce() throws Exception {
         world.runTime = 200;
         start("", "s-1");
-        Watcher w = watcher("m", "mark-submit").post(client);
+        EventStreamClient w = streamClient("m", "mark-submit").post(client);
         until(() -> w.events.size() == 1);
         w.reconnect(client);
-        await(w);
-        assertEquals(1, w.finals());
-        assertEquals(List.of(1L, 2L, 3L), w.events.stream().map(Watcher.Got::id).toList());
-        Watcher late = watcher("m", "mark-submit").post(client);
-        await(late);
-        assertEquals("{\"result\":\"r-m\"}", late.last().data());
+        awaitEnd(w);
+        assertEquals(1, w.finalEventCount());
+        assertEquals(
+                List.of(1L, 2L, 3L),
+                w.events.stream().map(EventStreamClient.ReceivedEvent::id).toList());
+        EventStreamClient late = streamClient("m", "mark-submit").post(client);
+        awaitEnd(late);
+        assertEquals("{\"result\":\"r-m\"}", late.lastEvent().data());
         assertEquals(1, world.runs.get("m").get());
-        Watcher thief = watcher("m", "step-view").post(client);
-        await(thief);
+        EventStreamClient thief = streamClient("m", "step-view").post(client);
+        awaitEnd(thief);
         assertEquals(409, thief.status);
     }
 
     @Test
-    void aStreamIsReadAgainByItsAddressUntilAllIsSeen() throws Exception {
+    void aStreamCanBeReadAgainByItsPathUntilAllEventsAreSeen() throws Exception {
         start("", "s-1");
-        await(watcher("g", "step-view").post(client));
-        Watcher again = watcher("g", "step-view").get(client);
-        await(again);
-        assertEquals(1, again.finals());
-        Watcher done = watcher("g", "step-view").seen(again.last().id()).get(client);
-        await(done);
+        awaitEnd(streamClient("g", "step-view").post(client));
+        EventStreamClient again = streamClient("g", "step-view").get(client);
+        awaitEnd(again);
+        assertEquals(1, again.finalEventCount());
+        EventStreamClient done =
+                streamClient("g", "step-view").lastSeen(again.lastEvent().id()).get(client);
+        awaitEnd(done);
         assertEquals(204, done.status);
-        Watcher other = watcher("h", "step-view").get(client);
-        await(other);
+        EventStreamClient other = streamClient("h", "step-view").get(client);
+        awaitEnd(other);
         assertEquals(404, other.status);
     }
 
     /** Guards against a second run after this dispatcher, or its memory of the job, is gone. */
     @Test
-    void aJobThatRanBeforeAndIsForgottenIsNotSentAgain() throws Exception {
+    void aForgottenRequestIsNotSentAgain() throws Exception {
         start("keep-streams 0", "s-1");
-        Watcher lived = watcher("p", "mark-submit").seen(7).post(client);
-        await(lived);
-        assertEquals("failed", lived.last().name());
-        assertEquals(8, lived.last().id());
+        EventStreamClient lived = streamClient("p", "mark-submit").lastSeen(7).post(client);
+        awaitEnd(lived);
+        assertEquals("failed", lived.lastEvent().name());
+        assertEquals(8, lived.lastEvent().id());
         assertNull(world.runs.get("p"));
-        await(watcher("q", "mark-submit").post(client));
-        Watcher again = watcher("q", "mark-submit").post(client);
-        await(again);
-        assertEquals("failed", again.last().name());
+        awaitEnd(streamClient("q", "mark-submit").post(client));
+        EventStreamClient again = streamClient("q", "mark-submit").post(client);
+        awaitEnd(again);
+        assertEquals("failed", again.lastEvent().name());
         assertEquals(1, world.runs.get("q").get());
     }
 
     @Test
-    void aDroppedStreamIsKeptForItsGraceOnly() throws Exception {
+    void aRequestWithoutSubscribersIsAbandonedAfterItsGracePeriod() throws Exception {
         world.runTime = 600;
         start("grace 50ms", "s-1");
-        Watcher back = watcher("b", "step-view").post(client);
-        Watcher gone = watcher("d", "step-view").post(client);
+        EventStreamClient back = streamClient("b", "step-view").post(client);
+        EventStreamClient gone = streamClient("d", "step-view").post(client);
         until(() -> back.events.size() == 1 && gone.events.size() == 1);
         back.reconnect(client);
-        gone.drop();
-        await(back);
-        assertEquals("result", back.last().name());
-        Watcher late = watcher("d", "step-view").get(client);
-        await(late);
-        assertEquals("{\"reason\":\"its client went away\"}", late.last().data());
+        gone.disconnect();
+        awaitEnd(back);
+        assertEquals("result", back.lastEvent().name());
+        EventStreamClient late = streamClient("d", "step-view").get(client);
+        awaitEnd(late);
+        assertEquals("{\"reason\":\"its client went away\"}", late.lastEvent().data());
         assertEquals(1, world.runs.get("d").get());
     }
 
     /** A reader that does not read: its events stay bounded, and the final one comes whole in the end. */
     @Test
-    void aSlowReaderLosesProgressButNotTheFinalEvent() throws Exception {
+    void aSlowSubscriberLosesProgressButNotTheFinalEvent() throws Exception {
         String big = "x".repeat(60_000);
         start("", "s-1");
         world.instead = request -> {
@@ -169,9 +172,9 @@
             socket.connect(new InetSocketAddress("127.0.0.1", port));
             socket.getOutputStream()
                     .write(StandIns.job("/api", "s", "step-view", "").getBytes());
-            Watcher fast = watcher("s", "step-view").post(client);
-            await(fast);
-            assertEquals(1, fast.finals());
+            EventStreamClient fast = streamClient("s", "step-view").post(client);
+            awaitEnd(fast);
+            assertEquals(1, fast.finalEventCount());
             InputStream in = socket.getInputStream();
             StringBuilder text = new StringBuilder();
             byte[] part = new byte[4096];
@@ -189,15 +192,15 @@
     /** The hard case: runners die and drain at random points, clients drop and come again all the while. */
     @ParameterizedTest
     @ValueSource(longs = {3, 17, 20261201})
-    void everyStreamEndsOnceAndNoMarkSubmitRunsTwice(long seed) throws Exception {
+    void everyStreamEndsOnceAndNoNonIdempotentRequestRunsTwice(long seed) throws Exception {
         Random random = new Random(seed);
         start("", "s-0", "s-1", "s-2", "s-3");
-        List<Watcher> all = new ArrayList<>();
+        List<EventStreamClient> all = new ArrayList<>();
         List<String> alive = new ArrayList<>(List.of("s-0", "s-1", "s-2", "s-3"));
         String[] classes = {"mark-submit", "step-view", "save-run"};
         for (int step = 0; step < 160; step++) {
             world.runTime = 10 + random.nextInt(80);
-            all.add(watcher("r" + step, classes[random.nextInt(3)]).post(client));
+            all.add(streamClient("r" + step, classes[random.nextInt(3)]).post(client));
             if (step % 20 == 10) {
                 String fresh = "s-" + (4 + step);
                 world.addRunner(fresh);
@@ -209,17 +212,17 @@
                     world.tell(victim, "Terminating");
                 }
             }
-            Watcher some = all.get(random.nextInt(all.size()));
-            if (some.finals() == 0 && random.nextInt(3) == 0) {
+            EventStreamClient some = all.get(random.nextInt(all.size()));
+            if (some.finalEventCount() == 0 && random.nextInt(3) == 0) {
                 some.reconnect(client);
             }
             TimeUnit.MILLISECONDS.sleep(random.nextInt(12));
         }
-        for (Watcher w : all) {
-            await(w);
-            assertEquals(1, w.finals(), w.events.toString());
+        for (EventStreamClient w : all) {
+            awaitEnd(w);
+            assertEquals(1, w.finalEventCount(), w.events.toString());
             assertEquals(
-                    w.last(),
+                    w.lastEvent(),
                     w.events.stream()
                             .filter(e -> !e.name().equals("progress"))
                             .findFirst()
@@ -227,10 +230,10 @@
         }
         for (int i = 0; i < all.size(); i++) {
             int runs = world.runs.containsKey("r" + i) ? world.runs.get("r" + i).get() : 0;
-            assertTrue(runs <= 1 || !all.get(i).jobClass().equals("mark-submit"), "r" + i + " ran " + runs);
+            assertTrue(runs <= 1 || !all.get(i).requestClass().equals("mark-submit"), "r" + i + " ran " + runs);
         }
         assertTrue(
-                all.stream().filter(w -> w.last().name().equals("result")).count() > 100,
-                all.stream().map(w -> w.last().data()).toList().toString());
+                all.stream().filter(w -> w.lastEvent().name().equals("result")).count() > 100,
+                all.stream().map(w -> w.lastEvent().data()).toList().toString());
     }
 }
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -19,7 +19,7 @@
 /** The bytes of the answers that the front for progress streams gives, on loopback. */
 @Timeout(60)
 class EventStreamGoldenTest {
-    private static final String BEAT = "3\r\n:\n\n\r\n";
+    private static final String HEARTBEAT_CHUNK = "3\r\n:\n\n\r\n";
     private StandIns world;
     private int port;
 
@@ -102,7 +102,7 @@
         start("heartbeat 20ms", "retry 2500ms");
         world.runTime = 400;
         String got = ask(port, post("a", "step-view"));
-        assertTrue(got.contains(BEAT), got);
-        assertMatches("wire/stream-heartbeats.txt", entry("heartbeats left out", got.replace(BEAT, "")));
+        assertTrue(got.contains(HEARTBEAT_CHUNK), got);
+        assertMatches("wire/stream-heartbeats.txt", entry("heartbeats left out", got.replace(HEARTBEAT_CHUNK, "")));
     }
 }
