--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -4,97 +4,131 @@
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.EndpointLoad;
 
-/** One sending of a request to one worker. */
+/**
+ * One try of a request at one endpoint. The core thread owns it; other threads may call {@link #request},
+ * {@link #number}, {@link #endpoint} and {@link #mayBegin}.
+ */
 public final class Attempt extends OutboundCall {
+    /** Below this share of progress, an extrapolation of the run time is too rough. */
+    private static final double MIN_SHARE_TO_EXTRAPOLATE = 0.05;
+    /** Least part of the expected run time that is assumed to remain without progress to go by. */
+    private static final double MIN_REMAINING_PART = 0.25;
+
     private final Request request;
     private final int number;
-    private final double lastBegin;
-    private final BooleanSupplier open;
+    private final double latestStartMillis;
+    private final BooleanSupplier requestUndecided;
     private boolean neverRan;
-    private double startedAt = Double.NaN;
-    private double endedAt = Double.NaN;
-    private double share;
+    private double startedAtMillis = Double.NaN;
+    private double endedAtMillis = Double.NaN;
+    private double shareDone;
 
     /**
-     * @param lastBegin until when it may begin, in milliseconds
-     * @param open      tells, on any thread, whether the request's end is still undecided
+     * @param latestStartMillis until when it may start
+     * @param requestUndecided  tells, on any thread, whether the request's final answer is still undecided
      */
-    Attempt(Request request, int number, String endpoint, double sentAt, double lastBegin, BooleanSupplier open) {
-        super(endpoint, sentAt);
+    Attempt(
+            Request request,
+            int number,
+            String endpoint,
+            double sentAtMillis,
+            double latestStartMillis,
+            BooleanSupplier requestUndecided) {
+        super(endpoint, sentAtMillis);
         this.request = request;
         this.number = number;
-        this.lastBegin = lastBegin;
-        this.open = open;
+        this.latestStartMillis = latestStartMillis;
+        this.requestUndecided = requestUndecided;
     }
 
+    /** The request that it is for. */
     public Request request() {
         return request;
     }
 
+    /** Its place among the request's attempts, from 0. */
     public int number() {
         return number;
     }
 
     /**
-     * Whether it may still be written to its worker at that time: its request is open, its client is there,
-     * and time is left. Asked in the turn that writes, by whoever owns the client's connection.
+     * Whether it may still be written to its endpoint at that time, in milliseconds: its request is undecided, the
+     * client is present, and time is left. To be asked right before the write, on the event loop that owns the
+     * client's connection.
      */
-    public boolean mayBegin(double now) {
-        return open.getAsBoolean() && now < lastBegin && request.caller().present();
+    public boolean mayBegin(double nowMillis) {
+        return requestUndecided.getAsBoolean()
+                && nowMillis < latestStartMillis
+                && request.caller().present();
     }
 
-    /** The worker tells that it has begun; only its first word counts. */
-    void started(double at) {
-        startedAt = Double.isNaN(startedAt) ? at : startedAt;
+    /** The endpoint reported that it works on it; only the first report counts as its start. */
+    void recordStart(double atMillis) {
+        startedAtMillis = Double.isNaN(startedAtMillis) ? atMillis : startedAtMillis;
     }
 
-    /** The worker tells how much of the job is done. */
-    void done(double part) {
-        share = Math.max(share, part);
+    /** The endpoint reported which share is done, from 0 to 1. */
+    void recordProgress(double share) {
+        shareDone = Math.max(shareDone, share);
     }
 
-    /** Milliseconds that it has left to run, where it is expected to run for {@code whole} in all. */
-    double left(double now, double whole) {
-        double span = span(now, false);
-        return share > 0.05 && span > 0 ? span * (1 - share) / share : Math.max(whole / 4, whole - span);
+    /** Records its end; {@code provenNeverRan} says that the endpoint certainly did not execute it. */
+    void recordEnd(double atMillis, boolean provenNeverRan) {
+        endedAtMillis = atMillis;
+        neverRan = provenNeverRan;
     }
 
-    /** Milliseconds from its sending to the start that was told; NaN where none was. */
-    public double waited() {
-        return startedAt - sentAt();
+    /** Milliseconds that it has left to run, where the whole is expected to take {@code expectedRunMillis}. */
+    double remainingMillis(double nowMillis, double expectedRunMillis) {
+        double elapsed = runMillis(nowMillis);
+        if (shareDone > MIN_SHARE_TO_EXTRAPOLATE && elapsed > 0) {
+            return elapsed * (1 - shareDone) / shareDone;
+        }
+        return Math.max(expectedRunMillis * MIN_REMAINING_PART, expectedRunMillis - elapsed);
     }
 
-    /** Milliseconds from the start that was told to its end; 0 where none was, or it is out. */
-    public double ran() {
-        return Double.isNaN(endedAt) ? 0 : span(endedAt, false);
+    /** Milliseconds from its sending to its reported start; NaN where no start was reported. */
+    public double waited() {
+        return startedAtMillis - sentAtMillis();
     }
 
-    /** Its end, and whether it is proved that it never ran. */
-    void endedAt(double at, boolean never) {
-        endedAt = at;
-        neverRan = never;
+    /** Milliseconds from its reported start to its end; 0 where there was no report or it is in flight. */
+    public double ran() {
+        return Double.isNaN(endedAtMillis) ? 0 : runMillis(endedAtMillis);
     }
 
-    /** Whether it has run, may have, or may yet. */
+    /** Whether the endpoint may have executed it, or may yet. */
     boolean mayHaveRun() {
-        return !over() || !neverRan;
+        return !isEnded() || !neverRan;
     }
 
-    /** Whether its start was told. */
+    /** Whether its start was reported. */
     boolean hasStarted() {
-        return !Double.isNaN(startedAt);
+        return !Double.isNaN(startedAtMillis);
     }
 
-    /**
-     * Milliseconds from its start to its end, or to that time while it is out; from its sending, if asked.
-     */
-    double span(double now, boolean fromSending) {
-        double from = fromSending ? sentAt() : startedAt;
-        return Double.isNaN(from) ? 0 : Math.max(0, (Double.isNaN(endedAt) ? now : endedAt) - from);
+    /** Milliseconds from its reported start to its end, or to {@code nowMillis} while in flight; 0 without a report. */
+    double runMillis(double nowMillis) {
+        return hasStarted() ? millisSince(startedAtMillis, nowMillis) : 0;
+    }
+
+    /** Milliseconds from its sending to its end, or to {@code nowMillis} while in flight. */
+    double totalMillis(double nowMillis) {
+        return millisSince(sentAtMillis(), nowMillis);
     }
 
-    /** How an attempt, or a probe, ended. {@code body} is the result where it was served, else null. */
+    private double millisSince(double fromMillis, double nowMillis) {
+        return Math.max(0, (Double.isNaN(endedAtMillis) ? nowMillis : endedAtMillis) - fromMillis);
+    }
+
+    /**
+     * How an attempt or a probe ended.
+     *
+     * @param body the result where the attempt was served, else null
+     * @param load the load that the endpoint reported with it, or null
+     */
     public record Outcome(AttemptResult result, byte[] body, EndpointLoad load) {
+        /** An outcome that carries neither a body nor a load. */
         public static Outcome of(AttemptResult result) {
             return new Outcome(result, null, null);
         }
--- a/src/main/java/nettlewick/core/DrainPolicy.java
+++ b/src/main/java/nettlewick/core/DrainPolicy.java
@@ -1,114 +1,99 @@
 package nettlewick.core;
 
-import java.util.HashMap;
-import java.util.Map;
-
 /**
- * What a process that is to end still takes, by how long jobs run: docs/deployments.md, "Leaving with work in
- * hand". Pure: times are the caller's, in milliseconds; all it knows is what it is told.
+ * Decides which requests a process that will be drained still takes, by how long they are expected to run before the
+ * kill; see docs/deployments.md. Pure: it reads no clock, and all times and durations are milliseconds.
  */
 final class DrainPolicy {
-    /** Take it; hold it back until the planned end begins; refuse it. */
-    enum Verdict {
-        TAKE,
+    /** What becomes of a request: it proceeds, is held back until draining starts, or is rejected. */
+    enum Decision {
+        ADMIT,
         HOLD,
-        REFUSE
-    }
-
-    /** Running times are rough: so many times what is expected is counted. */
-    private static final double MARGIN = 1.3;
-    /** And a wait is worth while where this part of what is expected ends in time: it costs little. */
-    private static final double HOPE = 0.8;
-    /** Time from a job's end to its answer's last byte, and for clocks of two processes to differ. */
-    private static final double SPARE = 300;
-    /** A planned end that has not come so long after it was foreseen does not come. */
-    static final double LATE = 1000;
-    /** Jobs over which running times are learned. */
-    private static final double JOBS = 30;
-
-    /** How long a class's jobs run: against their hints (the logarithm's mean), and where they have none. */
-    private static final class Pace {
-        double count;
-        double drag;
-        double span;
+        REJECT
     }
 
-    private final Map<String, Pace> paces = new HashMap<>();
-    private double term = Double.NaN;
-    private double kill = Double.NaN;
-    private boolean begun;
-    private boolean over;
-
-    /** A job of that class ran for so long. */
-    void ran(String requestClass, double hint, double span) {
-        if (span <= 0) {
-            return;
-        }
-        Pace p = paces.computeIfAbsent(requestClass, c -> new Pace());
-        p.count = Math.min(p.count + 1, JOBS);
-        p.span += (span - p.span) / p.count;
-        p.drag += hint > 0 ? (Math.log(span / hint) - p.drag) / p.count : 0;
+    /** Applied to expected run times where a request must end in time. */
+    private static final double RUN_TIME_SAFETY_FACTOR = 1.3;
+    /** Applied to expected run times where waiting is worth while even if the request may end too late. */
+    private static final double OPTIMISTIC_RUN_TIME_FACTOR = 0.8;
+    /** Covers the writing of the answer and a difference between two processes' clocks. */
+    private static final double KILL_MARGIN_MILLIS = 300;
+    /** Draining that has not started that long after it was expected is not coming. */
+    static final double MAX_DRAIN_DELAY_MILLIS = 1000;
+
+    private final RunTimeEstimator runTimes = new RunTimeEstimator();
+    private double expectedDrainAtMillis = Double.NaN;
+    private double killAtMillis = Double.NaN;
+    private boolean draining;
+    private boolean stopped;
+
+    /** Records how long a request ran; without a hint, {@code hintMillis} is 0. */
+    void recordRunTime(String requestClass, double hintMillis, double runMillis) {
+        runTimes.record(requestClass, hintMillis, runMillis);
     }
 
-    /** How long a job is expected to run; by its hint alone where none of its class has run, else 0. */
-    double expected(String requestClass, double hint) {
-        Pace p = paces.get(requestClass);
-        return hint > 0 ? hint * Math.exp(p == null ? 0 : p.drag) : p == null ? 0 : p.span;
+    /** How long a request is expected to run, 0 if unknown. */
+    double expectedRunMillis(String requestClass, double hintMillis) {
+        return runTimes.expectedMillis(requestClass, hintMillis);
     }
 
-    /** The planned end is expected to begin and the kill to come at these times. */
-    void foresee(double termAt, double killAt) {
-        if (!begun) {
-            term = termAt;
-            kill = killAt;
+    /** Draining and the kill are expected at these times; ignored once draining has started. */
+    void expectDraining(double drainAtMillis, double killAtMillis) {
+        if (!draining) {
+            expectedDrainAtMillis = drainAtMillis;
+            this.killAtMillis = killAtMillis;
         }
     }
 
-    /** It is not to end after all. */
-    void stay() {
-        foresee(Double.NaN, Double.NaN);
+    /** No draining is expected any more; ignored once draining has started. */
+    void cancelExpectedDraining() {
+        expectDraining(Double.NaN, Double.NaN);
     }
 
-    /** The planned end has begun; the kill comes no sooner than at that time. */
-    void begin(double killAt) {
-        begun = true;
-        kill = killAt;
+    /** Draining has started; the kill comes no sooner than at that time. */
+    void startDraining(double killAtMillis) {
+        draining = true;
+        this.killAtMillis = killAtMillis;
     }
 
-    /** The kill is so near that nothing more is begun. */
-    void over() {
-        over = true;
+    /** The kill is so near that every further request is rejected. */
+    void stopAdmitting() {
+        stopped = true;
     }
 
-    boolean isOver() {
-        return over;
+    boolean hasStoppedAdmitting() {
+        return stopped;
     }
 
-    /** When a held job is let go if the planned end has not begun. */
-    double heldUntil() {
-        return term + LATE;
+    /** When held requests proceed if draining has not started. */
+    double holdUntilMillis() {
+        return expectedDrainAtMillis + MAX_DRAIN_DELAY_MILLIS;
     }
 
-    /** What becomes of a job that comes now. Danger: one that outlives this process is lost with it. */
-    Verdict verdict(String requestClass, double hint, double now) {
-        if (over) {
-            return Verdict.REFUSE;
+    /** Decides about a request that arrives now. One that outlived this process would be lost with it. */
+    Decision decide(String requestClass, double hintMillis, double nowMillis) {
+        if (stopped) {
+            return Decision.REJECT;
         }
-        if (Double.isNaN(kill) || !begun && now >= heldUntil() || inTime(now, expected(requestClass, hint), kill)) {
-            return Verdict.TAKE;
+        boolean noKillExpected = Double.isNaN(killAtMillis) || !draining && nowMillis >= holdUntilMillis();
+        if (noKillExpected || endsInTime(nowMillis, expectedRunMillis(requestClass, hintMillis), killAtMillis)) {
+            return Decision.ADMIT;
         }
-        return begun ? Verdict.REFUSE : Verdict.HOLD;
+        return draining ? Decision.REJECT : Decision.HOLD;
     }
 
     /**
-     * Whether waiting until the foreseen end saves a job with that much left to run: it ends before the kill
-     * then, and would not if the planned end began now, the kill {@code span} later.
+     * Whether a request with that much left to run is saved if draining waits until its expected start: it may end
+     * before the kill then, and would not if draining started now with the kill {@code killDelayMillis} later.
      */
-    boolean saves(double left, double now, double span) {
-        return !begun && now < term && now + HOPE * left <= kill - SPARE && !inTime(now, left, now + span);
+    boolean isSavedByWaiting(double remainingMillis, double nowMillis, double killDelayMillis) {
+        boolean canWait = !draining && nowMillis < expectedDrainAtMillis;
+        boolean mayEndAfterWaiting =
+                nowMillis + OPTIMISTIC_RUN_TIME_FACTOR * remainingMillis <= killAtMillis - KILL_MARGIN_MILLIS;
+        return canWait && mayEndAfterWaiting && !endsInTime(nowMillis, remainingMillis, nowMillis + killDelayMillis);
     }
 
-    private static boolean inTime(double now, double run, double killAt) {
-        return run <= 0 || now + MARGIN * run <= killAt - SPARE;
+    private static boolean endsInTime(double nowMillis, double runMillis, double killAtMillis) {
+        return runMillis <= 0 || nowMillis + RUN_TIME_SAFETY_FACTOR * runMillis <= killAtMillis - KILL_MARGIN_MILLIS;
     }
 }
--- /dev/null
+++ b/src/test/java/nettlewick/core/DrainPolicyTest.java
@@ -0,0 +1,103 @@
+package nettlewick.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.SplittableRandom;
+import nettlewick.core.DrainPolicy.Decision;
+import org.junit.jupiter.api.Test;
+
+/** Which requests a process that will be drained still takes. */
+class DrainPolicyTest {
+    private final DrainPolicy policy = new DrainPolicy();
+
+    @Test
+    void nothingIsHeldWhenNoDrainingIsExpected() {
+        assertEquals(Decision.ADMIT, policy.decide("transfer", 20_000, 0));
+        assertFalse(policy.isSavedByWaiting(5000, 0, 3700));
+    }
+
+    /** Long requests admitted shortly before the kill would be lost with the process. */
+    @Test
+    void requestsThatOutliveTheProcessAreHeldThenRejected() {
+        policy.expectDraining(4000, 7700);
+        assertEquals(Decision.ADMIT, policy.decide("transfer", 5000, 0), "it ends before the kill");
+        assertEquals(Decision.HOLD, policy.decide("transfer", 5000, 3000));
+        assertEquals(Decision.ADMIT, policy.decide("statement", 500, 3900));
+        policy.startDraining(7700);
+        assertEquals(Decision.REJECT, policy.decide("transfer", 5000, 4100));
+        assertEquals(Decision.ADMIT, policy.decide("statement", 500, 4100));
+        assertEquals(Decision.ADMIT, policy.decide("unknown", 0, 7600), "nothing is known of its class");
+        policy.cancelExpectedDraining();
+        assertEquals(
+                Decision.REJECT,
+                policy.decide("transfer", 5000, 4100),
+                "draining that has started cannot be cancelled");
+    }
+
+    /** A request that arrives after all in flight were answered must not be forwarded: nobody would answer it. */
+    @Test
+    void nothingIsAdmittedAfterAdmissionStopped() {
+        policy.startDraining(7700);
+        assertEquals(Decision.ADMIT, policy.decide("unknown", 0, 7400));
+        policy.stopAdmitting();
+        assertEquals(Decision.REJECT, policy.decide("unknown", 0, 7460));
+        assertEquals(Decision.REJECT, policy.decide("statement", 1, 7460));
+    }
+
+    /** Requests must not be held for a successor that never came up. */
+    @Test
+    void holdingEndsWhenDrainingDoesNotStart() {
+        policy.expectDraining(4000, 7700);
+        assertEquals(Decision.HOLD, policy.decide("transfer", 9000, 4900));
+        assertEquals(5000, policy.holdUntilMillis());
+        assertEquals(Decision.ADMIT, policy.decide("transfer", 9000, 5000));
+        policy.cancelExpectedDraining();
+        assertEquals(Decision.ADMIT, policy.decide("transfer", 9000, 4000));
+    }
+
+    @Test
+    void runTimesAreLearnedRelativeToHints() {
+        assertEquals(1000, policy.expectedRunMillis("transfer", 1000));
+        for (int i = 0; i < 40; i++) {
+            policy.recordRunTime("transfer", 1000, 2000);
+            policy.recordRunTime("nohint", 0, 700);
+        }
+        assertEquals(2000, policy.expectedRunMillis("transfer", 1000), 1);
+        assertEquals(700, policy.expectedRunMillis("nohint", 0), 1);
+        assertEquals(0, policy.expectedRunMillis("other", 0));
+    }
+
+    /** Waiting saves neither requests that end in time anyway nor those that outlive the wait too. */
+    @Test
+    void waitingSavesOnlyRequestsThatEndBetweenTheTwoKillTimes() {
+        policy.expectDraining(4000, 7700);
+        assertFalse(policy.isSavedByWaiting(2000, 0, 3700));
+        assertTrue(policy.isSavedByWaiting(4000, 0, 3700));
+        assertTrue(policy.isSavedByWaiting(7000, 0, 3700), "it may end in time, and waiting costs little");
+        assertFalse(policy.isSavedByWaiting(9500, 0, 3700));
+        assertFalse(policy.isSavedByWaiting(4000, 4000, 3700), "draining was expected to have started");
+    }
+
+    /** At any time, no request is admitted that is expected to outlive the kill, and none is held for too long. */
+    @Test
+    void randomRequestsAreNeverAdmittedToBeLost() {
+        SplittableRandom random = new SplittableRandom(23);
+        for (int i = 0; i < 20_000; i++) {
+            DrainPolicy p = new DrainPolicy();
+            double term = random.nextDouble(5000);
+            double kill = term + 3700;
+            p.expectDraining(term, kill);
+            double now = random.nextDouble(term + DrainPolicy.MAX_DRAIN_DELAY_MILLIS);
+            double run = random.nextDouble(15_000);
+            boolean begun = random.nextBoolean();
+            if (begun) {
+                p.startDraining(kill);
+            }
+            Decision verdict = p.decide("c", run, now);
+            assertEquals(verdict == Decision.ADMIT, now + 1.3 * run <= kill - 300);
+            assertTrue(verdict != Decision.HOLD || !begun && now < p.holdUntilMillis());
+        }
+    }
+}
