--- a/src/main/java/nettlewick/lease/CandidateRanking.java
+++ b/src/main/java/nettlewick/lease/CandidateRanking.java
@@ -9,8 +9,8 @@
     private CandidateRanking() {}
 
     /** The dispatchers 0 to {@code size - 1}, the one that should hold the duty first. */
-    static List<Integer> of(String duty, int size) {
-        long name = mix(duty.hashCode() * 0x9E3779B97F4A7C15L);
+    static List<Integer> rank(String leaseName, int size) {
+        long name = mix(leaseName.hashCode() * 0x9E3779B97F4A7C15L);
         Comparator<Integer> byWeight = Comparator.comparingLong(r -> mix(name ^ mix(r + 1)));
         return IntStream.range(0, size).boxed().sorted(byWeight.reversed()).toList();
     }
--- a/src/main/java/nettlewick/lease/FenceGate.java
+++ b/src/main/java/nettlewick/lease/FenceGate.java
@@ -5,21 +5,21 @@
 
 /** What whoever receives acts asks first: an act whose fence is below the highest seen is refused. */
 public final class FenceGate {
-    private final Map<String, Long> highest = new HashMap<>();
-    private long refused;
+    private final Map<String, Long> highestFences = new HashMap<>();
+    private long rejectedCount;
 
     /** Whether an act under this fence may be carried out; a higher one shuts out all below it. */
-    public boolean admits(String duty, long fence) {
-        boolean good = fence >= highest.getOrDefault(duty, 0L);
+    public boolean admits(String leaseName, long fence) {
+        boolean good = fence >= highestFences.getOrDefault(leaseName, 0L);
         if (good) {
-            highest.put(duty, fence);
+            highestFences.put(leaseName, fence);
         } else {
-            refused++;
+            rejectedCount++;
         }
         return good;
     }
 
-    public long refused() {
-        return refused;
+    public long rejectedCount() {
+        return rejectedCount;
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseCandidate.java
+++ b/src/main/java/nettlewick/lease/LeaseCandidate.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.lease.LeaseMessage.Kind;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
  * One dispatcher's part in one duty: a candidate, or its holder (docs/duties.md). Times are milliseconds of
@@ -13,12 +13,12 @@
  */
 final class LeaseCandidate {
     /** What it is at; RETIRED holds back for good. */
-    enum Stage {
-        WAITS,
-        ASKS,
-        PREPARES,
-        TAKES,
-        HOLDS,
+    enum State {
+        WAITING,
+        QUERYING,
+        PREPARING,
+        ACCEPTING,
+        HOLDING,
         RETIRED
     }
 
@@ -37,7 +37,7 @@
     private final LeaseTerms terms;
     private final double turn;
 
-    private Stage stage = Stage.WAITS;
+    private State stage = State.WAITING;
     private double nextAt;
     private double askedAt;
     private LeaseMessage asked;
@@ -55,24 +55,31 @@
     /** What a majority has stored, and what is on its way there. */
     private long version;
 
-    private byte[] state = LeaseMessage.NOTHING;
+    private byte[] state = LeaseMessage.EMPTY_STATE;
     private byte[] wanted;
 
     /**
-     * @param life a number of this process's own, drawn at random below {@link LeaseMessage#LIVES}
+     * @param life a number of this process's own, drawn at random below {@link LeaseMessage#INCARNATION_LIMIT}
      * @param turn its place in the duty's order, from 0: later ones leave earlier ones the time to stand
      * @param now  when it begins to look
      */
-    LeaseCandidate(String duty, int number, int life, List<Integer> voters, LeaseTerms terms, int turn, double now) {
-        this.life = life;
-        echo = (long) life << Integer.SIZE;
-        ballot = LeaseMessage.ballot(0, life, number);
-        this.duty = duty;
+    LeaseCandidate(
+            String leaseName,
+            int number,
+            int incarnation,
+            List<Integer> voters,
+            LeaseTerms terms,
+            int turn,
+            double now) {
+        this.life = incarnation;
+        echo = (long) incarnation << Integer.SIZE;
+        ballot = LeaseMessage.ballot(0, incarnation, number);
+        this.duty = leaseName;
         this.number = number;
         this.voters = voters;
         this.terms = terms;
         this.turn = turn;
-        nextAt = now + turn * terms.lease() / 2;
+        nextAt = now + turn * terms.leaseMillis() / 2;
     }
 
     LeaseCandidate copy() {
@@ -97,19 +104,19 @@
     }
 
     /** All that decides what it does next, for a search that tells states apart. */
-    String digest() {
+    String describeState() {
         return stage + " " + nextAt + " " + askedAt + " " + puts + " " + preparedAt + " " + echo + " "
                 + highest + " " + ballot + " " + until + " " + confirmedAt + " " + answers.keySet() + " "
                 + version + " " + java.util.Arrays.toString(wanted);
     }
 
-    Stage stage() {
+    State lifecycleState() {
         return stage;
     }
 
     /** Whether it may act now; to be asked right before each act. */
     boolean mayAct(double now) {
-        return stage == Stage.HOLDS && now < until;
+        return stage == State.HOLDING && now < until;
     }
 
     /** Its fence while it holds. */
@@ -127,7 +134,7 @@
     }
 
     /** Whether a change is on its way: the next one waits for it. */
-    boolean changing() {
+    boolean isChangePending() {
         return wanted != null;
     }
 
@@ -135,169 +142,170 @@
      * The next version of the state; it counts once {@link #changing} is false while this holds on. Nothing
      * happens, and false comes back, where this may not act or a change is on its way.
      */
-    boolean change(byte[] next, double now, List<Post> out) {
+    boolean proposeChange(byte[] next, double now, List<Outgoing> out) {
         if (!mayAct(now) || wanted != null) {
             return false;
         }
         wanted = next;
-        ask(Kind.ACCEPT, now, out);
+        startRequest(Kind.ACCEPT, now, out);
         return true;
     }
 
     /** A higher fence than its own was seen: it gives the duty back, and stands again above that one. */
-    List<Post> outdo(long fence, double now) {
-        List<Post> out = new ArrayList<>();
-        if (stage != Stage.RETIRED && fence >= ballot) {
-            voters.forEach(v -> out.add(new Post(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
+    List<Outgoing> yieldToHigherFence(long fence, double now) {
+        List<Outgoing> out = new ArrayList<>();
+        if (stage != State.RETIRED && fence >= ballot) {
+            voters.forEach(v -> out.add(new Outgoing(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
             highest = Math.max(highest, fence);
-            waits(now);
+            waitUntil(now);
         }
         return out;
     }
 
     /** A planned end: the grant is given back, and the next in order told. It does not stand again. */
-    List<Post> retire(int successor) {
-        List<Post> out = new ArrayList<>();
-        if (stage == Stage.HOLDS) {
-            voters.forEach(v -> out.add(new Post(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
-            out.add(new Post(successor, LeaseMessage.of(Kind.HANDOVER, duty, number, 0, ballot)));
+    List<Outgoing> retire(int successor) {
+        List<Outgoing> out = new ArrayList<>();
+        if (stage == State.HOLDING) {
+            voters.forEach(v -> out.add(new Outgoing(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
+            out.add(new Outgoing(successor, LeaseMessage.of(Kind.HANDOVER, duty, number, 0, ballot)));
         }
-        stage = Stage.RETIRED;
+        stage = State.RETIRED;
         until = Double.NEGATIVE_INFINITY;
         return out;
     }
 
     /** What is due: to be called some times in each sixth of a lease. */
-    List<Post> tick(double now) {
-        List<Post> out = new ArrayList<>();
-        if (stage == Stage.RETIRED) {
+    List<Outgoing> tick(double now) {
+        List<Outgoing> out = new ArrayList<>();
+        if (stage == State.RETIRED) {
             return out;
         }
-        if (stage == Stage.HOLDS && now >= until) {
-            waits(now + terms.lease() * RENEW);
-        } else if (stage == Stage.HOLDS) {
+        if (stage == State.HOLDING && now >= until) {
+            waitUntil(now + terms.leaseMillis() * RENEW);
+        } else if (stage == State.HOLDING) {
             boolean open = wanted != null || askedAt > confirmedAt;
-            if (now - askedAt >= terms.lease() * (open ? PATIENCE : RENEW)) {
-                ask(Kind.ACCEPT, now, out);
+            if (now - askedAt >= terms.leaseMillis() * (open ? PATIENCE : RENEW)) {
+                startRequest(Kind.ACCEPT, now, out);
             }
-        } else if (stage == Stage.WAITS && now >= nextAt) {
-            stage = Stage.ASKS;
-            ask(Kind.ASK, now, out);
-        } else if (stage != Stage.WAITS && puts < PUTS && now - askedAt >= terms.lease() * AGAIN * puts) {
-            put(out);
-        } else if (stage != Stage.WAITS && now - askedAt >= terms.lease() * AGAIN * PUTS) {
+        } else if (stage == State.WAITING && now >= nextAt) {
+            stage = State.QUERYING;
+            startRequest(Kind.QUERY, now, out);
+        } else if (stage != State.WAITING && puts < PUTS && now - askedAt >= terms.leaseMillis() * AGAIN * puts) {
+            transmit(out);
+        } else if (stage != State.WAITING && now - askedAt >= terms.leaseMillis() * AGAIN * PUTS) {
             // Danger: two that stand at once refuse one another for good, if both come again together.
-            waits(now + terms.lease() * (turn + 1) / 4);
+            waitUntil(now + terms.leaseMillis() * (turn + 1) / 4);
         }
         return out;
     }
 
-    private void waits(double at) {
-        stage = Stage.WAITS;
+    private void waitUntil(double at) {
+        stage = State.WAITING;
         nextAt = at;
         until = Double.NEGATIVE_INFINITY;
         wanted = null;
     }
 
-    private void ask(Kind kind, double now, List<Post> out) {
+    private void startRequest(Kind kind, double now, List<Outgoing> out) {
         echo++;
         answers.clear();
         longestLeft = 0;
         askedAt = now;
-        LeaseMessage m = LeaseMessage.of(kind, duty, number, echo, ballot);
+        LeaseMessage message = LeaseMessage.of(kind, duty, number, echo, ballot);
         if (kind == Kind.ACCEPT) {
-            m = m.holding(ballot, wanted == null ? version : version + 1, wanted == null ? state : wanted);
+            message =
+                    message.withState(ballot, wanted == null ? version : version + 1, wanted == null ? state : wanted);
         }
-        asked = m;
+        asked = message;
         puts = 0;
-        put(out);
+        transmit(out);
     }
 
     /**
      * The same question to all that have not answered it. A lease counts from when it was put first, so that
      * no voter's grant can end before it.
      */
-    private void put(List<Post> out) {
+    private void transmit(List<Outgoing> out) {
         puts++;
         for (int v : voters) {
             if (!answers.containsKey(v)) {
-                out.add(new Post(v, asked));
+                out.add(new Outgoing(v, asked));
             }
         }
     }
 
-    List<Post> hear(LeaseMessage m, double now) {
-        List<Post> out = new ArrayList<>();
-        highest = Math.max(highest, m.seen());
-        if (stage == Stage.RETIRED || !voters.contains(m.from()) && m.kind() != Kind.HANDOVER) {
+    List<Outgoing> handle(LeaseMessage message, double now) {
+        List<Outgoing> out = new ArrayList<>();
+        highest = Math.max(highest, message.highestBallot());
+        if (stage == State.RETIRED || !voters.contains(message.sender()) && message.kind() != Kind.HANDOVER) {
             return out;
         }
-        if (m.kind() == Kind.HANDOVER) {
-            highest = Math.max(highest, m.ballot());
-            if (stage != Stage.HOLDS) {
-                stage = Stage.PREPARES;
+        if (message.kind() == Kind.HANDOVER) {
+            highest = Math.max(highest, message.ballot());
+            if (stage != State.HOLDING) {
+                stage = State.PREPARING;
                 prepare(now, out);
             }
             return out;
         }
-        if (stage == Stage.HOLDS && now >= until) {
+        if (stage == State.HOLDING && now >= until) {
             // Danger: a late word would renew what has ended already, and one fence would count two holdings.
-            waits(now + terms.lease() * RENEW);
+            waitUntil(now + terms.leaseMillis() * RENEW);
         }
-        if (m.echo() != echo || m.ballot() != ballot) {
+        if (message.requestId() != echo || message.ballot() != ballot) {
             return out;
         }
-        longestLeft = Math.max(longestLeft, m.left());
-        if (m.kind() == Kind.REFUSED) {
-            refused(m, now);
+        longestLeft = Math.max(longestLeft, message.remainingMillis());
+        if (message.kind() == Kind.REFUSED) {
+            handleRefusal(message, now);
             return out;
         }
-        answers.put(m.from(), m);
-        if (answers.size() < terms.majority(voters.size())) {
+        answers.put(message.sender(), message);
+        if (answers.size() < terms.majorityOf(voters.size())) {
             return out;
         }
-        if (stage == Stage.ASKS && m.kind() == Kind.FREE) {
-            stage = Stage.PREPARES;
+        if (stage == State.QUERYING && message.kind() == Kind.AVAILABLE) {
+            stage = State.PREPARING;
             prepare(now, out);
-        } else if (stage == Stage.PREPARES && m.kind() == Kind.PROMISED) {
-            take(now, out);
-        } else if ((stage == Stage.TAKES || stage == Stage.HOLDS) && m.kind() == Kind.ACCEPTED) {
-            accepted(now);
+        } else if (stage == State.PREPARING && message.kind() == Kind.PROMISED) {
+            adoptNewestState(now, out);
+        } else if ((stage == State.ACCEPTING || stage == State.HOLDING) && message.kind() == Kind.ACCEPTED) {
+            confirmHolding(now);
         }
         return out;
     }
 
-    private void prepare(double now, List<Post> out) {
+    private void prepare(double now, List<Outgoing> out) {
         ballot = LeaseMessage.ballot(LeaseMessage.counter(highest) + 1, life, number);
         highest = ballot;
         preparedAt = now;
-        ask(Kind.PREPARE, now, out);
+        startRequest(Kind.PREPARE, now, out);
     }
 
     /** The newest that a majority told goes on under the own ballot. */
-    private void take(double now, List<Post> out) {
+    private void adoptNewestState(double now, List<Outgoing> out) {
         long held = 0;
         version = 0;
-        state = LeaseMessage.NOTHING;
+        state = LeaseMessage.EMPTY_STATE;
         for (LeaseMessage told : answers.values()) {
-            if (told.held() > held || told.held() == held && told.version() > version) {
-                held = told.held();
+            if (told.acceptedBallot() > held || told.acceptedBallot() == held && told.version() > version) {
+                held = told.acceptedBallot();
                 version = told.version();
                 state = told.state();
             }
         }
-        stage = Stage.TAKES;
-        ask(Kind.ACCEPT, now, out);
+        stage = State.ACCEPTING;
+        startRequest(Kind.ACCEPT, now, out);
     }
 
-    private void accepted(double now) {
-        if (stage == Stage.TAKES && now - preparedAt > terms.lease()) {
-            waits(now + terms.lease() * (turn + 1) / 4);
+    private void confirmHolding(double now) {
+        if (stage == State.ACCEPTING && now - preparedAt > terms.leaseMillis()) {
+            waitUntil(now + terms.leaseMillis() * (turn + 1) / 4);
             return;
         }
-        stage = Stage.HOLDS;
+        stage = State.HOLDING;
         // Counted from before it asked: the voters count from later.
-        until = Math.max(until, askedAt + terms.counted());
+        until = Math.max(until, askedAt + terms.holderLeaseMillis());
         confirmedAt = askedAt;
         if (wanted != null) {
             version++;
@@ -308,11 +316,11 @@
         echo++;
     }
 
-    private void refused(LeaseMessage m, double now) {
-        if (stage == Stage.HOLDS) {
+    private void handleRefusal(LeaseMessage message, double now) {
+        if (stage == State.HOLDING) {
             // Another has a higher ballot: this one's lease may run on, but a change under it may not pass.
             return;
         }
-        waits(now + Math.max(m.left(), terms.lease() / 8) + turn * terms.lease() / 8);
+        waitUntil(now + Math.max(message.remainingMillis(), terms.leaseMillis() / 8) + turn * terms.leaseMillis() / 8);
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseFollower.java
+++ b/src/main/java/nettlewick/lease/LeaseFollower.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import nettlewick.lease.LeaseMessage.Kind;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
  * What a dispatcher knows of a duty that it follows: who holds it, and the newest version told. A fence below
@@ -11,26 +11,26 @@
  */
 final class LeaseFollower {
     /** In the echo of news: the state goes with it. */
-    static final long WHOLE = 1;
+    static final long FLAG_HAS_STATE = 1;
 
-    private final String duty;
-    private final int number;
+    private final String leaseName;
+    private final int dispatcher;
     private int holder = -1;
     private long fence;
     private long version = -1;
     private byte[] state;
     /** The fence under which the state was told: one who has lost all may count versions anew. */
-    private long toldUnder = -1;
+    private long stateFence = -1;
 
     private final FenceGate gate = new FenceGate();
 
-    LeaseFollower(String duty, int number) {
-        this.duty = duty;
-        this.number = number;
+    LeaseFollower(String leaseName, int number) {
+        this.leaseName = leaseName;
+        this.dispatcher = number;
     }
 
-    String duty() {
-        return duty;
+    String leaseName() {
+        return leaseName;
     }
 
     /** The holder by its last word, or -1. */
@@ -52,35 +52,36 @@
     }
 
     /** This dispatcher holds it itself. */
-    void own(long ownFence, long newVersion, byte[] newState) {
-        gate.admits(duty, ownFence);
-        holder = number;
+    void recordOwnState(long ownFence, long newVersion, byte[] newState) {
+        gate.admits(leaseName, ownFence);
+        holder = dispatcher;
         fence = ownFence;
         version = newVersion;
         state = newState;
-        toldUnder = ownFence;
+        stateFence = ownFence;
     }
 
     /** Takes the holder's word; what to answer comes back. */
-    List<Post> hear(LeaseMessage m) {
-        List<Post> out = new ArrayList<>();
-        if (!gate.admits(duty, m.ballot())) {
+    List<Outgoing> handle(LeaseMessage message) {
+        List<Outgoing> out = new ArrayList<>();
+        if (!gate.admits(leaseName, message.ballot())) {
             return out;
         }
-        holder = m.from();
-        fence = m.ballot();
-        if ((m.echo() & WHOLE) != 0 && (toldUnder < fence || m.version() > version)) {
-            version = m.version();
-            state = m.state();
-            toldUnder = fence;
-        } else if (!upToDate(m)) {
-            out.add(new Post(m.from(), LeaseMessage.of(Kind.BEHIND, duty, number, 0, m.ballot())));
+        holder = message.sender();
+        fence = message.ballot();
+        if ((message.requestId() & FLAG_HAS_STATE) != 0 && (stateFence < fence || message.version() > version)) {
+            version = message.version();
+            state = message.state();
+            stateFence = fence;
+        } else if (!isUpToDate(message)) {
+            out.add(new Outgoing(
+                    message.sender(), LeaseMessage.of(Kind.REQUEST_STATE, leaseName, dispatcher, 0, message.ballot())));
         }
         return out;
     }
 
     /** Whether what is known is what this word of the holder's says. */
-    boolean upToDate(LeaseMessage m) {
-        return m.ballot() == toldUnder && m.version() == version;
+    boolean isUpToDate(LeaseMessage message) {
+        return message.ballot() == stateFence && message.version() == version;
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -16,75 +16,86 @@
  */
 record LeaseMessage(
         Kind kind,
-        String duty,
-        int from,
-        long echo,
+        String leaseName,
+        int sender,
+        long requestId,
         long ballot,
-        long seen,
-        double left,
-        long held,
+        long highestBallot,
+        double remainingMillis,
+        long acceptedBallot,
         long version,
         byte[] state) {
     /** Questions to voters, each with its answers; RECALL is asked by a voter without memory. */
     enum Kind {
-        ASK,
+        QUERY,
         PREPARE,
         ACCEPT,
         RELEASE,
-        RECALL,
-        FREE,
+        RECOVER,
+        AVAILABLE,
         PROMISED,
         ACCEPTED,
         REFUSED,
-        TOLD,
-        BLANK,
+        RECOVERED_RECORD,
+        NO_MEMORY,
         HANDOVER,
         /**
          * From the holder to all: the version that is stored, with the state if the echo says so, and
          * whether it listens.
          */
-        NEWS,
+        ANNOUNCE,
         /** To the holder: the state is wanted. */
-        BEHIND,
+        REQUEST_STATE,
         /** To the holder: what the sender's life, in the echo, has seen. */
-        WORD
+        REPORT
     }
 
-    static final byte[] NOTHING = {};
+    static final byte[] EMPTY_STATE = {};
 
-    static LeaseMessage of(Kind kind, String duty, int from, long echo, long ballot) {
-        return new LeaseMessage(kind, duty, from, echo, ballot, 0, 0, 0, 0, NOTHING);
+    static LeaseMessage of(Kind kind, String leaseName, int from, long echo, long ballot) {
+        return new LeaseMessage(kind, leaseName, from, echo, ballot, 0, 0, 0, 0, EMPTY_STATE);
     }
 
-    LeaseMessage holding(long heldUnder, long newVersion, byte[] newState) {
-        return new LeaseMessage(kind, duty, from, echo, ballot, seen, left, heldUnder, newVersion, newState);
+    LeaseMessage withState(long heldUnder, long newVersion, byte[] newState) {
+        return new LeaseMessage(
+                kind,
+                leaseName,
+                sender,
+                requestId,
+                ballot,
+                highestBallot,
+                remainingMillis,
+                heldUnder,
+                newVersion,
+                newState);
     }
 
-    LeaseMessage telling(long highest, double millis) {
-        return new LeaseMessage(kind, duty, from, echo, ballot, highest, millis, held, version, state);
+    LeaseMessage withHighestBallot(long highest, double millis) {
+        return new LeaseMessage(
+                kind, leaseName, sender, requestId, ballot, highest, millis, acceptedBallot, version, state);
     }
 
     /** A message and whom it is for. */
-    record Post(int to, LeaseMessage message) {}
+    record Outgoing(int recipient, LeaseMessage message) {}
 
-    private static final int NUMBER_BITS = 16;
-    private static final int LIFE_BITS = 23;
-    static final int LIVES = 1 << LIFE_BITS;
+    private static final int DISPATCHER_BITS = 16;
+    private static final int INCARNATION_BITS = 23;
+    static final int INCARNATION_LIMIT = 1 << INCARNATION_BITS;
 
     /**
      * Ballots grow by their counter first. Danger: two processes of one dispatcher, or two lives, that choose
      * the same ballot would store two states under it; so each life draws a number of its own.
      */
-    static long ballot(long counter, int life, int candidate) {
-        return counter << NUMBER_BITS + LIFE_BITS | (long) life << NUMBER_BITS | candidate;
+    static long ballot(long counter, int incarnation, int candidate) {
+        return counter << DISPATCHER_BITS + INCARNATION_BITS | (long) incarnation << DISPATCHER_BITS | candidate;
     }
 
     static long counter(long ballot) {
-        return ballot >>> NUMBER_BITS + LIFE_BITS;
+        return ballot >>> DISPATCHER_BITS + INCARNATION_BITS;
     }
 
     /** The life of a candidate that a ballot is of. */
-    static long holder(long ballot) {
-        return ballot & (1L << NUMBER_BITS + LIFE_BITS) - 1;
+    static long proposer(long ballot) {
+        return ballot & (1L << DISPATCHER_BITS + INCARNATION_BITS) - 1;
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 import nettlewick.log.ComponentLogger;
 
 /**
@@ -35,7 +35,7 @@
     /** In the echo of news: a word is wanted from all. */
     private static final long LISTENS = 2;
     /** A duty on which nothing hangs is told of once in so many leases. */
-    static final double IDLE = 10;
+    static final double IDLE_ANNOUNCE_LEASES = 10;
 
     private static final int END_MILLIS = 2000;
 
@@ -48,7 +48,7 @@
 
     private final Map<String, LeaseCandidate> seats = new LinkedHashMap<>();
     private final Map<String, List<Integer>> orders = new HashMap<>();
-    private final int life = new SecureRandom().nextInt(LeaseMessage.LIVES);
+    private final int life = new SecureRandom().nextInt(LeaseMessage.INCARNATION_LIMIT);
     /** The fence under which each duty is held here. */
     private final Map<String, Long> holds = new HashMap<>();
 
@@ -73,23 +73,25 @@
     private LeaseService(LeaseSettings settings, Map<String, LeaseTask> given) throws IOException {
         this.settings = settings;
         charges = new LinkedHashMap<>(given);
-        settings.duties().forEach(duty -> charges.putIfAbsent(duty, new TermCounter(duty)));
-        int number = settings.number();
-        envelope = new MessageCodec(settings.key(), settings.list(), number, life);
+        settings.leaseNames().forEach(leaseName -> charges.putIfAbsent(leaseName, new TermCounter(leaseName)));
+        int number = settings.dispatcher();
+        envelope = new MessageCodec(settings.sharedKey(), settings.membershipHash(), number, life);
         List<Integer> voters = settings.voters();
         voter = voters.contains(number) ? new PersistentVoter(settings, now(), life) : null;
-        for (String duty : charges.keySet()) {
-            followed.put(duty, new LeaseFollower(duty, number));
-            List<Integer> order = CandidateRanking.of(duty, settings.all().size());
-            orders.put(duty, order);
-            int turn = order.indexOf(number);
+        for (String leaseName : charges.keySet()) {
+            followed.put(leaseName, new LeaseFollower(leaseName, number));
+            List<Integer> ranking =
+                    CandidateRanking.rank(leaseName, settings.dispatchers().size());
+            orders.put(leaseName, ranking);
+            int turn = ranking.indexOf(number);
             if (turn < CANDIDATES) {
-                seats.put(duty, new LeaseCandidate(duty, number, life, voters, settings.terms(), turn, now()));
+                seats.put(
+                        leaseName, new LeaseCandidate(leaseName, number, life, voters, settings.terms(), turn, now()));
             }
         }
         selector = Selector.open();
         channel = DatagramChannel.open();
-        channel.bind(settings.listen());
+        channel.bind(settings.listenAddress());
         channel.configureBlocking(false);
         channel.register(selector, SelectionKey.OP_READ);
     }
@@ -100,7 +102,7 @@
     }
 
     private void run() {
-        long pause = (long) Math.max(1, settings.terms().lease() / TICKS);
+        long pause = (long) Math.max(1, settings.terms().leaseMillis() / TICKS);
         try {
             double tickAt = now();
             charges.values().forEach(c -> c.joins(this));
@@ -115,7 +117,7 @@
                     tickAt = now() + pause;
                     tick();
                 }
-                seats.forEach((duty, seat) -> guarded(() -> look(duty, seat)));
+                seats.forEach((leaseName, candidate) -> guarded(() -> look(leaseName, candidate)));
             }
             handOn();
         } catch (IOException e) {
@@ -139,16 +141,16 @@
     }
 
     @Override
-    public boolean mayAct(String duty) {
-        LeaseCandidate seat = seats.get(duty);
-        return seat != null && seat.mayAct(now());
+    public boolean mayAct(String leaseName) {
+        LeaseCandidate candidate = seats.get(leaseName);
+        return candidate != null && candidate.mayAct(now());
     }
 
     @Override
-    public void outdo(String duty, long fence) {
-        LeaseCandidate seat = seats.get(duty);
-        if (seat != null) {
-            send(seat.outdo(fence, now()));
+    public void outdo(String leaseName, long fence) {
+        LeaseCandidate candidate = seats.get(leaseName);
+        if (candidate != null) {
+            send(candidate.yieldToHigherFence(fence, now()));
         }
     }
 
@@ -157,71 +159,77 @@
         for (SocketAddress from = channel.receive(data); from != null; from = channel.receive(data)) {
             byte[] bytes = new byte[data.flip().remaining()];
             data.get(bytes).clear();
-            long others = envelope.faults(MessageCodec.Fault.OTHER_LIST);
-            LeaseMessage m = envelope.open(bytes);
-            if (others == 0 && envelope.faults(MessageCodec.Fault.OTHER_LIST) > 0) {
+            long others = envelope.discardedCount(MessageCodec.DiscardReason.OTHER_LIST);
+            LeaseMessage message = envelope.decode(bytes);
+            if (others == 0 && envelope.discardedCount(MessageCodec.DiscardReason.OTHER_LIST) > 0) {
                 LOG.warning(
                         "other-list",
                         "a dispatcher with another list of dispatchers or voters is passed over",
                         "from",
                         from);
             }
-            if (m != null && m.from() < settings.all().size()) {
-                hear(m);
+            if (message != null && message.sender() < settings.dispatchers().size()) {
+                hear(message);
             }
         }
     }
 
-    private void hear(LeaseMessage m) {
-        switch (m.kind()) {
-            case ASK, PREPARE, ACCEPT, RELEASE, RECALL, TOLD, BLANK -> {
+    private void hear(LeaseMessage message) {
+        switch (message.kind()) {
+            case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_MEMORY -> {
                 if (voter != null) {
-                    send(voter.hear(m, now()));
+                    send(voter.handle(message, now()));
                 }
             }
-            case NEWS -> news(m);
-            case BEHIND -> {
-                if (mayAct(m.duty()) && holds.containsKey(m.duty())) {
-                    send(List.of(new Post(m.from(), told(followed.get(m.duty()), true))));
+            case ANNOUNCE -> news(message);
+            case REQUEST_STATE -> {
+                if (mayAct(message.leaseName()) && holds.containsKey(message.leaseName())) {
+                    send(List.of(new Outgoing(message.sender(), told(followed.get(message.leaseName()), true))));
                 }
             }
-            case WORD -> {
-                if (mayAct(m.duty())) {
-                    guarded(() -> charges.get(m.duty()).word(m.from(), m.echo(), m.state(), now()));
+            case REPORT -> {
+                if (mayAct(message.leaseName())) {
+                    guarded(() -> charges.get(message.leaseName())
+                            .word(message.sender(), message.requestId(), message.state(), now()));
                 }
             }
             default -> {
-                LeaseCandidate seat = seats.get(m.duty());
-                if (seat != null) {
-                    send(seat.hear(m, now()));
+                LeaseCandidate candidate = seats.get(message.leaseName());
+                if (candidate != null) {
+                    send(candidate.handle(message, now()));
                 }
             }
         }
     }
 
-    private void news(LeaseMessage m) {
-        LeaseFollower f = followed.get(m.duty());
-        if (f != null && !mayAct(m.duty())) {
-            send(f.hear(m));
-            if (f.upToDate(m)) {
-                guarded(() -> charges.get(m.duty())
-                        .news(f.fence(), f.version(), f.state(), (m.echo() & LISTENS) != 0, now()));
+    private void news(LeaseMessage message) {
+        LeaseFollower f = followed.get(message.leaseName());
+        if (f != null && !mayAct(message.leaseName())) {
+            send(f.handle(message));
+            if (f.isUpToDate(message)) {
+                guarded(() -> charges.get(message.leaseName())
+                        .news(f.fence(), f.version(), f.state(), (message.requestId() & LISTENS) != 0, now()));
             }
         }
     }
 
     /** To the holder of each duty, what was seen here. */
     private void tell() {
-        charges.forEach((duty, charge) -> {
-            LeaseFollower f = followed.get(duty);
-            for (byte[] word : charge.tell(f.fence(), now())) {
+        charges.forEach((leaseName, charge) -> {
+            LeaseFollower f = followed.get(leaseName);
+            for (byte[] report : charge.tell(f.fence(), now())) {
                 send(
                         f.holder() < 0
                                 ? List.of()
-                                : List.of(new Post(
+                                : List.of(new Outgoing(
                                         f.holder(),
-                                        LeaseMessage.of(LeaseMessage.Kind.WORD, duty, settings.number(), life, 0)
-                                                .holding(0, 0, word))));
+                                        LeaseMessage.of(
+                                                        LeaseMessage.Kind.REPORT,
+                                                        leaseName,
+                                                        settings.dispatcher(),
+                                                        life,
+                                                        0)
+                                                .withState(0, 0, report))));
             }
         });
     }
@@ -230,68 +238,68 @@
         if (voter != null) {
             send(voter.tick(now()));
         }
-        seats.values().forEach(seat -> send(seat.tick(now())));
+        seats.values().forEach(candidate -> send(candidate.tick(now())));
         if (now() >= tellAt) {
-            tellAt = now() + settings.terms().lease() / TELLS;
+            tellAt = now() + settings.terms().leaseMillis() / TELLS;
             tell();
         }
     }
 
     /** What has become of a duty here, and what its holder does next. */
-    private void look(String duty, LeaseCandidate seat) {
+    private void look(String leaseName, LeaseCandidate candidate) {
         double now = now();
-        boolean may = seat.mayAct(now);
-        long fence = seat.fence();
-        Long held = holds.get(duty);
-        LeaseTask charge = charges.get(duty);
+        boolean may = candidate.mayAct(now);
+        long fence = candidate.fence();
+        Long held = holds.get(leaseName);
+        LeaseTask charge = charges.get(leaseName);
         if (held != null && (!may || held != fence)) {
-            holds.remove(duty);
-            attached.remove(duty);
-            LOG.info("duty-lost", "no longer holds " + duty, "duty", duty, "fence", held);
+            holds.remove(leaseName);
+            attached.remove(leaseName);
+            LOG.info("duty-lost", "no longer holds " + leaseName, "duty", leaseName, "fence", held);
             charge.lost();
         }
-        if (!may || seat.changing()) {
+        if (!may || candidate.isChangePending()) {
             return;
         }
-        LeaseFollower f = followed.get(duty);
-        if (holds.put(duty, fence) == null || f.version() != seat.version()) {
-            f.own(fence, seat.version(), seat.state());
-            attached.put(duty, ATTACHED);
-            beatAt.put(duty, now);
-            charge.news(fence, seat.version(), seat.state(), charge.listens(), now);
+        LeaseFollower f = followed.get(leaseName);
+        if (holds.put(leaseName, fence) == null || f.version() != candidate.version()) {
+            f.recordOwnState(fence, candidate.version(), candidate.state());
+            attached.put(leaseName, ATTACHED);
+            beatAt.put(leaseName, now);
+            charge.news(fence, candidate.version(), candidate.state(), charge.listens(), now);
         }
-        beat(duty, f, now);
-        byte[] next = charge.turn(new LeaseTask.HeldLease(fence, seat.version(), seat.state(), now));
-        if (next != null && next.length > MessageCodec.STATE_MOST) {
+        beat(leaseName, f, now);
+        byte[] next = charge.turn(new LeaseTask.HeldLease(fence, candidate.version(), candidate.state(), now));
+        if (next != null && next.length > MessageCodec.MAX_STATE_BYTES) {
             LOG.warning(
                     "state-too-long",
-                    "the next state of " + duty + " is too long and is left out",
+                    "the next state of " + leaseName + " is too long and is left out",
                     "duty",
-                    duty,
+                    leaseName,
                     "bytes",
                     next.length);
         } else if (next != null) {
-            java.util.ArrayList<Post> out = new java.util.ArrayList<>();
-            seat.change(next, now, out);
+            java.util.ArrayList<Outgoing> out = new java.util.ArrayList<>();
+            candidate.proposeChange(next, now, out);
             send(out);
         }
     }
 
     /** Tells all what is stored: the state a few times, since words get lost, then only its version. */
-    private void beat(String duty, LeaseFollower f, double now) {
-        LeaseTask charge = charges.get(duty);
-        boolean turned = charge.listens() != Boolean.TRUE.equals(listened.put(duty, charge.listens()));
-        if (now < beatAt.get(duty) && !turned) {
+    private void beat(String leaseName, LeaseFollower f, double now) {
+        LeaseTask charge = charges.get(leaseName);
+        boolean turned = charge.listens() != Boolean.TRUE.equals(listened.put(leaseName, charge.listens()));
+        if (now < beatAt.get(leaseName) && !turned) {
             return;
         }
-        int left = attached.getOrDefault(duty, 0);
-        double lease = settings.terms().lease();
-        beatAt.put(duty, now + (left > 1 ? lease / 4 : charge.idle() ? IDLE * lease : lease / 2));
-        attached.put(duty, Math.max(0, left - 1));
-        LeaseMessage m = told(f, left > 0);
-        for (int to = 0; to < settings.all().size(); to++) {
-            if (to != settings.number()) {
-                send(List.of(new Post(to, m)));
+        int left = attached.getOrDefault(leaseName, 0);
+        double lease = settings.terms().leaseMillis();
+        beatAt.put(leaseName, now + (left > 1 ? lease / 4 : charge.idle() ? IDLE_ANNOUNCE_LEASES * lease : lease / 2));
+        attached.put(leaseName, Math.max(0, left - 1));
+        LeaseMessage message = told(f, left > 0);
+        for (int to = 0; to < settings.dispatchers().size(); to++) {
+            if (to != settings.dispatcher()) {
+                send(List.of(new Outgoing(to, message)));
             }
         }
         charge.news(f.fence(), f.version(), f.state(), charge.listens(), now);
@@ -299,24 +307,24 @@
 
     private LeaseMessage told(LeaseFollower f, boolean whole) {
         return LeaseMessage.of(
-                        LeaseMessage.Kind.NEWS,
-                        f.duty(),
-                        settings.number(),
-                        (whole ? LeaseFollower.WHOLE : 0)
-                                | (charges.get(f.duty()).listens() ? LISTENS : 0),
+                        LeaseMessage.Kind.ANNOUNCE,
+                        f.leaseName(),
+                        settings.dispatcher(),
+                        (whole ? LeaseFollower.FLAG_HAS_STATE : 0)
+                                | (charges.get(f.leaseName()).listens() ? LISTENS : 0),
                         f.fence())
-                .holding(f.fence(), f.version(), whole ? f.state() : LeaseMessage.NOTHING);
+                .withState(f.fence(), f.version(), whole ? f.state() : LeaseMessage.EMPTY_STATE);
     }
 
-    private void send(List<Post> posts) {
-        for (Post p : posts) {
-            if (p.to() == settings.number()) {
+    private void send(List<Outgoing> posts) {
+        for (Outgoing p : posts) {
+            if (p.recipient() == settings.dispatcher()) {
                 hear(p.message());
                 continue;
             }
-            InetSocketAddress to = settings.all().get(p.to());
+            InetSocketAddress to = settings.dispatchers().get(p.recipient());
             try {
-                channel.send(ByteBuffer.wrap(envelope.close(p.message())), to);
+                channel.send(ByteBuffer.wrap(envelope.encode(p.message())), to);
             } catch (IOException e) {
                 // As a datagram that is lost: it is asked again.
                 continue;
@@ -326,13 +334,21 @@
 
     /** A planned end: each duty held goes to the next in its order. */
     private void handOn() throws IOException {
-        seats.forEach((duty, seat) -> {
-            List<Integer> order = orders.get(duty);
-            int next = order.get((order.indexOf(settings.number()) + 1) % order.size());
-            if (seat.mayAct(now())) {
-                LOG.info("duty-handed-on", "hands " + duty + " on", "duty", duty, "fence", seat.fence(), "to", next);
+        seats.forEach((leaseName, candidate) -> {
+            List<Integer> ranking = orders.get(leaseName);
+            int next = ranking.get((ranking.indexOf(settings.dispatcher()) + 1) % ranking.size());
+            if (candidate.mayAct(now())) {
+                LOG.info(
+                        "duty-handed-on",
+                        "hands " + leaseName + " on",
+                        "duty",
+                        leaseName,
+                        "fence",
+                        candidate.fence(),
+                        "to",
+                        next);
             }
-            send(seat.retire(next));
+            send(candidate.retire(next));
         });
         channel.close();
         selector.close();
@@ -351,9 +367,15 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (MessageCodec.Fault fault : MessageCodec.Fault.values()) {
-            if (envelope.faults(fault) > 0) {
-                LOG.info("duty-passed-over", "messages passed over", "kind", fault, "count", envelope.faults(fault));
+        for (MessageCodec.DiscardReason fault : MessageCodec.DiscardReason.values()) {
+            if (envelope.discardedCount(fault) > 0) {
+                LOG.info(
+                        "duty-passed-over",
+                        "messages passed over",
+                        "kind",
+                        fault,
+                        "count",
+                        envelope.discardedCount(fault));
             }
         }
     }
--- a/src/main/java/nettlewick/lease/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -19,15 +19,15 @@
  * @param folder where a voter keeps what it promised and accepted; null: in memory alone
  */
 public record LeaseSettings(
-        int number,
-        InetSocketAddress listen,
-        List<InetSocketAddress> all,
+        int dispatcher,
+        InetSocketAddress listenAddress,
+        List<InetSocketAddress> dispatchers,
         List<Integer> voters,
         LeaseTerms terms,
-        byte[] key,
-        List<String> duties,
-        Path folder) {
-    private static final int KEY_LEAST = 32;
+        byte[] sharedKey,
+        List<String> leaseNames,
+        Path voterFolder) {
+    private static final int MIN_KEY_BYTES = 32;
     private static final double PERCENT = 100;
 
     /** @throws nettlewick.settings.BadSettings where the lines do not fit one another */
@@ -48,8 +48,9 @@
         }
         int voters = (int) Math.min(block.whole("voters"), all.size());
         if (duties.stream()
-                .anyMatch(d -> d.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > MessageCodec.NAME_MOST)) {
-            throw block.bad("name", "of " + MessageCodec.NAME_MOST + " bytes at most");
+                .anyMatch(d ->
+                        d.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > MessageCodec.MAX_NAME_BYTES)) {
+            throw block.bad("name", "of " + MessageCodec.MAX_NAME_BYTES + " bytes at most");
         }
         List<Integer> first = IntStream.range(0, voters).boxed().toList();
         return new LeaseSettings(
@@ -64,8 +65,8 @@
     }
 
     /** Stands for the list of dispatchers and how many of them vote: words under another one never count. */
-    int list() {
-        List<String> addresses = all.stream()
+    int membershipHash() {
+        List<String> addresses = dispatchers.stream()
                 .map(a -> a.getAddress().getHostAddress() + ":" + a.getPort())
                 .toList();
         return addresses.hashCode() * 31 + voters.size();
@@ -74,8 +75,8 @@
     private static byte[] key(Block block) {
         try {
             byte[] key = Files.readAllBytes(block.<Path>get("key"));
-            if (key.length < KEY_LEAST) {
-                throw block.bad("key", "a file of " + KEY_LEAST + " bytes at least");
+            if (key.length < MIN_KEY_BYTES) {
+                throw block.bad("key", "a file of " + MIN_KEY_BYTES + " bytes at least");
             }
             return key;
         } catch (IOException e) {
--- a/src/main/java/nettlewick/lease/LeaseTask.java
+++ b/src/main/java/nettlewick/lease/LeaseTask.java
@@ -22,33 +22,33 @@
         void run(Runnable task);
 
         /** Whether the duty is held at this moment; on the duties' thread, right before an act. */
-        boolean mayAct(String duty);
+        boolean mayAct(String leaseName);
 
         /** Whoever is acted on has seen this fence, above the own: the duty is taken again above it. */
-        void outdo(String duty, long fence);
+        void outdo(String leaseName, long fence);
     }
 
     /** Tells operators that a duty is held, once its term is stored. */
-    static void held(String duty, HeldLease hold, long term) {
+    static void held(String leaseName, HeldLease lease, long term) {
         ComponentLogger.of("duty")
                 .info(
                         "duty-held",
-                        "holds " + duty + ", term " + term,
+                        "holds " + leaseName + ", term " + term,
                         "duty",
-                        duty,
+                        leaseName,
                         "fence",
-                        hold.fence(),
+                        lease.fence(),
                         "term",
                         term,
                         "version",
-                        hold.version());
+                        lease.version());
     }
 
     /** At the start. */
     default void joins(Desk desk) {}
 
     /** While the duty is held and no change on its way, many times a lease: the next state, or null. */
-    byte[] turn(HeldLease hold);
+    byte[] turn(HeldLease lease);
 
     /** It is held no more. */
     default void lost() {}
@@ -71,7 +71,7 @@
     }
 
     /** At the holder: what a dispatcher has seen, since that life of it began. */
-    default void word(int from, long life, byte[] word, double now) {}
+    default void word(int from, long incarnation, byte[] report, double now) {}
 
     /** What the holder under that fence should know of what was seen here, a datagram each. */
     default List<byte[]> tell(long fence, double now) {
--- a/src/main/java/nettlewick/lease/LeaseTerms.java
+++ b/src/main/java/nettlewick/lease/LeaseTerms.java
@@ -6,13 +6,13 @@
  * @param lease milliseconds that a grant lasts
  * @param drift by which part two clocks' rates may differ at most
  */
-record LeaseTerms(double lease, double drift) {
-    int majority(int voters) {
+record LeaseTerms(double leaseMillis, double maxClockDrift) {
+    int majorityOf(int voters) {
         return voters / 2 + 1;
     }
 
     /** For how long a holder may count on a grant, from before it asked. */
-    double counted() {
-        return lease * (1 - drift);
+    double holderLeaseMillis() {
+        return leaseMillis * (1 - maxClockDrift);
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseVoter.java
+++ b/src/main/java/nettlewick/lease/LeaseVoter.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import nettlewick.lease.LeaseMessage.Kind;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
  * A voter's memory of all duties, and what it answers (docs/duties.md). It counts its grants by its own
@@ -16,34 +16,35 @@
  */
 final class LeaseVoter {
     /** What it knows of one duty. */
-    static final class Register {
-        long promised;
-        long held;
+    static final class LeaseRecord {
+        long promisedBallot;
+        long acceptedBallot;
         long version;
-        byte[] state = LeaseMessage.NOTHING;
+        byte[] state = LeaseMessage.EMPTY_STATE;
         /** The ballot that is granted, and until when. */
-        long granted;
+        long grantedBallot;
 
-        double until = Double.NEGATIVE_INFINITY;
+        double grantedUntil = Double.NEGATIVE_INFINITY;
 
-        Register copy() {
-            Register r = new Register();
-            r.promised = promised;
-            r.held = held;
+        LeaseRecord copy() {
+            LeaseRecord r = new LeaseRecord();
+            r.promisedBallot = promisedBallot;
+            r.acceptedBallot = acceptedBallot;
             r.version = version;
             r.state = state;
-            r.granted = granted;
-            r.until = until;
+            r.grantedBallot = grantedBallot;
+            r.grantedUntil = grantedUntil;
             return r;
         }
 
         /** Takes over what another voter promised and accepted, where that is newer. */
-        void learn(LeaseMessage m) {
-            promised = Math.max(promised, m.seen());
-            if (m.held() > held || m.held() == held && m.version() > version) {
-                held = m.held();
-                version = m.version();
-                state = m.state();
+        void mergeNewer(LeaseMessage message) {
+            promisedBallot = Math.max(promisedBallot, message.highestBallot());
+            if (message.acceptedBallot() > acceptedBallot
+                    || message.acceptedBallot() == acceptedBallot && message.version() > version) {
+                acceptedBallot = message.acceptedBallot();
+                version = message.version();
+                state = message.state();
             }
         }
     }
@@ -54,7 +55,7 @@
     private final int number;
     private final List<Integer> voters;
     private final LeaseTerms terms;
-    final Map<String, Register> registers = new TreeMap<>();
+    final Map<String, LeaseRecord> records = new TreeMap<>();
     /** Without memory: until when it abstains, and who has told it what. Empty once it votes. */
     private double abstainsUntil;
 
@@ -74,37 +75,37 @@
     /** Whether all that it promised and accepted is known from before. */
     private boolean remembers;
     /** What has changed since it was last saved. */
-    private final Map<String, Register> changed = new TreeMap<>();
+    private final Map<String, LeaseRecord> changed = new TreeMap<>();
 
     private double askedAt = Double.NEGATIVE_INFINITY;
 
     /** One that starts at {@code now} without any memory. */
-    LeaseVoter(int number, List<Integer> voters, LeaseTerms terms, double now, long life) {
-        this.life = life;
+    LeaseVoter(int number, List<Integer> voters, LeaseTerms terms, double now, long incarnation) {
+        this.life = incarnation;
         this.number = number;
         this.voters = voters;
         this.terms = terms;
-        abstainsUntil = now + terms.lease() * (1 + terms.drift());
+        abstainsUntil = now + terms.leaseMillis() * (1 + terms.maxClockDrift());
     }
 
     /**
      * With all that it knew in its last life; whom it granted what is not known, so it abstains for a
      * lease.
      */
-    LeaseVoter remembering(Map<String, Register> known) {
-        registers.putAll(known);
+    LeaseVoter restore(Map<String, LeaseRecord> known) {
+        records.putAll(known);
         remembers = true;
         return this;
     }
 
     /** What has to be saved before its next words leave. */
-    Map<String, Register> changed() {
+    Map<String, LeaseRecord> unsavedRecords() {
         return changed;
     }
 
     LeaseVoter copy() {
         LeaseVoter v = new LeaseVoter(number, voters, terms, 0, life);
-        registers.forEach((duty, r) -> v.registers.put(duty, r.copy()));
+        records.forEach((leaseName, r) -> v.records.put(leaseName, r.copy()));
         v.abstainsUntil = abstainsUntil;
         told.forEach((from, duties) -> v.told.put(from, new HashSet<>(duties)));
         v.remembered.addAll(remembered);
@@ -119,28 +120,28 @@
     }
 
     /** Whether it votes; one without memory does not until it has recovered. */
-    boolean votes() {
+    boolean isVoting() {
         return votes;
     }
 
     /** At a new tier's first start, or in a test: it votes from the first moment on. */
-    LeaseVoter trusted() {
+    LeaseVoter startVoting() {
         votes = true;
         return this;
     }
 
     /** Asks the others while it has no memory; to be called a few times a lease. */
-    List<Post> tick(double now) {
+    List<Outgoing> tick(double now) {
         if (votes) {
             return List.of();
         }
         settle(now);
-        List<Post> out = new ArrayList<>();
-        if (!votes && now - askedAt >= terms.lease() / 6) {
+        List<Outgoing> out = new ArrayList<>();
+        if (!votes && now - askedAt >= terms.leaseMillis() / 6) {
             askedAt = now;
             for (int other : voters) {
                 if (other != number) {
-                    out.add(new Post(other, LeaseMessage.of(Kind.RECALL, "", number, 0, life)));
+                    out.add(new Outgoing(other, LeaseMessage.of(Kind.RECOVER, "", number, 0, life)));
                 }
             }
         }
@@ -153,11 +154,11 @@
      * every majority has one among them; where none of them remembers anything, all is new.
      */
     private void settle(double now) {
-        int enough = voters.size() - terms.majority(voters.size()) + 1;
+        int enough = voters.size() - terms.majorityOf(voters.size()) + 1;
         boolean allBlank = remembered.isEmpty() && blank.size() >= voters.size() - 1;
         // The others have to see this one blank too: it stays so for another lease.
         newSince = !allBlank ? Double.NaN : Double.isNaN(newSince) ? now : newSince;
-        boolean anew = now - newSince >= terms.lease();
+        boolean anew = now - newSince >= terms.leaseMillis();
         if (now >= abstainsUntil && (remembers || remembered.size() >= enough || anew || founder)) {
             votes = true;
             // Danger: the first to vote remembers from then on, and the others would wait for more like it
@@ -167,96 +168,99 @@
         }
     }
 
-    List<Post> hear(LeaseMessage m, double now) {
-        switch (m.kind()) {
-            case RECALL -> {
-                return recall(m);
+    List<Outgoing> handle(LeaseMessage message, double now) {
+        switch (message.kind()) {
+            case RECOVER -> {
+                return recall(message);
             }
-            case TOLD, BLANK -> {
-                if (!votes && m.ballot() == life) {
-                    take(m);
+            case RECOVERED_RECORD, NO_MEMORY -> {
+                if (!votes && message.ballot() == life) {
+                    take(message);
                     settle(now);
                 }
                 return List.of();
             }
             default -> {
-                return votes ? vote(m, now) : List.of();
+                return votes ? vote(message, now) : List.of();
             }
         }
     }
 
     /** Danger: words of which some were lost are not all that a voter knows; the last tells how many. */
-    private void take(LeaseMessage m) {
-        Set<String> duties = told.computeIfAbsent(m.from(), f -> new HashSet<>());
-        if (m.kind() == Kind.BLANK) {
-            blank.put(m.from(), m.seen());
-        } else if (!m.duty().isEmpty()) {
-            Register r = registers.computeIfAbsent(m.duty(), d -> new Register());
-            r.learn(m);
-            changed.put(m.duty(), r);
-            duties.add(m.duty());
-        } else if (duties.size() >= m.version()) {
-            remembered.add(m.from());
-            blank.remove(m.from());
-            founder |= m.held() == FOUNDER;
+    private void take(LeaseMessage message) {
+        Set<String> duties = told.computeIfAbsent(message.sender(), f -> new HashSet<>());
+        if (message.kind() == Kind.NO_MEMORY) {
+            blank.put(message.sender(), message.highestBallot());
+        } else if (!message.leaseName().isEmpty()) {
+            LeaseRecord r = records.computeIfAbsent(message.leaseName(), d -> new LeaseRecord());
+            r.mergeNewer(message);
+            changed.put(message.leaseName(), r);
+            duties.add(message.leaseName());
+        } else if (duties.size() >= message.version()) {
+            remembered.add(message.sender());
+            blank.remove(message.sender());
+            founder |= message.acceptedBallot() == FOUNDER;
         }
     }
 
     /** All that it knows, a message for each duty; the last one, of no duty, says how many they were. */
-    private List<Post> recall(LeaseMessage m) {
+    private List<Outgoing> recall(LeaseMessage message) {
         if (!votes && !remembers) {
-            return List.of(new Post(
-                    m.from(),
-                    LeaseMessage.of(Kind.BLANK, "", number, 0, m.ballot()).telling(life, 0)));
+            return List.of(new Outgoing(
+                    message.sender(),
+                    LeaseMessage.of(Kind.NO_MEMORY, "", number, 0, message.ballot())
+                            .withHighestBallot(life, 0)));
         }
-        List<Post> out = new ArrayList<>();
-        registers.forEach((duty, r) -> out.add(new Post(
-                m.from(),
-                LeaseMessage.of(Kind.TOLD, duty, number, 0, m.ballot())
-                        .telling(Math.max(r.promised, r.held), 0)
-                        .holding(r.held, r.version, r.state))));
-        boolean seen = founded && blank.getOrDefault(m.from(), -1L) == m.ballot();
-        out.add(new Post(
-                m.from(),
-                LeaseMessage.of(Kind.TOLD, "", number, 0, m.ballot())
-                        .holding(seen ? FOUNDER : 0, registers.size(), LeaseMessage.NOTHING)));
+        List<Outgoing> out = new ArrayList<>();
+        records.forEach((leaseName, r) -> out.add(new Outgoing(
+                message.sender(),
+                LeaseMessage.of(Kind.RECOVERED_RECORD, leaseName, number, 0, message.ballot())
+                        .withHighestBallot(Math.max(r.promisedBallot, r.acceptedBallot), 0)
+                        .withState(r.acceptedBallot, r.version, r.state))));
+        boolean seen = founded && blank.getOrDefault(message.sender(), -1L) == message.ballot();
+        out.add(new Outgoing(
+                message.sender(),
+                LeaseMessage.of(Kind.RECOVERED_RECORD, "", number, 0, message.ballot())
+                        .withState(seen ? FOUNDER : 0, records.size(), LeaseMessage.EMPTY_STATE)));
         return out;
     }
 
-    private List<Post> vote(LeaseMessage m, double now) {
-        Register r = registers.computeIfAbsent(m.duty(), d -> new Register());
-        boolean others = now < r.until && LeaseMessage.holder(r.granted) != LeaseMessage.holder(m.ballot());
+    private List<Outgoing> vote(LeaseMessage message, double now) {
+        LeaseRecord r = records.computeIfAbsent(message.leaseName(), d -> new LeaseRecord());
+        boolean others = now < r.grantedUntil
+                && LeaseMessage.proposer(r.grantedBallot) != LeaseMessage.proposer(message.ballot());
         Kind answer = Kind.REFUSED;
-        switch (m.kind()) {
-            case ASK -> answer = others ? Kind.REFUSED : Kind.FREE;
+        switch (message.kind()) {
+            case QUERY -> answer = others ? Kind.REFUSED : Kind.AVAILABLE;
             case PREPARE -> {
                 // The same ballot is one candidate's alone: it asks again where the answer was lost.
-                if (!others && m.ballot() >= r.promised) {
-                    if (m.ballot() > r.promised) {
-                        r.promised = m.ballot();
-                        changed.put(m.duty(), r);
+                if (!others && message.ballot() >= r.promisedBallot) {
+                    if (message.ballot() > r.promisedBallot) {
+                        r.promisedBallot = message.ballot();
+                        changed.put(message.leaseName(), r);
                     }
                     answer = Kind.PROMISED;
                 }
             }
             case ACCEPT -> {
-                boolean newer = m.ballot() > r.held || m.ballot() == r.held && m.version() >= r.version;
-                if (!others && m.ballot() >= r.promised && newer) {
-                    if (m.ballot() != r.held || m.version() != r.version) {
-                        changed.put(m.duty(), r);
+                boolean newer = message.ballot() > r.acceptedBallot
+                        || message.ballot() == r.acceptedBallot && message.version() >= r.version;
+                if (!others && message.ballot() >= r.promisedBallot && newer) {
+                    if (message.ballot() != r.acceptedBallot || message.version() != r.version) {
+                        changed.put(message.leaseName(), r);
                     }
-                    r.promised = m.ballot();
-                    r.held = m.ballot();
-                    r.version = m.version();
-                    r.state = m.state();
-                    r.granted = m.ballot();
-                    r.until = now + terms.lease();
+                    r.promisedBallot = message.ballot();
+                    r.acceptedBallot = message.ballot();
+                    r.version = message.version();
+                    r.state = message.state();
+                    r.grantedBallot = message.ballot();
+                    r.grantedUntil = now + terms.leaseMillis();
                     answer = Kind.ACCEPTED;
                 }
             }
             case RELEASE -> {
-                if (r.granted == m.ballot()) {
-                    r.until = Double.NEGATIVE_INFINITY;
+                if (r.grantedBallot == message.ballot()) {
+                    r.grantedUntil = Double.NEGATIVE_INFINITY;
                 }
                 return List.of();
             }
@@ -264,14 +268,14 @@
                 return List.of();
             }
         }
-        LeaseMessage reply = LeaseMessage.of(answer, m.duty(), number, m.echo(), m.ballot())
-                .telling(Math.max(r.promised, r.held), others ? r.until - now : 0);
-        return List.of(new Post(
-                m.from(),
+        LeaseMessage reply = LeaseMessage.of(answer, message.leaseName(), number, message.requestId(), message.ballot())
+                .withHighestBallot(Math.max(r.promisedBallot, r.acceptedBallot), others ? r.grantedUntil - now : 0);
+        return List.of(new Outgoing(
+                message.sender(),
                 answer == Kind.PROMISED
-                        ? reply.holding(r.held, r.version, r.state)
+                        ? reply.withState(r.acceptedBallot, r.version, r.state)
                         : answer == Kind.ACCEPTED
-                                ? reply.holding(m.ballot(), m.version(), LeaseMessage.NOTHING)
+                                ? reply.withState(message.ballot(), message.version(), LeaseMessage.EMPTY_STATE)
                                 : reply));
     }
 }
--- a/src/main/java/nettlewick/lease/MessageCodec.java
+++ b/src/main/java/nettlewick/lease/MessageCodec.java
@@ -18,101 +18,103 @@
  */
 final class MessageCodec {
     /** The state of a duty holds so many bytes at most, its name so many. */
-    static final int STATE_MOST = 4096;
+    static final int MAX_STATE_BYTES = 4096;
 
-    static final int NAME_MOST = 64;
+    static final int MAX_NAME_BYTES = 64;
     private static final int MAGIC = 0x4E57_4401;
-    private static final int SUM = 16;
-    private static final int HEAD = 4 + 4 + 4 + 8 + 2 + 1;
-    private static final int BODY = 8 * 6 + 1 + 2;
+    private static final int HMAC_BYTES = 16;
+    private static final int HEADER_BYTES = 4 + 4 + 4 + 8 + 2 + 1;
+    private static final int FIXED_BODY_BYTES = 8 * 6 + 1 + 2;
     /** Messages of one sender that overtake one another by fewer are heard in any order, each once. */
     private static final int WINDOW = 64;
 
     /** What was passed over. */
-    enum Fault {
+    enum DiscardReason {
         DAMAGED,
         OTHER_LIST,
         REPEATED
     }
 
-    private static final class Heard {
+    private static final class SenderWindow {
         long number;
         long before;
     }
 
     private final SecretKeySpec key;
-    private final int list;
-    private final int number;
-    private final int life;
+    private final int membershipHash;
+    private final int dispatcher;
+    private final int incarnation;
     private long sent;
-    private final Map<Long, Heard> heard = new HashMap<>();
-    private final long[] faults = new long[Fault.values().length];
+    private final Map<Long, SenderWindow> heard = new HashMap<>();
+    private final long[] faults = new long[DiscardReason.values().length];
 
     /**
      * @param list stands for who votes
      * @param life a number of this process's own, drawn at random
      */
-    MessageCodec(byte[] key, int list, int number, int life) {
+    MessageCodec(byte[] key, int list, int number, int incarnation) {
         this.key = new SecretKeySpec(key, "HmacSHA256");
-        this.number = number;
-        this.life = life;
-        this.list = list;
+        this.dispatcher = number;
+        this.incarnation = incarnation;
+        this.membershipHash = list;
     }
 
-    long faults(Fault fault) {
+    long discardedCount(DiscardReason fault) {
         return faults[fault.ordinal()];
     }
 
     /** @throws IllegalArgumentException for a name or a state that is too long */
-    byte[] close(LeaseMessage m) {
-        byte[] name = m.duty().getBytes(StandardCharsets.UTF_8);
-        if (name.length > NAME_MOST || m.state().length > STATE_MOST) {
+    byte[] encode(LeaseMessage message) {
+        byte[] name = message.leaseName().getBytes(StandardCharsets.UTF_8);
+        if (name.length > MAX_NAME_BYTES || message.state().length > MAX_STATE_BYTES) {
             throw new IllegalArgumentException(
-                    "a duty's name of " + name.length + " bytes with a state of " + m.state().length);
+                    "a duty's name of " + name.length + " bytes with a state of " + message.state().length);
         }
-        ByteBuffer b = ByteBuffer.allocate(HEAD + BODY + name.length + m.state().length + SUM);
+        ByteBuffer b = ByteBuffer.allocate(
+                HEADER_BYTES + FIXED_BODY_BYTES + name.length + message.state().length + HMAC_BYTES);
         b.putInt(MAGIC)
-                .putInt(list)
-                .putInt(life)
+                .putInt(membershipHash)
+                .putInt(incarnation)
                 .putLong(++sent)
-                .putShort((short) number)
-                .put((byte) m.kind().ordinal());
-        b.putLong(m.echo())
-                .putLong(m.ballot())
-                .putLong(m.seen())
-                .putDouble(m.left())
-                .putLong(m.held())
-                .putLong(m.version())
+                .putShort((short) dispatcher)
+                .put((byte) message.kind().ordinal());
+        b.putLong(message.requestId())
+                .putLong(message.ballot())
+                .putLong(message.highestBallot())
+                .putDouble(message.remainingMillis())
+                .putLong(message.acceptedBallot())
+                .putLong(message.version())
                 .put((byte) name.length)
                 .put(name)
-                .putShort((short) m.state().length)
-                .put(m.state());
-        b.put(sum(b.array(), b.position()));
+                .putShort((short) message.state().length)
+                .put(message.state());
+        b.put(authenticate(b.array(), b.position()));
         return b.array();
     }
 
     /** The message in these bytes; null where it is passed over. */
-    LeaseMessage open(byte[] data) {
-        int end = data.length - SUM;
-        if (end < HEAD + BODY || !MessageDigest.isEqual(sum(data, end), Arrays.copyOfRange(data, end, data.length))) {
-            return fault(Fault.DAMAGED);
+    LeaseMessage decode(byte[] data) {
+        int end = data.length - HMAC_BYTES;
+        if (end < HEADER_BYTES + FIXED_BODY_BYTES
+                || !MessageDigest.isEqual(authenticate(data, end), Arrays.copyOfRange(data, end, data.length))) {
+            return discard(DiscardReason.DAMAGED);
         }
         ByteBuffer b = ByteBuffer.wrap(data, 0, end);
         if (b.getInt() != MAGIC) {
-            return fault(Fault.DAMAGED);
+            return discard(DiscardReason.DAMAGED);
         }
-        if (b.getInt() != list) {
-            return fault(Fault.OTHER_LIST);
+        if (b.getInt() != membershipHash) {
+            return discard(DiscardReason.OTHER_LIST);
         }
         int sender = b.getInt();
         long sending = b.getLong();
         int from = b.getShort() & 0xFFFF;
         int kind = b.get();
         if (kind < 0 || kind >= Kind.values().length) {
-            return fault(Fault.DAMAGED);
+            return discard(DiscardReason.DAMAGED);
         }
         if (!first((long) from << Integer.SIZE | sender & 0xFFFFFFFFL, sending)) {
-            return fault(Fault.REPEATED);
+            return discard(DiscardReason.REPEATED);
         }
         try {
             long echo = b.getLong();
@@ -137,18 +139,18 @@
                     version,
                     state);
         } catch (RuntimeException e) {
-            return fault(Fault.DAMAGED);
+            return discard(DiscardReason.DAMAGED);
         }
     }
 
-    private LeaseMessage fault(Fault fault) {
+    private LeaseMessage discard(DiscardReason fault) {
         faults[fault.ordinal()]++;
         return null;
     }
 
     /** Whether this number of that life has not been heard: those far behind the latest count as heard. */
     private boolean first(long whose, long sending) {
-        Heard h = heard.computeIfAbsent(whose, w -> new Heard());
+        SenderWindow h = heard.computeIfAbsent(whose, w -> new SenderWindow());
         if (sending > h.number) {
             long ahead = sending - h.number;
             h.before = ahead >= WINDOW ? 0 : h.before << ahead | 1L << ahead - 1;
@@ -163,12 +165,12 @@
         return true;
     }
 
-    private byte[] sum(byte[] data, int length) {
+    private byte[] authenticate(byte[] data, int length) {
         try {
             Mac mac = Mac.getInstance(key.getAlgorithm());
             mac.init(key);
             mac.update(data, 0, length);
-            return Arrays.copyOf(mac.doFinal(), SUM);
+            return Arrays.copyOf(mac.doFinal(), HMAC_BYTES);
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/nettlewick/lease/PersistentVoter.java
+++ b/src/main/java/nettlewick/lease/PersistentVoter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 import nettlewick.log.ComponentLogger;
 import nettlewick.sqlite.StoreException;
 
@@ -20,21 +20,21 @@
     private boolean begun;
 
     /** @throws IOException where the folder cannot be had */
-    PersistentVoter(LeaseSettings settings, double now, int life) throws IOException {
+    PersistentVoter(LeaseSettings settings, double now, int incarnation) throws IOException {
         this.settings = settings;
-        voter = new LeaseVoter(settings.number(), settings.voters(), settings.terms(), now, life);
-        store = settings.folder() == null ? null : remember();
+        voter = new LeaseVoter(settings.dispatcher(), settings.voters(), settings.terms(), now, incarnation);
+        store = settings.voterFolder() == null ? null : remember();
     }
 
     private VoterStore remember() throws IOException {
         try {
-            VoterStore opened = VoterStore.openOrAnew(settings.folder());
-            Map<String, LeaseVoter.Register> known = opened.load(settings.list(), settings.number());
+            VoterStore opened = VoterStore.openOrRecreate(settings.voterFolder());
+            Map<String, LeaseVoter.LeaseRecord> known = opened.load(settings.membershipHash(), settings.dispatcher());
             if (known != null) {
-                voter.remembering(known);
+                voter.restore(known);
                 begun = true;
             } else {
-                opened.forget();
+                opened.clear();
             }
             LOG.info(
                     "voter-remembers",
@@ -48,21 +48,21 @@
     }
 
     /** Its answers to a message, once what they promise is kept. */
-    List<Post> hear(LeaseMessage m, double now) {
-        return saying(() -> voter.hear(m, now));
+    List<Outgoing> handle(LeaseMessage message, double now) {
+        return saying(() -> voter.handle(message, now));
     }
 
     /** What it asks of its own accord. */
-    List<Post> tick(double now) {
+    List<Outgoing> tick(double now) {
         return saying(() -> voter.tick(now));
     }
 
-    private List<Post> saying(Supplier<List<Post>> words) {
-        boolean before = voter.votes();
-        List<Post> out = words.get();
+    private List<Outgoing> saying(Supplier<List<Outgoing>> reports) {
+        boolean before = voter.isVoting();
+        List<Outgoing> out = reports.get();
         boolean saved = saved();
-        if (!before && voter.votes()) {
-            LOG.info("votes", "votes on duties from now on", "dispatcher", settings.number());
+        if (!before && voter.isVoting()) {
+            LOG.info("votes", "votes on duties from now on", "dispatcher", settings.dispatcher());
         }
         return saved ? out : List.of();
     }
@@ -70,16 +70,16 @@
     /** Danger: a promise that a power loss takes back is none. What cannot be saved is not said. */
     private boolean saved() {
         if (store == null) {
-            voter.changed().clear();
+            voter.unsavedRecords().clear();
             return true;
         }
         try {
-            if (!voter.changed().isEmpty()) {
-                store.save(voter.changed());
-                voter.changed().clear();
+            if (!voter.unsavedRecords().isEmpty()) {
+                store.save(voter.unsavedRecords());
+                voter.unsavedRecords().clear();
             }
-            if (voter.votes() && !begun) {
-                store.begin(settings.list(), settings.number());
+            if (voter.isVoting() && !begun) {
+                store.markVoting(settings.membershipHash(), settings.dispatcher());
                 begun = true;
             }
             return true;
--- a/src/main/java/nettlewick/lease/TermCounter.java
+++ b/src/main/java/nettlewick/lease/TermCounter.java
@@ -4,26 +4,26 @@
 
 /** A duty that nothing is done with: its state is how many times it has been held. */
 final class TermCounter implements LeaseTask {
-    private final String duty;
-    private long counted = -1;
-    private long told = -1;
+    private final String leaseName;
+    private long countedFence = -1;
+    private long announcedFence = -1;
 
-    TermCounter(String duty) {
-        this.duty = duty;
+    TermCounter(String leaseName) {
+        this.leaseName = leaseName;
     }
 
     @Override
-    public byte[] turn(HeldLease hold) {
-        long term = hold.state().length == Long.BYTES
-                ? ByteBuffer.wrap(hold.state()).getLong()
+    public byte[] turn(HeldLease lease) {
+        long term = lease.state().length == Long.BYTES
+                ? ByteBuffer.wrap(lease.state()).getLong()
                 : 0;
-        if (counted != hold.fence()) {
-            counted = hold.fence();
+        if (countedFence != lease.fence()) {
+            countedFence = lease.fence();
             return ByteBuffer.allocate(Long.BYTES).putLong(term + 1).array();
         }
-        if (told != hold.fence()) {
-            told = hold.fence();
-            LeaseTask.held(duty, hold, term);
+        if (announcedFence != lease.fence()) {
+            announcedFence = lease.fence();
+            LeaseTask.held(leaseName, lease, term);
         }
         return null;
     }
--- a/src/main/java/nettlewick/lease/VoterStore.java
+++ b/src/main/java/nettlewick/lease/VoterStore.java
@@ -43,7 +43,7 @@
     }
 
     /** Opens the store; a damaged file is put aside, as if its memory were lost. */
-    static VoterStore openOrAnew(Path folder) throws StoreException {
+    static VoterStore openOrRecreate(Path folder) throws StoreException {
         try {
             VoterStore store = open(folder);
             store.load(0, -1);
@@ -66,14 +66,14 @@
     /**
      * What this voter knew; null where the folder is of none that has voted in this list under this number.
      */
-    Map<String, LeaseVoter.Register> load(int list, int number) throws StoreException {
+    Map<String, LeaseVoter.LeaseRecord> load(int list, int number) throws StoreException {
         return database.look(() -> {
             String whose = database.value("SELECT list || ' ' || number FROM whose");
-            Map<String, LeaseVoter.Register> registers = new TreeMap<>();
+            Map<String, LeaseVoter.LeaseRecord> registers = new TreeMap<>();
             try (PreparedStatement s = database.prepare("SELECT duty, promised, held, version, state FROM register");
                     ResultSet rows = s.executeQuery()) {
                 while (rows.next()) {
-                    registers.put(rows.getString(1), row(rows));
+                    registers.put(rows.getString(1), readRecord(rows));
                 }
             }
             return (list + " " + number).equals(whose) ? registers : null;
@@ -81,7 +81,7 @@
     }
 
     /** A voter without memory begins: nothing here is its. */
-    void forget() throws StoreException {
+    void clear() throws StoreException {
         database.change(
                 "emptied", () -> {}, () -> database.run("DELETE FROM whose") + database.run("DELETE FROM register"));
     }
@@ -90,7 +90,7 @@
      * From now on this voter votes. Danger: one that is started again before it has recovered would take an
      * empty folder for all that it ever promised.
      */
-    void begin(int list, int number) throws StoreException {
+    void markVoting(int list, int number) throws StoreException {
         database.change(
                 "written",
                 () -> {},
@@ -98,25 +98,25 @@
                         + database.run("INSERT INTO whose VALUES (?, ?)", list, number));
     }
 
-    private static LeaseVoter.Register row(ResultSet rows) throws SQLException {
-        LeaseVoter.Register r = new LeaseVoter.Register();
-        r.promised = rows.getLong(2);
-        r.held = rows.getLong(3);
+    private static LeaseVoter.LeaseRecord readRecord(ResultSet rows) throws SQLException {
+        LeaseVoter.LeaseRecord r = new LeaseVoter.LeaseRecord();
+        r.promisedBallot = rows.getLong(2);
+        r.acceptedBallot = rows.getLong(3);
         r.version = rows.getLong(4);
         r.state = rows.getBytes(5);
         return r;
     }
 
     /** Durable when it returns. */
-    void save(Map<String, LeaseVoter.Register> changed) throws StoreException {
+    void save(Map<String, LeaseVoter.LeaseRecord> changed) throws StoreException {
         database.change("written", () -> {}, () -> {
-            for (Map.Entry<String, LeaseVoter.Register> e : changed.entrySet()) {
-                LeaseVoter.Register r = e.getValue();
+            for (Map.Entry<String, LeaseVoter.LeaseRecord> e : changed.entrySet()) {
+                LeaseVoter.LeaseRecord r = e.getValue();
                 database.run(
                         "INSERT OR REPLACE INTO register VALUES (?, ?, ?, ?, ?)",
                         e.getKey(),
-                        r.promised,
-                        r.held,
+                        r.promisedBallot,
+                        r.acceptedBallot,
                         r.version,
                         r.state);
             }
--- a/src/test/java/nettlewick/lease/HostileDispatcher.java
+++ b/src/test/java/nettlewick/lease/HostileDispatcher.java
@@ -14,45 +14,47 @@
 
 /** One of the tier that has the key and lies: its words go to all, some of them twice, some of them garbled. */
 public final class HostileDispatcher implements AutoCloseable {
-    private static final long EACH_MILLIS = 50;
-    private static final double GARBLED = 0.2;
+    private static final long INTERVAL_MILLIS = 50;
+    private static final double GARBLED_SHARE = 0.2;
 
     private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    private final MessageCodec envelope;
+    private final MessageCodec codec;
     private final LeaseSettings settings;
-    private final String duty;
-    private final List<InetSocketAddress> to;
-    private final Supplier<byte[]> words;
+    private final String leaseName;
+    private final List<InetSocketAddress> recipients;
+    private final Supplier<byte[]> reports;
     private final SplittableRandom random = new SplittableRandom(3);
-    private final Thread thread = new Thread(this::lie, "hostile");
+    private final Thread thread = new Thread(this::sendReports, "hostile");
 
     /** @param settings of the dispatcher that it is, as its file has them */
-    public HostileDispatcher(Path settings, String duty, List<InetSocketAddress> to, Supplier<byte[]> words)
+    public HostileDispatcher(Path settings, String leaseName, List<InetSocketAddress> to, Supplier<byte[]> reports)
             throws IOException {
         this.settings = LeaseSettings.of(Settings.read(settings).block("duty").orElseThrow());
-        this.duty = duty;
-        this.to = to;
-        this.words = words;
-        envelope = new MessageCodec(this.settings.key(), this.settings.list(), this.settings.number(), 77);
+        this.leaseName = leaseName;
+        this.recipients = to;
+        this.reports = reports;
+        codec = new MessageCodec(
+                this.settings.sharedKey(), this.settings.membershipHash(), this.settings.dispatcher(), 77);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void lie() {
+    private void sendReports() {
         try {
             while (!socket.isClosed()) {
-                byte[] word = words.get();
-                if (random.nextDouble() < GARBLED) {
-                    word[random.nextInt(word.length)]++;
+                byte[] report = reports.get();
+                if (random.nextDouble() < GARBLED_SHARE) {
+                    report[random.nextInt(report.length)]++;
                 }
-                byte[] data = envelope.close(LeaseMessage.of(LeaseMessage.Kind.WORD, duty, settings.number(), 77, 0)
-                        .holding(0, 0, word));
-                for (InetSocketAddress one : to) {
+                byte[] data =
+                        codec.encode(LeaseMessage.of(LeaseMessage.Kind.REPORT, leaseName, settings.dispatcher(), 77, 0)
+                                .withState(0, 0, report));
+                for (InetSocketAddress one : recipients) {
                     for (int times = 0; times < 2; times++) {
                         socket.send(new DatagramPacket(data, data.length, one));
                     }
                 }
-                TimeUnit.MILLISECONDS.sleep(EACH_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
             }
         } catch (IOException | InterruptedException e) {
             // its end
--- a/src/test/java/nettlewick/lease/LeaseMessageGoldenTest.java
+++ b/src/test/java/nettlewick/lease/LeaseMessageGoldenTest.java
@@ -24,7 +24,7 @@
                 12.625,
                 LeaseMessage.ballot(4, 76, 1),
                 19,
-                kind.ordinal() % 2 == 0 ? STATE : LeaseMessage.NOTHING);
+                kind.ordinal() % 2 == 0 ? STATE : LeaseMessage.EMPTY_STATE);
     }
 
     @Test
@@ -33,9 +33,9 @@
         MessageCodec receiver = new MessageCodec(KEY, 0x1234_5678, 1, 99);
         StringBuilder text = new StringBuilder();
         for (LeaseMessage.Kind kind : LeaseMessage.Kind.values()) {
-            byte[] sent = sender.close(message(kind));
+            byte[] sent = sender.encode(message(kind));
             text.append(kind.ordinal()).append('\n').append(hex(sent));
-            LeaseMessage read = receiver.open(sent);
+            LeaseMessage read = receiver.decode(sent);
             assertNotNull(read);
             assertEquals(message(kind).ballot(), read.ballot());
         }
--- a/src/test/java/nettlewick/lease/DutySearchTest.java
+++ b/src/test/java/nettlewick/lease/LeaseSearchTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import nettlewick.lease.DutyWorld.Bug;
+import nettlewick.lease.LeaseModel.Bug;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,25 +18,25 @@
 
 /** The pure machines of a duty over orders of messages and faults; {@code make search-duty} goes further. */
 @Timeout(120)
-class DutySearchTest {
+class LeaseSearchTest {
     static final int WALKS = Integer.getInteger("search.walks", 5_000);
     static final int STATES = Integer.getInteger("search.states", 40_000);
 
-    private static final int BUG_WALKS = 50_000;
+    private static final int MAX_WALKS_PER_BUG = 50_000;
 
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void noWalkBreaksARule(int voters) {
+    void randomWalksBreakNoInvariant(int voters) {
         SplittableRandom random = new SplittableRandom(voters);
         int acts = 0;
         int refused = 0;
         int holders = 0;
-        DutyWorld[] end = new DutyWorld[1];
+        LeaseModel[] end = new LeaseModel[1];
         for (int i = 0; i < WALKS; i++) {
-            String broken = DutyWorld.walk(voters, Bug.NONE, random.split(), 100 * voters, end);
+            String broken = LeaseModel.walk(voters, Bug.NONE, random.split(), 100 * voters, end);
             assertEquals(null, broken, "walk " + i);
             acts += end[0].acts;
-            refused += end[0].refused;
+            refused += end[0].rejectedActs;
             holders += end[0].holders;
         }
         System.out.println("voters=" + voters + " walks=" + WALKS + " holders=" + holders + " acts=" + acts
@@ -47,13 +47,13 @@
 
     /** Voters that all begin without memory, one of them losing it again: what they found once binds them. */
     @Test
-    void noWalkOfATierThatBeginsAnewBreaksARule() {
+    void randomWalksFromEmptyVotersBreakNoInvariant() {
         int voters = 3;
         SplittableRandom random = new SplittableRandom(70 + voters);
         int holders = 0;
-        DutyWorld[] end = new DutyWorld[1];
+        LeaseModel[] end = new LeaseModel[1];
         for (int i = 0; i < WALKS / 2; i++) {
-            assertEquals(null, DutyWorld.walkAnew(voters, random.split(), 200 * voters, end), "walk " + i);
+            assertEquals(null, LeaseModel.walkFromEmptyVoters(voters, random.split(), 200 * voters, end), "walk " + i);
             holders += end[0].holders;
         }
         System.out.println("anew voters=" + voters + " holders=" + holders);
@@ -62,33 +62,33 @@
 
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void fromEveryWalkAnEndIsReachedWhenFaultsStop(int voters) {
+    void everyWalkConvergesOnceFaultsStop(int voters) {
         SplittableRandom random = new SplittableRandom(40 + voters);
-        DutyWorld[] end = new DutyWorld[1];
+        LeaseModel[] end = new LeaseModel[1];
         for (int i = 0; i < WALKS / 20; i++) {
-            DutyWorld.walk(voters, Bug.NONE, random.split(), 120, end);
-            assertTrue(end[0].ends(), "walk " + i + " with " + voters + " voters");
+            LeaseModel.walk(voters, Bug.NONE, random.split(), 120, end);
+            assertTrue(end[0].converges(), "walk " + i + " with " + voters + " voters");
         }
     }
 
     /** Every order, breadth first, to the depth that so many states reach. */
     @Test
-    void noOrderOfTheFirstStepsBreaksARule() {
-        DutyWorld start = new DutyWorld(3, Bug.NONE);
+    void noOrderOfTheFirstStepsBreaksAnInvariant() {
+        LeaseModel start = new LeaseModel(3, Bug.NONE);
         start.losses = 1;
         start.crashes = 1;
         start.changes = 1;
-        Deque<DutyWorld> open = new ArrayDeque<>(List.of(start));
+        Deque<LeaseModel> open = new ArrayDeque<>(List.of(start));
         Deque<Integer> depths = new ArrayDeque<>(List.of(0));
-        Set<String> seen = new HashSet<>(Set.of(start.digest()));
+        Set<String> seen = new HashSet<>(Set.of(start.describeState()));
         int depth = 0;
         while (!open.isEmpty() && seen.size() < STATES) {
-            DutyWorld w = open.poll();
+            LeaseModel w = open.poll();
             depth = depths.poll();
             for (String choice : w.choices()) {
-                DutyWorld next = new DutyWorld(w);
-                assertEquals(null, next.take(choice), choice);
-                if (seen.add(next.digest())) {
+                LeaseModel next = new LeaseModel(w);
+                assertEquals(null, next.apply(choice), choice);
+                if (seen.add(next.describeState())) {
                     open.add(next);
                     depths.add(depth + 1);
                 }
@@ -104,8 +104,8 @@
         SplittableRandom random = new SplittableRandom(7);
         String broken = null;
         int walks = 0;
-        while (broken == null && walks < BUG_WALKS) {
-            broken = DutyWorld.walk(3, bug, random.split(), 250, new DutyWorld[1]);
+        while (broken == null && walks < MAX_WALKS_PER_BUG) {
+            broken = LeaseModel.walk(3, bug, random.split(), 250, new LeaseModel[1]);
             walks++;
         }
         System.out.println(bug + ": " + broken + " after " + walks + " walks");
--- a/src/test/java/nettlewick/lease/VoterTest.java
+++ b/src/test/java/nettlewick/lease/LeaseVoterTest.java
@@ -8,37 +8,37 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A tier whose voters all begin without memory, started one after the other, with datagrams lost. */
-class VoterTest {
-    private static final double LEASE = 1000;
-    private static final double TICK = 20;
-    private static final double LONG = 60_000;
+class LeaseVoterTest {
+    private static final double LEASE_MILLIS = 1000;
+    private static final double TICK_MILLIS = 20;
+    private static final double MAX_RUN_MILLIS = 60_000;
 
     /** Guards against voters that lost what they had accepted and vote since one that remembers saw them without it. */
     @Test
-    void oneThatRemembersTellsNobodyThatAllBeginsAnew() {
-        LeaseTerms terms = new LeaseTerms(LEASE, 0.05);
+    void voterWithMemoryNeverDeclaresTheTierNew() {
+        LeaseTerms terms = new LeaseTerms(LEASE_MILLIS, 0.05);
         List<Integer> numbers = List.of(0, 1, 2);
         List<LeaseVoter> voters = new ArrayList<>();
         numbers.forEach(v -> voters.add(new LeaseVoter(v, numbers, terms, 0, 100 + v)));
-        voters.get(0).remembering(java.util.Map.of("pool-red", new LeaseVoter.Register()));
-        for (double now = 0; now < LONG; now += TICK) {
-            Deque<Post> posts = new ArrayDeque<>();
+        voters.get(0).restore(java.util.Map.of("pool-red", new LeaseVoter.LeaseRecord()));
+        for (double now = 0; now < MAX_RUN_MILLIS; now += TICK_MILLIS) {
+            Deque<Outgoing> posts = new ArrayDeque<>();
             for (LeaseVoter v : voters) {
                 posts.addAll(v.tick(now));
             }
             while (!posts.isEmpty()) {
-                Post p = posts.poll();
-                posts.addAll(voters.get(p.to()).hear(p.message(), now));
+                Outgoing p = posts.poll();
+                posts.addAll(voters.get(p.recipient()).handle(p.message(), now));
             }
         }
-        assertTrue(voters.get(0).votes());
-        assertTrue(!voters.get(1).votes() && !voters.get(2).votes(), "what they had accepted may count");
+        assertTrue(voters.get(0).isVoting());
+        assertTrue(!voters.get(1).isVoting() && !voters.get(2).isVoting(), "what they had accepted may count");
     }
 
     /**
@@ -47,35 +47,37 @@
      */
     @ParameterizedTest
     @CsvSource({"3, 0", "3, 0.3", "5, 0", "5, 0.3", "9, 0.3"})
-    void allVoteInTheEnd(int size, double loss) {
-        LeaseTerms terms = new LeaseTerms(LEASE, 0.05);
+    void allVotersEventuallyVote(int size, double loss) {
+        LeaseTerms terms = new LeaseTerms(LEASE_MILLIS, 0.05);
         List<Integer> numbers = IntStream.range(0, size).boxed().toList();
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<LeaseVoter> voters = new ArrayList<>();
-            double[] starts = random.doubles(size, 0, 5 * LEASE).toArray();
+            double[] starts = random.doubles(size, 0, 5 * LEASE_MILLIS).toArray();
             for (int v = 0; v < size; v++) {
                 voters.add(new LeaseVoter(v, numbers, terms, starts[v], 100 + v));
             }
-            for (double now = 0; now < LONG && !voters.stream().allMatch(LeaseVoter::votes); now += TICK) {
-                Deque<Post> posts = new ArrayDeque<>();
+            for (double now = 0;
+                    now < MAX_RUN_MILLIS && !voters.stream().allMatch(LeaseVoter::isVoting);
+                    now += TICK_MILLIS) {
+                Deque<Outgoing> posts = new ArrayDeque<>();
                 for (int v = 0; v < size; v++) {
                     if (now >= starts[v]) {
                         posts.addAll(voters.get(v).tick(now));
                     }
                 }
                 while (!posts.isEmpty()) {
-                    Post p = posts.poll();
-                    if (now >= starts[p.to()] && random.nextDouble() >= loss) {
-                        posts.addAll(voters.get(p.to()).hear(p.message(), now));
+                    Outgoing p = posts.poll();
+                    if (now >= starts[p.recipient()] && random.nextDouble() >= loss) {
+                        posts.addAll(voters.get(p.recipient()).handle(p.message(), now));
                     }
                 }
             }
             int late = seed;
             assertTrue(
-                    voters.stream().allMatch(LeaseVoter::votes),
+                    voters.stream().allMatch(LeaseVoter::isVoting),
                     () -> "seed " + late + ": "
-                            + voters.stream().filter(LeaseVoter::votes).count() + " of " + size + " vote");
+                            + voters.stream().filter(LeaseVoter::isVoting).count() + " of " + size + " vote");
         }
     }
 }
--- /dev/null
+++ b/src/test/java/nettlewick/lease/MessageCodecTest.java
@@ -0,0 +1,99 @@
+package nettlewick.lease;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Arrays;
+import java.util.List;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.MessageCodec.DiscardReason;
+import org.junit.jupiter.api.Test;
+
+/** What comes over the wire: whole or not at all, once, from those that have the key and the same list. */
+class MessageCodecTest {
+    private static final byte[] KEY = new byte[32];
+    private static final LeaseMessage MESSAGE =
+            new LeaseMessage(Kind.PROMISED, "pool é", 3, 7, 11, 13, 2.5, 17, 19, new byte[] {1, 2});
+
+    private static MessageCodec codec(int list, int number) {
+        return new MessageCodec(KEY, list, number, 5);
+    }
+
+    @Test
+    void decodedMessageEqualsTheEncodedOne() {
+        LeaseMessage back = codec(1, 0).decode(codec(1, 3).encode(MESSAGE));
+        assertArrayEquals(MESSAGE.state(), back.state());
+        assertEquals(
+                MESSAGE.toString().replaceAll("state=.*", ""), back.toString().replaceAll("state=.*", ""));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> codec(1, 3).encode(MESSAGE.withState(1, 1, new byte[MessageCodec.MAX_STATE_BYTES + 1])));
+    }
+
+    @Test
+    void everyChangedByteAndEveryTruncationIsDiscarded() {
+        byte[] good = codec(1, 3).encode(MESSAGE);
+        MessageCodec receiver = codec(1, 0);
+        for (int i = 0; i < good.length; i++) {
+            byte[] bad = good.clone();
+            bad[i] ^= 1;
+            assertNull(receiver.decode(bad), "byte " + i);
+            assertNull(receiver.decode(Arrays.copyOf(good, i)), "cut at " + i);
+        }
+        assertEquals(2L * good.length, receiver.discardedCount(DiscardReason.DAMAGED));
+        assertNotNull(receiver.decode(good), "none of that has used its number up");
+    }
+
+    @Test
+    void eachMessageIsDecodedOnceInAnyOrderAndOldOnesNever() {
+        MessageCodec sender = codec(1, 3);
+        MessageCodec receiver = codec(1, 0);
+        byte[][] sent = new byte[100][];
+        for (int i = 0; i < sent.length; i++) {
+            sent[i] = sender.encode(MESSAGE);
+        }
+        for (int i : new int[] {5, 3, 4, 90, 60}) {
+            assertNotNull(receiver.decode(sent[i]), "number " + i);
+            assertNull(receiver.decode(sent[i]), "number " + i + " again");
+        }
+        assertNull(receiver.decode(sent[6]), "too far behind");
+        assertEquals(6, receiver.discardedCount(DiscardReason.REPEATED));
+    }
+
+    @Test
+    void messagesWithAnotherMembershipOrKeyAreDiscarded() {
+        MessageCodec receiver = codec(1, 0);
+        assertNull(receiver.decode(codec(2, 3).encode(MESSAGE)));
+        assertEquals(1, receiver.discardedCount(DiscardReason.OTHER_LIST));
+        assertNull(receiver.decode(new MessageCodec(new byte[] {1}, 1, 3, 5).encode(MESSAGE)));
+        assertEquals(1, receiver.discardedCount(DiscardReason.DAMAGED));
+    }
+
+    @Test
+    void leasesSpreadOverAllDispatchersAndMoveOnlyFromARemovedOne() {
+        int[] first = new int[10];
+        for (int d = 0; d < 1000; d++) {
+            List<Integer> ranking = CandidateRanking.rank("pool-" + d, 10);
+            assertEquals(10, ranking.stream().distinct().count());
+            first[ranking.get(0)]++;
+            List<Integer> fewer = CandidateRanking.rank("pool-" + d, 9);
+            assertEquals(ranking.stream().filter(r -> r != 9).toList(), fewer);
+        }
+        assertTrue(Arrays.stream(first).allMatch(n -> n > 60 && n < 150), Arrays.toString(first));
+    }
+
+    @Test
+    void lowerFenceIsRejectedOnceAHigherOneWasSeen() {
+        FenceGate gate = new FenceGate();
+        assertTrue(gate.admits("a", 5));
+        assertTrue(gate.admits("a", 5));
+        assertFalse(gate.admits("a", 4));
+        assertTrue(gate.admits("b", 4));
+        assertEquals(1, gate.rejectedCount());
+    }
+}
--- a/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
@@ -19,8 +19,9 @@
     @TempDir
     private Path dir;
 
-    private static LeaseMessage ask(Kind kind, String duty, long ballot, long version) {
-        return LeaseMessage.of(kind, duty, 1, 7, ballot).holding(ballot, version, new byte[] {(byte) version, -1, 0});
+    private static LeaseMessage ask(Kind kind, String leaseName, long ballot, long version) {
+        return LeaseMessage.of(kind, leaseName, 1, 7, ballot)
+                .withState(ballot, version, new byte[] {(byte) version, -1, 0});
     }
 
     /** Writes the folder anew; only where that was asked for. */
@@ -29,29 +30,29 @@
         if (!Boolean.getBoolean("golden.record")) {
             return;
         }
-        try (VoterStore store = VoterStore.openOrAnew(made)) {
-            store.forget();
-            LeaseVoter voter = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 1).trusted();
-            voter.hear(ask(Kind.PREPARE, "red", LeaseMessage.ballot(5, 1, 1), 0), 0);
-            voter.hear(ask(Kind.ACCEPT, "red", LeaseMessage.ballot(5, 1, 1), 3), 0);
-            voter.hear(ask(Kind.PREPARE, "blue", LeaseMessage.ballot(9, 2, 4), 0), 0);
-            store.save(voter.changed());
-            store.begin(42, 0);
+        try (VoterStore store = VoterStore.openOrRecreate(made)) {
+            store.clear();
+            LeaseVoter voter = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 1).startVoting();
+            voter.handle(ask(Kind.PREPARE, "red", LeaseMessage.ballot(5, 1, 1), 0), 0);
+            voter.handle(ask(Kind.ACCEPT, "red", LeaseMessage.ballot(5, 1, 1), 3), 0);
+            voter.handle(ask(Kind.PREPARE, "blue", LeaseMessage.ballot(9, 2, 4), 0), 0);
+            store.save(voter.unsavedRecords());
+            store.markVoting(42, 0);
             Fixture.record(made, FOLDER, "-shm");
         }
     }
 
     @Test
-    void whatWasPromisedAndAcceptedReadsAsItDid() throws Exception {
+    void storedPromisesAndAcceptedStatesReadAsRecorded() throws Exception {
         Fixture.copy(FOLDER, dir);
         try (VoterStore store = VoterStore.open(dir)) {
             StringBuilder text = new StringBuilder();
-            Map<String, LeaseVoter.Register> known = store.load(42, 0);
-            known.forEach((duty, r) -> text.append(duty)
+            Map<String, LeaseVoter.LeaseRecord> known = store.load(42, 0);
+            known.forEach((leaseName, r) -> text.append(leaseName)
                     .append(" promised ")
-                    .append(r.promised)
+                    .append(r.promisedBallot)
                     .append(" held ")
-                    .append(r.held)
+                    .append(r.acceptedBallot)
                     .append(" version ")
                     .append(r.version)
                     .append(" state ")
@@ -62,10 +63,10 @@
                     .append(", in another list ")
                     .append(store.load(43, 0))
                     .append('\n');
-            LeaseVoter back = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 2).remembering(known);
+            LeaseVoter back = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 2).restore(known);
             back.tick(1100);
             for (long round : new long[] {4, 6}) {
-                LeaseMessage answer = back.hear(ask(Kind.PREPARE, "red", LeaseMessage.ballot(round, 2, 1), 0), 1100)
+                LeaseMessage answer = back.handle(ask(Kind.PREPARE, "red", LeaseMessage.ballot(round, 2, 1), 0), 1100)
                         .get(0)
                         .message();
                 text.append("asked in round ")
--- a/src/test/java/nettlewick/lease/VoterStoreTest.java
+++ b/src/test/java/nettlewick/lease/VoterStoreTest.java
@@ -22,44 +22,46 @@
     private Path dir;
 
     private static LeaseMessage ask(Kind kind, long ballot, long version) {
-        return LeaseMessage.of(kind, "red", 1, 7, ballot).holding(ballot, version, new byte[] {(byte) version});
+        return LeaseMessage.of(kind, "red", 1, 7, ballot).withState(ballot, version, new byte[] {(byte) version});
     }
 
-    private static Kind answer(LeaseVoter voter, LeaseMessage m, double now) {
-        return voter.hear(m, now).get(0).message().kind();
+    private static Kind answer(LeaseVoter voter, LeaseMessage message, double now) {
+        return voter.handle(message, now).get(0).message().kind();
     }
 
     /** Votes once, keeps what changed, and begins as the store's own. */
-    private void live() throws Exception {
-        try (VoterStore store = VoterStore.openOrAnew(dir)) {
-            store.forget();
-            LeaseVoter voter = new LeaseVoter(0, VOTERS, TERMS, 0, 1).trusted();
+    private void voteAndStore() throws Exception {
+        try (VoterStore store = VoterStore.openOrRecreate(dir)) {
+            store.clear();
+            LeaseVoter voter = new LeaseVoter(0, VOTERS, TERMS, 0, 1).startVoting();
             assertEquals(Kind.PROMISED, answer(voter, ask(Kind.PREPARE, LeaseMessage.ballot(5, 1, 1), 0), 0));
             assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, LeaseMessage.ballot(5, 1, 1), 3), 0));
-            assertEquals(1, voter.changed().size());
-            store.save(voter.changed());
-            voter.changed().clear();
+            assertEquals(1, voter.unsavedRecords().size());
+            store.save(voter.unsavedRecords());
+            voter.unsavedRecords().clear();
             assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, LeaseMessage.ballot(5, 1, 1), 3), 300));
-            assertTrue(voter.changed().isEmpty(), "a renewal alone is not written");
-            store.begin(42, 0);
+            assertTrue(voter.unsavedRecords().isEmpty(), "a renewal alone is not written");
+            store.markVoting(42, 0);
         }
     }
 
     @Test
-    void whatWasPromisedHoldsAfterALossOfPower() throws Exception {
-        live();
-        try (VoterStore store = VoterStore.openOrAnew(dir)) {
-            LeaseVoter back = new LeaseVoter(0, VOTERS, TERMS, 0, 2).remembering(store.load(42, 0));
+    void promiseHoldsAfterARestart() throws Exception {
+        voteAndStore();
+        try (VoterStore store = VoterStore.openOrRecreate(dir)) {
+            LeaseVoter back = new LeaseVoter(0, VOTERS, TERMS, 0, 2).restore(store.load(42, 0));
             assertEquals(
-                    Kind.TOLD, answer(back, LeaseMessage.of(Kind.RECALL, "", 2, 0, 9), 10), "others may learn of it");
+                    Kind.RECOVERED_RECORD,
+                    answer(back, LeaseMessage.of(Kind.RECOVER, "", 2, 0, 9), 10),
+                    "others may learn of it");
             assertTrue(
-                    back.hear(ask(Kind.PREPARE, LeaseMessage.ballot(9, 1, 1), 0), 10)
+                    back.handle(ask(Kind.PREPARE, LeaseMessage.ballot(9, 1, 1), 0), 10)
                             .isEmpty(),
                     "it abstains for a lease");
             back.tick(1100);
-            assertTrue(back.votes(), "by itself");
+            assertTrue(back.isVoting(), "by itself");
             assertEquals(Kind.REFUSED, answer(back, ask(Kind.PREPARE, LeaseMessage.ballot(4, 1, 1), 0), 1100));
-            LeaseMessage promised = back.hear(ask(Kind.PREPARE, LeaseMessage.ballot(6, 2, 1), 0), 1100)
+            LeaseMessage promised = back.handle(ask(Kind.PREPARE, LeaseMessage.ballot(6, 2, 1), 0), 1100)
                     .get(0)
                     .message();
             assertEquals(Kind.PROMISED, promised.kind());
@@ -69,20 +71,20 @@
 
     /** Guards against an empty folder that passes for all that was ever promised. */
     @Test
-    void oneThatHasNotVotedYetRemembersNothing() throws Exception {
-        try (VoterStore store = VoterStore.openOrAnew(dir)) {
-            store.forget();
-            store.save(Map.of("red", new LeaseVoter.Register()));
+    void voterThatHasNotVotedYetRestoresNothing() throws Exception {
+        try (VoterStore store = VoterStore.openOrRecreate(dir)) {
+            store.clear();
+            store.save(Map.of("red", new LeaseVoter.LeaseRecord()));
         }
-        try (VoterStore store = VoterStore.openOrAnew(dir)) {
+        try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             assertNull(store.load(42, 0));
         }
     }
 
     @Test
-    void anothersFolderAndADamagedOneCostOnlyThemselves() throws Exception {
-        live();
-        try (VoterStore store = VoterStore.openOrAnew(dir)) {
+    void foreignOrDamagedFolderRestoresNothing() throws Exception {
+        voteAndStore();
+        try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             assertNull(store.load(42, 1), "of another voter");
             assertNull(store.load(43, 0), "in another list");
             assertEquals(1, store.load(42, 0).size());
@@ -90,7 +92,7 @@
         Files.write(
                 dir.resolve("voter.sqlite"),
                 "not a database, but long enough to be read as one".repeat(100).getBytes());
-        try (VoterStore store = VoterStore.openOrAnew(dir)) {
+        try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             assertNull(store.load(42, 0));
             assertTrue(Files.exists(dir.resolve("voter.sqlite.damaged")));
         }
