--- a/src/main/java/nettlewick/lease/LeaseCandidate.java
+++ b/src/main/java/nettlewick/lease/LeaseCandidate.java
@@ -1,18 +1,17 @@
 package nettlewick.lease;
 
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
 import nettlewick.lease.LeaseMessage.Kind;
 import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
- * One dispatcher's part in one duty: a candidate, or its holder (docs/duties.md). Times are milliseconds of
- * its own monotonic clock, handed in. Pure.
+ * One dispatcher's candidacy for one lease, from waiting to holding it (see docs/duties.md). Times are milliseconds of
+ * the dispatcher's own monotonic clock, passed in by the caller. Pure; belongs to one thread.
  */
 final class LeaseCandidate {
-    /** What it is at; RETIRED holds back for good. */
+    /** The steps towards holding the lease; RETIRED is final. */
     enum State {
         WAITING,
         QUERYING,
@@ -22,305 +21,335 @@
         RETIRED
     }
 
-    /** A question that is not answered is put again after this part of a lease. */
-    private static final double PATIENCE = 1.0 / 6;
-    /** A question on the way to a holding is put so often to those that have not answered. */
-    private static final int PUTS = 4;
+    /** An unanswered renewal is sent again after this share of a lease. */
+    private static final double RENEWAL_RETRY_SHARE = 1.0 / 6;
+    /** An unanswered request of a candidate is sent again after this share of a lease. */
+    private static final double REQUEST_RETRY_SHARE = RENEWAL_RETRY_SHARE / 2;
+    /** A holder renews, and a former holder stands again, after this share of a lease. */
+    private static final double RENEWAL_SHARE = 1.0 / 3;
+    /** A candidate gives up after this many transmissions of one request. */
+    private static final int MAX_TRANSMISSIONS = 4;
 
-    private static final double AGAIN = PATIENCE / 2;
-    private static final double RENEW = 1.0 / 3;
-
-    private final String duty;
-    private final int number;
-    private final int life;
+    private final String leaseName;
+    private final int dispatcher;
+    private final int incarnation;
     private final List<Integer> voters;
     private final LeaseTerms terms;
-    private final double turn;
-
-    private State stage = State.WAITING;
-    private double nextAt;
-    private double askedAt;
-    private LeaseMessage asked;
-    private int puts;
-    /** When this ballot was prepared: one that has not come through within a lease is dropped. */
-    private double preparedAt;
-
-    private long echo;
-    private long highest;
+    private final int rank;
+
+    private final VoteRound round;
+    private State lifecycleState = State.WAITING;
+    private double nextAttemptAtMillis;
+    private double preparedAtMillis;
+    private double heldUntilMillis = Double.NEGATIVE_INFINITY;
+    private double confirmedAtMillis = Double.NEGATIVE_INFINITY;
+
+    private long highestBallot;
     private long ballot;
-    private double until = Double.NEGATIVE_INFINITY;
-    private double confirmedAt = Double.NEGATIVE_INFINITY;
-    private final Map<Integer, LeaseMessage> answers = new HashMap<>();
-    private double longestLeft;
-    /** What a majority has stored, and what is on its way there. */
     private long version;
-
     private byte[] state = LeaseMessage.EMPTY_STATE;
-    private byte[] wanted;
+    /** The state that is being proposed as the next version; null: none is. */
+    private byte[] proposedState;
 
     /**
-     * @param life a number of this process's own, drawn at random below {@link LeaseMessage#INCARNATION_LIMIT}
-     * @param turn its place in the duty's order, from 0: later ones leave earlier ones the time to stand
-     * @param now  when it begins to look
+     * @param incarnation of this process, drawn at random below {@link Ballot#INCARNATION_LIMIT}
+     * @param rank        this dispatcher's place in the lease's {@link CandidateRanking}, from 0: higher ones wait
+     *                    longer before they stand
+     * @param nowMillis   when it starts
      */
     LeaseCandidate(
             String leaseName,
-            int number,
+            int dispatcher,
             int incarnation,
             List<Integer> voters,
             LeaseTerms terms,
-            int turn,
-            double now) {
-        this.life = incarnation;
-        echo = (long) incarnation << Integer.SIZE;
-        ballot = LeaseMessage.ballot(0, incarnation, number);
-        this.duty = leaseName;
-        this.number = number;
+            int rank,
+            double nowMillis) {
+        this(
+                leaseName,
+                dispatcher,
+                incarnation,
+                voters,
+                terms,
+                rank,
+                new VoteRound(voters, (long) incarnation << Integer.SIZE));
+        ballot = Ballot.of(0, incarnation, dispatcher);
+        nextAttemptAtMillis = nowMillis + rank * terms.leaseMillis() / 2;
+    }
+
+    private LeaseCandidate(
+            String leaseName,
+            int dispatcher,
+            int incarnation,
+            List<Integer> voters,
+            LeaseTerms terms,
+            int rank,
+            VoteRound round) {
+        this.leaseName = leaseName;
+        this.dispatcher = dispatcher;
+        this.incarnation = incarnation;
         this.voters = voters;
         this.terms = terms;
-        this.turn = turn;
-        nextAt = now + turn * terms.leaseMillis() / 2;
+        this.rank = rank;
+        this.round = round;
     }
 
+    /** An independent copy, for a search through the orders of events. */
     LeaseCandidate copy() {
-        LeaseCandidate s = new LeaseCandidate(duty, number, life, voters, terms, (int) turn, 0);
-        s.stage = stage;
-        s.nextAt = nextAt;
-        s.askedAt = askedAt;
-        s.asked = asked;
-        s.puts = puts;
-        s.preparedAt = preparedAt;
-        s.echo = echo;
-        s.highest = highest;
-        s.ballot = ballot;
-        s.until = until;
-        s.confirmedAt = confirmedAt;
-        s.answers.putAll(answers);
-        s.longestLeft = longestLeft;
-        s.version = version;
-        s.state = state;
-        s.wanted = wanted;
-        return s;
+        LeaseCandidate copy = new LeaseCandidate(leaseName, dispatcher, incarnation, voters, terms, rank, round.copy());
+        copy.lifecycleState = lifecycleState;
+        copy.nextAttemptAtMillis = nextAttemptAtMillis;
+        copy.preparedAtMillis = preparedAtMillis;
+        copy.heldUntilMillis = heldUntilMillis;
+        copy.confirmedAtMillis = confirmedAtMillis;
+        copy.highestBallot = highestBallot;
+        copy.ballot = ballot;
+        copy.version = version;
+        copy.state = state;
+        copy.proposedState = proposedState;
+        return copy;
     }
 
-    /** All that decides what it does next, for a search that tells states apart. */
+    /** All that decides what it does next, so that a search can tell states apart. */
     String describeState() {
-        return stage + " " + nextAt + " " + askedAt + " " + puts + " " + preparedAt + " " + echo + " "
-                + highest + " " + ballot + " " + until + " " + confirmedAt + " " + answers.keySet() + " "
-                + version + " " + java.util.Arrays.toString(wanted);
+        return lifecycleState + " " + nextAttemptAtMillis + " " + round.startedAtMillis() + " " + round.transmissions()
+                + " " + preparedAtMillis + " " + round.requestId() + " " + highestBallot + " " + ballot + " "
+                + heldUntilMillis + " " + confirmedAtMillis + " " + round.answeredVoters() + " " + version + " "
+                + Arrays.toString(proposedState);
     }
 
     State lifecycleState() {
-        return stage;
+        return lifecycleState;
     }
 
-    /** Whether it may act now; to be asked right before each act. */
-    boolean mayAct(double now) {
-        return stage == State.HOLDING && now < until;
+    /** Whether it may act under its fence now; to be checked right before each act. */
+    boolean mayAct(double nowMillis) {
+        return lifecycleState == State.HOLDING && nowMillis < heldUntilMillis;
     }
 
-    /** Its fence while it holds. */
+    /** The fence under which it holds the lease; meaningful only while it does. */
     long fence() {
         return ballot;
     }
 
+    /** The version that a majority has stored. */
     long version() {
         return version;
     }
 
-    /** The state as a majority has stored it. */
+    /** The state that a majority has stored. */
     byte[] state() {
         return state;
     }
 
-    /** Whether a change is on its way: the next one waits for it. */
+    /** Whether a proposed change is not stored yet: the next one has to wait. */
     boolean isChangePending() {
-        return wanted != null;
+        return proposedState != null;
     }
 
     /**
-     * The next version of the state; it counts once {@link #changing} is false while this holds on. Nothing
-     * happens, and false comes back, where this may not act or a change is on its way.
+     * Proposes the next version of the state. It is stored once {@link #isChangePending} is false while the lease is
+     * still held. Empty, with nothing proposed, where this dispatcher may not act or a change is pending.
      */
-    boolean proposeChange(byte[] next, double now, List<Outgoing> out) {
-        if (!mayAct(now) || wanted != null) {
-            return false;
+    List<Outgoing> proposeChange(byte[] next, double nowMillis) {
+        if (!mayAct(nowMillis) || proposedState != null) {
+            return List.of();
         }
-        wanted = next;
-        startRequest(Kind.ACCEPT, now, out);
-        return true;
+        proposedState = next;
+        return startRequest(Kind.ACCEPT, nowMillis);
     }
 
-    /** A higher fence than its own was seen: it gives the duty back, and stands again above that one. */
-    List<Outgoing> yieldToHigherFence(long fence, double now) {
-        List<Outgoing> out = new ArrayList<>();
-        if (stage != State.RETIRED && fence >= ballot) {
-            voters.forEach(v -> out.add(new Outgoing(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
-            highest = Math.max(highest, fence);
-            waitUntil(now);
+    /** A fence at or above its own was seen elsewhere: it releases the lease and stands again above that fence. */
+    List<Outgoing> yieldToHigherFence(long fence, double nowMillis) {
+        if (lifecycleState == State.RETIRED || fence < ballot) {
+            return List.of();
         }
+        List<Outgoing> out = release();
+        highestBallot = Math.max(highestBallot, fence);
+        waitUntil(nowMillis);
         return out;
     }
 
-    /** A planned end: the grant is given back, and the next in order told. It does not stand again. */
+    /** Graceful shutdown: releases the lease, hands it over to the successor and never stands again. */
     List<Outgoing> retire(int successor) {
         List<Outgoing> out = new ArrayList<>();
-        if (stage == State.HOLDING) {
-            voters.forEach(v -> out.add(new Outgoing(v, LeaseMessage.of(Kind.RELEASE, duty, number, 0, ballot))));
-            out.add(new Outgoing(successor, LeaseMessage.of(Kind.HANDOVER, duty, number, 0, ballot)));
+        if (lifecycleState == State.HOLDING) {
+            out.addAll(release());
+            out.add(new Outgoing(successor, LeaseMessage.of(Kind.HANDOVER, leaseName, dispatcher, 0, ballot)));
         }
-        stage = State.RETIRED;
-        until = Double.NEGATIVE_INFINITY;
+        lifecycleState = State.RETIRED;
+        heldUntilMillis = Double.NEGATIVE_INFINITY;
         return out;
     }
 
-    /** What is due: to be called some times in each sixth of a lease. */
-    List<Outgoing> tick(double now) {
-        List<Outgoing> out = new ArrayList<>();
-        if (stage == State.RETIRED) {
-            return out;
-        }
-        if (stage == State.HOLDING && now >= until) {
-            waitUntil(now + terms.leaseMillis() * RENEW);
-        } else if (stage == State.HOLDING) {
-            boolean open = wanted != null || askedAt > confirmedAt;
-            if (now - askedAt >= terms.leaseMillis() * (open ? PATIENCE : RENEW)) {
-                startRequest(Kind.ACCEPT, now, out);
-            }
-        } else if (stage == State.WAITING && now >= nextAt) {
-            stage = State.QUERYING;
-            startRequest(Kind.QUERY, now, out);
-        } else if (stage != State.WAITING && puts < PUTS && now - askedAt >= terms.leaseMillis() * AGAIN * puts) {
-            transmit(out);
-        } else if (stage != State.WAITING && now - askedAt >= terms.leaseMillis() * AGAIN * PUTS) {
-            // Danger: two that stand at once refuse one another for good, if both come again together.
-            waitUntil(now + terms.leaseMillis() * (turn + 1) / 4);
+    private List<Outgoing> release() {
+        LeaseMessage release = LeaseMessage.of(Kind.RELEASE, leaseName, dispatcher, 0, ballot);
+        return voters.stream().map(voter -> new Outgoing(voter, release)).toList();
+    }
+
+    /** Does what is due; to be called several times in each sixth of a lease. */
+    List<Outgoing> tick(double nowMillis) {
+        return switch (lifecycleState) {
+            case RETIRED -> List.of();
+            case WAITING -> tickWaiting(nowMillis);
+            case HOLDING -> tickHolding(nowMillis);
+            case QUERYING, PREPARING, ACCEPTING -> tickRequest(nowMillis);
+        };
+    }
+
+    private List<Outgoing> tickWaiting(double nowMillis) {
+        if (nowMillis < nextAttemptAtMillis) {
+            return List.of();
         }
-        return out;
+        lifecycleState = State.QUERYING;
+        return startRequest(Kind.QUERY, nowMillis);
     }
 
-    private void waitUntil(double at) {
-        stage = State.WAITING;
-        nextAt = at;
-        until = Double.NEGATIVE_INFINITY;
-        wanted = null;
+    private List<Outgoing> tickHolding(double nowMillis) {
+        if (nowMillis >= heldUntilMillis) {
+            expire(nowMillis);
+            return List.of();
+        }
+        boolean isUnanswered = proposedState != null || round.startedAtMillis() > confirmedAtMillis;
+        double dueAfterMillis = terms.leaseMillis() * (isUnanswered ? RENEWAL_RETRY_SHARE : RENEWAL_SHARE);
+        return nowMillis - round.startedAtMillis() >= dueAfterMillis ? startRequest(Kind.ACCEPT, nowMillis) : List.of();
     }
 
-    private void startRequest(Kind kind, double now, List<Outgoing> out) {
-        echo++;
-        answers.clear();
-        longestLeft = 0;
-        askedAt = now;
-        LeaseMessage message = LeaseMessage.of(kind, duty, number, echo, ballot);
-        if (kind == Kind.ACCEPT) {
-            message =
-                    message.withState(ballot, wanted == null ? version : version + 1, wanted == null ? state : wanted);
+    private List<Outgoing> tickRequest(double nowMillis) {
+        double waitedMillis = nowMillis - round.startedAtMillis();
+        double retryMillis = terms.leaseMillis() * REQUEST_RETRY_SHARE;
+        if (round.transmissions() < MAX_TRANSMISSIONS && waitedMillis >= retryMillis * round.transmissions()) {
+            return round.transmit();
+        }
+        if (waitedMillis >= retryMillis * MAX_TRANSMISSIONS) {
+            standAgainByRank(nowMillis);
         }
-        asked = message;
-        puts = 0;
-        transmit(out);
+        return List.of();
     }
 
-    /**
-     * The same question to all that have not answered it. A lease counts from when it was put first, so that
-     * no voter's grant can end before it.
-     */
-    private void transmit(List<Outgoing> out) {
-        puts++;
-        for (int v : voters) {
-            if (!answers.containsKey(v)) {
-                out.add(new Outgoing(v, asked));
-            }
+    /** Candidates that stood at once and blocked one another come back at different times. */
+    private void standAgainByRank(double nowMillis) {
+        waitUntil(nowMillis + terms.leaseMillis() * (rank + 1) / 4);
+    }
+
+    private void expire(double nowMillis) {
+        waitUntil(nowMillis + terms.leaseMillis() * RENEWAL_SHARE);
+    }
+
+    private void waitUntil(double atMillis) {
+        lifecycleState = State.WAITING;
+        nextAttemptAtMillis = atMillis;
+        heldUntilMillis = Double.NEGATIVE_INFINITY;
+        proposedState = null;
+    }
+
+    private List<Outgoing> startRequest(Kind kind, double nowMillis) {
+        LeaseMessage request = LeaseMessage.of(kind, leaseName, dispatcher, round.close(), ballot);
+        if (kind == Kind.ACCEPT) {
+            request = proposedState == null
+                    ? request.withState(ballot, version, state)
+                    : request.withState(ballot, version + 1, proposedState);
         }
+        return round.start(request, nowMillis);
     }
 
-    List<Outgoing> handle(LeaseMessage message, double now) {
-        List<Outgoing> out = new ArrayList<>();
-        highest = Math.max(highest, message.highestBallot());
-        if (stage == State.RETIRED || !voters.contains(message.sender()) && message.kind() != Kind.HANDOVER) {
-            return out;
+    /** Handles an answer of a voter, or a handover; what to send next. */
+    List<Outgoing> handle(LeaseMessage message, double nowMillis) {
+        highestBallot = Math.max(highestBallot, message.highestBallot());
+        if (lifecycleState == State.RETIRED) {
+            return List.of();
         }
         if (message.kind() == Kind.HANDOVER) {
-            highest = Math.max(highest, message.ballot());
-            if (stage != State.HOLDING) {
-                stage = State.PREPARING;
-                prepare(now, out);
-            }
-            return out;
+            return handleHandover(message, nowMillis);
         }
-        if (stage == State.HOLDING && now >= until) {
-            // Danger: a late word would renew what has ended already, and one fence would count two holdings.
-            waitUntil(now + terms.leaseMillis() * RENEW);
+        if (!voters.contains(message.sender())) {
+            return List.of();
         }
-        if (message.requestId() != echo || message.ballot() != ballot) {
-            return out;
+        if (lifecycleState == State.HOLDING && nowMillis >= heldUntilMillis) {
+            // A late answer must not renew an expired lease: one fence would then cover two separate holdings.
+            expire(nowMillis);
+        }
+        if (!round.isAnsweredBy(message) || message.ballot() != ballot) {
+            return List.of();
         }
-        longestLeft = Math.max(longestLeft, message.remainingMillis());
         if (message.kind() == Kind.REFUSED) {
-            handleRefusal(message, now);
-            return out;
+            handleRefusal(message, nowMillis);
+            return List.of();
+        }
+        round.addAnswer(message);
+        return round.answerCount() < terms.majorityOf(voters.size())
+                ? List.of()
+                : handleMajority(message.kind(), nowMillis);
+    }
+
+    private List<Outgoing> handleHandover(LeaseMessage message, double nowMillis) {
+        highestBallot = Math.max(highestBallot, message.ballot());
+        return lifecycleState == State.HOLDING ? List.of() : prepareBallot(nowMillis);
+    }
+
+    private void handleRefusal(LeaseMessage message, double nowMillis) {
+        if (lifecycleState == State.HOLDING) {
+            // Another candidate has a higher ballot: this lease runs on until it ends or a majority renews it.
+            return;
+        }
+        double grantEndMillis = Math.max(message.remainingMillis(), terms.leaseMillis() / 8);
+        waitUntil(nowMillis + grantEndMillis + rank * terms.leaseMillis() / 8);
+    }
+
+    private List<Outgoing> handleMajority(Kind kind, double nowMillis) {
+        if (lifecycleState == State.QUERYING && kind == Kind.AVAILABLE) {
+            return prepareBallot(nowMillis);
         }
-        answers.put(message.sender(), message);
-        if (answers.size() < terms.majorityOf(voters.size())) {
-            return out;
+        if (lifecycleState == State.PREPARING && kind == Kind.PROMISED) {
+            return adoptNewestState(nowMillis);
         }
-        if (stage == State.QUERYING && message.kind() == Kind.AVAILABLE) {
-            stage = State.PREPARING;
-            prepare(now, out);
-        } else if (stage == State.PREPARING && message.kind() == Kind.PROMISED) {
-            adoptNewestState(now, out);
-        } else if ((stage == State.ACCEPTING || stage == State.HOLDING) && message.kind() == Kind.ACCEPTED) {
-            confirmHolding(now);
+        boolean isAccepting = lifecycleState == State.ACCEPTING || lifecycleState == State.HOLDING;
+        if (isAccepting && kind == Kind.ACCEPTED) {
+            confirmHolding(nowMillis);
         }
-        return out;
+        return List.of();
     }
 
-    private void prepare(double now, List<Outgoing> out) {
-        ballot = LeaseMessage.ballot(LeaseMessage.counter(highest) + 1, life, number);
-        highest = ballot;
-        preparedAt = now;
-        startRequest(Kind.PREPARE, now, out);
+    private List<Outgoing> prepareBallot(double nowMillis) {
+        lifecycleState = State.PREPARING;
+        ballot = Ballot.of(Ballot.counter(highestBallot) + 1, incarnation, dispatcher);
+        highestBallot = ballot;
+        preparedAtMillis = nowMillis;
+        return startRequest(Kind.PREPARE, nowMillis);
     }
 
-    /** The newest that a majority told goes on under the own ballot. */
-    private void adoptNewestState(double now, List<Outgoing> out) {
-        long held = 0;
+    /** Proposes the newest state that a majority has reported, under its own ballot. */
+    private List<Outgoing> adoptNewestState(double nowMillis) {
+        long newestBallot = 0;
         version = 0;
         state = LeaseMessage.EMPTY_STATE;
-        for (LeaseMessage told : answers.values()) {
-            if (told.acceptedBallot() > held || told.acceptedBallot() == held && told.version() > version) {
-                held = told.acceptedBallot();
-                version = told.version();
-                state = told.state();
+        for (LeaseMessage answer : round.answers()) {
+            boolean isNewer = answer.acceptedBallot() > newestBallot
+                    || answer.acceptedBallot() == newestBallot && answer.version() > version;
+            if (isNewer) {
+                newestBallot = answer.acceptedBallot();
+                version = answer.version();
+                state = answer.state();
             }
         }
-        stage = State.ACCEPTING;
-        startRequest(Kind.ACCEPT, now, out);
+        lifecycleState = State.ACCEPTING;
+        return startRequest(Kind.ACCEPT, nowMillis);
     }
 
-    private void confirmHolding(double now) {
-        if (stage == State.ACCEPTING && now - preparedAt > terms.leaseMillis()) {
-            waitUntil(now + terms.leaseMillis() * (turn + 1) / 4);
+    private void confirmHolding(double nowMillis) {
+        if (lifecycleState == State.ACCEPTING && nowMillis - preparedAtMillis > terms.leaseMillis()) {
+            standAgainByRank(nowMillis);
             return;
         }
-        stage = State.HOLDING;
-        // Counted from before it asked: the voters count from later.
-        until = Math.max(until, askedAt + terms.holderLeaseMillis());
-        confirmedAt = askedAt;
-        if (wanted != null) {
+        lifecycleState = State.HOLDING;
+        // Counted from before the request was sent: the voters count from when they received it, which is later.
+        heldUntilMillis = Math.max(heldUntilMillis, round.startedAtMillis() + terms.holderLeaseMillis());
+        confirmedAtMillis = round.startedAtMillis();
+        if (proposedState != null) {
             version++;
-            state = wanted;
-            wanted = null;
-        }
-        answers.clear();
-        echo++;
-    }
-
-    private void handleRefusal(LeaseMessage message, double now) {
-        if (stage == State.HOLDING) {
-            // Another has a higher ballot: this one's lease may run on, but a change under it may not pass.
-            return;
+            state = proposedState;
+            proposedState = null;
         }
-        waitUntil(now + Math.max(message.remainingMillis(), terms.leaseMillis() / 8) + turn * terms.leaseMillis() / 8);
+        round.close();
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseFollower.java
+++ b/src/main/java/nettlewick/lease/LeaseFollower.java
@@ -1,57 +1,57 @@
 package nettlewick.lease;
 
-import java.util.ArrayList;
 import java.util.List;
 import nettlewick.lease.LeaseMessage.Kind;
 import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
- * What a dispatcher knows of a duty that it follows: who holds it, and the newest version told. A fence below
- * the highest seen is refused, as by whoever else is acted on. Pure.
+ * What a dispatcher knows of one lease from its holder's announcements: who holds it, and the newest state.
+ * Announcements under a fence below the highest seen are ignored. Pure; belongs to one thread.
  */
 final class LeaseFollower {
-    /** In the echo of news: the state goes with it. */
-    static final long FLAG_HAS_STATE = 1;
+    private static final int NO_HOLDER = -1;
+    private static final long NONE = -1;
 
     private final String leaseName;
     private final int dispatcher;
-    private int holder = -1;
+    private final FenceGate gate = new FenceGate();
+    private int holder = NO_HOLDER;
     private long fence;
-    private long version = -1;
+    private long version = NONE;
     private byte[] state;
-    /** The fence under which the state was told: one who has lost all may count versions anew. */
-    private long stateFence = -1;
-
-    private final FenceGate gate = new FenceGate();
+    /** The fence under which the state was announced: a tier that has lost its memory counts versions anew. */
+    private long stateFence = NONE;
 
-    LeaseFollower(String leaseName, int number) {
+    LeaseFollower(String leaseName, int dispatcher) {
         this.leaseName = leaseName;
-        this.dispatcher = number;
+        this.dispatcher = dispatcher;
     }
 
-    String leaseName() {
-        return leaseName;
+    boolean hasHolder() {
+        return holder != NO_HOLDER;
     }
 
-    /** The holder by its last word, or -1. */
+    /** The number of the dispatcher that last announced that it holds the lease; -1 before the first announcement. */
     int holder() {
         return holder;
     }
 
+    /** The highest fence that was announced; 0 before the first announcement. */
     long fence() {
         return fence;
     }
 
+    /** The version of {@link #state}; -1 where none is known. */
     long version() {
         return version;
     }
 
-    /** The state of the version that is known; null where none is. */
+    /** The newest known state; null where none is. */
     byte[] state() {
         return state;
     }
 
-    /** This dispatcher holds it itself. */
+    /** This dispatcher holds the lease itself. */
     void recordOwnState(long ownFence, long newVersion, byte[] newState) {
         gate.admits(leaseName, ownFence);
         holder = dispatcher;
@@ -61,27 +61,28 @@
         stateFence = ownFence;
     }
 
-    /** Takes the holder's word; what to answer comes back. */
-    List<Outgoing> handle(LeaseMessage message) {
-        List<Outgoing> out = new ArrayList<>();
-        if (!gate.admits(leaseName, message.ballot())) {
-            return out;
+    /** Handles an announcement; asks for the state where it is missing. */
+    List<Outgoing> handle(LeaseMessage announcement) {
+        if (!gate.admits(leaseName, announcement.ballot())) {
+            return List.of();
         }
-        holder = message.sender();
-        fence = message.ballot();
-        if ((message.requestId() & FLAG_HAS_STATE) != 0 && (stateFence < fence || message.version() > version)) {
-            version = message.version();
-            state = message.state();
+        holder = announcement.sender();
+        fence = announcement.ballot();
+        if (announcement.hasState() && (stateFence < fence || announcement.version() > version)) {
+            version = announcement.version();
+            state = announcement.state();
             stateFence = fence;
-        } else if (!isUpToDate(message)) {
-            out.add(new Outgoing(
-                    message.sender(), LeaseMessage.of(Kind.REQUEST_STATE, leaseName, dispatcher, 0, message.ballot())));
+            return List.of();
+        }
+        if (isUpToDate(announcement)) {
+            return List.of();
         }
-        return out;
+        LeaseMessage request = LeaseMessage.of(Kind.REQUEST_STATE, leaseName, dispatcher, 0, announcement.ballot());
+        return List.of(new Outgoing(announcement.sender(), request));
     }
 
-    /** Whether what is known is what this word of the holder's says. */
-    boolean isUpToDate(LeaseMessage message) {
-        return message.ballot() == stateFence && message.version() == version;
+    /** Whether the known state is the one that this announcement is about. */
+    boolean isUpToDate(LeaseMessage announcement) {
+        return announcement.ballot() == stateFence && announcement.version() == version;
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -1,18 +1,21 @@
 package nettlewick.lease;
 
 /**
- * What candidates and voters say to one another about one duty. Plain data; its bytes are {@link MessageCodec}'s.
+ * A message between candidates, voters and followers about one lease. Plain data; {@link MessageCodec} turns it into
+ * bytes.
  *
- * @param kind    what is asked or answered
- * @param duty    the duty's name
- * @param from    the sender's number
- * @param echo    a question's number at its asker; an answer carries its question's
- * @param ballot  the ballot that is meant; in an answer, that of the question
- * @param seen    in an answer: the highest ballot that the voter has seen for this duty
- * @param left    in an answer: what is left of a grant to another, in milliseconds; 0: none
- * @param held    the ballot under which the state was accepted; 0: none was
- * @param version the state's version
- * @param state   the state; never null
+ * @param kind            what is requested, answered or announced
+ * @param leaseName       the lease; empty where the message is about a voter as a whole
+ * @param sender          the sender's dispatcher number
+ * @param requestId       a request's number at its sender, repeated in each answer; in {@link Kind#ANNOUNCE} the flags
+ *                        {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Kind#REPORT} the
+ *                        sender's incarnation
+ * @param ballot          the ballot that is meant; in an answer, that of the request
+ * @param highestBallot   in an answer: the highest ballot that the voter has seen for this lease
+ * @param remainingMillis in an answer: what remains of a grant to another candidate; 0: there is none
+ * @param acceptedBallot  the ballot under which the state was accepted; 0: none was
+ * @param version         the state's version
+ * @param state           the state; never null
  */
 record LeaseMessage(
         Kind kind,
@@ -25,38 +28,51 @@
         long acceptedBallot,
         long version,
         byte[] state) {
-    /** Questions to voters, each with its answers; RECALL is asked by a voter without memory. */
+    /** The order is part of the wire format: a kind travels as its ordinal. */
     enum Kind {
+        /** Candidate to voter: would a ballot be promised now? */
         QUERY,
+        /** Candidate to voter: promise to accept nothing below this ballot. */
         PREPARE,
+        /** Candidate or holder to voter: accept this state and grant or renew the lease. */
         ACCEPT,
+        /** Holder to voter: the grant under this ballot ends. Not answered. */
         RELEASE,
+        /** Voter without memory to voter: send all records. */
         RECOVER,
+        /** Answer to QUERY: no other candidate has a grant. */
         AVAILABLE,
+        /** Answer to PREPARE, with the newest accepted state. */
         PROMISED,
+        /** Answer to ACCEPT. */
         ACCEPTED,
+        /** Answer to QUERY, PREPARE or ACCEPT: another grant runs, or a higher ballot was promised. */
         REFUSED,
+        /** Answer to RECOVER: one record, or, without a lease name, how many records were sent. */
         RECOVERED_RECORD,
+        /** Answer to RECOVER: the voter has no memory either; its incarnation stands for the highest ballot. */
         NO_MEMORY,
+        /** Holder to its successor: stand for the lease at once. */
         HANDOVER,
-        /**
-         * From the holder to all: the version that is stored, with the state if the echo says so, and
-         * whether it listens.
-         */
+        /** Holder to all: the stored version, with the state where the flag says so. */
         ANNOUNCE,
-        /** To the holder: the state is wanted. */
+        /** Follower to holder: send the state. */
         REQUEST_STATE,
-        /** To the holder: what the sender's life, in the echo, has seen. */
+        /** Follower to holder: what this dispatcher has observed, for the lease's task. */
         REPORT
     }
 
     static final byte[] EMPTY_STATE = {};
+    /** In the request number of an announcement: it carries the state. */
+    static final long FLAG_HAS_STATE = 1;
+    /** In the request number of an announcement: the holder wants a report from every dispatcher. */
+    static final long FLAG_REPORTS_REQUESTED = 2;
 
-    static LeaseMessage of(Kind kind, String leaseName, int from, long echo, long ballot) {
-        return new LeaseMessage(kind, leaseName, from, echo, ballot, 0, 0, 0, 0, EMPTY_STATE);
+    static LeaseMessage of(Kind kind, String leaseName, int sender, long requestId, long ballot) {
+        return new LeaseMessage(kind, leaseName, sender, requestId, ballot, 0, 0, 0, 0, EMPTY_STATE);
     }
 
-    LeaseMessage withState(long heldUnder, long newVersion, byte[] newState) {
+    LeaseMessage withState(long newAcceptedBallot, long newVersion, byte[] newState) {
         return new LeaseMessage(
                 kind,
                 leaseName,
@@ -65,37 +81,43 @@
                 ballot,
                 highestBallot,
                 remainingMillis,
-                heldUnder,
+                newAcceptedBallot,
                 newVersion,
                 newState);
     }
 
-    LeaseMessage withHighestBallot(long highest, double millis) {
+    LeaseMessage withHighestBallot(long highest, double newRemainingMillis) {
         return new LeaseMessage(
-                kind, leaseName, sender, requestId, ballot, highest, millis, acceptedBallot, version, state);
+                kind,
+                leaseName,
+                sender,
+                requestId,
+                ballot,
+                highest,
+                newRemainingMillis,
+                acceptedBallot,
+                version,
+                state);
     }
 
-    /** A message and whom it is for. */
-    record Outgoing(int recipient, LeaseMessage message) {}
-
-    private static final int DISPATCHER_BITS = 16;
-    private static final int INCARNATION_BITS = 23;
-    static final int INCARNATION_LIMIT = 1 << INCARNATION_BITS;
-
-    /**
-     * Ballots grow by their counter first. Danger: two processes of one dispatcher, or two lives, that choose
-     * the same ballot would store two states under it; so each life draws a number of its own.
-     */
-    static long ballot(long counter, int incarnation, int candidate) {
-        return counter << DISPATCHER_BITS + INCARNATION_BITS | (long) incarnation << DISPATCHER_BITS | candidate;
+    /** Whether this announcement carries the state. */
+    boolean hasState() {
+        return (requestId & FLAG_HAS_STATE) != 0;
     }
 
-    static long counter(long ballot) {
-        return ballot >>> DISPATCHER_BITS + INCARNATION_BITS;
+    /** Whether this announcement asks every dispatcher for a report. */
+    boolean requestsReports() {
+        return (requestId & FLAG_REPORTS_REQUESTED) != 0;
     }
 
-    /** The life of a candidate that a ballot is of. */
-    static long proposer(long ballot) {
-        return ballot & (1L << DISPATCHER_BITS + INCARNATION_BITS) - 1;
+    /** Whether it is for a voter, in place of a candidate or a follower. */
+    boolean isForVoter() {
+        return switch (kind) {
+            case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_MEMORY -> true;
+            default -> false;
+        };
     }
+
+    /** A message and the number of the dispatcher that it goes to. */
+    record Outgoing(int recipient, LeaseMessage message) {}
 }
--- a/src/main/java/nettlewick/lease/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -1,70 +1,47 @@
 package nettlewick.lease;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.channels.DatagramChannel;
-import java.nio.channels.SelectionKey;
-import java.nio.channels.Selector;
 import java.security.SecureRandom;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.function.Consumer;
 import nettlewick.lease.LeaseMessage.Outgoing;
 import nettlewick.log.ComponentLogger;
 
 /**
- * This dispatcher's part in all duties: a thread that owns a socket, a voter and seats, tells all what is
- * stored of a duty that it holds, and follows the others. What is done with a duty is its {@link LeaseTask}'s.
+ * This dispatcher's part in all leases: the lease thread, which owns the socket, the voter and each
+ * {@link ManagedLease}, and passes messages between them. What is done under a lease is its {@link LeaseTask}'s.
  */
 public final class LeaseService implements AutoCloseable, LeaseTask.Desk {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
-    /** So many in a duty's order may hold it; later ones would only ask. */
-    private static final int CANDIDATES = 8;
-
-    private static final int DATAGRAM_MOST = 8192;
-    private static final double TICKS = 30;
-    /** What was seen is told so many times a lease; a new state goes with so many words of the holder's. */
-    private static final double TELLS = 3;
-
-    private static final int ATTACHED = 3;
-    /** In the echo of news: a word is wanted from all. */
-    private static final long LISTENS = 2;
-    /** A duty on which nothing hangs is told of once in so many leases. */
-    static final double IDLE_ANNOUNCE_LEASES = 10;
-
-    private static final int END_MILLIS = 2000;
+    private static final double TICKS_PER_LEASE = 30;
+    private static final double REPORTS_PER_LEASE = 3;
+    private static final int SHUTDOWN_TIMEOUT_MILLIS = 2000;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private final LeaseSettings settings;
-    private final DatagramChannel channel;
-    private final Selector selector;
-    private final MessageCodec envelope;
+    private final LeaseTransport transport;
     /** Null where this dispatcher does not vote. */
     private final PersistentVoter voter;
 
-    private final Map<String, LeaseCandidate> seats = new LinkedHashMap<>();
-    private final Map<String, List<Integer>> orders = new HashMap<>();
-    private final int life = new SecureRandom().nextInt(LeaseMessage.INCARNATION_LIMIT);
-    /** The fence under which each duty is held here. */
-    private final Map<String, Long> holds = new HashMap<>();
-
-    private final Map<String, LeaseFollower> followed = new LinkedHashMap<>();
-    private final Map<String, LeaseTask> charges;
-    private final Queue<Runnable> inbox = new ConcurrentLinkedQueue<>();
-    private final Map<String, Double> beatAt = new HashMap<>();
-    private final Map<String, Integer> attached = new HashMap<>();
-    private final Map<String, Boolean> listened = new HashMap<>();
-    private double tellAt;
-    private final Thread thread = new Thread(this::run, "duty");
-    private volatile boolean ends;
-
-    /** @throws IOException where the address cannot be had */
-    public static LeaseService start(LeaseSettings settings, Map<String, LeaseTask> charges) throws IOException {
-        LeaseService service = new LeaseService(settings, charges);
+    private final Map<String, LeaseTask> tasks;
+    private final Map<String, ManagedLease> leases = new LinkedHashMap<>();
+    private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
+    private final Thread thread = new Thread(this::run, "lease");
+    private double nextReportsAtMillis;
+    private volatile boolean isClosing;
+
+    /**
+     * Starts the lease thread.
+     *
+     * @param tasks by lease name; the settings' other leases count their terms and do nothing else
+     * @throws IOException where the address cannot be bound or the voter's folder cannot be used
+     */
+    public static LeaseService start(LeaseSettings settings, Map<String, LeaseTask> tasks) throws IOException {
+        LeaseService service = new LeaseService(settings, tasks);
         service.thread.setDaemon(true);
         service.thread.start();
         return service;
@@ -72,311 +49,139 @@
 
     private LeaseService(LeaseSettings settings, Map<String, LeaseTask> given) throws IOException {
         this.settings = settings;
-        charges = new LinkedHashMap<>(given);
-        settings.leaseNames().forEach(leaseName -> charges.putIfAbsent(leaseName, new TermCounter(leaseName)));
-        int number = settings.dispatcher();
-        envelope = new MessageCodec(settings.sharedKey(), settings.membershipHash(), number, life);
-        List<Integer> voters = settings.voters();
-        voter = voters.contains(number) ? new PersistentVoter(settings, now(), life) : null;
-        for (String leaseName : charges.keySet()) {
-            followed.put(leaseName, new LeaseFollower(leaseName, number));
-            List<Integer> ranking =
-                    CandidateRanking.rank(leaseName, settings.dispatchers().size());
-            orders.put(leaseName, ranking);
-            int turn = ranking.indexOf(number);
-            if (turn < CANDIDATES) {
-                seats.put(
-                        leaseName, new LeaseCandidate(leaseName, number, life, voters, settings.terms(), turn, now()));
-            }
-        }
-        selector = Selector.open();
-        channel = DatagramChannel.open();
-        channel.bind(settings.listenAddress());
-        channel.configureBlocking(false);
-        channel.register(selector, SelectionKey.OP_READ);
+        int incarnation = new SecureRandom().nextInt(Ballot.INCARNATION_LIMIT);
+        boolean isVoter = settings.voters().contains(settings.dispatcher());
+        voter = isVoter ? new PersistentVoter(settings, nowMillis(), incarnation) : null;
+        tasks = new LinkedHashMap<>(given);
+        settings.leaseNames().forEach(name -> tasks.putIfAbsent(name, new TermCounter(name)));
+        tasks.forEach((name, task) ->
+                leases.put(name, new ManagedLease(name, settings, incarnation, task, this::send, nowMillis())));
+        transport = new LeaseTransport(settings, incarnation);
     }
 
-    /** Milliseconds of a clock that only goes forward. */
-    private static double now() {
-        return System.nanoTime() / 1e6;
+    private static double nowMillis() {
+        return System.nanoTime() / NANOS_PER_MILLI;
     }
 
     private void run() {
-        long pause = (long) Math.max(1, settings.terms().leaseMillis() / TICKS);
+        long tickMillis = (long) Math.max(1, settings.terms().leaseMillis() / TICKS_PER_LEASE);
         try {
-            double tickAt = now();
-            charges.values().forEach(c -> c.joins(this));
-            while (!ends) {
-                selector.select(pause);
-                selector.selectedKeys().clear();
-                receive();
-                for (Runnable task = inbox.poll(); task != null; task = inbox.poll()) {
-                    guarded(task);
-                }
-                if (now() >= tickAt) {
-                    tickAt = now() + pause;
+            double nextTickAtMillis = nowMillis();
+            tasks.values().forEach(task -> task.joins(this));
+            while (!isClosing) {
+                transport.await(tickMillis);
+                transport.receive(this::handle);
+                runSubmitted();
+                if (nowMillis() >= nextTickAtMillis) {
+                    nextTickAtMillis = nowMillis() + tickMillis;
                     tick();
                 }
-                seats.forEach((leaseName, candidate) -> guarded(() -> look(leaseName, candidate)));
+                leases.values().forEach(lease -> runGuarded(() -> lease.update(nowMillis())));
             }
-            handOn();
+            shutDown();
         } catch (IOException e) {
-            LOG.warning("duties-end", "duties end here: " + e.getMessage());
+            LOG.warning("duties-end", "the lease service stops: " + e.getMessage());
+        }
+    }
+
+    private void runSubmitted() {
+        for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
+            runGuarded(task);
         }
     }
 
-    /** Danger: a fault in what is done with one duty must not end the thread that votes on all. */
-    private static void guarded(Runnable task) {
+    /** A fault in one lease's task must not end the thread that votes on all leases. */
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.fault("duty-failed", "work on a duty failed", e);
+            LOG.fault("duty-failed", "the task of a lease failed", e);
         }
     }
 
     @Override
     public void run(Runnable task) {
-        inbox.add(task);
-        selector.wakeup();
+        submitted.add(task);
+        transport.wakeUp();
     }
 
     @Override
     public boolean mayAct(String leaseName) {
-        LeaseCandidate candidate = seats.get(leaseName);
-        return candidate != null && candidate.mayAct(now());
+        ManagedLease lease = leases.get(leaseName);
+        return lease != null && lease.mayAct(nowMillis());
     }
 
     @Override
     public void outdo(String leaseName, long fence) {
-        LeaseCandidate candidate = seats.get(leaseName);
-        if (candidate != null) {
-            send(candidate.yieldToHigherFence(fence, now()));
-        }
+        withLease(leaseName, lease -> lease.yieldToHigherFence(fence, nowMillis()));
     }
 
-    private void receive() throws IOException {
-        ByteBuffer data = ByteBuffer.allocate(DATAGRAM_MOST);
-        for (SocketAddress from = channel.receive(data); from != null; from = channel.receive(data)) {
-            byte[] bytes = new byte[data.flip().remaining()];
-            data.get(bytes).clear();
-            long others = envelope.discardedCount(MessageCodec.DiscardReason.OTHER_LIST);
-            LeaseMessage message = envelope.decode(bytes);
-            if (others == 0 && envelope.discardedCount(MessageCodec.DiscardReason.OTHER_LIST) > 0) {
-                LOG.warning(
-                        "other-list",
-                        "a dispatcher with another list of dispatchers or voters is passed over",
-                        "from",
-                        from);
-            }
-            if (message != null && message.sender() < settings.dispatchers().size()) {
-                hear(message);
+    private void handle(LeaseMessage message) {
+        if (message.isForVoter()) {
+            if (voter != null) {
+                send(voter.handle(message, nowMillis()));
             }
+            return;
         }
+        withLease(message.leaseName(), lease -> handleForLease(lease, message));
     }
 
-    private void hear(LeaseMessage message) {
+    private static void handleForLease(ManagedLease lease, LeaseMessage message) {
         switch (message.kind()) {
-            case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_MEMORY -> {
-                if (voter != null) {
-                    send(voter.handle(message, now()));
-                }
-            }
-            case ANNOUNCE -> news(message);
-            case REQUEST_STATE -> {
-                if (mayAct(message.leaseName()) && holds.containsKey(message.leaseName())) {
-                    send(List.of(new Outgoing(message.sender(), told(followed.get(message.leaseName()), true))));
-                }
-            }
-            case REPORT -> {
-                if (mayAct(message.leaseName())) {
-                    guarded(() -> charges.get(message.leaseName())
-                            .word(message.sender(), message.requestId(), message.state(), now()));
-                }
-            }
-            default -> {
-                LeaseCandidate candidate = seats.get(message.leaseName());
-                if (candidate != null) {
-                    send(candidate.handle(message, now()));
-                }
-            }
+            case ANNOUNCE -> runGuarded(() -> lease.handleAnnouncement(message, nowMillis()));
+            case REQUEST_STATE -> lease.handleStateRequest(message, nowMillis());
+            case REPORT -> runGuarded(() -> lease.handleReport(message, nowMillis()));
+            default -> lease.handleCandidateMessage(message, nowMillis());
         }
     }
 
-    private void news(LeaseMessage message) {
-        LeaseFollower f = followed.get(message.leaseName());
-        if (f != null && !mayAct(message.leaseName())) {
-            send(f.handle(message));
-            if (f.isUpToDate(message)) {
-                guarded(() -> charges.get(message.leaseName())
-                        .news(f.fence(), f.version(), f.state(), (message.requestId() & LISTENS) != 0, now()));
-            }
+    private void withLease(String leaseName, Consumer<ManagedLease> action) {
+        ManagedLease lease = leases.get(leaseName);
+        if (lease != null) {
+            action.accept(lease);
         }
     }
 
-    /** To the holder of each duty, what was seen here. */
-    private void tell() {
-        charges.forEach((leaseName, charge) -> {
-            LeaseFollower f = followed.get(leaseName);
-            for (byte[] report : charge.tell(f.fence(), now())) {
-                send(
-                        f.holder() < 0
-                                ? List.of()
-                                : List.of(new Outgoing(
-                                        f.holder(),
-                                        LeaseMessage.of(
-                                                        LeaseMessage.Kind.REPORT,
-                                                        leaseName,
-                                                        settings.dispatcher(),
-                                                        life,
-                                                        0)
-                                                .withState(0, 0, report))));
-            }
-        });
-    }
-
     private void tick() {
         if (voter != null) {
-            send(voter.tick(now()));
-        }
-        seats.values().forEach(candidate -> send(candidate.tick(now())));
-        if (now() >= tellAt) {
-            tellAt = now() + settings.terms().leaseMillis() / TELLS;
-            tell();
-        }
-    }
-
-    /** What has become of a duty here, and what its holder does next. */
-    private void look(String leaseName, LeaseCandidate candidate) {
-        double now = now();
-        boolean may = candidate.mayAct(now);
-        long fence = candidate.fence();
-        Long held = holds.get(leaseName);
-        LeaseTask charge = charges.get(leaseName);
-        if (held != null && (!may || held != fence)) {
-            holds.remove(leaseName);
-            attached.remove(leaseName);
-            LOG.info("duty-lost", "no longer holds " + leaseName, "duty", leaseName, "fence", held);
-            charge.lost();
-        }
-        if (!may || candidate.isChangePending()) {
-            return;
-        }
-        LeaseFollower f = followed.get(leaseName);
-        if (holds.put(leaseName, fence) == null || f.version() != candidate.version()) {
-            f.recordOwnState(fence, candidate.version(), candidate.state());
-            attached.put(leaseName, ATTACHED);
-            beatAt.put(leaseName, now);
-            charge.news(fence, candidate.version(), candidate.state(), charge.listens(), now);
-        }
-        beat(leaseName, f, now);
-        byte[] next = charge.turn(new LeaseTask.HeldLease(fence, candidate.version(), candidate.state(), now));
-        if (next != null && next.length > MessageCodec.MAX_STATE_BYTES) {
-            LOG.warning(
-                    "state-too-long",
-                    "the next state of " + leaseName + " is too long and is left out",
-                    "duty",
-                    leaseName,
-                    "bytes",
-                    next.length);
-        } else if (next != null) {
-            java.util.ArrayList<Outgoing> out = new java.util.ArrayList<>();
-            candidate.proposeChange(next, now, out);
-            send(out);
+            send(voter.tick(nowMillis()));
         }
-    }
-
-    /** Tells all what is stored: the state a few times, since words get lost, then only its version. */
-    private void beat(String leaseName, LeaseFollower f, double now) {
-        LeaseTask charge = charges.get(leaseName);
-        boolean turned = charge.listens() != Boolean.TRUE.equals(listened.put(leaseName, charge.listens()));
-        if (now < beatAt.get(leaseName) && !turned) {
-            return;
+        leases.values().forEach(lease -> lease.tick(nowMillis()));
+        if (nowMillis() >= nextReportsAtMillis) {
+            nextReportsAtMillis = nowMillis() + settings.terms().leaseMillis() / REPORTS_PER_LEASE;
+            leases.values().forEach(lease -> lease.sendReports(nowMillis()));
         }
-        int left = attached.getOrDefault(leaseName, 0);
-        double lease = settings.terms().leaseMillis();
-        beatAt.put(leaseName, now + (left > 1 ? lease / 4 : charge.idle() ? IDLE_ANNOUNCE_LEASES * lease : lease / 2));
-        attached.put(leaseName, Math.max(0, left - 1));
-        LeaseMessage message = told(f, left > 0);
-        for (int to = 0; to < settings.dispatchers().size(); to++) {
-            if (to != settings.dispatcher()) {
-                send(List.of(new Outgoing(to, message)));
-            }
-        }
-        charge.news(f.fence(), f.version(), f.state(), charge.listens(), now);
     }
 
-    private LeaseMessage told(LeaseFollower f, boolean whole) {
-        return LeaseMessage.of(
-                        LeaseMessage.Kind.ANNOUNCE,
-                        f.leaseName(),
-                        settings.dispatcher(),
-                        (whole ? LeaseFollower.FLAG_HAS_STATE : 0)
-                                | (charges.get(f.leaseName()).listens() ? LISTENS : 0),
-                        f.fence())
-                .withState(f.fence(), f.version(), whole ? f.state() : LeaseMessage.EMPTY_STATE);
-    }
-
-    private void send(List<Outgoing> posts) {
-        for (Outgoing p : posts) {
-            if (p.recipient() == settings.dispatcher()) {
-                hear(p.message());
-                continue;
-            }
-            InetSocketAddress to = settings.dispatchers().get(p.recipient());
-            try {
-                channel.send(ByteBuffer.wrap(envelope.encode(p.message())), to);
-            } catch (IOException e) {
-                // As a datagram that is lost: it is asked again.
-                continue;
+    /** Messages to this dispatcher itself are handled at once. */
+    private void send(List<Outgoing> messages) {
+        for (Outgoing outgoing : messages) {
+            if (outgoing.recipient() == settings.dispatcher()) {
+                handle(outgoing.message());
+            } else {
+                transport.send(outgoing.recipient(), outgoing.message());
             }
         }
     }
 
-    /** A planned end: each duty held goes to the next in its order. */
-    private void handOn() throws IOException {
-        seats.forEach((leaseName, candidate) -> {
-            List<Integer> ranking = orders.get(leaseName);
-            int next = ranking.get((ranking.indexOf(settings.dispatcher()) + 1) % ranking.size());
-            if (candidate.mayAct(now())) {
-                LOG.info(
-                        "duty-handed-on",
-                        "hands " + leaseName + " on",
-                        "duty",
-                        leaseName,
-                        "fence",
-                        candidate.fence(),
-                        "to",
-                        next);
-            }
-            send(candidate.retire(next));
-        });
-        channel.close();
-        selector.close();
+    private void shutDown() throws IOException {
+        leases.values().forEach(lease -> lease.handOver(nowMillis()));
+        transport.close();
         if (voter != null) {
             voter.close();
         }
     }
 
-    /** Hands on what is held, and ends. */
+    /** Graceful shutdown: hands over the leases that are held and ends the thread, waiting two seconds at most. */
     @Override
     public void close() {
-        ends = true;
-        selector.wakeup();
+        isClosing = true;
+        transport.wakeUp();
         try {
-            thread.join(END_MILLIS);
+            thread.join(SHUTDOWN_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (MessageCodec.DiscardReason fault : MessageCodec.DiscardReason.values()) {
-            if (envelope.discardedCount(fault) > 0) {
-                LOG.info(
-                        "duty-passed-over",
-                        "messages passed over",
-                        "kind",
-                        fault,
-                        "count",
-                        envelope.discardedCount(fault));
-            }
-        }
+        transport.logDiscarded();
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -1,5 +1,7 @@
 package nettlewick.lease;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -9,14 +11,16 @@
 import nettlewick.settings.Block;
 
 /**
- * The block {@code duty}, checked.
+ * The settings block {@code duty}, checked.
  *
- * @param number this dispatcher's place in the list
- * @param listen where this process hears of duties
- * @param all    where each dispatcher is reached
- * @param voters the numbers of those that grant
- * @param duties names, in the order of the file
- * @param folder where a voter keeps what it promised and accepted; null: in memory alone
+ * @param dispatcher    this dispatcher's number: its place in {@code dispatchers}
+ * @param listenAddress where this process receives lease messages
+ * @param dispatchers   where each dispatcher is reached, by its number
+ * @param voters        the numbers of the dispatchers that vote
+ * @param terms         how long a lease lasts and how far clocks drift
+ * @param sharedKey     authenticates the messages
+ * @param leaseNames    in the order of the file
+ * @param voterFolder   where a voter stores its records; null: in memory only
  */
 public record LeaseSettings(
         int dispatcher,
@@ -30,49 +34,65 @@
     private static final int MIN_KEY_BYTES = 32;
     private static final double PERCENT = 100;
 
-    /** @throws nettlewick.settings.BadSettings where the lines do not fit one another */
+    /**
+     * Reads the block and the key file that it names.
+     *
+     * @throws nettlewick.settings.InvalidSettingsException where the lines contradict one another or the key cannot be
+     *                                                      read
+     */
     public static LeaseSettings of(Block block) {
-        List<String> duties =
-                block.all("name").stream().map(v -> v.<String>part(0)).toList();
-        List<InetSocketAddress> all = block.all("dispatcher").stream()
-                .map(v -> v.<InetSocketAddress>part(0))
+        List<InetSocketAddress> dispatchers = block.all("dispatcher").stream()
+                .map(value -> value.<InetSocketAddress>part(0))
                 .toList();
-        int number = block.has("number") ? (int) block.whole("number") : all.indexOf(block.address("listen"));
-        if (number < 0 || number >= all.size()) {
-            throw block.has("number")
-                    ? block.bad("number", "below " + all.size())
-                    : block.bad("listen", "the address of one `dispatcher`, or `number` has to be set");
+        int dispatcher = dispatcherNumber(block, dispatchers);
+        List<String> leaseNames = leaseNames(block);
+        int voterCount = (int) Math.min(block.whole("voters"), dispatchers.size());
+        return new LeaseSettings(
+                dispatcher,
+                block.address("listen"),
+                dispatchers,
+                IntStream.range(0, voterCount).boxed().toList(),
+                new LeaseTerms(block.span("lease"), block.whole("drift") / PERCENT),
+                readKey(block),
+                leaseNames,
+                block.has("folder") ? block.get("folder") : null);
+    }
+
+    private static int dispatcherNumber(Block block, List<InetSocketAddress> dispatchers) {
+        boolean isSet = block.has("number");
+        int number = isSet ? (int) block.whole("number") : dispatchers.indexOf(block.address("listen"));
+        if (number >= 0 && number < dispatchers.size()) {
+            return number;
         }
-        if (duties.stream().distinct().count() < duties.size()) {
+        throw isSet
+                ? block.bad("number", "below " + dispatchers.size())
+                : block.bad("listen", "the address of one `dispatcher`, or `number` has to be set");
+    }
+
+    private static List<String> leaseNames(Block block) {
+        List<String> names =
+                block.all("name").stream().map(value -> value.<String>part(0)).toList();
+        if (names.stream().distinct().count() < names.size()) {
             throw block.bad("name", "there once only");
         }
-        int voters = (int) Math.min(block.whole("voters"), all.size());
-        if (duties.stream()
-                .anyMatch(d ->
-                        d.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > MessageCodec.MAX_NAME_BYTES)) {
+        if (names.stream().anyMatch(name -> name.getBytes(UTF_8).length > MessageCodec.MAX_NAME_BYTES)) {
             throw block.bad("name", "of " + MessageCodec.MAX_NAME_BYTES + " bytes at most");
         }
-        List<Integer> first = IntStream.range(0, voters).boxed().toList();
-        return new LeaseSettings(
-                number,
-                block.address("listen"),
-                all,
-                first,
-                new LeaseTerms(block.span("lease"), block.whole("drift") / PERCENT),
-                key(block),
-                duties,
-                block.has("folder") ? block.get("folder") : null);
+        return names;
     }
 
-    /** Stands for the list of dispatchers and how many of them vote: words under another one never count. */
+    /**
+     * Stands for the dispatchers and how many of them vote: dispatchers that were given another list discard each
+     * other's messages.
+     */
     int membershipHash() {
         List<String> addresses = dispatchers.stream()
-                .map(a -> a.getAddress().getHostAddress() + ":" + a.getPort())
+                .map(address -> address.getAddress().getHostAddress() + ":" + address.getPort())
                 .toList();
         return addresses.hashCode() * 31 + voters.size();
     }
 
-    private static byte[] key(Block block) {
+    private static byte[] readKey(Block block) {
         try {
             byte[] key = Files.readAllBytes(block.<Path>get("key"));
             if (key.length < MIN_KEY_BYTES) {
--- a/src/main/java/nettlewick/lease/LeaseTask.java
+++ b/src/main/java/nettlewick/lease/LeaseTask.java
@@ -4,31 +4,36 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * What is done with one duty, by its holder and by those who follow it. All calls come on the duties' thread,
- * one at a time; none may block.
+ * What is done under one lease, by its holder and by the dispatchers that follow it. All methods are called on the
+ * lease thread, one at a time; none may block.
  */
 public interface LeaseTask {
     /**
-     * What a holder has in hand, right after its lease was looked at.
+     * A lease that is held at the moment of the call.
      *
-     * @param state as a majority has stored it; empty at the first time
-     * @param now   milliseconds of the monotonic clock
+     * @param fence   grows with each holder; goes with each act, so that a {@link FenceGate} can reject former holders
+     * @param version the state's version
+     * @param state   as a majority of voters has stored it; empty before the first change
+     * @param now     milliseconds of the monotonic clock
      */
     record HeldLease(long fence, long version, byte[] state, double now) {}
 
-    /** The ways back from another thread, and out of the duties' own. */
+    /** The lease service, as a task sees it. */
     interface Desk {
-        /** Has this done on the duties' thread. Any thread. */
+        /** Runs this on the lease thread. Any thread. */
         void run(Runnable task);
 
-        /** Whether the duty is held at this moment; on the duties' thread, right before an act. */
+        /** Whether the lease is held at this moment; to be called on the lease thread, right before an act. */
         boolean mayAct(String leaseName);
 
-        /** Whoever is acted on has seen this fence, above the own: the duty is taken again above it. */
+        /**
+         * The resource that is acted on has seen this fence, which is above the holder's own: the lease is released and
+         * acquired again above it. On the lease thread.
+         */
         void outdo(String leaseName, long fence);
     }
 
-    /** Tells operators that a duty is held, once its term is stored. */
+    /** Logs that the lease is held, once its term is stored. */
     static void held(String leaseName, HeldLease lease, long term) {
         ComponentLogger.of("duty")
                 .info(
@@ -44,36 +49,51 @@
                         lease.version());
     }
 
-    /** At the start. */
+    /** Called once, when the lease service starts. */
     default void joins(Desk desk) {}
 
-    /** While the duty is held and no change on its way, many times a lease: the next state, or null. */
+    /** Called at the holder many times a lease, while no change is pending: the next state, or null for no change. */
     byte[] turn(HeldLease lease);
 
-    /** It is held no more. */
+    /** The lease is no longer held here. */
     default void lost() {}
 
     /**
-     * The newest version that a majority has stored, whoever holds it; also where nothing changed.
+     * The newest version that a majority has stored, whoever holds the lease; called again at each announcement, also
+     * where nothing has changed.
      *
-     * @param listens whether the holder wants a word from all
+     * @param fence   the holder's
+     * @param listens whether the holder requests reports from all dispatchers
+     * @param now     milliseconds of the monotonic clock
      */
     default void news(long fence, long version, byte[] state, boolean listens, double now) {}
 
-    /** At the holder: whether a word is wanted from all. */
+    /** At the holder: whether it requests reports from all dispatchers. */
     default boolean listens() {
         return false;
     }
 
-    /** At the holder: whether nothing hangs on the others' hearing of it soon. */
+    /** At the holder: whether announcements may be rare, since nobody waits for one. */
     default boolean idle() {
         return false;
     }
 
-    /** At the holder: what a dispatcher has seen, since that life of it began. */
-    default void word(int from, long incarnation, byte[] report, double now) {}
+    /**
+     * At the holder: a report of another dispatcher.
+     *
+     * @param from the dispatcher's number
+     * @param life the dispatcher's incarnation, which a restart changes
+     * @param word the report
+     * @param now  milliseconds of the monotonic clock
+     */
+    default void word(int from, long life, byte[] word, double now) {}
 
-    /** What the holder under that fence should know of what was seen here, a datagram each. */
+    /**
+     * The reports to send to the holder, each in a datagram of its own.
+     *
+     * @param fence the holder's; 0 where no holder is known
+     * @param now   milliseconds of the monotonic clock
+     */
     default List<byte[]> tell(long fence, double now) {
         return List.of();
     }
--- a/src/main/java/nettlewick/lease/LeaseTerms.java
+++ b/src/main/java/nettlewick/lease/LeaseTerms.java
@@ -1,17 +1,18 @@
 package nettlewick.lease;
 
 /**
- * What all dispatchers of a tier agree on.
+ * The parameters on which all dispatchers of a tier have to agree.
  *
- * @param lease milliseconds that a grant lasts
- * @param drift by which part two clocks' rates may differ at most
+ * @param leaseMillis   how long a voter's grant lasts
+ * @param maxClockDrift by which share the rates of two dispatchers' clocks differ at most
  */
 record LeaseTerms(double leaseMillis, double maxClockDrift) {
-    int majorityOf(int voters) {
-        return voters / 2 + 1;
+    /** How many of this many voters are a majority. */
+    int majorityOf(int voterCount) {
+        return voterCount / 2 + 1;
     }
 
-    /** For how long a holder may count on a grant, from before it asked. */
+    /** How long a holder may rely on a grant, counted by its own clock from before it sent the request. */
     double holderLeaseMillis() {
         return leaseMillis * (1 - maxClockDrift);
     }
--- /dev/null
+++ b/src/main/java/nettlewick/lease/LeaseTransport.java
@@ -0,0 +1,99 @@
+package nettlewick.lease;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.DatagramChannel;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.Selector;
+import java.util.List;
+import java.util.function.Consumer;
+import nettlewick.lease.MessageCodec.DiscardReason;
+import nettlewick.log.ComponentLogger;
+
+/**
+ * The UDP socket over which the dispatchers exchange lease messages. Belongs to the lease thread, but for
+ * {@link #wakeUp}. Datagrams may get lost; requests are repeated by whoever sent them.
+ */
+final class LeaseTransport implements AutoCloseable {
+    private static final ComponentLogger LOG = ComponentLogger.of("duty");
+    private static final int MAX_DATAGRAM_BYTES = 8192;
+
+    private final List<InetSocketAddress> dispatchers;
+    private final MessageCodec codec;
+    private final Selector selector;
+    private final DatagramChannel channel;
+
+    /** @throws IOException where the settings' address cannot be bound */
+    LeaseTransport(LeaseSettings settings, int incarnation) throws IOException {
+        dispatchers = settings.dispatchers();
+        codec = new MessageCodec(settings.sharedKey(), settings.membershipHash(), settings.dispatcher(), incarnation);
+        selector = Selector.open();
+        channel = DatagramChannel.open();
+        channel.bind(settings.listenAddress());
+        channel.configureBlocking(false);
+        channel.register(selector, SelectionKey.OP_READ);
+    }
+
+    /** Waits for datagrams, for {@link #wakeUp} or for the time to pass. */
+    void await(long timeoutMillis) throws IOException {
+        selector.select(timeoutMillis);
+        selector.selectedKeys().clear();
+    }
+
+    /** Ends {@link #await}. Any thread. */
+    void wakeUp() {
+        selector.wakeup();
+    }
+
+    /** Passes on all messages that have arrived from dispatchers of this membership. */
+    void receive(Consumer<LeaseMessage> receiver) throws IOException {
+        ByteBuffer data = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+        for (SocketAddress from = channel.receive(data); from != null; from = channel.receive(data)) {
+            byte[] bytes = new byte[data.flip().remaining()];
+            data.get(bytes).clear();
+            LeaseMessage message = decode(bytes, from);
+            if (message != null && message.sender() < dispatchers.size()) {
+                receiver.accept(message);
+            }
+        }
+    }
+
+    private LeaseMessage decode(byte[] bytes, SocketAddress from) {
+        boolean isWarned = codec.discardedCount(DiscardReason.OTHER_LIST) > 0;
+        LeaseMessage message = codec.decode(bytes);
+        if (!isWarned && codec.discardedCount(DiscardReason.OTHER_LIST) > 0) {
+            LOG.warning(
+                    "other-list",
+                    "messages of a dispatcher with another list of dispatchers or voters are discarded",
+                    "from",
+                    from);
+        }
+        return message;
+    }
+
+    void send(int recipient, LeaseMessage message) {
+        try {
+            channel.send(ByteBuffer.wrap(codec.encode(message)), dispatchers.get(recipient));
+        } catch (IOException ignored) {
+            // Like a datagram that gets lost: the request is repeated.
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        channel.close();
+        selector.close();
+    }
+
+    /** Logs how many datagrams were discarded, by reason. */
+    void logDiscarded() {
+        for (DiscardReason reason : DiscardReason.values()) {
+            long count = codec.discardedCount(reason);
+            if (count > 0) {
+                LOG.info("duty-passed-over", "lease messages discarded", "kind", reason, "count", count);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/lease/ManagedLease.java
@@ -0,0 +1,215 @@
+package nettlewick.lease;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Outgoing;
+import nettlewick.log.ComponentLogger;
+
+/**
+ * Everything that this dispatcher does about one lease: it stands for it where it ranks high enough, announces the
+ * state while it holds it, follows the holder otherwise, and calls the lease's {@link LeaseTask}. Times are milliseconds of
+ * the monotonic clock. Belongs to the lease thread.
+ */
+final class ManagedLease {
+    private static final ComponentLogger LOG = ComponentLogger.of("duty");
+    /** How many dispatchers of a lease's ranking stand for it; more would only send requests. */
+    private static final int MAX_CANDIDATES = 8;
+
+    private final String leaseName;
+    private final LeaseSettings settings;
+    private final int incarnation;
+    private final LeaseTask task;
+    private final Consumer<List<Outgoing>> sender;
+    private final List<Integer> ranking;
+    /** Null where this dispatcher ranks too low to stand. */
+    private final LeaseCandidate candidate;
+
+    private final LeaseFollower follower;
+    private final AnnouncementSchedule announcements;
+    private boolean isHeld;
+    private long heldFence;
+
+    /** @param sender takes the messages to send, in their order */
+    ManagedLease(
+            String leaseName,
+            LeaseSettings settings,
+            int incarnation,
+            LeaseTask task,
+            Consumer<List<Outgoing>> sender,
+            double nowMillis) {
+        this.leaseName = leaseName;
+        this.settings = settings;
+        this.incarnation = incarnation;
+        this.task = task;
+        this.sender = sender;
+        ranking = CandidateRanking.rank(leaseName, settings.dispatchers().size());
+        follower = new LeaseFollower(leaseName, settings.dispatcher());
+        announcements = new AnnouncementSchedule(settings.terms().leaseMillis());
+        int rank = ranking.indexOf(settings.dispatcher());
+        candidate = rank < MAX_CANDIDATES
+                ? new LeaseCandidate(
+                        leaseName,
+                        settings.dispatcher(),
+                        incarnation,
+                        settings.voters(),
+                        settings.terms(),
+                        rank,
+                        nowMillis)
+                : null;
+    }
+
+    /** Whether the lease is held here at this moment. */
+    boolean mayAct(double nowMillis) {
+        return candidate != null && candidate.mayAct(nowMillis);
+    }
+
+    /** A resource has rejected an act since it has seen this higher fence. */
+    void yieldToHigherFence(long fence, double nowMillis) {
+        if (candidate != null) {
+            sender.accept(candidate.yieldToHigherFence(fence, nowMillis));
+        }
+    }
+
+    void tick(double nowMillis) {
+        if (candidate != null) {
+            sender.accept(candidate.tick(nowMillis));
+        }
+    }
+
+    /** Handles an answer of a voter, or a handover by the holder. */
+    void handleCandidateMessage(LeaseMessage message, double nowMillis) {
+        if (candidate != null) {
+            sender.accept(candidate.handle(message, nowMillis));
+        }
+    }
+
+    void handleAnnouncement(LeaseMessage message, double nowMillis) {
+        if (mayAct(nowMillis)) {
+            return;
+        }
+        sender.accept(follower.handle(message));
+        if (follower.isUpToDate(message)) {
+            task.news(follower.fence(), follower.version(), follower.state(), message.requestsReports(), nowMillis);
+        }
+    }
+
+    void handleStateRequest(LeaseMessage message, double nowMillis) {
+        if (mayAct(nowMillis) && isHeld) {
+            sender.accept(List.of(new Outgoing(message.sender(), announcement(true))));
+        }
+    }
+
+    void handleReport(LeaseMessage message, double nowMillis) {
+        if (mayAct(nowMillis)) {
+            task.word(message.sender(), message.requestId(), message.state(), nowMillis);
+        }
+    }
+
+    /** Sends the task's reports to the holder. */
+    void sendReports(double nowMillis) {
+        for (byte[] report : task.tell(follower.fence(), nowMillis)) {
+            if (follower.hasHolder()) {
+                LeaseMessage message = LeaseMessage.of(Kind.REPORT, leaseName, settings.dispatcher(), incarnation, 0)
+                        .withState(0, 0, report);
+                sender.accept(List.of(new Outgoing(follower.holder(), message)));
+            }
+        }
+    }
+
+    /** Tells the task what has become of the lease, and proposes the task's next state. */
+    void update(double nowMillis) {
+        if (candidate == null) {
+            return;
+        }
+        boolean mayAct = candidate.mayAct(nowMillis);
+        if (isHeld && (!mayAct || heldFence != candidate.fence())) {
+            lose();
+        }
+        if (!mayAct || candidate.isChangePending()) {
+            return;
+        }
+        if (!isHeld || follower.version() != candidate.version()) {
+            adoptStoredState(nowMillis);
+        }
+        if (announcements.isDue(task.listens(), nowMillis)) {
+            announce(nowMillis);
+        }
+        proposeNextState(nowMillis);
+    }
+
+    private void lose() {
+        isHeld = false;
+        announcements.stop();
+        LOG.info("duty-lost", "no longer holds " + leaseName, "duty", leaseName, "fence", heldFence);
+        task.lost();
+    }
+
+    private void adoptStoredState(double nowMillis) {
+        isHeld = true;
+        heldFence = candidate.fence();
+        follower.recordOwnState(heldFence, candidate.version(), candidate.state());
+        announcements.restart(nowMillis);
+        task.news(heldFence, candidate.version(), candidate.state(), task.listens(), nowMillis);
+    }
+
+    private void announce(double nowMillis) {
+        LeaseMessage message = announcement(announcements.includesState());
+        announcements.advance(task.idle(), nowMillis);
+        List<Outgoing> out = new ArrayList<>();
+        for (int recipient = 0; recipient < settings.dispatchers().size(); recipient++) {
+            if (recipient != settings.dispatcher()) {
+                out.add(new Outgoing(recipient, message));
+            }
+        }
+        sender.accept(out);
+        task.news(follower.fence(), follower.version(), follower.state(), task.listens(), nowMillis);
+    }
+
+    private LeaseMessage announcement(boolean hasState) {
+        long flags = (hasState ? LeaseMessage.FLAG_HAS_STATE : 0)
+                | (task.listens() ? LeaseMessage.FLAG_REPORTS_REQUESTED : 0);
+        return LeaseMessage.of(Kind.ANNOUNCE, leaseName, settings.dispatcher(), flags, follower.fence())
+                .withState(
+                        follower.fence(), follower.version(), hasState ? follower.state() : LeaseMessage.EMPTY_STATE);
+    }
+
+    private void proposeNextState(double nowMillis) {
+        byte[] next = task.turn(new LeaseTask.HeldLease(heldFence, candidate.version(), candidate.state(), nowMillis));
+        if (next == null) {
+            return;
+        }
+        if (next.length > MessageCodec.MAX_STATE_BYTES) {
+            LOG.warning(
+                    "state-too-long",
+                    "the next state of " + leaseName + " is too long and is dropped",
+                    "duty",
+                    leaseName,
+                    "bytes",
+                    next.length);
+            return;
+        }
+        sender.accept(candidate.proposeChange(next, nowMillis));
+    }
+
+    /** Graceful shutdown: hands the lease over to the next dispatcher in its ranking. */
+    void handOver(double nowMillis) {
+        if (candidate == null) {
+            return;
+        }
+        int successor = ranking.get((ranking.indexOf(settings.dispatcher()) + 1) % ranking.size());
+        if (candidate.mayAct(nowMillis)) {
+            LOG.info(
+                    "duty-handed-on",
+                    "hands over " + leaseName,
+                    "duty",
+                    leaseName,
+                    "fence",
+                    candidate.fence(),
+                    "to",
+                    successor);
+        }
+        sender.accept(candidate.retire(successor));
+    }
+}
--- a/src/main/java/nettlewick/lease/PersistentVoter.java
+++ b/src/main/java/nettlewick/lease/PersistentVoter.java
@@ -8,37 +8,40 @@
 import nettlewick.log.ComponentLogger;
 import nettlewick.sqlite.StoreException;
 
-/** A voter, and the folder where it keeps what it promised and accepted, if there is one. */
-final class PersistentVoter {
+/**
+ * A voter together with the folder that keeps its records, if the settings name one. Messages that depend on a record
+ * are returned only once it is stored. Belongs to the lease thread.
+ */
+final class PersistentVoter implements AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
 
     private final LeaseSettings settings;
     private final LeaseVoter voter;
-    /** Null where a voter's memory is its process's. */
+    /** Null where the records last only as long as the process. */
     private final VoterStore store;
-    /** Whether the store says that this voter votes. */
-    private boolean begun;
+    /** Whether the store says that this voter votes, so that its records count after a restart. */
+    private boolean isMarkedVoting;
 
-    /** @throws IOException where the folder cannot be had */
-    PersistentVoter(LeaseSettings settings, double now, int incarnation) throws IOException {
+    /** @throws IOException where the folder cannot be used */
+    PersistentVoter(LeaseSettings settings, double nowMillis, int incarnation) throws IOException {
         this.settings = settings;
-        voter = new LeaseVoter(settings.dispatcher(), settings.voters(), settings.terms(), now, incarnation);
-        store = settings.voterFolder() == null ? null : remember();
+        voter = new LeaseVoter(settings.dispatcher(), settings.voters(), settings.terms(), nowMillis, incarnation);
+        store = settings.voterFolder() == null ? null : openAndRestore();
     }
 
-    private VoterStore remember() throws IOException {
+    private VoterStore openAndRestore() throws IOException {
         try {
             VoterStore opened = VoterStore.openOrRecreate(settings.voterFolder());
-            Map<String, LeaseVoter.LeaseRecord> known = opened.load(settings.membershipHash(), settings.dispatcher());
+            Map<String, LeaseRecord> known = opened.load(settings.membershipHash(), settings.dispatcher());
             if (known != null) {
                 voter.restore(known);
-                begun = true;
+                isMarkedVoting = true;
             } else {
                 opened.clear();
             }
             LOG.info(
                     "voter-remembers",
-                    known == null ? "a voter's memory begins" : "a voter's memory is back",
+                    known == null ? "the voter starts without records" : "the voter's records are restored",
                     "duties",
                     known == null ? 0 : known.size());
             return opened;
@@ -47,28 +50,27 @@
         }
     }
 
-    /** Its answers to a message, once what they promise is kept. */
-    List<Outgoing> handle(LeaseMessage message, double now) {
-        return saying(() -> voter.handle(message, now));
+    /** Its answers to a message; empty where the records that they depend on cannot be stored. */
+    List<Outgoing> handle(LeaseMessage message, double nowMillis) {
+        return storeBeforeSending(() -> voter.handle(message, nowMillis));
     }
 
-    /** What it asks of its own accord. */
-    List<Outgoing> tick(double now) {
-        return saying(() -> voter.tick(now));
+    /** Its requests to other voters; empty where the records that they depend on cannot be stored. */
+    List<Outgoing> tick(double nowMillis) {
+        return storeBeforeSending(() -> voter.tick(nowMillis));
     }
 
-    private List<Outgoing> saying(Supplier<List<Outgoing>> reports) {
-        boolean before = voter.isVoting();
-        List<Outgoing> out = reports.get();
-        boolean saved = saved();
-        if (!before && voter.isVoting()) {
+    private List<Outgoing> storeBeforeSending(Supplier<List<Outgoing>> step) {
+        boolean wasVoting = voter.isVoting();
+        List<Outgoing> out = step.get();
+        boolean isStored = storeChanges();
+        if (!wasVoting && voter.isVoting()) {
             LOG.info("votes", "votes on duties from now on", "dispatcher", settings.dispatcher());
         }
-        return saved ? out : List.of();
+        return isStored ? out : List.of();
     }
 
-    /** Danger: a promise that a power loss takes back is none. What cannot be saved is not said. */
-    private boolean saved() {
+    private boolean storeChanges() {
         if (store == null) {
             voter.unsavedRecords().clear();
             return true;
@@ -78,18 +80,19 @@
                 store.save(voter.unsavedRecords());
                 voter.unsavedRecords().clear();
             }
-            if (voter.isVoting() && !begun) {
+            if (voter.isVoting() && !isMarkedVoting) {
                 store.markVoting(settings.membershipHash(), settings.dispatcher());
-                begun = true;
+                isMarkedVoting = true;
             }
             return true;
         } catch (StoreException e) {
-            LOG.warning("voter-not-stored", "a vote is held back: " + e.getMessage());
+            LOG.warning("voter-not-stored", "a vote is withheld: " + e.getMessage());
             return false;
         }
     }
 
-    void close() {
+    @Override
+    public void close() {
         if (store != null) {
             store.close();
         }
--- a/src/main/java/nettlewick/lease/TermCounter.java
+++ b/src/main/java/nettlewick/lease/TermCounter.java
@@ -2,11 +2,13 @@
 
 import java.nio.ByteBuffer;
 
-/** A duty that nothing is done with: its state is how many times it has been held. */
+/** The task of a lease that no other task is configured for: its state counts how often the lease was acquired. */
 final class TermCounter implements LeaseTask {
+    private static final long NO_FENCE = -1;
+
     private final String leaseName;
-    private long countedFence = -1;
-    private long announcedFence = -1;
+    private long countedFence = NO_FENCE;
+    private long loggedFence = NO_FENCE;
 
     TermCounter(String leaseName) {
         this.leaseName = leaseName;
@@ -21,8 +23,8 @@
             countedFence = lease.fence();
             return ByteBuffer.allocate(Long.BYTES).putLong(term + 1).array();
         }
-        if (announcedFence != lease.fence()) {
-            announcedFence = lease.fence();
+        if (loggedFence != lease.fence()) {
+            loggedFence = lease.fence();
             LeaseTask.held(leaseName, lease, term);
         }
         return null;
--- /dev/null
+++ b/src/main/java/nettlewick/lease/VoterRecovery.java
@@ -0,0 +1,173 @@
+package nettlewick.lease;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Outgoing;
+
+/**
+ * Decides when a started voter may vote. A voter that has forgotten a promise would let a lower ballot through, and one
+ * that has forgotten an accepted state would let a stored version be lost. A voter without memory therefore abstains
+ * until enough others have sent it all of their records that every majority includes one of those; or until all voters
+ * turn out to have no memory, which means that the tier is new. Times are milliseconds of the voter's own monotonic
+ * clock. Pure; belongs to its voter's thread.
+ */
+final class VoterRecovery {
+    /** In the last message of a recovery, as its accepted ballot: the receiver belongs to a new tier. */
+    private static final long NEW_TIER = 1;
+    /** Requests to the other voters are repeated after this share of a lease. */
+    private static final double REQUEST_SHARE = 1.0 / 6;
+
+    private final int dispatcher;
+    private final List<Integer> voters;
+    private final LeaseTerms terms;
+    /** Distinguishes answers to this process's requests from those to a former one's, which prove nothing. */
+    private final long incarnation;
+
+    /** Grants of a former process may run until then. */
+    private double abstainsUntilMillis;
+
+    private double requestedAtMillis = Double.NEGATIVE_INFINITY;
+    private final Map<Integer, Set<String>> receivedNames = new HashMap<>();
+    private final Set<Integer> recoveredFrom = new HashSet<>();
+    /** The incarnation of each voter that has no memory. */
+    private final Map<Integer, Long> votersWithoutMemory = new HashMap<>();
+
+    private double noMemoryAnywhereSinceMillis = Double.NaN;
+    /** Whether this voter found that the tier is new. */
+    private boolean hasFoundNewTier;
+    /** Whether another voter found that the tier is new and saw this incarnation in it. */
+    private boolean isMemberOfNewTier;
+    /** Whether all that was promised and accepted is known from an earlier process. */
+    private boolean hasMemory;
+
+    private boolean isVoting;
+
+    VoterRecovery(int dispatcher, List<Integer> voters, LeaseTerms terms, double nowMillis, long incarnation) {
+        this.dispatcher = dispatcher;
+        this.voters = voters;
+        this.terms = terms;
+        this.incarnation = incarnation;
+        abstainsUntilMillis = nowMillis + terms.leaseMillis() * (1 + terms.maxClockDrift());
+    }
+
+    VoterRecovery copy() {
+        VoterRecovery copy = new VoterRecovery(dispatcher, voters, terms, 0, incarnation);
+        copy.abstainsUntilMillis = abstainsUntilMillis;
+        copy.requestedAtMillis = requestedAtMillis;
+        receivedNames.forEach((sender, names) -> copy.receivedNames.put(sender, new HashSet<>(names)));
+        copy.recoveredFrom.addAll(recoveredFrom);
+        copy.votersWithoutMemory.putAll(votersWithoutMemory);
+        copy.noMemoryAnywhereSinceMillis = noMemoryAnywhereSinceMillis;
+        copy.hasFoundNewTier = hasFoundNewTier;
+        copy.isMemberOfNewTier = isMemberOfNewTier;
+        copy.hasMemory = hasMemory;
+        copy.isVoting = isVoting;
+        return copy;
+    }
+
+    boolean isVoting() {
+        return isVoting;
+    }
+
+    /** Ends the recovery at once. */
+    void startVoting() {
+        isVoting = true;
+    }
+
+    /** All records are known from before; their grants are not, so the voter still abstains for a lease. */
+    void markRestored() {
+        hasMemory = true;
+    }
+
+    /** Whether its own records may be sent to others as complete. */
+    boolean hasCompleteRecords() {
+        return isVoting || hasMemory;
+    }
+
+    /** Requests the others' records while it does not vote; to be called a few times a lease. */
+    List<Outgoing> tick(double nowMillis) {
+        if (isVoting) {
+            return List.of();
+        }
+        decideWhetherToVote(nowMillis);
+        if (isVoting || nowMillis - requestedAtMillis < terms.leaseMillis() * REQUEST_SHARE) {
+            return List.of();
+        }
+        requestedAtMillis = nowMillis;
+        List<Outgoing> out = new ArrayList<>();
+        for (int other : voters) {
+            if (other != dispatcher) {
+                out.add(new Outgoing(other, LeaseMessage.of(Kind.RECOVER, "", dispatcher, 0, incarnation)));
+            }
+        }
+        return out;
+    }
+
+    /** Whether this answer is to a request of this process that still waits for it. */
+    boolean expects(LeaseMessage answer) {
+        return !isVoting && answer.ballot() == incarnation;
+    }
+
+    /**
+     * Counts an expected answer. Records may get lost on the way: a voter counts as recovered from only once as many
+     * have arrived as its last message says.
+     */
+    void handleAnswer(LeaseMessage answer, double nowMillis) {
+        int sender = answer.sender();
+        Set<String> names = receivedNames.computeIfAbsent(sender, s -> new HashSet<>());
+        if (answer.kind() == Kind.NO_MEMORY) {
+            votersWithoutMemory.put(sender, answer.highestBallot());
+        } else if (!answer.leaseName().isEmpty()) {
+            names.add(answer.leaseName());
+        } else if (names.size() >= answer.version()) {
+            recoveredFrom.add(sender);
+            votersWithoutMemory.remove(sender);
+            isMemberOfNewTier |= answer.acceptedBallot() == NEW_TIER;
+        }
+        decideWhetherToVote(nowMillis);
+    }
+
+    private void decideWhetherToVote(double nowMillis) {
+        boolean isTierNew = isTierNew(nowMillis);
+        boolean hasRecovered = recoveredFrom.size() >= voters.size() - terms.majorityOf(voters.size()) + 1;
+        boolean knowsEnough = hasMemory || hasRecovered || isTierNew || isMemberOfNewTier;
+        if (nowMillis < abstainsUntilMillis || !knowsEnough) {
+            return;
+        }
+        isVoting = true;
+        // From now on this voter counts as one with memory. The others would wait for more of those for ever, unless it
+        // tells the ones that it saw without memory that they had none to lose. A voter that has a memory of its own
+        // must not say so: what the others have lost may count.
+        hasFoundNewTier = isTierNew && !hasMemory;
+    }
+
+    /** The other voters have to see this one without memory too: the finding has to last for a lease. */
+    private boolean isTierNew(double nowMillis) {
+        boolean isMemoryNowhere = recoveredFrom.isEmpty() && votersWithoutMemory.size() >= voters.size() - 1;
+        if (!isMemoryNowhere) {
+            noMemoryAnywhereSinceMillis = Double.NaN;
+        } else if (Double.isNaN(noMemoryAnywhereSinceMillis)) {
+            noMemoryAnywhereSinceMillis = nowMillis;
+        }
+        return nowMillis - noMemoryAnywhereSinceMillis >= terms.leaseMillis();
+    }
+
+    /** Answers a recovering voter where this one has no memory to share. */
+    LeaseMessage noMemoryAnswer(LeaseMessage request) {
+        return LeaseMessage.of(Kind.NO_MEMORY, "", dispatcher, 0, request.ballot())
+                .withHighestBallot(incarnation, 0);
+    }
+
+    /** The last answer to a recovering voter: how many records were sent, and whether the tier is new to it. */
+    LeaseMessage finalAnswer(LeaseMessage request, int recordCount) {
+        boolean wasSeenWithoutMemory = votersWithoutMemory.getOrDefault(request.sender(), -1L) == request.ballot();
+        return LeaseMessage.of(Kind.RECOVERED_RECORD, "", dispatcher, 0, request.ballot())
+                .withState(
+                        hasFoundNewTier && wasSeenWithoutMemory ? NEW_TIER : 0, recordCount, LeaseMessage.EMPTY_STATE);
+    }
+}
--- a/src/main/java/nettlewick/lease/VoterStore.java
+++ b/src/main/java/nettlewick/lease/VoterStore.java
@@ -13,7 +13,7 @@
 import nettlewick.sqlite.Database;
 import nettlewick.sqlite.StoreException;
 
-/** What a voter promised and accepted, on a disk that lasts: forced there before its answer leaves. */
+/** A voter's records in a SQLite file: durable when a method returns. Belongs to one thread. */
 final class VoterStore implements AutoCloseable {
     private static final String FILE = "voter.sqlite";
     private static final String[] TABLES = {
@@ -21,6 +21,9 @@
         "CREATE TABLE IF NOT EXISTS register (duty TEXT PRIMARY KEY, promised INTEGER NOT NULL, "
                 + "held INTEGER NOT NULL, version INTEGER NOT NULL, state BLOB NOT NULL) WITHOUT ROWID"
     };
+    private static final String SELECT_RECORDS = "SELECT duty, promised, held, version, state FROM register";
+    /** Stands for a store that belongs to nobody. */
+    private static final int NO_DISPATCHER = -1;
 
     private final Database database;
 
@@ -42,11 +45,11 @@
         }
     }
 
-    /** Opens the store; a damaged file is put aside, as if its memory were lost. */
+    /** Opens the store; a damaged file is renamed, and the voter starts without records. */
     static VoterStore openOrRecreate(Path folder) throws StoreException {
         try {
             VoterStore store = open(folder);
-            store.load(0, -1);
+            store.load(0, NO_DISPATCHER);
             return store;
         } catch (StoreException e) {
             if (!e.damaged()) {
@@ -56,7 +59,8 @@
                 Files.move(folder.resolve(FILE), folder.resolve(FILE + ".damaged"), REPLACE_EXISTING);
                 Files.deleteIfExists(folder.resolve(FILE + "-wal"));
                 Files.deleteIfExists(folder.resolve(FILE + "-shm"));
-            } catch (IOException io) {
+            } catch (IOException moveFailed) {
+                e.addSuppressed(moveFailed);
                 throw e;
             }
             return open(folder);
@@ -64,61 +68,57 @@
     }
 
     /**
-     * What this voter knew; null where the folder is of none that has voted in this list under this number.
+     * The records by lease name; null where the store was not written by a voter with this number in this membership,
+     * or by one that had not begun to vote.
      */
-    Map<String, LeaseVoter.LeaseRecord> load(int list, int number) throws StoreException {
+    Map<String, LeaseRecord> load(int membershipHash, int dispatcher) throws StoreException {
         return database.look(() -> {
-            String whose = database.value("SELECT list || ' ' || number FROM whose");
-            Map<String, LeaseVoter.LeaseRecord> registers = new TreeMap<>();
-            try (PreparedStatement s = database.prepare("SELECT duty, promised, held, version, state FROM register");
-                    ResultSet rows = s.executeQuery()) {
+            String owner = database.value("SELECT list || ' ' || number FROM whose");
+            Map<String, LeaseRecord> records = new TreeMap<>();
+            try (PreparedStatement select = database.prepare(SELECT_RECORDS);
+                    ResultSet rows = select.executeQuery()) {
                 while (rows.next()) {
-                    registers.put(rows.getString(1), readRecord(rows));
+                    records.put(rows.getString(1), readRecord(rows));
                 }
             }
-            return (list + " " + number).equals(whose) ? registers : null;
+            return (membershipHash + " " + dispatcher).equals(owner) ? records : null;
         });
     }
 
-    /** A voter without memory begins: nothing here is its. */
+    private static LeaseRecord readRecord(ResultSet rows) throws SQLException {
+        return LeaseRecord.stored(rows.getLong(2), rows.getLong(3), rows.getLong(4), rows.getBytes(5));
+    }
+
+    /** Deletes everything, for a voter that starts without records. */
     void clear() throws StoreException {
         database.change(
                 "emptied", () -> {}, () -> database.run("DELETE FROM whose") + database.run("DELETE FROM register"));
     }
 
     /**
-     * From now on this voter votes. Danger: one that is started again before it has recovered would take an
-     * empty folder for all that it ever promised.
+     * From now on this voter votes. Before that its records are incomplete, and a restart must not take them for all
+     * that it ever promised.
      */
-    void markVoting(int list, int number) throws StoreException {
+    void markVoting(int membershipHash, int dispatcher) throws StoreException {
         database.change(
                 "written",
                 () -> {},
                 () -> database.run("DELETE FROM whose")
-                        + database.run("INSERT INTO whose VALUES (?, ?)", list, number));
-    }
-
-    private static LeaseVoter.LeaseRecord readRecord(ResultSet rows) throws SQLException {
-        LeaseVoter.LeaseRecord r = new LeaseVoter.LeaseRecord();
-        r.promisedBallot = rows.getLong(2);
-        r.acceptedBallot = rows.getLong(3);
-        r.version = rows.getLong(4);
-        r.state = rows.getBytes(5);
-        return r;
+                        + database.run("INSERT INTO whose VALUES (?, ?)", membershipHash, dispatcher));
     }
 
-    /** Durable when it returns. */
-    void save(Map<String, LeaseVoter.LeaseRecord> changed) throws StoreException {
+    /** Stores these records over earlier ones, without their grants. */
+    void save(Map<String, LeaseRecord> changed) throws StoreException {
         database.change("written", () -> {}, () -> {
-            for (Map.Entry<String, LeaseVoter.LeaseRecord> e : changed.entrySet()) {
-                LeaseVoter.LeaseRecord r = e.getValue();
+            for (Map.Entry<String, LeaseRecord> entry : changed.entrySet()) {
+                LeaseRecord changedRecord = entry.getValue();
                 database.run(
                         "INSERT OR REPLACE INTO register VALUES (?, ?, ?, ?, ?)",
-                        e.getKey(),
-                        r.promisedBallot,
-                        r.acceptedBallot,
-                        r.version,
-                        r.state);
+                        entry.getKey(),
+                        changedRecord.promisedBallot(),
+                        changedRecord.acceptedBallot(),
+                        changedRecord.version(),
+                        changedRecord.state());
             }
             return null;
         });
--- a/src/test/java/nettlewick/lease/LeaseFollowerTest.java
+++ b/src/test/java/nettlewick/lease/LeaseFollowerTest.java
@@ -15,7 +15,7 @@
 
     private static LeaseMessage announcement(int from, long fence, long version, String state) {
         LeaseMessage message = LeaseMessage.of(
-                Kind.ANNOUNCE, "pool-red", from, state == null ? 0 : LeaseFollower.FLAG_HAS_STATE, fence);
+                Kind.ANNOUNCE, "pool-red", from, state == null ? 0 : LeaseMessage.FLAG_HAS_STATE, fence);
         return message.withState(fence, version, state == null ? LeaseMessage.EMPTY_STATE : state.getBytes());
     }
 
--- a/src/test/java/nettlewick/lease/LeaseMessageGoldenTest.java
+++ b/src/test/java/nettlewick/lease/LeaseMessageGoldenTest.java
@@ -19,10 +19,10 @@
                 "pool:ecole-é",
                 3,
                 7_000_000_007L,
-                LeaseMessage.ballot(5, 77, 3),
-                LeaseMessage.ballot(6, 78, 2),
+                Ballot.of(5, 77, 3),
+                Ballot.of(6, 78, 2),
                 12.625,
-                LeaseMessage.ballot(4, 76, 1),
+                Ballot.of(4, 76, 1),
                 19,
                 kind.ordinal() % 2 == 0 ? STATE : LeaseMessage.EMPTY_STATE);
     }
--- a/src/test/java/nettlewick/lease/LeaseModel.java
+++ b/src/test/java/nettlewick/lease/LeaseModel.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -154,7 +155,8 @@
             }
             case "change" -> {
                 changes--;
-                candidates[n].proposeChange(new byte[] {(byte) (10 * changes + n + 1)}, candidateClock(n), network);
+                network.addAll(
+                        candidates[n].proposeChange(new byte[] {(byte) (10 * changes + n + 1)}, candidateClock(n)));
             }
             case "release" -> {
                 network.addAll(candidates[n].copy().retire(1 - n));
@@ -203,16 +205,7 @@
         LeaseMessage message = p.message();
         switch (message.kind()) {
             case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_MEMORY -> {
-                LeaseVoter.LeaseRecord r = voters[p.recipient()].records.get(message.leaseName());
-                if (r != null && bug == Bug.GRANTS_IGNORED) {
-                    r.grantedUntil = Double.NEGATIVE_INFINITY;
-                }
-                if (r != null
-                        && bug == Bug.OLD_VERSION_STORED
-                        && message.kind() == Kind.ACCEPT
-                        && message.ballot() == r.acceptedBallot) {
-                    r.version = 0;
-                }
+                corruptRecord(voters[p.recipient()].records(), message);
                 network.addAll(voters[p.recipient()].handle(message, voterClock()));
             }
             default -> {
@@ -238,6 +231,29 @@
         }
     }
 
+    /** Changes the receiver's record before it handles the message, as a faulty voter might. */
+    private void corruptRecord(Map<String, LeaseRecord> records, LeaseMessage message) {
+        LeaseRecord known = records.get(message.leaseName());
+        if (known == null) {
+            return;
+        }
+        if (bug == Bug.GRANTS_IGNORED) {
+            records.put(message.leaseName(), known.withoutGrant());
+        }
+        if (bug == Bug.OLD_VERSION_STORED
+                && message.kind() == Kind.ACCEPT
+                && message.ballot() == known.acceptedBallot()) {
+            LeaseRecord older = new LeaseRecord(
+                    known.promisedBallot(),
+                    known.acceptedBallot(),
+                    0,
+                    known.state(),
+                    known.grantedBallot(),
+                    known.grantedUntilMillis());
+            records.put(message.leaseName(), older);
+        }
+    }
+
     /** The rules: one that may act at a time; a version that is stored is the same and known to all holders after. */
     private String findViolation() {
         if (candidates[0].mayAct(candidateClock(0)) && candidates[1].mayAct(candidateClock(1))) {
@@ -301,15 +317,16 @@
         }
         for (LeaseVoter v : voters) {
             text.append(v.isVoting());
-            v.records.forEach((d, r) -> text.append(r.promisedBallot)
-                    .append(',')
-                    .append(r.acceptedBallot)
-                    .append(',')
-                    .append(r.version)
-                    .append(Arrays.toString(r.state))
-                    .append(r.grantedBallot)
-                    .append(',')
-                    .append(r.grantedUntil));
+            v.records()
+                    .forEach((name, known) -> text.append(known.promisedBallot())
+                            .append(',')
+                            .append(known.acceptedBallot())
+                            .append(',')
+                            .append(known.version())
+                            .append(Arrays.toString(known.state()))
+                            .append(known.grantedBallot())
+                            .append(',')
+                            .append(known.grantedUntilMillis()));
         }
         return text.toString();
     }
@@ -325,7 +342,7 @@
             for (int s = 0; s < 2; s++) {
                 if (candidates[s].mayAct(candidateClock(s)) && !candidates[s].isChangePending()) {
                     long before = candidates[s].version();
-                    candidates[s].proposeChange(new byte[] {99}, candidateClock(s), network);
+                    network.addAll(candidates[s].proposeChange(new byte[] {99}, candidateClock(s)));
                     while (!network.isEmpty()) {
                         apply("deliver 0");
                     }
--- a/src/test/java/nettlewick/lease/LeaseVoterTest.java
+++ b/src/test/java/nettlewick/lease/LeaseVoterTest.java
@@ -26,7 +26,7 @@
         List<Integer> numbers = List.of(0, 1, 2);
         List<LeaseVoter> voters = new ArrayList<>();
         numbers.forEach(v -> voters.add(new LeaseVoter(v, numbers, terms, 0, 100 + v)));
-        voters.get(0).restore(java.util.Map.of("pool-red", new LeaseVoter.LeaseRecord()));
+        voters.get(0).restore(java.util.Map.of("pool-red", LeaseRecord.EMPTY));
         for (double now = 0; now < MAX_RUN_MILLIS; now += TICK_MILLIS) {
             Deque<Outgoing> posts = new ArrayDeque<>();
             for (LeaseVoter v : voters) {
--- a/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
@@ -33,9 +33,9 @@
         try (VoterStore store = VoterStore.openOrRecreate(made)) {
             store.clear();
             LeaseVoter voter = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 1).startVoting();
-            voter.handle(ask(Kind.PREPARE, "red", LeaseMessage.ballot(5, 1, 1), 0), 0);
-            voter.handle(ask(Kind.ACCEPT, "red", LeaseMessage.ballot(5, 1, 1), 3), 0);
-            voter.handle(ask(Kind.PREPARE, "blue", LeaseMessage.ballot(9, 2, 4), 0), 0);
+            voter.handle(ask(Kind.PREPARE, "red", Ballot.of(5, 1, 1), 0), 0);
+            voter.handle(ask(Kind.ACCEPT, "red", Ballot.of(5, 1, 1), 3), 0);
+            voter.handle(ask(Kind.PREPARE, "blue", Ballot.of(9, 2, 4), 0), 0);
             store.save(voter.unsavedRecords());
             store.markVoting(42, 0);
             Fixture.record(made, FOLDER, "-shm");
@@ -47,16 +47,16 @@
         Fixture.copy(FOLDER, dir);
         try (VoterStore store = VoterStore.open(dir)) {
             StringBuilder text = new StringBuilder();
-            Map<String, LeaseVoter.LeaseRecord> known = store.load(42, 0);
+            Map<String, LeaseRecord> known = store.load(42, 0);
             known.forEach((leaseName, r) -> text.append(leaseName)
                     .append(" promised ")
-                    .append(r.promisedBallot)
+                    .append(r.promisedBallot())
                     .append(" held ")
-                    .append(r.acceptedBallot)
+                    .append(r.acceptedBallot())
                     .append(" version ")
-                    .append(r.version)
+                    .append(r.version())
                     .append(" state ")
-                    .append(HexFormat.of().formatHex(r.state))
+                    .append(HexFormat.of().formatHex(r.state()))
                     .append('\n'));
             text.append("as another voter ")
                     .append(store.load(42, 1))
@@ -66,7 +66,7 @@
             LeaseVoter back = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 2).restore(known);
             back.tick(1100);
             for (long round : new long[] {4, 6}) {
-                LeaseMessage answer = back.handle(ask(Kind.PREPARE, "red", LeaseMessage.ballot(round, 2, 1), 0), 1100)
+                LeaseMessage answer = back.handle(ask(Kind.PREPARE, "red", Ballot.of(round, 2, 1), 0), 1100)
                         .get(0)
                         .message();
                 text.append("asked in round ")
--- a/src/test/java/nettlewick/lease/VirtualDuties.java
+++ b/src/test/java/nettlewick/lease/VirtualDuties.java
@@ -53,9 +53,7 @@
             for (LeaseCandidate candidate : all.values()) {
                 posts.addAll(candidate.tick(now));
                 if (candidate.mayAct(now) && candidate.version() == 0 && !candidate.isChangePending()) {
-                    List<Outgoing> out = new ArrayList<>();
-                    candidate.proposeChange(new byte[STATE_BYTES], now, out);
-                    posts.addAll(out);
+                    posts.addAll(candidate.proposeChange(new byte[STATE_BYTES], now));
                 }
             }
         }
@@ -101,7 +99,7 @@
         double beats = duties
                 * (dispatchers - 1.0)
                 * tier.codec.encode(news).length
-                / (LeaseService.IDLE_ANNOUNCE_LEASES * LEASE_MILLIS);
+                / (AnnouncementSchedule.IDLE_INTERVAL_LEASES * LEASE_MILLIS);
         return (tier.bytes / (millis / 2) + beats) * 1000 / dispatchers;
     }
 
--- a/src/test/java/nettlewick/lease/VoterStoreTest.java
+++ b/src/test/java/nettlewick/lease/VoterStoreTest.java
@@ -34,12 +34,12 @@
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             store.clear();
             LeaseVoter voter = new LeaseVoter(0, VOTERS, TERMS, 0, 1).startVoting();
-            assertEquals(Kind.PROMISED, answer(voter, ask(Kind.PREPARE, LeaseMessage.ballot(5, 1, 1), 0), 0));
-            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, LeaseMessage.ballot(5, 1, 1), 3), 0));
+            assertEquals(Kind.PROMISED, answer(voter, ask(Kind.PREPARE, Ballot.of(5, 1, 1), 0), 0));
+            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, Ballot.of(5, 1, 1), 3), 0));
             assertEquals(1, voter.unsavedRecords().size());
             store.save(voter.unsavedRecords());
             voter.unsavedRecords().clear();
-            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, LeaseMessage.ballot(5, 1, 1), 3), 300));
+            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, Ballot.of(5, 1, 1), 3), 300));
             assertTrue(voter.unsavedRecords().isEmpty(), "a renewal alone is not written");
             store.markVoting(42, 0);
         }
@@ -54,14 +54,11 @@
                     Kind.RECOVERED_RECORD,
                     answer(back, LeaseMessage.of(Kind.RECOVER, "", 2, 0, 9), 10),
                     "others may learn of it");
-            assertTrue(
-                    back.handle(ask(Kind.PREPARE, LeaseMessage.ballot(9, 1, 1), 0), 10)
-                            .isEmpty(),
-                    "it abstains for a lease");
+            assertTrue(back.handle(ask(Kind.PREPARE, Ballot.of(9, 1, 1), 0), 10).isEmpty(), "it abstains for a lease");
             back.tick(1100);
             assertTrue(back.isVoting(), "by itself");
-            assertEquals(Kind.REFUSED, answer(back, ask(Kind.PREPARE, LeaseMessage.ballot(4, 1, 1), 0), 1100));
-            LeaseMessage promised = back.handle(ask(Kind.PREPARE, LeaseMessage.ballot(6, 2, 1), 0), 1100)
+            assertEquals(Kind.REFUSED, answer(back, ask(Kind.PREPARE, Ballot.of(4, 1, 1), 0), 1100));
+            LeaseMessage promised = back.handle(ask(Kind.PREPARE, Ballot.of(6, 2, 1), 0), 1100)
                     .get(0)
                     .message();
             assertEquals(Kind.PROMISED, promised.kind());
@@ -74,7 +71,7 @@
     void voterThatHasNotVotedYetRestoresNothing() throws Exception {
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             store.clear();
-            store.save(Map.of("red", new LeaseVoter.LeaseRecord()));
+            store.save(Map.of("red", LeaseRecord.EMPTY));
         }
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             assertNull(store.load(42, 0));
