--- a/src/main/java/nettlewick/lease/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -7,8 +7,8 @@
  * @param kind            what is requested, answered or announced
  * @param leaseName       the lease; empty where the message is about a voter as a whole
  * @param sender          the sender's dispatcher number
- * @param requestId       a request's number at its sender, repeated in each answer; in {@link Kind#ANNOUNCE} the flags
- *                        {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Kind#REPORT} the
+ * @param requestId       a request's number at its sender, repeated in each answer; in {@link Window#ANNOUNCE} the flags
+ *                        {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Window#REPORT} the
  *                        sender's incarnation
  * @param ballot          the ballot that is meant; in an answer, that of the request
  * @param highestBallot   in an answer: the highest ballot that the voter has seen for this lease
--- a/src/main/java/nettlewick/log/LineFormat.java
+++ b/src/main/java/nettlewick/log/LineFormat.java
@@ -19,36 +19,36 @@
     /** Time, level, part and message, as they always were. */
     TEXT {
         @Override
-        String of(ILoggingEvent event, int heldBack) {
+        String format(ILoggingEvent event, int suppressedCount) {
             StringBuilder line = new StringBuilder()
                     .append(Instant.ofEpochMilli(event.getTimeStamp()))
                     .append(' ')
-                    .append(level(event))
+                    .append(levelName(event))
                     .append(' ')
                     .append(event.getLoggerName())
                     .append(": ")
                     .append(event.getFormattedMessage());
-            String cause = cause(event.getThrowableProxy());
+            String cause = describeCause(event.getThrowableProxy());
             if (cause != null) {
                 line.append(": ").append(cause);
             }
-            if (heldBack > 0) {
-                line.append(" (").append(heldBack).append(" more like this were held back)");
+            if (suppressedCount > 0) {
+                line.append(" (").append(suppressedCount).append(" more like this were held back)");
             }
-            return flat(line);
+            return toSingleLine(line);
         }
     },
     /** One object a line: time, level, part, event, message, then the fields. */
     JSON {
         @Override
-        String of(ILoggingEvent event, int heldBack) {
+        String format(ILoggingEvent event, int suppressedCount) {
             StringWriter text = new StringWriter();
             try (JsonWriter out = new JsonWriter(text)) {
                 out.beginObject()
                         .name("time")
                         .value(Instant.ofEpochMilli(event.getTimeStamp()).toString())
                         .name("level")
-                        .value(level(event))
+                        .value(levelName(event))
                         .name("part")
                         .value(event.getLoggerName());
                 List<KeyValuePair> fields = event.getKeyValuePairs();
@@ -61,12 +61,12 @@
                     }
                 }
                 out.name("message").value(event.getFormattedMessage());
-                String cause = cause(event.getThrowableProxy());
+                String cause = describeCause(event.getThrowableProxy());
                 if (cause != null) {
                     out.name("cause").value(cause);
                 }
-                if (heldBack > 0) {
-                    out.name("held_back").value(heldBack);
+                if (suppressedCount > 0) {
+                    out.name("held_back").value(suppressedCount);
                 }
                 out.endObject();
             } catch (IOException e) {
@@ -76,12 +76,12 @@
         }
     };
 
-    private static final int PLACES = 6;
+    private static final int MAX_STACK_FRAMES = 6;
 
     /** The line, with how many like it were held back before. */
-    abstract String of(ILoggingEvent event, int heldBack);
+    abstract String format(ILoggingEvent event, int suppressedCount);
 
-    private static String level(ILoggingEvent event) {
+    private static String levelName(ILoggingEvent event) {
         return event.getLevel().equals(Level.ERROR)
                 ? "SEVERE"
                 : event.getLevel().equals(Level.WARN)
@@ -89,22 +89,22 @@
                         : event.getLevel().toString();
     }
 
-    private static String cause(IThrowableProxy thrown) {
-        if (thrown == null) {
+    private static String describeCause(IThrowableProxy throwable) {
+        if (throwable == null) {
             return null;
         }
-        StringBuilder text = new StringBuilder(thrown.getClassName());
-        if (thrown.getMessage() != null) {
-            text.append(": ").append(thrown.getMessage());
+        StringBuilder text = new StringBuilder(throwable.getClassName());
+        if (throwable.getMessage() != null) {
+            text.append(": ").append(throwable.getMessage());
         }
-        StackTraceElementProxy[] places = thrown.getStackTraceElementProxyArray();
-        for (int i = 0; i < Math.min(PLACES, places.length); i++) {
-            text.append(i == 0 ? " at " : " < ").append(places[i].getStackTraceElement());
+        StackTraceElementProxy[] frames = throwable.getStackTraceElementProxyArray();
+        for (int i = 0; i < Math.min(MAX_STACK_FRAMES, frames.length); i++) {
+            text.append(i == 0 ? " at " : " < ").append(frames[i].getStackTraceElement());
         }
         return text.toString();
     }
 
-    private static String flat(CharSequence line) {
+    private static String toSingleLine(CharSequence line) {
         StringBuilder text = new StringBuilder(line.length() + 1);
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
--- a/src/main/java/nettlewick/log/LogSetup.java
+++ b/src/main/java/nettlewick/log/LogSetup.java
@@ -20,43 +20,44 @@
  * for XML, which costs each start some tenths of a second, is left out.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
-    private static final int REPEATS = 10;
-    private static final double WINDOW = 10_000;
+    private static final int DEFAULT_MAX_REPEATS = 10;
+    private static final double DEFAULT_WINDOW_MILLIS = 10_000;
 
     /** Writes to standard error, as it is at each line. */
-    private static final class Out extends AppenderBase<ILoggingEvent> {
+    private static final class StderrAppender extends AppenderBase<ILoggingEvent> {
         private volatile LineFormat form = LineFormat.TEXT;
-        private RepeatLimiter repeats = new RepeatLimiter(REPEATS, WINDOW);
+        private RepeatLimiter repeats = new RepeatLimiter(DEFAULT_MAX_REPEATS, DEFAULT_WINDOW_MILLIS);
 
         @Override
         protected void append(ILoggingEvent event) {
-            int heldBack = repeats.take(event.getLoggerName() + ' ' + kind(event), event.getTimeStamp());
-            if (heldBack != RepeatLimiter.HELD_BACK) {
-                byte[] line = form.of(event, heldBack).getBytes(StandardCharsets.UTF_8);
+            int suppressedCount =
+                    repeats.admit(event.getLoggerName() + ' ' + describeKind(event), event.getTimeStamp());
+            if (suppressedCount != RepeatLimiter.HELD_BACK) {
+                byte[] line = form.format(event, suppressedCount).getBytes(StandardCharsets.UTF_8);
                 System.err.write(line, 0, line.length);
                 System.err.flush();
             }
         }
 
         /** Lines of libraries have no event: their text before it is filled in tells them apart. */
-        private static String kind(ILoggingEvent event) {
+        private static String describeKind(ILoggingEvent event) {
             List<KeyValuePair> fields = event.getKeyValuePairs();
             return fields != null && !fields.isEmpty() && fields.get(0).key.equals(ComponentLogger.EVENT)
                     ? String.valueOf(fields.get(0).value)
                     : event.getMessage();
         }
 
-        synchronized void set(LineFormat to, RepeatLimiter bounds) {
+        synchronized void configure(LineFormat to, RepeatLimiter bounds) {
             form = to;
             repeats = bounds;
         }
     }
 
-    private static volatile Out out;
+    private static volatile StderrAppender out;
 
     @Override
     public ExecutionStatus configure(LoggerContext context) {
-        Out made = new Out();
+        StderrAppender made = new StderrAppender();
         made.setContext(context);
         made.start();
         out = made;
@@ -76,13 +77,13 @@
                                 ? level(log == null ? "info" : log.text("level"))
                                 : null));
         if (log == null) {
-            out.set(LineFormat.TEXT, new RepeatLimiter(REPEATS, WINDOW));
+            out.configure(LineFormat.TEXT, new RepeatLimiter(DEFAULT_MAX_REPEATS, DEFAULT_WINDOW_MILLIS));
             return;
         }
         for (Block.Value part : log.all("part")) {
             context.getLogger(part.<String>part(0)).setLevel(level(part.part(1)));
         }
-        out.set(
+        out.configure(
                 log.text("form").equals("json") ? LineFormat.JSON : LineFormat.TEXT,
                 new RepeatLimiter((int) log.whole("repeats"), log.span("window")));
     }
--- a/src/main/java/nettlewick/log/RepeatLimiter.java
+++ b/src/main/java/nettlewick/log/RepeatLimiter.java
@@ -10,45 +10,45 @@
  */
 final class RepeatLimiter {
     /** Kinds remembered: more are forgotten all at once, which lets a few lines too many through. */
-    private static final int KINDS_MOST = 1000;
+    private static final int MAX_KINDS = 1000;
     /** What {@link #take} answers for a line that is not to be written. */
     static final int HELD_BACK = -1;
 
-    private static final class Kind {
-        double since;
-        int written;
-        int heldBack;
+    private static final class Window {
+        double windowStartMillis;
+        int writtenCount;
+        int suppressedCount;
     }
 
-    private final Map<String, Kind> kinds = new HashMap<>();
-    private final int most;
-    private final double window;
+    private final Map<String, Window> kinds = new HashMap<>();
+    private final int maxLinesPerWindow;
+    private final double windowMillis;
 
     RepeatLimiter(int most, double window) {
-        this.most = most;
-        this.window = window;
+        this.maxLinesPerWindow = most;
+        this.windowMillis = window;
     }
 
     /**
      * Whether a line of this kind is written now: how many were held back before it, or {@link #HELD_BACK}.
      */
-    int take(String kind, double now) {
-        if (kinds.size() >= KINDS_MOST && !kinds.containsKey(kind)) {
+    int admit(String kind, double now) {
+        if (kinds.size() >= MAX_KINDS && !kinds.containsKey(kind)) {
             kinds.clear();
         }
-        Kind k = kinds.computeIfAbsent(kind, name -> new Kind());
-        if (k.written == 0 || now - k.since >= window || now < k.since) {
-            int before = k.heldBack;
-            k.since = now;
-            k.written = 1;
-            k.heldBack = 0;
+        Window k = kinds.computeIfAbsent(kind, name -> new Window());
+        if (k.writtenCount == 0 || now - k.windowStartMillis >= windowMillis || now < k.windowStartMillis) {
+            int before = k.suppressedCount;
+            k.windowStartMillis = now;
+            k.writtenCount = 1;
+            k.suppressedCount = 0;
             return before;
         }
-        if (k.written < most) {
-            k.written++;
+        if (k.writtenCount < maxLinesPerWindow) {
+            k.writtenCount++;
             return 0;
         }
-        k.heldBack++;
+        k.suppressedCount++;
         return HELD_BACK;
     }
 }
--- a/src/test/java/nettlewick/log/LogTest.java
+++ b/src/test/java/nettlewick/log/LogTest.java
@@ -16,42 +16,42 @@
 
 /** Log lines in both forms, levels by part, and repeats that are counted in place of written. */
 class LogTest {
-    private final PrintStream before = System.err;
+    private final PrintStream originalStderr = System.err;
 
-    private static void set(String text) {
+    private static void applySettings(String text) {
         LogSetup.apply(Settings.parse("f", "log {\n" + text + "\n}").block("log"));
     }
 
-    private String said(Runnable lines) {
+    private String captureStderr(Runnable lines) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setErr(new PrintStream(out));
         try {
             lines.run();
         } finally {
-            System.setErr(before);
+            System.setErr(originalStderr);
         }
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @AfterEach
-    void restore() {
+    void restoreDefaults() {
         LogSetup.apply(Optional.empty());
     }
 
     @Test
-    void textIsOneLineAsItWas() {
+    void textFormatPutsAFaultOnOneLine() {
         LogSetup.apply(Optional.empty());
-        String line =
-                said(() -> ComponentLogger.of("p1").fault("odd", "it\nbroke", new IllegalStateException("why\nnot")));
+        String line = captureStderr(
+                () -> ComponentLogger.of("p1").fault("odd", "it\nbroke", new IllegalStateException("why\nnot")));
         assertTrue(
                 line.matches("\\S+Z SEVERE p1: it broke: java.lang.IllegalStateException: why not at .* " + "< .*\n"),
                 line);
     }
 
     @Test
-    void jsonHoldsPartEventAndFields() {
-        set("form json");
-        String line = said(
+    void jsonFormatHoldsComponentEventAndFields() {
+        applySettings("form json");
+        String line = captureStderr(
                 () -> ComponentLogger.of("p2").warning("late", "a \"job\"", "request", "r\n1", "runner", null, "n", 4));
         JsonObject got = JsonParser.parseString(line).getAsJsonObject();
         assertEquals("p2", got.get("part").getAsString());
@@ -63,26 +63,27 @@
     }
 
     @Test
-    void levelsAreSetByPartAndTakenBack() {
-        set("level warning\npart p3 debug");
-        assertTrue(said(() -> ComponentLogger.of("p3").debug("d", "seen")).contains("DEBUG p3: seen"));
-        assertEquals("", said(() -> ComponentLogger.of("p4").info("i", "unseen")));
+    void levelsAreSetByComponentAndReset() {
+        applySettings("level warning\npart p3 debug");
+        assertTrue(
+                captureStderr(() -> ComponentLogger.of("p3").debug("d", "seen")).contains("DEBUG p3: seen"));
+        assertEquals("", captureStderr(() -> ComponentLogger.of("p4").info("i", "unseen")));
         LogSetup.apply(Optional.empty());
-        assertEquals("", said(() -> ComponentLogger.of("p3").debug("d", "unseen")));
+        assertEquals("", captureStderr(() -> ComponentLogger.of("p3").debug("d", "unseen")));
     }
 
     @Test
-    void repeatsAreCountedAndToldWithTheNextLine() {
+    void repeatsAreSuppressedAndCountedInTheNextLine() {
         RepeatLimiter repeats = new RepeatLimiter(2, 100);
-        assertEquals(0, repeats.take("a", 0));
-        assertEquals(0, repeats.take("a", 10));
-        assertEquals(RepeatLimiter.HELD_BACK, repeats.take("a", 20));
-        assertEquals(0, repeats.take("b", 20));
-        assertEquals(RepeatLimiter.HELD_BACK, repeats.take("a", 99));
-        assertEquals(2, repeats.take("a", 100));
-        assertEquals(0, repeats.take("a", 101));
-        set("repeats 1\nwindow 1h");
-        String text = said(() -> {
+        assertEquals(0, repeats.admit("a", 0));
+        assertEquals(0, repeats.admit("a", 10));
+        assertEquals(RepeatLimiter.HELD_BACK, repeats.admit("a", 20));
+        assertEquals(0, repeats.admit("b", 20));
+        assertEquals(RepeatLimiter.HELD_BACK, repeats.admit("a", 99));
+        assertEquals(2, repeats.admit("a", 100));
+        assertEquals(0, repeats.admit("a", 101));
+        applySettings("repeats 1\nwindow 1h");
+        String text = captureStderr(() -> {
             for (int i = 0; i < 50; i++) {
                 ComponentLogger.of("p5").info("again", "line " + i);
                 ComponentLogger.of("p5").info("other", "x");
