--- a/src/main/java/nettlewick/lease/LeaseFollower.java
+++ b/src/main/java/nettlewick/lease/LeaseFollower.java
@@ -1,86 +1,88 @@
 package nettlewick.lease;
 
-import java.util.ArrayList;
 import java.util.List;
 import nettlewick.lease.LeaseMessage.Kind;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
- * What a dispatcher knows of a duty that it follows: who holds it, and the newest version told. A fence below
- * the highest seen is refused, as by whoever else is acted on. Pure.
+ * What a dispatcher knows of one lease from its holder's announcements: who holds it, and the newest state.
+ * Announcements under a fence below the highest seen are ignored. Pure; belongs to one thread.
  */
 final class LeaseFollower {
-    /** In the echo of news: the state goes with it. */
-    static final long WHOLE = 1;
+    private static final int NO_HOLDER = -1;
+    private static final long NONE = -1;
 
-    private final String duty;
-    private final int number;
-    private int holder = -1;
+    private final String leaseName;
+    private final int dispatcher;
+    private final FenceGate gate = new FenceGate();
+    private int holder = NO_HOLDER;
     private long fence;
-    private long version = -1;
+    private long version = NONE;
     private byte[] state;
-    /** The fence under which the state was told: one who has lost all may count versions anew. */
-    private long toldUnder = -1;
-
-    private final FenceGate gate = new FenceGate();
+    /** The fence under which the state was announced: a tier that has lost its memory counts versions anew. */
+    private long stateFence = NONE;
 
-    LeaseFollower(String duty, int number) {
-        this.duty = duty;
-        this.number = number;
+    LeaseFollower(String leaseName, int dispatcher) {
+        this.leaseName = leaseName;
+        this.dispatcher = dispatcher;
     }
 
-    String duty() {
-        return duty;
+    boolean hasHolder() {
+        return holder != NO_HOLDER;
     }
 
-    /** The holder by its last word, or -1. */
+    /** The number of the dispatcher that last announced that it holds the lease; -1 before the first announcement. */
     int holder() {
         return holder;
     }
 
+    /** The highest fence that was announced; 0 before the first announcement. */
     long fence() {
         return fence;
     }
 
+    /** The version of {@link #state}; -1 where none is known. */
     long version() {
         return version;
     }
 
-    /** The state of the version that is known; null where none is. */
+    /** The newest known state; null where none is. */
     byte[] state() {
         return state;
     }
 
-    /** This dispatcher holds it itself. */
-    void own(long ownFence, long newVersion, byte[] newState) {
-        gate.admits(duty, ownFence);
-        holder = number;
+    /** This dispatcher holds the lease itself. */
+    void recordOwnState(long ownFence, long newVersion, byte[] newState) {
+        gate.admits(leaseName, ownFence);
+        holder = dispatcher;
         fence = ownFence;
         version = newVersion;
         state = newState;
-        toldUnder = ownFence;
+        stateFence = ownFence;
     }
 
-    /** Takes the holder's word; what to answer comes back. */
-    List<Post> hear(LeaseMessage m) {
-        List<Post> out = new ArrayList<>();
-        if (!gate.admits(duty, m.ballot())) {
-            return out;
+    /** Handles an announcement; asks for the state where it is missing. */
+    List<Outgoing> handle(LeaseMessage announcement) {
+        if (!gate.admits(leaseName, announcement.ballot())) {
+            return List.of();
+        }
+        holder = announcement.sender();
+        fence = announcement.ballot();
+        if (announcement.hasState() && (stateFence < fence || announcement.version() > version)) {
+            version = announcement.version();
+            state = announcement.state();
+            stateFence = fence;
+            return List.of();
         }
-        holder = m.from();
-        fence = m.ballot();
-        if ((m.echo() & WHOLE) != 0 && (toldUnder < fence || m.version() > version)) {
-            version = m.version();
-            state = m.state();
-            toldUnder = fence;
-        } else if (!upToDate(m)) {
-            out.add(new Post(m.from(), LeaseMessage.of(Kind.BEHIND, duty, number, 0, m.ballot())));
+        if (isUpToDate(announcement)) {
+            return List.of();
         }
-        return out;
+        LeaseMessage request = LeaseMessage.of(Kind.REQUEST_STATE, leaseName, dispatcher, 0, announcement.ballot());
+        return List.of(new Outgoing(announcement.sender(), request));
     }
 
-    /** Whether what is known is what this word of the holder's says. */
-    boolean upToDate(LeaseMessage m) {
-        return m.ballot() == toldUnder && m.version() == version;
+    /** Whether the known state is the one that this announcement is about. */
+    boolean isUpToDate(LeaseMessage announcement) {
+        return announcement.ballot() == stateFence && announcement.version() == version;
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -1,90 +1,123 @@
 package nettlewick.lease;
 
 /**
- * What candidates and voters say to one another about one duty. Plain data; its bytes are {@link MessageCodec}'s.
+ * A message between candidates, voters and followers about one lease. Plain data; {@link MessageCodec} turns it into
+ * bytes.
  *
- * @param kind    what is asked or answered
- * @param duty    the duty's name
- * @param from    the sender's number
- * @param echo    a question's number at its asker; an answer carries its question's
- * @param ballot  the ballot that is meant; in an answer, that of the question
- * @param seen    in an answer: the highest ballot that the voter has seen for this duty
- * @param left    in an answer: what is left of a grant to another, in milliseconds; 0: none
- * @param held    the ballot under which the state was accepted; 0: none was
- * @param version the state's version
- * @param state   the state; never null
+ * @param kind            what is requested, answered or announced
+ * @param leaseName       the lease; empty where the message is about a voter as a whole
+ * @param sender          the sender's dispatcher number
+ * @param requestId       a request's number at its sender, repeated in each answer; in {@link Window#ANNOUNCE} the flags
+ *                        {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Window#REPORT} the
+ *                        sender's incarnation
+ * @param ballot          the ballot that is meant; in an answer, that of the request
+ * @param highestBallot   in an answer: the highest ballot that the voter has seen for this lease
+ * @param remainingMillis in an answer: what remains of a grant to another candidate; 0: there is none
+ * @param acceptedBallot  the ballot under which the state was accepted; 0: none was
+ * @param version         the state's version
+ * @param state           the state; never null
  */
 record LeaseMessage(
         Kind kind,
-        String duty,
-        int from,
-        long echo,
+        String leaseName,
+        int sender,
+        long requestId,
         long ballot,
-        long seen,
-        double left,
-        long held,
+        long highestBallot,
+        double remainingMillis,
+        long acceptedBallot,
         long version,
         byte[] state) {
-    /** Questions to voters, each with its answers; RECALL is asked by a voter without memory. */
+    /** The order is part of the wire format: a kind travels as its ordinal. */
     enum Kind {
-        ASK,
+        /** Candidate to voter: would a ballot be promised now? */
+        QUERY,
+        /** Candidate to voter: promise to accept nothing below this ballot. */
         PREPARE,
+        /** Candidate or holder to voter: accept this state and grant or renew the lease. */
         ACCEPT,
+        /** Holder to voter: the grant under this ballot ends. Not answered. */
         RELEASE,
-        RECALL,
-        FREE,
+        /** Voter without memory to voter: send all records. */
+        RECOVER,
+        /** Answer to QUERY: no other candidate has a grant. */
+        AVAILABLE,
+        /** Answer to PREPARE, with the newest accepted state. */
         PROMISED,
+        /** Answer to ACCEPT. */
         ACCEPTED,
+        /** Answer to QUERY, PREPARE or ACCEPT: another grant runs, or a higher ballot was promised. */
         REFUSED,
-        TOLD,
-        BLANK,
+        /** Answer to RECOVER: one record, or, without a lease name, how many records were sent. */
+        RECOVERED_RECORD,
+        /** Answer to RECOVER: the voter has no memory either; its incarnation stands for the highest ballot. */
+        NO_MEMORY,
+        /** Holder to its successor: stand for the lease at once. */
         HANDOVER,
-        /**
-         * From the holder to all: the version that is stored, with the state if the echo says so, and
-         * whether it listens.
-         */
-        NEWS,
-        /** To the holder: the state is wanted. */
-        BEHIND,
-        /** To the holder: what the sender's life, in the echo, has seen. */
-        WORD
+        /** Holder to all: the stored version, with the state where the flag says so. */
+        ANNOUNCE,
+        /** Follower to holder: send the state. */
+        REQUEST_STATE,
+        /** Follower to holder: what this dispatcher has observed, for the lease's task. */
+        REPORT
     }
 
-    static final byte[] NOTHING = {};
+    static final byte[] EMPTY_STATE = {};
+    /** In the request number of an announcement: it carries the state. */
+    static final long FLAG_HAS_STATE = 1;
+    /** In the request number of an announcement: the holder wants a report from every dispatcher. */
+    static final long FLAG_REPORTS_REQUESTED = 2;
 
-    static LeaseMessage of(Kind kind, String duty, int from, long echo, long ballot) {
-        return new LeaseMessage(kind, duty, from, echo, ballot, 0, 0, 0, 0, NOTHING);
+    static LeaseMessage of(Kind kind, String leaseName, int sender, long requestId, long ballot) {
+        return new LeaseMessage(kind, leaseName, sender, requestId, ballot, 0, 0, 0, 0, EMPTY_STATE);
     }
 
-    LeaseMessage holding(long heldUnder, long newVersion, byte[] newState) {
-        return new LeaseMessage(kind, duty, from, echo, ballot, seen, left, heldUnder, newVersion, newState);
+    LeaseMessage withState(long newAcceptedBallot, long newVersion, byte[] newState) {
+        return new LeaseMessage(
+                kind,
+                leaseName,
+                sender,
+                requestId,
+                ballot,
+                highestBallot,
+                remainingMillis,
+                newAcceptedBallot,
+                newVersion,
+                newState);
     }
 
-    LeaseMessage telling(long highest, double millis) {
-        return new LeaseMessage(kind, duty, from, echo, ballot, highest, millis, held, version, state);
+    LeaseMessage withHighestBallot(long highest, double newRemainingMillis) {
+        return new LeaseMessage(
+                kind,
+                leaseName,
+                sender,
+                requestId,
+                ballot,
+                highest,
+                newRemainingMillis,
+                acceptedBallot,
+                version,
+                state);
     }
 
-    /** A message and whom it is for. */
-    record Post(int to, LeaseMessage message) {}
-
-    private static final int NUMBER_BITS = 16;
-    private static final int LIFE_BITS = 23;
-    static final int LIVES = 1 << LIFE_BITS;
-
-    /**
-     * Ballots grow by their counter first. Danger: two processes of one dispatcher, or two lives, that choose
-     * the same ballot would store two states under it; so each life draws a number of its own.
-     */
-    static long ballot(long counter, int life, int candidate) {
-        return counter << NUMBER_BITS + LIFE_BITS | (long) life << NUMBER_BITS | candidate;
+    /** Whether this announcement carries the state. */
+    boolean hasState() {
+        return (requestId & FLAG_HAS_STATE) != 0;
     }
 
-    static long counter(long ballot) {
-        return ballot >>> NUMBER_BITS + LIFE_BITS;
+    /** Whether this announcement asks every dispatcher for a report. */
+    boolean requestsReports() {
+        return (requestId & FLAG_REPORTS_REQUESTED) != 0;
     }
 
-    /** The life of a candidate that a ballot is of. */
-    static long holder(long ballot) {
-        return ballot & (1L << NUMBER_BITS + LIFE_BITS) - 1;
+    /** Whether it is for a voter, in place of a candidate or a follower. */
+    boolean isForVoter() {
+        return switch (kind) {
+            case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_MEMORY -> true;
+            default -> false;
+        };
     }
+
+    /** A message and the number of the dispatcher that it goes to. */
+    record Outgoing(int recipient, LeaseMessage message) {}
 }
--- a/src/main/java/nettlewick/lease/LeaseVoter.java
+++ b/src/main/java/nettlewick/lease/LeaseVoter.java
@@ -1,277 +1,189 @@
 package nettlewick.lease;
 
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import nettlewick.lease.LeaseMessage.Kind;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
- * A voter's memory of all duties, and what it answers (docs/duties.md). It counts its grants by its own
- * monotonic clock, in milliseconds, which is handed in. Pure.
+ * One voter: its records of all leases, and its answers to candidates and to recovering voters (see docs/duties.md).
+ * Grants are counted by its own monotonic clock, in milliseconds, passed in by the caller. Pure; belongs to one thread.
  */
 final class LeaseVoter {
-    /** What it knows of one duty. */
-    static final class Register {
-        long promised;
-        long held;
-        long version;
-        byte[] state = LeaseMessage.NOTHING;
-        /** The ballot that is granted, and until when. */
-        long granted;
-
-        double until = Double.NEGATIVE_INFINITY;
-
-        Register copy() {
-            Register r = new Register();
-            r.promised = promised;
-            r.held = held;
-            r.version = version;
-            r.state = state;
-            r.granted = granted;
-            r.until = until;
-            return r;
-        }
-
-        /** Takes over what another voter promised and accepted, where that is newer. */
-        void learn(LeaseMessage m) {
-            promised = Math.max(promised, m.seen());
-            if (m.held() > held || m.held() == held && m.version() > version) {
-                held = m.held();
-                version = m.version();
-                state = m.state();
-            }
-        }
-    }
-
-    /** In the word that ends what a voter tells: whoever is told was there when all began anew. */
-    private static final long FOUNDER = 1;
-
-    private final int number;
-    private final List<Integer> voters;
+    private final int dispatcher;
     private final LeaseTerms terms;
-    final Map<String, Register> registers = new TreeMap<>();
-    /** Without memory: until when it abstains, and who has told it what. Empty once it votes. */
-    private double abstainsUntil;
-
-    private final Map<Integer, Set<String>> told = new HashMap<>();
-    private final Set<Integer> remembered = new HashSet<>();
-    /** Those that remember nothing, each with its life. */
-    private final Map<Integer, Long> blank = new HashMap<>();
-    /** Whether this one found that no voter remembers anything, so that all begin anew. */
-    private boolean founded;
-    /** Whether one that found it so saw this life of this one among them: it has nothing to remember. */
-    private boolean founder;
-    /** Tells this life's questions from a former one's, whose answers prove nothing. */
-    private final long life;
+    private final VoterRecovery recovery;
+    private final Map<String, LeaseRecord> records;
+    private final Map<String, LeaseRecord> unsavedRecords = new TreeMap<>();
 
-    private double newSince = Double.NaN;
-    private boolean votes;
-    /** Whether all that it promised and accepted is known from before. */
-    private boolean remembers;
-    /** What has changed since it was last saved. */
-    private final Map<String, Register> changed = new TreeMap<>();
-
-    private double askedAt = Double.NEGATIVE_INFINITY;
+    /** A voter that starts at {@code nowMillis} without any memory. */
+    LeaseVoter(int dispatcher, List<Integer> voters, LeaseTerms terms, double nowMillis, long incarnation) {
+        this(dispatcher, terms, new VoterRecovery(dispatcher, voters, terms, nowMillis, incarnation), new TreeMap<>());
+    }
 
-    /** One that starts at {@code now} without any memory. */
-    LeaseVoter(int number, List<Integer> voters, LeaseTerms terms, double now, long life) {
-        this.life = life;
-        this.number = number;
-        this.voters = voters;
+    private LeaseVoter(int dispatcher, LeaseTerms terms, VoterRecovery recovery, Map<String, LeaseRecord> records) {
+        this.dispatcher = dispatcher;
         this.terms = terms;
-        abstainsUntil = now + terms.lease() * (1 + terms.drift());
+        this.recovery = recovery;
+        this.records = records;
+    }
+
+    /** An independent copy, for a search through the orders of events; it has nothing to save. */
+    LeaseVoter copy() {
+        return new LeaseVoter(dispatcher, terms, recovery.copy(), new TreeMap<>(records));
     }
 
     /**
-     * With all that it knew in its last life; whom it granted what is not known, so it abstains for a
-     * lease.
+     * Takes over the records of the last process. The grants are not among them, so the voter abstains for a lease.
      */
-    LeaseVoter remembering(Map<String, Register> known) {
-        registers.putAll(known);
-        remembers = true;
+    LeaseVoter restore(Map<String, LeaseRecord> stored) {
+        records.putAll(stored);
+        recovery.markRestored();
         return this;
     }
 
-    /** What has to be saved before its next words leave. */
-    Map<String, Register> changed() {
-        return changed;
+    /** The live records by lease name. */
+    Map<String, LeaseRecord> records() {
+        return records;
     }
 
-    LeaseVoter copy() {
-        LeaseVoter v = new LeaseVoter(number, voters, terms, 0, life);
-        registers.forEach((duty, r) -> v.registers.put(duty, r.copy()));
-        v.abstainsUntil = abstainsUntil;
-        told.forEach((from, duties) -> v.told.put(from, new HashSet<>(duties)));
-        v.remembered.addAll(remembered);
-        v.blank.putAll(blank);
-        v.founded = founded;
-        v.founder = founder;
-        v.newSince = newSince;
-        v.votes = votes;
-        v.askedAt = askedAt;
-        v.remembers = remembers;
-        return v;
+    /** The records that have to be saved before its next answers are sent; the caller empties the map afterwards. */
+    Map<String, LeaseRecord> unsavedRecords() {
+        return unsavedRecords;
     }
 
-    /** Whether it votes; one without memory does not until it has recovered. */
-    boolean votes() {
-        return votes;
+    /** Whether it answers candidates. */
+    boolean isVoting() {
+        return recovery.isVoting();
     }
 
-    /** At a new tier's first start, or in a test: it votes from the first moment on. */
-    LeaseVoter trusted() {
-        votes = true;
+    /** Votes from the first moment on; only where there was nothing to remember, as in tests. */
+    LeaseVoter startVoting() {
+        recovery.startVoting();
         return this;
     }
 
-    /** Asks the others while it has no memory; to be called a few times a lease. */
-    List<Post> tick(double now) {
-        if (votes) {
-            return List.of();
-        }
-        settle(now);
-        List<Post> out = new ArrayList<>();
-        if (!votes && now - askedAt >= terms.lease() / 6) {
-            askedAt = now;
-            for (int other : voters) {
-                if (other != number) {
-                    out.add(new Post(other, LeaseMessage.of(Kind.RECALL, "", number, 0, life)));
+    /** Does what is due; to be called a few times a lease. */
+    List<Outgoing> tick(double nowMillis) {
+        return recovery.tick(nowMillis);
+    }
+
+    /** Handles a message of a candidate or of another voter; what to answer. */
+    List<Outgoing> handle(LeaseMessage message, double nowMillis) {
+        return switch (message.kind()) {
+            case RECOVER -> answerRecovery(message);
+            case RECOVERED_RECORD, NO_MEMORY -> {
+                if (recovery.expects(message)) {
+                    learn(message, nowMillis);
                 }
+                yield List.of();
             }
+            default -> isVoting() ? answerCandidate(message, nowMillis) : List.of();
+        };
+    }
+
+    private void learn(LeaseMessage message, double nowMillis) {
+        if (message.kind() == Kind.RECOVERED_RECORD && !message.leaseName().isEmpty()) {
+            LeaseRecord known = records.getOrDefault(message.leaseName(), LeaseRecord.EMPTY);
+            putUnsaved(message.leaseName(), known.merge(message));
         }
-        return out;
+        recovery.handleAnswer(message, nowMillis);
     }
 
-    /**
-     * Danger: a voter that forgot a promise would let a lower ballot through, and one that forgot what it
-     * accepted would let a stored version be lost. So it votes only once so many others have told it all that
-     * every majority has one among them; where none of them remembers anything, all is new.
-     */
-    private void settle(double now) {
-        int enough = voters.size() - terms.majority(voters.size()) + 1;
-        boolean allBlank = remembered.isEmpty() && blank.size() >= voters.size() - 1;
-        // The others have to see this one blank too: it stays so for another lease.
-        newSince = !allBlank ? Double.NaN : Double.isNaN(newSince) ? now : newSince;
-        boolean anew = now - newSince >= terms.lease();
-        if (now >= abstainsUntil && (remembers || remembered.size() >= enough || anew || founder)) {
-            votes = true;
-            // Danger: the first to vote remembers from then on, and the others would wait for more like it
-            // for good. So it tells those that it has seen without memory that they had none to lose. One
-            // that remembers itself must not: what they have lost may count.
-            founded = anew && !remembers;
+    private void putUnsaved(String leaseName, LeaseRecord leaseRecord) {
+        records.put(leaseName, leaseRecord);
+        unsavedRecords.put(leaseName, leaseRecord);
+    }
+
+    /** One message for each record, and a last one that says how many they were. */
+    private List<Outgoing> answerRecovery(LeaseMessage request) {
+        if (!recovery.hasCompleteRecords()) {
+            return List.of(new Outgoing(request.sender(), recovery.noMemoryAnswer(request)));
         }
+        List<Outgoing> out = new ArrayList<>();
+        records.forEach((leaseName, known) -> out.add(new Outgoing(
+                request.sender(),
+                LeaseMessage.of(Kind.RECOVERED_RECORD, leaseName, dispatcher, 0, request.ballot())
+                        .withHighestBallot(known.highestBallot(), 0)
+                        .withState(known.acceptedBallot(), known.version(), known.state()))));
+        out.add(new Outgoing(request.sender(), recovery.finalAnswer(request, records.size())));
+        return out;
     }
 
-    List<Post> hear(LeaseMessage m, double now) {
-        switch (m.kind()) {
-            case RECALL -> {
-                return recall(m);
-            }
-            case TOLD, BLANK -> {
-                if (!votes && m.ballot() == life) {
-                    take(m);
-                    settle(now);
-                }
-                return List.of();
-            }
-            default -> {
-                return votes ? vote(m, now) : List.of();
+    private List<Outgoing> answerCandidate(LeaseMessage request, double nowMillis) {
+        records.putIfAbsent(request.leaseName(), LeaseRecord.EMPTY);
+        return switch (request.kind()) {
+            case QUERY -> answerQuery(request, nowMillis);
+            case PREPARE -> answerPrepare(request, nowMillis);
+            case ACCEPT -> answerAccept(request, nowMillis);
+            case RELEASE -> {
+                endGrant(request);
+                yield List.of();
             }
-        }
+            default -> List.of();
+        };
     }
 
-    /** Danger: words of which some were lost are not all that a voter knows; the last tells how many. */
-    private void take(LeaseMessage m) {
-        Set<String> duties = told.computeIfAbsent(m.from(), f -> new HashSet<>());
-        if (m.kind() == Kind.BLANK) {
-            blank.put(m.from(), m.seen());
-        } else if (!m.duty().isEmpty()) {
-            Register r = registers.computeIfAbsent(m.duty(), d -> new Register());
-            r.learn(m);
-            changed.put(m.duty(), r);
-            duties.add(m.duty());
-        } else if (duties.size() >= m.version()) {
-            remembered.add(m.from());
-            blank.remove(m.from());
-            founder |= m.held() == FOUNDER;
+    private List<Outgoing> answerQuery(LeaseMessage request, double nowMillis) {
+        boolean isGranted = records.get(request.leaseName()).isGrantedToAnother(request.ballot(), nowMillis);
+        return isGranted ? refuse(request, nowMillis) : answer(request, reply(Kind.AVAILABLE, request));
+    }
+
+    private List<Outgoing> answerPrepare(LeaseMessage request, double nowMillis) {
+        LeaseRecord known = records.get(request.leaseName());
+        // An equal ballot is the same candidate's, which repeats its request since the answer was lost.
+        if (known.isGrantedToAnother(request.ballot(), nowMillis) || request.ballot() < known.promisedBallot()) {
+            return refuse(request, nowMillis);
+        }
+        if (request.ballot() > known.promisedBallot()) {
+            putUnsaved(request.leaseName(), known.withPromise(request.ballot()));
         }
+        return answer(
+                request,
+                reply(Kind.PROMISED, request).withState(known.acceptedBallot(), known.version(), known.state()));
     }
 
-    /** All that it knows, a message for each duty; the last one, of no duty, says how many they were. */
-    private List<Post> recall(LeaseMessage m) {
-        if (!votes && !remembers) {
-            return List.of(new Post(
-                    m.from(),
-                    LeaseMessage.of(Kind.BLANK, "", number, 0, m.ballot()).telling(life, 0)));
+    private List<Outgoing> answerAccept(LeaseMessage request, double nowMillis) {
+        LeaseRecord known = records.get(request.leaseName());
+        boolean isGranted = known.isGrantedToAnother(request.ballot(), nowMillis);
+        if (isGranted || !known.mayAccept(request.ballot(), request.version())) {
+            return refuse(request, nowMillis);
         }
-        List<Post> out = new ArrayList<>();
-        registers.forEach((duty, r) -> out.add(new Post(
-                m.from(),
-                LeaseMessage.of(Kind.TOLD, duty, number, 0, m.ballot())
-                        .telling(Math.max(r.promised, r.held), 0)
-                        .holding(r.held, r.version, r.state))));
-        boolean seen = founded && blank.getOrDefault(m.from(), -1L) == m.ballot();
-        out.add(new Post(
-                m.from(),
-                LeaseMessage.of(Kind.TOLD, "", number, 0, m.ballot())
-                        .holding(seen ? FOUNDER : 0, registers.size(), LeaseMessage.NOTHING)));
-        return out;
+        LeaseRecord accepted = known.withAccepted(request, nowMillis + terms.leaseMillis());
+        boolean isRenewal = request.ballot() == known.acceptedBallot() && request.version() == known.version();
+        if (isRenewal) {
+            // The grant is not stored, so that a renewal costs no write.
+            records.put(request.leaseName(), accepted);
+        } else {
+            putUnsaved(request.leaseName(), accepted);
+        }
+        return answer(
+                request,
+                reply(Kind.ACCEPTED, request).withState(request.ballot(), request.version(), LeaseMessage.EMPTY_STATE));
     }
 
-    private List<Post> vote(LeaseMessage m, double now) {
-        Register r = registers.computeIfAbsent(m.duty(), d -> new Register());
-        boolean others = now < r.until && LeaseMessage.holder(r.granted) != LeaseMessage.holder(m.ballot());
-        Kind answer = Kind.REFUSED;
-        switch (m.kind()) {
-            case ASK -> answer = others ? Kind.REFUSED : Kind.FREE;
-            case PREPARE -> {
-                // The same ballot is one candidate's alone: it asks again where the answer was lost.
-                if (!others && m.ballot() >= r.promised) {
-                    if (m.ballot() > r.promised) {
-                        r.promised = m.ballot();
-                        changed.put(m.duty(), r);
-                    }
-                    answer = Kind.PROMISED;
-                }
-            }
-            case ACCEPT -> {
-                boolean newer = m.ballot() > r.held || m.ballot() == r.held && m.version() >= r.version;
-                if (!others && m.ballot() >= r.promised && newer) {
-                    if (m.ballot() != r.held || m.version() != r.version) {
-                        changed.put(m.duty(), r);
-                    }
-                    r.promised = m.ballot();
-                    r.held = m.ballot();
-                    r.version = m.version();
-                    r.state = m.state();
-                    r.granted = m.ballot();
-                    r.until = now + terms.lease();
-                    answer = Kind.ACCEPTED;
-                }
-            }
-            case RELEASE -> {
-                if (r.granted == m.ballot()) {
-                    r.until = Double.NEGATIVE_INFINITY;
-                }
-                return List.of();
-            }
-            default -> {
-                return List.of();
-            }
+    private void endGrant(LeaseMessage release) {
+        LeaseRecord known = records.get(release.leaseName());
+        if (known.grantedBallot() == release.ballot()) {
+            records.put(release.leaseName(), known.withoutGrant());
         }
-        LeaseMessage reply = LeaseMessage.of(answer, m.duty(), number, m.echo(), m.ballot())
-                .telling(Math.max(r.promised, r.held), others ? r.until - now : 0);
-        return List.of(new Post(
-                m.from(),
-                answer == Kind.PROMISED
-                        ? reply.holding(r.held, r.version, r.state)
-                        : answer == Kind.ACCEPTED
-                                ? reply.holding(m.ballot(), m.version(), LeaseMessage.NOTHING)
-                                : reply));
+    }
+
+    private List<Outgoing> refuse(LeaseMessage request, double nowMillis) {
+        LeaseRecord known = records.get(request.leaseName());
+        double remainingMillis =
+                known.isGrantedToAnother(request.ballot(), nowMillis) ? known.grantedUntilMillis() - nowMillis : 0;
+        return answer(request, reply(Kind.REFUSED, request).withHighestBallot(known.highestBallot(), remainingMillis));
+    }
+
+    private LeaseMessage reply(Kind kind, LeaseMessage request) {
+        return LeaseMessage.of(kind, request.leaseName(), dispatcher, request.requestId(), request.ballot())
+                .withHighestBallot(records.get(request.leaseName()).highestBallot(), 0);
+    }
+
+    private static List<Outgoing> answer(LeaseMessage request, LeaseMessage reply) {
+        return List.of(new Outgoing(request.sender(), reply));
     }
 }
--- a/src/main/java/nettlewick/lease/PersistentVoter.java
+++ b/src/main/java/nettlewick/lease/PersistentVoter.java
@@ -4,41 +4,44 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import nettlewick.lease.LeaseMessage.Post;
+import nettlewick.lease.LeaseMessage.Outgoing;
 import nettlewick.log.ComponentLogger;
 import nettlewick.sqlite.StoreException;
 
-/** A voter, and the folder where it keeps what it promised and accepted, if there is one. */
-final class PersistentVoter {
+/**
+ * A voter together with the folder that keeps its records, if the settings name one. Messages that depend on a record
+ * are returned only once it is stored. Belongs to the lease thread.
+ */
+final class PersistentVoter implements AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
 
     private final LeaseSettings settings;
     private final LeaseVoter voter;
-    /** Null where a voter's memory is its process's. */
+    /** Null where the records last only as long as the process. */
     private final VoterStore store;
-    /** Whether the store says that this voter votes. */
-    private boolean begun;
+    /** Whether the store says that this voter votes, so that its records count after a restart. */
+    private boolean isMarkedVoting;
 
-    /** @throws IOException where the folder cannot be had */
-    PersistentVoter(LeaseSettings settings, double now, int life) throws IOException {
+    /** @throws IOException where the folder cannot be used */
+    PersistentVoter(LeaseSettings settings, double nowMillis, int incarnation) throws IOException {
         this.settings = settings;
-        voter = new LeaseVoter(settings.number(), settings.voters(), settings.terms(), now, life);
-        store = settings.folder() == null ? null : remember();
+        voter = new LeaseVoter(settings.dispatcher(), settings.voters(), settings.terms(), nowMillis, incarnation);
+        store = settings.voterFolder() == null ? null : openAndRestore();
     }
 
-    private VoterStore remember() throws IOException {
+    private VoterStore openAndRestore() throws IOException {
         try {
-            VoterStore opened = VoterStore.openOrAnew(settings.folder());
-            Map<String, LeaseVoter.Register> known = opened.load(settings.list(), settings.number());
+            VoterStore opened = VoterStore.openOrRecreate(settings.voterFolder());
+            Map<String, LeaseRecord> known = opened.load(settings.membershipHash(), settings.dispatcher());
             if (known != null) {
-                voter.remembering(known);
-                begun = true;
+                voter.restore(known);
+                isMarkedVoting = true;
             } else {
-                opened.forget();
+                opened.clear();
             }
             LOG.info(
                     "voter-remembers",
-                    known == null ? "a voter's memory begins" : "a voter's memory is back",
+                    known == null ? "the voter starts without records" : "the voter's records are restored",
                     "duties",
                     known == null ? 0 : known.size());
             return opened;
@@ -47,49 +50,49 @@
         }
     }
 
-    /** Its answers to a message, once what they promise is kept. */
-    List<Post> hear(LeaseMessage m, double now) {
-        return saying(() -> voter.hear(m, now));
+    /** Its answers to a message; empty where the records that they depend on cannot be stored. */
+    List<Outgoing> handle(LeaseMessage message, double nowMillis) {
+        return storeBeforeSending(() -> voter.handle(message, nowMillis));
     }
 
-    /** What it asks of its own accord. */
-    List<Post> tick(double now) {
-        return saying(() -> voter.tick(now));
+    /** Its requests to other voters; empty where the records that they depend on cannot be stored. */
+    List<Outgoing> tick(double nowMillis) {
+        return storeBeforeSending(() -> voter.tick(nowMillis));
     }
 
-    private List<Post> saying(Supplier<List<Post>> words) {
-        boolean before = voter.votes();
-        List<Post> out = words.get();
-        boolean saved = saved();
-        if (!before && voter.votes()) {
-            LOG.info("votes", "votes on duties from now on", "dispatcher", settings.number());
+    private List<Outgoing> storeBeforeSending(Supplier<List<Outgoing>> step) {
+        boolean wasVoting = voter.isVoting();
+        List<Outgoing> out = step.get();
+        boolean isStored = storeChanges();
+        if (!wasVoting && voter.isVoting()) {
+            LOG.info("votes", "votes on duties from now on", "dispatcher", settings.dispatcher());
         }
-        return saved ? out : List.of();
+        return isStored ? out : List.of();
     }
 
-    /** Danger: a promise that a power loss takes back is none. What cannot be saved is not said. */
-    private boolean saved() {
+    private boolean storeChanges() {
         if (store == null) {
-            voter.changed().clear();
+            voter.unsavedRecords().clear();
             return true;
         }
         try {
-            if (!voter.changed().isEmpty()) {
-                store.save(voter.changed());
-                voter.changed().clear();
+            if (!voter.unsavedRecords().isEmpty()) {
+                store.save(voter.unsavedRecords());
+                voter.unsavedRecords().clear();
             }
-            if (voter.votes() && !begun) {
-                store.begin(settings.list(), settings.number());
-                begun = true;
+            if (voter.isVoting() && !isMarkedVoting) {
+                store.markVoting(settings.membershipHash(), settings.dispatcher());
+                isMarkedVoting = true;
             }
             return true;
         } catch (StoreException e) {
-            LOG.warning("voter-not-stored", "a vote is held back: " + e.getMessage());
+            LOG.warning("voter-not-stored", "a vote is withheld: " + e.getMessage());
             return false;
         }
     }
 
-    void close() {
+    @Override
+    public void close() {
         if (store != null) {
             store.close();
         }
--- a/src/main/java/nettlewick/lease/TermCounter.java
+++ b/src/main/java/nettlewick/lease/TermCounter.java
@@ -2,28 +2,30 @@
 
 import java.nio.ByteBuffer;
 
-/** A duty that nothing is done with: its state is how many times it has been held. */
+/** The task of a lease that no other task is configured for: its state counts how often the lease was acquired. */
 final class TermCounter implements LeaseTask {
-    private final String duty;
-    private long counted = -1;
-    private long told = -1;
+    private static final long NO_FENCE = -1;
 
-    TermCounter(String duty) {
-        this.duty = duty;
+    private final String leaseName;
+    private long countedFence = NO_FENCE;
+    private long loggedFence = NO_FENCE;
+
+    TermCounter(String leaseName) {
+        this.leaseName = leaseName;
     }
 
     @Override
-    public byte[] turn(HeldLease hold) {
-        long term = hold.state().length == Long.BYTES
-                ? ByteBuffer.wrap(hold.state()).getLong()
+    public byte[] turn(HeldLease lease) {
+        long term = lease.state().length == Long.BYTES
+                ? ByteBuffer.wrap(lease.state()).getLong()
                 : 0;
-        if (counted != hold.fence()) {
-            counted = hold.fence();
+        if (countedFence != lease.fence()) {
+            countedFence = lease.fence();
             return ByteBuffer.allocate(Long.BYTES).putLong(term + 1).array();
         }
-        if (told != hold.fence()) {
-            told = hold.fence();
-            LeaseTask.held(duty, hold, term);
+        if (loggedFence != lease.fence()) {
+            loggedFence = lease.fence();
+            LeaseTask.held(leaseName, lease, term);
         }
         return null;
     }
--- /dev/null
+++ b/src/test/java/nettlewick/lease/LeaseModel.java
@@ -0,0 +1,390 @@
+package nettlewick.lease;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import java.util.stream.IntStream;
+import nettlewick.lease.LeaseMessage.Kind;
+import nettlewick.lease.LeaseMessage.Outgoing;
+import nettlewick.lease.LeaseModelStep.Action;
+
+/**
+ * A model of voters and two candidates whose messages arrive in any order, with losses, duplicates, crashes, pauses and
+ * drifting clocks. It applies one step at a time and checks the invariants after each.
+ */
+final class LeaseModel {
+    private static final String LEASE_NAME = "pool red";
+    private static final double LEASE_MILLIS = 1200;
+    private static final double MAX_CLOCK_DRIFT = 0.05;
+    private static final double TIME_STEP_MILLIS = LEASE_MILLIS / 5;
+    private static final int CANDIDATES = 2;
+    private static final int MAX_CONVERGENCE_STEPS = 400;
+
+    private final SeededBug bug;
+    private final LeaseTerms terms;
+    private final LeaseVoter[] voters;
+    private final LeaseCandidate[] candidates = new LeaseCandidate[CANDIDATES];
+    private final List<Outgoing> network = new ArrayList<>();
+    /** By candidate: the fence under which it looked and may still act; 0: none. */
+    private final long[] observedFences = new long[CANDIDATES];
+
+    private final LeaseInvariants invariants;
+    private final FenceGate gate = new FenceGate();
+    private long highestActedFence;
+    private double now;
+    private int incarnations;
+
+    private int losses;
+    private int duplicates;
+    private int crashes;
+    private int changes;
+    private int releases;
+
+    private int actCount;
+    private int rejectedActCount;
+
+    LeaseModel(int voterCount, SeededBug bug) {
+        this.bug = bug;
+        terms = new LeaseTerms(LEASE_MILLIS, bug == SeededBug.LEASE_TOO_LONG ? -0.4 : MAX_CLOCK_DRIFT);
+        voters = new LeaseVoter[voterCount];
+        invariants = new LeaseInvariants(CANDIDATES);
+        for (int v = 0; v < voterCount; v++) {
+            voters[v] = new LeaseVoter(v, voterNumbers(), terms, 0, incarnations++).startVoting();
+        }
+        candidates[0] = new LeaseCandidate(LEASE_NAME, 0, 1, votersKnownTo(0), terms, 0, 0);
+        candidates[1] = new LeaseCandidate(LEASE_NAME, 1, 2, votersKnownTo(1), terms, 0, 0);
+    }
+
+    /** A tier whose voters all start without memory. */
+    static LeaseModel withEmptyVoters(int voterCount) {
+        LeaseModel model = new LeaseModel(voterCount, SeededBug.NONE);
+        for (int v = 0; v < voterCount; v++) {
+            model.voters[v] = new LeaseVoter(v, model.voterNumbers(), model.terms, 0, 100 + model.incarnations++);
+        }
+        return model;
+    }
+
+    private List<Integer> voterNumbers() {
+        return IntStream.range(0, voters.length).boxed().toList();
+    }
+
+    private List<Integer> votersKnownTo(int candidate) {
+        return bug == SeededBug.VOTER_LISTS_DIFFER && candidate == 1 ? List.of(1) : voterNumbers();
+    }
+
+    /** An independent copy, whose counts of acts and holders start at 0. */
+    LeaseModel(LeaseModel model) {
+        bug = model.bug;
+        terms = model.terms;
+        voters = Arrays.stream(model.voters).map(LeaseVoter::copy).toArray(LeaseVoter[]::new);
+        for (int i = 0; i < CANDIDATES; i++) {
+            candidates[i] = model.candidates[i].copy();
+            observedFences[i] = model.observedFences[i];
+        }
+        network.addAll(model.network);
+        invariants = model.invariants.copy();
+        if (model.highestActedFence > 0) {
+            gate.admits(LEASE_NAME, model.highestActedFence);
+        }
+        highestActedFence = model.highestActedFence;
+        now = model.now;
+        losses = model.losses;
+        duplicates = model.duplicates;
+        crashes = model.crashes;
+        changes = model.changes;
+        incarnations = model.incarnations;
+        releases = model.releases;
+    }
+
+    /** How many more messages may be lost and duplicated, and how many voters may crash. */
+    LeaseModel allowFaults(int newLosses, int newDuplicates, int newCrashes) {
+        losses = newLosses;
+        duplicates = newDuplicates;
+        crashes = newCrashes;
+        return this;
+    }
+
+    /** How many more changes holders may propose and how often they may release the lease. */
+    LeaseModel allowHolderSteps(int newChanges, int newReleases) {
+        changes = newChanges;
+        releases = newReleases;
+        return this;
+    }
+
+    SeededBug bug() {
+        return bug;
+    }
+
+    int messagesInFlight() {
+        return network.size();
+    }
+
+    boolean mayRelease() {
+        return releases > 0;
+    }
+
+    boolean isHolding(int candidate) {
+        return candidates[candidate].lifecycleState() == LeaseCandidate.State.HOLDING;
+    }
+
+    int actCount() {
+        return actCount;
+    }
+
+    int rejectedActCount() {
+        return rejectedActCount;
+    }
+
+    int holderCount() {
+        return invariants.holderCount();
+    }
+
+    /** Candidate 0's clock is slow, the voters' are fast and candidate 1's is right, all within the bound. */
+    private double candidateClock(int candidate) {
+        return candidate == 0 ? now * (1 - MAX_CLOCK_DRIFT / 2) : now;
+    }
+
+    private double voterClock() {
+        return now * (1 + MAX_CLOCK_DRIFT / 2);
+    }
+
+    private boolean mayAct(int candidate) {
+        return candidates[candidate].mayAct(candidateClock(candidate));
+    }
+
+    /** Every step that may happen next. */
+    List<LeaseModelStep> choices() {
+        List<LeaseModelStep> all = new ArrayList<>();
+        for (int i = 0; i < network.size(); i++) {
+            all.add(new LeaseModelStep(Action.DELIVER, i));
+            addIf(losses > 0, Action.LOSE, i, all);
+            addIf(duplicates > 0, Action.DUPLICATE, i, all);
+        }
+        for (int c = 0; c < CANDIDATES; c++) {
+            all.add(new LeaseModelStep(Action.TICK, c));
+            addIf(mayAct(c) && observedFences[c] == 0, Action.LOOK, c, all);
+            addIf(observedFences[c] != 0, Action.ACT, c, all);
+            addIf(changes > 0 && mayAct(c) && !candidates[c].isChangePending(), Action.CHANGE, c, all);
+            addIf(releases > 0 && isHolding(c), Action.RELEASE, c, all);
+        }
+        for (int v = 0; v < voters.length; v++) {
+            addIf(crashes > 0, Action.CRASH, v, all);
+        }
+        all.add(LeaseModelStep.PASS_TIME);
+        return all;
+    }
+
+    private static void addIf(boolean isPossible, LeaseModelStep.Action action, int index, List<LeaseModelStep> steps) {
+        if (isPossible) {
+            steps.add(new LeaseModelStep(action, index));
+        }
+    }
+
+    /** Applies a step; the invariant that it broke, or null. */
+    String apply(LeaseModelStep step) {
+        int n = step.index();
+        switch (step.action()) {
+            case DELIVER -> deliver(network.remove(n));
+            case DUPLICATE -> {
+                duplicates--;
+                deliver(network.get(n));
+            }
+            case LOSE -> {
+                losses--;
+                network.remove(n);
+            }
+            case TICK -> network.addAll(candidates[n].tick(candidateClock(n)));
+            case LOOK -> observedFences[n] = candidates[n].fence();
+            case ACT -> {
+                String violation = act(n);
+                if (violation != null) {
+                    return violation;
+                }
+            }
+            case CHANGE -> {
+                changes--;
+                byte[] state = {(byte) (10 * changes + n + 1)};
+                network.addAll(candidates[n].proposeChange(state, candidateClock(n)));
+            }
+            case RELEASE -> release(n);
+            case CRASH -> crash(n);
+            case PASS_TIME -> passTime();
+        }
+        return findViolation();
+    }
+
+    /** The candidate shuts down and starts again with another incarnation. */
+    private void release(int c) {
+        network.addAll(candidates[c].copy().retire(1 - c));
+        releases--;
+        candidates[c] =
+                new LeaseCandidate(LEASE_NAME, c, 10 + incarnations++, votersKnownTo(c), terms, 1, candidateClock(c));
+        invariants.candidateRestarted(c);
+    }
+
+    /** The voter loses its memory. */
+    private void crash(int v) {
+        crashes--;
+        voters[v] = new LeaseVoter(v, voterNumbers(), terms, voterClock(), 100 + incarnations++);
+        if (bug == SeededBug.FORGETFUL_VOTER_VOTES) {
+            voters[v].startVoting();
+        }
+    }
+
+    private void passTime() {
+        now += TIME_STEP_MILLIS;
+        for (LeaseVoter voter : voters) {
+            network.addAll(voter.tick(voterClock()));
+        }
+    }
+
+    private String act(int c) {
+        long fence = observedFences[c];
+        observedFences[c] = 0;
+        if (bug != SeededBug.FENCE_GATE_OPEN && !gate.admits(LEASE_NAME, fence)) {
+            rejectedActCount++;
+            return null;
+        }
+        actCount++;
+        boolean isStale = fence < highestActedFence;
+        highestActedFence = Math.max(highestActedFence, fence);
+        return isStale ? "an act under fence " + fence + " after one under " + highestActedFence : null;
+    }
+
+    private void deliver(Outgoing outgoing) {
+        int recipient = outgoing.recipient();
+        LeaseMessage message = outgoing.message();
+        if (message.isForVoter()) {
+            corruptRecord(voters[recipient].records(), message);
+            network.addAll(voters[recipient].handle(message, voterClock()));
+            return;
+        }
+        boolean omitsState = bug == SeededBug.PROMISE_OMITS_STATE && message.kind() == Kind.PROMISED;
+        LeaseMessage delivered = omitsState ? message.withState(0, 0, LeaseMessage.EMPTY_STATE) : message;
+        network.addAll(candidates[recipient].handle(delivered, candidateClock(recipient)));
+        if (bug == SeededBug.VOTE_COUNTED_TWICE) {
+            network.addAll(candidates[recipient].handle(asFromNextVoter(message), candidateClock(recipient)));
+        }
+    }
+
+    private LeaseMessage asFromNextVoter(LeaseMessage message) {
+        return new LeaseMessage(
+                message.kind(),
+                message.leaseName(),
+                (message.sender() + 1) % voters.length,
+                message.requestId(),
+                message.ballot(),
+                message.highestBallot(),
+                message.remainingMillis(),
+                message.acceptedBallot(),
+                message.version(),
+                message.state());
+    }
+
+    /** Changes the receiver's record before it handles the message, as a faulty voter might. */
+    private void corruptRecord(Map<String, LeaseRecord> records, LeaseMessage message) {
+        LeaseRecord known = records.get(message.leaseName());
+        if (known == null) {
+            return;
+        }
+        if (bug == SeededBug.GRANTS_IGNORED) {
+            records.put(message.leaseName(), known.withoutGrant());
+        }
+        if (bug == SeededBug.OLD_VERSION_STORED
+                && message.kind() == Kind.ACCEPT
+                && message.ballot() == known.acceptedBallot()) {
+            LeaseRecord older = new LeaseRecord(
+                    known.promisedBallot(),
+                    known.acceptedBallot(),
+                    0,
+                    known.state(),
+                    known.grantedBallot(),
+                    known.grantedUntilMillis());
+            records.put(message.leaseName(), older);
+        }
+    }
+
+    private String findViolation() {
+        if (mayAct(0) && mayAct(1)) {
+            return "two may act at " + now;
+        }
+        for (int c = 0; c < CANDIDATES; c++) {
+            String violation = invariants.check(c, candidates[c], mayAct(c));
+            if (violation != null) {
+                return violation;
+            }
+        }
+        return null;
+    }
+
+    /** Everything that matters for what may follow: two models with the same description behave alike. */
+    String describeState() {
+        StringBuilder text = new StringBuilder()
+                .append(now)
+                .append(losses)
+                .append(duplicates)
+                .append(crashes)
+                .append(changes)
+                .append(highestActedFence)
+                .append(Arrays.toString(observedFences))
+                .append(invariants.storedStates());
+        TreeSet<String> messages = new TreeSet<>();
+        for (Outgoing outgoing : network) {
+            String description = describe(outgoing.recipient(), outgoing.message());
+            while (!messages.add(description)) {
+                description += "+";
+            }
+        }
+        text.append(messages);
+        for (LeaseCandidate candidate : candidates) {
+            text.append(candidate.lifecycleState())
+                    .append(candidate.fence())
+                    .append(candidate.version())
+                    .append(Arrays.toString(candidate.state()))
+                    .append(candidate.describeState());
+        }
+        for (LeaseVoter voter : voters) {
+            text.append(voter.isVoting());
+            voter.records().values().forEach(known -> text.append(describe(known)));
+        }
+        return text.toString();
+    }
+
+    private static String describe(int recipient, LeaseMessage message) {
+        return recipient + message.kind().name() + message.sender() + "," + message.requestId() + ","
+                + message.ballot() + "," + message.highestBallot() + "," + message.remainingMillis() + ","
+                + message.acceptedBallot() + "," + message.version() + Arrays.toString(message.state());
+    }
+
+    private static String describe(LeaseRecord known) {
+        return known.promisedBallot() + "," + known.acceptedBallot() + "," + known.version()
+                + Arrays.toString(known.state()) + known.grantedBallot() + "," + known.grantedUntilMillis();
+    }
+
+    /** Whether a holder is found and a change stored once no more faults happen. */
+    boolean converges() {
+        LeaseModelStep deliverFirst = new LeaseModelStep(Action.DELIVER, 0);
+        for (int i = 0; i < MAX_CONVERGENCE_STEPS; i++) {
+            while (!network.isEmpty()) {
+                if (apply(deliverFirst) != null) {
+                    return false;
+                }
+            }
+            for (int c = 0; c < CANDIDATES; c++) {
+                if (mayAct(c) && !candidates[c].isChangePending()) {
+                    long before = candidates[c].version();
+                    network.addAll(candidates[c].proposeChange(new byte[] {99}, candidateClock(c)));
+                    while (!network.isEmpty()) {
+                        apply(deliverFirst);
+                    }
+                    return candidates[c].version() == before + 1;
+                }
+                apply(new LeaseModelStep(Action.TICK, c));
+            }
+            apply(LeaseModelStep.PASS_TIME);
+        }
+        return false;
+    }
+}
