--- a/src/main/java/nettlewick/net/AdminOperations.java
+++ b/src/main/java/nettlewick/net/AdminOperations.java
@@ -11,52 +11,55 @@
 /** What operators may ask of a node and tell it. */
 final class AdminOperations implements Operations {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
-    private final DispatcherServer node;
+    private final DispatcherServer dispatcher;
 
-    AdminOperations(DispatcherServer node) {
-        this.node = node;
+    AdminOperations(DispatcherServer dispatcher) {
+        this.dispatcher = dispatcher;
     }
 
     @Override
     public boolean ready() {
-        return node.ready();
+        return dispatcher.isReady();
     }
 
     @Override
     public Metrics.Snapshot figures() {
-        return node.core.figures().snapshot();
+        return dispatcher.coordinator.figures().snapshot();
     }
 
     @Override
     public Map<String, Number> more() {
-        return node.moreFigures();
+        return dispatcher.additionalMetrics();
     }
 
     @Override
-    public Future<Boolean> ban(String endpoint, boolean out) {
+    public Future<Boolean> ban(String endpoint, boolean disabled) {
         Promise<Boolean> done = Promise.promise();
-        node.loop.runOnContext(v -> take(endpoint, out, done));
+        dispatcher.eventLoop.runOnContext(v -> storeAndApply(endpoint, disabled, done));
         return done.future();
     }
 
     /** Stored first, then in force, then the yes: a yes that a restart forgets would be none. */
-    private void take(String endpoint, boolean out, Promise<Boolean> done) {
-        if (!node.subchannels.lists(endpoint) && !node.bans.out(endpoint)) {
+    private void storeAndApply(String endpoint, boolean disabled, Promise<Boolean> done) {
+        if (!dispatcher.endpointPools.isListed(endpoint) && !dispatcher.disabledEndpoints.isDisabled(endpoint)) {
             done.complete(false);
             return;
         }
         try {
-            node.bans.set(endpoint, out, node.clock.now()).forEach(node::heed);
+            dispatcher
+                    .disabledEndpoints
+                    .setDisabled(endpoint, disabled, dispatcher.clock.now())
+                    .forEach(dispatcher::applyDisabledEndpoint);
             LOG.info(
-                    out ? "taken-out" : "put-back",
-                    "sim runner " + endpoint + (out ? " taken out by hand" : " put back by hand"),
+                    disabled ? "taken-out" : "put-back",
+                    "sim runner " + endpoint + (disabled ? " taken out by hand" : " put back by hand"),
                     "runner",
                     endpoint);
             done.complete(true);
         } catch (IOException e) {
             LOG.warning(
                     "ban-not-stored",
-                    "cannot store that " + endpoint + (out ? " is out: " : " is back: ") + e,
+                    "cannot store that " + endpoint + (disabled ? " is out: " : " is back: ") + e,
                     "runner",
                     endpoint);
             done.fail(e);
@@ -65,19 +68,19 @@
 
     @Override
     public boolean drain() {
-        boolean drains = node.state().drain(node.clock.now());
+        boolean accepted = dispatcher.serviceState().drain(dispatcher.clock.now());
         LOG.info(
-                drains ? "drained" : "drain-refused",
-                drains ? "drained by hand" : "drain refused: this process starts or ends");
-        return drains;
+                accepted ? "drained" : "drain-refused",
+                accepted ? "drained by hand" : "drain refused: this process starts or ends");
+        return accepted;
     }
 
     @Override
     public boolean resume() {
-        boolean resumes = node.state().resume();
+        boolean accepted = dispatcher.serviceState().resume();
         LOG.info(
-                resumes ? "resumed" : "resume-refused",
-                resumes ? "resumed by hand" : "resume refused: this process ends");
-        return resumes;
+                accepted ? "resumed" : "resume-refused",
+                accepted ? "resumed by hand" : "resume refused: this process ends");
+        return accepted;
     }
 }
--- a/src/main/java/nettlewick/net/AttemptExchange.java
+++ b/src/main/java/nettlewick/net/AttemptExchange.java
@@ -14,44 +14,44 @@
 /** One attempt of an RPC at a sim runner; the answer tells of it line by line. */
 final class AttemptExchange extends OutboundRequest {
     /** A result is 64 KiB at most, and JSON may write a byte of it in six. */
-    private static final int LINE_MOST = 6 * 65536 + 4096;
+    private static final int MAX_LINE_BYTES = 6 * 65536 + 4096;
 
     /** A second answer to one request comes some milliseconds after the first; at most this many. */
-    private static final double SECOND_ANSWER = 50;
+    private static final double DUPLICATE_ANSWER_WINDOW_MILLIS = 50;
 
     private final Attempt attempt;
 
-    AttemptExchange(Attempt attempt, EndpointConnectionPools subchannels) {
-        super(subchannels);
+    AttemptExchange(Attempt attempt, EndpointConnectionPools pools) {
+        super(pools);
         this.attempt = attempt;
     }
 
     @Override
-    RequestOptions head() {
+    RequestOptions requestOptions() {
         Request request = attempt.request();
-        ForwardedRequest rpc = (ForwardedRequest) request.cargo();
-        double left = Math.max(0.001, (request.deadline() - subchannels.now()) / 1000);
-        RequestOptions head = new RequestOptions()
-                .setMethod(rpc.method())
-                .setURI(rpc.uri())
+        ForwardedRequest forwarded = (ForwardedRequest) request.cargo();
+        double remainingSeconds = Math.max(0.001, (request.deadline() - pools.now()) / 1000);
+        RequestOptions options = new RequestOptions()
+                .setMethod(forwarded.method())
+                .setURI(forwarded.uri())
                 .putHeader("X-Request-Id", request.id())
                 .putHeader("X-Class", request.requestClass())
-                .putHeader("X-Deadline", String.format(Locale.ROOT, "%.3f", left))
-                .putHeader("Content-Length", Integer.toString(rpc.body().length()));
-        if (rpc.idempotencyKey() != null) {
-            head.putHeader("Idempotency-Key", rpc.idempotencyKey());
+                .putHeader("X-Deadline", String.format(Locale.ROOT, "%.3f", remainingSeconds))
+                .putHeader("Content-Length", Integer.toString(forwarded.body().length()));
+        if (forwarded.idempotencyKey() != null) {
+            options.putHeader("Idempotency-Key", forwarded.idempotencyKey());
         }
-        return head;
+        return options;
     }
 
     @Override
-    boolean mayBegin() {
-        return attempt.mayBegin(subchannels.now());
+    boolean mayStillSend() {
+        return attempt.mayBegin(pools.now());
     }
 
     @Override
-    double rest() {
-        return subchannels.config().mayRepeat(attempt.request().requestClass()) ? 0 : SECOND_ANSWER;
+    double requiredIdleMillis() {
+        return pools.config().isIdempotentClass(attempt.request().requestClass()) ? 0 : DUPLICATE_ANSWER_WINDOW_MILLIS;
     }
 
     @Override
@@ -60,35 +60,36 @@
     }
 
     @Override
-    void answer(HttpClientResponse response) {
+    void readResponse(HttpClientResponse response) {
         if (response.statusCode() != OK) {
-            finish(unserved(response), null, LoadReport.parse(response.getHeader("X-Load")));
+            finish(resultOfError(response), null, LoadReport.parse(response.getHeader("X-Load")));
             return;
         }
-        RecordParser lines = RecordParser.newDelimited("\n").maxRecordSize(LINE_MOST);
+        RecordParser lines = RecordParser.newDelimited("\n").maxRecordSize(MAX_LINE_BYTES);
         lines.exceptionHandler(e -> finish(AttemptResult.ERROR, null, null));
         lines.handler(line -> {
-            if (!over() && line.length() > 0) {
-                line(line.toString(StandardCharsets.UTF_8));
+            if (!isOver() && line.length() > 0) {
+                handleLine(line.toString(StandardCharsets.UTF_8));
             }
         });
         response.handler(lines);
     }
 
-    private void line(String text) {
+    private void handleLine(String text) {
         try {
-            JsonFields f = JsonFields.parse("a line", text);
-            if (f.has("id") && !f.text("id").equals(attempt.request().id())) {
+            JsonFields fields = JsonFields.parse("a line", text);
+            if (fields.has("id") && !fields.text("id").equals(attempt.request().id())) {
                 // Meant for another request: what became of this one is not known, and it is served by
                 // nobody.
                 finish(AttemptResult.ERROR, null, null);
                 return;
             }
-            EndpointLoad load = f.has("load") ? LoadReport.of(f.part("load")) : null;
-            switch (f.text("state")) {
-                case "started" -> subchannels.core().reportProgress(attempt, 0);
-                case "running" -> subchannels.core().reportProgress(attempt, f.numberOr("share", 0, 0, 1));
-                case "done" -> finish(AttemptResult.SERVED, f.text("result").getBytes(StandardCharsets.UTF_8), load);
+            EndpointLoad load = fields.has("load") ? LoadReport.fromJson(fields.object("load")) : null;
+            switch (fields.text("state")) {
+                case "started" -> pools.coordinator().reportProgress(attempt, 0);
+                case "running" -> pools.coordinator().reportProgress(attempt, fields.numberOr("share", 0, 0, 1));
+                case "done" ->
+                    finish(AttemptResult.SERVED, fields.text("result").getBytes(StandardCharsets.UTF_8), load);
                 case "failed" -> finish(AttemptResult.ERROR, null, load);
                 case "returned" -> finish(AttemptResult.OVERLOADED, null, load);
                 case "lost" -> finish(AttemptResult.BROKEN, null, load);
@@ -100,18 +101,18 @@
     }
 
     @Override
-    void sent() {
-        subchannels.core().figures().relayed();
+    void requestWritten() {
+        pools.coordinator().figures().relayed();
     }
 
     @Override
-    void answered() {
+    void bodyEnded() {
         // Danger: an answer that ends in good order without its last line tells nothing: it may have run.
-        broke();
+        connectionLost();
     }
 
     @Override
-    void tell(Attempt.Outcome outcome) {
-        subchannels.core().attemptEnded(attempt, outcome);
+    void reportOutcome(Attempt.Outcome outcome) {
+        pools.coordinator().attemptEnded(attempt, outcome);
     }
 }
--- a/src/main/java/nettlewick/net/AttemptState.java
+++ b/src/main/java/nettlewick/net/AttemptState.java
@@ -16,19 +16,19 @@
     }
 
     private Phase phase = Phase.CONNECTING;
-    private AttemptResult end;
+    private AttemptResult result;
 
     Phase phase() {
         return phase;
     }
 
     /** How it ended; null while it has not. */
-    AttemptResult end() {
-        return end;
+    AttemptResult result() {
+        return result;
     }
 
     /** A connection is there and the first byte goes out. False if the call is over by now: write nothing. */
-    boolean write() {
+    boolean beginWriting() {
         if (phase != Phase.CONNECTING) {
             return false;
         }
@@ -37,29 +37,29 @@
     }
 
     /** It starts over on another connection, as only what is harmless to repeat may. */
-    void again() {
+    void restart() {
         phase = phase == Phase.OVER ? phase : Phase.CONNECTING;
     }
 
     /** The last byte is written: from now on it may have run. */
-    void written() {
+    void lastByteWritten() {
         phase = phase == Phase.WRITING ? Phase.SENT : phase;
     }
 
     /** The connection never came up, broke or ended. Returns the end, or null if there was one before. */
-    AttemptResult broke() {
+    AttemptResult connectionLost() {
         // Danger: a request cut off before its last byte never ran and may go again, a mark-submit too;
         // one that broke after it may have run.
         return finish(phase == Phase.SENT ? AttemptResult.BROKEN : AttemptResult.UNREACHABLE);
     }
 
     /** The runner, or this side, ended the call so. Returns the end, or null if there was one before. */
-    AttemptResult finish(AttemptResult result) {
+    AttemptResult finish(AttemptResult finalResult) {
         if (phase == Phase.OVER) {
             return null;
         }
         phase = Phase.OVER;
-        end = result;
-        return result;
+        result = finalResult;
+        return finalResult;
     }
 }
--- a/src/main/java/nettlewick/net/ClientConnection.java
+++ b/src/main/java/nettlewick/net/ClientConnection.java
@@ -35,67 +35,67 @@
  */
 final class ClientConnection extends ChannelDuplexHandler {
     /** Whole requests that may wait behind the one that is worked on. */
-    private static final int WAITING_MOST = 4;
+    private static final int MAX_PIPELINED_REQUESTS = 4;
     /** The end of a connection stands behind what was sent before it: one read for that, one for the end. */
-    private static final int READS_FOR_AN_END = 2;
+    private static final int READS_TO_DETECT_CLOSE = 2;
     /** What a request gets that was read whole and stands before one that is refused. Harmless to repeat. */
-    private static final FramingValidator.Refusal STANDS_BEFORE =
-            new FramingValidator.Refusal(429, "what came behind it is refused");
+    private static final FramingValidator.Rejection PRECEDES_REJECTED =
+            new FramingValidator.Rejection(429, "what came behind it is refused");
     /** Bytes read after a refusal, so that it is not eaten by a reset; then the client's sending stalls. */
-    private static final long REST_MOST = 256 * 1024;
+    private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
     private static final ByteBuf CONTINUE = Unpooled.unreleasableBuffer(
                     Unpooled.copiedBuffer("HTTP/1.1 100 Continue\r\n\r\n", StandardCharsets.US_ASCII))
             .asReadOnly();
 
     /** A request that has come whole. */
-    private record Whole(HttpRequest head, ByteBuf body, double arrivedAt) {}
+    private record CompleteRequest(HttpRequest head, ByteBuf body, double arrivedAt) {}
 
     /** Bytes of requests held for all clients together. */
-    static final class Budget {
-        private final long most;
-        private long held;
+    static final class RequestByteBudget {
+        private final long maxBytes;
+        private long bufferedBytes;
 
-        Budget(long most) {
-            this.most = most;
+        RequestByteBudget(long maxBytes) {
+            this.maxBytes = maxBytes;
         }
 
-        private boolean take(long bytes) {
-            held += bytes;
-            return held <= most;
+        private boolean reserve(long bytes) {
+            bufferedBytes += bytes;
+            return bufferedBytes <= maxBytes;
         }
     }
 
     private final Clock clock;
     /** The earliest time at which what is read now may have come. */
-    private final DoubleSupplier cameAt;
+    private final DoubleSupplier receivedAt;
 
-    private final Budget budget;
+    private final RequestByteBudget budget;
     private final ClientConnectionState state;
-    private final Deque<Whole> waiting = new ArrayDeque<>();
+    private final Deque<CompleteRequest> pipelined = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private HttpRequest head;
     private ByteBuf body;
-    private int held;
-    private long rest;
+    private int bufferedBytes;
+    private long discardedBytes;
     /** Why nothing more is taken; null while requests are. Written once the request in work is answered. */
-    private FramingValidator.Refusal refusal;
+    private FramingValidator.Rejection rejection;
 
     private double arrivedAt;
-    private boolean job;
-    private boolean result;
-    private boolean closes;
+    private boolean workRequest;
+    private boolean resultSent;
+    private boolean closeAfterResponse;
     /** Whether the client itself asked for the connection's end. */
-    private boolean clientCloses;
+    private boolean clientAskedToClose;
 
-    ClientConnection(Clock clock, Budget budget) {
+    ClientConnection(Clock clock, RequestByteBudget budget) {
         this(clock, clock::now, budget);
     }
 
     /** {@code cameAt} tells the earliest time at which what is read now may have come. */
-    ClientConnection(Clock clock, DoubleSupplier cameAt, Budget budget) {
+    ClientConnection(Clock clock, DoubleSupplier receivedAt, RequestByteBudget budget) {
         this.clock = clock;
-        this.cameAt = cameAt;
+        this.receivedAt = receivedAt;
         this.budget = budget;
         state = new ClientConnectionState(clock.now());
     }
@@ -110,45 +110,45 @@
     }
 
     /** Some bytes have come, whatever they are. */
-    void bytes() {
-        state.bytes(clock.now());
+    void bytesReceived() {
+        state.bytesReceived(clock.now());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object read) {
         try {
-            if (refusal != null || !state.takesRequests()) {
-                skip(read);
+            if (rejection != null || !state.takesRequests()) {
+                discard(read);
                 return;
             }
             if (read instanceof HttpRequest request) {
-                begin(request);
+                beginRequest(request);
             }
             if (read instanceof HttpContent content && head != null) {
-                more(content);
+                addContent(content);
             }
         } finally {
             ReferenceCountUtil.release(read);
         }
     }
 
-    private void skip(Object read) {
-        rest += read instanceof ByteBuf bytes
+    private void discard(Object read) {
+        discardedBytes += read instanceof ByteBuf bytes
                 ? bytes.readableBytes()
                 : read instanceof ByteBufHolder holder ? holder.content().readableBytes() : 0;
-        if (rest > REST_MOST) {
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
             // 60 MB read only to be thrown away would take the turns of the usual clients. While a request is
             // in work, sweep() reads on in portions: a connection that is not read never shows its end.
             context.channel().config().setAutoRead(false);
         }
     }
 
-    private void begin(HttpRequest request) {
-        FramingValidator.Refusal refusal = FramingValidator.of(request);
-        if (refusal != null) {
-            refuse(refusal.status(), refusal.message());
-        } else if (waiting.size() >= WAITING_MOST) {
-            refuse(429, "too many requests at once on one connection");
+    private void beginRequest(HttpRequest request) {
+        FramingValidator.Rejection problem = FramingValidator.validate(request);
+        if (problem != null) {
+            reject(problem.status(), problem.message());
+        } else if (pipelined.size() >= MAX_PIPELINED_REQUESTS) {
+            reject(429, "too many requests at once on one connection");
         } else {
             head = request;
             body = Unpooled.buffer(Math.max(0, (int) HttpUtil.getContentLength(request, 0L)));
@@ -158,23 +158,23 @@
         }
     }
 
-    private void more(HttpContent content) {
-        FramingValidator.Refusal refusal = FramingValidator.of(content.decoderResult());
+    private void addContent(HttpContent content) {
+        FramingValidator.Rejection problem = FramingValidator.validate(content.decoderResult());
         int length = content.content().readableBytes();
-        if (refusal == null && body.readableBytes() + length > FramingValidator.BODY_MOST) {
-            refusal = FramingValidator.tooLong();
+        if (problem == null && body.readableBytes() + length > FramingValidator.MAX_BODY_BYTES) {
+            problem = FramingValidator.bodyTooLong();
         }
-        held += length;
-        if (!budget.take(length) && refusal == null) {
-            refusal = new FramingValidator.Refusal(503, "too much is being sent at once");
+        bufferedBytes += length;
+        if (!budget.reserve(length) && problem == null) {
+            problem = new FramingValidator.Rejection(503, "too much is being sent at once");
         }
-        if (refusal != null) {
-            refuse(refusal.status(), refusal.message());
+        if (problem != null) {
+            reject(problem.status(), problem.message());
             return;
         }
         body.writeBytes(content.content());
         if (content instanceof LastHttpContent) {
-            waiting.addLast(new Whole(head, body, cameAt.getAsDouble()));
+            pipelined.addLast(new CompleteRequest(head, body, receivedAt.getAsDouble()));
             head = null;
         }
     }
@@ -188,10 +188,12 @@
      * Whether the client is still connected. Its end may have come with its request, or while the event loop
      * was busy, and wait unread: the socket is read here and now, in the turn that asks.
      */
-    boolean connected() {
+    boolean isConnected() {
         Channel channel = context.channel();
         for (int i = 0;
-                i < READS_FOR_AN_END && channel.isActive() && channel.config().isAutoRead();
+                i < READS_TO_DETECT_CLOSE
+                        && channel.isActive()
+                        && channel.config().isAutoRead();
                 i++) {
             if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
                 unsafe.read();
@@ -203,66 +205,67 @@
     /** All that was there is read. Passed on sooner, the first requests of a flood would be dispatched. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        next();
+        startNextRequest();
         ctx.fireChannelReadComplete();
     }
 
-    private void next() {
-        if (refusal == null && !waiting.isEmpty() && state.begin()) {
-            Whole whole = waiting.pollFirst();
-            letGo(whole.body().readableBytes());
-            arrivedAt = whole.arrivedAt();
-            clientCloses = whole.head().headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-            job = HttpMethod.POST.equals(whole.head().method());
-            context.fireChannelRead(whole.head());
-            context.fireChannelRead(new DefaultLastHttpContent(whole.body()));
+    private void startNextRequest() {
+        if (rejection == null && !pipelined.isEmpty() && state.beginRequest()) {
+            CompleteRequest next = pipelined.pollFirst();
+            releaseBytes(next.body().readableBytes());
+            arrivedAt = next.arrivedAt();
+            clientAskedToClose =
+                    next.head().headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
+            workRequest = HttpMethod.POST.equals(next.head().method());
+            context.fireChannelRead(next.head());
+            context.fireChannelRead(new DefaultLastHttpContent(next.body()));
         }
     }
 
-    private void letGo(long bytes) {
-        held -= bytes;
-        budget.take(-bytes);
+    private void releaseBytes(long bytes) {
+        bufferedBytes -= bytes;
+        budget.reserve(-bytes);
     }
 
     @Override
     public void write(ChannelHandlerContext ctx, Object written, ChannelPromise promise) {
         if (written instanceof HttpResponse response) {
-            beginAnswer(response);
+            beginResponse(response);
         }
         boolean last = written instanceof LastHttpContent;
-        boolean ends = last && closes;
+        boolean ends = last && closeAfterResponse;
         ChannelPromise done = ends ? promise.unvoid() : promise;
         if (ends) {
             // Before the write: whatever is read from here on is not taken any more.
-            state.close(clock.now());
-            done.addListener(f -> endOutput());
+            state.beginClosing(clock.now());
+            done.addListener(f -> shutDownOutput());
         }
         ctx.write(written, done);
         if (last && !ends) {
-            answered(ctx);
+            responseWritten(ctx);
         }
     }
 
-    private void beginAnswer(HttpResponse response) {
-        result = job && response.status().code() == OutboundRequest.OK;
-        closes = response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-        boolean more = !waiting.isEmpty() || head != null || refusal != null;
-        if (closes && !clientCloses && more) {
+    private void beginResponse(HttpResponse response) {
+        resultSent = workRequest && response.status().code() == OutboundRequest.OK;
+        closeAfterResponse = response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
+        boolean more = !pipelined.isEmpty() || head != null || rejection != null;
+        if (closeAfterResponse && !clientAskedToClose && more) {
             // What the client has sent behind it is answered first; the last answer says that it is the last.
             response.headers().remove(HttpHeaderNames.CONNECTION);
-            closes = false;
+            closeAfterResponse = false;
         }
     }
 
     /** An answer that is not the last one is written: the next request's turn. */
-    private void answered(ChannelHandlerContext ctx) {
-        state.answered(clock.now(), result);
-        if (refusal != null) {
-            writeRefusal();
-        } else if (!waiting.isEmpty() || head != null) {
-            state.bytes(clock.now());
+    private void responseWritten(ChannelHandlerContext ctx) {
+        state.responseWritten(clock.now(), resultSent);
+        if (rejection != null) {
+            writeRejection();
+        } else if (!pipelined.isEmpty() || head != null) {
+            state.bytesReceived(clock.now());
             ctx.executor().execute(() -> {
-                next();
+                startNextRequest();
                 // Without this word the server holds its answers back until more bytes come.
                 ctx.fireChannelReadComplete();
             });
@@ -273,28 +276,28 @@
      * Takes nothing more from this client. The request in work gets its own answer first, and each that was
      * read whole and waits behind it a harmless refusal; then comes this one, and the connection ends.
      */
-    void refuse(int status, String message) {
-        if (!state.takesRequests() || refusal != null) {
+    void reject(int status, String message) {
+        if (!state.takesRequests() || rejection != null) {
             return;
         }
-        refusal = new FramingValidator.Refusal(status, message);
+        rejection = new FramingValidator.Rejection(status, message);
         head = null;
         body = null;
         stopParsing();
         if (state.phase() != ClientConnectionState.Phase.ANSWERING) {
-            writeRefusal();
+            writeRejection();
         }
     }
 
-    private void writeRefusal() {
-        String text = STANDS_BEFORE.text(false).repeat(waiting.size()) + refusal.text(true);
-        state.close(clock.now());
-        drop();
+    private void writeRejection() {
+        String text = PRECEDES_REJECTED.response(false).repeat(pipelined.size()) + rejection.response(true);
+        state.beginClosing(clock.now());
+        discardPending();
         // From the first handler on: what is written there passes by the server's own answers.
         context.pipeline()
                 .firstContext()
                 .writeAndFlush(ByteBufUtil.writeAscii(context.alloc(), text))
-                .addListener(f -> endOutput());
+                .addListener(f -> shutDownOutput());
     }
 
     private void stopParsing() {
@@ -303,27 +306,27 @@
         }
     }
 
-    private boolean unread() {
+    private boolean hasUnreadOutput() {
         ChannelOutboundBuffer out = context.channel().unsafe().outboundBuffer();
         return out != null && out.totalPendingWriteBytes() > 0;
     }
 
     /** Ends the connection if its time is over. */
-    void sweep(double now) {
-        boolean unread = unread();
-        if (!state.late(now, unread)) {
-            readOn();
+    void closeIfOverdue(double now) {
+        boolean unreadOutput = hasUnreadOutput();
+        if (!state.isOverdue(now, unreadOutput)) {
+            resumeDiscarding();
         } else if (state.phase() == ClientConnectionState.Phase.READING) {
-            refuse(408, "the request took too long to come");
-        } else if (unread || state.phase() != ClientConnectionState.Phase.WAITING || stillIdle()) {
+            reject(408, "the request took too long to come");
+        } else if (unreadOutput || state.phase() != ClientConnectionState.Phase.WAITING || isStillIdle()) {
             close();
         }
     }
 
     /** The next portion of what is thrown away while a request is in work. */
-    private void readOn() {
-        if (refusal != null && state.phase() == ClientConnectionState.Phase.ANSWERING) {
-            rest = 0;
+    private void resumeDiscarding() {
+        if (rejection != null && state.phase() == ClientConnectionState.Phase.ANSWERING) {
+            discardedBytes = 0;
             context.channel().config().setAutoRead(true);
         }
     }
@@ -333,29 +336,29 @@
      * read any more: a request that crosses the close is never taken, and its client learns so by a reset.
      */
     void closeIfQuiet(double now) {
-        if (state.quiet(now) && !unread() && stillIdle()) {
+        if (state.isQuiet(now) && !hasUnreadOutput() && isStillIdle()) {
             close();
         }
     }
 
     /** Whether nothing is owed here, by what the socket says now: a request may wait unread in it. */
-    boolean stillIdle() {
-        return state.idle() && connected() && state.idle();
+    boolean isStillIdle() {
+        return state.isIdle() && isConnected() && state.isIdle();
     }
 
     /**
      * After the last answer: says that nothing more comes, and reads on without taking anything. A close over
      * unread bytes resets the connection, and the client may lose the answer before it has read it.
      */
-    private void endOutput() {
-        if (!state.linger(clock.now())) {
+    private void shutDownOutput() {
+        if (!state.beginLingering(clock.now())) {
             return;
         }
-        drop();
+        discardPending();
         stopParsing();
         if (context.channel() instanceof DuplexChannel duplex) {
             duplex.shutdownOutput();
-        } else if (refusal == null) {
+        } else if (rejection == null) {
             // A channel that cannot be shut one way only.
             context.close();
         }
@@ -367,7 +370,7 @@
         boolean lingers = state.phase() == ClientConnectionState.Phase.CLOSING
                 || state.phase() == ClientConnectionState.Phase.LINGERING;
         if (lingers && ctx.channel() instanceof DuplexChannel) {
-            long linger = (long) ClientConnectionState.LINGER;
+            long linger = (long) ClientConnectionState.LINGER_MILLIS;
             ctx.executor().schedule(() -> ctx.close(promise), linger, TimeUnit.MILLISECONDS);
         } else {
             ctx.close(promise);
@@ -380,9 +383,9 @@
         context.close();
     }
 
-    private void drop() {
-        letGo(held);
-        waiting.clear();
+    private void discardPending() {
+        releaseBytes(bufferedBytes);
+        pipelined.clear();
         head = null;
         body = null;
     }
@@ -390,7 +393,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         state.closed();
-        drop();
+        discardPending();
         ctx.fireChannelInactive();
     }
 
--- a/src/main/java/nettlewick/net/ClientConnectionState.java
+++ b/src/main/java/nettlewick/net/ClientConnectionState.java
@@ -33,22 +33,22 @@
      * From connecting, or from a later request's first byte, to its last one. A client that sends nothing, or
      * a byte now and then, would hold its connection for good; it is owed an end within 3 s.
      */
-    static final double READ = 2400;
+    static final double READ_TIMEOUT_MILLIS = 2400;
     /** A connection that was served and asks nothing more; one that was served nothing has READ. */
-    static final double IDLE = 60_000;
+    static final double IDLE_TIMEOUT_MILLIS = 60_000;
     /** An answer that the client does not take from its socket. */
-    static final double UNREAD = 5000;
+    static final double UNREAD_OUTPUT_TIMEOUT_MILLIS = 5000;
     /** From the end of writing to the close, in which the client can read its last answer. */
-    static final double LINGER = 1000;
+    static final double LINGER_MILLIS = 1000;
 
     /** At the planned end: a client that goes on asking has sent its next request by then. */
-    static final double QUIET = 200;
+    static final double QUIET_MILLIS = 200;
 
     private final double openedAt;
     private Phase phase = Phase.WAITING;
     private double since;
-    private int answers;
-    private int served;
+    private int responses;
+    private int resultsServed;
 
     ClientConnectionState(double now) {
         openedAt = now;
@@ -65,45 +65,45 @@
     }
 
     /** Some bytes of a request have come. */
-    void bytes(double now) {
+    void bytesReceived(double now) {
         if (phase == Phase.WAITING) {
             // Counted from its first byte, a first request sent late could use the time twice.
-            move(Phase.READING, answers == 0 ? openedAt : now);
+            enter(Phase.READING, responses == 0 ? openedAt : now);
         }
     }
 
     /** A request is here, whole and in order. False if the connection cannot take it now. */
-    boolean begin() {
-        boolean takes = phase == Phase.READING;
-        if (takes) {
+    boolean beginRequest() {
+        boolean accepted = phase == Phase.READING;
+        if (accepted) {
             phase = Phase.ANSWERING;
         }
-        return takes;
+        return accepted;
     }
 
     /** Its answer has been handed to the socket, and is not the last one. */
-    void answered(double now, boolean result) {
+    void responseWritten(double now, boolean result) {
         if (phase == Phase.ANSWERING) {
-            move(Phase.WAITING, now);
-            answers++;
-            served += result ? 1 : 0;
+            enter(Phase.WAITING, now);
+            responses++;
+            resultsServed += result ? 1 : 0;
         }
     }
 
     /** The last answer is written. True once only, and never after the end. */
-    boolean close(double now) {
+    boolean beginClosing(double now) {
         boolean first = takesRequests();
         if (first) {
-            move(Phase.CLOSING, now);
+            enter(Phase.CLOSING, now);
         }
         return first;
     }
 
     /** The socket is shut for writing, with the last answer on it. True once only. */
-    boolean linger(double now) {
+    boolean beginLingering(double now) {
         boolean first = phase == Phase.CLOSING;
         if (first) {
-            move(Phase.LINGERING, now);
+            enter(Phase.LINGERING, now);
         }
         return first;
     }
@@ -112,40 +112,44 @@
         phase = Phase.CLOSED;
     }
 
-    private void move(Phase to, double now) {
-        phase = to;
+    private void enter(Phase next, double now) {
+        phase = next;
         since = now;
     }
 
     /** Whether it is time to end the connection; {@code unread} tells that an answer waits to be written. */
-    boolean late(double now, boolean unread) {
+    boolean isOverdue(double now, boolean unreadOutput) {
         double age = now - since;
         return switch (phase) {
-            case WAITING -> age >= (unread ? UNREAD : served == 0 ? READ : IDLE);
-            case READING -> age >= READ;
-            case CLOSING -> age >= UNREAD;
-            case LINGERING -> age >= LINGER;
+            case WAITING ->
+                age
+                        >= (unreadOutput
+                                ? UNREAD_OUTPUT_TIMEOUT_MILLIS
+                                : resultsServed == 0 ? READ_TIMEOUT_MILLIS : IDLE_TIMEOUT_MILLIS);
+            case READING -> age >= READ_TIMEOUT_MILLIS;
+            case CLOSING -> age >= UNREAD_OUTPUT_TIMEOUT_MILLIS;
+            case LINGERING -> age >= LINGER_MILLIS;
             case ANSWERING, CLOSED -> false;
         };
     }
 
     /** Whether it may make way for another connection: nothing that was taken is lost by it. */
-    boolean idle() {
+    boolean isIdle() {
         return phase == Phase.WAITING;
     }
 
     /** Whether nothing has come since its last answer for so long that nothing is on its way either. */
-    boolean quiet(double now) {
-        return phase == Phase.WAITING && now - since >= QUIET;
+    boolean isQuiet(double now) {
+        return phase == Phase.WAITING && now - since >= QUIET_MILLIS;
     }
 
     /** Whether the client has had its time to see that the connection ends, at this front's own end. */
-    boolean lingered(double now) {
-        return phase == Phase.LINGERING && now - since >= QUIET;
+    boolean hasLingered(double now) {
+        return phase == Phase.LINGERING && now - since >= QUIET_MILLIS;
     }
 
     /** How much a connection that may make way deserves to stay: the least makes way first. */
-    int merit() {
-        return served;
+    int resultsServed() {
+        return resultsServed;
     }
 }
--- a/src/main/java/nettlewick/net/ConnectionLimiter.java
+++ b/src/main/java/nettlewick/net/ConnectionLimiter.java
@@ -25,24 +25,24 @@
  */
 final class ConnectionLimiter implements Transport {
     /** How often, and how many times at the most, it is looked whether the kernel's queue is empty; in ms. */
-    private static final long LOOK = 20;
+    private static final long QUEUE_CHECK_MILLIS = 20;
 
-    private static final int LOOKS = 50;
+    private static final int MAX_QUEUE_CHECKS = 50;
 
-    private volatile int most;
-    private final AtomicInteger open = new AtomicInteger();
+    private volatile int maxConnections;
+    private final AtomicInteger openConnections = new AtomicInteger();
     private final Set<Channel> listeners = ConcurrentHashMap.newKeySet();
-    private final Set<Channel> held = ConcurrentHashMap.newKeySet();
+    private final Set<Channel> pausedListeners = ConcurrentHashMap.newKeySet();
 
-    ConnectionLimiter(int most) {
-        this.most = most;
+    ConnectionLimiter(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
-    private final class GatedChannel extends NioServerSocketChannel {
+    private final class LimitedServerChannel extends NioServerSocketChannel {
         /** Nothing waited in the kernel's queue when it was last read. */
-        private boolean emptied;
+        private boolean queueEmptied;
 
-        GatedChannel() {
+        LimitedServerChannel() {
             listeners.add(this);
         }
 
@@ -58,26 +58,30 @@
          * Takes all that waits in the kernel's queue, as fast as the bound lets it, then listens no more: the
          * kernel resets what a closed listener has not accepted.
          */
-        private void closeOnceEmpty(Runnable closed, int looks) {
-            emptied = false;
+        private void closeOnceQueueIsEmpty(Runnable onClosed, int checksLeft) {
+            queueEmptied = false;
             if (isOpen()) {
                 ((AbstractNioChannel.NioUnsafe) unsafe()).read();
             }
-            if (emptied || looks == 0 || !isOpen()) {
+            if (queueEmptied || checksLeft == 0 || !isOpen()) {
                 close();
-                closed.run();
+                onClosed.run();
             } else {
-                eventLoop().schedule(() -> closeOnceEmpty(closed, looks - 1), LOOK, TimeUnit.MILLISECONDS);
+                eventLoop()
+                        .schedule(
+                                () -> closeOnceQueueIsEmpty(onClosed, checksLeft - 1),
+                                QUEUE_CHECK_MILLIS,
+                                TimeUnit.MILLISECONDS);
             }
         }
 
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            if (open.incrementAndGet() > most) {
+            if (openConnections.incrementAndGet() > maxConnections) {
                 // Danger: noted before it stops reading, it could be woken in between and never again.
                 config().setAutoRead(false);
-                held.add(this);
-                leave();
+                pausedListeners.add(this);
+                connectionReleased();
                 return 0;
             }
             int before = accepted.size();
@@ -85,10 +89,10 @@
                 return super.doReadMessages(accepted);
             } finally {
                 if (accepted.size() > before) {
-                    ((Channel) accepted.get(before)).closeFuture().addListener(f -> leave());
+                    ((Channel) accepted.get(before)).closeFuture().addListener(f -> connectionReleased());
                 } else {
-                    emptied = true;
-                    leave();
+                    queueEmptied = true;
+                    connectionReleased();
                 }
             }
         }
@@ -99,27 +103,28 @@
      * once all that was accepted has been handed to the event loop that serves it, or what waits has had its
      * time.
      */
-    Future<Void> closeOnceEmpty() {
-        List<Future<Void>> closed = new ArrayList<>();
+    Future<Void> closeOnceQueueIsEmpty() {
+        List<Future<Void>> onClosed = new ArrayList<>();
         for (Channel channel : listeners) {
-            Promise<Void> one = Promise.promise();
-            closed.add(one.future());
-            GatedChannel listener = (GatedChannel) channel;
-            listener.eventLoop().execute(() -> listener.closeOnceEmpty(one::tryComplete, LOOKS));
+            Promise<Void> listenerClosed = Promise.promise();
+            onClosed.add(listenerClosed.future());
+            LimitedServerChannel listener = (LimitedServerChannel) channel;
+            listener.eventLoop()
+                    .execute(() -> listener.closeOnceQueueIsEmpty(listenerClosed::tryComplete, MAX_QUEUE_CHECKS));
         }
-        return Future.join(closed).mapEmpty();
+        return Future.join(onClosed).mapEmpty();
     }
 
     /** From now on so many connections may be open. */
-    void bound(int next) {
-        most = next;
+    void setMaxConnections(int limit) {
+        maxConnections = limit;
     }
 
-    private void leave() {
-        if (open.decrementAndGet() < most) {
-            for (Channel channel : held) {
+    private void connectionReleased() {
+        if (openConnections.decrementAndGet() < maxConnections) {
+            for (Channel channel : pausedListeners) {
                 // Danger: woken first and struck off then, a channel that is stopped anew would stay so.
-                if (held.remove(channel)) {
+                if (pausedListeners.remove(channel)) {
                     channel.config().setAutoRead(true);
                 }
             }
@@ -146,7 +151,7 @@
         return new NioTransport() {
             @Override
             public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-                return domainSocket ? super.serverChannelFactory(true) : GatedChannel::new;
+                return domainSocket ? super.serverChannelFactory(true) : LimitedServerChannel::new;
             }
         };
     }
--- a/src/main/java/nettlewick/net/ConnectionReusePolicy.java
+++ b/src/main/java/nettlewick/net/ConnectionReusePolicy.java
@@ -7,19 +7,19 @@
  */
 final class ConnectionReusePolicy {
     /** Weight of the latest use. */
-    private static final double GAIN = 0.1;
+    private static final double LATEST_USE_WEIGHT = 0.1;
     /** Share of bad uses from which a new connection is the cheaper way. */
-    private static final double MOST = 0.02;
+    private static final double MAX_FAILURE_RATE = 0.02;
 
-    private double bad;
+    private double failureRate;
 
     /** A kept connection was used, and broke before any answer, or did not. */
-    void used(boolean broke) {
-        bad += GAIN * ((broke ? 1 : 0) - bad);
+    void recordUse(boolean broke) {
+        failureRate += LATEST_USE_WEIGHT * ((broke ? 1 : 0) - failureRate);
     }
 
     /** Whether a job may go out on a kept connection. */
-    boolean trusts() {
-        return bad < MOST;
+    boolean allowsReuse() {
+        return failureRate < MAX_FAILURE_RATE;
     }
 }
--- a/src/main/java/nettlewick/net/DisabledEndpointStore.java
+++ b/src/main/java/nettlewick/net/DisabledEndpointStore.java
@@ -24,16 +24,16 @@
 final class DisabledEndpointStore {
     private static final ComponentLogger LOG = ComponentLogger.of("bans");
     /** How long a return is remembered: a process that starts meanwhile has to know of a cold runner. */
-    private static final double RETURN_KEPT = 60_000;
+    private static final double ENABLED_ENTRY_RETENTION_MILLIS = 60_000;
 
-    private static final double LATEST = 1e15;
+    private static final double MAX_TIMESTAMP_MILLIS = 1e15;
 
     /** A sim runner that was taken out, or put back, at that time in milliseconds. */
-    record DisabledEndpoint(String runner, boolean out, double since) {}
+    record Entry(String endpoint, boolean disabled, double sinceMillis) {}
 
     private final Path file;
-    private Map<String, DisabledEndpoint> bans = new LinkedHashMap<>();
-    private Object seen;
+    private Map<String, Entry> entries = new LinkedHashMap<>();
+    private Object lastStamp;
 
     /** Keeps bans in this file; null keeps them in memory alone. */
     DisabledEndpointStore(Path file) {
@@ -41,65 +41,66 @@
     }
 
     /** Whether this runner is out. */
-    boolean out(String endpoint) {
-        return bans.containsKey(endpoint) && bans.get(endpoint).out();
+    boolean isDisabled(String endpoint) {
+        return entries.containsKey(endpoint) && entries.get(endpoint).disabled();
     }
 
     /**
      * Takes a runner out or puts it back, on the file first; what is so already stays. What has changed comes
      * back. Where the file cannot be written, nothing is changed.
      */
-    List<DisabledEndpoint> set(String endpoint, boolean out, double now) throws IOException {
-        Map<String, DisabledEndpoint> before = new LinkedHashMap<>(bans);
+    List<Entry> setDisabled(String endpoint, boolean disabled, double now) throws IOException {
+        Map<String, Entry> before = new LinkedHashMap<>(entries);
         if (file == null) {
-            change(endpoint, out, now);
-            return since(before);
+            change(endpoint, disabled, now);
+            return changedSince(before);
         }
         // Danger: both processes of an upgrade may be called at once; the later would undo the earlier.
         try (FileChannel channel =
-                        FileChannel.open(beside(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                        FileChannel.open(sibling(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.lock()) {
             read();
-            change(endpoint, out, now);
-            Path next = Files.writeString(beside(".new"), text());
+            change(endpoint, disabled, now);
+            Path next = Files.writeString(sibling(".new"), toJson());
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            bans = before;
+            entries = before;
             throw e;
         }
-        seen = stamp();
-        return since(before);
+        lastStamp = fileStamp();
+        return changedSince(before);
     }
 
-    private List<DisabledEndpoint> since(Map<String, DisabledEndpoint> before) {
-        return bans.values().stream()
-                .filter(b -> !b.equals(before.get(b.runner())))
+    private List<Entry> changedSince(Map<String, Entry> before) {
+        return entries.values().stream()
+                .filter(entry -> !entry.equals(before.get(entry.endpoint())))
                 .toList();
     }
 
-    private void change(String endpoint, boolean out, double now) {
-        bans.values().removeIf(b -> !b.out() && now - b.since() > RETURN_KEPT);
-        if (out != out(endpoint)) {
-            bans.put(endpoint, new DisabledEndpoint(endpoint, out, now));
+    private void change(String endpoint, boolean disabled, double now) {
+        entries.values()
+                .removeIf(entry -> !entry.disabled() && now - entry.sinceMillis() > ENABLED_ENTRY_RETENTION_MILLIS);
+        if (disabled != isDisabled(endpoint)) {
+            entries.put(endpoint, new Entry(endpoint, disabled, now));
         }
     }
 
     /** What has changed on the file since this was asked last; everything at first. */
-    List<DisabledEndpoint> news() {
-        if (file == null || Objects.equals(seen, stamp())) {
+    List<Entry> readChanges() {
+        if (file == null || Objects.equals(lastStamp, fileStamp())) {
             return List.of();
         }
-        Map<String, DisabledEndpoint> before = bans;
-        seen = stamp();
+        Map<String, Entry> before = entries;
+        lastStamp = fileStamp();
         read();
-        return since(before);
+        return changedSince(before);
     }
 
-    private Path beside(String end) {
-        return file.resolveSibling(file.getFileName() + end);
+    private Path sibling(String suffix) {
+        return file.resolveSibling(file.getFileName() + suffix);
     }
 
-    private Object stamp() {
+    private Object fileStamp() {
         try {
             BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
             return List.of(String.valueOf(now.fileKey()), now.lastModifiedTime(), now.size());
@@ -111,15 +112,15 @@
     /** Danger: a file that cannot be read must not bring runners back that are being repaired. */
     private void read() {
         try {
-            Map<String, DisabledEndpoint> read = new LinkedHashMap<>();
+            Map<String, Entry> read = new LinkedHashMap<>();
             List<JsonFields> rows =
-                    JsonFields.parse("the bans", Files.readString(file)).parts("bans");
+                    JsonFields.parse("the bans", Files.readString(file)).objects("bans");
             for (JsonFields row : rows) {
-                DisabledEndpoint ban =
-                        new DisabledEndpoint(row.text("runner"), row.flag("out"), row.number("since", 0, LATEST));
-                read.put(ban.runner(), ban);
+                Entry entry =
+                        new Entry(row.text("runner"), row.flag("out"), row.number("since", 0, MAX_TIMESTAMP_MILLIS));
+                read.put(entry.endpoint(), entry);
             }
-            bans = read;
+            entries = read;
         } catch (NoSuchFileException e) {
             // nothing was ever out
         } catch (IOException | JsonFields.InvalidFieldException e) {
@@ -127,13 +128,13 @@
         }
     }
 
-    private String text() {
+    private String toJson() {
         JsonArray rows = new JsonArray();
-        for (DisabledEndpoint ban : bans.values()) {
+        for (Entry entry : entries.values()) {
             JsonObject row = new JsonObject();
-            row.addProperty("runner", ban.runner());
-            row.addProperty("out", ban.out());
-            row.addProperty("since", ban.since());
+            row.addProperty("runner", entry.endpoint());
+            row.addProperty("out", entry.disabled());
+            row.addProperty("since", entry.sinceMillis());
             rows.add(row);
         }
         JsonObject all = new JsonObject();
--- a/src/main/java/nettlewick/net/DiscoveryWatch.java
+++ b/src/main/java/nettlewick/net/DiscoveryWatch.java
@@ -17,18 +17,18 @@
 /** The standing watch on discovery: resumed where it broke, with growing pauses. Lives on the event loop. */
 final class DiscoveryWatch {
     private static final ComponentLogger LOG = ComponentLogger.of("resolver");
-    private static final int CONNECT_TIMEOUT = 1000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
     private final Vertx vertx;
     private final HttpClientAgent client;
     private final Clock clock;
-    private final Consumer<EndpointListSnapshot> sink;
+    private final Consumer<EndpointListSnapshot> listener;
     private SocketAddress discovery;
     /** Version of the list as this address counts; below 0 before its first word. */
-    private long seq = -1;
+    private long sequence = -1;
 
-    private final WatchStalenessTimer times;
-    private int round;
+    private final WatchStalenessTimer stalenessTimer;
+    private int currentCall;
     private boolean stopped;
     private HttpClientConnection connection;
 
@@ -36,114 +36,116 @@
             Vertx vertx,
             SocketAddress discovery,
             Clock clock,
-            WatchStalenessTimer times,
-            Consumer<EndpointListSnapshot> sink) {
-        this.times = times;
+            WatchStalenessTimer stalenessTimer,
+            Consumer<EndpointListSnapshot> listener) {
+        this.stalenessTimer = stalenessTimer;
         this.vertx = vertx;
-        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT));
+        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
         this.discovery = discovery;
         this.clock = clock;
-        this.sink = sink;
+        this.listener = listener;
     }
 
     /** Applies the list that was known before, if there is one, then watches. */
     void start(EndpointListSnapshot known) {
         if (known != null) {
-            seq = known.seq();
-            sink.accept(known);
+            sequence = known.sequence();
+            listener.accept(known);
         }
         connect();
     }
 
     /** Looks when the call that is open would count as broken; words that come meanwhile move that on. */
-    private void lookAt(int mine) {
-        double left = times.deadline() - clock.now();
-        vertx.setTimer((long) Math.max(1, Math.ceil(Math.min(left, WatchStalenessTimer.TOLD))), id -> {
-            if (mine == round && clock.now() >= times.deadline()) {
-                broken(mine, "silent");
-            } else if (mine == round) {
-                lookAt(mine);
-            }
-        });
+    private void scheduleDeadlineCheck(int call) {
+        double remainingMillis = stalenessTimer.deadline() - clock.now();
+        vertx.setTimer(
+                (long) Math.max(1, Math.ceil(Math.min(remainingMillis, WatchStalenessTimer.NOTIFIED_AFTER_MILLIS))),
+                id -> {
+                    if (call == currentCall && clock.now() >= stalenessTimer.deadline()) {
+                        endCall(call, "silent");
+                    } else if (call == currentCall) {
+                        scheduleDeadlineCheck(call);
+                    }
+                });
     }
 
     private void connect() {
         if (stopped) {
             return;
         }
-        int mine = ++round;
-        times.opens(clock.now());
-        lookAt(mine);
+        int call = ++currentCall;
+        stalenessTimer.callStarted(clock.now());
+        scheduleDeadlineCheck(call);
         client.connect(new HttpConnectOptions()
                         .setServer(discovery)
                         .setHost(discovery.hostAddress())
                         .setPort(discovery.port())
                         .setSsl(false))
-                .onFailure(e -> broken(mine, "cannot connect"))
-                .onSuccess(made -> {
-                    if (mine != round) {
+                .onFailure(e -> endCall(call, "cannot connect"))
+                .onSuccess(opened -> {
+                    if (call != currentCall) {
                         // The watch moved on while this connection came up.
-                        made.close();
+                        opened.close();
                         return;
                     }
-                    connection = made;
-                    made.exceptionHandler(e -> {});
-                    made.closeHandler(v -> broken(mine, "closed"));
-                    ask(made, mine);
+                    connection = opened;
+                    opened.exceptionHandler(e -> {});
+                    opened.closeHandler(v -> endCall(call, "closed"));
+                    requestList(opened, call);
                 });
     }
 
-    private void ask(HttpClient on, int mine) {
-        String uri = "/catalog/members?watch=1" + (seq >= 0 ? "&after=" + seq : "");
-        on.request(new RequestOptions().setMethod(HttpMethod.GET).setURI(uri))
+    private void requestList(HttpClient http, int call) {
+        String uri = "/catalog/members?watch=1" + (sequence >= 0 ? "&after=" + sequence : "");
+        http.request(new RequestOptions().setMethod(HttpMethod.GET).setURI(uri))
                 .compose(request -> request.send())
-                .onFailure(e -> broken(mine, "no answer"))
+                .onFailure(e -> endCall(call, "no answer"))
                 .onSuccess(response -> {
                     if (response.statusCode() != OutboundRequest.OK) {
-                        broken(mine, "status " + response.statusCode());
+                        endCall(call, "status " + response.statusCode());
                         return;
                     }
-                    JsonObjectFramer frames = new JsonObjectFramer();
-                    response.exceptionHandler(e -> broken(mine, "broken off"));
-                    response.endHandler(v -> broken(mine, "ended"));
-                    response.handler(bytes -> hear(bytes, frames, mine));
+                    JsonObjectFramer framer = new JsonObjectFramer();
+                    response.exceptionHandler(e -> endCall(call, "broken off"));
+                    response.endHandler(v -> endCall(call, "ended"));
+                    response.handler(bytes -> readBytes(bytes, framer, call));
                 });
     }
 
-    private void hear(Buffer bytes, JsonObjectFramer frames, int mine) {
-        if (mine != round) {
+    private void readBytes(Buffer bytes, JsonObjectFramer framer, int call) {
+        if (call != currentCall) {
             return;
         }
         try {
-            times.part(clock.now());
-            if (frames.take(bytes.getBytes(), text -> take(text, mine))) {
-                times.word(clock.now());
+            stalenessTimer.bytesReceived(clock.now());
+            if (framer.feed(bytes.getBytes(), text -> applyList(text, call))) {
+                stalenessTimer.messageReceived(clock.now());
             }
         } catch (JsonFields.InvalidFieldException e) {
-            broken(mine, "unreadable: " + e.getMessage());
+            endCall(call, "unreadable: " + e.getMessage());
         }
     }
 
-    private void take(String text, int mine) {
-        if (mine != round) {
+    private void applyList(String text, int call) {
+        if (call != currentCall) {
             return;
         }
-        EndpointListSnapshot news = EndpointListSnapshot.of(JsonFields.parse("the list", text));
-        times.list();
-        if (!news.faults().isEmpty()) {
+        EndpointListSnapshot snapshot = EndpointListSnapshot.parse(JsonFields.parse("the list", text));
+        stalenessTimer.listReceived();
+        if (!snapshot.faults().isEmpty()) {
             LOG.warning(
                     "entries-left-out",
-                    news.faults().size() + " entries left out: "
-                            + news.faults().get(0).getMessage());
+                    snapshot.faults().size() + " entries left out: "
+                            + snapshot.faults().get(0).getMessage());
         }
-        if (news.whole() || news.seq() > seq) {
-            seq = news.seq();
-            sink.accept(news);
-        } else if (news.seq() < seq) {
+        if (snapshot.complete() || snapshot.sequence() > sequence) {
+            sequence = snapshot.sequence();
+            listener.accept(snapshot);
+        } else if (snapshot.sequence() < sequence) {
             // Discovery has started anew and counts from the beginning: its changes mean nothing without its
             // list.
-            seq = -1;
-            broken(mine, "versions start anew");
+            sequence = -1;
+            endCall(call, "versions start anew");
         }
     }
 
@@ -152,14 +154,14 @@
      * Danger: the new one counts on its own; asked for what came after the old one's number, it may tell
      * nothing for long.
      */
-    void move(SocketAddress to) {
-        if (stopped || to.equals(discovery)) {
+    void moveTo(SocketAddress newAddress) {
+        if (stopped || newAddress.equals(discovery)) {
             return;
         }
-        discovery = to;
-        seq = -1;
-        times.moved();
-        round++;
+        discovery = newAddress;
+        sequence = -1;
+        stalenessTimer.addressChanged();
+        currentCall++;
         if (connection != null) {
             connection.close();
             connection = null;
@@ -169,25 +171,31 @@
 
     /** Ends the watch for good. Danger: a round begun on a client that is closed would throw. */
     void stop() {
-        round++;
+        currentCall++;
         stopped = true;
     }
 
     /** Ends this round of the watch, once, and begins another after a pause. */
-    private void broken(int mine, String why) {
-        if (mine != round) {
+    private void endCall(int call, String reason) {
+        if (call != currentCall) {
             return;
         }
-        round++;
+        currentCall++;
         if (connection != null) {
             connection.close();
             connection = null;
         }
-        long wait = (long) Math.ceil(times.broken(clock.now()));
-        LOG.info("watch-broken", "watch broken: " + why + "; again in " + wait + " ms", "why", why, "pause_ms", wait);
-        int last = round;
-        vertx.setTimer(wait, id -> {
-            if (last == round) {
+        long pauseMillis = (long) Math.ceil(stalenessTimer.callEnded(clock.now()));
+        LOG.info(
+                "watch-broken",
+                "watch broken: " + reason + "; again in " + pauseMillis + " ms",
+                "why",
+                reason,
+                "pause_ms",
+                pauseMillis);
+        int endedCall = currentCall;
+        vertx.setTimer(pauseMillis, id -> {
+            if (endedCall == currentCall) {
                 connect();
             }
         });
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -23,61 +23,62 @@
 public final class DispatcherServer {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
     /** How long a successor waits for discovery's first word; after that the list it was given counts. */
-    private static final long TOLD = 1000;
+    private static final long FIRST_UPDATE_TIMEOUT_MILLIS = 1000;
     /** How often it is looked whether another process shares the limits. */
-    private static final long SHARE = 250;
+    private static final long OTHER_PROCESS_CHECK_MILLIS = 250;
     /**
      * A successor takes clients, and says so, this long after its start at the latest, while its predecessor
      * finishes long jobs: 6 s are allowed.
      */
-    private static final long HEIR = 4500;
+    private static final long SUCCESSOR_READY_MILLIS = 4500;
 
-    private static final long SAVED = 100;
+    private static final long IDLE_CHECK_MILLIS = 100;
     /** How often it is looked whether another process was called to take a sim runner out. */
-    private static final long BANS = 200;
+    private static final long DISABLED_CHECK_MILLIS = 200;
     /** One descriptor in so many is for clients. */
-    static final int CLIENTS_PART = 3;
+    static final int CLIENT_SOCKETS_DIVISOR = 3;
     /** Connections accepted beyond those a front keeps: the front chooses which of them stays. */
-    private static final int SPARE = 8;
+    private static final int SPARE_CONNECTIONS = 8;
     /** Descriptors of the operators' front: its callers, its listener, its two selectors. */
-    static final int ADMIN = AdminFrontend.CALLERS_MOST + 8;
+    static final int ADMIN_DESCRIPTORS = AdminFrontend.CALLERS_MOST + 8;
 
     private volatile PlatformConfig config;
     final Clock clock;
     final Vertx vertx;
-    private final HotRestart succession;
-    final DisabledEndpointStore bans;
-    private final int clients;
-    private final int perFront;
-    final ConnectionLimiter gate;
-    final Context loop;
+    private final HotRestart hotRestart;
+    final DisabledEndpointStore disabledEndpoints;
+    private final int maxClientConnections;
+    private final int connectionsPerFrontend;
+    final ConnectionLimiter connectionLimiter;
+    final Context eventLoop;
     /** When the process that is to succeed this one started; NaN: none is. */
-    private double heirAt = Double.NaN;
-
-    PeerSocket peers;
-    private UsageRecorder books = UsageRecorder.NONE;
-    private RequestListener witness = RequestListener.NONE;
-    RequestCoordinator core;
-    EndpointConnectionPools subchannels;
-    private DiscoveryWatch watch;
-    private final List<Frontend.Maker> makers;
-    private final List<Frontend> fronts = new ArrayList<>();
-    private final ServiceState state = new ServiceState();
-    private final AdminFrontend admin;
+    private double successorStartedAt = Double.NaN;
+
+    PeerSocket peerSocket;
+    private UsageRecorder usageRecorder = UsageRecorder.NONE;
+    private RequestListener requestListener = RequestListener.NONE;
+    RequestCoordinator coordinator;
+    EndpointConnectionPools endpointPools;
+    private DiscoveryWatch discoveryWatch;
+    private final List<Frontend.Maker> frontendFactories;
+    private final List<Frontend> frontends = new ArrayList<>();
+    private final ServiceState serviceState = new ServiceState();
+    private final AdminFrontend adminFrontend;
     private volatile int adminPort;
-    private volatile boolean holdsList;
-    private volatile boolean warm;
+    private volatile boolean hasEndpointList;
+    private volatile boolean warmedUp;
     private volatile List<Integer> ports = List.of();
 
-    public DispatcherServer(PlatformConfig config, Clock clock, Frontend.Maker... makers) {
-        this(config, clock, null, makers);
+    public DispatcherServer(PlatformConfig config, Clock clock, Frontend.Maker... frontendFactories) {
+        this(config, clock, null, frontendFactories);
     }
 
     /** One that may share its address with an older or newer process; {@code succession} null: never. */
-    public DispatcherServer(PlatformConfig config, Clock clock, HotRestart succession, Frontend.Maker... makers) {
-        this.succession = succession;
-        bans = new DisabledEndpointStore(succession == null ? null : succession.file("bans.json"));
-        this.makers = List.of(makers);
+    public DispatcherServer(
+            PlatformConfig config, Clock clock, HotRestart hotRestart, Frontend.Maker... frontendFactories) {
+        this.hotRestart = hotRestart;
+        disabledEndpoints = new DisabledEndpointStore(hotRestart == null ? null : hotRestart.sharedFile("bans.json"));
+        this.frontendFactories = List.of(frontendFactories);
         this.config = config;
         this.clock = clock;
         // The machine has one core and no disk: one event loop, no cache of files, no DNS.
@@ -85,9 +86,10 @@
         // Danger: Netty's allocator brings up the flight recorder at its first buffer: a fifth of a second of
         // CPU at each start, twice that on half a core, while clients wait.
         System.setProperty("io.netty.jfr.enabled", "false");
-        clients = config.sockets() / CLIENTS_PART;
-        gate = new ConnectionLimiter(clients);
-        perFront = Math.max(1, clients / Math.max(1, makers.length) - SPARE);
+        maxClientConnections = config.maxSockets() / CLIENT_SOCKETS_DIVISOR;
+        connectionLimiter = new ConnectionLimiter(maxClientConnections);
+        connectionsPerFrontend =
+                Math.max(1, maxClientConnections / Math.max(1, frontendFactories.length) - SPARE_CONNECTIONS);
         vertx = Vertx.builder()
                 .with(new VertxOptions()
                         .setEventLoopPoolSize(1)
@@ -96,57 +98,68 @@
                         .setFileSystemOptions(new FileSystemOptions()
                                 .setFileCachingEnabled(false)
                                 .setClassPathResolvingEnabled(false)))
-                .withTransport(gate)
+                .withTransport(connectionLimiter)
                 .build();
-        loop = vertx.getOrCreateContext();
-        admin = config.adminAddr() == null ? null : new AdminFrontend(config.adminAddr(), new AdminOperations(this));
+        eventLoop = vertx.getOrCreateContext();
+        adminFrontend = config.adminListen() == null
+                ? null
+                : new AdminFrontend(config.adminListen(), new AdminOperations(this));
     }
 
     /** Has the books kept; before the start. */
-    public DispatcherServer keep(UsageRecorder kept) {
-        books = kept;
+    public DispatcherServer keep(UsageRecorder recorder) {
+        usageRecorder = recorder;
         return this;
     }
 
     /** Has all told to it; before the start. */
-    public DispatcherServer tell(RequestListener one) {
-        witness = one;
+    public DispatcherServer tell(RequestListener listener) {
+        requestListener = listener;
         return this;
     }
 
     /** Starts all parts; done once the sockets listen. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
-        loop.runOnContext(v -> {
-            boolean heir = succession != null && succession.shared();
-            peers = new PeerSocket(vertx, config);
-            subchannels = new EndpointConnectionPools(vertx, loop, config, clock, peers);
-            core = new RequestCoordinator(clock, config.settings(), seed(heir), config.maxOpen(), subchannels, books);
-            core.setListener(witness);
-            witness.joins(core);
-            subchannels.bind(core);
-            Frontend.Base base =
-                    new Frontend.Base(vertx, loop, config, clock, core, () -> holdsList && warm, state, perFront);
-            makers.forEach(maker -> fronts.add(maker.make(base)));
-            Thread thread = new Thread(core, "core");
+        eventLoop.runOnContext(v -> {
+            boolean isSuccessor = hotRestart != null && hotRestart.hasOtherProcess();
+            peerSocket = new PeerSocket(vertx, config);
+            endpointPools = new EndpointConnectionPools(vertx, eventLoop, config, clock, peerSocket);
+            coordinator = new RequestCoordinator(
+                    clock, config.settings(), seedFor(isSuccessor), config.maxInFlight(), endpointPools, usageRecorder);
+            coordinator.setListener(requestListener);
+            requestListener.joins(coordinator);
+            endpointPools.bind(coordinator);
+            Frontend.Base environment = new Frontend.Base(
+                    vertx,
+                    eventLoop,
+                    config,
+                    clock,
+                    coordinator,
+                    () -> hasEndpointList && warmedUp,
+                    serviceState,
+                    connectionsPerFrontend);
+            frontendFactories.forEach(maker -> frontends.add(maker.create(environment)));
+            Thread thread = new Thread(coordinator, "core");
             thread.setDaemon(true);
             thread.start();
-            bans.news().forEach(this::heed);
-            vertx.setPeriodic(BANS, id -> bans.news().forEach(this::heed));
-            Promise<Void> told = Promise.promise();
-            WatchStalenessTimer lists = WatchStalenessTimer.of(config.settings(), ~seed(heir));
-            watch = new DiscoveryWatch(vertx, config.discovery(), clock, lists, news -> {
-                subchannels.update(news);
-                holdsList = true;
-                if (news != config.known()) {
-                    told.tryComplete();
+            disabledEndpoints.readChanges().forEach(this::applyDisabledEndpoint);
+            vertx.setPeriodic(
+                    DISABLED_CHECK_MILLIS, id -> disabledEndpoints.readChanges().forEach(this::applyDisabledEndpoint));
+            Promise<Void> firstUpdate = Promise.promise();
+            WatchStalenessTimer stalenessTimer = WatchStalenessTimer.of(config.settings(), ~seedFor(isSuccessor));
+            discoveryWatch = new DiscoveryWatch(vertx, config.discovery(), clock, stalenessTimer, snapshot -> {
+                endpointPools.applySnapshot(snapshot);
+                hasEndpointList = true;
+                if (snapshot != config.knownEndpoints()) {
+                    firstUpdate.tryComplete();
                 }
             });
-            watch.start(config.known());
-            vertx.setTimer(TOLD, id -> told.tryComplete());
+            discoveryWatch.start(config.knownEndpoints());
+            vertx.setTimer(FIRST_UPDATE_TIMEOUT_MILLIS, id -> firstUpdate.tryComplete());
             listenAdmin()
-                    .compose(v2 -> heir ? succeed(told.future(), base) : begin())
-                    .onSuccess(v2 -> serve())
+                    .compose(v2 -> isSuccessor ? startAsSuccessor(firstUpdate.future(), environment) : startAlone())
+                    .onSuccess(v2 -> startServing())
                     .onComplete(started);
         });
         return started.future()
@@ -157,131 +170,146 @@
                                 + config.listen().hostAddress() + ":" + ports.get(0)));
     }
 
-    void heed(DisabledEndpointStore.DisabledEndpoint ban) {
-        subchannels.ban(ban.runner(), ban.out(), ban.since());
+    void applyDisabledEndpoint(DisabledEndpointStore.Entry entry) {
+        endpointPools.setDisabled(entry.endpoint(), entry.disabled(), entry.sinceMillis());
     }
 
     /** Starts where nobody serves at this address: listens at once and says yes once warm. */
-    private Future<Void> begin() {
-        return listen().compose(all -> peers.listen(core::receivePeerMessage)).compose(all -> warmUp(ports.get(0)));
+    private Future<Void> startAlone() {
+        return listenOnFrontends()
+                .compose(all -> peerSocket.listen(coordinator::receivePeerMessage))
+                .compose(all -> warmUp(ports.get(0)));
     }
 
     /**
      * Starts beside a process that serves at this address. Danger: a client that the kernel deals to this one
      * is lost to the other, and a health that says no turns the front away from both. All else comes first.
      */
-    private Future<Void> succeed(Future<Void> told, Frontend.Base base) {
+    private Future<Void> startAsSuccessor(Future<Void> firstUpdate, Frontend.Base environment) {
         LOG.info("succeeds", "another process serves here; this one is to succeed it");
-        peers.await(core::receivePeerMessage);
-        Frontend own = new PlatformFrontend(
-                new Frontend.Base(vertx, loop, config.atFreePort(), clock, core, () -> true, state, perFront));
-        return own.listen()
+        peerSocket.listenWhenPortIsFree(coordinator::receivePeerMessage);
+        Frontend privateFrontend = new PlatformFrontend(new Frontend.Base(
+                vertx,
+                eventLoop,
+                config.withFreeListenPort(),
+                clock,
+                coordinator,
+                () -> true,
+                serviceState,
+                connectionsPerFrontend));
+        return privateFrontend
+                .listen()
                 .compose(this::warmUp)
-                .compose(v -> own.shut(0))
-                .compose(v -> told)
-                .compose(v -> spared())
-                .compose(v -> listen())
+                .compose(v -> privateFrontend.shut(0))
+                .compose(v -> firstUpdate)
+                .compose(v -> whenPredecessorIdle())
+                .compose(v -> listenOnFrontends())
                 .mapEmpty();
     }
 
     /** Done once the predecessor has nothing left that waiting saves, or at the latest time for a yes. */
-    private Future<Void> spared() {
+    private Future<Void> whenPredecessorIdle() {
         Promise<Void> done = Promise.promise();
-        awaitSpared(done);
+        pollPredecessor(done);
         return done.future();
     }
 
-    private void awaitSpared(Promise<Void> done) {
-        if (clock.now() >= succession.startedAt() + HEIR || !succession.awaited()) {
+    private void pollPredecessor(Promise<Void> done) {
+        if (clock.now() >= hotRestart.startedAt() + SUCCESSOR_READY_MILLIS || !hotRestart.isPredecessorBusy()) {
             done.complete();
         } else {
-            vertx.setTimer(SAVED, id -> awaitSpared(done));
+            vertx.setTimer(IDLE_CHECK_MILLIS, id -> pollPredecessor(done));
         }
     }
 
     /** Looks whether another process is to succeed this one, and tells it when nothing is left to save. */
-    private void foresee() {
-        double heir = state.leaving() ? Double.NaN : succession.heir();
-        if (!Double.isNaN(heir) && heirAt != heir) {
-            heirAt = heir;
-            core.expectSuccessor(heir + HEIR, heir + HEIR + killSpan());
+    private void checkForSuccessor() {
+        double isSuccessor = serviceState.leaving() ? Double.NaN : hotRestart.successorStartedAt();
+        if (!Double.isNaN(isSuccessor) && successorStartedAt != isSuccessor) {
+            successorStartedAt = isSuccessor;
+            coordinator.expectSuccessor(
+                    isSuccessor + SUCCESSOR_READY_MILLIS, isSuccessor + SUCCESSOR_READY_MILLIS + minKillDelayMillis());
             LOG.info("awaits-successor", "another process is to succeed this one; long jobs are held back");
-            spare();
-        } else if (Double.isNaN(heir) && !Double.isNaN(heirAt) && !state.leaving() && !succession.successor()) {
-            heirAt = Double.NaN;
-            core.cancelDraining();
+            pollOwnWork();
+        } else if (Double.isNaN(isSuccessor)
+                && !Double.isNaN(successorStartedAt)
+                && !serviceState.leaving()
+                && !hotRestart.hasServingSuccessor()) {
+            successorStartedAt = Double.NaN;
+            coordinator.cancelDraining();
         }
     }
 
-    private void spare() {
-        core.askWhetherWaitingHelps(
-                killSpan(),
-                saves -> loop.runOnContext(v -> {
-                    if (!saves) {
+    private void pollOwnWork() {
+        coordinator.askWhetherWaitingHelps(
+                minKillDelayMillis(),
+                worthWaiting -> eventLoop.runOnContext(v -> {
+                    if (!worthWaiting) {
                         // From now on the successor may take clients at any time.
-                        core.expectSuccessor(heirAt + HEIR, clock.now() + killSpan());
-                        succession.spared();
+                        coordinator.expectSuccessor(
+                                successorStartedAt + SUCCESSOR_READY_MILLIS, clock.now() + minKillDelayMillis());
+                        hotRestart.markIdle();
                     } else {
-                        vertx.setTimer(SAVED, id -> spare());
+                        vertx.setTimer(IDLE_CHECK_MILLIS, id -> pollOwnWork());
                     }
                 }));
     }
 
     /** From SIGTERM to SIGKILL at the least, in milliseconds. */
-    private long killSpan() {
-        return GracefulShutdown.killSpan(config.settings());
+    private long minKillDelayMillis() {
+        return GracefulShutdown.minKillDelayMillis(config.settings());
     }
 
-    private Future<CompositeFuture> listen() {
-        return Future.all(fronts.stream().map(Frontend::listen).toList()).onSuccess(all -> ports = all.list());
+    private Future<CompositeFuture> listenOnFrontends() {
+        return Future.all(frontends.stream().map(Frontend::listen).toList()).onSuccess(all -> ports = all.list());
     }
 
-    private void serve() {
-        state.serve();
-        if (succession != null) {
-            succession.takesClients();
-            share();
-            vertx.setPeriodic(SHARE, id -> share());
+    private void startServing() {
+        serviceState.startServing();
+        if (hotRestart != null) {
+            hotRestart.markServing();
+            adjustSharedLimits();
+            vertx.setPeriodic(OTHER_PROCESS_CHECK_MILLIS, id -> adjustSharedLimits());
         }
     }
 
     /** Danger: two processes with all descriptors each would hold more than the dispatcher may. */
-    private void share() {
-        foresee();
-        boolean shared = succession.shared();
-        subchannels.share(shared);
-        gate.bound(shared ? clients / 2 : clients);
+    private void adjustSharedLimits() {
+        checkForSuccessor();
+        boolean hasOtherProcess = hotRestart.hasOtherProcess();
+        endpointPools.setDescriptorsShared(hasOtherProcess);
+        connectionLimiter.setMaxConnections(hasOtherProcess ? maxClientConnections / 2 : maxClientConnections);
     }
 
     /**
      * Danger: both processes of an upgrade are given the same seed. Peers know a life by a number drawn from
      * it, and would pass over the gifts of a second life with the number of the first.
      */
-    private long seed(boolean heir) {
-        return heir ? config.seed() ^ ProcessHandle.current().pid() * 0x9e3779b97f4a7c15L : config.seed();
+    private long seedFor(boolean isSuccessor) {
+        return isSuccessor ? config.seed() ^ ProcessHandle.current().pid() * 0x9e3779b97f4a7c15L : config.seed();
     }
 
     private Future<Void> listenAdmin() {
-        if (admin == null) {
+        if (adminFrontend == null) {
             return Future.succeededFuture();
         }
-        return admin.listen().onSuccess(port -> adminPort = port).mapEmpty();
+        return adminFrontend.listen().onSuccess(port -> adminPort = port).mapEmpty();
     }
 
     private Future<Void> warmUp(int port) {
         if (port <= 0) {
-            warm = true;
+            warmedUp = true;
             return Future.succeededFuture();
         }
-        SocketAddress own =
+        SocketAddress privateFrontend =
                 SocketAddress.inetSocketAddress(port, config.listen().hostAddress());
-        WarmUp.module(config.settings());
-        return WarmUp.sockets(subchannels.client(), own).onComplete(v -> warm = true);
+        WarmUp.warmUpScheduler(config.settings());
+        return WarmUp.warmUpSockets(endpointPools.client(), privateFrontend).onComplete(v -> warmedUp = true);
     }
 
     /** The ways in, for tests. */
-    List<Frontend> fronts() {
-        return fronts;
+    List<Frontend> frontends() {
+        return frontends;
     }
 
     /** The ports held, in the order of the fronts. */
@@ -295,16 +323,16 @@
     }
 
     /** Whether this process takes clients and can serve them. */
-    boolean ready() {
-        return state.takesClients() && holdsList && warm;
+    boolean isReady() {
+        return serviceState.isServing() && hasEndpointList && warmedUp;
     }
 
     /** Figures beside the core's own. */
-    Map<String, Number> moreFigures() {
-        Map<String, Number> more = new java.util.TreeMap<>(books.figures());
-        more.putAll(witness.figures());
-        more.putAll(peers == null ? Map.of() : peers.passedOver());
-        return more;
+    Map<String, Number> additionalMetrics() {
+        Map<String, Number> metrics = new java.util.TreeMap<>(usageRecorder.figures());
+        metrics.putAll(requestListener.figures());
+        metrics.putAll(peerSocket == null ? Map.of() : peerSocket.ignoredDatagrams());
+        return metrics;
     }
 
     /** The site's settings in force. */
@@ -317,53 +345,54 @@
         return config.discovery();
     }
 
-    ServiceState state() {
-        return state;
+    ServiceState serviceState() {
+        return serviceState;
     }
 
     /** Whether the peers' port is this process's. */
-    boolean hearsPeers() {
-        return peers.bound();
+    boolean isPeerSocketBound() {
+        return peerSocket.isBound();
     }
 
     /** Whether a list of sim runners is held. */
-    public boolean holdsList() {
-        return holdsList;
+    public boolean hasEndpointList() {
+        return hasEndpointList;
     }
 
     /** A planned end: goes on accepting for a while, then answers all that was taken. Blocks until then. */
     public void shutDown() {
-        new GracefulShutdown(this, succession != null && succession.successor()).run();
+        new GracefulShutdown(this, hotRestart != null && hotRestart.hasServingSuccessor()).run();
     }
 
     /** Takes a configuration that was read anew over, as far as that can be done while serving. */
     public void reload(PlatformConfig next) {
-        loop.runOnContext(v -> {
-            List<String> stay = config.needRestart(next);
-            config = config.changed(next);
-            watch.move(config.discovery());
-            subchannels.reload(config);
-            core.setMaxInFlight(config.maxOpen());
+        eventLoop.runOnContext(v -> {
+            List<String> restartOnly = config.restartOnlyChanges(next);
+            config = config.withReloaded(next);
+            discoveryWatch.moveTo(config.discovery());
+            endpointPools.reload(config);
+            coordinator.setMaxInFlight(config.maxInFlight());
             LOG.info(
                     "reread",
                     "configuration reread, discovery at " + config.discovery().hostAddress() + ":"
-                            + config.discovery().port() + (stay.isEmpty() ? "" : "; only a restart changes " + stay));
+                            + config.discovery().port()
+                            + (restartOnly.isEmpty() ? "" : "; only a restart changes " + restartOnly));
         });
     }
 
     /** Ends at once, whatever is still open. */
     public Future<Void> close() {
         Promise<Void> stopped = Promise.promise();
-        loop.runOnContext(v -> {
-            watch.stop();
-            core.stop();
+        eventLoop.runOnContext(v -> {
+            discoveryWatch.stop();
+            coordinator.stop();
             stopped.complete();
         });
-        if (succession != null) {
-            succession.close();
+        if (hotRestart != null) {
+            hotRestart.close();
         }
         return stopped.future()
-                .compose(v -> admin == null ? Future.succeededFuture() : admin.close())
+                .compose(v -> adminFrontend == null ? Future.succeededFuture() : adminFrontend.close())
                 .compose(v -> vertx.close());
     }
 }
--- a/src/main/java/nettlewick/net/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/EndpointConnectionPools.java
@@ -19,35 +19,35 @@
 /** All sim runners of the resolver's list, and the calls to them. Lives on the event loop. */
 final class EndpointConnectionPools implements Transport {
     /** Descriptors for neither clients nor sim runners: the jars, the listeners, the watch, selectors. */
-    private static final int RESERVE = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
 
-    private static final long SWEEP = 250;
+    private static final long IDLE_SWEEP_MILLIS = 250;
 
     private final Vertx vertx;
-    private final Context loop;
+    private final Context eventLoop;
     private PlatformConfig config;
     private final Clock clock;
     private final HttpClientAgent client;
-    private final PeerSocket peers;
-    private final Map<String, EndpointConnections> all = new LinkedHashMap<>();
-    private final Map<Object, OutboundRequest> calls = new IdentityHashMap<>();
+    private final PeerSocket peerSocket;
+    private final Map<String, EndpointConnections> endpoints = new LinkedHashMap<>();
+    private final Map<Object, OutboundRequest> requests = new IdentityHashMap<>();
     private final Map<OutboundRequest, Object> owners = new IdentityHashMap<>();
-    private final Set<String> banned = new HashSet<>();
-    private final ConnectionReusePolicy gauge = new ConnectionReusePolicy();
-    private RequestCoordinator core;
-    private int open;
-    private volatile int opening;
-    private boolean shared;
-
-    EndpointConnectionPools(Vertx vertx, Context loop, PlatformConfig config, Clock clock, PeerSocket peers) {
+    private final Set<String> disabledEndpoints = new HashSet<>();
+    private final ConnectionReusePolicy reusePolicy = new ConnectionReusePolicy();
+    private RequestCoordinator coordinator;
+    private int openConnections;
+    private volatile int pendingConnects;
+    private boolean descriptorsShared;
+
+    EndpointConnectionPools(Vertx vertx, Context eventLoop, PlatformConfig config, Clock clock, PeerSocket peerSocket) {
         this.vertx = vertx;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.config = config;
         this.clock = clock;
-        this.peers = peers;
+        this.peerSocket = peerSocket;
         // Connections are owned here, one by one: nothing is pooled, pipelined, followed or sent again.
         // Danger: a time-out given with a single connect is not heeded by Vert.x 5.0.7; the client's is.
-        int timeout = (int) Math.max(1, Math.ceil(config.connectTimeout()));
+        int timeout = (int) Math.max(1, Math.ceil(config.connectTimeoutMillis()));
         client = vertx.createHttpClient(new HttpClientOptions()
                 .setConnectTimeout(timeout)
                 .setKeepAlive(true)
@@ -57,28 +57,32 @@
     }
 
     /** Ties the knot; before the event loop starts work. */
-    void bind(RequestCoordinator to) {
-        core = to;
-        vertx.setPeriodic(SWEEP, id -> all.values().forEach(s -> s.idle().expire(now())));
+    void bind(RequestCoordinator target) {
+        coordinator = target;
+        vertx.setPeriodic(
+                IDLE_SWEEP_MILLIS,
+                id -> endpoints
+                        .values()
+                        .forEach(connections -> connections.idle().expire(now())));
     }
 
     /** Whether another process uses the same descriptors. */
-    void share(boolean with) {
-        shared = with;
+    void setDescriptorsShared(boolean isShared) {
+        descriptorsShared = isShared;
     }
 
     /** Takes over what may change: the addresses of peers and the patience of idle connections. */
     void reload(PlatformConfig next) {
         config = next;
-        peers.reload(next);
+        peerSocket.reload(next);
     }
 
-    ConnectionReusePolicy gauge() {
-        return gauge;
+    ConnectionReusePolicy reusePolicy() {
+        return reusePolicy;
     }
 
-    RequestCoordinator core() {
-        return core;
+    RequestCoordinator coordinator() {
+        return coordinator;
     }
 
     PlatformConfig config() {
@@ -93,33 +97,36 @@
         return clock.now();
     }
 
-    void after(long millis, Runnable task) {
+    void runAfter(long millis, Runnable task) {
         vertx.setTimer(millis, id -> task.run());
     }
 
-    void opened(int more) {
-        open += more;
+    void addOpenConnections(int more) {
+        openConnections += more;
     }
 
-    void opening(int more) {
-        opening += more;
+    void changePendingConnects(int more) {
+        pendingConnects += more;
     }
 
     /** Connections to sim runners where so many descriptors are allowed and a third is for clients. */
-    static int mostOpen(int sockets) {
-        return Math.max(sockets / 8, sockets - sockets / DispatcherServer.CLIENTS_PART - RESERVE);
+    static int maxOpenConnections(int maxSockets) {
+        return Math.max(
+                maxSockets / 8,
+                maxSockets - maxSockets / DispatcherServer.CLIENT_SOCKETS_DIVISOR - RESERVED_DESCRIPTORS);
     }
 
     /** Whether one more connection may be opened; the longest idle one anywhere makes way for it. */
-    boolean room() {
-        int operators = config.adminAddr() == null ? 0 : DispatcherServer.ADMIN;
-        int mine = mostOpen(config.sockets()) - operators;
+    boolean makeRoomForConnection() {
+        int adminDescriptors = config.adminListen() == null ? 0 : DispatcherServer.ADMIN_DESCRIPTORS;
+        int allowed = maxOpenConnections(config.maxSockets()) - adminDescriptors;
         // Two processes have two sets of jars, listeners and selectors too.
-        if (open < (shared ? Math.max(mine / 4, (mine - RESERVE) / 2) : mine)) {
+        if (openConnections
+                < (descriptorsShared ? Math.max(allowed / 4, (allowed - RESERVED_DESCRIPTORS) / 2) : allowed)) {
             return true;
         }
-        for (EndpointConnections s : all.values()) {
-            if (s.idle().closeOldest()) {
+        for (EndpointConnections connections : endpoints.values()) {
+            if (connections.idle().closeOldest()) {
                 return true;
             }
         }
@@ -127,116 +134,117 @@
     }
 
     /** Takes the resolver's news over: from now on nothing starts at a runner that is not ready. */
-    void update(EndpointListSnapshot news) {
-        if (news.whole()) {
-            Map<String, EndpointConnections> missing = new LinkedHashMap<>(all);
-            news.hosts().forEach(h -> missing.remove(h.entry().id()));
-            missing.values().forEach(EndpointConnections::gone);
+    void applySnapshot(EndpointListSnapshot snapshot) {
+        if (snapshot.complete()) {
+            Map<String, EndpointConnections> missing = new LinkedHashMap<>(endpoints);
+            snapshot.endpoints().forEach(entry -> missing.remove(entry.entry().id()));
+            missing.values().forEach(EndpointConnections::markGone);
         }
-        for (EndpointListSnapshot.Host h : news.hosts()) {
-            EndpointConnections s = all.computeIfAbsent(h.entry().id(), id -> new EndpointConnections(id, this));
-            s.ban(banned.contains(s.host));
-            s.update(h);
+        for (EndpointListSnapshot.ReachableEndpoint entry : snapshot.endpoints()) {
+            EndpointConnections connections =
+                    endpoints.computeIfAbsent(entry.entry().id(), id -> new EndpointConnections(id, this));
+            connections.setDisabled(disabledEndpoints.contains(connections.endpointId));
+            connections.update(entry);
         }
-        all.values().removeIf(EndpointConnections::unused);
-        core.updateEndpoints(news.roster());
+        endpoints.values().removeIf(EndpointConnections::isUnused);
+        coordinator.updateEndpoints(snapshot.toEndpointUpdate());
     }
 
     /** Whether this runner is on the list. */
-    boolean lists(String endpoint) {
-        return all.containsKey(endpoint) && all.get(endpoint).listed();
+    boolean isListed(String endpoint) {
+        return endpoints.containsKey(endpoint) && endpoints.get(endpoint).isListed();
     }
 
     /** An operator has taken a runner out, or put it back, at that time. */
-    void ban(String endpoint, boolean out, double since) {
-        if (out) {
-            banned.add(endpoint);
+    void setDisabled(String endpoint, boolean disabled, double since) {
+        if (disabled) {
+            disabledEndpoints.add(endpoint);
         } else {
-            banned.remove(endpoint);
+            disabledEndpoints.remove(endpoint);
         }
-        if (all.containsKey(endpoint)) {
-            all.get(endpoint).ban(out);
+        if (endpoints.containsKey(endpoint)) {
+            endpoints.get(endpoint).setDisabled(disabled);
         }
-        core.setEndpointDisabled(endpoint, out, since);
+        coordinator.setEndpointDisabled(endpoint, disabled, since);
     }
 
-    void over(OutboundRequest call) {
-        Object owner = owners.remove(call);
+    void requestFinished(OutboundRequest request) {
+        Object owner = owners.remove(request);
         if (owner != null) {
-            calls.remove(owner);
+            requests.remove(owner);
         }
     }
 
     /** Sends a call that never reached its runner once more, on a new connection. */
-    void startAnew(OutboundRequest call) {
-        Object owner = owners.get(call);
-        EndpointConnections to = owner instanceof Probe probe ? all.get(probe.endpoint()) : null;
-        if (to == null) {
-            call.broke();
+    void resend(OutboundRequest request) {
+        Object owner = owners.get(request);
+        EndpointConnections target = owner instanceof Probe probe ? endpoints.get(probe.endpoint()) : null;
+        if (target == null) {
+            request.connectionLost();
         } else {
-            to.startAnew(call);
+            target.sendOnNewConnection(request);
         }
     }
 
-    private void start(Object owner, String endpoint, OutboundRequest call) {
-        loop.runOnContext(v -> {
-            calls.put(owner, call);
-            owners.put(call, owner);
-            EndpointConnections to = all.get(endpoint);
-            if (to == null) {
-                call.broke();
+    private void send(Object owner, String endpoint, OutboundRequest request) {
+        eventLoop.runOnContext(v -> {
+            requests.put(owner, request);
+            owners.put(request, owner);
+            EndpointConnections target = endpoints.get(endpoint);
+            if (target == null) {
+                request.connectionLost();
             } else {
-                to.start(call);
+                target.send(request);
             }
         });
     }
 
-    private void stop(Object owner) {
-        loop.runOnContext(v -> {
-            OutboundRequest call = calls.get(owner);
-            if (call != null) {
-                call.drop();
+    private void cancel(Object owner) {
+        eventLoop.runOnContext(v -> {
+            OutboundRequest request = requests.get(owner);
+            if (request != null) {
+                request.cancel();
             }
         });
     }
 
     @Override
     public void send(Attempt attempt) {
-        start(attempt, attempt.endpoint(), new AttemptExchange(attempt, this));
+        send(attempt, attempt.endpoint(), new AttemptExchange(attempt, this));
     }
 
     @Override
     public void drop(Attempt attempt) {
-        stop(attempt);
+        cancel(attempt);
     }
 
     @Override
     public void probe(Probe probe) {
-        start(probe, probe.endpoint(), new LoadProbe(probe, this));
+        send(probe, probe.endpoint(), new LoadProbe(probe, this));
     }
 
     @Override
     public void drop(Probe probe) {
-        stop(probe);
+        cancel(probe);
     }
 
     @Override
     public void tell(int rank, byte[] data) {
-        loop.runOnContext(v -> peers.send(rank, data));
+        eventLoop.runOnContext(v -> peerSocket.send(rank, data));
     }
 
     /** How many connections to runners are coming up. */
-    int opening() {
-        return opening;
+    int pendingConnects() {
+        return pendingConnects;
     }
 
     /** How often discovery has told of this runner, for tests. */
-    int changes(String endpoint) {
-        return all.containsKey(endpoint) ? all.get(endpoint).changes() : 0;
+    int updatesOf(String endpoint) {
+        return endpoints.containsKey(endpoint) ? endpoints.get(endpoint).updates() : 0;
     }
 
     /** The hosts by name, for tests. */
-    Iterable<String> hosts() {
-        return new ArrayList<>(all.keySet());
+    Iterable<String> endpointIds() {
+        return new ArrayList<>(endpoints.keySet());
     }
 }
--- a/src/main/java/nettlewick/net/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/EndpointConnections.java
@@ -12,213 +12,217 @@
  */
 final class EndpointConnections {
     /** Idle connections are closed after this part of the time at which the runner's machine closes them. */
-    private static final double IDLE_PART = 0.6;
+    private static final double IDLE_TIMEOUT_FACTOR = 0.6;
 
-    private static final double ROUND_TRIP_MOST = 20;
+    private static final double MAX_RESET_WAIT_MILLIS = 20;
 
     /** One connection; it carries one call at a time. */
-    final class Link {
+    final class EndpointConnection {
         final HttpClientConnection connection;
-        private final double madeIn;
-        private OutboundRequest call;
+        private final double connectMillis;
+        private OutboundRequest request;
         private boolean closed;
-        private boolean kept;
+        private boolean reused;
 
-        private Link(HttpClientConnection connection, double madeIn) {
+        private EndpointConnection(HttpClientConnection connection, double connectMillis) {
             this.connection = connection;
-            this.madeIn = madeIn;
+            this.connectMillis = connectMillis;
             connection.exceptionHandler(e -> {});
-            connection.closeHandler(v -> lost());
+            connection.closeHandler(v -> connectionClosed());
         }
 
-        private void lost() {
+        private void connectionClosed() {
             if (!closed) {
                 closed = true;
-                open--;
-                subchannels.opened(-1);
+                openConnections--;
+                pools.addOpenConnections(-1);
                 idle.remove(this);
             }
-            OutboundRequest last = call;
-            call = null;
-            if (last != null) {
-                last.broke();
+            OutboundRequest carried = request;
+            request = null;
+            if (carried != null) {
+                carried.connectionLost();
             }
         }
 
         /** Whether it has idled before its present call. */
-        boolean kept() {
-            return kept;
+        boolean isReused() {
+            return reused;
         }
 
         /** What became of the present call's request. */
-        void used(boolean broke) {
-            if (kept || broke) {
-                subchannels.gauge().used(broke);
+        void recordUse(boolean wasBroken) {
+            if (reused || wasBroken) {
+                pools.reusePolicy().recordUse(wasBroken);
             }
         }
 
         /** Whether a job's last byte is held back until the connection has stood the others. */
-        boolean careful() {
-            return !subchannels.gauge().trusts();
+        boolean mustWithholdLastByte() {
+            return !pools.reusePolicy().allowsReuse();
         }
 
         /** Milliseconds in which a reset in answer to what was written is here. */
-        long roundTrip() {
-            return (long) Math.min(ROUND_TRIP_MOST, Math.ceil(madeIn) + 1);
+        long resetWaitMillis() {
+            return (long) Math.min(MAX_RESET_WAIT_MILLIS, Math.ceil(connectMillis) + 1);
         }
 
         /** The call's answer has come to its end: the connection may carry the next one. */
-        void free(OutboundRequest done) {
-            if (call == done && !closed) {
-                call = null;
-                keep(this);
+        void release(OutboundRequest finished) {
+            if (request == finished && !closed) {
+                request = null;
+                keepIdleOrClose(this);
             }
         }
 
-        void closeIf(OutboundRequest still) {
-            if (call == still) {
+        void closeIfStillCarries(OutboundRequest expected) {
+            if (request == expected) {
                 close();
             }
         }
 
         void close() {
-            lost();
+            connectionClosed();
             connection.close();
         }
     }
 
-    final String host;
-    private final EndpointConnectionPools subchannels;
-    private final IdleConnections<Link> idle;
-    private SocketAddress dial;
-    private EndpointState life = EndpointState.GONE;
-    private double startedAt;
-    private boolean banned;
-    private int open;
-    private volatile int changes;
-
-    EndpointConnections(String host, EndpointConnectionPools subchannels) {
-        this.host = host;
-        this.subchannels = subchannels;
-        idle = new IdleConnections<>(() -> subchannels.config().connIdle() * IDLE_PART, Link::close);
+    final String endpointId;
+    private final EndpointConnectionPools pools;
+    private final IdleConnections<EndpointConnection> idle;
+    private SocketAddress address;
+    private EndpointState state = EndpointState.GONE;
+    private double incarnation;
+    private boolean disabled;
+    private int openConnections;
+    private volatile int updates;
+
+    EndpointConnections(String endpointId, EndpointConnectionPools pools) {
+        this.endpointId = endpointId;
+        this.pools = pools;
+        idle = new IdleConnections<>(
+                () -> pools.config().idleTimeoutMillis() * IDLE_TIMEOUT_FACTOR, EndpointConnection::close);
     }
 
     /** How often discovery has told of it. */
-    int changes() {
-        return changes;
+    int updates() {
+        return updates;
     }
 
     /** Takes news of the runner over. */
-    void update(EndpointListSnapshot.Host news) {
-        changes++;
-        boolean moved = news.dial() != null && !news.dial().equals(dial);
-        if (moved || news.entry().startedAt() != startedAt || news.entry().state() != EndpointState.READY) {
+    void update(EndpointListSnapshot.ReachableEndpoint update) {
+        updates++;
+        boolean moved = update.address() != null && !update.address().equals(address);
+        if (moved || update.entry().startedAt() != incarnation || update.entry().state() != EndpointState.READY) {
             // A process that started anew knows nothing of its former connections.
             idle.closeAll();
         }
-        dial = news.dial() != null ? news.dial() : dial;
-        startedAt = news.entry().startedAt();
-        life = news.entry().state();
+        address = update.address() != null ? update.address() : address;
+        incarnation = update.entry().startedAt();
+        state = update.entry().state();
     }
 
     /** Taken out by hand: nothing new starts here, no kept connection stays, calls in work end. */
-    void ban(boolean out) {
-        banned = out;
-        if (out) {
+    void setDisabled(boolean nowDisabled) {
+        disabled = nowDisabled;
+        if (nowDisabled) {
             idle.closeAll();
         }
     }
 
-    void gone() {
-        life = EndpointState.GONE;
+    void markGone() {
+        state = EndpointState.GONE;
         idle.closeAll();
     }
 
-    boolean ready() {
-        return life == EndpointState.READY && !banned;
+    boolean isReady() {
+        return state == EndpointState.READY && !disabled;
     }
 
     /** Whether the runner is on the list. */
-    boolean listed() {
-        return life != EndpointState.GONE;
+    boolean isListed() {
+        return state != EndpointState.GONE;
     }
 
-    boolean unused() {
-        return life == EndpointState.GONE && open == 0;
+    boolean isUnused() {
+        return state == EndpointState.GONE && openConnections == 0;
     }
 
-    IdleConnections<Link> idle() {
+    IdleConnections<EndpointConnection> idle() {
         return idle;
     }
 
     /** Carries a call out, on the newest idle connection or on a new one. */
-    void start(OutboundRequest call) {
-        if (!ready()) {
-            call.finish(AttemptResult.OVERLOADED, null, null);
+    void send(OutboundRequest request) {
+        if (!isReady()) {
+            request.finish(AttemptResult.OVERLOADED, null, null);
             return;
         }
-        Link link = call.harmless() || subchannels.gauge().trusts() ? idle.take(subchannels.now(), call.rest()) : null;
-        if (link != null) {
-            use(link, call);
+        EndpointConnection connection =
+                request.mayResend() || pools.reusePolicy().allowsReuse()
+                        ? idle.take(pools.now(), request.requiredIdleMillis())
+                        : null;
+        if (connection != null) {
+            sendOn(connection, request);
         } else {
-            startAnew(call);
+            sendOnNewConnection(request);
         }
     }
 
     /** Carries a call out on a new connection. */
-    void startAnew(OutboundRequest call) {
-        if (!subchannels.room()) {
-            call.broke();
+    void sendOnNewConnection(OutboundRequest request) {
+        if (!pools.makeRoomForConnection()) {
+            request.connectionLost();
         } else {
-            connect(call);
+            connect(request);
         }
     }
 
-    private void connect(OutboundRequest call) {
-        open++;
-        subchannels.opened(1);
-        subchannels.opening(1);
-        double began = subchannels.now();
-        double chosen = startedAt;
+    private void connect(OutboundRequest request) {
+        openConnections++;
+        pools.addOpenConnections(1);
+        pools.changePendingConnects(1);
+        double connectStartedAt = pools.now();
+        double expectedIncarnation = incarnation;
         HttpConnectOptions options = new HttpConnectOptions()
-                .setServer(dial)
-                .setHost(dial.hostAddress())
-                .setPort(dial.port())
+                .setServer(address)
+                .setHost(address.hostAddress())
+                .setPort(address.port())
                 .setSsl(false);
-        subchannels.client().connect(options).onComplete(result -> {
-            subchannels.opening(-1);
+        pools.client().connect(options).onComplete(result -> {
+            pools.changePendingConnects(-1);
             if (result.failed()) {
-                open--;
-                subchannels.opened(-1);
-                call.broke();
+                openConnections--;
+                pools.addOpenConnections(-1);
+                request.connectionLost();
                 return;
             }
-            Link link = new Link(result.result(), subchannels.now() - began);
-            if (call.over()) {
-                keep(link);
-            } else if (!ready() || startedAt != chosen) {
+            EndpointConnection connection = new EndpointConnection(result.result(), pools.now() - connectStartedAt);
+            if (request.isOver()) {
+                keepIdleOrClose(connection);
+            } else if (!isReady() || incarnation != expectedIncarnation) {
                 // While the connection came up the runner began to drain and takes nothing new, or it started
                 // anew and what was chosen for a warm runner is not in its slow-start budget.
-                call.finish(AttemptResult.OVERLOADED, null, null);
-                keep(link);
+                request.finish(AttemptResult.OVERLOADED, null, null);
+                keepIdleOrClose(connection);
             } else {
-                use(link, call);
+                sendOn(connection, request);
             }
         });
     }
 
-    private void use(Link link, OutboundRequest call) {
-        link.call = call;
-        call.write(link);
+    private void sendOn(EndpointConnection connection, OutboundRequest request) {
+        connection.request = request;
+        request.write(connection);
     }
 
-    private void keep(Link link) {
+    private void keepIdleOrClose(EndpointConnection connection) {
         // One is kept for probes where jobs do not use kept ones.
-        if (ready() && (subchannels.gauge().trusts() || idle.size() == 0)) {
-            link.kept = true;
-            idle.put(link, subchannels.now());
+        if (isReady() && (pools.reusePolicy().allowsReuse() || idle.size() == 0)) {
+            connection.reused = true;
+            idle.put(connection, pools.now());
         } else {
-            link.close();
+            connection.close();
         }
     }
 }
--- a/src/main/java/nettlewick/net/FramingValidator.java
+++ b/src/main/java/nettlewick/net/FramingValidator.java
@@ -13,73 +13,74 @@
 
 /** Whether a request's head frames its body beyond doubt. What is not in order goes no further. */
 final class FramingValidator {
-    static final int BODY_MOST = 64 * 1024;
-    private static final int DIGITS_MOST = 18;
+    static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_LENGTH_DIGITS = 18;
 
     /** What is wrong, and the status for it. */
-    record Refusal(int status, String message) {
+    record Rejection(int status, String message) {
         /** The whole answer, in ASCII; {@code last} says that the connection ends with it. */
-        String text(boolean last) {
+        String response(boolean closes) {
             return "HTTP/1.1 " + HttpResponseStatus.valueOf(status)
                     + "\r\nContent-Type: text/plain\r\nContent-Length: " + (message.length() + 1)
-                    + (last ? "\r\nConnection: close" : "") + "\r\n\r\n" + message + "\n";
+                    + (closes ? "\r\nConnection: close" : "") + "\r\n\r\n" + message + "\n";
         }
     }
 
     private FramingValidator() {}
 
     /** Why the request is refused; null if it is not. */
-    static Refusal of(HttpRequest request) {
-        Refusal unread = of(request.decoderResult());
-        if (unread != null) {
-            return unread;
+    static Rejection validate(HttpRequest request) {
+        Rejection undecoded = validate(request.decoderResult());
+        if (undecoded != null) {
+            return undecoded;
         }
         HttpVersion version = request.protocolVersion();
         if (version.majorVersion() != 1 || version.minorVersion() > 1) {
-            return new Refusal(505, "HTTP/1.1 is spoken here");
+            return new Rejection(505, "HTTP/1.1 is spoken here");
         }
         HttpHeaders headers = request.headers();
         for (Map.Entry<String, String> header : headers) {
             // Danger: a name such as "Content-Length " is another header to us and may not be to others.
-            if (!token(header.getKey()) || !printable(header.getValue())) {
-                return new Refusal(400, "a header that cannot be read");
+            if (!isToken(header.getKey()) || !isPrintable(header.getValue())) {
+                return new Rejection(400, "a header that cannot be read");
             }
         }
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (!codings.isEmpty()) {
-            boolean plain = codings.size() == 1
+            boolean onlyChunked = codings.size() == 1
                     && codings.get(0).equalsIgnoreCase("chunked")
                     && lengths.isEmpty()
                     && version.minorVersion() == 1;
-            return plain ? null : new Refusal(400, "a Transfer-Encoding that cannot be read");
+            return onlyChunked ? null : new Rejection(400, "a Transfer-Encoding that cannot be read");
         }
         if (lengths.size() > 1 || lengths.size() == 1 && !lengths.get(0).matches("[0-9]+")) {
-            return new Refusal(400, "a Content-Length that cannot be read");
+            return new Rejection(400, "a Content-Length that cannot be read");
         }
         return lengths.size() == 1
-                        && (lengths.get(0).length() > DIGITS_MOST || Long.parseLong(lengths.get(0)) > BODY_MOST)
-                ? tooLong()
+                        && (lengths.get(0).length() > MAX_LENGTH_DIGITS
+                                || Long.parseLong(lengths.get(0)) > MAX_BODY_BYTES)
+                ? bodyTooLong()
                 : null;
     }
 
     /** Why what was read cannot be used; null if it can. */
-    static Refusal of(DecoderResult result) {
+    static Rejection validate(DecoderResult result) {
         if (result.isSuccess()) {
             return null;
         }
         return result.cause() instanceof TooLongHttpHeaderException
-                ? new Refusal(431, "too long a head")
+                ? new Rejection(431, "too long a head")
                 : result.cause() instanceof TooLongHttpLineException
-                        ? new Refusal(414, "too long a line")
-                        : new Refusal(400, "no request that can be read");
+                        ? new Rejection(414, "too long a line")
+                        : new Rejection(400, "no request that can be read");
     }
 
-    static Refusal tooLong() {
-        return new Refusal(413, "a body holds 64 KiB at most");
+    static Rejection bodyTooLong() {
+        return new Rejection(413, "a body holds 64 KiB at most");
     }
 
-    private static boolean token(String name) {
+    private static boolean isToken(String name) {
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
             if (!(c >= 'a' && c <= 'z'
@@ -92,7 +93,7 @@
         return !name.isEmpty();
     }
 
-    private static boolean printable(String value) {
+    private static boolean isPrintable(String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
             if (c < ' ' && c != '\t' || c == 0x7f) {
--- a/src/main/java/nettlewick/net/Frontend.java
+++ b/src/main/java/nettlewick/net/Frontend.java
@@ -18,11 +18,11 @@
             RequestCoordinator core,
             BooleanSupplier holdsList,
             ServiceState state,
-            int connections) {}
+            int maxConnections) {}
 
     /** Makes a front on the event loop. */
     interface Maker {
-        Frontend make(Base base);
+        Frontend create(Base environment);
     }
 
     /** Listens; the port that is held comes back. */
@@ -32,5 +32,5 @@
     boolean connected();
 
     /** Closes idle connections, and others with their next answer; done when none is left. */
-    Future<Void> shut(long millis);
+    Future<Void> shut(long timeoutMillis);
 }
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -22,34 +22,34 @@
 final class GracefulShutdown {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
     /** New connections keep coming for this long after SIGTERM. */
-    private static final long ACCEPT_ON = 700;
+    private static final long ACCEPT_MILLIS = 700;
 
-    private static final long SHUT_SPARE = 500;
+    private static final long CLOSE_MARGIN_MILLIS = 500;
     /**
      * SIGKILL comes no sooner than this after the longest deadline, which counts as LONGEST at most. Clients
      * go on using the connections they have, so these are served for nearly as long: one whose connection is
      * closed finds nobody else here until the restart.
      */
-    private static final long KILL = 700;
+    private static final long KILL_MARGIN_MILLIS = 700;
 
-    private static final long LONGEST = 3000;
+    private static final long MAX_DEADLINE_MILLIS = 3000;
     /** Before the kill: until when requests are taken, and when what is still open is ended. */
-    private static final long LAST_TAKEN = 600;
+    private static final long LAST_REQUEST_BEFORE_KILL_MILLIS = 600;
 
-    private static final long LAST_ANSWERED = 250;
-    private static final long LOOK = 50;
+    private static final long LAST_RESPONSE_BEFORE_KILL_MILLIS = 250;
+    private static final long CONNECTION_CHECK_MILLIS = 50;
 
-    private final DispatcherServer node;
-    private final boolean successor;
+    private final DispatcherServer dispatcher;
+    private final boolean hasSuccessor;
     private final CountDownLatch done = new CountDownLatch(1);
 
     /** {@code successor} tells whether another process takes clients at this address. */
-    GracefulShutdown(DispatcherServer node, boolean successor) {
-        this.node = node;
-        this.successor = successor;
+    GracefulShutdown(DispatcherServer dispatcher, boolean hasSuccessor) {
+        this.dispatcher = dispatcher;
+        this.hasSuccessor = hasSuccessor;
     }
 
-    private static long longestDeadline(SchedulerSettings settings) {
+    private static long longestDeadlineMillis(SchedulerSettings settings) {
         return settings.classes().stream()
                         .mapToLong(RequestClass::deadline)
                         .max()
@@ -58,58 +58,66 @@
     }
 
     /** From SIGTERM to SIGKILL at the least, in milliseconds. */
-    static long killSpan(SchedulerSettings settings) {
-        return Math.min(longestDeadline(settings), LONGEST) + KILL;
+    static long minKillDelayMillis(SchedulerSettings settings) {
+        return Math.min(longestDeadlineMillis(settings), MAX_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
     }
 
     /** Runs the planned end; blocks until all is answered, or until the longest deadline has passed. */
     void run() {
         LOG.info(
-                successor ? "hands-over" : "shutting-down",
-                successor ? "handing over to the process that succeeds this one" : "shutting down");
-        SchedulerSettings settings = node.settings();
-        long longest = longestDeadline(settings);
-        long kill = killSpan(settings);
-        double began = node.clock.now();
-        node.loop.runOnContext(v -> begin(began, kill, longest + SHUT_SPARE));
+                hasSuccessor ? "hands-over" : "shutting-down",
+                hasSuccessor ? "handing over to the process that succeeds this one" : "shutting down");
+        SchedulerSettings settings = dispatcher.settings();
+        long longestMillis = longestDeadlineMillis(settings);
+        long killMillis = minKillDelayMillis(settings);
+        double startedAt = dispatcher.clock.now();
+        dispatcher.eventLoop.runOnContext(v -> begin(startedAt, killMillis, longestMillis + CLOSE_MARGIN_MILLIS));
         try {
-            done.await(kill + longest + SHUT_SPARE, TimeUnit.MILLISECONDS);
+            done.await(killMillis + longestMillis + CLOSE_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         LOG.info("shut-down", "shut down");
     }
 
-    private void begin(double began, long kill, long patience) {
-        if (node.core == null) {
+    private void begin(double startedAt, long killMillis, long closeTimeoutMillis) {
+        if (dispatcher.coordinator == null) {
             // The signal has come before the start: nothing is served yet.
             done.countDown();
             return;
         }
-        node.state().end(successor);
-        node.core.startDraining(began + kill);
-        if (successor) {
-            node.gate.closeOnceEmpty();
-            node.peers.close();
+        dispatcher.serviceState().beginShutdown(hasSuccessor);
+        dispatcher.coordinator.startDraining(startedAt + killMillis);
+        if (hasSuccessor) {
+            dispatcher.connectionLimiter.closeOnceQueueIsEmpty();
+            dispatcher.peerSocket.close();
         }
         // A connection that waits in the kernel's queue may hold a request: it is accepted before the end.
-        node.vertx.setTimer(
-                ACCEPT_ON,
-                id -> node.gate
-                        .closeOnceEmpty()
-                        .onComplete(
-                                closed -> node.vertx.setTimer(LOOK, then -> end(began + kill - LAST_TAKEN, patience))));
+        dispatcher.vertx.setTimer(
+                ACCEPT_MILLIS,
+                id -> dispatcher
+                        .connectionLimiter
+                        .closeOnceQueueIsEmpty()
+                        .onComplete(closed -> dispatcher.vertx.setTimer(
+                                CONNECTION_CHECK_MILLIS,
+                                then -> closeFrontends(
+                                        startedAt + killMillis - LAST_REQUEST_BEFORE_KILL_MILLIS,
+                                        closeTimeoutMillis))));
         // All of it, also what came before the signal: a kill finds nothing that is owed an answer.
-        node.vertx.setTimer(Math.max(ACCEPT_ON, kill - LAST_ANSWERED), id -> node.core.answerAllNow());
+        dispatcher.vertx.setTimer(
+                Math.max(ACCEPT_MILLIS, killMillis - LAST_RESPONSE_BEFORE_KILL_MILLIS),
+                id -> dispatcher.coordinator.answerAllNow());
     }
 
     /** Ends the fronts at that time, or as soon as nobody is connected. */
-    private void end(double at, long patience) {
-        if (node.clock.now() < at && node.fronts().stream().anyMatch(Frontend::connected)) {
-            node.vertx.setTimer(LOOK, id -> end(at, patience));
+    private void closeFrontends(double deadline, long closeTimeoutMillis) {
+        if (dispatcher.clock.now() < deadline && dispatcher.frontends().stream().anyMatch(Frontend::connected)) {
+            dispatcher.vertx.setTimer(CONNECTION_CHECK_MILLIS, id -> closeFrontends(deadline, closeTimeoutMillis));
         } else {
-            node.state().shut();
-            Future.join(node.fronts().stream().map(f -> f.shut(patience)).toList())
+            dispatcher.serviceState().closeConnections();
+            Future.join(dispatcher.frontends().stream()
+                            .map(f -> f.shut(closeTimeoutMillis))
+                            .toList())
                     .onComplete(r -> done.countDown());
         }
     }
--- a/src/main/java/nettlewick/net/HotRestart.java
+++ b/src/main/java/nettlewick/net/HotRestart.java
@@ -21,17 +21,17 @@
  * holds a lock on its own file; the kernel gives it back however the process ends. Safe for any thread.
  */
 public final class HotRestart implements AutoCloseable {
-    private static final String END = ".alive";
-    private static final byte[] SPARED = "nothing to save\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] TAKES = "takes clients\n".getBytes(StandardCharsets.US_ASCII);
+    private static final String ALIVE_SUFFIX = ".alive";
+    private static final byte[] IDLE_MARK = "nothing to save\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] SERVING_MARK = "takes clients\n".getBytes(StandardCharsets.US_ASCII);
 
     private final Path folder;
     private final String prefix;
-    private final String own;
+    private final String ownName;
     private final FileChannel channel;
 
     /** A process that lives beside this one. */
-    private record Other(String name, boolean takesClients, boolean spared) {}
+    private record OtherProcess(String name, boolean serving, boolean idle) {}
 
     /**
      * Makes this process known.
@@ -42,63 +42,64 @@
     public HotRestart(Path folder, String dispatcher, long startedAt) {
         this.folder = folder;
         prefix = dispatcher.replaceAll("[^A-Za-z0-9.]", "_") + '-';
-        own = String.format(
-                "%s%013d-%d%s", prefix, startedAt, ProcessHandle.current().pid(), END);
+        ownName = String.format(
+                "%s%013d-%d%s", prefix, startedAt, ProcessHandle.current().pid(), ALIVE_SUFFIX);
         try {
             // Danger: seen before it is locked, the file would be taken for a dead process's and deleted.
             Path made = Files.createTempFile(folder, "nettlewick", ".new");
             channel = FileChannel.open(made, StandardOpenOption.WRITE);
             channel.lock();
-            Files.move(made, folder.resolve(own), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(made, folder.resolve(ownName), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** A file that all processes of this dispatcher share. */
-    Path file(String name) {
+    Path sharedFile(String name) {
         return folder.resolve(prefix + name);
     }
 
     /** From now on this process takes clients. */
-    public void takesClients() {
+    public void markServing() {
         try {
-            channel.write(ByteBuffer.wrap(TAKES), 0);
+            channel.write(ByteBuffer.wrap(SERVING_MARK), 0);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** This process has no work in hand that a successor would save by waiting. */
-    public void spared() {
+    public void markIdle() {
         try {
-            channel.write(ByteBuffer.wrap(SPARED), TAKES.length);
+            channel.write(ByteBuffer.wrap(IDLE_MARK), SERVING_MARK.length);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** Whether a process that started earlier takes clients and has work in hand that waiting may save. */
-    public boolean awaited() {
-        return others().stream()
-                .anyMatch(o -> o.takesClients() && !o.spared() && o.name().compareTo(own) < 0);
+    public boolean isPredecessorBusy() {
+        return otherProcesses().stream()
+                .anyMatch(other ->
+                        other.serving() && !other.idle() && other.name().compareTo(ownName) < 0);
     }
 
     /**
      * When the latest process that is to succeed this one, and does not take clients yet, started: Unix time
      * in milliseconds, NaN if there is none.
      */
-    public double heir() {
-        return others().stream()
-                .filter(o -> !o.takesClients() && o.name().compareTo(own) > 0)
-                .mapToDouble(o -> startedAt(o.name()))
+    public double successorStartedAt() {
+        return otherProcesses().stream()
+                .filter(other -> !other.serving() && other.name().compareTo(ownName) > 0)
+                .mapToDouble(other -> startedAt(other.name()))
                 .max()
                 .orElse(Double.NaN);
     }
 
     /** When this process started, as it was told. */
     public double startedAt() {
-        return startedAt(own);
+        return startedAt(ownName);
     }
 
     private double startedAt(String name) {
@@ -110,22 +111,23 @@
     }
 
     /** Whether another process of this dispatcher lives. */
-    public boolean shared() {
-        return !others().isEmpty();
+    public boolean hasOtherProcess() {
+        return !otherProcesses().isEmpty();
     }
 
     /** Whether a process that started later lives and takes clients. */
-    public boolean successor() {
-        return others().stream().anyMatch(o -> o.takesClients() && o.name().compareTo(own) > 0);
+    public boolean hasServingSuccessor() {
+        return otherProcesses().stream()
+                .anyMatch(other -> other.serving() && other.name().compareTo(ownName) > 0);
     }
 
-    private List<Other> others() {
-        List<Other> living = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, prefix + "*" + END)) {
+    private List<OtherProcess> otherProcesses() {
+        List<OtherProcess> living = new ArrayList<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, prefix + "*" + ALIVE_SUFFIX)) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
-                if (!name.equals(own)) {
-                    look(file, name, living);
+                if (!name.equals(ownName)) {
+                    inspect(file, name, living);
                 }
             }
         } catch (IOException e) {
@@ -134,10 +136,11 @@
         return living;
     }
 
-    private static void look(Path file, String name, List<Other> living) throws IOException {
+    private static void inspect(Path file, String name, List<OtherProcess> living) throws IOException {
         try (FileChannel other = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            if (locked(other)) {
-                living.add(new Other(name, other.size() >= TAKES.length, other.size() > TAKES.length));
+            if (isLocked(other)) {
+                living.add(new OtherProcess(
+                        name, other.size() >= SERVING_MARK.length, other.size() > SERVING_MARK.length));
             } else {
                 Files.deleteIfExists(file);
             }
@@ -146,7 +149,7 @@
         }
     }
 
-    private static boolean locked(FileChannel other) throws IOException {
+    private static boolean isLocked(FileChannel other) throws IOException {
         try (FileLock lock = other.tryLock()) {
             return lock == null;
         } catch (OverlappingFileLockException e) {
@@ -157,7 +160,7 @@
     @Override
     public void close() {
         try {
-            Files.deleteIfExists(folder.resolve(own));
+            Files.deleteIfExists(folder.resolve(ownName));
             channel.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/nettlewick/net/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/HttpFrontend.java
@@ -23,68 +23,70 @@
  * planned end. A {@link ClientConnection} stands before each connection.
  */
 public abstract class HttpFrontend implements Frontend {
-    private static final int BACKLOG = 1024;
-    private static final int HEAD_MOST = 8 * 1024;
-    private static final int LINE_MOST = 4 * 1024;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MAX_HEADER_BYTES = 8 * 1024;
+    private static final int MAX_LINE_BYTES = 4 * 1024;
     /** Bytes of unfinished requests held for all clients of a front together. */
-    private static final long HELD_MOST = 4 << 20;
+    private static final long MAX_BUFFERED_BYTES = 4 << 20;
     /** Most bytes read from one client in its turn on the event loop. */
-    private static final int READ_MOST = 16 * 1024;
+    private static final int MAX_READ_BYTES = 16 * 1024;
 
-    private static final int READS_A_TURN = 2;
+    private static final int READS_PER_ITERATION = 2;
     /** Connections that turn out to hold a request while one that makes way is looked for. */
-    private static final int MAKE_WAY_TRIES = 4;
+    private static final int MAX_EVICTION_ATTEMPTS = 4;
 
-    private static final long SWEEP = 20;
-    private static final long LOOK = 100;
+    private static final long CLOSE_SWEEP_MILLIS = 20;
+    private static final long CONNECTION_CHECK_MILLIS = 100;
     /** How often the event loop shows that it runs, and how late that may be before it counts as held up. */
-    private static final long BEAT = 50;
+    private static final long TICK_MILLIS = 50;
 
-    private static final double LATE = 10;
+    private static final double TICK_TOLERANCE_MILLIS = 10;
 
     protected final Base base;
     private final Vertx vertx;
     private final HttpServerOptions options;
     private final HttpServer server;
-    private final int most;
-    private final long look;
-    private final long beat;
-    private final ClientConnection.Budget budget = new ClientConnection.Budget(HELD_MOST);
+    private final int maxConnections;
+    private final long connectionCheckTimer;
+    private final long tickTimer;
+    private final ClientConnection.RequestByteBudget budget =
+            new ClientConnection.RequestByteBudget(MAX_BUFFERED_BYTES);
     private final Map<HttpConnection, ClientConnection> connections = new LinkedHashMap<>();
-    private double beatAt;
+    private double lastTickAt;
 
     /** {@code sendBuffer} bounds what the kernel holds for a slow reader; -1 leaves it to the kernel. */
-    protected HttpFrontend(Base base, SocketAddress listen, int sendBuffer) {
-        this.base = base;
-        vertx = base.vertx();
-        most = base.connections();
+    protected HttpFrontend(Base environment, SocketAddress listen, int sendBuffer) {
+        this.base = environment;
+        vertx = environment.vertx();
+        maxConnections = environment.maxConnections();
         // No upgrade to HTTP/2: nobody here speaks it, and each way in would need a guard of its own.
         options = new HttpServerOptions()
                 .setHost(listen.hostAddress())
                 .setPort(listen.port())
                 .setTcpNoDelay(true)
-                .setAcceptBacklog(BACKLOG)
+                .setAcceptBacklog(ACCEPT_BACKLOG)
                 .setHttp2ClearTextEnabled(false)
-                .setMaxHeaderSize(HEAD_MOST)
-                .setMaxInitialLineLength(LINE_MOST)
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
+                .setMaxInitialLineLength(MAX_LINE_BYTES)
                 .setSendBufferSize(sendBuffer);
         server = vertx.createHttpServer(options);
         server.exceptionHandler(e -> {});
-        server.connectionHandler(this::opened);
+        server.connectionHandler(this::connectionOpened);
         server.requestHandler(this::handle);
-        beatAt = base.clock().now();
-        beat = vertx.setPeriodic(BEAT, id -> beatAt = base.clock().now());
-        look = vertx.setPeriodic(LOOK, id -> {
-            double now = base.clock().now();
-            boolean closesIdle = base.state().closesIdle(now);
-            List.copyOf(connections.values()).forEach(guard -> {
+        lastTickAt = environment.clock().now();
+        tickTimer = vertx.setPeriodic(
+                TICK_MILLIS, id -> lastTickAt = environment.clock().now());
+        connectionCheckTimer = vertx.setPeriodic(CONNECTION_CHECK_MILLIS, id -> {
+            double now = environment.clock().now();
+            boolean closesIdle = environment.state().closesIdleConnections(now);
+            List.copyOf(connections.values()).forEach(client -> {
                 if (closesIdle) {
-                    guard.closeIfQuiet(now);
+                    client.closeIfQuiet(now);
                 }
-                guard.sweep(now);
+                client.closeIfOverdue(now);
             });
-            for (int over = connections.size() - most; over > 0; over--) {
-                makeWay(null);
+            for (int excess = connections.size() - maxConnections; excess > 0; excess--) {
+                evictFor(null);
             }
         });
     }
@@ -96,43 +98,46 @@
      * The earliest time at which what is read now may have come. While the event loop is held up, requests
      * wait unread in their sockets and their clients' time runs: it counts from when the loop last ran.
      */
-    private double cameAt() {
+    private double receivedAt() {
         double now = base.clock().now();
-        return now - beatAt > BEAT + LATE ? beatAt : now;
+        return now - lastTickAt > TICK_MILLIS + TICK_TOLERANCE_MILLIS ? lastTickAt : now;
     }
 
     /** When the last byte of a connection's request in work came, in milliseconds on the clock. */
     protected final double arrivedAt(HttpServerRequest request) {
-        ClientConnection guard = connections.get(request.connection());
-        return guard == null ? base.clock().now() : guard.arrivedAt();
+        ClientConnection client = connections.get(request.connection());
+        return client == null ? base.clock().now() : client.arrivedAt();
     }
 
     /** Whether the client of a request in work is still connected, by what its socket says now. */
-    protected final boolean connected(HttpServerRequest request) {
-        ClientConnection guard = connections.get(request.connection());
-        return guard != null && guard.connected();
+    protected final boolean isClientConnected(HttpServerRequest request) {
+        ClientConnection client = connections.get(request.connection());
+        return client != null && client.isConnected();
     }
 
     /** A connection is closed. */
-    protected void closed(HttpConnection connection) {}
+    protected void connectionClosed(HttpConnection connection) {}
 
-    private void opened(HttpConnection connection) {
+    private void connectionOpened(HttpConnection connection) {
         Channel channel = ((ConnectionBase) connection).channel();
-        ClientConnection guard = new ClientConnection(base.clock(), this::cameAt, budget);
-        connections.put(connection, guard);
+        ClientConnection client = new ClientConnection(base.clock(), this::receivedAt, budget);
+        connections.put(connection, client);
         connection.exceptionHandler(e -> {});
         connection.closeHandler(v -> {
             connections.remove(connection);
-            closed(connection);
+            connectionClosed(connection);
         });
         channel.config()
-                .setRecvByteBufAllocator(
-                        new AdaptiveRecvByteBufAllocator(256, 2048, READ_MOST).maxMessagesPerRead(READS_A_TURN));
+                .setRecvByteBufAllocator(new AdaptiveRecvByteBufAllocator(256, 2048, MAX_READ_BYTES)
+                        .maxMessagesPerRead(READS_PER_ITERATION));
         channel.pipeline()
-                .replace(VertxHttpRequestDecoder.class, "httpDecoder", new StrictHttpDecoder(options, guard::bytes));
-        channel.pipeline().addBefore("handler", "guard", guard);
-        if (connections.size() > most) {
-            makeWay(guard);
+                .replace(
+                        VertxHttpRequestDecoder.class,
+                        "httpDecoder",
+                        new StrictHttpDecoder(options, client::bytesReceived));
+        channel.pipeline().addBefore("handler", "guard", client);
+        if (connections.size() > maxConnections) {
+            evictFor(client);
         }
     }
 
@@ -140,22 +145,22 @@
      * The connection that deserves it least is closed: one that was served nothing, else the one used least.
      * Danger: by age alone a crowd that says nothing would drive the usual clients out.
      */
-    private void makeWay(ClientConnection newcomer) {
-        for (int tries = 0; tries < MAKE_WAY_TRIES; tries++) {
-            ClientConnection least = connections.values().stream()
-                    .filter(g -> g != newcomer && g.state().idle())
-                    .min(Comparator.comparingInt(g -> g.state().merit()))
+    private void evictFor(ClientConnection newcomer) {
+        for (int tries = 0; tries < MAX_EVICTION_ATTEMPTS; tries++) {
+            ClientConnection candidate = connections.values().stream()
+                    .filter(g -> g != newcomer && g.state().isIdle())
+                    .min(Comparator.comparingInt(g -> g.state().resultsServed()))
                     .orElse(null);
-            if (least == null) {
+            if (candidate == null) {
                 break;
             }
-            if (least.stillIdle()) {
-                least.close();
+            if (candidate.isStillIdle()) {
+                candidate.close();
                 return;
             }
         }
         if (newcomer != null) {
-            newcomer.refuse(503, "too many connections");
+            newcomer.reject(503, "too many connections");
         }
     }
 
@@ -165,8 +170,8 @@
     }
 
     /** Whether every answer closes its connection. */
-    protected final boolean closing() {
-        return base.state().closing();
+    protected final boolean closesConnections() {
+        return base.state().closesAfterResponse();
     }
 
     @Override
@@ -176,28 +181,28 @@
 
     /** Closes connections as they fall idle, and is done when none is left. */
     @Override
-    public final Future<Void> shut(long millis) {
+    public final Future<Void> shut(long timeoutMillis) {
         Promise<Void> done = Promise.promise();
-        sweep(done, millis);
+        closeIdleUntilDone(done, timeoutMillis);
         return done.future().onComplete(v -> server.shutdown(0, TimeUnit.MILLISECONDS));
     }
 
-    private void sweep(Promise<Void> done, long left) {
+    private void closeIdleUntilDone(Promise<Void> done, long remainingMillis) {
         // Danger: a client that has just had its answer may have sent its next request; that one's answer
         // says that it is the last.
         double now = base.clock().now();
-        for (ClientConnection guard : List.copyOf(connections.values())) {
-            guard.closeIfQuiet(now);
-            if (guard.state().lingered(now)) {
-                guard.close();
+        for (ClientConnection client : List.copyOf(connections.values())) {
+            client.closeIfQuiet(now);
+            if (client.state().hasLingered(now)) {
+                client.close();
             }
         }
-        if (connections.isEmpty() || left <= 0) {
-            vertx.cancelTimer(look);
-            vertx.cancelTimer(beat);
+        if (connections.isEmpty() || remainingMillis <= 0) {
+            vertx.cancelTimer(connectionCheckTimer);
+            vertx.cancelTimer(tickTimer);
             done.tryComplete();
         } else {
-            vertx.setTimer(SWEEP, id -> sweep(done, left - SWEEP));
+            vertx.setTimer(CLOSE_SWEEP_MILLIS, id -> closeIdleUntilDone(done, remainingMillis - CLOSE_SWEEP_MILLIS));
         }
     }
 }
--- a/src/main/java/nettlewick/net/IdleConnections.java
+++ b/src/main/java/nettlewick/net/IdleConnections.java
@@ -8,23 +8,23 @@
 
 /** Connections that carry nothing: the newest is reused first, and none that has idled too long. */
 final class IdleConnections<T> {
-    private record Idle<T>(T link, double since) {}
+    private record IdleConnection<T>(T connection, double idleSince) {}
 
-    private final Deque<Idle<T>> idle = new ArrayDeque<>();
-    private final DoubleSupplier patience;
-    private final Consumer<T> close;
+    private final Deque<IdleConnection<T>> idle = new ArrayDeque<>();
+    private final DoubleSupplier timeoutMillis;
+    private final Consumer<T> closer;
 
     /**
      * @param patience milliseconds of idling; well below the time at which the runner's side closes, since a
      *                 request on a connection closed by then ends as a reset that a mark-submit cannot repeat
      */
-    IdleConnections(DoubleSupplier patience, Consumer<T> close) {
-        this.patience = patience;
-        this.close = close;
+    IdleConnections(DoubleSupplier timeoutMillis, Consumer<T> closer) {
+        this.timeoutMillis = timeoutMillis;
+        this.closer = closer;
     }
 
-    void put(T link, double now) {
-        idle.addLast(new Idle<>(link, now));
+    void put(T connection, double now) {
+        idle.addLast(new IdleConnection<>(connection, now));
     }
 
     /** The connection used last; null if none is young enough. */
@@ -33,13 +33,13 @@
     }
 
     /** The connection used last of those that have rested for so many milliseconds; null for none. */
-    T take(double now, double rest) {
+    T take(double now, double minIdleMillis) {
         expire(now);
-        for (Iterator<Idle<T>> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
-            Idle<T> one = newestFirst.next();
-            if (now - one.since() >= rest) {
+        for (Iterator<IdleConnection<T>> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
+            IdleConnection<T> candidate = newestFirst.next();
+            if (now - candidate.idleSince() >= minIdleMillis) {
                 newestFirst.remove();
-                return one.link();
+                return candidate.connection();
             }
         }
         return null;
@@ -47,20 +47,20 @@
 
     /** Closes what has idled too long. */
     void expire(double now) {
-        while (!idle.isEmpty() && now - idle.peekFirst().since() >= patience.getAsDouble()) {
-            close.accept(idle.pollFirst().link());
+        while (!idle.isEmpty() && now - idle.peekFirst().idleSince() >= timeoutMillis.getAsDouble()) {
+            closer.accept(idle.pollFirst().connection());
         }
     }
 
-    void remove(T link) {
-        idle.removeIf(i -> i.link() == link);
+    void remove(T connection) {
+        idle.removeIf(i -> i.connection() == connection);
     }
 
     /** Closes the one that has idled longest; false if there is none. */
     boolean closeOldest() {
-        Idle<T> oldest = idle.pollFirst();
+        IdleConnection<T> oldest = idle.pollFirst();
         if (oldest != null) {
-            close.accept(oldest.link());
+            closer.accept(oldest.connection());
         }
         return oldest != null;
     }
--- a/src/main/java/nettlewick/net/JsonFields.java
+++ b/src/main/java/nettlewick/net/JsonFields.java
@@ -15,8 +15,8 @@
     public static final class InvalidFieldException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        public InvalidFieldException(String field, Object value, String wanted) {
-            super(line(field + " is " + value + ", but has to be " + wanted));
+        public InvalidFieldException(String field, Object value, String expected) {
+            super(line(field + " is " + value + ", but has to be " + expected));
         }
 
         private static String line(String text) {
@@ -25,11 +25,11 @@
         }
     }
 
-    private final String where;
+    private final String pathPrefix;
     private final JsonObject object;
 
-    private JsonFields(String where, JsonObject object) {
-        this.where = where;
+    private JsonFields(String pathPrefix, JsonObject object) {
+        this.pathPrefix = pathPrefix;
         this.object = object;
     }
 
@@ -41,10 +41,10 @@
         } catch (JsonParseException e) {
             throw new InvalidFieldException(name, "not JSON (" + e.getMessage() + ")", "a JSON object");
         }
-        return new JsonFields("", object(name, element));
+        return new JsonFields("", requireObject(name, element));
     }
 
-    private static JsonObject object(String name, JsonElement element) {
+    private static JsonObject requireObject(String name, JsonElement element) {
         if (element == null || !element.isJsonObject()) {
             throw new InvalidFieldException(name, element, "an object");
         }
@@ -52,7 +52,7 @@
     }
 
     public String path(String name) {
-        return where + name;
+        return pathPrefix + name;
     }
 
     public boolean has(String name) {
@@ -67,33 +67,34 @@
         throw new InvalidFieldException(path(name), e, "a text");
     }
 
-    public String textOr(String name, String otherwise) {
-        return has(name) ? text(name) : otherwise;
+    public String textOr(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
-    public double number(String name, double least, double most) {
+    public double number(String name, double min, double max) {
         JsonElement e = object.get(name);
         double value = e instanceof JsonPrimitive p && p.isNumber() ? p.getAsDouble() : Double.NaN;
-        if (!(value >= least && value <= most)) {
-            throw new InvalidFieldException(path(name), e, "a number from " + plain(least) + " to " + plain(most));
+        if (!(value >= min && value <= max)) {
+            throw new InvalidFieldException(
+                    path(name), e, "a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
         return value;
     }
 
-    public double numberOr(String name, double otherwise, double least, double most) {
-        return has(name) ? number(name, least, most) : otherwise;
+    public double numberOr(String name, double defaultValue, double min, double max) {
+        return has(name) ? number(name, min, max) : defaultValue;
     }
 
-    public long whole(String name, long least, long most) {
-        double value = number(name, least, most);
+    public long integer(String name, long min, long max) {
+        double value = number(name, min, max);
         if (value != Math.rint(value)) {
             throw new InvalidFieldException(path(name), object.get(name), "a whole number");
         }
         return object.get(name).getAsLong();
     }
 
-    public long wholeOr(String name, long otherwise, long least, long most) {
-        return has(name) ? whole(name, least, most) : otherwise;
+    public long integerOr(String name, long defaultValue, long min, long max) {
+        return has(name) ? integer(name, min, max) : defaultValue;
     }
 
     public boolean flag(String name) {
@@ -106,13 +107,13 @@
         throw new InvalidFieldException(path(name), object.get(name), "true or false");
     }
 
-    public JsonFields part(String name) {
-        return new JsonFields(path(name) + ".", object(path(name), object.get(name)));
+    public JsonFields object(String name) {
+        return new JsonFields(path(name) + ".", requireObject(path(name), object.get(name)));
     }
 
     /** The part, or an empty one. */
-    public JsonFields partOr(String name) {
-        return has(name) ? part(name) : new JsonFields(path(name) + ".", new JsonObject());
+    public JsonFields objectOrEmpty(String name) {
+        return has(name) ? object(name) : new JsonFields(path(name) + ".", new JsonObject());
     }
 
     public int size(String name) {
@@ -120,15 +121,16 @@
     }
 
     /** The part of that number in an array. */
-    public JsonFields part(String name, int number) {
-        String place = path(name) + "[" + number + "]";
-        return new JsonFields(place + ".", object(place, array(name).get(number)));
+    public JsonFields object(String name, int index) {
+        String elementPath = path(name) + "[" + index + "]";
+        return new JsonFields(
+                elementPath + ".", requireObject(elementPath, array(name).get(index)));
     }
 
-    public List<JsonFields> parts(String name) {
+    public List<JsonFields> objects(String name) {
         List<JsonFields> parts = new ArrayList<>();
         for (int i = 0; i < size(name); i++) {
-            parts.add(part(name, i));
+            parts.add(object(name, i));
         }
         return parts;
     }
@@ -165,7 +167,7 @@
         throw new InvalidFieldException(path(name), object.get(name), "an array");
     }
 
-    private static String plain(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value) : "" + value;
     }
 }
--- a/src/main/java/nettlewick/net/JsonObjectFramer.java
+++ b/src/main/java/nettlewick/net/JsonObjectFramer.java
@@ -10,11 +10,11 @@
  */
 final class JsonObjectFramer {
     /** One object may be so long, in bytes. */
-    static final int MOST = 4 << 20;
+    static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
-    private boolean inText;
+    private boolean inString;
     private boolean escaped;
 
     /**
@@ -23,38 +23,39 @@
      * @return whether a line ended between objects, or an object did
      * @throws Fields.Bad for what is neither an object nor white space, and for an object that is too long
      */
-    boolean take(byte[] bytes, Consumer<String> whole) {
-        boolean word = false;
+    boolean feed(byte[] bytes, Consumer<String> consumer) {
+        boolean messageEnded = false;
         for (byte b : bytes) {
             if (depth == 0 && b != '{') {
                 if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
                     throw new JsonFields.InvalidFieldException(
                             "the list", "no object: " + (char) (b & 0xFF), "JSON objects");
                 }
-                word |= b == '\n';
+                messageEnded |= b == '\n';
                 continue;
             }
             object.write(b);
-            if (object.size() > MOST) {
-                throw new JsonFields.InvalidFieldException("the list", "over " + MOST + " bytes", "shorter");
+            if (object.size() > MAX_OBJECT_BYTES) {
+                throw new JsonFields.InvalidFieldException(
+                        "the list", "over " + MAX_OBJECT_BYTES + " bytes", "shorter");
             }
-            follow(b);
+            trackNesting(b);
             if (depth == 0) {
-                word = true;
+                messageEnded = true;
                 String text = object.toString(StandardCharsets.UTF_8);
                 object.reset();
-                whole.accept(text);
+                consumer.accept(text);
             }
         }
-        return word;
+        return messageEnded;
     }
 
-    private void follow(byte b) {
-        if (inText) {
-            inText = escaped || b != '"';
+    private void trackNesting(byte b) {
+        if (inString) {
+            inString = escaped || b != '"';
             escaped = !escaped && b == '\\';
         } else if (b == '"') {
-            inText = true;
+            inString = true;
         } else if (b == '{' || b == '[') {
             depth++;
         } else if (b == '}' || b == ']') {
--- a/src/main/java/nettlewick/net/LoadProbe.java
+++ b/src/main/java/nettlewick/net/LoadProbe.java
@@ -11,19 +11,19 @@
 
 /** A question to a sim runner for its load. */
 final class LoadProbe extends OutboundRequest {
-    private static final int MOST = 4096;
+    private static final int MAX_REPORT_BYTES = 4096;
 
     private final Probe probe;
     private final Buffer report = Buffer.buffer();
     private AttemptResult result;
 
-    LoadProbe(Probe probe, EndpointConnectionPools subchannels) {
-        super(subchannels);
+    LoadProbe(Probe probe, EndpointConnectionPools pools) {
+        super(pools);
         this.probe = probe;
     }
 
     @Override
-    RequestOptions head() {
+    RequestOptions requestOptions() {
         return new RequestOptions().setMethod(HttpMethod.GET).setURI("/_load");
     }
 
@@ -33,27 +33,27 @@
     }
 
     @Override
-    boolean harmless() {
+    boolean mayResend() {
         return true;
     }
 
     @Override
-    void answer(HttpClientResponse response) {
-        result = response.statusCode() == OK ? AttemptResult.SERVED : unserved(response);
+    void readResponse(HttpClientResponse response) {
+        result = response.statusCode() == OK ? AttemptResult.SERVED : resultOfError(response);
         response.handler(part -> {
-            if (report.length() + part.length() <= MOST) {
+            if (report.length() + part.length() <= MAX_REPORT_BYTES) {
                 report.appendBuffer(part);
             }
         });
     }
 
     @Override
-    void answered() {
+    void bodyEnded() {
         finish(result, null, LoadReport.parse(report.toString(StandardCharsets.UTF_8)));
     }
 
     @Override
-    void tell(Attempt.Outcome outcome) {
-        subchannels.core().probeAnswered(probe, outcome);
+    void reportOutcome(Attempt.Outcome outcome) {
+        pools.coordinator().probeAnswered(probe, outcome);
     }
 }
--- a/src/main/java/nettlewick/net/LoadReport.java
+++ b/src/main/java/nettlewick/net/LoadReport.java
@@ -15,17 +15,17 @@
         }
         if (text.stripLeading().startsWith("{")) {
             try {
-                return of(JsonFields.parse("the load report", text));
+                return fromJson(JsonFields.parse("the load report", text));
             } catch (JsonFields.InvalidFieldException e) {
                 return null;
             }
         }
         Map<String, Double> values = pairs(text);
-        return values.isEmpty() ? null : load(name -> values.getOrDefault(name, Double.NaN));
+        return values.isEmpty() ? null : toEndpointLoad(name -> values.getOrDefault(name, Double.NaN));
     }
 
-    static EndpointLoad of(JsonFields f) {
-        return load(name -> f.numberOr(name, Double.NaN, -1e15, 1e15));
+    static EndpointLoad fromJson(JsonFields fields) {
+        return toEndpointLoad(name -> fields.numberOr(name, Double.NaN, -1e15, 1e15));
     }
 
     /** The pairs of {@code name=value,name=value} whose value is a number. */
@@ -50,19 +50,19 @@
     private interface Values {
         double get(String name);
 
-        default double either(String name, String other) {
+        default double getEither(String name, String other) {
             double value = get(name);
             return Double.isNaN(value) ? get(other) : value;
         }
     }
 
     /** The same value has one name in the settings and may have the simulator's on the sockets. */
-    private static EndpointLoad load(Values v) {
+    private static EndpointLoad toEndpointLoad(Values values) {
         return new EndpointLoad(
-                v.get("x0"),
-                v.get("x1"),
-                v.either("depth", "queue"),
-                v.either("concurrent", "inflight"),
-                v.either("load_share", "util"));
+                values.get("x0"),
+                values.get("x1"),
+                values.getEither("depth", "queue"),
+                values.getEither("concurrent", "inflight"),
+                values.getEither("load_share", "util"));
     }
 }
--- a/src/main/java/nettlewick/net/OutboundRequest.java
+++ b/src/main/java/nettlewick/net/OutboundRequest.java
@@ -11,34 +11,34 @@
 /** One request to a sim runner and what comes back: a call attempt or a probe. Lives on the event loop. */
 abstract class OutboundRequest {
     /** Time for the rest of an answer whose meaning is known; then its connection is closed. */
-    private static final long TAIL = 1000;
+    private static final long RESPONSE_TAIL_MILLIS = 1000;
 
     static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    protected final EndpointConnectionPools subchannels;
+    protected final EndpointConnectionPools pools;
     private final AttemptState state = new AttemptState();
-    private EndpointConnections.Link link;
-    private boolean answering;
-    private boolean whole;
+    private EndpointConnections.EndpointConnection connection;
+    private boolean responseStarted;
+    private boolean requestWritten;
 
-    OutboundRequest(EndpointConnectionPools subchannels) {
-        this.subchannels = subchannels;
+    OutboundRequest(EndpointConnectionPools pools) {
+        this.pools = pools;
     }
 
-    abstract RequestOptions head();
+    abstract RequestOptions requestOptions();
 
     abstract Buffer body();
 
     /** The answer's head has come; its body is still to be read. */
-    abstract void answer(HttpClientResponse response);
+    abstract void readResponse(HttpClientResponse response);
 
     /** The answer's body has come to its end. */
-    abstract void answered();
+    abstract void bodyEnded();
 
     /** Whether it may still be sent: asked in each turn that writes some of it. */
-    boolean mayBegin() {
+    boolean mayStillSend() {
         return true;
     }
 
@@ -46,142 +46,144 @@
      * For how long, in milliseconds, a kept connection has to have rested before this call may use it: a late
      * second answer to the request before would be taken for the answer to this one.
      */
-    double rest() {
+    double requiredIdleMillis() {
         return 0;
     }
 
     /** Whether it may be sent once more by itself if the kept connection it was written to turns out dead. */
-    boolean harmless() {
+    boolean mayResend() {
         return false;
     }
 
     /** Tells the core how the call ended; called once at most. */
-    abstract void tell(Attempt.Outcome outcome);
+    abstract void reportOutcome(Attempt.Outcome outcome);
 
-    boolean over() {
+    boolean isOver() {
         return state.phase() == AttemptState.Phase.OVER;
     }
 
     /** A connection is there: sends the request on it, if it may still go. */
-    void write(EndpointConnections.Link on) {
-        if (!over() && !mayBegin()) {
+    void write(EndpointConnections.EndpointConnection target) {
+        if (!isOver() && !mayStillSend()) {
             finish(AttemptResult.NOT_SENT, null, null);
         }
-        if (!state.write()) {
-            on.free(this);
+        if (!state.beginWriting()) {
+            target.release(this);
             return;
         }
-        link = on;
-        on.connection.request(head()).onComplete(made -> {
-            if (made.failed()) {
-                on.close();
+        connection = target;
+        target.connection.request(requestOptions()).onComplete(created -> {
+            if (created.failed()) {
+                target.close();
                 return;
             }
-            HttpClientRequest request = made.result();
+            HttpClientRequest request = created.result();
             request.exceptionHandler(e -> {});
-            request.response().onComplete(came -> {
-                if (came.failed()) {
-                    on.close();
+            request.response().onComplete(received -> {
+                if (received.failed()) {
+                    target.close();
                 } else {
-                    read(came.result());
+                    responseReceived(received.result());
                 }
             });
-            if (on.careful() && body().length() > 0) {
+            if (target.mustWithholdLastByte() && body().length() > 0) {
                 // Danger: a reset after the last byte leaves open whether it ran. All but that byte goes
                 // first: a connection that does not stand it breaks while it is certain that it has not run.
-                int last = body().length() - 1;
-                request.write(body().slice(0, last));
-                subchannels.after(on.roundTrip(), () -> end(request, body().slice(last, last + 1)));
+                int lastByteIndex = body().length() - 1;
+                request.write(body().slice(0, lastByteIndex));
+                pools.runAfter(
+                        target.resetWaitMillis(),
+                        () -> writeLastPart(request, body().slice(lastByteIndex, lastByteIndex + 1)));
             } else {
-                end(request, body());
+                writeLastPart(request, body());
             }
         });
     }
 
     /** Sends the last part. Without its last byte a request never runs on a connection that is closed. */
-    private void end(HttpClientRequest request, Buffer rest) {
-        if (over()) {
+    private void writeLastPart(HttpClientRequest request, Buffer lastPart) {
+        if (isOver()) {
             return;
         }
-        if (mayBegin()) {
-            request.end(rest).onSuccess(v -> whole());
+        if (mayStillSend()) {
+            request.end(lastPart).onSuccess(v -> lastByteWritten());
         } else {
             finish(AttemptResult.NOT_SENT, null, null);
-            link.close();
+            connection.close();
         }
     }
 
     /** The request's last byte is on the socket. */
-    private void whole() {
-        state.written();
-        if (!whole) {
-            whole = true;
-            sent();
+    private void lastByteWritten() {
+        state.lastByteWritten();
+        if (!requestWritten) {
+            requestWritten = true;
+            requestWritten();
         }
     }
 
     /** It has reached the socket whole; called once at most. */
-    void sent() {}
+    void requestWritten() {}
 
-    private void read(HttpClientResponse response) {
-        whole();
-        answering = true;
-        link.used(false);
-        response.exceptionHandler(e -> link.close());
+    private void responseReceived(HttpClientResponse response) {
+        lastByteWritten();
+        responseStarted = true;
+        connection.recordUse(false);
+        response.exceptionHandler(e -> connection.close());
         response.endHandler(v -> {
-            answered();
-            if (over()) {
-                link.free(this);
+            bodyEnded();
+            if (isOver()) {
+                connection.release(this);
             } else {
-                link.close();
+                connection.close();
             }
         });
-        answer(response);
+        readResponse(response);
     }
 
     /** What an answer without a result means. */
-    static AttemptResult unserved(HttpClientResponse response) {
+    static AttemptResult resultOfError(HttpClientResponse response) {
         int status = response.statusCode();
-        boolean never =
-                (status == UNAVAILABLE || status == GATEWAY_TIMEOUT) && "1".equals(response.getHeader("X-Not-Run"));
-        return never ? AttemptResult.OVERLOADED : AttemptResult.ERROR;
+        boolean didNotRun = (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)
+                && "1".equals(response.getHeader("X-Not-Run"));
+        return didNotRun ? AttemptResult.OVERLOADED : AttemptResult.ERROR;
     }
 
-    void broke() {
-        if (link != null && !answering && !over()) {
-            link.used(true);
-            if (harmless() && link.kept()) {
-                link = null;
-                state.again();
-                subchannels.startAnew(this);
+    void connectionLost() {
+        if (connection != null && !responseStarted && !isOver()) {
+            connection.recordUse(true);
+            if (mayResend() && connection.isReused()) {
+                connection = null;
+                state.restart();
+                pools.resend(this);
                 return;
             }
         }
-        AttemptResult result = state.broke();
+        AttemptResult result = state.connectionLost();
         if (result != null) {
-            tell(Attempt.Outcome.of(result));
-            subchannels.over(this);
+            reportOutcome(Attempt.Outcome.of(result));
+            pools.requestFinished(this);
         }
     }
 
     /** The call has its end; what is left of its answer is read so that the connection can be used again. */
     void finish(AttemptResult result, byte[] body, EndpointLoad load) {
         if (state.finish(result) != null) {
-            tell(new Attempt.Outcome(result, body, load));
-            subchannels.over(this);
-            if (link != null) {
-                EndpointConnections.Link mine = link;
-                subchannels.after(TAIL, () -> mine.closeIf(this));
+            reportOutcome(new Attempt.Outcome(result, body, load));
+            pools.requestFinished(this);
+            if (connection != null) {
+                EndpointConnections.EndpointConnection used = connection;
+                pools.runAfter(RESPONSE_TAIL_MILLIS, () -> used.closeIfStillCarries(this));
             }
         }
     }
 
     /** Nobody waits for it any more: its connection is closed. */
-    void drop() {
+    void cancel() {
         if (state.finish(AttemptResult.CANCELLED) != null) {
-            subchannels.over(this);
-            if (link != null) {
-                link.close();
+            pools.requestFinished(this);
+            if (connection != null) {
+                connection.close();
             }
         }
     }
--- a/src/main/java/nettlewick/net/PeerSocket.java
+++ b/src/main/java/nettlewick/net/PeerSocket.java
@@ -15,20 +15,20 @@
 /** Short messages to and from the other dispatchers. Lives on the event loop. */
 final class PeerSocket {
     private static final ComponentLogger LOG = ComponentLogger.of("peers");
-    private static final int MOST = 256;
+    private static final int MAX_DATAGRAM_BYTES = 256;
     /** Between two tries for a port that another process still holds. */
-    private static final long AGAIN = 100;
+    private static final long BIND_RETRY_MILLIS = 100;
 
     private PlatformConfig config;
     private volatile boolean bound;
     private boolean closed;
     private final Vertx vertx;
     private DatagramSocket socket;
-    private final Map<String, Integer> ranks = new HashMap<>();
+    private final Map<String, Integer> ranksByAddress = new HashMap<>();
     /** Datagrams passed over here: longer than the protocol allows, and from an address that is no peer's. */
     private final AtomicLong oversized = new AtomicLong();
 
-    private final AtomicLong strangers = new AtomicLong();
+    private final AtomicLong unknownSenders = new AtomicLong();
 
     PeerSocket(Vertx vertx, PlatformConfig config) {
         this.vertx = vertx;
@@ -38,18 +38,18 @@
     /** Takes the peers' addresses over. */
     void reload(PlatformConfig next) {
         config = next;
-        ranks.clear();
+        ranksByAddress.clear();
         for (int rank = 0; rank < config.peers().size(); rank++) {
-            ranks.put(name(config.peers().get(rank)), rank);
+            ranksByAddress.put(key(config.peers().get(rank)), rank);
         }
     }
 
-    private static String name(SocketAddress address) {
+    private static String key(SocketAddress address) {
         return address.hostAddress() + ':' + address.port();
     }
 
     /** Hands each message on with the sender's rank. */
-    Future<Void> listen(BiConsumer<Integer, byte[]> heard) {
+    Future<Void> listen(BiConsumer<Integer, byte[]> handler) {
         if (config.peerListen() == null || !config.settings().limits().peers()) {
             return Future.succeededFuture();
         }
@@ -57,13 +57,13 @@
         socket.exceptionHandler(e -> {});
         socket.handler(packet -> {
             // Danger: anybody can send a datagram; only a known dispatcher is heard, and only short ones.
-            Integer rank = ranks.get(name(packet.sender()));
+            Integer rank = ranksByAddress.get(key(packet.sender()));
             if (rank == null || rank == config.settings().rank()) {
-                passOver(strangers, "from an address that is no peer's, " + name(packet.sender()));
-            } else if (packet.data().length() > MOST) {
-                passOver(oversized, "of " + packet.data().length() + " bytes, from " + name(packet.sender()));
+                countIgnored(unknownSenders, "from an address that is no peer's, " + key(packet.sender()));
+            } else if (packet.data().length() > MAX_DATAGRAM_BYTES) {
+                countIgnored(oversized, "of " + packet.data().length() + " bytes, from " + key(packet.sender()));
             } else {
-                heard.accept(rank, packet.data().getBytes());
+                handler.accept(rank, packet.data().getBytes());
             }
         });
         return socket.listen(config.peerListen().port(), config.peerListen().hostAddress())
@@ -72,31 +72,32 @@
     }
 
     /** Listens as soon as the process that holds the port gives it up. */
-    void await(BiConsumer<Integer, byte[]> heard) {
-        listen(heard).onFailure(e -> {
+    void listenWhenPortIsFree(BiConsumer<Integer, byte[]> handler) {
+        listen(handler).onFailure(e -> {
             socket.close();
             if (!closed) {
-                vertx.setTimer(AGAIN, id -> await(heard));
+                vertx.setTimer(BIND_RETRY_MILLIS, id -> listenWhenPortIsFree(handler));
             }
         });
     }
 
     /** Counts a datagram that is not heard; the first of each kind is logged. */
-    private static void passOver(AtomicLong kind, String what) {
-        if (kind.getAndIncrement() == 0) {
+    private static void countIgnored(AtomicLong counter, String description) {
+        if (counter.getAndIncrement() == 0) {
             LOG.warning(
                     "datagram-passed-over",
-                    "a datagram " + what
+                    "a datagram " + description
                             + " is passed over; such are counted in the figures from now on, not logged again");
         }
     }
 
     /** Datagrams passed over here since the start, by kind. */
-    Map<String, Number> passedOver() {
-        return Map.of("peers.passed_over.oversized", oversized.get(), "peers.passed_over.strangers", strangers.get());
+    Map<String, Number> ignoredDatagrams() {
+        return Map.of(
+                "peers.passed_over.oversized", oversized.get(), "peers.passed_over.strangers", unknownSenders.get());
     }
 
-    boolean bound() {
+    boolean isBound() {
         return bound;
     }
 
@@ -116,9 +117,9 @@
                 && rank >= 0
                 && rank < config.peers().size()
                 && rank != config.settings().rank()
-                && data.length <= MOST) {
-            SocketAddress to = config.peers().get(rank);
-            socket.send(Buffer.buffer(data), to.port(), to.hostAddress());
+                && data.length <= MAX_DATAGRAM_BYTES) {
+            SocketAddress recipient = config.peers().get(rank);
+            socket.send(Buffer.buffer(data), recipient.port(), recipient.hostAddress());
         }
     }
 }
--- a/src/main/java/nettlewick/net/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/PlatformConfig.java
@@ -28,18 +28,18 @@
         SocketAddress listen,
         SocketAddress discovery,
         long seed,
-        int sockets,
+        int maxSockets,
         SocketAddress peerListen,
         List<SocketAddress> peers,
-        EndpointListSnapshot known,
+        EndpointListSnapshot knownEndpoints,
         SchedulerSettings settings,
-        double connectTimeout,
-        double connIdle,
-        int maxOpen,
-        List<String> reportNames,
-        SocketAddress adminAddr) {
-    private static final double MILLION = 1e6;
-    private static final long LONG_TIME = Long.MAX_VALUE / 4;
+        double connectTimeoutMillis,
+        double idleTimeoutMillis,
+        int maxInFlight,
+        List<String> loadReportNames,
+        SocketAddress adminListen) {
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final long MAX_DURATION_NANOS = Long.MAX_VALUE / 4;
     private static final Map<String, Idempotency> IDEMPOTENCY_NAMES = idempotencyNames();
     private static final Map<String, Scope> SCOPE_NAMES = scopeNames();
 
@@ -61,56 +61,56 @@
      * the file names now counts over it.
      */
     public static PlatformConfig reload(Map<String, String> environment) {
-        Map<String, String> rest = new HashMap<>(environment);
-        rest.remove("ROUTER_DISCOVERY");
-        return load(rest);
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove("ROUTER_DISCOVERY");
+        return load(remaining);
     }
 
     /** Reads a configuration from its text. */
     public static PlatformConfig of(String text, Map<String, String> environment) {
-        JsonFields f = JsonFields.parse("the configuration", text);
-        String seed = f.text("seed");
-        SchedulerSettings settings = settings(f.part("settings"));
+        JsonFields fields = JsonFields.parse("the configuration", text);
+        String seed = fields.text("seed");
+        SchedulerSettings settings = parseSettings(fields.object("settings"));
         List<SocketAddress> peers = new ArrayList<>();
-        for (String peer : f.texts("peers")) {
-            peers.add(Address.parse(f.path("peers") + "[" + peers.size() + "]", peer));
+        for (String peer : fields.texts("peers")) {
+            peers.add(SocketAddressParser.parse(fields.path("peers") + "[" + peers.size() + "]", peer));
         }
-        if (f.has("peers")
+        if (fields.has("peers")
                 && peers.size() != settings.fleetSize()
                 && settings.limits().peers()) {
             throw new JsonFields.InvalidFieldException(
                     "peers", peers.size() + " addresses", "one for each of settings.fleet_size");
         }
-        JsonFields limits = f.partOr("limits");
-        JsonFields ceilings = f.part("settings").part("ceilings");
+        JsonFields limits = fields.objectOrEmpty("limits");
+        JsonFields ceilings = fields.object("settings").object("ceilings");
         return new PlatformConfig(
-                environment.getOrDefault("ROUTER_NAME", f.textOr("name", "nettlewick")),
-                address(f, "listen", environment.get("ROUTER_LISTEN")),
-                address(f, "discovery", environment.get("ROUTER_DISCOVERY")),
-                seed(seed),
-                (int) limits.wholeOr("sockets", 1024, 32, 1 << 20),
-                f.has("peer_listen") ? address(f, "peer_listen", null) : null,
+                environment.getOrDefault("ROUTER_NAME", fields.textOr("name", "nettlewick")),
+                parseAddress(fields, "listen", environment.get("ROUTER_LISTEN")),
+                parseAddress(fields, "discovery", environment.get("ROUTER_DISCOVERY")),
+                parseSeed(seed),
+                (int) limits.integerOr("sockets", 1024, 32, 1 << 20),
+                fields.has("peer_listen") ? parseAddress(fields, "peer_listen", null) : null,
                 peers,
-                f.has("known") ? known(f.part("known")) : null,
+                fields.has("known") ? parseKnownEndpoints(fields.object("known")) : null,
                 settings,
-                ceilings.numberOr("connect_timeout", 1e9, 1e6, 1e11) / MILLION,
-                ceilings.numberOr("conn_idle", 5e9, 1e6, 1e13) / MILLION,
-                (int) ceilings.wholeOr("max_open", 10_000, 1, Integer.MAX_VALUE),
-                f.part("settings").partOr("report").texts("names"),
-                f.has("admin_addr") || environment.get("ROUTER_ADMIN_ADDR") != null
-                        ? address(f, "admin_addr", environment.get("ROUTER_ADMIN_ADDR"))
+                ceilings.numberOr("connect_timeout", 1e9, 1e6, 1e11) / NANOS_PER_MILLI,
+                ceilings.numberOr("conn_idle", 5e9, 1e6, 1e13) / NANOS_PER_MILLI,
+                (int) ceilings.integerOr("max_open", 10_000, 1, Integer.MAX_VALUE),
+                fields.object("settings").objectOrEmpty("report").texts("names"),
+                fields.has("admin_addr") || environment.get("ROUTER_ADMIN_ADDR") != null
+                        ? parseAddress(fields, "admin_addr", environment.get("ROUTER_ADMIN_ADDR"))
                         : null);
     }
 
-    private static EndpointListSnapshot known(JsonFields f) {
-        EndpointListSnapshot known = EndpointListSnapshot.of(f);
+    private static EndpointListSnapshot parseKnownEndpoints(JsonFields fields) {
+        EndpointListSnapshot known = EndpointListSnapshot.parse(fields);
         if (!known.faults().isEmpty()) {
             throw known.faults().get(0);
         }
         return known;
     }
 
-    private static long seed(String text) {
+    private static long parseSeed(String text) {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
@@ -118,78 +118,78 @@
         }
     }
 
-    private static SocketAddress address(JsonFields f, String name, String over) {
-        return Address.parse(name, over != null ? over : f.text(name));
+    private static SocketAddress parseAddress(JsonFields fields, String name, String override) {
+        return SocketAddressParser.parse(name, override != null ? override : fields.text(name));
     }
 
-    private static SchedulerSettings settings(JsonFields f) {
-        JsonFields family = f.partOr("family_info");
+    private static SchedulerSettings parseSettings(JsonFields fields) {
+        JsonFields family = fields.objectOrEmpty("family_info");
         List<Double> kinds = family.numbers("class_kind");
         List<Double> stretches = family.numbers("class_stretch");
         List<Double> priorities = family.numbers("class_priority");
         List<RequestClass> classes = new ArrayList<>();
-        for (JsonFields c : f.parts("classes")) {
+        for (JsonFields c : fields.objects("classes")) {
             int at = classes.size();
             classes.add(new RequestClass(
                     c.text("name"),
                     choice(c, "repeat", IDEMPOTENCY_NAMES, null),
                     choice(c, "dedup_scope", SCOPE_NAMES, Scope.ALL),
-                    c.wholeOr("window", 0, 0, LONG_TIME),
-                    c.whole("aim", 1, LONG_TIME),
-                    c.numberOr("aim_stretch", at(stretches, at, 0), 0, 1e9),
-                    c.wholeOr("deadline", 0, 0, LONG_TIME),
+                    c.integerOr("window", 0, 0, MAX_DURATION_NANOS),
+                    c.integer("aim", 1, MAX_DURATION_NANOS),
+                    c.numberOr("aim_stretch", elementOr(stretches, at, 0), 0, 1e9),
+                    c.integerOr("deadline", 0, 0, MAX_DURATION_NANOS),
                     c.numberOr("worth", 1, 0, 1e9),
                     c.numberOr("late_worth", 0, 0, 1e9),
                     c.flag("stream"),
-                    (int) at(kinds, at, -1),
-                    (int) at(priorities, at, 0)));
+                    (int) elementOr(kinds, at, -1),
+                    (int) elementOr(priorities, at, 0)));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (JsonFields t : f.parts("tenants")) {
+        for (JsonFields t : fields.objects("tenants")) {
             tenants.add(
                     new Tenant(t.text("name"), t.numberOr("fraction", 0, 0, 1), t.numberOr("quota_per_s", 0, 0, 1e9)));
         }
-        JsonFields l = f.part("ceilings");
-        JsonFields r = f.part("rules");
-        String source = f.partOr("report").textOr("source", "off");
-        String weights = f.textOr("weights", "off");
+        JsonFields ceilings = fields.object("ceilings");
+        JsonFields rules = fields.object("rules");
+        String source = fields.objectOrEmpty("report").textOr("source", "off");
+        String weights = fields.textOr("weights", "off");
         try {
             return new SchedulerSettings(
-                    (int) f.whole("rank", 0, 1 << 20),
-                    (int) f.whole("fleet_size", 1, 1 << 20),
-                    f.textOr("zone", null),
+                    (int) fields.integer("rank", 0, 1 << 20),
+                    (int) fields.integer("fleet_size", 1, 1 << 20),
+                    fields.textOr("zone", null),
                     classes,
                     tenants,
-                    f.texts("models"),
-                    "on_request".equals(f.textOr("membership_mode", "pushed")),
+                    fields.texts("models"),
+                    "on_request".equals(fields.textOr("membership_mode", "pushed")),
                     "nominal".equals(weights) || "rough".equals(weights),
                     "inline".equals(source)
                             ? LoadReporting.INLINE
                             : "on_probe".equals(source) ? LoadReporting.ON_PROBE : LoadReporting.OFF,
-                    family.wholeOr("progress", 0, 0, LONG_TIME),
+                    family.integerOr("progress", 0, 0, MAX_DURATION_NANOS),
                     new Limits(
-                            (int) l.whole("attempts_cap", 1, 1000),
-                            l.flag("cancel"),
-                            l.flag("peers"),
-                            l.flag("probes"),
-                            l.flag("retry_after"),
-                            l.flag("second_copies"),
-                            l.wholeOr("max_retry_after", 0, 0, LONG_TIME)),
+                            (int) ceilings.integer("attempts_cap", 1, 1000),
+                            ceilings.flag("cancel"),
+                            ceilings.flag("peers"),
+                            ceilings.flag("probes"),
+                            ceilings.flag("retry_after"),
+                            ceilings.flag("second_copies"),
+                            ceilings.integerOr("max_retry_after", 0, 0, MAX_DURATION_NANOS)),
                     new Rules(
-                            r.wholeOr("answer_slack", 0, 0, LONG_TIME),
-                            r.wholeOr("ask_within", 1_000_000_000, 0, LONG_TIME),
-                            r.wholeOr("cold", 0, 0, LONG_TIME),
-                            r.numberOr("cold_share", 1, 0, 1),
-                            r.wholeOr("drain_grace", 0, 0, LONG_TIME),
-                            r.wholeOr("fall", 0, 0, LONG_TIME),
-                            r.numberOr("overload_factor", 1, 0, 1e9)));
+                            rules.integerOr("answer_slack", 0, 0, MAX_DURATION_NANOS),
+                            rules.integerOr("ask_within", 1_000_000_000, 0, MAX_DURATION_NANOS),
+                            rules.integerOr("cold", 0, 0, MAX_DURATION_NANOS),
+                            rules.numberOr("cold_share", 1, 0, 1),
+                            rules.integerOr("drain_grace", 0, 0, MAX_DURATION_NANOS),
+                            rules.integerOr("fall", 0, 0, MAX_DURATION_NANOS),
+                            rules.numberOr("overload_factor", 1, 0, 1e9)));
         } catch (IllegalArgumentException e) {
             throw new JsonFields.InvalidFieldException("settings", e.getMessage(), "settings that make sense");
         }
     }
 
-    private static double at(List<Double> list, int index, double otherwise) {
-        return index < list.size() ? list.get(index) : otherwise;
+    private static double elementOr(List<Double> list, int index, double defaultValue) {
+        return index < list.size() ? list.get(index) : defaultValue;
     }
 
     /** The words of the settings for what a repeated request may do, in the order in which an error lists them. */
@@ -209,9 +209,9 @@
         return names;
     }
 
-    private static <E> E choice(JsonFields fields, String name, Map<String, E> values, E otherwise) {
-        if (otherwise != null && !fields.has(name)) {
-            return otherwise;
+    private static <E> E choice(JsonFields fields, String name, Map<String, E> values, E defaultValue) {
+        if (defaultValue != null && !fields.has(name)) {
+            return defaultValue;
         }
         E value = values.get(fields.text(name));
         if (value == null) {
@@ -226,15 +226,15 @@
     }
 
     /** The fields in which that one differs and which cannot change while the dispatcher runs. */
-    List<String> needRestart(PlatformConfig next) {
+    List<String> restartOnlyChanges(PlatformConfig next) {
         Map<String, Boolean> same = new LinkedHashMap<>();
         same.put("name", name.equals(next.name));
         same.put("listen", listen.equals(next.listen));
-        same.put("limits.sockets", sockets == next.sockets);
+        same.put("limits.sockets", maxSockets == next.maxSockets);
         same.put("peer_listen", Objects.equals(peerListen, next.peerListen));
-        same.put("admin_addr", Objects.equals(adminAddr, next.adminAddr));
+        same.put("admin_addr", Objects.equals(adminListen, next.adminListen));
         same.put("settings", settings.equals(next.settings));
-        same.put("settings.ceilings.connect_timeout", connectTimeout == next.connectTimeout);
+        same.put("settings.ceilings.connect_timeout", connectTimeoutMillis == next.connectTimeoutMillis);
         return same.entrySet().stream()
                 .filter(e -> !e.getValue())
                 .map(Map.Entry::getKey)
@@ -242,45 +242,45 @@
     }
 
     /** This one, with what may change while the dispatcher runs as in that one. */
-    PlatformConfig changed(PlatformConfig next) {
+    PlatformConfig withReloaded(PlatformConfig next) {
         return new PlatformConfig(
                 name,
                 listen,
                 next.discovery,
                 seed,
-                sockets,
+                maxSockets,
                 peerListen,
                 next.peers,
-                known,
+                knownEndpoints,
                 settings,
-                connectTimeout,
-                next.connIdle,
-                next.maxOpen,
-                reportNames,
-                adminAddr);
+                connectTimeoutMillis,
+                next.idleTimeoutMillis,
+                next.maxInFlight,
+                loadReportNames,
+                adminListen);
     }
 
     /** The same, but for clients at any free port: for a warm-up that nobody else sees. */
-    PlatformConfig atFreePort() {
+    PlatformConfig withFreeListenPort() {
         return new PlatformConfig(
                 name,
                 SocketAddress.inetSocketAddress(0, listen.hostAddress()),
                 discovery,
                 seed,
-                sockets,
+                maxSockets,
                 peerListen,
                 peers,
-                known,
+                knownEndpoints,
                 settings,
-                connectTimeout,
-                connIdle,
-                maxOpen,
-                reportNames,
-                adminAddr);
+                connectTimeoutMillis,
+                idleTimeoutMillis,
+                maxInFlight,
+                loadReportNames,
+                adminListen);
     }
 
     /** Whether a job of this class may run more than once without harm. */
-    boolean mayRepeat(String requestClass) {
+    boolean isIdempotentClass(String requestClass) {
         return settings.classes().stream()
                 .anyMatch(c -> c.name().equals(requestClass) && c.idempotency() == Idempotency.IDEMPOTENT);
     }
