--- a/src/main/java/nettlewick/net/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/PlatformFrontend.java
@@ -16,120 +16,120 @@
 
 /** The platform's own front: one job, one request, one answer. Lives on the event loop. */
 public final class PlatformFrontend extends HttpFrontend {
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
-    private final Context loop;
+    private final Context eventLoop;
     private final Clock clock;
-    private final RequestCoordinator core;
+    private final RequestCoordinator coordinator;
     private final RequestReader reader;
-    private final BooleanSupplier holdsList;
-    private final TrafficListener tap;
+    private final BooleanSupplier hasEndpointList;
+    private final TrafficListener trafficListener;
 
-    public PlatformFrontend(Base base) {
-        this(base, TrafficListener.NONE);
+    public PlatformFrontend(Base environment) {
+        this(environment, TrafficListener.NONE);
     }
 
-    public PlatformFrontend(Base base, TrafficListener tap) {
-        super(base, base.config().listen(), -1);
-        this.tap = tap;
-        loop = base.loop();
-        clock = base.clock();
-        core = base.core();
-        holdsList = base.holdsList();
-        reader = new RequestReader(base.config());
+    public PlatformFrontend(Base environment, TrafficListener trafficListener) {
+        super(environment, environment.config().listen(), -1);
+        this.trafficListener = trafficListener;
+        eventLoop = environment.loop();
+        clock = environment.clock();
+        coordinator = environment.core();
+        hasEndpointList = environment.holdsList();
+        reader = new RequestReader(environment.config());
     }
 
     @Override
     protected void handle(HttpServerRequest request) {
         String path = request.path();
         if ("/_health".equals(path)) {
-            health(request);
+            respondToHealthCheck(request);
         } else if (!RequestReader.isJob(path)) {
             RequestReader.reject(request, 404, "no such path");
         } else if (!HttpMethod.POST.equals(request.method())) {
             request.response().putHeader("Allow", "POST");
             RequestReader.reject(request, 405, "jobs come by POST");
         } else {
-            reader.read(request, arrivedAt(request), draft -> take(request, draft));
+            reader.read(request, arrivedAt(request), parsed -> submit(request, parsed));
         }
     }
 
     @Override
-    protected void closed(HttpConnection connection) {
-        tap.closed(connection);
+    protected void connectionClosed(HttpConnection connection) {
+        trafficListener.closed(connection);
     }
 
-    private void health(HttpServerRequest request) {
+    private void respondToHealthCheck(HttpServerRequest request) {
         if (!HttpMethod.GET.equals(request.method()) && !HttpMethod.HEAD.equals(request.method())) {
             request.response().putHeader("Allow", "GET, HEAD");
             RequestReader.reject(request, 405, "health is asked for by GET");
-        } else if (holdsList.getAsBoolean() && base.state().healthy()) {
+        } else if (hasEndpointList.getAsBoolean() && base.state().isHealthy()) {
             request.response().end();
         } else {
             RequestReader.reject(
-                    request, UNAVAILABLE, base.state().healthy() ? "no list of sim runners yet" : "draining");
+                    request, SERVICE_UNAVAILABLE, base.state().isHealthy() ? "no list of sim runners yet" : "draining");
         }
     }
 
-    private void take(HttpServerRequest http, RequestReader.Draft draft) {
+    private void submit(HttpServerRequest http, RequestReader.Draft parsed) {
         HttpServerResponse response = http.response();
-        tap.request(http, draft.rpc().body());
-        Metrics.Ticket ticket = core.figures().taken(draft.jobClass());
-        Request request = draft.with(new Request.Caller() {
+        trafficListener.request(http, parsed.forwarded().body());
+        Metrics.Ticket ticket = coordinator.figures().taken(parsed.jobClass());
+        Request request = parsed.with(new Request.Caller() {
             @Override
             public boolean present() {
-                return !response.closed() && connected(http) && !response.closed();
+                return !response.closed() && isClientConnected(http) && !response.closed();
             }
 
             @Override
             public void receipt(UsageRecorder.Receipt receipt) {
-                loop.runOnContext(v -> ticket.owe(receipt));
+                eventLoop.runOnContext(v -> ticket.owe(receipt));
             }
 
             @Override
             public void served(byte[] result) {
-                loop.runOnContext(v -> answer(http, 200, Buffer.buffer(result), ticket));
+                eventLoop.runOnContext(v -> respond(http, 200, Buffer.buffer(result), ticket));
             }
 
             @Override
             public void rejected(double retryAfter) {
-                loop.runOnContext(v -> {
+                eventLoop.runOnContext(v -> {
                     if (retryAfter > 0 && !response.closed()) {
-                        response.putHeader("Retry-After", seconds(retryAfter));
+                        response.putHeader("Retry-After", formatSeconds(retryAfter));
                     }
-                    answer(http, 503, Buffer.buffer("unavailable\n"), ticket);
+                    respond(http, 503, Buffer.buffer("unavailable\n"), ticket);
                 });
             }
 
             @Override
             public void failed(String reason) {
-                loop.runOnContext(v -> answer(http, 502, Buffer.buffer(reason + "\n"), ticket));
+                eventLoop.runOnContext(v -> respond(http, 502, Buffer.buffer(reason + "\n"), ticket));
             }
         });
         response.closeHandler(v -> {
             ticket.left();
-            core.abandon(request);
+            coordinator.abandon(request);
         });
-        core.submit(request);
+        coordinator.submit(request);
     }
 
-    static String seconds(double millis) {
+    static String formatSeconds(double millis) {
         return String.format(Locale.ROOT, "%.3f", millis / 1000);
     }
 
-    private void answer(HttpServerRequest http, int status, Buffer body, Metrics.Ticket ticket) {
+    private void respond(HttpServerRequest http, int status, Buffer body, Metrics.Ticket ticket) {
         HttpServerResponse response = http.response();
         if (response.ended() || response.closed()) {
             return;
         }
-        if (closing()) {
+        if (closesConnections()) {
             response.putHeader("Connection", "close");
         }
         response.setStatusCode(status);
-        tap.answer(http, response, body);
+        trafficListener.answer(http, response, body);
         Metrics.End end = status == OutboundRequest.OK
                 ? Metrics.End.FULFILLED
-                : status == UNAVAILABLE ? Metrics.End.THROTTLED : Metrics.End.FAULTED;
+                : status == SERVICE_UNAVAILABLE ? Metrics.End.THROTTLED : Metrics.End.FAULTED;
         response.end(body).onSuccess(v -> ticket.answered(end)).onFailure(e -> ticket.left());
     }
 }
--- a/src/main/java/nettlewick/net/PollBackoff.java
+++ b/src/main/java/nettlewick/net/PollBackoff.java
@@ -9,49 +9,51 @@
  * up and made again take the place of others. Pure; the random numbers are the caller's.
  */
 final class PollBackoff {
-    private static final double LEAST = 100;
-    private static final double MOST = 2000;
+    private static final double MIN_PAUSE_MILLIS = 100;
+    private static final double MAX_PAUSE_MILLIS = 2000;
     /** The most at an agent, which bears any number of calls: what it gets at its return counts at once. */
-    private static final double AGENT_MOST = 400;
+    private static final double AGENT_MAX_PAUSE_MILLIS = 400;
     /** A first word that has not come for so long will not: of one that is asked, and at its slowest. */
-    private static final double FIRST = 1500;
+    private static final double FIRST_MESSAGE_TIMEOUT_MILLIS = 1500;
 
-    private static final double FIRST_MOST = 5000;
+    private static final double MAX_FIRST_MESSAGE_TIMEOUT_MILLIS = 5000;
 
-    private final boolean asked;
-    private final double least;
-    private final double most;
-    private final double first;
+    private final boolean sharedService;
+    private final double minMillis;
+    private final double maxMillis;
+    private final double firstMessageTimeoutMillis;
     private final SplittableRandom random;
-    private double ceiling;
+    private double ceilingMillis;
 
     /**
      * @param asked  whether discovery is one service that is asked, not an agent that has been told
      * @param askers dispatchers of the tier
      * @param within who has not asked for so long counts as told (the settings' {@code ask_within}), in ms
      */
-    PollBackoff(boolean asked, int askers, double within, SplittableRandom random) {
-        this.asked = asked;
+    PollBackoff(boolean sharedService, int dispatchers, double maxWaitMillis, SplittableRandom random) {
+        this.sharedService = sharedService;
         this.random = random;
-        most = asked ? Math.max(MOST, within / 2) : AGENT_MOST;
-        least = asked ? Math.min(most, LEAST * askers) : LEAST;
-        first = asked ? Math.min(FIRST_MOST, Math.max(FIRST, within / 2)) : FIRST;
-        ceiling = least;
+        maxMillis = sharedService ? Math.max(MAX_PAUSE_MILLIS, maxWaitMillis / 2) : AGENT_MAX_PAUSE_MILLIS;
+        minMillis = sharedService ? Math.min(maxMillis, MIN_PAUSE_MILLIS * dispatchers) : MIN_PAUSE_MILLIS;
+        firstMessageTimeoutMillis = sharedService
+                ? Math.min(MAX_FIRST_MESSAGE_TIMEOUT_MILLIS, Math.max(FIRST_MESSAGE_TIMEOUT_MILLIS, maxWaitMillis / 2))
+                : FIRST_MESSAGE_TIMEOUT_MILLIS;
+        ceilingMillis = minMillis;
     }
 
     /** Word has come: the next pause is a short one again. */
     void reset() {
-        ceiling = least;
+        ceilingMillis = minMillis;
     }
 
     /** For how long a first line is waited for. Danger: a call that waits its turn is made anew too soon. */
-    double first() {
-        return first;
+    double firstMessageTimeoutMillis() {
+        return firstMessageTimeoutMillis;
     }
 
     /** Whether discovery is one service that all ask. */
-    boolean asked() {
-        return asked;
+    boolean isSharedService() {
+        return sharedService;
     }
 
     /**
@@ -60,10 +62,11 @@
      *
      * @param most no pause is longer than this: what is left until what was missed counts as told
      */
-    double next(double most) {
-        double bound = Math.min(most, ceiling);
-        double pause = asked ? random.nextDouble() * bound : bound * (0.5 + random.nextDouble() / 2);
-        ceiling = Math.min(this.most, 2 * ceiling);
-        return Math.max(1, pause);
+    double nextPauseMillis(double limitMillis) {
+        double boundMillis = Math.min(limitMillis, ceilingMillis);
+        double pauseMillis =
+                sharedService ? random.nextDouble() * boundMillis : boundMillis * (0.5 + random.nextDouble() / 2);
+        ceilingMillis = Math.min(this.maxMillis, 2 * ceilingMillis);
+        return Math.max(1, pauseMillis);
     }
 }
--- a/src/main/java/nettlewick/net/RequestReader.java
+++ b/src/main/java/nettlewick/net/RequestReader.java
@@ -15,13 +15,13 @@
  * answered here with its status and never reaches the core.
  */
 public final class RequestReader {
-    private static final String JOBS = "/api";
+    private static final String REQUEST_PATH = "/api";
     /** Answers are due this much before the client gives up: it counts from its send, not from our read. */
-    private static final double MARGIN = 20;
+    private static final double DEADLINE_MARGIN_MILLIS = 20;
 
-    private static final double LONGEST = 3_600;
-    private static final int ID_MOST = 256;
-    private static final Pattern NUMBER = Pattern.compile("\\d{1,15}(\\.\\d{0,15})?");
+    private static final double MAX_DEADLINE_SECONDS = 3_600;
+    private static final int MAX_ID_LENGTH = 256;
+    private static final Pattern PLAIN_DECIMAL = Pattern.compile("\\d{1,15}(\\.\\d{0,15})?");
 
     private final PlatformConfig config;
 
@@ -34,15 +34,26 @@
             String id,
             String jobClass,
             String tenant,
-            String key,
+            String affinityKey,
             double deadline,
             double slots,
             double memory,
-            double hint,
-            boolean repeat,
-            ForwardedRequest rpc) {
+            double costHint,
+            boolean clientRetry,
+            ForwardedRequest forwarded) {
         public Request with(Request.Caller caller) {
-            return new Request(id, jobClass, tenant, key, deadline, slots, memory, hint, repeat, rpc, caller);
+            return new Request(
+                    id,
+                    jobClass,
+                    tenant,
+                    affinityKey,
+                    deadline,
+                    slots,
+                    memory,
+                    costHint,
+                    clientRetry,
+                    forwarded,
+                    caller);
         }
     }
 
@@ -63,18 +74,18 @@
 
     /** Whether jobs are handed in at this path. */
     public static boolean isJob(String path) {
-        return path != null && (path.equals(JOBS) || path.startsWith(JOBS + "/"));
+        return path != null && (path.equals(REQUEST_PATH) || path.startsWith(REQUEST_PATH + "/"));
     }
 
     /** Reads the body and the fields, then hands the draft on; {@code now} is when the head came. */
-    public void read(HttpServerRequest request, double now, Handler<Draft> then) {
+    public void read(HttpServerRequest request, double receivedAtMillis, Handler<Draft> consumer) {
         // Its length is bounded by the guard, which passes whole requests only.
         Buffer body = Buffer.buffer();
         request.exceptionHandler(e -> {});
         request.handler(body::appendBuffer);
         request.endHandler(v -> {
             try {
-                then.handle(draft(request.method(), request.uri(), request.headers(), body, now));
+                consumer.handle(draft(request.method(), request.uri(), request.headers(), body, receivedAtMillis));
             } catch (InvalidRequestException e) {
                 reject(request, e.status(), e.getMessage());
             }
@@ -94,38 +105,38 @@
     }
 
     /** Checks the parts of a request that came whole at this time, by whatever way. */
-    public Draft draft(HttpMethod method, String uri, MultiMap request, Buffer body, double now)
+    public Draft draft(HttpMethod method, String uri, MultiMap headers, Buffer body, double receivedAtMillis)
             throws InvalidRequestException {
-        String id = visible(request, "X-Request-Id");
-        String requestClass = need(request, "X-Class");
+        String id = requireId(headers, "X-Request-Id");
+        String requestClass = requireHeader(headers, "X-Class");
         if (!config.hasClass(requestClass)) {
             throw new InvalidRequestException(400, "unknown class in X-Class");
         }
-        double seconds = number(need(request, "X-Deadline"), "X-Deadline", LONGEST);
-        boolean keyed = request.contains("Idempotency-Key");
-        String key = keyed ? visible(request, "Idempotency-Key") : null;
-        String hint = request.get("X-Cost-Hint");
-        String extras = request.get("X-Extras");
-        Map<String, Double> more = LoadReport.pairs(extras == null ? "" : extras);
-        double slots = more.getOrDefault("slots", more.getOrDefault("needs", 1.0));
-        double memory = more.getOrDefault("mem", more.getOrDefault("memory", 0.0));
+        double seconds = parseNumber(requireHeader(headers, "X-Deadline"), "X-Deadline", MAX_DEADLINE_SECONDS);
+        boolean hasIdempotencyKey = headers.contains("Idempotency-Key");
+        String idempotencyKey = hasIdempotencyKey ? requireId(headers, "Idempotency-Key") : null;
+        String costHint = headers.get("X-Cost-Hint");
+        String extras = headers.get("X-Extras");
+        Map<String, Double> extraValues = LoadReport.pairs(extras == null ? "" : extras);
+        double slots = extraValues.getOrDefault("slots", extraValues.getOrDefault("needs", 1.0));
+        double memory = extraValues.getOrDefault("mem", extraValues.getOrDefault("memory", 0.0));
         if (slots < 0 || memory < 0) {
             throw new InvalidRequestException(400, "X-Extras holds a figure below 0");
         }
         return new Draft(
                 id,
                 requestClass,
-                request.get("X-Tenant"),
-                user(request),
-                now + Math.max(0, seconds * 1000 - MARGIN),
+                headers.get("X-Tenant"),
+                userCookie(headers),
+                receivedAtMillis + Math.max(0, seconds * 1000 - DEADLINE_MARGIN_MILLIS),
                 slots,
                 memory,
-                hint == null ? 0 : number(hint, "X-Cost-Hint", 1e12) / 1000,
-                "1".equals(request.get("X-Retry")),
-                new ForwardedRequest(method, checked(uri), body, key));
+                costHint == null ? 0 : parseNumber(costHint, "X-Cost-Hint", 1e12) / 1000,
+                "1".equals(headers.get("X-Retry")),
+                new ForwardedRequest(method, requireAsciiUri(uri), body, idempotencyKey));
     }
 
-    private static String checked(String uri) throws InvalidRequestException {
+    private static String requireAsciiUri(String uri) throws InvalidRequestException {
         // Danger: what is not ASCII would go on as other bytes than came. A URI has nothing else.
         if (!uri.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
             throw new InvalidRequestException(400, "the path is not a URI");
@@ -133,11 +144,11 @@
         return uri;
     }
 
-    private static String need(MultiMap request, String header) throws InvalidRequestException {
-        if (request.getAll(header).size() > 1) {
+    private static String requireHeader(MultiMap headers, String header) throws InvalidRequestException {
+        if (headers.getAll(header).size() > 1) {
             throw new InvalidRequestException(400, header + " stands there more than once");
         }
-        String value = request.get(header);
+        String value = headers.get(header);
         if (value == null || value.isBlank()) {
             throw new InvalidRequestException(400, header + " is missing");
         }
@@ -145,26 +156,26 @@
     }
 
     /** A header that goes on as it came, so nothing that a header cannot carry unchanged. */
-    private static String visible(MultiMap request, String header) throws InvalidRequestException {
-        String value = need(request, header);
-        if (value.length() > ID_MOST || !value.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
+    private static String requireId(MultiMap headers, String header) throws InvalidRequestException {
+        String value = requireHeader(headers, header);
+        if (value.length() > MAX_ID_LENGTH || !value.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
             throw new InvalidRequestException(400, header + " is not an id");
         }
         return value;
     }
 
-    private static double number(String text, String header, double most) throws InvalidRequestException {
+    private static double parseNumber(String text, String header, double max) throws InvalidRequestException {
         // Danger: Java would read "5d", "0x1p3" and "1e9" as numbers too; clients write plain decimals.
-        double value = NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
-        if (!(value >= 0 && value <= most)) {
-            throw new InvalidRequestException(400, header + " is not a number from 0 to " + (long) most);
+        double value = PLAIN_DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
+        if (!(value >= 0 && value <= max)) {
+            throw new InvalidRequestException(400, header + " is not a number from 0 to " + (long) max);
         }
         return value;
     }
 
     /** The cookie {@code user}, which names what the request is about. */
-    private static String user(MultiMap request) {
-        String cookies = request.get("Cookie");
+    private static String userCookie(MultiMap headers) {
+        String cookies = headers.get("Cookie");
         if (cookies == null) {
             return null;
         }
--- a/src/main/java/nettlewick/net/ServiceState.java
+++ b/src/main/java/nettlewick/net/ServiceState.java
@@ -11,22 +11,22 @@
         STARTING,
         SERVING,
         DRAINED,
-        ENDING,
+        SHUTTING_DOWN,
         HANDING_OVER,
-        SHUTTING
+        CLOSING
     }
 
     /**
      * After a drain the front learns of it within 0.1 s and connections come for 0.2 s more. Danger: closed
      * sooner, an idle one may cut off a job just sent; 4 s after the call none may be left.
      */
-    static final double IDLE_STAYS = 600;
+    static final double IDLE_CLOSE_DELAY_MILLIS = 600;
 
     private Phase phase = Phase.STARTING;
     private double drainedAt;
 
     /** All is there: clients may come. */
-    synchronized void serve() {
+    synchronized void startServing() {
         phase = phase == Phase.STARTING ? Phase.SERVING : phase;
     }
 
@@ -46,17 +46,17 @@
     }
 
     /** The planned end has begun; a successor on the same address takes new clients meanwhile. */
-    synchronized void end(boolean successor) {
-        phase = phase == Phase.SHUTTING ? phase : successor ? Phase.HANDING_OVER : Phase.ENDING;
+    synchronized void beginShutdown(boolean hasSuccessor) {
+        phase = phase == Phase.CLOSING ? phase : hasSuccessor ? Phase.HANDING_OVER : Phase.SHUTTING_DOWN;
     }
 
     /** The planned end is at its last step. */
-    synchronized void shut() {
-        phase = Phase.SHUTTING;
+    synchronized void closeConnections() {
+        phase = Phase.CLOSING;
     }
 
     /** Whether clients are welcome. */
-    public synchronized boolean takesClients() {
+    public synchronized boolean isServing() {
         return phase == Phase.SERVING;
     }
 
@@ -64,7 +64,7 @@
      * Whether {@code /_health} may say yes. Danger: a process that hands over shares its address with its
      * successor; a no would turn the front away from both.
      */
-    synchronized boolean healthy() {
+    synchronized boolean isHealthy() {
         return phase == Phase.STARTING || phase == Phase.SERVING || phase == Phase.HANDING_OVER;
     }
 
@@ -74,12 +74,12 @@
     }
 
     /** Whether every answer closes its connection. */
-    synchronized boolean closing() {
-        return phase == Phase.DRAINED || phase == Phase.HANDING_OVER || phase == Phase.SHUTTING;
+    synchronized boolean closesAfterResponse() {
+        return phase == Phase.DRAINED || phase == Phase.HANDING_OVER || phase == Phase.CLOSING;
     }
 
     /** Whether idle connections are closed. */
-    synchronized boolean closesIdle(double now) {
-        return phase == Phase.SHUTTING || phase == Phase.DRAINED && now - drainedAt >= IDLE_STAYS;
+    synchronized boolean closesIdleConnections(double now) {
+        return phase == Phase.CLOSING || phase == Phase.DRAINED && now - drainedAt >= IDLE_CLOSE_DELAY_MILLIS;
     }
 }
--- a/src/main/java/nettlewick/net/StrictHttpDecoder.java
+++ b/src/main/java/nettlewick/net/StrictHttpDecoder.java
@@ -7,16 +7,16 @@
 
 /** The server's decoder, less its kindness to a request of two lengths; it tells when bytes come. */
 final class StrictHttpDecoder extends VertxHttpRequestDecoder {
-    private final Runnable bytes;
+    private final Runnable onBytes;
 
-    StrictHttpDecoder(HttpServerOptions options, Runnable bytes) {
+    StrictHttpDecoder(HttpServerOptions options, Runnable onBytes) {
         super(options);
-        this.bytes = bytes;
+        this.onBytes = onBytes;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object read) throws Exception {
-        bytes.run();
+        onBytes.run();
         super.channelRead(context, read);
     }
 
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -32,58 +32,59 @@
  * them: the own health page is asked for, and a throw-away instance of the module decides on made-up jobs.
  */
 final class WarmUp {
-    private static final int REQUESTS = 20;
-    private static final int JOBS = 60;
-    private static final int WORKERS = 12;
-    private static final long STEP = 5_000_000;
+    private static final int HEALTH_REQUESTS = 20;
+    private static final int SYNTHETIC_REQUESTS = 60;
+    private static final int SYNTHETIC_ENDPOINTS = 12;
+    private static final long STEP_NANOS = 5_000_000;
 
     private WarmUp() {}
 
     /** Asks for the own health page, over and over on one connection; a failure ends it quietly. */
-    static Future<Void> sockets(HttpClientAgent client, SocketAddress listen) {
+    static Future<Void> warmUpSockets(HttpClientAgent client, SocketAddress listen) {
         return client.connect(new HttpConnectOptions()
                         .setServer(listen)
                         .setHost(listen.hostAddress())
                         .setPort(listen.port())
                         .setSsl(false))
-                .compose(c -> ask(c, REQUESTS).eventually(c::close))
+                .compose(c -> requestHealth(c, HEALTH_REQUESTS).eventually(c::close))
                 .otherwiseEmpty();
     }
 
-    private static Future<Void> ask(HttpClient client, int left) {
-        if (left == 0) {
+    private static Future<Void> requestHealth(HttpClient client, int requestsLeft) {
+        if (requestsLeft == 0) {
             return Future.succeededFuture();
         }
         return client.request(new RequestOptions().setMethod(HttpMethod.GET).setURI("/_health"))
                 .compose(request -> request.send())
                 .compose(response -> response.body())
-                .compose(body -> ask(client, left - 1));
+                .compose(body -> requestHealth(client, requestsLeft - 1));
     }
 
     /** Lets an instance that nobody hears decide on jobs that nobody sent. */
-    static void module(SchedulerSettings settings) {
-        Dispatcher module = Dispatcher.create(settings, 1);
-        List<EndpointEntry> workers = new ArrayList<>();
-        for (int i = 0; i < WORKERS; i++) {
-            List<String> kinds = settings.kinds();
-            String kind = kinds.isEmpty() ? null : kinds.get(i % kinds.size());
-            workers.add(new EndpointEntry("w" + i, EndpointState.READY, 0, 0, kind, settings.zone(), 1));
+    static void warmUpScheduler(SchedulerSettings settings) {
+        Dispatcher scheduler = Dispatcher.create(settings, 1);
+        List<EndpointEntry> endpoints = new ArrayList<>();
+        for (int i = 0; i < SYNTHETIC_ENDPOINTS; i++) {
+            List<String> endpointClasses = settings.kinds();
+            String kind = endpointClasses.isEmpty() ? null : endpointClasses.get(i % endpointClasses.size());
+            endpoints.add(new EndpointEntry("w" + i, EndpointState.READY, 0, 0, kind, settings.zone(), 1));
         }
-        List<Event> next = new ArrayList<>(List.of(new EndpointList(true, workers)));
-        for (int job = 0; job < JOBS; job++) {
-            RequestClass kind = settings.classes().get(job % settings.classes().size());
-            next.add(new Arrival("j" + job, kind.name(), null, kind.deadline(), 1, 0, 0, null, false));
-            long now = job * STEP;
-            List<Action> actions = module.handle(now, next);
-            next = new ArrayList<>();
+        List<Event> events = new ArrayList<>(List.of(new EndpointList(true, endpoints)));
+        for (int index = 0; index < SYNTHETIC_REQUESTS; index++) {
+            RequestClass kind =
+                    settings.classes().get(index % settings.classes().size());
+            events.add(new Arrival("j" + index, kind.name(), null, kind.deadline(), 1, 0, 0, null, false));
+            long now = index * STEP_NANOS;
+            List<Action> actions = scheduler.handle(now, events);
+            events = new ArrayList<>();
             for (Action action : actions) {
                 if (action instanceof Dispatch d) {
-                    next.add(new Outcome(d.id(), 0, d.endpoint(), AttemptResult.SERVED, STEP, true, null));
+                    events.add(new Outcome(d.id(), 0, d.endpoint(), AttemptResult.SERVED, STEP_NANOS, true, null));
                 } else if (action instanceof Probe p) {
-                    next.add(
-                            new ProbeAnswer(p.endpoint(), AttemptResult.SERVED, STEP, new EndpointLoad(4, 4, 0, 0, 0)));
-                } else if (action instanceof SetTimer t && job % 20 == 0) {
-                    next.add(new Timer(t.name()));
+                    events.add(new ProbeAnswer(
+                            p.endpoint(), AttemptResult.SERVED, STEP_NANOS, new EndpointLoad(4, 4, 0, 0, 0)));
+                } else if (action instanceof SetTimer t && index % 20 == 0) {
+                    events.add(new Timer(t.name()));
                 }
             }
         }
--- a/src/test/java/nettlewick/net/OperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -25,7 +25,7 @@
 
 /** What operators can ask of a whole dispatcher on loopback. */
 @Timeout(30)
-class OperationsTest {
+class AdminOperationsTest {
     private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     private StandIns world;
     private Map<String, Object> config;
@@ -44,9 +44,9 @@
     }
 
     private int start() throws Exception {
-        DispatcherServer node = world.start(config);
-        until(() -> node.adminPort() > 0 && call("GET", "/-/ready").startsWith("200"));
-        return node.ports().get(0);
+        DispatcherServer dispatcher = world.start(config);
+        until(() -> dispatcher.adminPort() > 0 && call("GET", "/-/ready").startsWith("200"));
+        return dispatcher.ports().get(0);
     }
 
     /** Sends bytes and reads to the end of the connection. */
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void figuresCountWhatClientsAndRunnersSaw() throws Exception {
+    void metricsCountWhatClientsAndEndpointsSaw() throws Exception {
         int port = start();
         assertTrue(call("GET", "/-/metrics").contains("router.operations.mark-submit.faulted=0\n"));
         talk(port, job("/api", "a", "step-view", "", "Connection: close"));
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void whatIsNoCallIsToldSo() throws Exception {
+    void rejectsUnknownCalls() throws Exception {
         start();
         assertTrue(call("GET", "/-/nothing").startsWith("404"));
         assertTrue(call("POST", "/-/ready").startsWith("405"));
@@ -108,7 +108,7 @@
 
     /** Guards against silent callers, who would hold all descriptors of the operators' front. */
     @Test
-    void silentCallersHoldNobodyUp() throws Exception {
+    void silentCallersDoNotBlockOthers() throws Exception {
         start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 3 * AdminFrontend.CALLERS_MOST; i++) {
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aDrainSendsClientsAwayAndResumeTakesThemBack() throws Exception {
+    void drainSendsClientsAwayAndResumeAcceptsThemAgain() throws Exception {
         int port = start();
         world.runTime = 1500;
         try (Socket idle = new Socket("127.0.0.1", port);
@@ -153,7 +153,7 @@
 
     /** Guards against work for a runner that is being repaired, whatever discovery says meanwhile. */
     @Test
-    void aRunnerTakenOutGetsNothingUntilItIsPutBack() throws Exception {
+    void disabledEndpointGetsNothingUntilItIsEnabled() throws Exception {
         world.addRunner("s-2");
         int port = start();
         assertTrue(call("POST", "/-/sim-runners/s-9/disable").startsWith("404"));
@@ -178,41 +178,47 @@
     }
 
     @Test
-    void bansAreSharedByAFileAndOutliveTheirProcess(@TempDir Path dir) throws Exception {
+    void disabledEndpointsAreSharedByAFileAndOutliveTheProcess(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("bans.json");
         DisabledEndpointStore one = new DisabledEndpointStore(file);
         DisabledEndpointStore other = new DisabledEndpointStore(file);
-        assertEquals(1, one.set("s-1", true, 10).size());
-        assertEquals(0, one.set("s-1", true, 20).size());
-        assertEquals(List.of(new DisabledEndpointStore.DisabledEndpoint("s-1", true, 10)), other.news());
-        other.set("s-2", true, 30);
-        other.set("s-1", false, 40);
-        assertEquals(2, one.news().size());
-        assertTrue(one.out("s-2") && !one.out("s-1"));
+        assertEquals(1, one.setDisabled("s-1", true, 10).size());
+        assertEquals(0, one.setDisabled("s-1", true, 20).size());
+        assertEquals(List.of(new DisabledEndpointStore.Entry("s-1", true, 10)), other.readChanges());
+        other.setDisabled("s-2", true, 30);
+        other.setDisabled("s-1", false, 40);
+        assertEquals(2, one.readChanges().size());
+        assertTrue(one.isDisabled("s-2") && !one.isDisabled("s-1"));
         Files.writeString(file, "{\"bans\":[{\"runner\":7}]}");
-        assertEquals(List.of(), one.news());
-        assertTrue(one.out("s-2"), "what cannot be read brings nobody back");
+        assertEquals(List.of(), one.readChanges());
+        assertTrue(one.isDisabled("s-2"), "what cannot be read brings nobody back");
         DisabledEndpointStore none = new DisabledEndpointStore(dir.resolve("no/where"));
-        assertThrows(IOException.class, () -> none.set("s-1", true, 1));
-        assertFalse(none.out("s-1"));
+        assertThrows(IOException.class, () -> none.setDisabled("s-1", true, 1));
+        assertFalse(none.isDisabled("s-1"));
     }
 
     @Test
-    void onlyAnEndIsFinal() {
+    void onlyAShutdownIsFinal() {
         ServiceState state = new ServiceState();
         assertFalse(state.drain(0), "it takes nobody yet");
-        state.serve();
-        assertTrue(state.drain(0) && state.drain(500) && state.closing() && !state.takesClients());
-        assertFalse(state.closesIdle(ServiceState.IDLE_STAYS - 1));
-        assertTrue(state.closesIdle(ServiceState.IDLE_STAYS));
-        assertTrue(state.resume() && state.takesClients() && !state.closing() && !state.closesIdle(9e9));
+        state.startServing();
+        assertTrue(state.drain(0) && state.drain(500) && state.closesAfterResponse() && !state.isServing());
+        assertFalse(state.closesIdleConnections(ServiceState.IDLE_CLOSE_DELAY_MILLIS - 1));
+        assertTrue(state.closesIdleConnections(ServiceState.IDLE_CLOSE_DELAY_MILLIS));
+        assertTrue(state.resume()
+                && state.isServing()
+                && !state.closesAfterResponse()
+                && !state.closesIdleConnections(9e9));
         state.drain(0);
-        state.end(false);
-        assertFalse(state.resume() || state.drain(0) || state.takesClients() || state.closing());
-        assertFalse(state.healthy());
-        state.end(true);
-        assertTrue(state.healthy() && state.closing() && !state.closesIdle(9e9) && !state.takesClients());
-        state.shut();
-        assertTrue(state.closing() && state.closesIdle(0) && !state.resume());
+        state.beginShutdown(false);
+        assertFalse(state.resume() || state.drain(0) || state.isServing() || state.closesAfterResponse());
+        assertFalse(state.isHealthy());
+        state.beginShutdown(true);
+        assertTrue(state.isHealthy()
+                && state.closesAfterResponse()
+                && !state.closesIdleConnections(9e9)
+                && !state.isServing());
+        state.closeConnections();
+        assertTrue(state.closesAfterResponse() && state.closesIdleConnections(0) && !state.resume());
     }
 }
--- a/src/test/java/nettlewick/net/ClientCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.Test;
 
 /** The end of a client's connection, and what crosses it: pipelined requests, garbage, floods, signals. */
-class ClientCloseTest extends Crossings {
+class ClientConnectionCloseTest extends ConnectionRaceTestBase {
     /** Guards against a request in work that is answered for what stands behind it, and forwarded all the same. */
     @Test
-    void whatIsInWorkIsAnsweredBeforeTheGarbageBehindIt() throws Exception {
+    void answersTheRequestInFlightBeforeRejectingGarbageBehindIt() throws Exception {
         world.addRunner("s-1");
-        List<HttpServerRequest> held = holdJobs();
+        List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
             client.send(job("/api", "a", "mark-submit", ""));
             until(() -> held.size() == 1);
             client.send(GARBAGE);
-            round(port);
+            awaitEventLoop(port);
             finish(held.get(0));
             assertEquals("r-a", client.read().body());
             assertEquals(400, client.read().status());
@@ -37,9 +37,9 @@
 
     /** Guards against requests that were read whole and end with no answer, when more comes than may wait. */
     @Test
-    void eachOfTooManyPipelinedRequestsGetsAnAnswerOfItsOwn() throws Exception {
+    void answersEachOfTooManyPipelinedRequests() throws Exception {
         world.addRunner("s-1");
-        List<HttpServerRequest> held = holdJobs();
+        List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
             client.send(job("/api", "a", "step-view", ""));
@@ -49,7 +49,7 @@
                 more.appendBuffer(job("/api", "more-" + i, "step-view", ""));
             }
             client.send(more);
-            round(port);
+            awaitEventLoop(port);
             finish(held.get(0));
             List<Integer> statuses = new ArrayList<>();
             for (RawClient.Answer answer = client.read(); answer != null; answer = client.read()) {
@@ -62,9 +62,9 @@
 
     /** Guards against a flood behind a request in work that hides its client's departure. */
     @Test
-    void aFloodBehindARequestInWorkDoesNotHideThatItsClientLeaves() throws Exception {
+    void noticesThatAClientLeavesBehindAFloodOfBytes() throws Exception {
         world.addRunner("s-1");
-        List<HttpServerRequest> held = holdJobs();
+        List<HttpServerRequest> held = holdRequests();
         int port = start();
         RawClient client = new RawClient(port);
         client.send(job("/api", "a", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 40"));
@@ -79,7 +79,7 @@
             }
         });
         flood.get();
-        until(() -> !world.node().fronts().get(0).connected());
+        until(() -> !world.node().frontends().get(0).connected());
     }
 
     /**
@@ -87,36 +87,36 @@
      * stands, so that the lingering close has no end of its own.
      */
     @Test
-    void aLastAnswerIsNotCutOffByBytesThatLieUnread() throws Exception {
+    void lastResponseIsNotLostToUnreadBytes() throws Exception {
         world.addRunner("s-1");
-        List<HttpServerRequest> held = holdJobs();
+        List<HttpServerRequest> held = holdRequests();
         double start = System.currentTimeMillis();
         Clock clock = Clock.standing(start);
-        DispatcherServer node = start(clock);
-        int port = node.ports().get(0);
+        DispatcherServer dispatcher = start(clock);
+        int port = dispatcher.ports().get(0);
         try (RawClient client = new RawClient(port)) {
             client.send(job("/api", "a", "mark-submit", "", "Connection: close")
                     .toString()
                     .replace("X-Deadline: 4", "X-Deadline: 0.5"));
             until(() -> held.size() == 1);
-            HeldLoop loop = new HeldLoop(node);
+            BlockedEventLoop loop = new BlockedEventLoop(dispatcher);
             client.send("\r\nbytes that nobody asked for");
             // The core ends the request at its deadline; the answer waits behind the loop's halt, the bytes unread.
             clock.set(start + 600);
             boolean[] ended = new boolean[1];
             while (!ended[0]) {
                 CompletableFuture<Integer> open = new CompletableFuture<>();
-                node.core.withUnansweredCount(open::complete);
+                dispatcher.coordinator.withUnansweredCount(open::complete);
                 ended[0] = open.get() == 0;
             }
             loop.release();
             assertEquals(502, client.read().status());
             assertNull(client.read(), "ended in good order");
             client.send("more");
-            round(port);
+            awaitEventLoop(port);
             client.send("and more: a connection that was closed would be reset by now");
         }
-        StandIns.get(node.close());
+        StandIns.get(dispatcher.close());
     }
 
     /**
@@ -124,19 +124,19 @@
      * never taken, and its client is told so by the reset.
      */
     @Test
-    void aRequestThatCrossesTheEndOfAnIdleConnectionIsNeverTaken() throws Exception {
+    void neverAcceptsARequestThatCrossesTheCloseOfAnIdleConnection() throws Exception {
         world.addRunner("s-1");
         int port = start();
         try (RawClient client = new RawClient(port)) {
             assertNull(client.read(), "a connection that asks nothing is ended");
             client.send(job("/api", "b", "step-view", "1"));
-            round(port);
+            awaitEventLoop(port);
             assertThrows(
                     java.io.IOException.class,
                     () -> {
                         for (int i = 0; i < 100; i++) {
                             client.send("x");
-                            round(port);
+                            awaitEventLoop(port);
                         }
                     },
                     "the client is told that nobody reads it");
@@ -154,18 +154,18 @@
 
     /** Guards against a connection that the kernel has accepted and the end of the listener resets. */
     @Test
-    void whatWaitsInTheKernelsQueueIsAnsweredBeforeTheEnd() throws Exception {
+    void answersConnectionsInTheAcceptQueueBeforeShutdown() throws Exception {
         world.addRunner("s-1");
         int port = start();
-        DispatcherServer node = world.node();
+        DispatcherServer dispatcher = world.node();
         try (RawClient first = new RawClient(port)) {
             assertEquals(200, first.send(HEALTH).read().status());
-            node.gate.bound(1);
+            dispatcher.connectionLimiter.setMaxConnections(1);
             try (RawClient second = new RawClient(port)) {
                 second.send(job("/api", "b", "step-view", "1"));
-                round(first);
-                node.gate.bound(8);
-                CompletableFuture<Void> end = CompletableFuture.runAsync(node::shutDown);
+                awaitEventLoop(first);
+                dispatcher.connectionLimiter.setMaxConnections(8);
+                CompletableFuture<Void> end = CompletableFuture.runAsync(dispatcher::shutDown);
                 assertEquals("r-b", second.read().body());
                 first.close();
                 second.close();
--- a/src/test/java/nettlewick/net/ClientGuardTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionTest.java
@@ -24,15 +24,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What clients may send, byte by byte, against a guard on a channel without a socket. */
-class ClientGuardTest {
+class ClientConnectionTest {
     private static final String GET = "GET /a HTTP/1.1\r\n\r\n";
     private final Clock clock = Clock.standing(1000);
-    private final ClientConnection guard = new ClientConnection(clock, new ClientConnection.Budget(100_000));
+    private final ClientConnection connection =
+            new ClientConnection(clock, new ClientConnection.RequestByteBudget(100_000));
     private final EmbeddedChannel channel = new EmbeddedChannel(
-            new StrictHttpDecoder(new HttpServerOptions(), () -> guard().bytes()), new HttpResponseEncoder(), guard);
+            new StrictHttpDecoder(new HttpServerOptions(), () -> connection().bytesReceived()),
+            new HttpResponseEncoder(),
+            connection);
 
-    private ClientConnection guard() {
-        return guard;
+    private ClientConnection connection() {
+        return connection;
     }
 
     private void send(String text) {
@@ -40,7 +43,7 @@
     }
 
     /** Paths and bodies of the requests that got through. */
-    private List<String> passed() {
+    private List<String> passedRequests() {
         List<String> all = new ArrayList<>();
         for (Object o = channel.readInbound(); o != null; o = channel.readInbound()) {
             all.add(
@@ -83,9 +86,9 @@
                 "X: a\u0001b",
                 "no header"
             })
-    void aHeadThatFramesNoBodyBeyondDoubtIsRefused(String header) {
+    void rejectsAHeadWithAmbiguousFraming(String header) {
         send("POST /a HTTP/1.1\r\n" + header + "\r\n\r\nzGET /hidden HTTP/1.1\r\n\r\n");
-        assertEquals(List.of(), passed());
+        assertEquals(List.of(), passedRequests());
         assertTrue(answers().startsWith("HTTP/1.1 400 "));
     }
 
@@ -98,13 +101,13 @@
 
     /** Guards against a pipelined request that is answered by a close at a planned end. */
     @Test
-    void whatAClientHasSentAlreadyIsAnsweredBeforeTheConnectionEnds() {
+    void answersPipelinedRequestsBeforeClosing() {
         send(GET + "POST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nx");
-        assertEquals(List.of("/a", ""), passed());
+        assertEquals(List.of("/a", ""), passedRequests());
         serveAndClose();
         assertFalse(answers().toLowerCase(java.util.Locale.ROOT).contains("connection"), "not the last one");
         send("y");
-        assertEquals(List.of("/b", "xy"), passed());
+        assertEquals(List.of("/b", "xy"), passedRequests());
         assertTrue(channel.isOpen());
         serveAndClose();
         assertTrue(answers().toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
@@ -113,20 +116,20 @@
 
     /** Guards against a request that is sent on while the answer before it waits to close its connection. */
     @Test
-    void nothingGetsThroughAfterAnAnswerThatCloses() {
+    void passesNothingAfterAResponseThatCloses() {
         send(GET.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n") + GET);
-        assertEquals(2, passed().size(), "head and end of the first");
+        assertEquals(2, passedRequests().size(), "head and end of the first");
         DefaultFullHttpResponse last = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         last.headers().set("Connection", "close");
         channel.write(last);
         channel.runPendingTasks();
-        assertEquals(List.of(), passed());
+        assertEquals(List.of(), passedRequests());
         channel.flush();
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void aLongBodyIsRefusedAtItsHeadAndAnEndlessHeadAtItsBound() {
+    void rejectsALongBodyAtItsHeadAndAnEndlessHeadAtItsLimit() {
         send("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
         assertTrue(answers().startsWith("HTTP/1.1 413 "));
         for (int i = 0; i < 40; i++) {
@@ -136,7 +139,7 @@
         EmbeddedChannel other = new EmbeddedChannel(
                 new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                 new HttpResponseEncoder(),
-                new ClientConnection(clock, new ClientConnection.Budget(1)));
+                new ClientConnection(clock, new ClientConnection.RequestByteBudget(1)));
         other.writeInbound(
                 Unpooled.copiedBuffer("GET /a HTTP/1.1\r\n" + "A: b\r\n".repeat(4000), StandardCharsets.US_ASCII));
         assertTrue(((ByteBuf) other.readOutbound())
@@ -145,26 +148,26 @@
     }
 
     @Test
-    void aChunkedBodyIsCountedAndBadChunksAreRefused() {
+    void limitsChunkedBodiesAndRejectsMalformedChunks() {
         String head = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         send(head + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
-        assertEquals(List.of("/a", "abc"), passed());
+        assertEquals(List.of("/a", "abc"), passedRequests());
         serve();
         answers();
         send(head + "zz\r\n");
-        assertEquals(List.of(), passed());
+        assertEquals(List.of(), passedRequests());
         assertTrue(answers().startsWith("HTTP/1.1 400 "));
     }
 
     /** Guards against a cut inside a line, a length or a character that costs a usual client its job. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5\r\n\r\né✓", "Transfer-Encoding: chunked\r\n\r\n5\r\né✓\r\n0\r\n\r\n"})
-    void aRequestMayBeCutAnywhere(String rest) {
+    void readsARequestSplitAtAnyByte(String rest) {
         byte[] request = ("POST /a HTTP/1.1\r\nX: y\r\n" + rest).getBytes(StandardCharsets.UTF_8);
         for (int cut = 1; cut < request.length; cut++) {
-            ClientConnection one = new ClientConnection(clock, new ClientConnection.Budget(100));
+            ClientConnection one = new ClientConnection(clock, new ClientConnection.RequestByteBudget(100));
             EmbeddedChannel through =
-                    new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), one::bytes), one);
+                    new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), one::bytesReceived), one);
             through.writeInbound(Unpooled.copiedBuffer(request, 0, cut));
             through.writeInbound(Unpooled.copiedBuffer(request, cut, request.length - cut));
             assertEquals("/a", ((HttpRequest) through.readInbound()).uri(), "cut at " + cut);
@@ -174,87 +177,87 @@
     }
 
     @Test
-    void halfARequestFollowedByACloseDispatchesNothing() {
+    void passesNothingOfAnUnfinishedRequest() {
         send("POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc");
         channel.close();
-        assertEquals(List.of(), passed());
+        assertEquals(List.of(), passedRequests());
     }
 
     @Test
-    void requestsAreServedOneByOneAndAFloodNotAtAll() {
+    void servesPipelinedRequestsOneByOneAndRejectsAFlood() {
         send(GET + GET.replace("/a", "/b"));
-        assertEquals(List.of("/a", ""), passed());
+        assertEquals(List.of("/a", ""), passedRequests());
         serve();
-        assertEquals(List.of("/b", ""), passed());
+        assertEquals(List.of("/b", ""), passedRequests());
         serve();
         answers();
         send(GET.repeat(300));
-        assertEquals(List.of(), passed());
+        assertEquals(List.of(), passedRequests());
         assertTrue(answers().startsWith("HTTP/1.1 429 "));
     }
 
     @Test
-    void theClientIsToldToGoOnBeforeItsBodyComes() {
+    void sendsContinueBeforeTheBody() {
         send("POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
         assertEquals("HTTP/1.1 100 Continue\r\n\r\n", answers());
         send("x");
-        assertEquals(List.of("/a", "x"), passed());
+        assertEquals(List.of("/a", "x"), passedRequests());
     }
 
     @Test
-    void aSilentClientIsClosedASlowOneToldAndOneThatIsWorkedForLeftAlone() {
-        clock.set(1000 + ClientConnectionState.READ - 1);
-        guard.sweep(clock.now());
+    void closesSilentClientsRejectsSlowOnesAndSparesThoseInFlight() {
+        clock.set(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS - 1);
+        connection.closeIfOverdue(clock.now());
         assertTrue(channel.isOpen());
         send("GET /a HT");
-        clock.set(1000 + ClientConnectionState.READ);
-        guard.sweep(clock.now());
+        clock.set(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS);
+        connection.closeIfOverdue(clock.now());
         assertTrue(answers().startsWith("HTTP/1.1 408 "));
-        clock.set(clock.now() + ClientConnectionState.LINGER);
-        guard.sweep(clock.now());
+        clock.set(clock.now() + ClientConnectionState.LINGER_MILLIS);
+        connection.closeIfOverdue(clock.now());
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void aRequestBeingWorkedOnHasNoTimeLimitHere() {
+    void requestInFlightHasNoTimeoutHere() {
         send(GET);
         clock.set(1e9);
-        guard.sweep(clock.now());
+        connection.closeIfOverdue(clock.now());
         assertTrue(channel.isOpen());
         assertNull(channel.readOutbound());
     }
 
     /** Guards against a planned end that throws away what a slow reader has not taken yet. */
     @Test
-    void aConnectionIsNotEndedOverAnAnswerThatIsStillOnItsWay() {
+    void doesNotCloseWhileAResponseIsBeingWritten() {
         send(GET);
         channel.write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
-        clock.set(1000 + ClientConnectionState.QUIET + 1);
-        guard.closeIfQuiet(clock.now());
+        clock.set(1000 + ClientConnectionState.QUIET_MILLIS + 1);
+        connection.closeIfQuiet(clock.now());
         assertTrue(channel.isOpen(), "its answer is written and not on the socket yet");
         channel.flush();
-        guard.closeIfQuiet(clock.now());
+        connection.closeIfQuiet(clock.now());
         assertFalse(channel.isOpen());
     }
 
     /** Guards against a request that is taken while the last answer of its connection is being written. */
     @Test
-    void nothingIsTakenOnceTheLastAnswerIsWritten() {
+    void acceptsNothingOnceTheLastResponseIsWritten() {
         send(GET);
-        passed();
+        passedRequests();
         DefaultFullHttpResponse last = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         last.headers().set("Connection", "close");
         channel.write(last);
         send(GET);
-        assertEquals(List.of(), passed());
-        assertEquals(ClientConnectionState.Phase.CLOSING, guard.state().phase());
+        assertEquals(List.of(), passedRequests());
+        assertEquals(ClientConnectionState.Phase.CLOSING, connection.state().phase());
     }
 
     /** Guards against whole requests that end unanswered for what stands behind them, and against their dispatch. */
     @Test
-    void whatWaitsBeforeGarbageIsRefusedInItsOrder() {
+    void rejectsRequestsAheadOfGarbageInOrder() {
         send(GET + GET.replace("/a", "/b") + "no request\r\n\r\n");
-        assertEquals(List.of(), passed());
+        assertEquals(List.of(), passedRequests());
         String got = answers();
         assertEquals(
                 List.of("429", "429", "400"),
@@ -267,8 +270,8 @@
     }
 
     @Test
-    void bodiesOfAllClientsTogetherAreBounded() {
-        ClientConnection.Budget budget = new ClientConnection.Budget(10);
+    void limitsBufferedBytesAcrossAllClients() {
+        ClientConnection.RequestByteBudget budget = new ClientConnection.RequestByteBudget(10);
         List<EmbeddedChannel> clients = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             clients.add(new EmbeddedChannel(
--- a/src/test/java/nettlewick/net/Crossings.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -16,7 +16,7 @@
 
 /** A dispatcher among stand-ins, for tests that force requests, answers, ends and signals to cross, on real sockets. */
 @Timeout(30)
-abstract class Crossings {
+abstract class ConnectionRaceTestBase {
     static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     static final String GARBAGE = "no request at all\r\n\r\n";
     StandIns world;
@@ -35,7 +35,7 @@
 
     /** Sets one of the settings' limits; connections come up as late as a test wants, probes stay out of the way. */
     @SuppressWarnings("unchecked")
-    void limit(String name, Object value) {
+    void setCeiling(String name, Object value) {
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         Map<String, Object> limits = new HashMap<>((Map<String, Object>) settings.get("ceilings"));
         limits.put(name, value);
@@ -43,22 +43,22 @@
     }
 
     int start() throws Exception {
-        DispatcherServer node = world.start(config);
-        int port = node.ports().get(0);
-        until(() -> healthy(port));
+        DispatcherServer dispatcher = world.start(config);
+        int port = dispatcher.ports().get(0);
+        until(() -> isHealthy(port));
         return port;
     }
 
     /** Starts a dispatcher whose time is the test's; the test closes it. */
     DispatcherServer start(Clock clock) throws Exception {
-        DispatcherServer node = new DispatcherServer(
+        DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.of(new Gson().toJson(config), Map.of()), clock, PlatformFrontend::new);
-        StandIns.get(node.start());
-        until(() -> healthy(node.ports().get(0)));
-        return node;
+        StandIns.get(dispatcher.start());
+        until(() -> isHealthy(dispatcher.ports().get(0)));
+        return dispatcher;
     }
 
-    static boolean healthy(int port) {
+    static boolean isHealthy(int port) {
         try (RawClient client = new RawClient(port)) {
             return client.send(HEALTH).read().status() == 200;
         } catch (java.io.IOException e) {
@@ -67,7 +67,7 @@
     }
 
     /** The event loop has been round: whatever was in its sockets before this call has been handled. */
-    static void round(int port) throws Exception {
+    static void awaitEventLoop(int port) throws Exception {
         try (RawClient client = new RawClient(port)) {
             for (int i = 0; i < 3; i++) {
                 client.send(HEALTH).read();
@@ -75,14 +75,14 @@
         }
     }
 
-    static void round(RawClient client) throws Exception {
+    static void awaitEventLoop(RawClient client) throws Exception {
         for (int i = 0; i < 3; i++) {
             client.send(HEALTH).read();
         }
     }
 
     /** A runner that holds each job until the test lets it go. */
-    List<HttpServerRequest> holdJobs() {
+    List<HttpServerRequest> holdRequests() {
         List<HttpServerRequest> held = new java.util.concurrent.CopyOnWriteArrayList<>();
         world.instead = held::add;
         return held;
@@ -104,12 +104,12 @@
     }
 
     /** The event loop of a dispatcher, made to stand still. */
-    static final class HeldLoop {
+    static final class BlockedEventLoop {
         private final CountDownLatch release = new CountDownLatch(1);
 
-        HeldLoop(DispatcherServer node) throws InterruptedException {
+        BlockedEventLoop(DispatcherServer dispatcher) throws InterruptedException {
             CountDownLatch stands = new CountDownLatch(1);
-            node.loop.runOnContext(v -> {
+            dispatcher.eventLoop.runOnContext(v -> {
                 stands.countDown();
                 await(release);
             });
--- a/src/test/java/nettlewick/net/ConnectionModelTest.java
+++ b/src/test/java/nettlewick/net/ConnectionStateModelTest.java
@@ -13,28 +13,28 @@
 import org.junit.jupiter.api.Test;
 
 /** Random steps against the states of a call and of the idle connections, each beside a plain model. */
-class ConnectionModelTest {
+class ConnectionStateModelTest {
     private static final String SEED = "20261201";
 
     /** The model: how far a call came, and whether it has had its one end. */
     @Property(seed = SEED, tries = 500)
-    void aCallEndsOnceAndKnowsWhetherItMayHaveRun(@ForAll @Size(max = 12) List<@IntRange(max = 4) Integer> steps) {
+    void attemptEndsOnceAndKnowsWhetherItMayHaveRun(@ForAll @Size(max = 12) List<@IntRange(max = 4) Integer> steps) {
         AttemptState call = new AttemptState();
         int came = 0;
         boolean over = false;
         for (int step : steps) {
             switch (step) {
                 case 0 -> {
-                    assertEquals(!over && came == 0, call.write());
+                    assertEquals(!over && came == 0, call.beginWriting());
                     came = over || came > 0 ? came : 1;
                 }
                 case 1 -> {
-                    call.written();
+                    call.lastByteWritten();
                     came = !over && came == 1 ? 2 : came;
                 }
                 case 2 -> {
                     AttemptResult wanted = over ? null : came == 2 ? AttemptResult.BROKEN : AttemptResult.UNREACHABLE;
-                    assertEquals(wanted, call.broke());
+                    assertEquals(wanted, call.connectionLost());
                     over = true;
                 }
                 default -> {
@@ -44,27 +44,27 @@
                 }
             }
             assertEquals(over, call.phase() == AttemptState.Phase.OVER);
-            assertEquals(over, call.end() != null);
+            assertEquals(over, call.result() != null);
         }
     }
 
     /** Guards against jobs on kept connections that break, and against mistrust that never ends. */
     @Property(seed = SEED, tries = 200)
-    void keptConnectionsAreLeftAloneWhileTheyBreakAndUsedAgainOnceTheyHold(@ForAll @Size(max = 30) List<Boolean> uses) {
+    void reuseStopsWhileIdleConnectionsBreakAndResumesOnceTheyHold(@ForAll @Size(max = 30) List<Boolean> uses) {
         ConnectionReusePolicy gauge = new ConnectionReusePolicy();
-        assertEquals(true, gauge.trusts());
-        uses.forEach(gauge::used);
-        gauge.used(true);
-        assertEquals(false, gauge.trusts());
+        assertEquals(true, gauge.allowsReuse());
+        uses.forEach(gauge::recordUse);
+        gauge.recordUse(true);
+        assertEquals(false, gauge.allowsReuse());
         for (int i = 0; i < 40; i++) {
-            gauge.used(false);
+            gauge.recordUse(false);
         }
-        assertEquals(true, gauge.trusts());
+        assertEquals(true, gauge.allowsReuse());
     }
 
     /** The model: a list of links with the time each was put back. */
     @Property(seed = SEED, tries = 500)
-    void theNewestIdleLinkIsTakenAndNoOldOne(@ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps) {
+    void takesTheNewestIdleConnectionAndNoExpiredOne(@ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps) {
         List<Integer> closed = new ArrayList<>();
         IdleConnections<Integer> pool = new IdleConnections<>(() -> 10, closed::add);
         List<int[]> model = new ArrayList<>();
@@ -98,7 +98,7 @@
 
     /** Guards against a late second answer on a connection that is used again too soon. */
     @Test
-    void theNewestLinkThatHasRestedIsTaken() {
+    void takesTheNewestConnectionThatIdledLongEnough() {
         IdleConnections<Integer> pool = new IdleConnections<>(() -> 1000, link -> {});
         pool.put(1, 0);
         pool.put(2, 30);
@@ -111,7 +111,7 @@
 
     /** The model: the phase as a letter, when it began, and what was served. */
     @Property(seed = SEED, tries = 2000)
-    void aClientsConnectionEndsInTimeAndNeverWhileItIsWorkedFor(
+    void clientConnectionEndsInTimeAndNeverWithARequestInFlight(
             @ForAll @Size(max = 30) List<@IntRange(max = 7) Integer> steps) {
         ClientConnectionState state = new ClientConnectionState(0);
         char phase = 'W';
@@ -122,16 +122,16 @@
         for (int step : steps) {
             switch (step) {
                 case 0 -> {
-                    state.bytes(now);
+                    state.bytesReceived(now);
                     since = phase != 'W' ? since : answers == 0 ? 0 : now;
                     phase = phase == 'W' ? 'R' : phase;
                 }
                 case 1 -> {
-                    assertEquals(phase == 'R', state.begin());
+                    assertEquals(phase == 'R', state.beginRequest());
                     phase = phase == 'R' ? 'A' : phase;
                 }
                 case 2 -> {
-                    state.answered(now, steps.size() % 2 == 0);
+                    state.responseWritten(now, steps.size() % 2 == 0);
                     if (phase == 'A') {
                         phase = 'W';
                         since = now;
@@ -141,13 +141,13 @@
                 }
                 case 3 -> {
                     boolean first = "WRA".indexOf(phase) >= 0;
-                    assertEquals(first, state.close(now));
+                    assertEquals(first, state.beginClosing(now));
                     since = first ? now : since;
                     phase = first ? 'C' : phase;
                 }
                 case 4 -> {
                     boolean first = phase == 'C';
-                    assertEquals(first, state.linger(now));
+                    assertEquals(first, state.beginLingering(now));
                     since = first ? now : since;
                     phase = first ? 'L' : phase;
                 }
@@ -165,12 +165,12 @@
                 case 'L' -> 1000;
                 default -> Double.MAX_VALUE;
             };
-            assertEquals(age >= most, state.late(now, false), phase + " since " + age);
+            assertEquals(age >= most, state.isOverdue(now, false), phase + " since " + age);
             assertEquals("WRA".indexOf(phase) >= 0, state.takesRequests());
-            assertEquals(phase == 'W', state.idle());
-            assertEquals(phase == 'W' && age >= 200, state.quiet(now));
-            assertEquals(phase == 'L' && age >= 200, state.lingered(now));
-            assertEquals(served, state.merit());
+            assertEquals(phase == 'W', state.isIdle());
+            assertEquals(phase == 'W' && age >= 200, state.isQuiet(now));
+            assertEquals(phase == 'L' && age >= 200, state.hasLingered(now));
+            assertEquals(served, state.resultsServed());
         }
     }
 }
--- a/src/test/java/nettlewick/net/NodeTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -31,7 +31,7 @@
 
 /** A whole dispatcher on loopback, between stand-ins. */
 @Timeout(30)
-class NodeTest {
+class DispatcherServerTest {
     private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     private StandIns world;
 
@@ -46,7 +46,7 @@
     }
 
     /** Starts a dispatcher with these runners and waits until it is healthy. */
-    private int port(String... endpoints) throws Exception {
+    private int startHealthy(String... endpoints) throws Exception {
         for (String endpoint : endpoints) {
             world.addRunner(endpoint);
         }
@@ -82,8 +82,8 @@
     }
 
     @Test
-    void whatGoesOnUnchangedStaysTheBytesThatCame() throws Exception {
-        int port = port("s-1");
+    void forwardsUnchangedPartsByteForByte() throws Exception {
+        int port = startHealthy("s-1");
         String uri = "/api/x%2Fy?a=1&&b=%7e+";
         String answer = send(port, job(uri, "00Ab", "save-run", "{\"x\": 1}", "Idempotency-Key: K-1"));
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
@@ -92,8 +92,8 @@
     }
 
     @Test
-    void badInputIsAnsweredAndReachesNoRunner() throws Exception {
-        int port = port("s-1");
+    void rejectsInvalidRequestsBeforeAnyEndpoint() throws Exception {
+        int port = startHealthy("s-1");
         List<String> answers = new ArrayList<>();
         String big = "x".repeat(64 * 1024 + 1);
         for (Buffer bad : List.of(
@@ -115,7 +115,7 @@
 
     /** Guards against a crowd that asks once, or nothing, and stays: it must not drive out those who work. */
     @Test
-    void aCrowdMakesWayAndDoesNotUseUpTheSockets() throws Exception {
+    void idleClientsAreEvictedBeforeSocketsRunOut() throws Exception {
         world.addRunner("s-1");
         Map<String, Object> config = world.config();
         config.put("limits", Map.of("sockets", 90));
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void healthIsRefusedUntilAListIsHeld() throws Exception {
+    void healthCheckFailsUntilAListIsReceived() throws Exception {
         Map<String, Object> config = world.config();
         config.put("discovery", "127.0.0.1:1");
         int port = world.start(config).ports().get(0);
@@ -150,8 +150,8 @@
     }
 
     @Test
-    void aMarkSubmitThatMayHaveRunIsNotSentAgainAndAStepViewIs() throws Exception {
-        int port = port("s-1", "s-2", "s-3");
+    void retriesOnlyWhatIsIdempotentOnceItMayHaveRun() throws Exception {
+        int port = startHealthy("s-1", "s-2", "s-3");
         world.instead = request -> request.connection().close();
         assertTrue(send(port, job("/api", "m", "mark-submit", "")).contains(" 502 "));
         assertEquals(1, world.seen.stream().filter(s -> s.contains(" m ")).count());
@@ -164,9 +164,9 @@
      * that a mark-submit is not given up for a connection that was dead before it was used.
      */
     @Test
-    void whileKeptConnectionsBreakJobsGoOutOnNewOnes() throws Exception {
+    void usesNewConnectionsWhileIdleOnesBreak() throws Exception {
         world.resetKept = true;
-        int port = port("s-1", "s-2");
+        int port = startHealthy("s-1", "s-2");
         until(() -> world.resets.get() > 3);
         for (int i = 0; i < 20; i++) {
             assertTrue(send(port, job("/api", "m" + i, "mark-submit", "{}")).endsWith("r-m" + i));
@@ -174,8 +174,8 @@
     }
 
     @Test
-    void aMarkSubmitThatNeverRanGoesToAnotherRunner() throws Exception {
-        int port = port("s-1", "s-2", "s-3");
+    void requestThatNeverRanIsRetriedElsewhere() throws Exception {
+        int port = startHealthy("s-1", "s-2", "s-3");
         world.instead = request -> {
             world.instead = null;
             request.response().setStatusCode(503).putHeader("X-Not-Run", "1").end();
@@ -185,8 +185,8 @@
     }
 
     @Test
-    void aRunnerThatDrainsGetsNothingNewAndABrokenWatchIsResumed() throws Exception {
-        int port = port("s-1");
+    void drainingEndpointGetsNothingNewAndABrokenWatchResumes() throws Exception {
+        int port = startHealthy("s-1");
         world.breakWatches();
         until(() -> world.watches.size() == 2);
         assertTrue(world.watches.get(1).endsWith("after=2"), world.watches.toString());
@@ -203,8 +203,8 @@
     }
 
     @Test
-    void aWholeListReplacesTheOneHeld() throws Exception {
-        int port = port("s-1", "s-2");
+    void completeListReplacesTheKnownOne() throws Exception {
+        int port = startHealthy("s-1", "s-2");
         world.forget("s-1");
         world.breakWatches();
         until(() -> world.watches.size() == 2);
@@ -226,7 +226,7 @@
 
     /** A machine that vanished: connections to it never come up, and what waits for one never ran. */
     @Test
-    void aMarkSubmitWhoseConnectionNeverComesUpGoesElsewhere() throws Exception {
+    void requestWhoseConnectionTimesOutIsRetriedElsewhere() throws Exception {
         List<Socket> fill = new ArrayList<>();
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             // The queue of a listener that accepts nothing is full after two: further ones get no answer.
@@ -234,7 +234,7 @@
                 fill.add(new Socket("127.0.0.1", silent.getLocalPort()));
             }
             world.addRunner("s-0", silent.getLocalPort());
-            int port = port("s-1");
+            int port = startHealthy("s-1");
             for (int i = 0; i < 12; i++) {
                 double before = System.nanoTime();
                 assertTrue(send(port, job("/api", "m" + i, "mark-submit", "")).contains("r-m" + i));
@@ -249,18 +249,18 @@
     }
 
     @Test
-    void aPlannedEndAnswersAllThatWasTaken() throws Exception {
+    void gracefulShutdownAnswersAllAcceptedRequests() throws Exception {
         world.addRunner("s-1");
         world.runTime = 1200;
-        DispatcherServer node = world.start();
-        int port = node.ports().get(0);
+        DispatcherServer dispatcher = world.start();
+        int port = dispatcher.ports().get(0);
         until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
         CompletableFuture<String> taken =
                 CompletableFuture.supplyAsync(() -> send(port, job("/api", "t", "mark-submit", "")));
         until(() -> world.seen.size() == 1);
         try (Socket idle = new Socket("127.0.0.1", port);
                 Socket kept = new Socket("127.0.0.1", port)) {
-            CompletableFuture<Void> end = CompletableFuture.runAsync(node::shutDown);
+            CompletableFuture<Void> end = CompletableFuture.runAsync(dispatcher::shutDown);
             until(() -> send(port, HEALTH).contains(" 503 "));
             String late = send(port, job("/api", "late", "step-view", ""));
             assertTrue(late.endsWith("r-late"), "still accepting: " + late);
@@ -280,21 +280,21 @@
 
     /** Guards against going on with the old address, its numbers, or without a list while the new is silent. */
     @Test
-    void aNewDiscoveryIsAskedForItsWholeListAndTheHeldOneServesMeanwhile() throws Exception {
-        int port = port("s-1");
-        DispatcherServer node = world.node();
+    void servesFromTheKnownListWhileDiscoveryMoves() throws Exception {
+        int port = startHealthy("s-1");
+        DispatcherServer dispatcher = world.node();
         Map<String, Object> config = world.config();
         String file = new Gson().toJson(config);
         try (StandIns other = new StandIns()) {
             config.put("discovery", "127.0.0.1:1");
             config.put("name", "n9");
             PlatformConfig moved = PlatformConfig.of(new Gson().toJson(config), Map.of());
-            assertEquals(List.of("name"), PlatformConfig.of(file, Map.of()).needRestart(moved));
-            node.reload(moved);
-            until(() -> node.discovery().port() == 1);
+            assertEquals(List.of("name"), PlatformConfig.of(file, Map.of()).restartOnlyChanges(moved));
+            dispatcher.reload(moved);
+            until(() -> dispatcher.discovery().port() == 1);
             assertTrue(send(port, job("/api", "a", "step-view", "")).endsWith("r-a"), "served from what is held");
             other.addRunner("s-2");
-            node.reload(PlatformConfig.of(new Gson().toJson(other.config()), Map.of()));
+            dispatcher.reload(PlatformConfig.of(new Gson().toJson(other.config()), Map.of()));
             until(() -> other.watches.size() == 1);
             assertEquals("/catalog/members?watch=1", other.watches.get(0));
             until(() -> send(port, job("/api", "b" + System.nanoTime(), "step-view", ""))
@@ -304,7 +304,7 @@
     }
 
     @Test
-    void theFileCountsOverTheEnvironmentOnceItIsReadAgain(@TempDir Path dir) throws Exception {
+    void reloadedFileOverridesTheEnvironment(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("c"), new Gson().toJson(world.config()));
         Map<String, String> environment = Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_DISCOVERY", "127.0.0.9:9");
         assertEquals(9, PlatformConfig.load(environment).discovery().port());
@@ -314,15 +314,15 @@
     }
 
     @Test
-    void descriptorsAreSharedOutBelowTheirLimit() {
+    void descriptorsAreDividedBelowTheirLimit() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            int left = sockets - sockets / 3 - EndpointConnectionPools.mostOpen(sockets);
+            int left = sockets - sockets / 3 - EndpointConnectionPools.maxOpenConnections(sockets);
             assertTrue(left >= 64 && left < 70, sockets + " leave " + left);
         }
     }
 
     @Test
-    void oneBadEntryDoesNotCostTheOthers() throws Exception {
+    void oneInvalidEntryDoesNotAffectTheOthers() throws Exception {
         world.addRunner("s-1");
         world.tell("s-0", "Odd");
         int port = world.start().ports().get(0);
@@ -331,7 +331,7 @@
     }
 
     @Test
-    void badConfigurationIsOneLineThatNamesFieldAndValue() throws Exception {
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
         Map<String, Object> config = world.config();
         config.put("listen", "localhost:80\n80");
         String line = assertThrows(
--- a/src/test/java/nettlewick/net/PiecesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -29,7 +29,7 @@
 
 /** Messages that come in two pieces, cut at every byte there is: inside a line, a length, a character. */
 @Timeout(60)
-class PiecesTest {
+class FragmentedMessagesTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private final Vertx vertx = Vertx.vertx();
 
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aRunnersAnswerMayBeCutAnywhere() throws Exception {
+    void readsAnEndpointResponseSplitAtAnyByte() throws Exception {
         Buffer answer = Buffer.buffer(OK)
                 .appendBuffer(chunk("{\"state\":\"started\"}"))
                 .appendBuffer(chunk("{\"state\":\"done\",\"result\":\"é✓\"}"))
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void discoverysListMayBeCutAnywhere() throws Exception {
+    void readsADiscoveryListSplitAtAnyByte() throws Exception {
         String list = "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s-é✓\",\"dial\":\"127.0.0.1:1\","
                 + "\"health\":\"Ready\"}]}";
         Buffer answer = Buffer.buffer(OK).appendBuffer(chunk(list)).appendBuffer(chunk(""));
@@ -111,7 +111,7 @@
                     at,
                     Clock.standing(0),
                     new WatchStalenessTimer(new PollBackoff(false, 1, 0, new java.util.SplittableRandom(1)), 0),
-                    news -> told.add(news.hosts().get(0).entry().id()));
+                    news -> told.add(news.endpoints().get(0).entry().id()));
             watch.start(null);
             int wanted = i;
             until(() -> told.size() >= wanted);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void anOperatorsCallMayBeCutAnywhere() throws Exception {
+    void readsAnAdminCallSplitAtAnyByte() throws Exception {
         List<String> calls = new CopyOnWriteArrayList<>();
         AdminFrontend front = new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
             @Override
--- a/src/test/java/nettlewick/net/SuccessionTest.java
+++ b/src/test/java/nettlewick/net/HotRestartTest.java
@@ -24,28 +24,30 @@
 
 /** Two processes of one dispatcher, as while a new version takes over. */
 @Timeout(30)
-class SuccessionTest {
+class HotRestartTest {
     @Test
-    void theLivingAreToldFromTheDead(@TempDir Path dir) throws Exception {
+    void distinguishesLiveProcessesFromDeadOnes(@TempDir Path dir) throws Exception {
         Path dead = Files.writeString(dir.resolve("n0_80-0000000000005-7.alive"), "takes clients\n");
         Files.writeString(dir.resolve("n1_80-0000000000005-7.alive"), "");
         try (HotRestart old = new HotRestart(dir, "n0:80", 10)) {
-            assertFalse(old.shared() || old.successor());
+            assertFalse(old.hasOtherProcess() || old.hasServingSuccessor());
             assertFalse(Files.exists(dead));
-            HotRestart heir = new HotRestart(dir, "n0:80", 11);
-            assertTrue(old.shared() && heir.shared());
-            old.takesClients();
-            assertFalse(old.successor() || heir.successor());
-            assertEquals(11, old.heir());
-            assertTrue(Double.isNaN(heir.heir()) && heir.awaited() && !old.awaited());
-            old.spared();
-            assertFalse(heir.awaited(), "nothing is left to save");
-            heir.takesClients();
-            assertTrue(Double.isNaN(old.heir()));
-            assertTrue(old.successor());
-            assertFalse(heir.successor());
-            heir.close();
-            assertFalse(old.shared());
+            HotRestart successor = new HotRestart(dir, "n0:80", 11);
+            assertTrue(old.hasOtherProcess() && successor.hasOtherProcess());
+            old.markServing();
+            assertFalse(old.hasServingSuccessor() || successor.hasServingSuccessor());
+            assertEquals(11, old.successorStartedAt());
+            assertTrue(Double.isNaN(successor.successorStartedAt())
+                    && successor.isPredecessorBusy()
+                    && !old.isPredecessorBusy());
+            old.markIdle();
+            assertFalse(successor.isPredecessorBusy(), "nothing is left to save");
+            successor.markServing();
+            assertTrue(Double.isNaN(old.successorStartedAt()));
+            assertTrue(old.hasServingSuccessor());
+            assertFalse(successor.hasServingSuccessor());
+            successor.close();
+            assertFalse(old.hasOtherProcess());
         }
         assertTrue(Files.exists(dir.resolve("n1_80-0000000000005-7.alive")));
     }
@@ -72,7 +74,7 @@
     }
 
     @Test
-    void aSuccessorTakesOverAndNoJobIsTurnedBack(@TempDir Path dir) throws Exception {
+    void successorTakesOverWithoutRejectingARequest(@TempDir Path dir) throws Exception {
         try (StandIns world = new StandIns()) {
             world.addRunner("s-1");
             world.runTime = 2;
@@ -85,14 +87,14 @@
             DispatcherServer old =
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 1), PlatformFrontend::new);
             get(old.start());
-            until(old::holdsList);
+            until(old::hasEndpointList);
             Socket kept = new Socket("127.0.0.1", port);
             assertTrue(ask(kept, "before").contains("200"));
-            DispatcherServer heir =
+            DispatcherServer successor =
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 2), PlatformFrontend::new);
-            get(heir.start());
+            get(successor.start());
             CompletableFuture<Void> end = CompletableFuture.runAsync(old::shutDown);
-            until(() -> old.state().leaving());
+            until(() -> old.serviceState().leaving());
             int jobs = 0;
             // The kept connection is served by the old process for as long as it lives, and then closed.
             String last = ask(kept, "kept");
@@ -103,7 +105,7 @@
                     assertTrue(ask(fresh, "j" + jobs++).startsWith("HTTP/1.1 200"));
                 }
             }
-            until(heir::hearsPeers);
+            until(successor::isPeerSocketBound);
             get(old.close());
             try (Socket socket = new Socket("127.0.0.1", port)) {
                 socket.getOutputStream()
@@ -112,7 +114,7 @@
                 assertTrue(new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                         .startsWith("HTTP/1.1 200"));
             }
-            get(heir.close());
+            get(successor.close());
         }
     }
 }
--- a/src/test/java/nettlewick/net/CrowdTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -20,10 +20,10 @@
 
 /** Idle clients that fill what descriptors clients may have, while discovery is down. */
 @Timeout(60)
-class CrowdTest {
+class IdleClientFloodTest {
     private static final int SOCKETS = 160;
-    private static final int CROWD = 120;
-    private final List<RawClient> crowd = new ArrayList<>();
+    private static final int IDLE_CLIENTS = 120;
+    private final List<RawClient> idleClients = new ArrayList<>();
     private StandIns world;
     private Map<String, Object> config;
 
@@ -37,19 +37,19 @@
 
     @AfterEach
     void close() throws IOException {
-        for (RawClient client : crowd) {
+        for (RawClient client : idleClients) {
             client.close();
         }
         world.close();
     }
 
-    private void fill(int port) throws IOException {
-        for (int i = 0; i < CROWD; i++) {
-            crowd.add(new RawClient(port));
+    private void connectIdleClients(int port) throws IOException {
+        for (int i = 0; i < IDLE_CLIENTS; i++) {
+            idleClients.add(new RawClient(port));
         }
     }
 
-    private static boolean served(int port, String id) {
+    private static boolean isServed(int port, String id) {
         try (RawClient client = new RawClient(port)) {
             RawClient.Answer answer =
                     client.send(job("/api", id, "step-view", "5")).read();
@@ -61,34 +61,34 @@
 
     /** Guards against descriptors that idle clients take from runners and from discovery. */
     @Test
-    void discoveryAndRunnersAreReachedThroughACrowd() throws Exception {
-        DispatcherServer node = world.start(config);
-        int port = node.ports().get(0);
-        until(() -> served(port, "first" + System.nanoTime()));
+    void reachesDiscoveryAndEndpointsDespiteIdleClients() throws Exception {
+        DispatcherServer dispatcher = world.start(config);
+        int port = dispatcher.ports().get(0);
+        until(() -> isServed(port, "first" + System.nanoTime()));
         world.discoveryInstead = request -> request.connection().close();
         world.breakWatches();
-        fill(port);
-        until(() -> served(port, "crowded" + System.nanoTime()));
+        connectIdleClients(port);
+        until(() -> isServed(port, "crowded" + System.nanoTime()));
         // Discovery is back, and tells of another runner: it is asked and the runner is reached, the crowd still there.
         world.addRunner("s-2");
         world.tell("s-1", "Terminating");
         world.discoveryInstead = null;
-        until(() ->
-                served(port, "back" + System.nanoTime()) && world.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
-        assertTrue(node.holdsList());
+        until(() -> isServed(port, "back" + System.nanoTime())
+                && world.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
+        assertTrue(dispatcher.hasEndpointList());
     }
 
     /** Guards against a restart that waits for a discovery that says nothing: the list it was given serves. */
     @Test
-    void aRestartedDispatcherIsReadyThoughDiscoveryIsSilent() throws Exception {
+    void restartedDispatcherIsReadyWithoutDiscovery() throws Exception {
         ConcurrentLinkedQueue<HttpServerRequest> silent = new ConcurrentLinkedQueue<>();
         world.discoveryInstead = silent::add;
         config.put("known", world.known());
-        DispatcherServer node = new DispatcherServer(
+        DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.of(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFrontend::new);
-        StandIns.get(node.start());
-        int port = node.ports().get(0);
-        fill(port);
+        StandIns.get(dispatcher.start());
+        int port = dispatcher.ports().get(0);
+        connectIdleClients(port);
         try (RawClient client = new RawClient(port)) {
             assertEquals(
                     200,
@@ -96,7 +96,7 @@
                             .read()
                             .status());
         }
-        assertTrue(served(port, "known"));
-        StandIns.get(node.close());
+        assertTrue(isServed(port, "known"));
+        StandIns.get(dispatcher.close());
     }
 }
--- a/src/test/java/nettlewick/net/LateConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -12,23 +12,23 @@
 import org.junit.jupiter.api.Test;
 
 /** What has changed by the time a connection to a runner is up: client, runner, window. */
-class LateConnectionTest extends Crossings {
+class LateEndpointConnectionTest extends ConnectionRaceTestBase {
     /** Guards against an attempt that begins when a connection comes up after its client has gone. */
     @Test
-    void nothingIsSentOnAConnectionThatComesUpAfterTheClientHasGone() throws Exception {
-        limit("probes", false);
-        limit("connect_timeout", 10_000_000_000L);
-        try (RawEndpoint endpoint = new RawEndpoint().shut()) {
+    void sendsNothingOnceTheClientHasLeft() throws Exception {
+        setCeiling("probes", false);
+        setCeiling("connect_timeout", 10_000_000_000L);
+        try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
             world.addRunner("s-1", endpoint.port());
             int port = start();
             RawClient gone = new RawClient(port);
             gone.send(job("/api", "gone", "mark-submit", ""));
-            until(() -> world.node().subchannels.opening() == 1);
+            until(() -> world.node().endpointPools.pendingConnects() == 1);
             gone.close();
-            until(() -> !world.node().fronts().get(0).connected());
+            until(() -> !world.node().frontends().get(0).connected());
             endpoint.open();
             until(() -> endpoint.accepted.size() == 1);
-            round(port);
+            awaitEventLoop(port);
             try (RawClient stays = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
@@ -41,22 +41,22 @@
 
     /** Guards against a departure that waits unread in the client's socket while its request is sent on. */
     @Test
-    void anEndThatCameWithTheRequestIsSeenBeforeItIsSentOn() throws Exception {
-        limit("probes", false);
-        limit("connect_timeout", 10_000_000_000L);
-        try (RawEndpoint endpoint = new RawEndpoint().shut()) {
+    void noticesAnUnreadCloseBeforeForwarding() throws Exception {
+        setCeiling("probes", false);
+        setCeiling("connect_timeout", 10_000_000_000L);
+        try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
             world.addRunner("s-1", endpoint.port());
             int port = start();
             RawClient gone = new RawClient(port);
             gone.send(job("/api", "gone", "mark-submit", ""));
-            until(() -> world.node().subchannels.opening() == 1);
-            HeldLoop loop = new HeldLoop(world.node());
+            until(() -> world.node().endpointPools.pendingConnects() == 1);
+            BlockedEventLoop loop = new BlockedEventLoop(world.node());
             // While the loop stands still, the connection to the runner comes up and the client leaves after it.
             endpoint.open();
             until(() -> endpoint.accepted.size() == 1);
             gone.close();
             loop.release();
-            round(port);
+            awaitEventLoop(port);
             try (RawClient stays = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
@@ -68,22 +68,22 @@
 
     /** Guards against a job sent to a runner that was told to drain, or started anew, while its connection came up. */
     @Test
-    void nothingIsSentOnAConnectionThatComesUpAfterTheRunnerChanged() throws Exception {
-        limit("probes", false);
-        limit("connect_timeout", 10_000_000_000L);
+    void sendsNothingOnceTheEndpointHasChanged() throws Exception {
+        setCeiling("probes", false);
+        setCeiling("connect_timeout", 10_000_000_000L);
         for (boolean drains : new boolean[] {true, false}) {
-            try (RawEndpoint endpoint = new RawEndpoint().shut();
+            try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue();
                     StandIns one = new StandIns()) {
                 Map<String, Object> mine = one.config();
                 mine.put("settings", config.get("settings"));
                 one.addRunner("s-1", endpoint.port());
                 int port = one.start(mine).ports().get(0);
-                until(() -> healthy(port));
+                until(() -> isHealthy(port));
                 try (RawClient client = new RawClient(port)) {
                     client.send(job("/api", "a", "mark-submit", ""));
-                    until(() -> one.node().subchannels.opening() == 1);
+                    until(() -> one.node().endpointPools.pendingConnects() == 1);
                     one.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
-                    until(() -> one.node().subchannels.changes("s-1") == 2);
+                    until(() -> one.node().endpointPools.updatesOf("s-1") == 2);
                     endpoint.open();
                     assertEquals(503, client.read().status());
                     assertEquals(List.of(), endpoint.ids());
@@ -95,9 +95,9 @@
     /** Guards against a keyed job that is repeated after its window, since the connection came up late. */
     @Test
     @SuppressWarnings("unchecked")
-    void aKeyedJobIsNotRepeatedOnAConnectionThatComesUpAfterItsWindow() throws Exception {
-        limit("probes", false);
-        limit("connect_timeout", 10_000_000_000L);
+    void doesNotRetryAfterTheDedupWindow() throws Exception {
+        setCeiling("probes", false);
+        setCeiling("connect_timeout", 10_000_000_000L);
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         List<Map<String, Object>> classes = new ArrayList<>();
         for (Object one : (List<?>) settings.get("classes")) {
@@ -107,7 +107,7 @@
         }
         settings.put("classes", classes);
         try (RawEndpoint first = new RawEndpoint().open();
-                RawEndpoint second = new RawEndpoint().shut()) {
+                RawEndpoint second = new RawEndpoint().fillAcceptQueue()) {
             world.addRunner("s-1", first.port());
             int port = start();
             CountDownLatch listed = new CountDownLatch(1);
@@ -122,9 +122,9 @@
                         .replace("X-Deadline: 4", "X-Deadline: 12"));
                 until(() -> first.seen.size() == 1);
                 world.addRunner("s-2", second.port());
-                until(() -> world.node().subchannels.changes("s-2") == 1);
+                until(() -> world.node().endpointPools.updatesOf("s-2") == 1);
                 listed.countDown();
-                until(() -> world.node().subchannels.opening() == 1);
+                until(() -> world.node().endpointPools.pendingConnects() == 1);
                 until(() -> System.nanoTime() - sent > 1_600_000_000L);
                 second.open();
                 assertEquals(502, client.read().status(), "it may have run, and cannot be repeated any more");
--- a/src/test/java/nettlewick/net/SpoiltAnswersTest.java
+++ b/src/test/java/nettlewick/net/MalformedResponseTest.java
@@ -19,18 +19,18 @@
 
 /** What a runner may send in place of a whole answer: each request gets one final answer in time, and runs once. */
 @Timeout(30)
-class SpoiltAnswersTest {
+class MalformedResponseTest {
     private static final double DEADLINE = 1.0;
     /** The final answer may come this much after the deadline on a busy machine; the platform allows half a second. */
     private static final double SLACK = 0.5;
 
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private StandIns world;
-    private RawEndpoint runner;
+    private RawEndpoint endpoint;
     private int port;
 
     /** How an answer may be spoilt, and whether the job's result was whole before that. */
-    private enum Spoilt {
+    private enum MalformedResponse {
         NOTHING(false) {
             @Override
             void write(Socket to, String id) {
@@ -116,7 +116,7 @@
 
         final boolean served;
 
-        Spoilt(boolean served) {
+        MalformedResponse(boolean served) {
             this.served = served;
         }
 
@@ -126,8 +126,8 @@
     @BeforeEach
     void open() throws Exception {
         world = new StandIns();
-        runner = new RawEndpoint().open();
-        world.addRunner("s-1", runner.port());
+        endpoint = new RawEndpoint().open();
+        world.addRunner("s-1", endpoint.port());
         Map<String, Object> config = world.config();
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
@@ -150,7 +150,7 @@
 
     @AfterEach
     void close() throws IOException {
-        runner.close();
+        endpoint.close();
         world.close();
     }
 
@@ -159,35 +159,35 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Spoilt.class)
-    void aSpoiltAnswerStillEndsItsRequestOnceAndInTime(Spoilt spoilt) throws Exception {
-        runner.script = (request, socket) -> spoilt.write(socket, request.id());
+    @EnumSource(MalformedResponse.class)
+    void malformedResponseEndsItsRequestOnceAndInTime(MalformedResponse response) throws Exception {
+        endpoint.script = (request, socket) -> response.write(socket, request.id());
         try (RawClient client = new RawClient(port)) {
             long sent = System.nanoTime();
             RawClient.Answer answer = client.send(hurried("a")).read();
             double took = (System.nanoTime() - sent) / 1e9;
-            assertEquals(spoilt.served ? 200 : 502, answer.status(), answer.body());
-            assertEquals(spoilt.served, answer.body().equals("r-a"), answer.body());
+            assertEquals(response.served ? 200 : 502, answer.status(), answer.body());
+            assertEquals(response.served, answer.body().equals("r-a"), answer.body());
             assertTrue(took <= DEADLINE + SLACK, "after " + took + " s");
-            runner.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+            endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
             // The same connection serves on, and the next request gets its own answer.
             RawClient.Answer next =
                     client.send(job("/api", "b", "step-view", "")).read();
             assertTrue(next.body().equals("r-b") || next.status() == 503, next.head() + next.body());
         }
-        assertEquals(1, runner.ids().stream().filter("a"::equals).count(), "it may have run: never sent again");
+        assertEquals(1, endpoint.ids().stream().filter("a"::equals).count(), "it may have run: never sent again");
     }
 
     /** Guards against pipelined requests that go on for a client that has left. */
     @Test
-    void whatWaitsBehindARequestWhoseClientLeftIsNeverSent() throws Exception {
-        runner.script = (request, socket) -> {};
+    void pipelinedRequestsOfADepartedClientAreNeverForwarded() throws Exception {
+        endpoint.script = (request, socket) -> {};
         RawClient gone = new RawClient(port);
         gone.send(hurried("first") + hurried("second") + hurried("third"));
-        until(() -> runner.seen.size() == 1);
+        until(() -> endpoint.seen.size() == 1);
         gone.close();
-        until(() -> !world.node().fronts().get(0).connected());
-        runner.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+        until(() -> !world.node().frontends().get(0).connected());
+        endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
         try (RawClient stays = new RawClient(port)) {
             until(() -> {
                 try {
@@ -202,7 +202,7 @@
         }
         assertEquals(
                 List.of(),
-                runner.ids().stream()
+                endpoint.ids().stream()
                         .filter(id -> id.equals("second") || id.equals("third"))
                         .toList());
     }
--- a/src/test/java/nettlewick/net/CrossedAnswersTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Answers and lists that are meant for another request, or for another time. */
-class CrossedAnswersTest extends Crossings {
+class MismatchedResponseTest extends ConnectionRaceTestBase {
     /** Guards against one request's result in another's answer. */
     @Test
-    void aLineForAnotherRequestServesNobody() throws Exception {
-        limit("probes", false);
+    void lineForAnotherRequestServesNobody() throws Exception {
+        setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().open()) {
             world.addRunner("s-1", endpoint.port());
             int port = start();
@@ -34,12 +34,12 @@
      * stands: no connection has rested when the next job comes.
      */
     @Test
-    void aSecondAnswerOnARestingConnectionIsNobodys() throws Exception {
-        limit("probes", false);
+    void ignoresASecondResponseOnAnIdleConnection() throws Exception {
+        setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().open()) {
             world.addRunner("s-1", endpoint.port());
-            DispatcherServer node = start(Clock.standing(System.currentTimeMillis()));
-            int port = node.ports().get(0);
+            DispatcherServer dispatcher = start(Clock.standing(System.currentTimeMillis()));
+            int port = dispatcher.ports().get(0);
             Promise<Void> twice = Promise.promise();
             endpoint.script = (request, socket) -> {
                 RawEndpoint.write(socket, RawEndpoint.served(request.id()));
@@ -62,7 +62,7 @@
                         "r-b",
                         client.send(job("/api", "b", "mark-submit", "")).read().body());
                 twice.complete();
-                round(port);
+                awaitEventLoop(port);
                 assertEquals(
                         "r-c",
                         client.send(job("/api", "c", "mark-submit", "")).read().body());
@@ -70,13 +70,13 @@
             assertEquals(List.of("a", "b", "c"), endpoint.ids());
             assertNotEquals(
                     endpoint.seen.get(0).connection(), endpoint.seen.get(1).connection());
-            StandIns.get(node.close());
+            StandIns.get(dispatcher.close());
         }
     }
 
     /** Guards against changes that are passed over for ever because discovery counts from the beginning again. */
     @Test
-    void aDiscoveryWhoseVersionsStartAnewIsAskedForItsWholeList() throws Exception {
+    void requestsTheCompleteListWhenVersionsRestart() throws Exception {
         world.addRunner("s-1");
         int port = start();
         world.startVersionsAnew();
--- a/src/test/java/nettlewick/net/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/PeerSocketTest.java
@@ -19,7 +19,7 @@
 @Timeout(20)
 class PeerSocketTest {
     @Test
-    void onlyShortMessagesOfKnownPeersAreHeardAndOnlyShortOnesSent() throws Exception {
+    void acceptsAndSendsOnlyShortMessagesOfKnownPeers() throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         Vertx vertx = Vertx.vertx();
         int own;
@@ -34,16 +34,16 @@
             config.put("peers", List.of("127.0.0.1:" + own, "127.0.0.1:" + peer.getLocalPort()));
             PeerSocket socket = new PeerSocket(vertx, PlatformConfig.of(new Gson().toJson(config), Map.of()));
             socket.send(1, new byte[4]);
-            BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-            StandIns.get(socket.listen((rank, data) -> heard.add(rank + " " + data.length)));
+            BlockingQueue<String> handler = new LinkedBlockingQueue<>();
+            StandIns.get(socket.listen((rank, data) -> handler.add(rank + " " + data.length)));
             stranger.send(new DatagramPacket(new byte[7], 7, loopback, own));
             peer.send(new DatagramPacket(new byte[257], 257, loopback, own));
             peer.send(new DatagramPacket(new byte[256], 256, loopback, own));
-            assertEquals("1 256", heard.poll(10, TimeUnit.SECONDS));
-            assertEquals(0, heard.size());
+            assertEquals("1 256", handler.poll(10, TimeUnit.SECONDS));
+            assertEquals(0, handler.size());
             assertEquals(
                     Map.of("peers.passed_over.oversized", 1L, "peers.passed_over.strangers", 1L),
-                    socket.passedOver(),
+                    socket.ignoredDatagrams(),
                     "each passed over is counted");
             socket.send(1, new byte[257]);
             socket.send(0, new byte[3]);
--- a/src/test/java/nettlewick/net/AskPauseTest.java
+++ b/src/test/java/nettlewick/net/PollBackoffTest.java
@@ -10,33 +10,33 @@
 import org.junit.jupiter.api.Test;
 
 /** How soon discovery is asked again, one dispatcher alone and a tier together. */
-class AskPauseTest {
+class PollBackoffTest {
     private static final double NO_BOUND = Double.POSITIVE_INFINITY;
 
     /** An agent on the own machine: what it was before there were sites that ask. */
     @Test
-    void anAgentIsAskedAgainSoon() {
-        PollBackoff pause = new PollBackoff(false, 100, 10_000, new SplittableRandom(1));
+    void backsOffBrieflyWhereTheAgentIsLocal() {
+        PollBackoff backoff = new PollBackoff(false, 100, 10_000, new SplittableRandom(1));
         double most = 100;
         for (int i = 0; i < 8; i++) {
-            double next = pause.next(NO_BOUND);
+            double next = backoff.nextPauseMillis(NO_BOUND);
             assertTrue(next >= most / 2 && next <= most, i + ": " + next);
             most = Math.min(400, 2 * most);
         }
-        pause.reset();
-        assertTrue(pause.next(NO_BOUND) <= 100);
-        assertTrue(pause.next(30) <= 30, "what is left until the told time bounds it");
-        assertEquals(1500, pause.first());
+        backoff.reset();
+        assertTrue(backoff.nextPauseMillis(NO_BOUND) <= 100);
+        assertTrue(backoff.nextPauseMillis(30) <= 30, "what is left until the told time bounds it");
+        assertEquals(1500, backoff.firstMessageTimeoutMillis());
     }
 
     /** Guards against eight dispatchers that a break cuts off together asking together, again and again. */
     @Test
-    void eightThatShareOneDiscoveryAskItRarelyAndApart() {
+    void dispatchersThatShareOneServiceSpreadTheirCalls() {
         double[][] asks = new double[8][];
         for (int d = 0; d < asks.length; d++) {
-            PollBackoff pause = new PollBackoff(true, 8, 10_000, new SplittableRandom(100 + d));
+            PollBackoff backoff = new PollBackoff(true, 8, 10_000, new SplittableRandom(100 + d));
             double[] at = {0};
-            asks[d] = DoubleStream.generate(() -> at[0] += pause.next(NO_BOUND))
+            asks[d] = DoubleStream.generate(() -> at[0] += backoff.nextPauseMillis(NO_BOUND))
                     .takeWhile(t -> t < 30_000)
                     .toArray();
         }
@@ -54,10 +54,10 @@
 
     /** Guards against a call given up while it waits its turn, and against being told while it pauses. */
     @Test
-    void settingsBoundThePauseAndTheFirstWord() {
-        PollBackoff pause = new PollBackoff(true, 500, 10_000, new SplittableRandom(3));
-        assertEquals(5000, pause.first());
-        IntStream.range(0, 1000).forEach(i -> assertTrue(pause.next(NO_BOUND) <= 5000));
-        assertEquals(1500, new PollBackoff(true, 3, 1000, new SplittableRandom(3)).first());
+    void settingsBoundThePauseAndTheFirstMessageTimeout() {
+        PollBackoff backoff = new PollBackoff(true, 500, 10_000, new SplittableRandom(3));
+        assertEquals(5000, backoff.firstMessageTimeoutMillis());
+        IntStream.range(0, 1000).forEach(i -> assertTrue(backoff.nextPauseMillis(NO_BOUND) <= 5000));
+        assertEquals(1500, new PollBackoff(true, 3, 1000, new SplittableRandom(3)).firstMessageTimeoutMillis());
     }
 }
--- a/src/test/java/nettlewick/net/RawEndpoint.java
+++ b/src/test/java/nettlewick/net/RawEndpoint.java
@@ -34,7 +34,7 @@
 
     /** What to do with a request; may write to the socket or close it. */
     interface Script {
-        void take(Seen request, Socket socket) throws IOException;
+        void handle(Seen request, Socket socket) throws IOException;
     }
 
     /** Connections held in the listener's queue until the kernel drops the next handshake. */
@@ -59,7 +59,7 @@
     }
 
     /** From now on no connection comes up: the queue is full until {@link #open}. */
-    RawEndpoint shut() throws IOException {
+    RawEndpoint fillAcceptQueue() throws IOException {
         for (int i = 0; i <= BACKLOG; i++) {
             fillers.add(new Socket(listener.getInetAddress(), port()));
         }
@@ -111,7 +111,7 @@
                     write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ndepth=0,concurrent=0,x0=4");
                 } else {
                     seen.add(request);
-                    script.take(request, socket);
+                    script.handle(request, socket);
                 }
             }
         } catch (IOException e) {
--- a/src/test/java/nettlewick/net/StandIns.java
+++ b/src/test/java/nettlewick/net/StandIns.java
@@ -34,7 +34,7 @@
                 .keep(books);
         get(node.start());
         if (hasRunners()) {
-            until(node::holdsList);
+            until(node::hasEndpointList);
         }
         return node;
     }
--- a/src/test/java/nettlewick/net/ListClockTest.java
+++ b/src/test/java/nettlewick/net/WatchStalenessTimerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The clock of the list: what is missed on a silent watch is had before it counts as told. */
-class ListClockTest {
+class WatchStalenessTimerTest {
     /** How a call to discovery may go; all but the last bring no word. */
     private enum Call {
         NEVER_CONNECTS,
@@ -34,24 +34,24 @@
      * Plays calls from a silence on; when the first word after it comes. A call that brings nothing is over at
      * the clock's deadline, or at once where it is refused or reset.
      */
-    private static double recovers(WatchStalenessTimer clock, double silentAt, Call[] calls, double wait) {
-        double now = Math.max(clock.deadline(), silentAt);
+    private static double recoveryTime(WatchStalenessTimer timer, double silentAt, Call[] calls, double wait) {
+        double now = Math.max(timer.deadline(), silentAt);
         for (Call call : calls) {
-            now += clock.broken(now);
-            clock.opens(now);
+            now += timer.callEnded(now);
+            timer.callStarted(now);
             switch (call) {
                 case REFUSED, RESET_AT_ONCE, STATUS -> now += 5;
                 case HALF_A_LINE -> {
-                    clock.part(now + 5);
-                    now = clock.deadline();
+                    timer.bytesReceived(now + 5);
+                    now = timer.deadline();
                 }
-                case NEVER_CONNECTS, NO_ANSWER -> now = clock.deadline();
+                case NEVER_CONNECTS, NO_ANSWER -> now = timer.deadline();
                 case ANSWERS -> {
-                    if (now + wait <= clock.deadline()) {
-                        clock.word(now + wait);
+                    if (now + wait <= timer.deadline()) {
+                        timer.messageReceived(now + wait);
                         return now + wait;
                     }
-                    now = clock.deadline();
+                    now = timer.deadline();
                 }
                 default -> throw new AssertionError(call);
             }
@@ -61,67 +61,70 @@
 
     /** An agent that is silent, then fails two calls in whatever way, still has told all in time. */
     @Property(tries = 500, seed = "11")
-    void anAgentsNewestListIsHadInTimeThoughTwoCallsFail(@ForAll long seed) {
+    void recoversInTimeThoughTwoCallsFail(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        WatchStalenessTimer clock = agent(seed);
-        clock.opens(0);
+        WatchStalenessTimer timer = agent(seed);
+        timer.callStarted(0);
         double now = 20;
-        clock.word(now);
+        timer.messageReceived(now);
         for (int line = random.nextInt(5); line > 0; line--) {
             now += 2000;
-            clock.word(now);
+            timer.messageReceived(now);
         }
         // It falls silent at some moment before the next line.
         double silentAt = now + random.nextDouble(2000);
         Call first = Call.values()[random.nextInt(Call.values().length - 1)];
         Call second = Call.values()[random.nextInt(Call.values().length - 1)];
-        double again = recovers(clock, now, new Call[] {first, second, Call.ANSWERS}, 50);
-        assertTrue(again <= now + WatchStalenessTimer.TOLD, first + ", " + second + ": " + (again - now));
-        assertTrue(again <= silentAt + WatchStalenessTimer.TOLD);
+        double again = recoveryTime(timer, now, new Call[] {first, second, Call.ANSWERS}, 50);
+        assertTrue(
+                again <= now + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS, first + ", " + second + ": " + (again - now));
+        assertTrue(again <= silentAt + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS);
     }
 
     /** Guards against a first word that stops after half a line and is waited for until the told time is past. */
     @Test
-    void halfALineIsNoWord() {
-        WatchStalenessTimer clock = agent(3);
-        clock.opens(0);
-        clock.part(5);
-        clock.part(2900);
-        assertTrue(clock.deadline() <= 3005, "later parts do not move it on: " + clock.deadline());
+    void partOfALineIsNoMessage() {
+        WatchStalenessTimer timer = agent(3);
+        timer.callStarted(0);
+        timer.bytesReceived(5);
+        timer.bytesReceived(2900);
+        assertTrue(timer.deadline() <= 3005, "later parts do not move it on: " + timer.deadline());
     }
 
     /** Guards against an agent that is only slow and would be given up for ever in the middle of its list. */
     @Test
-    void anAgentThatIsSlowWithItsListIsWaitedForInTheEnd() {
-        WatchStalenessTimer clock = agent(4);
-        clock.opens(0);
-        clock.word(10);
-        double now = clock.deadline();
+    void waitsForASlowAgentInTheEnd() {
+        WatchStalenessTimer timer = agent(4);
+        timer.callStarted(0);
+        timer.messageReceived(10);
+        double now = timer.deadline();
         double longest = 0;
         for (int call = 0; call < 3; call++) {
-            now += clock.broken(now);
-            clock.opens(now);
-            clock.part(now + 5);
-            longest = clock.deadline() - now;
-            now = clock.deadline();
+            now += timer.callEnded(now);
+            timer.callStarted(now);
+            timer.bytesReceived(now + 5);
+            longest = timer.deadline() - now;
+            now = timer.deadline();
         }
         assertTrue(longest >= 3000, "the third call may take " + longest);
     }
 
     /** A hundred that share one discovery: all cut off at once come back spread, and inside their own told time. */
     @Test
-    void aSharedDiscoveryIsNotAskedByAllAtOnce() {
-        double within = 10_000;
+    void dispatchersDoNotCallASharedServiceAtOnce() {
+        double maxWaitMillis = 10_000;
         List<Double> calls = new ArrayList<>();
         for (int d = 0; d < 100; d++) {
-            WatchStalenessTimer clock =
-                    new WatchStalenessTimer(new PollBackoff(true, 100, within, new SplittableRandom(d)), within);
-            clock.opens(0);
-            clock.word(10);
-            double found = clock.deadline();
-            double next = found + clock.broken(found);
+            WatchStalenessTimer timer = new WatchStalenessTimer(
+                    new PollBackoff(true, 100, maxWaitMillis, new SplittableRandom(d)), maxWaitMillis);
+            timer.callStarted(0);
+            timer.messageReceived(10);
+            double found = timer.deadline();
+            double next = found + timer.callEnded(found);
             calls.add(next);
-            assertTrue(next + 5000 <= 10 + clock.told(), "one that waits its turn is answered in time: " + next);
+            assertTrue(
+                    next + 5000 <= 10 + timer.notifiedAfterMillis(),
+                    "one that waits its turn is answered in time: " + next);
         }
         double from = calls.stream().mapToDouble(c -> c).min().orElseThrow();
         for (double at = from; at < from + 2500; at += 250) {
@@ -133,61 +136,64 @@
 
     /** Where a service cannot be had at all, each asks it less and less often. */
     @Test
-    void askingBacksOff() {
-        WatchStalenessTimer clock =
+    void callsBackOffWhileTheServiceIsUnreachable() {
+        WatchStalenessTimer timer =
                 new WatchStalenessTimer(new PollBackoff(true, 8, 20_000, new SplittableRandom(5)), 20_000);
         double now = 0;
         int early = 0;
         int late = 0;
         while (now < 120_000) {
-            clock.opens(now);
+            timer.callStarted(now);
             now += 5;
             early += now < 10_000 ? 1 : 0;
             late += now >= 110_000 ? 1 : 0;
-            now += clock.broken(now);
+            now += timer.callEnded(now);
         }
         assertTrue(late < early && late <= 6, early + " calls at first, " + late + " later");
     }
 
     @Test
-    void aMovedDiscoveryIsNotTakenForOneThatAnswersAtOnce() {
-        WatchStalenessTimer clock = agent(9);
-        clock.opens(0);
-        clock.word(10);
-        clock.opens(5000);
-        assertEquals(5700, clock.deadline());
-        clock.moved();
-        clock.opens(6000);
-        assertEquals(7500, clock.deadline());
+    void movedServiceGetsTheFullFirstMessageTimeout() {
+        WatchStalenessTimer timer = agent(9);
+        timer.callStarted(0);
+        timer.messageReceived(10);
+        timer.callStarted(5000);
+        assertEquals(5700, timer.deadline());
+        timer.addressChanged();
+        timer.callStarted(6000);
+        assertEquals(7500, timer.deadline());
     }
 
-    private static List<String> cut(String text, int each) {
-        JsonObjectFramer frames = new JsonObjectFramer();
+    private static List<String> frameInPieces(String text, int each) {
+        JsonObjectFramer framer = new JsonObjectFramer();
         List<String> objects = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int at = 0; at < bytes.length; at += each) {
-            frames.take(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + each)), objects::add);
+            framer.feed(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + each)), objects::add);
         }
         return objects;
     }
 
     /** Guards against a list that comes indented: read by lines, it would break every watch for good. */
     @Test
-    void listsMayBeIndentedAndCutAnywhere() {
+    void framesIndentedObjectsSplitAtAnyByte() {
         String one = "{\n  \"seq\": 1,\n  \"hosts\": [\n    {\"host\": \"a{\\\"}\u00e9\"}\n  ]\n}";
         String two = "{\"seq\":2,\"hosts\":[]}";
         for (int each = 1; each < 40; each++) {
-            assertEquals(List.of(one, two), cut("\n  " + one + "\r\n\n" + two + "\n\n", each), "pieces of " + each);
+            assertEquals(
+                    List.of(one, two),
+                    frameInPieces("\n  " + one + "\r\n\n" + two + "\n\n", each),
+                    "pieces of " + each);
         }
-        assertEquals(List.of(), cut(one.substring(0, one.length() - 1), 7));
-        assertThrows(JsonFields.InvalidFieldException.class, () -> cut("<html>", 3));
+        assertEquals(List.of(), frameInPieces(one.substring(0, one.length() - 1), 7));
+        assertThrows(JsonFields.InvalidFieldException.class, () -> frameInPieces("<html>", 3));
     }
 
     @Test
-    void anEmptyLineIsAWordAndPartOfAnObjectIsNone() {
-        JsonObjectFramer frames = new JsonObjectFramer();
-        assertTrue(frames.take("\n".getBytes(StandardCharsets.UTF_8), o -> {}));
-        assertTrue(!frames.take("{\n\n".getBytes(StandardCharsets.UTF_8), o -> {}));
-        assertTrue(frames.take("}".getBytes(StandardCharsets.UTF_8), o -> {}));
+    void emptyLineIsAMessageAndPartOfAnObjectIsNot() {
+        JsonObjectFramer framer = new JsonObjectFramer();
+        assertTrue(framer.feed("\n".getBytes(StandardCharsets.UTF_8), o -> {}));
+        assertTrue(!framer.feed("{\n\n".getBytes(StandardCharsets.UTF_8), o -> {}));
+        assertTrue(framer.feed("}".getBytes(StandardCharsets.UTF_8), o -> {}));
     }
 }
