--- a/src/main/java/nettlewick/net/ClientConnection.java
+++ b/src/main/java/nettlewick/net/ClientConnection.java
@@ -18,6 +18,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
@@ -247,7 +248,7 @@
     }
 
     private void beginResponse(HttpResponse response) {
-        resultSent = workRequest && response.status().code() == OutboundRequest.OK;
+        resultSent = workRequest && response.status().code() == HttpResponseStatus.OK.code();
         closeAfterResponse = response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
         boolean more = !pipelined.isEmpty() || head != null || rejection != null;
         if (closeAfterResponse && !clientAskedToClose && more) {
--- /dev/null
+++ b/src/main/java/nettlewick/net/DescriptorBudget.java
@@ -0,0 +1,37 @@
+package nettlewick.net;
+
+import nettlewick.admin.AdminFrontend;
+
+/** How the descriptors that a dispatcher may open are divided between clients, endpoints and operators. */
+public final class DescriptorBudget {
+    /** One descriptor in this many is for clients. */
+    private static final int CLIENT_DIVISOR = 3;
+    /** Descriptors for neither clients nor endpoints: jar files, listeners, the discovery watch, selectors. */
+    private static final int RESERVED = 64;
+    /** Descriptors of the admin frontend: its callers, its listener, its two selectors. */
+    private static final int ADMIN = AdminFrontend.CALLERS_MOST + 8;
+
+    private DescriptorBudget() {}
+
+    /** How many client connections may be open of this many descriptors. */
+    public static int maxClientConnections(int maxSockets) {
+        return maxSockets / CLIENT_DIVISOR;
+    }
+
+    /** How many connections to endpoints may be open of this many descriptors, without an admin frontend. */
+    public static int maxEndpointConnections(int maxSockets) {
+        return Math.max(maxSockets / 8, maxSockets - maxClientConnections(maxSockets) - RESERVED);
+    }
+
+    /**
+     * How many connections to endpoints this process may open.
+     *
+     * @param shared whether another process of this dispatcher uses the same descriptors
+     */
+    public static int maxEndpointConnections(PlatformConfig config, boolean shared) {
+        int adminDescriptors = config.adminListen() == null ? 0 : ADMIN;
+        int allowed = maxEndpointConnections(config.maxSockets()) - adminDescriptors;
+        // Two processes also have two sets of jar files, listeners and selectors.
+        return shared ? Math.max(allowed / 4, (allowed - RESERVED) / 2) : allowed;
+    }
+}
--- a/src/main/java/nettlewick/net/DiscoveryWatch.java
+++ b/src/main/java/nettlewick/net/DiscoveryWatch.java
@@ -1,5 +1,6 @@
 package nettlewick.net;
 
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClient;
@@ -101,7 +102,7 @@
                 .compose(request -> request.send())
                 .onFailure(e -> endCall(call, "no answer"))
                 .onSuccess(response -> {
-                    if (response.statusCode() != OutboundRequest.OK) {
+                    if (response.statusCode() != HttpResponseStatus.OK.code()) {
                         endCall(call, "status " + response.statusCode());
                         return;
                     }
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -35,12 +35,8 @@
     private static final long IDLE_CHECK_MILLIS = 100;
     /** How often it is looked whether another process was called to take a sim runner out. */
     private static final long DISABLED_CHECK_MILLIS = 200;
-    /** One descriptor in so many is for clients. */
-    static final int CLIENT_SOCKETS_DIVISOR = 3;
     /** Connections accepted beyond those a front keeps: the front chooses which of them stays. */
     private static final int SPARE_CONNECTIONS = 8;
-    /** Descriptors of the operators' front: its callers, its listener, its two selectors. */
-    static final int ADMIN_DESCRIPTORS = AdminFrontend.CALLERS_MOST + 8;
 
     private volatile PlatformConfig config;
     final Clock clock;
@@ -86,7 +82,7 @@
         // Danger: Netty's allocator brings up the flight recorder at its first buffer: a fifth of a second of
         // CPU at each start, twice that on half a core, while clients wait.
         System.setProperty("io.netty.jfr.enabled", "false");
-        maxClientConnections = config.maxSockets() / CLIENT_SOCKETS_DIVISOR;
+        maxClientConnections = DescriptorBudget.maxClientConnections(config.maxSockets());
         connectionLimiter = new ConnectionLimiter(maxClientConnections);
         connectionsPerFrontend =
                 Math.max(1, maxClientConnections / Math.max(1, frontendFactories.length) - SPARE_CONNECTIONS);
--- a/src/main/java/nettlewick/net/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/EndpointConnectionPools.java
@@ -18,9 +18,6 @@
 
 /** All sim runners of the resolver's list, and the calls to them. Lives on the event loop. */
 final class EndpointConnectionPools implements Transport {
-    /** Descriptors for neither clients nor sim runners: the jars, the listeners, the watch, selectors. */
-    private static final int RESERVED_DESCRIPTORS = 64;
-
     private static final long IDLE_SWEEP_MILLIS = 250;
 
     private final Vertx vertx;
@@ -109,20 +106,9 @@
         pendingConnects += more;
     }
 
-    /** Connections to sim runners where so many descriptors are allowed and a third is for clients. */
-    static int maxOpenConnections(int maxSockets) {
-        return Math.max(
-                maxSockets / 8,
-                maxSockets - maxSockets / DispatcherServer.CLIENT_SOCKETS_DIVISOR - RESERVED_DESCRIPTORS);
-    }
-
     /** Whether one more connection may be opened; the longest idle one anywhere makes way for it. */
     boolean makeRoomForConnection() {
-        int adminDescriptors = config.adminListen() == null ? 0 : DispatcherServer.ADMIN_DESCRIPTORS;
-        int allowed = maxOpenConnections(config.maxSockets()) - adminDescriptors;
-        // Two processes have two sets of jars, listeners and selectors too.
-        if (openConnections
-                < (descriptorsShared ? Math.max(allowed / 4, (allowed - RESERVED_DESCRIPTORS) / 2) : allowed)) {
+        if (openConnections < DescriptorBudget.maxEndpointConnections(config, descriptorsShared)) {
             return true;
         }
         for (EndpointConnections connections : endpoints.values()) {
--- a/src/main/java/nettlewick/net/LoadReport.java
+++ b/src/main/java/nettlewick/net/LoadReport.java
@@ -1,6 +1,5 @@
 package nettlewick.net;
 
-import java.util.HashMap;
 import java.util.Map;
 import nettlewick.decision.EndpointLoad;
 
@@ -20,7 +19,7 @@
                 return null;
             }
         }
-        Map<String, Double> values = pairs(text);
+        Map<String, Double> values = NamedNumbers.parse(text);
         return values.isEmpty() ? null : toEndpointLoad(name -> values.getOrDefault(name, Double.NaN));
     }
 
@@ -28,25 +27,6 @@
         return toEndpointLoad(name -> fields.numberOr(name, Double.NaN, -1e15, 1e15));
     }
 
-    /** The pairs of {@code name=value,name=value} whose value is a number. */
-    static Map<String, Double> pairs(String text) {
-        Map<String, Double> values = new HashMap<>();
-        for (String pair : text.split(",")) {
-            int equals = pair.indexOf('=');
-            if (equals > 0) {
-                try {
-                    values.put(
-                            pair.substring(0, equals).strip(),
-                            Double.valueOf(pair.substring(equals + 1).strip()));
-                } catch (NumberFormatException e) {
-                    // one odd value does not spoil the others
-                }
-            }
-        }
-        values.values().removeIf(v -> !Double.isFinite(v));
-        return values;
-    }
-
     private interface Values {
         double get(String name);
 
--- a/src/main/java/nettlewick/net/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/PlatformFrontend.java
@@ -1,5 +1,6 @@
 package nettlewick.net;
 
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.vertx.core.Context;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpConnection;
@@ -127,7 +128,7 @@
         }
         response.setStatusCode(status);
         trafficListener.answer(http, response, body);
-        Metrics.End end = status == OutboundRequest.OK
+        Metrics.End end = status == HttpResponseStatus.OK.code()
                 ? Metrics.End.FULFILLED
                 : status == SERVICE_UNAVAILABLE ? Metrics.End.THROTTLED : Metrics.End.FAULTED;
         response.end(body).onSuccess(v -> ticket.answered(end)).onFailure(e -> ticket.left());
--- a/src/main/java/nettlewick/net/RequestReader.java
+++ b/src/main/java/nettlewick/net/RequestReader.java
@@ -117,7 +117,7 @@
         String idempotencyKey = hasIdempotencyKey ? requireId(headers, "Idempotency-Key") : null;
         String costHint = headers.get("X-Cost-Hint");
         String extras = headers.get("X-Extras");
-        Map<String, Double> extraValues = LoadReport.pairs(extras == null ? "" : extras);
+        Map<String, Double> extraValues = NamedNumbers.parse(extras == null ? "" : extras);
         double slots = extraValues.getOrDefault("slots", extraValues.getOrDefault("needs", 1.0));
         double memory = extraValues.getOrDefault("mem", extraValues.getOrDefault("memory", 0.0));
         if (slots < 0 || memory < 0) {
--- a/src/test/java/nettlewick/net/DispatcherServerTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -316,7 +316,7 @@
     @Test
     void descriptorsAreDividedBelowTheirLimit() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            int left = sockets - sockets / 3 - EndpointConnectionPools.maxOpenConnections(sockets);
+            int left = sockets - sockets / 3 - DescriptorBudget.maxEndpointConnections(sockets);
             assertTrue(left >= 64 && left < 70, sockets + " leave " + left);
         }
     }
