--- a/src/main/java/nettlewick/cli/OptionalFeatures.java
+++ b/src/main/java/nettlewick/cli/OptionalFeatures.java
@@ -5,8 +5,8 @@
 import nettlewick.core.Clock;
 import nettlewick.core.RequestListener;
 import nettlewick.core.UsageRecorder;
-import nettlewick.net.Frontend;
-import nettlewick.net.PlatformConfig;
+import nettlewick.net.client.Frontend;
+import nettlewick.net.config.PlatformConfig;
 
 /** What a settings file adds to a dispatcher. Without one, none of its classes is loaded. */
 interface OptionalFeatures {
--- a/src/main/java/nettlewick/cli/ReplayCommand.java
+++ b/src/main/java/nettlewick/cli/ReplayCommand.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.ExecutionException;
 import nettlewick.core.Clock;
 import nettlewick.net.DispatcherServer;
-import nettlewick.net.JsonFields;
-import nettlewick.net.PlatformConfig;
+import nettlewick.net.config.PlatformConfig;
+import nettlewick.net.format.JsonFields;
 import nettlewick.pcap.Capture;
 import nettlewick.pcap.CaptureReplayer;
 
--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -14,12 +14,12 @@
 import nettlewick.core.Clock;
 import nettlewick.log.ComponentLogger;
 import nettlewick.net.DispatcherServer;
-import nettlewick.net.Frontend;
-import nettlewick.net.HotRestart;
-import nettlewick.net.JsonFields;
-import nettlewick.net.PlatformConfig;
-import nettlewick.net.PlatformFrontend;
-import nettlewick.net.TrafficListener;
+import nettlewick.net.client.Frontend;
+import nettlewick.net.client.PlatformFrontend;
+import nettlewick.net.client.TrafficListener;
+import nettlewick.net.config.PlatformConfig;
+import nettlewick.net.format.JsonFields;
+import nettlewick.net.lifecycle.HotRestart;
 import nettlewick.pcap.CaptureWriter;
 
 @Parameters(commandNames = "serve", commandDescription = "Run one real dispatcher, as $ROUTER_CONFIG tells")
--- a/src/main/java/nettlewick/cli/WarmUpCommand.java
+++ b/src/main/java/nettlewick/cli/WarmUpCommand.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 import nettlewick.core.Clock;
 import nettlewick.net.DispatcherServer;
-import nettlewick.net.PlatformConfig;
-import nettlewick.net.PlatformFrontend;
+import nettlewick.net.client.PlatformFrontend;
+import nettlewick.net.config.PlatformConfig;
 
 /** What the build runs to record the classes of a start in an archive, which makes later starts faster. */
 @Parameters(commandNames = "warm", commandDescription = "Start on a free loopback port, warm up, and end")
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -18,6 +18,18 @@
 import nettlewick.core.UsageRecorder;
 import nettlewick.decision.SchedulerSettings;
 import nettlewick.log.ComponentLogger;
+import nettlewick.net.client.ConnectionLimiter;
+import nettlewick.net.client.Frontend;
+import nettlewick.net.client.PlatformFrontend;
+import nettlewick.net.config.DescriptorBudget;
+import nettlewick.net.config.PlatformConfig;
+import nettlewick.net.discovery.DiscoveryWatch;
+import nettlewick.net.discovery.WatchStalenessTimer;
+import nettlewick.net.endpoint.EndpointConnectionPools;
+import nettlewick.net.lifecycle.DisabledEndpointStore;
+import nettlewick.net.lifecycle.HotRestart;
+import nettlewick.net.lifecycle.ServiceState;
+import nettlewick.net.peer.PeerSocket;
 
 /** One real dispatcher: puts core, subchannels, resolver watch, peers and the platform's front together. */
 public final class DispatcherServer {
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -6,6 +6,7 @@
 import nettlewick.decision.SchedulerSettings;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 import nettlewick.log.ComponentLogger;
+import nettlewick.net.client.Frontend;
 
 /**
  * The planned end of a dispatcher after SIGTERM, in milliseconds from it:
--- a/src/main/java/nettlewick/net/ClientConnection.java
+++ b/src/main/java/nettlewick/net/client/ClientConnection.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufHolder;
--- a/src/main/java/nettlewick/net/ClientConnectionState.java
+++ b/src/main/java/nettlewick/net/client/ClientConnectionState.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 /**
  * The states of one client connection and when its time in each is over. Holds no socket, so that a model can
--- a/src/main/java/nettlewick/net/ConnectionLimiter.java
+++ b/src/main/java/nettlewick/net/client/ConnectionLimiter.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
@@ -23,7 +23,7 @@
  * a crowd would use up all descriptors before the event loop has closed the first of its connections. At the
  * bound, newcomers wait in the kernel's queue until a connection is closed.
  */
-final class ConnectionLimiter implements Transport {
+public final class ConnectionLimiter implements Transport {
     /** How often, and how many times at the most, it is looked whether the kernel's queue is empty; in ms. */
     private static final long QUEUE_CHECK_MILLIS = 20;
 
@@ -34,7 +34,7 @@
     private final Set<Channel> listeners = ConcurrentHashMap.newKeySet();
     private final Set<Channel> pausedListeners = ConcurrentHashMap.newKeySet();
 
-    ConnectionLimiter(int maxConnections) {
+    public ConnectionLimiter(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
@@ -103,7 +103,7 @@
      * once all that was accepted has been handed to the event loop that serves it, or what waits has had its
      * time.
      */
-    Future<Void> closeOnceQueueIsEmpty() {
+    public Future<Void> closeOnceQueueIsEmpty() {
         List<Future<Void>> onClosed = new ArrayList<>();
         for (Channel channel : listeners) {
             Promise<Void> listenerClosed = Promise.promise();
@@ -116,7 +116,7 @@
     }
 
     /** From now on so many connections may be open. */
-    void setMaxConnections(int limit) {
+    public void setMaxConnections(int limit) {
         maxConnections = limit;
     }
 
--- a/src/main/java/nettlewick/net/Frontend.java
+++ b/src/main/java/nettlewick/net/client/Frontend.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -6,6 +6,8 @@
 import java.util.function.BooleanSupplier;
 import nettlewick.core.Clock;
 import nettlewick.core.RequestCoordinator;
+import nettlewick.net.config.PlatformConfig;
+import nettlewick.net.lifecycle.ServiceState;
 
 /** A way in for clients. Lives on the event loop; all fronts share one core and so its rules. */
 public interface Frontend {
--- a/src/main/java/nettlewick/net/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/client/HttpFrontend.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
--- a/src/main/java/nettlewick/net/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.vertx.core.Context;
--- a/src/main/java/nettlewick/net/RequestReader.java
+++ b/src/main/java/nettlewick/net/client/RequestReader.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.vertx.core.Handler;
 import io.vertx.core.MultiMap;
@@ -9,6 +9,9 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import nettlewick.core.Request;
+import nettlewick.net.config.PlatformConfig;
+import nettlewick.net.endpoint.ForwardedRequest;
+import nettlewick.net.format.NamedNumbers;
 
 /**
  * Reads an RPC from an HTTP request, whole and checked, for every front alike. What is not in order is
--- a/src/main/java/nettlewick/net/StrictHttpDecoder.java
+++ b/src/main/java/nettlewick/net/client/StrictHttpDecoder.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpMessage;
--- a/src/main/java/nettlewick/net/DescriptorBudget.java
+++ b/src/main/java/nettlewick/net/config/DescriptorBudget.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.config;
 
 import nettlewick.admin.AdminFrontend;
 
--- a/src/main/java/nettlewick/net/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/config/PlatformConfig.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.config;
 
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
@@ -21,6 +21,9 @@
 import nettlewick.decision.SchedulerSettings.Rules;
 import nettlewick.decision.SchedulerSettings.Scope;
 import nettlewick.decision.SchedulerSettings.Tenant;
+import nettlewick.net.discovery.EndpointListSnapshot;
+import nettlewick.net.format.JsonFields;
+import nettlewick.net.format.SocketAddressParser;
 
 /** What the platform tells a dispatcher: {@code $ROUTER_CONFIG}, with the other variables over it. */
 public record PlatformConfig(
@@ -226,7 +229,7 @@
     }
 
     /** The fields in which that one differs and which cannot change while the dispatcher runs. */
-    List<String> restartOnlyChanges(PlatformConfig next) {
+    public List<String> restartOnlyChanges(PlatformConfig next) {
         Map<String, Boolean> same = new LinkedHashMap<>();
         same.put("name", name.equals(next.name));
         same.put("listen", listen.equals(next.listen));
@@ -242,7 +245,7 @@
     }
 
     /** This one, with what may change while the dispatcher runs as in that one. */
-    PlatformConfig withReloaded(PlatformConfig next) {
+    public PlatformConfig withReloaded(PlatformConfig next) {
         return new PlatformConfig(
                 name,
                 listen,
@@ -261,7 +264,7 @@
     }
 
     /** The same, but for clients at any free port: for a warm-up that nobody else sees. */
-    PlatformConfig withFreeListenPort() {
+    public PlatformConfig withFreeListenPort() {
         return new PlatformConfig(
                 name,
                 SocketAddress.inetSocketAddress(0, listen.hostAddress()),
@@ -280,13 +283,13 @@
     }
 
     /** Whether a job of this class may run more than once without harm. */
-    boolean isIdempotentClass(String requestClass) {
+    public boolean isIdempotentClass(String requestClass) {
         return settings.classes().stream()
                 .anyMatch(c -> c.name().equals(requestClass) && c.idempotency() == Idempotency.IDEMPOTENT);
     }
 
     /** True if this is a class of the settings. */
-    boolean hasClass(String name) {
+    public boolean hasClass(String name) {
         return settings.classes().stream().anyMatch(c -> c.name().equals(name));
     }
 }
--- a/src/main/java/nettlewick/net/DiscoveryWatch.java
+++ b/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.discovery;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.vertx.core.Vertx;
@@ -14,9 +14,10 @@
 import java.util.function.Consumer;
 import nettlewick.core.Clock;
 import nettlewick.log.ComponentLogger;
+import nettlewick.net.format.JsonFields;
 
 /** The standing watch on discovery: resumed where it broke, with growing pauses. Lives on the event loop. */
-final class DiscoveryWatch {
+public final class DiscoveryWatch {
     private static final ComponentLogger LOG = ComponentLogger.of("resolver");
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
@@ -33,7 +34,7 @@
     private boolean stopped;
     private HttpClientConnection connection;
 
-    DiscoveryWatch(
+    public DiscoveryWatch(
             Vertx vertx,
             SocketAddress discovery,
             Clock clock,
@@ -48,7 +49,7 @@
     }
 
     /** Applies the list that was known before, if there is one, then watches. */
-    void start(EndpointListSnapshot known) {
+    public void start(EndpointListSnapshot known) {
         if (known != null) {
             sequence = known.sequence();
             listener.accept(known);
@@ -155,7 +156,7 @@
      * Danger: the new one counts on its own; asked for what came after the old one's number, it may tell
      * nothing for long.
      */
-    void moveTo(SocketAddress newAddress) {
+    public void moveTo(SocketAddress newAddress) {
         if (stopped || newAddress.equals(discovery)) {
             return;
         }
@@ -171,7 +172,7 @@
     }
 
     /** Ends the watch for good. Danger: a round begun on a client that is closed would throw. */
-    void stop() {
+    public void stop() {
         currentCall++;
         stopped = true;
     }
--- a/src/main/java/nettlewick/net/EndpointListSnapshot.java
+++ b/src/main/java/nettlewick/net/discovery/EndpointListSnapshot.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.discovery;
 
 import io.vertx.core.net.SocketAddress;
 import java.util.ArrayList;
@@ -7,23 +7,25 @@
 import java.util.Map;
 import nettlewick.core.EndpointUpdate;
 import nettlewick.decision.EndpointState;
+import nettlewick.net.format.JsonFields;
+import nettlewick.net.format.SocketAddressParser;
 
 /**
  * What discovery told: a version of the list of sim runners, whole or only what changed. {@code faults} says
  * which entries could not be read; they are left out and do not cost the others.
  */
-record EndpointListSnapshot(
+public record EndpointListSnapshot(
         long sequence,
         boolean complete,
         List<ReachableEndpoint> endpoints,
         List<JsonFields.InvalidFieldException> faults) {
     /** A sim runner and where this dispatcher reaches it. */
-    record ReachableEndpoint(EndpointUpdate.Entry entry, SocketAddress address) {}
+    public record ReachableEndpoint(EndpointUpdate.Entry entry, SocketAddress address) {}
 
     private static final Map<String, EndpointState> HEALTH_NAMES = new HashMap<>(
             Map.of("Ready", EndpointState.READY, "Terminating", EndpointState.DRAINING, "Gone", EndpointState.GONE));
 
-    static EndpointListSnapshot parse(JsonFields fields) {
+    public static EndpointListSnapshot parse(JsonFields fields) {
         List<ReachableEndpoint> endpoints = new ArrayList<>();
         List<JsonFields.InvalidFieldException> faults = new ArrayList<>();
         for (int i = 0; i < fields.size("hosts"); i++) {
@@ -57,7 +59,7 @@
                         : SocketAddressParser.parse(fields.path("dial"), fields.text("dial")));
     }
 
-    EndpointUpdate toEndpointUpdate() {
+    public EndpointUpdate toEndpointUpdate() {
         return new EndpointUpdate(
                 complete, endpoints.stream().map(ReachableEndpoint::entry).toList());
     }
--- a/src/main/java/nettlewick/net/JsonObjectFramer.java
+++ b/src/main/java/nettlewick/net/discovery/JsonObjectFramer.java
@@ -1,8 +1,9 @@
-package nettlewick.net;
+package nettlewick.net.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
+import nettlewick.net.format.JsonFields;
 
 /**
  * Cuts what discovery writes into JSON objects, on one line each or indented over several, wherever the bytes
--- a/src/main/java/nettlewick/net/PollBackoff.java
+++ b/src/main/java/nettlewick/net/discovery/PollBackoff.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.discovery;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/nettlewick/net/WatchStalenessTimer.java
+++ b/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.discovery;
 
 import java.util.SplittableRandom;
 import nettlewick.decision.SchedulerSettings;
@@ -10,7 +10,7 @@
  * be found out, opened and answered inside that time, with calls that fail between. Times are milliseconds.
  * Pure: time is handed in, the pauses' random numbers are the caller's.
  */
-final class WatchStalenessTimer {
+public final class WatchStalenessTimer {
     /** What a silent watch missed counts as told after this long. */
     static final double NOTIFIED_AFTER_MILLIS = 6000;
     /** Discovery writes an empty line this often while nothing changes. */
@@ -63,7 +63,7 @@
     }
 
     /** By a site's settings; the seed is that of the pauses. */
-    static WatchStalenessTimer of(SchedulerSettings settings, long seed) {
+    public static WatchStalenessTimer of(SchedulerSettings settings, long seed) {
         double maxWaitMillis = settings.rules().askWithin() / 1e6;
         return new WatchStalenessTimer(
                 new PollBackoff(
--- a/src/main/java/nettlewick/net/AttemptExchange.java
+++ b/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.endpoint;
 
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClientResponse;
@@ -10,6 +10,7 @@
 import nettlewick.core.Request;
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.EndpointLoad;
+import nettlewick.net.format.JsonFields;
 
 /** One attempt of an RPC at a sim runner; the answer tells of it line by line. */
 final class AttemptExchange extends OutboundRequest {
--- a/src/main/java/nettlewick/net/ConnectionReusePolicy.java
+++ b/src/main/java/nettlewick/net/endpoint/ConnectionReusePolicy.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.endpoint;
 
 /**
  * How far connections that have idled can be trusted. Danger: where runners, or something on the way, close
--- a/src/main/java/nettlewick/net/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.endpoint;
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
@@ -15,9 +15,13 @@
 import nettlewick.core.Probe;
 import nettlewick.core.RequestCoordinator;
 import nettlewick.core.Transport;
+import nettlewick.net.config.DescriptorBudget;
+import nettlewick.net.config.PlatformConfig;
+import nettlewick.net.discovery.EndpointListSnapshot;
+import nettlewick.net.peer.PeerSocket;
 
 /** All sim runners of the resolver's list, and the calls to them. Lives on the event loop. */
-final class EndpointConnectionPools implements Transport {
+public final class EndpointConnectionPools implements Transport {
     private static final long IDLE_SWEEP_MILLIS = 250;
 
     private final Vertx vertx;
@@ -36,7 +40,8 @@
     private volatile int pendingConnects;
     private boolean descriptorsShared;
 
-    EndpointConnectionPools(Vertx vertx, Context eventLoop, PlatformConfig config, Clock clock, PeerSocket peerSocket) {
+    public EndpointConnectionPools(
+            Vertx vertx, Context eventLoop, PlatformConfig config, Clock clock, PeerSocket peerSocket) {
         this.vertx = vertx;
         this.eventLoop = eventLoop;
         this.config = config;
@@ -54,7 +59,7 @@
     }
 
     /** Ties the knot; before the event loop starts work. */
-    void bind(RequestCoordinator target) {
+    public void bind(RequestCoordinator target) {
         coordinator = target;
         vertx.setPeriodic(
                 IDLE_SWEEP_MILLIS,
@@ -64,12 +69,12 @@
     }
 
     /** Whether another process uses the same descriptors. */
-    void setDescriptorsShared(boolean isShared) {
+    public void setDescriptorsShared(boolean isShared) {
         descriptorsShared = isShared;
     }
 
     /** Takes over what may change: the addresses of peers and the patience of idle connections. */
-    void reload(PlatformConfig next) {
+    public void reload(PlatformConfig next) {
         config = next;
         peerSocket.reload(next);
     }
@@ -86,7 +91,7 @@
         return config;
     }
 
-    HttpClientAgent client() {
+    public HttpClientAgent client() {
         return client;
     }
 
@@ -120,7 +125,7 @@
     }
 
     /** Takes the resolver's news over: from now on nothing starts at a runner that is not ready. */
-    void applySnapshot(EndpointListSnapshot snapshot) {
+    public void applySnapshot(EndpointListSnapshot snapshot) {
         if (snapshot.complete()) {
             Map<String, EndpointConnections> missing = new LinkedHashMap<>(endpoints);
             snapshot.endpoints().forEach(entry -> missing.remove(entry.entry().id()));
@@ -137,12 +142,12 @@
     }
 
     /** Whether this runner is on the list. */
-    boolean isListed(String endpoint) {
+    public boolean isListed(String endpoint) {
         return endpoints.containsKey(endpoint) && endpoints.get(endpoint).isListed();
     }
 
     /** An operator has taken a runner out, or put it back, at that time. */
-    void setDisabled(String endpoint, boolean disabled, double since) {
+    public void setDisabled(String endpoint, boolean disabled, double since) {
         if (disabled) {
             disabledEndpoints.add(endpoint);
         } else {
@@ -220,12 +225,12 @@
     }
 
     /** How many connections to runners are coming up. */
-    int pendingConnects() {
+    public int pendingConnects() {
         return pendingConnects;
     }
 
     /** How often discovery has told of this runner, for tests. */
-    int updatesOf(String endpoint) {
+    public int updatesOf(String endpoint) {
         return endpoints.containsKey(endpoint) ? endpoints.get(endpoint).updates() : 0;
     }
 
--- a/src/main/java/nettlewick/net/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
@@ -1,10 +1,11 @@
-package nettlewick.net;
+package nettlewick.net.endpoint;
 
 import io.vertx.core.http.HttpClientConnection;
 import io.vertx.core.http.HttpConnectOptions;
 import io.vertx.core.net.SocketAddress;
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.EndpointState;
+import nettlewick.net.discovery.EndpointListSnapshot;
 
 /**
  * A sim runner and this dispatcher's connections to it. Connecting and sending are apart, so that a call that
--- a/src/main/java/nettlewick/net/IdleConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/IdleConnections.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.endpoint;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/src/main/java/nettlewick/net/LoadProbe.java
+++ b/src/main/java/nettlewick/net/endpoint/LoadProbe.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.endpoint;
 
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClientResponse;
--- a/src/main/java/nettlewick/net/LoadReport.java
+++ b/src/main/java/nettlewick/net/endpoint/LoadReport.java
@@ -1,7 +1,9 @@
-package nettlewick.net;
+package nettlewick.net.endpoint;
 
 import java.util.Map;
 import nettlewick.decision.EndpointLoad;
+import nettlewick.net.format.JsonFields;
+import nettlewick.net.format.NamedNumbers;
 
 /** Load reports as sim runners write them: {@code name=value,name=value}, or the same as a JSON object. */
 final class LoadReport {
--- a/src/main/java/nettlewick/net/JsonFields.java
+++ b/src/main/java/nettlewick/net/format/JsonFields.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.format;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
--- a/src/main/java/nettlewick/net/NamedNumbers.java
+++ b/src/main/java/nettlewick/net/format/NamedNumbers.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.format;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/nettlewick/net/SocketAddressParser.java
+++ b/src/main/java/nettlewick/net/format/SocketAddressParser.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.format;
 
 import io.vertx.core.net.SocketAddress;
 import java.util.regex.Pattern;
--- a/src/main/java/nettlewick/net/DisabledEndpointStore.java
+++ b/src/main/java/nettlewick/net/lifecycle/DisabledEndpointStore.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.lifecycle;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -16,12 +16,13 @@
 import java.util.Map;
 import java.util.Objects;
 import nettlewick.log.ComponentLogger;
+import nettlewick.net.format.JsonFields;
 
 /**
  * Which sim runners are out by hand, kept in a file that the processes of an upgrade share. Lives on one
  * thread of each process.
  */
-final class DisabledEndpointStore {
+public final class DisabledEndpointStore {
     private static final ComponentLogger LOG = ComponentLogger.of("bans");
     /** How long a return is remembered: a process that starts meanwhile has to know of a cold runner. */
     private static final double ENABLED_ENTRY_RETENTION_MILLIS = 60_000;
@@ -29,19 +30,19 @@
     private static final double MAX_TIMESTAMP_MILLIS = 1e15;
 
     /** A sim runner that was taken out, or put back, at that time in milliseconds. */
-    record Entry(String endpoint, boolean disabled, double sinceMillis) {}
+    public record Entry(String endpoint, boolean disabled, double sinceMillis) {}
 
     private final Path file;
     private Map<String, Entry> entries = new LinkedHashMap<>();
     private Object lastStamp;
 
     /** Keeps bans in this file; null keeps them in memory alone. */
-    DisabledEndpointStore(Path file) {
+    public DisabledEndpointStore(Path file) {
         this.file = file;
     }
 
     /** Whether this runner is out. */
-    boolean isDisabled(String endpoint) {
+    public boolean isDisabled(String endpoint) {
         return entries.containsKey(endpoint) && entries.get(endpoint).disabled();
     }
 
@@ -49,7 +50,7 @@
      * Takes a runner out or puts it back, on the file first; what is so already stays. What has changed comes
      * back. Where the file cannot be written, nothing is changed.
      */
-    List<Entry> setDisabled(String endpoint, boolean disabled, double now) throws IOException {
+    public List<Entry> setDisabled(String endpoint, boolean disabled, double now) throws IOException {
         Map<String, Entry> before = new LinkedHashMap<>(entries);
         if (file == null) {
             change(endpoint, disabled, now);
@@ -86,7 +87,7 @@
     }
 
     /** What has changed on the file since this was asked last; everything at first. */
-    List<Entry> readChanges() {
+    public List<Entry> readChanges() {
         if (file == null || Objects.equals(lastStamp, fileStamp())) {
             return List.of();
         }
--- a/src/main/java/nettlewick/net/HotRestart.java
+++ b/src/main/java/nettlewick/net/lifecycle/HotRestart.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.lifecycle;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -56,7 +56,7 @@
     }
 
     /** A file that all processes of this dispatcher share. */
-    Path sharedFile(String name) {
+    public Path sharedFile(String name) {
         return folder.resolve(prefix + name);
     }
 
--- a/src/main/java/nettlewick/net/ServiceState.java
+++ b/src/main/java/nettlewick/net/lifecycle/ServiceState.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.lifecycle;
 
 /**
  * What this process does for clients: the one place that knows whether it is drained by hand, ending, or
@@ -20,18 +20,18 @@
      * After a drain the front learns of it within 0.1 s and connections come for 0.2 s more. Danger: closed
      * sooner, an idle one may cut off a job just sent; 4 s after the call none may be left.
      */
-    static final double IDLE_CLOSE_DELAY_MILLIS = 600;
+    public static final double IDLE_CLOSE_DELAY_MILLIS = 600;
 
     private Phase phase = Phase.STARTING;
     private double drainedAt;
 
     /** All is there: clients may come. */
-    synchronized void startServing() {
+    public synchronized void startServing() {
         phase = phase == Phase.STARTING ? Phase.SERVING : phase;
     }
 
     /** Sends clients away; again and again is the same as once. False while this process starts or ends. */
-    synchronized boolean drain(double now) {
+    public synchronized boolean drain(double now) {
         if (phase == Phase.SERVING) {
             phase = Phase.DRAINED;
             drainedAt = now;
@@ -40,18 +40,18 @@
     }
 
     /** Undoes a drain. False if this process ends. */
-    synchronized boolean resume() {
+    public synchronized boolean resume() {
         phase = phase == Phase.DRAINED ? Phase.SERVING : phase;
         return phase == Phase.SERVING || phase == Phase.STARTING;
     }
 
     /** The planned end has begun; a successor on the same address takes new clients meanwhile. */
-    synchronized void beginShutdown(boolean hasSuccessor) {
+    public synchronized void beginShutdown(boolean hasSuccessor) {
         phase = phase == Phase.CLOSING ? phase : hasSuccessor ? Phase.HANDING_OVER : Phase.SHUTTING_DOWN;
     }
 
     /** The planned end is at its last step. */
-    synchronized void closeConnections() {
+    public synchronized void closeConnections() {
         phase = Phase.CLOSING;
     }
 
@@ -64,7 +64,7 @@
      * Whether {@code /_health} may say yes. Danger: a process that hands over shares its address with its
      * successor; a no would turn the front away from both.
      */
-    synchronized boolean isHealthy() {
+    public synchronized boolean isHealthy() {
         return phase == Phase.STARTING || phase == Phase.SERVING || phase == Phase.HANDING_OVER;
     }
 
@@ -74,12 +74,12 @@
     }
 
     /** Whether every answer closes its connection. */
-    synchronized boolean closesAfterResponse() {
+    public synchronized boolean closesAfterResponse() {
         return phase == Phase.DRAINED || phase == Phase.HANDING_OVER || phase == Phase.CLOSING;
     }
 
     /** Whether idle connections are closed. */
-    synchronized boolean closesIdleConnections(double now) {
+    public synchronized boolean closesIdleConnections(double now) {
         return phase == Phase.CLOSING || phase == Phase.DRAINED && now - drainedAt >= IDLE_CLOSE_DELAY_MILLIS;
     }
 }
--- a/src/main/java/nettlewick/net/PeerSocket.java
+++ b/src/main/java/nettlewick/net/peer/PeerSocket.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.peer;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -11,9 +11,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiConsumer;
 import nettlewick.log.ComponentLogger;
+import nettlewick.net.config.PlatformConfig;
 
 /** Short messages to and from the other dispatchers. Lives on the event loop. */
-final class PeerSocket {
+public final class PeerSocket {
     private static final ComponentLogger LOG = ComponentLogger.of("peers");
     private static final int MAX_DATAGRAM_BYTES = 256;
     /** Between two tries for a port that another process still holds. */
@@ -30,13 +31,13 @@
 
     private final AtomicLong unknownSenders = new AtomicLong();
 
-    PeerSocket(Vertx vertx, PlatformConfig config) {
+    public PeerSocket(Vertx vertx, PlatformConfig config) {
         this.vertx = vertx;
         reload(config);
     }
 
     /** Takes the peers' addresses over. */
-    void reload(PlatformConfig next) {
+    public void reload(PlatformConfig next) {
         config = next;
         ranksByAddress.clear();
         for (int rank = 0; rank < config.peers().size(); rank++) {
@@ -49,7 +50,7 @@
     }
 
     /** Hands each message on with the sender's rank. */
-    Future<Void> listen(BiConsumer<Integer, byte[]> handler) {
+    public Future<Void> listen(BiConsumer<Integer, byte[]> handler) {
         if (config.peerListen() == null || !config.settings().limits().peers()) {
             return Future.succeededFuture();
         }
@@ -72,7 +73,7 @@
     }
 
     /** Listens as soon as the process that holds the port gives it up. */
-    void listenWhenPortIsFree(BiConsumer<Integer, byte[]> handler) {
+    public void listenWhenPortIsFree(BiConsumer<Integer, byte[]> handler) {
         listen(handler).onFailure(e -> {
             socket.close();
             if (!closed) {
@@ -92,17 +93,17 @@
     }
 
     /** Datagrams passed over here since the start, by kind. */
-    Map<String, Number> ignoredDatagrams() {
+    public Map<String, Number> ignoredDatagrams() {
         return Map.of(
                 "peers.passed_over.oversized", oversized.get(), "peers.passed_over.strangers", unknownSenders.get());
     }
 
-    boolean isBound() {
+    public boolean isBound() {
         return bound;
     }
 
     /** Gives the port up. */
-    void close() {
+    public void close() {
         closed = true;
         bound = false;
         if (socket != null) {
@@ -110,7 +111,7 @@
         }
     }
 
-    void send(int rank, byte[] data) {
+    public void send(int rank, byte[] data) {
         // Danger: one longer datagram voids the whole run. One sent before the socket is bound binds it to
         // another port: peers would take it for a stranger's, and this dispatcher could not listen any more.
         if (bound
--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -5,8 +5,8 @@
 import io.vertx.core.http.HttpMethod;
 import java.util.List;
 import nettlewick.core.Request;
-import nettlewick.net.Frontend;
-import nettlewick.net.RequestReader;
+import nettlewick.net.client.Frontend;
+import nettlewick.net.client.RequestReader;
 
 /** A capture file as a source of traffic: its requests go to the core at their recorded spacing. */
 public final class CaptureReplayer implements Frontend {
--- a/src/main/java/nettlewick/pcap/CaptureWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureWriter.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import nettlewick.core.Clock;
 import nettlewick.log.ComponentLogger;
-import nettlewick.net.TrafficListener;
+import nettlewick.net.client.TrafficListener;
 
 /**
  * Writes the traffic that a front serves as a classic capture file of raw IP packets. The packets are made
--- a/src/main/java/nettlewick/sse/EventStreamFrontend.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 import nettlewick.core.Metrics;
 import nettlewick.core.Request;
-import nettlewick.net.HttpFrontend;
-import nettlewick.net.RequestReader;
+import nettlewick.net.client.HttpFrontend;
+import nettlewick.net.client.RequestReader;
 
 /**
  * Server-sent events for progress. A POST starts a job and answers with its stream; the same id once more,
--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -17,6 +17,8 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.admin.AdminFrontend;
+import nettlewick.net.lifecycle.DisabledEndpointStore;
+import nettlewick.net.lifecycle.ServiceState;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/nettlewick/net/IdleClientFloodTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -13,6 +13,8 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import nettlewick.core.Clock;
+import nettlewick.net.client.PlatformFrontend;
+import nettlewick.net.config.PlatformConfig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/nettlewick/net/StandIns.java
+++ b/src/test/java/nettlewick/net/StandIns.java
@@ -7,6 +7,9 @@
 import java.util.Map;
 import nettlewick.core.Clock;
 import nettlewick.core.UsageRecorder;
+import nettlewick.net.client.Frontend;
+import nettlewick.net.client.PlatformFrontend;
+import nettlewick.net.config.PlatformConfig;
 
 /** The stand-ins with a dispatcher among them. */
 public final class StandIns extends nettlewick.stubs.StubPlatform {
--- a/src/test/java/nettlewick/net/ClientConnectionTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionTest.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- /dev/null
+++ b/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
@@ -0,0 +1,71 @@
+package nettlewick.net.discovery;
+
+import static nettlewick.stubs.StubPlatform.get;
+import static nettlewick.stubs.StubPlatform.until;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.NetServer;
+import io.vertx.core.net.NetSocket;
+import io.vertx.core.net.SocketAddress;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicInteger;
+import nettlewick.core.Clock;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** The watch on discovery, with messages that arrive in pieces. */
+@Timeout(60)
+class DiscoveryWatchTest {
+    private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private final Vertx vertx = Vertx.vertx();
+
+    @AfterEach
+    void close() throws Exception {
+        get(vertx.close());
+    }
+
+    private static Buffer chunk(String line) {
+        Buffer text = Buffer.buffer(line + "\n");
+        return Buffer.buffer(Integer.toHexString(text.length()) + "\r\n")
+                .appendBuffer(text)
+                .appendString("\r\n");
+    }
+
+    private void write(NetSocket to, Buffer bytes, int cut) {
+        to.write(bytes.slice(0, cut));
+        vertx.setTimer(1, id -> to.write(bytes.slice(cut, bytes.length())));
+    }
+
+    @Test
+    void readsADiscoveryListSplitAtAnyByte() throws Exception {
+        String list = "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s-é✓\",\"dial\":\"127.0.0.1:1\","
+                + "\"health\":\"Ready\"}]}";
+        Buffer answer = Buffer.buffer(OK).appendBuffer(chunk(list)).appendBuffer(chunk(""));
+        AtomicInteger cut = new AtomicInteger();
+        NetServer discovery = vertx.createNetServer().connectHandler(socket -> {
+            socket.exceptionHandler(e -> {});
+            socket.handler(request -> write(socket, answer, cut.incrementAndGet()));
+        });
+        get(discovery.listen(0, "127.0.0.1"));
+        SocketAddress at = SocketAddress.inetSocketAddress(discovery.actualPort(), "127.0.0.1");
+        List<String> told = new CopyOnWriteArrayList<>();
+        for (int i = 1; i < answer.length(); i++) {
+            DiscoveryWatch watch = new DiscoveryWatch(
+                    vertx,
+                    at,
+                    Clock.standing(0),
+                    new WatchStalenessTimer(new PollBackoff(false, 1, 0, new SplittableRandom(1)), 0),
+                    news -> told.add(news.endpoints().get(0).entry().id()));
+            watch.start(null);
+            int wanted = i;
+            until(() -> told.size() >= wanted);
+            watch.stop();
+        }
+        assertEquals(List.of("s-é✓"), told.stream().distinct().toList());
+    }
+}
--- a/src/test/java/nettlewick/net/WatchStalenessTimerTest.java
+++ b/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,6 +11,7 @@
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import nettlewick.net.format.JsonFields;
 import org.junit.jupiter.api.Test;
 
 /** The clock of the list: what is missed on a silent watch is had before it counts as told. */
--- a/src/test/java/nettlewick/net/DisabledEndpointStoreGoldenTest.java
+++ b/src/test/java/nettlewick/net/lifecycle/DisabledEndpointStoreGoldenTest.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.lifecycle;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
 
--- a/src/test/java/nettlewick/net/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/peer/PeerSocketTest.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.peer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,6 +12,8 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import nettlewick.net.StandIns;
+import nettlewick.net.config.PlatformConfig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
