--- a/src/main/java/nettlewick/net/Frontend.java
+++ b/src/main/java/nettlewick/net/client/Frontend.java
@@ -1,4 +1,4 @@
-package nettlewick.net;
+package nettlewick.net.client;
 
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -6,6 +6,8 @@
 import java.util.function.BooleanSupplier;
 import nettlewick.core.Clock;
 import nettlewick.core.RequestCoordinator;
+import nettlewick.net.config.PlatformConfig;
+import nettlewick.net.lifecycle.ServiceState;
 
 /** A way in for clients. Lives on the event loop; all fronts share one core and so its rules. */
 public interface Frontend {
@@ -18,11 +20,11 @@
             RequestCoordinator core,
             BooleanSupplier holdsList,
             ServiceState state,
-            int connections) {}
+            int maxConnections) {}
 
     /** Makes a front on the event loop. */
     interface Maker {
-        Frontend make(Base base);
+        Frontend create(Base environment);
     }
 
     /** Listens; the port that is held comes back. */
@@ -32,5 +34,5 @@
     boolean connected();
 
     /** Closes idle connections, and others with their next answer; done when none is left. */
-    Future<Void> shut(long millis);
+    Future<Void> shut(long timeoutMillis);
 }
--- /dev/null
+++ b/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
@@ -0,0 +1,205 @@
+package nettlewick.net.discovery;
+
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClient;
+import io.vertx.core.http.HttpClientAgent;
+import io.vertx.core.http.HttpClientConnection;
+import io.vertx.core.http.HttpClientOptions;
+import io.vertx.core.http.HttpConnectOptions;
+import io.vertx.core.http.HttpMethod;
+import io.vertx.core.http.RequestOptions;
+import io.vertx.core.net.SocketAddress;
+import java.util.function.Consumer;
+import nettlewick.core.Clock;
+import nettlewick.log.ComponentLogger;
+import nettlewick.net.format.JsonFields;
+
+/** The standing watch on discovery: resumed where it broke, with growing pauses. Lives on the event loop. */
+public final class DiscoveryWatch {
+    private static final ComponentLogger LOG = ComponentLogger.of("resolver");
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+
+    private final Vertx vertx;
+    private final HttpClientAgent client;
+    private final Clock clock;
+    private final Consumer<EndpointListSnapshot> listener;
+    private SocketAddress discovery;
+    /** Version of the list as this address counts; below 0 before its first word. */
+    private long sequence = -1;
+
+    private final WatchStalenessTimer stalenessTimer;
+    private int currentCall;
+    private boolean stopped;
+    private HttpClientConnection connection;
+
+    public DiscoveryWatch(
+            Vertx vertx,
+            SocketAddress discovery,
+            Clock clock,
+            WatchStalenessTimer stalenessTimer,
+            Consumer<EndpointListSnapshot> listener) {
+        this.stalenessTimer = stalenessTimer;
+        this.vertx = vertx;
+        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
+        this.discovery = discovery;
+        this.clock = clock;
+        this.listener = listener;
+    }
+
+    /** Applies the list that was known before, if there is one, then watches. */
+    public void start(EndpointListSnapshot known) {
+        if (known != null) {
+            sequence = known.sequence();
+            listener.accept(known);
+        }
+        connect();
+    }
+
+    /** Looks when the call that is open would count as broken; words that come meanwhile move that on. */
+    private void scheduleDeadlineCheck(int call) {
+        double remainingMillis = stalenessTimer.deadline() - clock.now();
+        vertx.setTimer(
+                (long) Math.max(1, Math.ceil(Math.min(remainingMillis, WatchStalenessTimer.NOTIFIED_AFTER_MILLIS))),
+                id -> {
+                    if (call == currentCall && clock.now() >= stalenessTimer.deadline()) {
+                        endCall(call, "silent");
+                    } else if (call == currentCall) {
+                        scheduleDeadlineCheck(call);
+                    }
+                });
+    }
+
+    private void connect() {
+        if (stopped) {
+            return;
+        }
+        int call = ++currentCall;
+        stalenessTimer.callStarted(clock.now());
+        scheduleDeadlineCheck(call);
+        client.connect(new HttpConnectOptions()
+                        .setServer(discovery)
+                        .setHost(discovery.hostAddress())
+                        .setPort(discovery.port())
+                        .setSsl(false))
+                .onFailure(e -> endCall(call, "cannot connect"))
+                .onSuccess(opened -> {
+                    if (call != currentCall) {
+                        // The watch moved on while this connection came up.
+                        opened.close();
+                        return;
+                    }
+                    connection = opened;
+                    opened.exceptionHandler(e -> {});
+                    opened.closeHandler(v -> endCall(call, "closed"));
+                    requestList(opened, call);
+                });
+    }
+
+    private void requestList(HttpClient http, int call) {
+        String uri = "/catalog/members?watch=1" + (sequence >= 0 ? "&after=" + sequence : "");
+        http.request(new RequestOptions().setMethod(HttpMethod.GET).setURI(uri))
+                .compose(request -> request.send())
+                .onFailure(e -> endCall(call, "no answer"))
+                .onSuccess(response -> {
+                    if (response.statusCode() != HttpResponseStatus.OK.code()) {
+                        endCall(call, "status " + response.statusCode());
+                        return;
+                    }
+                    JsonObjectFramer framer = new JsonObjectFramer();
+                    response.exceptionHandler(e -> endCall(call, "broken off"));
+                    response.endHandler(v -> endCall(call, "ended"));
+                    response.handler(bytes -> readBytes(bytes, framer, call));
+                });
+    }
+
+    private void readBytes(Buffer bytes, JsonObjectFramer framer, int call) {
+        if (call != currentCall) {
+            return;
+        }
+        try {
+            stalenessTimer.bytesReceived(clock.now());
+            if (framer.feed(bytes.getBytes(), text -> applyList(text, call))) {
+                stalenessTimer.messageReceived(clock.now());
+            }
+        } catch (JsonFields.InvalidFieldException e) {
+            endCall(call, "unreadable: " + e.getMessage());
+        }
+    }
+
+    private void applyList(String text, int call) {
+        if (call != currentCall) {
+            return;
+        }
+        EndpointListSnapshot snapshot = EndpointListSnapshot.parse(JsonFields.parse("the list", text));
+        stalenessTimer.listReceived();
+        if (!snapshot.faults().isEmpty()) {
+            LOG.warning(
+                    "entries-left-out",
+                    snapshot.faults().size() + " entries left out: "
+                            + snapshot.faults().get(0).getMessage());
+        }
+        if (snapshot.complete() || snapshot.sequence() > sequence) {
+            sequence = snapshot.sequence();
+            listener.accept(snapshot);
+        } else if (snapshot.sequence() < sequence) {
+            // Discovery has started anew and counts from the beginning: its changes mean nothing without its
+            // list.
+            sequence = -1;
+            endCall(call, "versions start anew");
+        }
+    }
+
+    /**
+     * Discovery is at another address now. What is held stands until the whole list has come from there.
+     * Danger: the new one counts on its own; asked for what came after the old one's number, it may tell
+     * nothing for long.
+     */
+    public void moveTo(SocketAddress newAddress) {
+        if (stopped || newAddress.equals(discovery)) {
+            return;
+        }
+        discovery = newAddress;
+        sequence = -1;
+        stalenessTimer.addressChanged();
+        currentCall++;
+        if (connection != null) {
+            connection.close();
+            connection = null;
+        }
+        connect();
+    }
+
+    /** Ends the watch for good. Danger: a round begun on a client that is closed would throw. */
+    public void stop() {
+        currentCall++;
+        stopped = true;
+    }
+
+    /** Ends this round of the watch, once, and begins another after a pause. */
+    private void endCall(int call, String reason) {
+        if (call != currentCall) {
+            return;
+        }
+        currentCall++;
+        if (connection != null) {
+            connection.close();
+            connection = null;
+        }
+        long pauseMillis = (long) Math.ceil(stalenessTimer.callEnded(clock.now()));
+        LOG.info(
+                "watch-broken",
+                "watch broken: " + reason + "; again in " + pauseMillis + " ms",
+                "why",
+                reason,
+                "pause_ms",
+                pauseMillis);
+        int endedCall = currentCall;
+        vertx.setTimer(pauseMillis, id -> {
+            if (endedCall == currentCall) {
+                connect();
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
@@ -0,0 +1,119 @@
+package nettlewick.net.endpoint;
+
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClientResponse;
+import io.vertx.core.http.RequestOptions;
+import io.vertx.core.parsetools.RecordParser;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import nettlewick.core.Attempt;
+import nettlewick.core.Request;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.EndpointLoad;
+import nettlewick.net.format.JsonFields;
+
+/** One attempt of an RPC at a sim runner; the answer tells of it line by line. */
+final class AttemptExchange extends OutboundRequest {
+    /** A result is 64 KiB at most, and JSON may write a byte of it in six. */
+    private static final int MAX_LINE_BYTES = 6 * 65536 + 4096;
+
+    /** A second answer to one request comes some milliseconds after the first; at most this many. */
+    private static final double DUPLICATE_ANSWER_WINDOW_MILLIS = 50;
+
+    private final Attempt attempt;
+
+    AttemptExchange(Attempt attempt, EndpointConnectionPools pools) {
+        super(pools);
+        this.attempt = attempt;
+    }
+
+    @Override
+    RequestOptions requestOptions() {
+        Request request = attempt.request();
+        ForwardedRequest forwarded = (ForwardedRequest) request.cargo();
+        double remainingSeconds = Math.max(0.001, (request.deadline() - pools.now()) / 1000);
+        RequestOptions options = new RequestOptions()
+                .setMethod(forwarded.method())
+                .setURI(forwarded.uri())
+                .putHeader("X-Request-Id", request.id())
+                .putHeader("X-Class", request.requestClass())
+                .putHeader("X-Deadline", String.format(Locale.ROOT, "%.3f", remainingSeconds))
+                .putHeader("Content-Length", Integer.toString(forwarded.body().length()));
+        if (forwarded.idempotencyKey() != null) {
+            options.putHeader("Idempotency-Key", forwarded.idempotencyKey());
+        }
+        return options;
+    }
+
+    @Override
+    boolean mayStillSend() {
+        return attempt.mayBegin(pools.now());
+    }
+
+    @Override
+    double requiredIdleMillis() {
+        return pools.config().isIdempotentClass(attempt.request().requestClass()) ? 0 : DUPLICATE_ANSWER_WINDOW_MILLIS;
+    }
+
+    @Override
+    Buffer body() {
+        return ((ForwardedRequest) attempt.request().cargo()).body();
+    }
+
+    @Override
+    void readResponse(HttpClientResponse response) {
+        if (response.statusCode() != OK) {
+            finish(resultOfError(response), null, LoadReport.parse(response.getHeader("X-Load")));
+            return;
+        }
+        RecordParser lines = RecordParser.newDelimited("\n").maxRecordSize(MAX_LINE_BYTES);
+        lines.exceptionHandler(e -> finish(AttemptResult.ERROR, null, null));
+        lines.handler(line -> {
+            if (!isOver() && line.length() > 0) {
+                handleLine(line.toString(StandardCharsets.UTF_8));
+            }
+        });
+        response.handler(lines);
+    }
+
+    private void handleLine(String text) {
+        try {
+            JsonFields fields = JsonFields.parse("a line", text);
+            if (fields.has("id") && !fields.text("id").equals(attempt.request().id())) {
+                // Meant for another request: what became of this one is not known, and it is served by
+                // nobody.
+                finish(AttemptResult.ERROR, null, null);
+                return;
+            }
+            EndpointLoad load = fields.has("load") ? LoadReport.fromJson(fields.object("load")) : null;
+            switch (fields.text("state")) {
+                case "started" -> pools.coordinator().reportProgress(attempt, 0);
+                case "running" -> pools.coordinator().reportProgress(attempt, fields.numberOr("share", 0, 0, 1));
+                case "done" ->
+                    finish(AttemptResult.SERVED, fields.text("result").getBytes(StandardCharsets.UTF_8), load);
+                case "failed" -> finish(AttemptResult.ERROR, null, load);
+                case "returned" -> finish(AttemptResult.OVERLOADED, null, load);
+                case "lost" -> finish(AttemptResult.BROKEN, null, load);
+                default -> {}
+            }
+        } catch (JsonFields.InvalidFieldException e) {
+            finish(AttemptResult.ERROR, null, null);
+        }
+    }
+
+    @Override
+    void requestWritten() {
+        pools.coordinator().figures().relayed();
+    }
+
+    @Override
+    void bodyEnded() {
+        // Danger: an answer that ends in good order without its last line tells nothing: it may have run.
+        connectionLost();
+    }
+
+    @Override
+    void reportOutcome(Attempt.Outcome outcome) {
+        pools.coordinator().attemptEnded(attempt, outcome);
+    }
+}
