--- a/src/main/java/nettlewick/decision/Allowance.java
+++ b/src/main/java/nettlewick/decision/Allowance.java
@@ -39,7 +39,7 @@
     }
 
     long retryAfter(ScheduledRequest request) {
-        double wait = (meanCost.value - request.tenure.credit) / Math.max(slice * request.tenure.weight, 1e-9) * 1e9;
+        double wait = (meanCost.value - request.tenantCredit.credit) / Math.max(slice * request.tenantCredit.weight, 1e-9) * 1e9;
         return (long) Math.min(settings.limits().maxRetryAfter(), Math.max(DELTA, wait));
     }
 
@@ -79,9 +79,9 @@
         boolean fresh = false;
         boolean free = false;
         for (Endpoint endpoint : shared(watched)) {
-            if (endpoint.ready && now - endpoint.answeredAt <= DELTA) {
+            if (endpoint.isReady && now - endpoint.reportedAt <= DELTA) {
                 fresh = true;
-                free |= left(endpoint) - endpoint.outSlots >= 1;
+                free |= left(endpoint) - endpoint.inFlightSlots >= 1;
             }
         }
         credit();
@@ -117,7 +117,7 @@
         lost = 0;
         served = 0;
         double fair = TenantCredit.fairShare(tenures, slice);
-        augmented = fair + ALPHA * Math.max(0, slice - TenantCredit.carried(tenures, fair));
+        augmented = fair + ALPHA * Math.max(0, slice - TenantCredit.totalCarried(tenures, fair));
         exchange(floor);
     }
 }
--- a/src/main/java/nettlewick/decision/Choice.java
+++ b/src/main/java/nettlewick/decision/Choice.java
@@ -19,13 +19,13 @@
     /** Exception: slots of a kind that worthier jobs are bound to, kept from jobs that may go elsewhere. */
     static final double RESERVE = 1;
 
-    final Mean[] pace;
+    final RunningMean[] pace;
     /** By kind, from -1 on: the most that a job bound to it is worth. */
     final double[] bound;
 
-    final Mean meanDensity = new Mean();
+    final RunningMean meanDensity = new RunningMean();
     /** How long jobs run, of all classes together. */
-    final Mean runs = new Mean();
+    final RunningMean runs = new RunningMean();
     /** Whether the last choice saw room, or no fresh answer at all. */
     boolean roomy;
 
@@ -34,11 +34,11 @@
 
     Choice(SchedulerSettings settings, long seed) {
         super(settings, seed);
-        pace = new Mean[settings.classes().size()];
+        pace = new RunningMean[settings.classes().size()];
         bound = new double[settings.kinds().size() + 1];
         for (int i = 0; i < pace.length; i++) {
             RequestClass c = settings.classes().get(i);
-            pace[i] = new Mean();
+            pace[i] = new RunningMean();
             bound[c.kind() + 1] = Math.max(bound[c.kind() + 1], c.priorityWeight());
         }
     }
@@ -48,7 +48,7 @@
         double wait = wait(request, endpoint);
         // Danger: worthy jobs that would be late too pile up at a slowed worker and make each other late.
         double left = patience(request) - run(request, endpoint);
-        return now - endpoint.answeredAt <= DELTA && wait > Math.max(WAIT_PART * request.kind.latencyObjective(), left);
+        return now - endpoint.reportedAt <= DELTA && wait > Math.max(WAIT_PART * request.requestClass.latencyObjective(), left);
     }
 
     /**
@@ -58,76 +58,76 @@
      */
     double wait(ScheduledRequest request, Endpoint endpoint) {
         return Math.max(
-                ahead(request, endpoint) * pools.get(endpoint.kind + 1).waits.factor(),
-                OutlierDetector.waited(endpoint, now));
+                ahead(request, endpoint) * pools.get(endpoint.kind + 1).waitCalibration.factor(),
+                OutlierDetector.longestWait(endpoint, now));
     }
 
     double ahead(ScheduledRequest request, Endpoint endpoint) {
-        return Math.max(0, -spare(request, endpoint)) * runs.value / Math.max(1, pools.get(endpoint.kind + 1).slots);
+        return Math.max(0, -spare(request, endpoint)) * runs.value / Math.max(1, pools.get(endpoint.kind + 1).mostFreeSlots);
     }
 
     /** Time after arrival within which an answer is worth its full worth, as far as can be told. */
     double patience(ScheduledRequest request) {
-        return request.kind.latencyObjective() + request.kind.objectiveStretch() * work(request);
+        return request.requestClass.latencyObjective() + request.requestClass.objectiveStretch() * work(request);
     }
 
     boolean worthy(ScheduledRequest request) {
-        return request.density() > WORTHY * meanDensity.value;
+        return request.priorityPerSlot() > WORTHY * meanDensity.value;
     }
 
     /** How long it would run there, by its hint and by how that worker and its kind run against hints. */
     double run(ScheduledRequest request, Endpoint endpoint) {
         return work(request)
-                * (request.arrival.costHint() > 0 ? outliers.drag(endpoint, pools.get(endpoint.kind + 1)) : 1);
+                * (request.arrival.costHint() > 0 ? outliers.expectedSlowdown(endpoint, pools.get(endpoint.kind + 1)) : 1);
     }
 
     double work(ScheduledRequest request) {
-        return request.arrival.costHint() > 0 ? request.arrival.costHint() : pace[request.index].value;
+        return request.arrival.costHint() > 0 ? request.arrival.costHint() : pace[request.classIndex].value;
     }
 
     /** Danger: a repeated effect. True only if one more attempt is legal now, at some worker at least. */
     boolean mayRepeat(ScheduledRequest request) {
         if (request.attempts.size() >= settings.limits().maxAttempts()
                 || now >= request.deadline
-                || request.out() > (settings.limits().hedgedRequests() ? 1 : 0)) {
+                || request.inFlightAttempts() > (settings.limits().hedgedRequests() ? 1 : 0)) {
             return false;
         }
-        Attempt ran = request.firstThatMayHaveRun();
+        Attempt ran = request.firstPossiblyExecutedAttempt();
         return ran == null
-                || request.kind.idempotency() == Idempotency.IDEMPOTENT
-                || request.kind.idempotency() == Idempotency.KEYED && now - ran.sentAt <= request.kind.dedupWindow();
+                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || request.requestClass.idempotency() == Idempotency.KEYED && now - ran.sentAt <= request.requestClass.dedupWindow();
     }
 
     boolean inScope(ScheduledRequest request, Endpoint endpoint) {
-        Attempt ran = request.kind.idempotency() == Idempotency.KEYED ? request.firstThatMayHaveRun() : null;
-        if (ran == null || request.kind.dedupScope() == Scope.ALL) {
+        Attempt ran = request.requestClass.idempotency() == Idempotency.KEYED ? request.firstPossiblyExecutedAttempt() : null;
+        if (ran == null || request.requestClass.dedupScope() == Scope.ALL) {
             return true;
         }
-        EndpointEntry first = ran.worker.entry;
-        return request.kind.dedupScope() == Scope.CELL
+        EndpointEntry first = ran.endpoint.entry;
+        return request.requestClass.dedupScope() == Scope.CELL
                 ? first.cell() == endpoint.entry.cell()
                 : first.zone() != null && first.zone().equals(endpoint.entry.zone());
     }
 
     boolean usable(ScheduledRequest request, Endpoint endpoint) {
-        return endpoint.ready
-                && OutlierDetector.trusts(endpoint, request, now)
+        return endpoint.isReady
+                && OutlierDetector.mayReceive(endpoint, request, now)
                 && inScope(request, endpoint)
-                && !request.wasAt(endpoint)
-                && coldStart.allows(endpoint, pools.get(endpoint.kind + 1), meanCost.value, now);
+                && !request.wasSentTo(endpoint)
+                && coldStart.admits(endpoint, pools.get(endpoint.kind + 1), meanCost.value, now);
     }
 
     /** The roomiest of the pool's fresh answers, own zone first; without any, a random one of the kind. */
     Endpoint choose(ScheduledRequest request) {
-        Pool pool = candidates(request, pools.get(request.kind.kind() + 1));
+        EndpointPool pool = candidates(request, pools.get(request.requestClass.kind() + 1));
         roomy = true;
         for (Endpoint endpoint : pool.ready) {
             // Exception: one put back by hand would stay unused while the own zone has room.
-            if (roll.back(endpoint.id)
-                    && endpoint.out.isEmpty()
+            if (registry.isReenabled(endpoint.id)
+                    && endpoint.inFlight.isEmpty()
                     && request.cost <= meanCost.value
                     && request.attempts.isEmpty()
-                    && request.kind.idempotency() != Idempotency.NON_IDEMPOTENT
+                    && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT
                     && usable(request, endpoint)) {
                 return endpoint;
             }
@@ -140,11 +140,11 @@
         Endpoint best = null;
         double most = 0;
         boolean roomAtBest = false;
-        for (Endpoint endpoint : pool.members) {
-            if (now - endpoint.answeredAt <= DELTA && usable(request, endpoint)) {
+        for (Endpoint endpoint : pool.probed) {
+            if (now - endpoint.reportedAt <= DELTA && usable(request, endpoint)) {
                 double room = spare(request, endpoint);
                 // Crossing zones costs: another zone's room counts only when the own zone has none.
-                double rank = room >= 0 ? room + (endpoint.near ? 1000 : 500) : room + (endpoint.near ? 0.5 : 0);
+                double rank = room >= 0 ? room + (endpoint.isLocal ? 1000 : 500) : room + (endpoint.isLocal ? 0.5 : 0);
                 // Danger: a full worker answers fast and looks less busy than one with a queue. It is last.
                 rank -= wasFull(request, endpoint) ? 2000 : 0;
                 // Danger: a slowed worker with room takes jobs that will be late. Which ones, they tell;
@@ -163,7 +163,7 @@
         }
         for (int tries = 0; tries < 2 * POOL_LEAST && !pool.ready.isEmpty(); tries++) {
             Endpoint endpoint = pool.ready.get(random.nextInt(pool.ready.size()));
-            if (usable(request, endpoint) && (endpoint.near || tries >= POOL_LEAST)) {
+            if (usable(request, endpoint) && (endpoint.isLocal || tries >= POOL_LEAST)) {
                 return endpoint;
             }
         }
@@ -174,12 +174,12 @@
      * Exception for keyed jobs: the pool of a key is the few workers that follow it on a hash ring, so that
      * all dispatchers keep its data warm at the same workers. The first of them with room takes the job.
      */
-    Endpoint home(ScheduledRequest request, Pool pool) {
+    Endpoint home(ScheduledRequest request, EndpointPool pool) {
         Endpoint best = null;
         roomAtHome = false;
         for (Endpoint endpoint : homes(request, pool)) {
             if (usable(request, endpoint)) {
-                if (now - endpoint.answeredAt > DELTA ? endpoint.outSlots < 1 : spare(request, endpoint) >= 0) {
+                if (now - endpoint.reportedAt > DELTA ? endpoint.inFlightSlots < 1 : spare(request, endpoint) >= 0) {
                     roomAtHome = true;
                     return endpoint;
                 }
@@ -192,9 +192,9 @@
         return best;
     }
 
-    static List<Endpoint> homes(ScheduledRequest request, Pool pool) {
-        List<Endpoint> homes = pool.nearRing.follow(request.arrival.key(), HOMES);
-        homes.addAll(pool.ring.follow(request.arrival.key(), HOMES));
+    static List<Endpoint> homes(ScheduledRequest request, EndpointPool pool) {
+        List<Endpoint> homes = pool.localRing.successors(request.arrival.key(), HOMES);
+        homes.addAll(pool.ring.successors(request.arrival.key(), HOMES));
         return homes;
     }
 
@@ -203,31 +203,31 @@
      * Danger: all herd onto one roomy worker. What others leave is from reports; own sends count exactly.
      */
     double spare(ScheduledRequest request, Endpoint endpoint) {
-        double room = left(endpoint) - endpoint.outSlots;
-        double waiting = OutlierDetector.waiting(endpoint, now);
+        double room = left(endpoint) - endpoint.inFlightSlots;
+        double waiting = OutlierDetector.blockedSlots(endpoint, now);
         room = wasFull(request, endpoint) || waiting > 0 ? Math.min(-waiting, room) : room;
-        room -= request.kind.kind() < 0
+        room -= request.requestClass.kind() < 0
                         && endpoint.kind >= 0
-                        && bound[endpoint.kind + 1] > request.kind.priorityWeight()
+                        && bound[endpoint.kind + 1] > request.requestClass.priorityWeight()
                 ? RESERVE
                 : 0;
-        return (request.arrival.memory() > endpoint.memory ? Math.min(room, 0) : room) - request.arrival.slots();
+        return (request.arrival.memory() > endpoint.freeMemory ? Math.min(room, 0) : room) - request.arrival.slots();
     }
 
     /** A worker that was full is taken to be full until a slot or so can have become free. */
     boolean wasFull(ScheduledRequest request, Endpoint endpoint) {
-        return now - endpoint.fullAt < (long) Math.max(BEAT / 2, pace[request.index].value / 4);
+        return now - endpoint.overloadedAt < (long) Math.max(BEAT / 2, pace[request.classIndex].value / 4);
     }
 
     /** Where trouble leaves no healthy worker, one that is shunned may still take a first attempt. */
-    Endpoint lastResort(ScheduledRequest request, Pool pool) {
+    Endpoint lastResort(ScheduledRequest request, EndpointPool pool) {
         if (!request.attempts.isEmpty() || pool.ready.isEmpty()) {
             return null;
         }
         int start = random.nextInt(pool.ready.size());
         for (int i = 0; i < pool.ready.size(); i++) {
             Endpoint endpoint = pool.ready.get((start + i) % pool.ready.size());
-            if (coldStart.allows(endpoint, pools.get(endpoint.kind + 1), meanCost.value, now)) {
+            if (coldStart.admits(endpoint, pools.get(endpoint.kind + 1), meanCost.value, now)) {
                 return endpoint;
             }
         }
--- a/src/main/java/nettlewick/decision/EndpointRegistry.java
+++ b/src/main/java/nettlewick/decision/EndpointRegistry.java
@@ -14,61 +14,61 @@
 
 /** The list of workers as it was told, and what operators make of it: a banned worker counts as draining. */
 final class EndpointRegistry {
-    private final Map<String, EndpointEntry> told = new LinkedHashMap<>();
-    private final Map<String, EndpointAdminChange> bans = new HashMap<>();
+    private final Map<String, EndpointEntry> discovered = new LinkedHashMap<>();
+    private final Map<String, EndpointAdminChange> adminChanges = new HashMap<>();
 
     /** Put back by operators, and not seen at work since. */
-    private final Set<String> back = new HashSet<>();
+    private final Set<String> reenabled = new HashSet<>();
 
     /** Takes news of the list over; what the module should go by comes back. */
-    EndpointList heed(EndpointList news) {
+    EndpointList apply(EndpointList news) {
         if (news.whole()) {
-            told.clear();
+            discovered.clear();
         }
         List<EndpointEntry> seen = new ArrayList<>();
         for (EndpointEntry entry : news.entries()) {
             if (entry.state() == EndpointState.GONE) {
-                told.remove(entry.id());
+                discovered.remove(entry.id());
             } else {
-                told.put(entry.id(), entry);
+                discovered.put(entry.id(), entry);
             }
-            seen.add(seen(entry));
+            seen.add(effectiveEntry(entry));
         }
         return new EndpointList(news.whole(), seen);
     }
 
     /** Takes a ban or its end over. */
-    EndpointList heed(EndpointAdminChange ban) {
-        bans.put(ban.endpoint(), ban);
+    EndpointList apply(EndpointAdminChange ban) {
+        adminChanges.put(ban.endpoint(), ban);
         if (ban.disabled()) {
-            back.remove(ban.endpoint());
+            reenabled.remove(ban.endpoint());
         } else {
-            back.add(ban.endpoint());
+            reenabled.add(ban.endpoint());
         }
-        EndpointEntry entry = told.get(ban.endpoint());
-        return new EndpointList(false, entry == null ? List.of() : List.of(seen(entry)));
+        EndpointEntry entry = discovered.get(ban.endpoint());
+        return new EndpointList(false, entry == null ? List.of() : List.of(effectiveEntry(entry)));
     }
 
     /**
      * Whether discovery lists this worker as ready, bans aside. Danger: peers name workers by their places
      * among these. Bans are each dispatcher's own: the places would mean other workers at the other end.
      */
-    boolean tellsReady(String endpoint) {
-        EndpointEntry entry = told.get(endpoint);
+    boolean isDiscoveredReady(String endpoint) {
+        EndpointEntry entry = discovered.get(endpoint);
         return entry != null && entry.state() == EndpointState.READY;
     }
 
     /** Whether operators have put this worker back and it has served nothing since. */
-    boolean back(String endpoint) {
-        return back.contains(endpoint);
+    boolean isReenabled(String endpoint) {
+        return reenabled.contains(endpoint);
     }
 
-    void served(String endpoint) {
-        back.remove(endpoint);
+    void recordServed(String endpoint) {
+        reenabled.remove(endpoint);
     }
 
-    private EndpointEntry seen(EndpointEntry e) {
-        EndpointAdminChange ban = bans.get(e.id());
+    private EndpointEntry effectiveEntry(EndpointEntry e) {
+        EndpointAdminChange ban = adminChanges.get(e.id());
         if (ban == null || e.state() == EndpointState.GONE) {
             return e;
         }
@@ -87,6 +87,6 @@
     /** How many are on the list, and how many of them are avoided. */
     EndpointCounts count(Predicate<String> avoided) {
         return new EndpointCounts(
-                told.size(), (int) told.keySet().stream().filter(avoided).count());
+                discovered.size(), (int) discovered.keySet().stream().filter(avoided).count());
     }
 }
--- a/src/main/java/nettlewick/decision/EventLoop.java
+++ b/src/main/java/nettlewick/decision/EventLoop.java
@@ -16,7 +16,7 @@
 import nettlewick.decision.Event.StreamStarted;
 import nettlewick.decision.Event.Timer;
 import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.Pool;
+import nettlewick.decision.State.EndpointPool;
 import nettlewick.decision.State.ScheduledRequest;
 
 /** Takes a batch apart for the decision module and gathers its actions. Decides nothing. */
@@ -24,10 +24,10 @@
     /** The clock of the batch; it never goes back, whatever the host says. */
     protected long now;
 
-    protected final EndpointRegistry roll = new EndpointRegistry();
-    protected final PeerFaultCounters heard = new PeerFaultCounters();
+    protected final EndpointRegistry registry = new EndpointRegistry();
+    protected final PeerFaultCounters faults = new PeerFaultCounters();
     /** Which workers tenants have of their own; null, and no class of it loaded, where none has any. */
-    private DedicatedEndpoints kept;
+    private DedicatedEndpoints dedicated;
 
     private List<Action> actions = new ArrayList<>();
     private boolean started;
@@ -54,9 +54,9 @@
             } else if (event instanceof PeerMessageReceived e) {
                 peer(e);
             } else if (event instanceof EndpointList e) {
-                learn(roll.heed(e));
+                learn(registry.apply(e));
             } else if (event instanceof EndpointAdminChange e) {
-                learn(roll.heed(e));
+                learn(registry.apply(e));
             } else if (event instanceof EndpointListFailed) {
                 listFailed();
             } else if (event instanceof Abandoned e) {
@@ -64,7 +64,7 @@
             } else if (event instanceof StreamStarted e) {
                 streamBegan(e);
             } else if (event instanceof PoolsAssigned e) {
-                kept = e.assignments().isEmpty() ? null : new DedicatedEndpoints(e.assignments());
+                dedicated = e.assignments().isEmpty() ? null : new DedicatedEndpoints(e.assignments());
                 learn(new EndpointList(false, List.of()));
             }
         }
@@ -74,50 +74,50 @@
 
     /** Danger: anybody may send bytes to the peers' port. What no version here reads is counted only. */
     private void peer(PeerMessageReceived e) {
-        if (LoadGossip.is(e.data()) || LoadAggregator.is(e.data()) || PeerMessage.of(e.data()) != null) {
+        if (LoadGossip.isLoadGossip(e.data()) || LoadAggregator.isAggregationMessage(e.data()) || PeerMessage.decode(e.data()) != null) {
             hear(e.rank(), e.data());
         } else {
-            heard.damaged++;
+            faults.damaged++;
         }
     }
 
     @Override
     public final PeerMessageFaults peerMessageFaults() {
-        return heard.counts();
+        return faults.counts();
     }
 
     @Override
     public final EndpointCounts endpointCounts() {
-        return roll.count(this::avoided);
+        return registry.count(this::avoided);
     }
 
     /** Sorts the workers out: which are for all, and which for one tenant. */
-    final void sort(Collection<Endpoint> endpoints, List<Pool> pools, int ringPlaces) {
-        Collection<Endpoint> common = kept == null ? endpoints : kept.common(endpoints);
+    final void sort(Collection<Endpoint> endpoints, List<EndpointPool> pools, int ringPlaces) {
+        Collection<Endpoint> common = dedicated == null ? endpoints : dedicated.withoutExclusive(endpoints);
         pools.forEach(pool -> pool.refill(common, ringPlaces));
-        if (kept != null) {
-            kept.refill(endpoints, pools, ringPlaces);
+        if (dedicated != null) {
+            dedicated.refill(endpoints, pools, ringPlaces);
         }
     }
 
     /** These pools, and those of tenants with workers of their own. */
-    final List<Pool> all(List<Pool> pools) {
-        return kept == null ? pools : kept.with(pools);
+    final List<EndpointPool> all(List<EndpointPool> pools) {
+        return dedicated == null ? pools : dedicated.appendTo(pools);
     }
 
     /** Where a job of this tenant may go, of the workers that its kind leaves. */
-    final Pool candidates(ScheduledRequest request, Pool common) {
-        return kept == null ? common : kept.pool(request.arrival.tenant(), common);
+    final EndpointPool candidates(ScheduledRequest request, EndpointPool common) {
+        return dedicated == null ? common : dedicated.poolFor(request.arrival.tenant(), common);
     }
 
     /** Whether the job has its tenant's own workers alone: where these are full, no other has room. */
     final boolean apart(ScheduledRequest request) {
-        return kept != null && kept.apart(request.arrival.tenant());
+        return dedicated != null && dedicated.isConfined(request.arrival.tenant());
     }
 
     /** Those of them that are for all. */
     final Collection<Endpoint> shared(Collection<Endpoint> endpoints) {
-        return kept == null ? endpoints : kept.common(endpoints);
+        return dedicated == null ? endpoints : dedicated.withoutExclusive(endpoints);
     }
 
     /** Whether a worker of the list gets no job now. */
--- a/src/main/java/nettlewick/decision/Exchange.java
+++ b/src/main/java/nettlewick/decision/Exchange.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import nettlewick.decision.Action.SendToPeer;
-import nettlewick.decision.PeerMessage.What;
-import nettlewick.decision.State.Peer;
+import nettlewick.decision.PeerMessage.Type;
+import nettlewick.decision.State.PeerState;
 
 /** The ring of binding dispatchers: conserved transfers of the slice, and best friends that inherit. */
 abstract class Exchange extends Pools {
@@ -15,7 +15,7 @@
     /** A friend asks after this many silent Δ and inherits after twice as many. */
     static final int FRIEND_PATIENCE = 3;
 
-    final Map<Integer, Peer> peers = new LinkedHashMap<>();
+    final Map<Integer, PeerState> peers = new LinkedHashMap<>();
     int reach = 2;
     double slice;
     double augmented;
@@ -30,12 +30,12 @@
         return slice;
     }
 
-    double underWay() {
-        return peers.values().stream().mapToDouble(p -> p.pending).sum();
+    double pendingTransfers() {
+        return peers.values().stream().mapToDouble(p -> p.pendingAmount).sum();
     }
 
-    double inherited() {
-        return peers.values().stream().mapToDouble(p -> p.inherited).sum();
+    double inheritedSlice() {
+        return peers.values().stream().mapToDouble(p -> p.inheritedAmount).sum();
     }
 
     void exchange(double floor) {
@@ -44,7 +44,7 @@
         }
         int n = settings.fleetSize();
         int next = (settings.rank() + 1) % n;
-        tell(next, What.STATE, 0, 0, slice);
+        tell(next, Type.STATE, 0, 0, slice);
         mourn(Math.floorMod(settings.rank() - 1, n));
         if (!binding) {
             reach = 2;
@@ -56,9 +56,9 @@
             for (int d = 1; d <= Math.min(reach, n / 2); d++) {
                 int rank = Math.floorMod(settings.rank() + way * d, n);
                 if (rank != next && rank != last) {
-                    tell(rank, What.STATE, 0, 0, slice);
+                    tell(rank, Type.STATE, 0, 0, slice);
                 }
-                Peer p = peers.get(rank);
+                PeerState p = peers.get(rank);
                 if (p != null && p.binding && now - p.heardAt <= 5 * DELTA / 2) {
                     alone = false;
                     if (rank != last) {
@@ -73,85 +73,85 @@
     }
 
     /** The end with the higher augmented share gives. It debits at once, so that no loss lifts the sum. */
-    void give(int rank, Peer p, double floor) {
-        double amount = Math.min(ETA * (augmented - p.augmented), slice - floor);
-        if (amount > 0 && p.pending == 0) {
+    void give(int rank, PeerState p, double floor) {
+        double amount = Math.min(ETA * (augmented - p.augmentedShare), slice - floor);
+        if (amount > 0 && p.pendingAmount == 0) {
             slice -= amount;
-            p.pending = amount;
-            p.given++;
-            tell(rank, What.GIVE, p.epoch, p.given, amount);
+            p.pendingAmount = amount;
+            p.transfersSent++;
+            tell(rank, Type.TRANSFER, p.incarnation, p.transfersSent, amount);
         }
     }
 
     void resend() {
         peers.forEach((rank, p) -> {
-            if (p.pending > 0) {
-                tell(rank, What.GIVE, p.epoch, p.given, p.pending);
+            if (p.pendingAmount > 0) {
+                tell(rank, Type.TRANSFER, p.incarnation, p.transfersSent, p.pendingAmount);
             }
         });
     }
 
     /** Best friend: the ring's next inherits a binding slice after several silent Δ. */
     void mourn(int rank) {
-        Peer p = peers.get(rank);
-        if (p == null || !p.binding || p.inherited > 0 || now - p.heardAt <= FRIEND_PATIENCE * DELTA) {
+        PeerState p = peers.get(rank);
+        if (p == null || !p.binding || p.inheritedAmount > 0 || now - p.heardAt <= FRIEND_PATIENCE * DELTA) {
             return;
         }
         // Danger: lost messages taken for a crash push the slices past the cap. So it is asked first, and a
         // friend that turns out to live gets its slice back (see hear).
         if (now - p.heardAt <= 2 * FRIEND_PATIENCE * DELTA) {
-            tell(rank, What.ASK, 0, 0, 0);
+            tell(rank, Type.STATE_REQUEST, 0, 0, 0);
         } else if (binding) {
-            p.inherited = p.slice;
+            p.inheritedAmount = p.slice;
             slice += p.slice;
         } else {
             p.binding = false;
         }
     }
 
-    void tell(int rank, What what, int peerEpoch, int number, double amount) {
-        act(new SendToPeer(rank, new PeerMessage(what, binding, epoch, peerEpoch, number, augmented, amount).bytes()));
+    void tell(int rank, Type what, int peerEpoch, int number, double amount) {
+        act(new SendToPeer(rank, new PeerMessage(what, binding, epoch, peerEpoch, number, augmented, amount).encode()));
     }
 
     @Override
     void hear(int rank, byte[] data) {
-        PeerMessage note = PeerMessage.of(data);
+        PeerMessage note = PeerMessage.decode(data);
         if (rank < 0
                 || rank >= settings.fleetSize()
                 || rank == settings.rank()
                 || !hasPeers()
-                || loads.hear(rank, data, now)
-                || tally != null && tally.hear(rank, data, now)
+                || loads.receive(rank, data, now)
+                || tally != null && tally.receive(rank, data, now)
                 || note == null) {
             return;
         }
-        Peer p = peers.computeIfAbsent(rank, r -> new Peer());
-        if (note.epoch() != p.epoch) {
+        PeerState p = peers.computeIfAbsent(rank, r -> new PeerState());
+        if (note.incarnation() != p.incarnation) {
             // Another life: a gift under way to the former one is lost with it, never given twice.
-            p.epoch = note.epoch();
-            p.pending = 0;
-            p.inherited = 0;
+            p.incarnation = note.incarnation();
+            p.pendingAmount = 0;
+            p.inheritedAmount = 0;
         }
         p.heardAt = now;
         p.binding = note.binding();
-        slice = Math.max(0, slice - p.inherited);
-        p.inherited = 0;
-        switch (note.what()) {
+        slice = Math.max(0, slice - p.inheritedAmount);
+        p.inheritedAmount = 0;
+        switch (note.type()) {
             case STATE -> {
-                p.augmented = note.augmented();
+                p.augmentedShare = note.augmentedShare();
                 p.slice = note.amount();
             }
-            case ASK -> tell(rank, What.STATE, 0, 0, slice);
+            case STATE_REQUEST -> tell(rank, Type.STATE, 0, 0, slice);
             case ACK -> {
-                if (note.peerEpoch() == epoch && note.number() == p.given) {
-                    p.pending = 0;
+                if (note.peerIncarnation() == epoch && note.number() == p.transfersSent) {
+                    p.pendingAmount = 0;
                 }
             }
-            case GIVE -> {
-                if (note.peerEpoch() == epoch) {
+            case TRANSFER -> {
+                if (note.peerIncarnation() == epoch) {
                     // Danger: a gift credited twice, when resent, or when an old life's copy comes late.
-                    slice += p.firstTaken(note) ? note.amount() : 0;
-                    tell(rank, What.ACK, note.epoch(), note.number(), 0);
+                    slice += p.recordTransfer(note) ? note.amount() : 0;
+                    tell(rank, Type.ACK, note.incarnation(), note.number(), 0);
                 }
             }
         }
--- a/src/main/java/nettlewick/decision/HashRing.java
+++ b/src/main/java/nettlewick/decision/HashRing.java
@@ -10,7 +10,7 @@
     private final TreeMap<Long, T> places = new TreeMap<>();
 
     /** Puts a member on the ring at so many places, or takes it off. */
-    void set(String name, T member, int copies, boolean on) {
+    void place(String name, T member, int copies, boolean on) {
         long place = hash(name);
         for (int copy = 0; copy < copies; copy++) {
             place = mix(place + copy);
@@ -23,7 +23,7 @@
     }
 
     /** The first {@code count} different members that follow the key. */
-    List<T> follow(String key, int count) {
+    List<T> successors(String key, int count) {
         long place = hash(key);
         List<T> found = new ArrayList<>(count);
         for (Map<Long, T> half : List.of(places.tailMap(place), places.headMap(place))) {
--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -20,25 +20,25 @@
  */
 final class LoadAggregator {
     /** Tiers of so many dispatchers or fewer tell every peer directly. */
-    static final int SMALL = 16;
+    static final int MAX_DIRECT_GOSSIP_DISPATCHERS = 16;
     /** The first byte tells version and kind; entries of a mark, and mostly a number, follow. */
     private static final int VERSION = 0xA0;
 
-    private static final int HEAD = 1;
-    private static final int MOST = 256;
-    private static final int BYTE = 255;
+    private static final int HEADER_BYTES = 1;
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    private static final int MAX_SLOTS = 255;
     private static final long SECOND = 1_000_000_000;
     /** For how long a holder's word, and a sum, are believed; each is told again sooner. */
-    private static final long HELD = SECOND;
+    private static final long HOLDING_TTL_NANOS = SECOND;
 
-    private static final long HELD_AGAIN = HELD / 2;
-    private static final long SUMMED = SECOND;
-    private static final long SUM_AGAIN = SUMMED / 2;
-    private static final long WATCH_AGAIN = SECOND;
+    private static final long HOLDING_REFRESH_NANOS = HOLDING_TTL_NANOS / 2;
+    private static final long SUM_TTL_NANOS = SECOND;
+    private static final long SUM_REFRESH_NANOS = SUM_TTL_NANOS / 2;
+    private static final long WATCH_REFRESH_NANOS = SECOND;
     /** An owner tells a watcher until it has not heard from it for so long. */
-    private static final long WATCHED = 5 * WATCH_AGAIN / 2;
+    private static final long WATCH_TTL_NANOS = 5 * WATCH_REFRESH_NANOS / 2;
     /** That less is held waits until so long after the last word: often the slot is taken again meanwhile. */
-    private static final long LESS = SECOND / 10;
+    private static final long DECREASE_DELAY_NANOS = SECOND / 10;
 
     enum Kind {
         HOLD,
@@ -46,24 +46,24 @@
         SUM
     }
 
-    private record Held(int slots, long at) {}
+    private record Holding(int slots, long at) {}
 
     /** One that watches a runner: when it last said so, and what it was told. */
     private static final class Watcher {
-        long saidAt;
-        int told;
-        long toldAt = State.NEVER;
+        long subscribedAt;
+        int lastSum;
+        long lastSumAt = State.NEVER;
     }
 
     /** A runner that this dispatcher owns. */
-    private static final class Owned {
-        final Map<Integer, Held> holders = new HashMap<>();
+    private static final class OwnedEndpoint {
+        final Map<Integer, Holding> holdings = new HashMap<>();
         final Map<Integer, Watcher> watchers = new HashMap<>();
-        boolean news = true;
+        boolean changed = true;
 
         int total() {
             int total = 0;
-            for (Held h : holders.values()) {
+            for (Holding h : holdings.values()) {
                 total += h.slots();
             }
             return total;
@@ -72,116 +72,116 @@
 
     private final int rank;
     private final int size;
-    private final PeerFaultCounters heard;
+    private final PeerFaultCounters faults;
     /** As a holder: what each owner was last told, and when. */
-    private final Map<Endpoint, Held> told = new HashMap<>();
+    private final Map<Endpoint, Holding> reportedHoldings = new HashMap<>();
 
-    private long watchedAt = State.NEVER;
+    private long subscribedAt = State.NEVER;
     /** As a watcher: when the sum of each runner came. */
-    private final Map<Endpoint, Long> sums = new HashMap<>();
+    private final Map<Endpoint, Long> sumReceivedAt = new HashMap<>();
 
-    private final Map<Character, Owned> owned = new HashMap<>();
-    private Map<Character, Endpoint> listed = Map.of();
-    private boolean again;
+    private final Map<Character, OwnedEndpoint> ownedEndpoints = new HashMap<>();
+    private Map<Character, Endpoint> endpointsByMark = Map.of();
+    private boolean refreshDue;
 
     LoadAggregator(int rank, int size, PeerFaultCounters heard) {
         this.rank = rank;
         this.size = size;
-        this.heard = heard;
+        this.faults = heard;
     }
 
     /** The rank that owns a runner of this mark: the same at every dispatcher of the tier. */
-    static int owner(char mark, int size) {
+    static int ownerOf(char mark, int size) {
         return Math.floorMod(mark * 0x9E3779B1 >>> 7, size);
     }
 
-    static boolean is(byte[] data) {
-        return data.length > HEAD
-                && data.length <= MOST
+    static boolean isAggregationMessage(byte[] data) {
+        return data.length > HEADER_BYTES
+                && data.length <= MAX_DATAGRAM_BYTES
                 && (data[0] & 0xFF) >= VERSION
                 && (data[0] & 0xFF) < VERSION + Kind.values().length
-                && (data.length - HEAD) % width(kind(data)) == 0;
+                && (data.length - HEADER_BYTES) % entryBytes(kindOf(data)) == 0;
     }
 
     /** What a datagram of the tally is for. */
-    static Kind kind(byte[] data) {
+    static Kind kindOf(byte[] data) {
         return Kind.values()[(data[0] & 0xFF) - VERSION];
     }
 
-    private static int width(Kind kind) {
+    private static int entryBytes(Kind kind) {
         return kind == Kind.WATCH ? 2 : 3;
     }
 
     /** The list by marks; those that share one stand for none. */
-    void list(Map<Character, Endpoint> byMark) {
-        listed = byMark;
+    void replaceEndpoints(Map<Character, Endpoint> byMark) {
+        endpointsByMark = byMark;
     }
 
     /**
      * Takes a peer's datagram over; false if it is none of the tally's. Runners that the list does not name
      * are passed over as a watcher, and counted; an owner needs no list.
      */
-    boolean hear(int from, byte[] data, long now) {
-        if (!is(data)) {
+    boolean receive(int from, byte[] data, long now) {
+        if (!isAggregationMessage(data)) {
             return false;
         }
-        Kind kind = kind(data);
-        ByteBuffer b = ByteBuffer.wrap(data).position(HEAD);
+        Kind kind = kindOf(data);
+        ByteBuffer b = ByteBuffer.wrap(data).position(HEADER_BYTES);
         while (b.hasRemaining()) {
             char mark = b.getChar();
-            int value = kind == Kind.WATCH ? 0 : b.get() & BYTE;
-            if (owner(mark, size) != (kind == Kind.SUM ? from : rank)) {
-                heard.damaged++;
+            int value = kind == Kind.WATCH ? 0 : b.get() & MAX_SLOTS;
+            if (ownerOf(mark, size) != (kind == Kind.SUM ? from : rank)) {
+                faults.damaged++;
             } else if (kind == Kind.SUM) {
-                believe(mark, value, now);
+                applySum(mark, value, now);
             } else {
-                own(kind, mark, from, value, now);
+                recordAsOwner(kind, mark, from, value, now);
             }
         }
         return true;
     }
 
-    private void own(Kind kind, char mark, int from, int slots, long now) {
-        Owned o = owned.computeIfAbsent(mark, m -> new Owned());
+    private void recordAsOwner(Kind kind, char mark, int from, int slots, long now) {
+        OwnedEndpoint o = ownedEndpoints.computeIfAbsent(mark, m -> new OwnedEndpoint());
         if (kind == Kind.WATCH) {
             Watcher endpoint = o.watchers.get(from);
             if (endpoint == null) {
                 endpoint = new Watcher();
                 o.watchers.put(from, endpoint);
-                o.news = true;
+                o.changed = true;
             }
-            endpoint.saidAt = now;
+            endpoint.subscribedAt = now;
         } else {
-            Held before = slots == 0 ? o.holders.remove(from) : o.holders.put(from, new Held(slots, now));
-            o.news |= (before == null ? 0 : before.slots()) != slots;
+            Holding before = slots == 0 ? o.holdings.remove(from) : o.holdings.put(from, new Holding(slots, now));
+            o.changed |= (before == null ? 0 : before.slots()) != slots;
         }
     }
 
-    private void believe(char mark, int others, long now) {
-        Endpoint endpoint = listed.get(mark);
+    private void applySum(char mark, int others, long now) {
+        Endpoint endpoint = endpointsByMark.get(mark);
         if (endpoint == null) {
-            heard.unlisted++;
+            faults.unlisted++;
         } else {
-            endpoint.others = others;
-            sums.put(endpoint, now);
+            endpoint.peerSlots = others;
+            sumReceivedAt.put(endpoint, now);
         }
     }
 
     /** Forgets what is too old: sums a watcher had, and holders and watchers an owner had. */
     void expire(long now) {
-        for (Iterator<Map.Entry<Endpoint, Long>> i = sums.entrySet().iterator(); i.hasNext(); ) {
+        for (Iterator<Map.Entry<Endpoint, Long>> i = sumReceivedAt.entrySet().iterator(); i.hasNext(); ) {
             Map.Entry<Endpoint, Long> e = i.next();
-            if (now - e.getValue() > SUMMED) {
-                e.getKey().others = 0;
+            if (now - e.getValue() > SUM_TTL_NANOS) {
+                e.getKey().peerSlots = 0;
                 i.remove();
             }
         }
-        for (Owned o : owned.values()) {
-            o.news |= o.holders.values().removeIf(h -> now - h.at() > HELD);
-            o.watchers.values().removeIf(endpoint -> now - endpoint.saidAt > WATCHED);
+        for (OwnedEndpoint o : ownedEndpoints.values()) {
+            o.changed |= o.holdings.values().removeIf(h -> now - h.at() > HOLDING_TTL_NANOS);
+            o.watchers.values().removeIf(endpoint -> now - endpoint.subscribedAt > WATCH_TTL_NANOS);
         }
-        owned.values().removeIf(o -> o.holders.isEmpty() && o.watchers.isEmpty());
-        again = true;
+        ownedEndpoints.values().removeIf(o -> o.holdings.isEmpty() && o.watchers.isEmpty());
+        refreshDue = true;
     }
 
     /**
@@ -191,89 +191,89 @@
      * @param all     every runner this dispatcher knows
      * @param watched the runners of its pool
      */
-    Map<Integer, List<byte[]>> flush(long now, Collection<Endpoint> all, List<Endpoint> watched) {
-        Map<Integer, Entries> out = new LinkedHashMap<>();
+    Map<Integer, List<byte[]>> drainMessages(long now, Collection<Endpoint> all, List<Endpoint> watched) {
+        Map<Integer, PeerEntries> out = new LinkedHashMap<>();
         for (Endpoint endpoint : all) {
-            if (endpoint.outSlots > 0 || !told.isEmpty()) {
-                hold(endpoint, now, out);
+            if (endpoint.inFlightSlots > 0 || !reportedHoldings.isEmpty()) {
+                reportHolding(endpoint, now, out);
             }
         }
-        if (now - watchedAt >= WATCH_AGAIN) {
-            watchedAt = now;
-            watched.forEach(endpoint -> put(Kind.WATCH, LoadGossip.mark(endpoint.id), 0, now, out));
+        if (now - subscribedAt >= WATCH_REFRESH_NANOS) {
+            subscribedAt = now;
+            watched.forEach(endpoint -> addForOwner(Kind.WATCH, LoadGossip.markOf(endpoint.id), 0, now, out));
         }
-        owned.forEach((mark, o) -> {
-            if (o.news || again) {
-                o.news = false;
-                sum(mark, o, now, out);
+        ownedEndpoints.forEach((mark, o) -> {
+            if (o.changed || refreshDue) {
+                o.changed = false;
+                notifyWatchers(mark, o, now, out);
             }
         });
-        again = false;
+        refreshDue = false;
         Map<Integer, List<byte[]>> datagrams = new LinkedHashMap<>();
-        out.forEach((to, entries) -> datagrams.put(to, entries.bytes()));
+        out.forEach((to, entries) -> datagrams.put(to, entries.toDatagrams()));
         return datagrams;
     }
 
-    private void hold(Endpoint endpoint, long now, Map<Integer, Entries> out) {
-        int slots = (int) Math.min(BYTE, Math.ceil(endpoint.outSlots - 1e-9));
-        Held last = told.get(endpoint);
-        if (slots == (last == null ? 0 : last.slots()) && (slots == 0 || now - last.at() < HELD_AGAIN)) {
+    private void reportHolding(Endpoint endpoint, long now, Map<Integer, PeerEntries> out) {
+        int slots = (int) Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlightSlots - 1e-9));
+        Holding last = reportedHoldings.get(endpoint);
+        if (slots == (last == null ? 0 : last.slots()) && (slots == 0 || now - last.at() < HOLDING_REFRESH_NANOS)) {
             return;
         }
         if (slots == 0) {
-            told.remove(endpoint);
+            reportedHoldings.remove(endpoint);
         } else {
-            told.put(endpoint, new Held(slots, now));
+            reportedHoldings.put(endpoint, new Holding(slots, now));
         }
-        put(Kind.HOLD, LoadGossip.mark(endpoint.id), slots, now, out);
+        addForOwner(Kind.HOLD, LoadGossip.markOf(endpoint.id), slots, now, out);
     }
 
     /** An entry for the owner, which may be this dispatcher. */
-    private void put(Kind kind, char mark, int value, long now, Map<Integer, Entries> out) {
-        int owner = owner(mark, size);
+    private void addForOwner(Kind kind, char mark, int value, long now, Map<Integer, PeerEntries> out) {
+        int owner = ownerOf(mark, size);
         if (owner == rank) {
-            own(kind, mark, rank, value, now);
+            recordAsOwner(kind, mark, rank, value, now);
         } else {
-            out.computeIfAbsent(owner, o -> new Entries()).add(kind, mark, value);
+            out.computeIfAbsent(owner, o -> new PeerEntries()).add(kind, mark, value);
         }
     }
 
     /** As an owner: tells each watcher what the others hold, where that has changed or is due again. */
-    private void sum(char mark, Owned o, long now, Map<Integer, Entries> out) {
+    private void notifyWatchers(char mark, OwnedEndpoint o, long now, Map<Integer, PeerEntries> out) {
         int total = o.total();
         o.watchers.forEach((watcher, endpoint) -> {
-            Held own = o.holders.get(watcher);
-            int others = Math.min(BYTE, total - (own == null ? 0 : own.slots()));
+            Holding own = o.holdings.get(watcher);
+            int others = Math.min(MAX_SLOTS, total - (own == null ? 0 : own.slots()));
             // Danger: more that is told late sends many to a runner that is full; less costs a little room.
-            if (others < endpoint.told && now - endpoint.toldAt < LESS) {
-                o.news = true;
-            } else if (others != endpoint.told || others > 0 && now - endpoint.toldAt >= SUM_AGAIN) {
-                endpoint.told = others;
-                endpoint.toldAt = now;
+            if (others < endpoint.lastSum && now - endpoint.lastSumAt < DECREASE_DELAY_NANOS) {
+                o.changed = true;
+            } else if (others != endpoint.lastSum || others > 0 && now - endpoint.lastSumAt >= SUM_REFRESH_NANOS) {
+                endpoint.lastSum = others;
+                endpoint.lastSumAt = now;
                 if (watcher == rank) {
-                    believe(mark, others, now);
+                    applySum(mark, others, now);
                 } else {
-                    out.computeIfAbsent(watcher, r -> new Entries()).add(Kind.SUM, mark, others);
+                    out.computeIfAbsent(watcher, r -> new PeerEntries()).add(Kind.SUM, mark, others);
                 }
             }
         });
     }
 
     /** Entries for one peer, of one or several kinds, cut into datagrams. */
-    private static final class Entries {
+    private static final class PeerEntries {
         private final Map<Kind, List<int[]>> byKind = new LinkedHashMap<>();
 
         void add(Kind kind, char mark, int value) {
             byKind.computeIfAbsent(kind, k -> new ArrayList<>()).add(new int[] {mark, value});
         }
 
-        List<byte[]> bytes() {
+        List<byte[]> toDatagrams() {
             List<byte[]> datagrams = new ArrayList<>();
             byKind.forEach((kind, list) -> {
-                int each = (MOST - HEAD) / width(kind);
+                int each = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / entryBytes(kind);
                 for (int from = 0; from < list.size(); from += each) {
                     List<int[]> part = list.subList(from, Math.min(list.size(), from + each));
-                    ByteBuffer b = ByteBuffer.allocate(HEAD + part.size() * width(kind));
+                    ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + part.size() * entryBytes(kind));
                     b.put((byte) (VERSION + kind.ordinal()));
                     for (int[] entry : part) {
                         b.putChar((char) entry[0]);
--- a/src/main/java/nettlewick/decision/LoadGossip.java
+++ b/src/main/java/nettlewick/decision/LoadGossip.java
@@ -17,14 +17,14 @@
 final class LoadGossip {
     private static final byte MAGIC = (byte) 0xD3;
     private static final byte VERSION = 3;
-    private static final int HEAD = 4;
-    private static final int NUMBER = 3;
-    private static final int ENTRY = 3;
+    private static final int HEADER_BYTES = 4;
+    private static final int NUMBER_OFFSET = 3;
+    private static final int ENTRY_BYTES = 3;
     /** The longest message that may be sent. */
-    private static final int MOST = 256;
+    private static final int MAX_MESSAGE_BYTES = 256;
 
-    private static final int BYTE = 255;
-    private static final int PER_NOTE = (MOST - HEAD) / ENTRY;
+    private static final int MAX_SLOTS = 255;
+    private static final int ENTRIES_PER_MESSAGE = (MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 
     /**
      * A note as it came.
@@ -34,23 +34,23 @@
      * @param number   of the sending, modulo 256: a note of a lower one is late
      * @param unlisted entries that name no worker of this dispatcher's list
      */
-    record Told(int part, int parts, int number, Map<Endpoint, Integer> slots, int unlisted) {}
+    record Received(int part, int parts, int number, Map<Endpoint, Integer> slotsInFlight, int unlisted) {}
 
     private LoadGossip() {}
 
     /** Sixteen bits that stand for an id, the same in every process. */
-    static char mark(String id) {
+    static char markOf(String id) {
         int h = id.hashCode() * 0x9e3779b9;
         return (char) (h >>> 16 ^ h);
     }
 
     /** The workers by their marks; those that share one stand for none of them. */
-    static Map<Character, Endpoint> byMark(List<Endpoint> endpoints) {
+    static Map<Character, Endpoint> indexByMark(List<Endpoint> endpoints) {
         Map<Character, Endpoint> marks = new HashMap<>();
         Set<Character> shared = new HashSet<>();
         for (Endpoint endpoint : endpoints) {
-            if (marks.put(mark(endpoint.id), endpoint) != null) {
-                shared.add(mark(endpoint.id));
+            if (marks.put(markOf(endpoint.id), endpoint) != null) {
+                shared.add(markOf(endpoint.id));
             }
         }
         marks.keySet().removeAll(shared);
@@ -61,18 +61,18 @@
      * The messages on all of these workers that hold something, in their order, as many to a datagram as fit;
      * what would need more than fifteen datagrams is left out from the end.
      */
-    static List<byte[]> bytes(List<Endpoint> endpoints) {
+    static List<byte[]> encode(List<Endpoint> endpoints) {
         List<Endpoint> holding =
-                endpoints.stream().filter(endpoint -> endpoint.outSlots > 1e-9).toList();
-        int parts = Math.min(BYTE / 16, Math.max(1, (holding.size() + PER_NOTE - 1) / PER_NOTE));
+                endpoints.stream().filter(endpoint -> endpoint.inFlightSlots > 1e-9).toList();
+        int parts = Math.min(MAX_SLOTS / 16, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
         List<byte[]> notes = new ArrayList<>();
         for (int part = 0; part < parts; part++) {
-            int from = part * PER_NOTE;
-            int to = Math.min(holding.size(), from + PER_NOTE);
-            ByteBuffer b = ByteBuffer.allocate(HEAD + (to - from) * ENTRY);
+            int from = part * ENTRIES_PER_MESSAGE;
+            int to = Math.min(holding.size(), from + ENTRIES_PER_MESSAGE);
+            ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + (to - from) * ENTRY_BYTES);
             b.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
             for (Endpoint endpoint : holding.subList(from, to)) {
-                b.putChar(mark(endpoint.id)).put((byte) Math.min(BYTE, Math.ceil(endpoint.outSlots - 1e-9)));
+                b.putChar(markOf(endpoint.id)).put((byte) Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlightSlots - 1e-9)));
             }
             notes.add(b.array());
         }
@@ -80,41 +80,41 @@
     }
 
     /** Whether these notes tell that nothing is held. */
-    static boolean empty(List<byte[]> notes) {
-        return notes.size() == 1 && notes.get(0).length == HEAD;
+    static boolean reportNothing(List<byte[]> notes) {
+        return notes.size() == 1 && notes.get(0).length == HEADER_BYTES;
     }
 
     /** A copy of the note with the number of its sending. */
-    static byte[] numbered(byte[] note, int number) {
+    static byte[] withNumber(byte[] note, int number) {
         byte[] copy = note.clone();
-        copy[NUMBER] = (byte) number;
+        copy[NUMBER_OFFSET] = (byte) number;
         return copy;
     }
 
-    static boolean is(byte[] data) {
-        return data.length >= HEAD
-                && data.length <= MOST
+    static boolean isLoadGossip(byte[] data) {
+        return data.length >= HEADER_BYTES
+                && data.length <= MAX_MESSAGE_BYTES
                 && data[0] == MAGIC
                 && data[1] == VERSION
-                && (data.length - HEAD) % ENTRY == 0;
+                && (data.length - HEADER_BYTES) % ENTRY_BYTES == 0;
     }
 
     /** Slots in work by worker; workers that this dispatcher's list does not name are passed over. */
-    static Told of(byte[] data, Map<Character, Endpoint> byMark) {
-        int parts = (data[2] & BYTE) >> 4;
+    static Received decode(byte[] data, Map<Character, Endpoint> byMark) {
+        int parts = (data[2] & MAX_SLOTS) >> 4;
         int part = data[2] & 0x0F;
         Map<Endpoint, Integer> slots = new HashMap<>();
         int unlisted = 0;
-        ByteBuffer b = ByteBuffer.wrap(data).position(HEAD);
+        ByteBuffer b = ByteBuffer.wrap(data).position(HEADER_BYTES);
         while (b.hasRemaining()) {
             Endpoint endpoint = byMark.get(b.getChar());
-            int held = b.get() & BYTE;
+            int held = b.get() & MAX_SLOTS;
             if (endpoint != null) {
                 slots.put(endpoint, held);
             } else {
                 unlisted++;
             }
         }
-        return part < parts ? new Told(part, parts, data[NUMBER] & BYTE, slots, unlisted) : null;
+        return part < parts ? new Received(part, parts, data[NUMBER_OFFSET] & MAX_SLOTS, slots, unlisted) : null;
     }
 }
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -5,70 +5,70 @@
 import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.State.Attempt;
 import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.Mean;
-import nettlewick.decision.State.Pool;
+import nettlewick.decision.State.RunningMean;
+import nettlewick.decision.State.EndpointPool;
 import nettlewick.decision.State.ScheduledRequest;
 
 /** Outlier detection: which workers are left alone for how they end what is sent, and their way back. */
 final class OutlierDetector {
     /** First time for which a failing worker is left alone; it doubles up to eight times this. */
-    private static final long SHUN = 500_000_000;
+    private static final long BASE_EJECTION_NANOS = 500_000_000;
     /** Breaks in a row that count as the worker's own: at least so many, and too many for chance. */
-    private static final int FAILURES = 2;
+    private static final int MIN_CONSECUTIVE_FAILURES = 2;
 
-    private static final double CHANCE = 0.005;
+    private static final double FALSE_POSITIVE_PROBABILITY = 0.005;
     /** A worker that refuses connections does so at once; one that is cut off takes longer than this. */
-    private static final long REFUSED = 100_000_000;
+    private static final long MAX_REFUSAL_NANOS = 100_000_000;
     /** Part of the ready workers that may be left alone at once: beyond it the fault is elsewhere. */
-    private static final double MOST = 0.5;
+    private static final double MAX_EJECTED_SHARE = 0.5;
 
     /** An attempt sent so much later that started first: more than sends can change their order by. */
-    private static final long OVERTAKEN = 250_000_000;
+    private static final long OVERTAKEN_NANOS = 250_000_000;
     /** Progress notes that may fail to come before an attempt counts as lost. */
-    private static final int SIGNS = 2;
+    private static final int MISSED_PROGRESS_LIMIT = 2;
     /** A report that came so long after a send shows the worker after it. */
-    private static final long SEEN = 1_500_000_000;
+    private static final long REPORT_SETTLING_NANOS = 1_500_000_000;
     /** Nineteen in twenty that are sent to a free slot start within this. */
-    private static final long START = 150_000_000;
+    private static final long START_TIMEOUT_NANOS = 150_000_000;
     /** So many jobs of its own weigh as much as all of its kind's in what a worker's jobs run. */
-    private static final double BELIEVED = 3;
+    private static final double PRIOR_SAMPLES = 3;
 
     /** A silent worker is left after this many expected job times of silence, summed over its attempts. */
-    private static final double SILENCE = 5;
+    private static final double MAX_SILENT_RUN_TIMES = 5;
     /** Second copies on suspicion that each lost attempt allows, and how many may be saved up. */
-    private static final int COPIES = 2;
+    private static final int HEDGES_PER_LOSS = 2;
 
-    private static final int COPIES_MOST = 6;
+    private static final int MAX_SAVED_HEDGES = 6;
 
     private final Supplier<List<Endpoint>> ready;
-    private int copies;
+    private int hedgeBudget;
     /** Share of connections that break, over the whole fleet. */
-    private final Mean breaks = new Mean(100);
+    private final RunningMean breakShare = new RunningMean(100);
 
     OutlierDetector(Supplier<List<Endpoint>> ready) {
         this.ready = ready;
-        breaks.count = 50;
+        breakShare.count = 50;
     }
 
     /** Takes over how an attempt, or a probe that failed, ended at this worker. */
-    void judge(Endpoint endpoint, AttemptResult result, long latency, long now) {
+    void recordResult(Endpoint endpoint, AttemptResult result, long latency, long now) {
         switch (result) {
             case SERVED -> {
-                alive(endpoint, now);
-                breaks.add(0);
-                endpoint.shunnedUntil = Math.min(endpoint.shunnedUntil, now);
+                recordSignOfLife(endpoint, now);
+                breakShare.add(0);
+                endpoint.ejectedUntil = Math.min(endpoint.ejectedUntil, now);
             }
             case OVERLOADED -> {
-                endpoint.signAt = now;
-                endpoint.fullAt = now;
+                endpoint.lastSignAt = now;
+                endpoint.overloadedAt = now;
             }
             // Danger: a worker that answers every job with an error at once always shows room.
-            case ERROR, TIMEOUT -> shun(endpoint, now);
+            case ERROR, TIMEOUT -> eject(endpoint, now);
             // Danger: connections break on the way, one here and one there, at workers that are well.
             case UNREACHABLE, BROKEN -> {
-                breaks.add(1);
-                if (++endpoint.failures >= inARow() || result == AttemptResult.UNREACHABLE && latency > REFUSED) {
-                    shun(endpoint, now);
+                breakShare.add(1);
+                if (++endpoint.connectionFailures >= consecutiveFailureLimit() || result == AttemptResult.UNREACHABLE && latency > MAX_REFUSAL_NANOS) {
+                    eject(endpoint, now);
                 }
             }
             default -> {}
@@ -76,33 +76,33 @@
     }
 
     /** Danger: where a tenth of all connections break, two in a row soon befall every worker. */
-    private double inARow() {
-        double share = Math.min(0.5, Math.max(0.001, breaks.value));
-        return Math.max(FAILURES, Math.ceil(Math.log(CHANCE) / Math.log(share)));
+    private double consecutiveFailureLimit() {
+        double share = Math.min(0.5, Math.max(0.001, breakShare.value));
+        return Math.max(MIN_CONSECUTIVE_FAILURES, Math.ceil(Math.log(FALSE_POSITIVE_PROBABILITY) / Math.log(share)));
     }
 
     /** A sign of life that only a worker at work gives. */
-    void alive(Endpoint endpoint, long now) {
-        endpoint.signAt = now;
-        endpoint.strikes = 0;
-        endpoint.failures = 0;
-    }
-
-    void shun(Endpoint endpoint, long now) {
-        long out = ready.get().stream().filter(o -> now < o.shunnedUntil).count();
-        if (now >= endpoint.shunnedUntil
-                && out + 1 <= Math.max(1, MOST * ready.get().size())) {
-            endpoint.shunnedUntil = now + (SHUN << Math.min(endpoint.strikes, 3));
-            endpoint.strikes++;
+    void recordSignOfLife(Endpoint endpoint, long now) {
+        endpoint.lastSignAt = now;
+        endpoint.ejections = 0;
+        endpoint.connectionFailures = 0;
+    }
+
+    void eject(Endpoint endpoint, long now) {
+        long out = ready.get().stream().filter(o -> now < o.ejectedUntil).count();
+        if (now >= endpoint.ejectedUntil
+                && out + 1 <= Math.max(1, MAX_EJECTED_SHARE * ready.get().size())) {
+            endpoint.ejectedUntil = now + (BASE_EJECTION_NANOS << Math.min(endpoint.ejections, 3));
+            endpoint.ejections++;
         }
     }
 
     /** An attempt shows that it runs. */
-    static void sign(Attempt a, boolean start, long now) {
-        a.signAt = now;
+    static void recordProgress(Attempt a, boolean start, long now) {
+        a.lastSignAt = now;
         if (start) {
             a.startedAt = now;
-            a.worker.startedSent = Math.max(a.worker.startedSent, a.sentAt);
+            a.endpoint.latestStartedSentAt = Math.max(a.endpoint.latestStartedSentAt, a.sentAt);
         }
     }
 
@@ -112,92 +112,92 @@
      * dead, and so is one that has not started while nothing waits; one that runs shows it every
      * {@code progress}.
      */
-    static boolean lost(Attempt a, long now, long progress) {
+    static boolean isLost(Attempt a, long now, long progress) {
         return a.startedAt == State.NEVER
-                ? a.worker.startedSent - a.sentAt > OVERTAKEN
-                        || a.worker.answeredAt - a.sentAt > SEEN && a.worker.queueEmpty
-                : progress > 0 && now - a.signAt > SIGNS * progress;
+                ? a.endpoint.latestStartedSentAt - a.sentAt > OVERTAKEN_NANOS
+                        || a.endpoint.reportedAt - a.sentAt > REPORT_SETTLING_NANOS && a.endpoint.queueProvenEmpty
+                : progress > 0 && now - a.lastSignAt > MISSED_PROGRESS_LIMIT * progress;
     }
 
     /** Whether an attempt that was sent to a free slot should have started by now. */
-    static boolean overdue(Attempt a, long now) {
-        return a.roomy && a.startedAt == State.NEVER && now - a.sentAt > START;
+    static boolean isStartOverdue(Attempt a, long now) {
+        return a.sawFreeCapacity && a.startedAt == State.NEVER && now - a.sentAt > START_TIMEOUT_NANOS;
     }
 
     /** An attempt is lost: its slot is free, as far as can be told. */
-    void lose(Attempt a) {
-        copies = Math.min(copies + (a.lost ? 0 : COPIES), COPIES_MOST);
-        a.worker.lose(a);
+    void recordLost(Attempt a) {
+        hedgeBudget = Math.min(hedgeBudget + (a.lost ? 0 : HEDGES_PER_LOSS), MAX_SAVED_HEDGES);
+        a.endpoint.releaseLost(a);
     }
 
     /** Danger: copies on suspicion multiply where all is slow. They are earned by what is surely lost. */
-    boolean affordsCopy() {
-        return copies >= 1;
+    boolean mayHedge() {
+        return hedgeBudget >= 1;
     }
 
-    void copied(boolean sent) {
-        copies -= sent ? 1 : 0;
+    void recordHedge(boolean sent) {
+        hedgeBudget -= sent ? 1 : 0;
     }
 
     /** Whether a worker has been silent too long: in expected job times, summed over what is out there. */
-    static boolean silent(Endpoint endpoint, long now, Mean[] pace, long least) {
+    static boolean isSilent(Endpoint endpoint, long now, RunningMean[] pace, long least) {
         double silence = 0;
-        for (Attempt a : endpoint.out) {
-            double expected = Math.max(pace[a.job.index].value, a.job.arrival.costHint());
-            long silent = now - Math.max(a.sentAt, endpoint.signAt);
+        for (Attempt a : endpoint.inFlight) {
+            double expected = Math.max(pace[a.request.classIndex].value, a.request.arrival.costHint());
+            long silent = now - Math.max(a.sentAt, endpoint.lastSignAt);
             silence += expected <= 0 ? 0 : silent / Math.max(expected, least);
         }
-        return silence > SILENCE;
+        return silence > MAX_SILENT_RUN_TIMES;
     }
 
     /** An attempt was served: compares how long it ran with its hint. */
-    void ran(Attempt a, Pool kind, long now) {
-        if (a.startedAt != State.NEVER && a.job.arrival.costHint() > 0 && now > a.startedAt) {
-            double drag = Math.log((double) (now - a.startedAt) / a.job.arrival.costHint());
-            a.worker.drag.add(drag);
-            kind.drag.add(drag);
+    void recordRunTime(Attempt a, EndpointPool kind, long now) {
+        if (a.startedAt != State.NEVER && a.request.arrival.costHint() > 0 && now > a.startedAt) {
+            double drag = Math.log((double) (now - a.startedAt) / a.request.arrival.costHint());
+            a.endpoint.slowdown.add(drag);
+            kind.slowdown.add(drag);
         }
     }
 
     /** Whether it may be one that waits, which only a report of the queue would tell better. */
-    private static boolean waits(Attempt a) {
-        return a.startedAt == State.NEVER && !a.lost && !a.worker.queueTold;
+    private static boolean mayBeQueued(Attempt a) {
+        return a.startedAt == State.NEVER && !a.lost && !a.endpoint.reportsQueue;
     }
 
     /** How long the own job that waits there longest has waited, in nanoseconds; 0 if none waits. */
-    static long waited(Endpoint endpoint, long now) {
+    static long longestWait(Endpoint endpoint, long now) {
         long longest = 0;
-        for (Attempt a : endpoint.out) {
-            longest = waits(a) ? Math.max(longest, now - a.sentAt) : longest;
+        for (Attempt a : endpoint.inFlight) {
+            longest = mayBeQueued(a) ? Math.max(longest, now - a.sentAt) : longest;
         }
-        return longest > START ? longest : 0;
+        return longest > START_TIMEOUT_NANOS ? longest : 0;
     }
 
     /** How many times its hint a job is expected to run there: few jobs there count beside its kind's. */
-    double drag(Endpoint endpoint, Pool kind) {
-        double own = endpoint.drag.count;
-        return Math.exp((own * endpoint.drag.value + BELIEVED * kind.drag.value) / (own + BELIEVED));
+    double expectedSlowdown(Endpoint endpoint, EndpointPool kind) {
+        double own = endpoint.slowdown.count;
+        return Math.exp((own * endpoint.slowdown.value + PRIOR_SAMPLES * kind.slowdown.value) / (own + PRIOR_SAMPLES));
     }
 
     /**
      * Slots of own jobs that wait there, 0 if none has waited for longer than a start takes. Danger: where
      * reports tell no queue, slots may be free and a first job that fits none of them hold up all others.
      */
-    static double waiting(Endpoint endpoint, long now) {
+    static double blockedSlots(Endpoint endpoint, long now) {
         double slots = 0;
         boolean blocked = false;
-        for (Attempt a : endpoint.out) {
-            boolean waits = waits(a);
-            slots += waits ? a.job.arrival.slots() : 0;
-            blocked |= waits && now - a.sentAt > START;
+        for (Attempt a : endpoint.inFlight) {
+            boolean waits = mayBeQueued(a);
+            slots += waits ? a.request.arrival.slots() : 0;
+            blocked |= waits && now - a.sentAt > START_TIMEOUT_NANOS;
         }
         return blocked ? slots : 0;
     }
 
     /** Danger: a worker whose time is over may be ill still. One harmless job is its probe, then more. */
-    static boolean trusts(Endpoint endpoint, ScheduledRequest request, long now) {
-        return now >= endpoint.shunnedUntil
-                && (endpoint.strikes == 0
-                        || endpoint.out.isEmpty() && request.kind.idempotency() != Idempotency.NON_IDEMPOTENT);
+    static boolean mayReceive(Endpoint endpoint, ScheduledRequest request, long now) {
+        return now >= endpoint.ejectedUntil
+                && (endpoint.ejections == 0
+                        || endpoint.inFlight.isEmpty() && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
     }
 }
--- a/src/main/java/nettlewick/decision/PeerMessage.java
+++ b/src/main/java/nettlewick/decision/PeerMessage.java
@@ -13,62 +13,62 @@
  * @param augmented   for a state: the sender's augmented share
  * @param amount      for a state the sender's slice, for a gift its size
  */
-record PeerMessage(What what, boolean binding, int epoch, int peerEpoch, int number, double augmented, double amount) {
+record PeerMessage(Type type, boolean binding, int incarnation, int peerIncarnation, int number, double augmentedShare, double amount) {
     private static final byte MAGIC = (byte) 0xD2;
     private static final byte VERSION = 1;
 
     /** The kinds of messages. */
-    enum What {
+    enum Type {
         STATE,
-        GIVE,
+        TRANSFER,
         ACK,
-        ASK
+        STATE_REQUEST
     }
 
-    byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(length(what));
+    byte[] encode() {
+        ByteBuffer b = ByteBuffer.allocate(length(type));
         b.put(MAGIC)
                 .put(VERSION)
-                .put((byte) (what.ordinal() << 1 | (binding ? 1 : 0)))
-                .putInt(epoch);
-        switch (what) {
-            case STATE -> b.putFloat((float) augmented).putFloat((float) amount);
-            case GIVE -> b.putInt(peerEpoch).putInt(number).putFloat((float) amount);
-            case ACK -> b.putInt(peerEpoch).putInt(number);
+                .put((byte) (type.ordinal() << 1 | (binding ? 1 : 0)))
+                .putInt(incarnation);
+        switch (type) {
+            case STATE -> b.putFloat((float) augmentedShare).putFloat((float) amount);
+            case TRANSFER -> b.putInt(peerIncarnation).putInt(number).putFloat((float) amount);
+            case ACK -> b.putInt(peerIncarnation).putInt(number);
             default -> {}
         }
         return b.array();
     }
 
     /** The message in these bytes; null if they are truncated, foreign or of another version. */
-    static PeerMessage of(byte[] data) {
-        if (data.length < length(What.ASK)
+    static PeerMessage decode(byte[] data) {
+        if (data.length < length(Type.STATE_REQUEST)
                 || data[0] != MAGIC
                 || data[1] != VERSION
                 || data[2] < 0
-                || data[2] >> 1 >= What.values().length) {
+                || data[2] >> 1 >= Type.values().length) {
             return null;
         }
-        What what = What.values()[data[2] >> 1];
+        Type what = Type.values()[data[2] >> 1];
         if (data.length != length(what)) {
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(data).position(3);
         boolean binding = (data[2] & 1) == 1;
         int epoch = b.getInt();
-        int peerEpoch = what == What.GIVE || what == What.ACK ? b.getInt() : 0;
-        int number = what == What.GIVE || what == What.ACK ? b.getInt() : 0;
-        double augmented = what == What.STATE ? b.getFloat() : 0;
-        double amount = what == What.STATE || what == What.GIVE ? b.getFloat() : 0;
+        int peerEpoch = what == Type.TRANSFER || what == Type.ACK ? b.getInt() : 0;
+        int number = what == Type.TRANSFER || what == Type.ACK ? b.getInt() : 0;
+        double augmented = what == Type.STATE ? b.getFloat() : 0;
+        double amount = what == Type.STATE || what == Type.TRANSFER ? b.getFloat() : 0;
         boolean sound = Double.isFinite(augmented + amount) && augmented >= 0 && amount >= 0;
         return sound ? new PeerMessage(what, binding, epoch, peerEpoch, number, augmented, amount) : null;
     }
 
-    private static int length(What what) {
+    private static int length(Type what) {
         return switch (what) {
             case STATE, ACK -> 15;
-            case GIVE -> 19;
-            case ASK -> 7;
+            case TRANSFER -> 19;
+            case STATE_REQUEST -> 7;
         };
     }
 }
--- a/src/main/java/nettlewick/decision/Pools.java
+++ b/src/main/java/nettlewick/decision/Pools.java
@@ -37,7 +37,7 @@
     final SplittableRandom random;
     final int epoch;
     final Map<String, Endpoint> workers = new LinkedHashMap<>();
-    final List<Pool> pools = new ArrayList<>();
+    final List<EndpointPool> pools = new ArrayList<>();
     List<Endpoint> watched = List.of();
     final SharedLoads loads;
     /** Danger: notes to all grow with the square of the tier. Past a small one, tallies at owners serve. */
@@ -46,8 +46,8 @@
     final SlowStartBudget coldStart;
     final OutlierDetector outliers = new OutlierDetector(() -> pools.get(0).ready);
     long subscribeAt = Long.MAX_VALUE;
-    final Mean meanCost = new Mean();
-    final Needs most = new Needs();
+    final RunningMean meanCost = new RunningMean();
+    final LargestRequest most = new LargestRequest();
     /** Work accepted, lost after that and served in this Δ, and the rates of them over the last ones. */
     double accepted, lost, served;
 
@@ -60,47 +60,47 @@
         coldStart = new SlowStartBudget(settings.rules(), settings.fleetSize());
         random = new SplittableRandom(seed);
         epoch = random.nextInt();
-        loads = new SharedLoads(heard);
+        loads = new SharedLoads(faults);
         int size = settings.fleetSize();
-        tally = size > LoadAggregator.SMALL ? new LoadAggregator(settings.rank(), size, heard) : null;
+        tally = size > LoadAggregator.MAX_DIRECT_GOSSIP_DISPATCHERS ? new LoadAggregator(settings.rank(), size, faults) : null;
         for (int kind = -1; kind < settings.kinds().size(); kind++) {
-            pools.add(new Pool(kind));
+            pools.add(new EndpointPool(kind));
         }
     }
 
     @Override
     void learn(EndpointList list) {
         if (list.whole()) {
-            workers.values().forEach(endpoint -> endpoint.ready = false);
+            workers.values().forEach(endpoint -> endpoint.isReady = false);
         }
         for (EndpointEntry entry : list.entries()) {
             Endpoint endpoint = workers.computeIfAbsent(entry.id(), Endpoint::new);
             if (endpoint.entry == null || entry.startedAt() != endpoint.entry.startedAt()) {
-                endpoint.forget();
-                endpoint.coldAt = now;
-                double debt = random.nextDouble() * SlowStartBudget.debt(meanCost.value);
-                endpoint.coldTokens = roll.back(endpoint.id) ? Double.MIN_NORMAL : -debt;
+                endpoint.resetAfterRestart();
+                endpoint.slowStartCreditAt = now;
+                double debt = random.nextDouble() * SlowStartBudget.maxInitialDebt(meanCost.value);
+                endpoint.slowStartCredit = registry.isReenabled(endpoint.id) ? Double.MIN_NORMAL : -debt;
             }
             endpoint.entry = entry;
             endpoint.kind = settings.kinds().indexOf(entry.kind());
-            endpoint.near = settings.zone() == null || settings.zone().equals(entry.zone());
+            endpoint.isLocal = settings.zone() == null || settings.zone().equals(entry.zone());
             // Danger: work sent to a worker that drains. It leaves every pool at once, with no grace used.
-            endpoint.ready = entry.state() == EndpointState.READY;
+            endpoint.isReady = entry.state() == EndpointState.READY;
         }
         sort(workers.values(), pools, RING_PLACES);
         fill();
-        loads.list(workers.values().stream()
-                .filter(endpoint -> roll.tellsReady(endpoint.id))
+        loads.replaceEndpoints(workers.values().stream()
+                .filter(endpoint -> registry.isDiscoveredReady(endpoint.id))
                 .toList());
         if (tally != null) {
-            tally.list(loads.byMark());
+            tally.replaceEndpoints(loads.byMark());
         }
     }
 
     @Override
     void after() {
         if (tally != null && hasPeers()) {
-            tally.flush(now, workers.values(), watched)
+            tally.drainMessages(now, workers.values(), watched)
                     .forEach((rank, notes) -> notes.forEach(n -> act(new SendToPeer(rank, n))));
         }
     }
@@ -109,7 +109,7 @@
     void fill() {
         all(pools).forEach(this::fill);
         watched = all(pools).stream()
-                .flatMap(pool -> pool.members.stream())
+                .flatMap(pool -> pool.probed.stream())
                 .distinct()
                 .toList();
     }
@@ -117,7 +117,7 @@
     @Override
     boolean avoided(String id) {
         Endpoint endpoint = workers.get(id);
-        return endpoint == null || !endpoint.ready || now < endpoint.shunnedUntil;
+        return endpoint == null || !endpoint.isReady || now < endpoint.ejectedUntil;
     }
 
     @Override
@@ -126,23 +126,23 @@
     }
 
     /** Draws the pool anew: a stretch of the own zone, and two thirds as many of the other zones. */
-    void fill(Pool pool) {
-        double part = (double) pool.near.size() * pool.zones / settings.fleetSize();
+    void fill(EndpointPool pool) {
+        double part = (double) pool.local.size() * pool.zoneCount / settings.fleetSize();
         // Danger: a busy dispatcher fills a pool made for a mean one by itself, while half the fleet is idle.
-        double own = POOL_BUSY * triedRate / Math.max(1, pool.slots);
+        double own = POOL_BUSY * triedRate / Math.max(1, pool.mostFreeSlots);
         double least = tally == null ? POOL_LEAST : POOL_TOLD;
         double wanted = Math.max(least, Math.max(own, POOL_PARTS * part));
         int size = (int) Math.ceil(Math.min(POOL_MOST, wanted));
-        pool.members = new ArrayList<>();
-        stretch(pool.near, size, pool.members);
+        pool.probed = new ArrayList<>();
+        stretch(pool.local, size, pool.probed);
         // Danger: a small zone leaves the pool small, and machines that nobody watches idle through a jam.
-        int more = pool.near.isEmpty() ? size : (2 * size + 2) / 3 + Math.max(0, size - pool.near.size());
-        stretch(pool.far, more, pool.members);
+        int more = pool.local.isEmpty() ? size : (2 * size + 2) / 3 + Math.max(0, size - pool.local.size());
+        stretch(pool.remote, more, pool.probed);
     }
 
     /** Danger: alike pools herd dispatchers. Each begins at its own place, spread by the golden ratio. */
     void stretch(List<Endpoint> from, int size, List<Endpoint> to) {
-        int start = (int) (ProbePoolNeighbors.place(settings.rank()) * from.size());
+        int start = (int) (ProbePoolNeighbors.ringPosition(settings.rank()) * from.size());
         for (int i = 0; i < Math.min(size, from.size()); i++) {
             to.add(from.get((start + i) % from.size()));
         }
@@ -150,15 +150,15 @@
 
     /** Every Δ: what a warm worker of each kind carries for this dispatcher, by the jobs that it finished. */
     void measureCarry() {
-        for (Pool pool : pools) {
+        for (EndpointPool pool : pools) {
             long warm = pool.ready.stream()
-                    .filter(endpoint -> !coldStart.cold(endpoint, now))
+                    .filter(endpoint -> !coldStart.isWarmingUp(endpoint, now))
                     .count();
             if (warm > 0) {
-                pool.measures++;
-                pool.carried += (pool.served * 1e9 / DELTA / warm - pool.carried) / 4;
+                pool.measurements++;
+                pool.carriedRate += (pool.servedSlotSeconds * 1e9 / DELTA / warm - pool.carriedRate) / 4;
             }
-            pool.served = 0;
+            pool.servedSlotSeconds = 0;
         }
     }
 
@@ -170,7 +170,7 @@
         int each = (int) Math.ceil(2.0 * watched.size() * BEAT / DELTA);
         for (int i = 0; i < watched.size() && each > 0 && probeTokens >= 1; i++) {
             Endpoint endpoint = watched.get(probeCursor++ % watched.size());
-            if (!endpoint.asked && endpoint.ready && now - endpoint.answeredAt >= DELTA / 4) {
+            if (!endpoint.probePending && endpoint.isReady && now - endpoint.reportedAt >= DELTA / 4) {
                 each--;
                 ask(endpoint);
             }
@@ -178,7 +178,7 @@
     }
 
     void ask(Endpoint endpoint) {
-        endpoint.asked = true;
+        endpoint.probePending = true;
         probeTokens--;
         act(new Probe(endpoint.id));
     }
@@ -189,29 +189,29 @@
         if (endpoint == null) {
             return;
         }
-        endpoint.asked = false;
+        endpoint.probePending = false;
         if (e.result() == AttemptResult.SERVED) {
             if (e.load() != null) {
                 report(endpoint, e.load());
             }
         } else if (e.result() != AttemptResult.OVERLOADED && e.result() != AttemptResult.NOT_SENT) {
-            outliers.judge(endpoint, e.result(), e.latency(), now);
+            outliers.recordResult(endpoint, e.result(), e.latency(), now);
         }
     }
 
     void report(Endpoint endpoint, EndpointLoad load) {
-        endpoint.report(load, now, pools.get(endpoint.kind + 1), most);
-        double left = endpoint.free - endpoint.waiting + endpoint.outAt(beats - (int) (REPORT_LAG / BEAT));
+        endpoint.applyReport(load, now, pools.get(endpoint.kind + 1), most);
+        double left = endpoint.freeSlots - endpoint.queuedSlots + endpoint.slotsAtTick(beats - (int) (REPORT_LAG / BEAT));
         // Danger: a report is as old as a job is long. What it says is told apart into what was known to be
         // in work then, which is known better now, and what only it can tell: a queue, or work nobody awaits.
-        left = Math.min(left, Math.max(1, pools.get(endpoint.kind + 1).slots));
-        endpoint.left = now - endpoint.leftAt > DELTA ? left : endpoint.left + (left - endpoint.left) / 2;
-        endpoint.leftAt = now;
+        left = Math.min(left, Math.max(1, pools.get(endpoint.kind + 1).mostFreeSlots));
+        endpoint.smoothedFreeSlots = now - endpoint.smoothedAt > DELTA ? left : endpoint.smoothedFreeSlots + (left - endpoint.smoothedFreeSlots) / 2;
+        endpoint.smoothedAt = now;
     }
 
     /** Slots that others leave: what a smoothed report leaves to all, less what peers hold by their notes. */
     double left(Endpoint endpoint) {
-        return endpoint.left - endpoint.others + NOISE;
+        return endpoint.smoothedFreeSlots - endpoint.peerSlots + NOISE;
     }
 
     boolean hasPeers() {
--- a/src/main/java/nettlewick/decision/ProbePoolNeighbors.java
+++ b/src/main/java/nettlewick/decision/ProbePoolNeighbors.java
@@ -14,13 +14,13 @@
     /** Neighbours on each side: the notes' fan-out is twice this, whatever the size of the tier. */
     static final int REACH = 2;
 
-    private static final double GOLDEN = 0.6180339887498949;
+    private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
 
     private ProbePoolNeighbors() {}
 
     /** Where a dispatcher's pool begins, as a part of a list, in [0, 1): spread by the golden ratio. */
-    static double place(int rank) {
-        double place = rank * GOLDEN;
+    static double ringPosition(int rank) {
+        double place = rank * GOLDEN_RATIO_FRACTION;
         return place - Math.floor(place);
     }
 
@@ -30,7 +30,7 @@
      *
      * @throws IllegalArgumentException where the rank is not one of the tier's or the reach is below 0
      */
-    static int[] of(int rank, int size, int reach) {
+    static int[] neighborsOf(int rank, int size, int reach) {
         if (rank < 0 || rank >= size || reach < 0) {
             throw new IllegalArgumentException("no neighbours for rank " + rank + " of " + size + ", reach " + reach);
         }
@@ -38,7 +38,7 @@
             return IntStream.range(0, size).filter(r -> r != rank).toArray();
         }
         Integer[] ring = IntStream.range(0, size).boxed().toArray(Integer[]::new);
-        Arrays.sort(ring, Comparator.comparingDouble(ProbePoolNeighbors::place));
+        Arrays.sort(ring, Comparator.comparingDouble(ProbePoolNeighbors::ringPosition));
         int at = Arrays.asList(ring).indexOf(rank);
         int[] near = new int[2 * reach];
         for (int d = 1; d <= reach; d++) {
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -39,7 +39,7 @@
 
     RequestScheduler(SchedulerSettings settings, long seed) {
         super(settings, seed);
-        neighbours = ProbePoolNeighbors.of(settings.rank(), settings.fleetSize(), settings.fleetSize());
+        neighbours = ProbePoolNeighbors.neighborsOf(settings.rank(), settings.fleetSize(), settings.fleetSize());
         for (int i = 0; i < settings.classes().size(); i++) {
             classes.put(settings.classes().get(i).name(), i);
         }
@@ -69,15 +69,15 @@
         ScheduledRequest request = new ScheduledRequest(
                 a, settings.classes().get(index), index, tenants.getOrDefault(a.tenant(), tenures.get(0)), now);
         meanCost.add(request.cost);
-        meanDensity.add(request.density());
-        most.add(a);
+        meanDensity.add(request.priorityPerSlot());
+        most.include(a);
         arrivals++;
         probeTokens += PROBES_PER_ARRIVAL;
         jobs.put(a.id(), request);
         owed.add(request);
         if (!a.repeat()) {
             // Danger: refused jobs that come again would inflate the tenant's demand.
-            request.tenure.offered += request.cost;
+            request.tenantCredit.offered += request.cost;
         }
         if (a.key() != null && a.remaining() > 4 * BEAT && askHomes(request)) {
             act(new SetTimer("hold", HOLD));
@@ -90,11 +90,11 @@
     /** Exception for keyed jobs: their workers are asked first where no fresh answer of theirs is at hand. */
     private boolean askHomes(ScheduledRequest request) {
         boolean waits = false;
-        for (Endpoint endpoint : homes(request, candidates(request, pools.get(request.kind.kind() + 1)))) {
+        for (Endpoint endpoint : homes(request, candidates(request, pools.get(request.requestClass.kind() + 1)))) {
             if (settings.limits().probes()
-                    && endpoint.ready
-                    && !endpoint.asked
-                    && now - endpoint.answeredAt > DELTA / 2) {
+                    && endpoint.isReady
+                    && !endpoint.probePending
+                    && now - endpoint.reportedAt > DELTA / 2) {
                 ask(endpoint);
                 waits = true;
             }
@@ -106,11 +106,11 @@
         credit();
         Endpoint endpoint = choose(request);
         if (!roomy
-                && (apart(request) || request.tenure.credit <= 0 || endpoint != null && hopeless(request, endpoint))) {
+                && (apart(request) || request.tenantCredit.credit <= 0 || endpoint != null && hopeless(request, endpoint))) {
             refuse(request);
             return;
         }
-        request.tenure.credit -= request.cost;
+        request.tenantCredit.credit -= request.cost;
         accepted += request.cost;
         if (endpoint != null) {
             send(request, endpoint);
@@ -121,27 +121,27 @@
 
     /** Sends the job on, as its class allows, or ends it with the best answer that the rules leave. */
     private void again(ScheduledRequest request) {
-        if (request.over || request.streaming) {
+        if (request.answered || request.streaming) {
             return;
         }
-        boolean late = request.kind.latePriorityWeight() <= 0 && now > request.arrivedAt + patience(request);
+        boolean late = request.requestClass.latePriorityWeight() <= 0 && now > request.arrivedAt + patience(request);
         Endpoint endpoint = late || !mayRepeat(request) ? null : choose(request);
         // Danger: attempts at full workers, and second copies above all, multiply under overload.
-        endpoint = !roomy && (apart(request) || request.out() > 0 || request.attempts.size() > 1 && !worthy(request))
+        endpoint = !roomy && (apart(request) || request.inFlightAttempts() > 0 || request.attempts.size() > 1 && !worthy(request))
                 ? null
                 : endpoint;
         if (endpoint != null) {
             send(request, endpoint);
-        } else if (request.out() == 0) {
+        } else if (request.inFlightAttempts() == 0) {
             finish(request);
         }
     }
 
     private void finish(ScheduledRequest request) {
-        Attempt ran = request.firstThatMayHaveRun();
+        Attempt ran = request.firstPossiblyExecutedAttempt();
         boolean harmless = ran == null
-                || request.kind.idempotency() == Idempotency.IDEMPOTENT
-                || request.kind.idempotency() == Idempotency.KEYED && request.kind.dedupScope() == Scope.ALL;
+                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || request.requestClass.idempotency() == Idempotency.KEYED && request.requestClass.dedupScope() == Scope.ALL;
         lost += request.attempts.isEmpty() ? 0 : request.cost;
         if (harmless) {
             refuse(request);
@@ -162,14 +162,14 @@
         if (request.arrival.key() != null) {
             awayTokens = Math.min(awayTokens + (roomAtHome ? AWAY : -1), 2);
         }
-        a.roomy = roomy || pace[request.index].value == 0;
-        a.foretold = a.roomy ? 0 : ahead(request, endpoint);
-        if (endpoint.out.isEmpty()) {
-            endpoint.signAt = now;
+        a.sawFreeCapacity = roomy || pace[request.classIndex].value == 0;
+        a.predictedWaitNanos = a.sawFreeCapacity ? 0 : ahead(request, endpoint);
+        if (endpoint.inFlight.isEmpty()) {
+            endpoint.lastSignAt = now;
         }
-        endpoint.sent(a);
+        endpoint.recordSent(a);
         // Danger: hints are rough, and many light jobs weigh on a cold worker more than their hints say.
-        endpoint.coldTokens -= Math.max(request.cost, meanCost.value / 2);
+        endpoint.slowStartCredit -= Math.max(request.cost, meanCost.value / 2);
         act(new Dispatch(request.arrival.id(), endpoint.id, 0));
     }
 
@@ -177,7 +177,7 @@
     void end(Outcome e) {
         Endpoint endpoint = workers.get(e.endpoint());
         if (endpoint != null) {
-            outliers.judge(endpoint, e.result(), e.latency(), now);
+            outliers.recordResult(endpoint, e.result(), e.latency(), now);
             if (e.load() != null) {
                 report(endpoint, e.load());
             }
@@ -187,33 +187,33 @@
             return;
         }
         Attempt a = request.attempts.get(e.attempt());
-        if (!a.over) {
-            a.over = true;
+        if (!a.ended) {
+            a.ended = true;
             a.neverRan = e.result().neverRan;
-            a.worker.ended(a);
+            a.endpoint.recordEnded(a);
             if (e.result() == AttemptResult.SERVED) {
-                outliers.ran(a, pools.get(a.worker.kind + 1), now);
-                if (a.startedAt != State.NEVER || a.roomy) {
+                outliers.recordRunTime(a, pools.get(a.endpoint.kind + 1), now);
+                if (a.startedAt != State.NEVER || a.sawFreeCapacity) {
                     runs.add(a.startedAt != State.NEVER ? now - a.startedAt : e.latency());
                 }
-                roll.served(e.endpoint());
+                registry.recordServed(e.endpoint());
             }
         }
-        if (e.result() == AttemptResult.SERVED && !request.over) {
+        if (e.result() == AttemptResult.SERVED && !request.answered) {
             served += request.cost;
-            pools.get(a.worker.kind + 1).served += request.cost;
-            if (a.roomy) {
+            pools.get(a.endpoint.kind + 1).servedSlotSeconds += request.cost;
+            if (a.sawFreeCapacity) {
                 // Danger: latencies that hold waiting would make waiting look like long work.
-                pace[request.index].add(e.latency());
+                pace[request.classIndex].add(e.latency());
             }
-            request.over = true;
+            request.answered = true;
             recall(request, a.number);
         }
-        if (e.settled() || request.over) {
+        if (e.settled() || request.answered) {
             close(request);
         } else if (e.result() == AttemptResult.TIMEOUT && now >= request.deadline
                 || e.result() == AttemptResult.NOT_SENT) {
-            if (request.out() == 0) {
+            if (request.inFlightAttempts() == 0) {
                 finish(request);
             }
         } else {
@@ -222,8 +222,8 @@
     }
 
     private void close(ScheduledRequest request) {
-        request.over = true;
-        if (request.out() == 0) {
+        request.answered = true;
+        if (request.inFlightAttempts() == 0) {
             jobs.remove(request.arrival.id());
         }
     }
@@ -231,7 +231,7 @@
     /** Calls off what is still out beside the attempt that answered. */
     private void recall(ScheduledRequest request, int kept) {
         for (Attempt a : request.attempts) {
-            if (!a.over && a.number != kept && settings.limits().cancel()) {
+            if (!a.ended && a.number != kept && settings.limits().cancel()) {
                 act(new Cancel(request.arrival.id(), a.number));
             }
         }
@@ -241,14 +241,14 @@
     void progress(Progress e) {
         Endpoint endpoint = workers.get(e.endpoint());
         if (endpoint != null) {
-            outliers.alive(endpoint, now);
+            outliers.recordSignOfLife(endpoint, now);
             ScheduledRequest request = jobs.get(e.id());
             if (request != null && e.attempt() >= 0 && e.attempt() < request.attempts.size()) {
                 Attempt a = request.attempts.get(e.attempt());
-                if (e.share() <= 0 && a.startedAt == State.NEVER && a.foretold > 0) {
-                    pools.get(a.worker.kind + 1).waits.add(a.foretold, now - a.sentAt);
+                if (e.share() <= 0 && a.startedAt == State.NEVER && a.predictedWaitNanos > 0) {
+                    pools.get(a.endpoint.kind + 1).waitCalibration.add(a.predictedWaitNanos, now - a.sentAt);
                 }
-                OutlierDetector.sign(a, e.share() <= 0, now);
+                OutlierDetector.recordProgress(a, e.share() <= 0, now);
             }
         }
     }
@@ -273,40 +273,40 @@
     /** Danger: a hung worker takes work and keeps reporting room. Silence against expectation unmasks it. */
     private void watch() {
         for (Endpoint endpoint : workers.values()) {
-            for (Attempt a : List.copyOf(endpoint.out)) {
-                if (OutlierDetector.lost(a, now, settings.progress())) {
-                    outliers.lose(a);
+            for (Attempt a : List.copyOf(endpoint.inFlight)) {
+                if (OutlierDetector.isLost(a, now, settings.progress())) {
+                    outliers.recordLost(a);
                     rescue(a);
-                } else if (OutlierDetector.overdue(a, now)) {
+                } else if (OutlierDetector.isStartOverdue(a, now)) {
                     hedge(a);
                 }
             }
-            if (now >= endpoint.shunnedUntil && OutlierDetector.silent(endpoint, now, pace, BEAT)) {
-                outliers.shun(endpoint, now);
-                List.copyOf(endpoint.out).forEach(this::rescue);
+            if (now >= endpoint.ejectedUntil && OutlierDetector.isSilent(endpoint, now, pace, BEAT)) {
+                outliers.eject(endpoint, now);
+                List.copyOf(endpoint.inFlight).forEach(this::rescue);
             }
         }
     }
 
     /** A second copy on suspicion alone, where one that finds a free slot now can still be in time. */
     private void hedge(Attempt a) {
-        if (now + work(a.job) <= a.job.arrivedAt + patience(a.job) && outliers.affordsCopy()) {
+        if (now + work(a.request) <= a.request.arrivedAt + patience(a.request) && outliers.mayHedge()) {
             rescue(a);
-            outliers.copied(a.rescued);
+            outliers.recordHedge(a.replaced);
         }
     }
 
     /** A job stuck at a silent worker goes out again once, where its class allows. */
     private void rescue(Attempt a) {
-        if (a.rescued || a.job.over || a.job.kind.idempotency() == Idempotency.NON_IDEMPOTENT) {
+        if (a.replaced || a.request.answered || a.request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return;
         }
         if (settings.limits().hedgedRequests()) {
-            int before = a.job.attempts.size();
-            again(a.job);
-            a.rescued = a.job.attempts.size() > before;
-        } else if (settings.limits().cancel() && a.job.kind.idempotency() == Idempotency.IDEMPOTENT) {
-            act(new Cancel(a.job.arrival.id(), a.number));
+            int before = a.request.attempts.size();
+            again(a.request);
+            a.replaced = a.request.attempts.size() > before;
+        } else if (settings.limits().cancel() && a.request.requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            act(new Cancel(a.request.arrival.id(), a.number));
         }
     }
 
@@ -317,7 +317,7 @@
                     .filter(request -> now - request.arrivedAt >= HOLD)
                     .toList();
             held.removeAll(ripe);
-            ripe.stream().filter(request -> !request.over).forEach(this::admit);
+            ripe.stream().filter(request -> !request.answered).forEach(this::admit);
         } else {
             beat();
         }
@@ -331,14 +331,14 @@
         }
         // Danger: a job that no outcome wakes before its client gives up.
         for (ScheduledRequest request : List.copyOf(owed)) {
-            if (!request.over && !request.streaming && request.out() == 0 && now + 2 * BEAT >= request.deadline) {
+            if (!request.answered && !request.streaming && request.inFlightAttempts() == 0 && now + 2 * BEAT >= request.deadline) {
                 finish(request);
             }
         }
-        owed.removeIf(request -> request.over);
+        owed.removeIf(request -> request.answered);
         beats++;
         loads.expire(now);
-        workers.values().forEach(endpoint -> endpoint.tick(beats));
+        workers.values().forEach(endpoint -> endpoint.recordTick(beats));
         watch();
         bind();
         if (now >= deltaAt) {
@@ -352,7 +352,7 @@
         if (tally != null) {
             tally.expire(now);
         }
-        for (byte[] note : hasPeers() && tally == null ? loads.news(now) : List.<byte[]>of()) {
+        for (byte[] note : hasPeers() && tally == null ? loads.dueMessages(now) : List.<byte[]>of()) {
             for (int rank : neighbours) {
                 act(new SendToPeer(rank, note));
             }
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/SharedLoads.java
@@ -11,31 +11,31 @@
 /** What all dispatchers hold at the workers, by their notes to one another. */
 final class SharedLoads {
     /** Age to which a note is believed; one is sent at least twice as often. */
-    private static final long BELIEVED = 1_000_000_000;
+    private static final long TTL_NANOS = 1_000_000_000;
 
     /** A part of what a dispatcher tells. */
-    private record From(int rank, int part) {}
+    private record PartKey(int rank, int part) {}
 
-    private record Told(Map<Endpoint, Integer> slots, long at, int number) {}
+    private record ReceivedLoad(Map<Endpoint, Integer> slots, long at, int number) {}
 
-    private final Map<From, Told> told = new HashMap<>();
-    private final PeerFaultCounters heard;
+    private final Map<PartKey, ReceivedLoad> received = new HashMap<>();
+    private final PeerFaultCounters faults;
     private List<Endpoint> byName = List.of();
     private Map<Character, Endpoint> byMark = Map.of();
-    private List<byte[]> last = List.of();
-    private long lastAt = State.NEVER;
+    private List<byte[]> lastSent = List.of();
+    private long lastSentAt = State.NEVER;
     private int sendings;
 
     /** Counts into {@code heard} what it passes over. */
     SharedLoads(PeerFaultCounters heard) {
-        this.heard = heard;
+        this.faults = heard;
     }
 
-    void list(Collection<Endpoint> ready) {
+    void replaceEndpoints(Collection<Endpoint> ready) {
         byName = ready.stream()
                 .sorted(Comparator.comparing(endpoint -> endpoint.id))
                 .toList();
-        byMark = LoadGossip.byMark(byName);
+        byMark = LoadGossip.indexByMark(byName);
     }
 
     /** The ready workers by their marks; those that share one stand for none of them. */
@@ -49,26 +49,26 @@
      * over while that one is young; a peer that starts anew counts from 0, and is heard once its last life's
      * word is old.
      */
-    boolean hear(int rank, byte[] data, long now) {
-        if (!LoadGossip.is(data)) {
+    boolean receive(int rank, byte[] data, long now) {
+        if (!LoadGossip.isLoadGossip(data)) {
             return false;
         }
-        LoadGossip.Told note = LoadGossip.of(data, byMark);
+        LoadGossip.Received note = LoadGossip.decode(data, byMark);
         if (note == null) {
-            heard.damaged++;
+            faults.damaged++;
             return true;
         }
-        From from = new From(rank, note.part());
-        Told old = told.get(from);
-        int ahead = old == null || now - old.at() >= BELIEVED / 2 ? 1 : (byte) (note.number() - old.number());
+        PartKey from = new PartKey(rank, note.part());
+        ReceivedLoad old = received.get(from);
+        int ahead = old == null || now - old.at() >= TTL_NANOS / 2 ? 1 : (byte) (note.number() - old.number());
         if (ahead < 0) {
-            heard.late++;
+            faults.late++;
             return true;
         }
-        heard.unlisted += note.unlisted();
-        forget(told.put(from, new Told(note.slots(), now, note.number())));
-        note.slots().forEach((endpoint, held) -> endpoint.others += held);
-        for (int gone = note.parts(); forget(told.remove(new From(rank, gone))); gone++) {
+        faults.unlisted += note.unlisted();
+        withdraw(received.put(from, new ReceivedLoad(note.slotsInFlight(), now, note.number())));
+        note.slotsInFlight().forEach((endpoint, held) -> endpoint.peerSlots += held);
+        for (int gone = note.parts(); withdraw(received.remove(new PartKey(rank, gone))); gone++) {
             continue;
         }
         return true;
@@ -79,29 +79,29 @@
      * is held: peers forget what was told by the time it would be repeated, and an idle dispatcher sends
      * nothing.
      */
-    List<byte[]> news(long now) {
-        List<byte[]> notes = LoadGossip.bytes(byName);
-        boolean same = notes.size() == last.size();
+    List<byte[]> dueMessages(long now) {
+        List<byte[]> notes = LoadGossip.encode(byName);
+        boolean same = notes.size() == lastSent.size();
         for (int i = 0; same && i < notes.size(); i++) {
-            same = Arrays.equals(notes.get(i), last.get(i));
+            same = Arrays.equals(notes.get(i), lastSent.get(i));
         }
-        if (same && (now - lastAt <= BELIEVED / 2 || LoadGossip.empty(notes))) {
+        if (same && (now - lastSentAt <= TTL_NANOS / 2 || LoadGossip.reportNothing(notes))) {
             return List.of();
         }
-        last = notes;
-        lastAt = now;
+        lastSent = notes;
+        lastSentAt = now;
         int number = sendings++;
-        return notes.stream().map(note -> LoadGossip.numbered(note, number)).toList();
+        return notes.stream().map(note -> LoadGossip.withNumber(note, number)).toList();
     }
 
     /** Leaves out what peers said that have been silent since. */
     void expire(long now) {
-        told.values().removeIf(t -> now - t.at() > BELIEVED && forget(t));
+        received.values().removeIf(t -> now - t.at() > TTL_NANOS && withdraw(t));
     }
 
-    private static boolean forget(Told old) {
+    private static boolean withdraw(ReceivedLoad old) {
         if (old != null) {
-            old.slots().forEach((endpoint, held) -> endpoint.others -= held);
+            old.slots().forEach((endpoint, held) -> endpoint.peerSlots -= held);
         }
         return old != null;
     }
--- a/src/main/java/nettlewick/decision/State.java
+++ b/src/main/java/nettlewick/decision/State.java
@@ -22,115 +22,115 @@
         final String id;
         EndpointEntry entry;
         int kind;
-        boolean ready;
-        boolean near;
+        boolean isReady;
+        boolean isLocal;
         /** Last load report: when it came, and what it said. */
-        long answeredAt = NEVER;
+        long reportedAt = NEVER;
 
-        double free;
-        double waiting;
-        double memory;
+        double freeSlots;
+        double queuedSlots;
+        double freeMemory;
         /** The last report proves that nothing waits. */
-        boolean queueEmpty;
+        boolean queueProvenEmpty;
         /** Its reports tell how many wait. */
-        boolean queueTold;
+        boolean reportsQueue;
         /** Slots that are left but for what is known to be sent here, smoothed over reports. */
-        double left;
+        double smoothedFreeSlots;
 
-        long leftAt = NEVER;
-        long fullAt = NEVER;
-        boolean asked;
-        final List<Attempt> out = new ArrayList<>();
-        double outSlots;
+        long smoothedAt = NEVER;
+        long overloadedAt = NEVER;
+        boolean probePending;
+        final List<Attempt> inFlight = new ArrayList<>();
+        double inFlightSlots;
         /** Slots that peers hold here, by their last notes. */
-        double others;
+        double peerSlots;
         /** Slots known to be in work at the last beats, each at its beat's number modulo the length. */
-        private final double[] outBefore = new double[16];
+        private final double[] slotHistory = new double[16];
 
-        long signAt = NEVER;
-        int strikes;
+        long lastSignAt = NEVER;
+        int ejections;
         /** When the latest of the attempts that have started was sent. */
-        long startedSent = NEVER;
+        long latestStartedSentAt = NEVER;
         /** How much longer than hinted its jobs run: the logarithm's mean over the last few. */
-        final Mean drag = new Mean(6);
+        final RunningMean slowdown = new RunningMean(6);
         /** Connections to it that broke in a row. */
-        int failures;
+        int connectionFailures;
 
-        long shunnedUntil = NEVER;
-        double coldTokens;
-        long coldAt;
+        long ejectedUntil = NEVER;
+        double slowStartCredit;
+        long slowStartCreditAt;
 
         Endpoint(String id) {
             this.id = id;
         }
 
         /** A process that started anew knows nothing of the load and the troubles of its last life. */
-        void forget() {
-            answeredAt = NEVER;
-            leftAt = NEVER;
-            fullAt = NEVER;
-            shunnedUntil = NEVER;
-            strikes = 0;
-            failures = 0;
-            startedSent = NEVER;
-            drag.count = 0;
+        void resetAfterRestart() {
+            reportedAt = NEVER;
+            smoothedAt = NEVER;
+            overloadedAt = NEVER;
+            ejectedUntil = NEVER;
+            ejections = 0;
+            connectionFailures = 0;
+            latestStartedSentAt = NEVER;
+            slowdown.count = 0;
         }
 
         /** Takes a report over in slots, whichever values this site's reports hold. */
-        void report(EndpointLoad load, long now, Pool kind, Needs most) {
-            answeredAt = now;
-            memory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
+        void applyReport(EndpointLoad load, long now, EndpointPool kind, LargestRequest most) {
+            reportedAt = now;
+            freeMemory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
             double held = Double.isNaN(load.inHand()) ? 0 : load.inHand();
             boolean queue = !Double.isNaN(load.waiting());
             if (!Double.isNaN(load.freeSlots())) {
-                free = load.freeSlots();
+                freeSlots = load.freeSlots();
             } else if (queue) {
-                free = load.waiting() < 1 ? 1 : 0;
+                freeSlots = load.waiting() < 1 ? 1 : 0;
             } else if (!Double.isNaN(load.busyShare())) {
-                free = load.busyShare() < 1 ? 1 / Math.max(load.busyShare(), 0.01) : 0;
+                freeSlots = load.busyShare() < 1 ? 1 / Math.max(load.busyShare(), 0.01) : 0;
             } else {
-                free = 1 / (1 + held);
+                freeSlots = 1 / (1 + held);
             }
-            kind.slots = free >= 1 ? Math.max(kind.slots, free + held) : kind.slots;
-            waiting = queue ? load.waiting() : free >= 1 ? 0 : Math.max(0, held - kind.slots);
+            kind.mostFreeSlots = freeSlots >= 1 ? Math.max(kind.mostFreeSlots, freeSlots + held) : kind.mostFreeSlots;
+            queuedSlots = queue ? load.waiting() : freeSlots >= 1 ? 0 : Math.max(0, held - kind.mostFreeSlots);
             // Danger: a report without a queue says nothing of it. The first that waits may be a job that
             // does not fit while slots are free; only room for any job proves that none waits.
-            queueTold = queue;
-            queueEmpty = queue ? waiting < 0.5 : free >= most.slots && memory >= most.memory;
+            reportsQueue = queue;
+            queueProvenEmpty = queue ? queuedSlots < 0.5 : freeSlots >= most.slots && freeMemory >= most.memory;
         }
 
-        void sent(Attempt a) {
-            out.add(a);
-            outSlots += a.job.arrival.slots();
+        void recordSent(Attempt a) {
+            inFlight.add(a);
+            inFlightSlots += a.request.arrival.slots();
         }
 
-        void ended(Attempt a) {
-            out.remove(a);
-            lose(a);
+        void recordEnded(Attempt a) {
+            inFlight.remove(a);
+            releaseLost(a);
         }
 
         /** Danger: an attempt that is lost holds no slot here; counted on, it would until its deadline. */
-        void lose(Attempt a) {
-            outSlots -= a.lost ? 0 : a.job.arrival.slots();
+        void releaseLost(Attempt a) {
+            inFlightSlots -= a.lost ? 0 : a.request.arrival.slots();
             a.lost = true;
         }
 
         /** Remembers the slots known to be in work at this beat. */
-        void tick(int beat) {
-            outBefore[beat % outBefore.length] = outSlots + others;
+        void recordTick(int beat) {
+            slotHistory[beat % slotHistory.length] = inFlightSlots + peerSlots;
         }
 
-        double outAt(int beat) {
-            return outBefore[Math.floorMod(beat, outBefore.length)];
+        double slotsAtTick(int beat) {
+            return slotHistory[Math.floorMod(beat, slotHistory.length)];
         }
     }
 
     /** The most that one job was seen to need here. */
-    static final class Needs {
+    static final class LargestRequest {
         double slots = 1;
         double memory;
 
-        void add(Arrival a) {
+        void include(Arrival a) {
             slots = Math.max(slots, a.slots());
             memory = Math.max(memory, a.memory());
         }
@@ -138,27 +138,27 @@
 
     /** One sending of a job. */
     static final class Attempt {
-        final ScheduledRequest job;
-        final Endpoint worker;
+        final ScheduledRequest request;
+        final Endpoint endpoint;
         final int number;
         final long sentAt;
-        boolean over;
+        boolean ended;
         boolean neverRan;
-        boolean rescued;
+        boolean replaced;
         /** It takes no slot, or no longer. */
         boolean lost;
         /** When the worker said that the job runs. */
         long startedAt = NEVER;
         /** Its last sign of life. */
-        long signAt = NEVER;
+        long lastSignAt = NEVER;
         /** Room was seen when it was sent. */
-        boolean roomy;
+        boolean sawFreeCapacity;
         /** How long it was foretold to wait where none was seen, in nanoseconds. */
-        double foretold;
+        double predictedWaitNanos;
 
         Attempt(ScheduledRequest request, Endpoint endpoint, int number, long sentAt) {
-            this.job = request;
-            this.worker = endpoint;
+            this.request = request;
+            this.endpoint = endpoint;
             this.number = number;
             this.sentAt = sentAt;
         }
@@ -167,42 +167,42 @@
     /** A client's request until its final answer and its last outcome. */
     static final class ScheduledRequest {
         final Arrival arrival;
-        final RequestClass kind;
-        final int index;
-        final TenantCredit tenure;
+        final RequestClass requestClass;
+        final int classIndex;
+        final TenantCredit tenantCredit;
         final long arrivedAt;
         final long deadline;
         final double cost;
-        boolean over;
+        boolean answered;
         boolean streaming;
         final List<Attempt> attempts = new ArrayList<>(2);
 
         ScheduledRequest(Arrival arrival, RequestClass kind, int index, TenantCredit tenure, long now) {
             this.arrival = arrival;
-            this.kind = kind;
-            this.index = index;
-            this.tenure = tenure;
+            this.requestClass = kind;
+            this.classIndex = index;
+            this.tenantCredit = tenure;
             arrivedAt = now;
             deadline = now + arrival.remaining();
             cost = arrival.slots() * (arrival.costHint() > 0 ? arrival.costHint() / 1e9 : 1);
         }
 
         /** Worth of a slot that the job takes. */
-        double density() {
-            return kind.priorityWeight() / Math.max(arrival.slots(), 1e-3);
+        double priorityPerSlot() {
+            return requestClass.priorityWeight() / Math.max(arrival.slots(), 1e-3);
         }
 
-        int out() {
+        int inFlightAttempts() {
             int n = 0;
             for (Attempt a : attempts) {
-                n += a.over ? 0 : 1;
+                n += a.ended ? 0 : 1;
             }
             return n;
         }
 
-        boolean wasAt(Endpoint endpoint) {
+        boolean wasSentTo(Endpoint endpoint) {
             for (Attempt a : attempts) {
-                if (a.worker == endpoint) {
+                if (a.endpoint == endpoint) {
                     return true;
                 }
             }
@@ -210,9 +210,9 @@
         }
 
         /** The first attempt that ran, may have run or may run yet; null if none. */
-        Attempt firstThatMayHaveRun() {
+        Attempt firstPossiblyExecutedAttempt() {
             for (Attempt a : attempts) {
-                if (!a.over || !a.neverRan) {
+                if (!a.ended || !a.neverRan) {
                     return a;
                 }
             }
@@ -221,66 +221,66 @@
     }
 
     /** The workers that may run a class: all that are ready, and the small pool that is probed. */
-    static final class Pool {
+    static final class EndpointPool {
         final int kind;
         List<Endpoint> ready = new ArrayList<>();
-        List<Endpoint> near = new ArrayList<>();
-        List<Endpoint> far = new ArrayList<>();
-        int zones;
-        List<Endpoint> members = new ArrayList<>();
+        List<Endpoint> local = new ArrayList<>();
+        List<Endpoint> remote = new ArrayList<>();
+        int zoneCount;
+        List<Endpoint> probed = new ArrayList<>();
         /** Hash places of the ready workers, of all and of the own zone. */
         final HashRing<Endpoint> ring = new HashRing<>();
 
-        final HashRing<Endpoint> nearRing = new HashRing<>();
-        private final Set<Endpoint> onRing = new LinkedHashSet<>();
+        final HashRing<Endpoint> localRing = new HashRing<>();
+        private final Set<Endpoint> ringMembers = new LinkedHashSet<>();
         /** Work finished for this dispatcher since the last Δ, and a warm worker's part of it a second. */
-        double served;
+        double servedSlotSeconds;
 
-        double carried;
+        double carriedRate;
         /** How often that was measured. */
-        int measures;
+        int measurements;
         /** How much longer than hinted jobs run on this kind: the logarithm's mean. */
-        final Mean drag = new Mean(100);
+        final RunningMean slowdown = new RunningMean(100);
         /** What jobs waited here against what was foretold. */
-        final Waits waits = new Waits();
+        final WaitCalibration waitCalibration = new WaitCalibration();
         /** Most free slots that a worker of the kind was seen to have. */
-        double slots;
+        double mostFreeSlots;
 
-        Pool(int kind) {
+        EndpointPool(int kind) {
             this.kind = kind;
         }
 
         /** Sorts out who of these is ready and of the kind. */
         void refill(Collection<Endpoint> endpoints, int ringPlaces) {
             ready = endpoints.stream()
-                    .filter(endpoint -> endpoint.ready && (kind < 0 || endpoint.kind == kind))
+                    .filter(endpoint -> endpoint.isReady && (kind < 0 || endpoint.kind == kind))
                     .toList();
-            near = ready.stream().filter(endpoint -> endpoint.near).toList();
-            far = ready.stream().filter(endpoint -> !endpoint.near).toList();
-            zones = (int) ready.stream()
+            local = ready.stream().filter(endpoint -> endpoint.isLocal).toList();
+            remote = ready.stream().filter(endpoint -> !endpoint.isLocal).toList();
+            zoneCount = (int) ready.stream()
                     .map(endpoint -> String.valueOf(endpoint.entry.zone()))
                     .distinct()
                     .count();
             // Danger: a growing fleet changes its list many times a second: only what changed is set.
             Set<Endpoint> stays = new LinkedHashSet<>(ready);
             for (Endpoint endpoint : stays) {
-                if (onRing.add(endpoint)) {
-                    set(endpoint, ringPlaces, true);
+                if (ringMembers.add(endpoint)) {
+                    updateRings(endpoint, ringPlaces, true);
                 }
             }
-            onRing.removeIf(endpoint -> {
+            ringMembers.removeIf(endpoint -> {
                 boolean leaves = !stays.contains(endpoint);
                 if (leaves) {
-                    set(endpoint, ringPlaces, false);
+                    updateRings(endpoint, ringPlaces, false);
                 }
                 return leaves;
             });
         }
 
-        private void set(Endpoint endpoint, int ringPlaces, boolean on) {
-            ring.set(endpoint.id, endpoint, ringPlaces, on);
-            if (endpoint.near) {
-                nearRing.set(endpoint.id, endpoint, ringPlaces, on);
+        private void updateRings(Endpoint endpoint, int ringPlaces, boolean on) {
+            ring.place(endpoint.id, endpoint, ringPlaces, on);
+            if (endpoint.isLocal) {
+                localRing.place(endpoint.id, endpoint, ringPlaces, on);
             }
         }
     }
@@ -297,7 +297,7 @@
         }
 
         /** g(v): what all tenants carry when none gets more than {@code level} for its weight. */
-        static double carried(List<TenantCredit> all, double level) {
+        static double totalCarried(List<TenantCredit> all, double level) {
             return all.stream()
                     .mapToDouble(t -> Math.min(t.demand, level * t.weight))
                     .sum();
@@ -307,13 +307,13 @@
         static double fairShare(List<TenantCredit> all, double slice) {
             double high =
                     all.stream().mapToDouble(t -> t.demand / t.weight).max().orElse(0);
-            if (carried(all, high) <= slice) {
+            if (totalCarried(all, high) <= slice) {
                 return high;
             }
             double low = 0;
             for (int i = 0; i < 40; i++) {
                 double middle = (low + high) / 2;
-                if (carried(all, middle) < slice) {
+                if (totalCarried(all, middle) < slice) {
                     low = middle;
                 } else {
                     high = middle;
@@ -324,66 +324,66 @@
     }
 
     /** What is known of another dispatcher. */
-    static final class Peer {
-        int epoch;
+    static final class PeerState {
+        int incarnation;
         boolean binding;
-        double augmented;
+        double augmentedShare;
         double slice;
         long heardAt = NEVER;
         /** Number of the last gift taken, for each of its lives. */
-        final Map<Integer, Integer> taken = new HashMap<>();
+        final Map<Integer, Integer> lastTransferByIncarnation = new HashMap<>();
 
-        int given;
-        double pending;
-        double inherited;
+        int transfersSent;
+        double pendingAmount;
+        double inheritedAmount;
 
         /** True once for each gift, however often it comes. */
-        boolean firstTaken(PeerMessage gift) {
-            boolean first = gift.number() > taken.getOrDefault(gift.epoch(), 0);
+        boolean recordTransfer(PeerMessage gift) {
+            boolean first = gift.number() > lastTransferByIncarnation.getOrDefault(gift.incarnation(), 0);
             if (first) {
-                taken.put(gift.epoch(), gift.number());
+                lastTransferByIncarnation.put(gift.incarnation(), gift.number());
             }
             return first;
         }
     }
 
     /** How long jobs waited where a wait was foretold: the next is off by as much as the last ones were. */
-    static final class Waits {
+    static final class WaitCalibration {
         /** So many foretold waits weigh as much as believing them as they are. */
-        private static final double BELIEVED = 5;
+        private static final double PRIOR_SAMPLES = 5;
 
-        private static final double MOST = 8;
-        private final Mean foretold = new Mean();
-        private final Mean waited = new Mean();
+        private static final double MAX_FACTOR = 8;
+        private final RunningMean predicted = new RunningMean();
+        private final RunningMean waited = new RunningMean();
 
         void add(double told, double was) {
-            foretold.add(told);
+            predicted.add(told);
             waited.add(was);
         }
 
         double factor() {
-            double n = foretold.count;
-            double factor = n == 0 ? 1 : waited.value / Math.max(foretold.value, 1);
-            return Math.min(MOST, (n * factor + BELIEVED) / (n + BELIEVED));
+            double n = predicted.count;
+            double factor = n == 0 ? 1 : waited.value / Math.max(predicted.value, 1);
+            return Math.min(MAX_FACTOR, (n * factor + PRIOR_SAMPLES) / (n + PRIOR_SAMPLES));
         }
     }
 
     /** A mean over all at first, over about the last fifty, or another number, later. */
-    static final class Mean {
-        private final int most;
+    static final class RunningMean {
+        private final int maxSamples;
         double value;
         double count;
 
-        Mean() {
+        RunningMean() {
             this(50);
         }
 
-        Mean(int most) {
-            this.most = most;
+        RunningMean(int most) {
+            this.maxSamples = most;
         }
 
         void add(double x) {
-            count = Math.min(count + 1, most);
+            count = Math.min(count + 1, maxSamples);
             value += (x - value) / count;
         }
     }
--- a/src/test/java/nettlewick/decision/ColdStartTest.java
+++ b/src/test/java/nettlewick/decision/ColdStartTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import nettlewick.decision.SchedulerSettings.Rules;
 import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.Pool;
+import nettlewick.decision.State.EndpointPool;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -55,22 +55,22 @@
             SplittableRandom random = new SplittableRandom(seed);
             long start = SECOND;
             List<Endpoint> views = new ArrayList<>();
-            List<Pool> pools = new ArrayList<>();
+            List<EndpointPool> pools = new ArrayList<>();
             List<Long> toldAt = new ArrayList<>();
             List<Long> restartAt = new ArrayList<>();
             for (int d = 0; d < dispatchers; d++) {
                 Endpoint endpoint = new Endpoint("w");
                 endpoint.entry = new EndpointEntry("w", EndpointState.READY, start, 0, "std", "a", 1);
-                endpoint.coldAt = start;
-                endpoint.coldTokens = -random.nextDouble() * SlowStartBudget.debt(mean);
+                endpoint.slowStartCreditAt = start;
+                endpoint.slowStartCredit = -random.nextDouble() * SlowStartBudget.maxInitialDebt(mean);
                 views.add(endpoint);
-                Pool p = new Pool(0);
-                p.slots = slots;
+                EndpointPool p = new EndpointPool(0);
+                p.mostFreeSlots = slots;
                 // All slots of a warm peer are in work: the first has its multiple, the others share the rest.
-                p.carried = d == 0
+                p.carriedRate = d == 0
                         ? slots * Math.min(1, uneven / dispatchers)
                         : slots * (1 - Math.min(1, uneven / dispatchers)) / Math.max(1, dispatchers - 1);
-                p.measures = random.nextInt(2) * 100;
+                p.measurements = random.nextInt(2) * 100;
                 pools.add(p);
                 toldAt.add(start + random.nextLong(SECOND));
                 restartAt.add(start + SECOND + random.nextLong(rules.slowStart()));
@@ -81,14 +81,14 @@
                 for (int d = 0; d < dispatchers; d++) {
                     Endpoint endpoint = views.get(d);
                     if (restartAt.get(d) >= now && restartAt.get(d) < now + STEP) {
-                        endpoint.coldAt = now;
-                        endpoint.coldTokens = -random.nextDouble() * SlowStartBudget.debt(mean);
-                        pools.get(d).measures = 0;
+                        endpoint.slowStartCreditAt = now;
+                        endpoint.slowStartCredit = -random.nextDouble() * SlowStartBudget.maxInitialDebt(mean);
+                        pools.get(d).measurements = 0;
                     }
-                    if (now >= toldAt.get(d) && rule.allows(endpoint, pools.get(d), mean, now)) {
+                    if (now >= toldAt.get(d) && rule.admits(endpoint, pools.get(d), mean, now)) {
                         // Work is drawn with a spread of about a factor of two; half the mean counts at least.
                         double cost = mean * Math.exp(0.7 * random.nextDouble() - 0.35);
-                        endpoint.coldTokens -= Math.max(cost, mean / 2);
+                        endpoint.slowStartCredit -= Math.max(cost, mean / 2);
                         sends.add(now);
                     }
                 }
--- a/src/test/java/nettlewick/decision/FleetTest.java
+++ b/src/test/java/nettlewick/decision/FleetTest.java
@@ -77,7 +77,7 @@
         int[] told = new int[size];
         for (int each = 0; each < size; each++) {
             int rank = each;
-            int[] near = ProbePoolNeighbors.of(rank, size, reach);
+            int[] near = ProbePoolNeighbors.neighborsOf(rank, size, reach);
             assertEquals(
                     2 * reach,
                     java.util.Arrays.stream(near)
@@ -86,14 +86,14 @@
                             .count());
             for (int other : near) {
                 told[other]++;
-                assertTrue(java.util.Arrays.stream(ProbePoolNeighbors.of(other, size, reach))
+                assertTrue(java.util.Arrays.stream(ProbePoolNeighbors.neighborsOf(other, size, reach))
                         .anyMatch(r -> r == rank));
-                double apart = Math.abs(ProbePoolNeighbors.place(other) - ProbePoolNeighbors.place(rank));
+                double apart = Math.abs(ProbePoolNeighbors.ringPosition(other) - ProbePoolNeighbors.ringPosition(rank));
                 assertTrue(Math.min(apart, 1 - apart) < 3.0 * reach / size, rank + " and " + other + " lie apart");
             }
         }
         assertTrue(java.util.Arrays.stream(told).allMatch(n -> n == 2 * reach));
-        assertEquals(4, ProbePoolNeighbors.of(2, 5, reach).length);
+        assertEquals(4, ProbePoolNeighbors.neighborsOf(2, 5, reach).length);
     }
 
     /** Guards against belief in reports alone as soon as one of many peers is silent: here the third never speaks. */
@@ -111,10 +111,10 @@
                         Samples.answer("w0", 2, 0),
                         Samples.answer("w1", 2, 0)));
         State.Endpoint full = new State.Endpoint("w0");
-        full.outSlots = 2;
+        full.inFlightSlots = 2;
         SharedLoads peer = new SharedLoads(new PeerFaultCounters());
-        peer.list(List.of(full, new State.Endpoint("w1")));
-        logic.handle(2, List.of(new PeerMessageReceived(1, peer.news(2).get(0))));
+        peer.replaceEndpoints(List.of(full, new State.Endpoint("w1")));
+        logic.handle(2, List.of(new PeerMessageReceived(1, peer.dueMessages(2).get(0))));
         for (int i = 0; i < 2; i++) {
             List<Action> actions = logic.handle(3 + i, List.of(Samples.arrival("j" + i, "read", "red")));
             assertEquals("w1", Samples.only(Dispatch.class, actions).get(0).endpoint());
--- a/src/test/java/nettlewick/decision/OutliersTest.java
+++ b/src/test/java/nettlewick/decision/OutliersTest.java
@@ -23,31 +23,31 @@
     private final OutlierDetector outliers = new OutlierDetector(() -> fleet);
 
     private boolean out(int i, long now) {
-        return now < fleet.get(i).shunnedUntil;
+        return now < fleet.get(i).ejectedUntil;
     }
 
     @Test
     void oneBreakIsTheConnectionsTwoInARowAreTheWorkers() {
-        outliers.judge(fleet.get(0), AttemptResult.BROKEN, MS, 0);
-        outliers.judge(fleet.get(0), AttemptResult.SERVED, MS, 0);
-        outliers.judge(fleet.get(0), AttemptResult.UNREACHABLE, MS, 0);
+        outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
+        outliers.recordResult(fleet.get(0), AttemptResult.SERVED, MS, 0);
+        outliers.recordResult(fleet.get(0), AttemptResult.UNREACHABLE, MS, 0);
         assertFalse(out(0, 1));
-        outliers.judge(fleet.get(0), AttemptResult.BROKEN, MS, 0);
+        outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
         assertTrue(out(0, 1));
-        outliers.judge(fleet.get(1), AttemptResult.UNREACHABLE, 200 * MS, 0);
+        outliers.recordResult(fleet.get(1), AttemptResult.UNREACHABLE, 200 * MS, 0);
         assertTrue(out(1, 1), "cut off: it does not even refuse");
     }
 
     @Test
     void whereManyConnectionsBreakTwoInARowAreChance() {
         for (int i = 0; i < 60; i++) {
-            outliers.judge(fleet.get(1 + i % 5), i % 6 == 0 ? AttemptResult.BROKEN : AttemptResult.SERVED, MS, 0);
+            outliers.recordResult(fleet.get(1 + i % 5), i % 6 == 0 ? AttemptResult.BROKEN : AttemptResult.SERVED, MS, 0);
         }
-        outliers.judge(fleet.get(0), AttemptResult.BROKEN, MS, 0);
-        outliers.judge(fleet.get(0), AttemptResult.BROKEN, MS, 0);
+        outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
+        outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
         assertFalse(out(0, 1));
         for (int i = 0; i < 3; i++) {
-            outliers.judge(fleet.get(0), AttemptResult.BROKEN, MS, 0);
+            outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
         }
         assertTrue(out(0, 1));
     }
@@ -58,12 +58,12 @@
         Endpoint endpoint = fleet.get(0);
         Attempt first = new Attempt(null, endpoint, 0, 0);
         Attempt second = new Attempt(null, endpoint, 0, 251 * MS);
-        assertFalse(OutlierDetector.lost(first, 500 * MS, 1000 * MS));
-        OutlierDetector.sign(second, true, 600 * MS);
-        assertTrue(OutlierDetector.lost(first, 600 * MS, 1000 * MS));
-        assertFalse(OutlierDetector.lost(second, 2600 * MS, 1000 * MS));
-        assertTrue(OutlierDetector.lost(second, 2601 * MS, 1000 * MS));
-        assertFalse(OutlierDetector.lost(second, 9000 * MS, 0), "where no progress is told, silence tells nothing");
+        assertFalse(OutlierDetector.isLost(first, 500 * MS, 1000 * MS));
+        OutlierDetector.recordProgress(second, true, 600 * MS);
+        assertTrue(OutlierDetector.isLost(first, 600 * MS, 1000 * MS));
+        assertFalse(OutlierDetector.isLost(second, 2600 * MS, 1000 * MS));
+        assertTrue(OutlierDetector.isLost(second, 2601 * MS, 1000 * MS));
+        assertFalse(OutlierDetector.isLost(second, 9000 * MS, 0), "where no progress is told, silence tells nothing");
     }
 
     /** Guards against a slot that a lost attempt would hold here until its deadline. */
@@ -73,24 +73,24 @@
         RequestClass read = Samples.jobClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 1);
         ScheduledRequest request = new ScheduledRequest(Samples.arrival("a", "read", "red"), read, 0, null, 0);
         Attempt sent = new Attempt(request, endpoint, 0, 0);
-        endpoint.sent(sent);
-        endpoint.queueEmpty = true;
-        endpoint.answeredAt = 1500 * MS;
-        assertFalse(OutlierDetector.lost(sent, 1501 * MS, 0));
-        endpoint.answeredAt = 1501 * MS;
-        assertTrue(OutlierDetector.lost(sent, 1501 * MS, 0));
-        endpoint.queueEmpty = false;
-        assertFalse(OutlierDetector.lost(sent, 1501 * MS, 0), "it may be the one that waits");
-        assertFalse(outliers.affordsCopy());
-        outliers.lose(sent);
-        outliers.lose(sent);
-        assertEquals(0, endpoint.outSlots);
-        outliers.copied(true);
-        assertTrue(outliers.affordsCopy());
-        outliers.copied(true);
-        assertFalse(outliers.affordsCopy(), "two for each that is lost");
-        endpoint.ended(sent);
-        assertEquals(0, endpoint.outSlots);
+        endpoint.recordSent(sent);
+        endpoint.queueProvenEmpty = true;
+        endpoint.reportedAt = 1500 * MS;
+        assertFalse(OutlierDetector.isLost(sent, 1501 * MS, 0));
+        endpoint.reportedAt = 1501 * MS;
+        assertTrue(OutlierDetector.isLost(sent, 1501 * MS, 0));
+        endpoint.queueProvenEmpty = false;
+        assertFalse(OutlierDetector.isLost(sent, 1501 * MS, 0), "it may be the one that waits");
+        assertFalse(outliers.mayHedge());
+        outliers.recordLost(sent);
+        outliers.recordLost(sent);
+        assertEquals(0, endpoint.inFlightSlots);
+        outliers.recordHedge(true);
+        assertTrue(outliers.mayHedge());
+        outliers.recordHedge(true);
+        assertFalse(outliers.mayHedge(), "two for each that is lost");
+        endpoint.recordEnded(sent);
+        assertEquals(0, endpoint.inFlightSlots);
     }
 
     /**
@@ -99,39 +99,39 @@
      */
     @Test
     void aReportWithoutAQueueProvesItEmptyOnlyWithRoomForAnyJob() {
-        State.Pool kind = new State.Pool(-1);
-        State.Needs most = new State.Needs();
-        most.add(new Arrival("a", "read", null, MS, 2, 1.5, 0, null, false));
+        State.EndpointPool kind = new State.EndpointPool(-1);
+        State.LargestRequest most = new State.LargestRequest();
+        most.include(new Arrival("a", "read", null, MS, 2, 1.5, 0, null, false));
         Endpoint endpoint = fleet.get(0);
         Attempt sent = new Attempt(null, endpoint, 0, 0);
         double none = Double.NaN;
         double[][] freeAndMemory = {{0, 4}, {1, 4}, {4, 1}, {4, 4}};
         for (double[] f : freeAndMemory) {
-            endpoint.report(new EndpointLoad(f[0], f[1], none, none, none), 2000 * MS, kind, most);
-            assertEquals(f == freeAndMemory[3], OutlierDetector.lost(sent, 2000 * MS, 0), f[0] + " slots, " + f[1]);
+            endpoint.applyReport(new EndpointLoad(f[0], f[1], none, none, none), 2000 * MS, kind, most);
+            assertEquals(f == freeAndMemory[3], OutlierDetector.isLost(sent, 2000 * MS, 0), f[0] + " slots, " + f[1]);
         }
-        endpoint.report(new EndpointLoad(4, 4, 1, none, none), 2000 * MS, kind, most);
-        assertFalse(OutlierDetector.lost(sent, 2000 * MS, 0), "one waits");
+        endpoint.applyReport(new EndpointLoad(4, 4, 1, none, none), 2000 * MS, kind, most);
+        assertFalse(OutlierDetector.isLost(sent, 2000 * MS, 0), "one waits");
     }
 
     @Test
     void whatShouldHaveStartedShowsInTime() {
         Attempt sent = new Attempt(null, fleet.get(0), 0, 0);
-        assertFalse(OutlierDetector.overdue(sent, 151 * MS), "it was sent to a queue");
-        sent.roomy = true;
-        assertTrue(!OutlierDetector.overdue(sent, 150 * MS) && OutlierDetector.overdue(sent, 151 * MS));
-        OutlierDetector.sign(sent, true, 200 * MS);
-        assertFalse(OutlierDetector.overdue(sent, 900 * MS));
+        assertFalse(OutlierDetector.isStartOverdue(sent, 151 * MS), "it was sent to a queue");
+        sent.sawFreeCapacity = true;
+        assertTrue(!OutlierDetector.isStartOverdue(sent, 150 * MS) && OutlierDetector.isStartOverdue(sent, 151 * MS));
+        OutlierDetector.recordProgress(sent, true, 200 * MS);
+        assertFalse(OutlierDetector.isStartOverdue(sent, 900 * MS));
     }
 
     @Test
     void halfTheFleetStaysInAndEachTimeOutIsLonger() {
-        fleet.forEach(endpoint -> outliers.judge(endpoint, AttemptResult.ERROR, MS, 0));
+        fleet.forEach(endpoint -> outliers.recordResult(endpoint, AttemptResult.ERROR, MS, 0));
         assertEquals(3, IntStream.range(0, 6).filter(i -> out(i, 1)).count());
-        outliers.judge(fleet.get(0), AttemptResult.ERROR, MS, 600 * MS);
+        outliers.recordResult(fleet.get(0), AttemptResult.ERROR, MS, 600 * MS);
         assertTrue(out(0, 1500 * MS));
-        outliers.judge(fleet.get(0), AttemptResult.SERVED, MS, 1500 * MS);
+        outliers.recordResult(fleet.get(0), AttemptResult.SERVED, MS, 1500 * MS);
         assertFalse(out(0, 1500 * MS));
-        assertEquals(0, fleet.get(0).strikes);
+        assertEquals(0, fleet.get(0).ejections);
     }
 }
--- a/src/test/java/nettlewick/decision/PeersTest.java
+++ b/src/test/java/nettlewick/decision/PeersTest.java
@@ -106,7 +106,7 @@
         double sum() {
             double sum = 0;
             for (RequestScheduler m : members) {
-                sum += m.slice() + m.underWay();
+                sum += m.slice() + m.pendingTransfers();
             }
             return sum;
         }
@@ -140,14 +140,14 @@
         RequestScheduler taker = new RequestScheduler(Samples.settings(0, 3, true), 7);
         taker.handle(1, List.of(Samples.workers(4)));
         int life = epochOf(taker);
-        byte[] gift = new PeerMessage(PeerMessage.What.GIVE, true, 111, life, 1, 0, 5).bytes();
-        byte[] newLife = new PeerMessage(PeerMessage.What.STATE, true, 222, 0, 0, 1, 1).bytes();
+        byte[] gift = new PeerMessage(PeerMessage.Type.TRANSFER, true, 111, life, 1, 0, 5).encode();
+        byte[] newLife = new PeerMessage(PeerMessage.Type.STATE, true, 222, 0, 0, 1, 1).encode();
         assertEquals(1, acks(taker, gift));
         double once = taker.slice();
         acks(taker, newLife);
         assertEquals(1, acks(taker, gift), "an old life's late copy is acknowledged");
         assertEquals(once, taker.slice(), 1e-9, "but not credited twice");
-        byte[] foreign = new PeerMessage(PeerMessage.What.GIVE, true, 222, life + 1, 1, 0, 5).bytes();
+        byte[] foreign = new PeerMessage(PeerMessage.Type.TRANSFER, true, 222, life + 1, 1, 0, 5).encode();
         assertEquals(0, acks(taker, foreign), "a gift to a former life of ours is left alone");
         assertEquals(once, taker.slice(), 1e-9);
     }
@@ -160,33 +160,33 @@
         double before = ring.members[1].slice();
         ring.dead[0] = true;
         ring.run(30 * Samples.SECOND, 0, 3, 3);
-        assertTrue(ring.members[1].inherited() > 0, "the ring's next inherits");
-        byte[] alive = new PeerMessage(PeerMessage.What.STATE, true, epochOf(ring.members[0]), 0, 0, 1, before).bytes();
+        assertTrue(ring.members[1].inheritedSlice() > 0, "the ring's next inherits");
+        byte[] alive = new PeerMessage(PeerMessage.Type.STATE, true, epochOf(ring.members[0]), 0, 0, 1, before).encode();
         double with = ring.members[1].slice();
-        double inherited = ring.members[1].inherited();
+        double inherited = ring.members[1].inheritedSlice();
         ring.members[1].handle(ring.now, List.of(new PeerMessageReceived(0, alive)));
         assertEquals(Math.max(0, with - inherited), ring.members[1].slice(), 1e-9);
-        assertEquals(0, ring.members[1].inherited(), 1e-9);
+        assertEquals(0, ring.members[1].inheritedSlice(), 1e-9);
     }
 
     @Test
     void messagesThatAreNotOursChangeNothing() {
-        byte[] good = new PeerMessage(PeerMessage.What.GIVE, true, 1, 2, 3, 0, 4).bytes();
-        assertNotNull(PeerMessage.of(good));
-        assertEquals(new PeerMessage(PeerMessage.What.GIVE, true, 1, 2, 3, 0, 4), PeerMessage.of(good));
+        byte[] good = new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, 4).encode();
+        assertNotNull(PeerMessage.decode(good));
+        assertEquals(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, 4), PeerMessage.decode(good));
         for (int length = 0; length < good.length; length++) {
-            assertNull(PeerMessage.of(java.util.Arrays.copyOf(good, length)));
+            assertNull(PeerMessage.decode(java.util.Arrays.copyOf(good, length)));
         }
         for (int at : new int[] {0, 1, 2}) {
             byte[] other = good.clone();
             other[at] = (byte) 0xEE;
-            assertNull(PeerMessage.of(other));
+            assertNull(PeerMessage.decode(other));
         }
-        assertNull(PeerMessage.of(new PeerMessage(PeerMessage.What.GIVE, true, 1, 2, 3, 0, Double.NaN).bytes()));
-        assertNull(PeerMessage.of(new PeerMessage(PeerMessage.What.GIVE, true, 1, 2, 3, 0, -1).bytes()));
+        assertNull(PeerMessage.decode(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, Double.NaN).encode()));
+        assertNull(PeerMessage.decode(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, -1).encode()));
         RequestScheduler logic = new RequestScheduler(Samples.settings(0, 3, true), 7);
         logic.handle(1, List.of(Samples.workers(4)));
-        byte[] ours = new PeerMessage(PeerMessage.What.GIVE, true, 1, epochOf(logic), 1, 0, 4).bytes();
+        byte[] ours = new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, epochOf(logic), 1, 0, 4).encode();
         double before = logic.slice();
         for (int rank : new int[] {-1, 0, 3, 99}) {
             assertEquals(
@@ -217,9 +217,9 @@
 
     /** A dispatcher's life, as its answer to a question shows it. */
     private static int epochOf(RequestScheduler logic) {
-        byte[] ask = new PeerMessage(PeerMessage.What.ASK, false, 111, 0, 0, 0, 0).bytes();
+        byte[] ask = new PeerMessage(PeerMessage.Type.STATE_REQUEST, false, 111, 0, 0, 0, 0).encode();
         SendToPeer answer = Samples.only(SendToPeer.class, logic.handle(1, List.of(new PeerMessageReceived(1, ask))))
                 .get(0);
-        return PeerMessage.of(answer.data()).epoch();
+        return PeerMessage.decode(answer.data()).incarnation();
     }
 }
--- a/src/test/java/nettlewick/decision/RollTest.java
+++ b/src/test/java/nettlewick/decision/RollTest.java
@@ -22,7 +22,7 @@
     private final EndpointRegistry roll = new EndpointRegistry();
 
     private EndpointEntry told(EndpointState life, long startedAt) {
-        return roll.heed(new EndpointList(false, List.of(entry("w", life, startedAt, "north", 0))))
+        return roll.apply(new EndpointList(false, List.of(entry("w", life, startedAt, "north", 0))))
                 .entries()
                 .get(0);
     }
@@ -30,16 +30,16 @@
     @Test
     void aBannedWorkerDrainsWhateverTheListSays() {
         assertEquals(
-                List.of(), roll.heed(new EndpointAdminChange("w", true, SECOND)).entries());
+                List.of(), roll.apply(new EndpointAdminChange("w", true, SECOND)).entries());
         assertEquals(EndpointState.DRAINING, told(EndpointState.READY, 0).state());
-        roll.heed(new EndpointAdminChange("w", true, 2 * SECOND));
+        roll.apply(new EndpointAdminChange("w", true, 2 * SECOND));
         assertEquals(EndpointState.GONE, told(EndpointState.GONE, 0).state());
         assertEquals(new EndpointCounts(0, 0), roll.count(id -> true));
         assertEquals(EndpointState.DRAINING, told(EndpointState.READY, 0).state());
         assertEquals(new EndpointCounts(1, 1), roll.count(id -> true));
         assertEquals(
                 EndpointState.READY,
-                roll.heed(new EndpointAdminChange("w", false, 3 * SECOND))
+                roll.apply(new EndpointAdminChange("w", false, 3 * SECOND))
                         .entries()
                         .get(0)
                         .state());
@@ -48,8 +48,8 @@
     /** Guards against a full load for a worker that was restarted while it was out. */
     @Test
     void oneThatIsBackIsCold() {
-        roll.heed(new EndpointAdminChange("w", true, SECOND));
-        roll.heed(new EndpointAdminChange("w", false, 5 * SECOND));
+        roll.apply(new EndpointAdminChange("w", true, SECOND));
+        roll.apply(new EndpointAdminChange("w", false, 5 * SECOND));
         assertEquals(5 * SECOND, told(EndpointState.READY, 0).startedAt());
         assertEquals(5 * SECOND, told(EndpointState.READY, 4 * SECOND).startedAt());
         assertEquals(6 * SECOND, told(EndpointState.READY, 6 * SECOND).startedAt());
@@ -100,13 +100,13 @@
                             Samples.arrival("a", "read", "red")));
             notes.add(Samples.only(SendToPeer.class, module.handle(SECOND / 10, List.of(new Timer("beat")))).stream()
                     .map(SendToPeer::data)
-                    .filter(LoadGossip::is)
+                    .filter(LoadGossip::isLoadGossip)
                     .map(Arrays::toString)
                     .toList()
                     .toString());
         }
         assertEquals(notes.get(0), notes.get(1));
-        char mark = LoadGossip.mark("w2");
+        char mark = LoadGossip.markOf("w2");
         assertTrue(notes.get(0).contains(", " + (byte) (mark >> 8) + ", " + (byte) mark + ", 1]"), notes.toString());
     }
 
--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/SharedLoadsTest.java
@@ -24,27 +24,27 @@
     @Test
     void whatAPeerHoldsIsCountedWhileItsNoteIsYoung() {
         List<Endpoint> theirs = fleet(3);
-        theirs.get(0).outSlots = 2;
+        theirs.get(0).inFlightSlots = 2;
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
-        sender.list(theirs);
-        byte[] note = sender.news(0).get(0);
-        assertEquals(List.of(), sender.news(1), "nothing new");
-        byte[] again = sender.news(SECOND).get(0);
+        sender.replaceEndpoints(theirs);
+        byte[] note = sender.dueMessages(0).get(0);
+        assertEquals(List.of(), sender.dueMessages(1), "nothing new");
+        byte[] again = sender.dueMessages(SECOND).get(0);
         assertEquals(note.length, again.length, "told again before it is too old");
-        assertArrayEquals(LoadGossip.numbered(note, 1), again, "with the next number");
+        assertArrayEquals(LoadGossip.withNumber(note, 1), again, "with the next number");
 
         List<Endpoint> ours = fleet(3);
         SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
-        receiver.list(ours);
-        assertFalse(receiver.hear(1, new byte[] {(byte) 0xD2, 1, 0}, 0));
-        assertTrue(receiver.hear(1, note, 0));
-        assertTrue(receiver.hear(1, note, 0));
-        assertTrue(receiver.hear(2, note, SECOND), "another peer, and the others silent");
+        receiver.replaceEndpoints(ours);
+        assertFalse(receiver.receive(1, new byte[] {(byte) 0xD2, 1, 0}, 0));
+        assertTrue(receiver.receive(1, note, 0));
+        assertTrue(receiver.receive(1, note, 0));
+        assertTrue(receiver.receive(2, note, SECOND), "another peer, and the others silent");
         receiver.expire(SECOND);
-        assertEquals(4, ours.get(0).others);
-        assertEquals(0, ours.get(1).others);
+        assertEquals(4, ours.get(0).peerSlots);
+        assertEquals(0, ours.get(1).peerSlots);
         receiver.expire(SECOND + 1);
-        assertEquals(2, ours.get(0).others, "one is too old");
+        assertEquals(2, ours.get(0).peerSlots, "one is too old");
     }
 
     /** An idle dispatcher of a large tier would send empty notes to its peers for nothing, twice a second. */
@@ -52,14 +52,14 @@
     void thatNothingIsHeldIsToldOnce() {
         List<Endpoint> theirs = fleet(3);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
-        sender.list(theirs);
-        assertEquals(1, sender.news(0).size());
-        assertEquals(List.of(), sender.news(SECOND));
-        theirs.get(1).outSlots = 1;
-        assertEquals(1, sender.news(SECOND + 1).size(), "a change is told at once");
-        theirs.get(1).outSlots = 0;
-        assertEquals(1, sender.news(SECOND + 2).size(), "and that it is over");
-        assertEquals(List.of(), sender.news(3 * SECOND));
+        sender.replaceEndpoints(theirs);
+        assertEquals(1, sender.dueMessages(0).size());
+        assertEquals(List.of(), sender.dueMessages(SECOND));
+        theirs.get(1).inFlightSlots = 1;
+        assertEquals(1, sender.dueMessages(SECOND + 1).size(), "a change is told at once");
+        theirs.get(1).inFlightSlots = 0;
+        assertEquals(1, sender.dueMessages(SECOND + 2).size(), "and that it is over");
+        assertEquals(List.of(), sender.dueMessages(3 * SECOND));
     }
 
     /**
@@ -70,74 +70,74 @@
     void lateDamagedAndUnlistedNotesChangeNothingAndAreCounted() {
         List<Endpoint> theirs = fleet(3);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
-        sender.list(theirs);
-        theirs.get(2).outSlots = 2;
-        byte[] older = sender.news(0).get(0);
-        theirs.get(2).outSlots = 0;
-        theirs.get(1).outSlots = 1;
-        byte[] newer = sender.news(1).get(0);
+        sender.replaceEndpoints(theirs);
+        theirs.get(2).inFlightSlots = 2;
+        byte[] older = sender.dueMessages(0).get(0);
+        theirs.get(2).inFlightSlots = 0;
+        theirs.get(1).inFlightSlots = 1;
+        byte[] newer = sender.dueMessages(1).get(0);
         PeerFaultCounters heard = new PeerFaultCounters();
         List<Endpoint> ours = fleet(2);
         SharedLoads receiver = new SharedLoads(heard);
-        receiver.list(ours);
-        assertTrue(receiver.hear(1, newer, 2));
-        assertTrue(receiver.hear(1, older, 3));
+        receiver.replaceEndpoints(ours);
+        assertTrue(receiver.receive(1, newer, 2));
+        assertTrue(receiver.receive(1, older, 3));
         assertEquals(
                 List.of(1.0, 0.0),
-                ours.stream().map(endpoint -> endpoint.others).toList(),
+                ours.stream().map(endpoint -> endpoint.peerSlots).toList(),
                 "w1 held, the late w0 not");
         assertEquals(new Dispatcher.PeerMessageFaults(0, 1, 0), heard.counts());
-        theirs.get(0).outSlots = 1;
-        receiver.hear(1, sender.news(4).get(0), 4);
+        theirs.get(0).inFlightSlots = 1;
+        receiver.receive(1, sender.dueMessages(4).get(0), 4);
         assertEquals(new Dispatcher.PeerMessageFaults(0, 1, 1), heard.counts(), "w2 is not on this list");
-        assertTrue(receiver.hear(1, new byte[] {(byte) 0xD3, 3, 0x15, 0}, 5));
+        assertTrue(receiver.receive(1, new byte[] {(byte) 0xD3, 3, 0x15, 0}, 5));
         assertEquals(new Dispatcher.PeerMessageFaults(1, 1, 1), heard.counts());
         assertEquals(
                 List.of(1.0, 0.0),
-                ours.stream().map(endpoint -> endpoint.others).toList());
-        assertTrue(receiver.hear(2, older, SECOND), "another peer's first word is no late one");
+                ours.stream().map(endpoint -> endpoint.peerSlots).toList());
+        assertTrue(receiver.receive(2, older, SECOND), "another peer's first word is no late one");
         assertEquals(
                 List.of(1.0, 2.0),
-                ours.stream().map(endpoint -> endpoint.others).toList());
+                ours.stream().map(endpoint -> endpoint.peerSlots).toList());
     }
 
     /** While a release is under way, lists of one length differ: a note must not mean another worker. */
     @Test
     void aNoteMeansTheSameWorkersWhateverListTheOtherHas() {
         List<Endpoint> theirs = fleet(4);
-        theirs.forEach(endpoint -> endpoint.outSlots = endpoint.id.equals("w2") ? 1 : 0);
+        theirs.forEach(endpoint -> endpoint.inFlightSlots = endpoint.id.equals("w2") ? 1 : 0);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
-        sender.list(theirs);
+        sender.replaceEndpoints(theirs);
         List<Endpoint> ours =
                 fleet(5).stream().filter(endpoint -> !endpoint.id.equals("w1")).toList();
         SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
-        receiver.list(ours);
-        receiver.hear(1, sender.news(0).get(0), 0);
-        ours.forEach(endpoint -> assertEquals(endpoint.id.equals("w2") ? 1 : 0, endpoint.others, endpoint.id));
+        receiver.replaceEndpoints(ours);
+        receiver.receive(1, sender.dueMessages(0).get(0), 0);
+        ours.forEach(endpoint -> assertEquals(endpoint.id.equals("w2") ? 1 : 0, endpoint.peerSlots, endpoint.id));
     }
 
     /** Several hundred workers in use do not fit in one datagram; what shrinks to fewer leaves nothing behind. */
     @Test
     void whatDoesNotFitInOneDatagramIsSpreadOverSeveral() {
         List<Endpoint> theirs = fleet(600);
-        theirs.forEach(endpoint -> endpoint.outSlots = 1);
+        theirs.forEach(endpoint -> endpoint.inFlightSlots = 1);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
-        sender.list(theirs);
-        List<byte[]> notes = sender.news(0);
+        sender.replaceEndpoints(theirs);
+        List<byte[]> notes = sender.dueMessages(0);
         assertTrue(notes.size() > 1 && notes.stream().allMatch(n -> n.length <= 256), notes.size() + " notes");
         List<Endpoint> ours = fleet(600);
         SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
-        receiver.list(ours);
-        notes.forEach(n -> assertTrue(receiver.hear(1, n, 0)));
-        double known = ours.stream().mapToDouble(endpoint -> endpoint.others).sum();
+        receiver.replaceEndpoints(ours);
+        notes.forEach(n -> assertTrue(receiver.receive(1, n, 0)));
+        double known = ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum();
         assertTrue(
-                known >= 590 && ours.stream().allMatch(endpoint -> endpoint.others <= 1),
+                known >= 590 && ours.stream().allMatch(endpoint -> endpoint.peerSlots <= 1),
                 known + " of 600; those of one mark are out");
-        theirs.forEach(endpoint -> endpoint.outSlots = 0);
-        sender.news(1).forEach(n -> receiver.hear(1, n, 1));
-        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.others).sum());
+        theirs.forEach(endpoint -> endpoint.inFlightSlots = 0);
+        sender.dueMessages(1).forEach(n -> receiver.receive(1, n, 1));
+        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
         assertTrue(
-                receiver.hear(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2), "a part beyond its number changes nothing");
-        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.others).sum());
+                receiver.receive(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2), "a part beyond its number changes nothing");
+        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
     }
 }
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -215,10 +215,10 @@
     }
 
     private static String kind(byte[] data) {
-        PeerMessage note = PeerMessage.of(data);
+        PeerMessage note = PeerMessage.decode(data);
         return note != null
-                ? note.what().name().toLowerCase(Locale.ROOT)
-                : LoadAggregator.is(data) ? LoadAggregator.kind(data).name().toLowerCase(Locale.ROOT) : "note";
+                ? note.type().name().toLowerCase(Locale.ROOT)
+                : LoadAggregator.isAggregationMessage(data) ? LoadAggregator.kindOf(data).name().toLowerCase(Locale.ROOT) : "note";
     }
 
     private void later(int rank, Event event) {
--- a/src/test/java/nettlewick/decision/TallyTest.java
+++ b/src/test/java/nettlewick/decision/TallyTest.java
@@ -28,7 +28,7 @@
             for (int i = 0; i < runners; i++) {
                 workers.add(new Endpoint("w" + i));
             }
-            tally.list(LoadGossip.byMark(workers));
+            tally.replaceEndpoints(LoadGossip.indexByMark(workers));
         }
 
         Endpoint at(String id) {
@@ -41,19 +41,19 @@
 
     /** Delivers what {@code from} sends now to those of {@code members} it is meant for; what is lost is lost. */
     private static void flush(Member from, List<Member> members, long now) {
-        Map<Integer, List<byte[]>> out = from.tally.flush(now, from.workers, from.workers);
+        Map<Integer, List<byte[]>> out = from.tally.drainMessages(now, from.workers, from.workers);
         out.forEach((rank, datagrams) -> {
             assertTrue(rank != from.rank && rank >= 0 && rank < SIZE, "to rank " + rank);
             datagrams.forEach(d -> assertTrue(d.length <= 256, d.length + " bytes"));
             members.stream()
                     .filter(m -> m.rank == rank)
-                    .forEach(m -> datagrams.forEach(d -> assertTrue(m.tally.hear(from.rank, d, now))));
+                    .forEach(m -> datagrams.forEach(d -> assertTrue(m.tally.receive(from.rank, d, now))));
         });
     }
 
     private static String ownedBy(int owner) {
         for (int i = 0; ; i++) {
-            if (LoadAggregator.owner(LoadGossip.mark("w" + i), SIZE) == owner) {
+            if (LoadAggregator.ownerOf(LoadGossip.markOf("w" + i), SIZE) == owner) {
                 return "w" + i;
             }
         }
@@ -71,25 +71,25 @@
         Member holder = member(3, id);
         Member watcher = member(5, id);
         List<Member> all = List.of(owner, holder, watcher);
-        holder.at(id).outSlots = 2;
-        watcher.at(id).outSlots = 1;
+        holder.at(id).inFlightSlots = 2;
+        watcher.at(id).inFlightSlots = 1;
         for (long t = 0; t <= 2; t++) {
             for (Member m : all) {
                 flush(m, all, t);
             }
         }
-        assertEquals(2, watcher.at(id).others, "the holder's 2, not the watcher's own 1");
-        assertEquals(1, holder.at(id).others);
-        holder.at(id).outSlots = 0;
+        assertEquals(2, watcher.at(id).peerSlots, "the holder's 2, not the watcher's own 1");
+        assertEquals(1, holder.at(id).peerSlots);
+        holder.at(id).inFlightSlots = 0;
         flush(holder, all, 3);
         flush(owner, all, 3);
-        assertEquals(2, watcher.at(id).others, "an end waits for a tenth of a second");
+        assertEquals(2, watcher.at(id).peerSlots, "an end waits for a tenth of a second");
         flush(owner, all, SECOND / 8);
-        assertEquals(0, watcher.at(id).others, "and is told then, with no further word from anybody");
-        holder.at(id).outSlots = 1;
+        assertEquals(0, watcher.at(id).peerSlots, "and is told then, with no further word from anybody");
+        holder.at(id).inFlightSlots = 1;
         flush(holder, all, SECOND / 8 + 1);
         flush(owner, all, SECOND / 8 + 1);
-        assertEquals(1, watcher.at(id).others, "a start is told at once");
+        assertEquals(1, watcher.at(id).peerSlots, "a start is told at once");
         List<Member> ownerDead = List.of(holder, watcher);
         for (long t = SECOND / 4; t <= 2 * SECOND; t += SECOND / 4) {
             for (Member m : ownerDead) {
@@ -97,7 +97,7 @@
                 m.tally.expire(t);
             }
         }
-        assertEquals(0, watcher.at(id).others, "what a dead owner told is believed for a second only");
+        assertEquals(0, watcher.at(id).peerSlots, "what a dead owner told is believed for a second only");
         Member again = member(7, id);
         List<Member> back = List.of(again, holder, watcher);
         for (long t = 2 * SECOND + SECOND / 8; t <= 3 * SECOND + SECOND / 2; t += SECOND / 4) {
@@ -108,7 +108,7 @@
         }
         assertEquals(
                 1,
-                watcher.at(id).others,
+                watcher.at(id).peerSlots,
                 "an owner that starts anew tells sums again once watchers tell it, each second");
     }
 
@@ -125,18 +125,18 @@
         for (long at = 0; at < 2 * SECOND; at += SECOND / 20) {
             // Each 50 ms a job ends and another begins 20 ms later.
             for (long when : new long[] {at, at + SECOND / 50}) {
-                holder.at(id).outSlots = when == at ? 1 : 2;
+                holder.at(id).inFlightSlots = when == at ? 1 : 2;
                 flush(holder, all, when);
                 flush(watcher, all, when);
                 told += owner.tally
-                        .flush(when, owner.workers, List.of())
+                        .drainMessages(when, owner.workers, List.of())
                         .getOrDefault(5, List.of())
                         .size();
                 changes++;
             }
         }
         assertTrue(told <= changes / 2, told + " sums for " + changes + " changes");
-        assertEquals(1, watcher.at(id).others, 1.0);
+        assertEquals(1, watcher.at(id).peerSlots, 1.0);
     }
 
     @Test
@@ -145,42 +145,42 @@
         Member owner = member(7, id);
         Member stranger = member(9, id);
         Member watcher = member(5, id);
-        watcher.at(id).outSlots = 0;
-        stranger.at(id).outSlots = 3;
+        watcher.at(id).inFlightSlots = 0;
+        stranger.at(id).inFlightSlots = 3;
         // The owner tells the stranger its sums by mistake of the stranger: a holder's word for a runner it does
         // not own reaches rank 9, which is not the owner.
         Member notOwner = member(9, id);
         flush(stranger, List.of(owner), 0);
         assertEquals(new Dispatcher.PeerMessageFaults(0, 0, 0), owner.heard.counts());
         byte[] hold =
-                stranger.tally.flush(SECOND, stranger.workers, List.of()).get(7).get(0);
-        assertTrue(notOwner.tally.hear(3, hold, SECOND));
+                stranger.tally.drainMessages(SECOND, stranger.workers, List.of()).get(7).get(0);
+        assertTrue(notOwner.tally.receive(3, hold, SECOND));
         assertEquals(1, notOwner.heard.counts().damaged(), "a holding told to one that owns nothing there");
         flush(watcher, List.of(owner), 2);
         flush(owner, List.of(watcher), 3);
-        assertEquals(3, watcher.at(id).others);
-        byte[] sum = owner.tally.flush(4, owner.workers, List.of()).getOrDefault(5, List.of()).stream()
+        assertEquals(3, watcher.at(id).peerSlots);
+        byte[] sum = owner.tally.drainMessages(4, owner.workers, List.of()).getOrDefault(5, List.of()).stream()
                 .findFirst()
                 .orElse(null);
         assertEquals(null, sum, "nothing changed, nothing is told");
         Member other = new Member(5, 0);
-        stranger.at(id).outSlots = 2;
+        stranger.at(id).inFlightSlots = 2;
         flush(stranger, List.of(owner), SECOND / 5);
         List<byte[]> sums =
-                owner.tally.flush(SECOND / 5 + 1, owner.workers, List.of()).get(5);
-        assertTrue(other.tally.hear(7, sums.get(0), 6));
+                owner.tally.drainMessages(SECOND / 5 + 1, owner.workers, List.of()).get(5);
+        assertTrue(other.tally.receive(7, sums.get(0), 6));
         assertEquals(1, other.heard.counts().unlisted(), "a sum of a runner this list does not hold");
-        assertTrue(watcher.tally.hear(2, sums.get(0), 6));
+        assertTrue(watcher.tally.receive(2, sums.get(0), 6));
         assertEquals(1, watcher.heard.counts().damaged(), "a sum from one that does not own the runner");
-        assertEquals(3, watcher.at(id).others, "changes nothing");
-        assertFalse(watcher.tally.hear(7, new byte[] {(byte) 0xA3, 1, 9}, 7), "no kind of the tally's");
+        assertEquals(3, watcher.at(id).peerSlots, "changes nothing");
+        assertFalse(watcher.tally.receive(7, new byte[] {(byte) 0xA3, 1, 9}, 7), "no kind of the tally's");
     }
 
     @Test
     void manyRunnersAreToldInDatagramsOf256BytesAtMost() {
         Member holder = new Member(3, 3000);
-        holder.workers.forEach(endpoint -> endpoint.outSlots = 1);
-        Map<Integer, List<byte[]>> out = holder.tally.flush(0, holder.workers, holder.workers);
+        holder.workers.forEach(endpoint -> endpoint.inFlightSlots = 1);
+        Map<Integer, List<byte[]>> out = holder.tally.drainMessages(0, holder.workers, holder.workers);
         long entries = out.values().stream()
                 .flatMap(List::stream)
                 .mapToLong(d -> d.length)
