--- a/src/main/java/nettlewick/decision/Allowance.java
+++ b/src/main/java/nettlewick/decision/Allowance.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.decision.SchedulerSettings.Tenant;
-import nettlewick.decision.State.*;
 
 /** The allowance: the slice that a dispatcher owns, when it binds, and how tenants are dealt credit of it. */
 abstract class Allowance extends Exchange {
@@ -39,7 +38,9 @@
     }
 
     long retryAfter(ScheduledRequest request) {
-        double wait = (meanCost.value - request.tenantCredit.credit) / Math.max(slice * request.tenantCredit.weight, 1e-9) * 1e9;
+        double wait = (meanCost.value - request.tenantCredit.credit)
+                / Math.max(slice * request.tenantCredit.weight, 1e-9)
+                * 1e9;
         return (long) Math.min(settings.limits().maxRetryAfter(), Math.max(DELTA, wait));
     }
 
--- a/src/main/java/nettlewick/decision/Choice.java
+++ b/src/main/java/nettlewick/decision/Choice.java
@@ -4,7 +4,6 @@
 import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 import nettlewick.decision.SchedulerSettings.Scope;
-import nettlewick.decision.State.*;
 
 /** Which worker a job goes to, whether it may go at all once more, and whether it would be too late there. */
 abstract class Choice extends Allowance {
@@ -48,7 +47,8 @@
         double wait = wait(request, endpoint);
         // Danger: worthy jobs that would be late too pile up at a slowed worker and make each other late.
         double left = patience(request) - run(request, endpoint);
-        return now - endpoint.reportedAt <= DELTA && wait > Math.max(WAIT_PART * request.requestClass.latencyObjective(), left);
+        return now - endpoint.reportedAt <= DELTA
+                && wait > Math.max(WAIT_PART * request.requestClass.latencyObjective(), left);
     }
 
     /**
@@ -58,12 +58,15 @@
      */
     double wait(ScheduledRequest request, Endpoint endpoint) {
         return Math.max(
-                ahead(request, endpoint) * pools.get(endpoint.kind + 1).waitCalibration.factor(),
+                ahead(request, endpoint)
+                        * pools.get(endpoint.kind + 1).waitCalibration.factor(),
                 OutlierDetector.longestWait(endpoint, now));
     }
 
     double ahead(ScheduledRequest request, Endpoint endpoint) {
-        return Math.max(0, -spare(request, endpoint)) * runs.value / Math.max(1, pools.get(endpoint.kind + 1).mostFreeSlots);
+        return Math.max(0, -spare(request, endpoint))
+                * runs.value
+                / Math.max(1, pools.get(endpoint.kind + 1).mostFreeSlots);
     }
 
     /** Time after arrival within which an answer is worth its full worth, as far as can be told. */
@@ -78,7 +81,9 @@
     /** How long it would run there, by its hint and by how that worker and its kind run against hints. */
     double run(ScheduledRequest request, Endpoint endpoint) {
         return work(request)
-                * (request.arrival.costHint() > 0 ? outliers.expectedSlowdown(endpoint, pools.get(endpoint.kind + 1)) : 1);
+                * (request.arrival.costHint() > 0
+                        ? outliers.expectedSlowdown(endpoint, pools.get(endpoint.kind + 1))
+                        : 1);
     }
 
     double work(ScheduledRequest request) {
@@ -95,11 +100,13 @@
         Attempt ran = request.firstPossiblyExecutedAttempt();
         return ran == null
                 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.requestClass.idempotency() == Idempotency.KEYED && now - ran.sentAt <= request.requestClass.dedupWindow();
+                || request.requestClass.idempotency() == Idempotency.KEYED
+                        && now - ran.sentAt <= request.requestClass.dedupWindow();
     }
 
     boolean inScope(ScheduledRequest request, Endpoint endpoint) {
-        Attempt ran = request.requestClass.idempotency() == Idempotency.KEYED ? request.firstPossiblyExecutedAttempt() : null;
+        Attempt ran =
+                request.requestClass.idempotency() == Idempotency.KEYED ? request.firstPossiblyExecutedAttempt() : null;
         if (ran == null || request.requestClass.dedupScope() == Scope.ALL) {
             return true;
         }
--- a/src/main/java/nettlewick/decision/DedicatedEndpoints.java
+++ b/src/main/java/nettlewick/decision/DedicatedEndpoints.java
@@ -7,8 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.EndpointPool;
 
 /**
  * Workers that are kept for tenants, as they were assigned, and the pools that this leaves to each of these.
@@ -43,7 +41,8 @@
                             a.endpoints().contains(endpoint.id) || !a.confined() && !exclusiveIds.contains(endpoint.id))
                     .toList();
             List<EndpointPool> own = pools.computeIfAbsent(
-                    a.tenant(), t -> common.stream().map(p -> new EndpointPool(p.kind)).toList());
+                    a.tenant(),
+                    t -> common.stream().map(p -> new EndpointPool(p.kind)).toList());
             own.forEach(pool -> pool.refill(candidates, ringPlaces));
         }
     }
--- a/src/main/java/nettlewick/decision/EndpointRegistry.java
+++ b/src/main/java/nettlewick/decision/EndpointRegistry.java
@@ -86,7 +86,7 @@
 
     /** How many are on the list, and how many of them are avoided. */
     EndpointCounts count(Predicate<String> avoided) {
-        return new EndpointCounts(
-                discovered.size(), (int) discovered.keySet().stream().filter(avoided).count());
+        return new EndpointCounts(discovered.size(), (int)
+                discovered.keySet().stream().filter(avoided).count());
     }
 }
--- a/src/main/java/nettlewick/decision/EventLoop.java
+++ b/src/main/java/nettlewick/decision/EventLoop.java
@@ -15,9 +15,6 @@
 import nettlewick.decision.Event.Progress;
 import nettlewick.decision.Event.StreamStarted;
 import nettlewick.decision.Event.Timer;
-import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.EndpointPool;
-import nettlewick.decision.State.ScheduledRequest;
 
 /** Takes a batch apart for the decision module and gathers its actions. Decides nothing. */
 abstract class EventLoop implements Dispatcher {
@@ -74,7 +71,9 @@
 
     /** Danger: anybody may send bytes to the peers' port. What no version here reads is counted only. */
     private void peer(PeerMessageReceived e) {
-        if (LoadGossip.isLoadGossip(e.data()) || LoadAggregator.isAggregationMessage(e.data()) || PeerMessage.decode(e.data()) != null) {
+        if (LoadGossip.isLoadGossip(e.data())
+                || LoadAggregator.isAggregationMessage(e.data())
+                || PeerMessage.decode(e.data()) != null) {
             hear(e.rank(), e.data());
         } else {
             faults.damaged++;
--- a/src/main/java/nettlewick/decision/Exchange.java
+++ b/src/main/java/nettlewick/decision/Exchange.java
@@ -4,7 +4,6 @@
 import java.util.Map;
 import nettlewick.decision.Action.SendToPeer;
 import nettlewick.decision.PeerMessage.Type;
-import nettlewick.decision.State.PeerState;
 
 /** The ring of binding dispatchers: conserved transfers of the slice, and best friends that inherit. */
 abstract class Exchange extends Pools {
--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -8,7 +8,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.State.Endpoint;
 
 /**
  * What all dispatchers hold at each sim runner, summed at the runner's owner and told to those that watch
@@ -52,7 +51,7 @@
     private static final class Watcher {
         long subscribedAt;
         int lastSum;
-        long lastSumAt = State.NEVER;
+        long lastSumAt = SchedulerClock.NEVER;
     }
 
     /** A runner that this dispatcher owns. */
@@ -76,7 +75,7 @@
     /** As a holder: what each owner was last told, and when. */
     private final Map<Endpoint, Holding> reportedHoldings = new HashMap<>();
 
-    private long subscribedAt = State.NEVER;
+    private long subscribedAt = SchedulerClock.NEVER;
     /** As a watcher: when the sum of each runner came. */
     private final Map<Endpoint, Long> sumReceivedAt = new HashMap<>();
 
--- a/src/main/java/nettlewick/decision/LoadGossip.java
+++ b/src/main/java/nettlewick/decision/LoadGossip.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.decision.State.Endpoint;
 
 /**
  * What a dispatcher tells the others of its own slots in work at each worker: exact, and as old as a
@@ -62,9 +61,11 @@
      * what would need more than fifteen datagrams is left out from the end.
      */
     static List<byte[]> encode(List<Endpoint> endpoints) {
-        List<Endpoint> holding =
-                endpoints.stream().filter(endpoint -> endpoint.inFlightSlots > 1e-9).toList();
-        int parts = Math.min(MAX_SLOTS / 16, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
+        List<Endpoint> holding = endpoints.stream()
+                .filter(endpoint -> endpoint.inFlightSlots > 1e-9)
+                .toList();
+        int parts =
+                Math.min(MAX_SLOTS / 16, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
         List<byte[]> notes = new ArrayList<>();
         for (int part = 0; part < parts; part++) {
             int from = part * ENTRIES_PER_MESSAGE;
@@ -72,7 +73,8 @@
             ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + (to - from) * ENTRY_BYTES);
             b.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
             for (Endpoint endpoint : holding.subList(from, to)) {
-                b.putChar(markOf(endpoint.id)).put((byte) Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlightSlots - 1e-9)));
+                b.putChar(markOf(endpoint.id))
+                        .put((byte) Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlightSlots - 1e-9)));
             }
             notes.add(b.array());
         }
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -3,11 +3,6 @@
 import java.util.List;
 import java.util.function.Supplier;
 import nettlewick.decision.SchedulerSettings.Idempotency;
-import nettlewick.decision.State.Attempt;
-import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.RunningMean;
-import nettlewick.decision.State.EndpointPool;
-import nettlewick.decision.State.ScheduledRequest;
 
 /** Outlier detection: which workers are left alone for how they end what is sent, and their way back. */
 final class OutlierDetector {
@@ -67,7 +62,8 @@
             // Danger: connections break on the way, one here and one there, at workers that are well.
             case UNREACHABLE, BROKEN -> {
                 breakShare.add(1);
-                if (++endpoint.connectionFailures >= consecutiveFailureLimit() || result == AttemptResult.UNREACHABLE && latency > MAX_REFUSAL_NANOS) {
+                if (++endpoint.connectionFailures >= consecutiveFailureLimit()
+                        || result == AttemptResult.UNREACHABLE && latency > MAX_REFUSAL_NANOS) {
                     eject(endpoint, now);
                 }
             }
@@ -113,7 +109,7 @@
      * {@code progress}.
      */
     static boolean isLost(Attempt a, long now, long progress) {
-        return a.startedAt == State.NEVER
+        return a.startedAt == SchedulerClock.NEVER
                 ? a.endpoint.latestStartedSentAt - a.sentAt > OVERTAKEN_NANOS
                         || a.endpoint.reportedAt - a.sentAt > REPORT_SETTLING_NANOS && a.endpoint.queueProvenEmpty
                 : progress > 0 && now - a.lastSignAt > MISSED_PROGRESS_LIMIT * progress;
@@ -121,7 +117,7 @@
 
     /** Whether an attempt that was sent to a free slot should have started by now. */
     static boolean isStartOverdue(Attempt a, long now) {
-        return a.sawFreeCapacity && a.startedAt == State.NEVER && now - a.sentAt > START_TIMEOUT_NANOS;
+        return a.sawFreeCapacity && a.startedAt == SchedulerClock.NEVER && now - a.sentAt > START_TIMEOUT_NANOS;
     }
 
     /** An attempt is lost: its slot is free, as far as can be told. */
@@ -152,7 +148,7 @@
 
     /** An attempt was served: compares how long it ran with its hint. */
     void recordRunTime(Attempt a, EndpointPool kind, long now) {
-        if (a.startedAt != State.NEVER && a.request.arrival.costHint() > 0 && now > a.startedAt) {
+        if (a.startedAt != SchedulerClock.NEVER && a.request.arrival.costHint() > 0 && now > a.startedAt) {
             double drag = Math.log((double) (now - a.startedAt) / a.request.arrival.costHint());
             a.endpoint.slowdown.add(drag);
             kind.slowdown.add(drag);
@@ -161,7 +157,7 @@
 
     /** Whether it may be one that waits, which only a report of the queue would tell better. */
     private static boolean mayBeQueued(Attempt a) {
-        return a.startedAt == State.NEVER && !a.lost && !a.endpoint.reportsQueue;
+        return a.startedAt == SchedulerClock.NEVER && !a.lost && !a.endpoint.reportsQueue;
     }
 
     /** How long the own job that waits there longest has waited, in nanoseconds; 0 if none waits. */
@@ -198,6 +194,7 @@
     static boolean mayReceive(Endpoint endpoint, ScheduledRequest request, long now) {
         return now >= endpoint.ejectedUntil
                 && (endpoint.ejections == 0
-                        || endpoint.inFlight.isEmpty() && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
+                        || endpoint.inFlight.isEmpty()
+                                && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
     }
 }
--- a/src/main/java/nettlewick/decision/PeerMessage.java
+++ b/src/main/java/nettlewick/decision/PeerMessage.java
@@ -13,7 +13,14 @@
  * @param augmented   for a state: the sender's augmented share
  * @param amount      for a state the sender's slice, for a gift its size
  */
-record PeerMessage(Type type, boolean binding, int incarnation, int peerIncarnation, int number, double augmentedShare, double amount) {
+record PeerMessage(
+        Type type,
+        boolean binding,
+        int incarnation,
+        int peerIncarnation,
+        int number,
+        double augmentedShare,
+        double amount) {
     private static final byte MAGIC = (byte) 0xD2;
     private static final byte VERSION = 1;
 
--- a/src/main/java/nettlewick/decision/Pools.java
+++ b/src/main/java/nettlewick/decision/Pools.java
@@ -9,7 +9,6 @@
 import nettlewick.decision.Action.SendToPeer;
 import nettlewick.decision.Event.EndpointList;
 import nettlewick.decision.Event.ProbeAnswer;
-import nettlewick.decision.State.*;
 
 /** Which workers a dispatcher knows, watches and asks, and what it believes of their room. */
 abstract class Pools extends EventLoop {
@@ -62,7 +61,9 @@
         epoch = random.nextInt();
         loads = new SharedLoads(faults);
         int size = settings.fleetSize();
-        tally = size > LoadAggregator.MAX_DIRECT_GOSSIP_DISPATCHERS ? new LoadAggregator(settings.rank(), size, faults) : null;
+        tally = size > LoadAggregator.MAX_DIRECT_GOSSIP_DISPATCHERS
+                ? new LoadAggregator(settings.rank(), size, faults)
+                : null;
         for (int kind = -1; kind < settings.kinds().size(); kind++) {
             pools.add(new EndpointPool(kind));
         }
@@ -201,11 +202,14 @@
 
     void report(Endpoint endpoint, EndpointLoad load) {
         endpoint.applyReport(load, now, pools.get(endpoint.kind + 1), most);
-        double left = endpoint.freeSlots - endpoint.queuedSlots + endpoint.slotsAtTick(beats - (int) (REPORT_LAG / BEAT));
+        double left =
+                endpoint.freeSlots - endpoint.queuedSlots + endpoint.slotsAtTick(beats - (int) (REPORT_LAG / BEAT));
         // Danger: a report is as old as a job is long. What it says is told apart into what was known to be
         // in work then, which is known better now, and what only it can tell: a queue, or work nobody awaits.
         left = Math.min(left, Math.max(1, pools.get(endpoint.kind + 1).mostFreeSlots));
-        endpoint.smoothedFreeSlots = now - endpoint.smoothedAt > DELTA ? left : endpoint.smoothedFreeSlots + (left - endpoint.smoothedFreeSlots) / 2;
+        endpoint.smoothedFreeSlots = now - endpoint.smoothedAt > DELTA
+                ? left
+                : endpoint.smoothedFreeSlots + (left - endpoint.smoothedFreeSlots) / 2;
         endpoint.smoothedAt = now;
     }
 
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -17,7 +17,6 @@
 import nettlewick.decision.Event.StreamStarted;
 import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.SchedulerSettings.Scope;
-import nettlewick.decision.State.*;
 
 /**
  * The life of a request: arrival, attempts, outcomes, final answer, and the beat that watches over all.
@@ -106,7 +105,9 @@
         credit();
         Endpoint endpoint = choose(request);
         if (!roomy
-                && (apart(request) || request.tenantCredit.credit <= 0 || endpoint != null && hopeless(request, endpoint))) {
+                && (apart(request)
+                        || request.tenantCredit.credit <= 0
+                        || endpoint != null && hopeless(request, endpoint))) {
             refuse(request);
             return;
         }
@@ -127,7 +128,10 @@
         boolean late = request.requestClass.latePriorityWeight() <= 0 && now > request.arrivedAt + patience(request);
         Endpoint endpoint = late || !mayRepeat(request) ? null : choose(request);
         // Danger: attempts at full workers, and second copies above all, multiply under overload.
-        endpoint = !roomy && (apart(request) || request.inFlightAttempts() > 0 || request.attempts.size() > 1 && !worthy(request))
+        endpoint = !roomy
+                        && (apart(request)
+                                || request.inFlightAttempts() > 0
+                                || request.attempts.size() > 1 && !worthy(request))
                 ? null
                 : endpoint;
         if (endpoint != null) {
@@ -141,7 +145,8 @@
         Attempt ran = request.firstPossiblyExecutedAttempt();
         boolean harmless = ran == null
                 || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.requestClass.idempotency() == Idempotency.KEYED && request.requestClass.dedupScope() == Scope.ALL;
+                || request.requestClass.idempotency() == Idempotency.KEYED
+                        && request.requestClass.dedupScope() == Scope.ALL;
         lost += request.attempts.isEmpty() ? 0 : request.cost;
         if (harmless) {
             refuse(request);
@@ -193,8 +198,8 @@
             a.endpoint.recordEnded(a);
             if (e.result() == AttemptResult.SERVED) {
                 outliers.recordRunTime(a, pools.get(a.endpoint.kind + 1), now);
-                if (a.startedAt != State.NEVER || a.sawFreeCapacity) {
-                    runs.add(a.startedAt != State.NEVER ? now - a.startedAt : e.latency());
+                if (a.startedAt != SchedulerClock.NEVER || a.sawFreeCapacity) {
+                    runs.add(a.startedAt != SchedulerClock.NEVER ? now - a.startedAt : e.latency());
                 }
                 registry.recordServed(e.endpoint());
             }
@@ -245,7 +250,7 @@
             ScheduledRequest request = jobs.get(e.id());
             if (request != null && e.attempt() >= 0 && e.attempt() < request.attempts.size()) {
                 Attempt a = request.attempts.get(e.attempt());
-                if (e.share() <= 0 && a.startedAt == State.NEVER && a.predictedWaitNanos > 0) {
+                if (e.share() <= 0 && a.startedAt == SchedulerClock.NEVER && a.predictedWaitNanos > 0) {
                     pools.get(a.endpoint.kind + 1).waitCalibration.add(a.predictedWaitNanos, now - a.sentAt);
                 }
                 OutlierDetector.recordProgress(a, e.share() <= 0, now);
@@ -331,7 +336,10 @@
         }
         // Danger: a job that no outcome wakes before its client gives up.
         for (ScheduledRequest request : List.copyOf(owed)) {
-            if (!request.answered && !request.streaming && request.inFlightAttempts() == 0 && now + 2 * BEAT >= request.deadline) {
+            if (!request.answered
+                    && !request.streaming
+                    && request.inFlightAttempts() == 0
+                    && now + 2 * BEAT >= request.deadline) {
                 finish(request);
             }
         }
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/SharedLoads.java
@@ -6,7 +6,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.State.Endpoint;
 
 /** What all dispatchers hold at the workers, by their notes to one another. */
 final class SharedLoads {
@@ -23,7 +22,7 @@
     private List<Endpoint> byName = List.of();
     private Map<Character, Endpoint> byMark = Map.of();
     private List<byte[]> lastSent = List.of();
-    private long lastSentAt = State.NEVER;
+    private long lastSentAt = SchedulerClock.NEVER;
     private int sendings;
 
     /** Counts into {@code heard} what it passes over. */
--- a/src/main/java/nettlewick/decision/SlowStartBudget.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -1,8 +1,6 @@
 package nettlewick.decision;
 
 import nettlewick.decision.SchedulerSettings.Rules;
-import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.EndpointPool;
 
 /** How much a worker that just started is sent, so that all dispatchers together do not push it over. */
 final class SlowStartBudget {
@@ -54,7 +52,8 @@
         double age = (double) Math.max(0, now - endpoint.entry.startedAt()) / rules.slowStart();
         double ramp = rules.slowStartShare() + (1 - rules.slowStartShare()) * age;
         double rate = TARGET_LOAD_SHARE * rules.overloadFactor() * expectedRate(pool) * ramp;
-        endpoint.slowStartCredit = Math.min(endpoint.slowStartCredit + rate * (now - endpoint.slowStartCreditAt) / 1e9, most);
+        endpoint.slowStartCredit =
+                Math.min(endpoint.slowStartCredit + rate * (now - endpoint.slowStartCreditAt) / 1e9, most);
         endpoint.slowStartCreditAt = now;
         return endpoint.slowStartCredit > 0;
     }
--- a/src/test/java/nettlewick/ArchitectureTest.java
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -56,7 +56,16 @@
             "PeerMessage.java",
             "EndpointRegistry.java",
             "SharedLoads.java",
-            "State.java",
+            "Endpoint.java",
+            "Attempt.java",
+            "ScheduledRequest.java",
+            "EndpointPool.java",
+            "LargestRequest.java",
+            "TenantCredit.java",
+            "PeerState.java",
+            "WaitCalibration.java",
+            "RunningMean.java",
+            "SchedulerClock.java",
             "LoadAggregator.java");
 
     @ArchTest
--- a/src/test/java/nettlewick/decision/ColdStartTest.java
+++ b/src/test/java/nettlewick/decision/ColdStartTest.java
@@ -6,8 +6,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import nettlewick.decision.SchedulerSettings.Rules;
-import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.EndpointPool;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/src/test/java/nettlewick/decision/FleetTest.java
+++ b/src/test/java/nettlewick/decision/FleetTest.java
@@ -110,10 +110,10 @@
                                         Samples.entry("w1", EndpointState.READY, 0, "north", 0))),
                         Samples.answer("w0", 2, 0),
                         Samples.answer("w1", 2, 0)));
-        State.Endpoint full = new State.Endpoint("w0");
+        Endpoint full = new Endpoint("w0");
         full.inFlightSlots = 2;
         SharedLoads peer = new SharedLoads(new PeerFaultCounters());
-        peer.replaceEndpoints(List.of(full, new State.Endpoint("w1")));
+        peer.replaceEndpoints(List.of(full, new Endpoint("w1")));
         logic.handle(2, List.of(new PeerMessageReceived(1, peer.dueMessages(2).get(0))));
         for (int i = 0; i < 2; i++) {
             List<Action> actions = logic.handle(3 + i, List.of(Samples.arrival("j" + i, "read", "red")));
--- a/src/test/java/nettlewick/decision/OutliersTest.java
+++ b/src/test/java/nettlewick/decision/OutliersTest.java
@@ -10,9 +10,6 @@
 import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 import nettlewick.decision.SchedulerSettings.Scope;
-import nettlewick.decision.State.Attempt;
-import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.ScheduledRequest;
 import org.junit.jupiter.api.Test;
 
 /** Who is left alone, how many at most, and how they come back. */
@@ -41,7 +38,8 @@
     @Test
     void whereManyConnectionsBreakTwoInARowAreChance() {
         for (int i = 0; i < 60; i++) {
-            outliers.recordResult(fleet.get(1 + i % 5), i % 6 == 0 ? AttemptResult.BROKEN : AttemptResult.SERVED, MS, 0);
+            outliers.recordResult(
+                    fleet.get(1 + i % 5), i % 6 == 0 ? AttemptResult.BROKEN : AttemptResult.SERVED, MS, 0);
         }
         outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
         outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
@@ -99,8 +97,8 @@
      */
     @Test
     void aReportWithoutAQueueProvesItEmptyOnlyWithRoomForAnyJob() {
-        State.EndpointPool kind = new State.EndpointPool(-1);
-        State.LargestRequest most = new State.LargestRequest();
+        EndpointPool kind = new EndpointPool(-1);
+        LargestRequest most = new LargestRequest();
         most.include(new Arrival("a", "read", null, MS, 2, 1.5, 0, null, false));
         Endpoint endpoint = fleet.get(0);
         Attempt sent = new Attempt(null, endpoint, 0, 0);
--- a/src/test/java/nettlewick/decision/PeersTest.java
+++ b/src/test/java/nettlewick/decision/PeersTest.java
@@ -161,7 +161,8 @@
         ring.dead[0] = true;
         ring.run(30 * Samples.SECOND, 0, 3, 3);
         assertTrue(ring.members[1].inheritedSlice() > 0, "the ring's next inherits");
-        byte[] alive = new PeerMessage(PeerMessage.Type.STATE, true, epochOf(ring.members[0]), 0, 0, 1, before).encode();
+        byte[] alive =
+                new PeerMessage(PeerMessage.Type.STATE, true, epochOf(ring.members[0]), 0, 0, 1, before).encode();
         double with = ring.members[1].slice();
         double inherited = ring.members[1].inheritedSlice();
         ring.members[1].handle(ring.now, List.of(new PeerMessageReceived(0, alive)));
@@ -182,7 +183,8 @@
             other[at] = (byte) 0xEE;
             assertNull(PeerMessage.decode(other));
         }
-        assertNull(PeerMessage.decode(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, Double.NaN).encode()));
+        assertNull(
+                PeerMessage.decode(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, Double.NaN).encode()));
         assertNull(PeerMessage.decode(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, -1).encode()));
         RequestScheduler logic = new RequestScheduler(Samples.settings(0, 3, true), 7);
         logic.handle(1, List.of(Samples.workers(4)));
--- a/src/test/java/nettlewick/decision/RollTest.java
+++ b/src/test/java/nettlewick/decision/RollTest.java
@@ -30,7 +30,8 @@
     @Test
     void aBannedWorkerDrainsWhateverTheListSays() {
         assertEquals(
-                List.of(), roll.apply(new EndpointAdminChange("w", true, SECOND)).entries());
+                List.of(),
+                roll.apply(new EndpointAdminChange("w", true, SECOND)).entries());
         assertEquals(EndpointState.DRAINING, told(EndpointState.READY, 0).state());
         roll.apply(new EndpointAdminChange("w", true, 2 * SECOND));
         assertEquals(EndpointState.GONE, told(EndpointState.GONE, 0).state());
--- a/src/test/java/nettlewick/decision/SecondSiteTest.java
+++ b/src/test/java/nettlewick/decision/SecondSiteTest.java
@@ -190,7 +190,7 @@
     /** Guards against waits foretold too short, time after time, at what reports do not show. */
     @Test
     void aForetoldWaitIsCorrectedByWhatWasWaited() {
-        State.WaitCalibration waits = new State.WaitCalibration();
+        WaitCalibration waits = new WaitCalibration();
         assertEquals(1, waits.factor());
         for (int i = 0; i < 40; i++) {
             waits.add(500 * MS, 1500 * MS);
--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/SharedLoadsTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import nettlewick.decision.State.Endpoint;
 import org.junit.jupiter.api.Test;
 
 /** Guards against belief in old reports where peers know better, and in notes that mean other workers. */
@@ -135,9 +134,12 @@
                 known + " of 600; those of one mark are out");
         theirs.forEach(endpoint -> endpoint.inFlightSlots = 0);
         sender.dueMessages(1).forEach(n -> receiver.receive(1, n, 1));
-        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
+        assertEquals(
+                0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
         assertTrue(
-                receiver.receive(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2), "a part beyond its number changes nothing");
-        assertEquals(0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
+                receiver.receive(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2),
+                "a part beyond its number changes nothing");
+        assertEquals(
+                0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
     }
 }
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -40,7 +40,7 @@
         final Deque<Runnable> waiting = new ArrayDeque<>();
         int running;
         private EndpointLoad report;
-        private long reportAt = State.NEVER;
+        private long reportAt = SchedulerClock.NEVER;
 
         Runner(EndpointEntry entry) {
             this.entry = entry;
@@ -218,7 +218,9 @@
         PeerMessage note = PeerMessage.decode(data);
         return note != null
                 ? note.type().name().toLowerCase(Locale.ROOT)
-                : LoadAggregator.isAggregationMessage(data) ? LoadAggregator.kindOf(data).name().toLowerCase(Locale.ROOT) : "note";
+                : LoadAggregator.isAggregationMessage(data)
+                        ? LoadAggregator.kindOf(data).name().toLowerCase(Locale.ROOT)
+                        : "note";
     }
 
     private void later(int rank, Event event) {
--- a/src/test/java/nettlewick/decision/TallyTest.java
+++ b/src/test/java/nettlewick/decision/TallyTest.java
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.State.Endpoint;
 import org.junit.jupiter.api.Test;
 
 /** Owners' tallies where peers die, start anew, lie or send what is not theirs to send. */
@@ -152,8 +151,10 @@
         Member notOwner = member(9, id);
         flush(stranger, List.of(owner), 0);
         assertEquals(new Dispatcher.PeerMessageFaults(0, 0, 0), owner.heard.counts());
-        byte[] hold =
-                stranger.tally.drainMessages(SECOND, stranger.workers, List.of()).get(7).get(0);
+        byte[] hold = stranger.tally
+                .drainMessages(SECOND, stranger.workers, List.of())
+                .get(7)
+                .get(0);
         assertTrue(notOwner.tally.receive(3, hold, SECOND));
         assertEquals(1, notOwner.heard.counts().damaged(), "a holding told to one that owns nothing there");
         flush(watcher, List.of(owner), 2);
@@ -166,8 +167,9 @@
         Member other = new Member(5, 0);
         stranger.at(id).inFlightSlots = 2;
         flush(stranger, List.of(owner), SECOND / 5);
-        List<byte[]> sums =
-                owner.tally.drainMessages(SECOND / 5 + 1, owner.workers, List.of()).get(5);
+        List<byte[]> sums = owner.tally
+                .drainMessages(SECOND / 5 + 1, owner.workers, List.of())
+                .get(5);
         assertTrue(other.tally.receive(7, sums.get(0), 6));
         assertEquals(1, other.heard.counts().unlisted(), "a sum of a runner this list does not hold");
         assertTrue(watcher.tally.receive(2, sums.get(0), 6));
