--- /dev/null
+++ b/src/main/java/nettlewick/decision/AggregationMessage.java
@@ -0,0 +1,84 @@
+package nettlewick.decision;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The datagrams of {@link LoadAggregator}: a byte for version and kind, then entries of a mark and mostly a number. */
+final class AggregationMessage {
+    /** The most slots that an entry can tell. */
+    static final int MAX_SLOTS = 255;
+
+    private static final int VERSION = 0xA0;
+    private static final int HEADER_BYTES = 1;
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    private static final int BYTE_MASK = 0xFF;
+
+    /** What a datagram's entries tell; the order is that of the wire. */
+    enum Kind {
+        /** What the sender holds at endpoints, told to their owner. */
+        HOLD,
+        /** Endpoints that the sender watches, told to their owner. */
+        WATCH,
+        /** What others hold at endpoints, told by their owner to a watcher. */
+        SUM
+    }
+
+    /**
+     * One entry.
+     *
+     * @param mark  the mark of the endpoint's id
+     * @param slots slots held there; 0 for {@link Kind#WATCH}
+     */
+    record Entry(char mark, int slots) {}
+
+    private AggregationMessage() {}
+
+    /** Whether these bytes are a datagram of a kind and length that this version reads. */
+    static boolean isAggregationMessage(byte[] data) {
+        return data.length > HEADER_BYTES
+                && data.length <= MAX_DATAGRAM_BYTES
+                && (data[0] & BYTE_MASK) >= VERSION
+                && (data[0] & BYTE_MASK) < VERSION + Kind.values().length
+                && (data.length - HEADER_BYTES) % entryBytes(kindOf(data)) == 0;
+    }
+
+    /** The kind of a datagram that {@link #isAggregationMessage} accepts. */
+    static Kind kindOf(byte[] data) {
+        return Kind.values()[(data[0] & BYTE_MASK) - VERSION];
+    }
+
+    /** The entries of a datagram that {@link #isAggregationMessage} accepts. */
+    static List<Entry> decode(byte[] data) {
+        boolean hasSlots = kindOf(data) != Kind.WATCH;
+        List<Entry> entries = new ArrayList<>();
+        ByteBuffer buffer = ByteBuffer.wrap(data).position(HEADER_BYTES);
+        while (buffer.hasRemaining()) {
+            entries.add(new Entry(buffer.getChar(), hasSlots ? buffer.get() & BYTE_MASK : 0));
+        }
+        return entries;
+    }
+
+    /** The datagrams that tell these entries, as many in each as fit. */
+    static List<byte[]> encode(Kind kind, List<Entry> entries) {
+        List<byte[]> datagrams = new ArrayList<>();
+        int entriesEach = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / entryBytes(kind);
+        for (int from = 0; from < entries.size(); from += entriesEach) {
+            List<Entry> part = entries.subList(from, Math.min(entries.size(), from + entriesEach));
+            ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + part.size() * entryBytes(kind));
+            buffer.put((byte) (VERSION + kind.ordinal()));
+            for (Entry entry : part) {
+                buffer.putChar(entry.mark());
+                if (kind != Kind.WATCH) {
+                    buffer.put((byte) entry.slots());
+                }
+            }
+            datagrams.add(buffer.array());
+        }
+        return datagrams;
+    }
+
+    private static int entryBytes(Kind kind) {
+        return kind == Kind.WATCH ? 2 : 3;
+    }
+}
--- a/src/main/java/nettlewick/decision/Attempt.java
+++ b/src/main/java/nettlewick/decision/Attempt.java
@@ -1,24 +1,19 @@
 package nettlewick.decision;
 
-/** One sending of a job. */
+/** One dispatch of a request to an endpoint, from its sending to its outcome. */
 final class Attempt {
-    final ScheduledRequest request;
-    final Endpoint endpoint;
-    final int number;
-    final long sentAt;
-    boolean ended;
-    boolean neverRan;
-    boolean replaced;
-    /** It takes no slot, or no longer. */
-    boolean lost;
-    /** When the worker said that the job runs. */
-    long startedAt = SchedulerClock.NEVER;
-    /** Its last sign of life. */
-    long lastSignAt = SchedulerClock.NEVER;
-    /** Room was seen when it was sent. */
-    boolean sawFreeCapacity;
-    /** How long it was foretold to wait where none was seen, in nanoseconds. */
-    double predictedWaitNanos;
+    private final ScheduledRequest request;
+    private final Endpoint endpoint;
+    private final int number;
+    private final long sentAt;
+    private boolean hasEnded;
+    private boolean neverRan;
+    private boolean isReplaced;
+    private boolean isLost;
+    private long startedAt = SchedulerClock.NEVER;
+    private long lastSignAt = SchedulerClock.NEVER;
+    private boolean sawFreeCapacity;
+    private double predictedWaitNanos;
 
     Attempt(ScheduledRequest request, Endpoint endpoint, int number, long sentAt) {
         this.request = request;
@@ -26,4 +21,93 @@
         this.number = number;
         this.sentAt = sentAt;
     }
+
+    ScheduledRequest request() {
+        return request;
+    }
+
+    Endpoint endpoint() {
+        return endpoint;
+    }
+
+    /** Its place among the attempts of the request, from 0. */
+    int number() {
+        return number;
+    }
+
+    long sentAt() {
+        return sentAt;
+    }
+
+    /** Records that free capacity was seen at the endpoint when the attempt was sent. */
+    void markSentToFreeCapacity() {
+        sawFreeCapacity = true;
+    }
+
+    boolean sawFreeCapacity() {
+        return sawFreeCapacity;
+    }
+
+    /** Records how long the request was expected to wait at the endpoint. */
+    void predictWait(double waitNanos) {
+        predictedWaitNanos = waitNanos;
+    }
+
+    /** The wait expected when it was sent; 0 where none was. */
+    double predictedWaitNanos() {
+        return predictedWaitNanos;
+    }
+
+    void end(AttemptResult result) {
+        hasEnded = true;
+        neverRan = result.neverRan;
+    }
+
+    boolean hasEnded() {
+        return hasEnded;
+    }
+
+    /** Whether the request ran, may have run or may yet run by this attempt. */
+    boolean mayHaveRun() {
+        return !hasEnded || !neverRan;
+    }
+
+    /** Records a sign of progress; {@code isStart} if it is the first, which says that the request runs. */
+    void recordProgress(boolean isStart, long now) {
+        lastSignAt = now;
+        if (isStart) {
+            startedAt = now;
+        }
+    }
+
+    boolean hasStarted() {
+        return startedAt != SchedulerClock.NEVER;
+    }
+
+    /** When the endpoint reported the start, or {@link SchedulerClock#NEVER}. */
+    long startedAt() {
+        return startedAt;
+    }
+
+    long lastSignAt() {
+        return lastSignAt;
+    }
+
+    /** Records that the attempt takes no slot, or no longer. */
+    void markLost() {
+        isLost = true;
+    }
+
+    boolean isLost() {
+        return isLost;
+    }
+
+    /** Records that another attempt was sent because this one seemed stuck. */
+    void markReplaced() {
+        isReplaced = true;
+    }
+
+    boolean isReplaced() {
+        return isReplaced;
+    }
 }
--- /dev/null
+++ b/src/main/java/nettlewick/decision/AttemptMonitor.java
@@ -0,0 +1,78 @@
+package nettlewick.decision;
+
+import java.util.List;
+import nettlewick.decision.Action.Cancel;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+
+/** Looks for attempts that are lost or late and for silent endpoints, and sends their requests elsewhere. */
+final class AttemptMonitor {
+    private final SchedulerSettings settings;
+    private final SchedulerClock clock;
+    private final ActionBatch actions;
+    private final EndpointDirectory directory;
+    private final RequestStatistics statistics;
+    private final OutlierDetector outliers;
+    private final HedgingPolicy hedging;
+    private final RequestRetrier retrier;
+
+    AttemptMonitor(
+            SchedulerSettings settings,
+            SchedulerClock clock,
+            ActionBatch actions,
+            EndpointDirectory directory,
+            RequestStatistics statistics,
+            OutlierDetector outliers,
+            HedgingPolicy hedging,
+            RequestRetrier retrier) {
+        this.settings = settings;
+        this.clock = clock;
+        this.actions = actions;
+        this.directory = directory;
+        this.statistics = statistics;
+        this.outliers = outliers;
+        this.hedging = hedging;
+        this.retrier = retrier;
+    }
+
+    /** On each tick. An endpoint that hangs may keep reporting room, so silence is what gives it away. */
+    void tick() {
+        for (Endpoint endpoint : directory.all()) {
+            List.copyOf(endpoint.inFlight().attempts()).forEach(this::check);
+            if (!endpoint.health().isEjected(clock.now())
+                    && OutlierDetector.isSilent(endpoint, statistics, clock.now())) {
+                outliers.eject(endpoint, clock.now());
+                List.copyOf(endpoint.inFlight().attempts()).forEach(this::replace);
+            }
+        }
+    }
+
+    private void check(Attempt attempt) {
+        if (OutlierDetector.isLost(attempt, clock.now(), settings.progress())) {
+            hedging.recordLost(attempt);
+            attempt.endpoint().inFlight().release(attempt);
+            replace(attempt);
+        } else if (OutlierDetector.isStartOverdue(attempt, clock.now()) && hedging.mayHedge(attempt.request())) {
+            replace(attempt);
+            if (attempt.isReplaced()) {
+                hedging.recordHedge();
+            }
+        }
+    }
+
+    /** Sends the request of a stuck attempt once more, or cancels the attempt, as its class and the site allow. */
+    private void replace(Attempt attempt) {
+        ScheduledRequest request = attempt.request();
+        if (attempt.isReplaced() || request.isAnswered() || request.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            return;
+        }
+        if (settings.limits().hedgedRequests()) {
+            int before = request.attemptCount();
+            retrier.retry(request);
+            if (request.attemptCount() > before) {
+                attempt.markReplaced();
+            }
+        } else if (settings.limits().cancel() && request.idempotency() == Idempotency.IDEMPOTENT) {
+            actions.add(new Cancel(request.id(), attempt.number()));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/decision/EndpointCapacity.java
@@ -0,0 +1,114 @@
+package nettlewick.decision;
+
+/** What load reports and answers of an endpoint say of its room. */
+final class EndpointCapacity {
+    private static final double MIN_BUSY_SHARE = 0.01;
+
+    private long reportedAt = SchedulerClock.NEVER;
+    private double freeSlots;
+    private double queuedSlots;
+    private double freeMemory;
+    private boolean isQueueProvenEmpty;
+    private boolean reportsQueue;
+    private double smoothedFreeSlots;
+    private long smoothedAt = SchedulerClock.NEVER;
+    private long overloadedAt = SchedulerClock.NEVER;
+    private boolean isProbePending;
+
+    /** Forgets what belongs to the endpoint's last incarnation. */
+    void reset() {
+        reportedAt = SchedulerClock.NEVER;
+        smoothedAt = SchedulerClock.NEVER;
+        overloadedAt = SchedulerClock.NEVER;
+    }
+
+    /** Takes a report over in slots, whichever values this site's reports hold. */
+    void applyReport(EndpointLoad load, long now, EndpointKindStats stats, LargestRequest largest) {
+        reportedAt = now;
+        freeMemory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
+        double held = Double.isNaN(load.inHand()) ? 0 : load.inHand();
+        boolean hasQueue = !Double.isNaN(load.waiting());
+        freeSlots = freeSlots(load, held, hasQueue);
+        if (freeSlots >= 1) {
+            stats.recordFreeSlots(freeSlots + held);
+        }
+        queuedSlots = hasQueue ? load.waiting() : freeSlots >= 1 ? 0 : Math.max(0, held - stats.mostFreeSlots());
+        reportsQueue = hasQueue;
+        // Without a reported queue, a request that does not fit may wait while slots are free; only room for
+        // the largest one proves that none waits.
+        isQueueProvenEmpty =
+                hasQueue ? queuedSlots < 0.5 : freeSlots >= largest.slots() && freeMemory >= largest.memory();
+    }
+
+    private static double freeSlots(EndpointLoad load, double held, boolean hasQueue) {
+        if (!Double.isNaN(load.freeSlots())) {
+            return load.freeSlots();
+        }
+        if (hasQueue) {
+            return load.waiting() < 1 ? 1 : 0;
+        }
+        if (!Double.isNaN(load.busyShare())) {
+            return load.busyShare() < 1 ? 1 / Math.max(load.busyShare(), MIN_BUSY_SHARE) : 0;
+        }
+        return 1 / (1 + held);
+    }
+
+    /** Smooths free slots over reports; the last value counts only within {@code windowNanos}. */
+    void smoothFreeSlots(double sample, long windowNanos, long now) {
+        smoothedFreeSlots =
+                now - smoothedAt > windowNanos ? sample : smoothedFreeSlots + (sample - smoothedFreeSlots) / 2;
+        smoothedAt = now;
+    }
+
+    long reportedAt() {
+        return reportedAt;
+    }
+
+    /** Whether the last report is recent enough to be believed. */
+    boolean isFresh(long now) {
+        return now - reportedAt <= SchedulerTimings.SHARE_INTERVAL_NANOS;
+    }
+
+    double freeSlots() {
+        return freeSlots;
+    }
+
+    double queuedSlots() {
+        return queuedSlots;
+    }
+
+    double freeMemory() {
+        return freeMemory;
+    }
+
+    /** Whether the last report proves that nothing waits. */
+    boolean isQueueProvenEmpty() {
+        return isQueueProvenEmpty;
+    }
+
+    /** Whether its reports say how many requests wait. */
+    boolean reportsQueue() {
+        return reportsQueue;
+    }
+
+    /** Free slots, leaving aside what is known to be sent there, smoothed over reports. */
+    double smoothedFreeSlots() {
+        return smoothedFreeSlots;
+    }
+
+    void recordOverload(long now) {
+        overloadedAt = now;
+    }
+
+    long overloadedAt() {
+        return overloadedAt;
+    }
+
+    void setProbePending(boolean isPending) {
+        isProbePending = isPending;
+    }
+
+    boolean isProbePending() {
+        return isProbePending;
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/decision/EndpointDirectory.java
@@ -0,0 +1,70 @@
+package nettlewick.decision;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.SplittableRandom;
+import nettlewick.decision.Event.EndpointList;
+
+/** All endpoints that the list has named, by id, in the order in which they were first named. */
+final class EndpointDirectory {
+    private final SchedulerSettings settings;
+    private final SchedulerClock clock;
+    private final SplittableRandom random;
+    private final EndpointRegistry registry;
+    private final RequestStatistics statistics;
+    private final Map<String, Endpoint> byId = new LinkedHashMap<>();
+
+    EndpointDirectory(
+            SchedulerSettings settings,
+            SchedulerClock clock,
+            SplittableRandom random,
+            EndpointRegistry registry,
+            RequestStatistics statistics) {
+        this.settings = settings;
+        this.clock = clock;
+        this.random = random;
+        this.registry = registry;
+        this.statistics = statistics;
+    }
+
+    /** Takes the list as {@link EndpointRegistry} returns it, with administrative changes applied. */
+    void apply(EndpointList list) {
+        if (list.whole()) {
+            byId.values().forEach(Endpoint::markNotReady);
+        }
+        for (EndpointEntry entry : list.entries()) {
+            Endpoint endpoint = byId.computeIfAbsent(entry.id(), Endpoint::new);
+            if (endpoint.isRestartedBy(entry)) {
+                endpoint.resetAfterRestart();
+                endpoint.slowStartCredit().reset(initialCredit(entry.id()), clock.now());
+            }
+            endpoint.update(entry, settings.kinds().indexOf(entry.kind()), isInOwnZone(entry));
+        }
+    }
+
+    /** A random debt, so that dispatchers don't all send their first request to a new endpoint at once. */
+    private double initialCredit(String id) {
+        double debt = random.nextDouble() * SlowStartBudget.maxInitialDebt(statistics.meanCost());
+        return registry.isReenabled(id) ? Double.MIN_NORMAL : -debt;
+    }
+
+    private boolean isInOwnZone(EndpointEntry entry) {
+        return settings.zone() == null || settings.zone().equals(entry.zone());
+    }
+
+    /** The endpoint of this id, null if the list never named it. */
+    Endpoint find(String id) {
+        return byId.get(id);
+    }
+
+    Collection<Endpoint> all() {
+        return byId.values();
+    }
+
+    /** Whether an endpoint gets no request now: not ready, or ejected. */
+    boolean isUnavailable(String id) {
+        Endpoint endpoint = byId.get(id);
+        return endpoint == null || !endpoint.isReady() || endpoint.health().isEjected(clock.now());
+    }
+}
--- a/src/main/java/nettlewick/decision/LargestRequest.java
+++ b/src/main/java/nettlewick/decision/LargestRequest.java
@@ -2,13 +2,21 @@
 
 import nettlewick.decision.Event.Arrival;
 
-/** The most that one job was seen to need here. */
+/** The most slots and memory that one request was seen to need here. */
 final class LargestRequest {
-    double slots = 1;
-    double memory;
+    private double slots = 1;
+    private double memory;
 
-    void include(Arrival a) {
-        slots = Math.max(slots, a.slots());
-        memory = Math.max(memory, a.memory());
+    void include(Arrival arrival) {
+        slots = Math.max(slots, arrival.slots());
+        memory = Math.max(memory, arrival.memory());
+    }
+
+    double slots() {
+        return slots;
+    }
+
+    double memory() {
+        return memory;
     }
 }
--- a/src/main/java/nettlewick/decision/LoadGossip.java
+++ b/src/main/java/nettlewick/decision/LoadGossip.java
@@ -48,8 +48,8 @@
         Map<Character, Endpoint> marks = new HashMap<>();
         Set<Character> shared = new HashSet<>();
         for (Endpoint endpoint : endpoints) {
-            if (marks.put(markOf(endpoint.id), endpoint) != null) {
-                shared.add(markOf(endpoint.id));
+            if (marks.put(markOf(endpoint.id()), endpoint) != null) {
+                shared.add(markOf(endpoint.id()));
             }
         }
         marks.keySet().removeAll(shared);
@@ -62,7 +62,7 @@
      */
     static List<byte[]> encode(List<Endpoint> endpoints) {
         List<Endpoint> holding = endpoints.stream()
-                .filter(endpoint -> endpoint.inFlightSlots > 1e-9)
+                .filter(endpoint -> endpoint.inFlight().slots() > 1e-9)
                 .toList();
         int parts =
                 Math.min(MAX_SLOTS / 16, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
@@ -73,8 +73,8 @@
             ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + (to - from) * ENTRY_BYTES);
             b.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
             for (Endpoint endpoint : holding.subList(from, to)) {
-                b.putChar(markOf(endpoint.id))
-                        .put((byte) Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlightSlots - 1e-9)));
+                b.putChar(markOf(endpoint.id())).put((byte)
+                        Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlight().slots() - 1e-9)));
             }
             notes.add(b.array());
         }
--- /dev/null
+++ b/src/main/java/nettlewick/decision/OutcomeHandler.java
@@ -0,0 +1,153 @@
+package nettlewick.decision;
+
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Progress;
+
+/** Takes the outcomes and the progress of attempts in, and answers their requests or has them retried. */
+final class OutcomeHandler {
+    private final SchedulerClock clock;
+    private final EndpointDirectory directory;
+    private final EndpointRegistry registry;
+    private final EndpointPools pools;
+    private final RequestTable table;
+    private final RequestStatistics statistics;
+    private final ServiceRates rates;
+    private final CapacityEstimator capacity;
+    private final OutlierDetector outliers;
+    private final RequestCompletion completion;
+    private final RequestRetrier retrier;
+
+    OutcomeHandler(
+            SchedulerClock clock,
+            EndpointDirectory directory,
+            EndpointRegistry registry,
+            EndpointPools pools,
+            RequestTable table,
+            RequestStatistics statistics,
+            ServiceRates rates,
+            CapacityEstimator capacity,
+            OutlierDetector outliers,
+            RequestCompletion completion,
+            RequestRetrier retrier) {
+        this.clock = clock;
+        this.directory = directory;
+        this.registry = registry;
+        this.pools = pools;
+        this.table = table;
+        this.statistics = statistics;
+        this.rates = rates;
+        this.capacity = capacity;
+        this.outliers = outliers;
+        this.completion = completion;
+        this.retrier = retrier;
+    }
+
+    /** Takes an attempt's outcome in. */
+    void recordOutcome(Outcome outcome) {
+        Endpoint endpoint = directory.find(outcome.endpoint());
+        if (endpoint != null) {
+            outliers.recordResult(endpoint, outcome.result(), outcome.latency(), clock.now());
+            if (outcome.load() != null) {
+                capacity.recordReport(endpoint, outcome.load());
+            }
+        }
+        Attempt attempt = findAttempt(outcome.id(), outcome.attempt());
+        if (attempt == null) {
+            return;
+        }
+        if (!attempt.hasEnded()) {
+            recordEnd(attempt, outcome);
+        }
+        if (outcome.result() == AttemptResult.SERVED && !attempt.request().isAnswered()) {
+            recordAnswer(attempt, outcome.latency());
+        }
+        proceed(attempt.request(), outcome);
+    }
+
+    private Attempt findAttempt(String id, int number) {
+        ScheduledRequest request = table.find(id);
+        return request == null ? null : request.attempt(number);
+    }
+
+    private void recordEnd(Attempt attempt, Outcome outcome) {
+        attempt.end(outcome.result());
+        attempt.endpoint().inFlight().remove(attempt);
+        if (outcome.result() != AttemptResult.SERVED) {
+            return;
+        }
+        OutlierDetector.recordRunTime(attempt, pools.statsFor(attempt.endpoint()), clock.now());
+        if (attempt.hasStarted()) {
+            statistics.recordRunTime(clock.now() - attempt.startedAt());
+        } else if (attempt.sawFreeCapacity()) {
+            statistics.recordRunTime(outcome.latency());
+        }
+        registry.recordServed(outcome.endpoint());
+    }
+
+    private void recordAnswer(Attempt attempt, long latencyNanos) {
+        ScheduledRequest request = attempt.request();
+        rates.recordServed(request.cost());
+        pools.statsFor(attempt.endpoint()).recordServed(request.cost());
+        // A latency that holds a wait would make waiting look like long work.
+        if (attempt.sawFreeCapacity()) {
+            statistics.recordLatency(request, latencyNanos);
+        }
+        request.markAnswered();
+        completion.cancelOthers(request, attempt.number());
+    }
+
+    private void proceed(ScheduledRequest request, Outcome outcome) {
+        if (outcome.settled() || request.isAnswered()) {
+            completion.close(request);
+        } else if (!mayFollow(request, outcome.result())) {
+            if (request.inFlightAttempts() == 0) {
+                completion.giveUp(request);
+            }
+        } else {
+            retrier.retry(request);
+        }
+    }
+
+    /** Whether a further attempt makes sense after this result: not past the deadline, nor where none can be sent. */
+    private boolean mayFollow(ScheduledRequest request, AttemptResult result) {
+        boolean isTimeUp = result == AttemptResult.TIMEOUT && clock.now() >= request.deadline();
+        return !isTimeUp && result != AttemptResult.NOT_SENT;
+    }
+
+    /** Takes the answer to a probe in. */
+    void recordProbeAnswer(ProbeAnswer answer) {
+        Endpoint endpoint = directory.find(answer.endpoint());
+        if (endpoint == null) {
+            return;
+        }
+        endpoint.capacity().setProbePending(false);
+        if (answer.result() == AttemptResult.SERVED) {
+            if (answer.load() != null) {
+                capacity.recordReport(endpoint, answer.load());
+            }
+        } else if (answer.result() != AttemptResult.OVERLOADED && answer.result() != AttemptResult.NOT_SENT) {
+            outliers.recordResult(endpoint, answer.result(), answer.latency(), clock.now());
+        }
+    }
+
+    /** Takes a sign of progress in; the first one says that the request has started. */
+    void recordProgress(Progress progress) {
+        Endpoint endpoint = directory.find(progress.endpoint());
+        if (endpoint == null) {
+            return;
+        }
+        endpoint.health().recordSignOfLife(clock.now());
+        Attempt attempt = findAttempt(progress.id(), progress.attempt());
+        if (attempt == null) {
+            return;
+        }
+        boolean isStart = progress.share() <= 0;
+        if (isStart && !attempt.hasStarted() && attempt.predictedWaitNanos() > 0) {
+            pools.statsFor(attempt.endpoint())
+                    .waitCalibration()
+                    .add(attempt.predictedWaitNanos(), clock.now() - attempt.sentAt());
+        }
+        OutlierDetector.recordProgress(attempt, isStart, clock.now());
+    }
+}
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -4,197 +4,186 @@
 import java.util.function.Supplier;
 import nettlewick.decision.SchedulerSettings.Idempotency;
 
-/** Outlier detection: which workers are left alone for how they end what is sent, and their way back. */
+/**
+ * Outlier detection: ejects endpoints for how they end what is sent to them, lets them back in step by step,
+ * and tells which attempts are lost or late.
+ */
 final class OutlierDetector {
-    /** First time for which a failing worker is left alone; it doubles up to eight times this. */
+    /** First time for which a failing endpoint is ejected. */
     private static final long BASE_EJECTION_NANOS = 500_000_000;
-    /** Breaks in a row that count as the worker's own: at least so many, and too many for chance. */
+    /** Connections that must fail in a row before the endpoint is taken for the cause. */
     private static final int MIN_CONSECUTIVE_FAILURES = 2;
 
     private static final double FALSE_POSITIVE_PROBABILITY = 0.005;
-    /** A worker that refuses connections does so at once; one that is cut off takes longer than this. */
+    private static final double MIN_BREAK_SHARE = 0.001;
+    private static final double MAX_BREAK_SHARE = 0.5;
+    private static final int BREAK_SHARE_SAMPLES = 100;
+    private static final int BREAK_SHARE_INITIAL_SAMPLES = 50;
+    /** A process that refuses connections does so at once; an endpoint that is cut off takes longer than this. */
     private static final long MAX_REFUSAL_NANOS = 100_000_000;
-    /** Part of the ready workers that may be left alone at once: beyond it the fault is elsewhere. */
+    /** Part of the ready endpoints that may be ejected at once: beyond it the fault is elsewhere. */
     private static final double MAX_EJECTED_SHARE = 0.5;
 
-    /** An attempt sent so much later that started first: more than sends can change their order by. */
+    /** More than sends can change their order by on the way. */
     private static final long OVERTAKEN_NANOS = 250_000_000;
-    /** Progress notes that may fail to come before an attempt counts as lost. */
+    /** Progress messages that may fail to come before an attempt counts as lost. */
     private static final int MISSED_PROGRESS_LIMIT = 2;
-    /** A report that came so long after a send shows the worker after it. */
+    /** A report that came this long after a send shows the endpoint after it. */
     private static final long REPORT_SETTLING_NANOS = 1_500_000_000;
-    /** Nineteen in twenty that are sent to a free slot start within this. */
+    /** Nineteen in twenty requests sent to a free slot start within this. */
     private static final long START_TIMEOUT_NANOS = 150_000_000;
-    /** So many jobs of its own weigh as much as all of its kind's in what a worker's jobs run. */
+    /** The weight, in samples, of a kind's slowdown against the endpoint's own. */
     private static final double PRIOR_SAMPLES = 3;
-
-    /** A silent worker is left after this many expected job times of silence, summed over its attempts. */
+    /** Expected run times of silence, summed over its attempts, after which an endpoint counts as silent. */
     private static final double MAX_SILENT_RUN_TIMES = 5;
-    /** Second copies on suspicion that each lost attempt allows, and how many may be saved up. */
-    private static final int HEDGES_PER_LOSS = 2;
-
-    private static final int MAX_SAVED_HEDGES = 6;
 
     private final Supplier<List<Endpoint>> ready;
-    private int hedgeBudget;
     /** Share of connections that break, over the whole fleet. */
-    private final RunningMean breakShare = new RunningMean(100);
+    private final RunningMean breakShare = new RunningMean(BREAK_SHARE_SAMPLES, BREAK_SHARE_INITIAL_SAMPLES);
 
+    /** A detector for the fleet whose ready endpoints {@code ready} returns. */
     OutlierDetector(Supplier<List<Endpoint>> ready) {
         this.ready = ready;
-        breakShare.count = 50;
     }
 
-    /** Takes over how an attempt, or a probe that failed, ended at this worker. */
-    void recordResult(Endpoint endpoint, AttemptResult result, long latency, long now) {
+    /** Takes over how an attempt, or a probe that failed, ended at this endpoint. */
+    void recordResult(Endpoint endpoint, AttemptResult result, long latencyNanos, long now) {
         switch (result) {
             case SERVED -> {
-                recordSignOfLife(endpoint, now);
+                endpoint.health().recordSignOfLife(now);
                 breakShare.add(0);
-                endpoint.ejectedUntil = Math.min(endpoint.ejectedUntil, now);
+                endpoint.health().endEjection(now);
             }
             case OVERLOADED -> {
-                endpoint.lastSignAt = now;
-                endpoint.overloadedAt = now;
+                endpoint.health().recordResponse(now);
+                endpoint.capacity().recordOverload(now);
             }
-            // Danger: a worker that answers every job with an error at once always shows room.
+            // An endpoint that answers every request with an error at once always shows room.
             case ERROR, TIMEOUT -> eject(endpoint, now);
-            // Danger: connections break on the way, one here and one there, at workers that are well.
-            case UNREACHABLE, BROKEN -> {
-                breakShare.add(1);
-                if (++endpoint.connectionFailures >= consecutiveFailureLimit()
-                        || result == AttemptResult.UNREACHABLE && latency > MAX_REFUSAL_NANOS) {
-                    eject(endpoint, now);
-                }
-            }
+            case UNREACHABLE, BROKEN -> recordConnectionFailure(endpoint, result, latencyNanos, now);
             default -> {}
         }
     }
 
-    /** Danger: where a tenth of all connections break, two in a row soon befall every worker. */
-    private double consecutiveFailureLimit() {
-        double share = Math.min(0.5, Math.max(0.001, breakShare.value));
-        return Math.max(MIN_CONSECUTIVE_FAILURES, Math.ceil(Math.log(FALSE_POSITIVE_PROBABILITY) / Math.log(share)));
+    /** Connections also break on the way, at endpoints that are well. */
+    private void recordConnectionFailure(Endpoint endpoint, AttemptResult result, long latencyNanos, long now) {
+        breakShare.add(1);
+        boolean isCutOff = result == AttemptResult.UNREACHABLE && latencyNanos > MAX_REFUSAL_NANOS;
+        if (endpoint.health().countConnectionFailure() >= consecutiveFailureLimit() || isCutOff) {
+            eject(endpoint, now);
+        }
     }
 
-    /** A sign of life that only a worker at work gives. */
-    void recordSignOfLife(Endpoint endpoint, long now) {
-        endpoint.lastSignAt = now;
-        endpoint.ejections = 0;
-        endpoint.connectionFailures = 0;
+    /** Failures in a row that chance alone hardly brings, at the share of connections that break now. */
+    private double consecutiveFailureLimit() {
+        double share = Math.min(MAX_BREAK_SHARE, Math.max(MIN_BREAK_SHARE, breakShare.value()));
+        return Math.max(MIN_CONSECUTIVE_FAILURES, Math.ceil(Math.log(FALSE_POSITIVE_PROBABILITY) / Math.log(share)));
     }
 
+    /** Ejects the endpoint for a time, unless it or too much of the fleet is ejected already. */
     void eject(Endpoint endpoint, long now) {
-        long out = ready.get().stream().filter(o -> now < o.ejectedUntil).count();
-        if (now >= endpoint.ejectedUntil
-                && out + 1 <= Math.max(1, MAX_EJECTED_SHARE * ready.get().size())) {
-            endpoint.ejectedUntil = now + (BASE_EJECTION_NANOS << Math.min(endpoint.ejections, 3));
-            endpoint.ejections++;
+        long ejected =
+                ready.get().stream().filter(e -> e.health().isEjected(now)).count();
+        boolean mayEject =
+                ejected + 1 <= Math.max(1, MAX_EJECTED_SHARE * ready.get().size());
+        if (!endpoint.health().isEjected(now) && mayEject) {
+            endpoint.health().eject(BASE_EJECTION_NANOS, now);
         }
     }
 
-    /** An attempt shows that it runs. */
-    static void recordProgress(Attempt a, boolean start, long now) {
-        a.lastSignAt = now;
-        if (start) {
-            a.startedAt = now;
-            a.endpoint.latestStartedSentAt = Math.max(a.endpoint.latestStartedSentAt, a.sentAt);
+    /** Records that an attempt shows progress; {@code isStart} if the request has just started. */
+    static void recordProgress(Attempt attempt, boolean isStart, long now) {
+        attempt.recordProgress(isStart, now);
+        if (isStart) {
+            attempt.endpoint().health().recordStartOfAttemptSentAt(attempt.sentAt());
         }
     }
 
     /**
-     * Whether an attempt is lost though its worker is well. Danger: one connection can fall silent among
-     * others that do not. Workers start what waits in order, so one overtaken by a later one never came or is
-     * dead, and so is one that has not started while nothing waits; one that runs shows it every
-     * {@code progress}.
+     * Whether an attempt is lost though its endpoint is well, as when one connection falls silent. Endpoints
+     * start what waits in order: an attempt that a later one has overtaken, or that has not started while
+     * nothing waits, never came or is dead. One that runs shows progress every {@code progressNanos}, unless
+     * that is 0.
      */
-    static boolean isLost(Attempt a, long now, long progress) {
-        return a.startedAt == SchedulerClock.NEVER
-                ? a.endpoint.latestStartedSentAt - a.sentAt > OVERTAKEN_NANOS
-                        || a.endpoint.reportedAt - a.sentAt > REPORT_SETTLING_NANOS && a.endpoint.queueProvenEmpty
-                : progress > 0 && now - a.lastSignAt > MISSED_PROGRESS_LIMIT * progress;
+    static boolean isLost(Attempt attempt, long now, long progressNanos) {
+        if (attempt.hasStarted()) {
+            return progressNanos > 0 && now - attempt.lastSignAt() > MISSED_PROGRESS_LIMIT * progressNanos;
+        }
+        Endpoint endpoint = attempt.endpoint();
+        return endpoint.health().latestStartedSentAt() - attempt.sentAt() > OVERTAKEN_NANOS
+                || endpoint.capacity().reportedAt() - attempt.sentAt() > REPORT_SETTLING_NANOS
+                        && endpoint.capacity().isQueueProvenEmpty();
     }
 
     /** Whether an attempt that was sent to a free slot should have started by now. */
-    static boolean isStartOverdue(Attempt a, long now) {
-        return a.sawFreeCapacity && a.startedAt == SchedulerClock.NEVER && now - a.sentAt > START_TIMEOUT_NANOS;
+    static boolean isStartOverdue(Attempt attempt, long now) {
+        return attempt.sawFreeCapacity() && !attempt.hasStarted() && now - attempt.sentAt() > START_TIMEOUT_NANOS;
     }
 
-    /** An attempt is lost: its slot is free, as far as can be told. */
-    void recordLost(Attempt a) {
-        hedgeBudget = Math.min(hedgeBudget + (a.lost ? 0 : HEDGES_PER_LOSS), MAX_SAVED_HEDGES);
-        a.endpoint.releaseLost(a);
-    }
-
-    /** Danger: copies on suspicion multiply where all is slow. They are earned by what is surely lost. */
-    boolean mayHedge() {
-        return hedgeBudget >= 1;
-    }
-
-    void recordHedge(boolean sent) {
-        hedgeBudget -= sent ? 1 : 0;
-    }
-
-    /** Whether a worker has been silent too long: in expected job times, summed over what is out there. */
-    static boolean isSilent(Endpoint endpoint, long now, RunningMean[] pace, long least) {
+    /** Whether an endpoint has been silent too long, in expected run times summed over its attempts. */
+    static boolean isSilent(Endpoint endpoint, RequestStatistics statistics, long now) {
         double silence = 0;
-        for (Attempt a : endpoint.inFlight) {
-            double expected = Math.max(pace[a.request.classIndex].value, a.request.arrival.costHint());
-            long silent = now - Math.max(a.sentAt, endpoint.lastSignAt);
-            silence += expected <= 0 ? 0 : silent / Math.max(expected, least);
+        for (Attempt attempt : endpoint.inFlight().attempts()) {
+            ScheduledRequest request = attempt.request();
+            double expected =
+                    Math.max(statistics.meanLatency(request), request.arrival().costHint());
+            long silent = now - Math.max(attempt.sentAt(), endpoint.health().lastSignAt());
+            silence += expected <= 0 ? 0 : silent / Math.max(expected, SchedulerTimings.TICK_NANOS);
         }
         return silence > MAX_SILENT_RUN_TIMES;
     }
 
-    /** An attempt was served: compares how long it ran with its hint. */
-    void recordRunTime(Attempt a, EndpointPool kind, long now) {
-        if (a.startedAt != SchedulerClock.NEVER && a.request.arrival.costHint() > 0 && now > a.startedAt) {
-            double drag = Math.log((double) (now - a.startedAt) / a.request.arrival.costHint());
-            a.endpoint.slowdown.add(drag);
-            kind.slowdown.add(drag);
+    /** Records, for an attempt that was served, how long it ran against its hint. */
+    static void recordRunTime(Attempt attempt, EndpointKindStats kind, long now) {
+        long hint = attempt.request().arrival().costHint();
+        if (attempt.hasStarted() && hint > 0 && now > attempt.startedAt()) {
+            double slowdown = Math.log((double) (now - attempt.startedAt()) / hint);
+            attempt.endpoint().health().slowdown().add(slowdown);
+            kind.slowdown().add(slowdown);
         }
     }
 
-    /** Whether it may be one that waits, which only a report of the queue would tell better. */
-    private static boolean mayBeQueued(Attempt a) {
-        return a.startedAt == SchedulerClock.NEVER && !a.lost && !a.endpoint.reportsQueue;
+    /** How many times its hint a request is expected to run there. */
+    static double expectedSlowdown(Endpoint endpoint, EndpointKindStats kind) {
+        RunningMean own = endpoint.health().slowdown();
+        return Math.exp(
+                (own.count() * own.value() + PRIOR_SAMPLES * kind.slowdown().value()) / (own.count() + PRIOR_SAMPLES));
     }
 
-    /** How long the own job that waits there longest has waited, in nanoseconds; 0 if none waits. */
+    /** Whether an attempt may be waiting at its endpoint, which a report of the queue would tell better. */
+    private static boolean mayBeQueued(Attempt attempt) {
+        return !attempt.hasStarted()
+                && !attempt.isLost()
+                && !attempt.endpoint().capacity().reportsQueue();
+    }
+
+    /** How long the own request that waits there longest has waited, in nanoseconds; 0 if none waits. */
     static long longestWait(Endpoint endpoint, long now) {
         long longest = 0;
-        for (Attempt a : endpoint.inFlight) {
-            longest = mayBeQueued(a) ? Math.max(longest, now - a.sentAt) : longest;
+        for (Attempt attempt : endpoint.inFlight().attempts()) {
+            longest = mayBeQueued(attempt) ? Math.max(longest, now - attempt.sentAt()) : longest;
         }
         return longest > START_TIMEOUT_NANOS ? longest : 0;
     }
 
-    /** How many times its hint a job is expected to run there: few jobs there count beside its kind's. */
-    double expectedSlowdown(Endpoint endpoint, EndpointPool kind) {
-        double own = endpoint.slowdown.count;
-        return Math.exp((own * endpoint.slowdown.value + PRIOR_SAMPLES * kind.slowdown.value) / (own + PRIOR_SAMPLES));
-    }
-
     /**
-     * Slots of own jobs that wait there, 0 if none has waited for longer than a start takes. Danger: where
-     * reports tell no queue, slots may be free and a first job that fits none of them hold up all others.
+     * Slots of own requests that wait there; 0 if none has waited for longer than a start takes. Where reports
+     * tell no queue, slots may be free while a first request that fits none of them holds up all others.
      */
     static double blockedSlots(Endpoint endpoint, long now) {
         double slots = 0;
-        boolean blocked = false;
-        for (Attempt a : endpoint.inFlight) {
-            boolean waits = mayBeQueued(a);
-            slots += waits ? a.request.arrival.slots() : 0;
-            blocked |= waits && now - a.sentAt > START_TIMEOUT_NANOS;
+        boolean isBlocked = false;
+        for (Attempt attempt : endpoint.inFlight().attempts()) {
+            boolean isQueued = mayBeQueued(attempt);
+            slots += isQueued ? attempt.request().arrival().slots() : 0;
+            isBlocked |= isQueued && now - attempt.sentAt() > START_TIMEOUT_NANOS;
         }
-        return blocked ? slots : 0;
+        return isBlocked ? slots : 0;
     }
 
-    /** Danger: a worker whose time is over may be ill still. One harmless job is its probe, then more. */
+    /** Whether the request may go there: after its ejection an endpoint is tried with one harmless request first. */
     static boolean mayReceive(Endpoint endpoint, ScheduledRequest request, long now) {
-        return now >= endpoint.ejectedUntil
-                && (endpoint.ejections == 0
-                        || endpoint.inFlight.isEmpty()
-                                && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
+        boolean isTrial = endpoint.inFlight().isEmpty() && request.idempotency() != Idempotency.NON_IDEMPOTENT;
+        return !endpoint.health().isEjected(now) && (!endpoint.health().isUnproven() || isTrial);
     }
 }
--- a/src/main/java/nettlewick/decision/PeerFaultCounters.java
+++ b/src/main/java/nettlewick/decision/PeerFaultCounters.java
@@ -1,13 +1,25 @@
 package nettlewick.decision;
 
-/** What of the peers' datagrams was passed over, whole or in part, since the start. Counts only. */
+/** Counts what of the peers' datagrams was passed over, whole or in part, since the start. */
 final class PeerFaultCounters {
-    /** Datagrams of no kind that this version reads, or truncated. */
-    long damaged;
-    /** Notes overtaken by a later one of the same peer. */
-    long late;
-    /** Entries of notes that name no worker of this dispatcher's list. */
-    long unlisted;
+    private long damaged;
+    private long late;
+    private long unlisted;
+
+    /** A datagram of no kind that this version reads, a truncated one, or one sent to the wrong dispatcher. */
+    void countDamaged() {
+        damaged++;
+    }
+
+    /** A message that a later one of the same peer has overtaken. */
+    void countLate() {
+        late++;
+    }
+
+    /** Entries that name no endpoint of this dispatcher's list. */
+    void countUnlisted(int entries) {
+        unlisted += entries;
+    }
 
     Dispatcher.PeerMessageFaults counts() {
         return new Dispatcher.PeerMessageFaults(damaged, late, unlisted);
--- /dev/null
+++ b/src/main/java/nettlewick/decision/PeerLoadExchange.java
@@ -0,0 +1,87 @@
+package nettlewick.decision;
+
+import java.util.Collection;
+import java.util.List;
+import nettlewick.decision.Action.SendToPeer;
+
+/**
+ * Tells peers what this dispatcher has in flight at each endpoint and takes in what they say: by gossip in a
+ * small tier, by owners' sums ({@link LoadAggregator}) in a larger one.
+ */
+final class PeerLoadExchange {
+    private final SchedulerSettings settings;
+    private final SchedulerClock clock;
+    private final ActionBatch actions;
+    private final SharedLoads gossip;
+    /** Null in a tier small enough for gossip between all. */
+    private final LoadAggregator aggregator;
+
+    private final int[] gossipRanks;
+
+    PeerLoadExchange(SchedulerSettings settings, SchedulerClock clock, ActionBatch actions, PeerFaultCounters faults) {
+        this.settings = settings;
+        this.clock = clock;
+        this.actions = actions;
+        gossip = new SharedLoads(faults);
+        int size = settings.fleetSize();
+        aggregator = size > LoadAggregator.MAX_DIRECT_GOSSIP_DISPATCHERS
+                ? new LoadAggregator(settings.rank(), size, faults)
+                : null;
+        gossipRanks = ProbePoolNeighbors.neighborsOf(settings.rank(), size, size);
+    }
+
+    /** Whether this dispatcher exchanges messages with others at all. */
+    boolean hasPeers() {
+        return settings.limits().peers() && settings.fleetSize() > 1;
+    }
+
+    /** Whether loads are summed at owners in place of gossip. */
+    boolean isAggregated() {
+        return aggregator != null;
+    }
+
+    /** Peers name endpoints by marks; these are the ones that discovery lists as ready. */
+    void replaceEndpoints(Collection<Endpoint> discoveredReady) {
+        gossip.replaceEndpoints(discoveredReady);
+        if (aggregator != null) {
+            aggregator.replaceEndpoints(gossip.endpointsByMark());
+        }
+    }
+
+    /** Takes a peer's message over; false if it is none about loads. */
+    boolean receive(int rank, byte[] data) {
+        return gossip.receive(rank, data, clock.now())
+                || aggregator != null && aggregator.receive(rank, data, clock.now());
+    }
+
+    /** Drops what gossip has told too long ago. */
+    void expireGossip() {
+        gossip.expire(clock.now());
+    }
+
+    /** On each tick: drops sums that are too old, or sends the gossip that is due. */
+    void tick() {
+        if (aggregator != null) {
+            aggregator.expire(clock.now());
+            return;
+        }
+        if (!hasPeers()) {
+            return;
+        }
+        for (byte[] message : gossip.dueMessages(clock.now())) {
+            for (int rank : gossipRanks) {
+                actions.add(new SendToPeer(rank, message));
+            }
+        }
+    }
+
+    /** At the end of each batch: sends holdings and sums that have changed or are due. */
+    void flush(Collection<Endpoint> all, List<Endpoint> probed) {
+        if (aggregator != null && hasPeers()) {
+            aggregator
+                    .drainMessages(clock.now(), all, probed)
+                    .forEach((rank, messages) ->
+                            messages.forEach(message -> actions.add(new SendToPeer(rank, message))));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/decision/ProbePool.java
@@ -0,0 +1,141 @@
+package nettlewick.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import nettlewick.decision.Action.Probe;
+
+/** Draws the endpoints that this dispatcher probes, and probes them at a bounded rate. */
+final class ProbePool {
+    /** Endpoints of the own zone in a pool: at least this many. */
+    static final int MIN_SIZE = 8;
+
+    /** The least where owners tell what all dispatchers hold: fewer are as good, and cheaper to be told of. */
+    private static final int MIN_SIZE_AGGREGATED = 5;
+
+    private static final int MAX_SIZE = 24;
+    /** Pool size as a multiple of this dispatcher's part of the endpoints. */
+    private static final double SIZE_PER_PART = 1.5;
+    /** Pool size as a multiple of the endpoints that its own traffic keeps busy. */
+    private static final double SIZE_PER_BUSY_ENDPOINT = 2.5;
+
+    private static final double PROBES_PER_ARRIVAL = 3;
+    private static final double PROBES_PER_TICK =
+            (double) SchedulerTimings.TICK_NANOS / SchedulerTimings.SHARE_INTERVAL_NANOS;
+    /** A report younger than this is not renewed. */
+    private static final long MIN_REPORT_AGE_NANOS = SchedulerTimings.SHARE_INTERVAL_NANOS / 4;
+
+    private final SchedulerSettings settings;
+    private final SchedulerClock clock;
+    private final ActionBatch actions;
+    private final EndpointPools pools;
+    private final ServiceRates rates;
+    private final int minSize;
+    private List<Endpoint> probed = List.of();
+    private double tokens = MIN_SIZE;
+    private int cursor;
+
+    ProbePool(
+            SchedulerSettings settings,
+            SchedulerClock clock,
+            ActionBatch actions,
+            EndpointPools pools,
+            ServiceRates rates,
+            boolean isLoadAggregated) {
+        this.settings = settings;
+        this.clock = clock;
+        this.actions = actions;
+        this.pools = pools;
+        this.rates = rates;
+        minSize = isLoadAggregated ? MIN_SIZE_AGGREGATED : MIN_SIZE;
+    }
+
+    /** Draws all pools anew, after an endpoint update and in each interval, since sizes follow the traffic. */
+    void redraw() {
+        pools.all().forEach(this::redraw);
+        probed = pools.all().stream()
+                .flatMap(pool -> pool.probed().stream())
+                .distinct()
+                .toList();
+    }
+
+    /** A stretch of the own zone, and two thirds as many of the other zones; more where the own zone is small. */
+    private void redraw(EndpointPool pool) {
+        int size = size(pool);
+        List<Endpoint> drawn = new ArrayList<>();
+        addStretch(pool.local(), size, drawn);
+        int remote = pool.local().isEmpty()
+                ? size
+                : (2 * size + 2) / 3 + Math.max(0, size - pool.local().size());
+        addStretch(pool.remote(), remote, drawn);
+        pool.setProbed(drawn);
+    }
+
+    private int size(EndpointPool pool) {
+        double part = (double) pool.local().size() * pool.zoneCount() / settings.fleetSize();
+        double busy = SIZE_PER_BUSY_ENDPOINT
+                * rates.triedRate()
+                / Math.max(1, pool.stats().mostFreeSlots());
+        double wanted = Math.max(minSize, Math.max(busy, SIZE_PER_PART * part));
+        return (int) Math.ceil(Math.min(MAX_SIZE, wanted));
+    }
+
+    /** Each dispatcher begins at a place of its own, so that pools differ and dispatchers don't herd. */
+    private void addStretch(List<Endpoint> from, int size, List<Endpoint> to) {
+        int start = (int) (ProbePoolNeighbors.ringPosition(settings.rank()) * from.size());
+        for (int i = 0; i < Math.min(size, from.size()); i++) {
+            to.add(from.get((start + i) % from.size()));
+        }
+    }
+
+    /** The endpoints of all pools, each once. */
+    List<Endpoint> probed() {
+        return probed;
+    }
+
+    /** An arrival pays for further probes. */
+    void recordArrival() {
+        tokens += PROBES_PER_ARRIVAL;
+    }
+
+    /** On each tick: probes endpoints in turn whose last report is no longer young. */
+    void probeDue() {
+        if (!settings.limits().probes() || probed.isEmpty()) {
+            return;
+        }
+        tokens = Math.min(tokens + PROBES_PER_TICK, probed.size());
+        int allowed = (int)
+                Math.ceil(2.0 * probed.size() * SchedulerTimings.TICK_NANOS / SchedulerTimings.SHARE_INTERVAL_NANOS);
+        for (int i = 0; i < probed.size() && allowed > 0 && tokens >= 1; i++) {
+            Endpoint endpoint = probed.get(cursor++ % probed.size());
+            if (endpoint.isReady() && isProbeDue(endpoint, MIN_REPORT_AGE_NANOS)) {
+                allowed--;
+                probe(endpoint);
+            }
+        }
+    }
+
+    private boolean isProbeDue(Endpoint endpoint, long minAgeNanos) {
+        return !endpoint.capacity().isProbePending()
+                && clock.now() - endpoint.capacity().reportedAt() >= minAgeNanos;
+    }
+
+    /** Probes the endpoints whose report is more than half an interval old; true if there is one. */
+    boolean probeStale(List<Endpoint> endpoints) {
+        boolean isAnyStale = false;
+        for (Endpoint endpoint : endpoints) {
+            if (settings.limits().probes()
+                    && endpoint.isReady()
+                    && isProbeDue(endpoint, SchedulerTimings.SHARE_INTERVAL_NANOS / 2 + 1)) {
+                probe(endpoint);
+                isAnyStale = true;
+            }
+        }
+        return isAnyStale;
+    }
+
+    private void probe(Endpoint endpoint) {
+        endpoint.capacity().setProbePending(true);
+        tokens--;
+        actions.add(new Probe(endpoint.id()));
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/decision/RequestRetrier.java
@@ -0,0 +1,33 @@
+package nettlewick.decision;
+
+/** Sends a further attempt of a request, or gives the request up. */
+final class RequestRetrier {
+    private final RetryPolicy policy;
+    private final EndpointSelector selector;
+    private final AttemptSender sender;
+    private final RequestCompletion completion;
+
+    RequestRetrier(RetryPolicy policy, EndpointSelector selector, AttemptSender sender, RequestCompletion completion) {
+        this.policy = policy;
+        this.selector = selector;
+        this.sender = sender;
+        this.completion = completion;
+    }
+
+    /** Sends one more attempt where that is allowed and useful; gives up where nothing is in flight either. */
+    void retry(ScheduledRequest request) {
+        if (request.isAnswered() || request.isStreaming()) {
+            return;
+        }
+        if (policy.mayRetry(request)) {
+            EndpointSelection selection = selector.select(request);
+            if (selection.endpoint() != null && (selection.hasRoom() || policy.mayQueue(request))) {
+                sender.send(request, selection);
+                return;
+            }
+        }
+        if (request.inFlightAttempts() == 0) {
+            completion.giveUp(request);
+        }
+    }
+}
--- a/src/main/java/nettlewick/decision/RunningMean.java
+++ b/src/main/java/nettlewick/decision/RunningMean.java
@@ -1,21 +1,44 @@
 package nettlewick.decision;
 
-/** A mean over all at first, over about the last fifty, or another number, later. */
+/** A mean over all samples at first, and an exponentially weighted one once the sample limit is reached. */
 final class RunningMean {
+    private static final int DEFAULT_MAX_SAMPLES = 50;
+
     private final int maxSamples;
-    double value;
-    double count;
+    private double value;
+    private double count;
 
     RunningMean() {
-        this(50);
+        this(DEFAULT_MAX_SAMPLES);
+    }
+
+    RunningMean(int maxSamples) {
+        this(maxSamples, 0);
     }
 
-    RunningMean(int most) {
-        this.maxSamples = most;
+    /** A mean that starts as if {@code initialSamples} zeros had been seen. */
+    RunningMean(int maxSamples, int initialSamples) {
+        this.maxSamples = maxSamples;
+        count = initialSamples;
     }
 
-    void add(double x) {
+    void add(double sample) {
         count = Math.min(count + 1, maxSamples);
-        value += (x - value) / count;
+        value += (sample - value) / count;
+    }
+
+    /** The mean, 0 before the first sample. */
+    double value() {
+        return value;
+    }
+
+    /** The samples that the mean stands for, at most the limit. */
+    double count() {
+        return count;
+    }
+
+    /** Gives the samples so far no weight against the next one. */
+    void forgetSamples() {
+        count = 0;
     }
 }
--- a/src/main/java/nettlewick/decision/ScheduledRequest.java
+++ b/src/main/java/nettlewick/decision/ScheduledRequest.java
@@ -1,62 +1,151 @@
 package nettlewick.decision;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
-/** A client's request until its final answer and its last outcome. */
+/** A client's request, until both its final answer and the outcome of its last attempt are known. */
 final class ScheduledRequest {
-    final Arrival arrival;
-    final RequestClass requestClass;
-    final int classIndex;
-    final TenantCredit tenantCredit;
-    final long arrivedAt;
-    final long deadline;
-    final double cost;
-    boolean answered;
-    boolean streaming;
-    final List<Attempt> attempts = new ArrayList<>(2);
-
-    ScheduledRequest(Arrival arrival, RequestClass kind, int index, TenantCredit tenure, long now) {
+    private static final double MIN_SLOTS = 1e-3;
+
+    private final Arrival arrival;
+    private final RequestClass requestClass;
+    private final int classIndex;
+    private final TenantCredit tenantCredit;
+    private final long arrivedAt;
+    private final long deadline;
+    private final double cost;
+    private final List<Attempt> attempts = new ArrayList<>(2);
+    private boolean isAnswered;
+    private boolean isStreaming;
+
+    ScheduledRequest(Arrival arrival, RequestClass requestClass, int classIndex, TenantCredit credit, long now) {
         this.arrival = arrival;
-        this.requestClass = kind;
-        this.classIndex = index;
-        this.tenantCredit = tenure;
+        this.requestClass = requestClass;
+        this.classIndex = classIndex;
+        tenantCredit = credit;
         arrivedAt = now;
         deadline = now + arrival.remaining();
-        cost = arrival.slots() * (arrival.costHint() > 0 ? arrival.costHint() / 1e9 : 1);
+        cost = arrival.slots() * (hasCostHint() ? arrival.costHint() / 1e9 : 1);
+    }
+
+    String id() {
+        return arrival.id();
+    }
+
+    Arrival arrival() {
+        return arrival;
+    }
+
+    RequestClass requestClass() {
+        return requestClass;
+    }
+
+    /** The place of its class in the settings. */
+    int classIndex() {
+        return classIndex;
+    }
+
+    Idempotency idempotency() {
+        return requestClass.idempotency();
+    }
+
+    TenantCredit tenantCredit() {
+        return tenantCredit;
+    }
+
+    long arrivedAt() {
+        return arrivedAt;
+    }
+
+    long deadline() {
+        return deadline;
+    }
+
+    /** Expected work in slot-seconds; a request without a hint counts as one second long. */
+    double cost() {
+        return cost;
     }
 
-    /** Worth of a slot that the job takes. */
+    boolean hasCostHint() {
+        return arrival.costHint() > 0;
+    }
+
+    boolean hasKey() {
+        return arrival.key() != null;
+    }
+
+    /** Priority weight of a slot that the request takes. */
     double priorityPerSlot() {
-        return requestClass.priorityWeight() / Math.max(arrival.slots(), 1e-3);
+        return requestClass.priorityWeight() / Math.max(arrival.slots(), MIN_SLOTS);
+    }
+
+    /** Adds the next attempt, to be sent to {@code endpoint}. */
+    Attempt addAttempt(Endpoint endpoint, long now) {
+        Attempt attempt = new Attempt(this, endpoint, attempts.size(), now);
+        attempts.add(attempt);
+        return attempt;
+    }
+
+    /** All attempts so far, in the order of sending. */
+    List<Attempt> attempts() {
+        return Collections.unmodifiableList(attempts);
+    }
+
+    int attemptCount() {
+        return attempts.size();
+    }
+
+    /** The attempt of this number, null if there is none. */
+    Attempt attempt(int number) {
+        return number < 0 || number >= attempts.size() ? null : attempts.get(number);
     }
 
     int inFlightAttempts() {
-        int n = 0;
-        for (Attempt a : attempts) {
-            n += a.ended ? 0 : 1;
+        int count = 0;
+        for (Attempt attempt : attempts) {
+            count += attempt.hasEnded() ? 0 : 1;
         }
-        return n;
+        return count;
     }
 
     boolean wasSentTo(Endpoint endpoint) {
-        for (Attempt a : attempts) {
-            if (a.endpoint == endpoint) {
+        for (Attempt attempt : attempts) {
+            if (attempt.endpoint() == endpoint) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The first attempt that ran, may have run or may run yet; null if none. */
+    /** The first attempt that ran, may have run or may yet run; null if none. */
     Attempt firstPossiblyExecutedAttempt() {
-        for (Attempt a : attempts) {
-            if (!a.ended || !a.neverRan) {
-                return a;
+        for (Attempt attempt : attempts) {
+            if (attempt.mayHaveRun()) {
+                return attempt;
             }
         }
         return null;
     }
+
+    /** Records that nothing more may be sent for this request. */
+    void markAnswered() {
+        isAnswered = true;
+    }
+
+    boolean isAnswered() {
+        return isAnswered;
+    }
+
+    /** Records that a streamed answer has begun, after which no other attempt may answer. */
+    void markStreaming() {
+        isStreaming = true;
+    }
+
+    boolean isStreaming() {
+        return isStreaming;
+    }
 }
--- /dev/null
+++ b/src/main/java/nettlewick/decision/SchedulerTick.java
@@ -0,0 +1,88 @@
+package nettlewick.decision;
+
+import java.util.SplittableRandom;
+import nettlewick.decision.Action.SetTimer;
+
+/** The periodic work of the decision module, in its fixed order. */
+final class SchedulerTick {
+    /** The timer on which it runs. */
+    static final String TIMER = "beat";
+
+    /** A request that nothing answers is given up this long before its deadline. */
+    private static final long DEADLINE_MARGIN_NANOS = 2 * SchedulerTimings.TICK_NANOS;
+
+    private final SchedulerClock clock;
+    private final SplittableRandom random;
+    private final ActionBatch actions;
+    private final RequestTable table;
+    private final RequestCompletion completion;
+    private final ListSubscription subscription;
+    private final EndpointDirectory directory;
+    private final PeerLoadExchange loads;
+    private final CapacityEstimator capacity;
+    private final AttemptMonitor monitor;
+    private final SliceController sliceController;
+    private final ProbePool probePool;
+    private final SliceExchange exchange;
+
+    SchedulerTick(
+            SchedulerClock clock,
+            SplittableRandom random,
+            ActionBatch actions,
+            RequestTable table,
+            RequestCompletion completion,
+            ListSubscription subscription,
+            EndpointDirectory directory,
+            PeerLoadExchange loads,
+            CapacityEstimator capacity,
+            AttemptMonitor monitor,
+            SliceController sliceController,
+            ProbePool probePool,
+            SliceExchange exchange) {
+        this.clock = clock;
+        this.random = random;
+        this.actions = actions;
+        this.table = table;
+        this.completion = completion;
+        this.subscription = subscription;
+        this.directory = directory;
+        this.loads = loads;
+        this.capacity = capacity;
+        this.monitor = monitor;
+        this.sliceController = sliceController;
+        this.probePool = probePool;
+        this.exchange = exchange;
+    }
+
+    /** Asks for the first tick, at a random phase. */
+    void start() {
+        actions.add(new SetTimer(TIMER, 1 + random.nextLong(SchedulerTimings.TICK_NANOS)));
+    }
+
+    /** Runs one tick and asks for the next. */
+    void run() {
+        actions.add(new SetTimer(TIMER, SchedulerTimings.TICK_NANOS));
+        subscription.tick();
+        giveUpExpired();
+        loads.expireGossip();
+        capacity.tick(directory.all());
+        monitor.tick();
+        sliceController.tick();
+        probePool.probeDue();
+        exchange.resendPending();
+        loads.tick();
+    }
+
+    /** Ends the requests that no outcome would bring up again before their clients give up. */
+    private void giveUpExpired() {
+        for (ScheduledRequest request : table.unanswered()) {
+            if (!request.isAnswered()
+                    && !request.isStreaming()
+                    && request.inFlightAttempts() == 0
+                    && clock.now() + DEADLINE_MARGIN_NANOS >= request.deadline()) {
+                completion.giveUp(request);
+            }
+        }
+        table.dropAnswered();
+    }
+}
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/SharedLoads.java
@@ -31,14 +31,12 @@
     }
 
     void replaceEndpoints(Collection<Endpoint> ready) {
-        byName = ready.stream()
-                .sorted(Comparator.comparing(endpoint -> endpoint.id))
-                .toList();
+        byName = ready.stream().sorted(Comparator.comparing(Endpoint::id)).toList();
         byMark = LoadGossip.indexByMark(byName);
     }
 
     /** The ready workers by their marks; those that share one stand for none of them. */
-    Map<Character, Endpoint> byMark() {
+    Map<Character, Endpoint> endpointsByMark() {
         return byMark;
     }
 
@@ -54,19 +52,19 @@
         }
         LoadGossip.Received note = LoadGossip.decode(data, byMark);
         if (note == null) {
-            faults.damaged++;
+            faults.countDamaged();
             return true;
         }
         PartKey from = new PartKey(rank, note.part());
         ReceivedLoad old = received.get(from);
         int ahead = old == null || now - old.at() >= TTL_NANOS / 2 ? 1 : (byte) (note.number() - old.number());
         if (ahead < 0) {
-            faults.late++;
+            faults.countLate();
             return true;
         }
-        faults.unlisted += note.unlisted();
+        faults.countUnlisted(note.unlisted());
         withdraw(received.put(from, new ReceivedLoad(note.slotsInFlight(), now, note.number())));
-        note.slotsInFlight().forEach((endpoint, held) -> endpoint.peerSlots += held);
+        note.slotsInFlight().forEach((endpoint, held) -> endpoint.inFlight().addPeerSlots(held));
         for (int gone = note.parts(); withdraw(received.remove(new PartKey(rank, gone))); gone++) {
             continue;
         }
@@ -100,7 +98,7 @@
 
     private static boolean withdraw(ReceivedLoad old) {
         if (old != null) {
-            old.slots().forEach((endpoint, held) -> endpoint.peerSlots -= held);
+            old.slots().forEach((endpoint, held) -> endpoint.inFlight().addPeerSlots(-held));
         }
         return old != null;
     }
--- /dev/null
+++ b/src/main/java/nettlewick/decision/SliceInheritance.java
@@ -0,0 +1,44 @@
+package nettlewick.decision;
+
+/** Takes over the binding slice of the dispatcher before this one on the ring once it has long been silent. */
+final class SliceInheritance {
+    /** The state is requested after this many silent intervals, and the slice inherited after twice as many. */
+    private static final int SILENT_INTERVALS = 3;
+
+    private static final long REQUEST_AFTER_NANOS = SILENT_INTERVALS * SchedulerTimings.SHARE_INTERVAL_NANOS;
+
+    private final SchedulerClock clock;
+    private final CapacitySlice slice;
+    private final SliceMessenger messenger;
+
+    SliceInheritance(SchedulerClock clock, CapacitySlice slice, SliceMessenger messenger) {
+        this.clock = clock;
+        this.slice = slice;
+        this.messenger = messenger;
+    }
+
+    /** Checks the predecessor; {@code peer} is null while it was never heard. */
+    void checkPredecessor(int rank, PeerState peer) {
+        if (peer == null
+                || !peer.isBinding()
+                || peer.isInherited()
+                || peer.silence(clock.now()) <= REQUEST_AFTER_NANOS) {
+            return;
+        }
+        // A predecessor whose messages were lost may still run: inheriting its slice would lift the sum over
+        // all dispatchers. It is asked first, and gets the slice back when it is heard again.
+        if (peer.silence(clock.now()) <= 2 * REQUEST_AFTER_NANOS) {
+            messenger.requestState(rank);
+        } else if (slice.isBinding()) {
+            slice.credit(peer.inherit());
+        } else {
+            peer.markNotBinding();
+        }
+    }
+
+    /** Gives an inherited slice back to a peer that was heard again. */
+    void returnTo(PeerState peer) {
+        slice.returnInherited(peer.inheritedAmount());
+        peer.clearInheritance();
+    }
+}
--- /dev/null
+++ b/src/main/java/nettlewick/decision/SliceMessenger.java
@@ -0,0 +1,44 @@
+package nettlewick.decision;
+
+import nettlewick.decision.Action.SendToPeer;
+
+/** Sends this dispatcher's slice messages, each with its incarnation and the present state of its slice. */
+final class SliceMessenger {
+    private final ActionBatch actions;
+    private final CapacitySlice slice;
+    private final int incarnation;
+
+    SliceMessenger(ActionBatch actions, CapacitySlice slice, int incarnation) {
+        this.actions = actions;
+        this.slice = slice;
+        this.incarnation = incarnation;
+    }
+
+    /** The number that tells this process from earlier ones of the same rank. */
+    int incarnation() {
+        return incarnation;
+    }
+
+    void sendState(int rank) {
+        send(rank, PeerMessage.Type.STATE, 0, 0, slice.rate());
+    }
+
+    void requestState(int rank) {
+        send(rank, PeerMessage.Type.STATE_REQUEST, 0, 0, 0);
+    }
+
+    /** Sends the transfer that is pending to the peer, for the first time or again. */
+    void sendTransfer(int rank, PeerState peer) {
+        send(rank, PeerMessage.Type.TRANSFER, peer.incarnation(), peer.transferNumber(), peer.pendingAmount());
+    }
+
+    void acknowledge(int rank, PeerMessage transfer) {
+        send(rank, PeerMessage.Type.ACK, transfer.incarnation(), transfer.number(), 0);
+    }
+
+    private void send(int rank, PeerMessage.Type type, int peerIncarnation, int number, double amount) {
+        PeerMessage message = new PeerMessage(
+                type, slice.isBinding(), incarnation, peerIncarnation, number, slice.augmentedShare(), amount);
+        actions.add(new SendToPeer(rank, message.encode()));
+    }
+}
--- a/src/main/java/nettlewick/decision/SlowStartBudget.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -2,17 +2,17 @@
 
 import nettlewick.decision.SchedulerSettings.Rules;
 
-/** How much a worker that just started is sent, so that all dispatchers together do not push it over. */
+/** How much an endpoint that has just started is sent, so that all dispatchers together don't overload it. */
 final class SlowStartBudget {
-    /** Part of a cold worker's allowed load that all dispatchers together aim at. */
+    /** Part of a warming endpoint's allowed load that all dispatchers together aim at. */
     private static final double TARGET_LOAD_SHARE = 0.4;
 
-    /** Part of its slots that a warm worker is taken to be busy with, until its load is measured. */
+    /** Part of its slots that a warm endpoint is taken to be busy with, until its load is measured. */
     private static final double ASSUMED_UTILIZATION = 0.5;
-    /** Measures until which that is the least: the first ones see jobs come, but hardly any end. */
+    /** Intervals until which that is the least: in the first ones requests arrive, but hardly any end. */
     private static final int MIN_MEASUREMENTS = 4;
 
-    /** What it owes where no job has been seen yet. */
+    /** Slot-seconds owed where no request has been seen yet. */
     private static final double MIN_INITIAL_DEBT = 0.1;
 
     private final Rules rules;
@@ -23,38 +23,37 @@
         this.fleetSize = fleetSize;
     }
 
-    /** Seconds of work that a worker first seen owes at most before its first job. */
+    /** Slot-seconds that an endpoint first seen owes at most before its first request. */
     static double maxInitialDebt(double meanCost) {
         return Math.max(meanCost, MIN_INITIAL_DEBT);
     }
 
     boolean isWarmingUp(Endpoint endpoint, long now) {
-        return endpoint.entry.startedAt() > 0 && now - endpoint.entry.startedAt() < rules.slowStart();
+        long startedAt = endpoint.entry().startedAt();
+        return startedAt > 0 && now - startedAt < rules.slowStart();
     }
 
     /**
-     * What a warm worker carries for this dispatcher. Danger: one that has just started has seen nothing
-     * carried. While sim runners are released it would take most of them for cold and forbidden, and pile its
-     * jobs on the few others.
+     * What a warm endpoint carries for this dispatcher. A dispatcher that has just started has measured
+     * nothing; during a release of the endpoints it would leave the new ones alone and overload the others.
      */
-    private double expectedRate(EndpointPool pool) {
-        double guess = ASSUMED_UTILIZATION * Math.max(1, pool.mostFreeSlots) / fleetSize;
-        return pool.measurements < MIN_MEASUREMENTS ? Math.max(pool.carriedRate, guess) : pool.carriedRate;
+    private double expectedRate(EndpointKindStats kind) {
+        double assumed = ASSUMED_UTILIZATION * Math.max(1, kind.mostFreeSlots()) / fleetSize;
+        return kind.measurements() < MIN_MEASUREMENTS ? Math.max(kind.carriedRate(), assumed) : kind.carriedRate();
     }
 
-    /** Whether one more job may go there; {@code most} bounds the credit that piles up. */
-    boolean admits(Endpoint endpoint, EndpointPool pool, double most, long now) {
+    /**
+     * Whether one more request may go there. Each dispatcher sends its own part of what warm endpoints of the
+     * kind carry, ramped by age; {@code maxCredit} slot-seconds bound what piles up into a burst.
+     */
+    boolean admits(Endpoint endpoint, EndpointKindStats kind, double maxCredit, long now) {
         if (!isWarmingUp(endpoint, now)) {
             return true;
         }
-        // Danger: all dispatchers find a new worker empty and push it over. Each alone sends it no more than
-        // its own part of what warm peers carry, ramped by age; credit never piles up into a burst.
-        double age = (double) Math.max(0, now - endpoint.entry.startedAt()) / rules.slowStart();
+        double age = (double) Math.max(0, now - endpoint.entry().startedAt()) / rules.slowStart();
         double ramp = rules.slowStartShare() + (1 - rules.slowStartShare()) * age;
-        double rate = TARGET_LOAD_SHARE * rules.overloadFactor() * expectedRate(pool) * ramp;
-        endpoint.slowStartCredit =
-                Math.min(endpoint.slowStartCredit + rate * (now - endpoint.slowStartCreditAt) / 1e9, most);
-        endpoint.slowStartCreditAt = now;
-        return endpoint.slowStartCredit > 0;
+        double rate = TARGET_LOAD_SHARE * rules.overloadFactor() * expectedRate(kind) * ramp;
+        endpoint.slowStartCredit().accrue(rate, maxCredit, now);
+        return endpoint.slowStartCredit().isPositive();
     }
 }
--- a/src/main/java/nettlewick/decision/TenantCredit.java
+++ b/src/main/java/nettlewick/decision/TenantCredit.java
@@ -2,18 +2,53 @@
 
 import java.util.List;
 
-/** A tenant's queue in the deficit round robin, kept virtually: credit instead of waiting jobs. */
+/** A tenant's queue in the deficit round robin, kept virtually: credit in place of waiting requests. */
 final class TenantCredit {
-    final double weight;
-    double credit;
-    double offered;
-    double demand;
+    private static final int BISECTION_STEPS = 40;
+
+    private final double weight;
+    private double balance;
+    private double offered;
+    private double demand;
 
     TenantCredit(double weight) {
         this.weight = weight;
     }
 
-    /** g(v): what all tenants carry when none gets more than {@code level} for its weight. */
+    /** The tenant's part of the slice, in [0, 1]. */
+    double weight() {
+        return weight;
+    }
+
+    /** Credit in slot-seconds; below 0 after a request that cost more than was left. */
+    double balance() {
+        return balance;
+    }
+
+    void add(double slotSeconds) {
+        balance += slotSeconds;
+    }
+
+    void spend(double slotSeconds) {
+        balance -= slotSeconds;
+    }
+
+    void raiseTo(double slotSeconds) {
+        balance = Math.max(balance, slotSeconds);
+    }
+
+    /** Counts a request towards the tenant's demand. */
+    void recordOffered(double slotSeconds) {
+        offered += slotSeconds;
+    }
+
+    /** Smooths the demand over the interval that ends now. */
+    void closeInterval(double seconds) {
+        demand += (offered / seconds - demand) / 2;
+        offered = 0;
+    }
+
+    /** What all tenants carry together when none gets more than {@code level} for its weight. */
     static double totalCarried(List<TenantCredit> all, double level) {
         return all.stream()
                 .mapToDouble(t -> Math.min(t.demand, level * t.weight))
@@ -27,7 +62,7 @@
             return high;
         }
         double low = 0;
-        for (int i = 0; i < 40; i++) {
+        for (int i = 0; i < BISECTION_STEPS; i++) {
             double middle = (low + high) / 2;
             if (totalCarried(all, middle) < slice) {
                 low = middle;
--- a/src/test/java/nettlewick/decision/ColdStartTest.java
+++ b/src/test/java/nettlewick/decision/ColdStartTest.java
@@ -53,23 +53,19 @@
             SplittableRandom random = new SplittableRandom(seed);
             long start = SECOND;
             List<Endpoint> views = new ArrayList<>();
-            List<EndpointPool> pools = new ArrayList<>();
+            List<EndpointKindStats> kinds = new ArrayList<>();
             List<Long> toldAt = new ArrayList<>();
             List<Long> restartAt = new ArrayList<>();
             for (int d = 0; d < dispatchers; d++) {
                 Endpoint endpoint = new Endpoint("w");
-                endpoint.entry = new EndpointEntry("w", EndpointState.READY, start, 0, "std", "a", 1);
-                endpoint.slowStartCreditAt = start;
-                endpoint.slowStartCredit = -random.nextDouble() * SlowStartBudget.maxInitialDebt(mean);
+                endpoint.update(new EndpointEntry("w", EndpointState.READY, start, 0, "std", "a", 1), 0, true);
+                endpoint.slowStartCredit().reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), start);
                 views.add(endpoint);
-                EndpointPool p = new EndpointPool(0);
-                p.mostFreeSlots = slots;
                 // All slots of a warm peer are in work: the first has its multiple, the others share the rest.
-                p.carriedRate = d == 0
+                double carriedRate = d == 0
                         ? slots * Math.min(1, uneven / dispatchers)
                         : slots * (1 - Math.min(1, uneven / dispatchers)) / Math.max(1, dispatchers - 1);
-                p.measurements = random.nextInt(2) * 100;
-                pools.add(p);
+                kinds.add(new EndpointKindStats(slots, carriedRate, random.nextInt(2) * 100));
                 toldAt.add(start + random.nextLong(SECOND));
                 restartAt.add(start + SECOND + random.nextLong(rules.slowStart()));
             }
@@ -79,14 +75,15 @@
                 for (int d = 0; d < dispatchers; d++) {
                     Endpoint endpoint = views.get(d);
                     if (restartAt.get(d) >= now && restartAt.get(d) < now + STEP) {
-                        endpoint.slowStartCreditAt = now;
-                        endpoint.slowStartCredit = -random.nextDouble() * SlowStartBudget.maxInitialDebt(mean);
-                        pools.get(d).measurements = 0;
+                        endpoint.slowStartCredit()
+                                .reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), now);
+                        EndpointKindStats before = kinds.get(d);
+                        kinds.set(d, new EndpointKindStats(before.mostFreeSlots(), before.carriedRate(), 0));
                     }
-                    if (now >= toldAt.get(d) && rule.admits(endpoint, pools.get(d), mean, now)) {
+                    if (now >= toldAt.get(d) && rule.admits(endpoint, kinds.get(d), mean, now)) {
                         // Work is drawn with a spread of about a factor of two; half the mean counts at least.
                         double cost = mean * Math.exp(0.7 * random.nextDouble() - 0.35);
-                        endpoint.slowStartCredit -= Math.max(cost, mean / 2);
+                        endpoint.slowStartCredit().spend(Math.max(cost, mean / 2));
                         sends.add(now);
                     }
                 }
--- a/src/test/java/nettlewick/decision/FleetTest.java
+++ b/src/test/java/nettlewick/decision/FleetTest.java
@@ -111,7 +111,7 @@
                         Samples.answer("w0", 2, 0),
                         Samples.answer("w1", 2, 0)));
         Endpoint full = new Endpoint("w0");
-        full.inFlightSlots = 2;
+        Samples.setSlotsInFlight(full, 2);
         SharedLoads peer = new SharedLoads(new PeerFaultCounters());
         peer.replaceEndpoints(List.of(full, new Endpoint("w1")));
         logic.handle(2, List.of(new PeerMessageReceived(1, peer.dueMessages(2).get(0))));
--- a/src/test/java/nettlewick/decision/OutliersTest.java
+++ b/src/test/java/nettlewick/decision/OutliersTest.java
@@ -20,7 +20,12 @@
     private final OutlierDetector outliers = new OutlierDetector(() -> fleet);
 
     private boolean out(int i, long now) {
-        return now < fleet.get(i).ejectedUntil;
+        return fleet.get(i).health().isEjected(now);
+    }
+
+    private static void reportQueue(Endpoint endpoint, double waiting, long now) {
+        EndpointLoad load = new EndpointLoad(Double.NaN, Double.NaN, waiting, Double.NaN, Double.NaN);
+        endpoint.capacity().applyReport(load, now, new EndpointKindStats(), new LargestRequest());
     }
 
     @Test
@@ -71,24 +76,26 @@
         RequestClass read = Samples.jobClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 1);
         ScheduledRequest request = new ScheduledRequest(Samples.arrival("a", "read", "red"), read, 0, null, 0);
         Attempt sent = new Attempt(request, endpoint, 0, 0);
-        endpoint.recordSent(sent);
-        endpoint.queueProvenEmpty = true;
-        endpoint.reportedAt = 1500 * MS;
+        endpoint.inFlight().add(sent);
+        reportQueue(endpoint, 0, 1500 * MS);
         assertFalse(OutlierDetector.isLost(sent, 1501 * MS, 0));
-        endpoint.reportedAt = 1501 * MS;
+        reportQueue(endpoint, 0, 1501 * MS);
         assertTrue(OutlierDetector.isLost(sent, 1501 * MS, 0));
-        endpoint.queueProvenEmpty = false;
+        reportQueue(endpoint, 1, 1501 * MS);
         assertFalse(OutlierDetector.isLost(sent, 1501 * MS, 0), "it may be the one that waits");
-        assertFalse(outliers.mayHedge());
-        outliers.recordLost(sent);
-        outliers.recordLost(sent);
-        assertEquals(0, endpoint.inFlightSlots);
-        outliers.recordHedge(true);
-        assertTrue(outliers.mayHedge());
-        outliers.recordHedge(true);
-        assertFalse(outliers.mayHedge(), "two for each that is lost");
-        endpoint.recordEnded(sent);
-        assertEquals(0, endpoint.inFlightSlots);
+        HedgingPolicy hedging = new HedgingPolicy(r -> true);
+        assertFalse(hedging.mayHedge(request));
+        hedging.recordLost(sent);
+        endpoint.inFlight().release(sent);
+        hedging.recordLost(sent);
+        endpoint.inFlight().release(sent);
+        assertEquals(0, endpoint.inFlight().slots());
+        hedging.recordHedge();
+        assertTrue(hedging.mayHedge(request));
+        hedging.recordHedge();
+        assertFalse(hedging.mayHedge(request), "two for each that is lost");
+        endpoint.inFlight().remove(sent);
+        assertEquals(0, endpoint.inFlight().slots());
     }
 
     /**
@@ -97,7 +104,7 @@
      */
     @Test
     void aReportWithoutAQueueProvesItEmptyOnlyWithRoomForAnyJob() {
-        EndpointPool kind = new EndpointPool(-1);
+        EndpointKindStats kind = new EndpointKindStats();
         LargestRequest most = new LargestRequest();
         most.include(new Arrival("a", "read", null, MS, 2, 1.5, 0, null, false));
         Endpoint endpoint = fleet.get(0);
@@ -105,10 +112,10 @@
         double none = Double.NaN;
         double[][] freeAndMemory = {{0, 4}, {1, 4}, {4, 1}, {4, 4}};
         for (double[] f : freeAndMemory) {
-            endpoint.applyReport(new EndpointLoad(f[0], f[1], none, none, none), 2000 * MS, kind, most);
+            endpoint.capacity().applyReport(new EndpointLoad(f[0], f[1], none, none, none), 2000 * MS, kind, most);
             assertEquals(f == freeAndMemory[3], OutlierDetector.isLost(sent, 2000 * MS, 0), f[0] + " slots, " + f[1]);
         }
-        endpoint.applyReport(new EndpointLoad(4, 4, 1, none, none), 2000 * MS, kind, most);
+        endpoint.capacity().applyReport(new EndpointLoad(4, 4, 1, none, none), 2000 * MS, kind, most);
         assertFalse(OutlierDetector.isLost(sent, 2000 * MS, 0), "one waits");
     }
 
@@ -116,7 +123,7 @@
     void whatShouldHaveStartedShowsInTime() {
         Attempt sent = new Attempt(null, fleet.get(0), 0, 0);
         assertFalse(OutlierDetector.isStartOverdue(sent, 151 * MS), "it was sent to a queue");
-        sent.sawFreeCapacity = true;
+        sent.markSentToFreeCapacity();
         assertTrue(!OutlierDetector.isStartOverdue(sent, 150 * MS) && OutlierDetector.isStartOverdue(sent, 151 * MS));
         OutlierDetector.recordProgress(sent, true, 200 * MS);
         assertFalse(OutlierDetector.isStartOverdue(sent, 900 * MS));
@@ -130,6 +137,6 @@
         assertTrue(out(0, 1500 * MS));
         outliers.recordResult(fleet.get(0), AttemptResult.SERVED, MS, 1500 * MS);
         assertFalse(out(0, 1500 * MS));
-        assertEquals(0, fleet.get(0).ejections);
+        assertFalse(fleet.get(0).health().isUnproven());
     }
 }
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -79,6 +79,17 @@
                 new EndpointLoad(free, Double.NaN, waiting, Double.NaN, Double.NaN));
     }
 
+    /** Leaves one attempt in flight there that takes so many slots, or none for 0. */
+    static void setSlotsInFlight(Endpoint endpoint, double slots) {
+        List.copyOf(endpoint.inFlight().attempts()).forEach(endpoint.inFlight()::remove);
+        if (slots > 0) {
+            Arrival arrival = new Arrival("held", "read", "red", SECOND, slots, 0, 0, null, false);
+            RequestClass read = jobClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2);
+            ScheduledRequest request = new ScheduledRequest(arrival, read, 0, null, 0);
+            endpoint.inFlight().add(request.addAttempt(endpoint, 0));
+        }
+    }
+
     static <T extends Action> List<T> only(Class<T> type, List<Action> actions) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/SharedLoadsTest.java
@@ -23,7 +23,7 @@
     @Test
     void whatAPeerHoldsIsCountedWhileItsNoteIsYoung() {
         List<Endpoint> theirs = fleet(3);
-        theirs.get(0).inFlightSlots = 2;
+        Samples.setSlotsInFlight(theirs.get(0), 2);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
         byte[] note = sender.dueMessages(0).get(0);
@@ -40,10 +40,10 @@
         assertTrue(receiver.receive(1, note, 0));
         assertTrue(receiver.receive(2, note, SECOND), "another peer, and the others silent");
         receiver.expire(SECOND);
-        assertEquals(4, ours.get(0).peerSlots);
-        assertEquals(0, ours.get(1).peerSlots);
+        assertEquals(4, ours.get(0).inFlight().peerSlots());
+        assertEquals(0, ours.get(1).inFlight().peerSlots());
         receiver.expire(SECOND + 1);
-        assertEquals(2, ours.get(0).peerSlots, "one is too old");
+        assertEquals(2, ours.get(0).inFlight().peerSlots(), "one is too old");
     }
 
     /** An idle dispatcher of a large tier would send empty notes to its peers for nothing, twice a second. */
@@ -54,9 +54,9 @@
         sender.replaceEndpoints(theirs);
         assertEquals(1, sender.dueMessages(0).size());
         assertEquals(List.of(), sender.dueMessages(SECOND));
-        theirs.get(1).inFlightSlots = 1;
+        Samples.setSlotsInFlight(theirs.get(1), 1);
         assertEquals(1, sender.dueMessages(SECOND + 1).size(), "a change is told at once");
-        theirs.get(1).inFlightSlots = 0;
+        Samples.setSlotsInFlight(theirs.get(1), 0);
         assertEquals(1, sender.dueMessages(SECOND + 2).size(), "and that it is over");
         assertEquals(List.of(), sender.dueMessages(3 * SECOND));
     }
@@ -70,10 +70,10 @@
         List<Endpoint> theirs = fleet(3);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
-        theirs.get(2).inFlightSlots = 2;
+        Samples.setSlotsInFlight(theirs.get(2), 2);
         byte[] older = sender.dueMessages(0).get(0);
-        theirs.get(2).inFlightSlots = 0;
-        theirs.get(1).inFlightSlots = 1;
+        Samples.setSlotsInFlight(theirs.get(2), 0);
+        Samples.setSlotsInFlight(theirs.get(1), 1);
         byte[] newer = sender.dueMessages(1).get(0);
         PeerFaultCounters heard = new PeerFaultCounters();
         List<Endpoint> ours = fleet(2);
@@ -83,43 +83,46 @@
         assertTrue(receiver.receive(1, older, 3));
         assertEquals(
                 List.of(1.0, 0.0),
-                ours.stream().map(endpoint -> endpoint.peerSlots).toList(),
+                ours.stream().map(endpoint -> endpoint.inFlight().peerSlots()).toList(),
                 "w1 held, the late w0 not");
         assertEquals(new Dispatcher.PeerMessageFaults(0, 1, 0), heard.counts());
-        theirs.get(0).inFlightSlots = 1;
+        Samples.setSlotsInFlight(theirs.get(0), 1);
         receiver.receive(1, sender.dueMessages(4).get(0), 4);
         assertEquals(new Dispatcher.PeerMessageFaults(0, 1, 1), heard.counts(), "w2 is not on this list");
         assertTrue(receiver.receive(1, new byte[] {(byte) 0xD3, 3, 0x15, 0}, 5));
         assertEquals(new Dispatcher.PeerMessageFaults(1, 1, 1), heard.counts());
         assertEquals(
                 List.of(1.0, 0.0),
-                ours.stream().map(endpoint -> endpoint.peerSlots).toList());
+                ours.stream().map(endpoint -> endpoint.inFlight().peerSlots()).toList());
         assertTrue(receiver.receive(2, older, SECOND), "another peer's first word is no late one");
         assertEquals(
                 List.of(1.0, 2.0),
-                ours.stream().map(endpoint -> endpoint.peerSlots).toList());
+                ours.stream().map(endpoint -> endpoint.inFlight().peerSlots()).toList());
     }
 
     /** While a release is under way, lists of one length differ: a note must not mean another worker. */
     @Test
     void aNoteMeansTheSameWorkersWhateverListTheOtherHas() {
         List<Endpoint> theirs = fleet(4);
-        theirs.forEach(endpoint -> endpoint.inFlightSlots = endpoint.id.equals("w2") ? 1 : 0);
+        theirs.forEach(
+                endpoint -> Samples.setSlotsInFlight(endpoint, endpoint.id().equals("w2") ? 1 : 0));
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
-        List<Endpoint> ours =
-                fleet(5).stream().filter(endpoint -> !endpoint.id.equals("w1")).toList();
+        List<Endpoint> ours = fleet(5).stream()
+                .filter(endpoint -> !endpoint.id().equals("w1"))
+                .toList();
         SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
         receiver.replaceEndpoints(ours);
         receiver.receive(1, sender.dueMessages(0).get(0), 0);
-        ours.forEach(endpoint -> assertEquals(endpoint.id.equals("w2") ? 1 : 0, endpoint.peerSlots, endpoint.id));
+        ours.forEach(endpoint -> assertEquals(
+                endpoint.id().equals("w2") ? 1 : 0, endpoint.inFlight().peerSlots(), endpoint.id()));
     }
 
     /** Several hundred workers in use do not fit in one datagram; what shrinks to fewer leaves nothing behind. */
     @Test
     void whatDoesNotFitInOneDatagramIsSpreadOverSeveral() {
         List<Endpoint> theirs = fleet(600);
-        theirs.forEach(endpoint -> endpoint.inFlightSlots = 1);
+        theirs.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
         List<byte[]> notes = sender.dueMessages(0);
@@ -128,18 +131,28 @@
         SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
         receiver.replaceEndpoints(ours);
         notes.forEach(n -> assertTrue(receiver.receive(1, n, 0)));
-        double known = ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum();
+        double known = ours.stream()
+                .mapToDouble(endpoint -> endpoint.inFlight().peerSlots())
+                .sum();
         assertTrue(
-                known >= 590 && ours.stream().allMatch(endpoint -> endpoint.peerSlots <= 1),
+                known >= 590
+                        && ours.stream()
+                                .allMatch(endpoint -> endpoint.inFlight().peerSlots() <= 1),
                 known + " of 600; those of one mark are out");
-        theirs.forEach(endpoint -> endpoint.inFlightSlots = 0);
+        theirs.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 0));
         sender.dueMessages(1).forEach(n -> receiver.receive(1, n, 1));
         assertEquals(
-                0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
+                0,
+                ours.stream()
+                        .mapToDouble(endpoint -> endpoint.inFlight().peerSlots())
+                        .sum());
         assertTrue(
                 receiver.receive(1, new byte[] {(byte) 0xD3, 3, 0x12, 0}, 2),
                 "a part beyond its number changes nothing");
         assertEquals(
-                0, ours.stream().mapToDouble(endpoint -> endpoint.peerSlots).sum());
+                0,
+                ours.stream()
+                        .mapToDouble(endpoint -> endpoint.inFlight().peerSlots())
+                        .sum());
     }
 }
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -218,8 +218,8 @@
         PeerMessage note = PeerMessage.decode(data);
         return note != null
                 ? note.type().name().toLowerCase(Locale.ROOT)
-                : LoadAggregator.isAggregationMessage(data)
-                        ? LoadAggregator.kindOf(data).name().toLowerCase(Locale.ROOT)
+                : AggregationMessage.isAggregationMessage(data)
+                        ? AggregationMessage.kindOf(data).name().toLowerCase(Locale.ROOT)
                         : "note";
     }
 
--- a/src/test/java/nettlewick/decision/TallyTest.java
+++ b/src/test/java/nettlewick/decision/TallyTest.java
@@ -32,7 +32,7 @@
 
         Endpoint at(String id) {
             return workers.stream()
-                    .filter(endpoint -> endpoint.id.equals(id))
+                    .filter(endpoint -> endpoint.id().equals(id))
                     .findFirst()
                     .orElseThrow();
         }
@@ -70,25 +70,25 @@
         Member holder = member(3, id);
         Member watcher = member(5, id);
         List<Member> all = List.of(owner, holder, watcher);
-        holder.at(id).inFlightSlots = 2;
-        watcher.at(id).inFlightSlots = 1;
+        Samples.setSlotsInFlight(holder.at(id), 2);
+        Samples.setSlotsInFlight(watcher.at(id), 1);
         for (long t = 0; t <= 2; t++) {
             for (Member m : all) {
                 flush(m, all, t);
             }
         }
-        assertEquals(2, watcher.at(id).peerSlots, "the holder's 2, not the watcher's own 1");
-        assertEquals(1, holder.at(id).peerSlots);
-        holder.at(id).inFlightSlots = 0;
+        assertEquals(2, watcher.at(id).inFlight().peerSlots(), "the holder's 2, not the watcher's own 1");
+        assertEquals(1, holder.at(id).inFlight().peerSlots());
+        Samples.setSlotsInFlight(holder.at(id), 0);
         flush(holder, all, 3);
         flush(owner, all, 3);
-        assertEquals(2, watcher.at(id).peerSlots, "an end waits for a tenth of a second");
+        assertEquals(2, watcher.at(id).inFlight().peerSlots(), "an end waits for a tenth of a second");
         flush(owner, all, SECOND / 8);
-        assertEquals(0, watcher.at(id).peerSlots, "and is told then, with no further word from anybody");
-        holder.at(id).inFlightSlots = 1;
+        assertEquals(0, watcher.at(id).inFlight().peerSlots(), "and is told then, with no further word from anybody");
+        Samples.setSlotsInFlight(holder.at(id), 1);
         flush(holder, all, SECOND / 8 + 1);
         flush(owner, all, SECOND / 8 + 1);
-        assertEquals(1, watcher.at(id).peerSlots, "a start is told at once");
+        assertEquals(1, watcher.at(id).inFlight().peerSlots(), "a start is told at once");
         List<Member> ownerDead = List.of(holder, watcher);
         for (long t = SECOND / 4; t <= 2 * SECOND; t += SECOND / 4) {
             for (Member m : ownerDead) {
@@ -96,7 +96,7 @@
                 m.tally.expire(t);
             }
         }
-        assertEquals(0, watcher.at(id).peerSlots, "what a dead owner told is believed for a second only");
+        assertEquals(0, watcher.at(id).inFlight().peerSlots(), "what a dead owner told is believed for a second only");
         Member again = member(7, id);
         List<Member> back = List.of(again, holder, watcher);
         for (long t = 2 * SECOND + SECOND / 8; t <= 3 * SECOND + SECOND / 2; t += SECOND / 4) {
@@ -107,7 +107,7 @@
         }
         assertEquals(
                 1,
-                watcher.at(id).peerSlots,
+                watcher.at(id).inFlight().peerSlots(),
                 "an owner that starts anew tells sums again once watchers tell it, each second");
     }
 
@@ -124,7 +124,7 @@
         for (long at = 0; at < 2 * SECOND; at += SECOND / 20) {
             // Each 50 ms a job ends and another begins 20 ms later.
             for (long when : new long[] {at, at + SECOND / 50}) {
-                holder.at(id).inFlightSlots = when == at ? 1 : 2;
+                Samples.setSlotsInFlight(holder.at(id), when == at ? 1 : 2);
                 flush(holder, all, when);
                 flush(watcher, all, when);
                 told += owner.tally
@@ -135,7 +135,7 @@
             }
         }
         assertTrue(told <= changes / 2, told + " sums for " + changes + " changes");
-        assertEquals(1, watcher.at(id).peerSlots, 1.0);
+        assertEquals(1, watcher.at(id).inFlight().peerSlots(), 1.0);
     }
 
     @Test
@@ -144,8 +144,8 @@
         Member owner = member(7, id);
         Member stranger = member(9, id);
         Member watcher = member(5, id);
-        watcher.at(id).inFlightSlots = 0;
-        stranger.at(id).inFlightSlots = 3;
+        Samples.setSlotsInFlight(watcher.at(id), 0);
+        Samples.setSlotsInFlight(stranger.at(id), 3);
         // The owner tells the stranger its sums by mistake of the stranger: a holder's word for a runner it does
         // not own reaches rank 9, which is not the owner.
         Member notOwner = member(9, id);
@@ -159,13 +159,13 @@
         assertEquals(1, notOwner.heard.counts().damaged(), "a holding told to one that owns nothing there");
         flush(watcher, List.of(owner), 2);
         flush(owner, List.of(watcher), 3);
-        assertEquals(3, watcher.at(id).peerSlots);
+        assertEquals(3, watcher.at(id).inFlight().peerSlots());
         byte[] sum = owner.tally.drainMessages(4, owner.workers, List.of()).getOrDefault(5, List.of()).stream()
                 .findFirst()
                 .orElse(null);
         assertEquals(null, sum, "nothing changed, nothing is told");
         Member other = new Member(5, 0);
-        stranger.at(id).inFlightSlots = 2;
+        Samples.setSlotsInFlight(stranger.at(id), 2);
         flush(stranger, List.of(owner), SECOND / 5);
         List<byte[]> sums = owner.tally
                 .drainMessages(SECOND / 5 + 1, owner.workers, List.of())
@@ -174,14 +174,14 @@
         assertEquals(1, other.heard.counts().unlisted(), "a sum of a runner this list does not hold");
         assertTrue(watcher.tally.receive(2, sums.get(0), 6));
         assertEquals(1, watcher.heard.counts().damaged(), "a sum from one that does not own the runner");
-        assertEquals(3, watcher.at(id).peerSlots, "changes nothing");
+        assertEquals(3, watcher.at(id).inFlight().peerSlots(), "changes nothing");
         assertFalse(watcher.tally.receive(7, new byte[] {(byte) 0xA3, 1, 9}, 7), "no kind of the tally's");
     }
 
     @Test
     void manyRunnersAreToldInDatagramsOf256BytesAtMost() {
         Member holder = new Member(3, 3000);
-        holder.workers.forEach(endpoint -> endpoint.inFlightSlots = 1);
+        holder.workers.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
         Map<Integer, List<byte[]>> out = holder.tally.drainMessages(0, holder.workers, holder.workers);
         long entries = out.values().stream()
                 .flatMap(List::stream)
