--- /dev/null
+++ b/src/test/java/nettlewick/decision/AdmissionControllerTest.java
@@ -0,0 +1,110 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.Scope;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Which requests are shed where no room is seen. */
+class AdmissionControllerTest extends SchedulerFixture {
+    /** Guards against worthy jobs that pile up at a slowed worker and make each other late. */
+    @ParameterizedTest
+    @ValueSource(ints = {0, 20})
+    void aHighValueRequestWaitsOnlyWhileItCanMeetItsObjective(int waiting) {
+        SchedulerSettings s = Samples.settings(0, 1, true);
+        RequestScheduler one = new RequestScheduler(
+                new SchedulerSettings(
+                        0,
+                        1,
+                        s.zone(),
+                        List.of(
+                                Samples.requestClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2),
+                                Samples.requestClass("dear", Idempotency.NON_IDEMPOTENT, Scope.ALL, 20)),
+                        s.tenants(),
+                        s.kinds(),
+                        false,
+                        false,
+                        s.loadReporting(),
+                        0,
+                        s.limits(),
+                        s.rules()),
+                1);
+        one.handle(
+                1,
+                List.of(
+                        Samples.endpoints(1),
+                        Samples.probeAnswer("w0", 2, 0),
+                        Samples.arrival("a", "read", "red"),
+                        Samples.arrival("b", "dear", "red")));
+        long later = Samples.SECOND / 2;
+        one.handle(
+                later,
+                List.of(
+                        new Outcome("a", 0, "w0", AttemptResult.SERVED, later, true, null),
+                        new Outcome("b", 0, "w0", AttemptResult.SERVED, later, true, null),
+                        Samples.probeAnswer("w0", 0, waiting),
+                        Samples.probeAnswer("w0", 0, waiting)));
+        List<Action> actions = one.handle(
+                later + 1,
+                List.of(new Arrival("c", "dear", "red", 5 * Samples.SECOND, 1, 0, 300 * Samples.MS, null, false)));
+        assertEquals(waiting > 0, actions.stream().anyMatch(Reject.class::isInstance), actions.toString());
+    }
+
+    @Test
+    void aRequestThatWouldMissItsObjectiveIsRejectedEarly() {
+        at(1, Samples.endpoints(8));
+        answers(2, 0, 8);
+        for (int i = 0; i < 20; i++) {
+            at(now + 100 * Samples.MS, Samples.outcome(send("read"), 0, AttemptResult.SERVED));
+            answers(2, 0, 8);
+        }
+        for (int i = 0; i < 4; i++) {
+            at(now + 300 * Samples.MS, new Timer("beat"));
+            answers(0, 40, 8);
+        }
+        List<Action> actions = at(now + 1, Samples.arrival("late", "read", "red"));
+        assertEquals(1, Samples.actionsOfType(Reject.class, actions).size(), actions.toString());
+    }
+
+    @Test
+    void aTenantOverItsQuotaIsRejectedBeforeOneWithin() {
+        at(1, Samples.endpoints(8));
+        answers(1, 0, 8);
+        int[] rejected = new int[2];
+        int capacity = 0;
+        for (int step = 0; step < 400; step++) {
+            at(now + 25 * Samples.MS);
+            answers(0, 0, 8);
+            capacity = 3;
+            if (step % 4 == 0) {
+                at(now, new Timer("beat"));
+            }
+            for (int i = 0; i < 5; i++) {
+                String tenant = i == 0 && step % 2 == 0 ? "blue" : "red";
+                List<Action> actions = at(now, Samples.arrival("t" + requests++, "book", tenant));
+                if (step > 200) {
+                    rejected[tenant.equals("red") ? 0 : 1] +=
+                            Samples.actionsOfType(Reject.class, actions).size();
+                }
+                for (int attempt = 0; !actions.isEmpty() && actions.get(0) instanceof Dispatch d; attempt++) {
+                    actions = at(
+                            now,
+                            Samples.outcome(
+                                    d, attempt, capacity-- > 0 ? AttemptResult.SERVED : AttemptResult.OVERLOADED));
+                }
+            }
+        }
+        assertTrue(rejected[0] > 100, "the flooding tenant was refused only " + rejected[0]);
+        assertTrue(rejected[1] < 25 && rejected[1] < rejected[0] / 8, "the small tenant was refused " + rejected[1]);
+    }
+}
--- /dev/null
+++ b/src/test/java/nettlewick/decision/AttemptMonitorTest.java
@@ -0,0 +1,94 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.util.ArrayList;
+import java.util.List;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.Event.Timer;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Which attempts are taken for lost or late, and which of their requests are sent again. */
+class AttemptMonitorTest extends SchedulerFixture {
+    /** Guards against second copies that feed the queues of a full fleet: a silent job's needs room elsewhere. */
+    @ParameterizedTest
+    @ValueSource(ints = {0, 2})
+    void aHedgedRequestIsSentOnlyWhereRoomIsSeen(int free) {
+        at(1, Samples.endpoints(1));
+        answers(3, 0, 1);
+        at(now, new Arrival("lost", "read", "red", 5 * Samples.SECOND, 1, 0, 300 * Samples.MS, null, false));
+        now += 510 * Samples.MS;
+        Dispatch later = send("read");
+        at(now, Samples.endpoints(4));
+        answers(free, free == 0 ? 5 : 0, 4);
+        at(now, new Progress(later.id(), 0, "w0", 0));
+        List<Dispatch> again = Samples.actionsOfType(Dispatch.class, at(now + 1, new Timer("beat")));
+        assertEquals(free > 0, again.stream().anyMatch(d -> d.id().equals("lost")));
+    }
+
+    /** Guards against waiting for an attempt that never began, where some are known to be lost. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void anOverdueRequestIsHedgedOnlyAfterOthersWereLost(boolean lost) {
+        at(1, Samples.endpoints(4));
+        answers(3, 0, 4);
+        if (lost) {
+            Dispatch gone = send("book");
+            now += 1600 * Samples.MS;
+            answers(3, 0, 4);
+            at(now, new Timer("beat"));
+            at(now, Samples.outcome(gone, 0, AttemptResult.TIMEOUT));
+            now += 600 * Samples.MS;
+            answers(3, 0, 4);
+        }
+        at(now, new Arrival("big", "read", "red", 5 * Samples.SECOND, 1, 0, Samples.SECOND, null, false));
+        now += 700 * Samples.MS;
+        answers(3, 0, 4);
+        assertEquals(
+                lost,
+                !Samples.actionsOfType(Dispatch.class, at(now, new Timer("beat")))
+                        .isEmpty());
+    }
+
+    @Test
+    void anImmediateErrorEjectsAnEndpointThatReportsRoom() {
+        at(1, Samples.endpoints(8));
+        answers(2, 0, 8);
+        at(now, Samples.probeAnswer("w0", 9, 0));
+        Dispatch first = send("book");
+        assertEquals("w0", first.endpoint());
+        at(now + 1, Samples.outcome(first, 0, AttemptResult.ERROR));
+        for (int i = 0; i < 4; i++) {
+            assertFalse(send("book").endpoint().equals("w0"));
+        }
+    }
+
+    @Test
+    void aSilentEndpointIsEjectedAndItsIdempotentRequestsAreRetried() {
+        at(1, Samples.endpoints(8));
+        answers(2, 0, 8);
+        for (int i = 0; i < 20; i++) {
+            at(now + 50 * Samples.MS, Samples.outcome(send("read"), 0, AttemptResult.SERVED));
+        }
+        at(now, Samples.probeAnswer("w0", 9, 0));
+        List<String> stuck = new ArrayList<>();
+        for (int i = 0; i < 6; i++) {
+            Dispatch sent = send(i == 0 ? "book" : "read");
+            assertEquals("w0", sent.endpoint());
+            stuck.add(sent.id());
+        }
+        List<Dispatch> again = new ArrayList<>();
+        for (int i = 0; i < 20; i++) {
+            answers(2, 0, 8);
+            at(now, Samples.probeAnswer("w0", 9, 0));
+            again.addAll(Samples.actionsOfType(Dispatch.class, at(now + 100 * Samples.MS, new Timer("beat"))));
+        }
+        assertEquals(stuck.subList(1, 6), again.stream().map(Dispatch::id).toList(), "all but the fragile one, once");
+        assertFalse(again.get(0).endpoint().equals("w0"));
+    }
+}
--- a/src/test/java/nettlewick/decision/KeptTest.java
+++ b/src/test/java/nettlewick/decision/DedicatedEndpointsTest.java
@@ -15,20 +15,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Tenants with workers of their own: who goes where, through each step of a move. */
-class KeptTest {
-    private static final int WORKERS = 8;
-    private static final Set<String> OWN = Set.of("w1", "w2");
-    private final RequestScheduler logic = new RequestScheduler(Samples.settings(0, 3, true), 11);
+class DedicatedEndpointsTest {
+    private static final int ENDPOINTS = 8;
+    private static final Set<String> DEDICATED = Set.of("w1", "w2");
+    private final RequestScheduler scheduler = new RequestScheduler(Samples.settings(0, 3, true), 11);
     private long now = 1;
-    private int jobs;
+    private int requests;
 
-    KeptTest() {
-        at(Samples.workers(WORKERS));
+    DedicatedEndpointsTest() {
+        at(Samples.endpoints(ENDPOINTS));
     }
 
     private List<Action> at(Event... events) {
         now++;
-        return logic.handle(now, List.of(events));
+        return scheduler.handle(now, List.of(events));
     }
 
     private void assign(boolean shut, boolean confined, String... endpoints) {
@@ -39,12 +39,12 @@
     private Set<String> used(String tenant, String jobClass, int count) {
         Set<String> used = new HashSet<>();
         for (int i = 0; i < count; i++) {
-            for (int endpoint = 0; endpoint < WORKERS; endpoint++) {
-                at(Samples.answer("w" + endpoint, 3, 0));
+            for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
+                at(Samples.probeAnswer("w" + endpoint, 3, 0));
             }
             String key = jobClass.equals("read") ? null : "k" + i;
-            Arrival a = new Arrival("j" + jobs++, jobClass, tenant, 5 * Samples.SECOND, 1, 0, 0, key, false);
-            Samples.only(Dispatch.class, at(a)).forEach(d -> {
+            Arrival a = new Arrival("j" + requests++, jobClass, tenant, 5 * Samples.SECOND, 1, 0, 0, key, false);
+            Samples.actionsOfType(Dispatch.class, at(a)).forEach(d -> {
                 used.add(d.endpoint());
                 at(Samples.outcome(d, 0, AttemptResult.SERVED));
             });
@@ -53,27 +53,29 @@
     }
 
     @Test
-    void aConfinedTenantGoesToItsOwnAndOthersKeepAway() {
+    void aConfinedTenantUsesItsEndpointsAndOthersDoNot() {
         assign(true, true, "w1", "w2");
-        assertTrue(OWN.containsAll(used("red", "keyed", 40)));
-        assertTrue(OWN.containsAll(used("red", "read", 20)));
+        assertTrue(DEDICATED.containsAll(used("red", "keyed", 40)));
+        assertTrue(DEDICATED.containsAll(used("red", "read", 20)));
         assertEquals(Set.of("w0", "w4", "w6"), used("blue", "keyed", 60), "the rest of the own zone");
-        assertTrue(used("blue", "read", 20).stream().noneMatch(OWN::contains));
+        assertTrue(used("blue", "read", 20).stream().noneMatch(DEDICATED::contains));
     }
 
     /** Guards against a flood that is sent on to full workers since others' have room, and comes back. */
     @Test
-    void whereItsOwnAreFullAConfinedTenantIsRefusedAtOnceAndOthersAreNot() {
+    void aConfinedTenantIsRejectedAtOnceWhereItsEndpointsAreFull() {
         assign(true, true, "w1", "w2");
         for (int i = 0; i < 30; i++) {
-            for (int endpoint = 0; endpoint < WORKERS; endpoint++) {
-                at(Samples.answer(
-                        "w" + endpoint, OWN.contains("w" + endpoint) ? 0 : 3, OWN.contains("w" + endpoint) ? 1 : 0));
+            for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
+                at(Samples.probeAnswer(
+                        "w" + endpoint,
+                        DEDICATED.contains("w" + endpoint) ? 0 : 3,
+                        DEDICATED.contains("w" + endpoint) ? 1 : 0));
             }
             List<Action> red = at(new Arrival("r" + i, "read", "red", 5 * Samples.SECOND, 1, 0, 0, null, false));
-            assertEquals(List.of(), Samples.only(Dispatch.class, red), "job " + i);
-            assertTrue(Samples.only(Reject.class, red).get(0).retryAfter() > 0, "when to come back");
-            List<Dispatch> blue = Samples.only(
+            assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, red), "job " + i);
+            assertTrue(Samples.actionsOfType(Reject.class, red).get(0).retryAfter() > 0, "when to come back");
+            List<Dispatch> blue = Samples.actionsOfType(
                     Dispatch.class, at(new Arrival("b" + i, "read", "blue", 5 * Samples.SECOND, 1, 0, 0, null, false)));
             assertEquals(1, blue.size(), "job " + i);
             at(Samples.outcome(blue.get(0), 0, AttemptResult.SERVED));
@@ -81,23 +83,23 @@
     }
 
     @Test
-    void whileWorkersAreClearedOnlyOthersKeepAway() {
+    void exclusiveEndpointsAreAvoidedByOthersWhileTheTenantIsNotYetConfined() {
         assign(true, false, "w1", "w2");
         assertEquals(Set.of("w0", "w2", "w4", "w6"), used("red", "keyed", 60));
-        assertTrue(used("blue", "keyed", 60).stream().noneMatch(OWN::contains));
+        assertTrue(used("blue", "keyed", 60).stream().noneMatch(DEDICATED::contains));
         at(new PoolsAssigned(List.of()));
         assertTrue(used("blue", "keyed", 60).contains("w2"));
     }
 
     @Test
-    void onesThatAreNotShutTakeOthersAndTheTenantStays() {
+    void sharedDedicatedEndpointsAlsoServeOtherTenants() {
         assign(false, true, "w1", "w2");
-        assertTrue(OWN.containsAll(used("red", "keyed", 40)));
+        assertTrue(DEDICATED.containsAll(used("red", "keyed", 40)));
         assertTrue(used("blue", "keyed", 60).contains("w2"));
     }
 
     @Test
-    void aTenantWhoseOwnAreAllGoneGoesByTheCommonOnes() {
+    void aTenantWithoutReadyDedicatedEndpointsUsesTheCommonPool() {
         assign(true, true, "w1", "w2");
         at(new EndpointList(
                 false,
@@ -110,25 +112,26 @@
 
     /** Guards against a keyed job that may have run in one zone and runs again in another after a move. */
     @Test
-    void aKeyedJobIsNotRepeatedAcrossItsGroupByAMove() {
-        for (int endpoint = 0; endpoint < WORKERS; endpoint++) {
-            at(Samples.answer("w" + endpoint, endpoint == 0 ? 3 : 0, 0));
+    void aKeyedRequestIsNotRetriedOutsideItsDedupScopeAfterAMove() {
+        for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
+            at(Samples.probeAnswer("w" + endpoint, endpoint == 0 ? 3 : 0, 0));
         }
-        Dispatch first = Samples.only(
+        Dispatch first = Samples.actionsOfType(
                         Dispatch.class, at(new Arrival("k", "keyed", "red", 5 * Samples.SECOND, 1, 0, 0, null, false)))
                 .get(0);
         assertEquals("w0", first.endpoint(), "of the north");
         assign(true, true, "w1", "w3");
         List<Action> then = at(Samples.outcome(first, 0, AttemptResult.BROKEN));
-        assertEquals(List.of(), Samples.only(Dispatch.class, then));
-        assertEquals(1, Samples.only(Fail.class, then).size());
+        assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, then));
+        assertEquals(1, Samples.actionsOfType(Fail.class, then).size());
         assign(true, true, "w1", "w2");
-        at(Samples.answer("w1", 3, 0), Samples.answer("w2", 3, 0));
-        Dispatch second = Samples.only(
+        at(Samples.probeAnswer("w1", 3, 0), Samples.probeAnswer("w2", 3, 0));
+        Dispatch second = Samples.actionsOfType(
                         Dispatch.class, at(new Arrival("k2", "keyed", "red", 5 * Samples.SECOND, 1, 0, 0, null, false)))
                 .get(0);
         String there = second.endpoint();
-        List<Dispatch> again = Samples.only(Dispatch.class, at(Samples.outcome(second, 0, AttemptResult.BROKEN)));
+        List<Dispatch> again =
+                Samples.actionsOfType(Dispatch.class, at(Samples.outcome(second, 0, AttemptResult.BROKEN)));
         assertTrue(again.stream().noneMatch(d -> d.endpoint().equals(there.equals("w1") ? "w2" : "w1")));
     }
 }
--- a/src/test/java/nettlewick/decision/RollTest.java
+++ b/src/test/java/nettlewick/decision/EndpointRegistryTest.java
@@ -18,29 +18,31 @@
 import org.junit.jupiter.api.Test;
 
 /** What the module sees of the list while operators take workers out and put them back. */
-class RollTest {
-    private final EndpointRegistry roll = new EndpointRegistry();
+class EndpointRegistryTest {
+    private final EndpointRegistry registry = new EndpointRegistry();
 
-    private EndpointEntry told(EndpointState life, long startedAt) {
-        return roll.apply(new EndpointList(false, List.of(entry("w", life, startedAt, "north", 0))))
+    private EndpointEntry effectiveEntry(EndpointState life, long startedAt) {
+        return registry.apply(new EndpointList(false, List.of(entry("w", life, startedAt, "north", 0))))
                 .entries()
                 .get(0);
     }
 
     @Test
-    void aBannedWorkerDrainsWhateverTheListSays() {
+    void aDisabledEndpointDrainsWhateverTheListSays() {
         assertEquals(
                 List.of(),
-                roll.apply(new EndpointAdminChange("w", true, SECOND)).entries());
-        assertEquals(EndpointState.DRAINING, told(EndpointState.READY, 0).state());
-        roll.apply(new EndpointAdminChange("w", true, 2 * SECOND));
-        assertEquals(EndpointState.GONE, told(EndpointState.GONE, 0).state());
-        assertEquals(new EndpointCounts(0, 0), roll.count(id -> true));
-        assertEquals(EndpointState.DRAINING, told(EndpointState.READY, 0).state());
-        assertEquals(new EndpointCounts(1, 1), roll.count(id -> true));
+                registry.apply(new EndpointAdminChange("w", true, SECOND)).entries());
+        assertEquals(
+                EndpointState.DRAINING, effectiveEntry(EndpointState.READY, 0).state());
+        registry.apply(new EndpointAdminChange("w", true, 2 * SECOND));
+        assertEquals(EndpointState.GONE, effectiveEntry(EndpointState.GONE, 0).state());
+        assertEquals(new EndpointCounts(0, 0), registry.count(id -> true));
+        assertEquals(
+                EndpointState.DRAINING, effectiveEntry(EndpointState.READY, 0).state());
+        assertEquals(new EndpointCounts(1, 1), registry.count(id -> true));
         assertEquals(
                 EndpointState.READY,
-                roll.apply(new EndpointAdminChange("w", false, 3 * SECOND))
+                registry.apply(new EndpointAdminChange("w", false, 3 * SECOND))
                         .entries()
                         .get(0)
                         .state());
@@ -48,63 +50,67 @@
 
     /** Guards against a full load for a worker that was restarted while it was out. */
     @Test
-    void oneThatIsBackIsCold() {
-        roll.apply(new EndpointAdminChange("w", true, SECOND));
-        roll.apply(new EndpointAdminChange("w", false, 5 * SECOND));
-        assertEquals(5 * SECOND, told(EndpointState.READY, 0).startedAt());
-        assertEquals(5 * SECOND, told(EndpointState.READY, 4 * SECOND).startedAt());
-        assertEquals(6 * SECOND, told(EndpointState.READY, 6 * SECOND).startedAt());
-        assertEquals(EndpointState.DRAINING, told(EndpointState.DRAINING, 0).state());
+    void aReenabledEndpointWarmsUp() {
+        registry.apply(new EndpointAdminChange("w", true, SECOND));
+        registry.apply(new EndpointAdminChange("w", false, 5 * SECOND));
+        assertEquals(5 * SECOND, effectiveEntry(EndpointState.READY, 0).startedAt());
+        assertEquals(5 * SECOND, effectiveEntry(EndpointState.READY, 4 * SECOND).startedAt());
+        assertEquals(6 * SECOND, effectiveEntry(EndpointState.READY, 6 * SECOND).startedAt());
+        assertEquals(
+                EndpointState.DRAINING,
+                effectiveEntry(EndpointState.DRAINING, 0).state());
     }
 
     /** Guards against one that stays unused after its return while others have more room. */
     @Test
-    void oneThatIsBackGetsTheNextHarmlessJob() {
+    void aReenabledEndpointGetsTheNextIdempotentRequest() {
         Dispatcher module = Dispatcher.create(Samples.settings(0, 1, true), 1);
         module.handle(
                 1,
                 List.of(
-                        Samples.workers(4),
-                        Samples.answer("w0", 9, 0),
-                        Samples.answer("w2", 9, 0),
+                        Samples.endpoints(4),
+                        Samples.probeAnswer("w0", 9, 0),
+                        Samples.probeAnswer("w2", 9, 0),
                         new EndpointAdminChange("w1", true, 1),
                         Samples.arrival("a", "read", "red")));
         List<Action> actions = module.handle(
                 SECOND,
                 List.of(
                         new EndpointAdminChange("w1", false, SECOND),
-                        Samples.answer("w0", 9, 0),
+                        Samples.probeAnswer("w0", 9, 0),
                         Samples.arrival("b", "book", "red"),
                         Samples.arrival("c", "read", "red"),
                         Samples.arrival("d", "read", "red")));
         assertEquals(
                 List.of(false, true, false),
-                Samples.only(Dispatch.class, actions).stream()
+                Samples.actionsOfType(Dispatch.class, actions).stream()
                         .map(d -> d.endpoint().equals("w1"))
                         .toList());
     }
 
     /** Guards against loads of one worker taken for another's where dispatchers have different ones out. */
     @Test
-    void peersAreToldOfTheSameWorkersWhoeverIsOut() {
+    void gossipNamesTheSameEndpointsWhicheverAreDisabled() {
         List<String> notes = new ArrayList<>();
         for (int out = 0; out < 2; out++) {
             Dispatcher module = Dispatcher.create(Samples.settings(0, 2, true), 1);
             module.handle(
                     1,
                     List.of(
-                            Samples.workers(4),
+                            Samples.endpoints(4),
                             new EndpointAdminChange("w" + out, true, 1),
-                            Samples.answer("w2", 9, 0),
-                            Samples.answer("w" + (1 - out), 0, 9),
-                            Samples.answer("w3", 0, 9),
+                            Samples.probeAnswer("w2", 9, 0),
+                            Samples.probeAnswer("w" + (1 - out), 0, 9),
+                            Samples.probeAnswer("w3", 0, 9),
                             Samples.arrival("a", "read", "red")));
-            notes.add(Samples.only(SendToPeer.class, module.handle(SECOND / 10, List.of(new Timer("beat")))).stream()
-                    .map(SendToPeer::data)
-                    .filter(LoadGossip::isLoadGossip)
-                    .map(Arrays::toString)
-                    .toList()
-                    .toString());
+            notes.add(
+                    Samples.actionsOfType(SendToPeer.class, module.handle(SECOND / 10, List.of(new Timer("beat"))))
+                            .stream()
+                            .map(SendToPeer::data)
+                            .filter(LoadGossip::isLoadGossip)
+                            .map(Arrays::toString)
+                            .toList()
+                            .toString());
         }
         assertEquals(notes.get(0), notes.get(1));
         char mark = LoadGossip.markOf("w2");
@@ -112,20 +118,23 @@
     }
 
     @Test
-    void theModuleSendsAndProbesNothingThere() {
+    void aDisabledEndpointGetsNoRequestAndNoProbe() {
         Dispatcher module = Dispatcher.create(Samples.settings(0, 1, true), 1);
-        module.handle(1, List.of(Samples.workers(2), new EndpointAdminChange("w0", true, 1)));
+        module.handle(1, List.of(Samples.endpoints(2), new EndpointAdminChange("w0", true, 1)));
         for (int i = 0; i < 40; i++) {
             List<Action> actions = module.handle(
                     1 + i * SECOND / 10,
-                    List.of(new Timer("beat"), Samples.answer("w1", 4, 0), Samples.arrival("j" + i, "read", "red")));
+                    List.of(
+                            new Timer("beat"),
+                            Samples.probeAnswer("w1", 4, 0),
+                            Samples.arrival("j" + i, "read", "red")));
             assertTrue(
                     actions.stream()
                             .noneMatch(a -> a instanceof Dispatch d
                                             && d.endpoint().equals("w0")
                                     || a instanceof Probe p && p.endpoint().equals("w0")),
                     actions.toString());
-            Samples.only(Dispatch.class, actions)
+            Samples.actionsOfType(Dispatch.class, actions)
                     .forEach(d -> module.handle(1, List.of(Samples.outcome(d, 0, AttemptResult.SERVED))));
         }
         assertEquals(new EndpointCounts(2, 1), module.endpointCounts());
--- /dev/null
+++ b/src/test/java/nettlewick/decision/EndpointSelectorTest.java
@@ -0,0 +1,181 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.Timer;
+import nettlewick.decision.SchedulerSettings.Idempotency;
+import nettlewick.decision.SchedulerSettings.RequestClass;
+import nettlewick.decision.SchedulerSettings.Scope;
+import org.junit.jupiter.api.Test;
+
+/** Which endpoint a request goes to. */
+class EndpointSelectorTest extends SchedulerFixture {
+    @Test
+    void ownRequestsInFlightCountAgainstAnEndpointsRoom() {
+        at(1, Samples.endpoints(8));
+        answers(3, 0, 8);
+        Set<String> used = new HashSet<>();
+        for (int i = 0; i < 4; i++) {
+            used.add(send("read").endpoint());
+        }
+        assertTrue(used.size() >= 3, "four jobs herd onto " + used);
+    }
+
+    /** Guards against a dispatcher that started into a release and leaves all workers that are cold alone. */
+    @Test
+    void aDispatcherThatHasJustStartedUsesWarmingEndpointsToo() {
+        at(
+                10 * Samples.SECOND,
+                new EndpointList(
+                        true,
+                        List.of(
+                                Samples.entry("w0", EndpointState.READY, 0, "north", 0),
+                                Samples.entry("w1", EndpointState.READY, 8 * Samples.SECOND, "north", 0))));
+        answers(2, 0, 2);
+        Set<String> used = new HashSet<>();
+        for (int i = 0; i < 6; i++) {
+            now += 100 * Samples.MS;
+            answers(2, 0, 2);
+            Samples.actionsOfType(
+                            Dispatch.class,
+                            at(
+                                    now,
+                                    new Arrival(
+                                            "c" + i,
+                                            "read",
+                                            "red",
+                                            5 * Samples.SECOND,
+                                            1,
+                                            0,
+                                            100 * Samples.MS,
+                                            null,
+                                            false)))
+                    .forEach(d -> used.add(d.endpoint()));
+        }
+        assertEquals(Set.of("w0", "w1"), used);
+    }
+
+    @Test
+    void theOwnZoneComesFirstWhileItHasRoom() {
+        at(1, Samples.endpoints(8));
+        answers(1, 0, 8);
+        at(now, Samples.probeAnswer("w1", 9, 0));
+        assertEquals(0, Integer.parseInt(send("read").endpoint().substring(1)) % 2);
+    }
+
+    @Test
+    void anOverloadedEndpointIsTriedAfterOthers() {
+        at(1, Samples.endpoints(8));
+        answers(0, 0, 8);
+        Dispatch first = send("read");
+        at(now + 1, Samples.outcome(first, 0, AttemptResult.OVERLOADED));
+        assertFalse(send("read").endpoint().equals(first.endpoint()));
+    }
+
+    @Test
+    void aRequestWithAKeyProbesItsHomeEndpointsAndStaysThere() {
+        at(1, Samples.endpoints(8));
+        Arrival keyed = new Arrival("k0", "read", "red", 5 * Samples.SECOND, 1, 0, 0, "album", false);
+        List<Action> first = at(2, keyed);
+        List<Probe> asked = Samples.actionsOfType(Probe.class, first);
+        assertFalse(asked.isEmpty());
+        assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, first));
+        asked.forEach(p -> at(3, Samples.probeAnswer(p.endpoint(), 2, 0)));
+        Dispatch sent = Samples.actionsOfType(Dispatch.class, at(2 + 13 * Samples.MS, new Timer("hold")))
+                .get(0);
+        RequestScheduler other = new RequestScheduler(Samples.settings(2, 3, true), 99);
+        other.handle(1, List.of(Samples.endpoints(8)));
+        other.handle(2, List.of(keyed));
+        asked.forEach(p -> other.handle(3, List.of(Samples.probeAnswer(p.endpoint(), 2, 0))));
+        assertEquals(
+                sent.endpoint(),
+                Samples.actionsOfType(Dispatch.class, other.handle(2 + 13 * Samples.MS, List.of(new Timer("hold"))))
+                        .get(0)
+                        .endpoint());
+    }
+
+    @Test
+    void aNewEndpointGetsNoBurst() {
+        at(1, Samples.endpoints(8));
+        answers(2, 0, 8);
+        at(2, new EndpointList(false, List.of(Samples.entry("fresh", EndpointState.READY, 2, "north", 9))));
+        at(3, Samples.probeAnswer("fresh", 9, 0));
+        for (int i = 0; i < 20; i++) {
+            assertFalse(send("read").endpoint().equals("fresh"));
+        }
+    }
+
+    @Test
+    void aDrainingOrMissingEndpointGetsNothing() {
+        at(1, Samples.endpoints(2));
+        at(2, new EndpointList(false, List.of(Samples.entry("w0", EndpointState.DRAINING, 0, "north", 0))));
+        assertEquals("w1", send("read").endpoint());
+        at(now, new EndpointList(true, List.of()));
+        assertEquals(
+                1,
+                Samples.actionsOfType(Reject.class, at(now + 1, Samples.arrival("none", "book", "red")))
+                        .size());
+    }
+
+    @Test
+    void theLastSlotOfAKindIsReservedForMoreValuableRequestsBoundToIt() {
+        SchedulerSettings s = Samples.settings(0, 3, true);
+        RequestClass any = Samples.requestClass("any", Idempotency.IDEMPOTENT, Scope.ALL, 2);
+        RequestClass bound = new RequestClass(
+                "bound",
+                Idempotency.IDEMPOTENT,
+                Scope.ALL,
+                0,
+                200 * Samples.MS,
+                2,
+                5 * Samples.SECOND,
+                8,
+                0,
+                false,
+                1,
+                0);
+        RequestScheduler two = new RequestScheduler(
+                new SchedulerSettings(
+                        0,
+                        3,
+                        s.zone(),
+                        List.of(any, bound),
+                        s.tenants(),
+                        List.of("box", "rare"),
+                        false,
+                        false,
+                        s.loadReporting(),
+                        0,
+                        s.limits(),
+                        s.rules()),
+                5);
+        two.handle(
+                1,
+                List.of(new EndpointList(
+                        true,
+                        List.of(
+                                Samples.entry("w0", EndpointState.READY, 0, "north", 0),
+                                new EndpointEntry("w1", EndpointState.READY, 0, 0, "rare", "north", 1)))));
+        two.handle(2, List.of(Samples.probeAnswer("w0", 1, 0), Samples.probeAnswer("w1", 1.5, 0)));
+        assertEquals(
+                "w0",
+                Samples.actionsOfType(Dispatch.class, two.handle(3, List.of(Samples.arrival("a", "any", "red"))))
+                        .get(0)
+                        .endpoint());
+        assertEquals(
+                "w1",
+                Samples.actionsOfType(Dispatch.class, two.handle(3, List.of(Samples.arrival("b", "bound", "red"))))
+                        .get(0)
+                        .endpoint());
+    }
+}
--- a/src/test/java/nettlewick/decision/FleetTest.java
+++ b/src/test/java/nettlewick/decision/LargeFleetTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What is fine for one dispatcher, or for few, and hurts where there are many. */
-class FleetTest {
+class LargeFleetTest {
     private static final long SECOND = Samples.SECOND;
 
     /**
@@ -22,16 +22,17 @@
         SmallFleet fleet = new SmallFleet(14, 60, 3);
         fleet.traffic(0, 80, SECOND / 2, 0, 12 * SECOND);
         fleet.run(4 * SECOND);
-        int before = fleet.sent + fleet.refused;
-        int bad = fleet.toFull + fleet.refused;
+        int before = fleet.sent + fleet.rejected;
+        int bad = fleet.sentToFullEndpoint + fleet.rejected;
         fleet.run(12 * SECOND);
-        double share = (double) (fleet.toFull + fleet.refused - bad) / (fleet.sent + fleet.refused - before);
+        double share =
+                (double) (fleet.sentToFullEndpoint + fleet.rejected - bad) / (fleet.sent + fleet.rejected - before);
         assertTrue(share < 0.1, share + " of the jobs were refused or sent to a full worker; 80 of 120 slots are free");
     }
 
     /** Datagrams a dispatcher sends each second while every one of them has two or three jobs a second. */
-    private static double datagramsPerDispatcher(int dispatchers, int runners) {
-        SmallFleet fleet = new SmallFleet(dispatchers, runners, 5);
+    private static double datagramsPerDispatcher(int dispatchers, int endpoints) {
+        SmallFleet fleet = new SmallFleet(dispatchers, endpoints, 5);
         for (int rank = 0; rank < dispatchers; rank++) {
             fleet.traffic(rank, 2.5, SECOND / 4, 2 * SECOND, 6 * SECOND);
         }
@@ -43,7 +44,7 @@
 
     /** Guards against notes of every dispatcher to every other: their bytes grew with the square of the tier. */
     @Test
-    void whatOneDispatcherTellsDoesNotGrowWithTheTier() {
+    void datagramsOfOneDispatcherDoNotGrowWithTheTier() {
         double small = datagramsPerDispatcher(20, 40);
         double large = datagramsPerDispatcher(100, 200);
         assertTrue(large < 1.5 * small, large + " datagrams a second at 100 dispatchers, " + small + " at 20");
@@ -55,7 +56,7 @@
      * runner full here, with notes to all 0.10.
      */
     @Test
-    void whatAllHoldIsKnownInALargeTier() {
+    void loadOfAllDispatchersIsKnownInALargeTier() {
         SmallFleet fleet = new SmallFleet(98, 64, 11);
         double rate = 0.5 * SmallFleet.SLOTS * 64 / 0.25 / 98;
         for (int rank = 0; rank < 98; rank++) {
@@ -63,15 +64,15 @@
         }
         fleet.run(4 * SECOND);
         int sent = fleet.sent;
-        int full = fleet.toFull;
+        int full = fleet.sentToFullEndpoint;
         fleet.run(10 * SECOND);
-        double share = (double) (fleet.toFull - full) / (fleet.sent - sent);
+        double share = (double) (fleet.sentToFullEndpoint - full) / (fleet.sent - sent);
         assertTrue(share < 0.06, share + " of the jobs found their runner full");
     }
 
     /** Who tells me is whom I tell; the ring of places leaves nobody out, and small tiers tell all as before. */
     @Test
-    void neighboursAreFewSymmetricAndNearestByPlace() {
+    void neighborsAreFewSymmetricAndNearestByRingPosition() {
         int size = 1000;
         int reach = ProbePoolNeighbors.REACH;
         int[] told = new int[size];
@@ -98,9 +99,9 @@
 
     /** Guards against belief in reports alone as soon as one of many peers is silent: here the third never speaks. */
     @Test
-    void whatOnePeerTellsCountsThoughAnotherIsSilent() {
-        RequestScheduler logic = new RequestScheduler(Samples.settings(0, 3, true), 1);
-        logic.handle(
+    void gossipOfOnePeerCountsThoughAnotherIsSilent() {
+        RequestScheduler scheduler = new RequestScheduler(Samples.settings(0, 3, true), 1);
+        scheduler.handle(
                 1,
                 List.of(
                         new EndpointList(
@@ -108,16 +109,18 @@
                                 List.of(
                                         Samples.entry("w0", EndpointState.READY, 0, "north", 0),
                                         Samples.entry("w1", EndpointState.READY, 0, "north", 0))),
-                        Samples.answer("w0", 2, 0),
-                        Samples.answer("w1", 2, 0)));
+                        Samples.probeAnswer("w0", 2, 0),
+                        Samples.probeAnswer("w1", 2, 0)));
         Endpoint full = new Endpoint("w0");
         Samples.setSlotsInFlight(full, 2);
         SharedLoads peer = new SharedLoads(new PeerFaultCounters());
         peer.replaceEndpoints(List.of(full, new Endpoint("w1")));
-        logic.handle(2, List.of(new PeerMessageReceived(1, peer.dueMessages(2).get(0))));
+        scheduler.handle(
+                2, List.of(new PeerMessageReceived(1, peer.dueMessages(2).get(0))));
         for (int i = 0; i < 2; i++) {
-            List<Action> actions = logic.handle(3 + i, List.of(Samples.arrival("j" + i, "read", "red")));
-            assertEquals("w1", Samples.only(Dispatch.class, actions).get(0).endpoint());
+            List<Action> actions = scheduler.handle(3 + i, List.of(Samples.arrival("j" + i, "read", "red")));
+            assertEquals(
+                    "w1", Samples.actionsOfType(Dispatch.class, actions).get(0).endpoint());
         }
     }
 }
--- a/src/test/java/nettlewick/decision/TallyTest.java
+++ b/src/test/java/nettlewick/decision/LoadAggregatorTest.java
@@ -10,28 +10,28 @@
 import org.junit.jupiter.api.Test;
 
 /** Owners' tallies where peers die, start anew, lie or send what is not theirs to send. */
-class TallyTest {
+class LoadAggregatorTest {
     private static final long SECOND = Samples.SECOND;
     private static final int SIZE = 40;
 
     /** One dispatcher of the tier with its own list of the same runners. */
-    private static final class Member {
+    private static final class TierMember {
         final int rank;
-        final PeerFaultCounters heard = new PeerFaultCounters();
-        final LoadAggregator tally;
-        final List<Endpoint> workers = new ArrayList<>();
+        final PeerFaultCounters faults = new PeerFaultCounters();
+        final LoadAggregator aggregator;
+        final List<Endpoint> endpoints = new ArrayList<>();
 
-        Member(int rank, int runners) {
+        TierMember(int rank, int count) {
             this.rank = rank;
-            tally = new LoadAggregator(rank, SIZE, heard);
-            for (int i = 0; i < runners; i++) {
-                workers.add(new Endpoint("w" + i));
+            aggregator = new LoadAggregator(rank, SIZE, faults);
+            for (int i = 0; i < count; i++) {
+                endpoints.add(new Endpoint("w" + i));
             }
-            tally.replaceEndpoints(LoadGossip.indexByMark(workers));
+            aggregator.replaceEndpoints(LoadGossip.indexByMark(endpoints));
         }
 
         Endpoint at(String id) {
-            return workers.stream()
+            return endpoints.stream()
                     .filter(endpoint -> endpoint.id().equals(id))
                     .findFirst()
                     .orElseThrow();
@@ -39,14 +39,14 @@
     }
 
     /** Delivers what {@code from} sends now to those of {@code members} it is meant for; what is lost is lost. */
-    private static void flush(Member from, List<Member> members, long now) {
-        Map<Integer, List<byte[]>> out = from.tally.drainMessages(now, from.workers, from.workers);
+    private static void flush(TierMember from, List<TierMember> members, long now) {
+        Map<Integer, List<byte[]>> out = from.aggregator.drainMessages(now, from.endpoints, from.endpoints);
         out.forEach((rank, datagrams) -> {
             assertTrue(rank != from.rank && rank >= 0 && rank < SIZE, "to rank " + rank);
             datagrams.forEach(d -> assertTrue(d.length <= 256, d.length + " bytes"));
             members.stream()
                     .filter(m -> m.rank == rank)
-                    .forEach(m -> datagrams.forEach(d -> assertTrue(m.tally.receive(from.rank, d, now))));
+                    .forEach(m -> datagrams.forEach(d -> assertTrue(m.aggregator.receive(from.rank, d, now))));
         });
     }
 
@@ -59,21 +59,21 @@
     }
 
     /** One whose list ends with this runner. */
-    private static Member member(int rank, String id) {
-        return new Member(rank, Integer.parseInt(id.substring(1)) + 1);
+    private static TierMember member(int rank, String id) {
+        return new TierMember(rank, Integer.parseInt(id.substring(1)) + 1);
     }
 
     @Test
-    void aWatcherLearnsWhatOthersHoldAndForgetsItWhenTheOwnerDies() {
+    void aWatcherLearnsWhatOthersHoldAndForgetsItWhenTheOwnerStops() {
         String id = ownedBy(7);
-        Member owner = member(7, id);
-        Member holder = member(3, id);
-        Member watcher = member(5, id);
-        List<Member> all = List.of(owner, holder, watcher);
+        TierMember owner = member(7, id);
+        TierMember holder = member(3, id);
+        TierMember watcher = member(5, id);
+        List<TierMember> all = List.of(owner, holder, watcher);
         Samples.setSlotsInFlight(holder.at(id), 2);
         Samples.setSlotsInFlight(watcher.at(id), 1);
         for (long t = 0; t <= 2; t++) {
-            for (Member m : all) {
+            for (TierMember m : all) {
                 flush(m, all, t);
             }
         }
@@ -89,20 +89,20 @@
         flush(holder, all, SECOND / 8 + 1);
         flush(owner, all, SECOND / 8 + 1);
         assertEquals(1, watcher.at(id).inFlight().peerSlots(), "a start is told at once");
-        List<Member> ownerDead = List.of(holder, watcher);
+        List<TierMember> ownerDead = List.of(holder, watcher);
         for (long t = SECOND / 4; t <= 2 * SECOND; t += SECOND / 4) {
-            for (Member m : ownerDead) {
+            for (TierMember m : ownerDead) {
                 flush(m, ownerDead, t);
-                m.tally.expire(t);
+                m.aggregator.expire(t);
             }
         }
         assertEquals(0, watcher.at(id).inFlight().peerSlots(), "what a dead owner told is believed for a second only");
-        Member again = member(7, id);
-        List<Member> back = List.of(again, holder, watcher);
+        TierMember again = member(7, id);
+        List<TierMember> back = List.of(again, holder, watcher);
         for (long t = 2 * SECOND + SECOND / 8; t <= 3 * SECOND + SECOND / 2; t += SECOND / 4) {
-            for (Member m : back) {
+            for (TierMember m : back) {
                 flush(m, back, t);
-                m.tally.expire(t);
+                m.aggregator.expire(t);
             }
         }
         assertEquals(
@@ -113,12 +113,12 @@
 
     /** Guards against two datagrams to each watcher for every job at a runner that is busy. */
     @Test
-    void aSlotThatIsTakenAgainAtOnceIsNotTold() {
+    void aSlotThatIsTakenAgainAtOnceSendsNoSum() {
         String id = ownedBy(7);
-        Member owner = member(7, id);
-        Member holder = member(3, id);
-        Member watcher = member(5, id);
-        List<Member> all = List.of(owner, holder, watcher);
+        TierMember owner = member(7, id);
+        TierMember holder = member(3, id);
+        TierMember watcher = member(5, id);
+        List<TierMember> all = List.of(owner, holder, watcher);
         int changes = 0;
         int told = 0;
         for (long at = 0; at < 2 * SECOND; at += SECOND / 20) {
@@ -127,8 +127,8 @@
                 Samples.setSlotsInFlight(holder.at(id), when == at ? 1 : 2);
                 flush(holder, all, when);
                 flush(watcher, all, when);
-                told += owner.tally
-                        .drainMessages(when, owner.workers, List.of())
+                told += owner.aggregator
+                        .drainMessages(when, owner.endpoints, List.of())
                         .getOrDefault(5, List.of())
                         .size();
                 changes++;
@@ -139,50 +139,50 @@
     }
 
     @Test
-    void whatIsNotTheSendersToTellChangesNothingAndIsCounted() {
+    void messagesFromOrToTheWrongDispatcherAreCountedAndIgnored() {
         String id = ownedBy(7);
-        Member owner = member(7, id);
-        Member stranger = member(9, id);
-        Member watcher = member(5, id);
+        TierMember owner = member(7, id);
+        TierMember stranger = member(9, id);
+        TierMember watcher = member(5, id);
         Samples.setSlotsInFlight(watcher.at(id), 0);
         Samples.setSlotsInFlight(stranger.at(id), 3);
         // The owner tells the stranger its sums by mistake of the stranger: a holder's word for a runner it does
         // not own reaches rank 9, which is not the owner.
-        Member notOwner = member(9, id);
+        TierMember notOwner = member(9, id);
         flush(stranger, List.of(owner), 0);
-        assertEquals(new Dispatcher.PeerMessageFaults(0, 0, 0), owner.heard.counts());
-        byte[] hold = stranger.tally
-                .drainMessages(SECOND, stranger.workers, List.of())
+        assertEquals(new Dispatcher.PeerMessageFaults(0, 0, 0), owner.faults.counts());
+        byte[] hold = stranger.aggregator
+                .drainMessages(SECOND, stranger.endpoints, List.of())
                 .get(7)
                 .get(0);
-        assertTrue(notOwner.tally.receive(3, hold, SECOND));
-        assertEquals(1, notOwner.heard.counts().damaged(), "a holding told to one that owns nothing there");
+        assertTrue(notOwner.aggregator.receive(3, hold, SECOND));
+        assertEquals(1, notOwner.faults.counts().damaged(), "a holding told to one that owns nothing there");
         flush(watcher, List.of(owner), 2);
         flush(owner, List.of(watcher), 3);
         assertEquals(3, watcher.at(id).inFlight().peerSlots());
-        byte[] sum = owner.tally.drainMessages(4, owner.workers, List.of()).getOrDefault(5, List.of()).stream()
+        byte[] sum = owner.aggregator.drainMessages(4, owner.endpoints, List.of()).getOrDefault(5, List.of()).stream()
                 .findFirst()
                 .orElse(null);
         assertEquals(null, sum, "nothing changed, nothing is told");
-        Member other = new Member(5, 0);
+        TierMember other = new TierMember(5, 0);
         Samples.setSlotsInFlight(stranger.at(id), 2);
         flush(stranger, List.of(owner), SECOND / 5);
-        List<byte[]> sums = owner.tally
-                .drainMessages(SECOND / 5 + 1, owner.workers, List.of())
+        List<byte[]> sums = owner.aggregator
+                .drainMessages(SECOND / 5 + 1, owner.endpoints, List.of())
                 .get(5);
-        assertTrue(other.tally.receive(7, sums.get(0), 6));
-        assertEquals(1, other.heard.counts().unlisted(), "a sum of a runner this list does not hold");
-        assertTrue(watcher.tally.receive(2, sums.get(0), 6));
-        assertEquals(1, watcher.heard.counts().damaged(), "a sum from one that does not own the runner");
+        assertTrue(other.aggregator.receive(7, sums.get(0), 6));
+        assertEquals(1, other.faults.counts().unlisted(), "a sum of a runner this list does not hold");
+        assertTrue(watcher.aggregator.receive(2, sums.get(0), 6));
+        assertEquals(1, watcher.faults.counts().damaged(), "a sum from one that does not own the runner");
         assertEquals(3, watcher.at(id).inFlight().peerSlots(), "changes nothing");
-        assertFalse(watcher.tally.receive(7, new byte[] {(byte) 0xA3, 1, 9}, 7), "no kind of the tally's");
+        assertFalse(watcher.aggregator.receive(7, new byte[] {(byte) 0xA3, 1, 9}, 7), "no kind of the tally's");
     }
 
     @Test
-    void manyRunnersAreToldInDatagramsOf256BytesAtMost() {
-        Member holder = new Member(3, 3000);
-        holder.workers.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
-        Map<Integer, List<byte[]>> out = holder.tally.drainMessages(0, holder.workers, holder.workers);
+    void manyEndpointsAreSplitOverDatagramsOfAtMost256Bytes() {
+        TierMember holder = new TierMember(3, 3000);
+        holder.endpoints.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
+        Map<Integer, List<byte[]>> out = holder.aggregator.drainMessages(0, holder.endpoints, holder.endpoints);
         long entries = out.values().stream()
                 .flatMap(List::stream)
                 .mapToLong(d -> d.length)
--- a/src/test/java/nettlewick/decision/MeasureFleet.java
+++ b/src/test/java/nettlewick/decision/MeasureFleet.java
@@ -20,17 +20,17 @@
         }
     }
 
-    private static void measure(int runners, int dispatchers, boolean print) {
+    private static void measure(int endpoints, int dispatchers, boolean print) {
         int warm = 3;
         int idle = 2;
-        int busy = runners > 100 ? 2 : 10;
+        int busy = endpoints > 100 ? 2 : 10;
         long before = used();
-        SmallFleet fleet = new SmallFleet(dispatchers, runners, 7);
+        SmallFleet fleet = new SmallFleet(dispatchers, endpoints, 7);
         fleet.run(warm * SECOND);
         long cpu = fleet.cpu;
         fleet.run((warm + idle) * SECOND);
         double idleMs = (fleet.cpu - cpu) / 1e6 / idle / dispatchers;
-        double rate = 0.5 * SmallFleet.SLOTS * runners / (WORK / (double) SECOND);
+        double rate = 0.5 * SmallFleet.SLOTS * endpoints / (WORK / (double) SECOND);
         int heavy = (dispatchers + 6) / 7;
         double part = rate / (dispatchers + 4 * heavy);
         long from = fleet.now;
@@ -42,25 +42,25 @@
         long bytes = fleet.bytes;
         int probes = fleet.probes;
         fleet.run(from + busy * SECOND);
-        double requests = fleet.sent + fleet.refused;
+        double requests = fleet.sent + fleet.rejected;
         double busyUs = ((fleet.cpu - cpu) / 1e3 - idleMs * 1e3 * busy * dispatchers) / requests;
         long datagramsPerS = (fleet.datagrams - datagrams) / busy;
         long bytesPerS = (fleet.bytes - bytes) / busy;
         double probesPer = (fleet.probes - probes) / requests;
-        double full = (fleet.toFull + fleet.refused) / requests;
+        double full = (fleet.sentToFullEndpoint + fleet.rejected) / requests;
         long longest = fleet.longest;
         fleet.forgetEvents();
         long state = Math.max(0, used() - before) / fleet.instances.size();
         if (print) {
-            System.out.printf("jobs_%d=%.0f%n", runners, requests);
-            System.out.printf("full_or_refused_%d=%.3f%n", runners, full);
-            System.out.printf("cpu_us_per_request_%d=%.1f%n", runners, busyUs);
-            System.out.printf("idle_cpu_ms_per_s_%d=%.3f%n", runners, idleMs);
-            System.out.printf("probes_per_request_%d=%.2f%n", runners, probesPer);
+            System.out.printf("jobs_%d=%.0f%n", endpoints, requests);
+            System.out.printf("full_or_refused_%d=%.3f%n", endpoints, full);
+            System.out.printf("cpu_us_per_request_%d=%.1f%n", endpoints, busyUs);
+            System.out.printf("idle_cpu_ms_per_s_%d=%.3f%n", endpoints, idleMs);
+            System.out.printf("probes_per_request_%d=%.2f%n", endpoints, probesPer);
             System.out.printf("datagrams_per_s_%d=%d%n", dispatchers, datagramsPerS / dispatchers);
             System.out.printf("bytes_per_s_%d=%d%n", dispatchers, bytesPerS / dispatchers);
             System.out.printf("longest_datagram_%d=%d%n", dispatchers, longest);
-            System.out.printf("state_bytes_%d=%d%n", runners, state);
+            System.out.printf("state_bytes_%d=%d%n", endpoints, state);
         }
     }
 
--- a/src/test/java/nettlewick/decision/OutliersTest.java
+++ b/src/test/java/nettlewick/decision/OutlierDetectorTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Who is left alone, how many at most, and how they come back. */
-class OutliersTest {
+class OutlierDetectorTest {
     private static final long MS = 1_000_000;
     private final List<Endpoint> fleet =
             IntStream.range(0, 6).mapToObj(i -> new Endpoint("w" + i)).toList();
     private final OutlierDetector outliers = new OutlierDetector(() -> fleet);
 
-    private boolean out(int i, long now) {
+    private boolean isEjected(int i, long now) {
         return fleet.get(i).health().isEjected(now);
     }
 
@@ -29,35 +29,35 @@
     }
 
     @Test
-    void oneBreakIsTheConnectionsTwoInARowAreTheWorkers() {
+    void twoBrokenConnectionsInARowEjectAnEndpointOneDoesNot() {
         outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
         outliers.recordResult(fleet.get(0), AttemptResult.SERVED, MS, 0);
         outliers.recordResult(fleet.get(0), AttemptResult.UNREACHABLE, MS, 0);
-        assertFalse(out(0, 1));
+        assertFalse(isEjected(0, 1));
         outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
-        assertTrue(out(0, 1));
+        assertTrue(isEjected(0, 1));
         outliers.recordResult(fleet.get(1), AttemptResult.UNREACHABLE, 200 * MS, 0);
-        assertTrue(out(1, 1), "cut off: it does not even refuse");
+        assertTrue(isEjected(1, 1), "cut off: it does not even refuse");
     }
 
     @Test
-    void whereManyConnectionsBreakTwoInARowAreChance() {
+    void whereManyConnectionsBreakMoreInARowAreNeededToEject() {
         for (int i = 0; i < 60; i++) {
             outliers.recordResult(
                     fleet.get(1 + i % 5), i % 6 == 0 ? AttemptResult.BROKEN : AttemptResult.SERVED, MS, 0);
         }
         outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
         outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
-        assertFalse(out(0, 1));
+        assertFalse(isEjected(0, 1));
         for (int i = 0; i < 3; i++) {
             outliers.recordResult(fleet.get(0), AttemptResult.BROKEN, MS, 0);
         }
-        assertTrue(out(0, 1));
+        assertTrue(isEjected(0, 1));
     }
 
     /** Guards against a job that waits for its deadline on a connection that fell silent among live ones. */
     @Test
-    void anAttemptThatWasOvertakenOrStandsStillIsLost() {
+    void anOvertakenOrStalledAttemptIsLost() {
         Endpoint endpoint = fleet.get(0);
         Attempt first = new Attempt(null, endpoint, 0, 0);
         Attempt second = new Attempt(null, endpoint, 0, 251 * MS);
@@ -71,9 +71,9 @@
 
     /** Guards against a slot that a lost attempt would hold here until its deadline. */
     @Test
-    void oneThatNeverStartsWhileNothingWaitsIsLostAndHoldsNoSlot() {
+    void anAttemptThatNeverStartsAtAnEmptyQueueIsLostAndReleasesItsSlots() {
         Endpoint endpoint = fleet.get(0);
-        RequestClass read = Samples.jobClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 1);
+        RequestClass read = Samples.requestClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 1);
         ScheduledRequest request = new ScheduledRequest(Samples.arrival("a", "read", "red"), read, 0, null, 0);
         Attempt sent = new Attempt(request, endpoint, 0, 0);
         endpoint.inFlight().add(sent);
@@ -103,7 +103,7 @@
      * overloaded day, where what was called off ran on and 75% of all attempts found their runner full.
      */
     @Test
-    void aReportWithoutAQueueProvesItEmptyOnlyWithRoomForAnyJob() {
+    void aReportWithoutAQueueProvesItEmptyOnlyWithRoomForTheLargestRequest() {
         EndpointKindStats kind = new EndpointKindStats();
         LargestRequest most = new LargestRequest();
         most.include(new Arrival("a", "read", null, MS, 2, 1.5, 0, null, false));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void whatShouldHaveStartedShowsInTime() {
+    void anAttemptSentToAFreeSlotIsOverdueAfterTheStartTimeout() {
         Attempt sent = new Attempt(null, fleet.get(0), 0, 0);
         assertFalse(OutlierDetector.isStartOverdue(sent, 151 * MS), "it was sent to a queue");
         sent.markSentToFreeCapacity();
@@ -130,13 +130,13 @@
     }
 
     @Test
-    void halfTheFleetStaysInAndEachTimeOutIsLonger() {
+    void atMostHalfTheFleetIsEjectedAndEachEjectionIsLonger() {
         fleet.forEach(endpoint -> outliers.recordResult(endpoint, AttemptResult.ERROR, MS, 0));
-        assertEquals(3, IntStream.range(0, 6).filter(i -> out(i, 1)).count());
+        assertEquals(3, IntStream.range(0, 6).filter(i -> isEjected(i, 1)).count());
         outliers.recordResult(fleet.get(0), AttemptResult.ERROR, MS, 600 * MS);
-        assertTrue(out(0, 1500 * MS));
+        assertTrue(isEjected(0, 1500 * MS));
         outliers.recordResult(fleet.get(0), AttemptResult.SERVED, MS, 1500 * MS);
-        assertFalse(out(0, 1500 * MS));
+        assertFalse(isEjected(0, 1500 * MS));
         assertFalse(fleet.get(0).health().isUnproven());
     }
 }
--- a/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
+++ b/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
@@ -84,7 +84,7 @@
                 members.add(Dispatcher.create(settings(rank, dispatchers, seed % 2 == 0), seed + rank));
             }
             for (int rank = 0; rank < dispatchers; rank++) {
-                at(now, rank, Samples.workers(endpoints));
+                at(now, rank, Samples.endpoints(endpoints));
                 traffic(rank);
                 endpointChanges(rank);
             }
--- a/src/test/java/nettlewick/decision/SecondSiteTest.java
+++ b/src/test/java/nettlewick/decision/QueuelessSiteTest.java
@@ -28,25 +28,25 @@
  * What a site shows that reports no queue, counts memory, runs jobs of seconds and stops nothing that is called
  * off: the module goes by its settings and by what attempts show, not by another site's figures.
  */
-class SecondSiteTest {
+class QueuelessSiteTest {
     private static final double NONE = Double.NaN;
     private long now = SECOND;
 
-    private static RequestClass jobClass(String name, Idempotency repeat, long aim, double stretch, double worth) {
+    private static RequestClass requestClass(String name, Idempotency repeat, long aim, double stretch, double worth) {
         return new RequestClass(
                 name, repeat, Scope.ZONE, 30 * SECOND, aim, stretch, 25 * SECOND, worth, 0, false, -1, 0);
     }
 
-    private final RequestScheduler logic = new RequestScheduler(
+    private final RequestScheduler scheduler = new RequestScheduler(
             new SchedulerSettings(
                     0,
                     1,
                     "north",
                     List.of(
-                            jobClass("light", Idempotency.IDEMPOTENT, 400 * MS, 1.75, 3),
-                            jobClass("heavy", Idempotency.IDEMPOTENT, 1500 * MS, 2.5, 5),
-                            jobClass("dues", Idempotency.KEYED, 1500 * MS, 2.5, 5),
-                            jobClass("transfer", Idempotency.NON_IDEMPOTENT, 1500 * MS, 1.75, 10)),
+                            requestClass("light", Idempotency.IDEMPOTENT, 400 * MS, 1.75, 3),
+                            requestClass("heavy", Idempotency.IDEMPOTENT, 1500 * MS, 2.5, 5),
+                            requestClass("dues", Idempotency.KEYED, 1500 * MS, 2.5, 5),
+                            requestClass("transfer", Idempotency.NON_IDEMPOTENT, 1500 * MS, 1.75, 10)),
                     List.of(new Tenant("red", 1, 10)),
                     List.of("box"),
                     false,
@@ -59,7 +59,7 @@
 
     private List<Action> at(long time, Event... events) {
         now = time;
-        return logic.handle(now, List.of(events));
+        return scheduler.handle(now, List.of(events));
     }
 
     private static Arrival job(String id, String jobClass, long hint, double slots, double memory) {
@@ -71,7 +71,7 @@
     }
 
     private String sentTo(List<Action> actions) {
-        List<Dispatch> sent = Samples.only(Dispatch.class, actions);
+        List<Dispatch> sent = Samples.actionsOfType(Dispatch.class, actions);
         return sent.isEmpty() ? null : sent.get(0).endpoint();
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** A job that runs at {@code worker} and ends after {@code run}; the clock goes on by as much. */
-    private void runs(String id, String jobClass, String endpoint, long hint, long run) {
+    private void runRequest(String id, String jobClass, String endpoint, long hint, long run) {
         List<Action> actions = at(now, report(endpoint, 4, 4), job(id, jobClass, hint, 1, 0.5));
         assertEquals(endpoint, sentTo(actions));
         at(now + MS, new Progress(id, 0, endpoint, 0));
@@ -93,7 +93,7 @@
 
     /** Guards against a runner taken for free while its first waiting job does not fit in memory. */
     @Test
-    void aRunnerWhoseFirstWaitingJobDoesNotFitIsNotSeenAsFree() {
+    void anEndpointWhoseFirstQueuedRequestDoesNotFitIsNotTakenForFree() {
         list("north", "north");
         assertEquals(
                 "w0", sentTo(at(now, report("w0", 4, 4), report("w1", 0, 4), job("a", "heavy", 3 * SECOND, 1, 3))));
@@ -108,29 +108,29 @@
 
     /** Guards against the wait behind heavy jobs being counted as if they were light ones. */
     @Test
-    void aLightJobBehindHeavyOnesIsRefusedAtOnce() {
+    void aLightRequestBehindHeavyOnesIsRejectedAtOnce() {
         list("north");
         for (int i = 0; i < 6; i++) {
-            runs("h" + i, "heavy", "w0", 4 * SECOND, 4 * SECOND);
+            runRequest("h" + i, "heavy", "w0", 4 * SECOND, 4 * SECOND);
         }
-        runs("l", "light", "w0", 200 * MS, 200 * MS);
+        runRequest("l", "light", "w0", 200 * MS, 200 * MS);
         for (int i = 0; i < 7; i++) {
             at(now, report("w0", Math.max(0, 4 - i), 4), job("q" + i, "transfer", 4 * SECOND, 1, 0.1));
         }
         List<Action> actions = at(now, report("w0", 0, 4), job("late", "light", 200 * MS, 1, 0.1));
-        assertEquals(1, Samples.only(Reject.class, actions).size(), actions.toString());
+        assertEquals(1, Samples.actionsOfType(Reject.class, actions).size(), actions.toString());
     }
 
     /** Guards against a near runner that is slowed taking what another zone's would do in time. */
     @Test
-    void aJobThatWouldBeLateNearGoesToAnotherZoneInTime() {
+    void aRequestThatWouldBeLateInItsZoneGoesToAnother() {
         list("north", "south");
         for (int i = 0; i < 6; i++) {
-            runs("f" + i, "heavy", "w1", SECOND, SECOND);
+            runRequest("f" + i, "heavy", "w1", SECOND, SECOND);
         }
         now += 2 * SECOND;
         for (int i = 0; i < 6; i++) {
-            runs("s" + i, "heavy", "w0", SECOND, 5 * SECOND);
+            runRequest("s" + i, "heavy", "w0", SECOND, 5 * SECOND);
         }
         List<Action> actions =
                 at(now, report("w0", 4, 4), report("w1", 4, 4), job("t", "transfer", 4 * SECOND, 1, 0.1));
@@ -139,7 +139,7 @@
 
     /** A heavy tail in one class: a job of 23 times its hint that shows progress is neither lost nor a fault. */
     @Test
-    void aJobOfManyTimesItsHintIsLeftToRun() {
+    void aRequestOfManyTimesItsHintIsNeitherLostNorAFault() {
         list("north", "north");
         at(now, report("w0", 4, 4), report("w1", 0, 4));
         assertEquals("w0", sentTo(at(now, job("tail", "heavy", SECOND, 1, 0.1))));
@@ -151,10 +151,10 @@
                     report("w1", 0, 4),
                     new Timer("beat"),
                     new Progress("tail", 0, "w0", second / 23.0));
-            assertEquals(List.of(), Samples.only(Cancel.class, actions));
-            assertEquals(List.of(), Samples.only(Dispatch.class, actions));
+            assertEquals(List.of(), Samples.actionsOfType(Cancel.class, actions));
+            assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, actions));
         }
-        assertEquals(0, logic.endpointCounts().ejected());
+        assertEquals(0, scheduler.endpointCounts().ejected());
         at(now + SECOND, new Outcome("tail", 0, "w0", AttemptResult.SERVED, 23 * SECOND, true, null));
         assertEquals(
                 "w0", sentTo(at(now, report("w0", 4, 4), job("next", "transfer", SECOND, 1, 0.1))), "room is room");
@@ -162,9 +162,9 @@
 
     /** A dependency slows every runner at once: nobody is left out for it, and where there is room none refused. */
     @Test
-    void aSlownessOfAllRunnersEjectsNobody() {
+    void aSlowdownOfAllEndpointsEjectsNone() {
         list("north", "north", "south");
-        int refused = 0;
+        int rejected = 0;
         for (int round = 0; round < 20; round++) {
             for (int i = 0; i < 3; i++) {
                 String id = round + "-" + i;
@@ -174,7 +174,7 @@
                         report("w1", 4, 4),
                         report("w2", 4, 4),
                         job(id, i == 0 ? "light" : i == 1 ? "dues" : "transfer", 1500 * MS, 1, 0.1));
-                refused += Samples.only(Reject.class, actions).size();
+                rejected += Samples.actionsOfType(Reject.class, actions).size();
                 String endpoint = sentTo(actions);
                 at(now + MS, new Progress(id, 0, endpoint, 0));
                 for (int second = 1; second <= 3; second++) {
@@ -183,13 +183,13 @@
                 at(now + 450 * MS, new Outcome(id, 0, endpoint, AttemptResult.SERVED, 3451 * MS, true, null));
             }
         }
-        assertEquals(0, refused, "2.3 times as slow, with room everywhere");
-        assertEquals(0, logic.endpointCounts().ejected());
+        assertEquals(0, rejected, "2.3 times as slow, with room everywhere");
+        assertEquals(0, scheduler.endpointCounts().ejected());
     }
 
     /** Guards against waits foretold too short, time after time, at what reports do not show. */
     @Test
-    void aForetoldWaitIsCorrectedByWhatWasWaited() {
+    void aPredictedWaitIsCorrectedByWaitsSeen() {
         WaitCalibration waits = new WaitCalibration();
         assertEquals(1, waits.factor());
         for (int i = 0; i < 40; i++) {
--- /dev/null
+++ b/src/test/java/nettlewick/decision/RequestSchedulerTest.java
@@ -0,0 +1,144 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import nettlewick.decision.Action.Dispatch;
+import nettlewick.decision.Action.Probe;
+import nettlewick.decision.Action.Reject;
+import nettlewick.decision.Action.Subscribe;
+import nettlewick.decision.Event.Abandoned;
+import nettlewick.decision.Event.Arrival;
+import nettlewick.decision.Event.EndpointList;
+import nettlewick.decision.Event.EndpointListFailed;
+import nettlewick.decision.Event.Outcome;
+import nettlewick.decision.Event.ProbeAnswer;
+import nettlewick.decision.Event.Progress;
+import nettlewick.decision.Event.StreamStarted;
+import nettlewick.decision.Event.Timer;
+import org.junit.jupiter.api.Test;
+
+/** Subscriptions, the probe pool, and input that is unknown, repeated or out of range. */
+class RequestSchedulerTest extends SchedulerFixture {
+    /** Guards against machines of other zones that nobody watches, and that idle while the watched ones jam. */
+    @Test
+    void theProbePoolOfASmallZoneIsFilledFromOtherZones() {
+        List<EndpointEntry> twelve = new ArrayList<>();
+        for (int i = 0; i < 12; i++) {
+            twelve.add(Samples.entry("w" + i, EndpointState.READY, 0, i < 3 ? "north" : "south" + i % 3, i));
+        }
+        at(1, new EndpointList(true, twelve));
+        Set<String> asked = new HashSet<>();
+        for (int beat = 1; beat <= 60; beat++) {
+            for (Probe p : Samples.actionsOfType(
+                    Probe.class,
+                    at(1 + beat * 100 * Samples.MS, new Timer("beat"), Samples.arrival("p" + beat, "read", "red")))) {
+                asked.add(p.endpoint());
+                at(now, Samples.probeAnswer(p.endpoint(), 2, 0));
+            }
+        }
+        assertEquals(12, asked.size());
+    }
+
+    @Test
+    void aBrokenSubscriptionIsRenewed() {
+        SchedulerSettings s = Samples.settings(0, 3, true);
+        RequestScheduler asking = new RequestScheduler(
+                new SchedulerSettings(
+                        0,
+                        3,
+                        s.zone(),
+                        s.classes(),
+                        s.tenants(),
+                        s.kinds(),
+                        true,
+                        false,
+                        s.loadReporting(),
+                        0,
+                        s.limits(),
+                        s.rules()),
+                5);
+        assertEquals(
+                1,
+                Samples.actionsOfType(Subscribe.class, asking.handle(1, List.of(Samples.endpoints(2))))
+                        .size());
+        asking.handle(2, List.of(new EndpointListFailed()));
+        assertEquals(
+                1,
+                Samples.actionsOfType(Subscribe.class, asking.handle(2 * Samples.SECOND, List.of(new Timer("beat"))))
+                        .size());
+    }
+
+    @Test
+    void unknownAndRepeatedInputChangesNothing() {
+        at(
+                1,
+                new EndpointList(
+                        true,
+                        List.of(
+                                Samples.entry("w0", EndpointState.READY, 0, null, 0),
+                                Samples.entry("w0", EndpointState.READY, 0, null, 0),
+                                new EndpointEntry("x", EndpointState.READY, 0, 0, "novel", "moon", 1))));
+        at(
+                1,
+                new Abandoned("unknown"),
+                new Outcome("unknown", 3, "w9", AttemptResult.SERVED, 1, true, null),
+                new ProbeAnswer("w9", AttemptResult.TIMEOUT, 1, null),
+                new Progress("unknown", 0, "w9", 1),
+                new StreamStarted("unknown", 0),
+                new Timer("novel"),
+                new EndpointListFailed());
+        assertEquals(
+                1,
+                Samples.actionsOfType(
+                                Reject.class, at(1, new Arrival("odd", "novel", "nobody", 5, 1, 0, 0, null, false)))
+                        .size());
+        Dispatch sent = Samples.actionsOfType(Dispatch.class, at(1, Samples.arrival("same", "read", "nobody")))
+                .get(0);
+        assertEquals(List.of(), at(0, Samples.arrival("same", "read", "nobody")), "an id twice is passed over");
+        at(0, Samples.outcome(sent, 7, AttemptResult.SERVED), Samples.outcome(sent, 0, AttemptResult.SERVED));
+        assertEquals(
+                List.of(),
+                Samples.actionsOfType(Dispatch.class, at(1, Samples.outcome(sent, 0, AttemptResult.BROKEN))));
+    }
+
+    @Test
+    void settingsOutOfRangeAreRejectedByName() {
+        SchedulerSettings s = Samples.settings(0, 3, true);
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class,
+                () -> new SchedulerSettings(
+                        3,
+                        3,
+                        s.zone(),
+                        s.classes(),
+                        s.tenants(),
+                        s.kinds(),
+                        false,
+                        false,
+                        s.loadReporting(),
+                        0,
+                        s.limits(),
+                        s.rules()));
+        assertEquals("setting rank makes no sense: 3", e.getMessage());
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new SchedulerSettings(
+                        0,
+                        3,
+                        s.zone(),
+                        List.of(),
+                        s.tenants(),
+                        s.kinds(),
+                        false,
+                        false,
+                        s.loadReporting(),
+                        0,
+                        s.limits(),
+                        s.rules()));
+    }
+}
--- a/src/test/java/nettlewick/decision/RetryAfterTest.java
+++ b/src/test/java/nettlewick/decision/RetryAfterTest.java
@@ -9,29 +9,29 @@
 
 /** Guards against refusals that do not say when to come back: clients then come back when they like. */
 class RetryAfterTest {
-    private static List<Reject> refusals(boolean allowed, Event... events) {
-        RequestScheduler logic = new RequestScheduler(Samples.settings(0, 3, allowed), 11);
-        return Samples.only(Reject.class, logic.handle(1, List.of(events)));
+    private static List<Reject> rejections(boolean allowed, Event... events) {
+        RequestScheduler scheduler = new RequestScheduler(Samples.settings(0, 3, allowed), 11);
+        return Samples.actionsOfType(Reject.class, scheduler.handle(1, List.of(events)));
     }
 
     @Test
-    void aRefusalForWantOfAnyWorkerSaysWhenToComeBack() {
-        Reject refused = refusals(true, Samples.arrival("a", "read", "red")).get(0);
+    void aRejectionForLackOfEndpointsSaysWhenToRetry() {
+        Reject rejected = rejections(true, Samples.arrival("a", "read", "red")).get(0);
         assertTrue(
-                refused.retryAfter() >= Samples.SECOND && refused.retryAfter() <= 2 * Samples.SECOND,
-                refused.toString());
+                rejected.retryAfter() >= Samples.SECOND && rejected.retryAfter() <= 2 * Samples.SECOND,
+                rejected.toString());
     }
 
     @Test
-    void aClassThatIsUnknownIsRefusedForAsLongAsClientsHeed() {
+    void anUnknownClassIsRejectedWithTheLongestRetryAfter() {
         assertEquals(
                 2 * Samples.SECOND,
-                refusals(true, Samples.arrival("a", "none", "red")).get(0).retryAfter());
+                rejections(true, Samples.arrival("a", "none", "red")).get(0).retryAfter());
     }
 
     @Test
-    void nothingIsAdvisedWhereTheSiteGivesNoAdvice() {
+    void noRetryAfterWhereTheSiteAllowsNone() {
         assertEquals(
-                0, refusals(false, Samples.arrival("a", "read", "red")).get(0).retryAfter());
+                0, rejections(false, Samples.arrival("a", "read", "red")).get(0).retryAfter());
     }
 }
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -22,7 +22,7 @@
 
     private Samples() {}
 
-    static RequestClass jobClass(String name, Idempotency repeat, Scope scope, double worth) {
+    static RequestClass requestClass(String name, Idempotency repeat, Scope scope, double worth) {
         return new RequestClass(name, repeat, scope, 4 * SECOND, 200 * MS, 2, 5 * SECOND, worth, 0, false, -1, 0);
     }
 
@@ -36,10 +36,10 @@
                 fleet,
                 "north",
                 List.of(
-                        jobClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2),
-                                jobClass("keyed", Idempotency.KEYED, Scope.ZONE, 2),
-                        jobClass("book", Idempotency.NON_IDEMPOTENT, Scope.ALL, 2),
-                                jobClass("cell", Idempotency.KEYED, Scope.CELL, 2)),
+                        requestClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2),
+                                requestClass("keyed", Idempotency.KEYED, Scope.ZONE, 2),
+                        requestClass("book", Idempotency.NON_IDEMPOTENT, Scope.ALL, 2),
+                                requestClass("cell", Idempotency.KEYED, Scope.CELL, 2)),
                 List.of(new Tenant("red", 0.5, 10), new Tenant("blue", 0.5, 10)),
                 List.of("box"),
                 false,
@@ -55,7 +55,7 @@
     }
 
     /** {@code count} warm workers, half of them in each zone, two to a cell. */
-    static EndpointList workers(int count) {
+    static EndpointList endpoints(int count) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(entry("w" + i, EndpointState.READY, 0, i % 2 == 0 ? "north" : "south", i / 2));
@@ -71,7 +71,7 @@
         return new Outcome(sent.id(), attempt, sent.endpoint(), result, 50 * MS, result == AttemptResult.SERVED, null);
     }
 
-    static ProbeAnswer answer(String endpoint, double free, double waiting) {
+    static ProbeAnswer probeAnswer(String endpoint, double free, double waiting) {
         return new ProbeAnswer(
                 endpoint,
                 AttemptResult.SERVED,
@@ -84,13 +84,13 @@
         List.copyOf(endpoint.inFlight().attempts()).forEach(endpoint.inFlight()::remove);
         if (slots > 0) {
             Arrival arrival = new Arrival("held", "read", "red", SECOND, slots, 0, 0, null, false);
-            RequestClass read = jobClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2);
+            RequestClass read = requestClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2);
             ScheduledRequest request = new ScheduledRequest(arrival, read, 0, null, 0);
             endpoint.inFlight().add(request.addAttempt(endpoint, 0));
         }
     }
 
-    static <T extends Action> List<T> only(Class<T> type, List<Action> actions) {
+    static <T extends Action> List<T> actionsOfType(Class<T> type, List<Action> actions) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 }
--- /dev/null
+++ b/src/test/java/nettlewick/decision/SchedulerFixture.java
@@ -0,0 +1,31 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import nettlewick.decision.Action.Dispatch;
+
+/** A scheduler of a fleet of three, with a clock and shorthands for what tests send to it. */
+class SchedulerFixture {
+    final RequestScheduler scheduler = new RequestScheduler(Samples.settings(0, 3, true), 11);
+    long now = 1;
+    int requests;
+
+    List<Action> at(long time, Event... events) {
+        now = time;
+        return scheduler.handle(now, List.of(events));
+    }
+
+    Dispatch send(String jobClass) {
+        List<Dispatch> sent =
+                Samples.actionsOfType(Dispatch.class, at(now + 1, Samples.arrival("j" + requests++, jobClass, "red")));
+        assertEquals(1, sent.size());
+        return sent.get(0);
+    }
+
+    void answers(double free, double waiting, int endpoints) {
+        for (int i = 0; i < endpoints; i++) {
+            at(now, Samples.probeAnswer("w" + i, free, waiting));
+        }
+    }
+}
--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/SharedLoadsTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void whatAPeerHoldsIsCountedWhileItsNoteIsYoung() {
+    void peerSlotsCountWhileTheirMessageIsRecent() {
         List<Endpoint> theirs = fleet(3);
         Samples.setSlotsInFlight(theirs.get(0), 2);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
@@ -48,7 +48,7 @@
 
     /** An idle dispatcher of a large tier would send empty notes to its peers for nothing, twice a second. */
     @Test
-    void thatNothingIsHeldIsToldOnce() {
+    void anIdleDispatcherSendsItsEmptyLoadOnce() {
         List<Endpoint> theirs = fleet(3);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
@@ -66,7 +66,7 @@
      * that are not on the list, must change nothing else. Each is counted.
      */
     @Test
-    void lateDamagedAndUnlistedNotesChangeNothingAndAreCounted() {
+    void lateDamagedAndUnlistedMessagesAreCountedAndIgnored() {
         List<Endpoint> theirs = fleet(3);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
@@ -102,7 +102,7 @@
 
     /** While a release is under way, lists of one length differ: a note must not mean another worker. */
     @Test
-    void aNoteMeansTheSameWorkersWhateverListTheOtherHas() {
+    void marksMeanTheSameEndpointsWhateverListThePeerHas() {
         List<Endpoint> theirs = fleet(4);
         theirs.forEach(
                 endpoint -> Samples.setSlotsInFlight(endpoint, endpoint.id().equals("w2") ? 1 : 0));
@@ -120,7 +120,7 @@
 
     /** Several hundred workers in use do not fit in one datagram; what shrinks to fewer leaves nothing behind. */
     @Test
-    void whatDoesNotFitInOneDatagramIsSpreadOverSeveral() {
+    void largeLoadsAreSplitOverSeveralDatagrams() {
         List<Endpoint> theirs = fleet(600);
         theirs.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
--- a/src/test/java/nettlewick/decision/RulesTest.java
+++ b/src/test/java/nettlewick/decision/SiteRulesTest.java
@@ -6,8 +6,12 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
 import nettlewick.decision.Action.Dispatch;
@@ -29,30 +33,66 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The four rules over random event sequences, and the checker over planted violations of each. */
-class RulesTest {
+class SiteRulesTest {
     private record Due(long at, int order, Event event) {}
 
     /** Plays seeded random events against one instance and writes down all that it did. */
-    private static List<String> play(
-            long seed, SchedulerSettings settings, RuleChecker checker, UnaryOperator<String> name) {
-        SplittableRandom random = new SplittableRandom(seed);
-        Dispatcher dispatcher = Dispatcher.create(settings, seed);
-        PriorityQueue<Due> due =
+    private static final class Player {
+        private static final long END = 20 * Samples.SECOND;
+        private static final long DRAINED = END + 6 * Samples.SECOND;
+
+        private final SplittableRandom random;
+        private final Dispatcher dispatcher;
+        private final SchedulerSettings settings;
+        private final RuleChecker checker;
+        private final UnaryOperator<String> name;
+        private final PriorityQueue<Due> due =
                 new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingInt(Due::order));
-        List<String> trace = new ArrayList<>();
-        int[] order = {0};
-        long end = 20 * Samples.SECOND;
-        due.add(new Due(1, order[0]++, rename(Samples.workers(8), name)));
-        for (int i = 0; i < 1500; i++) {
-            String id = "r" + i;
+        private final List<String> trace = new ArrayList<>();
+        private final Map<String, Integer> attempts = new HashMap<>();
+        private final Map<String, Long> deadlines = new HashMap<>();
+        private final Set<String> done = new HashSet<>();
+        private int order;
+
+        Player(long seed, SchedulerSettings settings, RuleChecker checker, UnaryOperator<String> name) {
+            random = new SplittableRandom(seed);
+            dispatcher = Dispatcher.create(settings, seed);
+            this.settings = settings;
+            this.checker = checker;
+            this.name = name;
+        }
+
+        private void schedule(long at, Event event) {
+            due.add(new Due(at, order++, event));
+        }
+
+        List<String> play() {
+            schedule(1, rename(Samples.endpoints(8), name));
+            for (int i = 0; i < 1500; i++) {
+                scheduleRequest("r" + i);
+            }
+            for (int i = 0; i < 30; i++) {
+                scheduleEndpointUpdate();
+            }
+            while (!due.isEmpty() && due.peek().at() < DRAINED) {
+                Due next = due.poll();
+                Event event = asTheHostReportsIt(next.at(), next.event());
+                if (event != null) {
+                    deliver(next.at(), event);
+                }
+            }
+            checker.finish(DRAINED);
+            return trace;
+        }
+
+        private void scheduleRequest(String id) {
             RequestClass c =
                     settings.classes().get(random.nextInt(settings.classes().size()));
             String tenant =
                     settings.tenants().get(random.nextInt(10) == 0 ? 1 : 0).name();
-            long at = 2 + random.nextLong(end);
-            due.add(new Due(
+            long at = 2 + random.nextLong(END);
+            schedule(
                     at,
-                    order[0]++,
                     new Arrival(
                             id,
                             c.name(),
@@ -62,92 +102,95 @@
                             0,
                             random.nextLong(400) * Samples.MS,
                             null,
-                            random.nextInt(5) == 0)));
+                            random.nextInt(5) == 0));
             if (random.nextInt(40) == 0) {
-                due.add(new Due(at + random.nextLong(Samples.SECOND), order[0]++, new Abandoned(id)));
+                schedule(at + random.nextLong(Samples.SECOND), new Abandoned(id));
             }
         }
-        for (int i = 0; i < 30; i++) {
-            long at = 2 + random.nextLong(end);
+
+        private void scheduleEndpointUpdate() {
+            long at = 2 + random.nextLong(END);
             int endpoint = random.nextInt(12);
-            EndpointState life = EndpointState.values()[random.nextInt(3)];
-            due.add(new Due(
-                    at,
-                    order[0]++,
-                    rename(
-                            new EndpointList(
-                                    false,
-                                    List.of(Samples.entry(
-                                            "w" + endpoint,
-                                            life,
-                                            life == EndpointState.READY && endpoint >= 6 ? at : 0,
-                                            endpoint % 2 == 0 ? "north" : "south",
-                                            endpoint / 2))),
-                            name)));
+            EndpointState state = EndpointState.values()[random.nextInt(3)];
+            EndpointEntry entry = Samples.entry(
+                    "w" + endpoint,
+                    state,
+                    state == EndpointState.READY && endpoint >= 6 ? at : 0,
+                    endpoint % 2 == 0 ? "north" : "south",
+                    endpoint / 2);
+            schedule(at, rename(new EndpointList(false, List.of(entry)), name));
         }
-        java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
-        java.util.Map<String, Long> deadlines = new java.util.HashMap<>();
-        java.util.Set<String> done = new java.util.HashSet<>();
-        while (!due.isEmpty() && due.peek().at() < end + 6 * Samples.SECOND) {
-            Due next = due.poll();
-            long now = next.at();
-            Event event = next.event();
+
+        /** The event without what a host would not report: null where it reports nothing. */
+        private Event asTheHostReportsIt(long now, Event event) {
             if (event instanceof Arrival a) {
                 deadlines.put(a.id(), now + a.remaining());
             } else if (event instanceof Abandoned a) {
-                if (!deadlines.containsKey(a.id()) || !done.add(a.id())) {
-                    continue;
-                }
-            } else if (event instanceof Outcome o && o.settled()) {
-                if (!done.add(o.id())) {
-                    event = new Outcome(o.id(), o.attempt(), o.endpoint(), o.result(), o.latency(), true, null);
-                }
+                return deadlines.containsKey(a.id()) && done.add(a.id()) ? event : null;
+            } else if (event instanceof Outcome o && o.settled() && !done.add(o.id())) {
+                return new Outcome(o.id(), o.attempt(), o.endpoint(), o.result(), o.latency(), true, null);
             }
+            return event;
+        }
+
+        private void deliver(long now, Event event) {
             checker.event(now, event);
             for (Action action : dispatcher.handle(now, List.of(event))) {
                 trace.add(now + " " + (action instanceof SendToPeer t ? t.rank() + Arrays.toString(t.data()) : action));
                 checker.action(now, action);
-                if (action instanceof Dispatch d) {
-                    int number = attempts.merge(d.id(), 1, Integer::sum) - 1;
-                    long left = deadlines.get(d.id()) - now;
-                    int lot = random.nextInt(100);
-                    long wait = 1 + random.nextLong(400 * Samples.MS);
-                    AttemptResult result = lot < 60
-                            ? AttemptResult.SERVED
-                            : lot < 75
-                                    ? AttemptResult.OVERLOADED
-                                    : lot < 80
-                                            ? AttemptResult.ERROR
-                                            : lot < 85
-                                                    ? AttemptResult.UNREACHABLE
-                                                    : lot < 90 ? AttemptResult.BROKEN : AttemptResult.TIMEOUT;
-                    if (result == AttemptResult.TIMEOUT || wait >= left) {
-                        result = AttemptResult.TIMEOUT;
-                        wait = left;
-                    }
-                    due.add(new Due(
-                            now + Math.max(1, wait),
-                            order[0]++,
-                            new Outcome(
-                                    d.id(), number, d.endpoint(), result, wait, result == AttemptResult.SERVED, null)));
-                } else if (action instanceof Reject r) {
-                    done.add(r.id());
-                } else if (action instanceof Fail f) {
-                    done.add(f.id());
-                } else if (action instanceof Probe p) {
-                    due.add(new Due(
-                            now + 1 + random.nextLong(5 * Samples.MS),
-                            order[0]++,
-                            random.nextInt(10) == 0
-                                    ? new ProbeAnswer(p.endpoint(), AttemptResult.TIMEOUT, Samples.MS, null)
-                                    : Samples.answer(p.endpoint(), random.nextInt(4), random.nextInt(3))));
-                } else if (action instanceof SetTimer t) {
-                    due.add(new Due(now + t.delay(), order[0]++, new Timer(t.name())));
-                }
+                carryOut(now, action);
             }
         }
-        checker.finish(end + 6 * Samples.SECOND);
-        return trace;
+
+        private void carryOut(long now, Action action) {
+            if (action instanceof Dispatch d) {
+                scheduleOutcome(now, d);
+            } else if (action instanceof Reject r) {
+                done.add(r.id());
+            } else if (action instanceof Fail f) {
+                done.add(f.id());
+            } else if (action instanceof Probe p) {
+                schedule(
+                        now + 1 + random.nextLong(5 * Samples.MS),
+                        random.nextInt(10) == 0
+                                ? new ProbeAnswer(p.endpoint(), AttemptResult.TIMEOUT, Samples.MS, null)
+                                : Samples.probeAnswer(p.endpoint(), random.nextInt(4), random.nextInt(3)));
+            } else if (action instanceof SetTimer t) {
+                schedule(now + t.delay(), new Timer(t.name()));
+            }
+        }
+
+        private void scheduleOutcome(long now, Dispatch d) {
+            int number = attempts.merge(d.id(), 1, Integer::sum) - 1;
+            long left = deadlines.get(d.id()) - now;
+            AttemptResult result = drawResult(random.nextInt(100));
+            long wait = 1 + random.nextLong(400 * Samples.MS);
+            if (result == AttemptResult.TIMEOUT || wait >= left) {
+                result = AttemptResult.TIMEOUT;
+                wait = left;
+            }
+            schedule(
+                    now + Math.max(1, wait),
+                    new Outcome(d.id(), number, d.endpoint(), result, wait, result == AttemptResult.SERVED, null));
+        }
+
+        private static AttemptResult drawResult(int percent) {
+            if (percent < 60) {
+                return AttemptResult.SERVED;
+            } else if (percent < 75) {
+                return AttemptResult.OVERLOADED;
+            } else if (percent < 80) {
+                return AttemptResult.ERROR;
+            } else if (percent < 85) {
+                return AttemptResult.UNREACHABLE;
+            }
+            return percent < 90 ? AttemptResult.BROKEN : AttemptResult.TIMEOUT;
+        }
+    }
+
+    private static List<String> play(
+            long seed, SchedulerSettings settings, RuleChecker checker, UnaryOperator<String> name) {
+        return new Player(seed, settings, checker, name).play();
     }
 
     private static EndpointList rename(EndpointList list, UnaryOperator<String> name) {
@@ -184,7 +227,7 @@
     }
 
     @Test
-    void namesOfWorkersClassesAndTenantsDoNotMatter() {
+    void namesOfEndpointsClassesAndTenantsDoNotMatter() {
         SchedulerSettings settings = Samples.settings(1, 3, true);
         List<RequestClass> classes = settings.classes().stream()
                 .map(c -> new RequestClass(
@@ -220,7 +263,7 @@
         List<String> plain = play(6, settings, new RuleChecker(settings), n -> n);
         List<String> other = play(6, renamed, new RuleChecker(renamed), n -> "q" + n);
         assertSame(
-                plain.stream().map(RulesTest::withoutMarks).toList(),
+                plain.stream().map(SiteRulesTest::withoutMarks).toList(),
                 other.stream()
                         .map(line -> withoutMarks(line.replace("endpoint=qw", "endpoint=w")))
                         .toList());
@@ -264,7 +307,7 @@
     }
 
     @Test
-    void checkerCatchesASendToADrainingWorker() {
+    void checkerCatchesADispatchToADrainingEndpoint() {
         RuleChecker checker = started();
         checker.event(4, new EndpointList(false, List.of(Samples.entry("w0", EndpointState.DRAINING, 0, "north", 0))));
         checker.event(5, Samples.arrival("a", "read", "red"));
@@ -273,7 +316,7 @@
     }
 
     @Test
-    void checkerCatchesAPushedColdWorker() {
+    void checkerCatchesAnOverloadedWarmingEndpoint() {
         RuleChecker checker = started();
         checker.event(4, new EndpointList(false, List.of(Samples.entry("w9", EndpointState.READY, 4, "north", 4))));
         for (int i = 0; i < 5; i++) {
@@ -285,7 +328,7 @@
 
     private static RuleChecker started() {
         RuleChecker checker = new RuleChecker(Samples.settings(0, 3, true));
-        checker.event(1, Samples.workers(8));
+        checker.event(1, Samples.endpoints(8));
         return checker;
     }
 
--- a/src/test/java/nettlewick/decision/PeersTest.java
+++ b/src/test/java/nettlewick/decision/SliceExchangeTest.java
@@ -19,17 +19,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Transfers between dispatchers, best friends, and messages that are not ours. */
-class PeersTest {
+class SliceExchangeTest {
     private record Mail(long at, int from, int to, byte[] data) {}
 
     /** A few dispatchers whose workers are always full, joined by a network that loses, doubles and reorders. */
     private static final class Ring {
         final SplittableRandom random;
         final RequestScheduler[] members;
-        final long[] beat;
+        final long[] nextTickAt;
         final List<Mail> mail = new ArrayList<>();
         long now = 1;
-        int jobs;
+        int requests;
         double loss = 0.2;
         boolean full = true;
         /** Of ten jobs, so many are lost while workers are full: slices that serve all may grow by themselves. */
@@ -40,7 +40,7 @@
         Ring(int size, long seed) {
             random = new SplittableRandom(seed);
             members = new RequestScheduler[size];
-            beat = new long[size];
+            nextTickAt = new long[size];
             dead = new boolean[size];
             for (int i = 0; i < size; i++) {
                 start(i, seed * 100 + i);
@@ -49,7 +49,7 @@
 
         void start(int rank, long seed) {
             members[rank] = new RequestScheduler(Samples.settings(rank, members.length, true), seed);
-            carry(rank, members[rank].handle(now, List.of(Samples.workers(4))));
+            carry(rank, members[rank].handle(now, List.of(Samples.endpoints(4))));
         }
 
         void carry(int rank, List<Action> actions) {
@@ -61,12 +61,12 @@
                         }
                     }
                 } else if (action instanceof SetTimer t) {
-                    beat[rank] = now + t.delay();
+                    nextTickAt[rank] = now + t.delay();
                 } else if (action instanceof Probe p) {
                     carry(
                             rank,
                             members[rank].handle(
-                                    now, List.of(Samples.answer(p.endpoint(), full ? 0 : 3, full ? 9 : 0))));
+                                    now, List.of(Samples.probeAnswer(p.endpoint(), full ? 0 : 3, full ? 9 : 0))));
                 }
             }
         }
@@ -87,13 +87,13 @@
                         mail.remove(m);
                         carry(i, members[i].handle(now, List.of(new PeerMessageReceived(m.from(), m.data()))));
                     }
-                    if (now >= beat[i]) {
+                    if (now >= nextTickAt[i]) {
                         carry(i, members[i].handle(now, List.of(new Timer("beat"))));
                     }
                     for (int j = 0; now % (100 * Samples.MS) < 10 * Samples.MS && j < arrivals[i]; j++) {
                         List<Action> actions = members[i].handle(
-                                now, List.of(Samples.arrival("j" + jobs++, "book", j % 3 == 0 ? "blue" : "red")));
-                        for (Dispatch d : Samples.only(Dispatch.class, actions)) {
+                                now, List.of(Samples.arrival("j" + requests++, "book", j % 3 == 0 ? "blue" : "red")));
+                        for (Dispatch d : Samples.actionsOfType(Dispatch.class, actions)) {
                             AttemptResult result =
                                     full && random.nextInt(10) < broken ? AttemptResult.BROKEN : AttemptResult.SERVED;
                             carry(i, members[i].handle(now, List.of(Samples.outcome(d, 0, result))));
@@ -114,7 +114,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void lostDoubledAndReorderedGiftsNeverLiftTheSum(long seed) {
+    void lostDuplicatedAndReorderedTransfersNeverRaiseTheSum(long seed) {
         Ring ring = new Ring(4, seed);
         ring.full = false;
         ring.run(8 * Samples.SECOND, 9, 3, 1, 1);
@@ -136,10 +136,10 @@
     }
 
     @Test
-    void aRestartedPeerIsNotGivenAnOldGiftAgain() {
+    void aRestartedPeerGetsNoTransferOfItsLastIncarnation() {
         RequestScheduler taker = new RequestScheduler(Samples.settings(0, 3, true), 7);
-        taker.handle(1, List.of(Samples.workers(4)));
-        int life = epochOf(taker);
+        taker.handle(1, List.of(Samples.endpoints(4)));
+        int life = incarnationOf(taker);
         byte[] gift = new PeerMessage(PeerMessage.Type.TRANSFER, true, 111, life, 1, 0, 5).encode();
         byte[] newLife = new PeerMessage(PeerMessage.Type.STATE, true, 222, 0, 0, 1, 1).encode();
         assertEquals(1, acks(taker, gift));
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aSilentFriendIsInheritedOnceAndGivenBackIfItLives() {
+    void aSilentPredecessorsSliceIsInheritedOnceAndReturnedWhenItIsHeard() {
         Ring ring = new Ring(3, 5);
         ring.loss = 0;
         ring.run(8 * Samples.SECOND, 3, 3, 3);
@@ -162,7 +162,7 @@
         ring.run(30 * Samples.SECOND, 0, 3, 3);
         assertTrue(ring.members[1].inheritedSlice() > 0, "the ring's next inherits");
         byte[] alive =
-                new PeerMessage(PeerMessage.Type.STATE, true, epochOf(ring.members[0]), 0, 0, 1, before).encode();
+                new PeerMessage(PeerMessage.Type.STATE, true, incarnationOf(ring.members[0]), 0, 0, 1, before).encode();
         double with = ring.members[1].slice();
         double inherited = ring.members[1].inheritedSlice();
         ring.members[1].handle(ring.now, List.of(new PeerMessageReceived(0, alive)));
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void messagesThatAreNotOursChangeNothing() {
+    void messagesOfOtherKindsOrPeersChangeNothing() {
         byte[] good = new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, 4).encode();
         assertNotNull(PeerMessage.decode(good));
         assertEquals(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, 4), PeerMessage.decode(good));
@@ -186,41 +186,44 @@
         assertNull(
                 PeerMessage.decode(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, Double.NaN).encode()));
         assertNull(PeerMessage.decode(new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, 2, 3, 0, -1).encode()));
-        RequestScheduler logic = new RequestScheduler(Samples.settings(0, 3, true), 7);
-        logic.handle(1, List.of(Samples.workers(4)));
-        byte[] ours = new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, epochOf(logic), 1, 0, 4).encode();
-        double before = logic.slice();
+        RequestScheduler scheduler = new RequestScheduler(Samples.settings(0, 3, true), 7);
+        scheduler.handle(1, List.of(Samples.endpoints(4)));
+        byte[] ours = new PeerMessage(PeerMessage.Type.TRANSFER, true, 1, incarnationOf(scheduler), 1, 0, 4).encode();
+        double before = scheduler.slice();
         for (int rank : new int[] {-1, 0, 3, 99}) {
             assertEquals(
                     0,
-                    logic.handle(2, List.of(new PeerMessageReceived(rank, ours)))
+                    scheduler
+                            .handle(2, List.of(new PeerMessageReceived(rank, ours)))
                             .size());
         }
-        assertEquals(before, logic.slice());
+        assertEquals(before, scheduler.slice());
     }
 
     @Test
     void nothingIsSentWherePeersAreForbiddenOrAbsent() {
         for (SchedulerSettings s : List.of(Samples.settings(0, 3, false), Samples.settings(0, 1, true))) {
-            RequestScheduler logic = new RequestScheduler(s, 3);
-            logic.handle(1, List.of(Samples.workers(4)));
+            RequestScheduler scheduler = new RequestScheduler(s, 3);
+            scheduler.handle(1, List.of(Samples.endpoints(4)));
             for (int i = 1; i < 60; i++) {
                 assertEquals(
                         List.of(),
-                        Samples.only(SendToPeer.class, logic.handle(i * 100 * Samples.MS, List.of(new Timer("beat")))));
+                        Samples.actionsOfType(
+                                SendToPeer.class, scheduler.handle(i * 100 * Samples.MS, List.of(new Timer("beat")))));
             }
         }
     }
 
-    private static int acks(RequestScheduler logic, byte[] data) {
-        return Samples.only(SendToPeer.class, logic.handle(2, List.of(new PeerMessageReceived(1, data))))
+    private static int acks(RequestScheduler scheduler, byte[] data) {
+        return Samples.actionsOfType(SendToPeer.class, scheduler.handle(2, List.of(new PeerMessageReceived(1, data))))
                 .size();
     }
 
     /** A dispatcher's life, as its answer to a question shows it. */
-    private static int epochOf(RequestScheduler logic) {
+    private static int incarnationOf(RequestScheduler scheduler) {
         byte[] ask = new PeerMessage(PeerMessage.Type.STATE_REQUEST, false, 111, 0, 0, 0, 0).encode();
-        SendToPeer answer = Samples.only(SendToPeer.class, logic.handle(1, List.of(new PeerMessageReceived(1, ask))))
+        SendToPeer answer = Samples.actionsOfType(
+                        SendToPeer.class, scheduler.handle(1, List.of(new PeerMessageReceived(1, ask))))
                 .get(0);
         return PeerMessage.decode(answer.data()).incarnation();
     }
--- a/src/test/java/nettlewick/decision/ColdStartTest.java
+++ b/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What all dispatchers that have been told of a start send there together, each by its own part and the settings alone. */
-class ColdStartTest {
+/** What all dispatchers together send to an endpoint that has just started, each by its own budget alone. */
+class SlowStartBudgetTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long STEP = SECOND / 100;
 
     /**
-     * Each sends whenever it may, as if it had nowhere else to go. In {@code fall} a worker may get N + 2 root N + 2 jobs
-     * of mean work, and N + 3 root N + 3 where N is under 30, N being what its slots can do cold, times the factor.
-     *
-     * All start anew at some moment and have forgotten what they sent, as in a rolling restart.
+     * Each dispatcher sends whenever it may, as if it had no other endpoint. In any window of {@code fall} seconds an
+     * endpoint may get N + 2 root N + 2 requests of mean work, and N + 3 root N + 3 where N is under 30, N being what
+     * its slots can do while warming up, times the factor. Each dispatcher restarts at some moment and has then
+     * forgotten what it sent, as in a rolling restart.
      *
      * @param uneven how much of the fleet's work the busiest dispatcher has, times the mean
      */
@@ -39,7 +39,7 @@
         "3, 1, 8, 0.2, 3.0, 1.0, 0.9, 2",
         "1000, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8"
     })
-    void theSumOverAllThatWereToldKeepsItUp(
+    void allDispatchersTogetherDoNotOverloadAWarmingEndpoint(
             int dispatchers,
             int slots,
             double cold,
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -35,14 +35,14 @@
     private static final long REPORT = 500 * Samples.MS;
 
     /** A worker: what runs, what waits, and the load it last reported. */
-    final class Runner {
+    final class SimulatedEndpoint {
         final EndpointEntry entry;
         final Deque<Runnable> waiting = new ArrayDeque<>();
         int running;
         private EndpointLoad report;
         private long reportAt = SchedulerClock.NEVER;
 
-        Runner(EndpointEntry entry) {
+        SimulatedEndpoint(EndpointEntry entry) {
             this.entry = entry;
         }
 
@@ -70,7 +70,7 @@
             if (running < SLOTS) {
                 start.run();
             } else {
-                toFull++;
+                sentToFullEndpoint++;
                 waiting.add(start);
             }
         }
@@ -78,7 +78,7 @@
 
     private record Due(long at, long number, Runnable task) {}
 
-    final Map<String, Runner> runners = new LinkedHashMap<>();
+    final Map<String, SimulatedEndpoint> endpoints = new LinkedHashMap<>();
     final List<RequestScheduler> instances = new ArrayList<>();
     final Map<String, Long> work = new HashMap<>();
     private final Map<String, Integer> attempts = new HashMap<>();
@@ -87,20 +87,25 @@
     private final SplittableRandom random;
     private long numbers;
     long now = 1;
-    int sent, toFull, refused, probes;
-    long datagrams, bytes, longest;
+    int sent;
+    int sentToFullEndpoint;
+    int rejected;
+    int probes;
+    long datagrams;
+    long bytes;
+    long longest;
     /** Datagrams and bytes sent, by what they are for. */
     final Map<String, long[]> byKind = new TreeMap<>();
     /** Nanoseconds that the module took, of all instances together. */
     long cpu;
 
-    SmallFleet(int dispatchers, int endpoints, long seed) {
+    SmallFleet(int dispatchers, int endpointCount, long seed) {
         random = new SplittableRandom(seed);
-        for (int i = 0; i < endpoints; i++) {
+        for (int i = 0; i < endpointCount; i++) {
             String id = "w" + i;
-            runners.put(
+            endpoints.put(
                     id,
-                    new Runner(
+                    new SimulatedEndpoint(
                             new EndpointEntry(id, EndpointState.READY, 0, i / 2, "box", ZONES[i % ZONES.length], 1)));
         }
         for (int rank = 0; rank < dispatchers; rank++) {
@@ -125,7 +130,7 @@
             handle(
                     rank,
                     new EndpointList(
-                            true, runners.values().stream().map(r -> r.entry).toList()));
+                            true, endpoints.values().stream().map(r -> r.entry).toList()));
         }
     }
 
@@ -174,7 +179,8 @@
             sent++;
             at(
                     now + HOP,
-                    () -> runners.get(d.endpoint())
+                    () -> endpoints
+                            .get(d.endpoint())
                             .take(
                                     work.get(d.id()),
                                     () -> later(rank, new Progress(d.id(), number, d.endpoint(), 0)),
@@ -198,7 +204,7 @@
                                     p.endpoint(),
                                     AttemptResult.SERVED,
                                     2 * HOP,
-                                    runners.get(p.endpoint()).load())));
+                                    endpoints.get(p.endpoint()).load())));
         } else if (action instanceof SendToPeer t) {
             datagrams++;
             bytes += t.data().length;
@@ -210,7 +216,7 @@
         } else if (action instanceof SetTimer t) {
             at(now + t.delay(), () -> handle(rank, new Timer(t.name())));
         } else if (action instanceof Reject) {
-            refused++;
+            rejected++;
         }
     }
 
