--- /dev/null
+++ b/src/test/java/nettlewick/decision/CapacitySliceTest.java
@@ -0,0 +1,59 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** How the slice follows the rates of this dispatcher. */
+class CapacitySliceTest {
+    private final CapacitySlice slice = new CapacitySlice();
+    private final ServiceRates rates = new ServiceRates();
+
+    private void interval(double accepted, double lost, double served) {
+        for (int i = 0; i < 20; i++) {
+            rates.recordArrival();
+        }
+        rates.recordAccepted(accepted);
+        rates.recordLost(lost);
+        rates.recordServed(served);
+        rates.closeInterval(1);
+        slice.adjust(rates, 0.5);
+    }
+
+    @Test
+    void aSliceThatDoesNotBindFollowsWhatWasAccepted() {
+        interval(0, 0, 0);
+        assertEquals(0.5, slice.rate(), "the floor");
+        interval(8, 4, 4);
+        assertEquals(2, slice.rate(), 1e-9, "half of the way from 0 to 4");
+    }
+
+    @Test
+    void aBindingSliceIsNotEnforcedBeforeAnythingWasAccepted() {
+        slice.setBinding(true);
+        assertFalse(slice.isEnforced());
+        interval(8, 0, 8);
+        assertTrue(slice.isEnforced());
+    }
+
+    @Test
+    void aBindingSliceGrowsWhileItServesAllAndIsCutWhereItDoesNot() {
+        interval(8, 0, 8);
+        slice.setBinding(true);
+        double before = slice.rate();
+        interval(4, 0, 4);
+        assertEquals(1.1 * before, slice.rate(), 1e-9);
+        before = slice.rate();
+        interval(8, 8, 0);
+        assertTrue(slice.rate() < before && slice.rate() >= 0.7 * before - 1e-9, "cut by three tenths at most");
+    }
+
+    @Test
+    void returningAnInheritedSliceLeavesNoNegativeRate() {
+        slice.credit(2);
+        slice.returnInherited(5);
+        assertEquals(0, slice.rate());
+    }
+}
--- /dev/null
+++ b/src/test/java/nettlewick/decision/EndpointHealthTest.java
@@ -0,0 +1,38 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Ejections that grow, and their end. */
+class EndpointHealthTest {
+    @Test
+    void ejectionsDoubleUpToEightfoldUntilASignOfLife() {
+        EndpointHealth health = new EndpointHealth();
+        long now = 0;
+        for (int factor : new int[] {1, 2, 4, 8, 8}) {
+            health.eject(10, now);
+            assertTrue(health.isEjected(now + 10 * factor - 1));
+            now += 10 * factor;
+            assertFalse(health.isEjected(now));
+        }
+        assertTrue(health.isUnproven());
+        health.recordSignOfLife(now);
+        assertFalse(health.isUnproven());
+        health.eject(10, now);
+        health.endEjection(now + 1);
+        assertFalse(health.isEjected(now + 1));
+    }
+
+    @Test
+    void aRestartForgetsFaults() {
+        EndpointHealth health = new EndpointHealth();
+        health.countConnectionFailure();
+        health.eject(10, 0);
+        health.reset();
+        assertFalse(health.isEjected(1) || health.isUnproven());
+        assertEquals(1, health.countConnectionFailure());
+    }
+}
--- /dev/null
+++ b/src/test/java/nettlewick/decision/HashRingTest.java
@@ -0,0 +1,40 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** Members on a hash ring. */
+class HashRingTest {
+    private static HashRing<String> ring(int members) {
+        HashRing<String> ring = new HashRing<>();
+        for (int i = 0; i < members; i++) {
+            ring.place("w" + i, "w" + i, 20, true);
+        }
+        return ring;
+    }
+
+    @Test
+    void successorsAreDistinctAndBoundedByTheMembers() {
+        assertEquals(2, ring(5).successors("key", 2).stream().distinct().count());
+        assertEquals(1, ring(1).successors("key", 2).size());
+        assertEquals(List.of(), ring(0).successors("key", 2));
+    }
+
+    @Test
+    void removingAMemberMovesOnlyItsOwnKeys() {
+        HashRing<String> ring = ring(8);
+        Map<String, String> before = new HashMap<>();
+        for (int i = 0; i < 200; i++) {
+            before.put("k" + i, ring.successors("k" + i, 1).get(0));
+        }
+        ring.place("w3", "w3", 20, false);
+        before.forEach((key, member) -> {
+            String now = ring.successors(key, 1).get(0);
+            assertEquals(!member.equals("w3"), now.equals(member), key);
+        });
+    }
+}
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -67,6 +67,11 @@
         return new Arrival(id, jobClass, tenant, 5 * SECOND, 1, 0, 0, null, false);
     }
 
+    static ScheduledRequest request(String requestClass, Idempotency idempotency, Scope scope) {
+        RequestClass settings = requestClass(requestClass, idempotency, scope, 2);
+        return new ScheduledRequest(arrival("a", requestClass, "red"), settings, 0, null, 0);
+    }
+
     static Outcome outcome(Dispatch sent, int attempt, AttemptResult result) {
         return new Outcome(sent.id(), attempt, sent.endpoint(), result, 50 * MS, result == AttemptResult.SERVED, null);
     }
--- /dev/null
+++ b/src/test/java/nettlewick/decision/SchedulerClockTest.java
@@ -0,0 +1,18 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** The clock of a batch. */
+class SchedulerClockTest {
+    @Test
+    void timeNeverGoesBackAndMayStartAnywhere() {
+        SchedulerClock clock = new SchedulerClock();
+        clock.advanceTo(-5);
+        assertEquals(-5, clock.now());
+        clock.advanceTo(7);
+        clock.advanceTo(3);
+        assertEquals(7, clock.now());
+    }
+}
--- /dev/null
+++ b/src/test/java/nettlewick/decision/ServiceRatesTest.java
@@ -0,0 +1,29 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Rates over intervals of many and of few requests. */
+class ServiceRatesTest {
+    @Test
+    void ratesMoveHalfWayWithManyRequestsAndATenthWithFew() {
+        ServiceRates many = new ServiceRates();
+        for (int i = 0; i < 10; i++) {
+            many.recordArrival();
+        }
+        ServiceRates few = new ServiceRates();
+        few.recordArrival();
+        for (ServiceRates rates : List.of(many, few)) {
+            rates.recordAccepted(10);
+            rates.recordLost(4);
+            rates.recordServed(2);
+            rates.closeInterval(1);
+        }
+        assertEquals(List.of(3.0, 5.0, 1.0), List.of(many.acceptedRate(), many.triedRate(), many.servedRate()));
+        assertEquals(0.6, few.acceptedRate(), 1e-9);
+        many.closeInterval(1);
+        assertEquals(4.5, many.triedRate(), 1e-9, "an interval starts from nothing");
+    }
+}
--- /dev/null
+++ b/src/test/java/nettlewick/decision/TenantCreditTest.java
@@ -0,0 +1,29 @@
+package nettlewick.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The fair share of tenants in a slice. */
+class TenantCreditTest {
+    private static TenantCredit tenant(double weight, double demand) {
+        TenantCredit credit = new TenantCredit(weight);
+        credit.recordOffered(2 * demand);
+        credit.closeInterval(1);
+        return credit;
+    }
+
+    @Test
+    void unusedCapacityOfOneTenantGoesToTheOthers() {
+        List<TenantCredit> tenants = List.of(tenant(0.5, 1), tenant(0.5, 9));
+        double fair = TenantCredit.fairShare(tenants, 4);
+        assertEquals(6, fair, 1e-6, "1 and 3 slots for weights of a half");
+        assertEquals(4, TenantCredit.totalCarried(tenants, fair), 1e-6);
+    }
+
+    @Test
+    void aSliceThatCarriesAllLimitsNobody() {
+        assertEquals(18, TenantCredit.fairShare(List.of(tenant(0.5, 1), tenant(0.5, 9)), 10), 1e-9);
+    }
+}
