--- a/src/main/java/nettlewick/decision/HashRing.java
+++ b/src/main/java/nettlewick/decision/HashRing.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Consistent hashing: places of members on a ring, the same for all who hold the same members. */
+/** Consistent hashing: members at places on a ring, the same for all dispatchers with the same members. */
 final class HashRing<T> {
     private final TreeMap<Long, T> places = new TreeMap<>();
 
-    /** Puts a member on the ring at so many places, or takes it off. */
-    void set(String name, T member, int copies, boolean on) {
+    /** Puts a member on the ring at {@code copies} places, or takes it off. */
+    void place(String name, T member, int copies, boolean on) {
         long place = hash(name);
         for (int copy = 0; copy < copies; copy++) {
             place = mix(place + copy);
@@ -23,7 +23,7 @@
     }
 
     /** The first {@code count} different members that follow the key. */
-    List<T> follow(String key, int count) {
+    List<T> successors(String key, int count) {
         long place = hash(key);
         List<T> found = new ArrayList<>(count);
         for (Map<Long, T> half : List.of(places.tailMap(place), places.headMap(place))) {
--- a/src/main/java/nettlewick/decision/LoadGossip.java
+++ b/src/main/java/nettlewick/decision/LoadGossip.java
@@ -7,50 +7,48 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.decision.State.Endpoint;
 
 /**
- * What a dispatcher tells the others of its own slots in work at each worker: exact, and as old as a
- * datagram, where a report is a second old. A worker goes by sixteen bits of its id's hash. Danger: by its
- * place in a list, a note would mean other workers at one that was told of a release sooner or later.
+ * The datagrams in which a dispatcher tells its peers the slots that it holds at each endpoint. An endpoint goes
+ * by sixteen bits of its id's hash: its place in a list would mean another endpoint at a peer whose list differs.
  */
 final class LoadGossip {
     private static final byte MAGIC = (byte) 0xD3;
     private static final byte VERSION = 3;
-    private static final int HEAD = 4;
-    private static final int NUMBER = 3;
-    private static final int ENTRY = 3;
-    /** The longest message that may be sent. */
-    private static final int MOST = 256;
+    private static final int HEADER_BYTES = 4;
+    private static final int NUMBER_OFFSET = 3;
+    private static final int ENTRY_BYTES = 3;
+    /** The longest datagram that may be sent. */
+    private static final int MAX_MESSAGE_BYTES = 256;
 
-    private static final int BYTE = 255;
-    private static final int PER_NOTE = (MOST - HEAD) / ENTRY;
+    private static final int MAX_SLOTS = 255;
+    private static final int ENTRIES_PER_MESSAGE = (MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 
     /**
-     * A note as it came.
+     * A datagram as it came.
      *
-     * @param part     which of the datagrams that tell all this is, from 0
+     * @param part     which of the sender's datagrams this is, from 0
      * @param parts    how many there are
-     * @param number   of the sending, modulo 256: a note of a lower one is late
-     * @param unlisted entries that name no worker of this dispatcher's list
+     * @param number   the number of the sending, modulo 256: a lower one than the last is late
+     * @param unlisted entries that name no endpoint of this dispatcher's list
      */
-    record Told(int part, int parts, int number, Map<Endpoint, Integer> slots, int unlisted) {}
+    record Received(int part, int parts, int number, Map<Endpoint, Integer> slotsInFlight, int unlisted) {}
 
     private LoadGossip() {}
 
     /** Sixteen bits that stand for an id, the same in every process. */
-    static char mark(String id) {
+    static char markOf(String id) {
         int h = id.hashCode() * 0x9e3779b9;
         return (char) (h >>> 16 ^ h);
     }
 
-    /** The workers by their marks; those that share one stand for none of them. */
-    static Map<Character, Endpoint> byMark(List<Endpoint> endpoints) {
+    /** The endpoints by their marks; those that share a mark are in no entry. */
+    static Map<Character, Endpoint> indexByMark(List<Endpoint> endpoints) {
         Map<Character, Endpoint> marks = new HashMap<>();
         Set<Character> shared = new HashSet<>();
         for (Endpoint endpoint : endpoints) {
-            if (marks.put(mark(endpoint.id), endpoint) != null) {
-                shared.add(mark(endpoint.id));
+            if (marks.put(markOf(endpoint.id()), endpoint) != null) {
+                shared.add(markOf(endpoint.id()));
             }
         }
         marks.keySet().removeAll(shared);
@@ -58,63 +56,67 @@
     }
 
     /**
-     * The messages on all of these workers that hold something, in their order, as many to a datagram as fit;
-     * what would need more than fifteen datagrams is left out from the end.
+     * The datagrams for those of the endpoints where slots are held, in their order; what would need more than
+     * fifteen datagrams is left out from the end.
      */
-    static List<byte[]> bytes(List<Endpoint> endpoints) {
-        List<Endpoint> holding =
-                endpoints.stream().filter(endpoint -> endpoint.outSlots > 1e-9).toList();
-        int parts = Math.min(BYTE / 16, Math.max(1, (holding.size() + PER_NOTE - 1) / PER_NOTE));
-        List<byte[]> notes = new ArrayList<>();
+    static List<byte[]> encode(List<Endpoint> endpoints) {
+        List<Endpoint> holding = endpoints.stream()
+                .filter(endpoint -> endpoint.inFlight().slots() > 1e-9)
+                .toList();
+        int parts =
+                Math.min(MAX_SLOTS / 16, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
+        List<byte[]> messages = new ArrayList<>();
         for (int part = 0; part < parts; part++) {
-            int from = part * PER_NOTE;
-            int to = Math.min(holding.size(), from + PER_NOTE);
-            ByteBuffer b = ByteBuffer.allocate(HEAD + (to - from) * ENTRY);
+            int from = part * ENTRIES_PER_MESSAGE;
+            int to = Math.min(holding.size(), from + ENTRIES_PER_MESSAGE);
+            ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + (to - from) * ENTRY_BYTES);
             b.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
             for (Endpoint endpoint : holding.subList(from, to)) {
-                b.putChar(mark(endpoint.id)).put((byte) Math.min(BYTE, Math.ceil(endpoint.outSlots - 1e-9)));
+                b.putChar(markOf(endpoint.id())).put((byte)
+                        Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlight().slots() - 1e-9)));
             }
-            notes.add(b.array());
+            messages.add(b.array());
         }
-        return notes;
+        return messages;
     }
 
-    /** Whether these notes tell that nothing is held. */
-    static boolean empty(List<byte[]> notes) {
-        return notes.size() == 1 && notes.get(0).length == HEAD;
+    /** Whether these datagrams tell that nothing is held. */
+    static boolean reportNothing(List<byte[]> messages) {
+        return messages.size() == 1 && messages.get(0).length == HEADER_BYTES;
     }
 
-    /** A copy of the note with the number of its sending. */
-    static byte[] numbered(byte[] note, int number) {
-        byte[] copy = note.clone();
-        copy[NUMBER] = (byte) number;
+    /** A copy of the datagram with the number of its sending. */
+    static byte[] withNumber(byte[] message, int number) {
+        byte[] copy = message.clone();
+        copy[NUMBER_OFFSET] = (byte) number;
         return copy;
     }
 
-    static boolean is(byte[] data) {
-        return data.length >= HEAD
-                && data.length <= MOST
+    /** Whether these bytes have the form of load gossip that this version reads. */
+    static boolean isLoadGossip(byte[] data) {
+        return data.length >= HEADER_BYTES
+                && data.length <= MAX_MESSAGE_BYTES
                 && data[0] == MAGIC
                 && data[1] == VERSION
-                && (data.length - HEAD) % ENTRY == 0;
+                && (data.length - HEADER_BYTES) % ENTRY_BYTES == 0;
     }
 
-    /** Slots in work by worker; workers that this dispatcher's list does not name are passed over. */
-    static Told of(byte[] data, Map<Character, Endpoint> byMark) {
-        int parts = (data[2] & BYTE) >> 4;
+    /** The datagram's content, null if it is damaged; entries for endpoints without a mark here are only counted. */
+    static Received decode(byte[] data, Map<Character, Endpoint> byMark) {
+        int parts = (data[2] & MAX_SLOTS) >> 4;
         int part = data[2] & 0x0F;
         Map<Endpoint, Integer> slots = new HashMap<>();
         int unlisted = 0;
-        ByteBuffer b = ByteBuffer.wrap(data).position(HEAD);
+        ByteBuffer b = ByteBuffer.wrap(data).position(HEADER_BYTES);
         while (b.hasRemaining()) {
             Endpoint endpoint = byMark.get(b.getChar());
-            int held = b.get() & BYTE;
+            int held = b.get() & MAX_SLOTS;
             if (endpoint != null) {
                 slots.put(endpoint, held);
             } else {
                 unlisted++;
             }
         }
-        return part < parts ? new Told(part, parts, data[NUMBER] & BYTE, slots, unlisted) : null;
+        return part < parts ? new Received(part, parts, data[NUMBER_OFFSET] & MAX_SLOTS, slots, unlisted) : null;
     }
 }
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/SharedLoads.java
@@ -6,102 +6,100 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.decision.State.Endpoint;
 
-/** What all dispatchers hold at the workers, by their notes to one another. */
+/** What peers have in flight at the endpoints by their {@link LoadGossip}, and when to send this dispatcher's. */
 final class SharedLoads {
-    /** Age to which a note is believed; one is sent at least twice as often. */
-    private static final long BELIEVED = 1_000_000_000;
+    /** Age to which gossip is believed; it is sent at least twice as often while slots are held. */
+    private static final long TTL_NANOS = 1_000_000_000;
 
-    /** A part of what a dispatcher tells. */
-    private record From(int rank, int part) {}
+    /** One of the datagrams that together tell the load of a dispatcher. */
+    private record PartKey(int rank, int part) {}
 
-    private record Told(Map<Endpoint, Integer> slots, long at, int number) {}
+    private record ReceivedLoad(Map<Endpoint, Integer> slots, long at, int number) {}
 
-    private final Map<From, Told> told = new HashMap<>();
-    private final PeerFaultCounters heard;
+    private final Map<PartKey, ReceivedLoad> received = new HashMap<>();
+    private final PeerFaultCounters faults;
     private List<Endpoint> byName = List.of();
     private Map<Character, Endpoint> byMark = Map.of();
-    private List<byte[]> last = List.of();
-    private long lastAt = State.NEVER;
+    private List<byte[]> lastSent = List.of();
+    private long lastSentAt = SchedulerClock.NEVER;
     private int sendings;
 
-    /** Counts into {@code heard} what it passes over. */
-    SharedLoads(PeerFaultCounters heard) {
-        this.heard = heard;
+    /** Counts in {@code faults} what it ignores. */
+    SharedLoads(PeerFaultCounters faults) {
+        this.faults = faults;
     }
 
-    void list(Collection<Endpoint> ready) {
-        byName = ready.stream()
-                .sorted(Comparator.comparing(endpoint -> endpoint.id))
-                .toList();
-        byMark = LoadGossip.byMark(byName);
+    /** Replaces the endpoints that discovery lists as ready. */
+    void replaceEndpoints(Collection<Endpoint> ready) {
+        byName = ready.stream().sorted(Comparator.comparing(Endpoint::id)).toList();
+        byMark = LoadGossip.indexByMark(byName);
     }
 
-    /** The ready workers by their marks; those that share one stand for none of them. */
-    Map<Character, Endpoint> byMark() {
+    /** The ready endpoints by their marks; those that share a mark are in no entry. */
+    Map<Character, Endpoint> endpointsByMark() {
         return byMark;
     }
 
     /**
-     * Takes a peer's note over; false if these bytes are none. Danger: a note that another has overtaken
-     * would stand for what is no longer held until the next. One of a lower number than the last is passed
-     * over while that one is young; a peer that starts anew counts from 0, and is heard once its last life's
-     * word is old.
+     * Takes a peer's datagram over; false if it is no load gossip. A message with a lower number than the last
+     * one of that peer has been overtaken and is counted, unless the last one is old: a peer that restarts
+     * counts from 0 again.
      */
-    boolean hear(int rank, byte[] data, long now) {
-        if (!LoadGossip.is(data)) {
+    boolean receive(int rank, byte[] data, long now) {
+        if (!LoadGossip.isLoadGossip(data)) {
             return false;
         }
-        LoadGossip.Told note = LoadGossip.of(data, byMark);
-        if (note == null) {
-            heard.damaged++;
+        LoadGossip.Received message = LoadGossip.decode(data, byMark);
+        if (message == null) {
+            faults.countDamaged();
             return true;
         }
-        From from = new From(rank, note.part());
-        Told old = told.get(from);
-        int ahead = old == null || now - old.at() >= BELIEVED / 2 ? 1 : (byte) (note.number() - old.number());
+        PartKey from = new PartKey(rank, message.part());
+        ReceivedLoad old = received.get(from);
+        int ahead = old == null || now - old.at() >= TTL_NANOS / 2 ? 1 : (byte) (message.number() - old.number());
         if (ahead < 0) {
-            heard.late++;
+            faults.countLate();
             return true;
         }
-        heard.unlisted += note.unlisted();
-        forget(told.put(from, new Told(note.slots(), now, note.number())));
-        note.slots().forEach((endpoint, held) -> endpoint.others += held);
-        for (int gone = note.parts(); forget(told.remove(new From(rank, gone))); gone++) {
+        faults.countUnlisted(message.unlisted());
+        withdraw(received.put(from, new ReceivedLoad(message.slotsInFlight(), now, message.number())));
+        message.slotsInFlight().forEach((endpoint, held) -> endpoint.inFlight().addPeerSlots(held));
+        for (int gone = message.parts(); withdraw(received.remove(new PartKey(rank, gone))); gone++) {
             continue;
         }
         return true;
     }
 
     /**
-     * The notes to send now; none if nothing has changed and the last ones are young, or said that nothing
-     * is held: peers forget what was told by the time it would be repeated, and an idle dispatcher sends
-     * nothing.
+     * The datagrams to send now. None if nothing has changed and the last ones are recent or said that nothing
+     * is held: peers forget by themselves what is not sent again.
      */
-    List<byte[]> news(long now) {
-        List<byte[]> notes = LoadGossip.bytes(byName);
-        boolean same = notes.size() == last.size();
-        for (int i = 0; same && i < notes.size(); i++) {
-            same = Arrays.equals(notes.get(i), last.get(i));
+    List<byte[]> dueMessages(long now) {
+        List<byte[]> messages = LoadGossip.encode(byName);
+        boolean same = messages.size() == lastSent.size();
+        for (int i = 0; same && i < messages.size(); i++) {
+            same = Arrays.equals(messages.get(i), lastSent.get(i));
         }
-        if (same && (now - lastAt <= BELIEVED / 2 || LoadGossip.empty(notes))) {
+        if (same && (now - lastSentAt <= TTL_NANOS / 2 || LoadGossip.reportNothing(messages))) {
             return List.of();
         }
-        last = notes;
-        lastAt = now;
+        lastSent = messages;
+        lastSentAt = now;
         int number = sendings++;
-        return notes.stream().map(note -> LoadGossip.numbered(note, number)).toList();
+        return messages.stream()
+                .map(message -> LoadGossip.withNumber(message, number))
+                .toList();
     }
 
-    /** Leaves out what peers said that have been silent since. */
+    /** Drops the loads of peers that have been silent since. */
     void expire(long now) {
-        told.values().removeIf(t -> now - t.at() > BELIEVED && forget(t));
+        received.values().removeIf(t -> now - t.at() > TTL_NANOS && withdraw(t));
     }
 
-    private static boolean forget(Told old) {
+    private static boolean withdraw(ReceivedLoad old) {
         if (old != null) {
-            old.slots().forEach((endpoint, held) -> endpoint.others -= held);
+            old.slots().forEach((endpoint, held) -> endpoint.inFlight().addPeerSlots(-held));
         }
         return old != null;
     }
--- a/src/test/java/nettlewick/decision/ColdStartTest.java
+++ b/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
@@ -6,21 +6,19 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import nettlewick.decision.SchedulerSettings.Rules;
-import nettlewick.decision.State.Endpoint;
-import nettlewick.decision.State.Pool;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What all dispatchers that have been told of a start send there together, each by its own part and the settings alone. */
-class ColdStartTest {
+/** What all dispatchers together send to an endpoint that has just started, each by its own budget alone. */
+class SlowStartBudgetTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long STEP = SECOND / 100;
 
     /**
-     * Each sends whenever it may, as if it had nowhere else to go. In {@code fall} a worker may get N + 2 root N + 2 jobs
-     * of mean work, and N + 3 root N + 3 where N is under 30, N being what its slots can do cold, times the factor.
-     *
-     * All start anew at some moment and have forgotten what they sent, as in a rolling restart.
+     * Each dispatcher sends whenever it may, as if it had no other endpoint. In any window of {@code fall} seconds an
+     * endpoint may get N + 2 root N + 2 requests of mean work, and N + 3 root N + 3 where N is under 30, N being what
+     * its slots can do while warming up, times the factor. Each dispatcher restarts at some moment and has then
+     * forgotten what it sent, as in a rolling restart.
      *
      * @param uneven how much of the fleet's work the busiest dispatcher has, times the mean
      */
@@ -41,7 +39,7 @@
         "3, 1, 8, 0.2, 3.0, 1.0, 0.9, 2",
         "1000, 4, 8.9, 0.32, 3.0, 1.0, 0.3, 8"
     })
-    void theSumOverAllThatWereToldKeepsItUp(
+    void allDispatchersTogetherDoNotOverloadAWarmingEndpoint(
             int dispatchers,
             int slots,
             double cold,
@@ -55,23 +53,19 @@
             SplittableRandom random = new SplittableRandom(seed);
             long start = SECOND;
             List<Endpoint> views = new ArrayList<>();
-            List<Pool> pools = new ArrayList<>();
+            List<EndpointKindStats> kinds = new ArrayList<>();
             List<Long> toldAt = new ArrayList<>();
             List<Long> restartAt = new ArrayList<>();
             for (int d = 0; d < dispatchers; d++) {
                 Endpoint endpoint = new Endpoint("w");
-                endpoint.entry = new EndpointEntry("w", EndpointState.READY, start, 0, "std", "a", 1);
-                endpoint.coldAt = start;
-                endpoint.coldTokens = -random.nextDouble() * SlowStartBudget.debt(mean);
+                endpoint.update(new EndpointEntry("w", EndpointState.READY, start, 0, "std", "a", 1), 0, true);
+                endpoint.slowStartCredit().reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), start);
                 views.add(endpoint);
-                Pool p = new Pool(0);
-                p.slots = slots;
                 // All slots of a warm peer are in work: the first has its multiple, the others share the rest.
-                p.carried = d == 0
+                double carriedRate = d == 0
                         ? slots * Math.min(1, uneven / dispatchers)
                         : slots * (1 - Math.min(1, uneven / dispatchers)) / Math.max(1, dispatchers - 1);
-                p.measures = random.nextInt(2) * 100;
-                pools.add(p);
+                kinds.add(new EndpointKindStats(slots, carriedRate, random.nextInt(2) * 100));
                 toldAt.add(start + random.nextLong(SECOND));
                 restartAt.add(start + SECOND + random.nextLong(rules.slowStart()));
             }
@@ -81,14 +75,15 @@
                 for (int d = 0; d < dispatchers; d++) {
                     Endpoint endpoint = views.get(d);
                     if (restartAt.get(d) >= now && restartAt.get(d) < now + STEP) {
-                        endpoint.coldAt = now;
-                        endpoint.coldTokens = -random.nextDouble() * SlowStartBudget.debt(mean);
-                        pools.get(d).measures = 0;
+                        endpoint.slowStartCredit()
+                                .reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), now);
+                        EndpointKindStats before = kinds.get(d);
+                        kinds.set(d, new EndpointKindStats(before.mostFreeSlots(), before.carriedRate(), 0));
                     }
-                    if (now >= toldAt.get(d) && rule.allows(endpoint, pools.get(d), mean, now)) {
+                    if (now >= toldAt.get(d) && rule.admits(endpoint, kinds.get(d), mean, now)) {
                         // Work is drawn with a spread of about a factor of two; half the mean counts at least.
                         double cost = mean * Math.exp(0.7 * random.nextDouble() - 0.35);
-                        endpoint.coldTokens -= Math.max(cost, mean / 2);
+                        endpoint.slowStartCredit().spend(Math.max(cost, mean / 2));
                         sends.add(now);
                     }
                 }
