--- a/src/main/java/nettlewick/lease/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -1,15 +1,15 @@
 package nettlewick.lease;
 
 /**
- * A message between candidates, voters and followers about one lease. Plain data; {@link MessageCodec} turns it into
- * bytes.
+ * A message between candidates, voters and followers about one lease. Plain data; {@link MessageCodec} turns it
+ * into bytes.
  *
  * @param kind            what is requested, answered or announced
  * @param leaseName       the lease; empty where the message is about a voter as a whole
  * @param sender          the sender's dispatcher number
- * @param requestId       a request's number at its sender, repeated in each answer; in {@link Window#ANNOUNCE} the flags
- *                        {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Window#REPORT} the
- *                        sender's incarnation
+ * @param requestId       a request's number at its sender, repeated in each answer; in {@link Kind#ANNOUNCE} the
+ *                        flags {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Kind#REPORT}
+ *                        the sender's incarnation
  * @param ballot          the ballot that is meant; in an answer, that of the request
  * @param highestBallot   in an answer: the highest ballot that the voter has seen for this lease
  * @param remainingMillis in an answer: what remains of a grant to another candidate; 0: there is none
--- a/src/main/java/nettlewick/log/LineFormat.java
+++ b/src/main/java/nettlewick/log/LineFormat.java
@@ -12,11 +12,9 @@
 import java.util.List;
 import org.slf4j.event.KeyValuePair;
 
-/**
- * How one line looks, as text or as a JSON object. A fault's cause and first places stand on the same line.
- */
+/** Formats a log event as one line. The cause of a fault and its first stack frames stand on the same line. Pure. */
 enum LineFormat {
-    /** Time, level, part and message, as they always were. */
+    /** Time, level, component and message. */
     TEXT {
         @Override
         String format(ILoggingEvent event, int suppressedCount) {
@@ -38,7 +36,7 @@
             return toSingleLine(line);
         }
     },
-    /** One object a line: time, level, part, event, message, then the fields. */
+    /** A JSON object: time, level, component, event and fields, message. */
     JSON {
         @Override
         String format(ILoggingEvent event, int suppressedCount) {
@@ -51,15 +49,7 @@
                         .value(levelName(event))
                         .name("part")
                         .value(event.getLoggerName());
-                List<KeyValuePair> fields = event.getKeyValuePairs();
-                for (KeyValuePair field : fields == null ? List.<KeyValuePair>of() : fields) {
-                    out.name(field.key);
-                    if (field.value instanceof Number n && Double.isFinite(n.doubleValue())) {
-                        out.value(n);
-                    } else {
-                        out.value(String.valueOf(field.value));
-                    }
-                }
+                writeFields(event.getKeyValuePairs(), out);
                 out.name("message").value(event.getFormattedMessage());
                 String cause = describeCause(event.getThrowableProxy());
                 if (cause != null) {
@@ -78,15 +68,30 @@
 
     private static final int MAX_STACK_FRAMES = 6;
 
-    /** The line, with how many like it were held back before. */
+    /** The line with its line feed, and how many lines of its kind were suppressed before it. */
     abstract String format(ILoggingEvent event, int suppressedCount);
 
+    private static void writeFields(List<KeyValuePair> fields, JsonWriter out) throws IOException {
+        if (fields == null) {
+            return;
+        }
+        for (KeyValuePair field : fields) {
+            out.name(field.key);
+            if (field.value instanceof Number number && Double.isFinite(number.doubleValue())) {
+                out.value(number);
+            } else {
+                out.value(String.valueOf(field.value));
+            }
+        }
+    }
+
     private static String levelName(ILoggingEvent event) {
-        return event.getLevel().equals(Level.ERROR)
-                ? "SEVERE"
-                : event.getLevel().equals(Level.WARN)
-                        ? "WARNING"
-                        : event.getLevel().toString();
+        if (event.getLevel().equals(Level.ERROR)) {
+            return "SEVERE";
+        }
+        return event.getLevel().equals(Level.WARN)
+                ? "WARNING"
+                : event.getLevel().toString();
     }
 
     private static String describeCause(IThrowableProxy throwable) {
--- a/src/main/java/nettlewick/log/LogSetup.java
+++ b/src/main/java/nettlewick/log/LogSetup.java
@@ -4,91 +4,68 @@
 import ch.qos.logback.classic.Logger;
 import ch.qos.logback.classic.LoggerContext;
 import ch.qos.logback.classic.spi.Configurator;
-import ch.qos.logback.classic.spi.ILoggingEvent;
-import ch.qos.logback.core.AppenderBase;
 import ch.qos.logback.core.spi.ContextAwareBase;
-import java.nio.charset.StandardCharsets;
-import java.util.List;
 import java.util.Optional;
 import nettlewick.settings.Block;
 import org.slf4j.LoggerFactory;
-import org.slf4j.event.KeyValuePair;
 
 /**
- * Sets the back end up without its own files. Logback finds this class by its service file, so that its
- * search
- * for XML, which costs each start some tenths of a second, is left out.
+ * Configures Logback without files of its own, and applies the settings block {@code log}. Logback finds this class by
+ * its service file and then leaves out its search for XML, which would lengthen each start by some tenths of a second.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
     private static final int DEFAULT_MAX_REPEATS = 10;
     private static final double DEFAULT_WINDOW_MILLIS = 10_000;
+    private static final String DEFAULT_LEVEL = "info";
 
-    /** Writes to standard error, as it is at each line. */
-    private static final class StderrAppender extends AppenderBase<ILoggingEvent> {
-        private volatile LineFormat form = LineFormat.TEXT;
-        private RepeatLimiter repeats = new RepeatLimiter(DEFAULT_MAX_REPEATS, DEFAULT_WINDOW_MILLIS);
-
-        @Override
-        protected void append(ILoggingEvent event) {
-            int suppressedCount =
-                    repeats.admit(event.getLoggerName() + ' ' + describeKind(event), event.getTimeStamp());
-            if (suppressedCount != RepeatLimiter.HELD_BACK) {
-                byte[] line = form.format(event, suppressedCount).getBytes(StandardCharsets.UTF_8);
-                System.err.write(line, 0, line.length);
-                System.err.flush();
-            }
-        }
-
-        /** Lines of libraries have no event: their text before it is filled in tells them apart. */
-        private static String describeKind(ILoggingEvent event) {
-            List<KeyValuePair> fields = event.getKeyValuePairs();
-            return fields != null && !fields.isEmpty() && fields.get(0).key.equals(ComponentLogger.EVENT)
-                    ? String.valueOf(fields.get(0).value)
-                    : event.getMessage();
-        }
-
-        synchronized void configure(LineFormat to, RepeatLimiter bounds) {
-            form = to;
-            repeats = bounds;
-        }
-    }
-
-    private static volatile StderrAppender out;
+    private static volatile StderrAppender appender;
 
+    /** Called by Logback, once, before the first line. */
     @Override
     public ExecutionStatus configure(LoggerContext context) {
-        StderrAppender made = new StderrAppender();
-        made.setContext(context);
-        made.start();
-        out = made;
+        StderrAppender created = new StderrAppender(LineFormat.TEXT, defaultLimiter());
+        created.setContext(context);
+        created.start();
+        appender = created;
         Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.addAppender(made);
+        root.addAppender(created);
         root.setLevel(Level.INFO);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    /** Takes the settings' block {@code log} over, at the start or while running; none: text from info on. */
+    private static RepeatLimiter defaultLimiter() {
+        return new RepeatLimiter(DEFAULT_MAX_REPEATS, DEFAULT_WINDOW_MILLIS);
+    }
+
+    /**
+     * Applies the settings block {@code log}, at the start or while running; without one, lines are text from level
+     * info on. Any thread.
+     */
     public static void apply(Optional<Block> settings) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
-        Block log = settings.orElse(null);
-        context.getLoggerList()
-                .forEach(l -> l.setLevel(
-                        l.getName().equals(Logger.ROOT_LOGGER_NAME)
-                                ? level(log == null ? "info" : log.text("level"))
-                                : null));
-        if (log == null) {
-            out.configure(LineFormat.TEXT, new RepeatLimiter(DEFAULT_MAX_REPEATS, DEFAULT_WINDOW_MILLIS));
+        resetLevels(context, settings.map(log -> log.text("level")).orElse(DEFAULT_LEVEL));
+        if (settings.isEmpty()) {
+            appender.configure(LineFormat.TEXT, defaultLimiter());
             return;
         }
-        for (Block.Value part : log.all("part")) {
-            context.getLogger(part.<String>part(0)).setLevel(level(part.part(1)));
+        Block log = settings.get();
+        for (Block.Value component : log.all("part")) {
+            context.getLogger(component.<String>part(0)).setLevel(parseLevel(component.part(1)));
         }
-        out.configure(
+        appender.configure(
                 log.text("form").equals("json") ? LineFormat.JSON : LineFormat.TEXT,
                 new RepeatLimiter((int) log.whole("repeats"), log.span("window")));
     }
 
-    private static Level level(String name) {
+    /** All components take the root's level again. */
+    private static void resetLevels(LoggerContext context, String rootLevel) {
+        for (Logger logger : context.getLoggerList()) {
+            boolean isRoot = logger.getName().equals(Logger.ROOT_LOGGER_NAME);
+            logger.setLevel(isRoot ? parseLevel(rootLevel) : null);
+        }
+    }
+
+    private static Level parseLevel(String name) {
         return switch (name) {
             case "error" -> Level.ERROR;
             case "warning" -> Level.WARN;
--- a/src/main/java/nettlewick/log/RepeatLimiter.java
+++ b/src/main/java/nettlewick/log/RepeatLimiter.java
@@ -2,53 +2,58 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.OptionalInt;
 
 /**
- * Bounds lines that come again and again: so many of one kind in a window of time, the rest are counted.
- * Reads
- * no clock; times are in milliseconds. Not safe for several threads.
+ * Limits how many lines of one kind are written within a window of time, and counts the rest. Reads no clock; times are
+ * milliseconds. Not safe for several threads.
  */
 final class RepeatLimiter {
-    /** Kinds remembered: more are forgotten all at once, which lets a few lines too many through. */
+    /** Beyond this many kinds all are forgotten at once, after which a few lines too many are written. */
     private static final int MAX_KINDS = 1000;
-    /** What {@link #take} answers for a line that is not to be written. */
-    static final int HELD_BACK = -1;
 
     private static final class Window {
-        double windowStartMillis;
-        int writtenCount;
-        int suppressedCount;
+        private final double startMillis;
+        private int writtenCount = 1;
+        private int suppressedCount;
+
+        Window(double startMillis) {
+            this.startMillis = startMillis;
+        }
     }
 
-    private final Map<String, Window> kinds = new HashMap<>();
+    private final Map<String, Window> windows = new HashMap<>();
     private final int maxLinesPerWindow;
     private final double windowMillis;
 
-    RepeatLimiter(int most, double window) {
-        this.maxLinesPerWindow = most;
-        this.windowMillis = window;
+    RepeatLimiter(int maxLinesPerWindow, double windowMillis) {
+        this.maxLinesPerWindow = maxLinesPerWindow;
+        this.windowMillis = windowMillis;
     }
 
     /**
-     * Whether a line of this kind is written now: how many were held back before it, or {@link #HELD_BACK}.
+     * Whether to write a line of this kind: empty where it is suppressed, else how many were suppressed since the last
+     * one that was written.
      */
-    int admit(String kind, double now) {
-        if (kinds.size() >= MAX_KINDS && !kinds.containsKey(kind)) {
-            kinds.clear();
+    OptionalInt admit(String kind, double nowMillis) {
+        if (windows.size() >= MAX_KINDS && !windows.containsKey(kind)) {
+            windows.clear();
         }
-        Window k = kinds.computeIfAbsent(kind, name -> new Window());
-        if (k.writtenCount == 0 || now - k.windowStartMillis >= windowMillis || now < k.windowStartMillis) {
-            int before = k.suppressedCount;
-            k.windowStartMillis = now;
-            k.writtenCount = 1;
-            k.suppressedCount = 0;
-            return before;
+        Window window = windows.get(kind);
+        if (window == null || hasEnded(window, nowMillis)) {
+            windows.put(kind, new Window(nowMillis));
+            return OptionalInt.of(window == null ? 0 : window.suppressedCount);
         }
-        if (k.writtenCount < maxLinesPerWindow) {
-            k.writtenCount++;
-            return 0;
+        if (window.writtenCount < maxLinesPerWindow) {
+            window.writtenCount++;
+            return OptionalInt.of(0);
         }
-        k.suppressedCount++;
-        return HELD_BACK;
+        window.suppressedCount++;
+        return OptionalInt.empty();
+    }
+
+    /** A clock that was set back ends the window too. */
+    private boolean hasEnded(Window window, double nowMillis) {
+        return nowMillis - window.startMillis >= windowMillis || nowMillis < window.startMillis;
     }
 }
--- /dev/null
+++ b/src/main/java/nettlewick/log/StderrAppender.java
@@ -0,0 +1,48 @@
+package nettlewick.log;
+
+import ch.qos.logback.classic.spi.ILoggingEvent;
+import ch.qos.logback.core.AppenderBase;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.OptionalInt;
+import org.slf4j.event.KeyValuePair;
+
+/**
+ * Writes log events to standard error, as {@link System#err} is at each line, and limits repeats of one component and
+ * event. Any thread; Logback holds this object's lock
+ * while it calls {@link #append}.
+ */
+final class StderrAppender extends AppenderBase<ILoggingEvent> {
+    private LineFormat format;
+    private RepeatLimiter repeatLimiter;
+
+    StderrAppender(LineFormat format, RepeatLimiter repeatLimiter) {
+        this.format = format;
+        this.repeatLimiter = repeatLimiter;
+    }
+
+    /** Replaces the format and the limit; counts of suppressed lines start again. */
+    synchronized void configure(LineFormat newFormat, RepeatLimiter newRepeatLimiter) {
+        format = newFormat;
+        repeatLimiter = newRepeatLimiter;
+    }
+
+    @Override
+    protected void append(ILoggingEvent event) {
+        String kind = event.getLoggerName() + ' ' + describeKind(event);
+        OptionalInt suppressedCount = repeatLimiter.admit(kind, event.getTimeStamp());
+        if (suppressedCount.isPresent()) {
+            byte[] line = format.format(event, suppressedCount.getAsInt()).getBytes(StandardCharsets.UTF_8);
+            System.err.write(line, 0, line.length);
+            System.err.flush();
+        }
+    }
+
+    /** Lines of libraries have no event name: their message before its arguments are filled in stands for it. */
+    private static String describeKind(ILoggingEvent event) {
+        List<KeyValuePair> fields = event.getKeyValuePairs();
+        return fields != null && !fields.isEmpty() && fields.get(0).key.equals(ComponentLogger.EVENT)
+                ? String.valueOf(fields.get(0).value)
+                : event.getMessage();
+    }
+}
--- a/src/test/java/nettlewick/log/LogTest.java
+++ b/src/test/java/nettlewick/log/LogTest.java
@@ -10,11 +10,12 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
+import java.util.OptionalInt;
 import nettlewick.settings.Settings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Log lines in both forms, levels by part, and repeats that are counted in place of written. */
+/** Log lines in both formats, levels by component, and the limit on repeats. */
 class LogTest {
     private final PrintStream originalStderr = System.err;
 
@@ -44,15 +45,14 @@
         String line = captureStderr(
                 () -> ComponentLogger.of("p1").fault("odd", "it\nbroke", new IllegalStateException("why\nnot")));
         assertTrue(
-                line.matches("\\S+Z SEVERE p1: it broke: java.lang.IllegalStateException: why not at .* " + "< .*\n"),
-                line);
+                line.matches("\\S+Z SEVERE p1: it broke: java.lang.IllegalStateException: why not at .* < .*\n"), line);
     }
 
     @Test
     void jsonFormatHoldsComponentEventAndFields() {
         applySettings("form json");
-        String line = captureStderr(
-                () -> ComponentLogger.of("p2").warning("late", "a \"job\"", "request", "r\n1", "runner", null, "n", 4));
+        String line = captureStderr(() ->
+                ComponentLogger.of("p2").warning("late", "a \"request\"", "request", "r\n1", "endpoint", null, "n", 4));
         JsonObject got = JsonParser.parseString(line).getAsJsonObject();
         assertEquals("p2", got.get("part").getAsString());
         assertEquals("late", got.get("event").getAsString());
@@ -75,13 +75,13 @@
     @Test
     void repeatsAreSuppressedAndCountedInTheNextLine() {
         RepeatLimiter repeats = new RepeatLimiter(2, 100);
-        assertEquals(0, repeats.admit("a", 0));
-        assertEquals(0, repeats.admit("a", 10));
-        assertEquals(RepeatLimiter.HELD_BACK, repeats.admit("a", 20));
-        assertEquals(0, repeats.admit("b", 20));
-        assertEquals(RepeatLimiter.HELD_BACK, repeats.admit("a", 99));
-        assertEquals(2, repeats.admit("a", 100));
-        assertEquals(0, repeats.admit("a", 101));
+        assertEquals(OptionalInt.of(0), repeats.admit("a", 0));
+        assertEquals(OptionalInt.of(0), repeats.admit("a", 10));
+        assertEquals(OptionalInt.empty(), repeats.admit("a", 20));
+        assertEquals(OptionalInt.of(0), repeats.admit("b", 20));
+        assertEquals(OptionalInt.empty(), repeats.admit("a", 99));
+        assertEquals(OptionalInt.of(2), repeats.admit("a", 100));
+        assertEquals(OptionalInt.of(0), repeats.admit("a", 101));
         applySettings("repeats 1\nwindow 1h");
         String text = captureStderr(() -> {
             for (int i = 0; i < 50; i++) {
