--- a/src/main/java/nettlewick/settings/Block.java
+++ b/src/main/java/nettlewick/settings/Block.java
@@ -23,10 +23,10 @@
     private final Map<String, List<Value>> values = new LinkedHashMap<>();
     private final List<Block> inner = new ArrayList<>();
 
-    Block(Section section, String label, SourceLocation place) {
+    Block(Section section, String label, SourceLocation location) {
         this.section = section;
         this.label = label;
-        this.place = place;
+        this.place = location;
     }
 
     Section section() {
@@ -69,7 +69,7 @@
 
     /** What was set under a keyword, or its fallback; empty where there is neither. */
     public List<Value> all(String name) {
-        Keyword keyword = section.keyword(name);
+        Keyword keyword = section.findKeyword(name);
         if (keyword == null) {
             throw new IllegalStateException("no keyword " + name + " in " + section.name());
         }
@@ -88,7 +88,7 @@
         return all(name).stream().findFirst();
     }
 
-    private <T> T value(String name) {
+    private <T> T required(String name) {
         return one(name)
                 .orElseThrow(() -> new IllegalStateException(name + " is not set"))
                 .part(0);
@@ -99,28 +99,28 @@
     }
 
     public String text(String name) {
-        return value(name);
+        return required(name);
     }
 
     public boolean flag(String name) {
-        return this.<Boolean>value(name);
+        return this.<Boolean>required(name);
     }
 
     public long whole(String name) {
-        return this.<Long>value(name);
+        return this.<Long>required(name);
     }
 
     /** Milliseconds. */
     public double span(String name) {
-        return this.<Double>value(name);
+        return this.<Double>required(name);
     }
 
     public InetSocketAddress address(String name) {
-        return value(name);
+        return required(name);
     }
 
     public <T> T get(String name) {
-        return value(name);
+        return required(name);
     }
 
     public Optional<Block> block(String name) {
@@ -146,12 +146,12 @@
     }
 
     /** Where a keyword stands, for what only its user can check. */
-    public InvalidSettingsException bad(String name, String wanted) {
+    public InvalidSettingsException bad(String name, String expected) {
         Value value = one(name).orElse(null);
         return InvalidSettingsException.value(
                 value == null ? place : value.place(),
                 name,
                 value == null ? "not set" : String.join(" ", value.words()),
-                wanted);
+                expected);
     }
 }
--- a/src/main/java/nettlewick/settings/InvalidSettingsException.java
+++ b/src/main/java/nettlewick/settings/InvalidSettingsException.java
@@ -3,20 +3,21 @@
 /** Settings that are not in order, in one line that names file, line, keyword and value. */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1;
-    private static final int LONGEST = 400;
+    private static final int MAX_MESSAGE_CHARS = 400;
 
-    public InvalidSettingsException(SourceLocation place, String message) {
-        super(line(place + ": " + message));
+    public InvalidSettingsException(SourceLocation location, String message) {
+        super(toSingleLine(location + ": " + message));
     }
 
     /** A keyword whose value is not what it has to be. */
-    public static InvalidSettingsException value(SourceLocation place, String keyword, String value, String wanted) {
+    public static InvalidSettingsException value(
+            SourceLocation location, String keyword, String value, String expected) {
         return new InvalidSettingsException(
-                place, keyword + " is " + (value.isEmpty() ? "empty" : value) + ", but has to be " + wanted);
+                location, keyword + " is " + (value.isEmpty() ? "empty" : value) + ", but has to be " + expected);
     }
 
-    private static String line(String text) {
+    private static String toSingleLine(String text) {
         String flat = text.replaceAll("[\\r\\n]+", " ");
-        return flat.length() > LONGEST ? flat.substring(0, LONGEST) + "..." : flat;
+        return flat.length() > MAX_MESSAGE_CHARS ? flat.substring(0, MAX_MESSAGE_CHARS) + "..." : flat;
     }
 }
--- a/src/main/java/nettlewick/settings/Keyword.java
+++ b/src/main/java/nettlewick/settings/Keyword.java
@@ -65,9 +65,9 @@
     }
 
     /** The values that these words stand for; BadSettings where they stand for none. */
-    List<Object> read(SourceLocation place, List<String> words) {
+    List<Object> read(SourceLocation location, List<String> words) {
         String wrong = null;
-        String wanted = null;
+        String expected = null;
         int furthest = 0;
         List<List<ValueType<?>>> near = new java.util.ArrayList<>();
         for (List<ValueType<?>> form : forms) {
@@ -77,7 +77,7 @@
                 if (value == null) {
                     if (form.size() == words.size()) {
                         wrong = words.get(i);
-                        wanted = form.get(i).wanted();
+                        expected = form.get(i).wanted();
                     }
                     break;
                 }
@@ -95,8 +95,8 @@
             }
         }
         throw wrong != null && forms.size() == 1
-                ? InvalidSettingsException.value(place, name, wrong, wanted)
+                ? InvalidSettingsException.value(location, name, wrong, expected)
                 : InvalidSettingsException.value(
-                        place, name, String.join(" ", words), "written as: " + usage(furthest > 1 ? near : forms));
+                        location, name, String.join(" ", words), "written as: " + usage(furthest > 1 ? near : forms));
     }
 }
--- a/src/main/java/nettlewick/settings/LineParser.java
+++ b/src/main/java/nettlewick/settings/LineParser.java
@@ -18,33 +18,33 @@
  * line that ends in an open brace to a line with a closing one alone.
  */
 final class LineParser {
-    private static final int DEPTH_MOST = 16;
-    private static final int LINES_MOST = 100_000;
+    private static final int MAX_INCLUDE_DEPTH = 16;
+    private static final int MAX_LINES = 100_000;
     private static final String INCLUDE = "include";
 
     /** One line that says something. {@code closes}: the closing brace of a block, without words. */
     record Line(SourceLocation place, List<String> words, boolean opens, boolean closes) {}
 
     private final List<Line> lines = new ArrayList<>();
-    private final Deque<Path> open = new ArrayDeque<>();
+    private final Deque<Path> includeStack = new ArrayDeque<>();
 
     private LineParser() {}
 
     /** All lines of a file and of those that it includes, in the order in which they count. */
-    static List<Line> of(Path file) {
+    static List<Line> parseFile(Path file) {
         LineParser all = new LineParser();
-        all.file(file, new SourceLocation("command line", 0));
+        all.addFile(file, new SourceLocation("command line", 0));
         return all.lines;
     }
 
     /** The lines of a text that stands in no file; what it includes is looked for in the current folder. */
-    static List<Line> ofText(String name, String text) {
+    static List<Line> parseText(String name, String text) {
         LineParser all = new LineParser();
-        all.text(name, Path.of(name).toAbsolutePath(), text);
+        all.addText(name, Path.of(name).toAbsolutePath(), text);
         return all.lines;
     }
 
-    private void file(Path file, SourceLocation asked) {
+    private void addFile(Path file, SourceLocation asked) {
         Path real;
         String text;
         try {
@@ -59,48 +59,48 @@
             throw new InvalidSettingsException(
                     asked, file + " cannot be read (" + e.getClass().getSimpleName() + ")");
         }
-        if (open.contains(real)) {
+        if (includeStack.contains(real)) {
             throw InvalidSettingsException.value(
                     asked, INCLUDE, file.toString(), "a file that does not include itself: " + "this is a loop");
         }
-        if (open.size() >= DEPTH_MOST) {
+        if (includeStack.size() >= MAX_INCLUDE_DEPTH) {
             throw InvalidSettingsException.value(
-                    asked, INCLUDE, file.toString(), "nested less than " + DEPTH_MOST + " deep");
+                    asked, INCLUDE, file.toString(), "nested less than " + MAX_INCLUDE_DEPTH + " deep");
         }
-        text(file.toString(), real, text);
+        addText(file.toString(), real, text);
     }
 
-    private void text(String name, Path real, String text) {
-        open.push(real);
+    private void addText(String name, Path real, String text) {
+        includeStack.push(real);
         int number = 0;
         int depth = 0;
         for (String raw : text.split("\n", -1)) {
-            SourceLocation place = new SourceLocation(name, ++number);
-            Line line = line(place, raw.endsWith("\r") ? raw.substring(0, raw.length() - 1) : raw);
+            SourceLocation location = new SourceLocation(name, ++number);
+            Line line = parseLine(location, raw.endsWith("\r") ? raw.substring(0, raw.length() - 1) : raw);
             if (line == null) {
                 continue;
             }
             depth += line.opens() ? 1 : line.closes() ? -1 : 0;
             if (depth < 0) {
-                throw new InvalidSettingsException(place, "} closes no block of this file");
+                throw new InvalidSettingsException(location, "} closes no block of this file");
             }
             if (!line.closes() && line.words().get(0).equals(INCLUDE)) {
-                include(line, real);
+                addIncluded(line, real);
             } else {
                 lines.add(line);
             }
-            if (lines.size() > LINES_MOST) {
-                throw new InvalidSettingsException(place, "more than " + LINES_MOST + " lines");
+            if (lines.size() > MAX_LINES) {
+                throw new InvalidSettingsException(location, "more than " + MAX_LINES + " lines");
             }
         }
         if (depth > 0) {
             throw new InvalidSettingsException(
                     new SourceLocation(name, number), "the file ends inside a block: } is missing");
         }
-        open.pop();
+        includeStack.pop();
     }
 
-    private void include(Line line, Path from) {
+    private void addIncluded(Line line, Path from) {
         if (line.words().size() != 2 || line.opens()) {
             throw InvalidSettingsException.value(
                     line.place(),
@@ -109,7 +109,7 @@
                     "one file");
         }
         try {
-            file(from.resolveSibling(line.words().get(1)), line.place());
+            addFile(from.resolveSibling(line.words().get(1)), line.place());
         } catch (InvalidPathException e) {
             throw InvalidSettingsException.value(
                     line.place(), INCLUDE, line.words().get(1), "the path of a file");
@@ -117,7 +117,7 @@
     }
 
     /** The words of a line; null where it says nothing. */
-    private static Line line(SourceLocation place, String raw) {
+    private static Line parseLine(SourceLocation location, String raw) {
         List<String> words = new ArrayList<>();
         boolean opens = false;
         int at = 0;
@@ -131,18 +131,18 @@
                 break;
             }
             if (opens) {
-                throw new InvalidSettingsException(place, "{ has to be the last of its line");
+                throw new InvalidSettingsException(location, "{ has to be the last of its line");
             }
             StringBuilder word = new StringBuilder();
             if (c == '"') {
-                at = quoted(place, raw, at + 1, word);
+                at = parseQuoted(location, raw, at + 1, word);
                 words.add(word.toString());
             } else {
                 for (; at < raw.length() && !Character.isWhitespace(raw.charAt(at)) && raw.charAt(at) != '#'; at++) {
                     word.append(raw.charAt(at));
                 }
                 if (word.indexOf("\"") >= 0) {
-                    throw new InvalidSettingsException(place, "a quote inside " + word);
+                    throw new InvalidSettingsException(location, "a quote inside " + word);
                 }
                 if (word.toString().equals("{")) {
                     opens = true;
@@ -152,23 +152,23 @@
             }
         }
         if (words.equals(List.of("}")) && !opens) {
-            return new Line(place, List.of(), false, true);
+            return new Line(location, List.of(), false, true);
         }
         if (words.contains("}")) {
-            throw new InvalidSettingsException(place, "} has to stand alone on its line");
+            throw new InvalidSettingsException(location, "} has to stand alone on its line");
         }
         if (words.isEmpty() && opens) {
-            throw new InvalidSettingsException(place, "{ without the name of a block");
+            throw new InvalidSettingsException(location, "{ without the name of a block");
         }
-        return words.isEmpty() ? null : new Line(place, List.copyOf(words), opens, false);
+        return words.isEmpty() ? null : new Line(location, List.copyOf(words), opens, false);
     }
 
-    private static int quoted(SourceLocation place, String raw, int from, StringBuilder word) {
+    private static int parseQuoted(SourceLocation location, String raw, int from, StringBuilder word) {
         for (int at = from; at < raw.length(); at++) {
             char c = raw.charAt(at);
             if (c == '"') {
                 if (at + 1 < raw.length() && !Character.isWhitespace(raw.charAt(at + 1))) {
-                    throw new InvalidSettingsException(place, "no space after the quote of \"" + word + '"');
+                    throw new InvalidSettingsException(location, "no space after the quote of \"" + word + '"');
                 }
                 return at + 1;
             }
@@ -176,13 +176,13 @@
                 at++;
                 int known = at < raw.length() ? "\"\\nt".indexOf(raw.charAt(at)) : -1;
                 if (known < 0) {
-                    throw new InvalidSettingsException(place, "a backslash before neither \" nor \\ nor n nor t");
+                    throw new InvalidSettingsException(location, "a backslash before neither \" nor \\ nor n nor t");
                 }
                 word.append("\"\\\n\t".charAt(known));
             } else {
                 word.append(c);
             }
         }
-        throw new InvalidSettingsException(place, "the quote before " + word + " is not closed");
+        throw new InvalidSettingsException(location, "the quote before " + word + " is not closed");
     }
 }
--- a/src/main/java/nettlewick/settings/Reference.java
+++ b/src/main/java/nettlewick/settings/Reference.java
@@ -21,11 +21,11 @@
                 from. SIGHUP reads the file again and takes all of it or nothing; what only a restart
                 changes is named in the log.
                 """);
-        section(SettingsSchema.ROOT, "", page);
+        appendSection(SettingsSchema.ROOT, "", page);
         return page.toString();
     }
 
-    private static void section(Section section, String path, StringBuilder page) {
+    private static void appendSection(Section section, String path, StringBuilder page) {
         if (!section.keywords().isEmpty()) {
             page.append("\n| keyword | unless set | SIGHUP | meaning |\n| --- | --- | --- | --- |\n");
         }
@@ -52,7 +52,7 @@
                     .append("`\n\n")
                     .append(inner.about())
                     .append('\n');
-            section(inner, name + " ", page);
+            appendSection(inner, name + " ", page);
         }
     }
 }
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -10,11 +10,11 @@
  */
 public record Section(
         String name, ValueType<String> label, boolean many, String about, List<Keyword> keywords, List<Section> inner) {
-    Keyword keyword(String word) {
+    Keyword findKeyword(String word) {
         return keywords.stream().filter(k -> k.name().equals(word)).findFirst().orElse(null);
     }
 
-    Section section(String word) {
+    Section findSection(String word) {
         return inner.stream().filter(s -> s.name().equals(word)).findFirst().orElse(null);
     }
 }
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -20,22 +20,22 @@
 
     /** Reads and checks a file; throws {@link InvalidSettingsException} with one line for the first fault. */
     public static Settings read(Path file) {
-        return read(LineParser.of(file), SettingsSchema.ROOT);
+        return read(LineParser.parseFile(file), SettingsSchema.ROOT);
     }
 
     /** Checks a text as if it stood in a file of that name. */
     public static Settings parse(String name, String text) {
-        return read(LineParser.ofText(name, text), SettingsSchema.ROOT);
+        return read(LineParser.parseText(name, text), SettingsSchema.ROOT);
     }
 
     /** Reads and checks a file of the same form with keywords of its own. */
     public static Settings read(Path file, Section table) {
-        return read(LineParser.of(file), table);
+        return read(LineParser.parseFile(file), table);
     }
 
     /** Checks a text of the same form with keywords of its own, as if it stood in a file of that name. */
     public static Settings parse(String name, String text, Section table) {
-        return read(LineParser.ofText(name, text), table);
+        return read(LineParser.parseText(name, text), table);
     }
 
     /** What is in force where there is no file. */
@@ -48,22 +48,22 @@
         open.push(new Block(table, null, SourceLocation.DEFAULT));
         for (LineParser.Line line : lines) {
             if (line.closes()) {
-                complete(open.pop());
+                requireComplete(open.pop());
             } else if (line.opens()) {
-                open.push(open(open.peek(), line));
+                open.push(openBlock(open.peek(), line));
             } else {
-                set(open.peek(), line);
+                setValue(open.peek(), line);
             }
         }
-        complete(open.peek());
+        requireComplete(open.peek());
         return new Settings(open.peek());
     }
 
-    private static Block open(Block in, LineParser.Line line) {
+    private static Block openBlock(Block in, LineParser.Line line) {
         String name = line.words().get(0);
-        Section section = in.section().section(name);
+        Section section = in.section().findSection(name);
         if (section == null) {
-            throw unknown(in.section(), line);
+            throw describeUnknown(in.section(), line);
         }
         List<String> rest = line.words().subList(1, line.words().size());
         String label = null;
@@ -83,17 +83,17 @@
         return block;
     }
 
-    private static void set(Block in, LineParser.Line line) {
+    private static void setValue(Block in, LineParser.Line line) {
         String name = line.words().get(0);
-        Keyword keyword = in.section().keyword(name);
+        Keyword keyword = in.section().findKeyword(name);
         if (keyword == null) {
-            throw unknown(in.section(), line);
+            throw describeUnknown(in.section(), line);
         }
         List<String> words = line.words().subList(1, line.words().size());
         in.set(keyword, new Block.Value(line.place(), words, keyword.read(line.place(), words)));
     }
 
-    private static void complete(Block block) {
+    private static void requireComplete(Block block) {
         for (Keyword keyword : block.section().keywords()) {
             if (keyword.required() && !block.has(keyword.name())) {
                 throw new InvalidSettingsException(
@@ -102,10 +102,10 @@
         }
     }
 
-    private static InvalidSettingsException unknown(Section in, LineParser.Line line) {
+    private static InvalidSettingsException describeUnknown(Section in, LineParser.Line line) {
         String word = line.words().get(0);
         String value = String.join(" ", line.words().subList(1, line.words().size()));
-        boolean other = line.opens() ? in.keyword(word) != null : in.section(word) != null;
+        boolean other = line.opens() ? in.findKeyword(word) != null : in.findSection(word) != null;
         if (other) {
             return InvalidSettingsException.value(
                     line.place(),
@@ -132,13 +132,13 @@
     /** The keywords, with their blocks, that differ in that one and which only a restart changes. */
     public List<String> needRestart(Settings next) {
         List<String> names = new ArrayList<>();
-        differ("", root, next.root, names);
+        collectDifferences("", root, next.root, names);
         return names;
     }
 
-    private static void differ(String path, Block mine, Block other, List<String> names) {
+    private static void collectDifferences(String path, Block mine, Block other, List<String> names) {
         for (Keyword keyword : mine.section().keywords()) {
-            if (!keyword.live() && !words(mine, keyword).equals(words(other, keyword))) {
+            if (!keyword.live() && !wordsOf(mine, keyword).equals(wordsOf(other, keyword))) {
                 names.add(path + keyword.name());
             }
         }
@@ -153,12 +153,12 @@
                 continue;
             }
             for (int i = 0; i < before.size(); i++) {
-                differ(path + section.name() + ".", before.get(i), after.get(i), names);
+                collectDifferences(path + section.name() + ".", before.get(i), after.get(i), names);
             }
         }
     }
 
-    private static List<List<String>> words(Block block, Keyword keyword) {
+    private static List<List<String>> wordsOf(Block block, Keyword keyword) {
         return block.all(keyword.name()).stream().map(Block.Value::words).toList();
     }
 
--- a/src/main/java/nettlewick/settings/ValueType.java
+++ b/src/main/java/nettlewick/settings/ValueType.java
@@ -73,7 +73,7 @@
     public static ValueType<Double> span(double least, double most) {
         return new ValueType<>(
                 "SPAN",
-                "a time with its unit (ms, s, m, h, d) from " + spanText(least) + " to " + spanText(most),
+                "a time with its unit (ms, s, m, h, d) from " + formatSpan(least) + " to " + formatSpan(most),
                 word -> {
                     Matcher m = UNIT.matcher(word);
                     double unit = !m.matches()
@@ -91,7 +91,7 @@
                 });
     }
 
-    static String spanText(double millis) {
+    static String formatSpan(double millis) {
         return millis % 8.64e7 == 0 && millis > 0
                 ? (long) (millis / 8.64e7) + "d"
                 : millis % 3.6e6 == 0 && millis > 0
--- a/src/test/java/nettlewick/settings/SettingsTest.java
+++ b/src/test/java/nettlewick/settings/SettingsTest.java
@@ -18,7 +18,7 @@
 
 /** The form of our settings: what is read, and the one line for whatever is wrong. */
 class SettingsTest {
-    private static String fault(String text) {
+    private static String parseError(String text) {
         String line = assertThrows(InvalidSettingsException.class, () -> Settings.parse("f", text))
                 .getMessage();
         assertFalse(line.contains("\n"), line);
@@ -82,12 +82,12 @@
                 "ledger {\\nstore /x\\npeers {\\nlisten 1.2.3.4:1\\nkey k\\nadmit 10.0.0.0/33\\n}\\n}~ f:6: admit is "
                         + "10.0.0.0/33, but has to be an IP network such as 127.0.0.0/8"
             })
-    void faultsAreOneLine(String text, String line) {
-        assertEquals(line, fault(text.replace("\\n", "\n")));
+    void eachErrorIsOneLineWithItsLocation(String text, String line) {
+        assertEquals(line, parseError(text.replace("\\n", "\n")));
     }
 
     @Test
-    void includesStandBesideTheirFileAndLoopsAreFaults(@TempDir Path dir) throws Exception {
+    void includesAreResolvedBesideTheirFileAndLoopsAreErrors(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("a"), "include sub/b\nedge {\ninclude sub/c\n}\n");
         Files.createDirectory(dir.resolve("sub"));
         Files.writeString(dir.resolve("sub/b"), "log {\nlevel error\n}\n");
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void whatIsInForceIsShownWithItsOriginAndReadsBackTheSame() {
+    void effectiveSettingsAreShownWithTheirOriginAndParseBack() {
         Settings s = Settings.parse("f", "edge {\nlisten 1.2.3.4:80\nretry 4s\n}");
         String shown = s.show();
         assertTrue(shown.matches("(?s).*retry 4s +# f:3\n.*grace 3s +# default\n.*"), shown);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void theReferencePageIsTheTableThatChecks() throws Exception {
+    void referencePageMatchesTheSchema() throws Exception {
         assertEquals(
                 Reference.page(),
                 Files.readString(Path.of("docs/settings.md")),
@@ -123,14 +123,14 @@
     }
 
     @Test
-    void theFileUnderDeployIsInOrder() {
+    void deployedSettingsFileIsValid() {
         assertTrue(
                 Settings.read(Path.of("deploy/nettlewick.conf")).block("ledger").isPresent());
     }
 
     /** Whatever is in the file, the answer is settings or one line. */
     @Property(tries = 2000, seed = "43")
-    void noTextEndsOtherwise(@ForAll @StringLength(max = 80) String text) {
+    void anyTextGivesSettingsOrAOneLineError(@ForAll @StringLength(max = 80) String text) {
         String shaped = text.replaceAll("[^ -~]", "\n").replace("q", "log {\n").replace("z", "\n}\n");
         try {
             Settings.parse("f", shaped);
