--- a/src/main/java/nettlewick/admin/AdminFrontend.java
+++ b/src/main/java/nettlewick/admin/AdminFrontend.java
@@ -1,5 +1,6 @@
 package nettlewick.admin;
 
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -20,17 +21,29 @@
 import java.util.regex.Pattern;
 
 /**
- * The operators' way in: one call a connection. Has an event loop and a listener of its own, so that neither
- * a crowd of clients nor work for them holds an answer up. Holds no state of the dispatcher.
+ * Serves the operators' HTTP interface, one call a connection. It has an event loop and a listener of its own, so that
+ * neither clients nor work for them delay an answer, and holds no state of the dispatcher.
  */
 public final class AdminFrontend {
-    /** Callers held at once. Danger: silent ones would use up the descriptors; the oldest makes way. */
+    /** Connections held at once; beyond it the oldest is closed, since idle ones would use up file descriptors. */
     public static final int CALLERS_MOST = 24;
-    /** Time for one call, from connecting to the close. */
+
+    /** From connecting to the close. */
     private static final long CALL_TIMEOUT_MILLIS = 4500;
 
+    private static final int MAX_HEADER_BYTES = 4096;
     private static final int MAX_BODY_BYTES = 4096;
+    private static final int ACCEPT_BACKLOG = 128;
+
     private static final int STATUS_OK = 200;
+    private static final int STATUS_BAD_REQUEST = 400;
+    private static final int STATUS_NOT_FOUND = 404;
+    private static final int STATUS_METHOD_NOT_ALLOWED = 405;
+    private static final int STATUS_CONFLICT = 409;
+    private static final int STATUS_CONTENT_TOO_LARGE = 413;
+    private static final int STATUS_INTERNAL_ERROR = 500;
+    private static final int STATUS_UNAVAILABLE = 503;
+
     private static final Pattern ENDPOINT_PATH = Pattern.compile("/-/sim-runners/([^/]+)/(disable|enable)");
 
     private final Operations operations;
@@ -39,6 +52,7 @@
     private final Context eventLoop;
     private final Set<HttpConnection> connections = new LinkedHashSet<>();
 
+    /** Creates a frontend for this address; it serves nothing before {@link #listen}. */
     public AdminFrontend(SocketAddress address, Operations operations) {
         this.address = address;
         this.operations = operations;
@@ -51,42 +65,42 @@
         eventLoop = vertx.getOrCreateContext();
     }
 
-    /** Listens; the port that is held comes back. */
+    /** Starts to listen; completes with the port. */
     public Future<Integer> listen() {
         HttpServer server = vertx.createHttpServer(new HttpServerOptions()
                 .setTcpNoDelay(true)
                 .setHttp2ClearTextEnabled(false)
-                .setMaxHeaderSize(MAX_BODY_BYTES)
-                .setAcceptBacklog(128));
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
+                .setAcceptBacklog(ACCEPT_BACKLOG));
         server.exceptionHandler(e -> {});
         server.connectionHandler(this::accept);
         server.requestHandler(this::read);
         return server.listen(address).map(HttpServer::actualPort);
     }
 
-    private void accept(HttpConnection caller) {
-        caller.exceptionHandler(e -> {});
+    private void accept(HttpConnection connection) {
+        connection.exceptionHandler(e -> {});
         if (connections.size() >= CALLERS_MOST) {
             HttpConnection oldest = connections.iterator().next();
             connections.remove(oldest);
             oldest.close();
         }
-        connections.add(caller);
-        long timer = vertx.setTimer(CALL_TIMEOUT_MILLIS, id -> caller.close());
-        caller.closeHandler(v -> {
+        connections.add(connection);
+        long timer = vertx.setTimer(CALL_TIMEOUT_MILLIS, id -> connection.close());
+        connection.closeHandler(v -> {
             vertx.cancelTimer(timer);
-            connections.remove(caller);
+            connections.remove(connection);
         });
     }
 
-    /** Waits for the call to be whole: half a call must change nothing. */
+    /** Waits for the end of the request: an incomplete one must change nothing. */
     private void read(HttpServerRequest request) {
         int[] length = new int[1];
         request.exceptionHandler(e -> {});
         request.handler(part -> length[0] += part.length());
         request.endHandler(v -> {
             if (length[0] > MAX_BODY_BYTES) {
-                answer(request, 413, "a call needs no body\n");
+                answer(request, STATUS_CONTENT_TOO_LARGE, "a call needs no body\n");
             } else {
                 route(request);
             }
@@ -95,50 +109,65 @@
 
     private void route(HttpServerRequest request) {
         String path = String.valueOf(request.path());
-        Matcher endpoint = ENDPOINT_PATH.matcher(path);
-        HttpMethod wanted = switch (path) {
+        Matcher endpointPath = ENDPOINT_PATH.matcher(path);
+        boolean isEndpointPath = endpointPath.matches();
+        HttpMethod expected = expectedMethod(path, isEndpointPath);
+        if (expected == null) {
+            answer(request, STATUS_NOT_FOUND, "no such call\n");
+        } else if (!expected.equals(request.method())) {
+            request.response().putHeader("Allow", expected.name());
+            answer(request, STATUS_METHOD_NOT_ALLOWED, "this call comes by " + expected + "\n");
+        } else if (isEndpointPath) {
+            setEndpointDisabled(
+                    request, endpointPath.group(1), endpointPath.group(2).equals("disable"));
+        } else {
+            execute(request, path);
+        }
+    }
+
+    /** The method that a path is called by; null for an unknown path. */
+    private static HttpMethod expectedMethod(String path, boolean isEndpointPath) {
+        return switch (path) {
             case "/-/ready", "/-/metrics" -> HttpMethod.GET;
             case "/-/drain", "/-/resume" -> HttpMethod.POST;
-            default -> endpoint.matches() ? HttpMethod.POST : null;
+            default -> isEndpointPath ? HttpMethod.POST : null;
         };
-        if (wanted == null) {
-            answer(request, 404, "no such call\n");
-        } else if (!wanted.equals(request.method())) {
-            request.response().putHeader("Allow", wanted.name());
-            answer(request, 405, "this call comes by " + wanted + "\n");
-        } else if (endpoint.matches()) {
-            setEndpointDisabled(request, endpoint.group(1), endpoint.group(2).equals("disable"));
-        } else {
-            switch (path) {
-                case "/-/ready" -> answerYesOr(request, operations.ready(), 503, "takes no clients\n");
-                case "/-/drain" -> answerYesOr(request, operations.drain(), 409, "starts or ends\n");
-                case "/-/resume" -> answerYesOr(request, operations.resume(), 409, "ends\n");
-                default -> answer(request, STATUS_OK, MetricsText.format(operations.figures(), operations.more()));
-            }
+    }
+
+    private void execute(HttpServerRequest request, String path) {
+        switch (path) {
+            case "/-/ready" -> answerYesOr(request, operations.ready(), STATUS_UNAVAILABLE, "takes no clients\n");
+            case "/-/drain" -> answerYesOr(request, operations.drain(), STATUS_CONFLICT, "starts or ends\n");
+            case "/-/resume" -> answerYesOr(request, operations.resume(), STATUS_CONFLICT, "ends\n");
+            default -> answer(request, STATUS_OK, MetricsText.format(operations.figures(), operations.more()));
         }
     }
 
-    private void setEndpointDisabled(HttpServerRequest request, String encoded, boolean out) {
+    private void setEndpointDisabled(HttpServerRequest request, String encodedId, boolean isDisabled) {
         String id;
         try {
-            id = URLDecoder.decode(encoded.replace("+", "%2B"), StandardCharsets.UTF_8);
+            // URLDecoder reads form data, where a plus sign stands for a space.
+            id = URLDecoder.decode(encodedId.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            answer(request, 400, "the id is not percent-encoded\n");
+            answer(request, STATUS_BAD_REQUEST, "the id is not percent-encoded\n");
             return;
         }
         operations
-                .ban(id, out)
-                .onComplete(done -> eventLoop.runOnContext(v -> {
-                    if (done.failed()) {
-                        answer(request, 500, "cannot be stored: " + done.cause().getMessage() + "\n");
-                    } else {
-                        answerYesOr(request, done.result(), 404, "no such sim runner\n");
-                    }
-                }));
+                .ban(id, isDisabled)
+                .onComplete(result -> eventLoop.runOnContext(v -> answerDisabled(request, result)));
+    }
+
+    private static void answerDisabled(HttpServerRequest request, AsyncResult<Boolean> isKnown) {
+        if (isKnown.failed()) {
+            String reason = isKnown.cause().getMessage();
+            answer(request, STATUS_INTERNAL_ERROR, "cannot be stored: " + reason + "\n");
+        } else {
+            answerYesOr(request, isKnown.result(), STATUS_NOT_FOUND, "no such sim runner\n");
+        }
     }
 
-    private static void answerYesOr(HttpServerRequest request, boolean yes, int otherwise, String why) {
-        answer(request, yes ? STATUS_OK : otherwise, yes ? "yes\n" : why);
+    private static void answerYesOr(HttpServerRequest request, boolean yes, int otherStatus, String otherText) {
+        answer(request, yes ? STATUS_OK : otherStatus, yes ? "yes\n" : otherText);
     }
 
     private static void answer(HttpServerRequest request, int status, String text) {
@@ -152,6 +181,7 @@
         }
     }
 
+    /** Stops listening and ends the event loop. */
     public Future<Void> close() {
         return vertx.close();
     }
--- a/src/main/java/nettlewick/admin/MetricsText.java
+++ b/src/main/java/nettlewick/admin/MetricsText.java
@@ -1,33 +1,31 @@
 package nettlewick.admin;
 
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import nettlewick.core.Metrics;
 import nettlewick.core.Metrics.End;
 
-/** The figures as operators read them: one {@code name=value} a line. */
+/** Formats metrics as operators read them: one {@code name=value} a line. The names are fixed. */
 final class MetricsText {
     private static final String PREFIX = "router.";
 
     private MetricsText() {}
 
-    static String format(Metrics.Snapshot figures, Map<String, Number> more) {
+    static String format(Metrics.Snapshot metrics, Map<String, Number> additional) {
         StringBuilder text = new StringBuilder();
-        figures.jobs().forEach((name, counts) -> appendEnds(text, name, counts));
-        appendLine(text, "relayed", figures.relayed());
-        appendLine(text, "open_requests", figures.open());
-        appendLine(text, "registry_entries", figures.listed());
-        appendLine(text, "out_of_rotation", figures.avoided());
-        figures.peers().forEach((kind, count) -> appendLine(text, "peers.passed_over." + kind, count));
-        more.forEach((name, value) -> appendLine(text, name, value.longValue()));
+        metrics.jobs().forEach((requestClass, counts) -> appendEnds(text, requestClass, counts));
+        appendLine(text, "relayed", metrics.relayed());
+        appendLine(text, "open_requests", metrics.open());
+        appendLine(text, "registry_entries", metrics.listed());
+        appendLine(text, "out_of_rotation", metrics.avoided());
+        metrics.peers().forEach((kind, count) -> appendLine(text, "peers.passed_over." + kind, count));
+        additional.forEach((name, value) -> appendLine(text, name, value.longValue()));
         return text.toString();
     }
 
-    private static void appendEnds(StringBuilder text, String name, List<Long> counts) {
+    private static void appendEnds(StringBuilder text, String requestClass, List<Long> counts) {
         for (End end : End.values()) {
-            appendLine(
-                    text, "operations." + name + '.' + end.name().toLowerCase(Locale.ROOT), counts.get(end.ordinal()));
+            appendLine(text, "operations." + requestClass + '.' + end.metricName(), counts.get(end.ordinal()));
         }
     }
 
--- a/src/main/java/nettlewick/admin/Operations.java
+++ b/src/main/java/nettlewick/admin/Operations.java
@@ -4,23 +4,28 @@
 import java.util.Map;
 import nettlewick.core.Metrics;
 
-/** What operators can ask of a dispatcher. Called on the operators' event loop; nothing here blocks. */
+/** What operators can ask of a dispatcher. Called on the operators' event loop; implementations must not block. */
 public interface Operations {
     /** Whether this process takes clients. */
     boolean ready();
 
-    /** The figures now. */
+    /** A copy of the metrics now. */
     Metrics.Snapshot figures();
 
-    /** Figures of parts that not every dispatcher has, by name. */
+    /** Metrics of parts that not every dispatcher has, by name without the common prefix. */
     default Map<String, Number> more() {
         return Map.of();
     }
 
-    /** Takes a sim runner out, or puts it back; false if none has this id. In force once it is told. */
-    Future<Boolean> ban(String endpoint, boolean out);
+    /**
+     * Disables an endpoint administratively, or enables it again.
+     *
+     * @return completes once the change is stored and in force, with false if no endpoint has this id; fails if the
+     *         change cannot be stored
+     */
+    Future<Boolean> ban(String endpoint, boolean isDisabled);
 
-    /** Sends clients away; false while this process starts or ends. */
+    /** Starts to send clients away; false while this process starts or ends. */
     boolean drain();
 
     /** Takes clients again; false if this process ends. */
--- a/src/main/java/nettlewick/sse/EventStreamConfig.java
+++ b/src/main/java/nettlewick/sse/EventStreamConfig.java
@@ -5,14 +5,15 @@
 import nettlewick.settings.Block;
 
 /**
- * Where the front for progress streams listens, and its bounds; times in milliseconds.
+ * Where the frontend for event streams listens, and its limits.
  *
- * @param retry       what clients are told to wait before they come again
- * @param heartbeat   pause between comments that keep a silent stream open
- * @param grace       how long a job whose client dropped its stream is kept going unwatched
- * @param keep        how long a finished stream can still be attached to
- * @param keepStreams most finished streams that are kept
- * @param maxReaders  most streams open to clients at once
+ * @param listen             the address
+ * @param retryMillis        how long clients are told to wait before they reconnect
+ * @param heartbeatMillis    between comments that keep a silent stream open
+ * @param abandonGraceMillis how long a request without subscribers goes on
+ * @param retentionMillis    how long a finished stream can still be attached to
+ * @param maxFinishedStreams how many finished streams are retained
+ * @param maxSubscribers     how many streams are open to clients at once
  */
 public record EventStreamConfig(
         SocketAddress listen,
@@ -22,7 +23,7 @@
         long retentionMillis,
         int maxFinishedStreams,
         int maxSubscribers) {
-    /** Takes the settings' block {@code edge} over. */
+    /** Reads the settings block {@code edge}. */
     public static EventStreamConfig of(Block edge) {
         InetSocketAddress listen = edge.address("listen");
         return new EventStreamConfig(
--- a/src/main/java/nettlewick/sse/EventStreamFrontend.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -6,34 +6,43 @@
 import java.net.URLDecoder;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
-import nettlewick.core.Metrics;
 import nettlewick.core.Request;
 import nettlewick.net.HttpFrontend;
 import nettlewick.net.RequestReader;
 
 /**
- * Server-sent events for progress. A POST starts a job and answers with its stream; the same id once more,
- * or a GET of {@code /events/ID}, attaches to the job and never sends it anew. Lives on the event loop.
+ * Serves requests whose progress and result are streamed as server-sent events. A POST submits a request and answers
+ * with its stream; the same id once more, or a GET of {@code /events/ID}, attaches to the stream and never submits the
+ * request again. Lives on the event loop.
  */
 public final class EventStreamFrontend extends HttpFrontend {
     private static final String STREAM_PATH_PREFIX = "/events/";
-    /** Kernel memory for one slow reader: left alone, the kernel would grow it to megabytes. */
+    /** Kernel memory for one slow reader, which would grow to megabytes otherwise. */
     private static final int SEND_BUFFER_BYTES = 32 * 1024;
 
     private static final long EXPIRY_INTERVAL_MILLIS = 500;
+    private static final long MILLIS_PER_SECOND = 1000;
+
+    private static final int STATUS_NO_CONTENT = 204;
+    private static final int STATUS_BAD_REQUEST = 400;
+    private static final int STATUS_NOT_FOUND = 404;
+    private static final int STATUS_METHOD_NOT_ALLOWED = 405;
+    private static final int STATUS_CONFLICT = 409;
+    private static final int STATUS_UNAVAILABLE = 503;
 
     private final EventStreamConfig config;
     private final RequestReader requestReader;
     private final StreamRegistry streams;
     private int subscriberCount;
 
-    public EventStreamFrontend(Base base, EventStreamConfig edge) {
-        super(base, edge.listen(), SEND_BUFFER_BYTES);
-        this.config = edge;
+    /** Creates the frontend and starts its timers on the event loop. */
+    public EventStreamFrontend(Base base, EventStreamConfig config) {
+        super(base, config.listen(), SEND_BUFFER_BYTES);
+        this.config = config;
         requestReader = new RequestReader(base.config());
-        streams = new StreamRegistry(edge.retentionMillis(), edge.maxFinishedStreams());
+        streams = new StreamRegistry(config.retentionMillis(), config.maxFinishedStreams());
         base.vertx()
-                .setPeriodic(edge.heartbeatMillis(), id -> streams.streams().forEach(RequestStream::sendHeartbeats));
+                .setPeriodic(config.heartbeatMillis(), id -> streams.streams().forEach(RequestStream::sendHeartbeats));
         base.vertx()
                 .setPeriodic(
                         EXPIRY_INTERVAL_MILLIS,
@@ -47,73 +56,78 @@
             if (HttpMethod.GET.equals(http.method())) {
                 resume(http, path.substring(STREAM_PATH_PREFIX.length()));
             } else {
-                http.response().putHeader("Allow", "GET");
-                RequestReader.reject(http, 405, "streams are read by GET");
+                rejectMethod(http, "GET", "streams are read by GET");
             }
         } else if (!RequestReader.isJob(path)) {
-            RequestReader.reject(http, 404, "no such path");
+            RequestReader.reject(http, STATUS_NOT_FOUND, "no such path");
         } else if (!HttpMethod.POST.equals(http.method())) {
-            http.response().putHeader("Allow", "POST");
-            RequestReader.reject(http, 405, "jobs come by POST");
+            rejectMethod(http, "POST", "jobs come by POST");
         } else {
             requestReader.read(http, arrivedAt(http), draft -> startOrAttach(http, draft));
         }
     }
 
-    private void resume(HttpServerRequest http, String encoded) {
+    private static void rejectMethod(HttpServerRequest http, String allowed, String reason) {
+        http.response().putHeader("Allow", allowed);
+        RequestReader.reject(http, STATUS_METHOD_NOT_ALLOWED, reason);
+    }
+
+    private void resume(HttpServerRequest http, String encodedId) {
         String id;
         try {
-            id = URLDecoder.decode(encoded.replace("+", "%2B"), StandardCharsets.UTF_8);
+            // URLDecoder reads form data, where a plus sign stands for a space.
+            id = URLDecoder.decode(encodedId.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            RequestReader.reject(http, 400, "the stream's id is not percent-encoded");
+            RequestReader.reject(http, STATUS_BAD_REQUEST, "the stream's id is not percent-encoded");
             return;
         }
         RequestStream stream = streams.get(id);
         if (stream != null) {
             attach(http, id, stream);
         } else {
-            RequestReader.reject(http, 404, "no such stream");
+            RequestReader.reject(http, STATUS_NOT_FOUND, "no such stream");
         }
     }
 
     private void startOrAttach(HttpServerRequest http, RequestReader.Draft draft) {
         RequestStream known = streams.get(draft.id());
-        if (known != null) {
-            if (known.isSameRequest(draft.jobClass(), draft.tenant())) {
-                attach(http, draft.id(), known);
-            } else {
-                RequestReader.reject(http, 409, "another job has this id");
-            }
-            return;
+        if (known == null) {
+            start(http, draft);
+        } else if (known.isSameRequest(draft.jobClass(), draft.tenant())) {
+            attach(http, draft.id(), known);
+        } else {
+            RequestReader.reject(http, STATUS_CONFLICT, "another job has this id");
         }
-        Metrics.Ticket[] ticket = new Metrics.Ticket[1];
+    }
+
+    private void start(HttpServerRequest http, RequestReader.Draft draft) {
         RequestStream stream = new RequestStream(
-                draft.jobClass(), draft.tenant(), task -> base.loop().runOnContext(v -> task.run()), ended -> {
-                    streams.retainFinished(draft.id(), ended, base.clock().now());
-                    if (ticket[0] != null) {
-                        ended.countEnd(ticket[0]);
-                    }
-                });
-        if (streams.isForgotten(draft.id()) || lastSeenId(http) > 0) {
-            // Danger: the job ran under this id, here or in a life of this dispatcher that is over. Its end
-            // is forgotten, and sending it again might do it twice.
-            stream.numberEventsAfter(lastSeenId(http));
+                draft.jobClass(),
+                draft.tenant(),
+                task -> base.loop().runOnContext(v -> task.run()),
+                ended -> streams.retainFinished(draft.id(), ended, base.clock().now()));
+        long lastSeenId = lastSeenId(http);
+        boolean mayHaveRun = streams.isForgotten(draft.id()) || lastSeenId > 0;
+        if (mayHaveRun) {
+            // It ran under this id, here or in an earlier incarnation; to submit it again might execute it twice.
+            stream.numberEventsAfter(lastSeenId);
             stream.fail("the job was started before and its end is no longer known");
-            if (attach(http, draft.id(), stream)) {
-                streams.add(draft.id(), stream);
-            }
-            return;
         }
-        // Attached before it is submitted: a job that no client can be told of is not begun.
+        // Attached before it is submitted: a request whose client cannot be answered is not started.
         if (attach(http, draft.id(), stream)) {
             streams.add(draft.id(), stream);
-            Request request = draft.with(stream);
-            stream.setRequest(request);
-            ticket[0] = base.core().figures().taken(draft.jobClass());
-            base.core().submit(request);
+            if (!mayHaveRun) {
+                submit(draft, stream);
+            }
         }
     }
 
+    private void submit(RequestReader.Draft draft, RequestStream stream) {
+        Request request = draft.with(stream);
+        stream.setRequest(request, base.core().figures().taken(draft.jobClass()));
+        base.core().submit(request);
+    }
+
     /** The id of the last event that the client says it has seen; 0 for none. */
     private static long lastSeenId(HttpServerRequest http) {
         String text = http.getHeader("Last-Event-ID");
@@ -124,18 +138,19 @@
         }
     }
 
-    /** Makes the response a stream of the job; false if it was answered otherwise. */
+    /** Makes the response a subscriber of the stream; false if it was answered otherwise. */
     private boolean attach(HttpServerRequest http, String id, RequestStream stream) {
         HttpServerResponse response = http.response();
-        long after = lastSeenId(http);
-        if (stream.isFullySeen(after)) {
-            // To an EventSource this status says: do not connect again.
-            response.setStatusCode(204).end();
+        long lastSeenId = lastSeenId(http);
+        if (stream.isFullySeen(lastSeenId)) {
+            // Makes an EventSource stop reconnecting.
+            response.setStatusCode(STATUS_NO_CONTENT).end();
             return false;
         }
         if (subscriberCount >= config.maxSubscribers()) {
-            response.putHeader("Retry-After", Long.toString(Math.max(1, config.retryMillis() / 1000)));
-            RequestReader.reject(http, 503, "too many streams are open");
+            long retryAfterSeconds = Math.max(1, config.retryMillis() / MILLIS_PER_SECOND);
+            response.putHeader("Retry-After", Long.toString(retryAfterSeconds));
+            RequestReader.reject(http, STATUS_UNAVAILABLE, "too many streams are open");
             return false;
         }
         response.putHeader(
@@ -145,27 +160,33 @@
         if (base.state().leaving()) {
             response.putHeader("Connection", "close");
         }
-        StreamSubscriber joined = new StreamSubscriber(response, after, config.retryMillis());
+        subscribe(response, lastSeenId, stream);
+        return true;
+    }
+
+    private void subscribe(HttpServerResponse response, long lastSeenId, RequestStream stream) {
+        StreamSubscriber subscriber = new StreamSubscriber(response, lastSeenId, config.retryMillis());
         subscriberCount++;
         // Either may come first, or both: the final event is written, or the client goes away.
-        response.closeHandler(v -> onSubscriberLeft(stream, joined));
-        joined.whenFinalEventWritten().onComplete(r -> onSubscriberLeft(stream, joined));
-        stream.attach(joined);
-        return true;
+        response.closeHandler(v -> onSubscriberLeft(stream, subscriber));
+        subscriber.whenFinalEventWritten().onComplete(r -> onSubscriberLeft(stream, subscriber));
+        stream.attach(subscriber);
     }
 
-    private void onSubscriberLeft(RequestStream stream, StreamSubscriber left) {
-        if (!left.markLeft()) {
+    private void onSubscriberLeft(RequestStream stream, StreamSubscriber subscriber) {
+        if (!subscriber.markLeft()) {
             return;
         }
         subscriberCount--;
-        if (stream.detach(left)) {
-            base.vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> {
-                if (!stream.hasSubscribers() && !stream.isEnded()) {
-                    base.core().abandon(stream.request());
-                    stream.fail("its client went away");
-                }
-            });
+        if (stream.detach(subscriber)) {
+            base.vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> abandonIfAlone(stream));
+        }
+    }
+
+    private void abandonIfAlone(RequestStream stream) {
+        if (!stream.hasSubscribers() && !stream.isEnded()) {
+            base.core().abandon(stream.request());
+            stream.fail("its client went away");
         }
     }
 }
--- a/src/main/java/nettlewick/sse/RequestStream.java
+++ b/src/main/java/nettlewick/sse/RequestStream.java
@@ -3,14 +3,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Objects;
 import java.util.function.Consumer;
 import nettlewick.core.Metrics;
 import nettlewick.core.Request;
 import nettlewick.core.UsageRecorder;
 
 /**
- * A job and what clients are told of it: the latest progress and, exactly once, the final event. Readers come
- * and go without the job noticing. Calls from the core are brought to the event loop, where all of it lives.
+ * The events of one request: the latest progress and, exactly once, the final event. Subscribers come and go without
+ * effect on the request. All of it lives on the event loop; calls from the core are moved there.
  */
 final class RequestStream implements Request.Caller {
     private static final int MAX_SUBSCRIBERS = 4;
@@ -23,18 +24,27 @@
     private long lastEventId;
     private StreamEvent latestProgress;
     private StreamEvent finalEvent;
+    /** Null where the request was never submitted. */
     private Request request;
+
+    private Metrics.Ticket ticket;
     private UsageRecorder.Receipt pendingReceipt = UsageRecorder.Receipt.NONE;
 
-    RequestStream(String requestClass, String tenant, Consumer<Runnable> loop, Consumer<RequestStream> onEnd) {
+    /**
+     * @param eventLoop runs a task on the event loop
+     * @param onEnd     called once, when the final event is known
+     */
+    RequestStream(String requestClass, String tenant, Consumer<Runnable> eventLoop, Consumer<RequestStream> onEnd) {
         this.requestClass = requestClass;
         this.tenant = tenant;
-        this.eventLoop = loop;
+        this.eventLoop = eventLoop;
         this.onEnd = onEnd;
     }
 
-    void setRequest(Request of) {
-        request = of;
+    /** Sets the request that is about to be submitted, and what counts its end. */
+    void setRequest(Request submitted, Metrics.Ticket endCounter) {
+        request = submitted;
+        ticket = endCounter;
     }
 
     Request request() {
@@ -49,30 +59,29 @@
         return !subscribers.isEmpty();
     }
 
-    /** Whether a request under the same id is the same job, not another tenant's that hit on its id. */
+    /** Whether a request under the same id is this one repeated, not another that happens to have its id. */
     boolean isSameRequest(String otherClass, String otherTenant) {
-        return requestClass.equals(otherClass) && java.util.Objects.equals(tenant, otherTenant);
+        return requestClass.equals(otherClass) && Objects.equals(tenant, otherTenant);
     }
 
-    /** Whether a client that has seen this event has seen all. */
-    boolean isFullySeen(long after) {
-        return finalEvent != null && after >= finalEvent.id();
+    /** Whether a client that has seen this event has seen all there will be. */
+    boolean isFullySeen(long lastSeenId) {
+        return finalEvent != null && lastSeenId >= finalEvent.id();
     }
 
-    void attach(StreamSubscriber reader) {
+    /** Adds a subscriber. Beyond the limit the oldest is closed: it may be left behind by a client that reconnected. */
+    void attach(StreamSubscriber subscriber) {
         if (subscribers.size() >= MAX_SUBSCRIBERS) {
-            // The connection that a reconnecting client left behind may look open for long.
-            StreamSubscriber oldest = subscribers.remove(0);
-            oldest.close();
+            subscribers.remove(0).close();
         }
-        subscribers.add(reader);
-        reader.offer(latestProgress);
-        reader.offer(finalEvent);
+        subscribers.add(subscriber);
+        subscriber.offer(latestProgress);
+        subscriber.offer(finalEvent);
     }
 
-    /** Takes a reader off; true if it was the last one of a job that still runs. */
-    boolean detach(StreamSubscriber reader) {
-        return subscribers.remove(reader) && subscribers.isEmpty() && finalEvent == null;
+    /** Removes a subscriber; true if it was the last one of a request in flight. */
+    boolean detach(StreamSubscriber subscriber) {
+        return subscribers.remove(subscriber) && subscribers.isEmpty() && finalEvent == null;
     }
 
     void sendHeartbeats() {
@@ -83,44 +92,48 @@
         List.copyOf(subscribers).forEach(StreamSubscriber::close);
     }
 
-    /** Numbers the events from the one that a client saw last in a stream that is gone. */
+    /** Continues the numbering after the event that a client saw last of a stream that is gone. */
     void numberEventsAfter(long id) {
         lastEventId = id;
     }
 
-    /** Counts how it ended; one that nobody waited for any more counts nowhere. */
-    void countEnd(Metrics.Ticket ticket) {
-        ticket.owe(pendingReceipt);
-        switch (finalEvent.name()) {
-            case "result" -> ticket.answered(Metrics.End.FULFILLED);
-            case "unavailable" -> ticket.answered(Metrics.End.THROTTLED);
-            default -> {
-                if (hasSubscribers()) {
-                    ticket.answered(Metrics.End.FAULTED);
-                } else {
-                    ticket.left();
-                }
-            }
-        }
-    }
-
     /** Characters of its final event; 0 while there is none. */
     int finalEventLength() {
         return finalEvent == null ? 0 : finalEvent.data().length();
     }
 
-    /** Ends the stream from this side; an end that it has already stands. */
+    /** Ends the stream from this side, unless it has ended. */
     void fail(String reason) {
         finish(StreamEvent.failed(lastEventId + 1, reason));
     }
 
     private void finish(StreamEvent event) {
-        if (finalEvent == null) {
-            finalEvent = event;
-            lastEventId = event.id();
-            // Danger: a reader may leave while it is offered its final event.
-            List.copyOf(subscribers).forEach(r -> r.offer(event));
-            onEnd.accept(this);
+        if (finalEvent != null) {
+            return;
+        }
+        finalEvent = event;
+        lastEventId = event.id();
+        // Copied, since a subscriber may leave while it is offered its final event.
+        List.copyOf(subscribers).forEach(s -> s.offer(event));
+        onEnd.accept(this);
+        if (ticket != null) {
+            countEnd();
+        }
+    }
+
+    /** A failure that nobody waited for any more does not count. */
+    private void countEnd() {
+        ticket.owe(pendingReceipt);
+        switch (finalEvent.type()) {
+            case RESULT -> ticket.answered(Metrics.End.FULFILLED);
+            case REJECTED -> ticket.answered(Metrics.End.THROTTLED);
+            default -> {
+                if (hasSubscribers()) {
+                    ticket.answered(Metrics.End.FAULTED);
+                } else {
+                    ticket.left();
+                }
+            }
         }
     }
 
@@ -139,24 +152,28 @@
     public void progress(double share) {
         eventLoop.accept(() -> {
             if (finalEvent == null) {
-                latestProgress = StreamEvent.progress(++lastEventId, share);
-                List.copyOf(subscribers).forEach(r -> r.offer(latestProgress));
+                lastEventId++;
+                latestProgress = StreamEvent.progress(lastEventId, share);
+                List.copyOf(subscribers).forEach(s -> s.offer(latestProgress));
             }
         });
     }
 
     @Override
     public void served(byte[] result) {
-        eventLoop.accept(() -> finish(StreamEvent.result(lastEventId + 1, new String(result, StandardCharsets.UTF_8))));
+        eventLoop.accept(() -> {
+            String text = new String(result, StandardCharsets.UTF_8);
+            finish(StreamEvent.result(lastEventId + 1, text));
+        });
     }
 
     @Override
-    public void rejected(double retryAfter) {
-        eventLoop.accept(() -> finish(StreamEvent.unavailable(lastEventId + 1, retryAfter)));
+    public void rejected(double retryAfterMillis) {
+        eventLoop.accept(() -> finish(StreamEvent.rejected(lastEventId + 1, retryAfterMillis)));
     }
 
     @Override
     public void failed(String reason) {
-        eventLoop.accept(() -> finish(StreamEvent.failed(lastEventId + 1, reason)));
+        eventLoop.accept(() -> fail(reason));
     }
 }
--- a/src/main/java/nettlewick/sse/StreamRegistry.java
+++ b/src/main/java/nettlewick/sse/StreamRegistry.java
@@ -9,39 +9,41 @@
 import java.util.Set;
 
 /**
- * Streams by request id. Finished ones are kept for a bounded time and number; of those forgotten the id
- * alone is remembered, so that a request that comes again is never taken for a new one.
+ * Streams by request id. Finished ones are retained for a limited time, number and size; of those forgotten the id
+ * alone is remembered, so that a repeated request is never taken for a new one. Event loop.
  */
 final class StreamRegistry {
-    /** Ids remembered of streams that are forgotten. */
     private static final int MAX_FORGOTTEN_IDS = 20_000;
 
-    /** Characters of final events kept: they share a small heap with everything else. */
+    /** Characters of final events retained, for the sake of the heap. */
     private static final int MAX_RETAINED_CHARS = 2 << 20;
 
     private record FinishedStream(String id, RequestStream stream, double endedAtMillis) {}
 
     private final Map<String, RequestStream> streams = new LinkedHashMap<>();
+    /** The oldest first. */
     private final Deque<FinishedStream> finished = new ArrayDeque<>();
+
     private final Set<String> forgottenIds = new LinkedHashSet<>();
     private final double retentionMillis;
     private final int maxFinished;
     private int retainedChars;
 
-    StreamRegistry(double keep, int most) {
-        this.retentionMillis = keep;
-        this.maxFinished = most;
+    StreamRegistry(double retentionMillis, int maxFinished) {
+        this.retentionMillis = retentionMillis;
+        this.maxFinished = maxFinished;
     }
 
     void add(String id, RequestStream stream) {
         streams.put(id, stream);
     }
 
+    /** The stream of this request id, or null. */
     RequestStream get(String id) {
         return streams.get(id);
     }
 
-    /** True if a stream of this id was here and is forgotten. */
+    /** Whether a stream of this id was here and is forgotten. */
     boolean isForgotten(String id) {
         return forgottenIds.contains(id);
     }
@@ -50,27 +52,34 @@
         return streams.values();
     }
 
-    void retainFinished(String id, RequestStream stream, double now) {
-        finished.addLast(new FinishedStream(id, stream, now));
+    /** Retains a stream that has its final event, within the limits. */
+    void retainFinished(String id, RequestStream stream, double nowMillis) {
+        finished.addLast(new FinishedStream(id, stream, nowMillis));
         retainedChars += stream.finalEventLength();
-        forgetExpired(now);
+        forgetExpired(nowMillis);
+    }
+
+    /** Forgets finished streams that are too old, or over the limits. */
+    void forgetExpired(double nowMillis) {
+        while (!finished.isEmpty() && mustForgetOldest(nowMillis)) {
+            forget(finished.pollFirst());
+        }
+    }
+
+    private boolean mustForgetOldest(double nowMillis) {
+        return finished.size() > maxFinished
+                || retainedChars > MAX_RETAINED_CHARS
+                || nowMillis - finished.peekFirst().endedAtMillis() >= retentionMillis;
     }
 
-    /** Forgets what has been finished for too long, or is too much. */
-    void forgetExpired(double now) {
-        while (!finished.isEmpty()
-                && (finished.size() > maxFinished
-                        || retainedChars > MAX_RETAINED_CHARS
-                        || now - finished.peekFirst().endedAtMillis() >= retentionMillis)) {
-            FinishedStream oldest = finished.pollFirst();
-            retainedChars -= oldest.stream().finalEventLength();
-            streams.remove(oldest.id());
-            forgottenIds.add(oldest.id());
-            if (forgottenIds.size() > MAX_FORGOTTEN_IDS) {
-                forgottenIds.remove(forgottenIds.iterator().next());
-            }
-            // Danger: a reader that never reads would hold its connection and its events for good.
-            oldest.stream().closeSubscribers();
+    private void forget(FinishedStream oldest) {
+        retainedChars -= oldest.stream().finalEventLength();
+        streams.remove(oldest.id());
+        forgottenIds.add(oldest.id());
+        if (forgottenIds.size() > MAX_FORGOTTEN_IDS) {
+            forgottenIds.remove(forgottenIds.iterator().next());
         }
+        // A subscriber that never reads would keep its connection and events for ever.
+        oldest.stream().closeSubscribers();
     }
 }
--- a/src/main/java/nettlewick/sse/StreamSubscriber.java
+++ b/src/main/java/nettlewick/sse/StreamSubscriber.java
@@ -5,43 +5,43 @@
 import io.vertx.core.http.HttpServerResponse;
 
 /**
- * One client's connection to a stream. A slow reader costs one progress event and one final event at most:
- * while its buffer is full, newer progress takes the place of older, and the final event waits. Lives on the
- * event loop.
+ * One client's connection to a stream. A slow client costs one progress event and one final event at most: while its
+ * write queue is full, newer progress replaces older, and the final event waits. Event loop.
  */
 final class StreamSubscriber {
     private static final int WRITE_QUEUE_BYTES = 8 * 1024;
 
     private final HttpServerResponse response;
     private final long lastSeenId;
+    private final Promise<Void> finalEventWritten = Promise.promise();
     private StreamEvent pendingProgress;
     private StreamEvent pendingFinal;
-    private boolean left;
-    private final Promise<Void> finalEventWritten = Promise.promise();
+    private boolean hasLeft;
 
-    /** {@code after} is the id of the last event that the client has seen. */
-    StreamSubscriber(HttpServerResponse response, long after, long retry) {
+    /** {@code lastSeenId} is the id of the last event that the client has seen, 0 for none. */
+    StreamSubscriber(HttpServerResponse response, long lastSeenId, long retryMillis) {
         this.response = response;
-        this.lastSeenId = after;
+        this.lastSeenId = lastSeenId;
         response.setChunked(true).setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
         response.putHeader("Content-Type", "text/event-stream").putHeader("Cache-Control", "no-store");
         response.exceptionHandler(e -> {});
         response.drainHandler(v -> flush());
-        response.write("retry: " + retry + "\n\n");
+        response.write("retry: " + retryMillis + "\n\n");
     }
 
-    /** Done when the final event is written. */
+    /** Completes when the final event is written. */
     Future<Void> whenFinalEventWritten() {
         return finalEventWritten.future();
     }
 
-    /** True once only: the reader is counted off once, however its connection ended. */
+    /** Marks the client as gone; true for the first call only, however the connection ended. */
     boolean markLeft() {
-        boolean first = !left;
-        left = true;
+        boolean first = !hasLeft;
+        hasLeft = true;
         return first;
     }
 
+    /** Writes an event as soon as the client reads; null and events that it has seen are ignored. */
     void offer(StreamEvent event) {
         if (event == null || event.id() <= lastSeenId) {
             return;
@@ -55,7 +55,7 @@
     }
 
     private void flush() {
-        if (response.ended() || response.closed() || response.writeQueueFull()) {
+        if (!isWritable()) {
             return;
         }
         if (pendingProgress != null) {
@@ -67,16 +67,24 @@
         }
     }
 
-    /** A comment, so that no one on the way takes the stream for dead. */
+    /** Writes a comment, so that no proxy takes the stream for dead. */
     void sendHeartbeat() {
-        if (!response.ended() && !response.closed() && !response.writeQueueFull()) {
+        if (isWritable()) {
             response.write(":\n\n");
         }
     }
 
-    /** Ends the connection, whatever the client still lacks; it may attach again. */
+    private boolean isWritable() {
+        return isOpen() && !response.writeQueueFull();
+    }
+
+    private boolean isOpen() {
+        return !response.ended() && !response.closed();
+    }
+
+    /** Resets the connection, whatever the client still lacks; it may attach again. */
     void close() {
-        if (!response.ended() && !response.closed()) {
+        if (isOpen()) {
             response.reset();
         }
     }
--- a/src/test/java/nettlewick/sse/EventStreamClient.java
+++ b/src/test/java/nettlewick/sse/EventStreamClient.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.regex.Pattern;
 
-/** A client of one stream, after the WHATWG text: keeps the last event's id and can drop and come again. */
+/** A client of one stream, as the WHATWG specification has it: keeps the last event's id and can reconnect. */
 final class EventStreamClient {
     private static final Pattern FINAL_EVENT_NAME = Pattern.compile("result|unavailable|failed");
 
-    /** One event as it came. */
+    /** One event as received. */
     record ReceivedEvent(long id, String name, String data) {}
 
     final List<ReceivedEvent> events = new CopyOnWriteArrayList<>();
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Closes the connection as a tablet on a poor link does, and comes again. */
+    /** Closes the connection as a client on a poor link does, and connects again. */
     void reconnect(HttpClient by) {
         disconnect();
         post(by);
--- a/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The front for progress streams on loopback: one final event for each stream, one run for each mark. */
+/** The event stream frontend on loopback: one final event for each stream, one run for non-idempotent requests. */
 @Timeout(60)
 class EventStreamFrontendTest {
     private StandIns world;
@@ -122,7 +122,7 @@
         assertEquals(404, other.status);
     }
 
-    /** Guards against a second run after this dispatcher, or its memory of the job, is gone. */
+    /** A request must not run twice where this dispatcher, or its memory of the request, is gone. */
     @Test
     void aForgottenRequestIsNotSentAgain() throws Exception {
         start("keep-streams 0", "s-1");
@@ -155,7 +155,7 @@
         assertEquals(1, world.runs.get("d").get());
     }
 
-    /** A reader that does not read: its events stay bounded, and the final one comes whole in the end. */
+    /** The events kept for a client that does not read are bounded, and it gets the final one complete in the end. */
     @Test
     void aSlowSubscriberLosesProgressButNotTheFinalEvent() throws Exception {
         String big = "x".repeat(60_000);
@@ -185,11 +185,11 @@
             }
             assertEquals(1, text.toString().split("event: result", -1).length - 1);
             int told = text.toString().split("event: progress", -1).length - 1;
-            assertTrue(told < 20_000, told + " progress events reached a reader that stood still");
+            assertTrue(told < 20_000, told + " progress events reached a client that did not read");
         }
     }
 
-    /** The hard case: runners die and drain at random points, clients drop and come again all the while. */
+    /** Endpoints die and drain at random points while clients disconnect and reconnect. */
     @ParameterizedTest
     @ValueSource(longs = {3, 17, 20261201})
     void everyStreamEndsOnceAndNoNonIdempotentRequestRunsTwice(long seed) throws Exception {
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The bytes of the answers that the front for progress streams gives, on loopback. */
+/** The exact bytes of the event stream frontend's answers, on loopback. */
 @Timeout(60)
 class EventStreamGoldenTest {
     private static final String HEARTBEAT_CHUNK = "3\r\n:\n\n\r\n";
