--- a/src/main/java/nettlewick/pcap/CaptureFormatException.java
+++ b/src/main/java/nettlewick/pcap/CaptureFormatException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A capture file that is truncated or odd; the message is one plain line. */
+/** A capture file cannot be read; the message says why in one line. */
 public final class CaptureFormatException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/nettlewick/pcap/CaptureReader.java
+++ b/src/main/java/nettlewick/pcap/CaptureReader.java
@@ -9,79 +9,112 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.util.Arrays;
-import java.util.function.BiConsumer;
 
 /**
- * Reads classic capture files, of both byte orders and with micro- or nanoseconds. The library takes the
- * headers apart; the checks round it are made here, since it trusts what a file says of its lengths.
+ * Reads the packets of a classic capture file, of either byte order and with micro- or nanoseconds. The library parses
+ * the headers; lengths are checked here, since the library trusts them.
  */
 final class CaptureReader {
+    /** Takes a packet. */
+    interface PacketHandler {
+        void handle(double capturedAtMillis, byte[] packet);
+    }
+
     private static final int MAGIC_BYTES = 4;
+    private static final int MAGIC_MICROS_BIG_ENDIAN = 0xa1b2c3d4;
+    private static final int MAGIC_MICROS_LITTLE_ENDIAN = 0xd4c3b2a1;
+    private static final int MAGIC_NANOS_BIG_ENDIAN = 0xa1b23c4d;
+    private static final int MAGIC_NANOS_LITTLE_ENDIAN = 0x4d3cb2a1;
+    private static final int MAGIC_PCAPNG = 0x0a0d0d0a;
+    private static final int SUPPORTED_MAJOR_VERSION = 2;
+    /** The upper bits of the field describe check sequences. */
+    private static final int LINK_TYPE_MASK = 0xffff;
+
+    private static final int BUFFER_BYTES = 1 << 16;
     /** Larger packets are on no link: a record that claims one is damaged. */
     private static final long MAX_PACKET_BYTES = 256 * 1024;
 
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double MICROS_PER_MILLI = 1e3;
+
     private final InputStream in;
     private final PcapGlobalHeader header;
 
     CaptureReader(InputStream stream) throws IOException {
-        in = new BufferedInputStream(stream, 1 << 16);
+        in = new BufferedInputStream(stream, BUFFER_BYTES);
         byte[] bytes = new byte[PcapGlobalHeader.SIZE];
-        int got = in.readNBytes(bytes, 0, bytes.length);
-        if (got < MAGIC_BYTES) {
-            throw new CaptureFormatException("not a capture file: it has only " + got + " bytes");
+        int readBytes = in.readNBytes(bytes, 0, bytes.length);
+        if (readBytes < MAGIC_BYTES) {
+            throw new CaptureFormatException("not a capture file: it has only " + readBytes + " bytes");
         }
         int magic = ByteBuffer.wrap(bytes).getInt();
-        boolean nanos = magic == 0xa1b23c4d || magic == 0x4d3cb2a1;
-        boolean big = magic == 0xa1b2c3d4 || magic == 0xa1b23c4d;
-        if (magic == 0x0a0d0d0a) {
-            throw new CaptureFormatException("a pcapng file, not a classic one: convert it with editcap -F pcap");
-        }
-        if (!nanos && !big && magic != 0xd4c3b2a1) {
-            throw new CaptureFormatException(String.format("not a capture file: it begins with %08x", magic));
-        }
-        if (got < bytes.length) {
+        checkMagic(magic);
+        if (readBytes < bytes.length) {
             throw new CaptureFormatException("the file ends within its header");
         }
+        boolean isBigEndian = magic == MAGIC_MICROS_BIG_ENDIAN || magic == MAGIC_NANOS_BIG_ENDIAN;
         header = new PcapGlobalHeader(
-                big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN,
+                isBigEndian ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN,
                 Arrays.copyOfRange(bytes, MAGIC_BYTES, bytes.length),
-                nanos);
-        if (header.getMajorVersion() != 2) {
+                magic == MAGIC_NANOS_BIG_ENDIAN || magic == MAGIC_NANOS_LITTLE_ENDIAN);
+        if (header.getMajorVersion() != SUPPORTED_MAJOR_VERSION) {
             throw new CaptureFormatException("version " + header.getMajorVersion() + " of the format is not known");
         }
     }
 
-    /** The link type; its upper bits tell of check sequences and are no part of it. */
+    private static void checkMagic(int magic) throws CaptureFormatException {
+        switch (magic) {
+            case MAGIC_MICROS_BIG_ENDIAN,
+                    MAGIC_MICROS_LITTLE_ENDIAN,
+                    MAGIC_NANOS_BIG_ENDIAN,
+                    MAGIC_NANOS_LITTLE_ENDIAN -> {
+                // A classic capture file.
+            }
+            case MAGIC_PCAPNG ->
+                throw new CaptureFormatException("a pcapng file, not a classic one: convert it with editcap -F pcap");
+            default ->
+                throw new CaptureFormatException(String.format("not a capture file: it begins with %08x", magic));
+        }
+    }
+
+    /** The code of the link type, see {@link LinkType}. */
     int linkType() {
-        return header.getDataLinkType() & 0xffff;
+        return header.getDataLinkType() & LINK_TYPE_MASK;
     }
 
-    /** Hands on each packet with its time in milliseconds; returns how many were cut short by the capture. */
-    int readPackets(BiConsumer<Double, byte[]> packets) throws IOException {
-        int cut = 0;
-        byte[] head = new byte[PcapRecordHeader.SIZE];
+    /** Passes on each packet; one that the capture cut short is passed on as far as it goes. */
+    void readPackets(PacketHandler handler) throws IOException {
+        byte[] recordHeader = new byte[PcapRecordHeader.SIZE];
         for (long number = 1; ; number++) {
-            int got = in.readNBytes(head, 0, head.length);
-            if (got == 0) {
-                return cut;
+            int readBytes = in.readNBytes(recordHeader, 0, recordHeader.length);
+            if (readBytes == 0) {
+                return;
             }
-            if (got < head.length) {
+            if (readBytes < recordHeader.length) {
                 throw new CaptureFormatException("the file ends within the header of packet " + number);
             }
-            PcapRecordHeader record =
-                    new PcapRecordHeader(header.getByteOrder(), Buffers.wrap(head), header.timestampsInNs());
-            long length = record.getCapturedLength();
-            if (length < 0 || length > MAX_PACKET_BYTES) {
-                throw new CaptureFormatException("packet " + number + " claims " + length + " bytes");
-            }
-            byte[] data = in.readNBytes((int) length);
-            if (data.length < length) {
-                throw new CaptureFormatException(
-                        "the file ends within packet " + number + ": " + data.length + " of " + length + " bytes");
-            }
-            cut += record.getTotalLength() > length ? 1 : 0;
-            double fraction = record.getTimeStampMicroOrNanoSeconds() / (header.timestampsInNs() ? 1e6 : 1e3);
-            packets.accept(record.getTimeStampSeconds() * 1e3 + fraction, data);
+            PcapRecordHeader parsed =
+                    new PcapRecordHeader(header.getByteOrder(), Buffers.wrap(recordHeader), header.timestampsInNs());
+            handler.handle(toMillis(parsed), readPacket(parsed.getCapturedLength(), number));
         }
     }
+
+    private byte[] readPacket(long length, long number) throws IOException {
+        if (length < 0 || length > MAX_PACKET_BYTES) {
+            throw new CaptureFormatException("packet " + number + " claims " + length + " bytes");
+        }
+        byte[] packet = in.readNBytes((int) length);
+        if (packet.length < length) {
+            throw new CaptureFormatException(
+                    "the file ends within packet " + number + ": " + packet.length + " of " + length + " bytes");
+        }
+        return packet;
+    }
+
+    private double toMillis(PcapRecordHeader record) {
+        double unitsPerMilli = header.timestampsInNs() ? NANOS_PER_MILLI : MICROS_PER_MILLI;
+        double fraction = record.getTimeStampMicroOrNanoSeconds() / unitsPerMilli;
+        return record.getTimeStampSeconds() * MILLIS_PER_SECOND + fraction;
+    }
 }
--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -8,14 +8,17 @@
 import nettlewick.net.Frontend;
 import nettlewick.net.RequestReader;
 
-/** A capture file as a source of traffic: its requests go to the core at their recorded spacing. */
+/** Submits the requests of a capture file to the core at their recorded intervals. Lives on the event loop. */
 public final class CaptureReplayer implements Frontend {
     private static final long LIST_POLL_INTERVAL_MILLIS = 20;
+    /** After that many polls the replay starts without an endpoint list. */
     private static final int MAX_LIST_POLLS = 500;
 
+    private static final int STATUS_NOT_FOUND = 404;
+
     private final Base base;
     private final Capture capture;
-    private final RequestReader reader;
+    private final RequestReader requestReader;
     private final Promise<Summary> done = Promise.promise();
     private int unansweredCount;
     private int servedCount;
@@ -23,7 +26,13 @@
     private int failedCount;
     private int skippedCount;
 
-    /** What became of the requests. */
+    /**
+     * How many of the requests ended how.
+     *
+     * @param sent       submitted to the core
+     * @param skipped    left out, since they are no valid requests to the dispatcher
+     * @param incomplete left out, since the capture misses bytes of them or they are malformed
+     */
     public record Summary(int sent, int served, int rejected, int failed, int skipped, int incomplete) {
         @Override
         public String toString() {
@@ -33,13 +42,14 @@
         }
     }
 
+    /** Creates a replayer; it starts with {@link #listen}. */
     public CaptureReplayer(Base base, Capture capture) {
         this.base = base;
         this.capture = capture;
-        reader = new RequestReader(base.config());
+        requestReader = new RequestReader(base.config());
     }
 
-    /** Done when every request has its final answer. */
+    /** Completes when every request has its final answer. */
     public Future<Summary> done() {
         return done.future();
     }
@@ -60,53 +70,59 @@
         return Future.succeededFuture();
     }
 
-    private void startWhenListed(int looks) {
-        if (!base.holdsList().getAsBoolean() && looks < MAX_LIST_POLLS) {
-            base.vertx().setTimer(LIST_POLL_INTERVAL_MILLIS, id -> startWhenListed(looks + 1));
+    private void startWhenListed(int polls) {
+        if (!base.holdsList().getAsBoolean() && polls < MAX_LIST_POLLS) {
+            base.vertx().setTimer(LIST_POLL_INTERVAL_MILLIS, id -> startWhenListed(polls + 1));
             return;
         }
         List<RecordedRequest> requests = capture.requests();
         unansweredCount = requests.size();
         completeIfAllAnswered();
-        for (RecordedRequest r : requests) {
-            double wait = r.capturedAtMillis() - requests.get(0).capturedAtMillis();
-            base.vertx().setTimer(Math.max(1, Math.round(wait)), id -> send(r));
+        for (RecordedRequest recorded : requests) {
+            double delayMillis = recorded.capturedAtMillis() - requests.get(0).capturedAtMillis();
+            base.vertx().setTimer(Math.max(1, Math.round(delayMillis)), id -> submitOrSkip(recorded));
         }
     }
 
-    private void send(RecordedRequest r) {
-        String path = r.uri().split("\\?", 2)[0];
+    private void submitOrSkip(RecordedRequest recorded) {
         try {
-            if (!"POST".equals(r.method()) || !RequestReader.isJob(path)) {
-                throw new RequestReader.InvalidRequestException(404, "not a job");
-            }
-            RequestReader.Draft draft = reader.draft(
-                    HttpMethod.POST,
-                    r.uri(),
-                    r.headers(),
-                    r.body(),
-                    base.clock().now());
-            base.core().submit(draft.with(new Request.Caller() {
-                @Override
-                public void served(byte[] result) {
-                    countEnd(() -> servedCount++);
-                }
-
-                @Override
-                public void rejected(double retryAfter) {
-                    countEnd(() -> rejectedCount++);
-                }
-
-                @Override
-                public void failed(String reason) {
-                    countEnd(() -> failedCount++);
-                }
-            }));
+            base.core().submit(readDraft(recorded).with(new CountingCaller()));
         } catch (RequestReader.InvalidRequestException e) {
             countEnd(() -> skippedCount++);
         }
     }
 
+    private RequestReader.Draft readDraft(RecordedRequest recorded) throws RequestReader.InvalidRequestException {
+        String path = recorded.uri().split("\\?", 2)[0];
+        if (!"POST".equals(recorded.method()) || !RequestReader.isJob(path)) {
+            throw new RequestReader.InvalidRequestException(STATUS_NOT_FOUND, "not a job");
+        }
+        return requestReader.draft(
+                HttpMethod.POST,
+                recorded.uri(),
+                recorded.headers(),
+                recorded.body(),
+                base.clock().now());
+    }
+
+    /** Counts the final answer of one request. */
+    private final class CountingCaller implements Request.Caller {
+        @Override
+        public void served(byte[] result) {
+            countEnd(() -> servedCount++);
+        }
+
+        @Override
+        public void rejected(double retryAfterMillis) {
+            countEnd(() -> rejectedCount++);
+        }
+
+        @Override
+        public void failed(String reason) {
+            countEnd(() -> failedCount++);
+        }
+    }
+
     private void countEnd(Runnable count) {
         base.loop().runOnContext(v -> {
             count.run();
@@ -117,13 +133,9 @@
 
     private void completeIfAllAnswered() {
         if (unansweredCount == 0) {
+            int sent = servedCount + rejectedCount + failedCount;
             done.tryComplete(new Summary(
-                    servedCount + rejectedCount + failedCount,
-                    servedCount,
-                    rejectedCount,
-                    failedCount,
-                    skippedCount,
-                    capture.incompleteCount()));
+                    sent, servedCount, rejectedCount, failedCount, skippedCount, capture.incompleteCount()));
         }
     }
 }
--- /dev/null
+++ b/src/main/java/nettlewick/pcap/RecordedConnection.java
@@ -0,0 +1,76 @@
+package nettlewick.pcap;
+
+import io.vertx.core.net.SocketAddress;
+import java.net.InetAddress;
+import java.net.UnknownHostException;
+
+/** A connection as a capture file shows it: it opens, carries both sides' bytes in order, and closes. Event loop. */
+final class RecordedConnection {
+    /** The two ends of a connection. */
+    enum Side {
+        CLIENT,
+        SERVER
+    }
+
+    private static final int SEGMENT_BYTES = 1400;
+    private static final int INITIAL_SEQUENCE = 1000;
+    private static final byte[] NO_BYTES = {};
+
+    /** What one side has sent so far. */
+    private static final class Sender {
+        private final TcpPacketBuilder packets;
+        private int nextSequence = INITIAL_SEQUENCE;
+
+        Sender(TcpPacketBuilder packets) {
+            this.packets = packets;
+        }
+    }
+
+    private final CaptureFileWriter file;
+    private final Sender client;
+    private final Sender server;
+
+    /** Writes the handshake at once. */
+    RecordedConnection(CaptureFileWriter file, SocketAddress clientAddress, SocketAddress serverAddress)
+            throws UnknownHostException {
+        this.file = file;
+        byte[] clientHost = InetAddress.getByName(clientAddress.hostAddress()).getAddress();
+        byte[] serverHost = InetAddress.getByName(serverAddress.hostAddress()).getAddress();
+        client = new Sender(new TcpPacketBuilder(clientHost, clientAddress.port(), serverHost, serverAddress.port()));
+        server = new Sender(new TcpPacketBuilder(serverHost, serverAddress.port(), clientHost, clientAddress.port()));
+        writeControl(Side.CLIENT, TcpPacketBuilder.SYN);
+        writeControl(Side.SERVER, TcpPacketBuilder.SYN | TcpPacketBuilder.ACK);
+        writeControl(Side.CLIENT, TcpPacketBuilder.ACK);
+    }
+
+    /** Writes what that side sends, in as many segments as it takes. */
+    void send(Side side, byte[] bytes) {
+        for (int offset = 0; offset < bytes.length; offset += SEGMENT_BYTES) {
+            int length = Math.min(SEGMENT_BYTES, bytes.length - offset);
+            boolean isLast = offset + length == bytes.length;
+            int flags = TcpPacketBuilder.ACK | (isLast ? TcpPacketBuilder.PUSH : 0);
+            write(side, flags, bytes, offset, length);
+        }
+    }
+
+    /** Writes the end of the connection. */
+    void close() {
+        writeControl(Side.CLIENT, TcpPacketBuilder.FIN | TcpPacketBuilder.ACK);
+        writeControl(Side.SERVER, TcpPacketBuilder.FIN | TcpPacketBuilder.ACK);
+        writeControl(Side.CLIENT, TcpPacketBuilder.ACK);
+    }
+
+    private void writeControl(Side side, int flags) {
+        write(side, flags, NO_BYTES, 0, 0);
+    }
+
+    private void write(Side side, int flags, byte[] bytes, int offset, int length) {
+        Sender sender = side == Side.CLIENT ? client : server;
+        Sender receiver = side == Side.CLIENT ? server : client;
+        int acknowledged = (flags & TcpPacketBuilder.ACK) != 0 ? receiver.nextSequence : 0;
+        byte[] packet = sender.packets.build(flags, sender.nextSequence, acknowledged, bytes, offset, length);
+        boolean countsOne = (flags & (TcpPacketBuilder.SYN | TcpPacketBuilder.FIN)) != 0;
+        sender.nextSequence += length + (countsOne ? 1 : 0);
+        file.writePacket(packet);
+    }
+}
--- a/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
+++ b/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
@@ -1,17 +1,18 @@
 package nettlewick.pcap;
 
+import java.util.Arrays;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * One direction of a TCP connection put back in order: retransmissions drop out, what came out of order waits
- * for its turn, and what the capture missed shows as a gap when the flow ends.
+ * Puts one direction of a TCP connection back in order: retransmissions are dropped, segments out of order wait for
+ * those before them, and what the capture missed shows as a gap when the flow ends.
  */
 final class TcpFlowReassembler {
     /** Takes the bytes in order. */
     interface Sink {
-        /** {@code at} is when the packet that held these bytes was captured. */
-        void onBytes(double at, byte[] bytes);
+        /** The next bytes, and when the packet that held them was captured. */
+        void onBytes(double capturedAtMillis, byte[] bytes);
 
         /** Bytes are missing here, or no more come. */
         void onGap();
@@ -20,11 +21,13 @@
     private record Piece(double capturedAtMillis, byte[] bytes) {}
 
     private final Sink sink;
+    /** By offset in the stream. */
     private final TreeMap<Long, Piece> outOfOrder = new TreeMap<>();
+
     private boolean started;
-    /** Sequence number and place in the stream of the next byte that is wanted. */
+    /** The sequence number of the next byte to deliver. */
     private int nextSequence;
-
+    /** The offset in the stream of the next byte to deliver. */
     private long nextOffset;
 
     TcpFlowReassembler(Sink sink) {
@@ -32,24 +35,24 @@
     }
 
     /** Whether this segment opens a connection other than the one that this flow holds. */
-    boolean isNewConnection(TcpSegment s) {
-        return started && s.syn() && s.sequence() + 1 != nextSequence - (int) nextOffset;
+    boolean isNewConnection(TcpSegment segment) {
+        return started && segment.syn() && segment.sequence() + 1 != nextSequence - (int) nextOffset;
     }
 
-    void add(TcpSegment s) {
-        int seq = s.syn() ? s.sequence() + 1 : s.sequence();
+    void add(TcpSegment segment) {
+        int sequence = segment.syn() ? segment.sequence() + 1 : segment.sequence();
         if (!started) {
             started = true;
-            nextSequence = seq;
+            nextSequence = sequence;
         }
-        if (s.payload().length == 0) {
+        if (segment.payload().length == 0) {
             return;
         }
-        // Sequence numbers wrap round; the difference as a signed number does not mind.
-        long place = nextOffset + (seq - nextSequence);
-        Piece old = outOfOrder.get(place);
-        if (old == null || old.bytes().length < s.payload().length) {
-            outOfOrder.put(place, new Piece(s.capturedAtMillis(), s.payload()));
+        // A signed difference stays right where sequence numbers wrap round.
+        long offset = nextOffset + (sequence - nextSequence);
+        Piece known = outOfOrder.get(offset);
+        if (known == null || known.bytes().length < segment.payload().length) {
+            outOfOrder.put(offset, new Piece(segment.capturedAtMillis(), segment.payload()));
         }
         deliverInOrder();
     }
@@ -58,9 +61,9 @@
         while (!outOfOrder.isEmpty() && outOfOrder.firstKey() <= nextOffset) {
             Map.Entry<Long, Piece> first = outOfOrder.pollFirstEntry();
             byte[] bytes = first.getValue().bytes();
-            long known = nextOffset - first.getKey();
-            if (known < bytes.length) {
-                byte[] fresh = java.util.Arrays.copyOfRange(bytes, (int) known, bytes.length);
+            long delivered = nextOffset - first.getKey();
+            if (delivered < bytes.length) {
+                byte[] fresh = Arrays.copyOfRange(bytes, (int) delivered, bytes.length);
                 nextOffset += fresh.length;
                 nextSequence += fresh.length;
                 sink.onBytes(first.getValue().capturedAtMillis(), fresh);
@@ -68,7 +71,7 @@
         }
     }
 
-    /** No more comes: what still waits lies behind gaps. */
+    /** No more segments come: what still waits lies behind gaps. */
     void end() {
         while (!outOfOrder.isEmpty()) {
             sink.onGap();
