--- a/src/main/java/nettlewick/net/AdminOperations.java
+++ b/src/main/java/nettlewick/net/AdminOperations.java
@@ -8,7 +8,7 @@
 import nettlewick.core.Metrics;
 import nettlewick.log.ComponentLogger;
 
-/** What operators may ask of a node and tell it. */
+/** The operations that the admin frontend offers on a dispatcher. Called on the admin event loop. */
 final class AdminOperations implements Operations {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
     private final DispatcherServer dispatcher;
@@ -24,7 +24,7 @@
 
     @Override
     public Metrics.Snapshot figures() {
-        return dispatcher.coordinator.figures().snapshot();
+        return dispatcher.coordinator().figures().snapshot();
     }
 
     @Override
@@ -35,20 +35,24 @@
     @Override
     public Future<Boolean> ban(String endpoint, boolean disabled) {
         Promise<Boolean> done = Promise.promise();
-        dispatcher.eventLoop.runOnContext(v -> storeAndApply(endpoint, disabled, done));
+        dispatcher.eventLoop().runOnContext(v -> storeAndApply(endpoint, disabled, done));
         return done.future();
     }
 
-    /** Stored first, then in force, then the yes: a yes that a restart forgets would be none. */
+    /**
+     * Writes the change to disk before it takes effect and before success is reported, so that a restart
+     * cannot lose a change that was confirmed.
+     */
     private void storeAndApply(String endpoint, boolean disabled, Promise<Boolean> done) {
-        if (!dispatcher.endpointPools.isListed(endpoint) && !dispatcher.disabledEndpoints.isDisabled(endpoint)) {
+        if (!dispatcher.endpointPools().isListed(endpoint)
+                && !dispatcher.disabledEndpoints().isDisabled(endpoint)) {
             done.complete(false);
             return;
         }
         try {
             dispatcher
-                    .disabledEndpoints
-                    .setDisabled(endpoint, disabled, dispatcher.clock.now())
+                    .disabledEndpoints()
+                    .setDisabled(endpoint, disabled, dispatcher.clock().now())
                     .forEach(dispatcher::applyDisabledEndpoint);
             LOG.info(
                     disabled ? "taken-out" : "put-back",
@@ -68,7 +72,7 @@
 
     @Override
     public boolean drain() {
-        boolean accepted = dispatcher.serviceState().drain(dispatcher.clock.now());
+        boolean accepted = dispatcher.serviceState().drain(dispatcher.clock().now());
         LOG.info(
                 accepted ? "drained" : "drain-refused",
                 accepted ? "drained by hand" : "drain refused: this process starts or ends");
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -5,12 +5,11 @@
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
-import io.vertx.core.VertxOptions;
-import io.vertx.core.file.FileSystemOptions;
 import io.vertx.core.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import nettlewick.admin.AdminFrontend;
 import nettlewick.core.Clock;
 import nettlewick.core.RequestCoordinator;
@@ -31,43 +30,43 @@
 import nettlewick.net.lifecycle.ServiceState;
 import nettlewick.net.peer.PeerSocket;
 
-/** One real dispatcher: puts core, subchannels, resolver watch, peers and the platform's front together. */
+/**
+ * Assembles a dispatcher from its parts (request coordinator, endpoint connections, discovery watch, peer
+ * socket, frontends) and runs its start, reload and close. Public methods may be called from any thread; the
+ * parts live on one event loop.
+ */
 public final class DispatcherServer {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
-    /** How long a successor waits for discovery's first word; after that the list it was given counts. */
-    private static final long FIRST_UPDATE_TIMEOUT_MILLIS = 1000;
-    /** How often it is looked whether another process shares the limits. */
-    private static final long OTHER_PROCESS_CHECK_MILLIS = 250;
     /**
-     * A successor takes clients, and says so, this long after its start at the latest, while its predecessor
-     * finishes long jobs: 6 s are allowed.
+     * How long a successor waits for the first update from discovery before it uses the list from its
+     * configuration.
      */
-    private static final long SUCCESSOR_READY_MILLIS = 4500;
-
-    private static final long IDLE_CHECK_MILLIS = 100;
-    /** How often it is looked whether another process was called to take a sim runner out. */
+    private static final long FIRST_UPDATE_TIMEOUT_MILLIS = 1000;
+    /** Interval between checks whether another process of this dispatcher shares the limits. */
+    private static final long OTHER_PROCESS_CHECK_MILLIS = 250;
+    /** Interval between checks whether another process has changed the disabled endpoints. */
     private static final long DISABLED_CHECK_MILLIS = 200;
-    /** Connections accepted beyond those a front keeps: the front chooses which of them stays. */
+    /** Connections accepted beyond those that the frontends keep; the frontend chooses which of them stays. */
     private static final int SPARE_CONNECTIONS = 8;
 
     private volatile PlatformConfig config;
-    final Clock clock;
-    final Vertx vertx;
+    private final Clock clock;
+    private final Vertx vertx;
     private final HotRestart hotRestart;
-    final DisabledEndpointStore disabledEndpoints;
+    private final DisabledEndpointStore disabledEndpoints;
     private final int maxClientConnections;
     private final int connectionsPerFrontend;
-    final ConnectionLimiter connectionLimiter;
-    final Context eventLoop;
-    /** When the process that is to succeed this one started; NaN: none is. */
-    private double successorStartedAt = Double.NaN;
-
-    PeerSocket peerSocket;
+    private final ConnectionLimiter connectionLimiter;
+    private final Context eventLoop;
+    private PeerSocket peerSocket;
     private UsageRecorder usageRecorder = UsageRecorder.NONE;
     private RequestListener requestListener = RequestListener.NONE;
-    RequestCoordinator coordinator;
-    EndpointConnectionPools endpointPools;
+    private RequestCoordinator coordinator;
+    private EndpointConnectionPools endpointPools;
     private DiscoveryWatch discoveryWatch;
+    /** Null where this process never shares its address. */
+    private HotRestartHandover handover;
+
     private final List<Frontend.Maker> frontendFactories;
     private final List<Frontend> frontends = new ArrayList<>();
     private final ServiceState serviceState = new ServiceState();
@@ -77,11 +76,17 @@
     private volatile boolean warmedUp;
     private volatile List<Integer> ports = List.of();
 
+    /** Creates a dispatcher that never shares its address with another process. */
     public DispatcherServer(PlatformConfig config, Clock clock, Frontend.Maker... frontendFactories) {
         this(config, clock, null, frontendFactories);
     }
 
-    /** One that may share its address with an older or newer process; {@code succession} null: never. */
+    /**
+     * Creates a dispatcher that may share its address with an older or newer process.
+     *
+     * @param hotRestart the registration among the processes of this dispatcher; null for one that never
+     *     shares
+     */
     public DispatcherServer(
             PlatformConfig config, Clock clock, HotRestart hotRestart, Frontend.Maker... frontendFactories) {
         this.hotRestart = hotRestart;
@@ -89,87 +94,33 @@
         this.frontendFactories = List.of(frontendFactories);
         this.config = config;
         this.clock = clock;
-        // The machine has one core and no disk: one event loop, no cache of files, no DNS.
-        System.setProperty("vertx.disableDnsResolver", "true");
-        // Danger: Netty's allocator brings up the flight recorder at its first buffer: a fifth of a second of
-        // CPU at each start, twice that on half a core, while clients wait.
-        System.setProperty("io.netty.jfr.enabled", "false");
         maxClientConnections = DescriptorBudget.maxClientConnections(config.maxSockets());
         connectionLimiter = new ConnectionLimiter(maxClientConnections);
         connectionsPerFrontend =
                 Math.max(1, maxClientConnections / Math.max(1, frontendFactories.length) - SPARE_CONNECTIONS);
-        vertx = Vertx.builder()
-                .with(new VertxOptions()
-                        .setEventLoopPoolSize(1)
-                        .setWorkerPoolSize(1)
-                        .setInternalBlockingPoolSize(1)
-                        .setFileSystemOptions(new FileSystemOptions()
-                                .setFileCachingEnabled(false)
-                                .setClassPathResolvingEnabled(false)))
-                .withTransport(connectionLimiter)
-                .build();
+        vertx = VertxFactory.create(connectionLimiter);
         eventLoop = vertx.getOrCreateContext();
         adminFrontend = config.adminListen() == null
                 ? null
                 : new AdminFrontend(config.adminListen(), new AdminOperations(this));
     }
 
-    /** Has the books kept; before the start. */
+    /** Sets what records usage; to be called before {@link #start}. */
     public DispatcherServer keep(UsageRecorder recorder) {
         usageRecorder = recorder;
         return this;
     }
 
-    /** Has all told to it; before the start. */
+    /** Sets what is notified of every request; to be called before {@link #start}. */
     public DispatcherServer tell(RequestListener listener) {
         requestListener = listener;
         return this;
     }
 
-    /** Starts all parts; done once the sockets listen. */
+    /** Starts all parts; completes once the sockets listen and this process accepts clients. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
-        eventLoop.runOnContext(v -> {
-            boolean isSuccessor = hotRestart != null && hotRestart.hasOtherProcess();
-            peerSocket = new PeerSocket(vertx, config);
-            endpointPools = new EndpointConnectionPools(vertx, eventLoop, config, clock, peerSocket);
-            coordinator = new RequestCoordinator(
-                    clock, config.settings(), seedFor(isSuccessor), config.maxInFlight(), endpointPools, usageRecorder);
-            coordinator.setListener(requestListener);
-            requestListener.joins(coordinator);
-            endpointPools.bind(coordinator);
-            Frontend.Base environment = new Frontend.Base(
-                    vertx,
-                    eventLoop,
-                    config,
-                    clock,
-                    coordinator,
-                    () -> hasEndpointList && warmedUp,
-                    serviceState,
-                    connectionsPerFrontend);
-            frontendFactories.forEach(maker -> frontends.add(maker.create(environment)));
-            Thread thread = new Thread(coordinator, "core");
-            thread.setDaemon(true);
-            thread.start();
-            disabledEndpoints.readChanges().forEach(this::applyDisabledEndpoint);
-            vertx.setPeriodic(
-                    DISABLED_CHECK_MILLIS, id -> disabledEndpoints.readChanges().forEach(this::applyDisabledEndpoint));
-            Promise<Void> firstUpdate = Promise.promise();
-            WatchStalenessTimer stalenessTimer = WatchStalenessTimer.of(config.settings(), ~seedFor(isSuccessor));
-            discoveryWatch = new DiscoveryWatch(vertx, config.discovery(), clock, stalenessTimer, snapshot -> {
-                endpointPools.applySnapshot(snapshot);
-                hasEndpointList = true;
-                if (snapshot != config.knownEndpoints()) {
-                    firstUpdate.tryComplete();
-                }
-            });
-            discoveryWatch.start(config.knownEndpoints());
-            vertx.setTimer(FIRST_UPDATE_TIMEOUT_MILLIS, id -> firstUpdate.tryComplete());
-            listenAdmin()
-                    .compose(v2 -> isSuccessor ? startAsSuccessor(firstUpdate.future(), environment) : startAlone())
-                    .onSuccess(v2 -> startServing())
-                    .onComplete(started);
-        });
+        eventLoop.runOnContext(v -> startOnEventLoop().onComplete(started));
         return started.future()
                 .onSuccess(v -> LOG.info(
                         "listens",
@@ -178,11 +129,79 @@
                                 + config.listen().hostAddress() + ":" + ports.get(0)));
     }
 
+    private Future<Void> startOnEventLoop() {
+        boolean isSuccessor = hotRestart != null && hotRestart.hasOtherProcess();
+        createCoordinator(isSuccessor);
+        Frontend.Base environment = new Frontend.Base(
+                vertx,
+                eventLoop,
+                config,
+                clock,
+                coordinator,
+                () -> hasEndpointList && warmedUp,
+                serviceState,
+                connectionsPerFrontend);
+        frontendFactories.forEach(factory -> frontends.add(factory.create(environment)));
+        Thread thread = new Thread(coordinator, "core");
+        thread.setDaemon(true);
+        thread.start();
+        disabledEndpoints.readChanges().forEach(this::applyDisabledEndpoint);
+        vertx.setPeriodic(
+                DISABLED_CHECK_MILLIS, id -> disabledEndpoints.readChanges().forEach(this::applyDisabledEndpoint));
+        Future<Void> firstUpdate = startDiscoveryWatch(isSuccessor);
+        return listenAdmin()
+                .compose(v -> isSuccessor ? startAsSuccessor(firstUpdate, environment) : startAlone())
+                .onSuccess(v -> startServing());
+    }
+
+    private void createCoordinator(boolean isSuccessor) {
+        peerSocket = new PeerSocket(vertx, config);
+        endpointPools = new EndpointConnectionPools(vertx, eventLoop, config, clock, peerSocket);
+        coordinator = new RequestCoordinator(
+                clock,
+                config.settings(),
+                config.processSeed(isSuccessor),
+                config.maxInFlight(),
+                endpointPools,
+                usageRecorder);
+        coordinator.setListener(requestListener);
+        requestListener.joins(coordinator);
+        endpointPools.bind(coordinator);
+        if (hotRestart != null) {
+            handover = new HotRestartHandover(
+                    vertx,
+                    eventLoop,
+                    clock,
+                    hotRestart,
+                    coordinator,
+                    serviceState,
+                    GracefulShutdown.minKillDelayMillis(config.settings()));
+        }
+    }
+
+    /** Starts the watch; completes with the first update, or when it has been waited for long enough. */
+    private Future<Void> startDiscoveryWatch(boolean isSuccessor) {
+        Promise<Void> firstUpdate = Promise.promise();
+        WatchStalenessTimer stalenessTimer =
+                WatchStalenessTimer.of(config.settings(), ~config.processSeed(isSuccessor));
+        discoveryWatch = new DiscoveryWatch(vertx, config.discovery(), clock, stalenessTimer, snapshot -> {
+            endpointPools.applySnapshot(snapshot);
+            hasEndpointList = true;
+            if (snapshot != config.knownEndpoints()) {
+                firstUpdate.tryComplete();
+            }
+        });
+        discoveryWatch.start(config.knownEndpoints());
+        vertx.setTimer(FIRST_UPDATE_TIMEOUT_MILLIS, id -> firstUpdate.tryComplete());
+        return firstUpdate.future();
+    }
+
+    /** Applies an entry of the disabled endpoints; on the event loop. */
     void applyDisabledEndpoint(DisabledEndpointStore.Entry entry) {
         endpointPools.setDisabled(entry.endpoint(), entry.disabled(), entry.sinceMillis());
     }
 
-    /** Starts where nobody serves at this address: listens at once and says yes once warm. */
+    /** Starts where no other process serves at this address: listens at once and reports ready once warmed up. */
     private Future<Void> startAlone() {
         return listenOnFrontends()
                 .compose(all -> peerSocket.listen(coordinator::receivePeerMessage))
@@ -190,8 +209,9 @@
     }
 
     /**
-     * Starts beside a process that serves at this address. Danger: a client that the kernel deals to this one
-     * is lost to the other, and a health that says no turns the front away from both. All else comes first.
+     * Starts beside a process that serves at this address. It listens last: a client that the kernel assigns
+     * to this process is lost to the other one, and a failing health check would turn the load balancer away
+     * from both.
      */
     private Future<Void> startAsSuccessor(Future<Void> firstUpdate, Frontend.Base environment) {
         LOG.info("succeeds", "another process serves here; this one is to succeed it");
@@ -210,64 +230,11 @@
                 .compose(this::warmUp)
                 .compose(v -> privateFrontend.shut(0))
                 .compose(v -> firstUpdate)
-                .compose(v -> whenPredecessorIdle())
+                .compose(v -> handover.whenPredecessorIdle())
                 .compose(v -> listenOnFrontends())
                 .mapEmpty();
     }
 
-    /** Done once the predecessor has nothing left that waiting saves, or at the latest time for a yes. */
-    private Future<Void> whenPredecessorIdle() {
-        Promise<Void> done = Promise.promise();
-        pollPredecessor(done);
-        return done.future();
-    }
-
-    private void pollPredecessor(Promise<Void> done) {
-        if (clock.now() >= hotRestart.startedAt() + SUCCESSOR_READY_MILLIS || !hotRestart.isPredecessorBusy()) {
-            done.complete();
-        } else {
-            vertx.setTimer(IDLE_CHECK_MILLIS, id -> pollPredecessor(done));
-        }
-    }
-
-    /** Looks whether another process is to succeed this one, and tells it when nothing is left to save. */
-    private void checkForSuccessor() {
-        double isSuccessor = serviceState.leaving() ? Double.NaN : hotRestart.successorStartedAt();
-        if (!Double.isNaN(isSuccessor) && successorStartedAt != isSuccessor) {
-            successorStartedAt = isSuccessor;
-            coordinator.expectSuccessor(
-                    isSuccessor + SUCCESSOR_READY_MILLIS, isSuccessor + SUCCESSOR_READY_MILLIS + minKillDelayMillis());
-            LOG.info("awaits-successor", "another process is to succeed this one; long jobs are held back");
-            pollOwnWork();
-        } else if (Double.isNaN(isSuccessor)
-                && !Double.isNaN(successorStartedAt)
-                && !serviceState.leaving()
-                && !hotRestart.hasServingSuccessor()) {
-            successorStartedAt = Double.NaN;
-            coordinator.cancelDraining();
-        }
-    }
-
-    private void pollOwnWork() {
-        coordinator.askWhetherWaitingHelps(
-                minKillDelayMillis(),
-                worthWaiting -> eventLoop.runOnContext(v -> {
-                    if (!worthWaiting) {
-                        // From now on the successor may take clients at any time.
-                        coordinator.expectSuccessor(
-                                successorStartedAt + SUCCESSOR_READY_MILLIS, clock.now() + minKillDelayMillis());
-                        hotRestart.markIdle();
-                    } else {
-                        vertx.setTimer(IDLE_CHECK_MILLIS, id -> pollOwnWork());
-                    }
-                }));
-    }
-
-    /** From SIGTERM to SIGKILL at the least, in milliseconds. */
-    private long minKillDelayMillis() {
-        return GracefulShutdown.minKillDelayMillis(config.settings());
-    }
-
     private Future<CompositeFuture> listenOnFrontends() {
         return Future.all(frontends.stream().map(Frontend::listen).toList()).onSuccess(all -> ports = all.list());
     }
@@ -281,27 +248,21 @@
         }
     }
 
-    /** Danger: two processes with all descriptors each would hold more than the dispatcher may. */
+    /**
+     * Halves the limits while another process of this dispatcher lives: together they must not exceed the
+     * descriptors of one.
+     */
     private void adjustSharedLimits() {
-        checkForSuccessor();
+        handover.checkForSuccessor();
         boolean hasOtherProcess = hotRestart.hasOtherProcess();
         endpointPools.setDescriptorsShared(hasOtherProcess);
         connectionLimiter.setMaxConnections(hasOtherProcess ? maxClientConnections / 2 : maxClientConnections);
     }
 
-    /**
-     * Danger: both processes of an upgrade are given the same seed. Peers know a life by a number drawn from
-     * it, and would pass over the gifts of a second life with the number of the first.
-     */
-    private long seedFor(boolean isSuccessor) {
-        return isSuccessor ? config.seed() ^ ProcessHandle.current().pid() * 0x9e3779b97f4a7c15L : config.seed();
-    }
-
     private Future<Void> listenAdmin() {
-        if (adminFrontend == null) {
-            return Future.succeededFuture();
-        }
-        return adminFrontend.listen().onSuccess(port -> adminPort = port).mapEmpty();
+        return adminFrontend == null
+                ? Future.succeededFuture()
+                : adminFrontend.listen().onSuccess(port -> adminPort = port).mapEmpty();
     }
 
     private Future<Void> warmUp(int port) {
@@ -309,70 +270,101 @@
             warmedUp = true;
             return Future.succeededFuture();
         }
-        SocketAddress privateFrontend =
+        SocketAddress ownAddress =
                 SocketAddress.inetSocketAddress(port, config.listen().hostAddress());
         WarmUp.warmUpScheduler(config.settings());
-        return WarmUp.warmUpSockets(endpointPools.client(), privateFrontend).onComplete(v -> warmedUp = true);
+        return WarmUp.warmUpSockets(endpointPools.client(), ownAddress).onComplete(v -> warmedUp = true);
     }
 
-    /** The ways in, for tests. */
+    /** The frontends, in the order of their factories. */
     List<Frontend> frontends() {
         return frontends;
     }
 
-    /** The ports held, in the order of the fronts. */
+    /** The ports listened on, in the order of the frontends. */
     public List<Integer> ports() {
         return ports;
     }
 
-    /** The port that operators call, or 0. */
+    /** The port of the admin frontend, or 0 if there is none. */
     public int adminPort() {
         return adminPort;
     }
 
-    /** Whether this process takes clients and can serve them. */
+    /** Whether this process accepts clients and can serve them. */
     boolean isReady() {
         return serviceState.isServing() && hasEndpointList && warmedUp;
     }
 
-    /** Figures beside the core's own. */
+    /** Metrics beside those of the request coordinator, by name. */
     Map<String, Number> additionalMetrics() {
-        Map<String, Number> metrics = new java.util.TreeMap<>(usageRecorder.figures());
+        Map<String, Number> metrics = new TreeMap<>(usageRecorder.figures());
         metrics.putAll(requestListener.figures());
         metrics.putAll(peerSocket == null ? Map.of() : peerSocket.ignoredDatagrams());
         return metrics;
     }
 
-    /** The site's settings in force. */
+    /** The scheduler settings in force. */
     SchedulerSettings settings() {
         return config.settings();
     }
 
-    /** Where the watch is on now. */
+    /** The address of the discovery service that is watched. */
     SocketAddress discovery() {
         return config.discovery();
     }
 
+    /** The state of this process towards clients. */
     ServiceState serviceState() {
         return serviceState;
     }
 
-    /** Whether the peers' port is this process's. */
-    boolean isPeerSocketBound() {
-        return peerSocket.isBound();
+    Clock clock() {
+        return clock;
+    }
+
+    Vertx vertx() {
+        return vertx;
+    }
+
+    Context eventLoop() {
+        return eventLoop;
+    }
+
+    ConnectionLimiter connectionLimiter() {
+        return connectionLimiter;
+    }
+
+    DisabledEndpointStore disabledEndpoints() {
+        return disabledEndpoints;
+    }
+
+    /** The request coordinator; null before the start. */
+    RequestCoordinator coordinator() {
+        return coordinator;
+    }
+
+    /** The connections to endpoints; null before the start. */
+    EndpointConnectionPools endpointPools() {
+        return endpointPools;
+    }
+
+    /** The socket for peer messages; null before the start. */
+    PeerSocket peerSocket() {
+        return peerSocket;
     }
 
-    /** Whether a list of sim runners is held. */
+    /** Whether a list of endpoints has been received or configured. */
     public boolean hasEndpointList() {
         return hasEndpointList;
     }
 
-    /** A planned end: goes on accepting for a while, then answers all that was taken. Blocks until then. */
+    /** Shuts down gracefully; blocks until everything that was accepted is answered. */
     public void shutDown() {
         new GracefulShutdown(this, hotRestart != null && hotRestart.hasServingSuccessor()).run();
     }
 
-    /** Takes a configuration that was read anew over, as far as that can be done while serving. */
+    /** Applies a configuration that was read again, as far as that is possible while serving. */
     public void reload(PlatformConfig next) {
         eventLoop.runOnContext(v -> {
             List<String> restartOnly = config.restartOnlyChanges(next);
@@ -388,7 +380,7 @@
         });
     }
 
-    /** Ends at once, whatever is still open. */
+    /** Closes all parts at once, with whatever is still in flight. */
     public Future<Void> close() {
         Promise<Void> stopped = Promise.promise();
         eventLoop.runOnContext(v -> {
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -9,32 +9,38 @@
 import nettlewick.net.client.Frontend;
 
 /**
- * The planned end of a dispatcher after SIGTERM, in milliseconds from it:
+ * Runs the graceful shutdown of a dispatcher. After SIGTERM:
  *
  * <ol>
- * <li>until {@link #ACCEPT_ON} connections are accepted, then what waits in the kernel's queue, then none;
- * <li>until {@link #LAST_TAKEN} before the kill, requests on open connections are served as ever;
- * <li>from then on each answer is its connection's last, and idle connections are ended;
- * <li>{@link #LAST_ANSWERED} before the kill, all that is open gets its final answer; the rest is refused.
+ * <li>until {@link #ACCEPT_MILLIS} connections are accepted, then those in the kernel's queue, then none;
+ * <li>until {@link #LAST_REQUEST_BEFORE_KILL_MILLIS} before SIGKILL, requests on open connections are served
+ * as usual;
+ * <li>from then on each response is the last of its connection, and idle connections are closed;
+ * <li>{@link #LAST_RESPONSE_BEFORE_KILL_MILLIS} before SIGKILL, every request in flight gets its final
+ * response and
+ * the rest is rejected.
  * </ol>
  *
- * <p>With a successor that takes clients, new connections are left to it from the start.
+ * <p>Where a successor accepts clients, new connections are left to it from the start.
  */
 final class GracefulShutdown {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
-    /** New connections keep coming for this long after SIGTERM. */
+    /** New connections keep arriving for this long after SIGTERM. */
     private static final long ACCEPT_MILLIS = 700;
 
     private static final long CLOSE_MARGIN_MILLIS = 500;
     /**
-     * SIGKILL comes no sooner than this after the longest deadline, which counts as LONGEST at most. Clients
-     * go on using the connections they have, so these are served for nearly as long: one whose connection is
-     * closed finds nobody else here until the restart.
+     * SIGKILL comes no sooner than this after the longest deadline, which counts as {@link
+     * #MAX_DEADLINE_MILLIS} at most. Clients keep using the connections they have, and one that is closed
+     * finds no other server until the restart; so open connections are served for nearly as long.
      */
     private static final long KILL_MARGIN_MILLIS = 700;
 
     private static final long MAX_DEADLINE_MILLIS = 3000;
-    /** Before the kill: until when requests are taken, and when what is still open is ended. */
+    /**
+     * How long before SIGKILL the last requests are accepted, and how long before it the last responses are
+     * written.
+     */
     private static final long LAST_REQUEST_BEFORE_KILL_MILLIS = 600;
 
     private static final long LAST_RESPONSE_BEFORE_KILL_MILLIS = 250;
@@ -44,7 +50,11 @@
     private final boolean hasSuccessor;
     private final CountDownLatch done = new CountDownLatch(1);
 
-    /** {@code successor} tells whether another process takes clients at this address. */
+    /**
+     * Creates the shutdown.
+     *
+     * @param hasSuccessor whether another process accepts clients at this address
+     */
     GracefulShutdown(DispatcherServer dispatcher, boolean hasSuccessor) {
         this.dispatcher = dispatcher;
         this.hasSuccessor = hasSuccessor;
@@ -58,12 +68,12 @@
                 / 1_000_000;
     }
 
-    /** From SIGTERM to SIGKILL at the least, in milliseconds. */
+    /** The shortest time from SIGTERM to SIGKILL, in milliseconds. */
     static long minKillDelayMillis(SchedulerSettings settings) {
         return Math.min(longestDeadlineMillis(settings), MAX_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
     }
 
-    /** Runs the planned end; blocks until all is answered, or until the longest deadline has passed. */
+    /** Shuts down; blocks until everything is answered, or until the longest deadline has passed. */
     void run() {
         LOG.info(
                 hasSuccessor ? "hands-over" : "shutting-down",
@@ -71,8 +81,8 @@
         SchedulerSettings settings = dispatcher.settings();
         long longestMillis = longestDeadlineMillis(settings);
         long killMillis = minKillDelayMillis(settings);
-        double startedAt = dispatcher.clock.now();
-        dispatcher.eventLoop.runOnContext(v -> begin(startedAt, killMillis, longestMillis + CLOSE_MARGIN_MILLIS));
+        double startedAt = dispatcher.clock().now();
+        dispatcher.eventLoop().runOnContext(v -> begin(startedAt, killMillis, longestMillis + CLOSE_MARGIN_MILLIS));
         try {
             done.await(killMillis + longestMillis + CLOSE_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -82,38 +92,45 @@
     }
 
     private void begin(double startedAt, long killMillis, long closeTimeoutMillis) {
-        if (dispatcher.coordinator == null) {
-            // The signal has come before the start: nothing is served yet.
+        if (dispatcher.coordinator() == null) {
+            // The signal came before the start: nothing is served yet.
             done.countDown();
             return;
         }
         dispatcher.serviceState().beginShutdown(hasSuccessor);
-        dispatcher.coordinator.startDraining(startedAt + killMillis);
+        dispatcher.coordinator().startDraining(startedAt + killMillis);
         if (hasSuccessor) {
-            dispatcher.connectionLimiter.closeOnceQueueIsEmpty();
-            dispatcher.peerSocket.close();
+            dispatcher.connectionLimiter().closeOnceQueueIsEmpty();
+            dispatcher.peerSocket().close();
         }
-        // A connection that waits in the kernel's queue may hold a request: it is accepted before the end.
-        dispatcher.vertx.setTimer(
-                ACCEPT_MILLIS,
-                id -> dispatcher
-                        .connectionLimiter
-                        .closeOnceQueueIsEmpty()
-                        .onComplete(closed -> dispatcher.vertx.setTimer(
-                                CONNECTION_CHECK_MILLIS,
-                                then -> closeFrontends(
-                                        startedAt + killMillis - LAST_REQUEST_BEFORE_KILL_MILLIS,
-                                        closeTimeoutMillis))));
-        // All of it, also what came before the signal: a kill finds nothing that is owed an answer.
-        dispatcher.vertx.setTimer(
-                Math.max(ACCEPT_MILLIS, killMillis - LAST_RESPONSE_BEFORE_KILL_MILLIS),
-                id -> dispatcher.coordinator.answerAllNow());
+        // A connection in the kernel's queue may hold a request, so it is accepted before the listener closes.
+        dispatcher
+                .vertx()
+                .setTimer(
+                        ACCEPT_MILLIS,
+                        id -> dispatcher
+                                .connectionLimiter()
+                                .closeOnceQueueIsEmpty()
+                                .onComplete(closed -> dispatcher
+                                        .vertx()
+                                        .setTimer(
+                                                CONNECTION_CHECK_MILLIS,
+                                                then -> closeFrontends(
+                                                        startedAt + killMillis - LAST_REQUEST_BEFORE_KILL_MILLIS,
+                                                        closeTimeoutMillis))));
+        // Includes requests from before the signal: SIGKILL must find none without a response.
+        dispatcher
+                .vertx()
+                .setTimer(
+                        Math.max(ACCEPT_MILLIS, killMillis - LAST_RESPONSE_BEFORE_KILL_MILLIS),
+                        id -> dispatcher.coordinator().answerAllNow());
     }
 
-    /** Ends the fronts at that time, or as soon as nobody is connected. */
+    /** Closes the frontends at that time, or as soon as no client is connected. */
     private void closeFrontends(double deadline, long closeTimeoutMillis) {
-        if (dispatcher.clock.now() < deadline && dispatcher.frontends().stream().anyMatch(Frontend::connected)) {
-            dispatcher.vertx.setTimer(CONNECTION_CHECK_MILLIS, id -> closeFrontends(deadline, closeTimeoutMillis));
+        if (dispatcher.clock().now() < deadline
+                && dispatcher.frontends().stream().anyMatch(Frontend::connected)) {
+            dispatcher.vertx().setTimer(CONNECTION_CHECK_MILLIS, id -> closeFrontends(deadline, closeTimeoutMillis));
         } else {
             dispatcher.serviceState().closeConnections();
             Future.join(dispatcher.frontends().stream()
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -28,8 +28,9 @@
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /**
- * Runs the ways that a request takes before the first one comes, so that none pays for loading and compiling
- * them: the own health page is asked for, and a throw-away instance of the module decides on made-up jobs.
+ * Exercises the path of a request before the first one arrives, so that no client waits for classes to be
+ * loaded and compiled: requests the own health page, and lets a throw-away scheduler decide on made-up
+ * requests.
  */
 final class WarmUp {
     private static final int HEALTH_REQUESTS = 20;
@@ -39,7 +40,7 @@
 
     private WarmUp() {}
 
-    /** Asks for the own health page, over and over on one connection; a failure ends it quietly. */
+    /** Requests the own health page repeatedly on one connection; a failure ends it quietly. */
     static Future<Void> warmUpSockets(HttpClientAgent client, SocketAddress listen) {
         return client.connect(new HttpConnectOptions()
                         .setServer(listen)
@@ -60,7 +61,7 @@
                 .compose(body -> requestHealth(client, requestsLeft - 1));
     }
 
-    /** Lets an instance that nobody hears decide on jobs that nobody sent. */
+    /** Lets a scheduler whose actions nobody carries out decide on made-up requests. */
     static void warmUpScheduler(SchedulerSettings settings) {
         Dispatcher scheduler = Dispatcher.create(settings, 1);
         List<EndpointEntry> endpoints = new ArrayList<>();
--- a/src/main/java/nettlewick/net/client/ClientConnection.java
+++ b/src/main/java/nettlewick/net/client/ClientConnection.java
@@ -23,81 +23,65 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 import nettlewick.core.Clock;
 
 /**
- * Stands between a client's bytes and the server: only whole requests in order pass, one at a time. All else
- * is refused here, before anything is made for it; what was read before it gets its own answer first. Ends
- * the connection by a lingering close. Lives on the event loop; its states are those of {@link ClientConnectionState}.
+ * One client connection. Only complete, well-formed requests reach the server, one at a time; everything else
+ * is rejected here, before anything is allocated for it, and what was read before it gets a response first.
+ * Ends the connection by a lingering close. Lives on the event loop; its states are those of {@link
+ * ClientConnectionState}.
  */
 final class ClientConnection extends ChannelDuplexHandler {
-    /** Whole requests that may wait behind the one that is worked on. */
+    /** Complete requests that may wait behind the one in flight. */
     private static final int MAX_PIPELINED_REQUESTS = 4;
-    /** The end of a connection stands behind what was sent before it: one read for that, one for the end. */
+    /** A close is read after the bytes sent before it: one read for those, one for the close. */
     private static final int READS_TO_DETECT_CLOSE = 2;
-    /** What a request gets that was read whole and stands before one that is refused. Harmless to repeat. */
+    /** The response to a complete request that precedes a rejected one; harmless to repeat. */
     private static final FramingValidator.Rejection PRECEDES_REJECTED =
             new FramingValidator.Rejection(429, "what came behind it is refused");
-    /** Bytes read after a refusal, so that it is not eaten by a reset; then the client's sending stalls. */
+    /**
+     * Bytes read after a rejection, so that a reset does not destroy its response; beyond this the client's
+     * sending stalls.
+     */
     private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
     private static final ByteBuf CONTINUE = Unpooled.unreleasableBuffer(
                     Unpooled.copiedBuffer("HTTP/1.1 100 Continue\r\n\r\n", StandardCharsets.US_ASCII))
             .asReadOnly();
 
-    /** A request that has come whole. */
-    private record CompleteRequest(HttpRequest head, ByteBuf body, double arrivedAt) {}
-
-    /** Bytes of requests held for all clients together. */
-    static final class RequestByteBudget {
-        private final long maxBytes;
-        private long bufferedBytes;
-
-        RequestByteBudget(long maxBytes) {
-            this.maxBytes = maxBytes;
-        }
-
-        private boolean reserve(long bytes) {
-            bufferedBytes += bytes;
-            return bufferedBytes <= maxBytes;
-        }
-    }
-
     private final Clock clock;
-    /** The earliest time at which what is read now may have come. */
+    /** The earliest time at which the bytes read now may have arrived, in milliseconds. */
     private final DoubleSupplier receivedAt;
 
-    private final RequestByteBudget budget;
     private final ClientConnectionState state;
-    private final Deque<CompleteRequest> pipelined = new ArrayDeque<>();
+    private final PipelinedRequests requests;
     private ChannelHandlerContext context;
-    private HttpRequest head;
-    private ByteBuf body;
-    private int bufferedBytes;
     private long discardedBytes;
-    /** Why nothing more is taken; null while requests are. Written once the request in work is answered. */
+    /** Why no more requests are accepted; null while they are. Written once the request in flight is answered. */
     private FramingValidator.Rejection rejection;
 
     private double arrivedAt;
     private boolean workRequest;
     private boolean resultSent;
     private boolean closeAfterResponse;
-    /** Whether the client itself asked for the connection's end. */
+    /** Whether the client itself asked for the connection to be closed. */
     private boolean clientAskedToClose;
 
     ClientConnection(Clock clock, RequestByteBudget budget) {
         this(clock, clock::now, budget);
     }
 
-    /** {@code cameAt} tells the earliest time at which what is read now may have come. */
+    /**
+     * Creates the handler of a new connection.
+     *
+     * @param receivedAt the earliest time at which the bytes read now may have arrived
+     */
     ClientConnection(Clock clock, DoubleSupplier receivedAt, RequestByteBudget budget) {
         this.clock = clock;
         this.receivedAt = receivedAt;
-        this.budget = budget;
+        requests = new PipelinedRequests(budget);
         state = new ClientConnectionState(clock.now());
     }
 
@@ -110,7 +94,7 @@
         context = added;
     }
 
-    /** Some bytes have come, whatever they are. */
+    /** Called for any bytes that arrive. */
     void bytesReceived() {
         state.bytesReceived(clock.now());
     }
@@ -125,7 +109,7 @@
             if (read instanceof HttpRequest request) {
                 beginRequest(request);
             }
-            if (read instanceof HttpContent content && head != null) {
+            if (read instanceof HttpContent content && requests.isReading()) {
                 addContent(content);
             }
         } finally {
@@ -138,8 +122,9 @@
                 ? bytes.readableBytes()
                 : read instanceof ByteBufHolder holder ? holder.content().readableBytes() : 0;
         if (discardedBytes > MAX_DISCARDED_BYTES) {
-            // 60 MB read only to be thrown away would take the turns of the usual clients. While a request is
-            // in work, sweep() reads on in portions: a connection that is not read never shows its end.
+            // Reading on without limit would take event-loop time from other clients. While a request is in
+            // flight, {@link #closeIfOverdue} reads on in portions, since a connection that is not read never
+            // shows its close.
             context.channel().config().setAutoRead(false);
         }
     }
@@ -148,11 +133,10 @@
         FramingValidator.Rejection problem = FramingValidator.validate(request);
         if (problem != null) {
             reject(problem.status(), problem.message());
-        } else if (pipelined.size() >= MAX_PIPELINED_REQUESTS) {
+        } else if (requests.waiting() >= MAX_PIPELINED_REQUESTS) {
             reject(429, "too many requests at once on one connection");
         } else {
-            head = request;
-            body = Unpooled.buffer(Math.max(0, (int) HttpUtil.getContentLength(request, 0L)));
+            requests.begin(request);
             if (HttpUtil.is100ContinueExpected(request)) {
                 context.pipeline().firstContext().writeAndFlush(CONTINUE.duplicate());
             }
@@ -160,34 +144,20 @@
     }
 
     private void addContent(HttpContent content) {
-        FramingValidator.Rejection problem = FramingValidator.validate(content.decoderResult());
-        int length = content.content().readableBytes();
-        if (problem == null && body.readableBytes() + length > FramingValidator.MAX_BODY_BYTES) {
-            problem = FramingValidator.bodyTooLong();
-        }
-        bufferedBytes += length;
-        if (!budget.reserve(length) && problem == null) {
-            problem = new FramingValidator.Rejection(503, "too much is being sent at once");
-        }
+        FramingValidator.Rejection problem = requests.add(content, receivedAt);
         if (problem != null) {
             reject(problem.status(), problem.message());
-            return;
-        }
-        body.writeBytes(content.content());
-        if (content instanceof LastHttpContent) {
-            pipelined.addLast(new CompleteRequest(head, body, receivedAt.getAsDouble()));
-            head = null;
         }
     }
 
-    /** When the last byte of the request in work came, at the earliest; in milliseconds. */
+    /** When the last byte of the request in flight arrived, at the earliest; in milliseconds. */
     double arrivedAt() {
         return arrivedAt;
     }
 
     /**
-     * Whether the client is still connected. Its end may have come with its request, or while the event loop
-     * was busy, and wait unread: the socket is read here and now, in the turn that asks.
+     * Whether the client is still connected. Its close may have arrived with its request, or while the event
+     * loop was busy, and be unread: so the socket is read before this method returns.
      */
     boolean isConnected() {
         Channel channel = context.channel();
@@ -203,7 +173,10 @@
         return channel.isActive();
     }
 
-    /** All that was there is read. Passed on sooner, the first requests of a flood would be dispatched. */
+    /**
+     * Everything available has been read. Requests passed on sooner would let the first ones of a flood be
+     * dispatched.
+     */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         startNextRequest();
@@ -211,9 +184,8 @@
     }
 
     private void startNextRequest() {
-        if (rejection == null && !pipelined.isEmpty() && state.beginRequest()) {
-            CompleteRequest next = pipelined.pollFirst();
-            releaseBytes(next.body().readableBytes());
+        if (rejection == null && requests.waiting() > 0 && state.beginRequest()) {
+            PipelinedRequests.CompleteRequest next = requests.poll();
             arrivedAt = next.arrivedAt();
             clientAskedToClose =
                     next.head().headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
@@ -223,11 +195,6 @@
         }
     }
 
-    private void releaseBytes(long bytes) {
-        bufferedBytes -= bytes;
-        budget.reserve(-bytes);
-    }
-
     @Override
     public void write(ChannelHandlerContext ctx, Object written, ChannelPromise promise) {
         if (written instanceof HttpResponse response) {
@@ -237,7 +204,7 @@
         boolean ends = last && closeAfterResponse;
         ChannelPromise done = ends ? promise.unvoid() : promise;
         if (ends) {
-            // Before the write: whatever is read from here on is not taken any more.
+            // Before the write: nothing read from here on is accepted.
             state.beginClosing(clock.now());
             done.addListener(f -> shutDownOutput());
         }
@@ -250,40 +217,41 @@
     private void beginResponse(HttpResponse response) {
         resultSent = workRequest && response.status().code() == HttpResponseStatus.OK.code();
         closeAfterResponse = response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-        boolean more = !pipelined.isEmpty() || head != null || rejection != null;
+        boolean more = !requests.isEmpty() || rejection != null;
         if (closeAfterResponse && !clientAskedToClose && more) {
-            // What the client has sent behind it is answered first; the last answer says that it is the last.
+            // Requests the client has already sent are answered first; the last response says that it is the
+            // last.
             response.headers().remove(HttpHeaderNames.CONNECTION);
             closeAfterResponse = false;
         }
     }
 
-    /** An answer that is not the last one is written: the next request's turn. */
+    /** A response that is not the last one is written: the next request may start. */
     private void responseWritten(ChannelHandlerContext ctx) {
         state.responseWritten(clock.now(), resultSent);
         if (rejection != null) {
             writeRejection();
-        } else if (!pipelined.isEmpty() || head != null) {
+        } else if (!requests.isEmpty()) {
             state.bytesReceived(clock.now());
             ctx.executor().execute(() -> {
                 startNextRequest();
-                // Without this word the server holds its answers back until more bytes come.
+                // Without this event the server holds its responses back until more bytes arrive.
                 ctx.fireChannelReadComplete();
             });
         }
     }
 
     /**
-     * Takes nothing more from this client. The request in work gets its own answer first, and each that was
-     * read whole and waits behind it a harmless refusal; then comes this one, and the connection ends.
+     * Accepts nothing more from this client. The request in flight gets its own response first, and each
+     * complete request behind it a harmless rejection; then this rejection is written and the connection
+     * ends.
      */
     void reject(int status, String message) {
         if (!state.takesRequests() || rejection != null) {
             return;
         }
         rejection = new FramingValidator.Rejection(status, message);
-        head = null;
-        body = null;
+        requests.abandonUnfinished();
         stopParsing();
         if (state.phase() != ClientConnectionState.Phase.ANSWERING) {
             writeRejection();
@@ -291,10 +259,10 @@
     }
 
     private void writeRejection() {
-        String text = PRECEDES_REJECTED.response(false).repeat(pipelined.size()) + rejection.response(true);
+        String text = PRECEDES_REJECTED.response(false).repeat(requests.waiting()) + rejection.response(true);
         state.beginClosing(clock.now());
-        discardPending();
-        // From the first handler on: what is written there passes by the server's own answers.
+        requests.clear();
+        // Written at the first handler, past the server's own responses.
         context.pipeline()
                 .firstContext()
                 .writeAndFlush(ByteBufUtil.writeAscii(context.alloc(), text))
@@ -312,7 +280,7 @@
         return out != null && out.totalPendingWriteBytes() > 0;
     }
 
-    /** Ends the connection if its time is over. */
+    /** Ends the connection if its timeout has passed. */
     void closeIfOverdue(double now) {
         boolean unreadOutput = hasUnreadOutput();
         if (!state.isOverdue(now, unreadOutput)) {
@@ -324,7 +292,7 @@
         }
     }
 
-    /** The next portion of what is thrown away while a request is in work. */
+    /** Reads the next portion of what is discarded while a request is in flight. */
     private void resumeDiscarding() {
         if (rejection != null && state.phase() == ClientConnectionState.Phase.ANSWERING) {
             discardedBytes = 0;
@@ -333,8 +301,9 @@
     }
 
     /**
-     * Closes the connection if nothing is owed on it, nothing has come, and its last answer is out. It is not
-     * read any more: a request that crosses the close is never taken, and its client learns so by a reset.
+     * Closes the connection if no request is in flight, nothing has arrived and its last response is written.
+     * It is not read any more: a request that crosses the close is never accepted, and a reset tells its
+     * client so.
      */
     void closeIfQuiet(double now) {
         if (state.isQuiet(now) && !hasUnreadOutput() && isStillIdle()) {
@@ -342,30 +311,30 @@
         }
     }
 
-    /** Whether nothing is owed here, by what the socket says now: a request may wait unread in it. */
+    /** Whether no request is in flight, judged by reading the socket now: a request may be unread in it. */
     boolean isStillIdle() {
         return state.isIdle() && isConnected() && state.isIdle();
     }
 
     /**
-     * After the last answer: says that nothing more comes, and reads on without taking anything. A close over
-     * unread bytes resets the connection, and the client may lose the answer before it has read it.
+     * After the last response: shuts the connection for writing and reads on without accepting anything. A
+     * close with unread bytes resets the connection, and the client may lose the response before reading it.
      */
     private void shutDownOutput() {
         if (!state.beginLingering(clock.now())) {
             return;
         }
-        discardPending();
+        requests.clear();
         stopParsing();
         if (context.channel() instanceof DuplexChannel duplex) {
             duplex.shutdownOutput();
         } else if (rejection == null) {
-            // A channel that cannot be shut one way only.
+            // A channel that cannot be shut for writing alone.
             context.close();
         }
     }
 
-    /** The server's own close after a last answer: the lingering close that has begun does it. */
+    /** The server's own close after a last response: left to the lingering close that has begun. */
     @Override
     public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
         boolean lingers = state.phase() == ClientConnectionState.Phase.CLOSING
@@ -378,29 +347,25 @@
         }
     }
 
-    /** Closes at once. The channel tells of its end only later; until then it would be chosen again. */
+    /**
+     * Closes at once. The state changes here, since the channel reports its close only later and the
+     * connection could be chosen for eviction again until then.
+     */
     void close() {
         state.closed();
         context.close();
     }
 
-    private void discardPending() {
-        releaseBytes(bufferedBytes);
-        pipelined.clear();
-        head = null;
-        body = null;
-    }
-
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         state.closed();
-        discardPending();
+        requests.clear();
         ctx.fireChannelInactive();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A client's broken connection is its own affair: no log line for each.
+        // A broken client connection is not worth a log line.
         ctx.close();
     }
 }
--- a/src/main/java/nettlewick/net/client/ClientConnectionState.java
+++ b/src/main/java/nettlewick/net/client/ClientConnectionState.java
@@ -1,47 +1,50 @@
 package nettlewick.net.client;
 
 /**
- * The states of one client connection and when its time in each is over. Holds no socket, so that a model can
- * be checked against it; times are the caller's, in milliseconds.
+ * The states of one client connection and its timeout in each. Holds no socket, so that it can be compared with a
+ * model; times are the caller's, in milliseconds.
  *
  * <pre>
- * WAITING ---bytes--> READING ---begin--> ANSWERING ---answered--> WAITING
+ * WAITING ---bytes--> READING ---begin--> ANSWERING ---response--> WAITING
  *    |                   |                    |
  *    |                   +-------close--------+--close--> CLOSING --linger--> LINGERING --closed--> CLOSED
  *    +---------------------closed----------------------------------------------------------------------^
  * </pre>
  *
- * <p>An event that a state does not name leaves it as it is. From CLOSING on no request is taken any more.
+ * <p>An event that a state does not name leaves it unchanged. From CLOSING on no request is accepted any more.
  */
 final class ClientConnectionState {
-    /** What the connection is at. */
+    /** The phases of a connection. */
     enum Phase {
-        /** Idle: everything that came is answered. */
+        /** Idle: everything received is answered. */
         WAITING,
-        /** A request has begun to come. */
+        /** A request is being read. */
         READING,
-        /** One request has been handed on and owes its answer. */
+        /** One request is in flight. */
         ANSWERING,
-        /** The last answer has been written and is not on the socket yet. */
+        /** The last response has been written but not flushed to the socket. */
         CLOSING,
-        /** Shut for writing; what still comes is read and thrown away. */
+        /** Shut for writing; what still arrives is read and discarded. */
         LINGERING,
         CLOSED
     }
 
     /**
-     * From connecting, or from a later request's first byte, to its last one. A client that sends nothing, or
-     * a byte now and then, would hold its connection for good; it is owed an end within 3 s.
+     * Time from connecting, or from a later request's first byte, to its last byte. Bounded, since a client
+     * that sends nothing or a byte now and then would hold its connection for ever.
      */
     static final double READ_TIMEOUT_MILLIS = 2400;
-    /** A connection that was served and asks nothing more; one that was served nothing has READ. */
+    /**
+     * Idle time of a connection that was served before; one that was served nothing has {@link
+     * #READ_TIMEOUT_MILLIS}.
+     */
     static final double IDLE_TIMEOUT_MILLIS = 60_000;
-    /** An answer that the client does not take from its socket. */
+    /** Time for the client to read a response from its socket. */
     static final double UNREAD_OUTPUT_TIMEOUT_MILLIS = 5000;
-    /** From the end of writing to the close, in which the client can read its last answer. */
+    /** Time from the end of writing to the close, in which the client can read its last response. */
     static final double LINGER_MILLIS = 1000;
 
-    /** At the planned end: a client that goes on asking has sent its next request by then. */
+    /** During a graceful shutdown, a client that keeps sending has sent its next request by then. */
     static final double QUIET_MILLIS = 200;
 
     private final double openedAt;
@@ -59,20 +62,21 @@
         return phase;
     }
 
-    /** Whether requests are still taken from this connection. */
+    /** Whether requests are still accepted from this connection. */
     boolean takesRequests() {
         return phase == Phase.WAITING || phase == Phase.READING || phase == Phase.ANSWERING;
     }
 
-    /** Some bytes of a request have come. */
+    /** Bytes of a request have arrived. */
     void bytesReceived(double now) {
         if (phase == Phase.WAITING) {
-            // Counted from its first byte, a first request sent late could use the time twice.
+            // Counted from connecting: counted from its first byte, a late first request could use the time
+            // twice.
             enter(Phase.READING, responses == 0 ? openedAt : now);
         }
     }
 
-    /** A request is here, whole and in order. False if the connection cannot take it now. */
+    /** A complete request starts; returns false if the connection cannot accept it now. */
     boolean beginRequest() {
         boolean accepted = phase == Phase.READING;
         if (accepted) {
@@ -81,7 +85,7 @@
         return accepted;
     }
 
-    /** Its answer has been handed to the socket, and is not the last one. */
+    /** The response to the request in flight is written, and is not the last one. */
     void responseWritten(double now, boolean result) {
         if (phase == Phase.ANSWERING) {
             enter(Phase.WAITING, now);
@@ -90,7 +94,7 @@
         }
     }
 
-    /** The last answer is written. True once only, and never after the end. */
+    /** The last response is written; returns true the first time only, and never after the end. */
     boolean beginClosing(double now) {
         boolean first = takesRequests();
         if (first) {
@@ -99,7 +103,7 @@
         return first;
     }
 
-    /** The socket is shut for writing, with the last answer on it. True once only. */
+    /** The socket is shut for writing after the last response; returns true the first time only. */
     boolean beginLingering(double now) {
         boolean first = phase == Phase.CLOSING;
         if (first) {
@@ -117,7 +121,11 @@
         since = now;
     }
 
-    /** Whether it is time to end the connection; {@code unread} tells that an answer waits to be written. */
+    /**
+     * Whether the connection is to be ended now.
+     *
+     * @param unreadOutput whether a response is waiting to be written
+     */
     boolean isOverdue(double now, boolean unreadOutput) {
         double age = now - since;
         return switch (phase) {
@@ -133,22 +141,22 @@
         };
     }
 
-    /** Whether it may make way for another connection: nothing that was taken is lost by it. */
+    /** Whether it may be closed for another connection without losing an accepted request. */
     boolean isIdle() {
         return phase == Phase.WAITING;
     }
 
-    /** Whether nothing has come since its last answer for so long that nothing is on its way either. */
+    /** Whether it has been idle for so long that no request is likely to be on its way. */
     boolean isQuiet(double now) {
         return phase == Phase.WAITING && now - since >= QUIET_MILLIS;
     }
 
-    /** Whether the client has had its time to see that the connection ends, at this front's own end. */
+    /** Whether the client has had time to see that the connection ends. */
     boolean hasLingered(double now) {
         return phase == Phase.LINGERING && now - since >= QUIET_MILLIS;
     }
 
-    /** How much a connection that may make way deserves to stay: the least makes way first. */
+    /** How many requests were served with a result; connections with the fewest are evicted first. */
     int resultsServed() {
         return resultsServed;
     }
--- a/src/main/java/nettlewick/net/client/ConnectionLimiter.java
+++ b/src/main/java/nettlewick/net/client/ConnectionLimiter.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Bounds the connections that are accepted. Danger: Vert.x accepts on a thread of its own, as fast as it can;
- * a crowd would use up all descriptors before the event loop has closed the first of its connections. At the
- * bound, newcomers wait in the kernel's queue until a connection is closed.
+ * Limits the connections that are accepted. Vert.x accepts on a thread of its own, as fast as it can: many
+ * clients at once would use up all descriptors before the event loop has closed the first of its connections.
+ * At the limit, new connections wait in the kernel's queue until another one closes. Safe for any thread.
  */
 public final class ConnectionLimiter implements Transport {
-    /** How often, and how many times at the most, it is looked whether the kernel's queue is empty; in ms. */
+    /** How often it is checked whether the kernel's queue is empty, and how many times at most. */
     private static final long QUEUE_CHECK_MILLIS = 20;
 
     private static final int MAX_QUEUE_CHECKS = 50;
@@ -34,12 +34,13 @@
     private final Set<Channel> listeners = ConcurrentHashMap.newKeySet();
     private final Set<Channel> pausedListeners = ConcurrentHashMap.newKeySet();
 
+    /** Creates a limiter that lets this many connections be open. */
     public ConnectionLimiter(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
     private final class LimitedServerChannel extends NioServerSocketChannel {
-        /** Nothing waited in the kernel's queue when it was last read. */
+        /** Whether the kernel's queue was empty when it was last read. */
         private boolean queueEmptied;
 
         LimitedServerChannel() {
@@ -48,15 +49,15 @@
 
         @Override
         protected void doBind(SocketAddress address) throws Exception {
-            // Danger: the NIO transport leaves Vert.x's reusePort out without a word, and a new version of
-            // this program could not listen beside the old one. The first process has to allow it too.
+            // The NIO transport ignores Vert.x's reusePort option without an error. The first process has to
+            // allow sharing as well, or a new version of the program could not listen beside the old one.
             javaChannel().setOption(StandardSocketOptions.SO_REUSEPORT, true);
             super.doBind(address);
         }
 
         /**
-         * Takes all that waits in the kernel's queue, as fast as the bound lets it, then listens no more: the
-         * kernel resets what a closed listener has not accepted.
+         * Accepts everything in the kernel's queue, as fast as the limit allows, then closes the listener:
+         * the kernel resets connections that a closed listener has not accepted.
          */
         private void closeOnceQueueIsEmpty(Runnable onClosed, int checksLeft) {
             queueEmptied = false;
@@ -78,7 +79,8 @@
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
             if (openConnections.incrementAndGet() > maxConnections) {
-                // Danger: noted before it stops reading, it could be woken in between and never again.
+                // Paused before it is added to the set: in the other order it could be resumed in between and
+                // never again.
                 config().setAutoRead(false);
                 pausedListeners.add(this);
                 connectionReleased();
@@ -99,9 +101,9 @@
     }
 
     /**
-     * Accepts what waits already, within the bound, and nothing new; connections that are open stay so. Done
-     * once all that was accepted has been handed to the event loop that serves it, or what waits has had its
-     * time.
+     * Accepts what is already in the kernel's queue, within the limit, and nothing new; open connections stay
+     * open. Completes once everything accepted has been handed to its event loop, or after a bounded number
+     * of checks.
      */
     public Future<Void> closeOnceQueueIsEmpty() {
         List<Future<Void>> onClosed = new ArrayList<>();
@@ -115,7 +117,7 @@
         return Future.join(onClosed).mapEmpty();
     }
 
-    /** From now on so many connections may be open. */
+    /** Changes how many connections may be open. */
     public void setMaxConnections(int limit) {
         maxConnections = limit;
     }
@@ -123,7 +125,8 @@
     private void connectionReleased() {
         if (openConnections.decrementAndGet() < maxConnections) {
             for (Channel channel : pausedListeners) {
-                // Danger: woken first and struck off then, a channel that is stopped anew would stay so.
+                // Removed from the set before it is resumed: in the other order a channel that is paused again
+                // would stay paused.
                 if (pausedListeners.remove(channel)) {
                     channel.config().setAutoRead(true);
                 }
--- a/src/main/java/nettlewick/net/client/FramingValidator.java
+++ b/src/main/java/nettlewick/net/client/FramingValidator.java
@@ -11,14 +11,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Whether a request's head frames its body beyond doubt. What is not in order goes no further. */
+/**
+ * Checks that the head of a request frames its body unambiguously, so that no other server reads it
+ * differently.
+ */
 final class FramingValidator {
     static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_LENGTH_DIGITS = 18;
 
-    /** What is wrong, and the status for it. */
+    /** Why a request is rejected, and with which status. */
     record Rejection(int status, String message) {
-        /** The whole answer, in ASCII; {@code last} says that the connection ends with it. */
+        /**
+         * The complete response, in ASCII.
+         *
+         * @param closes whether the connection ends with it
+         */
         String response(boolean closes) {
             return "HTTP/1.1 " + HttpResponseStatus.valueOf(status)
                     + "\r\nContent-Type: text/plain\r\nContent-Length: " + (message.length() + 1)
@@ -28,7 +35,7 @@
 
     private FramingValidator() {}
 
-    /** Why the request is refused; null if it is not. */
+    /** Why the request is rejected; null if it is valid. */
     static Rejection validate(HttpRequest request) {
         Rejection undecoded = validate(request.decoderResult());
         if (undecoded != null) {
@@ -40,7 +47,7 @@
         }
         HttpHeaders headers = request.headers();
         for (Map.Entry<String, String> header : headers) {
-            // Danger: a name such as "Content-Length " is another header to us and may not be to others.
+            // A name such as "Content-Length " is another header here but may be the same one to other servers.
             if (!isToken(header.getKey()) || !isPrintable(header.getValue())) {
                 return new Rejection(400, "a header that cannot be read");
             }
@@ -64,7 +71,7 @@
                 : null;
     }
 
-    /** Why what was read cannot be used; null if it can. */
+    /** Why what the decoder read cannot be used; null if it can. */
     static Rejection validate(DecoderResult result) {
         if (result.isSuccess()) {
             return null;
--- a/src/main/java/nettlewick/net/client/Frontend.java
+++ b/src/main/java/nettlewick/net/client/Frontend.java
@@ -9,9 +9,15 @@
 import nettlewick.net.config.PlatformConfig;
 import nettlewick.net.lifecycle.ServiceState;
 
-/** A way in for clients. Lives on the event loop; all fronts share one core and so its rules. */
+/** Serves clients by one protocol on one address. Lives on the event loop; all frontends share one coordinator. */
 public interface Frontend {
-    /** What a front is built on; {@code connections} is how many it may hold. */
+    /**
+     * The parts that a frontend is built on.
+     *
+     * @param eventLoop the event loop that the frontend lives on
+     * @param holdsList whether the dispatcher can serve: it has an endpoint list and is warmed up
+     * @param maxConnections how many client connections the frontend may hold
+     */
     record Base(
             Vertx vertx,
             Context loop,
@@ -22,17 +28,21 @@
             ServiceState state,
             int maxConnections) {}
 
-    /** Makes a front on the event loop. */
+    /** Creates a frontend; called on the event loop. */
     interface Maker {
+        /** Creates the frontend; it does not listen yet. */
         Frontend create(Base environment);
     }
 
-    /** Listens; the port that is held comes back. */
+    /** Starts listening; completes with the port. */
     Future<Integer> listen();
 
-    /** Whether a client is connected. */
+    /** Whether any client is connected. */
     boolean connected();
 
-    /** Closes idle connections, and others with their next answer; done when none is left. */
+    /**
+     * Closes idle connections, and others with their next response; completes when none is left or after the
+     * timeout.
+     */
     Future<Void> shut(long timeoutMillis);
 }
--- a/src/main/java/nettlewick/net/client/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/client/HttpFrontend.java
@@ -19,25 +19,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A front that listens for HTTP: its connections, how many there may be, how long each may take, and its
- * planned end. A {@link ClientConnection} stands before each connection.
+ * Base of the frontends that listen for HTTP: limits connections, evicts idle ones, ends those that are
+ * overdue, and closes them all at shutdown. A {@link ClientConnection} handles each connection.
  */
 public abstract class HttpFrontend implements Frontend {
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int MAX_HEADER_BYTES = 8 * 1024;
     private static final int MAX_LINE_BYTES = 4 * 1024;
-    /** Bytes of unfinished requests held for all clients of a front together. */
+    /** Bytes of unfinished requests buffered for all clients of a frontend together. */
     private static final long MAX_BUFFERED_BYTES = 4 << 20;
-    /** Most bytes read from one client in its turn on the event loop. */
+    /** Most bytes read from one client in an iteration of the event loop. */
     private static final int MAX_READ_BYTES = 16 * 1024;
 
     private static final int READS_PER_ITERATION = 2;
-    /** Connections that turn out to hold a request while one that makes way is looked for. */
+    /** How many connections that turn out to hold a request are skipped while one to evict is sought. */
     private static final int MAX_EVICTION_ATTEMPTS = 4;
 
     private static final long CLOSE_SWEEP_MILLIS = 20;
     private static final long CONNECTION_CHECK_MILLIS = 100;
-    /** How often the event loop shows that it runs, and how late that may be before it counts as held up. */
+    /** Interval of the ticks by which a held-up event loop is noticed, and how late a tick may be. */
     private static final long TICK_MILLIS = 50;
 
     private static final double TICK_TOLERANCE_MILLIS = 10;
@@ -49,17 +49,20 @@
     private final int maxConnections;
     private final long connectionCheckTimer;
     private final long tickTimer;
-    private final ClientConnection.RequestByteBudget budget =
-            new ClientConnection.RequestByteBudget(MAX_BUFFERED_BYTES);
+    private final RequestByteBudget budget = new RequestByteBudget(MAX_BUFFERED_BYTES);
     private final Map<HttpConnection, ClientConnection> connections = new LinkedHashMap<>();
     private double lastTickAt;
 
-    /** {@code sendBuffer} bounds what the kernel holds for a slow reader; -1 leaves it to the kernel. */
+    /**
+     * Creates the frontend; it does not listen yet.
+     *
+     * @param sendBuffer bytes that the kernel holds for a slow reader; -1 for the kernel's default
+     */
     protected HttpFrontend(Base environment, SocketAddress listen, int sendBuffer) {
         this.base = environment;
         vertx = environment.vertx();
         maxConnections = environment.maxConnections();
-        // No upgrade to HTTP/2: nobody here speaks it, and each way in would need a guard of its own.
+        // No upgrade to HTTP/2: no client uses it, and it would need validation of its own.
         options = new HttpServerOptions()
                 .setHost(listen.hostAddress())
                 .setPort(listen.port())
@@ -91,31 +94,31 @@
         });
     }
 
-    /** Answers a request, or sees to it that it is answered. */
+    /** Answers a request, now or later; called on the event loop. */
     protected abstract void handle(HttpServerRequest request);
 
     /**
-     * The earliest time at which what is read now may have come. While the event loop is held up, requests
-     * wait unread in their sockets and their clients' time runs: it counts from when the loop last ran.
+     * The earliest time at which the bytes read now may have arrived. While the event loop is held up, requests are
+     * unread in their sockets and their clients' time runs: it counts from the last tick.
      */
     private double receivedAt() {
         double now = base.clock().now();
         return now - lastTickAt > TICK_MILLIS + TICK_TOLERANCE_MILLIS ? lastTickAt : now;
     }
 
-    /** When the last byte of a connection's request in work came, in milliseconds on the clock. */
+    /** When the last byte of the request in flight arrived, in milliseconds. */
     protected final double arrivedAt(HttpServerRequest request) {
         ClientConnection client = connections.get(request.connection());
         return client == null ? base.clock().now() : client.arrivedAt();
     }
 
-    /** Whether the client of a request in work is still connected, by what its socket says now. */
+    /** Whether the client of a request in flight is still connected, judged by reading its socket now. */
     protected final boolean isClientConnected(HttpServerRequest request) {
         ClientConnection client = connections.get(request.connection());
         return client != null && client.isConnected();
     }
 
-    /** A connection is closed. */
+    /** Called when a client connection has closed. */
     protected void connectionClosed(HttpConnection connection) {}
 
     private void connectionOpened(HttpConnection connection) {
@@ -142,8 +145,8 @@
     }
 
     /**
-     * The connection that deserves it least is closed: one that was served nothing, else the one used least.
-     * Danger: by age alone a crowd that says nothing would drive the usual clients out.
+     * Closes the idle connection that was served least: one that was served nothing, else the one used least.
+     * By age alone, many idle clients would evict the regular ones.
      */
     private void evictFor(ClientConnection newcomer) {
         for (int tries = 0; tries < MAX_EVICTION_ATTEMPTS; tries++) {
@@ -169,7 +172,7 @@
         return server.listen().map(HttpServer::actualPort);
     }
 
-    /** Whether every answer closes its connection. */
+    /** Whether every response closes its connection. */
     protected final boolean closesConnections() {
         return base.state().closesAfterResponse();
     }
@@ -179,7 +182,7 @@
         return !connections.isEmpty();
     }
 
-    /** Closes connections as they fall idle, and is done when none is left. */
+    /** Closes connections as they become idle; completes when none is left or after the timeout. */
     @Override
     public final Future<Void> shut(long timeoutMillis) {
         Promise<Void> done = Promise.promise();
@@ -188,8 +191,8 @@
     }
 
     private void closeIdleUntilDone(Promise<Void> done, long remainingMillis) {
-        // Danger: a client that has just had its answer may have sent its next request; that one's answer
-        // says that it is the last.
+        // A client that has just read its response may have sent its next request, whose response then says that
+        // it is the last.
         double now = base.clock().now();
         for (ClientConnection client : List.copyOf(connections.values())) {
             client.closeIfQuiet(now);
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -15,7 +15,10 @@
 import nettlewick.core.RequestCoordinator;
 import nettlewick.core.UsageRecorder;
 
-/** The platform's own front: one job, one request, one answer. Lives on the event loop. */
+/**
+ * Serves the platform's clients: each HTTP request is one request to schedule, with one response. Lives on
+ * the event loop.
+ */
 public final class PlatformFrontend extends HttpFrontend {
     private static final int SERVICE_UNAVAILABLE = 503;
 
@@ -26,10 +29,12 @@
     private final BooleanSupplier hasEndpointList;
     private final TrafficListener trafficListener;
 
+    /** Creates a frontend whose traffic nobody observes. */
     public PlatformFrontend(Base environment) {
         this(environment, TrafficListener.NONE);
     }
 
+    /** Creates a frontend that shows its traffic to a listener. */
     public PlatformFrontend(Base environment, TrafficListener trafficListener) {
         super(environment, environment.config().listen(), -1);
         this.trafficListener = trafficListener;
--- a/src/main/java/nettlewick/net/client/RequestReader.java
+++ b/src/main/java/nettlewick/net/client/RequestReader.java
@@ -14,12 +14,15 @@
 import nettlewick.net.format.NamedNumbers;
 
 /**
- * Reads an RPC from an HTTP request, whole and checked, for every front alike. What is not in order is
- * answered here with its status and never reaches the core.
+ * Parses and checks the HTTP request of a client, for all frontends alike. An invalid one is answered here
+ * and never reaches the coordinator.
  */
 public final class RequestReader {
     private static final String REQUEST_PATH = "/api";
-    /** Answers are due this much before the client gives up: it counts from its send, not from our read. */
+    /**
+     * Responses are due this long before the client's deadline, which counts from its sending and not from
+     * our reading.
+     */
     private static final double DEADLINE_MARGIN_MILLIS = 20;
 
     private static final double MAX_DEADLINE_SECONDS = 3_600;
@@ -28,11 +31,19 @@
 
     private final PlatformConfig config;
 
+    /** Creates a reader that checks requests against this configuration. */
     public RequestReader(PlatformConfig config) {
         this.config = config;
     }
 
-    /** A request in order, but for its caller. */
+    /**
+     * A valid request, still without its caller.
+     *
+     * @param affinityKey names what the request is about; null for none
+     * @param deadline when the response is due, in milliseconds
+     * @param costHint the client's estimate of the cost
+     * @param clientRetry whether the client says that it repeats the request
+     */
     public record Draft(
             String id,
             String jobClass,
@@ -44,6 +55,7 @@
             double costHint,
             boolean clientRetry,
             ForwardedRequest forwarded) {
+        /** The request, with who asked for it. */
         public Request with(Request.Caller caller) {
             return new Request(
                     id,
@@ -60,29 +72,35 @@
         }
     }
 
-    /** Says what is wrong with a request, and the status for it. */
+    /** Why a request is invalid, and with which status it is answered. */
     public static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1;
         private final int status;
 
+        /** Creates the error from the status and the line that are sent to the client. */
         public InvalidRequestException(int status, String message) {
             super(message);
             this.status = status;
         }
 
+        /** The HTTP status that the client gets. */
         public int status() {
             return status;
         }
     }
 
-    /** Whether jobs are handed in at this path. */
+    /** Whether requests for endpoints are accepted at this path. */
     public static boolean isJob(String path) {
         return path != null && (path.equals(REQUEST_PATH) || path.startsWith(REQUEST_PATH + "/"));
     }
 
-    /** Reads the body and the fields, then hands the draft on; {@code now} is when the head came. */
+    /**
+     * Reads the body, parses the request and passes it on; an invalid one is answered here.
+     *
+     * @param receivedAtMillis when the last byte of the request arrived
+     */
     public void read(HttpServerRequest request, double receivedAtMillis, Handler<Draft> consumer) {
-        // Its length is bounded by the guard, which passes whole requests only.
+        // Its length is limited by {@link ClientConnection}, which passes complete requests only.
         Buffer body = Buffer.buffer();
         request.exceptionHandler(e -> {});
         request.handler(body::appendBuffer);
@@ -95,7 +113,7 @@
         });
     }
 
-    /** Answers with a status and a line of text, and closes. */
+    /** Answers with a status and a line of text, and closes the connection. */
     public static void reject(HttpServerRequest request, int status, String message) {
         HttpServerResponse response = request.response();
         if (response.ended() || response.closed()) {
@@ -107,7 +125,12 @@
                 .end(message + '\n');
     }
 
-    /** Checks the parts of a request that came whole at this time, by whatever way. */
+    /**
+     * Checks the parts of a complete request, however it was received.
+     *
+     * @param receivedAtMillis when the last byte of the request arrived
+     * @throws InvalidRequestException if a part is missing or invalid
+     */
     public Draft draft(HttpMethod method, String uri, MultiMap headers, Buffer body, double receivedAtMillis)
             throws InvalidRequestException {
         String id = requireId(headers, "X-Request-Id");
@@ -140,7 +163,7 @@
     }
 
     private static String requireAsciiUri(String uri) throws InvalidRequestException {
-        // Danger: what is not ASCII would go on as other bytes than came. A URI has nothing else.
+        // A URI is ASCII; anything else would be forwarded as other bytes than were received.
         if (!uri.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
             throw new InvalidRequestException(400, "the path is not a URI");
         }
@@ -158,7 +181,7 @@
         return value;
     }
 
-    /** A header that goes on as it came, so nothing that a header cannot carry unchanged. */
+    /** A header that is forwarded unchanged, and so holds only what a header can carry. */
     private static String requireId(MultiMap headers, String header) throws InvalidRequestException {
         String value = requireHeader(headers, header);
         if (value.length() > MAX_ID_LENGTH || !value.chars().allMatch(c -> c >= ' ' && c < 0x7f)) {
@@ -168,7 +191,7 @@
     }
 
     private static double parseNumber(String text, String header, double max) throws InvalidRequestException {
-        // Danger: Java would read "5d", "0x1p3" and "1e9" as numbers too; clients write plain decimals.
+        // Java would also read "5d", "0x1p3" and "1e9" as numbers; clients write plain decimals.
         double value = PLAIN_DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
         if (!(value >= 0 && value <= max)) {
             throw new InvalidRequestException(400, header + " is not a number from 0 to " + (long) max);
@@ -176,7 +199,7 @@
         return value;
     }
 
-    /** The cookie {@code user}, which names what the request is about. */
+    /** The cookie {@code user}, which names what the request is about; null if there is none. */
     private static String userCookie(MultiMap headers) {
         String cookies = headers.get("Cookie");
         if (cookies == null) {
--- a/src/main/java/nettlewick/net/client/StrictHttpDecoder.java
+++ b/src/main/java/nettlewick/net/client/StrictHttpDecoder.java
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpServerOptions;
 import io.vertx.core.http.impl.VertxHttpRequestDecoder;
 
-/** The server's decoder, less its kindness to a request of two lengths; it tells when bytes come. */
+/** The server's HTTP decoder, made strict about requests with two lengths. Reports when bytes arrive. */
 final class StrictHttpDecoder extends VertxHttpRequestDecoder {
     private final Runnable onBytes;
 
@@ -22,8 +22,8 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        // Danger: the decoder would drop the length and go by the chunks, and what stands behind them in the
-        // body would be served as a request of its own: one that no client has sent.
+        // The decoder would ignore the length and use the chunks; what follows them in the body would then be
+        // served as a request that no client has sent.
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 }
--- a/src/main/java/nettlewick/net/client/TrafficListener.java
+++ b/src/main/java/nettlewick/net/client/TrafficListener.java
@@ -5,17 +5,17 @@
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.http.HttpServerResponse;
 
-/** Is shown the traffic that a front serves. Called on the event loop. */
+/** Observes the traffic that a frontend serves. Called on the event loop. */
 public interface TrafficListener {
-    /** Shows nothing to anybody. */
+    /** Ignores all traffic. */
     TrafficListener NONE = new TrafficListener() {};
 
-    /** A request has come whole. */
+    /** A complete request has been received. */
     default void request(HttpServerRequest request, Buffer body) {}
 
-    /** Its answer is about to be written; the headers are those that the front itself has set. */
+    /** The response is about to be written; it has only the headers that the frontend has set. */
     default void answer(HttpServerRequest request, HttpServerResponse response, Buffer body) {}
 
-    /** A connection is closed. */
+    /** Called when a client connection has closed. */
     default void closed(HttpConnection connection) {}
 }
--- a/src/main/java/nettlewick/net/config/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/config/PlatformConfig.java
@@ -9,23 +9,26 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
-import java.util.Set;
 import nettlewick.decision.SchedulerSettings;
 import nettlewick.decision.SchedulerSettings.Idempotency;
-import nettlewick.decision.SchedulerSettings.Limits;
-import nettlewick.decision.SchedulerSettings.LoadReporting;
-import nettlewick.decision.SchedulerSettings.RequestClass;
-import nettlewick.decision.SchedulerSettings.Rules;
-import nettlewick.decision.SchedulerSettings.Scope;
-import nettlewick.decision.SchedulerSettings.Tenant;
 import nettlewick.net.discovery.EndpointListSnapshot;
 import nettlewick.net.format.JsonFields;
 import nettlewick.net.format.SocketAddressParser;
 
-/** What the platform tells a dispatcher: {@code $ROUTER_CONFIG}, with the other variables over it. */
+/**
+ * The configuration of a dispatcher: the file named by {@code $ROUTER_CONFIG}, with other environment
+ * variables over it.
+ *
+ * @param maxSockets how many descriptors the process may open
+ * @param peerListen where peer messages are received; null for nowhere
+ * @param knownEndpoints the endpoint list that the dispatcher starts with; null for none
+ * @param connectTimeoutMillis time for a connection to an endpoint to be established
+ * @param idleTimeoutMillis after how long endpoints close idle connections
+ * @param maxInFlight how many requests may be in flight
+ * @param adminListen where the admin frontend listens; null for nowhere
+ */
 public record PlatformConfig(
         String name,
         SocketAddress listen,
@@ -42,11 +45,12 @@
         List<String> loadReportNames,
         SocketAddress adminListen) {
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final long MAX_DURATION_NANOS = Long.MAX_VALUE / 4;
-    private static final Map<String, Idempotency> IDEMPOTENCY_NAMES = idempotencyNames();
-    private static final Map<String, Scope> SCOPE_NAMES = scopeNames();
 
-    /** Reads the configuration that these environment variables name. */
+    /**
+     * Reads the configuration file that these environment variables name.
+     *
+     * @throws JsonFields.InvalidFieldException if the file cannot be read or a field is invalid
+     */
     public static PlatformConfig load(Map<String, String> environment) {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null) {
@@ -60,8 +64,8 @@
     }
 
     /**
-     * Reads it once more, after SIGHUP. Danger: $ROUTER_DISCOVERY is as old as the process; the address that
-     * the file names now counts over it.
+     * Reads the configuration again, after SIGHUP. The discovery address of the file counts over
+     * $ROUTER_DISCOVERY, which is as old as the process.
      */
     public static PlatformConfig reload(Map<String, String> environment) {
         Map<String, String> remaining = new HashMap<>(environment);
@@ -69,11 +73,15 @@
         return load(remaining);
     }
 
-    /** Reads a configuration from its text. */
+    /**
+     * Parses a configuration.
+     *
+     * @throws JsonFields.InvalidFieldException if a field is invalid
+     */
     public static PlatformConfig of(String text, Map<String, String> environment) {
         JsonFields fields = JsonFields.parse("the configuration", text);
         String seed = fields.text("seed");
-        SchedulerSettings settings = parseSettings(fields.object("settings"));
+        SchedulerSettings settings = SettingsParser.parse(fields.object("settings"));
         List<SocketAddress> peers = new ArrayList<>();
         for (String peer : fields.texts("peers")) {
             peers.add(SocketAddressParser.parse(fields.path("peers") + "[" + peers.size() + "]", peer));
@@ -125,110 +133,7 @@
         return SocketAddressParser.parse(name, override != null ? override : fields.text(name));
     }
 
-    private static SchedulerSettings parseSettings(JsonFields fields) {
-        JsonFields family = fields.objectOrEmpty("family_info");
-        List<Double> kinds = family.numbers("class_kind");
-        List<Double> stretches = family.numbers("class_stretch");
-        List<Double> priorities = family.numbers("class_priority");
-        List<RequestClass> classes = new ArrayList<>();
-        for (JsonFields c : fields.objects("classes")) {
-            int at = classes.size();
-            classes.add(new RequestClass(
-                    c.text("name"),
-                    choice(c, "repeat", IDEMPOTENCY_NAMES, null),
-                    choice(c, "dedup_scope", SCOPE_NAMES, Scope.ALL),
-                    c.integerOr("window", 0, 0, MAX_DURATION_NANOS),
-                    c.integer("aim", 1, MAX_DURATION_NANOS),
-                    c.numberOr("aim_stretch", elementOr(stretches, at, 0), 0, 1e9),
-                    c.integerOr("deadline", 0, 0, MAX_DURATION_NANOS),
-                    c.numberOr("worth", 1, 0, 1e9),
-                    c.numberOr("late_worth", 0, 0, 1e9),
-                    c.flag("stream"),
-                    (int) elementOr(kinds, at, -1),
-                    (int) elementOr(priorities, at, 0)));
-        }
-        List<Tenant> tenants = new ArrayList<>();
-        for (JsonFields t : fields.objects("tenants")) {
-            tenants.add(
-                    new Tenant(t.text("name"), t.numberOr("fraction", 0, 0, 1), t.numberOr("quota_per_s", 0, 0, 1e9)));
-        }
-        JsonFields ceilings = fields.object("ceilings");
-        JsonFields rules = fields.object("rules");
-        String source = fields.objectOrEmpty("report").textOr("source", "off");
-        String weights = fields.textOr("weights", "off");
-        try {
-            return new SchedulerSettings(
-                    (int) fields.integer("rank", 0, 1 << 20),
-                    (int) fields.integer("fleet_size", 1, 1 << 20),
-                    fields.textOr("zone", null),
-                    classes,
-                    tenants,
-                    fields.texts("models"),
-                    "on_request".equals(fields.textOr("membership_mode", "pushed")),
-                    "nominal".equals(weights) || "rough".equals(weights),
-                    "inline".equals(source)
-                            ? LoadReporting.INLINE
-                            : "on_probe".equals(source) ? LoadReporting.ON_PROBE : LoadReporting.OFF,
-                    family.integerOr("progress", 0, 0, MAX_DURATION_NANOS),
-                    new Limits(
-                            (int) ceilings.integer("attempts_cap", 1, 1000),
-                            ceilings.flag("cancel"),
-                            ceilings.flag("peers"),
-                            ceilings.flag("probes"),
-                            ceilings.flag("retry_after"),
-                            ceilings.flag("second_copies"),
-                            ceilings.integerOr("max_retry_after", 0, 0, MAX_DURATION_NANOS)),
-                    new Rules(
-                            rules.integerOr("answer_slack", 0, 0, MAX_DURATION_NANOS),
-                            rules.integerOr("ask_within", 1_000_000_000, 0, MAX_DURATION_NANOS),
-                            rules.integerOr("cold", 0, 0, MAX_DURATION_NANOS),
-                            rules.numberOr("cold_share", 1, 0, 1),
-                            rules.integerOr("drain_grace", 0, 0, MAX_DURATION_NANOS),
-                            rules.integerOr("fall", 0, 0, MAX_DURATION_NANOS),
-                            rules.numberOr("overload_factor", 1, 0, 1e9)));
-        } catch (IllegalArgumentException e) {
-            throw new JsonFields.InvalidFieldException("settings", e.getMessage(), "settings that make sense");
-        }
-    }
-
-    private static double elementOr(List<Double> list, int index, double defaultValue) {
-        return index < list.size() ? list.get(index) : defaultValue;
-    }
-
-    /** The words of the settings for what a repeated request may do, in the order in which an error lists them. */
-    private static Map<String, Idempotency> idempotencyNames() {
-        Map<String, Idempotency> names = new LinkedHashMap<>();
-        names.put("retryable", Idempotency.IDEMPOTENT);
-        names.put("dedup", Idempotency.KEYED);
-        names.put("fragile", Idempotency.NON_IDEMPOTENT);
-        return names;
-    }
-
-    private static Map<String, Scope> scopeNames() {
-        Map<String, Scope> names = new LinkedHashMap<>();
-        for (Scope scope : Scope.values()) {
-            names.put(scope.name().toLowerCase(Locale.ROOT), scope);
-        }
-        return names;
-    }
-
-    private static <E> E choice(JsonFields fields, String name, Map<String, E> values, E defaultValue) {
-        if (defaultValue != null && !fields.has(name)) {
-            return defaultValue;
-        }
-        E value = values.get(fields.text(name));
-        if (value == null) {
-            throw new JsonFields.InvalidFieldException(
-                    fields.path(name), fields.text(name), "one of " + names(values.keySet()));
-        }
-        return value;
-    }
-
-    private static List<String> names(Set<String> values) {
-        return values.stream().map(value -> value.toUpperCase(Locale.ROOT)).toList();
-    }
-
-    /** The fields in which that one differs and which cannot change while the dispatcher runs. */
+    /** The names of the fields in which that configuration differs and which only a restart can change. */
     public List<String> restartOnlyChanges(PlatformConfig next) {
         Map<String, Boolean> same = new LinkedHashMap<>();
         same.put("name", name.equals(next.name));
@@ -244,7 +149,7 @@
                 .toList();
     }
 
-    /** This one, with what may change while the dispatcher runs as in that one. */
+    /** This configuration, with the fields that may change at run time taken from that one. */
     public PlatformConfig withReloaded(PlatformConfig next) {
         return new PlatformConfig(
                 name,
@@ -263,7 +168,7 @@
                 adminListen);
     }
 
-    /** The same, but for clients at any free port: for a warm-up that nobody else sees. */
+    /** This configuration listening at any free port, for a warm-up that no client sees. */
     public PlatformConfig withFreeListenPort() {
         return new PlatformConfig(
                 name,
@@ -282,13 +187,23 @@
                 adminListen);
     }
 
-    /** Whether a job of this class may run more than once without harm. */
+    /**
+     * The random seed of a process. Both processes of an upgrade are configured with the same seed, but peers identify
+     * an incarnation by a number drawn from it and would ignore messages of a second incarnation with the same number.
+     *
+     * @param isSuccessor whether another process of this dispatcher was alive at the start
+     */
+    public long processSeed(boolean isSuccessor) {
+        return isSuccessor ? seed ^ ProcessHandle.current().pid() * 0x9e3779b97f4a7c15L : seed;
+    }
+
+    /** Whether a request of this class may run more than once without harm. */
     public boolean isIdempotentClass(String requestClass) {
         return settings.classes().stream()
                 .anyMatch(c -> c.name().equals(requestClass) && c.idempotency() == Idempotency.IDEMPOTENT);
     }
 
-    /** True if this is a class of the settings. */
+    /** Whether the settings define this request class. */
     public boolean hasClass(String name) {
         return settings.classes().stream().anyMatch(c -> c.name().equals(name));
     }
--- a/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
+++ b/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
@@ -16,7 +16,10 @@
 import nettlewick.log.ComponentLogger;
 import nettlewick.net.format.JsonFields;
 
-/** The standing watch on discovery: resumed where it broke, with growing pauses. Lives on the event loop. */
+/**
+ * Watches the discovery service for endpoint updates and resumes the watch with exponential backoff when it
+ * breaks. Lives on the event loop.
+ */
 public final class DiscoveryWatch {
     private static final ComponentLogger LOG = ComponentLogger.of("resolver");
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
@@ -26,7 +29,7 @@
     private final Clock clock;
     private final Consumer<EndpointListSnapshot> listener;
     private SocketAddress discovery;
-    /** Version of the list as this address counts; below 0 before its first word. */
+    /** Sequence number of the list as this address counts; below 0 before its first message. */
     private long sequence = -1;
 
     private final WatchStalenessTimer stalenessTimer;
@@ -34,6 +37,7 @@
     private boolean stopped;
     private HttpClientConnection connection;
 
+    /** Creates a watch that passes updates to a listener; it does not connect yet. */
     public DiscoveryWatch(
             Vertx vertx,
             SocketAddress discovery,
@@ -48,7 +52,7 @@
         this.listener = listener;
     }
 
-    /** Applies the list that was known before, if there is one, then watches. */
+    /** Applies the list that was known before, if there is one, then starts the watch. */
     public void start(EndpointListSnapshot known) {
         if (known != null) {
             sequence = known.sequence();
@@ -57,7 +61,7 @@
         connect();
     }
 
-    /** Looks when the call that is open would count as broken; words that come meanwhile move that on. */
+    /** Checks at its deadline whether the current call is broken; messages meanwhile postpone the deadline. */
     private void scheduleDeadlineCheck(int call) {
         double remainingMillis = stalenessTimer.deadline() - clock.now();
         vertx.setTimer(
@@ -86,7 +90,7 @@
                 .onFailure(e -> endCall(call, "cannot connect"))
                 .onSuccess(opened -> {
                     if (call != currentCall) {
-                        // The watch moved on while this connection came up.
+                        // The watch has moved on while this connection was established.
                         opened.close();
                         return;
                     }
@@ -144,7 +148,7 @@
             sequence = snapshot.sequence();
             listener.accept(snapshot);
         } else if (snapshot.sequence() < sequence) {
-            // Discovery has started anew and counts from the beginning: its changes mean nothing without its
+            // Discovery has restarted and counts from the beginning: its changes mean nothing without a complete
             // list.
             sequence = -1;
             endCall(call, "versions start anew");
@@ -152,8 +156,8 @@
     }
 
     /**
-     * Discovery is at another address now. What is held stands until the whole list has come from there.
-     * Danger: the new one counts on its own; asked for what came after the old one's number, it may tell
+     * Moves the watch to another address. The current list stays in force until a complete one arrives. The
+     * new service has its own sequence numbers: asked for changes after the old one's number, it might send
      * nothing for long.
      */
     public void moveTo(SocketAddress newAddress) {
@@ -171,13 +175,13 @@
         connect();
     }
 
-    /** Ends the watch for good. Danger: a round begun on a client that is closed would throw. */
+    /** Ends the watch for good; a call started on a closed client would throw. */
     public void stop() {
         currentCall++;
         stopped = true;
     }
 
-    /** Ends this round of the watch, once, and begins another after a pause. */
+    /** Ends the current call, once, and starts the next one after a pause. */
     private void endCall(int call, String reason) {
         if (call != currentCall) {
             return;
--- a/src/main/java/nettlewick/net/discovery/EndpointListSnapshot.java
+++ b/src/main/java/nettlewick/net/discovery/EndpointListSnapshot.java
@@ -11,20 +11,24 @@
 import nettlewick.net.format.SocketAddressParser;
 
 /**
- * What discovery told: a version of the list of sim runners, whole or only what changed. {@code faults} says
- * which entries could not be read; they are left out and do not cost the others.
+ * An endpoint update from discovery: the complete list, or only what changed.
+ *
+ * @param sequence version of the list as the service counts
+ * @param complete whether the list replaces all former entries
+ * @param faults why entries could not be read; these are left out and do not affect the others
  */
 public record EndpointListSnapshot(
         long sequence,
         boolean complete,
         List<ReachableEndpoint> endpoints,
         List<JsonFields.InvalidFieldException> faults) {
-    /** A sim runner and where this dispatcher reaches it. */
+    /** An endpoint and the address at which this dispatcher reaches it; null for one that is gone. */
     public record ReachableEndpoint(EndpointUpdate.Entry entry, SocketAddress address) {}
 
     private static final Map<String, EndpointState> HEALTH_NAMES = new HashMap<>(
             Map.of("Ready", EndpointState.READY, "Terminating", EndpointState.DRAINING, "Gone", EndpointState.GONE));
 
+    /** Parses an update; entries that cannot be read are reported as faults. */
     public static EndpointListSnapshot parse(JsonFields fields) {
         List<ReachableEndpoint> endpoints = new ArrayList<>();
         List<JsonFields.InvalidFieldException> faults = new ArrayList<>();
@@ -59,6 +63,7 @@
                         : SocketAddressParser.parse(fields.path("dial"), fields.text("dial")));
     }
 
+    /** The update without addresses, as the request coordinator takes it. */
     public EndpointUpdate toEndpointUpdate() {
         return new EndpointUpdate(
                 complete, endpoints.stream().map(ReachableEndpoint::entry).toList());
--- a/src/main/java/nettlewick/net/discovery/JsonObjectFramer.java
+++ b/src/main/java/nettlewick/net/discovery/JsonObjectFramer.java
@@ -6,11 +6,12 @@
 import nettlewick.net.format.JsonFields;
 
 /**
- * Cuts what discovery writes into JSON objects, on one line each or indented over several, wherever the bytes
- * are cut. Between objects only white space may stand; a line that ends there is a sign of life. Pure.
+ * Splits the byte stream from discovery into JSON objects, on one line each or indented over several, however
+ * the bytes are split. Only white space may stand between objects; a line that ends there shows that the
+ * service is alive. Does no I/O.
  */
 final class JsonObjectFramer {
-    /** One object may be so long, in bytes. */
+    /** Maximum length of one object, in bytes. */
     static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
@@ -19,10 +20,11 @@
     private boolean escaped;
 
     /**
-     * Takes the next bytes in, and hands on each object that they complete.
+     * Takes the next bytes and passes on each object that they complete.
      *
-     * @return whether a line ended between objects, or an object did
-     * @throws Fields.Bad for what is neither an object nor white space, and for an object that is too long
+     * @return whether a line between objects, or an object, has ended
+     * @throws JsonFields.InvalidFieldException for anything that is neither an object nor white space, and
+     *     for an object that is too long
      */
     boolean feed(byte[] bytes, Consumer<String> consumer) {
         boolean messageEnded = false;
--- a/src/main/java/nettlewick/net/discovery/PollBackoff.java
+++ b/src/main/java/nettlewick/net/discovery/PollBackoff.java
@@ -3,17 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * How long a watch that broke waits before discovery is asked again, in milliseconds. A dispatcher's own
- * agent bears any number of calls. Where discovery is asked, it is one service for the whole tier, which
- * works through calls one after another: what all ask together grows with the tier, and calls that are given
- * up and made again take the place of others. Pure; the random numbers are the caller's.
+ * Exponential backoff with jitter between calls to discovery, in milliseconds. An agent on the own machine
+ * bears any number of calls. A shared service handles the calls of all dispatchers one after another, so the
+ * pauses grow with their number. Does no I/O; the random numbers are the caller's.
  */
 final class PollBackoff {
     private static final double MIN_PAUSE_MILLIS = 100;
     private static final double MAX_PAUSE_MILLIS = 2000;
-    /** The most at an agent, which bears any number of calls: what it gets at its return counts at once. */
+    /** Longest pause for an agent: what it sends after its return is needed at once. */
     private static final double AGENT_MAX_PAUSE_MILLIS = 400;
-    /** A first word that has not come for so long will not: of one that is asked, and at its slowest. */
+    /** Time for the first message, of an agent and of a shared service at its slowest. */
     private static final double FIRST_MESSAGE_TIMEOUT_MILLIS = 1500;
 
     private static final double MAX_FIRST_MESSAGE_TIMEOUT_MILLIS = 5000;
@@ -41,26 +40,29 @@
         ceilingMillis = minMillis;
     }
 
-    /** Word has come: the next pause is a short one again. */
+    /** A list has arrived: the next pause is a short one again. */
     void reset() {
         ceilingMillis = minMillis;
     }
 
-    /** For how long a first line is waited for. Danger: a call that waits its turn is made anew too soon. */
+    /**
+     * Time to wait for the first message; shorter, a call to a busy shared service would be repeated too
+     * early.
+     */
     double firstMessageTimeoutMillis() {
         return firstMessageTimeoutMillis;
     }
 
-    /** Whether discovery is one service that all ask. */
+    /** Whether discovery is one service that all dispatchers call, and not an agent of this one. */
     boolean isSharedService() {
         return sharedService;
     }
 
     /**
-     * The next pause; the one after may be twice as long. All that were cut off at once come back spread over
-     * the whole of it where they share one discovery.
+     * Draws the next pause; the limit for the one after doubles. Pauses for a shared service are drawn from
+     * the whole range, so that dispatchers cut off together return spread out.
      *
-     * @param most no pause is longer than this: what is left until what was missed counts as told
+     * @param limitMillis upper limit of this pause
      */
     double nextPauseMillis(double limitMillis) {
         double boundMillis = Math.min(limitMillis, ceilingMillis);
--- a/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
+++ b/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
@@ -4,30 +4,29 @@
 import nettlewick.decision.SchedulerSettings;
 
 /**
- * The one clock for the list of runners (docs/service.md): when a watch on discovery counts as broken, and
- * when it is opened anew. What a watch that fell silent misses counts as told {@link #TOLD} later, arrived or
- * not; where a call may have to wait its turn, 2 s after that wait, if later. So a silent watch has to
- * be found out, opened and answered inside that time, with calls that fail between. Times are milliseconds.
- * Pure: time is handed in, the pauses' random numbers are the caller's.
+ * Decides when a watch on discovery counts as broken and when it is resumed (docs/service.md). What a silent
+ * watch misses counts as notified {@link #NOTIFIED_AFTER_MILLIS} later, whether it arrived or not; where a
+ * call may have to wait for the service, {@link #NOTIFIED_AFTER_WAIT_MILLIS} after that wait, if later. So a
+ * silent watch has to be noticed, resumed and answered within that time, with failing calls in between. Times
+ * are in milliseconds. Does no I/O: the caller passes the time and the random numbers.
  */
 public final class WatchStalenessTimer {
-    /** What a silent watch missed counts as told after this long. */
+    /** What a silent watch missed counts as notified after this time. */
     static final double NOTIFIED_AFTER_MILLIS = 6000;
     /** Discovery writes an empty line this often while nothing changes. */
     private static final double KEEP_ALIVE_INTERVAL_MILLIS = 2000;
-    /** An agent costs nothing to ask: silent for a line and a half; one that all ask, for over two. */
+    /** Silence after which a watch is broken: an agent can be called freely, a shared service cannot. */
     private static final double AGENT_SILENCE_MILLIS = 1.5 * KEEP_ALIVE_INTERVAL_MILLIS;
 
     private static final double SHARED_SERVICE_SILENCE_MILLIS = 2.25 * KEEP_ALIVE_INTERVAL_MILLIS;
-    /** Where the wait for one's turn is over, what was missed counts as told after this long. */
+    /** Time after the wait for a shared service at which what was missed counts as notified. */
     private static final double NOTIFIED_AFTER_WAIT_MILLIS = 2000;
-    /** An agent that has answered once, with a warm client: connection and first word in this time. */
+    /** Time for connection and first message of an agent that has answered before. */
     private static final double KNOWN_AGENT_FIRST_MESSAGE_MILLIS = 700;
 
     /**
-     * A first word that stops halfway, on a call that replaces a broken one: given up so early twice, so that
-     * two such calls and the pauses between leave time for a third. An agent that is only slow is then waited
-     * for.
+     * A first message that stops halfway, on a call that replaces a broken one, is given up this early twice,
+     * which leaves time for a third call. After that a slow agent is waited for.
      */
     private static final double PARTIAL_FIRST_MESSAGE_MILLIS = 800;
 
@@ -36,14 +35,14 @@
     private final PollBackoff backoff;
     private final double maxSilenceMillis;
     private final double notifiedAfterMillis;
-    /** Whether this address has ever said a word. */
+    /** Whether this address has ever sent a message. */
     private boolean hasEverAnswered;
 
     private boolean receivedBytes;
     private boolean receivedMessage;
-    /** Whether a call before this one has failed, or was to another address. */
+    /** Whether an earlier call failed or was to another address. */
     private boolean isReplacement;
-    /** Calls in a row that were given up in the middle of their first word. */
+    /** Consecutive calls that were given up in the middle of their first message. */
     private int partialFirstMessages;
 
     private double deadline = Double.POSITIVE_INFINITY;
@@ -62,7 +61,11 @@
                 : NOTIFIED_AFTER_MILLIS;
     }
 
-    /** By a site's settings; the seed is that of the pauses. */
+    /**
+     * A timer for these settings.
+     *
+     * @param seed of the random numbers of the pauses
+     */
     public static WatchStalenessTimer of(SchedulerSettings settings, long seed) {
         double maxWaitMillis = settings.rules().askWithin() / 1e6;
         return new WatchStalenessTimer(
@@ -71,12 +74,12 @@
                 maxWaitMillis);
     }
 
-    /** After how long at most what a watch missed counts as told, from its last word. */
+    /** Longest time from the last message until what a watch missed counts as notified, in milliseconds. */
     double notifiedAfterMillis() {
         return notifiedAfterMillis;
     }
 
-    /** A call begins: it has to connect and bring its first word in time. */
+    /** A call starts; it has to connect and bring its first message before the deadline. */
     void callStarted(double now) {
         receivedBytes = false;
         receivedMessage = false;
@@ -86,7 +89,10 @@
                         : backoff.firstMessageTimeoutMillis());
     }
 
-    /** Part of a word has come: a long first one is waited for, but no word for longer than silence. */
+    /**
+     * Part of a message has arrived: a long first message is waited for, but none for longer than the allowed
+     * silence.
+     */
     void bytesReceived(double now) {
         if (!receivedBytes) {
             receivedBytes = true;
@@ -95,7 +101,7 @@
         }
     }
 
-    /** A whole word has come, an empty line too. */
+    /** A complete message has arrived; an empty line is one. */
     void messageReceived(double now) {
         receivedBytes = true;
         receivedMessage = true;
@@ -106,19 +112,19 @@
         lastMessageAt = now;
     }
 
-    /** A whole list or change has come in order: the next pause is a short one again. */
+    /** A valid list or change has arrived: the next pause is a short one again. */
     void listReceived() {
         backoff.reset();
     }
 
-    /** When the call that is open counts as broken; infinite while none is. */
+    /** When the current call counts as broken, in milliseconds; infinite while there is none. */
     double deadline() {
         return deadline;
     }
 
     /**
-     * The call is over; how long to wait until the next. While what may have been missed does not count as
-     * told yet, the pause leaves time for one more call after it.
+     * The call is over; returns the pause until the next one, in milliseconds. Until what may have been
+     * missed counts as notified, the pause leaves time for one more call.
      */
     double callEnded(double now) {
         deadline = Double.POSITIVE_INFINITY;
@@ -129,7 +135,7 @@
         return backoff.nextPauseMillis(remainingMillis > 0 ? remainingMillis : Double.POSITIVE_INFINITY);
     }
 
-    /** Discovery is at another address now, of which nothing is known. */
+    /** Discovery has another address, of which nothing is known. */
     void addressChanged() {
         hasEverAnswered = false;
         isReplacement = true;
--- a/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
+++ b/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
@@ -12,12 +12,12 @@
 import nettlewick.decision.EndpointLoad;
 import nettlewick.net.format.JsonFields;
 
-/** One attempt of an RPC at a sim runner; the answer tells of it line by line. */
+/** One attempt to have an endpoint serve a request; the response reports its progress line by line. */
 final class AttemptExchange extends OutboundRequest {
-    /** A result is 64 KiB at most, and JSON may write a byte of it in six. */
+    /** A result has 64 KiB at most, and JSON may need six bytes for one. */
     private static final int MAX_LINE_BYTES = 6 * 65536 + 4096;
 
-    /** A second answer to one request comes some milliseconds after the first; at most this many. */
+    /** A duplicate response follows the first within this time. */
     private static final double DUPLICATE_ANSWER_WINDOW_MILLIS = 50;
 
     private final Attempt attempt;
@@ -31,7 +31,7 @@
     RequestOptions requestOptions() {
         Request request = attempt.request();
         ForwardedRequest forwarded = (ForwardedRequest) request.cargo();
-        double remainingSeconds = Math.max(0.001, (request.deadline() - pools.now()) / 1000);
+        double remainingSeconds = Math.max(0.001, (request.deadline() - pools().now()) / 1000);
         RequestOptions options = new RequestOptions()
                 .setMethod(forwarded.method())
                 .setURI(forwarded.uri())
@@ -47,12 +47,14 @@
 
     @Override
     boolean mayStillSend() {
-        return attempt.mayBegin(pools.now());
+        return attempt.mayBegin(pools().now());
     }
 
     @Override
     double requiredIdleMillis() {
-        return pools.config().isIdempotentClass(attempt.request().requestClass()) ? 0 : DUPLICATE_ANSWER_WINDOW_MILLIS;
+        return pools().config().isIdempotentClass(attempt.request().requestClass())
+                ? 0
+                : DUPLICATE_ANSWER_WINDOW_MILLIS;
     }
 
     @Override
@@ -80,15 +82,14 @@
         try {
             JsonFields fields = JsonFields.parse("a line", text);
             if (fields.has("id") && !fields.text("id").equals(attempt.request().id())) {
-                // Meant for another request: what became of this one is not known, and it is served by
-                // nobody.
+                // A line for another request: what became of this one is unknown, and it counts as failed.
                 finish(AttemptResult.ERROR, null, null);
                 return;
             }
             EndpointLoad load = fields.has("load") ? LoadReport.fromJson(fields.object("load")) : null;
             switch (fields.text("state")) {
-                case "started" -> pools.coordinator().reportProgress(attempt, 0);
-                case "running" -> pools.coordinator().reportProgress(attempt, fields.numberOr("share", 0, 0, 1));
+                case "started" -> pools().coordinator().reportProgress(attempt, 0);
+                case "running" -> pools().coordinator().reportProgress(attempt, fields.numberOr("share", 0, 0, 1));
                 case "done" ->
                     finish(AttemptResult.SERVED, fields.text("result").getBytes(StandardCharsets.UTF_8), load);
                 case "failed" -> finish(AttemptResult.ERROR, null, load);
@@ -103,17 +104,17 @@
 
     @Override
     void requestWritten() {
-        pools.coordinator().figures().relayed();
+        pools().coordinator().figures().relayed();
     }
 
     @Override
     void bodyEnded() {
-        // Danger: an answer that ends in good order without its last line tells nothing: it may have run.
+        // A response that ends without its final line leaves open whether the request ran.
         connectionLost();
     }
 
     @Override
     void reportOutcome(Attempt.Outcome outcome) {
-        pools.coordinator().attemptEnded(attempt, outcome);
+        pools().coordinator().attemptEnded(attempt, outcome);
     }
 }
--- a/src/main/java/nettlewick/net/endpoint/AttemptState.java
+++ b/src/main/java/nettlewick/net/endpoint/AttemptState.java
@@ -3,11 +3,11 @@
 import nettlewick.decision.AttemptResult;
 
 /**
- * What is known of one call attempt from its place on a connection: whether it may have run, and its one end.
- * Holds no socket, so that a model can be checked against it.
+ * Whether an attempt may have run, and its single result. Holds no socket, so that it can be compared with a
+ * model.
  */
 final class AttemptState {
-    /** How far the call has come. */
+    /** The phases of an attempt. */
     enum Phase {
         CONNECTING,
         WRITING,
@@ -22,12 +22,15 @@
         return phase;
     }
 
-    /** How it ended; null while it has not. */
+    /** The result; null while the attempt is not over. */
     AttemptResult result() {
         return result;
     }
 
-    /** A connection is there and the first byte goes out. False if the call is over by now: write nothing. */
+    /**
+     * The first byte is about to be written; returns false if the attempt is already over and nothing may be
+     * written.
+     */
     boolean beginWriting() {
         if (phase != Phase.CONNECTING) {
             return false;
@@ -36,24 +39,23 @@
         return true;
     }
 
-    /** It starts over on another connection, as only what is harmless to repeat may. */
+    /** Starts over on another connection; only for requests that may safely be repeated. */
     void restart() {
         phase = phase == Phase.OVER ? phase : Phase.CONNECTING;
     }
 
-    /** The last byte is written: from now on it may have run. */
+    /** The last byte is written: from now on the request may run. */
     void lastByteWritten() {
         phase = phase == Phase.WRITING ? Phase.SENT : phase;
     }
 
-    /** The connection never came up, broke or ended. Returns the end, or null if there was one before. */
+    /** The connection was not established, broke or ended; returns the result, or null if there was one before. */
     AttemptResult connectionLost() {
-        // Danger: a request cut off before its last byte never ran and may go again, a mark-submit too;
-        // one that broke after it may have run.
+        // A request cut off before its last byte never ran and may always be retried; after it, it may have run.
         return finish(phase == Phase.SENT ? AttemptResult.BROKEN : AttemptResult.UNREACHABLE);
     }
 
-    /** The runner, or this side, ended the call so. Returns the end, or null if there was one before. */
+    /** The endpoint, or this side, ended the attempt; returns the result, or null if there was one before. */
     AttemptResult finish(AttemptResult finalResult) {
         if (phase == Phase.OVER) {
             return null;
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
@@ -20,7 +20,11 @@
 import nettlewick.net.discovery.EndpointListSnapshot;
 import nettlewick.net.peer.PeerSocket;
 
-/** All sim runners of the resolver's list, and the calls to them. Lives on the event loop. */
+/**
+ * The endpoints of discovery's list, the connections to them, and the requests in flight on these. Carries
+ * out the transport actions of the request coordinator. Lives on the event loop, unless a method says
+ * otherwise.
+ */
 public final class EndpointConnectionPools implements Transport {
     private static final long IDLE_SWEEP_MILLIS = 250;
 
@@ -40,6 +44,7 @@
     private volatile int pendingConnects;
     private boolean descriptorsShared;
 
+    /** Creates pools without endpoints. */
     public EndpointConnectionPools(
             Vertx vertx, Context eventLoop, PlatformConfig config, Clock clock, PeerSocket peerSocket) {
         this.vertx = vertx;
@@ -47,8 +52,8 @@
         this.config = config;
         this.clock = clock;
         this.peerSocket = peerSocket;
-        // Connections are owned here, one by one: nothing is pooled, pipelined, followed or sent again.
-        // Danger: a time-out given with a single connect is not heeded by Vert.x 5.0.7; the client's is.
+        // Connections are managed here one by one, so nothing is pooled, pipelined, redirected or retried by the
+        // client. Vert.x 5.0.7 ignores the timeout of a single connect; that of the client applies.
         int timeout = (int) Math.max(1, Math.ceil(config.connectTimeoutMillis()));
         client = vertx.createHttpClient(new HttpClientOptions()
                 .setConnectTimeout(timeout)
@@ -58,7 +63,7 @@
                 .setMaxRedirects(0));
     }
 
-    /** Ties the knot; before the event loop starts work. */
+    /** Sets the coordinator that outcomes are reported to; called before any request is sent. */
     public void bind(RequestCoordinator target) {
         coordinator = target;
         vertx.setPeriodic(
@@ -68,12 +73,12 @@
                         .forEach(connections -> connections.idle().expire(now())));
     }
 
-    /** Whether another process uses the same descriptors. */
+    /** Sets whether another process of this dispatcher uses the same descriptors. */
     public void setDescriptorsShared(boolean isShared) {
         descriptorsShared = isShared;
     }
 
-    /** Takes over what may change: the addresses of peers and the patience of idle connections. */
+    /** Applies what may change at run time: the addresses of peers and the idle timeout. */
     public void reload(PlatformConfig next) {
         config = next;
         peerSocket.reload(next);
@@ -91,6 +96,7 @@
         return config;
     }
 
+    /** The HTTP client that all connections are made with. */
     public HttpClientAgent client() {
         return client;
     }
@@ -111,7 +117,7 @@
         pendingConnects += more;
     }
 
-    /** Whether one more connection may be opened; the longest idle one anywhere makes way for it. */
+    /** Whether one more connection may be opened; if need be, the one that has been idle longest is closed. */
     boolean makeRoomForConnection() {
         if (openConnections < DescriptorBudget.maxEndpointConnections(config, descriptorsShared)) {
             return true;
@@ -124,7 +130,7 @@
         return false;
     }
 
-    /** Takes the resolver's news over: from now on nothing starts at a runner that is not ready. */
+    /** Applies an endpoint update: from now on nothing starts at an endpoint that is not ready. */
     public void applySnapshot(EndpointListSnapshot snapshot) {
         if (snapshot.complete()) {
             Map<String, EndpointConnections> missing = new LinkedHashMap<>(endpoints);
@@ -134,19 +140,23 @@
         for (EndpointListSnapshot.ReachableEndpoint entry : snapshot.endpoints()) {
             EndpointConnections connections =
                     endpoints.computeIfAbsent(entry.entry().id(), id -> new EndpointConnections(id, this));
-            connections.setDisabled(disabledEndpoints.contains(connections.endpointId));
+            connections.setDisabled(disabledEndpoints.contains(connections.endpointId()));
             connections.update(entry);
         }
         endpoints.values().removeIf(EndpointConnections::isUnused);
         coordinator.updateEndpoints(snapshot.toEndpointUpdate());
     }
 
-    /** Whether this runner is on the list. */
+    /** Whether this endpoint is on the list. */
     public boolean isListed(String endpoint) {
         return endpoints.containsKey(endpoint) && endpoints.get(endpoint).isListed();
     }
 
-    /** An operator has taken a runner out, or put it back, at that time. */
+    /**
+     * Disables or enables an endpoint.
+     *
+     * @param since when an operator did so, in milliseconds
+     */
     public void setDisabled(String endpoint, boolean disabled, double since) {
         if (disabled) {
             disabledEndpoints.add(endpoint);
@@ -166,7 +176,7 @@
         }
     }
 
-    /** Sends a call that never reached its runner once more, on a new connection. */
+    /** Sends a request that never reached its endpoint once more, on a new connection. */
     void resend(OutboundRequest request) {
         Object owner = owners.get(request);
         EndpointConnections target = owner instanceof Probe probe ? endpoints.get(probe.endpoint()) : null;
@@ -224,17 +234,17 @@
         eventLoop.runOnContext(v -> peerSocket.send(rank, data));
     }
 
-    /** How many connections to runners are coming up. */
+    /** How many connections to endpoints are being established; for any thread. */
     public int pendingConnects() {
         return pendingConnects;
     }
 
-    /** How often discovery has told of this runner, for tests. */
+    /** How many updates of this endpoint have been applied. */
     public int updatesOf(String endpoint) {
         return endpoints.containsKey(endpoint) ? endpoints.get(endpoint).updates() : 0;
     }
 
-    /** The hosts by name, for tests. */
+    /** The ids of all endpoints. */
     Iterable<String> endpointIds() {
         return new ArrayList<>(endpoints.keySet());
     }
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
@@ -8,18 +8,18 @@
 import nettlewick.net.discovery.EndpointListSnapshot;
 
 /**
- * A sim runner and this dispatcher's connections to it. Connecting and sending are apart, so that a call that
- * never reached the runner is known as such. All of it lives on the event loop.
+ * An endpoint and the connections to it. Connecting and sending are separate steps, so that a request that
+ * never reached the endpoint is known as such. Lives on the event loop.
  */
 final class EndpointConnections {
-    /** Idle connections are closed after this part of the time at which the runner's machine closes them. */
+    /** Idle connections are closed after this fraction of the time at which the endpoint's machine closes them. */
     private static final double IDLE_TIMEOUT_FACTOR = 0.6;
 
     private static final double MAX_RESET_WAIT_MILLIS = 20;
 
-    /** One connection; it carries one call at a time. */
+    /** One connection; it carries one request at a time. */
     final class EndpointConnection {
-        final HttpClientConnection connection;
+        private final HttpClientConnection connection;
         private final double connectMillis;
         private OutboundRequest request;
         private boolean closed;
@@ -46,29 +46,33 @@
             }
         }
 
-        /** Whether it has idled before its present call. */
+        HttpClientConnection http() {
+            return connection;
+        }
+
+        /** Whether it was idle before its current request. */
         boolean isReused() {
             return reused;
         }
 
-        /** What became of the present call's request. */
+        /** Records whether the connection broke under its current request. */
         void recordUse(boolean wasBroken) {
             if (reused || wasBroken) {
                 pools.reusePolicy().recordUse(wasBroken);
             }
         }
 
-        /** Whether a job's last byte is held back until the connection has stood the others. */
+        /** Whether the last byte of a request is held back until the connection has proved to work. */
         boolean mustWithholdLastByte() {
             return !pools.reusePolicy().allowsReuse();
         }
 
-        /** Milliseconds in which a reset in answer to what was written is here. */
+        /** Milliseconds within which a reset in response to what was written would arrive. */
         long resetWaitMillis() {
             return (long) Math.min(MAX_RESET_WAIT_MILLIS, Math.ceil(connectMillis) + 1);
         }
 
-        /** The call's answer has come to its end: the connection may carry the next one. */
+        /** The response has ended: the connection may carry the next request. */
         void release(OutboundRequest finished) {
             if (request == finished && !closed) {
                 request = null;
@@ -88,7 +92,7 @@
         }
     }
 
-    final String endpointId;
+    private final String endpointId;
     private final EndpointConnectionPools pools;
     private final IdleConnections<EndpointConnection> idle;
     private SocketAddress address;
@@ -105,17 +109,22 @@
                 () -> pools.config().idleTimeoutMillis() * IDLE_TIMEOUT_FACTOR, EndpointConnection::close);
     }
 
-    /** How often discovery has told of it. */
+    /** The id of the endpoint. */
+    String endpointId() {
+        return endpointId;
+    }
+
+    /** How many updates of this endpoint have been applied; for any thread. */
     int updates() {
         return updates;
     }
 
-    /** Takes news of the runner over. */
+    /** Applies an update of this endpoint. */
     void update(EndpointListSnapshot.ReachableEndpoint update) {
         updates++;
         boolean moved = update.address() != null && !update.address().equals(address);
         if (moved || update.entry().startedAt() != incarnation || update.entry().state() != EndpointState.READY) {
-            // A process that started anew knows nothing of its former connections.
+            // A restarted process does not know its former connections.
             idle.closeAll();
         }
         address = update.address() != null ? update.address() : address;
@@ -123,7 +132,10 @@
         state = update.entry().state();
     }
 
-    /** Taken out by hand: nothing new starts here, no kept connection stays, calls in work end. */
+    /**
+     * Disables or enables the endpoint. While it is disabled nothing new starts here and no idle connection
+     * stays; requests in flight go on.
+     */
     void setDisabled(boolean nowDisabled) {
         disabled = nowDisabled;
         if (nowDisabled) {
@@ -140,7 +152,7 @@
         return state == EndpointState.READY && !disabled;
     }
 
-    /** Whether the runner is on the list. */
+    /** Whether the endpoint is on the list. */
     boolean isListed() {
         return state != EndpointState.GONE;
     }
@@ -153,7 +165,7 @@
         return idle;
     }
 
-    /** Carries a call out, on the newest idle connection or on a new one. */
+    /** Sends a request on the newest idle connection, or on a new one. */
     void send(OutboundRequest request) {
         if (!isReady()) {
             request.finish(AttemptResult.OVERLOADED, null, null);
@@ -170,7 +182,7 @@
         }
     }
 
-    /** Carries a call out on a new connection. */
+    /** Sends a request on a new connection. */
     void sendOnNewConnection(OutboundRequest request) {
         if (!pools.makeRoomForConnection()) {
             request.connectionLost();
@@ -202,8 +214,8 @@
             if (request.isOver()) {
                 keepIdleOrClose(connection);
             } else if (!isReady() || incarnation != expectedIncarnation) {
-                // While the connection came up the runner began to drain and takes nothing new, or it started
-                // anew and what was chosen for a warm runner is not in its slow-start budget.
+                // While the connection was established the endpoint began to drain, or it restarted and its
+                // slow-start budget does not cover this request.
                 request.finish(AttemptResult.OVERLOADED, null, null);
                 keepIdleOrClose(connection);
             } else {
@@ -218,7 +230,7 @@
     }
 
     private void keepIdleOrClose(EndpointConnection connection) {
-        // One is kept for probes where jobs do not use kept ones.
+        // One connection is kept for load probes where requests do not use idle ones.
         if (isReady() && (pools.reusePolicy().allowsReuse() || idle.size() == 0)) {
             connection.reused = true;
             idle.put(connection, pools.now());
--- a/src/main/java/nettlewick/net/endpoint/IdleConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/IdleConnections.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
-/** Connections that carry nothing: the newest is reused first, and none that has idled too long. */
+/** The idle connections to one endpoint: the newest is reused first, and none that has been idle for too long. */
 final class IdleConnections<T> {
     private record IdleConnection<T>(T connection, double idleSince) {}
 
@@ -15,8 +15,11 @@
     private final Consumer<T> closer;
 
     /**
-     * @param patience milliseconds of idling; well below the time at which the runner's side closes, since a
-     *                 request on a connection closed by then ends as a reset that a mark-submit cannot repeat
+     * Creates an empty set.
+     *
+     * @param timeoutMillis how long a connection may be idle; well below the time at which the endpoint
+     *     closes it, since a request on a connection closed by then ends in a reset and may not be repeatable
+     * @param closer closes a connection that leaves the set unused
      */
     IdleConnections(DoubleSupplier timeoutMillis, Consumer<T> closer) {
         this.timeoutMillis = timeoutMillis;
@@ -27,12 +30,12 @@
         idle.addLast(new IdleConnection<>(connection, now));
     }
 
-    /** The connection used last; null if none is young enough. */
+    /** Takes the connection used last; null if none is young enough. */
     T take(double now) {
         return take(now, 0);
     }
 
-    /** The connection used last of those that have rested for so many milliseconds; null for none. */
+    /** Takes the connection used last among those idle for at least that many milliseconds; null for none. */
     T take(double now, double minIdleMillis) {
         expire(now);
         for (Iterator<IdleConnection<T>> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
@@ -45,7 +48,7 @@
         return null;
     }
 
-    /** Closes what has idled too long. */
+    /** Closes the connections that have been idle for too long. */
     void expire(double now) {
         while (!idle.isEmpty() && now - idle.peekFirst().idleSince() >= timeoutMillis.getAsDouble()) {
             closer.accept(idle.pollFirst().connection());
@@ -56,7 +59,7 @@
         idle.removeIf(i -> i.connection() == connection);
     }
 
-    /** Closes the one that has idled longest; false if there is none. */
+    /** Closes the connection that has been idle longest; false if there is none. */
     boolean closeOldest() {
         IdleConnection<T> oldest = idle.pollFirst();
         if (oldest != null) {
--- a/src/main/java/nettlewick/net/endpoint/LoadProbe.java
+++ b/src/main/java/nettlewick/net/endpoint/LoadProbe.java
@@ -9,7 +9,7 @@
 import nettlewick.core.Probe;
 import nettlewick.decision.AttemptResult;
 
-/** A question to a sim runner for its load. */
+/** A request to an endpoint for its load report. */
 final class LoadProbe extends OutboundRequest {
     private static final int MAX_REPORT_BYTES = 4096;
 
@@ -54,6 +54,6 @@
 
     @Override
     void reportOutcome(Attempt.Outcome outcome) {
-        pools.coordinator().probeAnswered(probe, outcome);
+        pools().coordinator().probeAnswered(probe, outcome);
     }
 }
--- a/src/main/java/nettlewick/net/endpoint/LoadReport.java
+++ b/src/main/java/nettlewick/net/endpoint/LoadReport.java
@@ -5,11 +5,11 @@
 import nettlewick.net.format.JsonFields;
 import nettlewick.net.format.NamedNumbers;
 
-/** Load reports as sim runners write them: {@code name=value,name=value}, or the same as a JSON object. */
+/** Reads the load reports of endpoints: {@code name=value,name=value}, or the same as a JSON object. */
 final class LoadReport {
     private LoadReport() {}
 
-    /** The report in a header or body; null if it says nothing that can be read. */
+    /** The report in a header or body; null if it holds nothing that can be read. */
     static EndpointLoad parse(String text) {
         if (text == null || text.isBlank()) {
             return null;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The same value has one name in the settings and may have the simulator's on the sockets. */
+    /** A value has one name in the settings and may have the simulator's name on the wire. */
     private static EndpointLoad toEndpointLoad(Values values) {
         return new EndpointLoad(
                 values.get("x0"),
--- a/src/main/java/nettlewick/net/endpoint/OutboundRequest.java
+++ b/src/main/java/nettlewick/net/endpoint/OutboundRequest.java
@@ -8,16 +8,16 @@
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.EndpointLoad;
 
-/** One request to a sim runner and what comes back: a call attempt or a probe. Lives on the event loop. */
+/** One request to an endpoint and its response: an attempt or a load probe. Lives on the event loop. */
 abstract class OutboundRequest {
-    /** Time for the rest of an answer whose meaning is known; then its connection is closed. */
+    /** Time for the rest of a response whose result is known; then its connection is closed. */
     private static final long RESPONSE_TAIL_MILLIS = 1000;
 
     static final int OK = 200;
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    protected final EndpointConnectionPools pools;
+    private final EndpointConnectionPools pools;
     private final AttemptState state = new AttemptState();
     private EndpointConnections.EndpointConnection connection;
     private boolean responseStarted;
@@ -27,42 +27,49 @@
         this.pools = pools;
     }
 
+    /** The pools that this request is sent through. */
+    final EndpointConnectionPools pools() {
+        return pools;
+    }
+
+    /** Method, path and headers of the request. */
     abstract RequestOptions requestOptions();
 
+    /** The body of the request; may be empty. */
     abstract Buffer body();
 
-    /** The answer's head has come; its body is still to be read. */
+    /** The head of the response has arrived; its body is still to be read. */
     abstract void readResponse(HttpClientResponse response);
 
-    /** The answer's body has come to its end. */
+    /** The body of the response has ended. */
     abstract void bodyEnded();
 
-    /** Whether it may still be sent: asked in each turn that writes some of it. */
+    /** Whether it may still be sent; asked whenever some of it is about to be written. */
     boolean mayStillSend() {
         return true;
     }
 
     /**
-     * For how long, in milliseconds, a kept connection has to have rested before this call may use it: a late
-     * second answer to the request before would be taken for the answer to this one.
+     * How many milliseconds a connection must have been idle before this request may use it: a late duplicate
+     * response to the previous request would be taken for the response to this one.
      */
     double requiredIdleMillis() {
         return 0;
     }
 
-    /** Whether it may be sent once more by itself if the kept connection it was written to turns out dead. */
+    /** Whether it may be sent again at once if the idle connection it was written to turns out to be dead. */
     boolean mayResend() {
         return false;
     }
 
-    /** Tells the core how the call ended; called once at most. */
+    /** Reports the outcome to the coordinator; called once at most. */
     abstract void reportOutcome(Attempt.Outcome outcome);
 
     boolean isOver() {
         return state.phase() == AttemptState.Phase.OVER;
     }
 
-    /** A connection is there: sends the request on it, if it may still go. */
+    /** Sends the request on this connection, if it may still be sent. */
     void write(EndpointConnections.EndpointConnection target) {
         if (!isOver() && !mayStillSend()) {
             finish(AttemptResult.NOT_SENT, null, null);
@@ -72,7 +79,7 @@
             return;
         }
         connection = target;
-        target.connection.request(requestOptions()).onComplete(created -> {
+        target.http().request(requestOptions()).onComplete(created -> {
             if (created.failed()) {
                 target.close();
                 return;
@@ -87,8 +94,9 @@
                 }
             });
             if (target.mustWithholdLastByte() && body().length() > 0) {
-                // Danger: a reset after the last byte leaves open whether it ran. All but that byte goes
-                // first: a connection that does not stand it breaks while it is certain that it has not run.
+                // A reset after the last byte leaves open whether the request ran. Everything but that byte is
+                // sent first: a connection that is dead then breaks while it is certain that the request has not
+                // run.
                 int lastByteIndex = body().length() - 1;
                 request.write(body().slice(0, lastByteIndex));
                 pools.runAfter(
@@ -100,7 +108,7 @@
         });
     }
 
-    /** Sends the last part. Without its last byte a request never runs on a connection that is closed. */
+    /** Sends the last part. Without its last byte a request never runs, once its connection is closed. */
     private void writeLastPart(HttpClientRequest request, Buffer lastPart) {
         if (isOver()) {
             return;
@@ -113,7 +121,7 @@
         }
     }
 
-    /** The request's last byte is on the socket. */
+    /** The last byte of the request has been written to the socket. */
     private void lastByteWritten() {
         state.lastByteWritten();
         if (!requestWritten) {
@@ -122,7 +130,7 @@
         }
     }
 
-    /** It has reached the socket whole; called once at most. */
+    /** The request has been written completely; called once at most. */
     void requestWritten() {}
 
     private void responseReceived(HttpClientResponse response) {
@@ -141,7 +149,7 @@
         readResponse(response);
     }
 
-    /** What an answer without a result means. */
+    /** The result that a response without status 200 stands for. */
     static AttemptResult resultOfError(HttpClientResponse response) {
         int status = response.statusCode();
         boolean didNotRun = (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)
@@ -166,7 +174,7 @@
         }
     }
 
-    /** The call has its end; what is left of its answer is read so that the connection can be used again. */
+    /** The request has its result; the rest of its response is read so that the connection can be reused. */
     void finish(AttemptResult result, byte[] body, EndpointLoad load) {
         if (state.finish(result) != null) {
             reportOutcome(new Attempt.Outcome(result, body, load));
@@ -178,7 +186,7 @@
         }
     }
 
-    /** Nobody waits for it any more: its connection is closed. */
+    /** Nobody waits for the request any more: its connection is closed. */
     void cancel() {
         if (state.finish(AttemptResult.CANCELLED) != null) {
             pools.requestFinished(this);
--- a/src/main/java/nettlewick/net/format/JsonFields.java
+++ b/src/main/java/nettlewick/net/format/JsonFields.java
@@ -9,12 +9,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The fields of one JSON object, with one plain line for what is missing or makes no sense. */
+/**
+ * The fields of one JSON object, read with their type and range. A field that is missing or invalid is
+ * reported in one plain line.
+ */
 public final class JsonFields {
-    /** Names the field and its value in one line. */
+    /**
+     * A field is missing or invalid; the message names the field, its value and what was expected, in one
+     * line.
+     */
     public static final class InvalidFieldException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
+        /** Creates the error; the message is shortened to 300 characters. */
         public InvalidFieldException(String field, Object value, String expected) {
             super(line(field + " is " + value + ", but has to be " + expected));
         }
@@ -33,7 +40,11 @@
         this.object = object;
     }
 
-    /** Reads a text that holds one object; {@code name} is what it is called in messages. */
+    /**
+     * Parses a text that holds one object.
+     *
+     * @param name what the text is called in messages
+     */
     public static JsonFields parse(String name, String text) {
         JsonElement element;
         try {
@@ -51,14 +62,17 @@
         return element.getAsJsonObject();
     }
 
+    /** The path of this field from the outermost object, as messages name it. */
     public String path(String name) {
         return pathPrefix + name;
     }
 
+    /** Whether the field is present and not null. */
     public boolean has(String name) {
         return object.has(name) && !object.get(name).isJsonNull();
     }
 
+    /** The string in this field. */
     public String text(String name) {
         JsonElement e = object.get(name);
         if (e instanceof JsonPrimitive p && p.isString()) {
@@ -67,10 +81,12 @@
         throw new InvalidFieldException(path(name), e, "a text");
     }
 
+    /** The string in this field, or the default if the field is absent. */
     public String textOr(String name, String defaultValue) {
         return has(name) ? text(name) : defaultValue;
     }
 
+    /** The number in this field, which has to be within these limits. */
     public double number(String name, double min, double max) {
         JsonElement e = object.get(name);
         double value = e instanceof JsonPrimitive p && p.isNumber() ? p.getAsDouble() : Double.NaN;
@@ -81,10 +97,12 @@
         return value;
     }
 
+    /** The number in this field, or the default if the field is absent. */
     public double numberOr(String name, double defaultValue, double min, double max) {
         return has(name) ? number(name, min, max) : defaultValue;
     }
 
+    /** The whole number in this field, which has to be within these limits. */
     public long integer(String name, long min, long max) {
         double value = number(name, min, max);
         if (value != Math.rint(value)) {
@@ -93,10 +111,12 @@
         return object.get(name).getAsLong();
     }
 
+    /** The whole number in this field, or the default if the field is absent. */
     public long integerOr(String name, long defaultValue, long min, long max) {
         return has(name) ? integer(name, min, max) : defaultValue;
     }
 
+    /** The boolean in this field; false if the field is absent. */
     public boolean flag(String name) {
         if (!has(name)) {
             return false;
@@ -107,26 +127,29 @@
         throw new InvalidFieldException(path(name), object.get(name), "true or false");
     }
 
+    /** The object in this field. */
     public JsonFields object(String name) {
         return new JsonFields(path(name) + ".", requireObject(path(name), object.get(name)));
     }
 
-    /** The part, or an empty one. */
+    /** The object in this field, or an empty one if the field is absent. */
     public JsonFields objectOrEmpty(String name) {
         return has(name) ? object(name) : new JsonFields(path(name) + ".", new JsonObject());
     }
 
+    /** The length of the array in this field; 0 if the field is absent. */
     public int size(String name) {
         return array(name).size();
     }
 
-    /** The part of that number in an array. */
+    /** The object at that index of the array in this field. */
     public JsonFields object(String name, int index) {
         String elementPath = path(name) + "[" + index + "]";
         return new JsonFields(
                 elementPath + ".", requireObject(elementPath, array(name).get(index)));
     }
 
+    /** The objects of the array in this field; empty if the field is absent. */
     public List<JsonFields> objects(String name) {
         List<JsonFields> parts = new ArrayList<>();
         for (int i = 0; i < size(name); i++) {
@@ -135,6 +158,7 @@
         return parts;
     }
 
+    /** The strings of the array in this field; empty if the field is absent. */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
         for (JsonElement e : array(name)) {
@@ -146,6 +170,7 @@
         return texts;
     }
 
+    /** The numbers of the array in this field; empty if the field is absent. */
     public List<Double> numbers(String name) {
         List<Double> numbers = new ArrayList<>();
         for (JsonElement e : array(name)) {
--- a/src/main/java/nettlewick/net/format/SocketAddressParser.java
+++ b/src/main/java/nettlewick/net/format/SocketAddressParser.java
@@ -3,14 +3,19 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.regex.Pattern;
 
-/** Addresses as the platform writes them: an IP address and a port. */
+/** Reads socket addresses, which are an IP address and a port. */
 public final class SocketAddressParser {
-    // Danger: a name would ask DNS, which the platform does not have, and hang.
+    // A host name would need DNS, which the platform does not have, and would block.
     private static final Pattern IPV4_LITERAL = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}");
 
     private SocketAddressParser() {}
 
-    /** Reads {@code ip:port}; {@code field} names it in the message. */
+    /**
+     * Parses {@code ip:port}, with IPv6 addresses in brackets.
+     *
+     * @param field the name of the field in messages
+     * @throws JsonFields.InvalidFieldException if it is no address
+     */
     public static SocketAddress parse(String field, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
@@ -24,7 +29,7 @@
                 return SocketAddress.inetSocketAddress(port, unbracketed);
             }
         } catch (IllegalArgumentException e) {
-            // said below
+            // Reported below.
         }
         throw new JsonFields.InvalidFieldException(field, '"' + text + '"', "an IP address and a port");
     }
--- a/src/main/java/nettlewick/net/lifecycle/DisabledEndpointStore.java
+++ b/src/main/java/nettlewick/net/lifecycle/DisabledEndpointStore.java
@@ -19,36 +19,40 @@
 import nettlewick.net.format.JsonFields;
 
 /**
- * Which sim runners are out by hand, kept in a file that the processes of an upgrade share. Lives on one
- * thread of each process.
+ * The endpoints that operators have disabled, stored in a file that the processes of an upgrade share. Lives
+ * on one thread of each process.
  */
 public final class DisabledEndpointStore {
     private static final ComponentLogger LOG = ComponentLogger.of("bans");
-    /** How long a return is remembered: a process that starts meanwhile has to know of a cold runner. */
+    /**
+     * How long an enabled endpoint is remembered, for a process that starts meanwhile and has to apply its
+     * slow start.
+     */
     private static final double ENABLED_ENTRY_RETENTION_MILLIS = 60_000;
 
     private static final double MAX_TIMESTAMP_MILLIS = 1e15;
 
-    /** A sim runner that was taken out, or put back, at that time in milliseconds. */
+    /** An endpoint that was disabled or enabled, and when, in milliseconds. */
     public record Entry(String endpoint, boolean disabled, double sinceMillis) {}
 
     private final Path file;
     private Map<String, Entry> entries = new LinkedHashMap<>();
     private Object lastStamp;
 
-    /** Keeps bans in this file; null keeps them in memory alone. */
+    /** Creates a store on this file; null keeps the entries in memory alone. */
     public DisabledEndpointStore(Path file) {
         this.file = file;
     }
 
-    /** Whether this runner is out. */
+    /** Whether this endpoint is disabled. */
     public boolean isDisabled(String endpoint) {
         return entries.containsKey(endpoint) && entries.get(endpoint).disabled();
     }
 
     /**
-     * Takes a runner out or puts it back, on the file first; what is so already stays. What has changed comes
-     * back. Where the file cannot be written, nothing is changed.
+     * Disables or enables an endpoint, in the file first; returns what has changed.
+     *
+     * @throws IOException if the file cannot be written; nothing has changed then
      */
     public List<Entry> setDisabled(String endpoint, boolean disabled, double now) throws IOException {
         Map<String, Entry> before = new LinkedHashMap<>(entries);
@@ -56,7 +60,8 @@
             change(endpoint, disabled, now);
             return changedSince(before);
         }
-        // Danger: both processes of an upgrade may be called at once; the later would undo the earlier.
+        // Both processes of an upgrade may be called at once; without the lock the later would undo the earlier
+        // change.
         try (FileChannel channel =
                         FileChannel.open(sibling(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.lock()) {
@@ -86,7 +91,7 @@
         }
     }
 
-    /** What has changed on the file since this was asked last; everything at first. */
+    /** What has changed in the file since this was last called; everything the first time. */
     public List<Entry> readChanges() {
         if (file == null || Objects.equals(lastStamp, fileStamp())) {
             return List.of();
@@ -110,7 +115,7 @@
         }
     }
 
-    /** Danger: a file that cannot be read must not bring runners back that are being repaired. */
+    /** Reads the file; one that cannot be read must not enable endpoints that are under repair. */
     private void read() {
         try {
             Map<String, Entry> read = new LinkedHashMap<>();
@@ -123,7 +128,7 @@
             }
             entries = read;
         } catch (NoSuchFileException e) {
-            // nothing was ever out
+            // No endpoint was ever disabled.
         } catch (IOException | JsonFields.InvalidFieldException e) {
             LOG.warning("bans-unreadable", "the bans held stay: " + e.getMessage());
         }
--- a/src/main/java/nettlewick/net/lifecycle/HotRestart.java
+++ b/src/main/java/nettlewick/net/lifecycle/HotRestart.java
@@ -17,8 +17,8 @@
 import java.util.List;
 
 /**
- * Which other processes serve as the same dispatcher, told by files in a folder they share. Each process
- * holds a lock on its own file; the kernel gives it back however the process ends. Safe for any thread.
+ * Which other processes run as the same dispatcher, known by files in a shared folder. Each process holds a
+ * lock on its own file; the kernel releases it however the process ends. Safe for any thread.
  */
 public final class HotRestart implements AutoCloseable {
     private static final String ALIVE_SUFFIX = ".alive";
@@ -30,14 +30,16 @@
     private final String ownName;
     private final FileChannel channel;
 
-    /** A process that lives beside this one. */
+    /** Another live process of this dispatcher. */
     private record OtherProcess(String name, boolean serving, boolean idle) {}
 
     /**
-     * Makes this process known.
+     * Registers this process.
      *
-     * @param dispatcher tells dispatchers apart that share the folder
-     * @param startedAt  Unix time in milliseconds: of two processes, the later one is the successor
+     * @param folder the folder that the processes share
+     * @param dispatcher distinguishes dispatchers that share the folder
+     * @param startedAt Unix time in milliseconds; of two processes, the later one is the successor
+     * @throws UncheckedIOException if the file cannot be written
      */
     public HotRestart(Path folder, String dispatcher, long startedAt) {
         this.folder = folder;
@@ -45,7 +47,8 @@
         ownName = String.format(
                 "%s%013d-%d%s", prefix, startedAt, ProcessHandle.current().pid(), ALIVE_SUFFIX);
         try {
-            // Danger: seen before it is locked, the file would be taken for a dead process's and deleted.
+            // Locked before it gets its name: without a lock the file would be taken for a dead process's and
+            // deleted.
             Path made = Files.createTempFile(folder, "nettlewick", ".new");
             channel = FileChannel.open(made, StandardOpenOption.WRITE);
             channel.lock();
@@ -55,12 +58,12 @@
         }
     }
 
-    /** A file that all processes of this dispatcher share. */
+    /** The path of a file that all processes of this dispatcher share. */
     public Path sharedFile(String name) {
         return folder.resolve(prefix + name);
     }
 
-    /** From now on this process takes clients. */
+    /** Announces that this process accepts clients. */
     public void markServing() {
         try {
             channel.write(ByteBuffer.wrap(SERVING_MARK), 0);
@@ -69,7 +72,7 @@
         }
     }
 
-    /** This process has no work in hand that a successor would save by waiting. */
+    /** Announces that this process has no work that a successor would save by waiting. */
     public void markIdle() {
         try {
             channel.write(ByteBuffer.wrap(IDLE_MARK), SERVING_MARK.length);
@@ -78,7 +81,7 @@
         }
     }
 
-    /** Whether a process that started earlier takes clients and has work in hand that waiting may save. */
+    /** Whether a process that started earlier accepts clients and has work that waiting may save. */
     public boolean isPredecessorBusy() {
         return otherProcesses().stream()
                 .anyMatch(other ->
@@ -86,7 +89,7 @@
     }
 
     /**
-     * When the latest process that is to succeed this one, and does not take clients yet, started: Unix time
+     * When the latest process that will succeed this one, and does not accept clients yet, started: Unix time
      * in milliseconds, NaN if there is none.
      */
     public double successorStartedAt() {
@@ -97,7 +100,7 @@
                 .orElse(Double.NaN);
     }
 
-    /** When this process started, as it was told. */
+    /** When this process started, in Unix milliseconds. */
     public double startedAt() {
         return startedAt(ownName);
     }
@@ -110,12 +113,12 @@
         }
     }
 
-    /** Whether another process of this dispatcher lives. */
+    /** Whether another process of this dispatcher is alive. */
     public boolean hasOtherProcess() {
         return !otherProcesses().isEmpty();
     }
 
-    /** Whether a process that started later lives and takes clients. */
+    /** Whether a process that started later is alive and accepts clients. */
     public boolean hasServingSuccessor() {
         return otherProcesses().stream()
                 .anyMatch(other -> other.serving() && other.name().compareTo(ownName) > 0);
@@ -145,7 +148,7 @@
                 Files.deleteIfExists(file);
             }
         } catch (NoSuchFileException e) {
-            // its process has just ended
+            // The process has just ended.
         }
     }
 
--- a/src/main/java/nettlewick/net/lifecycle/ServiceState.java
+++ b/src/main/java/nettlewick/net/lifecycle/ServiceState.java
@@ -1,12 +1,14 @@
 package nettlewick.net.lifecycle;
 
 /**
- * What this process does for clients: the one place that knows whether it is drained by hand, ending, or
- * handing over to a successor.
- * Holds no socket. Any thread may ask or tell; times are the caller's, in milliseconds.
+ * Whether this process serves clients, is drained, shuts down or hands over to a successor. Holds no socket.
+ * Safe for any thread; times are the caller's, in milliseconds.
  */
 public final class ServiceState {
-    /** SHUTTING: nothing more is taken; idle connections are closed, others with their answer. */
+    /**
+     * The phases of a process. In CLOSING nothing more is accepted: idle connections are closed, others with
+     * their response.
+     */
     enum Phase {
         STARTING,
         SERVING,
@@ -17,20 +19,24 @@
     }
 
     /**
-     * After a drain the front learns of it within 0.1 s and connections come for 0.2 s more. Danger: closed
-     * sooner, an idle one may cut off a job just sent; 4 s after the call none may be left.
+     * How long idle connections stay open after a drain. The load balancer notices within 0.1 s and
+     * connections arrive for 0.2 s more; closed sooner, one may cut off a request just sent. None may be left
+     * after 4 s.
      */
     public static final double IDLE_CLOSE_DELAY_MILLIS = 600;
 
     private Phase phase = Phase.STARTING;
     private double drainedAt;
 
-    /** All is there: clients may come. */
+    /** The process is ready to serve clients. */
     public synchronized void startServing() {
         phase = phase == Phase.STARTING ? Phase.SERVING : phase;
     }
 
-    /** Sends clients away; again and again is the same as once. False while this process starts or ends. */
+    /**
+     * Drains the process; repeated calls have no further effect. Returns false while this process starts or
+     * ends.
+     */
     public synchronized boolean drain(double now) {
         if (phase == Phase.SERVING) {
             phase = Phase.DRAINED;
@@ -39,41 +45,45 @@
         return phase == Phase.DRAINED;
     }
 
-    /** Undoes a drain. False if this process ends. */
+    /** Undoes a drain; returns false if this process ends. */
     public synchronized boolean resume() {
         phase = phase == Phase.DRAINED ? Phase.SERVING : phase;
         return phase == Phase.SERVING || phase == Phase.STARTING;
     }
 
-    /** The planned end has begun; a successor on the same address takes new clients meanwhile. */
+    /**
+     * The graceful shutdown has begun.
+     *
+     * @param hasSuccessor whether another process accepts new clients at this address
+     */
     public synchronized void beginShutdown(boolean hasSuccessor) {
         phase = phase == Phase.CLOSING ? phase : hasSuccessor ? Phase.HANDING_OVER : Phase.SHUTTING_DOWN;
     }
 
-    /** The planned end is at its last step. */
+    /** The graceful shutdown closes all connections. */
     public synchronized void closeConnections() {
         phase = Phase.CLOSING;
     }
 
-    /** Whether clients are welcome. */
+    /** Whether this process serves clients. */
     public synchronized boolean isServing() {
         return phase == Phase.SERVING;
     }
 
     /**
-     * Whether {@code /_health} may say yes. Danger: a process that hands over shares its address with its
-     * successor; a no would turn the front away from both.
+     * Whether {@code /_health} may succeed. A process that hands over shares its address with its successor;
+     * failing would turn the load balancer away from both.
      */
     public synchronized boolean isHealthy() {
         return phase == Phase.STARTING || phase == Phase.SERVING || phase == Phase.HANDING_OVER;
     }
 
-    /** Whether clients are being sent away. */
+    /** Whether this process drains or ends. */
     public synchronized boolean leaving() {
         return phase != Phase.SERVING && phase != Phase.STARTING;
     }
 
-    /** Whether every answer closes its connection. */
+    /** Whether every response closes its connection. */
     public synchronized boolean closesAfterResponse() {
         return phase == Phase.DRAINED || phase == Phase.HANDING_OVER || phase == Phase.CLOSING;
     }
--- a/src/main/java/nettlewick/net/peer/PeerSocket.java
+++ b/src/main/java/nettlewick/net/peer/PeerSocket.java
@@ -13,11 +13,14 @@
 import nettlewick.log.ComponentLogger;
 import nettlewick.net.config.PlatformConfig;
 
-/** Short messages to and from the other dispatchers. Lives on the event loop. */
+/**
+ * Sends and receives the datagrams between dispatchers. Lives on the event loop; counters and {@link
+ * #isBound} may be read from any thread.
+ */
 public final class PeerSocket {
     private static final ComponentLogger LOG = ComponentLogger.of("peers");
     private static final int MAX_DATAGRAM_BYTES = 256;
-    /** Between two tries for a port that another process still holds. */
+    /** Interval between attempts to bind a port that another process still holds. */
     private static final long BIND_RETRY_MILLIS = 100;
 
     private PlatformConfig config;
@@ -26,17 +29,18 @@
     private final Vertx vertx;
     private DatagramSocket socket;
     private final Map<String, Integer> ranksByAddress = new HashMap<>();
-    /** Datagrams passed over here: longer than the protocol allows, and from an address that is no peer's. */
+    /** Ignored datagrams: those longer than the protocol allows, and those from an address that is no peer's. */
     private final AtomicLong oversized = new AtomicLong();
 
     private final AtomicLong unknownSenders = new AtomicLong();
 
+    /** Creates the socket; it does not listen yet. */
     public PeerSocket(Vertx vertx, PlatformConfig config) {
         this.vertx = vertx;
         reload(config);
     }
 
-    /** Takes the peers' addresses over. */
+    /** Applies the peers' addresses of this configuration. */
     public void reload(PlatformConfig next) {
         config = next;
         ranksByAddress.clear();
@@ -49,7 +53,7 @@
         return address.hostAddress() + ':' + address.port();
     }
 
-    /** Hands each message on with the sender's rank. */
+    /** Starts listening; passes each message on with its sender's rank. */
     public Future<Void> listen(BiConsumer<Integer, byte[]> handler) {
         if (config.peerListen() == null || !config.settings().limits().peers()) {
             return Future.succeededFuture();
@@ -57,7 +61,7 @@
         socket = vertx.createDatagramSocket(new DatagramSocketOptions());
         socket.exceptionHandler(e -> {});
         socket.handler(packet -> {
-            // Danger: anybody can send a datagram; only a known dispatcher is heard, and only short ones.
+            // Anybody can send a datagram: only short ones from a known dispatcher are accepted.
             Integer rank = ranksByAddress.get(key(packet.sender()));
             if (rank == null || rank == config.settings().rank()) {
                 countIgnored(unknownSenders, "from an address that is no peer's, " + key(packet.sender()));
@@ -72,7 +76,7 @@
                 .mapEmpty();
     }
 
-    /** Listens as soon as the process that holds the port gives it up. */
+    /** Starts listening as soon as the process that holds the port releases it. */
     public void listenWhenPortIsFree(BiConsumer<Integer, byte[]> handler) {
         listen(handler).onFailure(e -> {
             socket.close();
@@ -82,7 +86,7 @@
         });
     }
 
-    /** Counts a datagram that is not heard; the first of each kind is logged. */
+    /** Counts an ignored datagram; the first of each kind is logged. */
     private static void countIgnored(AtomicLong counter, String description) {
         if (counter.getAndIncrement() == 0) {
             LOG.warning(
@@ -92,17 +96,18 @@
         }
     }
 
-    /** Datagrams passed over here since the start, by kind. */
+    /** Ignored datagrams since the start, by metric name. */
     public Map<String, Number> ignoredDatagrams() {
         return Map.of(
                 "peers.passed_over.oversized", oversized.get(), "peers.passed_over.strangers", unknownSenders.get());
     }
 
+    /** Whether the socket holds its port; for any thread. */
     public boolean isBound() {
         return bound;
     }
 
-    /** Gives the port up. */
+    /** Closes the socket. */
     public void close() {
         closed = true;
         bound = false;
@@ -111,9 +116,10 @@
         }
     }
 
+    /** Sends a message to the peer of this rank, if the socket is bound and the message is short enough. */
     public void send(int rank, byte[] data) {
-        // Danger: one longer datagram voids the whole run. One sent before the socket is bound binds it to
-        // another port: peers would take it for a stranger's, and this dispatcher could not listen any more.
+        // A datagram over the limit violates the protocol. One sent before the socket is bound would bind it to
+        // another port: peers would not recognise the sender, and this dispatcher could not listen any more.
         if (bound
                 && rank >= 0
                 && rank < config.peers().size()
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -27,7 +27,6 @@
             "ledger/Spool.java",
             "waiting/Plan.java",
             "core/RequestCoordinator.java",
-            "net/ClientConnection.java",
             "ledger/UsageBook.java",
             "fleettest/ScenarioRun.java");
 
--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -63,8 +63,8 @@
 
     /** The status of one call, and its body. */
     private String call(String method, String path) {
-        String answer =
-                talk(world.node().adminPort(), Buffer.buffer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"));
+        String answer = talk(
+                world.dispatcher().adminPort(), Buffer.buffer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"));
         return answer.replaceAll("(?s)HTTP/1.1 (\\d+).*?\r\n\r\n", "$1 ");
     }
 
@@ -105,7 +105,7 @@
         assertTrue(call("GET", "/-/nothing").startsWith("404"));
         assertTrue(call("POST", "/-/ready").startsWith("405"));
         assertTrue(call("GET", "/-/drain").startsWith("405"));
-        assertEquals("200", talk(world.node().ports().get(0), HEALTH).substring(9, 12));
+        assertEquals("200", talk(world.dispatcher().ports().get(0), HEALTH).substring(9, 12));
     }
 
     /** Guards against silent callers, who would hold all descriptors of the operators' front. */
@@ -114,7 +114,7 @@
         start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 3 * AdminFrontend.CALLERS_MOST; i++) {
-            silent.add(new Socket("127.0.0.1", world.node().adminPort()));
+            silent.add(new Socket("127.0.0.1", world.dispatcher().adminPort()));
             silent.get(i).getOutputStream().write("GET /-/re".getBytes(StandardCharsets.US_ASCII));
         }
         assertTrue(call("GET", "/-/ready").startsWith("200"));
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -79,7 +79,7 @@
             }
         });
         flood.get();
-        until(() -> !world.node().frontends().get(0).connected());
+        until(() -> !world.dispatcher().frontends().get(0).connected());
     }
 
     /**
@@ -106,7 +106,7 @@
             boolean[] ended = new boolean[1];
             while (!ended[0]) {
                 CompletableFuture<Integer> open = new CompletableFuture<>();
-                dispatcher.coordinator.withUnansweredCount(open::complete);
+                dispatcher.coordinator().withUnansweredCount(open::complete);
                 ended[0] = open.get() == 0;
             }
             loop.release();
@@ -144,7 +144,7 @@
         try (RawClient client = new RawClient(port)) {
             assertEquals(
                     200, client.send(job("/api", "a", "step-view", "1")).read().status());
-            CompletableFuture<Void> end = CompletableFuture.runAsync(world.node()::shutDown);
+            CompletableFuture<Void> end = CompletableFuture.runAsync(world.dispatcher()::shutDown);
             assertNull(client.read(), "so is a resting one at the planned end");
             client.send(job("/api", "c", "step-view", "1"));
             end.get();
@@ -157,14 +157,14 @@
     void answersConnectionsInTheAcceptQueueBeforeShutdown() throws Exception {
         world.addRunner("s-1");
         int port = start();
-        DispatcherServer dispatcher = world.node();
+        DispatcherServer dispatcher = world.dispatcher();
         try (RawClient first = new RawClient(port)) {
             assertEquals(200, first.send(HEALTH).read().status());
-            dispatcher.connectionLimiter.setMaxConnections(1);
+            dispatcher.connectionLimiter().setMaxConnections(1);
             try (RawClient second = new RawClient(port)) {
                 second.send(job("/api", "b", "step-view", "1"));
                 awaitEventLoop(first);
-                dispatcher.connectionLimiter.setMaxConnections(8);
+                dispatcher.connectionLimiter().setMaxConnections(8);
                 CompletableFuture<Void> end = CompletableFuture.runAsync(dispatcher::shutDown);
                 assertEquals("r-b", second.read().body());
                 first.close();
--- a/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -111,7 +111,7 @@
 
         BlockedEventLoop(DispatcherServer dispatcher) throws InterruptedException {
             CountDownLatch stands = new CountDownLatch(1);
-            dispatcher.eventLoop.runOnContext(v -> {
+            dispatcher.eventLoop().runOnContext(v -> {
                 stands.countDown();
                 await(release);
             });
--- a/src/test/java/nettlewick/net/DispatcherServerTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -267,7 +267,7 @@
             until(() -> send(port, HEALTH).contains(" 503 "));
             String late = send(port, job("/api", "late", "step-view", ""));
             assertTrue(late.endsWith("r-late"), "still accepting: " + late);
-            // Danger: closed at once, the connections of clients that have nobody else would be a gap in service.
+            // Closing open connections at once would be a gap in service for clients that have no other server.
             until(() -> send(port, HEALTH).startsWith("broken"));
             world.runTime = 20;
             kept.getOutputStream().write(job("/api", "kept", "step-view", "").getBytes());
@@ -285,7 +285,7 @@
     @Test
     void servesFromTheKnownListWhileDiscoveryMoves() throws Exception {
         int port = startHealthy("s-1");
-        DispatcherServer dispatcher = world.node();
+        DispatcherServer dispatcher = world.dispatcher();
         Map<String, Object> config = world.config();
         String file = new Gson().toJson(config);
         try (StandIns other = new StandIns()) {
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -21,7 +21,7 @@
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
                 client.send(job("/api", "late", "step-view", ""));
-                until(() -> world.node().endpointPools.pendingConnects() == 1);
+                until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
                 endpoint.open();
                 long[] came = new long[1];
                 endpoint.script = (request, socket) -> {
@@ -76,7 +76,7 @@
                 RawEndpoint.write(socket, RawEndpoint.served(request.id()));
             };
             try (RawClient client = new RawClient(port)) {
-                BlockedEventLoop loop = new BlockedEventLoop(world.node());
+                BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
                 long sent = System.nanoTime();
                 client.send(job("/api", "unread", "step-view", ""));
                 until(() -> System.nanoTime() - sent > 500_000_000L);
--- a/src/test/java/nettlewick/net/HotRestartTest.java
+++ b/src/test/java/nettlewick/net/HotRestartTest.java
@@ -108,7 +108,7 @@
                     assertTrue(ask(fresh, "j" + jobs++).startsWith("HTTP/1.1 200"));
                 }
             }
-            until(successor::isPeerSocketBound);
+            until(() -> successor.peerSocket().isBound());
             get(old.close());
             try (Socket socket = new Socket("127.0.0.1", port)) {
                 socket.getOutputStream()
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -23,9 +23,9 @@
             int port = start();
             RawClient gone = new RawClient(port);
             gone.send(job("/api", "gone", "mark-submit", ""));
-            until(() -> world.node().endpointPools.pendingConnects() == 1);
+            until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
             gone.close();
-            until(() -> !world.node().frontends().get(0).connected());
+            until(() -> !world.dispatcher().frontends().get(0).connected());
             endpoint.open();
             until(() -> endpoint.accepted.size() == 1);
             awaitEventLoop(port);
@@ -49,8 +49,8 @@
             int port = start();
             RawClient gone = new RawClient(port);
             gone.send(job("/api", "gone", "mark-submit", ""));
-            until(() -> world.node().endpointPools.pendingConnects() == 1);
-            BlockedEventLoop loop = new BlockedEventLoop(world.node());
+            until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
+            BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
             // While the loop stands still, the connection to the runner comes up and the client leaves after it.
             endpoint.open();
             until(() -> endpoint.accepted.size() == 1);
@@ -81,9 +81,9 @@
                 until(() -> isHealthy(port));
                 try (RawClient client = new RawClient(port)) {
                     client.send(job("/api", "a", "mark-submit", ""));
-                    until(() -> one.node().endpointPools.pendingConnects() == 1);
+                    until(() -> one.dispatcher().endpointPools().pendingConnects() == 1);
                     one.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
-                    until(() -> one.node().endpointPools.updatesOf("s-1") == 2);
+                    until(() -> one.dispatcher().endpointPools().updatesOf("s-1") == 2);
                     endpoint.open();
                     assertEquals(503, client.read().status());
                     assertEquals(List.of(), endpoint.ids());
@@ -122,9 +122,9 @@
                         .replace("X-Deadline: 4", "X-Deadline: 12"));
                 until(() -> first.seen.size() == 1);
                 world.addRunner("s-2", second.port());
-                until(() -> world.node().endpointPools.updatesOf("s-2") == 1);
+                until(() -> world.dispatcher().endpointPools().updatesOf("s-2") == 1);
                 listed.countDown();
-                until(() -> world.node().endpointPools.pendingConnects() == 1);
+                until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
                 until(() -> System.nanoTime() - sent > 1_600_000_000L);
                 second.open();
                 assertEquals(502, client.read().status(), "it may have run, and cannot be repeated any more");
--- a/src/test/java/nettlewick/net/MalformedResponseTest.java
+++ b/src/test/java/nettlewick/net/MalformedResponseTest.java
@@ -186,7 +186,7 @@
         gone.send(hurried("first") + hurried("second") + hurried("third"));
         until(() -> endpoint.seen.size() == 1);
         gone.close();
-        until(() -> !world.node().frontends().get(0).connected());
+        until(() -> !world.dispatcher().frontends().get(0).connected());
         endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
         try (RawClient stays = new RawClient(port)) {
             until(() -> {
--- a/src/test/java/nettlewick/net/StandIns.java
+++ b/src/test/java/nettlewick/net/StandIns.java
@@ -19,7 +19,7 @@
 
     public StandIns() throws Exception {}
 
-    DispatcherServer node() {
+    DispatcherServer dispatcher() {
         return node;
     }
 
--- a/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
@@ -61,13 +61,7 @@
                 default -> now += step == 6 ? 900 : 3000;
             }
             double age = now - since;
-            double most = switch (phase) {
-                case 'W' -> served > 0 ? 60_000 : 2400;
-                case 'R' -> 2400;
-                case 'C' -> 5000;
-                case 'L' -> 1000;
-                default -> Double.MAX_VALUE;
-            };
+            double most = timeoutMillis(phase, served);
             assertEquals(age >= most, state.isOverdue(now, false), phase + " since " + age);
             assertEquals("WRA".indexOf(phase) >= 0, state.takesRequests());
             assertEquals(phase == 'W', state.isIdle());
@@ -76,4 +70,14 @@
             assertEquals(served, state.resultsServed());
         }
     }
+
+    private static double timeoutMillis(char phase, int served) {
+        return switch (phase) {
+            case 'W' -> served > 0 ? 60_000 : 2400;
+            case 'R' -> 2400;
+            case 'C' -> 5000;
+            case 'L' -> 1000;
+            default -> Double.MAX_VALUE;
+        };
+    }
 }
--- a/src/test/java/nettlewick/net/client/ClientConnectionTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionTest.java
@@ -27,8 +27,7 @@
 class ClientConnectionTest {
     private static final String GET = "GET /a HTTP/1.1\r\n\r\n";
     private final Clock clock = Clock.standing(1000);
-    private final ClientConnection connection =
-            new ClientConnection(clock, new ClientConnection.RequestByteBudget(100_000));
+    private final ClientConnection connection = new ClientConnection(clock, new RequestByteBudget(100_000));
     private final EmbeddedChannel channel = new EmbeddedChannel(
             new StrictHttpDecoder(new HttpServerOptions(), () -> connection().bytesReceived()),
             new HttpResponseEncoder(),
@@ -139,7 +138,7 @@
         EmbeddedChannel other = new EmbeddedChannel(
                 new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                 new HttpResponseEncoder(),
-                new ClientConnection(clock, new ClientConnection.RequestByteBudget(1)));
+                new ClientConnection(clock, new RequestByteBudget(1)));
         other.writeInbound(
                 Unpooled.copiedBuffer("GET /a HTTP/1.1\r\n" + "A: b\r\n".repeat(4000), StandardCharsets.US_ASCII));
         assertTrue(((ByteBuf) other.readOutbound())
@@ -165,7 +164,7 @@
     void readsARequestSplitAtAnyByte(String rest) {
         byte[] request = ("POST /a HTTP/1.1\r\nX: y\r\n" + rest).getBytes(StandardCharsets.UTF_8);
         for (int cut = 1; cut < request.length; cut++) {
-            ClientConnection one = new ClientConnection(clock, new ClientConnection.RequestByteBudget(100));
+            ClientConnection one = new ClientConnection(clock, new RequestByteBudget(100));
             EmbeddedChannel through =
                     new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), one::bytesReceived), one);
             through.writeInbound(Unpooled.copiedBuffer(request, 0, cut));
@@ -271,7 +270,7 @@
 
     @Test
     void limitsBufferedBytesAcrossAllClients() {
-        ClientConnection.RequestByteBudget budget = new ClientConnection.RequestByteBudget(10);
+        RequestByteBudget budget = new RequestByteBudget(10);
         List<EmbeddedChannel> clients = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             clients.add(new EmbeddedChannel(
