--- a/src/main/java/nettlewick/cli/SettingsFile.java
+++ b/src/main/java/nettlewick/cli/SettingsFile.java
@@ -20,7 +20,7 @@
 import nettlewick.settings.Settings;
 import nettlewick.sse.EventStreamConfig;
 import nettlewick.sse.EventStreamFrontend;
-import nettlewick.tenantpools.PoolsService;
+import nettlewick.tenantpools.TenantPoolsService;
 
 /** What the file of {@code serve --settings} adds. */
 final class SettingsFile implements OptionalFeatures {
@@ -30,7 +30,7 @@
     private final Settings first;
     private LedgerService ledger;
     private LeaseService duties;
-    private PoolsService pools;
+    private TenantPoolsService pools;
 
     SettingsFile(String file) {
         this.file = file;
@@ -56,8 +56,8 @@
         if (first.block("duty").isPresent()) {
             Map<String, LeaseTask> charges = Map.of();
             if (first.block("pools").isPresent()) {
-                pools = new PoolsService(first.block("pools").get(), config.settings(), clock, config.seed());
-                charges = pools.charges();
+                pools = new TenantPoolsService(first.block("pools").get(), config.settings(), clock, config.seed());
+                charges = pools.leaseTasks();
             }
             duties = LeaseService.start(LeaseSettings.of(first.block("duty").get()), charges);
         } else if (first.block("pools").isPresent()) {
@@ -87,7 +87,7 @@
         Settings next = SettingsCommand.whole(Settings.read(Path.of(file)));
         Runnable pooled = pools == null
                 ? () -> {}
-                : next.block("pools").map(pools::reread).orElse(() -> {});
+                : next.block("pools").map(pools::prepareReload).orElse(() -> {});
         return () -> {
             LogSetup.apply(next.block("log"));
             if (ledger != null) {
--- a/src/main/java/nettlewick/contention/PoolMigration.java
+++ b/src/main/java/nettlewick/contention/PoolMigration.java
@@ -13,18 +13,18 @@
  */
 public final class PoolMigration {
     /** Returns are forgotten one by one after this long. */
-    private static final double FORGIVEN = 600_000;
+    private static final double RETURN_DECAY_MILLIS = 600_000;
     /** A stay is doubled so often at most. */
-    private static final int DOUBLED_MOST = 5;
+    private static final int MAX_STAY_DOUBLINGS = 5;
 
     /** What the operators' settings say of one member. */
-    public enum Will {
+    public enum OperatorPolicy {
         /** As it goes. */
-        NONE,
+        AUTOMATIC,
         /** In a pool, whatever it does. */
-        POOL,
+        ALWAYS_DEDICATED,
         /** Never in one. */
-        COMMON
+        ALWAYS_SHARED
     }
 
     /**
@@ -35,7 +35,13 @@
      * @param clear  how long work in hand has to end
      * @param stay   how long it has kept to its share before it comes back
      */
-    public record Terms(double share, double part, double settle, double come, double clear, double stay) {}
+    public record MigrationSettings(
+            double quota,
+            double maxPoolFraction,
+            double settleMillis,
+            double scaleOutTimeoutMillis,
+            double drainMillis,
+            double minStayMillis) {}
 
     /**
      * What a holder knows at this moment.
@@ -44,63 +50,88 @@
      * @param taken held by other members' pools
      * @param whole whether all runners that were asked for are there
      */
-    public record View(Map<String, PoolReservation.Runner> ready, Set<String> taken, boolean whole) {}
+    public record FleetView(
+            Map<String, PoolReservation.ReadyEndpoint> readyEndpoints,
+            Set<String> reservedByOthers,
+            boolean scaleOutComplete) {}
 
-    private final String member;
+    private final String tenant;
     private Step step;
-    private double since;
-    private boolean noisy;
-    private double overAt = Double.NEGATIVE_INFINITY;
-    private double forgivenAt;
+    private double stepStartedAt;
+    private boolean causesContention;
+    private double lastOverQuotaAt = Double.NEGATIVE_INFINITY;
+    private double returnsDecayedAt;
 
     public PoolMigration(String tenant) {
-        this.member = tenant;
+        this.tenant = tenant;
     }
 
     /** What a window came to. */
-    public void hear(ContentionEvidence.Finding finding, double now) {
-        noisy = finding.noisy();
-        if (finding.over()) {
-            overAt = now;
+    public void recordFinding(ContentionEvidence.Finding finding, double nowMillis) {
+        causesContention = finding.causesContention();
+        if (finding.overQuota()) {
+            lastOverQuotaAt = nowMillis;
         }
     }
 
     /** Where things go from here; the same as it was while nothing changes. */
-    public MigrationState next(MigrationState m, Will will, Terms terms, View view, double now) {
-        if (step != m.step()) {
-            step = m.step();
-            since = now;
-            forgivenAt = now;
+    public MigrationState nextState(
+            MigrationState current,
+            OperatorPolicy policy,
+            MigrationSettings settings,
+            FleetView fleet,
+            double nowMillis) {
+        if (step != current.step()) {
+            step = current.step();
+            stepStartedAt = nowMillis;
+            returnsDecayedAt = nowMillis;
         }
-        List<String> pool =
-                PoolReservation.pick(member, view.ready(), m.runners(), view.taken(), terms.share(), terms.part());
-        boolean wanted = will == Will.POOL || will == Will.NONE && noisy;
-        boolean kept = will == Will.POOL
-                || will == Will.NONE
-                        && now - Math.max(overAt, since) < terms.stay() * (1 << Math.min(DOUBLED_MOST, m.returns()));
-        switch (m.step()) {
-            case NONE -> {
+        List<String> pool = PoolReservation.selectEndpoints(
+                tenant,
+                fleet.readyEndpoints(),
+                current.endpoints(),
+                fleet.reservedByOthers(),
+                settings.quota(),
+                settings.maxPoolFraction());
+        boolean wanted =
+                policy == OperatorPolicy.ALWAYS_DEDICATED || policy == OperatorPolicy.AUTOMATIC && causesContention;
+        boolean kept = policy == OperatorPolicy.ALWAYS_DEDICATED
+                || policy == OperatorPolicy.AUTOMATIC
+                        && nowMillis - Math.max(lastOverQuotaAt, stepStartedAt)
+                                < settings.minStayMillis()
+                                        * (1 << Math.min(MAX_STAY_DOUBLINGS, current.recentReturns()));
+        switch (current.step()) {
+            case SHARED -> {
                 if (wanted && !pool.isEmpty()) {
-                    return m.with(pool).to(Step.RESERVE);
+                    return current.withEndpoints(pool).withStep(Step.RESERVING);
                 }
-                if (m.returns() > 0 && now - forgivenAt >= FORGIVEN) {
-                    forgivenAt = now;
-                    return new MigrationState(Step.NONE, List.of(), m.returns() - 1);
+                if (current.recentReturns() > 0 && nowMillis - returnsDecayedAt >= RETURN_DECAY_MILLIS) {
+                    returnsDecayedAt = nowMillis;
+                    return new MigrationState(Step.SHARED, List.of(), current.recentReturns() - 1);
                 }
-                return m;
+                return current;
             }
-            case RESERVE -> {
-                boolean come = view.whole() || now - since >= terms.come();
-                return changed(m, pool, now - since >= terms.settle() && come ? Step.CLEAR : m.step());
+            case RESERVING -> {
+                boolean come =
+                        fleet.scaleOutComplete() || nowMillis - stepStartedAt >= settings.scaleOutTimeoutMillis();
+                return advance(
+                        current,
+                        pool,
+                        nowMillis - stepStartedAt >= settings.settleMillis() && come ? Step.DRAINING : current.step());
             }
-            case CLEAR -> {
-                return changed(m, pool, now - since >= terms.clear() ? Step.OPEN : m.step());
+            case DRAINING -> {
+                return advance(
+                        current,
+                        pool,
+                        nowMillis - stepStartedAt >= settings.drainMillis() ? Step.DEDICATED : current.step());
             }
-            case OPEN -> {
-                return changed(m, pool, kept && !pool.isEmpty() ? m.step() : Step.CLOSE);
+            case DEDICATED -> {
+                return advance(current, pool, kept && !pool.isEmpty() ? current.step() : Step.RETURNING);
             }
             default -> {
-                return now - since >= terms.clear() ? new MigrationState(Step.NONE, List.of(), m.returns() + 1) : m;
+                return nowMillis - stepStartedAt >= settings.drainMillis()
+                        ? new MigrationState(Step.SHARED, List.of(), current.recentReturns() + 1)
+                        : current;
             }
         }
     }
@@ -109,9 +140,10 @@
      * Danger: a list that says less for a moment would empty the pool; what is left stays until others
      * come.
      */
-    private static MigrationState changed(MigrationState m, List<String> pool, Step to) {
-        Set<String> now = new HashSet<>(m.runners());
-        MigrationState next = pool.isEmpty() || now.equals(new HashSet<>(pool)) ? m : m.with(pool);
-        return next.step() == to ? next : next.to(to);
+    private static MigrationState advance(MigrationState current, List<String> pool, Step to) {
+        Set<String> nowMillis = new HashSet<>(current.endpoints());
+        MigrationState next =
+                pool.isEmpty() || nowMillis.equals(new HashSet<>(pool)) ? current : current.withEndpoints(pool);
+        return next.step() == to ? next : next.withStep(to);
     }
 }
--- a/src/main/java/nettlewick/contention/PoolReservation.java
+++ b/src/main/java/nettlewick/contention/PoolReservation.java
@@ -16,10 +16,10 @@
  */
 public final class PoolReservation {
     /** A runner that is ready, and whether it was added for a member (null: it is for all). */
-    public record Runner(String name, String zone, String kind, String addedFor) {}
+    public record ReadyEndpoint(String name, String zone, String kind, String addedForTenant) {}
 
     /** So many common runners at most: their names are part of a duty's state, which is short. */
-    private static final int MOST = 150;
+    private static final int MAX_SHARED_ENDPOINTS = 150;
 
     private PoolReservation() {}
 
@@ -29,36 +29,43 @@
      * @param share the member's share of all runners
      * @param part  the part of all runners that pools may hold together
      */
-    public static List<String> pick(
-            String tenant, Map<String, Runner> ready, List<String> had, Set<String> taken, double share, double part) {
-        List<Runner> common =
-                ready.values().stream().filter(r -> r.addedFor() == null).toList();
+    public static List<String> selectEndpoints(
+            String tenant,
+            Map<String, ReadyEndpoint> ready,
+            List<String> current,
+            Set<String> reservedByOthers,
+            double quota,
+            double maxPoolFraction) {
+        List<ReadyEndpoint> shared =
+                ready.values().stream().filter(r -> r.addedForTenant() == null).toList();
         List<String> pool = new ArrayList<>(ready.values().stream()
-                .filter(r -> tenant.equals(r.addedFor()))
-                .map(Runner::name)
+                .filter(r -> tenant.equals(r.addedForTenant()))
+                .map(ReadyEndpoint::name)
                 .sorted()
                 .toList());
-        long elsewhere = common.stream().filter(r -> taken.contains(r.name())).count();
-        int room = (int) Math.floor(part * common.size()) - (int) elsewhere;
-        int wanted = Math.max(1, (int) Math.round(share * common.size()));
-        int size = Math.max(0, Math.min(Math.min(room, MOST), wanted));
-        Set<String> before = new HashSet<>(had);
-        Comparator<Runner> first = Comparator.comparing((Runner r) -> !before.contains(r.name()))
-                .thenComparingLong(r -> weight(tenant, r.name()))
-                .thenComparing(Runner::name);
-        Map<String, List<Runner>> groups = new TreeMap<>();
-        common.stream()
-                .filter(r -> !taken.contains(r.name()))
-                .sorted(first)
+        long elsewhere =
+                shared.stream().filter(r -> reservedByOthers.contains(r.name())).count();
+        int available = (int) Math.floor(maxPoolFraction * shared.size()) - (int) elsewhere;
+        int wanted = Math.max(1, (int) Math.round(quota * shared.size()));
+        int size = Math.max(0, Math.min(Math.min(available, MAX_SHARED_ENDPOINTS), wanted));
+        Set<String> currentNames = new HashSet<>(current);
+        Comparator<ReadyEndpoint> preference = Comparator.comparing(
+                        (ReadyEndpoint r) -> !currentNames.contains(r.name()))
+                .thenComparingLong(r -> rendezvousWeight(tenant, r.name()))
+                .thenComparing(ReadyEndpoint::name);
+        Map<String, List<ReadyEndpoint>> groups = new TreeMap<>();
+        shared.stream()
+                .filter(r -> !reservedByOthers.contains(r.name()))
+                .sorted(preference)
                 .forEach(r -> groups.computeIfAbsent(r.kind() + " " + r.zone(), g -> new ArrayList<>())
                         .add(r));
-        quotas(groups, size)
+        apportion(groups, size)
                 .forEach((group, count) -> groups.get(group).subList(0, count).forEach(r -> pool.add(r.name())));
         return pool;
     }
 
     /** How many of each group, in proportion to its size, the largest remainders first. */
-    private static Map<String, Integer> quotas(Map<String, List<Runner>> groups, int size) {
+    private static Map<String, Integer> apportion(Map<String, List<ReadyEndpoint>> groups, int size) {
         int all = groups.values().stream().mapToInt(List::size).sum();
         int wanted = Math.min(size, all);
         Map<String, Integer> quotas = new LinkedHashMap<>();
@@ -74,7 +81,7 @@
         return quotas;
     }
 
-    private static long weight(String tenant, String endpoint) {
+    private static long rendezvousWeight(String tenant, String endpoint) {
         return CandidateRanking.mix(tenant.hashCode() * 0x9E3779B97F4A7C15L + endpoint.hashCode());
     }
 }
--- a/src/main/java/nettlewick/contention/UncontendedBaseline.java
+++ b/src/main/java/nettlewick/contention/UncontendedBaseline.java
@@ -11,37 +11,49 @@
  * @param ran    how long others' jobs ran, in milliseconds
  * @param hinted what their hints said
  */
-public record UncontendedBaseline(double others, double harmed, double ran, double hinted) {
+public record UncontendedBaseline(double otherAttempts, double harmedAttempts, double runMillis, double hintedMillis) {
     static final UncontendedBaseline NONE = new UncontendedBaseline(0, 0, 0, 0);
-    static final int BYTES = 4 * Double.BYTES;
-    private static final double FADES = 0.97;
+    static final int ENCODED_BYTES = 4 * Double.BYTES;
+    private static final double DECAY_PER_WINDOW = 0.97;
 
     /** With one more window, if the member kept to its share in it. */
-    UncontendedBaseline after(UsageReport news, int tenant, double share) {
-        if (news.total() <= 0 || ContentionEvidence.over(news, tenant, share)) {
+    UncontendedBaseline withWindow(UsageReport window, int tenantHash, double quota) {
+        if (window.totalWork() <= 0 || ContentionEvidence.isOverQuota(window, tenantHash, quota)) {
             return this;
         }
-        UsageReport.At all = news.everywhere();
+        UsageReport.EndpointUsage usage = window.acrossEndpoints();
         return new UncontendedBaseline(
-                others * FADES + all.others(),
-                harmed * FADES + all.harmed(),
-                ran * FADES + news.ran(),
-                hinted * FADES + news.hinted());
+                otherAttempts * DECAY_PER_WINDOW + usage.otherAttempts(),
+                harmedAttempts * DECAY_PER_WINDOW + usage.harmedAttempts(),
+                runMillis * DECAY_PER_WINDOW + window.runMillis(),
+                hintedMillis * DECAY_PER_WINDOW + window.hintedMillis());
     }
 
-    UncontendedBaseline plus(UncontendedBaseline o) {
-        return new UncontendedBaseline(others + o.others, harmed + o.harmed, ran + o.ran, hinted + o.hinted);
+    UncontendedBaseline plus(UncontendedBaseline other) {
+        return new UncontendedBaseline(
+                otherAttempts + other.otherAttempts,
+                harmedAttempts + other.harmedAttempts,
+                runMillis + other.runMillis,
+                hintedMillis + other.hintedMillis);
     }
 
-    boolean good() {
-        return others >= harmed && harmed >= 0 && ran >= 0 && hinted >= 0 && Double.isFinite(others + ran + hinted);
+    boolean isValid() {
+        return otherAttempts >= harmedAttempts
+                && harmedAttempts >= 0
+                && runMillis >= 0
+                && hintedMillis >= 0
+                && Double.isFinite(otherAttempts + runMillis + hintedMillis);
     }
 
-    void put(ByteBuffer to) {
-        to.putDouble(others).putDouble(harmed).putDouble(ran).putDouble(hinted);
+    void writeTo(ByteBuffer buffer) {
+        buffer.putDouble(otherAttempts)
+                .putDouble(harmedAttempts)
+                .putDouble(runMillis)
+                .putDouble(hintedMillis);
     }
 
-    static UncontendedBaseline get(ByteBuffer from) {
-        return new UncontendedBaseline(from.getDouble(), from.getDouble(), from.getDouble(), from.getDouble());
+    static UncontendedBaseline readFrom(ByteBuffer dispatcher) {
+        return new UncontendedBaseline(
+                dispatcher.getDouble(), dispatcher.getDouble(), dispatcher.getDouble(), dispatcher.getDouble());
     }
 }
--- a/src/main/java/nettlewick/contention/UsageReport.java
+++ b/src/main/java/nettlewick/contention/UsageReport.java
@@ -19,13 +19,13 @@
  * @param alarmed  whether the sender speaks of its own accord
  */
 public record UsageReport(
-        long total,
-        Map<Integer, Long> asked,
-        long ran,
-        long hinted,
-        Map<Integer, At> at,
-        UncontendedBaseline quiet,
-        boolean alarmed) {
+        long totalWork,
+        Map<Integer, Long> workByTenant,
+        long runMillis,
+        long hintedMillis,
+        Map<Integer, EndpointUsage> endpoints,
+        UncontendedBaseline baseline,
+        boolean unsolicited) {
     /**
      * What was seen at one sim runner.
      *
@@ -34,82 +34,101 @@
      * @param others attempts of all but this member that ended there
      * @param harmed those of them that were turned away, lost, or begun late
      */
-    public record At(long own, long all, long others, long harmed) {
-        static final At NONE = new At(0, 0, 0, 0);
-
-        At plus(At o) {
-            return new At(own + o.own, all + o.all, others + o.others, harmed + o.harmed);
+    public record EndpointUsage(long tenantWork, long totalWork, long otherAttempts, long harmedAttempts) {
+        static final EndpointUsage NONE = new EndpointUsage(0, 0, 0, 0);
+
+        EndpointUsage plus(EndpointUsage other) {
+            return new EndpointUsage(
+                    tenantWork + other.tenantWork,
+                    totalWork + other.totalWork,
+                    otherAttempts + other.otherAttempts,
+                    harmedAttempts + other.harmedAttempts);
         }
 
-        At minus(At o) {
-            return new At(own - o.own, all - o.all, others - o.others, harmed - o.harmed);
+        EndpointUsage minus(EndpointUsage other) {
+            return new EndpointUsage(
+                    tenantWork - other.tenantWork,
+                    totalWork - other.totalWork,
+                    otherAttempts - other.otherAttempts,
+                    harmedAttempts - other.harmedAttempts);
         }
 
-        At most(At o) {
-            return new At(
-                    Math.max(own, o.own), Math.max(all, o.all), Math.max(others, o.others), Math.max(harmed, o.harmed));
+        EndpointUsage maximum(EndpointUsage other) {
+            return new EndpointUsage(
+                    Math.max(tenantWork, other.tenantWork),
+                    Math.max(totalWork, other.totalWork),
+                    Math.max(otherAttempts, other.otherAttempts),
+                    Math.max(harmedAttempts, other.harmedAttempts));
         }
     }
 
-    static final UsageReport NOTHING = new UsageReport(0, Map.of(), 0, 0, Map.of(), UncontendedBaseline.NONE, false);
-    private static final byte FORM = 3;
-    private static final int AGE_AT = 2;
-
-    byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(
-                3 + UncontendedBaseline.BYTES + 3 * Long.BYTES + 2 + asked.size() * 12 + 2 + at.size() * 36);
-        b.put(FORM).put((byte) (alarmed ? 1 : 0)).put((byte) 0);
-        quiet.put(b);
-        b.putLong(total).putLong(ran).putLong(hinted).putShort((short) asked.size());
-        asked.forEach((mark, work) -> b.putInt(mark).putLong(work));
-        b.putShort((short) at.size());
-        at.forEach((mark, a) -> b.putInt(mark)
-                .putLong(a.own())
-                .putLong(a.all())
-                .putLong(a.others())
-                .putLong(a.harmed()));
+    static final UsageReport EMPTY = new UsageReport(0, Map.of(), 0, 0, Map.of(), UncontendedBaseline.NONE, false);
+    private static final byte FORMAT_VERSION = 3;
+    private static final int AGE_OFFSET = 2;
+
+    byte[] encode() {
+        ByteBuffer b = ByteBuffer.allocate(3
+                + UncontendedBaseline.ENCODED_BYTES
+                + 3 * Long.BYTES
+                + 2
+                + workByTenant.size() * 12
+                + 2
+                + endpoints.size() * 36);
+        b.put(FORMAT_VERSION).put((byte) (unsolicited ? 1 : 0)).put((byte) 0);
+        baseline.writeTo(b);
+        b.putLong(totalWork).putLong(runMillis).putLong(hintedMillis).putShort((short) workByTenant.size());
+        workByTenant.forEach((nameHash, work) -> b.putInt(nameHash).putLong(work));
+        b.putShort((short) endpoints.size());
+        endpoints.forEach((nameHash, a) -> b.putInt(nameHash)
+                .putLong(a.tenantWork())
+                .putLong(a.totalWork())
+                .putLong(a.otherAttempts())
+                .putLong(a.harmedAttempts()));
         return b.array();
     }
 
     /** The same bytes as a word that was true so many windows ago. */
-    static byte[] aged(byte[] word, int windows) {
-        byte[] old = word.clone();
-        old[AGE_AT] = (byte) windows;
+    static byte[] withAge(byte[] report, int windows) {
+        byte[] old = report.clone();
+        old[AGE_OFFSET] = (byte) windows;
         return old;
     }
 
     /** How many windows ago what {@link #of} can read was true. */
-    static int age(byte[] word) {
-        return word[AGE_AT];
+    static int ageWindows(byte[] report) {
+        return report[AGE_OFFSET];
     }
 
     /** Null for what no version here has written, or what makes no sense. */
-    static UsageReport of(byte[] data) {
+    static UsageReport decode(byte[] data) {
         try {
             ByteBuffer b = ByteBuffer.wrap(data);
-            if (b.get() != FORM) {
+            if (b.get() != FORMAT_VERSION) {
                 return null;
             }
             boolean alarmed = b.get() == 1;
             b.get();
-            UncontendedBaseline quiet = UncontendedBaseline.get(b);
+            UncontendedBaseline quiet = UncontendedBaseline.readFrom(b);
             long total = b.getLong();
             long ran = b.getLong();
             long hinted = b.getLong();
             Map<Integer, Long> asked = new LinkedHashMap<>();
-            boolean good = quiet.good() && total >= 0 && ran >= 0 && hinted >= 0;
+            boolean good = quiet.isValid() && total >= 0 && ran >= 0 && hinted >= 0;
             for (int n = b.getShort(); n > 0; n--) {
-                int mark = b.getInt();
+                int nameHash = b.getInt();
                 long work = b.getLong();
                 good &= work >= 0;
-                asked.put(mark, work);
+                asked.put(nameHash, work);
             }
-            Map<Integer, At> at = new LinkedHashMap<>();
+            Map<Integer, EndpointUsage> at = new LinkedHashMap<>();
             for (int n = b.getShort(); n > 0; n--) {
-                int mark = b.getInt();
-                At a = new At(b.getLong(), b.getLong(), b.getLong(), b.getLong());
-                good &= a.own() >= 0 && a.all() >= a.own() && a.harmed() >= 0 && a.others() >= a.harmed();
-                at.put(mark, a);
+                int nameHash = b.getInt();
+                EndpointUsage a = new EndpointUsage(b.getLong(), b.getLong(), b.getLong(), b.getLong());
+                good &= a.tenantWork() >= 0
+                        && a.totalWork() >= a.tenantWork()
+                        && a.harmedAttempts() >= 0
+                        && a.otherAttempts() >= a.harmedAttempts();
+                at.put(nameHash, a);
             }
             return good ? new UsageReport(total, asked, ran, hinted, at, quiet, alarmed) : null;
         } catch (BufferUnderflowException e) {
@@ -121,44 +140,46 @@
         long of(long mine, long other);
     }
 
-    private UsageReport join(UsageReport o, Join join, java.util.function.BinaryOperator<At> joinAt) {
-        Map<Integer, Long> sums = new LinkedHashMap<>(asked);
-        o.asked.forEach((mark, work) -> sums.put(mark, join.of(sums.getOrDefault(mark, 0L), work)));
-        Map<Integer, At> endpoints = new LinkedHashMap<>(at);
-        o.at.forEach((mark, a) -> endpoints.put(mark, joinAt.apply(endpoints.getOrDefault(mark, At.NONE), a)));
-        UsageReport newer = o.total >= total ? o : this;
+    private UsageReport combine(UsageReport other, Join join, java.util.function.BinaryOperator<EndpointUsage> joinAt) {
+        Map<Integer, Long> sums = new LinkedHashMap<>(workByTenant);
+        other.workByTenant.forEach(
+                (nameHash, work) -> sums.put(nameHash, join.of(sums.getOrDefault(nameHash, 0L), work)));
+        Map<Integer, EndpointUsage> combined = new LinkedHashMap<>(endpoints);
+        other.endpoints.forEach((nameHash, a) ->
+                combined.put(nameHash, joinAt.apply(combined.getOrDefault(nameHash, EndpointUsage.NONE), a)));
+        UsageReport newer = other.totalWork >= totalWork ? other : this;
         return new UsageReport(
-                join.of(total, o.total),
+                join.of(totalWork, other.totalWork),
                 sums,
-                join.of(ran, o.ran),
-                join.of(hinted, o.hinted),
-                endpoints,
-                newer.quiet,
-                newer.alarmed);
+                join.of(runMillis, other.runMillis),
+                join.of(hintedMillis, other.hintedMillis),
+                combined,
+                newer.baseline,
+                newer.unsolicited);
     }
 
-    UsageReport most(UsageReport o) {
-        return join(o, Math::max, At::most);
+    UsageReport maximum(UsageReport other) {
+        return combine(other, Math::max, EndpointUsage::maximum);
     }
 
     /** What came since that word; of what is not in this one, nothing. */
-    UsageReport minus(UsageReport o) {
-        UsageReport all = join(o, (a, b) -> a - b, At::minus);
-        all.asked.keySet().retainAll(asked.keySet());
-        all.at.keySet().retainAll(at.keySet());
+    UsageReport minus(UsageReport other) {
+        UsageReport all = combine(other, (a, b) -> a - b, EndpointUsage::minus);
+        all.workByTenant.keySet().retainAll(workByTenant.keySet());
+        all.endpoints.keySet().retainAll(endpoints.keySet());
         return all;
     }
 
-    UsageReport plus(UsageReport o) {
-        return join(o, Long::sum, At::plus);
+    UsageReport plus(UsageReport other) {
+        return combine(other, Long::sum, EndpointUsage::plus);
     }
 
-    UsageReport saying(UncontendedBaseline without, boolean alarm) {
-        return new UsageReport(total, asked, ran, hinted, at, without, alarm);
+    UsageReport withBaseline(UncontendedBaseline without, boolean alarm) {
+        return new UsageReport(totalWork, workByTenant, runMillis, hintedMillis, endpoints, without, alarm);
     }
 
     /** Of all runners together. */
-    At everywhere() {
-        return at.values().stream().reduce(At.NONE, At::plus);
+    EndpointUsage acrossEndpoints() {
+        return endpoints.values().stream().reduce(EndpointUsage.NONE, EndpointUsage::plus);
     }
 }
--- a/src/main/java/nettlewick/contention/UsageReporter.java
+++ b/src/main/java/nettlewick/contention/UsageReporter.java
@@ -16,32 +16,32 @@
  */
 public final class UsageReporter {
     /** A dispatcher speaks of its own accord after so many windows in a row. */
-    private static final int IN_A_ROW = 2;
+    private static final int MIN_CONSECUTIVE_WINDOWS = 2;
 
-    private static final class Told {
-        UsageReport last;
-        double windowAt;
-        UncontendedBaseline quiet = UncontendedBaseline.NONE;
-        boolean alarmed;
+    private static final class TenantReporting {
+        UsageReport lastReport;
+        double windowEndsAt;
+        UncontendedBaseline baseline = UncontendedBaseline.NONE;
+        boolean unsolicited;
         /** Windows in a row in which the member was over its share here. */
-        int over;
+        int consecutiveOverQuota;
         /** What there was to say at the end of each of the last windows, the newest first. */
-        final Deque<byte[]> past = new ArrayDeque<>();
+        final Deque<byte[]> recentReports = new ArrayDeque<>();
         /** The fence under which it was spoken last, and how many windows have ended since. */
-        long spokenTo = -1;
+        long lastFence = -1;
 
-        int silent;
+        int unsentWindows;
     }
 
     private final UsageCounters counters;
-    private final Map<String, Double> shares;
-    private final Map<Integer, Double> byMark = new HashMap<>();
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, Double> quotas;
+    private final Map<Integer, Double> quotaByTenantHash = new HashMap<>();
+    private final Map<String, TenantReporting> reportingByTenant = new HashMap<>();
 
-    public UsageReporter(UsageCounters counters, Map<String, Double> shares) {
+    public UsageReporter(UsageCounters counters, Map<String, Double> quotas) {
         this.counters = counters;
-        this.shares = Map.copyOf(shares);
-        shares.forEach((name, part) -> byMark.put(UsageCounters.mark(name), part));
+        this.quotas = Map.copyOf(quotas);
+        quotas.forEach((name, part) -> quotaByTenantHash.put(UsageCounters.nameHash(name), part));
     }
 
     /**
@@ -53,50 +53,65 @@
      * @param window  how long what was seen is put together, in milliseconds
      * @param apart   other members that are in pools of their own; asked for at a window's end only
      */
-    public List<byte[]> words(
-            String tenant, long fence, boolean listens, double window, double now, Supplier<Set<String>> apart) {
-        Told t = told.computeIfAbsent(tenant, m -> new Told());
-        if (t.last == null || now >= t.windowAt) {
-            t.windowAt = now + window;
-            UsageReport all = counters.all(tenant);
-            look(t, t.last == null ? UsageReport.NOTHING : all.minus(t.last), tenant, apart.get());
-            t.last = all;
-            t.past.addFirst(bytes(t, tenant));
-            if (t.past.size() > ContentionEvidence.WINDOWS) {
-                t.past.removeLast();
+    public List<byte[]> reportsToSend(
+            String tenant,
+            long fence,
+            boolean holderListens,
+            double windowMillis,
+            double nowMillis,
+            Supplier<Set<String>> isolated) {
+        TenantReporting reporting = reportingByTenant.computeIfAbsent(tenant, m -> new TenantReporting());
+        if (reporting.lastReport == null || nowMillis >= reporting.windowEndsAt) {
+            reporting.windowEndsAt = nowMillis + windowMillis;
+            UsageReport current = counters.fullReport(tenant);
+            evaluateWindow(
+                    reporting,
+                    reporting.lastReport == null ? UsageReport.EMPTY : current.minus(reporting.lastReport),
+                    tenant,
+                    isolated.get());
+            reporting.lastReport = current;
+            reporting.recentReports.addFirst(encodedReport(reporting, tenant));
+            if (reporting.recentReports.size() > ContentionEvidence.WINDOWS) {
+                reporting.recentReports.removeLast();
             }
-            t.silent = Math.min(ContentionEvidence.WINDOWS, t.silent + 1);
+            reporting.unsentWindows = Math.min(ContentionEvidence.WINDOWS, reporting.unsentWindows + 1);
         }
-        if (!listens && !t.alarmed) {
+        if (!holderListens && !reporting.unsolicited) {
             return List.of();
         }
-        List<byte[]> words = new ArrayList<>();
-        int ago = 0;
-        int unheard = fence == t.spokenTo ? t.silent : ContentionEvidence.WINDOWS;
-        for (byte[] old : t.past) {
-            if (++ago <= unheard) {
-                words.add(UsageReport.aged(old, ago));
+        List<byte[]> reports = new ArrayList<>();
+        int age = 0;
+        int missing = fence == reporting.lastFence ? reporting.unsentWindows : ContentionEvidence.WINDOWS;
+        for (byte[] old : reporting.recentReports) {
+            if (++age <= missing) {
+                reports.add(UsageReport.withAge(old, age));
             }
         }
-        words.add(bytes(t, tenant));
-        t.spokenTo = fence;
-        t.silent = 0;
-        return words;
+        reports.add(encodedReport(reporting, tenant));
+        reporting.lastFence = fence;
+        reporting.unsentWindows = 0;
+        return reports;
     }
 
-    private byte[] bytes(Told t, String tenant) {
-        return counters.word(tenant).saying(t.quiet, t.alarmed).bytes();
+    private byte[] encodedReport(TenantReporting reporting, String tenant) {
+        return counters.report(tenant)
+                .withBaseline(reporting.baseline, reporting.unsolicited)
+                .encode();
     }
 
-    private void look(Told t, UsageReport news, String tenant, Set<String> apart) {
-        double share = shares.get(tenant);
-        int mark = UsageCounters.mark(tenant);
-        Set<Integer> left = apart.stream().map(UsageCounters::mark).collect(Collectors.toSet());
-        t.quiet = t.quiet.after(news, UsageCounters.mark(tenant), share);
-        UsageReport.At all = news.everywhere();
+    private void evaluateWindow(TenantReporting reporting, UsageReport window, String tenant, Set<String> isolated) {
+        double quota = quotas.get(tenant);
+        int nameHash = UsageCounters.nameHash(tenant);
+        Set<Integer> isolatedHashes =
+                isolated.stream().map(UsageCounters::nameHash).collect(Collectors.toSet());
+        reporting.baseline = reporting.baseline.withWindow(window, UsageCounters.nameHash(tenant), quota);
+        UsageReport.EndpointUsage current = window.acrossEndpoints();
         // Danger: one that sees a few jobs in a window finds every small member over its share now and then.
-        boolean most = ContentionEvidence.over(news, mark, share) && ContentionEvidence.worth(news, mark, byMark, left);
-        t.over = most ? t.over + 1 : 0;
-        t.alarmed = t.over >= IN_A_ROW && all.harmed() > 0 && all.harmed() >= ContentionEvidence.HARMED * all.others();
+        boolean causesMost = ContentionEvidence.isOverQuota(window, nameHash, quota)
+                && ContentionEvidence.causesMostExcess(window, nameHash, quotaByTenantHash, isolatedHashes);
+        reporting.consecutiveOverQuota = causesMost ? reporting.consecutiveOverQuota + 1 : 0;
+        reporting.unsolicited = reporting.consecutiveOverQuota >= MIN_CONSECUTIVE_WINDOWS
+                && current.harmedAttempts() > 0
+                && current.harmedAttempts() >= ContentionEvidence.MIN_HARMED_FRACTION * current.otherAttempts();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -20,85 +20,85 @@
  * thread, but for the list of runners, which the core's thread brings.
  */
 final class PoolAssignments implements RequestListener {
-    private record Known(PoolState state, double at) {}
+    private record KnownPool(PoolState state, double heardAtMillis) {}
 
-    private final double forget;
-    private final Map<String, EndpointUpdate.Entry> ready = new ConcurrentHashMap<>();
-    private final Map<String, Known> pools = new LinkedHashMap<>();
+    private final double staleAfterMillis;
+    private final Map<String, EndpointUpdate.Entry> readyEntries = new ConcurrentHashMap<>();
+    private final Map<String, KnownPool> pools = new LinkedHashMap<>();
 
     /** @param forget after so many milliseconds without a word, a pool keeps nobody else away */
-    PoolAssignments(double forget) {
-        this.forget = forget;
+    PoolAssignments(double staleAfterMillis) {
+        this.staleAfterMillis = staleAfterMillis;
     }
 
     @Override
-    public void listed(EndpointUpdate roster) {
-        if (roster.whole()) {
+    public void listed(EndpointUpdate update) {
+        if (update.whole()) {
             Set<String> named = new HashSet<>();
-            roster.entries().forEach(e -> named.add(e.id()));
-            ready.keySet().retainAll(named);
+            update.entries().forEach(entry -> named.add(entry.id()));
+            readyEntries.keySet().retainAll(named);
         }
-        for (EndpointUpdate.Entry e : roster.entries()) {
-            if (e.state() == EndpointState.READY) {
-                ready.put(e.id(), e);
+        for (EndpointUpdate.Entry entry : update.entries()) {
+            if (entry.state() == EndpointState.READY) {
+                readyEntries.put(entry.id(), entry);
             } else {
-                ready.remove(e.id());
+                readyEntries.remove(entry.id());
             }
         }
     }
 
     /** The newest state of a member's pool, heard of now. */
-    void take(String tenant, PoolState state, double now) {
-        pools.put(tenant, new Known(state, now));
+    void recordState(String tenant, PoolState state, double nowMillis) {
+        pools.put(tenant, new KnownPool(state, nowMillis));
     }
 
     /** The runners that are ready, as this list and the members' states tell. */
-    Map<String, PoolReservation.Runner> ready() {
+    Map<String, PoolReservation.ReadyEndpoint> readyEndpoints() {
         Map<String, String> addedFor = new HashMap<>();
-        pools.forEach((tenant, known) -> known.state().added().forEach(name -> addedFor.put(name, tenant)));
-        Map<String, PoolReservation.Runner> endpoints = new HashMap<>();
-        ready.forEach((name, e) -> endpoints.put(
+        pools.forEach((tenant, known) -> known.state().addedEndpoints().forEach(name -> addedFor.put(name, tenant)));
+        Map<String, PoolReservation.ReadyEndpoint> endpoints = new HashMap<>();
+        readyEntries.forEach((name, entry) -> endpoints.put(
                 name,
-                new PoolReservation.Runner(
-                        name, String.valueOf(e.zone()), String.valueOf(e.kind()), addedFor.get(name))));
+                new PoolReservation.ReadyEndpoint(
+                        name, String.valueOf(entry.zone()), String.valueOf(entry.kind()), addedFor.get(name))));
         return endpoints;
     }
 
     /** What other members' pools hold. Danger: where two hold one, the first of them by name keeps it. */
-    Set<String> taken(String tenant, List<String> own) {
-        Set<String> taken = new HashSet<>();
+    Set<String> endpointsReservedByOthers(String tenant, List<String> own) {
+        Set<String> reserved = new HashSet<>();
         pools.forEach((other, known) -> {
-            if (!other.equals(tenant) && known.state().move().step() != Step.NONE) {
-                known.state().move().runners().stream()
+            if (!other.equals(tenant) && known.state().migration().step() != Step.SHARED) {
+                known.state().migration().endpoints().stream()
                         .filter(r -> other.compareTo(tenant) < 0 || !own.contains(r))
-                        .forEach(taken::add);
+                        .forEach(reserved::add);
             }
         });
-        return taken;
+        return reserved;
     }
 
     /** Other members whose work goes to pools of their own alone, with their runners. */
-    Map<String, Set<String>> apart(String but) {
-        Map<String, Set<String>> apart = new HashMap<>();
+    Map<String, Set<String>> isolatedTenants(String excluded) {
+        Map<String, Set<String>> isolated = new HashMap<>();
         pools.forEach((tenant, known) -> {
-            if (known.state().move().step() == Step.OPEN && !tenant.equals(but)) {
-                apart.put(tenant, Set.copyOf(known.state().move().runners()));
+            if (known.state().migration().step() == Step.DEDICATED && !tenant.equals(excluded)) {
+                isolated.put(tenant, Set.copyOf(known.state().migration().endpoints()));
             }
         });
-        return apart;
+        return isolated;
     }
 
     /** What the module has to go by now. */
-    List<PoolAssignment> assignments(double now) {
-        List<PoolAssignment> all = new ArrayList<>();
+    List<PoolAssignment> currentAssignments(double nowMillis) {
+        List<PoolAssignment> assignments = new ArrayList<>();
         pools.forEach((tenant, known) -> {
-            Step step = known.state().move().step();
-            if (step.shut()) {
-                boolean heard = now - known.at() < forget;
-                all.add(new PoolAssignment(
-                        tenant, Set.copyOf(known.state().move().runners()), heard, step == Step.OPEN));
+            Step step = known.state().migration().step();
+            if (step.excludesOtherTenants()) {
+                boolean fresh = nowMillis - known.heardAtMillis() < staleAfterMillis;
+                assignments.add(new PoolAssignment(
+                        tenant, Set.copyOf(known.state().migration().endpoints()), fresh, step == Step.DEDICATED));
             }
         });
-        return all;
+        return assignments;
     }
 }
--- a/src/main/java/nettlewick/tenantpools/PoolSettings.java
+++ b/src/main/java/nettlewick/tenantpools/PoolSettings.java
@@ -18,63 +18,71 @@
  * @param window  of evidence
  */
 record PoolSettings(
-        Map<String, Member> members,
-        Map<String, Double> shares,
-        URI url,
-        double window,
-        double part,
-        double settle,
-        double come,
-        double clear,
-        double stay,
-        double forget,
-        double timeout) {
-    private static final String PREFIX = "pool-";
+        Map<String, TenantSettings> tenants,
+        Map<String, Double> quotas,
+        URI providerUrl,
+        double windowMillis,
+        double maxPoolFraction,
+        double settleMillis,
+        double scaleOutTimeoutMillis,
+        double drainMillis,
+        double minStayMillis,
+        double staleAfterMillis,
+        double providerTimeoutMillis) {
+    private static final String LEASE_PREFIX = "pool-";
 
     /**
      * @param growth null: nothing is added for it
      * @param kind   of runners that are added
      * @param most   so many of them at once
      */
-    record Member(PoolMigration.Will will, ScaleOutPolicy.Terms growth, String kind, int most) {}
+    record TenantSettings(
+            PoolMigration.OperatorPolicy policy,
+            ScaleOutPolicy.ScaleOutSettings scaleOut,
+            String endpointKind,
+            int maxAddedEndpoints) {}
 
-    static String duty(String tenant) {
-        return PREFIX + tenant;
+    static String leaseName(String tenant) {
+        return LEASE_PREFIX + tenant;
     }
 
     /** @throws nettlewick.settings.BadSettings where the lines do not fit one another, or the tenants */
     static PoolSettings of(Block block, List<Tenant> tenants) {
-        Map<String, Double> shares = new LinkedHashMap<>();
-        tenants.forEach(t -> shares.put(t.name(), t.fraction()));
-        Map<String, PoolMigration.Will> wills = new LinkedHashMap<>();
-        for (Block.Value v : block.all("keep")) {
-            wills.put(v.part(0), v.part(1).equals("pool") ? PoolMigration.Will.POOL : PoolMigration.Will.COMMON);
+        Map<String, Double> quotas = new LinkedHashMap<>();
+        tenants.forEach(t -> quotas.put(t.name(), t.fraction()));
+        Map<String, PoolMigration.OperatorPolicy> policies = new LinkedHashMap<>();
+        for (Block.Value line : block.all("keep")) {
+            policies.put(
+                    line.part(0),
+                    line.part(1).equals("pool")
+                            ? PoolMigration.OperatorPolicy.ALWAYS_DEDICATED
+                            : PoolMigration.OperatorPolicy.ALWAYS_SHARED);
         }
-        Map<String, Member> members = new LinkedHashMap<>();
-        for (Block.Value v : block.all("member")) {
-            String name = v.part(0);
-            if (!shares.containsKey(name)) {
+        Map<String, TenantSettings> settingsByTenant = new LinkedHashMap<>();
+        for (Block.Value line : block.all("member")) {
+            String name = line.part(0);
+            if (!quotas.containsKey(name)) {
                 throw block.bad("member", "a tenant of the platform's configuration");
             }
-            PoolMigration.Will will = wills.getOrDefault(name, PoolMigration.Will.NONE);
-            members.put(
+            PoolMigration.OperatorPolicy policy = policies.getOrDefault(name, PoolMigration.OperatorPolicy.AUTOMATIC);
+            settingsByTenant.put(
                     name,
-                    v.words().size() == 1
-                            ? new Member(will, null, "", 0)
-                            : new Member(
-                                    will,
-                                    growth(block, v.part(2)),
+                    line.words().size() == 1
+                            ? new TenantSettings(policy, null, "", 0)
+                            : new TenantSettings(
+                                    policy,
+                                    scaleOutSettings(block, line.part(2)),
                                     block.one("price").get().part(0),
-                                    v.<Long>part(4).intValue()));
+                                    line.<Long>part(4).intValue()));
         }
-        for (String name : wills.keySet()) {
-            if (!members.containsKey(name)) {
+        for (String name : policies.keySet()) {
+            if (!settingsByTenant.containsKey(name)) {
                 throw block.bad("keep", "followed by the name of a `member` line");
             }
         }
         return new PoolSettings(
-                members,
-                shares,
+                settingsByTenant,
+                quotas,
                 block.has("provider") ? block.get("provider") : null,
                 block.span("window"),
                 block.get("reserve"),
@@ -86,21 +94,22 @@
                 block.span("timeout"));
     }
 
-    private static ScaleOutPolicy.Terms growth(Block block, long cap) {
+    private static ScaleOutPolicy.ScaleOutSettings scaleOutSettings(Block block, long capCents) {
         if (!block.has("provider") || !block.has("price")) {
             throw block.bad(block.has("provider") ? "price" : "provider", "set where a member has a cap");
         }
         Block.Value price = block.one("price").get();
-        SpendingCap.Cap means = new SpendingCap.Cap(cap, block.get("near"), block.<ZoneId>get("zone"));
-        return new ScaleOutPolicy.Terms(
-                means,
+        SpendingCap.MonthlyCap cap = new SpendingCap.MonthlyCap(capCents, block.get("near"), block.<ZoneId>get("zone"));
+        return new ScaleOutPolicy.ScaleOutSettings(
+                cap,
                 price.part(1),
                 price.<Double>part(3).longValue(),
                 (long) block.span("reach"),
                 block.text("at-cap").equals("return"));
     }
 
-    PoolMigration.Terms moves(String tenant) {
-        return new PoolMigration.Terms(shares.get(tenant), part, settle, come, clear, stay);
+    PoolMigration.MigrationSettings migrationSettings(String tenant) {
+        return new PoolMigration.MigrationSettings(
+                quotas.get(tenant), maxPoolFraction, settleMillis, scaleOutTimeoutMillis, drainMillis, minStayMillis);
     }
 }
--- a/src/main/java/nettlewick/tenantpools/PoolState.java
+++ b/src/main/java/nettlewick/tenantpools/PoolState.java
@@ -2,80 +2,97 @@
 
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
+import com.google.gson.annotations.SerializedName;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import nettlewick.contention.MigrationState;
 
 /**
- * All that a member's duty remembers: one JSON object of some hundred bytes.
+ * The replicated state of a tenant's lease: one JSON object of a few hundred bytes. Other builds read it, so the JSON
+ * names are fixed.
  *
- * @param term  how many times the duty has been held
- * @param move  how far the member has been moved
- * @param added runners that the provider runs for it, by name, as last seen
- * @param money what was asked of the provider
+ * @param term           how many times the lease has been acquired
+ * @param migration      how far the tenant has been migrated
+ * @param addedEndpoints names of the endpoints that the provider runs for the tenant, as last reported
+ * @param budget         what was requested from the provider and in which month
  */
-record PoolState(long term, MigrationState move, List<String> added, Money money) {
+record PoolState(
+        long term,
+        @SerializedName("move") MigrationState migration,
+        @SerializedName("added") List<String> addedEndpoints,
+        @SerializedName("money") Budget budget) {
     private static final Gson GSON = new Gson();
-    static final PoolState FIRST = new PoolState(0, MigrationState.NOWHERE, List.of(), Money.NONE);
+    static final PoolState INITIAL = new PoolState(0, MigrationState.NOT_MIGRATED, List.of(), Budget.NONE);
 
     /**
-     * @param month  the latest month that has begun, such as 2026-12; empty before the first
-     * @param intent what is being asked for; null: nothing
-     * @param near   the month in which the near mark was reached; empty: none
+     * What must outlive a lease holder so that the monthly cap holds.
+     *
+     * @param month         the latest month that has begun, for example 2026-12; empty before the first
+     * @param pendingResize the resize being requested; null if none
+     * @param nearCapMonth  the month in which the near mark was reached; empty if none
      */
-    record Money(String month, Intent intent, String near) {
-        static final Money NONE = new Money("", null, "");
+    record Budget(
+            String month,
+            @SerializedName("intent") ResizeRequest pendingResize,
+            @SerializedName("near") String nearCapMonth) {
+        static final Budget NONE = new Budget("", null, "");
 
-        Money in(String newMonth) {
-            return new Money(newMonth, intent, near);
+        Budget withMonth(String newMonth) {
+            return new Budget(newMonth, pendingResize, nearCapMonth);
         }
 
-        Money asking(Intent next) {
-            return new Money(month, next, near);
+        Budget withPendingResize(ResizeRequest next) {
+            return new Budget(month, next, nearCapMonth);
         }
 
-        Money nearIn(String reached) {
-            return new Money(month, intent, reached);
+        Budget withNearCapMonth(String reached) {
+            return new Budget(month, pendingResize, reached);
         }
     }
 
     /**
-     * So many runners are to run. Stored before the provider is asked.
+     * A request that the provider run a number of endpoints. Stored before the provider is asked.
      *
-     * @param key   the provider does what comes with one key once
-     * @param cents least cost of those that it adds
+     * @param idempotencyKey the provider applies requests with the same key once
+     * @param size           the desired number of endpoints
+     * @param minCostCents   the least that the additional endpoints cost
      */
-    record Intent(String key, int size, long cents) {}
+    record ResizeRequest(
+            @SerializedName("key") String idempotencyKey,
+            int size,
+            @SerializedName("cents") long minCostCents) {}
 
-    byte[] bytes() {
+    byte[] encode() {
         return GSON.toJson(this).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Where there is nothing, or nothing that can be read, all begins anew. */
-    static PoolState of(byte[] data) {
+    /** Decodes stored state; empty or unreadable state yields {@link #INITIAL}. */
+    static PoolState decode(byte[] data) {
         try {
-            PoolState s = GSON.fromJson(new String(data, StandardCharsets.UTF_8), PoolState.class);
-            return s == null || s.move == null || s.move.step() == null || s.money == null || s.added == null
-                    ? FIRST
-                    : s;
+            PoolState state = GSON.fromJson(new String(data, StandardCharsets.UTF_8), PoolState.class);
+            return state == null || !state.isComplete() ? INITIAL : state;
         } catch (JsonParseException e) {
-            return FIRST;
+            return INITIAL;
         }
     }
 
-    PoolState moved(MigrationState next) {
-        return new PoolState(term, next, added, money);
+    private boolean isComplete() {
+        return migration != null && migration.step() != null && budget != null && addedEndpoints != null;
+    }
+
+    PoolState withMigration(MigrationState next) {
+        return new PoolState(term, next, addedEndpoints, budget);
     }
 
-    PoolState paying(Money next) {
-        return new PoolState(term, move, added, next);
+    PoolState withBudget(Budget next) {
+        return new PoolState(term, migration, addedEndpoints, next);
     }
 
-    PoolState with(List<String> names) {
-        return new PoolState(term, move, names, money);
+    PoolState withAddedEndpoints(List<String> names) {
+        return new PoolState(term, migration, names, budget);
     }
 
-    PoolState held() {
-        return new PoolState(term + 1, move, added, money);
+    PoolState withNextTerm() {
+        return new PoolState(term + 1, migration, addedEndpoints, budget);
     }
 }
--- a/src/main/java/nettlewick/tenantpools/Provider.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderClient.java
@@ -17,25 +17,25 @@
 import java.time.format.DateTimeFormatter;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import nettlewick.tenantpools.PoolState.Intent;
+import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /** Asks the provider over HTTP (docs/pools.md); each question gets exactly one answer, on any thread. */
-final class Provider implements AutoCloseable {
-    private static final int OK = 200;
-    private static final int CONFLICT = 409;
-    private static final int STALE = 412;
-    private static final int MANY = 429;
-    private static final int BUSY = 503;
-    private static final int AT_ONCE = 4;
-    private static final double SECOND = 1000;
+final class ProviderClient implements AutoCloseable {
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_CONFLICT = 409;
+    private static final int STATUS_PRECONDITION_FAILED = 412;
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
+    private static final int STATUS_UNAVAILABLE = 503;
+    private static final int MAX_CONNECTIONS = 4;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     /** What became of a question. */
-    enum Way {
-        TOLD,
-        STALE,
+    enum Outcome {
+        REPORTED,
+        VERSION_CONFLICT,
         FENCED,
-        LATER,
-        LOST
+        RETRY_LATER,
+        NO_ANSWER
     }
 
     /**
@@ -43,28 +43,28 @@
      * @param fence where it is FENCED: the highest that the provider has seen
      * @param later where it is LATER: after how many milliseconds to come back; 0: not told
      */
-    record Answer(Way way, ProviderReport told, long fence, double later) {
-        static final Answer NONE = new Answer(Way.LOST, null, 0, 0);
+    record Answer(Outcome outcome, ProviderReport report, long highestFence, double retryAfterMillis) {
+        static final Answer NONE = new Answer(Outcome.NO_ANSWER, null, 0, 0);
     }
 
     private final Vertx vertx;
     private final HttpClient client;
     private final URI url;
-    private final double timeout;
+    private final double timeoutMillis;
 
-    Provider(URI url, double timeout) {
+    ProviderClient(URI url, double timeoutMillis) {
         this.url = url;
-        this.timeout = timeout;
+        this.timeoutMillis = timeoutMillis;
         vertx = Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         client = vertx.createHttpClient(
-                new HttpClientOptions().setConnectTimeout((int) timeout).setMaxRedirects(0),
-                new PoolOptions().setHttp1MaxSize(AT_ONCE));
+                new HttpClientOptions().setConnectTimeout((int) timeoutMillis).setMaxRedirects(0),
+                new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS));
     }
 
     /** What runs and ran for this member. */
-    void list(String tenant, double now, Consumer<Answer> then) {
-        ask(HttpMethod.GET, tenant, null, null, 0, now, then);
+    void list(String tenant, double nowMillis, Consumer<Answer> handler) {
+        send(HttpMethod.GET, tenant, null, null, 0, nowMillis, handler);
     }
 
     /**
@@ -73,36 +73,36 @@
      * would
      * spend by what was reckoned then.
      */
-    void put(
+    void resize(
             String tenant,
-            ScaleOutPolicy.Next next,
+            ScaleOutPolicy.Decision next,
             String etag,
             long fence,
             String kind,
-            double now,
-            Consumer<Answer> then) {
-        Intent intent = next.put();
+            double nowMillis,
+            Consumer<Answer> handler) {
+        ResizeRequest intent = next.resize();
         JsonObject body = new JsonObject();
         body.addProperty("size", intent.size());
         body.addProperty("kind", kind);
-        ask(
+        send(
                 HttpMethod.PUT,
                 tenant,
-                new String[] {intent.key(), etag, Long.toString(next.notAfter())},
+                new String[] {intent.idempotencyKey(), etag, Long.toString(next.notAfterMillis())},
                 body.toString(),
                 fence,
-                now,
-                then);
+                nowMillis,
+                handler);
     }
 
-    private void ask(
+    private void send(
             HttpMethod method,
             String tenant,
             String[] condition,
             String body,
             long fence,
-            double now,
-            Consumer<Answer> then) {
+            double nowMillis,
+            Consumer<Answer> handler) {
         String path = (url.getPath() == null ? "" : url.getPath()).replaceAll("/+$", "") + "/pools/" + tenant;
         Future<Answer> answer = client.request(new RequestOptions()
                         .setMethod(method)
@@ -119,29 +119,32 @@
                     }
                     return request.send(body == null ? Buffer.buffer() : Buffer.buffer(body));
                 })
-                .compose(response -> response.body().map(text -> answer(response, text, now)));
+                .compose(response -> response.body().map(text -> parse(response, text, nowMillis)));
         // Danger: the client's own time-outs begin with the request's sending, and end with the answer's
         // head.
-        answer.timeout((long) timeout, TimeUnit.MILLISECONDS)
+        answer.timeout((long) timeoutMillis, TimeUnit.MILLISECONDS)
                 .otherwise(Answer.NONE)
-                .onSuccess(then::accept);
+                .onSuccess(handler::accept);
     }
 
-    private static Answer answer(HttpClientResponse response, Buffer body, double now) {
+    private static Answer parse(HttpClientResponse response, Buffer body, double nowMillis) {
         switch (response.statusCode()) {
-            case OK -> {
+            case STATUS_OK -> {
                 long date = ZonedDateTime.parse(response.getHeader("Date"), DateTimeFormatter.RFC_1123_DATE_TIME)
                         .toInstant()
                         .toEpochMilli();
                 return new Answer(
-                        Way.TOLD, ProviderReport.of(body.toString(), response.getHeader("ETag"), date, now), 0, 0);
+                        Outcome.REPORTED,
+                        ProviderReport.parse(body.toString(), response.getHeader("ETag"), date, nowMillis),
+                        0,
+                        0);
             }
-            case STALE -> {
-                return new Answer(Way.STALE, null, 0, 0);
+            case STATUS_PRECONDITION_FAILED -> {
+                return new Answer(Outcome.VERSION_CONFLICT, null, 0, 0);
             }
-            case CONFLICT -> {
+            case STATUS_CONFLICT -> {
                 return new Answer(
-                        Way.FENCED,
+                        Outcome.FENCED,
                         null,
                         JsonParser.parseString(body.toString())
                                 .getAsJsonObject()
@@ -149,9 +152,13 @@
                                 .getAsLong(),
                         0);
             }
-            case MANY, BUSY -> {
+            case STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE -> {
                 String after = response.getHeader("Retry-After");
-                return new Answer(Way.LATER, null, 0, after == null ? 0 : SECOND * Double.parseDouble(after));
+                return new Answer(
+                        Outcome.RETRY_LATER,
+                        null,
+                        0,
+                        after == null ? 0 : MILLIS_PER_SECOND * Double.parseDouble(after));
             }
             default -> {
                 return Answer.NONE;
--- a/src/main/java/nettlewick/tenantpools/ProviderReport.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderReport.java
@@ -15,9 +15,10 @@
  * @param date  its clock when it answered, in milliseconds of Unix time
  * @param at    when it was asked, on the own monotonic clock
  */
-record ProviderReport(int size, String etag, List<InstanceCharge> bills, long date, double at) {
+record ProviderReport(
+        int desiredSize, String etag, List<InstanceCharge> charges, long providerTimeMillis, double requestedAtMillis) {
     /** @throws RuntimeException where the answer is no such list */
-    static ProviderReport of(String body, String etag, long date, double at) {
+    static ProviderReport parse(String body, String etag, long date, double at) {
         JsonObject pool = JsonParser.parseString(body).getAsJsonObject();
         List<InstanceCharge> bills = new ArrayList<>();
         for (JsonElement one : pool.getAsJsonArray("runners")) {
@@ -30,7 +31,7 @@
                     r.get("until_ms").getAsLong(),
                     r.get("cents_per_hour").getAsLong(),
                     r.get("least_ms").getAsLong());
-            if (bill.cents() < 0 || bill.least() < 0) {
+            if (bill.centsPerHour() < 0 || bill.minBilledMillis() < 0) {
                 throw new IllegalArgumentException("a price below nothing");
             }
             bills.add(bill);
@@ -42,11 +43,11 @@
     }
 
     /** The provider's clock by now. Danger: its word is rounded down to a second. */
-    long now(double ownNow) {
-        return date + 1000 + Math.round(ownNow - at);
+    long providerNowMillis(double ownNow) {
+        return providerTimeMillis + 1000 + Math.round(ownNow - requestedAtMillis);
     }
 
-    List<InstanceCharge> running() {
-        return bills.stream().filter(InstanceCharge::runs).toList();
+    List<InstanceCharge> runningCharges() {
+        return charges.stream().filter(InstanceCharge::isRunning).toList();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
@@ -3,8 +3,8 @@
 import java.time.YearMonth;
 import java.time.ZoneId;
 import java.util.List;
-import nettlewick.tenantpools.PoolState.Intent;
-import nettlewick.tenantpools.PoolState.Money;
+import nettlewick.tenantpools.PoolState.Budget;
+import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
  * How many runners are added for a member, within its means (docs/pools.md): what to store next, or what to
@@ -13,9 +13,9 @@
  */
 final class ScaleOutPolicy {
     /** A list older than this is asked for again, so long as anything hangs on it. */
-    private static final double OLD = 5000;
+    private static final double MAX_REPORT_AGE_MILLIS = 5000;
     /** So often while runners are still to come. */
-    private static final double SOON = 500;
+    private static final double MAX_REPORT_AGE_WHILE_STARTING_MILLIS = 500;
 
     /**
      * @param cap   of the member; null: nothing is ever added
@@ -24,9 +24,14 @@
      * @param reach longest time until someone can end what is no longer wanted
      * @param back  whether all is handed back once the cap itself is reached
      */
-    record Terms(SpendingCap.Cap cap, long cents, long least, long reach, boolean back) {
-        long leastCost() {
-            return InstanceCharge.cost(Math.max(least, reach), cents);
+    record ScaleOutSettings(
+            SpendingCap.MonthlyCap cap,
+            long centsPerHour,
+            long minBilledMillis,
+            long reactionMillis,
+            boolean releaseAtCap) {
+        long minCostCents() {
+            return InstanceCharge.costCents(Math.max(minBilledMillis, reactionMillis), centsPerHour);
         }
     }
 
@@ -35,30 +40,30 @@
      *
      * @param notAfter by the provider's clock: what was reckoned for the wish holds until then
      */
-    record Next(Money store, boolean list, Intent put, long notAfter) {
-        static final Next NOTHING = new Next(null, false, null, 0);
-        static final Next LIST = new Next(null, true, null, 0);
+    record Decision(Budget store, boolean list, ResizeRequest resize, long notAfterMillis) {
+        static final Decision NOTHING = new Decision(null, false, null, 0);
+        static final Decision LIST = new Decision(null, true, null, 0);
 
-        static Next store(Money money) {
-            return new Next(money, false, null, 0);
+        static Decision store(Budget money) {
+            return new Decision(money, false, null, 0);
         }
     }
 
     /** What was found on the way, for operators. */
-    record Means(long spent, long committed, long cap, YearMonth resumes) {}
+    record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesIn) {}
 
     private final ZoneId zone;
-    private final Terms terms;
-    private Means means;
+    private final ScaleOutSettings settings;
+    private BudgetStatus budgetStatus;
 
-    ScaleOutPolicy(Terms terms) {
-        this.terms = terms;
-        zone = terms.cap().zone();
+    ScaleOutPolicy(ScaleOutSettings settings) {
+        this.settings = settings;
+        zone = settings.cap().zone();
     }
 
     /** As of the last list; null before the first. */
-    Means means() {
-        return means;
+    BudgetStatus budgetStatus() {
+        return budgetStatus;
     }
 
     /**
@@ -67,51 +72,74 @@
      * @param wall   the own clock in milliseconds of Unix time, right or wrong
      * @param key    a new one, drawn for this question
      */
-    Next next(Money m, ProviderReport told, int wanted, double now, long wall, String key) {
-        boolean idle = wanted <= 0 && m.intent() == null && (told == null || told.size() == 0);
-        boolean coming = told != null && told.running().size() < told.size();
-        if (told == null || now - told.at() > (coming ? SOON : OLD)) {
-            return idle && told != null ? Next.NOTHING : Next.LIST;
+    Decision decide(
+            Budget budget,
+            ProviderReport report,
+            int wanted,
+            double nowMillis,
+            long wallMillis,
+            String idempotencyKey) {
+        boolean idle = wanted <= 0 && budget.pendingResize() == null && (report == null || report.desiredSize() == 0);
+        boolean coming = report != null && report.runningCharges().size() < report.desiredSize();
+        if (report == null
+                || nowMillis - report.requestedAtMillis()
+                        > (coming ? MAX_REPORT_AGE_WHILE_STARTING_MILLIS : MAX_REPORT_AGE_MILLIS)) {
+            return idle && report != null ? Decision.NOTHING : Decision.LIST;
         }
-        long date = told.now(now);
-        YearMonth month = month(m, Math.min(date, wall));
-        if (!month.toString().equals(m.month())) {
-            return Next.store(m.in(month.toString()));
+        long providerNowMillis = report.providerNowMillis(nowMillis);
+        YearMonth month = budgetMonth(budget, Math.min(providerNowMillis, wallMillis));
+        if (!month.toString().equals(budget.month())) {
+            return Decision.store(budget.withMonth(month.toString()));
         }
-        SpendingCap spending = new SpendingCap(terms.cap(), month);
-        long spent = spending.spent(told.bills(), date);
-        long committed = spending.committed(told.bills(), date, terms.reach());
-        means = new Means(spent, committed, terms.cap().cap(), month.plusMonths(1));
+        SpendingCap spending = new SpendingCap(settings.cap(), month);
+        long spent = spending.spentCents(report.charges(), providerNowMillis);
+        long committed = spending.committedCents(report.charges(), providerNowMillis, settings.reactionMillis());
+        budgetStatus = new BudgetStatus(spent, committed, settings.cap().cents(), month.plusMonths(1));
         // What is to run and does not yet costs as well.
-        long bound = Math.max(0, told.size() - told.running().size()) * terms.leastCost();
+        long bound = Math.max(0, report.desiredSize() - report.runningCharges().size()) * settings.minCostCents();
         // Danger: while clocks differ on the month, one month's costs would be paid from another's means.
-        boolean turning = !SpendingCap.monthOf(date, zone).equals(month);
+        boolean turning = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
         int affordable = turning
                 ? 0
-                : spending.affords(told.bills(), date, terms.reach(), Integer.MAX_VALUE / 2, terms.leastCost(), bound);
-        Intent open = m.intent();
+                : spending.affordableCount(
+                        report.charges(),
+                        providerNowMillis,
+                        settings.reactionMillis(),
+                        Integer.MAX_VALUE / 2,
+                        settings.minCostCents(),
+                        bound);
+        ResizeRequest open = budget.pendingResize();
         if (open != null) {
-            if (open.size() == told.size()) {
-                return Next.store(m.asking(null));
+            if (open.size() == report.desiredSize()) {
+                return Decision.store(budget.withPendingResize(null));
             }
             // An old intent may be dearer now. What may still be under way for it comes in time or not at
             // all.
-            return open.size() - told.size() <= affordable
-                    ? new Next(null, false, open, date + terms.reach())
-                    : Next.store(m.asking(null));
+            return open.size() - report.desiredSize() <= affordable
+                    ? new Decision(null, false, open, providerNowMillis + settings.reactionMillis())
+                    : Decision.store(budget.withPendingResize(null));
         }
-        int target = terms.back() && spending.atCap(told.bills(), date) ? 0 : wanted < 0 ? told.size() : wanted;
-        if (target > told.size()) {
-            int more = Math.min(target - told.size(), affordable);
-            if (!turning && more < target - told.size() && !month.toString().equals(m.near())) {
-                return Next.store(m.nearIn(month.toString()));
+        int target = settings.releaseAtCap() && spending.isCapReached(report.charges(), providerNowMillis)
+                ? 0
+                : wanted < 0 ? report.desiredSize() : wanted;
+        if (target > report.desiredSize()) {
+            int more = Math.min(target - report.desiredSize(), affordable);
+            if (!turning
+                    && more < target - report.desiredSize()
+                    && !month.toString().equals(budget.nearCapMonth())) {
+                return Decision.store(budget.withNearCapMonth(month.toString()));
             }
             return more <= 0
-                    ? Next.NOTHING
-                    : Next.store(m.asking(new Intent(key, told.size() + more, more * terms.leastCost())));
+                    ? Decision.NOTHING
+                    : Decision.store(budget.withPendingResize(new ResizeRequest(
+                            idempotencyKey, report.desiredSize() + more, more * settings.minCostCents())));
         }
-        int fewer = (int) Math.min(told.size() - target, over(told.running(), date));
-        return fewer <= 0 ? Next.NOTHING : Next.store(m.asking(new Intent(key, told.size() - fewer, 0)));
+        int fewer = (int) Math.min(
+                report.desiredSize() - target, countPastMinBilledTime(report.runningCharges(), providerNowMillis));
+        return fewer <= 0
+                ? Decision.NOTHING
+                : Decision.store(
+                        budget.withPendingResize(new ResizeRequest(idempotencyKey, report.desiredSize() - fewer, 0)));
     }
 
     /**
@@ -119,13 +147,17 @@
      * twice.
      * It takes the provider's clock and the own one to turn a month, and it only goes forward.
      */
-    private YearMonth month(Money m, long date) {
-        YearMonth now = SpendingCap.monthOf(date, zone);
-        return m.month().isEmpty() || now.isAfter(YearMonth.parse(m.month())) ? now : YearMonth.parse(m.month());
+    private YearMonth budgetMonth(Budget budget, long providerNowMillis) {
+        YearMonth nowMillis = SpendingCap.monthOf(providerNowMillis, zone);
+        return budget.month().isEmpty() || nowMillis.isAfter(YearMonth.parse(budget.month()))
+                ? nowMillis
+                : YearMonth.parse(budget.month());
     }
 
     /** Those whose least billed time is over: to end them sooner saves nothing. */
-    private static long over(List<InstanceCharge> running, long date) {
-        return running.stream().filter(b -> date >= b.since() + b.least()).count();
+    private static long countPastMinBilledTime(List<InstanceCharge> running, long providerNowMillis) {
+        return running.stream()
+                .filter(b -> providerNowMillis >= b.startedAtMillis() + b.minBilledMillis())
+                .count();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/SpendingCap.java
+++ b/src/main/java/nettlewick/tenantpools/SpendingCap.java
@@ -15,23 +15,27 @@
      * @param near the part of the cap past which nothing is added
      * @param zone whose months count
      */
-    public record Cap(long cap, double near, ZoneId zone) {
-        long mark() {
-            return (long) Math.floor(cap * near);
+    public record MonthlyCap(long cents, double nearFraction, ZoneId zone) {
+        long nearMarkCents() {
+            return (long) Math.floor(cents * nearFraction);
         }
     }
 
-    private final Cap cap;
+    private final MonthlyCap cap;
     private final YearMonth month;
-    private final long from;
-    private final long to;
+    private final long startMillis;
+    private final long endMillis;
 
     /** @param month the month that counts; it never goes back, whatever a clock says */
-    public SpendingCap(Cap cap, YearMonth month) {
+    public SpendingCap(MonthlyCap cap, YearMonth month) {
         this.cap = cap;
         this.month = month;
-        from = month.atDay(1).atStartOfDay(cap.zone()).toInstant().toEpochMilli();
-        to = month.plusMonths(1).atDay(1).atStartOfDay(cap.zone()).toInstant().toEpochMilli();
+        startMillis = month.atDay(1).atStartOfDay(cap.zone()).toInstant().toEpochMilli();
+        endMillis = month.plusMonths(1)
+                .atDay(1)
+                .atStartOfDay(cap.zone())
+                .toInstant()
+                .toEpochMilli();
     }
 
     static YearMonth monthOf(long millis, ZoneId zone) {
@@ -43,9 +47,9 @@
     }
 
     /** Billed of this month by now. */
-    long spent(List<InstanceCharge> bills, long now) {
-        return bills.stream()
-                .mapToLong(b -> Math.max(0, b.cost(from, Math.min(now, to), now)))
+    long spentCents(List<InstanceCharge> charges, long nowMillis) {
+        return charges.stream()
+                .mapToLong(b -> Math.max(0, b.costCents(startMillis, Math.min(nowMillis, endMillis), nowMillis)))
                 .sum();
     }
 
@@ -54,19 +58,31 @@
      * in
      * ending them. Danger: what falls into the next month counts here too, lest its last hour buys anything.
      */
-    long committed(List<InstanceCharge> bills, long now, long reach) {
-        return bills.stream()
-                .mapToLong(b -> Math.max(0, b.cost(Math.max(now, from), Long.MAX_VALUE, now + reach)))
+    long committedCents(List<InstanceCharge> charges, long nowMillis, long reactionMillis) {
+        return charges.stream()
+                .mapToLong(b -> Math.max(
+                        0, b.costCents(Math.max(nowMillis, startMillis), Long.MAX_VALUE, nowMillis + reactionMillis)))
                 .sum();
     }
 
     /** How many more of these the member may have, of so many wanted. */
-    int affords(List<InstanceCharge> bills, long now, long reach, int wanted, long leastCost, long open) {
-        long left = cap.mark() - spent(bills, now) - committed(bills, now, reach) - open;
-        return leastCost <= 0 || left <= 0 ? 0 : (int) Math.min(wanted, Math.max(0, (left - 1) / leastCost));
+    int affordableCount(
+            List<InstanceCharge> charges,
+            long nowMillis,
+            long reactionMillis,
+            int wanted,
+            long minCostCents,
+            long pendingCents) {
+        long availableCents = cap.nearMarkCents()
+                - spentCents(charges, nowMillis)
+                - committedCents(charges, nowMillis, reactionMillis)
+                - pendingCents;
+        return minCostCents <= 0 || availableCents <= 0
+                ? 0
+                : (int) Math.min(wanted, Math.max(0, (availableCents - 1) / minCostCents));
     }
 
-    boolean atCap(List<InstanceCharge> bills, long now) {
-        return spent(bills, now) >= cap.cap();
+    boolean isCapReached(List<InstanceCharge> charges, long nowMillis) {
+        return spentCents(charges, nowMillis) >= cap.cents();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -25,55 +25,55 @@
 final class TenantPoolTask implements LeaseTask {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
     /** What may come next is looked at once in so many milliseconds, and after each version. */
-    private static final double EACH = 20;
+    private static final double MIN_EVALUATION_INTERVAL_MILLIS = 20;
     /** A demand is taken for gone only once this many windows show less. */
-    private static final int DEMANDS = 10;
+    private static final int DEMAND_WINDOWS = 10;
     /** Windows for which all are listened to after anyone has spoken of its own accord. */
-    private static final int LISTENS = 10;
+    private static final int LISTENING_WINDOWS = 10;
     /** Pauses between tries at the provider: the first bound and the longest. */
-    private static final double FIRST = 100;
+    private static final double INITIAL_BACKOFF_MILLIS = 100;
 
-    private static final double LONGEST = 10_000;
+    private static final double MAX_BACKOFF_MILLIS = 10_000;
 
-    private final String member;
+    private final String tenant;
     private final Supplier<PoolSettings> settings;
-    private final PoolAssignments board;
-    private final UsageReporter speaker;
-    private final Provider provider;
+    private final PoolAssignments assignments;
+    private final UsageReporter reporter;
+    private final ProviderClient provider;
     private final Clock clock;
-    private final DoubleConsumer changed;
+    private final DoubleConsumer onChange;
     private final SplittableRandom random;
-    private Desk desk;
+    private Desk leaseControl;
     /** Whether the holder wants words from all. */
-    private boolean listening;
+    private boolean holderListens;
 
     // While it is held
     private long fence = -1;
     private boolean announced;
     private long lastVersion;
-    private double turnAt;
+    private double nextEvaluationAt;
     private ContentionEvidence evidence;
-    private PoolMigration mover;
-    private double windowAt;
+    private PoolMigration migration;
+    private double windowEndsAt;
     /**
      * For so many windows more, whatever they bring, words are wanted; and whether the member is being
      * moved.
      */
-    private int alarmedFor;
+    private int listeningWindowsLeft;
 
-    private boolean lately;
-    private final ArrayDeque<Double> parts = new ArrayDeque<>();
-    private ProviderReport told;
-    private boolean asking;
-    private double askAt;
+    private boolean migrating;
+    private final ArrayDeque<Double> recentDemand = new ArrayDeque<>();
+    private ProviderReport report;
+    private boolean requestInFlight;
+    private double nextRequestAt;
     private int failures;
-    private boolean settled;
-    private ScaleOutPolicy growth;
-    private ScaleOutPolicy.Terms grownBy;
+    private boolean scaleOutComplete;
+    private ScaleOutPolicy policy;
+    private ScaleOutPolicy.ScaleOutSettings policySettings;
     /** Read by whoever asks for figures; null while it is not held here. */
-    private volatile ScaleOutPolicy.Means means;
+    private volatile ScaleOutPolicy.BudgetStatus budgetStatus;
 
-    private long keys;
+    private long nextKey;
 
     /** @param changed told at each word and each beat, with the time */
     TenantPoolTask(
@@ -81,262 +81,273 @@
             Supplier<PoolSettings> settings,
             PoolAssignments board,
             UsageReporter speaker,
-            Provider provider,
+            ProviderClient provider,
             Clock clock,
             long seed,
             DoubleConsumer changed) {
-        this.member = tenant;
+        this.tenant = tenant;
         this.settings = settings;
-        this.board = board;
-        this.speaker = speaker;
+        this.assignments = board;
+        this.reporter = speaker;
         this.provider = provider;
         this.clock = clock;
-        this.changed = changed;
+        this.onChange = changed;
         random = new SplittableRandom(seed);
     }
 
     @Override
     public void joins(Desk one) {
-        desk = one;
+        leaseControl = one;
     }
 
-    private PoolSettings.Member own() {
-        return settings.get().members().get(member);
+    private PoolSettings.TenantSettings tenantSettings() {
+        return settings.get().tenants().get(tenant);
     }
 
     @Override
     public byte[] turn(HeldLease hold) {
-        PoolState s = PoolState.of(hold.state());
+        PoolState s = PoolState.decode(hold.state());
         if (fence != hold.fence()) {
-            begin(hold);
-            return s.held().bytes();
+            startHolding(hold);
+            return s.withNextTerm().encode();
         }
-        if (hold.version() == lastVersion && hold.now() < turnAt) {
+        if (hold.version() == lastVersion && hold.now() < nextEvaluationAt) {
             return null;
         }
         lastVersion = hold.version();
-        turnAt = hold.now() + EACH;
+        nextEvaluationAt = hold.now() + MIN_EVALUATION_INTERVAL_MILLIS;
         if (!announced) {
             announced = true;
-            LeaseTask.held(PoolSettings.duty(member), hold, s.term());
+            LeaseTask.held(PoolSettings.leaseName(tenant), hold, s.term());
         }
-        lately = s.move().step() != MigrationState.Step.NONE;
-        judge(hold.now());
-        PoolState next = step(s, hold.now());
-        return next == s ? null : next.bytes();
+        migrating = s.migration().step() != MigrationState.Step.SHARED;
+        closeWindowIfDue(hold.now());
+        PoolState next = nextState(s, hold.now());
+        return next == s ? null : next.encode();
     }
 
-    private void begin(HeldLease hold) {
+    private void startHolding(HeldLease hold) {
         fence = hold.fence();
         announced = false;
         lastVersion = -1;
-        evidence = new ContentionEvidence(member, settings.get().shares());
-        mover = new PoolMigration(member);
-        windowAt = hold.now() + settings.get().window();
-        parts.clear();
-        alarmedFor = 0;
-        told = null;
-        asking = false;
-        askAt = hold.now();
+        evidence = new ContentionEvidence(tenant, settings.get().quotas());
+        migration = new PoolMigration(tenant);
+        windowEndsAt = hold.now() + settings.get().windowMillis();
+        recentDemand.clear();
+        listeningWindowsLeft = 0;
+        report = null;
+        requestInFlight = false;
+        nextRequestAt = hold.now();
         failures = 0;
-        settled = false;
+        scaleOutComplete = false;
     }
 
-    private void judge(double now) {
-        if (now >= windowAt) {
-            windowAt = now + settings.get().window();
-            ContentionEvidence.Finding finding = evidence.window(board.apart(member));
-            alarmedFor = Math.max(0, alarmedFor - 1);
-            mover.hear(finding, now);
-            parts.add(finding.part());
-            if (parts.size() > DEMANDS) {
-                parts.remove();
+    private void closeWindowIfDue(double now) {
+        if (now >= windowEndsAt) {
+            windowEndsAt = now + settings.get().windowMillis();
+            ContentionEvidence.Finding finding = evidence.closeWindow(assignments.isolatedTenants(tenant));
+            listeningWindowsLeft = Math.max(0, listeningWindowsLeft - 1);
+            migration.recordFinding(finding, now);
+            recentDemand.add(finding.demandFraction());
+            if (recentDemand.size() > DEMAND_WINDOWS) {
+                recentDemand.remove();
             }
         }
     }
 
     /** The next state, or the same one. */
-    private PoolState step(PoolState s, double now) {
-        Map<String, PoolReservation.Runner> ready = board.ready();
-        boolean whole = own().growth() == null || settled;
-        PoolMigration.View view =
-                new PoolMigration.View(ready, board.taken(member, s.move().runners()), whole);
-        MigrationState next = mover.next(s.move(), own().will(), settings.get().moves(member), view, now);
-        if (!next.equals(s.move())) {
+    private PoolState nextState(PoolState s, double now) {
+        Map<String, PoolReservation.ReadyEndpoint> ready = assignments.readyEndpoints();
+        boolean whole = tenantSettings().scaleOut() == null || scaleOutComplete;
+        PoolMigration.FleetView view = new PoolMigration.FleetView(
+                ready,
+                assignments.endpointsReservedByOthers(tenant, s.migration().endpoints()),
+                whole);
+        MigrationState next = migration.nextState(
+                s.migration(), tenantSettings().policy(), settings.get().migrationSettings(tenant), view, now);
+        if (!next.equals(s.migration())) {
             LOG.info(
-                    "pool-" + next.step().name().toLowerCase(Locale.ROOT),
-                    "member " + member + ": " + next.step() + " with runners " + next.runners(),
+                    "pool-" + next.step().wireName().toLowerCase(Locale.ROOT),
+                    "member " + tenant + ": " + next.step().wireName() + " with runners " + next.endpoints(),
                     "member",
-                    member,
+                    tenant,
                     "step",
-                    next.step(),
+                    next.step().wireName(),
                     "fence",
                     fence);
-            return s.moved(next);
+            return s.withMigration(next);
         }
-        if (own().growth() == null) {
+        if (tenantSettings().scaleOut() == null) {
             return s;
         }
-        List<String> names = told == null
-                ? s.added()
-                : told.running().stream().map(InstanceCharge::name).sorted().toList();
-        return names.equals(s.added()) ? grow(s, ready, now) : s.with(names);
+        List<String> names = report == null
+                ? s.addedEndpoints()
+                : report.runningCharges().stream()
+                        .map(InstanceCharge::name)
+                        .sorted()
+                        .toList();
+        return names.equals(s.addedEndpoints()) ? scaleOut(s, ready, now) : s.withAddedEndpoints(names);
     }
 
-    private PoolState grow(PoolState s, Map<String, PoolReservation.Runner> ready, double now) {
-        if (!own().growth().equals(grownBy)) {
-            grownBy = own().growth();
-            growth = new ScaleOutPolicy(grownBy);
+    private PoolState scaleOut(PoolState s, Map<String, PoolReservation.ReadyEndpoint> ready, double now) {
+        if (!tenantSettings().scaleOut().equals(policySettings)) {
+            policySettings = tenantSettings().scaleOut();
+            policy = new ScaleOutPolicy(policySettings);
         }
-        String key = PoolSettings.duty(member) + "-" + Long.toHexString(fence) + "-" + keys;
-        ScaleOutPolicy.Next next = growth.next(s.money(), told, wanted(s.move(), ready), now, (long) clock.now(), key);
-        means = growth.means();
-        settled = next == ScaleOutPolicy.Next.NOTHING
-                && told != null
-                && told.running().size() >= told.size()
-                && told.running().stream().allMatch(b -> ready.containsKey(b.name()));
+        String key = PoolSettings.leaseName(tenant) + "-" + Long.toHexString(fence) + "-" + nextKey;
+        ScaleOutPolicy.Decision next =
+                policy.decide(s.budget(), report, desiredEndpoints(s.migration(), ready), now, (long) clock.now(), key);
+        budgetStatus = policy.budgetStatus();
+        scaleOutComplete = next == ScaleOutPolicy.Decision.NOTHING
+                && report != null
+                && report.runningCharges().size() >= report.desiredSize()
+                && report.runningCharges().stream().allMatch(b -> ready.containsKey(b.name()));
         if (next.store() != null) {
-            keys++;
-            if (!next.store().near().equals(s.money().near())) {
-                ScaleOutPolicy.Means m = growth.means();
+            nextKey++;
+            if (!next.store().nearCapMonth().equals(s.budget().nearCapMonth())) {
+                ScaleOutPolicy.BudgetStatus m = policy.budgetStatus();
                 LOG.warning(
                         "near-cap",
-                        "member " + member + " is near its cap: spent " + m.spent()
-                                + ", bound to spend " + m.committed() + " of " + m.cap()
-                                + "; nothing is added before " + m.resumes(),
+                        "member " + tenant + " is near its cap: spent " + m.spentCents()
+                                + ", bound to spend " + m.committedCents() + " of " + m.capCents()
+                                + "; nothing is added before " + m.resumesIn(),
                         "member",
-                        member,
+                        tenant,
                         "spent",
-                        m.spent(),
+                        m.spentCents(),
                         "cap",
-                        m.cap());
+                        m.capCents());
             }
-            return s.paying(next.store());
+            return s.withBudget(next.store());
         }
-        if (asking || now < askAt) {
+        if (requestInFlight || now < nextRequestAt) {
             return s;
         }
         if (next.list()) {
-            asking = true;
-            provider.list(member, now, back(fence));
-        } else if (next.put() != null) {
-            asking = true;
+            requestInFlight = true;
+            provider.list(tenant, now, answerHandler(fence));
+        } else if (next.resize() != null) {
+            requestInFlight = true;
             LOG.info(
                     "asks-provider",
-                    "asks the provider for " + next.put().size() + " runners for " + member,
+                    "asks the provider for " + next.resize().size() + " runners for " + tenant,
                     "member",
-                    member,
+                    tenant,
                     "size",
-                    next.put().size(),
+                    next.resize().size(),
                     "key",
-                    next.put().key(),
+                    next.resize().idempotencyKey(),
                     "fence",
                     fence);
-            provider.put(member, next, told.etag(), fence, own().kind(), now, back(fence));
+            provider.resize(
+                    tenant, next, report.etag(), fence, tenantSettings().endpointKind(), now, answerHandler(fence));
         }
         return s;
     }
 
-    private Consumer<Provider.Answer> back(long under) {
-        return answer -> desk.run(() -> {
+    private Consumer<ProviderClient.Answer> answerHandler(long under) {
+        return answer -> leaseControl.run(() -> {
             if (under == fence) {
-                answered(answer, System.nanoTime() / 1e6);
+                handleAnswer(answer, System.nanoTime() / 1e6);
             }
         });
     }
 
-    private void answered(Provider.Answer answer, double now) {
-        asking = false;
-        if (answer.way() == Provider.Way.TOLD) {
+    private void handleAnswer(ProviderClient.Answer answer, double now) {
+        requestInFlight = false;
+        if (answer.outcome() == ProviderClient.Outcome.REPORTED) {
             failures = 0;
-            askAt = now;
-            if (told == null || answer.told().at() >= told.at()) {
-                told = answer.told();
+            nextRequestAt = now;
+            if (report == null || answer.report().requestedAtMillis() >= report.requestedAtMillis()) {
+                report = answer.report();
             }
             return;
         }
         // Danger: all holders come back at once to a provider that was down. The pause is drawn from the
         // whole.
-        double bound = Math.min(LONGEST, FIRST * Math.pow(2, Math.min(30, failures++)));
-        askAt = now + answer.later() + bound * random.nextDouble();
-        switch (answer.way()) {
-            case STALE -> told = null;
+        double bound = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(30, failures++)));
+        nextRequestAt = now + answer.retryAfterMillis() + bound * random.nextDouble();
+        switch (answer.outcome()) {
+            case VERSION_CONFLICT -> report = null;
             case FENCED -> {
                 LOG.warning(
                         "outdone",
-                        "the provider has seen a higher fence for " + member,
+                        "the provider has seen a higher fence for " + tenant,
                         "member",
-                        member,
+                        tenant,
                         "fence",
                         fence,
                         "seen",
-                        answer.fence());
-                desk.outdo(PoolSettings.duty(member), answer.fence());
+                        answer.highestFence());
+                leaseControl.outdo(PoolSettings.leaseName(tenant), answer.highestFence());
             }
             default ->
                 LOG.info(
                         "provider-fails",
-                        "the provider did not answer for " + member,
+                        "the provider did not answer for " + tenant,
                         "member",
-                        member,
+                        tenant,
                         "way",
-                        answer.way());
+                        answer.outcome());
         }
     }
 
     /** How many runners its demand is worth beyond its share; below 0: not known yet. */
-    private int wanted(MigrationState move, Map<String, PoolReservation.Runner> ready) {
-        if (move.step() == MigrationState.Step.NONE || move.step() == MigrationState.Step.CLOSE) {
+    private int desiredEndpoints(MigrationState move, Map<String, PoolReservation.ReadyEndpoint> ready) {
+        if (move.step() == MigrationState.Step.SHARED || move.step() == MigrationState.Step.RETURNING) {
             return 0;
         }
-        double part = parts.stream().mapToDouble(p -> p).max().orElse(-1);
-        long common = ready.values().stream().filter(r -> r.addedFor() == null).count();
-        double beyond = part - settings.get().shares().get(member);
-        return part < 0 ? -1 : (int) Math.max(0, Math.min(own().most(), Math.round(beyond * common)));
+        double part = recentDemand.stream().mapToDouble(p -> p).max().orElse(-1);
+        long common =
+                ready.values().stream().filter(r -> r.addedForTenant() == null).count();
+        double beyond = part - settings.get().quotas().get(tenant);
+        return part < 0
+                ? -1
+                : (int) Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(beyond * common)));
     }
 
     @Override
     public void lost() {
         fence = -1;
-        means = null;
+        budgetStatus = null;
     }
 
     @Override
     public void news(long under, long version, byte[] state, boolean wanted, double now) {
-        listening = wanted;
-        board.take(member, PoolState.of(state), now);
-        changed.accept(now);
+        holderListens = wanted;
+        assignments.recordState(tenant, PoolState.decode(state), now);
+        onChange.accept(now);
     }
 
     @Override
     public void word(int from, long life, byte[] word, double now) {
-        if (fence >= 0 && !evidence.hear(from, life, word)) {
-            LOG.warning("word-passed-over", "a word on " + member + " cannot be read", "from", from);
+        if (fence >= 0 && !evidence.recordReport(from, life, word)) {
+            LOG.warning("word-passed-over", "a word on " + tenant + " cannot be read", "from", from);
         }
         // At once: the others' words of the last windows are in before this one ends.
-        if (fence >= 0 && evidence.alarmed()) {
-            if (alarmedFor == 0) {
-                LOG.info("hears-all", "hears all on member " + member, "member", member, "from", from);
+        if (fence >= 0 && evidence.takeUnsolicited()) {
+            if (listeningWindowsLeft == 0) {
+                LOG.info("hears-all", "hears all on member " + tenant, "member", tenant, "from", from);
             }
-            alarmedFor = LISTENS;
+            listeningWindowsLeft = LISTENING_WINDOWS;
         }
     }
 
     @Override
     public List<byte[]> tell(long under, double now) {
-        changed.accept(now);
-        return speaker.words(
-                member,
+        onChange.accept(now);
+        return reporter.reportsToSend(
+                tenant,
                 under,
-                listening,
-                settings.get().window(),
+                holderListens,
+                settings.get().windowMillis(),
                 now,
-                () -> board.apart(member).keySet());
+                () -> assignments.isolatedTenants(tenant).keySet());
     }
 
     @Override
     public boolean listens() {
-        return fence >= 0 && (lately || alarmedFor > 0);
+        return fence >= 0 && (migrating || listeningWindowsLeft > 0);
     }
 
     @Override
@@ -345,7 +356,7 @@
     }
 
     /** Figures for operators while it is held here. */
-    ScaleOutPolicy.Means means() {
-        return means;
+    ScaleOutPolicy.BudgetStatus budgetStatus() {
+        return budgetStatus;
     }
 }
--- a/src/main/java/nettlewick/tenantpools/PoolsService.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
@@ -21,46 +21,48 @@
 import nettlewick.settings.Block;
 
 /** Joins members' pools to the duties on one side and to the core on the other. */
-public final class PoolsService implements RequestListener, AutoCloseable {
+public final class TenantPoolsService implements RequestListener, AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
 
     private volatile PoolSettings settings;
     private final SchedulerSettings platform;
     private final UsageCounters counters;
-    private final PoolAssignments board;
-    private final Provider provider;
-    private final Map<String, TenantPoolTask> members = new LinkedHashMap<>();
-    private volatile RequestCoordinator core;
-    private List<PoolAssignment> last = List.of();
+    private final PoolAssignments assignments;
+    private final ProviderClient provider;
+    private final Map<String, TenantPoolTask> tasks = new LinkedHashMap<>();
+    private volatile RequestCoordinator coordinator;
+    private List<PoolAssignment> lastAssigned = List.of();
 
     /** @throws nettlewick.settings.BadSettings where the block does not fit the platform's settings */
-    public PoolsService(Block block, SchedulerSettings platform, Clock clock, long seed) {
+    public TenantPoolsService(Block block, SchedulerSettings platform, Clock clock, long seed) {
         this.platform = platform;
         settings = PoolSettings.of(block, platform.tenants());
         counters = new UsageCounters(platform.classes());
-        board = new PoolAssignments(settings.forget());
-        provider = settings.url() == null ? null : new Provider(settings.url(), settings.timeout());
-        UsageReporter speaker = new UsageReporter(counters, settings.shares());
-        settings.members()
+        assignments = new PoolAssignments(settings.staleAfterMillis());
+        provider = settings.providerUrl() == null
+                ? null
+                : new ProviderClient(settings.providerUrl(), settings.providerTimeoutMillis());
+        UsageReporter reporter = new UsageReporter(counters, settings.quotas());
+        settings.tenants()
                 .keySet()
-                .forEach(name -> members.put(
+                .forEach(name -> tasks.put(
                         name,
                         new TenantPoolTask(
                                 name,
                                 () -> settings,
-                                board,
-                                speaker,
+                                assignments,
+                                reporter,
                                 provider,
                                 clock,
                                 seed ^ name.hashCode(),
-                                this::follow)));
+                                this::publishAssignments)));
     }
 
     /** What is done with each member's duty, by the duty's name. */
-    public Map<String, LeaseTask> charges() {
-        Map<String, LeaseTask> charges = new LinkedHashMap<>();
-        members.forEach((name, charge) -> charges.put(PoolSettings.duty(name), charge));
-        return charges;
+    public Map<String, LeaseTask> leaseTasks() {
+        Map<String, LeaseTask> leaseTasks = new LinkedHashMap<>();
+        tasks.forEach((name, task) -> leaseTasks.put(PoolSettings.leaseName(name), task));
+        return leaseTasks;
     }
 
     /**
@@ -70,10 +72,10 @@
      *
      * @throws nettlewick.settings.BadSettings where it does not fit; the old one stays
      */
-    public Runnable reread(Block block) {
+    public Runnable prepareReload(Block block) {
         PoolSettings next = PoolSettings.of(block, platform.tenants());
         return () -> {
-            if (next.members().keySet().equals(members.keySet())) {
+            if (next.tenants().keySet().equals(tasks.keySet())) {
                 settings = next;
             } else {
                 LOG.warning("members-stay", "members of `pools` that come or go want a restart; the old block stays");
@@ -82,12 +84,12 @@
     }
 
     /** On the duties' thread: what has changed for the module goes to it. */
-    private void follow(double now) {
-        List<PoolAssignment> next = board.assignments(now);
-        RequestCoordinator to = core;
-        if (to != null && !next.equals(last)) {
-            last = next;
-            LOG.info("pools-followed", "members with runners of their own: " + next.size(), "follows", text(next));
+    private void publishAssignments(double nowMillis) {
+        List<PoolAssignment> next = assignments.currentAssignments(nowMillis);
+        RequestCoordinator to = coordinator;
+        if (to != null && !next.equals(lastAssigned)) {
+            lastAssigned = next;
+            LOG.info("pools-followed", "members with runners of their own: " + next.size(), "follows", describe(next));
             to.assignPools(next);
         }
     }
@@ -95,7 +97,7 @@
     /**
      * {@code red:1:0:s1,s2;blue:1:1:s3}: member, whether others keep away, whether it stays there, runners.
      */
-    private static String text(List<PoolAssignment> all) {
+    private static String describe(List<PoolAssignment> all) {
         return all.stream()
                 .map(a -> a.tenant() + ":" + (a.exclusive() ? 1 : 0) + ":" + (a.confined() ? 1 : 0)
                         + ":"
@@ -104,8 +106,8 @@
     }
 
     @Override
-    public void joins(RequestCoordinator one) {
-        core = one;
+    public void joins(RequestCoordinator coordinator) {
+        this.coordinator = coordinator;
     }
 
     @Override
@@ -119,19 +121,19 @@
     }
 
     @Override
-    public void listed(EndpointUpdate roster) {
-        board.listed(roster);
+    public void listed(EndpointUpdate update) {
+        assignments.listed(update);
     }
 
     @Override
     public Map<String, Number> figures() {
         Map<String, Number> figures = new TreeMap<>();
-        members.forEach((name, charge) -> {
-            ScaleOutPolicy.Means means = charge.means();
-            if (means != null) {
-                figures.put("pools." + name + ".spent_cents", means.spent());
-                figures.put("pools." + name + ".committed_cents", means.committed());
-                figures.put("pools." + name + ".cap_cents", means.cap());
+        tasks.forEach((name, task) -> {
+            ScaleOutPolicy.BudgetStatus budget = task.budgetStatus();
+            if (budget != null) {
+                figures.put("pools." + name + ".spent_cents", budget.spentCents());
+                figures.put("pools." + name + ".committed_cents", budget.committedCents());
+                figures.put("pools." + name + ".cap_cents", budget.capCents());
             }
         });
         return figures;
--- a/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
+++ b/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.contention.PoolReservation.Runner;
+import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import org.junit.jupiter.api.Test;
 
 /** The bytes of usage reports, and which endpoints a tenant's pool is made of: other builds must agree on both. */
@@ -18,32 +18,33 @@
         Map<Integer, Long> asked = new LinkedHashMap<>();
         asked.put(17, 1_000_000_007L);
         asked.put(-5, 3L);
-        Map<Integer, UsageReport.At> at = new LinkedHashMap<>();
-        at.put(0x1234_5678, new UsageReport.At(1, 20, 300, 40));
-        at.put(-1, new UsageReport.At(0, 7, 0, 0));
+        Map<Integer, UsageReport.EndpointUsage> at = new LinkedHashMap<>();
+        at.put(0x1234_5678, new UsageReport.EndpointUsage(1, 20, 300, 40));
+        at.put(-1, new UsageReport.EndpointUsage(0, 7, 0, 0));
         UsageReport report = new UsageReport(
                 123_456_789_012L, asked, 77, 88, at, new UncontendedBaseline(0.5, 0.25, 12.75, 13.5), true);
-        byte[] bytes = report.bytes();
-        assertEquals(report, UsageReport.of(bytes));
+        byte[] bytes = report.encode();
+        assertEquals(report, UsageReport.decode(bytes));
         assertMatches(
                 "contention/usage-report.txt",
-                hex(bytes) + hex(UsageReport.aged(bytes, 6)) + hex(UsageReport.NOTHING.bytes()));
+                hex(bytes) + hex(UsageReport.withAge(bytes, 6)) + hex(UsageReport.EMPTY.encode()));
     }
 
     @Test
     void aReservationTakesTheRecordedEndpoints() {
         StringBuilder text = new StringBuilder();
-        Map<String, Runner> ready = new LinkedHashMap<>();
+        Map<String, ReadyEndpoint> ready = new LinkedHashMap<>();
         for (int i = 0; i < 24; i++) {
             String zone = List.of("north", "south", "east").get(i % 3);
-            ready.put("s" + i, new Runner("s" + i, zone, i % 2 == 0 ? "small" : "large", i == 23 ? "red" : null));
+            ready.put(
+                    "s" + i, new ReadyEndpoint("s" + i, zone, i % 2 == 0 ? "small" : "large", i == 23 ? "red" : null));
         }
         for (String tenant : List.of("red", "green", "école")) {
-            for (double share : new double[] {0.05, 0.2, 0.4}) {
-                text.append(tenant).append(' ').append(share).append(' ');
+            for (double quota : new double[] {0.05, 0.2, 0.4}) {
+                text.append(tenant).append(' ').append(quota).append(' ');
                 List<String> before = List.of("s3", "s8");
                 Set<String> reserved = Set.of("s1", "s2");
-                text.append(PoolReservation.pick(tenant, ready, before, reserved, share, 0.5))
+                text.append(PoolReservation.selectEndpoints(tenant, ready, before, reserved, quota, 0.5))
                         .append('\n');
             }
         }
--- a/src/test/java/nettlewick/contention/VirtualTier.java
+++ b/src/test/java/nettlewick/contention/VirtualTier.java
@@ -9,86 +9,93 @@
 
 /** A tier in virtual time whose dispatchers each see a few jobs in a window, and tell the holder of red's duty. */
 public final class VirtualTier {
-    private static final int RUNNERS = 8;
-    private static final long WORK = 50;
+    private static final int ENDPOINTS = 8;
+    private static final long WORK_MILLIS = 50;
 
     /** What one dispatcher has counted of red since its life began. */
-    static final class Seen {
-        long total;
-        long ran;
-        long hinted;
-        final Map<Integer, Long> asked = new HashMap<>();
-        final Map<Integer, UsageReport.At> at = new LinkedHashMap<>();
-        UsageReport last = UsageReport.NOTHING;
-        UncontendedBaseline quiet = UncontendedBaseline.NONE;
+    static final class DispatcherUsage {
+        long totalWork;
+        long runMillis;
+        long hintedMillis;
+        final Map<Integer, Long> workByTenant = new HashMap<>();
+        final Map<Integer, UsageReport.EndpointUsage> endpoints = new LinkedHashMap<>();
+        UsageReport lastReport = UsageReport.EMPTY;
+        UncontendedBaseline baseline = UncontendedBaseline.NONE;
         /** What was said at the end of each window, the newest first. */
-        final List<byte[]> past = new ArrayList<>();
+        final List<byte[]> recentReports = new ArrayList<>();
 
         /** At the end of a window. */
-        UsageReport word(double share) {
-            UsageReport word = new UsageReport(
-                    total, new HashMap<>(asked), ran, hinted, new LinkedHashMap<>(at), UncontendedBaseline.NONE, false);
-            quiet = quiet.after(word.minus(last), UsageCounters.mark("red"), share);
-            last = word;
-            return word.saying(quiet, false);
+        UsageReport report(double quota) {
+            UsageReport report = new UsageReport(
+                    totalWork,
+                    new HashMap<>(workByTenant),
+                    runMillis,
+                    hintedMillis,
+                    new LinkedHashMap<>(endpoints),
+                    UncontendedBaseline.NONE,
+                    false);
+            baseline = baseline.withWindow(report.minus(lastReport), UsageCounters.nameHash("red"), quota);
+            lastReport = report;
+            return report.withBaseline(baseline, false);
         }
     }
 
     /** Jobs of each member at each dispatcher in a window, the part of others' that is harmed, and how they run. */
-    public record Load(Map<String, Double> jobs, double harmed, double drag) {}
+    public record Load(Map<String, Double> requestsPerWindow, double harmedFraction, double slowdown) {}
 
     final SplittableRandom random;
-    final List<Seen> tier = new ArrayList<>();
-    final Map<String, Double> shares;
+    final List<DispatcherUsage> dispatchers = new ArrayList<>();
+    final Map<String, Double> quotas;
     ContentionEvidence evidence;
     /** Members that are in pools of their own. */
-    Map<String, java.util.Set<String>> apart = Map.of();
+    Map<String, java.util.Set<String>> isolated = Map.of();
     /** The part of words that is lost. */
-    double lost;
+    double lossProbability;
 
-    VirtualTier(int dispatchers, Map<String, Double> shares, long seed) {
-        this.shares = shares;
+    VirtualTier(int size, Map<String, Double> quotas, long seed) {
+        this.quotas = quotas;
         random = new SplittableRandom(seed);
-        evidence = new ContentionEvidence("red", shares);
-        for (int d = 0; d < dispatchers; d++) {
-            tier.add(new Seen());
+        evidence = new ContentionEvidence("red", quotas);
+        for (int d = 0; d < size; d++) {
+            dispatchers.add(new DispatcherUsage());
         }
     }
 
-    ContentionEvidence.Finding window(Load load) {
-        for (int d = 0; d < tier.size(); d++) {
-            Seen s = tier.get(d);
-            load.jobs().forEach((tenant, mean) -> {
+    ContentionEvidence.Finding runWindow(Load load) {
+        for (int d = 0; d < dispatchers.size(); d++) {
+            DispatcherUsage s = dispatchers.get(d);
+            load.requestsPerWindow().forEach((tenant, mean) -> {
                 for (int jobs = (int) (mean + random.nextDouble()); jobs > 0; jobs--) {
                     boolean red = tenant.equals("red");
-                    s.total += WORK;
-                    s.asked.merge(UsageCounters.mark(tenant), WORK, Long::sum);
-                    s.ran += red ? 0 : (long) (WORK * load.drag());
-                    s.hinted += red ? 0 : WORK;
-                    boolean harm = !red && random.nextDouble() < load.harmed();
-                    s.at.merge(
-                            UsageCounters.mark("s" + random.nextInt(RUNNERS)),
-                            new UsageReport.At(red ? WORK : 0, WORK, red ? 0 : 1, harm ? 1 : 0),
-                            UsageReport.At::plus);
+                    s.totalWork += WORK_MILLIS;
+                    s.workByTenant.merge(UsageCounters.nameHash(tenant), WORK_MILLIS, Long::sum);
+                    s.runMillis += red ? 0 : (long) (WORK_MILLIS * load.slowdown());
+                    s.hintedMillis += red ? 0 : WORK_MILLIS;
+                    boolean harm = !red && random.nextDouble() < load.harmedFraction();
+                    s.endpoints.merge(
+                            UsageCounters.nameHash("s" + random.nextInt(ENDPOINTS)),
+                            new UsageReport.EndpointUsage(
+                                    red ? WORK_MILLIS : 0, WORK_MILLIS, red ? 0 : 1, harm ? 1 : 0),
+                            UsageReport.EndpointUsage::plus);
                 }
             });
-            byte[] word = s.word(shares.get("red")).bytes();
-            s.past.add(0, word);
-            if (random.nextDouble() >= lost) {
-                evidence.hear(d, 1, word);
+            byte[] report = s.report(quotas.get("red")).encode();
+            s.recentReports.add(0, report);
+            if (random.nextDouble() >= lossProbability) {
+                evidence.recordReport(d, 1, report);
             }
         }
-        return evidence.window(apart);
+        return evidence.closeWindow(isolated);
     }
 
     /** A new holder, who has heard nothing; whether it is told what was said in the windows before. */
-    void handOn(boolean past) {
-        evidence = new ContentionEvidence("red", shares);
-        for (int d = 0; d < tier.size() && past; d++) {
-            List<byte[]> words = tier.get(d).past;
+    void replaceHolder(boolean past) {
+        evidence = new ContentionEvidence("red", quotas);
+        for (int d = 0; d < dispatchers.size() && past; d++) {
+            List<byte[]> words = dispatchers.get(d).recentReports;
             for (int ago = Math.min(ContentionEvidence.WINDOWS, words.size()); ago > 0; ago--) {
-                if (random.nextDouble() >= lost) {
-                    evidence.hear(d, 1, UsageReport.aged(words.get(ago - 1), ago));
+                if (random.nextDouble() >= lossProbability) {
+                    evidence.recordReport(d, 1, UsageReport.withAge(words.get(ago - 1), ago));
                 }
             }
         }
@@ -96,17 +103,19 @@
 
     /** The words of a dispatcher that blames a member for all that is bad, each worse than the one before. */
     public static java.util.function.Supplier<byte[]> blame(String tenant, int endpoints) {
-        Seen liar = new Seen();
+        DispatcherUsage liar = new DispatcherUsage();
         return () -> {
-            liar.total += 1_000_000;
-            liar.asked.merge(UsageCounters.mark(tenant), 1_000_000L, Long::sum);
+            liar.totalWork += 1_000_000;
+            liar.workByTenant.merge(UsageCounters.nameHash(tenant), 1_000_000L, Long::sum);
             for (int r = 0; r < endpoints; r++) {
-                liar.at.merge(
-                        UsageCounters.mark("s" + r),
-                        new UsageReport.At(100_000, 100_000, 1000, 900),
-                        UsageReport.At::plus);
+                liar.endpoints.merge(
+                        UsageCounters.nameHash("s" + r),
+                        new UsageReport.EndpointUsage(100_000, 100_000, 1000, 900),
+                        UsageReport.EndpointUsage::plus);
             }
-            return liar.word(0.25).saying(UncontendedBaseline.NONE, true).bytes();
+            return liar.report(0.25)
+                    .withBaseline(UncontendedBaseline.NONE, true)
+                    .encode();
         };
     }
 
@@ -115,8 +124,8 @@
      * a dependency that slows everybody, others' floods, and its own up to its share.
      */
     public static int falseMoves(int dispatchers, int windows, long seed) {
-        Map<String, Double> shares = Map.of("red", 0.25, "blue", 0.25, "green", 0.5);
-        VirtualTier tier = new VirtualTier(dispatchers, shares, seed);
+        Map<String, Double> quotas = Map.of("red", 0.25, "blue", 0.25, "green", 0.5);
+        VirtualTier tier = new VirtualTier(dispatchers, quotas, seed);
         SplittableRandom random = new SplittableRandom(seed + 1);
         int moves = 0;
         Load load = null;
@@ -136,7 +145,7 @@
                         harmed,
                         slow ? 3 : 1);
             }
-            moves += tier.window(load).noisy() ? 1 : 0;
+            moves += tier.runWindow(load).causesContention() ? 1 : 0;
         }
         return moves;
     }
--- a/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
+++ b/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
@@ -14,16 +14,18 @@
     void eachStepHasTheRecordedJson() {
         StringBuilder text = new StringBuilder();
         for (MigrationState.Step step : MigrationState.Step.values()) {
-            PoolState.Intent intent = step.ordinal() % 2 == 0 ? null : new PoolState.Intent("key-7", 3, 1250);
+            PoolState.ResizeRequest intent =
+                    step.ordinal() % 2 == 0 ? null : new PoolState.ResizeRequest("key-7", 3, 1250);
             PoolState state = new PoolState(
                     4,
                     new MigrationState(step, List.of("s1", "x0"), 2),
                     List.of("x0"),
-                    new PoolState.Money("2026-12", intent, step == MigrationState.Step.OPEN ? "2026-12" : ""));
-            text.append(new String(state.bytes(), StandardCharsets.UTF_8)).append('\n');
-            assertEquals(state, PoolState.of(state.bytes()));
+                    new PoolState.Budget("2026-12", intent, step == MigrationState.Step.DEDICATED ? "2026-12" : ""));
+            text.append(new String(state.encode(), StandardCharsets.UTF_8)).append('\n');
+            assertEquals(state, PoolState.decode(state.encode()));
         }
-        text.append(new String(PoolState.FIRST.bytes(), StandardCharsets.UTF_8)).append('\n');
+        text.append(new String(PoolState.INITIAL.encode(), StandardCharsets.UTF_8))
+                .append('\n');
         assertMatches("lease/pool-states.txt", text.toString());
     }
 }
