--- a/src/main/java/nettlewick/contention/PoolMigration.java
+++ b/src/main/java/nettlewick/contention/PoolMigration.java
@@ -7,33 +7,34 @@
 import nettlewick.contention.MigrationState.Step;
 
 /**
- * Takes a member to runners of its own and back, a step at a time (docs/pools.md). One for each holding of
- * its
- * duty: the times of a step begin anew with a new holder. Time is handed in, in milliseconds. Pure.
+ * Decides each next step of a tenant's migration to dedicated endpoints and back. A lease holder creates one when it
+ * acquires the tenant's lease; the time spent in a step counts from then on. Confined to one thread.
  */
 public final class PoolMigration {
-    /** Returns are forgotten one by one after this long. */
+    /** A tenant that stays on the shared endpoints has one of its recent returns forgotten after each such time. */
     private static final double RETURN_DECAY_MILLIS = 600_000;
-    /** A stay is doubled so often at most. */
+
     private static final int MAX_STAY_DOUBLINGS = 5;
 
-    /** What the operators' settings say of one member. */
+    /** What the operators' settings demand for a tenant. */
     public enum OperatorPolicy {
-        /** As it goes. */
+        /** Migrate it when it causes contention. */
         AUTOMATIC,
-        /** In a pool, whatever it does. */
+        /** Keep it on dedicated endpoints, whatever it does. */
         ALWAYS_DEDICATED,
-        /** Never in one. */
+        /** Never give it dedicated endpoints. */
         ALWAYS_SHARED
     }
 
     /**
-     * @param share  the member's share of all runners
-     * @param part   the part of all runners that pools may hold
-     * @param settle how long a reserved pool is told before others leave it
-     * @param come   how long runners that are added are waited for
-     * @param clear  how long work in hand has to end
-     * @param stay   how long it has kept to its share before it comes back
+     * The limits of a migration.
+     *
+     * @param quota                 the tenant's fraction of all endpoints
+     * @param maxPoolFraction       the fraction of all endpoints that may be reserved by all tenants together
+     * @param settleMillis          how long a reservation is published before other tenants stay away
+     * @param scaleOutTimeoutMillis how long added endpoints are waited for
+     * @param drainMillis           how long requests in flight have to finish
+     * @param minStayMillis         how long the tenant must have kept to its quota before it returns
      */
     public record MigrationSettings(
             double quota,
@@ -44,11 +45,11 @@
             double minStayMillis) {}
 
     /**
-     * What a holder knows at this moment.
+     * What the lease holder knows of the fleet at a moment.
      *
-     * @param ready by name
-     * @param taken held by other members' pools
-     * @param whole whether all runners that were asked for are there
+     * @param readyEndpoints   by name
+     * @param reservedByOthers names of endpoints that other tenants hold
+     * @param scaleOutComplete whether all endpoints that were requested from the provider are ready
      */
     public record FleetView(
             Map<String, PoolReservation.ReadyEndpoint> readyEndpoints,
@@ -56,17 +57,20 @@
             boolean scaleOutComplete) {}
 
     private final String tenant;
+    /** Null until the first evaluation. */
     private Step step;
+
     private double stepStartedAt;
     private boolean causesContention;
     private double lastOverQuotaAt = Double.NEGATIVE_INFINITY;
     private double returnsDecayedAt;
 
+    /** Creates the migration of a tenant; its state is handed in with each evaluation. */
     public PoolMigration(String tenant) {
         this.tenant = tenant;
     }
 
-    /** What a window came to. */
+    /** Takes the verdict of the window that has just ended. */
     public void recordFinding(ContentionEvidence.Finding finding, double nowMillis) {
         causesContention = finding.causesContention();
         if (finding.overQuota()) {
@@ -74,7 +78,7 @@
         }
     }
 
-    /** Where things go from here; the same as it was while nothing changes. */
+    /** The next state; an equal one while nothing changes. */
     public MigrationState nextState(
             MigrationState current,
             OperatorPolicy policy,
@@ -93,57 +97,59 @@
                 fleet.reservedByOthers(),
                 settings.quota(),
                 settings.maxPoolFraction());
-        boolean wanted =
-                policy == OperatorPolicy.ALWAYS_DEDICATED || policy == OperatorPolicy.AUTOMATIC && causesContention;
-        boolean kept = policy == OperatorPolicy.ALWAYS_DEDICATED
-                || policy == OperatorPolicy.AUTOMATIC
-                        && nowMillis - Math.max(lastOverQuotaAt, stepStartedAt)
-                                < settings.minStayMillis()
-                                        * (1 << Math.min(MAX_STAY_DOUBLINGS, current.recentReturns()));
-        switch (current.step()) {
-            case SHARED -> {
-                if (wanted && !pool.isEmpty()) {
-                    return current.withEndpoints(pool).withStep(Step.RESERVING);
-                }
-                if (current.recentReturns() > 0 && nowMillis - returnsDecayedAt >= RETURN_DECAY_MILLIS) {
-                    returnsDecayedAt = nowMillis;
-                    return new MigrationState(Step.SHARED, List.of(), current.recentReturns() - 1);
-                }
-                return current;
-            }
+        double inStepMillis = nowMillis - stepStartedAt;
+        return switch (current.step()) {
+            case SHARED ->
+                shouldMigrate(policy) && !pool.isEmpty()
+                        ? current.withEndpoints(pool).withStep(Step.RESERVING)
+                        : decayReturns(current, nowMillis);
             case RESERVING -> {
-                boolean come =
-                        fleet.scaleOutComplete() || nowMillis - stepStartedAt >= settings.scaleOutTimeoutMillis();
-                return advance(
-                        current,
-                        pool,
-                        nowMillis - stepStartedAt >= settings.settleMillis() && come ? Step.DRAINING : current.step());
-            }
-            case DRAINING -> {
-                return advance(
-                        current,
-                        pool,
-                        nowMillis - stepStartedAt >= settings.drainMillis() ? Step.DEDICATED : current.step());
+                boolean endpointsArrived = fleet.scaleOutComplete() || inStepMillis >= settings.scaleOutTimeoutMillis();
+                boolean settled = inStepMillis >= settings.settleMillis();
+                yield advance(current, pool, settled && endpointsArrived ? Step.DRAINING : Step.RESERVING);
             }
+            case DRAINING ->
+                advance(current, pool, inStepMillis >= settings.drainMillis() ? Step.DEDICATED : Step.DRAINING);
             case DEDICATED -> {
-                return advance(current, pool, kept && !pool.isEmpty() ? current.step() : Step.RETURNING);
+                boolean stays = shouldStay(policy, current, settings, nowMillis) && !pool.isEmpty();
+                yield advance(current, pool, stays ? Step.DEDICATED : Step.RETURNING);
             }
-            default -> {
-                return nowMillis - stepStartedAt >= settings.drainMillis()
+            case RETURNING ->
+                inStepMillis >= settings.drainMillis()
                         ? new MigrationState(Step.SHARED, List.of(), current.recentReturns() + 1)
                         : current;
-            }
+        };
+    }
+
+    private boolean shouldMigrate(OperatorPolicy policy) {
+        return policy == OperatorPolicy.ALWAYS_DEDICATED || policy == OperatorPolicy.AUTOMATIC && causesContention;
+    }
+
+    private boolean shouldStay(
+            OperatorPolicy policy, MigrationState current, MigrationSettings settings, double nowMillis) {
+        if (policy != OperatorPolicy.AUTOMATIC) {
+            return policy == OperatorPolicy.ALWAYS_DEDICATED;
+        }
+        int stayFactor = 1 << Math.min(MAX_STAY_DOUBLINGS, current.recentReturns());
+        return nowMillis - Math.max(lastOverQuotaAt, stepStartedAt) < settings.minStayMillis() * stayFactor;
+    }
+
+    private MigrationState decayReturns(MigrationState current, double nowMillis) {
+        if (current.recentReturns() <= 0 || nowMillis - returnsDecayedAt < RETURN_DECAY_MILLIS) {
+            return current;
         }
+        returnsDecayedAt = nowMillis;
+        return new MigrationState(Step.SHARED, List.of(), current.recentReturns() - 1);
     }
 
     /**
-     * Danger: a list that says less for a moment would empty the pool; what is left stays until others
-     * come.
+     * Takes over the step and the endpoints. An empty pool is not taken over: a momentarily incomplete endpoint list
+     * must not leave the tenant without endpoints.
      */
-    private static MigrationState advance(MigrationState current, List<String> pool, Step to) {
-        Set<String> nowMillis = new HashSet<>(current.endpoints());
-        MigrationState next =
-                pool.isEmpty() || nowMillis.equals(new HashSet<>(pool)) ? current : current.withEndpoints(pool);
-        return next.step() == to ? next : next.withStep(to);
+    private static MigrationState advance(MigrationState current, List<String> pool, Step nextStep) {
+        Set<String> names = new HashSet<>(current.endpoints());
+        boolean unchanged = pool.isEmpty() || names.equals(new HashSet<>(pool));
+        MigrationState next = unchanged ? current : current.withEndpoints(pool);
+        return next.step() == nextStep ? next : next.withStep(nextStep);
     }
 }
--- a/src/main/java/nettlewick/contention/PoolReservation.java
+++ b/src/main/java/nettlewick/contention/PoolReservation.java
@@ -11,23 +11,32 @@
 import nettlewick.lease.CandidateRanking;
 
 /**
- * Which of the common runners a member's pool is made of: rendezvous by member and runner, so that views that
- * differ in one runner differ in one, with zones and kinds in proportion. Pure.
+ * Selects the endpoints that are reserved for a tenant: by rendezvous hashing, so that views that differ in one
+ * endpoint yield pools that differ in one, with zones and kinds in proportion. Stateless.
  */
 public final class PoolReservation {
-    /** A runner that is ready, and whether it was added for a member (null: it is for all). */
+    /**
+     * An endpoint that is ready.
+     *
+     * @param addedForTenant the tenant that the provider runs it for; null for a shared endpoint
+     */
     public record ReadyEndpoint(String name, String zone, String kind, String addedForTenant) {}
 
-    /** So many common runners at most: their names are part of a duty's state, which is short. */
+    /** The names are part of a lease's state, whose size is limited. */
     private static final int MAX_SHARED_ENDPOINTS = 150;
 
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
+
     private PoolReservation() {}
 
     /**
-     * @param had   the pool as it is: what of it is still ready stays
-     * @param taken what others' pools hold
-     * @param share the member's share of all runners
-     * @param part  the part of all runners that pools may hold together
+     * The names of the tenant's endpoints: all that were added for it, and its quota of the shared ones.
+     *
+     * @param ready            all ready endpoints, by name
+     * @param current          the pool as it is; what is still ready stays in it
+     * @param reservedByOthers names of endpoints that other tenants hold
+     * @param quota            the tenant's fraction of the shared endpoints
+     * @param maxPoolFraction  the fraction of the shared endpoints that all tenants may reserve together
      */
     public static List<String> selectEndpoints(
             String tenant,
@@ -36,52 +45,57 @@
             Set<String> reservedByOthers,
             double quota,
             double maxPoolFraction) {
-        List<ReadyEndpoint> shared =
-                ready.values().stream().filter(r -> r.addedForTenant() == null).toList();
         List<String> pool = new ArrayList<>(ready.values().stream()
-                .filter(r -> tenant.equals(r.addedForTenant()))
+                .filter(endpoint -> tenant.equals(endpoint.addedForTenant()))
                 .map(ReadyEndpoint::name)
                 .sorted()
                 .toList());
-        long elsewhere =
-                shared.stream().filter(r -> reservedByOthers.contains(r.name())).count();
-        int available = (int) Math.floor(maxPoolFraction * shared.size()) - (int) elsewhere;
+        List<ReadyEndpoint> shared = ready.values().stream()
+                .filter(endpoint -> endpoint.addedForTenant() == null)
+                .toList();
+        List<ReadyEndpoint> free = shared.stream()
+                .filter(endpoint -> !reservedByOthers.contains(endpoint.name()))
+                .sorted(preference(tenant, current))
+                .toList();
+        Map<String, List<ReadyEndpoint>> groups = new TreeMap<>();
+        free.forEach(
+                endpoint -> groups.computeIfAbsent(endpoint.kind() + " " + endpoint.zone(), group -> new ArrayList<>())
+                        .add(endpoint));
+        int available = (int) Math.floor(maxPoolFraction * shared.size()) - (shared.size() - free.size());
         int wanted = Math.max(1, (int) Math.round(quota * shared.size()));
         int size = Math.max(0, Math.min(Math.min(available, MAX_SHARED_ENDPOINTS), wanted));
-        Set<String> currentNames = new HashSet<>(current);
-        Comparator<ReadyEndpoint> preference = Comparator.comparing(
-                        (ReadyEndpoint r) -> !currentNames.contains(r.name()))
-                .thenComparingLong(r -> rendezvousWeight(tenant, r.name()))
-                .thenComparing(ReadyEndpoint::name);
-        Map<String, List<ReadyEndpoint>> groups = new TreeMap<>();
-        shared.stream()
-                .filter(r -> !reservedByOthers.contains(r.name()))
-                .sorted(preference)
-                .forEach(r -> groups.computeIfAbsent(r.kind() + " " + r.zone(), g -> new ArrayList<>())
-                        .add(r));
         apportion(groups, size)
-                .forEach((group, count) -> groups.get(group).subList(0, count).forEach(r -> pool.add(r.name())));
+                .forEach((group, count) ->
+                        groups.get(group).subList(0, count).forEach(endpoint -> pool.add(endpoint.name())));
         return pool;
     }
 
-    /** How many of each group, in proportion to its size, the largest remainders first. */
+    /** Members of the current pool first, the others in the tenant's rendezvous order. */
+    private static Comparator<ReadyEndpoint> preference(String tenant, List<String> current) {
+        Set<String> currentNames = new HashSet<>(current);
+        return Comparator.comparing((ReadyEndpoint endpoint) -> !currentNames.contains(endpoint.name()))
+                .thenComparingLong(endpoint -> rendezvousWeight(tenant, endpoint.name()))
+                .thenComparing(ReadyEndpoint::name);
+    }
+
+    /** How many of each group, in proportion to its size; largest remainders first. */
     private static Map<String, Integer> apportion(Map<String, List<ReadyEndpoint>> groups, int size) {
-        int all = groups.values().stream().mapToInt(List::size).sum();
-        int wanted = Math.min(size, all);
-        Map<String, Integer> quotas = new LinkedHashMap<>();
-        groups.forEach((group, some) -> quotas.put(group, all == 0 ? 0 : wanted * some.size() / all));
-        int left = wanted - quotas.values().stream().mapToInt(q -> q).sum();
+        int total = groups.values().stream().mapToInt(List::size).sum();
+        int wanted = Math.min(size, total);
+        Map<String, Integer> counts = new LinkedHashMap<>();
+        groups.forEach((group, members) -> counts.put(group, total == 0 ? 0 : wanted * members.size() / total));
+        int left = wanted - counts.values().stream().mapToInt(count -> count).sum();
         List<String> byRemainder = groups.keySet().stream()
                 .sorted(Comparator.comparingInt(
-                        (String g) -> -(wanted * groups.get(g).size() % Math.max(1, all))))
+                        (String group) -> -(wanted * groups.get(group).size() % Math.max(1, total))))
                 .toList();
         for (int i = 0; i < left; i++) {
-            quotas.merge(byRemainder.get(i), 1, Integer::sum);
+            counts.merge(byRemainder.get(i), 1, Integer::sum);
         }
-        return quotas;
+        return counts;
     }
 
     private static long rendezvousWeight(String tenant, String endpoint) {
-        return CandidateRanking.mix(tenant.hashCode() * 0x9E3779B97F4A7C15L + endpoint.hashCode());
+        return CandidateRanking.mix(tenant.hashCode() * HASH_MULTIPLIER + endpoint.hashCode());
     }
 }
--- a/src/main/java/nettlewick/contention/UncontendedBaseline.java
+++ b/src/main/java/nettlewick/contention/UncontendedBaseline.java
@@ -1,24 +1,23 @@
 package nettlewick.contention;
 
-import java.nio.ByteBuffer;
-
 /**
- * What a dispatcher saw in windows in which a member kept to its share there: what others' jobs were like
- * without it. Older windows count less. Pure.
+ * How other tenants' attempts fared on one dispatcher in windows in which a tenant kept to its quota. Older windows
+ * count less.
  *
- * @param others attempts of all but this member
- * @param harmed those of them that were harmed
- * @param ran    how long others' jobs ran, in milliseconds
- * @param hinted what their hints said
+ * @param otherAttempts  attempts of all other tenants
+ * @param harmedAttempts those of them that were harmed
+ * @param runMillis      how long their requests ran, where a cost hint came with them
+ * @param hintedMillis   what the cost hints said
  */
 public record UncontendedBaseline(double otherAttempts, double harmedAttempts, double runMillis, double hintedMillis) {
+    /** Nothing was observed. */
     static final UncontendedBaseline NONE = new UncontendedBaseline(0, 0, 0, 0);
-    static final int ENCODED_BYTES = 4 * Double.BYTES;
+
     private static final double DECAY_PER_WINDOW = 0.97;
 
-    /** With one more window, if the member kept to its share in it. */
+    /** This baseline with one more window, or unchanged if the tenant was over its quota in it. */
     UncontendedBaseline withWindow(UsageReport window, int tenantHash, double quota) {
-        if (window.totalWork() <= 0 || ContentionEvidence.isOverQuota(window, tenantHash, quota)) {
+        if (window.totalWork() <= 0 || TenantDemand.isOverQuota(window, tenantHash, quota)) {
             return this;
         }
         UsageReport.EndpointUsage usage = window.acrossEndpoints();
@@ -37,6 +36,7 @@
                 hintedMillis + other.hintedMillis);
     }
 
+    /** Whether the figures can have been counted: finite, not negative, no more harmed than there were. */
     boolean isValid() {
         return otherAttempts >= harmedAttempts
                 && harmedAttempts >= 0
@@ -44,16 +44,4 @@
                 && hintedMillis >= 0
                 && Double.isFinite(otherAttempts + runMillis + hintedMillis);
     }
-
-    void writeTo(ByteBuffer buffer) {
-        buffer.putDouble(otherAttempts)
-                .putDouble(harmedAttempts)
-                .putDouble(runMillis)
-                .putDouble(hintedMillis);
-    }
-
-    static UncontendedBaseline readFrom(ByteBuffer dispatcher) {
-        return new UncontendedBaseline(
-                dispatcher.getDouble(), dispatcher.getDouble(), dispatcher.getDouble(), dispatcher.getDouble());
-    }
 }
--- a/src/main/java/nettlewick/contention/UsageCounters.java
+++ b/src/main/java/nettlewick/contention/UsageCounters.java
@@ -8,161 +8,209 @@
 import java.util.Map;
 import java.util.function.ToLongFunction;
 import java.util.stream.Collectors;
+import nettlewick.contention.UsageReport.EndpointUsage;
 import nettlewick.core.Attempt;
 import nettlewick.core.Request;
 import nettlewick.core.RequestListener;
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
-/** What this dispatcher sees of its members' work, counted since its life began. Any thread. */
+/**
+ * Counts, on one dispatcher, what each tenant requests and how attempts fare on each endpoint, since the dispatcher's
+ * incarnation began. Safe for any thread.
+ */
 public final class UsageCounters implements RequestListener {
-    /** An attempt that begins later than this part of its class's aim was harmed. */
+    /** An attempt that starts later than this fraction of its class's latency objective is harmed. */
     private static final double MAX_WAIT_FRACTION = 0.25;
-    /** So many members, and so many sim runners, those seen last, go into a word. */
+    /** Bounds the size of a report, which must fit a datagram. */
     private static final int MAX_REPORTED_TENANTS = 16;
 
     private static final int MAX_REPORTED_ENDPOINTS = 32;
-    /** So many sim runners are remembered: those of months of releases would add up. */
+    /** Endpoints come and go with every release; the ones idle longest are forgotten. */
     private static final int MAX_TRACKED_ENDPOINTS = 1024;
 
-    /** Of one member, at one sim runner or in all. */
-    private static final class Totals {
-        double busyMillis;
-        long endedAttempts;
-        long harmedAttempts;
-        double runMillis;
-        double hintedMillis;
-        double requestedWork;
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** Stands for the latency objective of a class that the settings do not name. */
+    private static final double NO_OBJECTIVE_MILLIS = 1e9;
+
+    /** What one tenant requested in all. */
+    private static final class TenantTotals {
+        private double requestedWork;
+        private double runMillis;
+        private double hintedMillis;
+    }
+
+    /** How one tenant's attempts fared on one endpoint. */
+    private static final class AttemptTotals {
+        private double busyMillis;
+        private long endedAttempts;
+        private long harmedAttempts;
     }
 
+    /** One endpoint's totals by tenant. */
     private static final class EndpointTotals {
-        final Map<String, Totals> byTenant = new HashMap<>();
-        long lastEvent;
+        private final Map<String, AttemptTotals> byTenant = new HashMap<>();
+        private long lastEvent;
+    }
+
+    /** The mean run time of a class, which stands in for a missing cost hint; 1 ms until one is known. */
+    private static final class MeanRun {
+        private static final double DEFAULT_MILLIS = 1;
+        private double sumMillis;
+        private double count;
+
+        private double millis() {
+            return count == 0 ? DEFAULT_MILLIS : sumMillis / count;
+        }
     }
 
     private final Map<String, Double> latencyObjectivesMillis;
     private final Map<String, EndpointTotals> endpoints = new HashMap<>();
-    private final Map<String, Totals> tenants = new HashMap<>();
-    /** How long a job of a class runs, where no hint tells: the mean of those seen. */
-    private final Map<String, double[]> meanRunByClass = new HashMap<>();
-
+    private final Map<String, TenantTotals> tenants = new HashMap<>();
+    private final Map<String, MeanRun> meanRunByClass = new HashMap<>();
     private long events;
 
+    /** Creates counters at zero for requests of these classes. */
     public UsageCounters(List<RequestClass> classes) {
         latencyObjectivesMillis = classes.stream()
-                .collect(
-                        Collectors.toMap(RequestClass::name, c -> c.latencyObjective() / 1e6, (attempt, b) -> attempt));
+                .collect(Collectors.toMap(
+                        RequestClass::name, c -> c.latencyObjective() / NANOS_PER_MILLI, (first, second) -> first));
     }
 
-    /** Stands for a name in words. */
+    /** Stands for the name of a tenant or endpoint in reports. */
     static int nameHash(String name) {
         return String.valueOf(name).hashCode();
     }
 
     @Override
     public synchronized void asked(Request request) {
+        // A client's retry of a rejected request is no new demand.
         if (!request.repeat()) {
-            // Danger: what was turned away and comes again would make a refused member look noisy.
-            double[] mean = meanRunByClass.getOrDefault(request.requestClass(), new double[] {1, 1});
-            totalsOf(request.tenant()).requestedWork +=
-                    request.slots() * (request.costHint() > 0 ? request.costHint() : mean[0] / mean[1]);
+            double millis = request.costHint() > 0
+                    ? request.costHint()
+                    : meanRunByClass
+                            .getOrDefault(request.requestClass(), new MeanRun())
+                            .millis();
+            totalsOf(request.tenant()).requestedWork += request.slots() * millis;
         }
     }
 
-    private Totals totalsOf(String tenant) {
-        return tenants.computeIfAbsent(String.valueOf(tenant), m -> new Totals());
+    private TenantTotals totalsOf(String tenant) {
+        return tenants.computeIfAbsent(String.valueOf(tenant), t -> new TenantTotals());
     }
 
     @Override
     public synchronized void ended(Attempt attempt, AttemptResult result) {
         Request request = attempt.request();
-        EndpointTotals at = endpoints.computeIfAbsent(attempt.endpoint(), w -> new EndpointTotals());
-        at.lastEvent = ++events;
+        EndpointTotals endpoint = touch(attempt.endpoint());
+        AttemptTotals totals =
+                endpoint.byTenant.computeIfAbsent(String.valueOf(request.tenant()), t -> new AttemptTotals());
+        totals.busyMillis += attempt.ran() * request.slots();
+        if (result == AttemptResult.SERVED && hasStarted(attempt)) {
+            recordRun(request, attempt.ran());
+        }
+        boolean harmed = isHarmed(attempt, result);
+        if (harmed || result == AttemptResult.SERVED) {
+            totals.endedAttempts++;
+            totals.harmedAttempts += harmed ? 1 : 0;
+        }
+    }
+
+    private EndpointTotals touch(String name) {
+        EndpointTotals endpoint = endpoints.computeIfAbsent(name, e -> new EndpointTotals());
+        endpoint.lastEvent = ++events;
         if (endpoints.size() > MAX_TRACKED_ENDPOINTS) {
             endpoints.remove(
                     Collections.min(endpoints.entrySet(), Comparator.comparingLong(e -> e.getValue().lastEvent))
                             .getKey());
         }
-        Totals tenantTotals = at.byTenant.computeIfAbsent(String.valueOf(request.tenant()), m -> new Totals());
-        double runMillis = attempt.ran();
-        tenantTotals.busyMillis += runMillis * request.slots();
-        boolean started = !Double.isNaN(attempt.waited());
-        if (result == AttemptResult.SERVED && started) {
-            double[] mean = meanRunByClass.computeIfAbsent(request.requestClass(), c -> new double[2]);
-            mean[0] += runMillis;
-            mean[1]++;
-            if (request.costHint() > 0) {
-                Totals totals = totalsOf(request.tenant());
-                totals.runMillis += runMillis;
-                totals.hintedMillis += request.costHint();
-            }
+        return endpoint;
+    }
+
+    private void recordRun(Request request, double runMillis) {
+        MeanRun mean = meanRunByClass.computeIfAbsent(request.requestClass(), c -> new MeanRun());
+        mean.sumMillis += runMillis;
+        mean.count++;
+        if (request.costHint() > 0) {
+            TenantTotals totals = totalsOf(request.tenant());
+            totals.runMillis += runMillis;
+            totals.hintedMillis += request.costHint();
         }
-        boolean harmed = result == AttemptResult.OVERLOADED
-                || !started && (result == AttemptResult.TIMEOUT || result == AttemptResult.CANCELLED)
-                || started
-                        && attempt.waited()
-                                > MAX_WAIT_FRACTION * latencyObjectivesMillis.getOrDefault(request.requestClass(), 1e9);
-        if (harmed || result == AttemptResult.SERVED) {
-            tenantTotals.endedAttempts++;
-            tenantTotals.harmedAttempts += harmed ? 1 : 0;
+    }
+
+    private static boolean hasStarted(Attempt attempt) {
+        return !Double.isNaN(attempt.waited());
+    }
+
+    /** Rejected, lost before it started, or started late. */
+    private boolean isHarmed(Attempt attempt, AttemptResult result) {
+        if (result == AttemptResult.OVERLOADED) {
+            return true;
+        }
+        if (!hasStarted(attempt)) {
+            return result == AttemptResult.TIMEOUT || result == AttemptResult.CANCELLED;
         }
+        double objectiveMillis =
+                latencyObjectivesMillis.getOrDefault(attempt.request().requestClass(), NO_OBJECTIVE_MILLIS);
+        return attempt.waited() > MAX_WAIT_FRACTION * objectiveMillis;
     }
 
-    /** What there is to say of this member. */
+    /** A report as seen from a tenant, bounded so that it fits a datagram. */
     UsageReport report(String tenant) {
         return report(tenant, MAX_REPORTED_TENANTS, MAX_REPORTED_ENDPOINTS);
     }
 
-    /** All that was seen of this member. */
+    /** A report as seen from a tenant, with all tenants and endpoints. */
     UsageReport fullReport(String tenant) {
         return report(tenant, Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
 
     private synchronized UsageReport report(String tenant, int maxTenants, int maxEndpoints) {
-        Map<Integer, Long> asked = new LinkedHashMap<>();
+        Map<Integer, Long> work = new LinkedHashMap<>();
         tenants.entrySet().stream()
                 .sorted(Comparator.comparingDouble(e -> -e.getValue().requestedWork))
                 .limit(maxTenants)
-                .forEach(e -> asked.put(nameHash(e.getKey()), Math.round(e.getValue().requestedWork)));
-        asked.computeIfAbsent(nameHash(tenant), m -> Math.round(totalsOf(tenant).requestedWork));
-        Map<Integer, UsageReport.EndpointUsage> at = new LinkedHashMap<>();
+                .forEach(e -> work.put(nameHash(e.getKey()), Math.round(e.getValue().requestedWork)));
+        work.computeIfAbsent(nameHash(tenant), t -> Math.round(totalsOf(tenant).requestedWork));
+        Map<Integer, EndpointUsage> usage = new LinkedHashMap<>();
         endpoints.entrySet().stream()
                 .sorted(Comparator.comparingLong(e -> -e.getValue().lastEvent))
                 .limit(maxEndpoints)
-                .forEach(e -> at.put(nameHash(e.getKey()), endpointUsage(e.getValue(), tenant)));
+                .forEach(e -> usage.put(nameHash(e.getKey()), usageOf(e.getValue(), tenant)));
+        double totalWork =
+                tenants.values().stream().mapToDouble(t -> t.requestedWork).sum();
         return new UsageReport(
-                Math.round(tenants.values().stream()
-                        .mapToDouble(s -> s.requestedWork)
-                        .sum()),
-                asked,
-                sumOverOthers(tenant, s -> Math.round(s.runMillis)),
-                sumOverOthers(tenant, s -> Math.round(s.hintedMillis)),
-                at,
+                Math.round(totalWork),
+                work,
+                sumOverOthers(tenant, t -> Math.round(t.runMillis)),
+                sumOverOthers(tenant, t -> Math.round(t.hintedMillis)),
+                usage,
                 UncontendedBaseline.NONE,
                 false);
     }
 
-    private long sumOverOthers(String tenant, ToLongFunction<Totals> amount) {
+    private long sumOverOthers(String tenant, ToLongFunction<TenantTotals> amount) {
         return tenants.entrySet().stream()
                 .filter(e -> !e.getKey().equals(tenant))
                 .mapToLong(e -> amount.applyAsLong(e.getValue()))
                 .sum();
     }
 
-    private static UsageReport.EndpointUsage endpointUsage(EndpointTotals endpoint, String tenant) {
-        double own = 0;
-        double totals = 0;
-        long others = 0;
-        long harmed = 0;
-        for (Map.Entry<String, Totals> e : endpoint.byTenant.entrySet()) {
-            totals += e.getValue().busyMillis;
-            if (e.getKey().equals(tenant)) {
-                own += e.getValue().busyMillis;
+    private static EndpointUsage usageOf(EndpointTotals endpoint, String tenant) {
+        double tenantWork = 0;
+        double totalWork = 0;
+        long otherAttempts = 0;
+        long harmedAttempts = 0;
+        for (Map.Entry<String, AttemptTotals> entry : endpoint.byTenant.entrySet()) {
+            AttemptTotals totals = entry.getValue();
+            totalWork += totals.busyMillis;
+            if (entry.getKey().equals(tenant)) {
+                tenantWork += totals.busyMillis;
             } else {
-                others += e.getValue().endedAttempts;
-                harmed += e.getValue().harmedAttempts;
+                otherAttempts += totals.endedAttempts;
+                harmedAttempts += totals.harmedAttempts;
             }
         }
-        return new UsageReport.EndpointUsage((long) own, (long) totals, others, harmed);
+        return new EndpointUsage((long) tenantWork, (long) totalWork, otherAttempts, harmedAttempts);
     }
 }
--- a/src/main/java/nettlewick/contention/UsageReporter.java
+++ b/src/main/java/nettlewick/contention/UsageReporter.java
@@ -11,26 +11,28 @@
 import java.util.stream.Collectors;
 
 /**
- * What is told to the holders of members' duties, and when it is worth a word: where a member asks for more
- * than its share here while others are harmed, and wherever its holder listens. Not to be shared by threads.
+ * Decides when this dispatcher sends usage reports to the holder of a tenant's lease: whenever the holder listens, and
+ * unsolicited when the tenant exceeds its quota here while other tenants are harmed. Confined to one thread.
  */
 public final class UsageReporter {
-    /** A dispatcher speaks of its own accord after so many windows in a row. */
+    /** A dispatcher reports unsolicited after this many consecutive windows over quota. */
     private static final int MIN_CONSECUTIVE_WINDOWS = 2;
 
+    /** What was reported on one tenant. */
     private static final class TenantReporting {
-        UsageReport lastReport;
-        double windowEndsAt;
-        UncontendedBaseline baseline = UncontendedBaseline.NONE;
-        boolean unsolicited;
-        /** Windows in a row in which the member was over its share here. */
-        int consecutiveOverQuota;
-        /** What there was to say at the end of each of the last windows, the newest first. */
-        final Deque<byte[]> recentReports = new ArrayDeque<>();
-        /** The fence under which it was spoken last, and how many windows have ended since. */
-        long lastFence = -1;
+        /** Counts at the end of the last window; null before the first. */
+        private UsageReport lastCounts;
 
-        int unsentWindows;
+        private double windowEndsAt;
+        private UncontendedBaseline baseline = UncontendedBaseline.NONE;
+        private boolean unsolicited;
+        private int consecutiveOverQuota;
+        /** Encoded reports of the last windows, newest first. */
+        private final Deque<byte[]> recentReports = new ArrayDeque<>();
+        /** The fence of the holder that was sent the last report. */
+        private long lastFence = -1;
+
+        private int unsentWindows;
     }
 
     private final UsageCounters counters;
@@ -38,20 +40,24 @@
     private final Map<Integer, Double> quotaByTenantHash = new HashMap<>();
     private final Map<String, TenantReporting> reportingByTenant = new HashMap<>();
 
+    /**
+     * Creates a reporter that has sent nothing yet.
+     *
+     * @param quotas of all tenants, by name, as fractions
+     */
     public UsageReporter(UsageCounters counters, Map<String, Double> quotas) {
         this.counters = counters;
         this.quotas = Map.copyOf(quotas);
-        quotas.forEach((name, part) -> quotaByTenantHash.put(UsageCounters.nameHash(name), part));
+        quotas.forEach((name, quota) -> quotaByTenantHash.put(UsageCounters.nameHash(name), quota));
     }
 
     /**
-     * The words to send now, each its own datagram: mostly none or one, and to a holder that has not heard
-     * the last windows those too, so that what was seen does not end with the holder before it.
+     * The encoded reports to send now, each in its own datagram: usually none or one. A holder that has not been sent
+     * the last windows gets those too, so that evidence survives a change of the holder.
      *
-     * @param fence   the holder's
-     * @param listens whether the holder wants words from all
-     * @param window  how long what was seen is put together, in milliseconds
-     * @param apart   other members that are in pools of their own; asked for at a window's end only
+     * @param fence         the holder's fence
+     * @param holderListens whether the holder wants reports from all dispatchers
+     * @param isolated      other tenants that are confined to dedicated endpoints; asked at the end of a window only
      */
     public List<byte[]> reportsToSend(
             String tenant,
@@ -60,31 +66,20 @@
             double windowMillis,
             double nowMillis,
             Supplier<Set<String>> isolated) {
-        TenantReporting reporting = reportingByTenant.computeIfAbsent(tenant, m -> new TenantReporting());
-        if (reporting.lastReport == null || nowMillis >= reporting.windowEndsAt) {
+        TenantReporting reporting = reportingByTenant.computeIfAbsent(tenant, t -> new TenantReporting());
+        if (reporting.lastCounts == null || nowMillis >= reporting.windowEndsAt) {
             reporting.windowEndsAt = nowMillis + windowMillis;
-            UsageReport current = counters.fullReport(tenant);
-            evaluateWindow(
-                    reporting,
-                    reporting.lastReport == null ? UsageReport.EMPTY : current.minus(reporting.lastReport),
-                    tenant,
-                    isolated.get());
-            reporting.lastReport = current;
-            reporting.recentReports.addFirst(encodedReport(reporting, tenant));
-            if (reporting.recentReports.size() > ContentionEvidence.WINDOWS) {
-                reporting.recentReports.removeLast();
-            }
-            reporting.unsentWindows = Math.min(ContentionEvidence.WINDOWS, reporting.unsentWindows + 1);
+            closeWindow(reporting, tenant, isolated.get());
         }
         if (!holderListens && !reporting.unsolicited) {
             return List.of();
         }
         List<byte[]> reports = new ArrayList<>();
-        int age = 0;
         int missing = fence == reporting.lastFence ? reporting.unsentWindows : ContentionEvidence.WINDOWS;
-        for (byte[] old : reporting.recentReports) {
+        int age = 0;
+        for (byte[] recent : reporting.recentReports) {
             if (++age <= missing) {
-                reports.add(UsageReport.withAge(old, age));
+                reports.add(UsageReportCodec.withAge(recent, age));
             }
         }
         reports.add(encodedReport(reporting, tenant));
@@ -93,25 +88,35 @@
         return reports;
     }
 
+    private void closeWindow(TenantReporting reporting, String tenant, Set<String> isolated) {
+        UsageReport counts = counters.fullReport(tenant);
+        UsageReport window = reporting.lastCounts == null ? UsageReport.EMPTY : counts.minus(reporting.lastCounts);
+        evaluateWindow(reporting, window, tenant, isolated);
+        reporting.lastCounts = counts;
+        reporting.recentReports.addFirst(encodedReport(reporting, tenant));
+        if (reporting.recentReports.size() > ContentionEvidence.WINDOWS) {
+            reporting.recentReports.removeLast();
+        }
+        reporting.unsentWindows = Math.min(ContentionEvidence.WINDOWS, reporting.unsentWindows + 1);
+    }
+
     private byte[] encodedReport(TenantReporting reporting, String tenant) {
-        return counters.report(tenant)
-                .withBaseline(reporting.baseline, reporting.unsolicited)
-                .encode();
+        return UsageReportCodec.encode(counters.report(tenant).withBaseline(reporting.baseline, reporting.unsolicited));
     }
 
     private void evaluateWindow(TenantReporting reporting, UsageReport window, String tenant, Set<String> isolated) {
         double quota = quotas.get(tenant);
-        int nameHash = UsageCounters.nameHash(tenant);
+        int tenantHash = UsageCounters.nameHash(tenant);
         Set<Integer> isolatedHashes =
                 isolated.stream().map(UsageCounters::nameHash).collect(Collectors.toSet());
-        reporting.baseline = reporting.baseline.withWindow(window, UsageCounters.nameHash(tenant), quota);
-        UsageReport.EndpointUsage current = window.acrossEndpoints();
-        // Danger: one that sees a few jobs in a window finds every small member over its share now and then.
-        boolean causesMost = ContentionEvidence.isOverQuota(window, nameHash, quota)
-                && ContentionEvidence.causesMostExcess(window, nameHash, quotaByTenantHash, isolatedHashes);
-        reporting.consecutiveOverQuota = causesMost ? reporting.consecutiveOverQuota + 1 : 0;
+        reporting.baseline = reporting.baseline.withWindow(window, tenantHash, quota);
+        UsageReport.EndpointUsage usage = window.acrossEndpoints();
+        // A dispatcher sees so few requests in a window that any small tenant may be over its quota by chance.
+        boolean responsible = TenantDemand.isOverQuota(window, tenantHash, quota)
+                && TenantDemand.causesMostExcess(window, tenantHash, quotaByTenantHash, isolatedHashes);
+        reporting.consecutiveOverQuota = responsible ? reporting.consecutiveOverQuota + 1 : 0;
         reporting.unsolicited = reporting.consecutiveOverQuota >= MIN_CONSECUTIVE_WINDOWS
-                && current.harmedAttempts() > 0
-                && current.harmedAttempts() >= ContentionEvidence.MIN_HARMED_FRACTION * current.otherAttempts();
+                && usage.harmedAttempts() > 0
+                && usage.harmedAttempts() >= HarmAnalysis.MIN_HARMED_FRACTION * usage.otherAttempts();
     }
 }
--- a/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
+++ b/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
@@ -5,47 +5,57 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collections;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.Supplier;
+import net.jqwik.api.Arbitraries;
+import net.jqwik.api.Arbitrary;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import net.jqwik.api.Provide;
 import nettlewick.contention.VirtualTier.Load;
 import org.junit.jupiter.api.Test;
 
-/** Who is noisy and who is not, by a tier of twelve that each see a few jobs in a window. */
+/** Whose load counts as contention, judged from twelve dispatchers that each see a few requests in a window. */
 class ContentionEvidenceTest {
     private static final int DISPATCHERS = 12;
     private static final int ENDPOINTS = 8;
     private static final int MAX_WINDOWS = 40;
 
     private final Map<String, Double> quotas = new LinkedHashMap<>(Map.of("red", 0.25, "blue", 0.25, "green", 0.5));
-    private VirtualTier tier;
+    private VirtualTier fleet;
 
     private void startFleet() {
-        tier = new VirtualTier(DISPATCHERS, quotas, 3);
+        fleet = new VirtualTier(DISPATCHERS, quotas, 3);
     }
 
-    private ContentionEvidence.Finding window(Load load) {
-        return tier.runWindow(load);
+    private ContentionEvidence.Finding runWindow(Load load) {
+        return fleet.runWindow(load);
     }
 
-    /** After how many windows red is found noisy; -1: never. */
+    /** After how many windows red is found to cause contention; -1 if never. */
     private int windowsUntilDetected(Load load) {
         for (int w = 1; w <= MAX_WINDOWS; w++) {
-            if (window(load).causesContention()) {
+            if (runWindow(load).causesContention()) {
                 return w;
             }
         }
         return -1;
     }
 
-    private static Load load(double red, double others, double harmed, double drag) {
-        return new Load(Map.of("red", red, "blue", others, "green", 2 * others), harmed, drag);
+    private static Load load(double red, double others, double harmedFraction, double slowdown) {
+        return new Load(Map.of("red", red, "blue", others, "green", 2 * others), harmedFraction, slowdown);
     }
 
     private void runUncontendedWindows() {
         for (int w = 0; w < 10; w++) {
-            assertFalse(window(load(1, 1, 0.01, 1)).causesContention());
+            assertFalse(runWindow(load(1, 1, 0.01, 1)).causesContention());
         }
     }
 
@@ -54,16 +64,16 @@
         startFleet();
         runUncontendedWindows();
         int after = windowsUntilDetected(load(6, 1, 0.3, 1.1));
-        assertTrue(after >= 4 && after <= 8, "found after " + after);
+        assertTrue(after >= 4 && after <= 8, "detected after " + after);
     }
 
     @Test
     void lostReportsOnlyDelayDetection() {
         startFleet();
-        tier.lossProbability = 0.3;
+        fleet.lossProbability = 0.3;
         runUncontendedWindows();
         int after = windowsUntilDetected(load(6, 1, 0.3, 1.1));
-        assertTrue(after >= 4 && after <= 12, "found after " + after);
+        assertTrue(after >= 4 && after <= 12, "detected after " + after);
     }
 
     @Test
@@ -77,7 +87,7 @@
     void harmThatPredatesTheFloodIsNotAttributedToIt() {
         startFleet();
         for (int w = 0; w < 10; w++) {
-            window(load(1, 1, 0.3, 1));
+            runWindow(load(1, 1, 0.3, 1));
         }
         assertEquals(-1, windowsUntilDetected(load(6, 1, 0.3, 1)));
     }
@@ -88,36 +98,38 @@
         runUncontendedWindows();
         assertEquals(-1, windowsUntilDetected(load(1, 1, 0.4, 3)));
         assertEquals(
-                -1, windowsUntilDetected(load(6, 1, 0.4, 3)), "and not who floods meanwhile either: it cannot be told");
+                -1,
+                windowsUntilDetected(load(6, 1, 0.4, 3)),
+                "a flood during the slowdown cannot be told apart from it");
     }
 
     @Test
     void manySmallTenantsTogetherAreNotBlamed() {
         quotas.clear();
-        Map<String, Double> jobs = new LinkedHashMap<>();
+        Map<String, Double> requests = new LinkedHashMap<>();
         for (int m = 0; m < 10; m++) {
             quotas.put(m == 0 ? "red" : "small-" + m, 0.04);
-            jobs.put(m == 0 ? "red" : "small-" + m, 1.5);
+            requests.put(m == 0 ? "red" : "small-" + m, 1.5);
         }
         quotas.put("green", 0.6);
-        jobs.put("green", 5.0);
+        requests.put("green", 5.0);
         startFleet();
-        Map<String, Double> calm = new LinkedHashMap<>(jobs);
+        Map<String, Double> calm = new LinkedHashMap<>(requests);
         calm.replaceAll((m, j) -> m.equals("green") ? 6 : 0.3);
         for (int w = 0; w < 10; w++) {
-            window(new Load(calm, 0.01, 1));
+            runWindow(new Load(calm, 0.01, 1));
         }
-        assertEquals(-1, windowsUntilDetected(new Load(jobs, 0.3, 1)));
+        assertEquals(-1, windowsUntilDetected(new Load(requests, 0.3, 1)));
     }
 
-    /** Two at once: the larger one first; and then the other, for what the first asks for harms nobody any more. */
+    /** Of two flooding tenants the larger is migrated first; the other one is detected afterwards. */
     @Test
     void theSecondTenantIsDetectedOnceTheLargerIsIsolated() {
         startFleet();
         runUncontendedWindows();
         Load both = new Load(Map.of("red", 5.0, "blue", 7.0, "green", 2.0), 0.3, 1.1);
         assertEquals(-1, windowsUntilDetected(both));
-        tier.isolated = Map.of("blue", java.util.Set.of("s9"));
+        fleet.isolated = Map.of("blue", Set.of("s9"));
         assertTrue(windowsUntilDetected(both) > 0);
     }
 
@@ -132,27 +144,27 @@
     void oneDispatchersReportsAreNotEnough() {
         startFleet();
         runUncontendedWindows();
-        java.util.function.Supplier<byte[]> liar = VirtualTier.blame("red", ENDPOINTS);
+        Supplier<byte[]> accusations = VirtualTier.blame("red", ENDPOINTS);
         for (int w = 0; w < MAX_WINDOWS; w++) {
-            tier.evidence.recordReport(DISPATCHERS, 1, liar.get());
-            assertFalse(window(load(1, 1, 0.02, 1)).causesContention());
+            fleet.evidence.recordReport(DISPATCHERS, 1, accusations.get());
+            assertFalse(runWindow(load(1, 1, 0.02, 1)).causesContention());
         }
     }
 
-    /** A holder that dies in each window of a flood takes nothing along that its follower is not told again. */
+    /** The holder is replaced in each window of a flood: dispatchers repeat the last windows to each new one. */
     @Test
     void evidenceSurvivesALeaseHolderChangeInEachWindow() {
         for (double lost : new double[] {0, 0.3}) {
             startFleet();
-            tier.lossProbability = lost;
+            fleet.lossProbability = lost;
             runUncontendedWindows();
             Load flood = load(6, 1, 0.3, 1.1);
             int after = -1;
             for (int w = 1; w <= MAX_WINDOWS && after < 0; w++) {
-                after = window(flood).causesContention() ? w : -1;
-                tier.replaceHolder(true);
+                after = runWindow(flood).causesContention() ? w : -1;
+                fleet.replaceHolder(true);
             }
-            assertTrue(after >= 4 && after <= 10, "found after " + after + " with " + lost + " lost");
+            assertTrue(after >= 4 && after <= 10, "detected after " + after + " with " + lost + " lost");
         }
     }
 
@@ -161,35 +173,35 @@
         startFleet();
         runUncontendedWindows();
         for (int w = 1; w <= MAX_WINDOWS; w++) {
-            assertFalse(window(load(6, 1, 0.3, 1.1)).causesContention());
-            tier.replaceHolder(false);
+            assertFalse(runWindow(load(6, 1, 0.3, 1.1)).causesContention());
+            fleet.replaceHolder(false);
         }
     }
 
-    /** Late, doubled and in any order, words of one life say the same. */
+    /** Reports of one incarnation may be late, duplicated and reordered. */
     @Test
     void earlierReportsMayArriveInAnyOrderAndTwice() {
         startFleet();
         runUncontendedWindows();
         for (int w = 0; w < 6; w++) {
-            window(load(6, 1, 0.3, 1.1));
+            runWindow(load(6, 1, 0.3, 1.1));
         }
         for (int seed = 0; seed < 20; seed++) {
-            java.util.Random random = new java.util.Random(seed);
-            tier.evidence = new ContentionEvidence("red", quotas);
-            java.util.List<Runnable> words = new java.util.ArrayList<>();
+            Random random = new Random(seed);
+            fleet.evidence = new ContentionEvidence("red", quotas);
+            List<Runnable> deliveries = new ArrayList<>();
             for (int d = 0; d < DISPATCHERS; d++) {
                 int dispatcher = d;
-                for (int ago = 1; ago <= ContentionEvidence.WINDOWS; ago++) {
-                    byte[] old = UsageReport.withAge(
-                            tier.dispatchers.get(d).recentReports.get(ago - 1), ago);
-                    words.add(() -> tier.evidence.recordReport(dispatcher, 1, old));
-                    words.add(() -> tier.evidence.recordReport(dispatcher, 1, old));
+                for (int age = 1; age <= ContentionEvidence.WINDOWS; age++) {
+                    byte[] old = UsageReportCodec.withAge(
+                            fleet.dispatchers.get(d).recentReports.get(age - 1), age);
+                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, old));
+                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, old));
                 }
             }
-            java.util.Collections.shuffle(words, random);
-            words.forEach(Runnable::run);
-            assertTrue(window(load(6, 1, 0.3, 1.1)).causesContention(), "seed " + seed);
+            Collections.shuffle(deliveries, random);
+            deliveries.forEach(Runnable::run);
+            assertTrue(runWindow(load(6, 1, 0.3, 1.1)).causesContention(), "seed " + seed);
         }
     }
 
@@ -197,17 +209,17 @@
     void aNewIncarnationStartsWithoutEarlierCounts() {
         startFleet();
         for (int d = 0; d < DISPATCHERS; d++) {
-            VirtualTier.DispatcherUsage s = tier.dispatchers.get(d);
-            s.totalWork = 1_000_000;
-            s.workByTenant.put(UsageCounters.nameHash("red"), 1_000_000L);
-            s.endpoints.put(
+            VirtualTier.DispatcherUsage usage = fleet.dispatchers.get(d);
+            usage.totalWork = 1_000_000;
+            usage.workByTenant.put(UsageCounters.nameHash("red"), 1_000_000L);
+            usage.endpoints.put(
                     UsageCounters.nameHash("s0"), new UsageReport.EndpointUsage(900_000, 1_000_000, 10_000, 9000));
         }
         runUncontendedWindows();
-        tier.dispatchers.replaceAll(s -> new VirtualTier.DispatcherUsage());
+        fleet.dispatchers.replaceAll(s -> new VirtualTier.DispatcherUsage());
         for (int d = 0; d < DISPATCHERS; d++) {
-            assertTrue(tier.evidence.recordReport(
-                    d, 2, tier.dispatchers.get(d).report(0.25).encode()));
+            assertTrue(fleet.evidence.recordReport(
+                    d, 2, UsageReportCodec.encode(fleet.dispatchers.get(d).report(0.25))));
         }
         runUncontendedWindows();
     }
@@ -219,14 +231,15 @@
 
     @Property(tries = 300)
     void reportsSurviveEncodingAndDecoding(@ForAll("reports") UsageReport report) {
-        assertEquals(report, UsageReport.decode(report.encode()));
-        byte[] cut = java.util.Arrays.copyOf(report.encode(), report.encode().length - 1);
-        assertNull(UsageReport.decode(cut));
+        byte[] bytes = UsageReportCodec.encode(report);
+        assertEquals(report, UsageReportCodec.decode(bytes));
+        byte[] cut = Arrays.copyOf(bytes, bytes.length - 1);
+        assertNull(UsageReportCodec.decode(cut));
     }
 
-    @net.jqwik.api.Provide
-    net.jqwik.api.Arbitrary<UsageReport> reports() {
-        return net.jqwik.api.Arbitraries.longs()
+    @Provide
+    Arbitrary<UsageReport> reports() {
+        return Arbitraries.longs()
                 .between(0, Long.MAX_VALUE / 2)
                 .list()
                 .ofSize(4)
--- a/src/test/java/nettlewick/contention/PoolMigrationTest.java
+++ b/src/test/java/nettlewick/contention/PoolMigrationTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -18,7 +19,7 @@
 import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import org.junit.jupiter.api.Test;
 
-/** The steps of a move, and which runners a pool is made of. */
+/** The steps of a migration, and which endpoints are selected for a pool. */
 class PoolMigrationTest {
     private static final PoolMigration.MigrationSettings SETTINGS =
             new PoolMigration.MigrationSettings(0.25, 0.5, 1000, 5000, 2000, 10_000);
@@ -38,16 +39,16 @@
         return fleet;
     }
 
-    /** So much later, with a window's finding in each half second; the steps that were gone through. */
-    private List<Step> run(double millis, Finding finding, boolean whole) {
-        List<Step> steps = new java.util.ArrayList<>();
+    /** Advances the time with a finding every half second; the steps that were entered. */
+    private List<Step> run(double millis, Finding finding, boolean scaleOutComplete) {
+        List<Step> steps = new ArrayList<>();
         for (double end = nowMillis + millis; nowMillis < end; nowMillis += 500) {
             migration.recordFinding(finding, nowMillis);
             MigrationState next = migration.nextState(
                     state,
                     OperatorPolicy.AUTOMATIC,
                     SETTINGS,
-                    new PoolMigration.FleetView(ready, Set.of(), whole),
+                    new PoolMigration.FleetView(ready, Set.of(), scaleOutComplete),
                     nowMillis);
             if (next.step() != state.step()) {
                 steps.add(next.step());
@@ -75,7 +76,7 @@
         for (int stay = 10_000; stay <= 80_000; stay *= 2) {
             run(6000, CONTENDING, true);
             assertEquals(Step.DEDICATED, state.step());
-            assertEquals(List.of(), run(stay - 3000, UNCONTENDED, true), "kept for " + stay);
+            assertEquals(List.of(), run(stay - 3000, UNCONTENDED, true), "stays for " + stay);
             assertEquals(List.of(Step.RETURNING, Step.SHARED), run(8000, UNCONTENDED, true));
         }
     }
@@ -145,27 +146,31 @@
     void poolsHonorQuotaZonesAndTheMaximumFraction(
             @ForAll @IntRange(min = 1, max = 60) int size,
             @ForAll @IntRange(min = 1, max = 90) int percent,
-            @ForAll @IntRange(min = 0, max = 20) int elsewhere) {
+            @ForAll @IntRange(min = 0, max = 20) int reservedCount) {
         Map<String, ReadyEndpoint> fleet = fleet(size);
         fleet.put("x", new ReadyEndpoint("x", "a", "std", "red"));
         fleet.put("y", new ReadyEndpoint("y", "a", "std", "blue"));
-        Set<String> taken = new HashSet<>();
-        for (int i = 0; i < Math.min(elsewhere, size); i++) {
-            taken.add("s" + i);
+        Set<String> reservedByOthers = new HashSet<>();
+        for (int i = 0; i < Math.min(reservedCount, size); i++) {
+            reservedByOthers.add("s" + i);
         }
-        List<String> pool = PoolReservation.selectEndpoints("red", fleet, List.of(), taken, percent / 100.0, 0.5);
+        List<String> pool =
+                PoolReservation.selectEndpoints("red", fleet, List.of(), reservedByOthers, percent / 100.0, 0.5);
         assertTrue(pool.contains("x") && !pool.contains("y"));
-        assertTrue(pool.stream().noneMatch(taken::contains));
-        int common = pool.size() - 1;
-        assertTrue(common + taken.size() <= size / 2 || common == 0, common + " beside " + taken.size());
-        assertTrue(common <= Math.max(1, Math.round(percent / 100.0 * size)));
-        if (taken.isEmpty() && common > 0) {
-            long far =
+        assertTrue(pool.stream().noneMatch(reservedByOthers::contains));
+        int shared = pool.size() - 1;
+        assertTrue(
+                shared + reservedByOthers.size() <= size / 2 || shared == 0,
+                shared + " beside " + reservedByOthers.size());
+        assertTrue(shared <= Math.max(1, Math.round(percent / 100.0 * size)));
+        if (reservedByOthers.isEmpty() && shared > 0) {
+            long inZoneB =
                     pool.stream().filter(r -> fleet.get(r).zone().equals("b")).count();
             long all = fleet.values().stream().filter(r -> r.zone().equals("b")).count();
-            assertTrue(Math.abs(far - common * all / (double) size) < 1, far + " of " + common);
+            assertTrue(Math.abs(inZoneB - shared * all / (double) size) < 1, inZoneB + " of " + shared);
         }
-        List<String> again = PoolReservation.selectEndpoints("red", fleet, pool, taken, percent / 100.0, 0.5);
-        assertEquals(new HashSet<>(pool), new HashSet<>(again), "it stays as it is");
+        List<String> again =
+                PoolReservation.selectEndpoints("red", fleet, pool, reservedByOthers, percent / 100.0, 0.5);
+        assertEquals(new HashSet<>(pool), new HashSet<>(again), "a second selection keeps the pool");
     }
 }
--- a/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
+++ b/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
@@ -23,11 +23,11 @@
         at.put(-1, new UsageReport.EndpointUsage(0, 7, 0, 0));
         UsageReport report = new UsageReport(
                 123_456_789_012L, asked, 77, 88, at, new UncontendedBaseline(0.5, 0.25, 12.75, 13.5), true);
-        byte[] bytes = report.encode();
-        assertEquals(report, UsageReport.decode(bytes));
+        byte[] bytes = UsageReportCodec.encode(report);
+        assertEquals(report, UsageReportCodec.decode(bytes));
         assertMatches(
                 "contention/usage-report.txt",
-                hex(bytes) + hex(UsageReport.withAge(bytes, 6)) + hex(UsageReport.EMPTY.encode()));
+                hex(bytes) + hex(UsageReportCodec.withAge(bytes, 6)) + hex(UsageReportCodec.encode(UsageReport.EMPTY)));
     }
 
     @Test
--- a/src/test/java/nettlewick/contention/UsageReporterTest.java
+++ b/src/test/java/nettlewick/contention/UsageReporterTest.java
@@ -3,8 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import nettlewick.core.Attempts;
 import nettlewick.core.Request;
 import nettlewick.decision.AttemptResult;
@@ -13,16 +15,16 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** When a dispatcher speaks of a member. */
+/** When a dispatcher sends reports on a tenant. */
 class UsageReporterTest {
     private static final double WINDOW_MILLIS = 2000;
     private final UsageCounters counters = new UsageCounters(List.of(
             new RequestClass("c", Idempotency.IDEMPOTENT, Scope.ALL, 0, 100_000_000, 0, 1, 1, 0, false, -1, 0)));
     private final UsageReporter reporter = new UsageReporter(counters, Map.of("red", 0.05, "blue", 0.75, "green", 0.2));
 
-    private void recordRequests(String tenant, int jobs, boolean again) {
-        for (int i = 0; i < jobs; i++) {
-            counters.asked(new Request("j", "c", tenant, null, 1e6, 1, 0, 50, again, null, null));
+    private void recordRequests(String tenant, int count, boolean retry) {
+        for (int i = 0; i < count; i++) {
+            counters.asked(new Request("j", "c", tenant, null, 1e6, 1, 0, 50, retry, null, null));
         }
     }
 
@@ -32,24 +34,24 @@
         recordRequests("blue", 8, false);
         assertEquals(
                 0,
-                reporter.reportsToSend("red", 1, false, WINDOW_MILLIS, 0, java.util.Set::of)
+                reporter.reportsToSend("red", 1, false, WINDOW_MILLIS, 0, Set::of)
                         .size());
         assertEquals(
                 2,
-                reporter.reportsToSend("red", 1, true, WINDOW_MILLIS, 100, java.util.Set::of)
+                reporter.reportsToSend("red", 1, true, WINDOW_MILLIS, 100, Set::of)
                         .size(),
-                "and of the window that has ended");
+                "one of them on the window that has ended");
         recordRequests("red", 100, false);
         assertEquals(
                 0,
-                reporter.reportsToSend("red", 1, false, WINDOW_MILLIS, 2500, java.util.Set::of)
+                reporter.reportsToSend("red", 1, false, WINDOW_MILLIS, 2500, Set::of)
                         .size(),
-                "over its share, and nobody is harmed");
+                "over its quota, but nobody is harmed");
     }
 
     private List<Integer> ages(long fence, boolean listens, double now) {
-        return reporter.reportsToSend("red", fence, listens, WINDOW_MILLIS, now, java.util.Set::of).stream()
-                .map(UsageReport::ageWindows)
+        return reporter.reportsToSend("red", fence, listens, WINDOW_MILLIS, now, Set::of).stream()
+                .map(UsageReportCodec::ageWindows)
                 .toList();
     }
 
@@ -65,44 +67,46 @@
         assertEquals(List.of(1, 0), ages(2, true, 10 * WINDOW_MILLIS));
         assertEquals(List.of(), ages(2, false, 11 * WINDOW_MILLIS));
         assertEquals(List.of(), ages(2, false, 12 * WINDOW_MILLIS));
-        assertEquals(List.of(1, 2, 0), ages(2, true, 12 * WINDOW_MILLIS + 1), "one that listens again");
+        assertEquals(List.of(1, 2, 0), ages(2, true, 12 * WINDOW_MILLIS + 1), "the same holder listens again");
         assertEquals(
                 10 * 50,
-                UsageReport.decode(reporter.reportsToSend(
-                                        "red", 2, true, WINDOW_MILLIS, 12 * WINDOW_MILLIS + 2, java.util.Set::of)
-                                .get(0))
+                UsageReportCodec.decode(
+                                reporter.reportsToSend("red", 2, true, WINDOW_MILLIS, 12 * WINDOW_MILLIS + 2, Set::of)
+                                        .get(0))
                         .totalWork());
     }
 
-    /** Guards against a word on every small member whose one job comes while others are harmed by somebody's flood. */
+    /** A small tenant is not reported for a few requests while another tenant's flood harms others. */
     @Test
     void theLargestExcessInTwoConsecutiveWindowsIsReportedUnsolicited() {
-        List<Boolean> spoke = new java.util.ArrayList<>();
+        List<Boolean> reported = new ArrayList<>();
         for (int w = 0; w < 4; w++) {
             recordRequests("red", 3, false);
             recordRequests("blue", 4, false);
             recordRequests("green", 40, false);
             recordHarm();
-            spoke.add(!reporter.reportsToSend("green", 1, false, WINDOW_MILLIS, w * WINDOW_MILLIS, java.util.Set::of)
+            reported.add(!reporter.reportsToSend("green", 1, false, WINDOW_MILLIS, w * WINDOW_MILLIS, Set::of)
                     .isEmpty());
-            assertEquals(List.of(), ages(1, false, w * WINDOW_MILLIS), "red is over its share as well, by little");
+            assertEquals(List.of(), ages(1, false, w * WINDOW_MILLIS), "red is slightly over its quota as well");
         }
-        assertEquals(List.of(false, false, true, true), spoke, "what came before it was first asked is no window");
-        // Once the one that floods is apart, the next is spoken of.
-        List<Integer> then = List.of();
+        assertEquals(
+                List.of(false, false, true, true),
+                reported,
+                "counts from before the first evaluation belong to no window");
+        // Once the flooding tenant is isolated, the next one is reported.
+        List<Integer> afterIsolation = List.of();
         for (int w = 4; w < 6; w++) {
             recordRequests("red", 20, false);
             recordRequests("green", 40, false);
             recordHarm();
-            then =
+            afterIsolation =
                     reporter
-                            .reportsToSend(
-                                    "red", 1, false, WINDOW_MILLIS, w * WINDOW_MILLIS, () -> java.util.Set.of("green"))
+                            .reportsToSend("red", 1, false, WINDOW_MILLIS, w * WINDOW_MILLIS, () -> Set.of("green"))
                             .stream()
-                            .map(UsageReport::ageWindows)
+                            .map(UsageReportCodec::ageWindows)
                             .toList();
         }
-        assertEquals(List.of(1, 2, 3, 4, 5, 6, 0), then);
+        assertEquals(List.of(1, 2, 3, 4, 5, 6, 0), afterIsolation);
     }
 
     private void recordHarm() {
@@ -117,9 +121,8 @@
         recordRequests("red", 2, false);
         recordRequests("red", 500, true);
         recordRequests("blue", 8, false);
-        UsageReport report =
-                UsageReport.decode(reporter.reportsToSend("red", 1, true, WINDOW_MILLIS, 0, java.util.Set::of)
-                        .get(0));
+        UsageReport report = UsageReportCodec.decode(reporter.reportsToSend("red", 1, true, WINDOW_MILLIS, 0, Set::of)
+                .get(0));
         assertEquals(100, report.workByTenant().get(UsageCounters.nameHash("red")));
         assertEquals(500, report.totalWork());
         assertTrue(!report.unsolicited());
--- a/src/test/java/nettlewick/contention/VirtualTier.java
+++ b/src/test/java/nettlewick/contention/VirtualTier.java
@@ -5,14 +5,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.function.Supplier;
 
-/** A tier in virtual time whose dispatchers each see a few jobs in a window, and tell the holder of red's duty. */
+/** Dispatchers in virtual time that each see a few requests in a window and report to the holder of red's lease. */
 public final class VirtualTier {
     private static final int ENDPOINTS = 8;
     private static final long WORK_MILLIS = 50;
 
-    /** What one dispatcher has counted of red since its life began. */
+    /** What one dispatcher has counted, as seen from red, since its incarnation began. */
     static final class DispatcherUsage {
         long totalWork;
         long runMillis;
@@ -21,10 +23,10 @@
         final Map<Integer, UsageReport.EndpointUsage> endpoints = new LinkedHashMap<>();
         UsageReport lastReport = UsageReport.EMPTY;
         UncontendedBaseline baseline = UncontendedBaseline.NONE;
-        /** What was said at the end of each window, the newest first. */
+        /** The encoded report at the end of each window, newest first. */
         final List<byte[]> recentReports = new ArrayList<>();
 
-        /** At the end of a window. */
+        /** The report at the end of a window. */
         UsageReport report(double quota) {
             UsageReport report = new UsageReport(
                     totalWork,
@@ -40,16 +42,22 @@
         }
     }
 
-    /** Jobs of each member at each dispatcher in a window, the part of others' that is harmed, and how they run. */
+    /**
+     * The load of one window.
+     *
+     * @param requestsPerWindow mean requests of each tenant at each dispatcher
+     * @param harmedFraction    of other tenants' attempts
+     * @param slowdown          how many times longer than hinted requests run
+     */
     public record Load(Map<String, Double> requestsPerWindow, double harmedFraction, double slowdown) {}
 
     final SplittableRandom random;
     final List<DispatcherUsage> dispatchers = new ArrayList<>();
     final Map<String, Double> quotas;
     ContentionEvidence evidence;
-    /** Members that are in pools of their own. */
-    Map<String, java.util.Set<String>> isolated = Map.of();
-    /** The part of words that is lost. */
+    /** Tenants that are confined to dedicated endpoints, with those endpoints. */
+    Map<String, Set<String>> isolated = Map.of();
+    /** Probability that a report is lost. */
     double lossProbability;
 
     VirtualTier(int size, Map<String, Double> quotas, long seed) {
@@ -63,24 +71,24 @@
 
     ContentionEvidence.Finding runWindow(Load load) {
         for (int d = 0; d < dispatchers.size(); d++) {
-            DispatcherUsage s = dispatchers.get(d);
+            DispatcherUsage usage = dispatchers.get(d);
             load.requestsPerWindow().forEach((tenant, mean) -> {
-                for (int jobs = (int) (mean + random.nextDouble()); jobs > 0; jobs--) {
+                for (int left = (int) (mean + random.nextDouble()); left > 0; left--) {
                     boolean red = tenant.equals("red");
-                    s.totalWork += WORK_MILLIS;
-                    s.workByTenant.merge(UsageCounters.nameHash(tenant), WORK_MILLIS, Long::sum);
-                    s.runMillis += red ? 0 : (long) (WORK_MILLIS * load.slowdown());
-                    s.hintedMillis += red ? 0 : WORK_MILLIS;
+                    usage.totalWork += WORK_MILLIS;
+                    usage.workByTenant.merge(UsageCounters.nameHash(tenant), WORK_MILLIS, Long::sum);
+                    usage.runMillis += red ? 0 : (long) (WORK_MILLIS * load.slowdown());
+                    usage.hintedMillis += red ? 0 : WORK_MILLIS;
                     boolean harm = !red && random.nextDouble() < load.harmedFraction();
-                    s.endpoints.merge(
+                    usage.endpoints.merge(
                             UsageCounters.nameHash("s" + random.nextInt(ENDPOINTS)),
                             new UsageReport.EndpointUsage(
                                     red ? WORK_MILLIS : 0, WORK_MILLIS, red ? 0 : 1, harm ? 1 : 0),
                             UsageReport.EndpointUsage::plus);
                 }
             });
-            byte[] report = s.report(quotas.get("red")).encode();
-            s.recentReports.add(0, report);
+            byte[] report = UsageReportCodec.encode(usage.report(quotas.get("red")));
+            usage.recentReports.add(0, report);
             if (random.nextDouble() >= lossProbability) {
                 evidence.recordReport(d, 1, report);
             }
@@ -88,40 +96,42 @@
         return evidence.closeWindow(isolated);
     }
 
-    /** A new holder, who has heard nothing; whether it is told what was said in the windows before. */
+    /**
+     * Replaces the lease holder by one without any evidence.
+     *
+     * @param past whether dispatchers send the reports of earlier windows to it
+     */
     void replaceHolder(boolean past) {
         evidence = new ContentionEvidence("red", quotas);
         for (int d = 0; d < dispatchers.size() && past; d++) {
-            List<byte[]> words = dispatchers.get(d).recentReports;
-            for (int ago = Math.min(ContentionEvidence.WINDOWS, words.size()); ago > 0; ago--) {
+            List<byte[]> reports = dispatchers.get(d).recentReports;
+            for (int age = Math.min(ContentionEvidence.WINDOWS, reports.size()); age > 0; age--) {
                 if (random.nextDouble() >= lossProbability) {
-                    evidence.recordReport(d, 1, UsageReport.withAge(words.get(ago - 1), ago));
+                    evidence.recordReport(d, 1, UsageReportCodec.withAge(reports.get(age - 1), age));
                 }
             }
         }
     }
 
-    /** The words of a dispatcher that blames a member for all that is bad, each worse than the one before. */
-    public static java.util.function.Supplier<byte[]> blame(String tenant, int endpoints) {
-        DispatcherUsage liar = new DispatcherUsage();
+    /** Encoded reports of a dispatcher that falsely blames a tenant for all harm, each worse than the one before. */
+    public static Supplier<byte[]> blame(String tenant, int endpoints) {
+        DispatcherUsage accuser = new DispatcherUsage();
         return () -> {
-            liar.totalWork += 1_000_000;
-            liar.workByTenant.merge(UsageCounters.nameHash(tenant), 1_000_000L, Long::sum);
+            accuser.totalWork += 1_000_000;
+            accuser.workByTenant.merge(UsageCounters.nameHash(tenant), 1_000_000L, Long::sum);
             for (int r = 0; r < endpoints; r++) {
-                liar.endpoints.merge(
+                accuser.endpoints.merge(
                         UsageCounters.nameHash("s" + r),
                         new UsageReport.EndpointUsage(100_000, 100_000, 1000, 900),
                         UsageReport.EndpointUsage::plus);
             }
-            return liar.report(0.25)
-                    .withBaseline(UncontendedBaseline.NONE, true)
-                    .encode();
+            return UsageReportCodec.encode(accuser.report(0.25).withBaseline(UncontendedBaseline.NONE, true));
         };
     }
 
     /**
-     * How often a member that keeps to its share is found noisy in so many windows of bursts of all, slow spells,
-     * a dependency that slows everybody, others' floods, and its own up to its share.
+     * How often a tenant within its quota is found to cause contention during windows with bursts of all tenants,
+     * slow endpoints, a slow dependency, other tenants' floods and its own load up to its quota.
      */
     public static int falseMoves(int dispatchers, int windows, long seed) {
         Map<String, Double> quotas = Map.of("red", 0.25, "blue", 0.25, "green", 0.5);
@@ -131,17 +141,17 @@
         Load load = null;
         for (int w = 0; w < windows; w++) {
             if (w % 8 == 0) {
-                double much = 0.5 + 3 * random.nextDouble();
+                double volume = 0.5 + 3 * random.nextDouble();
                 boolean slow = random.nextInt(4) == 0;
                 double harmed = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0.01;
                 load = new Load(
                         Map.of(
                                 "red",
-                                much * (0.2 + 0.8 * random.nextDouble()),
+                                volume * (0.2 + 0.8 * random.nextDouble()),
                                 "blue",
-                                much * (1 + 2 * (random.nextInt(4) == 0 ? random.nextDouble() : 0)),
+                                volume * (1 + 2 * (random.nextInt(4) == 0 ? random.nextDouble() : 0)),
                                 "green",
-                                2 * much),
+                                2 * volume),
                         harmed,
                         slow ? 3 : 1);
             }
