--- a/src/main/java/nettlewick/tenantpools/InstanceCharge.java
+++ b/src/main/java/nettlewick/tenantpools/InstanceCharge.java
@@ -1,11 +1,12 @@
 package nettlewick.tenantpools;
 
 /**
- * A runner that the provider runs or ran for a member, by the provider's clock in milliseconds of Unix time.
+ * An endpoint instance that the provider runs or ran for a tenant, with what it is billed. Times are the provider's, in
+ * milliseconds of Unix time.
  *
- * @param until when it ended; 0: it runs
- * @param cents a running hour's price, in hundredths
- * @param least the least time that is billed
+ * @param endedAtMillis   when it ended; 0 while it runs
+ * @param centsPerHour    the price of a running hour, in hundredths
+ * @param minBilledMillis the least time that is billed
  */
 public record InstanceCharge(
         String name,
@@ -16,22 +17,24 @@
         long centsPerHour,
         long minBilledMillis) {
     private static final double MILLIS_PER_HOUR = 3_600_000;
+    /** Keeps floating-point error from rounding an exact amount up. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     boolean isRunning() {
         return endedAtMillis == 0;
     }
 
-    /** What the time from then to then costs, rounded up to a whole hundredth. */
+    /** What a period costs, rounded up to a whole hundredth. */
     static long costCents(double millis, long centsPerHour) {
-        return millis <= 0 ? 0 : (long) Math.ceil(millis * centsPerHour / MILLIS_PER_HOUR - 1e-9);
+        return millis <= 0 ? 0 : (long) Math.ceil(millis * centsPerHour / MILLIS_PER_HOUR - ROUNDING_TOLERANCE);
     }
 
-    /** Until when it is billed, if it were to end at that time. */
+    /** Until when it is billed if, should it still run, it ends at that time. */
     long billedUntilMillis(long end) {
         return Math.max(isRunning() ? end : endedAtMillis, startedAtMillis + minBilledMillis);
     }
 
-    /** What it costs between two moments if it ends at {@code end} at the latest. */
+    /** What it costs between two times if it ends at {@code end} at the latest. */
     long costCents(long from, long to, long end) {
         return costCents(Math.min(to, billedUntilMillis(end)) - (double) Math.max(from, startedAtMillis), centsPerHour);
     }
--- a/src/main/java/nettlewick/tenantpools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -8,25 +8,30 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import nettlewick.contention.MigrationState;
 import nettlewick.contention.MigrationState.Step;
-import nettlewick.contention.PoolReservation;
+import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import nettlewick.core.EndpointUpdate;
 import nettlewick.core.RequestListener;
 import nettlewick.decision.EndpointState;
 import nettlewick.decision.PoolAssignment;
 
 /**
- * What this dispatcher knows of all members' pools, and what that says to its module. Belongs to the duties'
- * thread, but for the list of runners, which the core's thread brings.
+ * What this dispatcher knows of all tenants' pools, and the assignments that follow from it for the scheduler. Confined
+ * to the lease thread, except for endpoint updates, which come from the core's thread.
  */
 final class PoolAssignments implements RequestListener {
-    private record KnownPool(PoolState state, double heardAtMillis) {}
+    private record KnownPool(PoolState state, double heardAtMillis) {
+        private MigrationState migration() {
+            return state.migration();
+        }
+    }
 
     private final double staleAfterMillis;
     private final Map<String, EndpointUpdate.Entry> readyEntries = new ConcurrentHashMap<>();
     private final Map<String, KnownPool> pools = new LinkedHashMap<>();
 
-    /** @param forget after so many milliseconds without a word, a pool keeps nobody else away */
+    /** @param staleAfterMillis how long a pool excludes other tenants without news of it */
     PoolAssignments(double staleAfterMillis) {
         this.staleAfterMillis = staleAfterMillis;
     }
@@ -34,9 +39,9 @@
     @Override
     public void listed(EndpointUpdate update) {
         if (update.whole()) {
-            Set<String> named = new HashSet<>();
-            update.entries().forEach(entry -> named.add(entry.id()));
-            readyEntries.keySet().retainAll(named);
+            Set<String> names = new HashSet<>();
+            update.entries().forEach(entry -> names.add(entry.id()));
+            readyEntries.keySet().retainAll(names);
         }
         for (EndpointUpdate.Entry entry : update.entries()) {
             if (entry.state() == EndpointState.READY) {
@@ -47,58 +52,62 @@
         }
     }
 
-    /** The newest state of a member's pool, heard of now. */
+    /** Takes the newest state of a tenant's pool, also if it has not changed. */
     void recordState(String tenant, PoolState state, double nowMillis) {
         pools.put(tenant, new KnownPool(state, nowMillis));
     }
 
-    /** The runners that are ready, as this list and the members' states tell. */
-    Map<String, PoolReservation.ReadyEndpoint> readyEndpoints() {
+    /** The ready endpoints by name, each with the tenant that it was added for. */
+    Map<String, ReadyEndpoint> readyEndpoints() {
         Map<String, String> addedFor = new HashMap<>();
         pools.forEach((tenant, known) -> known.state().addedEndpoints().forEach(name -> addedFor.put(name, tenant)));
-        Map<String, PoolReservation.ReadyEndpoint> endpoints = new HashMap<>();
+        Map<String, ReadyEndpoint> endpoints = new HashMap<>();
         readyEntries.forEach((name, entry) -> endpoints.put(
                 name,
-                new PoolReservation.ReadyEndpoint(
+                new ReadyEndpoint(
                         name, String.valueOf(entry.zone()), String.valueOf(entry.kind()), addedFor.get(name))));
         return endpoints;
     }
 
-    /** What other members' pools hold. Danger: where two hold one, the first of them by name keeps it. */
+    /**
+     * Names of endpoints that other tenants hold. Where two tenants hold the same one, the first by name keeps it.
+     *
+     * @param own names of endpoints that the tenant holds itself
+     */
     Set<String> endpointsReservedByOthers(String tenant, List<String> own) {
         Set<String> reserved = new HashSet<>();
         pools.forEach((other, known) -> {
-            if (!other.equals(tenant) && known.state().migration().step() != Step.SHARED) {
-                known.state().migration().endpoints().stream()
-                        .filter(r -> other.compareTo(tenant) < 0 || !own.contains(r))
+            if (!other.equals(tenant) && known.migration().step() != Step.SHARED) {
+                known.migration().endpoints().stream()
+                        .filter(name -> other.compareTo(tenant) < 0 || !own.contains(name))
                         .forEach(reserved::add);
             }
         });
         return reserved;
     }
 
-    /** Other members whose work goes to pools of their own alone, with their runners. */
+    /** Other tenants that are confined to dedicated endpoints, with the names of those. */
     Map<String, Set<String>> isolatedTenants(String excluded) {
         Map<String, Set<String>> isolated = new HashMap<>();
         pools.forEach((tenant, known) -> {
-            if (known.state().migration().step() == Step.DEDICATED && !tenant.equals(excluded)) {
-                isolated.put(tenant, Set.copyOf(known.state().migration().endpoints()));
+            if (known.migration().step() == Step.DEDICATED && !tenant.equals(excluded)) {
+                isolated.put(tenant, Set.copyOf(known.migration().endpoints()));
             }
         });
         return isolated;
     }
 
-    /** What the module has to go by now. */
+    /** The assignments that the scheduler must follow now. */
     List<PoolAssignment> currentAssignments(double nowMillis) {
-        List<PoolAssignment> assignments = new ArrayList<>();
+        List<PoolAssignment> current = new ArrayList<>();
         pools.forEach((tenant, known) -> {
-            Step step = known.state().migration().step();
+            Step step = known.migration().step();
             if (step.excludesOtherTenants()) {
                 boolean fresh = nowMillis - known.heardAtMillis() < staleAfterMillis;
-                assignments.add(new PoolAssignment(
-                        tenant, Set.copyOf(known.state().migration().endpoints()), fresh, step == Step.DEDICATED));
+                Set<String> endpoints = Set.copyOf(known.migration().endpoints());
+                current.add(new PoolAssignment(tenant, endpoints, fresh, step == Step.DEDICATED));
             }
         });
-        return assignments;
+        return current;
     }
 }
--- a/src/main/java/nettlewick/tenantpools/PoolSettings.java
+++ b/src/main/java/nettlewick/tenantpools/PoolSettings.java
@@ -6,16 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.contention.PoolMigration;
+import nettlewick.contention.PoolMigration.OperatorPolicy;
 import nettlewick.decision.SchedulerSettings.Tenant;
 import nettlewick.settings.Block;
 
 /**
- * The block {@code pools}, checked; times in milliseconds.
+ * The block {@code pools} of the settings file, checked. Its keywords are mapped to names here and nowhere else.
  *
- * @param members those that are looked after, by name
- * @param shares  of all members of the platform's configuration
- * @param url     where the provider is asked; null: no runner is ever added
- * @param window  of evidence
+ * @param tenants          settings of the tenants that have a lease, by name
+ * @param quotas           of all tenants of the platform's configuration, by name, as fractions
+ * @param providerUrl      null if no endpoint is ever added
+ * @param windowMillis     length of a window of evidence
+ * @param staleAfterMillis how long a pool excludes other tenants without news of it
+ * @see PoolMigration.MigrationSettings for the limits of a migration
  */
 record PoolSettings(
         Map<String, TenantSettings> tenants,
@@ -32,56 +35,33 @@
     private static final String LEASE_PREFIX = "pool-";
 
     /**
-     * @param growth null: nothing is added for it
-     * @param kind   of runners that are added
-     * @param most   so many of them at once
+     * The settings of one tenant.
+     *
+     * @param scaleOut          null if no endpoint is ever added for it
+     * @param endpointKind      the kind of endpoints that are added
+     * @param maxAddedEndpoints how many may be added at the same time
      */
     record TenantSettings(
-            PoolMigration.OperatorPolicy policy,
+            OperatorPolicy policy,
             ScaleOutPolicy.ScaleOutSettings scaleOut,
             String endpointKind,
             int maxAddedEndpoints) {}
 
+    /** The name of a tenant's lease. */
     static String leaseName(String tenant) {
         return LEASE_PREFIX + tenant;
     }
 
-    /** @throws nettlewick.settings.BadSettings where the lines do not fit one another, or the tenants */
+    /**
+     * Reads the block.
+     *
+     * @throws nettlewick.settings.InvalidSettingsException if its lines contradict each other or the tenants
+     */
     static PoolSettings of(Block block, List<Tenant> tenants) {
         Map<String, Double> quotas = new LinkedHashMap<>();
-        tenants.forEach(t -> quotas.put(t.name(), t.fraction()));
-        Map<String, PoolMigration.OperatorPolicy> policies = new LinkedHashMap<>();
-        for (Block.Value line : block.all("keep")) {
-            policies.put(
-                    line.part(0),
-                    line.part(1).equals("pool")
-                            ? PoolMigration.OperatorPolicy.ALWAYS_DEDICATED
-                            : PoolMigration.OperatorPolicy.ALWAYS_SHARED);
-        }
-        Map<String, TenantSettings> settingsByTenant = new LinkedHashMap<>();
-        for (Block.Value line : block.all("member")) {
-            String name = line.part(0);
-            if (!quotas.containsKey(name)) {
-                throw block.bad("member", "a tenant of the platform's configuration");
-            }
-            PoolMigration.OperatorPolicy policy = policies.getOrDefault(name, PoolMigration.OperatorPolicy.AUTOMATIC);
-            settingsByTenant.put(
-                    name,
-                    line.words().size() == 1
-                            ? new TenantSettings(policy, null, "", 0)
-                            : new TenantSettings(
-                                    policy,
-                                    scaleOutSettings(block, line.part(2)),
-                                    block.one("price").get().part(0),
-                                    line.<Long>part(4).intValue()));
-        }
-        for (String name : policies.keySet()) {
-            if (!settingsByTenant.containsKey(name)) {
-                throw block.bad("keep", "followed by the name of a `member` line");
-            }
-        }
+        tenants.forEach(tenant -> quotas.put(tenant.name(), tenant.fraction()));
         return new PoolSettings(
-                settingsByTenant,
+                tenantSettings(block, quotas),
                 quotas,
                 block.has("provider") ? block.get("provider") : null,
                 block.span("window"),
@@ -94,20 +74,52 @@
                 block.span("timeout"));
     }
 
+    private static Map<String, TenantSettings> tenantSettings(Block block, Map<String, Double> quotas) {
+        Map<String, OperatorPolicy> policies = new LinkedHashMap<>();
+        for (Block.Value line : block.all("keep")) {
+            boolean dedicated = line.part(1).equals("pool");
+            policies.put(line.part(0), dedicated ? OperatorPolicy.ALWAYS_DEDICATED : OperatorPolicy.ALWAYS_SHARED);
+        }
+        Map<String, TenantSettings> settings = new LinkedHashMap<>();
+        for (Block.Value line : block.all("member")) {
+            String name = line.part(0);
+            if (!quotas.containsKey(name)) {
+                throw block.bad("member", "a tenant of the platform's configuration");
+            }
+            OperatorPolicy policy = policies.getOrDefault(name, OperatorPolicy.AUTOMATIC);
+            settings.put(name, tenantSettings(block, line, policy));
+        }
+        if (!settings.keySet().containsAll(policies.keySet())) {
+            throw block.bad("keep", "followed by the name of a `member` line");
+        }
+        return settings;
+    }
+
+    private static TenantSettings tenantSettings(Block block, Block.Value line, OperatorPolicy policy) {
+        if (line.words().size() == 1) {
+            return new TenantSettings(policy, null, "", 0);
+        }
+        return new TenantSettings(
+                policy,
+                scaleOutSettings(block, line.part(2)),
+                block.one("price").get().part(0),
+                line.<Long>part(4).intValue());
+    }
+
     private static ScaleOutPolicy.ScaleOutSettings scaleOutSettings(Block block, long capCents) {
         if (!block.has("provider") || !block.has("price")) {
             throw block.bad(block.has("provider") ? "price" : "provider", "set where a member has a cap");
         }
         Block.Value price = block.one("price").get();
-        SpendingCap.MonthlyCap cap = new SpendingCap.MonthlyCap(capCents, block.get("near"), block.<ZoneId>get("zone"));
         return new ScaleOutPolicy.ScaleOutSettings(
-                cap,
+                new SpendingCap.MonthlyCap(capCents, block.get("near"), block.<ZoneId>get("zone")),
                 price.part(1),
                 price.<Double>part(3).longValue(),
                 (long) block.span("reach"),
                 block.text("at-cap").equals("return"));
     }
 
+    /** The limits of a tenant's migration. */
     PoolMigration.MigrationSettings migrationSettings(String tenant) {
         return new PoolMigration.MigrationSettings(
                 quotas.get(tenant), maxPoolFraction, settleMillis, scaleOutTimeoutMillis, drainMillis, minStayMillis);
--- a/src/main/java/nettlewick/tenantpools/ProviderClient.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderClient.java
@@ -8,6 +8,7 @@
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpClientOptions;
+import io.vertx.core.http.HttpClientRequest;
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.PoolOptions;
@@ -19,33 +20,29 @@
 import java.util.function.Consumer;
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
-/** Asks the provider over HTTP (docs/pools.md); each question gets exactly one answer, on any thread. */
+/**
+ * The HTTP client of the provider that runs added endpoints (docs/pools.md). Each request gets exactly one answer, on
+ * any thread.
+ */
 final class ProviderClient implements AutoCloseable {
     private static final int STATUS_OK = 200;
     private static final int STATUS_CONFLICT = 409;
     private static final int STATUS_PRECONDITION_FAILED = 412;
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int STATUS_UNAVAILABLE = 503;
+    private static final int DEFAULT_PORT = 80;
     private static final int MAX_CONNECTIONS = 4;
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** What became of a question. */
-    enum Outcome {
-        REPORTED,
-        VERSION_CONFLICT,
-        FENCED,
-        RETRY_LATER,
-        NO_ANSWER
-    }
-
     /**
-     * @param told  where it is TOLD
-     * @param fence where it is FENCED: the highest that the provider has seen
-     * @param later where it is LATER: after how many milliseconds to come back; 0: not told
+     * Under which conditions the provider carries out a resize.
+     *
+     * @param etag           the version of the report that it is based on
+     * @param fence          that of the lease holder
+     * @param notAfterMillis on the provider's clock, in milliseconds of Unix time: a request that the network delays
+     *                       for minutes must not spend by an outdated calculation
      */
-    record Answer(Outcome outcome, ProviderReport report, long highestFence, double retryAfterMillis) {
-        static final Answer NONE = new Answer(Outcome.NO_ANSWER, null, 0, 0);
-    }
+    record ResizeCondition(String etag, long fence, long notAfterMillis) {}
 
     private final Vertx vertx;
     private final HttpClient client;
@@ -62,108 +59,83 @@
                 new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS));
     }
 
-    /** What runs and ran for this member. */
-    void list(String tenant, double nowMillis, Consumer<Answer> handler) {
-        send(HttpMethod.GET, tenant, null, null, 0, nowMillis, handler);
+    /** Asks which instances run and ran for a tenant. */
+    void fetchReport(String tenant, double nowMillis, Consumer<ProviderAnswer> handler) {
+        send(HttpMethod.GET, tenant, request -> request.send(Buffer.buffer()), nowMillis, handler);
     }
 
-    /**
-     * So many are to run, if the pool is still as it was told, nobody has come with a higher fence, and the
-     * provider's clock is not past {@code notAfter}. Danger: a request that the network kept for minutes
-     * would
-     * spend by what was reckoned then.
-     */
+    /** Asks that a number of instances of a kind run for a tenant. */
     void resize(
             String tenant,
-            ScaleOutPolicy.Decision next,
-            String etag,
-            long fence,
+            ResizeRequest resize,
+            ResizeCondition condition,
             String kind,
             double nowMillis,
-            Consumer<Answer> handler) {
-        ResizeRequest intent = next.resize();
+            Consumer<ProviderAnswer> handler) {
         JsonObject body = new JsonObject();
-        body.addProperty("size", intent.size());
+        body.addProperty("size", resize.size());
         body.addProperty("kind", kind);
         send(
                 HttpMethod.PUT,
                 tenant,
-                new String[] {intent.idempotencyKey(), etag, Long.toString(next.notAfterMillis())},
-                body.toString(),
-                fence,
+                request -> request.putHeader("Idempotency-Key", resize.idempotencyKey())
+                        .putHeader("If-Match", condition.etag())
+                        .putHeader("X-Not-After", Long.toString(condition.notAfterMillis()))
+                        .putHeader("X-Fence", Long.toString(condition.fence()))
+                        .putHeader("Content-Type", "application/json")
+                        .send(Buffer.buffer(body.toString())),
                 nowMillis,
                 handler);
     }
 
+    /** Writes the headers and the body of a request. */
+    private interface RequestWriter {
+        Future<HttpClientResponse> write(HttpClientRequest request);
+    }
+
     private void send(
             HttpMethod method,
             String tenant,
-            String[] condition,
-            String body,
-            long fence,
+            RequestWriter writer,
             double nowMillis,
-            Consumer<Answer> handler) {
-        String path = (url.getPath() == null ? "" : url.getPath()).replaceAll("/+$", "") + "/pools/" + tenant;
-        Future<Answer> answer = client.request(new RequestOptions()
+            Consumer<ProviderAnswer> handler) {
+        String basePath = url.getPath() == null ? "" : url.getPath();
+        Future<ProviderAnswer> answer = client.request(new RequestOptions()
                         .setMethod(method)
                         .setHost(url.getHost())
-                        .setPort(url.getPort() < 0 ? 80 : url.getPort())
-                        .setURI(path))
-                .compose(request -> {
-                    if (condition != null) {
-                        request.putHeader("Idempotency-Key", condition[0])
-                                .putHeader("If-Match", condition[1])
-                                .putHeader("X-Not-After", condition[2])
-                                .putHeader("X-Fence", Long.toString(fence))
-                                .putHeader("Content-Type", "application/json");
-                    }
-                    return request.send(body == null ? Buffer.buffer() : Buffer.buffer(body));
-                })
-                .compose(response -> response.body().map(text -> parse(response, text, nowMillis)));
-        // Danger: the client's own time-outs begin with the request's sending, and end with the answer's
-        // head.
+                        .setPort(url.getPort() < 0 ? DEFAULT_PORT : url.getPort())
+                        .setURI(basePath.replaceAll("/+$", "") + "/pools/" + tenant))
+                .compose(writer::write)
+                .compose(response -> response.body().map(body -> parse(response, body, nowMillis)));
+        // The client's own timeouts cover neither connecting nor reading the body.
         answer.timeout((long) timeoutMillis, TimeUnit.MILLISECONDS)
-                .otherwise(Answer.NONE)
+                .otherwise(new ProviderAnswer.NoAnswer())
                 .onSuccess(handler::accept);
     }
 
-    private static Answer parse(HttpClientResponse response, Buffer body, double nowMillis) {
-        switch (response.statusCode()) {
-            case STATUS_OK -> {
-                long date = ZonedDateTime.parse(response.getHeader("Date"), DateTimeFormatter.RFC_1123_DATE_TIME)
-                        .toInstant()
-                        .toEpochMilli();
-                return new Answer(
-                        Outcome.REPORTED,
-                        ProviderReport.parse(body.toString(), response.getHeader("ETag"), date, nowMillis),
-                        0,
-                        0);
-            }
-            case STATUS_PRECONDITION_FAILED -> {
-                return new Answer(Outcome.VERSION_CONFLICT, null, 0, 0);
-            }
-            case STATUS_CONFLICT -> {
-                return new Answer(
-                        Outcome.FENCED,
-                        null,
-                        JsonParser.parseString(body.toString())
-                                .getAsJsonObject()
-                                .get("fence")
-                                .getAsLong(),
-                        0);
-            }
+    private static ProviderAnswer parse(HttpClientResponse response, Buffer body, double nowMillis) {
+        return switch (response.statusCode()) {
+            case STATUS_OK ->
+                new ProviderAnswer.Reported(ProviderReport.parse(
+                        body.toString(), response.getHeader("ETag"), dateMillis(response), nowMillis));
+            case STATUS_PRECONDITION_FAILED -> new ProviderAnswer.VersionConflict();
+            case STATUS_CONFLICT ->
+                new ProviderAnswer.Fenced(JsonParser.parseString(body.toString())
+                        .getAsJsonObject()
+                        .get("fence")
+                        .getAsLong());
             case STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE -> {
                 String after = response.getHeader("Retry-After");
-                return new Answer(
-                        Outcome.RETRY_LATER,
-                        null,
-                        0,
-                        after == null ? 0 : MILLIS_PER_SECOND * Double.parseDouble(after));
+                yield new ProviderAnswer.RetryLater(after == null ? 0 : MILLIS_PER_SECOND * Double.parseDouble(after));
             }
-            default -> {
-                return Answer.NONE;
-            }
-        }
+            default -> new ProviderAnswer.NoAnswer();
+        };
+    }
+
+    private static long dateMillis(HttpClientResponse response) {
+        return ZonedDateTime.parse(response.getHeader("Date"), DateTimeFormatter.RFC_1123_DATE_TIME)
+                .toInstant()
+                .toEpochMilli();
     }
 
     @Override
--- a/src/main/java/nettlewick/tenantpools/ProviderReport.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderReport.java
@@ -7,44 +7,56 @@
 import java.util.List;
 
 /**
- * What the provider has told of a member's pool.
+ * The provider's view of a tenant's instances.
  *
- * @param size  how many are to run
- * @param etag  stands for this version of the pool
- * @param bills what runs, and what ran in this month and the one before
- * @param date  its clock when it answered, in milliseconds of Unix time
- * @param at    when it was asked, on the own monotonic clock
+ * @param desiredSize        how many instances are to run
+ * @param etag               the version of this view
+ * @param charges            instances that run, or ran in this month or the last
+ * @param providerTimeMillis the provider's clock when it answered, in milliseconds of Unix time, rounded down to a
+ *                           second
+ * @param requestedAtMillis  when the request was sent, on the local monotonic clock
  */
 record ProviderReport(
         int desiredSize, String etag, List<InstanceCharge> charges, long providerTimeMillis, double requestedAtMillis) {
-    /** @throws RuntimeException where the answer is no such list */
-    static ProviderReport parse(String body, String etag, long date, double at) {
+    /** The provider's clock is known to a second only. */
+    private static final long CLOCK_RESOLUTION_MILLIS = 1000;
+
+    /**
+     * Parses the body of an answer.
+     *
+     * @throws RuntimeException if the body or the ETag is missing or malformed
+     */
+    static ProviderReport parse(String body, String etag, long providerTimeMillis, double requestedAtMillis) {
         JsonObject pool = JsonParser.parseString(body).getAsJsonObject();
-        List<InstanceCharge> bills = new ArrayList<>();
-        for (JsonElement one : pool.getAsJsonArray("runners")) {
-            JsonObject r = one.getAsJsonObject();
-            InstanceCharge bill = new InstanceCharge(
-                    r.get("name").getAsString(),
-                    r.get("kind").getAsString(),
-                    r.get("zone").getAsString(),
-                    r.get("since_ms").getAsLong(),
-                    r.get("until_ms").getAsLong(),
-                    r.get("cents_per_hour").getAsLong(),
-                    r.get("least_ms").getAsLong());
-            if (bill.centsPerHour() < 0 || bill.minBilledMillis() < 0) {
-                throw new IllegalArgumentException("a price below nothing");
-            }
-            bills.add(bill);
+        List<InstanceCharge> charges = new ArrayList<>();
+        for (JsonElement element : pool.getAsJsonArray("runners")) {
+            charges.add(parseCharge(element.getAsJsonObject()));
         }
         if (etag == null) {
-            throw new IllegalArgumentException("no ETag");
+            throw new IllegalArgumentException("ETag is missing");
+        }
+        return new ProviderReport(pool.get("size").getAsInt(), etag, charges, providerTimeMillis, requestedAtMillis);
+    }
+
+    private static InstanceCharge parseCharge(JsonObject instance) {
+        InstanceCharge charge = new InstanceCharge(
+                instance.get("name").getAsString(),
+                instance.get("kind").getAsString(),
+                instance.get("zone").getAsString(),
+                instance.get("since_ms").getAsLong(),
+                instance.get("until_ms").getAsLong(),
+                instance.get("cents_per_hour").getAsLong(),
+                instance.get("least_ms").getAsLong());
+        if (charge.centsPerHour() < 0 || charge.minBilledMillis() < 0) {
+            throw new IllegalArgumentException(
+                    "cents_per_hour and least_ms of " + charge.name() + " must not be negative");
         }
-        return new ProviderReport(pool.get("size").getAsInt(), etag, bills, date, at);
+        return charge;
     }
 
-    /** The provider's clock by now. Danger: its word is rounded down to a second. */
-    long providerNowMillis(double ownNow) {
-        return providerTimeMillis + 1000 + Math.round(ownNow - requestedAtMillis);
+    /** The latest that the provider's clock may show now. */
+    long providerNowMillis(double nowMillis) {
+        return providerTimeMillis + CLOCK_RESOLUTION_MILLIS + Math.round(nowMillis - requestedAtMillis);
     }
 
     List<InstanceCharge> runningCharges() {
--- a/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
@@ -7,22 +7,22 @@
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * How many runners are added for a member, within its means (docs/pools.md): what to store next, or what to
- * ask
- * of the provider, given what it has told. Time is handed in, in milliseconds. Pure.
+ * Decides how many endpoints are added for a tenant within its spending cap (docs/pools.md): what to store or to ask of
+ * the provider next, given its last report. Confined to one thread.
  */
 final class ScaleOutPolicy {
-    /** A list older than this is asked for again, so long as anything hangs on it. */
     private static final double MAX_REPORT_AGE_MILLIS = 5000;
-    /** So often while runners are still to come. */
     private static final double MAX_REPORT_AGE_WHILE_STARTING_MILLIS = 500;
+    /** As many as anyone may want, without overflow. */
+    private static final int UNLIMITED = Integer.MAX_VALUE / 2;
 
     /**
-     * @param cap   of the member; null: nothing is ever added
-     * @param cents price of an hour of one more runner
-     * @param least its least billed time
-     * @param reach longest time until someone can end what is no longer wanted
-     * @param back  whether all is handed back once the cap itself is reached
+     * The limits of scaling out for a tenant.
+     *
+     * @param centsPerHour    the price of one more endpoint
+     * @param minBilledMillis the least time that it is billed
+     * @param reactionMillis  the longest time until somebody can end an endpoint that is no longer wanted
+     * @param releaseAtCap    whether all added endpoints are released once the cap itself is reached
      */
     record ScaleOutSettings(
             SpendingCap.MonthlyCap cap,
@@ -30,28 +30,30 @@
             long minBilledMillis,
             long reactionMillis,
             boolean releaseAtCap) {
+        /** The least that one more endpoint costs. */
         long minCostCents() {
             return InstanceCharge.costCents(Math.max(minBilledMillis, reactionMillis), centsPerHour);
         }
     }
 
     /**
-     * What to do: at most one of the three.
+     * The state of a tenant's budget, for operators.
      *
-     * @param notAfter by the provider's clock: what was reckoned for the wish holds until then
+     * @param resumesIn the month in which endpoints can be added again once the cap is near
      */
-    record Decision(Budget store, boolean list, ResizeRequest resize, long notAfterMillis) {
-        static final Decision NOTHING = new Decision(null, false, null, 0);
-        static final Decision LIST = new Decision(null, true, null, 0);
-
-        static Decision store(Budget money) {
-            return new Decision(money, false, null, 0);
-        }
-    }
-
-    /** What was found on the way, for operators. */
     record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesIn) {}
 
+    /**
+     * The moment of a decision.
+     *
+     * @param providerNowMillis the provider's clock, in milliseconds of Unix time
+     * @param month             the month whose budget counts
+     * @param monthDisputed     whether the provider's clock shows another month
+     * @param affordable        how many more endpoints the budget allows
+     */
+    private record Account(
+            SpendingCap spending, long providerNowMillis, YearMonth month, boolean monthDisputed, int affordable) {}
+
     private final ZoneId zone;
     private final ScaleOutSettings settings;
     private BudgetStatus budgetStatus;
@@ -61,103 +63,133 @@
         zone = settings.cap().zone();
     }
 
-    /** As of the last list; null before the first. */
+    /** As of the last report; null before the first. */
     BudgetStatus budgetStatus() {
         return budgetStatus;
     }
 
     /**
-     * @param told   the newest list; null: none since this holding began
-     * @param wanted how many should run; below 0: as many as do
-     * @param wall   the own clock in milliseconds of Unix time, right or wrong
-     * @param key    a new one, drawn for this question
+     * Decides the next action.
+     *
+     * @param report         the newest one; null if there is none since the lease was acquired
+     * @param desired        how many endpoints should run; negative: as many as do
+     * @param nowMillis      on the monotonic clock
+     * @param wallMillis     on the local wall clock, in milliseconds of Unix time; it may be wrong
+     * @param idempotencyKey a new one, for a resize that this decision starts
      */
-    Decision decide(
+    ScaleOutDecision decide(
             Budget budget,
             ProviderReport report,
-            int wanted,
+            int desired,
             double nowMillis,
             long wallMillis,
             String idempotencyKey) {
-        boolean idle = wanted <= 0 && budget.pendingResize() == null && (report == null || report.desiredSize() == 0);
-        boolean coming = report != null && report.runningCharges().size() < report.desiredSize();
-        if (report == null
-                || nowMillis - report.requestedAtMillis()
-                        > (coming ? MAX_REPORT_AGE_WHILE_STARTING_MILLIS : MAX_REPORT_AGE_MILLIS)) {
-            return idle && report != null ? Decision.NOTHING : Decision.LIST;
+        if (report == null) {
+            return new ScaleOutDecision.FetchReport();
+        }
+        if (isOutdated(report, nowMillis)) {
+            boolean idle = desired <= 0 && budget.pendingResize() == null && report.desiredSize() == 0;
+            return idle ? new ScaleOutDecision.Nothing() : new ScaleOutDecision.FetchReport();
         }
         long providerNowMillis = report.providerNowMillis(nowMillis);
         YearMonth month = budgetMonth(budget, Math.min(providerNowMillis, wallMillis));
         if (!month.toString().equals(budget.month())) {
-            return Decision.store(budget.withMonth(month.toString()));
+            return new ScaleOutDecision.Store(budget.withMonth(month.toString()));
         }
+        Account account = account(report, providerNowMillis, month);
+        return budget.pendingResize() == null
+                ? startResize(budget, report, account, desired, idempotencyKey)
+                : continueResize(budget, report, account);
+    }
+
+    private static boolean isOutdated(ProviderReport report, double nowMillis) {
+        boolean starting = report.runningCharges().size() < report.desiredSize();
+        return nowMillis - report.requestedAtMillis()
+                > (starting ? MAX_REPORT_AGE_WHILE_STARTING_MILLIS : MAX_REPORT_AGE_MILLIS);
+    }
+
+    private Account account(ProviderReport report, long providerNowMillis, YearMonth month) {
         SpendingCap spending = new SpendingCap(settings.cap(), month);
-        long spent = spending.spentCents(report.charges(), providerNowMillis);
-        long committed = spending.committedCents(report.charges(), providerNowMillis, settings.reactionMillis());
-        budgetStatus = new BudgetStatus(spent, committed, settings.cap().cents(), month.plusMonths(1));
-        // What is to run and does not yet costs as well.
-        long bound = Math.max(0, report.desiredSize() - report.runningCharges().size()) * settings.minCostCents();
-        // Danger: while clocks differ on the month, one month's costs would be paid from another's means.
-        boolean turning = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
-        int affordable = turning
+        budgetStatus = new BudgetStatus(
+                spending.spentCents(report.charges(), providerNowMillis),
+                spending.committedCents(report.charges(), providerNowMillis, settings.reactionMillis()),
+                settings.cap().cents(),
+                month.plusMonths(1));
+        // Otherwise costs of one month could be paid from the budget of another.
+        boolean monthDisputed = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
+        long starting =
+                Math.max(0, report.desiredSize() - report.runningCharges().size());
+        int affordable = monthDisputed
                 ? 0
                 : spending.affordableCount(
                         report.charges(),
                         providerNowMillis,
                         settings.reactionMillis(),
-                        Integer.MAX_VALUE / 2,
+                        UNLIMITED,
                         settings.minCostCents(),
-                        bound);
-        ResizeRequest open = budget.pendingResize();
-        if (open != null) {
-            if (open.size() == report.desiredSize()) {
-                return Decision.store(budget.withPendingResize(null));
-            }
-            // An old intent may be dearer now. What may still be under way for it comes in time or not at
-            // all.
-            return open.size() - report.desiredSize() <= affordable
-                    ? new Decision(null, false, open, providerNowMillis + settings.reactionMillis())
-                    : Decision.store(budget.withPendingResize(null));
+                        starting * settings.minCostCents());
+        return new Account(spending, providerNowMillis, month, monthDisputed, affordable);
+    }
+
+    /**
+     * Sends the pending resize unless it is done or has become too expensive since. A request of it that is still in
+     * transit takes effect within its time limit or not at all.
+     */
+    private ScaleOutDecision continueResize(Budget budget, ProviderReport report, Account account) {
+        ResizeRequest pending = budget.pendingResize();
+        int more = pending.size() - report.desiredSize();
+        return more == 0 || more > account.affordable()
+                ? new ScaleOutDecision.Store(budget.withPendingResize(null))
+                : new ScaleOutDecision.Resize(pending, account.providerNowMillis() + settings.reactionMillis());
+    }
+
+    private ScaleOutDecision startResize(
+            Budget budget, ProviderReport report, Account account, int desired, String idempotencyKey) {
+        int size = report.desiredSize();
+        int target = targetSize(report, account, desired);
+        if (target <= size) {
+            int fewer = (int) Math.min(
+                    size - target, countPastMinBilledTime(report.runningCharges(), account.providerNowMillis()));
+            return fewer <= 0
+                    ? new ScaleOutDecision.Nothing()
+                    : storeResize(budget, new ResizeRequest(idempotencyKey, size - fewer, 0));
         }
-        int target = settings.releaseAtCap() && spending.isCapReached(report.charges(), providerNowMillis)
-                ? 0
-                : wanted < 0 ? report.desiredSize() : wanted;
-        if (target > report.desiredSize()) {
-            int more = Math.min(target - report.desiredSize(), affordable);
-            if (!turning
-                    && more < target - report.desiredSize()
-                    && !month.toString().equals(budget.nearCapMonth())) {
-                return Decision.store(budget.withNearCapMonth(month.toString()));
-            }
-            return more <= 0
-                    ? Decision.NOTHING
-                    : Decision.store(budget.withPendingResize(new ResizeRequest(
-                            idempotencyKey, report.desiredSize() + more, more * settings.minCostCents())));
+        int more = Math.min(target - size, account.affordable());
+        String month = account.month().toString();
+        if (!account.monthDisputed() && more < target - size && !month.equals(budget.nearCapMonth())) {
+            return new ScaleOutDecision.Store(budget.withNearCapMonth(month));
+        }
+        return more <= 0
+                ? new ScaleOutDecision.Nothing()
+                : storeResize(budget, new ResizeRequest(idempotencyKey, size + more, more * settings.minCostCents()));
+    }
+
+    private int targetSize(ProviderReport report, Account account, int desired) {
+        if (settings.releaseAtCap() && account.spending().isCapReached(report.charges(), account.providerNowMillis())) {
+            return 0;
         }
-        int fewer = (int) Math.min(
-                report.desiredSize() - target, countPastMinBilledTime(report.runningCharges(), providerNowMillis));
-        return fewer <= 0
-                ? Decision.NOTHING
-                : Decision.store(
-                        budget.withPendingResize(new ResizeRequest(idempotencyKey, report.desiredSize() - fewer, 0)));
+        return desired < 0 ? report.desiredSize() : desired;
+    }
+
+    private static ScaleOutDecision storeResize(Budget budget, ResizeRequest resize) {
+        return new ScaleOutDecision.Store(budget.withPendingResize(resize));
     }
 
     /**
-     * Danger: a clock that jumps ahead would open a month's money early, and one that jumps back open it
-     * twice.
-     * It takes the provider's clock and the own one to turn a month, and it only goes forward.
+     * A month begins only when both the provider's clock and the local one have reached it, and never again after a
+     * later one: a clock that jumps must not open a month's budget early or twice.
      */
-    private YearMonth budgetMonth(Budget budget, long providerNowMillis) {
-        YearMonth nowMillis = SpendingCap.monthOf(providerNowMillis, zone);
-        return budget.month().isEmpty() || nowMillis.isAfter(YearMonth.parse(budget.month()))
-                ? nowMillis
+    private YearMonth budgetMonth(Budget budget, long earlierClockMillis) {
+        YearMonth now = SpendingCap.monthOf(earlierClockMillis, zone);
+        return budget.month().isEmpty() || now.isAfter(YearMonth.parse(budget.month()))
+                ? now
                 : YearMonth.parse(budget.month());
     }
 
-    /** Those whose least billed time is over: to end them sooner saves nothing. */
+    /** Instances whose minimum billed time is over: ending the others earlier saves nothing. */
     private static long countPastMinBilledTime(List<InstanceCharge> running, long providerNowMillis) {
         return running.stream()
-                .filter(b -> providerNowMillis >= b.startedAtMillis() + b.minBilledMillis())
+                .filter(charge -> providerNowMillis >= charge.startedAtMillis() + charge.minBilledMillis())
                 .count();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/SpendingCap.java
+++ b/src/main/java/nettlewick/tenantpools/SpendingCap.java
@@ -6,14 +6,16 @@
 import java.util.List;
 
 /**
- * What a member has spent in a month and is bound to spend, and whether one runner more is within its means.
- * All by the provider's clock, in whole hundredths. Pure.
+ * What a tenant has spent in a month and is committed to spend, compared with its monthly cap. All times are the
+ * provider's, all amounts whole hundredths. Immutable.
  */
 public final class SpendingCap {
     /**
-     * @param cap  of a month; 0: nothing may be added
-     * @param near the part of the cap past which nothing is added
-     * @param zone whose months count
+     * What may be spent in a month.
+     *
+     * @param cents        the cap; 0 if nothing may be added
+     * @param nearFraction the fraction of the cap past which nothing is added
+     * @param zone         the time zone whose months count
      */
     public record MonthlyCap(long cents, double nearFraction, ZoneId zone) {
         long nearMarkCents() {
@@ -22,50 +24,52 @@
     }
 
     private final MonthlyCap cap;
-    private final YearMonth month;
     private final long startMillis;
     private final long endMillis;
 
-    /** @param month the month that counts; it never goes back, whatever a clock says */
+    /** Creates the account of a month. */
     public SpendingCap(MonthlyCap cap, YearMonth month) {
         this.cap = cap;
-        this.month = month;
-        startMillis = month.atDay(1).atStartOfDay(cap.zone()).toInstant().toEpochMilli();
-        endMillis = month.plusMonths(1)
-                .atDay(1)
-                .atStartOfDay(cap.zone())
-                .toInstant()
-                .toEpochMilli();
+        startMillis = firstInstant(month, cap.zone());
+        endMillis = firstInstant(month.plusMonths(1), cap.zone());
     }
 
-    static YearMonth monthOf(long millis, ZoneId zone) {
-        return YearMonth.from(Instant.ofEpochMilli(millis).atZone(zone));
+    private static long firstInstant(YearMonth month, ZoneId zone) {
+        return month.atDay(1).atStartOfDay(zone).toInstant().toEpochMilli();
     }
 
-    YearMonth month() {
-        return month;
+    static YearMonth monthOf(long millis, ZoneId zone) {
+        return YearMonth.from(Instant.ofEpochMilli(millis).atZone(zone));
     }
 
-    /** Billed of this month by now. */
+    /** What has been billed for this month until now. */
     long spentCents(List<InstanceCharge> charges, long nowMillis) {
         return charges.stream()
-                .mapToLong(b -> Math.max(0, b.costCents(startMillis, Math.min(nowMillis, endMillis), nowMillis)))
+                .mapToLong(
+                        charge -> Math.max(0, charge.costCents(startMillis, Math.min(nowMillis, endMillis), nowMillis)))
                 .sum();
     }
 
     /**
-     * What those that run, or were ended before their least time, cost from now on until nobody can be late
-     * in
-     * ending them. Danger: what falls into the next month counts here too, lest its last hour buys anything.
+     * What is still to be billed for instances that run, or ended before their minimum billed time. Costs past the end
+     * of the month count too: otherwise its last hour would allow any number of instances.
+     *
+     * @param reactionMillis the longest time until running instances can be ended
      */
     long committedCents(List<InstanceCharge> charges, long nowMillis, long reactionMillis) {
         return charges.stream()
-                .mapToLong(b -> Math.max(
-                        0, b.costCents(Math.max(nowMillis, startMillis), Long.MAX_VALUE, nowMillis + reactionMillis)))
+                .mapToLong(charge -> Math.max(
+                        0,
+                        charge.costCents(Math.max(nowMillis, startMillis), Long.MAX_VALUE, nowMillis + reactionMillis)))
                 .sum();
     }
 
-    /** How many more of these the member may have, of so many wanted. */
+    /**
+     * How many of the wanted instances can be added so that spending stays below the near mark.
+     *
+     * @param minCostCents the least that one more instance costs
+     * @param pendingCents what instances cost that are requested but do not run yet
+     */
     int affordableCount(
             List<InstanceCharge> charges,
             long nowMillis,
--- a/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -1,103 +1,64 @@
 package nettlewick.tenantpools;
 
-import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 import java.util.function.Supplier;
 import nettlewick.contention.ContentionEvidence;
 import nettlewick.contention.MigrationState;
+import nettlewick.contention.MigrationState.Step;
 import nettlewick.contention.PoolMigration;
-import nettlewick.contention.PoolReservation;
+import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import nettlewick.contention.UsageReporter;
-import nettlewick.core.Clock;
 import nettlewick.lease.LeaseTask;
 import nettlewick.log.ComponentLogger;
 
 /**
- * What is done with one member's duty: its holder judges, moves, and asks the provider; everyone else
- * follows,
- * and tells what it sees. Belongs to the duties' thread.
+ * The lease task of one tenant. The holder judges contention, migrates the tenant and scales out; every other
+ * dispatcher follows the stored state and reports what it sees. Confined to the lease thread, except {@link
+ * #budgetStatus}.
  */
 final class TenantPoolTask implements LeaseTask {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
-    /** What may come next is looked at once in so many milliseconds, and after each version. */
+    /** The holder evaluates the state at most this often, and after each new version. */
     private static final double MIN_EVALUATION_INTERVAL_MILLIS = 20;
-    /** A demand is taken for gone only once this many windows show less. */
-    private static final int DEMAND_WINDOWS = 10;
-    /** Windows for which all are listened to after anyone has spoken of its own accord. */
-    private static final int LISTENING_WINDOWS = 10;
-    /** Pauses between tries at the provider: the first bound and the longest. */
-    private static final double INITIAL_BACKOFF_MILLIS = 100;
 
-    private static final double MAX_BACKOFF_MILLIS = 10_000;
+    /** The lease is not held here. */
+    private static final long NO_FENCE = -1;
 
     private final String tenant;
     private final Supplier<PoolSettings> settings;
     private final PoolAssignments assignments;
     private final UsageReporter reporter;
-    private final ProviderClient provider;
-    private final Clock clock;
+    private final ScaleOutController scaleOut;
     private final DoubleConsumer onChange;
-    private final SplittableRandom random;
-    private Desk leaseControl;
-    /** Whether the holder wants words from all. */
+    /** Whether the holder, here or elsewhere, wants reports from all dispatchers. */
     private boolean holderListens;
 
-    // While it is held
-    private long fence = -1;
+    // The rest describes the time in which the lease is held here.
+    private long fence = NO_FENCE;
     private boolean announced;
     private long lastVersion;
     private double nextEvaluationAt;
-    private ContentionEvidence evidence;
+    private ContentionMonitor monitor;
     private PoolMigration migration;
-    private double windowEndsAt;
-    /**
-     * For so many windows more, whatever they bring, words are wanted; and whether the member is being
-     * moved.
-     */
-    private int listeningWindowsLeft;
-
     private boolean migrating;
-    private final ArrayDeque<Double> recentDemand = new ArrayDeque<>();
-    private ProviderReport report;
-    private boolean requestInFlight;
-    private double nextRequestAt;
-    private int failures;
-    private boolean scaleOutComplete;
-    private ScaleOutPolicy policy;
-    private ScaleOutPolicy.ScaleOutSettings policySettings;
-    /** Read by whoever asks for figures; null while it is not held here. */
-    private volatile ScaleOutPolicy.BudgetStatus budgetStatus;
-
-    private long nextKey;
 
-    /** @param changed told at each word and each beat, with the time */
+    /** @param onChange called with the time in milliseconds whenever state may have arrived or become stale */
     TenantPoolTask(
             String tenant,
             Supplier<PoolSettings> settings,
-            PoolAssignments board,
-            UsageReporter speaker,
-            ProviderClient provider,
-            Clock clock,
-            long seed,
-            DoubleConsumer changed) {
+            PoolAssignments assignments,
+            UsageReporter reporter,
+            ScaleOutController scaleOut,
+            DoubleConsumer onChange) {
         this.tenant = tenant;
         this.settings = settings;
-        this.assignments = board;
-        this.reporter = speaker;
-        this.provider = provider;
-        this.clock = clock;
-        this.onChange = changed;
-        random = new SplittableRandom(seed);
-    }
-
-    @Override
-    public void joins(Desk one) {
-        leaseControl = one;
+        this.assignments = assignments;
+        this.reporter = reporter;
+        this.scaleOut = scaleOut;
+        this.onChange = onChange;
     }
 
     private PoolSettings.TenantSettings tenantSettings() {
@@ -105,249 +66,142 @@
     }
 
     @Override
-    public byte[] turn(HeldLease hold) {
-        PoolState s = PoolState.decode(hold.state());
-        if (fence != hold.fence()) {
-            startHolding(hold);
-            return s.withNextTerm().encode();
+    public void joins(Desk desk) {
+        scaleOut.attach(desk);
+    }
+
+    @Override
+    public byte[] turn(HeldLease lease) {
+        PoolState state = PoolState.decode(lease.state());
+        if (fence != lease.fence()) {
+            startHolding(lease);
+            return state.withNextTerm().encode();
         }
-        if (hold.version() == lastVersion && hold.now() < nextEvaluationAt) {
+        if (lease.version() == lastVersion && lease.now() < nextEvaluationAt) {
             return null;
         }
-        lastVersion = hold.version();
-        nextEvaluationAt = hold.now() + MIN_EVALUATION_INTERVAL_MILLIS;
+        lastVersion = lease.version();
+        nextEvaluationAt = lease.now() + MIN_EVALUATION_INTERVAL_MILLIS;
         if (!announced) {
             announced = true;
-            LeaseTask.held(PoolSettings.leaseName(tenant), hold, s.term());
+            LeaseTask.held(PoolSettings.leaseName(tenant), lease, state.term());
         }
-        migrating = s.migration().step() != MigrationState.Step.SHARED;
-        closeWindowIfDue(hold.now());
-        PoolState next = nextState(s, hold.now());
-        return next == s ? null : next.encode();
+        migrating = state.migration().step() != Step.SHARED;
+        ContentionEvidence.Finding finding = monitor.closeWindowIfDue(
+                lease.now(), settings.get().windowMillis(), () -> assignments.isolatedTenants(tenant));
+        if (finding != null) {
+            migration.recordFinding(finding, lease.now());
+        }
+        PoolState next = nextState(state, lease.now());
+        return next == state ? null : next.encode();
     }
 
-    private void startHolding(HeldLease hold) {
-        fence = hold.fence();
+    private void startHolding(HeldLease lease) {
+        fence = lease.fence();
         announced = false;
         lastVersion = -1;
-        evidence = new ContentionEvidence(tenant, settings.get().quotas());
+        monitor = new ContentionMonitor(
+                tenant, settings.get().quotas(), lease.now() + settings.get().windowMillis());
         migration = new PoolMigration(tenant);
-        windowEndsAt = hold.now() + settings.get().windowMillis();
-        recentDemand.clear();
-        listeningWindowsLeft = 0;
-        report = null;
-        requestInFlight = false;
-        nextRequestAt = hold.now();
-        failures = 0;
-        scaleOutComplete = false;
+        scaleOut.startHolding(fence, lease.now());
     }
 
-    private void closeWindowIfDue(double now) {
-        if (now >= windowEndsAt) {
-            windowEndsAt = now + settings.get().windowMillis();
-            ContentionEvidence.Finding finding = evidence.closeWindow(assignments.isolatedTenants(tenant));
-            listeningWindowsLeft = Math.max(0, listeningWindowsLeft - 1);
-            migration.recordFinding(finding, now);
-            recentDemand.add(finding.demandFraction());
-            if (recentDemand.size() > DEMAND_WINDOWS) {
-                recentDemand.remove();
-            }
-        }
-    }
-
-    /** The next state, or the same one. */
-    private PoolState nextState(PoolState s, double now) {
-        Map<String, PoolReservation.ReadyEndpoint> ready = assignments.readyEndpoints();
-        boolean whole = tenantSettings().scaleOut() == null || scaleOutComplete;
-        PoolMigration.FleetView view = new PoolMigration.FleetView(
+    /** The next state, or the same object if nothing changes. */
+    private PoolState nextState(PoolState state, double nowMillis) {
+        PoolSettings.TenantSettings own = tenantSettings();
+        Map<String, ReadyEndpoint> ready = assignments.readyEndpoints();
+        PoolMigration.FleetView fleet = new PoolMigration.FleetView(
                 ready,
-                assignments.endpointsReservedByOthers(tenant, s.migration().endpoints()),
-                whole);
+                assignments.endpointsReservedByOthers(tenant, state.migration().endpoints()),
+                own.scaleOut() == null || scaleOut.isComplete());
         MigrationState next = migration.nextState(
-                s.migration(), tenantSettings().policy(), settings.get().migrationSettings(tenant), view, now);
-        if (!next.equals(s.migration())) {
-            LOG.info(
-                    "pool-" + next.step().wireName().toLowerCase(Locale.ROOT),
-                    "member " + tenant + ": " + next.step().wireName() + " with runners " + next.endpoints(),
-                    "member",
-                    tenant,
-                    "step",
-                    next.step().wireName(),
-                    "fence",
-                    fence);
-            return s.withMigration(next);
+                state.migration(), own.policy(), settings.get().migrationSettings(tenant), fleet, nowMillis);
+        if (!next.equals(state.migration())) {
+            logStep(next);
+            return state.withMigration(next);
         }
-        if (tenantSettings().scaleOut() == null) {
-            return s;
-        }
-        List<String> names = report == null
-                ? s.addedEndpoints()
-                : report.runningCharges().stream()
-                        .map(InstanceCharge::name)
-                        .sorted()
-                        .toList();
-        return names.equals(s.addedEndpoints()) ? scaleOut(s, ready, now) : s.withAddedEndpoints(names);
+        return own.scaleOut() == null
+                ? state
+                : scaleOut.evaluate(state, own, desiredEndpoints(state.migration(), ready), ready.keySet(), nowMillis);
     }
 
-    private PoolState scaleOut(PoolState s, Map<String, PoolReservation.ReadyEndpoint> ready, double now) {
-        if (!tenantSettings().scaleOut().equals(policySettings)) {
-            policySettings = tenantSettings().scaleOut();
-            policy = new ScaleOutPolicy(policySettings);
-        }
-        String key = PoolSettings.leaseName(tenant) + "-" + Long.toHexString(fence) + "-" + nextKey;
-        ScaleOutPolicy.Decision next =
-                policy.decide(s.budget(), report, desiredEndpoints(s.migration(), ready), now, (long) clock.now(), key);
-        budgetStatus = policy.budgetStatus();
-        scaleOutComplete = next == ScaleOutPolicy.Decision.NOTHING
-                && report != null
-                && report.runningCharges().size() >= report.desiredSize()
-                && report.runningCharges().stream().allMatch(b -> ready.containsKey(b.name()));
-        if (next.store() != null) {
-            nextKey++;
-            if (!next.store().nearCapMonth().equals(s.budget().nearCapMonth())) {
-                ScaleOutPolicy.BudgetStatus m = policy.budgetStatus();
-                LOG.warning(
-                        "near-cap",
-                        "member " + tenant + " is near its cap: spent " + m.spentCents()
-                                + ", bound to spend " + m.committedCents() + " of " + m.capCents()
-                                + "; nothing is added before " + m.resumesIn(),
-                        "member",
-                        tenant,
-                        "spent",
-                        m.spentCents(),
-                        "cap",
-                        m.capCents());
-            }
-            return s.withBudget(next.store());
-        }
-        if (requestInFlight || now < nextRequestAt) {
-            return s;
-        }
-        if (next.list()) {
-            requestInFlight = true;
-            provider.list(tenant, now, answerHandler(fence));
-        } else if (next.resize() != null) {
-            requestInFlight = true;
-            LOG.info(
-                    "asks-provider",
-                    "asks the provider for " + next.resize().size() + " runners for " + tenant,
-                    "member",
-                    tenant,
-                    "size",
-                    next.resize().size(),
-                    "key",
-                    next.resize().idempotencyKey(),
-                    "fence",
-                    fence);
-            provider.resize(
-                    tenant, next, report.etag(), fence, tenantSettings().endpointKind(), now, answerHandler(fence));
-        }
-        return s;
-    }
-
-    private Consumer<ProviderClient.Answer> answerHandler(long under) {
-        return answer -> leaseControl.run(() -> {
-            if (under == fence) {
-                handleAnswer(answer, System.nanoTime() / 1e6);
-            }
-        });
-    }
-
-    private void handleAnswer(ProviderClient.Answer answer, double now) {
-        requestInFlight = false;
-        if (answer.outcome() == ProviderClient.Outcome.REPORTED) {
-            failures = 0;
-            nextRequestAt = now;
-            if (report == null || answer.report().requestedAtMillis() >= report.requestedAtMillis()) {
-                report = answer.report();
-            }
-            return;
-        }
-        // Danger: all holders come back at once to a provider that was down. The pause is drawn from the
-        // whole.
-        double bound = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(30, failures++)));
-        nextRequestAt = now + answer.retryAfterMillis() + bound * random.nextDouble();
-        switch (answer.outcome()) {
-            case VERSION_CONFLICT -> report = null;
-            case FENCED -> {
-                LOG.warning(
-                        "outdone",
-                        "the provider has seen a higher fence for " + tenant,
-                        "member",
-                        tenant,
-                        "fence",
-                        fence,
-                        "seen",
-                        answer.highestFence());
-                leaseControl.outdo(PoolSettings.leaseName(tenant), answer.highestFence());
-            }
-            default ->
-                LOG.info(
-                        "provider-fails",
-                        "the provider did not answer for " + tenant,
-                        "member",
-                        tenant,
-                        "way",
-                        answer.outcome());
-        }
+    private void logStep(MigrationState next) {
+        String step = next.step().wireName();
+        LOG.info(
+                "pool-" + step.toLowerCase(Locale.ROOT),
+                "tenant " + tenant + ": " + step + " with endpoints " + next.endpoints(),
+                "member",
+                tenant,
+                "step",
+                step,
+                "fence",
+                fence);
     }
 
-    /** How many runners its demand is worth beyond its share; below 0: not known yet. */
-    private int desiredEndpoints(MigrationState move, Map<String, PoolReservation.ReadyEndpoint> ready) {
-        if (move.step() == MigrationState.Step.SHARED || move.step() == MigrationState.Step.RETURNING) {
+    /** How many added endpoints match the demand beyond the tenant's quota; negative while the demand is unknown. */
+    private int desiredEndpoints(MigrationState state, Map<String, ReadyEndpoint> ready) {
+        if (state.step() == Step.SHARED || state.step() == Step.RETURNING) {
             return 0;
         }
-        double part = recentDemand.stream().mapToDouble(p -> p).max().orElse(-1);
-        long common =
-                ready.values().stream().filter(r -> r.addedForTenant() == null).count();
-        double beyond = part - settings.get().quotas().get(tenant);
-        return part < 0
-                ? -1
-                : (int) Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(beyond * common)));
+        double demandFraction = monitor.peakDemandFraction();
+        if (demandFraction < 0) {
+            return -1;
+        }
+        long shared = ready.values().stream()
+                .filter(endpoint -> endpoint.addedForTenant() == null)
+                .count();
+        double excessFraction = demandFraction - settings.get().quotas().get(tenant);
+        return (int) Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(excessFraction * shared)));
     }
 
     @Override
     public void lost() {
-        fence = -1;
-        budgetStatus = null;
+        fence = NO_FENCE;
+        scaleOut.stopHolding();
     }
 
     @Override
-    public void news(long under, long version, byte[] state, boolean wanted, double now) {
-        holderListens = wanted;
-        assignments.recordState(tenant, PoolState.decode(state), now);
-        onChange.accept(now);
+    public void news(long holderFence, long version, byte[] state, boolean listens, double nowMillis) {
+        holderListens = listens;
+        assignments.recordState(tenant, PoolState.decode(state), nowMillis);
+        onChange.accept(nowMillis);
     }
 
     @Override
-    public void word(int from, long life, byte[] word, double now) {
-        if (fence >= 0 && !evidence.recordReport(from, life, word)) {
-            LOG.warning("word-passed-over", "a word on " + tenant + " cannot be read", "from", from);
+    public void word(int dispatcher, long incarnation, byte[] report, double nowMillis) {
+        if (fence < 0) {
+            return;
         }
-        // At once: the others' words of the last windows are in before this one ends.
-        if (fence >= 0 && evidence.takeUnsolicited()) {
-            if (listeningWindowsLeft == 0) {
-                LOG.info("hears-all", "hears all on member " + tenant, "member", tenant, "from", from);
-            }
-            listeningWindowsLeft = LISTENING_WINDOWS;
+        if (!monitor.recordReport(dispatcher, incarnation, report)) {
+            LOG.warning(
+                    "word-passed-over", "a usage report on tenant " + tenant + " cannot be read", "from", dispatcher);
+        }
+        if (monitor.listenIfUnsolicited()) {
+            LOG.info(
+                    "hears-all",
+                    "listens to all dispatchers on tenant " + tenant,
+                    "member",
+                    tenant,
+                    "from",
+                    dispatcher);
         }
     }
 
     @Override
-    public List<byte[]> tell(long under, double now) {
-        onChange.accept(now);
+    public List<byte[]> tell(long holderFence, double nowMillis) {
+        onChange.accept(nowMillis);
         return reporter.reportsToSend(
                 tenant,
-                under,
+                holderFence,
                 holderListens,
                 settings.get().windowMillis(),
-                now,
+                nowMillis,
                 () -> assignments.isolatedTenants(tenant).keySet());
     }
 
     @Override
     public boolean listens() {
-        return fence >= 0 && (migrating || listeningWindowsLeft > 0);
+        return fence >= 0 && (migrating || monitor.isListening());
     }
 
     @Override
@@ -355,8 +209,8 @@
         return !listens();
     }
 
-    /** Figures for operators while it is held here. */
+    /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
     ScaleOutPolicy.BudgetStatus budgetStatus() {
-        return budgetStatus;
+        return scaleOut.budgetStatus();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
@@ -20,7 +20,11 @@
 import nettlewick.log.ComponentLogger;
 import nettlewick.settings.Block;
 
-/** Joins members' pools to the duties on one side and to the core on the other. */
+/**
+ * Connects the tenants' pools to the lease service, which runs their tasks, and to the core, which is given the
+ * resulting assignments. Requests and endpoint updates arrive on the core's thread, everything else on the lease
+ * thread.
+ */
 public final class TenantPoolsService implements RequestListener, AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
 
@@ -33,7 +37,11 @@
     private volatile RequestCoordinator coordinator;
     private List<PoolAssignment> lastAssigned = List.of();
 
-    /** @throws nettlewick.settings.BadSettings where the block does not fit the platform's settings */
+    /**
+     * Checks the settings and creates one lease task for each tenant that they name.
+     *
+     * @throws nettlewick.settings.InvalidSettingsException if the block contradicts itself or the platform's settings
+     */
     public TenantPoolsService(Block block, SchedulerSettings platform, Clock clock, long seed) {
         this.platform = platform;
         settings = PoolSettings.of(block, platform.tenants());
@@ -45,20 +53,20 @@
         UsageReporter reporter = new UsageReporter(counters, settings.quotas());
         settings.tenants()
                 .keySet()
-                .forEach(name -> tasks.put(
-                        name,
-                        new TenantPoolTask(
-                                name,
-                                () -> settings,
-                                assignments,
-                                reporter,
-                                provider,
-                                clock,
-                                seed ^ name.hashCode(),
-                                this::publishAssignments)));
+                .forEach(tenant -> tasks.put(tenant, task(tenant, reporter, clock, seed ^ tenant.hashCode())));
+    }
+
+    private TenantPoolTask task(String tenant, UsageReporter reporter, Clock clock, long seed) {
+        return new TenantPoolTask(
+                tenant,
+                () -> settings,
+                assignments,
+                reporter,
+                new ScaleOutController(tenant, provider, clock, seed),
+                this::publishAssignments);
     }
 
-    /** What is done with each member's duty, by the duty's name. */
+    /** The tenants' lease tasks, by the name of the lease. */
     public Map<String, LeaseTask> leaseTasks() {
         Map<String, LeaseTask> leaseTasks = new LinkedHashMap<>();
         tasks.forEach((name, task) -> leaseTasks.put(PoolSettings.leaseName(name), task));
@@ -66,11 +74,11 @@
     }
 
     /**
-     * Checks the block read anew; the step that takes it over comes back. Members that come or go would
-     * change
-     * which duties there are, which only a restart does.
+     * Checks a new version of the block. Tenants cannot be added or removed without a restart, since each has a lease:
+     * a block that does is logged and not applied.
      *
-     * @throws nettlewick.settings.BadSettings where it does not fit; the old one stays
+     * @return the step that applies it
+     * @throws nettlewick.settings.InvalidSettingsException if it is invalid; the current settings stay in force
      */
     public Runnable prepareReload(Block block) {
         PoolSettings next = PoolSettings.of(block, platform.tenants());
@@ -78,24 +86,27 @@
             if (next.tenants().keySet().equals(tasks.keySet())) {
                 settings = next;
             } else {
-                LOG.warning("members-stay", "members of `pools` that come or go want a restart; the old block stays");
+                LOG.warning(
+                        "members-stay",
+                        "adding or removing tenants of the block pools needs a restart; the old block stays in force");
             }
         };
     }
 
-    /** On the duties' thread: what has changed for the module goes to it. */
+    /** Hands changed assignments to the core. Called on the lease thread. */
     private void publishAssignments(double nowMillis) {
         List<PoolAssignment> next = assignments.currentAssignments(nowMillis);
         RequestCoordinator to = coordinator;
         if (to != null && !next.equals(lastAssigned)) {
             lastAssigned = next;
-            LOG.info("pools-followed", "members with runners of their own: " + next.size(), "follows", describe(next));
+            LOG.info("pools-followed", "tenants with dedicated endpoints: " + next.size(), "follows", describe(next));
             to.assignPools(next);
         }
     }
 
     /**
-     * {@code red:1:0:s1,s2;blue:1:1:s3}: member, whether others keep away, whether it stays there, runners.
+     * {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether it excludes others, whether it is confined, endpoints. The
+     * fleet test parses this form.
      */
     private static String describe(List<PoolAssignment> all) {
         return all.stream()
--- a/src/test/java/nettlewick/tenantpools/GrowthTest.java
+++ b/src/test/java/nettlewick/tenantpools/GrowthTest.java
@@ -1,29 +1,33 @@
 package nettlewick.tenantpools;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
-import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Instant;
 import java.time.YearMonth;
 import java.time.ZoneId;
 import java.time.ZoneOffset;
+import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 import nettlewick.tenantpools.PoolState.Budget;
+import nettlewick.tenantpools.PoolState.ResizeRequest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What runners cost, what is still to be spent, and what is asked of the provider when. */
+/** What instances cost, what the budget still allows, and when the provider is asked for which size. */
 class GrowthTest {
     private static final long HOUR = 3_600_000;
-    /** An own clock that has nothing against it. */
+    private static final ScaleOutDecision NOTHING = new ScaleOutDecision.Nothing();
+    /** A local clock that is past every month. */
     private static final long WALL = Long.MAX_VALUE;
 
     private static final long NOON = Instant.parse("2026-12-10T12:00:00Z").toEpochMilli();
@@ -55,7 +59,7 @@
         assertEquals(YearMonth.of(2026, 11), SpendingCap.monthOf(late, ZoneOffset.UTC));
     }
 
-    /** Whatever runs: one more is within the means only if all that is owed with it stays under the mark. */
+    /** Whatever runs: more is affordable only if everything owed with it stays below the near mark. */
     @Property(tries = 500)
     void affordableEndpointsKeepSpendingBelowTheNearMark(
             @ForAll @IntRange(min = 0, max = 12) int running,
@@ -63,7 +67,7 @@
             @ForAll @IntRange(min = 0, max = 5000) int capCents,
             @ForAll @IntRange(min = 1, max = 50) int wanted) {
         SpendingCap.MonthlyCap cap = new SpendingCap.MonthlyCap(capCents, 0.95, ZoneOffset.UTC);
-        List<InstanceCharge> charges = new java.util.ArrayList<>();
+        List<InstanceCharge> charges = new ArrayList<>();
         for (int i = 0; i < running; i++) {
             charges.add(charge(NOON - age * (i + 1) / (running + 1), i % 3 == 0 ? NOON - age * i / (running + 1) : 0));
         }
@@ -71,7 +75,15 @@
         int more = spending.affordableCount(charges, NOON, HOUR, wanted, 100, 0);
         long owed = spending.spentCents(charges, NOON) + spending.committedCents(charges, NOON, HOUR) + more * 100L;
         assertTrue(more == 0 || owed < capCents * 0.95, owed + " of " + capCents);
-        assertTrue(more == wanted || owed + 100 >= Math.floor(capCents * 0.95), "one more would not have been");
+        assertTrue(more == wanted || owed + 100 >= Math.floor(capCents * 0.95), "one more would have been affordable");
+    }
+
+    private static Budget stored(ScaleOutDecision decision) {
+        return assertInstanceOf(ScaleOutDecision.Store.class, decision).budget();
+    }
+
+    private static ResizeRequest sent(ScaleOutDecision decision) {
+        return assertInstanceOf(ScaleOutDecision.Resize.class, decision).request();
     }
 
     private static ProviderReport report(int size, long date, double at, InstanceCharge... charges) {
@@ -82,21 +94,17 @@
     void aResizeIsStoredBeforeItIsRequestedAndClearedByTheReport() {
         ScaleOutPolicy policy = new ScaleOutPolicy(ScaleOutSimulation.SETTINGS);
         Budget budget = new Budget("2026-12", null, "");
-        assertTrue(policy.decide(budget, null, 2, 0, WALL, "k").list(), "nothing without a list");
+        assertInstanceOf(ScaleOutDecision.FetchReport.class, policy.decide(budget, null, 2, 0, WALL, "k"));
         ProviderReport empty = report(0, NOON, 0);
-        Budget intent = policy.decide(budget, empty, 2, 0, WALL, "k").store();
-        assertEquals(2, intent.pendingResize().size());
-        ScaleOutPolicy.Decision next = policy.decide(intent, empty, 2, 0, WALL, "l");
-        assertEquals("k", next.resize().idempotencyKey());
-        // Another holder finds it, whatever it wants itself, and asks with the same key.
+        Budget resizing = stored(policy.decide(budget, empty, 2, 0, WALL, "k"));
+        assertEquals(2, resizing.pendingResize().size());
+        assertEquals("k", sent(policy.decide(resizing, empty, 2, 0, WALL, "l")).idempotencyKey());
+        // Another holder sends the stored resize under the same key, whatever size it wants itself.
         assertEquals(
                 "k",
-                new ScaleOutPolicy(ScaleOutSimulation.SETTINGS)
-                        .decide(intent, empty, 5, 0, WALL, "other")
-                        .resize()
+                sent(new ScaleOutPolicy(ScaleOutSimulation.SETTINGS).decide(resizing, empty, 5, 0, WALL, "other"))
                         .idempotencyKey());
-        assertNull(policy.decide(intent, report(2, NOON, 0), 2, 0, WALL, "l")
-                .store()
+        assertNull(stored(policy.decide(resizing, report(2, NOON, 0), 2, 0, WALL, "l"))
                 .pendingResize());
     }
 
@@ -104,14 +112,14 @@
     void nothingIsAddedPastTheNearMarkAndItIsRecordedOnceAMonth() {
         ScaleOutPolicy policy = new ScaleOutPolicy(ScaleOutSimulation.SETTINGS);
         Budget budget = new Budget("2026-12", null, "");
-        // 100 a minute, 950 to spend: eight are within the means, the ninth is not.
+        // Each costs 100 for its first minute and 950 may be spent: nine are affordable, the tenth is not.
         ProviderReport empty = report(0, NOON, 0);
-        Budget near = policy.decide(budget, empty, 20, 0, WALL, "k").store();
+        Budget near = stored(policy.decide(budget, empty, 20, 0, WALL, "k"));
         assertEquals("2026-12", near.nearCapMonth());
-        Budget intent = policy.decide(near, empty, 20, 0, WALL, "k").store();
-        assertEquals(9, intent.pendingResize().size());
+        Budget resizing = stored(policy.decide(near, empty, 20, 0, WALL, "k"));
+        assertEquals(9, resizing.pendingResize().size());
         InstanceCharge[] charges = new InstanceCharge[9];
-        java.util.Arrays.setAll(
+        Arrays.setAll(
                 charges,
                 i -> new InstanceCharge(
                         "x" + i,
@@ -121,30 +129,28 @@
                         0,
                         ScaleOutSimulation.CENTS_PER_HOUR,
                         ScaleOutSimulation.MIN_BILLED_MILLIS));
-        assertSame(ScaleOutPolicy.Decision.NOTHING, policy.decide(near, report(9, NOON, 0, charges), 20, 0, WALL, "k"));
-        assertSame(ScaleOutPolicy.Decision.NOTHING, policy.decide(near, report(9, NOON, 0, charges), -1, 0, WALL, "k"));
+        assertEquals(NOTHING, policy.decide(near, report(9, NOON, 0, charges), 20, 0, WALL, "k"));
+        assertEquals(NOTHING, policy.decide(near, report(9, NOON, 0, charges), -1, 0, WALL, "k"));
     }
 
     @Test
     void aMonthNeverRepeatsAndOpensOnlyItsOwnBudget() {
         ScaleOutPolicy policy = new ScaleOutPolicy(ScaleOutSimulation.SETTINGS);
-        long next = Instant.parse("2027-01-01T00:00:01Z").toEpochMilli();
-        Budget money = policy.decide(new Budget("2026-12", null, "2026-12"), report(0, next, 0), 1, 0, WALL, "k")
-                .store();
-        assertEquals("2027-01", money.month());
-        assertSame(
-                ScaleOutPolicy.Decision.NOTHING, policy.decide(money, report(0, NOON, 0), 1, 0, WALL, "k"), "set back");
-        assertNotNull(policy.decide(money, report(0, next, 0), 1, 0, WALL, "k")
-                .store()
+        long nextMonth = Instant.parse("2027-01-01T00:00:01Z").toEpochMilli();
+        Budget next =
+                stored(policy.decide(new Budget("2026-12", null, "2026-12"), report(0, nextMonth, 0), 1, 0, WALL, "k"));
+        assertEquals("2027-01", next.month());
+        assertEquals(NOTHING, policy.decide(next, report(0, NOON, 0), 1, 0, WALL, "k"), "set back");
+        assertNotNull(stored(policy.decide(next, report(0, nextMonth, 0), 1, 0, WALL, "k"))
                 .pendingResize());
-        ScaleOutPolicy.Decision ahead =
-                policy.decide(new Budget("2026-12", null, ""), report(0, next, 0), 1, 0, NOON, "k");
-        assertSame(ScaleOutPolicy.Decision.NOTHING, ahead, "the provider's clock alone opens no month");
+        ScaleOutDecision ahead =
+                policy.decide(new Budget("2026-12", null, ""), report(0, nextMonth, 0), 1, 0, NOON, "k");
+        assertEquals(NOTHING, ahead, "the provider's clock alone opens no month");
     }
 
     @Test
     void allEndpointsAreReleasedAtTheCapIfConfigured() {
-        ScaleOutPolicy.ScaleOutSettings back = new ScaleOutPolicy.ScaleOutSettings(
+        ScaleOutPolicy.ScaleOutSettings releasing = new ScaleOutPolicy.ScaleOutSettings(
                 ScaleOutSimulation.SETTINGS.cap(),
                 ScaleOutSimulation.CENTS_PER_HOUR,
                 ScaleOutSimulation.MIN_BILLED_MILLIS,
@@ -161,13 +167,11 @@
         Budget budget = new Budget("2026-12", null, "2026-12");
         assertEquals(
                 0,
-                new ScaleOutPolicy(back)
-                        .decide(budget, report(1, NOON, 0, old), 1, 0, WALL, "k")
-                        .store()
+                stored(new ScaleOutPolicy(releasing).decide(budget, report(1, NOON, 0, old), 1, 0, WALL, "k"))
                         .pendingResize()
                         .size());
-        assertSame(
-                ScaleOutPolicy.Decision.NOTHING,
+        assertEquals(
+                NOTHING,
                 new ScaleOutPolicy(ScaleOutSimulation.SETTINGS)
                         .decide(budget, report(1, NOON, 0, old), 1, 0, WALL, "k"));
     }
@@ -177,33 +181,33 @@
 
     @Test
     void nothingIsAddedPastTheMarkUnderFaultsAndAllSettlesAfterwards() {
-        int puts = 0;
+        int resizes = 0;
         int stale = 0;
         for (int walk = 0; walk < WALKS; walk++) {
-            ScaleOutSimulation world = new ScaleOutSimulation(walk, ScaleOutSimulation.Bug.NONE);
+            ScaleOutSimulation simulation = new ScaleOutSimulation(walk, ScaleOutSimulation.Bug.NONE);
             for (int i = 0; i < STEPS; i++) {
-                world.step();
+                simulation.step();
             }
-            assertEquals(List.of(), world.provider.breaks(), "walk " + walk);
-            world.runWithoutFaults();
-            assertEquals(List.of(), world.provider.breaks(), "walk " + walk);
-            assertTrue(world.isSettled(), "walk " + walk);
-            puts += world.resizeRequests;
-            stale += world.provider.counts().get("stale_acts_tried");
+            assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
+            simulation.runWithoutFaults();
+            assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
+            assertTrue(simulation.isSettled(), "walk " + walk);
+            resizes += simulation.resizeRequests;
+            stale += simulation.provider.counts().get("stale_acts_tried");
         }
-        System.out.println("growth_walks=" + WALKS + " puts=" + puts + " stale_acts_refused=" + stale);
-        assertTrue(stale > 0 && puts > WALKS);
+        System.out.println("growth_walks=" + WALKS + " puts=" + resizes + " stale_acts_refused=" + stale);
+        assertTrue(stale > 0 && resizes > WALKS);
     }
 
-    /** A search that finds none of these proves nothing. */
+    /** A search that misses a seeded bug would prove nothing. */
     @ParameterizedTest
     @EnumSource(names = "NONE", mode = EnumSource.Mode.EXCLUDE)
     void aSeededBugIsFound(ScaleOutSimulation.Bug bug) {
         for (int walk = 0; walk < 20 * WALKS; walk++) {
-            ScaleOutSimulation world = new ScaleOutSimulation(walk, bug);
+            ScaleOutSimulation simulation = new ScaleOutSimulation(walk, bug);
             for (int i = 0; i < STEPS; i++) {
-                world.step();
-                if (!world.provider.breaks().isEmpty()) {
+                simulation.step();
+                if (!simulation.provider.breaks().isEmpty()) {
                     return;
                 }
             }
--- a/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
@@ -3,22 +3,20 @@
 import java.time.Instant;
 import java.time.ZoneOffset;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import nettlewick.stubs.ProviderModel;
 import nettlewick.tenantpools.PoolState.Budget;
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * Holders of one member's duty, one after the other, and a provider: messages are lost, doubled and late, a
- * holder is replaced between storing and asking, one that was paused still asks, months turn, the provider's
- * clock jumps. The register is one place that refuses fences below its own, as the duties promise.
+ * Successive holders of one tenant's lease and a provider, in virtual time: messages are lost, duplicated and delayed,
+ * a holder is replaced between storing and asking, a paused one still sends requests, months begin, clocks jump. The
+ * stored state is one place that rejects fences below its own, as the lease service promises.
  */
 final class ScaleOutSimulation {
-    /** What is done wrong on purpose; NONE: nothing. */
+    /** Faults seeded on purpose. */
     enum Bug {
         NONE,
         VERSION_NOT_CHECKED,
@@ -37,7 +35,7 @@
         ScaleOutPolicy policy = new ScaleOutPolicy(SETTINGS);
         ProviderReport report;
         boolean requestInFlight;
-        /** How far its own clock is off. */
+        /** How far its wall clock is off. */
         long clockOffsetMillis;
     }
 
@@ -47,7 +45,7 @@
 
     private final Bug bug;
     private final SplittableRandom random;
-    /** Whether the provider's clock is set now and then; else the holders' may be ahead. */
+    /** Whether the provider's clock jumps; otherwise the holders' clocks may be ahead. */
     private final boolean providerClockJumps;
 
     private long providerClockOffsetMillis;
@@ -58,7 +56,6 @@
             Map.of(
                     "red",
                     new ProviderModel.Cap(SETTINGS.cap().cents(), SETTINGS.cap().nearFraction())));
-    private final Map<Integer, ProviderReport> versions = new HashMap<>();
     private final List<PendingMessage> inTransit = new ArrayList<>();
     private long wallMillis = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
     private double nowMillis;
@@ -90,7 +87,7 @@
         nowMillis += millis;
     }
 
-    /** One thing that may happen. */
+    /** One random event. */
     void step() {
         switch (random.nextInt(14)) {
             case 0 -> advanceClock(random.nextInt(8000));
@@ -110,7 +107,7 @@
             case 6, 7, 8 -> deliverOne(random.nextInt(4));
             case 9 -> {
                 if (providerClockJumps && random.nextInt(6) == 0) {
-                    // The provider's clock is set ahead, maybe into the next month, and back again.
+                    // Set ahead, possibly into the next month, and back again.
                     providerClockOffsetMillis = random.nextInt(2) * 900_000L;
                 }
             }
@@ -118,7 +115,7 @@
         }
     }
 
-    /** Faults stop: nothing is lost, nobody is replaced. */
+    /** Runs on without faults: no message is lost and no holder replaced. */
     void runWithoutFaults() {
         for (int i = 0; i < 400; i++) {
             advanceClock(50);
@@ -129,51 +126,51 @@
     }
 
     boolean isSettled() {
-        ScaleOutPolicy.Decision decision = holder.policy.decide(
+        ScaleOutDecision decision = holder.policy.decide(
                 stored, holder.report, provider.size("red"), nowMillis, wallMillis + holder.clockOffsetMillis, "end");
         return holder.report != null
                 && stored.pendingResize() == null
-                && decision.store() == null
-                && decision.resize() == null;
+                && !(decision instanceof ScaleOutDecision.Store)
+                && !(decision instanceof ScaleOutDecision.Resize);
     }
 
     private void runHolder(LeaseHolder leaseHolder) {
-        ScaleOutPolicy.Decision decision = leaseHolder.policy.decide(
+        ScaleOutDecision decision = leaseHolder.policy.decide(
                 stored,
                 leaseHolder.report,
                 desiredSize,
                 nowMillis,
                 wallMillis + leaseHolder.clockOffsetMillis,
                 "k" + nextKey);
-        if (decision.store() != null) {
+        if (decision instanceof ScaleOutDecision.Store store) {
             if (leaseHolder.fence >= storedFence) {
                 nextKey++;
                 storedFence = leaseHolder.fence;
-                stored = decision.store();
+                stored = store.budget();
             }
-        } else if (!leaseHolder.requestInFlight && decision.list()) {
+        } else if (!leaseHolder.requestInFlight && decision instanceof ScaleOutDecision.FetchReport) {
             leaseHolder.requestInFlight = true;
             double asked = nowMillis;
             inTransit.add(() -> sendReport(leaseHolder, currentReport(), asked));
-        } else if (!leaseHolder.requestInFlight && decision.resize() != null) {
+        } else if (!leaseHolder.requestInFlight && decision instanceof ScaleOutDecision.Resize resize) {
             leaseHolder.requestInFlight = true;
-            sendResize(leaseHolder, decision, leaseHolder.report);
+            sendResize(leaseHolder, resize, leaseHolder.report);
         }
     }
 
-    private void sendResize(LeaseHolder leaseHolder, ScaleOutPolicy.Decision decision, ProviderReport report) {
-        ResizeRequest intent = decision.resize();
+    private void sendResize(LeaseHolder leaseHolder, ScaleOutDecision.Resize resize, ProviderReport report) {
+        ResizeRequest request = resize.request();
         double asked = nowMillis;
         resizeRequests++;
         inTransit.add(() -> {
             int version = bug == Bug.VERSION_NOT_CHECKED ? provider.version("red") : Integer.parseInt(report.etag());
             ProviderModel.Way way = provider.want(
                     "red",
-                    intent.size(),
-                    intent.idempotencyKey(),
+                    request.size(),
+                    request.idempotencyKey(),
                     version,
                     leaseHolder.fence,
-                    bug == Bug.LATE_RESIZE_ACCEPTED ? Long.MAX_VALUE : decision.notAfterMillis(),
+                    bug == Bug.LATE_RESIZE_ACCEPTED ? Long.MAX_VALUE : resize.notAfterMillis(),
                     wallMillis + providerClockOffsetMillis);
             if (way == ProviderModel.Way.DONE) {
                 sendReport(leaseHolder, currentReport(), asked);
@@ -187,53 +184,57 @@
     }
 
     private ProviderReport currentReport() {
-        List<InstanceCharge> bills = provider.all("red").stream()
-                .map(r -> new InstanceCharge(
-                        r.name(), r.kind(), r.zone(), r.since(), r.until(), CENTS_PER_HOUR, MIN_BILLED_MILLIS))
+        List<InstanceCharge> charges = provider.all("red").stream()
+                .map(instance -> new InstanceCharge(
+                        instance.name(),
+                        instance.kind(),
+                        instance.zone(),
+                        instance.since(),
+                        instance.until(),
+                        CENTS_PER_HOUR,
+                        MIN_BILLED_MILLIS))
                 .toList();
         if (bug == Bug.ENDED_INSTANCES_NOT_BILLED) {
-            bills = bills.stream().filter(InstanceCharge::isRunning).toList();
+            charges = charges.stream().filter(InstanceCharge::isRunning).toList();
         }
-        ProviderReport report = new ProviderReport(
+        return new ProviderReport(
                 provider.size("red"),
                 Integer.toString(provider.version("red")),
-                bills,
+                charges,
                 (wallMillis + providerClockOffsetMillis) / 1000 * 1000,
                 nowMillis);
-        versions.put(provider.version("red"), report);
-        return report;
     }
 
     private void sendReport(LeaseHolder leaseHolder, ProviderReport report, double asked) {
         inTransit.add(() -> {
             leaseHolder.requestInFlight = false;
-            boolean old = bug == Bug.OLD_REPORT_TRUSTED;
+            boolean fresh = bug == Bug.OLD_REPORT_TRUSTED;
             ProviderReport taken = new ProviderReport(
                     report.desiredSize(),
                     report.etag(),
                     report.charges(),
                     report.providerTimeMillis(),
-                    old ? nowMillis : asked);
+                    fresh ? nowMillis : asked);
             if (leaseHolder.report == null || taken.requestedAtMillis() >= leaseHolder.report.requestedAtMillis()) {
                 leaseHolder.report = taken;
             }
         });
     }
 
-    /** One of those under way arrives, is lost, or arrives twice; which, by the chance given (0: none is lost). */
+    /** Delivers a random message, or, if there are faults, may lose or duplicate it. */
     private void deliverOne(int faults) {
         if (inTransit.isEmpty()) {
             return;
         }
-        PendingMessage step = inTransit.remove(random.nextInt(inTransit.size()));
+        PendingMessage message = inTransit.remove(random.nextInt(inTransit.size()));
         if (faults > 0 && random.nextInt(8) == 0) {
-            // It is lost; whoever asked finds out by a time-out.
-            Set.of(holder).forEach(leaseHolder -> leaseHolder.requestInFlight = false);
+            // The message is lost: the sender's timeout expires.
+            holder.requestInFlight = false;
             return;
         }
         if (faults > 0 && random.nextInt(8) == 0) {
-            inTransit.add(step);
+            inTransit.add(message);
         }
-        step.deliver();
+        message.deliver();
     }
 }
