--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -31,7 +31,7 @@
     @Parameter(names = "--seconds", description = "End by itself after so long; 0: at Ctrl-C")
     private int seconds;
 
-    private static final int RUNNERS = 4;
+    private static final int ENDPOINTS = 4;
     private static final int RUN_MILLIS = 400;
 
     @Override
@@ -52,26 +52,27 @@
                     """.formatted(folder.resolve("ledger")));
             Settings settings = SettingsCommand.read(file.toString());
             LogSetup.apply(settings.block("log"));
-            StubPlatform world = new StubPlatform();
-            world.runTime = RUN_MILLIS;
-            for (int i = 1; i <= RUNNERS; i++) {
-                world.addRunner("runner-" + i);
+            StubPlatform platform = new StubPlatform();
+            platform.runTime = RUN_MILLIS;
+            for (int i = 1; i <= ENDPOINTS; i++) {
+                platform.addRunner("runner-" + i);
             }
-            Map<String, Object> text = world.config();
+            Map<String, Object> text = platform.config();
             text.put("admin_addr", "127.0.0.1:0");
             PlatformConfig config = PlatformConfig.of(new Gson().toJson(text), Map.of());
             Clock clock = Clock.system();
             LedgerService ledger = new LedgerService(
                     config.name(), LedgerSettings.of(settings.block("ledger").orElseThrow()), clock, config.seed());
             ledger.start();
-            EventStreamConfig edge = EventStreamConfig.of(settings.block("edge").orElseThrow());
-            DispatcherServer node = new DispatcherServer(
-                            config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, edge))
+            EventStreamConfig eventStreams =
+                    EventStreamConfig.of(settings.block("edge").orElseThrow());
+            DispatcherServer server = new DispatcherServer(
+                            config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
                     .keep(ledger.books());
-            StubPlatform.get(node.start());
-            Thread end = new Thread(() -> end(node, ledger, world, folder), "demo-end");
-            Runtime.getRuntime().addShutdownHook(end);
-            print(node.ports(), node.adminPort(), file);
+            StubPlatform.get(server.start());
+            Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
+            Runtime.getRuntime().addShutdownHook(shutdown);
+            printUsage(server.ports(), server.adminPort(), file);
             if (seconds > 0) {
                 TimeUnit.SECONDS.sleep(seconds);
                 System.exit(0);
@@ -88,7 +89,7 @@
         }
     }
 
-    private static void print(List<Integer> ports, int admin, Path file) {
+    private static void printUsage(List<Integer> ports, int admin, Path file) {
         String jar = Path.of(DemoCommand.class
                         .getProtectionDomain()
                         .getCodeSource()
@@ -103,15 +104,15 @@
                 a stream:     curl -sN -H "X-Request-Id: $RANDOM$RANDOM" %s http://127.0.0.1:%d/api
                 the figures:  curl -s http://127.0.0.1:%d/-/metrics
                 a statement:  java -jar %s ledger statement --settings %s
-                """, RUNNERS, head, ports.get(0), head, ports.get(1), admin, jar, file);
+                """, ENDPOINTS, head, ports.get(0), head, ports.get(1), admin, jar, file);
         System.out.flush();
     }
 
-    private static void end(DispatcherServer node, LedgerService ledger, StubPlatform world, Path folder) {
+    private static void shutDown(DispatcherServer server, LedgerService ledger, StubPlatform platform, Path folder) {
         try {
-            StubPlatform.get(node.close());
+            StubPlatform.get(server.close());
             ledger.close();
-            world.close();
+            platform.close();
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                     Files.deleteIfExists(file);
--- a/src/main/java/nettlewick/cli/FleetTestCommand.java
+++ b/src/main/java/nettlewick/cli/FleetTestCommand.java
@@ -16,33 +16,33 @@
                 + " faults between them), or compare FOLDER FOLDER")
 final class FleetTestCommand implements Command {
     @Parameter(description = "check FILE | run FILE | compare FOLDER FOLDER", required = true)
-    private List<String> words = new ArrayList<>();
+    private List<String> arguments = new ArrayList<>();
 
     @Parameter(names = "--out", description = "Folder for what a run leaves")
-    private String out = "lab-run";
+    private String outputFolder = "lab-run";
 
     @Override
     public int run() {
-        String what = words.get(0);
-        boolean two = what.equals("compare");
-        if (!List.of("check", "run", "compare").contains(what) || words.size() != (two ? 3 : 2)) {
+        String action = arguments.get(0);
+        boolean compares = action.equals("compare");
+        if (!List.of("check", "run", "compare").contains(action) || arguments.size() != (compares ? 3 : 2)) {
             throw new UsageException(
-                    Main.MISUSED,
-                    "lab: expected check FILE, run FILE or compare FOLDER FOLDER, got " + String.join(" ", words));
+                    Main.USAGE_ERROR,
+                    "lab: expected check FILE, run FILE or compare FOLDER FOLDER, got " + String.join(" ", arguments));
         }
         try {
-            Path first = Path.of(words.get(1));
-            if (two) {
-                Lab.compare(first, Path.of(words.get(2)), System.out);
+            Path first = Path.of(arguments.get(1));
+            if (compares) {
+                Lab.compare(first, Path.of(arguments.get(2)), System.out);
                 return 0;
             }
-            if (what.equals("check")) {
+            if (action.equals("check")) {
                 System.out.println(Lab.check(first));
                 return 0;
             }
-            return Lab.run(first, Path.of(out), this::progress, this::figure) ? 0 : Main.FAILED;
+            return Lab.run(first, Path.of(outputFolder), this::progress, this::figure) ? 0 : Main.FAILED;
         } catch (InvalidSettingsException | InvalidPathException e) {
-            throw new UsageException(Main.MISUSED, e.getMessage());
+            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
             throw new UsageException(Main.FAILED, "lab: " + e.getMessage());
         } catch (InterruptedException e) {
--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -23,7 +23,7 @@
                         + "archive PERIOD FILE | restore PERIOD [FILE]")
 final class LedgerCommand implements Command {
     @Parameter(description = "what to do", required = true)
-    private List<String> words = new ArrayList<>();
+    private List<String> arguments = new ArrayList<>();
 
     @Parameter(names = "--settings", description = "The settings file that serve has", required = true)
     private String file;
@@ -38,73 +38,78 @@
     private String reason = "";
 
     @Parameter(names = "--member", description = "This member alone: for statement")
-    private String member;
+    private String tenant;
 
-    private static final BigDecimal MICROS = BigDecimal.valueOf(1000);
+    private static final BigDecimal MICROS_PER_MILLI = BigDecimal.valueOf(1000);
 
     @Override
     public int run() {
         Block block = SettingsCommand.read(file)
                 .block("ledger")
-                .orElseThrow(() -> new UsageException(Main.MISUSED, file + ": has no block ledger"));
-        LedgerAdmin desk = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
+                .orElseThrow(() -> new UsageException(Main.USAGE_ERROR, file + ": has no block ledger"));
+        LedgerAdmin admin = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
         try {
-            return switch (words.get(0)) {
-                case "statement" -> statement(desk, word(1, 2));
-                case "close" -> close(desk, needed(1, 2, "PERIOD"));
-                case "correct" -> correct(desk, needed(1, 3, "ENTRY SLOT-MS"), needed(2, 3, "ENTRY SLOT-MS"));
-                case "export" -> export(desk, word(1, 2));
-                case "reconcile" -> reconcile(desk);
-                case "verify" -> verify(desk);
+            return switch (arguments.get(0)) {
+                case "statement" -> statement(admin, optionalArgument(1, 2));
+                case "close" -> close(admin, requiredArgument(1, 2, "PERIOD"));
+                case "correct" ->
+                    correct(admin, requiredArgument(1, 3, "ENTRY SLOT-MS"), requiredArgument(2, 3, "ENTRY SLOT-MS"));
+                case "export" -> export(admin, optionalArgument(1, 2));
+                case "reconcile" -> reconcile(admin);
+                case "verify" -> verify(admin);
                 case "archive" ->
-                    moved(
+                    printMoved(
                             "archived",
-                            needed(1, 3, "PERIOD FILE"),
-                            desk.archive(needed(1, 3, "PERIOD FILE"), Path.of(needed(2, 3, "PERIOD FILE"))));
+                            requiredArgument(1, 3, "PERIOD FILE"),
+                            admin.archive(
+                                    requiredArgument(1, 3, "PERIOD FILE"),
+                                    Path.of(requiredArgument(2, 3, "PERIOD FILE"))));
                 case "restore" ->
-                    moved(
+                    printMoved(
                             "restored",
-                            needed(1, 3, "PERIOD [FILE]"),
-                            desk.restore(
-                                    needed(1, 3, "PERIOD [FILE]"), word(2, 3) == null ? null : Path.of(word(2, 3))));
-                default -> throw new UsageException(Main.MISUSED, "ledger: no such call: " + words.get(0));
+                            requiredArgument(1, 3, "PERIOD [FILE]"),
+                            admin.restore(
+                                    requiredArgument(1, 3, "PERIOD [FILE]"),
+                                    optionalArgument(2, 3) == null ? null : Path.of(optionalArgument(2, 3))));
+                default -> throw new UsageException(Main.USAGE_ERROR, "ledger: no such call: " + arguments.get(0));
             };
         } catch (LedgerAdmin.Refused e) {
-            throw new UsageException(e.misuse() ? Main.MISUSED : Main.FAILED, e.getMessage());
+            throw new UsageException(e.misuse() ? Main.USAGE_ERROR : Main.FAILED, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.FAILED;
         }
     }
 
-    private String word(int at, int most) {
-        if (words.size() > most) {
+    private String optionalArgument(int index, int maxArguments) {
+        if (arguments.size() > maxArguments) {
             throw new UsageException(
-                    Main.MISUSED, "ledger " + words.get(0) + ": too many words: " + String.join(" ", words));
+                    Main.USAGE_ERROR,
+                    "ledger " + arguments.get(0) + ": too many words: " + String.join(" ", arguments));
         }
-        return words.size() > at ? words.get(at) : null;
+        return arguments.size() > index ? arguments.get(index) : null;
     }
 
-    private String needed(int at, int most, String form) {
-        String word = word(at, most);
+    private String requiredArgument(int index, int maxArguments, String form) {
+        String word = optionalArgument(index, maxArguments);
         if (word == null) {
-            throw new UsageException(Main.MISUSED, "ledger " + words.get(0) + ": needs " + form);
+            throw new UsageException(Main.USAGE_ERROR, "ledger " + arguments.get(0) + ": needs " + form);
         }
         return word;
     }
 
-    private void say(Object object, String text) {
+    private void print(Object object, String text) {
         Gson gson = new GsonBuilder().disableHtmlEscaping().create();
         System.out.print(json ? gson.toJson(object) + "\n" : text);
     }
 
-    private static String millis(long micros) {
-        return BigDecimal.valueOf(micros).divide(MICROS).setScale(3).toPlainString();
+    private static String formatMillis(long micros) {
+        return BigDecimal.valueOf(micros).divide(MICROS_PER_MILLI).setScale(3).toPlainString();
     }
 
-    private int statement(LedgerAdmin desk, String period) throws LedgerAdmin.Refused {
+    private int statement(LedgerAdmin admin, String period) throws LedgerAdmin.Refused {
         List<Statement> statements =
-                desk.statements(period).stream().map(this::ofMember).toList();
+                admin.statements(period).stream().map(this::forTenant).toList();
         StringBuilder text = new StringBuilder();
         for (Statement s : statements) {
             text.append("period ")
@@ -127,89 +132,92 @@
                     "in doubt",
                     "repeats");
             s.rows()
-                    .forEach(r -> rows.row(
+                    .forEach(r -> rows.addRow(
                             r.member(),
                             r.jobClass(),
                             r.served(),
                             r.refused(),
                             r.failed(),
                             r.left(),
-                            millis(r.billed()),
-                            millis(r.estimated()),
-                            millis(r.spare()),
+                            formatMillis(r.billed()),
+                            formatMillis(r.estimated()),
+                            formatMillis(r.spare()),
                             r.doubts(),
                             r.repeats()));
             text.append(rows);
             TextTable late = new TextTable("found after the close of", "member", "class", "entries", "slot-ms");
-            s.late().forEach(l -> late.row(l.closed(), l.member(), l.jobClass(), l.entries(), millis(l.work())));
-            text.append(late.empty() ? "" : "\n" + late);
+            s.late()
+                    .forEach(l ->
+                            late.addRow(l.closed(), l.member(), l.jobClass(), l.entries(), formatMillis(l.work())));
+            text.append(late.isEmpty() ? "" : "\n" + late);
             TextTable gaps = new TextTable("gap", "from", "to", "jobs not entered");
-            s.gaps().forEach(g -> gaps.row(g.ref(), g.from(), g.to(), g.jobs()));
-            text.append(gaps.empty() ? "" : "\n" + gaps);
+            s.gaps().forEach(g -> gaps.addRow(g.ref(), g.from(), g.to(), g.jobs()));
+            text.append(gaps.isEmpty() ? "" : "\n" + gaps);
             TextTable voided = new TextTable("correction", "of", "does not count, since");
-            s.voided().forEach(v -> voided.row(v.ref(), v.target(), v.why()));
-            text.append(voided.empty() ? "" : "\n" + voided)
+            s.voided().forEach(v -> voided.addRow(v.ref(), v.target(), v.why()));
+            text.append(voided.isEmpty() ? "" : "\n" + voided)
                     .append("billed in all: ")
-                    .append(millis(s.billed()))
+                    .append(formatMillis(s.billed()))
                     .append(" slot-ms\n\n");
         }
-        say(Map.of("statements", statements), text.length() == 0 ? "nothing is entered yet\n" : text.toString());
+        print(Map.of("statements", statements), text.length() == 0 ? "nothing is entered yet\n" : text.toString());
         return 0;
     }
 
-    private Statement ofMember(Statement s) {
-        return member == null
+    private Statement forTenant(Statement s) {
+        return tenant == null
                 ? s
                 : new Statement(
                         s.period(),
                         s.closed(),
                         s.open(),
-                        s.rows().stream().filter(r -> r.member().equals(member)).toList(),
-                        s.late().stream().filter(l -> l.member().equals(member)).toList(),
+                        s.rows().stream().filter(r -> r.member().equals(tenant)).toList(),
+                        s.late().stream().filter(l -> l.member().equals(tenant)).toList(),
                         s.gaps(),
                         s.voided());
     }
 
-    private int close(LedgerAdmin desk, String period) throws LedgerAdmin.Refused, InterruptedException {
-        desk.close(period, by.isBlank() ? System.getProperty("user.name") : by);
-        say(Map.of("closed", period), "period " + period + " is closed\n");
+    private int close(LedgerAdmin admin, String period) throws LedgerAdmin.Refused, InterruptedException {
+        admin.close(period, by.isBlank() ? System.getProperty("user.name") : by);
+        print(Map.of("closed", period), "period " + period + " is closed\n");
         return 0;
     }
 
-    private int correct(LedgerAdmin desk, String entry, String value) throws LedgerAdmin.Refused, InterruptedException {
+    private int correct(LedgerAdmin admin, String entry, String value)
+            throws LedgerAdmin.Refused, InterruptedException {
         long work;
         try {
-            work = new BigDecimal(value).multiply(MICROS).longValueExact();
+            work = new BigDecimal(value).multiply(MICROS_PER_MILLI).longValueExact();
         } catch (ArithmeticException | NumberFormatException e) {
             throw new UsageException(
-                    Main.MISUSED,
+                    Main.USAGE_ERROR,
                     "the new value is " + value + ", but has to be slot-milliseconds with three decimals at most");
         }
-        String ref = desk.correct(entry, work, by, reason).toString();
-        say(Map.of("correction", ref, "target", entry), "correction " + ref + " of " + entry + " is entered\n");
+        String ref = admin.correct(entry, work, by, reason).toString();
+        print(Map.of("correction", ref, "target", entry), "correction " + ref + " of " + entry + " is entered\n");
         return 0;
     }
 
-    private int export(LedgerAdmin desk, String name) throws LedgerAdmin.Refused, InterruptedException {
-        Map<String, Object> said = new LinkedHashMap<>();
+    private int export(LedgerAdmin admin, String name) throws LedgerAdmin.Refused, InterruptedException {
+        Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("export", "batches", "entries", "tries", "fault");
         boolean[] failed = new boolean[1];
-        desk.export(name).forEach((export, r) -> {
-            said.put(export, r);
-            table.row(export, r.batches(), r.entries(), r.tries(), r.fault() == null ? "none" : r.fault());
+        admin.export(name).forEach((export, r) -> {
+            results.put(export, r);
+            table.addRow(export, r.batches(), r.entries(), r.tries(), r.fault() == null ? "none" : r.fault());
             failed[0] |= r.fault() != null;
         });
-        say(said, table.toString());
+        print(results, table.toString());
         return failed[0] ? Main.FAILED : 0;
     }
 
-    private int reconcile(LedgerAdmin desk) throws LedgerAdmin.Refused, InterruptedException {
-        Map<String, Object> said = new LinkedHashMap<>();
+    private int reconcile(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+        Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("peer", "entries", "origins", "forks", "faults");
         boolean[] failed = new boolean[1];
-        desk.reconcile().forEach((peer, r) -> {
-            said.put(peer, r);
-            table.row(
+        admin.reconcile().forEach((peer, r) -> {
+            results.put(peer, r);
+            table.addRow(
                     peer,
                     r.entries(),
                     r.origins(),
@@ -217,18 +225,18 @@
                     r.faults().isEmpty() ? "none" : String.join("; ", r.faults()));
             failed[0] |= !r.forks().isEmpty() || !r.faults().isEmpty();
         });
-        say(said, table.toString());
+        print(results, table.toString());
         return failed[0] ? Main.FAILED : 0;
     }
 
-    private int verify(LedgerAdmin desk) throws LedgerAdmin.Refused {
-        List<String> faults = desk.verify();
-        say(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults) + "\n");
+    private int verify(LedgerAdmin admin) throws LedgerAdmin.Refused {
+        List<String> faults = admin.verify();
+        print(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults) + "\n");
         return faults.isEmpty() ? 0 : Main.FAILED;
     }
 
-    private int moved(String what, String period, long entries) {
-        say(
+    private int printMoved(String what, String period, long entries) {
+        print(
                 Map.of(what, period, "entries", entries),
                 "period " + period + " is " + what + ": " + entries + " entries\n");
         return 0;
--- a/src/main/java/nettlewick/cli/Main.java
+++ b/src/main/java/nettlewick/cli/Main.java
@@ -10,7 +10,7 @@
     /** Exit code for what is wrong with the work asked for. */
     static final int FAILED = 1;
     /** Exit code for a command line or a configuration that is not in order. */
-    static final int MISUSED = 2;
+    static final int USAGE_ERROR = 2;
 
     private static final List<String> NAMES =
             List.of("serve", "drill", "replay", "demo", "ledger", "settings", "lab", "version", "warm");
@@ -63,7 +63,7 @@
             line.parse(args);
         } catch (ParameterException e) {
             System.err.println("nettlewick: " + e.getMessage());
-            return MISUSED;
+            return USAGE_ERROR;
         }
         if (help.asked && line.getParsedCommand() != null) {
             line.getUsageFormatter().usage(line.getParsedCommand());
@@ -71,7 +71,7 @@
         }
         if (line.getParsedCommand() == null) {
             line.usage();
-            return help.asked ? 0 : MISUSED;
+            return help.asked ? 0 : USAGE_ERROR;
         }
         Command command = (Command)
                 line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
--- a/src/main/java/nettlewick/cli/OptionalFeatures.java
+++ b/src/main/java/nettlewick/cli/OptionalFeatures.java
@@ -17,20 +17,20 @@
     default void start(PlatformConfig config, Clock clock) throws IOException {}
 
     /** Further ways in. */
-    default void fronts(List<Frontend.Maker> fronts) {}
+    default void addFrontends(List<Frontend.Maker> frontends) {}
 
     /** What keeps the books. */
-    default UsageRecorder books() {
+    default UsageRecorder usageRecorder() {
         return UsageRecorder.NONE;
     }
 
     /** Who is told of jobs and attempts. */
-    default RequestListener witness() {
+    default RequestListener requestListener() {
         return RequestListener.NONE;
     }
 
     /** Reads the file again; the step that takes it over comes back, so that all or nothing counts. */
-    default Runnable reread() {
+    default Runnable prepareReload() {
         return () -> {};
     }
 
--- a/src/main/java/nettlewick/cli/ReloadSignal.java
+++ b/src/main/java/nettlewick/cli/ReloadSignal.java
@@ -8,7 +8,7 @@
  * somebody asks. Danger: left to the JVM, it ends the process like SIGTERM.
  */
 final class ReloadSignal {
-    private static final Semaphore CAUGHT = new Semaphore(0);
+    private static final Semaphore PENDING = new Semaphore(0);
 
     private ReloadSignal() {}
 
@@ -19,7 +19,7 @@
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object release = Proxy.newProxyInstance(
                     handler.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
-                        CAUGHT.release();
+                        PENDING.release();
                         return null;
                     });
             signal.getMethod("handle", signal, handler)
@@ -30,13 +30,13 @@
     }
 
     /** Runs {@code reread} for each SIGHUP, those before now too; several in a row count as one. */
-    static void serve(Runnable reread) {
+    static void onSignal(Runnable reload) {
         Thread thread = new Thread(
                 () -> {
                     while (true) {
-                        CAUGHT.acquireUninterruptibly();
-                        CAUGHT.drainPermits();
-                        reread.run();
+                        PENDING.acquireUninterruptibly();
+                        PENDING.drainPermits();
+                        reload.run();
                     }
                 },
                 "hangup");
--- a/src/main/java/nettlewick/cli/ReplayCommand.java
+++ b/src/main/java/nettlewick/cli/ReplayCommand.java
@@ -29,20 +29,21 @@
         } catch (IOException | IllegalArgumentException e) {
             throw new UsageException(Main.FAILED, file + ": " + e.getMessage());
         }
-        Promise<CaptureReplayer> made = Promise.promise();
+        Promise<CaptureReplayer> frontend = Promise.promise();
         try {
-            DispatcherServer node = new DispatcherServer(PlatformConfig.load(System.getenv()), Clock.system(), base -> {
-                CaptureReplayer front = new CaptureReplayer(base, capture);
-                made.complete(front);
-                return front;
-            });
-            Future<CaptureReplayer.Summary> done =
-                    node.start().compose(v -> made.future()).compose(CaptureReplayer::done);
-            System.out.println(done.toCompletionStage().toCompletableFuture().get());
-            node.close();
+            DispatcherServer server =
+                    new DispatcherServer(PlatformConfig.load(System.getenv()), Clock.system(), base -> {
+                        CaptureReplayer replayer = new CaptureReplayer(base, capture);
+                        frontend.complete(replayer);
+                        return replayer;
+                    });
+            Future<CaptureReplayer.Summary> summary =
+                    server.start().compose(v -> frontend.future()).compose(CaptureReplayer::done);
+            System.out.println(summary.toCompletionStage().toCompletableFuture().get());
+            server.close();
             return 0;
         } catch (JsonFields.InvalidFieldException e) {
-            throw new UsageException(Main.MISUSED, e.getMessage());
+            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
         } catch (ExecutionException e) {
             throw new UsageException(
                     Main.FAILED, "cannot replay: " + e.getCause().getMessage());
--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -31,7 +31,7 @@
     private String capture;
 
     @Parameter(names = "--capture-mb", description = "Most megabytes of that file")
-    private int captureMost = 16;
+    private int captureMegabytes = 16;
 
     @Parameter(
             names = "--clock-ahead",
@@ -45,37 +45,38 @@
 
     @Override
     public int run() {
-        OptionalFeatures more = settingsFile == null ? OptionalFeatures.NONE : new SettingsFile(settingsFile);
+        OptionalFeatures features =
+                settingsFile == null ? OptionalFeatures.NONE : new SettingsFileFeatures(settingsFile);
         PlatformConfig config;
-        List<Frontend.Maker> fronts = new ArrayList<>();
+        List<Frontend.Maker> frontends = new ArrayList<>();
         Clock clock = Clock.system(clockAhead);
         try {
             config = PlatformConfig.load(System.getenv());
-            TrafficListener tap = capture == null ? TrafficListener.NONE : writer(clock);
-            fronts.add(base -> new PlatformFrontend(base, tap));
-            more.fronts(fronts);
-            more.start(config, clock);
+            TrafficListener listener = capture == null ? TrafficListener.NONE : captureWriter(clock);
+            frontends.add(base -> new PlatformFrontend(base, listener));
+            features.addFrontends(frontends);
+            features.start(config, clock);
         } catch (JsonFields.InvalidFieldException e) {
-            throw new UsageException(Main.MISUSED, e.getMessage());
+            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
             throw new UsageException(Main.FAILED, "cannot start: " + e.getMessage());
         }
-        DispatcherServer node = new DispatcherServer(
-                        config, clock, succession(config, clock), fronts.toArray(Frontend.Maker[]::new))
-                .keep(more.books())
-                .tell(more.witness());
+        DispatcherServer server = new DispatcherServer(
+                        config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Maker[]::new))
+                .keep(features.usageRecorder())
+                .tell(features.requestListener());
         // Danger: by itself the JVM ends on SIGTERM with code 143; what was taken is answered first, then 0.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            node.shutDown();
-                            more.close();
+                            server.shutDown();
+                            features.close();
                             Runtime.getRuntime().halt(0);
                         },
                         "shutdown"));
-        ReloadSignal.serve(() -> reread(node, more));
+        ReloadSignal.onSignal(() -> reload(server, features));
         try {
-            node.start().toCompletionStage().toCompletableFuture().get(START_SECONDS, TimeUnit.SECONDS);
+            server.start().toCompletionStage().toCompletableFuture().get(START_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("nettlewick: cannot listen: " + e.getMessage());
             Runtime.getRuntime().halt(Main.FAILED);
@@ -86,7 +87,7 @@
     }
 
     /** Tells this process from others of the same dispatcher; null where that cannot be told. */
-    private static HotRestart succession(PlatformConfig config, Clock clock) {
+    private static HotRestart hotRestart(PlatformConfig config, Clock clock) {
         try {
             return config.listen().port() == 0
                     ? null
@@ -101,19 +102,19 @@
     }
 
     /** Danger: a bad file must not cost what is in force. Both are read before either counts. */
-    private static void reread(DispatcherServer node, OptionalFeatures more) {
+    private static void reload(DispatcherServer server, OptionalFeatures features) {
         try {
             PlatformConfig config = PlatformConfig.reload(System.getenv());
-            more.reread().run();
-            node.reload(config);
+            features.prepareReload().run();
+            server.reload(config);
         } catch (RuntimeException e) {
             LOG.warning("old-configuration-stays", "the old configuration stays: " + e.getMessage());
         }
     }
 
-    private TrafficListener writer(Clock clock) {
+    private TrafficListener captureWriter(Clock clock) {
         try {
-            return new CaptureWriter(Files.newOutputStream(Path.of(capture)), clock, captureMost * MEGABYTE);
+            return new CaptureWriter(Files.newOutputStream(Path.of(capture)), clock, captureMegabytes * MEGABYTE);
         } catch (IOException | IllegalArgumentException e) {
             throw new UsageException(Main.FAILED, "--capture " + capture + " cannot be written: " + e.getMessage());
         }
--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -16,27 +16,27 @@
         commandDescription = "check FILE, show FILE (what is in force), or print the reference")
 final class SettingsCommand implements Command {
     @Parameter(description = "check FILE | show FILE | reference", required = true)
-    private List<String> words = new ArrayList<>();
+    private List<String> arguments = new ArrayList<>();
 
     @Override
     public int run() {
-        String what = words.get(0);
-        if (what.equals("reference") && words.size() == 1) {
+        String action = arguments.get(0);
+        if (action.equals("reference") && arguments.size() == 1) {
             System.out.print(Reference.page());
             return 0;
         }
-        if (!List.of("check", "show").contains(what) || words.size() != 2) {
+        if (!List.of("check", "show").contains(action) || arguments.size() != 2) {
             throw new UsageException(
-                    Main.MISUSED,
-                    "settings: expected check FILE, show FILE or reference, got " + String.join(" ", words));
+                    Main.USAGE_ERROR,
+                    "settings: expected check FILE, show FILE or reference, got " + String.join(" ", arguments));
         }
-        Settings settings = read(words.get(1));
-        System.out.print(what.equals("show") ? settings.show() : words.get(1) + " is in order\n");
+        Settings settings = read(arguments.get(1));
+        System.out.print(action.equals("show") ? settings.show() : arguments.get(1) + " is in order\n");
         return 0;
     }
 
     /** Checks what the words alone do not show; BadSettings where something is wrong. */
-    static Settings whole(Settings settings) {
+    static Settings requireValid(Settings settings) {
         settings.block("ledger").ifPresent(LedgerSettings::of);
         return settings;
     }
@@ -44,9 +44,9 @@
     /** Reads a file; what is wrong with it ends the command with one line. */
     static Settings read(String file) {
         try {
-            return whole(Settings.read(Path.of(file)));
+            return requireValid(Settings.read(Path.of(file)));
         } catch (InvalidSettingsException | InvalidPathException e) {
-            throw new UsageException(Main.MISUSED, e.getMessage());
+            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/TextTable.java
+++ b/src/main/java/nettlewick/cli/TextTable.java
@@ -11,7 +11,7 @@
         rows.add(List.of(heads));
     }
 
-    void row(Object... cells) {
+    void addRow(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object cell : cells) {
             row.add(String.valueOf(cell).replaceAll("[\\p{Cntrl}]", "?"));
@@ -19,7 +19,7 @@
         rows.add(row);
     }
 
-    boolean empty() {
+    boolean isEmpty() {
         return rows.size() == 1;
     }
 
--- a/src/main/java/nettlewick/cli/WarmUpCommand.java
+++ b/src/main/java/nettlewick/cli/WarmUpCommand.java
@@ -21,15 +21,15 @@
               "ceilings":{"attempts_cap":2,"probes":true},
               "rules":{"cold":1,"cold_share":0.5,"overload_factor":3}}}""";
 
-    private static final int SECONDS = 20;
+    private static final int TIMEOUT_SECONDS = 20;
 
     @Override
     public int run() {
         try {
-            DispatcherServer node =
+            DispatcherServer server =
                     new DispatcherServer(PlatformConfig.of(CONFIG, Map.of()), Clock.system(), PlatformFrontend::new);
-            node.start().toCompletionStage().toCompletableFuture().get(SECONDS, TimeUnit.SECONDS);
-            node.close().toCompletionStage().toCompletableFuture().get(SECONDS, TimeUnit.SECONDS);
+            server.start().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            server.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return 0;
         } catch (Exception e) {
             throw new UsageException(Main.FAILED, "cannot warm up: " + e);
--- a/src/test/java/nettlewick/cli/SecondSiteProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -34,7 +34,7 @@
  * hang: against stand-ins on loopback, by counts and rules.
  */
 @Timeout(90)
-class SecondSiteProcessTest {
+class AlternativeSettingsProcessTest {
     private static final long SECOND = 1_000_000_000L;
 
     @TempDir
@@ -154,7 +154,7 @@
 
     /** Guards against jobs of seconds that are lost with the old process of an upgrade. */
     @Test
-    void anUpgradeLosesNoJobThatWaitingSaves() throws Exception {
+    void aHotRestartLosesNoRequestThatWaitingSaves() throws Exception {
         for (int i = 0; i < 4; i++) {
             world.addRunner("s-" + i);
         }
@@ -202,7 +202,7 @@
 
     /** Dispatchers killed two of seven at a time come back with nothing but their last list. */
     @Test
-    void restartsInARowWithOnlyTheLastListServeOn() throws Exception {
+    void repeatedRestartsWithOnlyTheLastEndpointListKeepServing() throws Exception {
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             world.addRunner("s-" + i);
@@ -260,7 +260,7 @@
 
     /** Guards against a runner that takes jobs and answers none: found by starts, progress and probes. */
     @Test
-    void aHungRunnerGetsFewJobsAndNoUnsafeOneGoesAgain() throws Exception {
+    void aHungEndpointGetsFewRequestsAndNoNonIdempotentOneIsRetried() throws Exception {
         for (int i = 0; i < 5; i++) {
             world.addRunner("s-" + i);
         }
@@ -306,7 +306,7 @@
 
     /** A list that comes late, is refused, and is cut off while runners drain. */
     @Test
-    void anAskedListThatFailsIsAskedForApartAndDrainsAreKept() throws Exception {
+    void aFailedEndpointListPollIsRetriedAndDrainingEndpointsAreRemembered() throws Exception {
         for (int i = 0; i < 4; i++) {
             world.addRunner("s-" + i);
         }
--- a/src/test/java/nettlewick/cli/DutyRelay.java
+++ b/src/test/java/nettlewick/cli/DatagramRelay.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Carries datagrams between dispatchers, each reached at a port of the relay's; loses, doubles, delays and cuts. */
-final class DutyRelay implements AutoCloseable {
-    private static final int LATE_MILLIS = 20;
+final class DatagramRelay implements AutoCloseable {
+    private static final int MAX_DELAY_MILLIS = 20;
     private final DatagramSocket[] ends;
     private final int[] targets;
     private final SplittableRandom random;
@@ -23,20 +23,20 @@
         return t;
     });
     private final AtomicInteger lost = new AtomicInteger();
-    private final AtomicInteger doubled = new AtomicInteger();
-    private volatile double loss;
-    private volatile double doubles;
+    private final AtomicInteger duplicated = new AtomicInteger();
+    private volatile double lossProbability;
+    private volatile double duplicationProbability;
     private volatile int muted = -1;
-    private volatile java.util.Set<Integer> half = java.util.Set.of();
+    private volatile java.util.Set<Integer> partitioned = java.util.Set.of();
 
-    DutyRelay(int[] targets, long seed) throws IOException {
+    DatagramRelay(int[] targets, long seed) throws IOException {
         this.targets = targets.clone();
         random = new SplittableRandom(seed);
         ends = new DatagramSocket[targets.length];
         for (int n = 0; n < ends.length; n++) {
             ends[n] = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
             int to = n;
-            Thread t = new Thread(() -> carry(to), "relay-" + n);
+            Thread t = new Thread(() -> forwardLoop(to), "relay-" + n);
             t.setDaemon(true);
             t.start();
         }
@@ -48,9 +48,9 @@
                 .toArray();
     }
 
-    void fates(double lossPart, double doublePart) {
-        loss = lossPart;
-        doubles = doublePart;
+    void setFaults(double lossPart, double doublePart) {
+        lossProbability = lossPart;
+        duplicationProbability = doublePart;
     }
 
     /** What this one says reaches nobody, though it hears all; -1: nobody is cut off. */
@@ -59,8 +59,8 @@
     }
 
     /** Nothing passes between these and the others; none: all is whole. */
-    void split(java.util.Set<Integer> some) {
-        half = some;
+    void partition(java.util.Set<Integer> some) {
+        partitioned = some;
     }
 
     private int sender(int port) {
@@ -72,15 +72,15 @@
         return -1;
     }
 
-    int lost() {
+    int lostCount() {
         return lost.get();
     }
 
-    int doubled() {
-        return doubled.get();
+    int duplicatedCount() {
+        return duplicated.get();
     }
 
-    private void carry(int to) {
+    private void forwardLoop(int to) {
         byte[] room = new byte[8192];
         while (!ends[to].isClosed()) {
             DatagramPacket packet = new DatagramPacket(room, room.length);
@@ -92,15 +92,15 @@
             byte[] data = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
             synchronized (random) {
                 int from = sender(packet.getPort());
-                boolean cut = from == muted || half.contains(from) != half.contains(to);
-                if (cut || random.nextDouble() < loss) {
+                boolean cut = from == muted || partitioned.contains(from) != partitioned.contains(to);
+                if (cut || random.nextDouble() < lossProbability) {
                     lost.incrementAndGet();
                     continue;
                 }
-                send(to, data, random.nextInt(LATE_MILLIS));
-                if (random.nextDouble() < doubles) {
-                    doubled.incrementAndGet();
-                    send(to, data, random.nextInt(LATE_MILLIS));
+                send(to, data, random.nextInt(MAX_DELAY_MILLIS));
+                if (random.nextDouble() < duplicationProbability) {
+                    duplicated.incrementAndGet();
+                    send(to, data, random.nextInt(MAX_DELAY_MILLIS));
                 }
             }
         }
--- a/src/test/java/nettlewick/cli/ListProcessTest.java
+++ b/src/test/java/nettlewick/cli/EndpointListProcessTest.java
@@ -23,7 +23,7 @@
 
 /** Real processes before a discovery that falls silent and writes indented lists, and with another site's names. */
 @Timeout(120)
-class ListProcessTest {
+class EndpointListProcessTest {
     private static final long SECOND = 1_000_000_000L;
 
     @TempDir
@@ -56,11 +56,11 @@
         Child.until(
                 process,
                 log,
-                () -> says(port, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 "));
+                () -> answers(port, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 "));
         return port;
     }
 
-    private static boolean says(int port, String request, String wanted) {
+    private static boolean answers(int port, String request, String wanted) {
         try {
             return send(port, request).contains(wanted);
         } catch (IOException e) {
@@ -75,21 +75,22 @@
         }
     }
 
-    private static String job(String id, String jobClass, String tenant, String deadline) {
-        return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + jobClass + "\r\nX-Tenant: "
-                + tenant + "\r\nX-Deadline: " + deadline + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+    private static String request(String id, String requestClass, String tenant, String deadline) {
+        return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + requestClass
+                + "\r\nX-Tenant: " + tenant + "\r\nX-Deadline: " + deadline
+                + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     }
 
     /** Guards against a list that is read by lines, and a watch that stays open and says nothing. */
     @Test
-    void threeLearnFromASilentDiscoveryThatItsRunnerDrains() throws Exception {
+    void dispatchersNoticeASilentDiscoveryAndStopUsingADrainingEndpoint() throws Exception {
         world.indented = true;
         world.addRunner("s-old");
         int[] ports = new int[3];
         for (int n = 0; n < ports.length; n++) {
             ports[n] = start(world.config());
             assertTrue(
-                    send(ports[n], job("a" + n, "step-view", "red", "5")).contains(" 200 "),
+                    send(ports[n], request("a" + n, "step-view", "red", "5")).contains(" 200 "),
                     "an indented list is read");
         }
         int watches = world.watches.size();
@@ -101,7 +102,7 @@
             // What was missed has come once a job goes to the new runner; from then on none goes to the old one.
             for (int port : ports) {
                 String id = "p" + System.nanoTime();
-                if (!says(port, job(id, "step-view", "red", "5"), " 200 ")
+                if (!answers(port, request(id, "step-view", "red", "5"), " 200 ")
                         || world.seen.stream().noneMatch(s -> s.startsWith("s-new ") && s.contains(id))) {
                     return false;
                 }
@@ -110,7 +111,7 @@
         });
         int before = world.seen.size();
         for (int i = 0; i < 30; i++) {
-            assertTrue(send(ports[i % ports.length], job("b" + i, "step-view", "red", "5"))
+            assertTrue(send(ports[i % ports.length], request("b" + i, "step-view", "red", "5"))
                     .contains(" 200 "));
         }
         assertTrue(
@@ -120,7 +121,7 @@
 
     /** Names, effects and limits come from the settings: one tenant, no zone, one runner, 300 ms. */
     @Test
-    void namesMeanWhatTheSettingsSay() throws Exception {
+    void classesBehaveAsTheSettingsSayWhateverTheirNames() throws Exception {
         Map<String, Object> config = world.config();
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
@@ -130,9 +131,9 @@
         settings.put(
                 "classes",
                 List.of(
-                        jobClass("step-view", "fragile"),
-                        jobClass("mark-submit", "retryable"),
-                        jobClass("zurzir", "dedup")));
+                        requestClass("step-view", "fragile"),
+                        requestClass("mark-submit", "retryable"),
+                        requestClass("zurzir", "dedup")));
         world.addRunner("s-1");
         int port = start(config);
         Map<String, Integer> failures = new HashMap<>(Map.of("u", 1, "r", 1));
@@ -146,20 +147,20 @@
                                 + "\"}\n");
             }
         };
-        String unsafe = send(port, job("u", "step-view", "gilda-do-bairro", "0.3"));
+        String unsafe = send(port, request("u", "step-view", "gilda-do-bairro", "0.3"));
         assertTrue(!unsafe.contains("r-u") && !unsafe.contains(" 503 "), "it may have run: " + unsafe);
         assertEquals(1, runs("u"), "unsafe under a name that is repeatable elsewhere");
-        send(port, job("r", "mark-submit", "gilda-do-bairro", "5"));
+        send(port, request("r", "mark-submit", "gilda-do-bairro", "5"));
         assertTrue(runs("r") <= 6, "within the cap");
         world.instead = null;
-        assertTrue(send(port, job("z", "zurzir", "gilda-do-bairro", "5")).contains("r-z"));
+        assertTrue(send(port, request("z", "zurzir", "gilda-do-bairro", "5")).contains("r-z"));
     }
 
     private long runs(String id) {
         return world.seen.stream().filter(s -> s.contains(" " + id + " ")).count();
     }
 
-    private static Map<String, Object> jobClass(String name, String repeat) {
+    private static Map<String, Object> requestClass(String name, String repeat) {
         return Map.of(
                 "name",
                 name,
--- a/src/test/java/nettlewick/cli/LabCommandTest.java
+++ b/src/test/java/nettlewick/cli/FleetTestCommandTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 @Timeout(60)
-class LabCommandTest {
+class FleetTestCommandTest {
     private static final String WORLD = """
             world {
                 dispatchers 3
@@ -30,7 +30,7 @@
     @TempDir
     private Path dir;
 
-    private Process lab(String what, String text) throws Exception {
+    private Process fleetTest(String what, String text) throws Exception {
         Path file = Files.writeString(dir.resolve("scenario.conf"), text);
         return Child.start(
                 dir.resolve("log"),
@@ -43,8 +43,8 @@
     }
 
     @Test
-    void aBadScenarioIsOneLineAndNothingStarts() throws Exception {
-        Process lab = lab("run", WORLD + "steps {\n at 1s pause s1 for 2s\n}\n");
+    void aBadScenarioPrintsOneLineAndStartsNothing() throws Exception {
+        Process lab = fleetTest("run", WORLD + "steps {\n at 1s pause s1 for 2s\n}\n");
         assertTrue(lab.waitFor(30, TimeUnit.SECONDS));
         assertEquals(2, lab.exitValue());
         List<String> lines = Files.readAllLines(dir.resolve("log"));
@@ -55,8 +55,8 @@
 
     /** Guards against hundreds of processes left behind by a lab that somebody ended. */
     @Test
-    void anInterruptedLabLeavesNoProcess() throws Exception {
-        Process lab = lab("run", WORLD);
+    void anInterruptedFleetTestLeavesNoProcess() throws Exception {
+        Process lab = fleetTest("run", WORLD);
         Child.until(lab, dir.resolve("log"), () -> lab.descendants().count() >= 3);
         List<ProcessHandle> fleet = lab.descendants().toList();
         lab.destroy();
--- a/src/test/java/nettlewick/cli/DutyProcessTest.java
+++ b/src/test/java/nettlewick/cli/LeaseProcessTest.java
@@ -25,7 +25,7 @@
 
 /** Five real dispatchers, three of them voters, that hand a duty on through a kill, a pause and a planned end. */
 @Timeout(180)
-class DutyProcessTest {
+class LeaseProcessTest {
     private static final int SIZE = 5;
     private static final int VOTERS = 3;
     private static final Pattern HELD =
@@ -40,17 +40,17 @@
     private final int[] ports = new int[SIZE];
     private boolean folders;
     /** One whose list of voters is another, by mistake. */
-    private int other = -1;
+    private int differing = -1;
     /** Where the others reach each: at its own port, or at a relay's. */
-    private final int[] reached = new int[SIZE];
+    private final int[] reachablePorts = new int[SIZE];
 
     private void start(int number, Map<String, Object> config) throws IOException {
         StringBuilder all = new StringBuilder(
                 "log {\nform json\n}\nduty {\nlisten 127.0.0.1:" + ports[number] + "\nnumber " + number + "\nvoters "
-                        + (number == other ? SIZE : VOTERS) + "\n"
+                        + (number == differing ? SIZE : VOTERS) + "\n"
                         + "lease 1s\nkey \"" + dir.resolve("key") + "\"\nname pool-red\n"
                         + (folders ? "folder \"" + dir.resolve("voter" + number) + "\"\n" : ""));
-        for (int port : reached) {
+        for (int port : reachablePorts) {
             all.append("dispatcher 127.0.0.1:").append(port).append('\n');
         }
         Path settings = Files.writeString(dir.resolve("settings" + number), all + "}\n");
@@ -62,7 +62,7 @@
                 log[number], Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
     }
 
-    private static boolean says(Path log, String event) {
+    private static boolean hasLogged(Path log, String event) {
         try {
             return Files.readString(log).contains("\"event\":\"" + event + "\"");
         } catch (IOException e) {
@@ -97,12 +97,12 @@
     }
 
     /** Waits until some process holds the duty for that term or a later one; which. */
-    private int holder(long term, int but) throws InterruptedException {
+    private int awaitHolder(long term, int excluded) throws InterruptedException {
         int[] found = {-1};
         StubPlatform.until(() -> {
             long newest = term - 1;
             for (int n = 0; n < SIZE; n++) {
-                for (long t : n == but ? List.<Long>of() : held(log[n]).keySet()) {
+                for (long t : n == excluded ? List.<Long>of() : held(log[n]).keySet()) {
                     found[0] = t > newest ? n : found[0];
                     newest = Math.max(newest, t);
                 }
@@ -113,102 +113,102 @@
     }
 
     @Test
-    void aDutyGoesOnThroughAKillAPauseAndAPlannedEnd() throws Exception {
-        ask();
-        System.arraycopy(ports, 0, reached, 0, SIZE);
-        try (StubPlatform world = new StubPlatform()) {
-            world.addRunner("s-1");
-            startAll(world);
-            int first = holder(1, -1);
+    void aLeaseSurvivesAKillAPauseAndAGracefulShutdown() throws Exception {
+        reservePorts();
+        System.arraycopy(ports, 0, reachablePorts, 0, SIZE);
+        try (StubPlatform platform = new StubPlatform()) {
+            platform.addRunner("s-1");
+            startAll(platform);
+            int first = awaitHolder(1, -1);
             processes[first].destroyForcibly().waitFor();
-            int second = holder(2, first);
-            back(world, first);
-            int third = lost(second, 3);
+            int second = awaitHolder(2, first);
+            restart(platform, first);
+            int third = pauseUntilReplaced(second, 3);
             processes[third].destroy();
             processes[third].waitFor();
-            holder(4, third);
+            awaitHolder(4, third);
         }
         checkTerms(4);
     }
 
     /** One whose settings name five voters where the others' name three: it votes with nobody, and holds nothing. */
     @Test
-    void whoseListDiffersHoldsNothingAndHindersNobody() throws Exception {
-        other = SIZE - 1;
-        ask();
-        System.arraycopy(ports, 0, reached, 0, SIZE);
-        try (StubPlatform world = new StubPlatform()) {
-            world.addRunner("s-1");
-            startAll(world);
-            int first = holder(1, -1);
-            StubPlatform.until(() -> says(log[other], "other-list") && says(log[first], "other-list"));
+    void aDispatcherWithAnotherVoterListHoldsNothingAndHindersNobody() throws Exception {
+        differing = SIZE - 1;
+        reservePorts();
+        System.arraycopy(ports, 0, reachablePorts, 0, SIZE);
+        try (StubPlatform platform = new StubPlatform()) {
+            platform.addRunner("s-1");
+            startAll(platform);
+            int first = awaitHolder(1, -1);
+            StubPlatform.until(() -> hasLogged(log[differing], "other-list") && hasLogged(log[first], "other-list"));
             processes[first].destroyForcibly().waitFor();
-            int second = holder(2, first);
-            back(world, first);
-            lost(second, 3);
+            int second = awaitHolder(2, first);
+            restart(platform, first);
+            pauseUntilReplaced(second, 3);
         }
-        assertEquals(0, count(log[other], "duty-held"));
-        assertEquals(0, count(log[other], "votes"));
+        assertEquals(0, count(log[differing], "duty-held"));
+        assertEquals(0, count(log[differing], "votes"));
         checkTerms(3);
     }
 
     /** With folders a tier that is killed whole goes on with the terms and above the fences that it had. */
     @Test
-    void aTierThatLosesPowerWholeGoesOnWhereItWas() throws Exception {
+    void aFleetThatLosesPowerContinuesFromStoredTerms() throws Exception {
         folders = true;
-        ask();
-        System.arraycopy(ports, 0, reached, 0, SIZE);
-        try (StubPlatform world = new StubPlatform()) {
-            world.addRunner("s-1");
-            startAll(world);
-            int first = holder(1, -1);
+        reservePorts();
+        System.arraycopy(ports, 0, reachablePorts, 0, SIZE);
+        try (StubPlatform platform = new StubPlatform()) {
+            platform.addRunner("s-1");
+            startAll(platform);
+            int first = awaitHolder(1, -1);
             processes[first].destroyForcibly().waitFor();
-            holder(2, first);
+            awaitHolder(2, first);
             for (Process p : processes) {
                 p.destroyForcibly().waitFor();
             }
-            startAll(world);
-            holder(3, -1);
+            startAll(platform);
+            awaitHolder(3, -1);
         }
         checkTerms(3);
     }
 
     /** Cuts, losses, doublings and reorderings between all, and every voter once back without memory. */
     @Test
-    void aDutyGoesOnThroughCutsAndVotersThatForget() throws Exception {
-        ask();
-        try (DutyRelay relay = new DutyRelay(ports, 11);
-                StubPlatform world = new StubPlatform()) {
-            System.arraycopy(relay.ports(), 0, reached, 0, SIZE);
-            world.addRunner("s-1");
-            relay.fates(0.3, 0.1);
-            startAll(world);
-            int first = holder(1, -1);
+    void aLeaseSurvivesPartitionsAndVotersWithoutMemory() throws Exception {
+        reservePorts();
+        try (DatagramRelay relay = new DatagramRelay(ports, 11);
+                StubPlatform platform = new StubPlatform()) {
+            System.arraycopy(relay.ports(), 0, reachablePorts, 0, SIZE);
+            platform.addRunner("s-1");
+            relay.setFaults(0.3, 0.1);
+            startAll(platform);
+            int first = awaitHolder(1, -1);
             relay.mute(first);
-            holder(2, first);
-            StubPlatform.until(() -> says(log[first], "duty-lost"));
+            awaitHolder(2, first);
+            StubPlatform.until(() -> hasLogged(log[first], "duty-lost"));
             relay.mute(-1);
-            relay.fates(0.1, 0.1);
+            relay.setFaults(0.1, 0.1);
             for (int voter = 0; voter < VOTERS; voter++) {
                 processes[voter].destroyForcibly().waitFor();
-                back(world, voter);
+                restart(platform, voter);
             }
             long before = terms().lastKey();
-            int last = holder(before, -1);
+            int last = awaitHolder(before, -1);
             // The holder's half has two of five and one voter of three, whichever it is.
-            relay.split(Set.of(last, last < VOTERS ? 4 : 0));
-            int next = holder(before + 1, last);
+            relay.partition(Set.of(last, last < VOTERS ? 4 : 0));
+            int next = awaitHolder(before + 1, last);
             // It may have lost it before the split, to a datagram.
             StubPlatform.until(() -> count(log[last], "duty-lost") >= count(log[last], "duty-held"));
-            relay.split(Set.of());
+            relay.partition(Set.of());
             processes[next].destroyForcibly().waitFor();
-            holder(before + 2, next);
-            assertTrue(relay.lost() > 0 && relay.doubled() > 0, "the relay did what it is for");
+            awaitHolder(before + 2, next);
+            assertTrue(relay.lostCount() > 0 && relay.duplicatedCount() > 0, "the relay did what it is for");
         }
         checkTerms(3);
     }
 
-    private void ask() throws IOException {
+    private void reservePorts() throws IOException {
         Files.write(dir.resolve("key"), new byte[32]);
         List<DatagramSocket> asked = new ArrayList<>();
         for (int n = 0; n < SIZE; n++) {
@@ -218,37 +218,37 @@
         asked.forEach(DatagramSocket::close);
     }
 
-    private static Map<String, Object> config(StubPlatform world, int number) {
-        Map<String, Object> config = new LinkedHashMap<>(world.config());
+    private static Map<String, Object> config(StubPlatform platform, int number) {
+        Map<String, Object> config = new LinkedHashMap<>(platform.config());
         config.put("name", "n" + number);
         return config;
     }
 
     /** Stops a holder until another holds the duty for that term, then lets it go on and find out; the other one. */
-    private int lost(int stopped, long term) throws Exception {
+    private int pauseUntilReplaced(int stopped, long term) throws Exception {
         signal(stopped, "-STOP");
-        int next = holder(term, stopped);
+        int next = awaitHolder(term, stopped);
         signal(stopped, "-CONT");
-        StubPlatform.until(() -> says(log[stopped], "duty-lost"));
+        StubPlatform.until(() -> hasLogged(log[stopped], "duty-lost"));
         return next;
     }
 
     /** Starts one anew that has forgotten everything, and waits until it votes again, if it is to. */
-    private void back(StubPlatform world, int number) throws Exception {
-        start(number, config(world, number));
+    private void restart(StubPlatform platform, int number) throws Exception {
+        start(number, config(platform, number));
         if (number < VOTERS) {
-            StubPlatform.until(() -> says(log[number], "votes"));
+            StubPlatform.until(() -> hasLogged(log[number], "votes"));
         }
     }
 
     /** Danger: a voter that has not heard the others yet counts as one that is lost; two of three are too many. */
-    private void startAll(StubPlatform world) throws Exception {
+    private void startAll(StubPlatform platform) throws Exception {
         for (int n = 0; n < SIZE; n++) {
-            start(n, config(world, n));
+            start(n, config(platform, n));
         }
         for (int voter = 0; voter < VOTERS; voter++) {
             Path its = log[voter];
-            StubPlatform.until(() -> says(its, "votes"));
+            StubPlatform.until(() -> hasLogged(its, "votes"));
         }
     }
 
--- a/src/test/java/nettlewick/cli/LedgerKillTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -35,7 +35,7 @@
  * The real program, killed for real: no job answered is missing, none is entered twice, none delivered twice.
  */
 @Timeout(300)
-class LedgerKillTest {
+class LedgerKillProcessTest {
     private static final int KILLS = 42;
     private static final int CLIENTS = 6;
 
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aDispatcherKilledUnderJobsHasEachAnswerEnteredOrInDoubt() throws Exception {
+    void aKilledDispatcherHasEachAnswerRecordedOrMarkedInDoubt() throws Exception {
         Random random = new Random(412);
         Set<String> answered = ConcurrentHashMap.newKeySet();
         Set<String> asked = ConcurrentHashMap.newKeySet();
@@ -167,7 +167,7 @@
 
     /** The exporter as a process, killed around each of its calls, with a receiver that fails too. */
     @Test
-    void anExporterKilledAroundItsCallsDeliversEachEntryOnce() throws Exception {
+    void aKilledExporterDeliversEachEntryOnce() throws Exception {
         Random random = new Random(77);
         Path out = dir.resolve("out");
         ConcurrentLinkedQueue<Process> current = new ConcurrentLinkedQueue<>();
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -38,14 +38,14 @@
     }
 
     @Test
-    void misuseIsOneLineAndCodeTwo() {
+    void aUsageErrorPrintsOneLineAndExitsWithTwo() {
         run(2, "nope");
         run(2, "serve", "--nope");
         run(2, "replay");
     }
 
     @Test
-    void anOddCaptureFileIsOneLineAndCodeOne(@TempDir Path dir) throws Exception {
+    void anInvalidCaptureFilePrintsOneLineAndExitsWithOne(@TempDir Path dir) throws Exception {
         Path odd = Files.writeString(dir.resolve("odd"), "x\ny\nz and more than four bytes of it");
         assertTrue(run(1, "replay", odd.toString()).contains("not a capture file"));
         run(1, "replay", dir.resolve("none").toString());
@@ -56,13 +56,13 @@
      */
     @Test
     @Timeout(20)
-    void aHangupIsCaughtBeforeAnybodyAsksForIt() throws Exception {
+    void aHangupSignalBeforeTheHandlerIsInstalledIsNotLost() throws Exception {
         ReloadSignal.install();
         Class<?> signal = Class.forName("sun.misc.Signal");
         Object hup = signal.getConstructor(String.class).newInstance("HUP");
         signal.getMethod("raise", signal).invoke(null, hup);
         Semaphore reread = new Semaphore(0);
-        ReloadSignal.serve(reread::release);
+        ReloadSignal.onSignal(reread::release);
         reread.acquire();
         signal.getMethod("raise", signal).invoke(null, hup);
         reread.acquire();
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void helpIsTheUsageAndNoMisuse() {
+    void helpPrintsTheUsageAndExitsWithZero() {
         assertTrue(out(0, "--help").contains("serve"));
         String serve = out(0, "serve", "--help");
         assertTrue(serve.contains("--settings") && !serve.contains("replay"), serve);
@@ -102,17 +102,17 @@
 
     /** Guards against a file that is half taken over: it is read whole before anything of it counts. */
     @Test
-    void settingsThatAreReadAgainCountWholeOrNotAtAll(@TempDir Path dir) throws Exception {
+    void reloadedSettingsApplyAsAWholeOrNotAtAll(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("c"), "log {\nlevel error\n}\n");
-        SettingsFile settings = new SettingsFile(file.toString());
+        SettingsFileFeatures settings = new SettingsFileFeatures(file.toString());
         try {
             Files.writeString(file, "log {\nlevel debug\n}\nedge {\n}\n");
-            assertTrue(assertThrows(InvalidSettingsException.class, settings::reread)
+            assertTrue(assertThrows(InvalidSettingsException.class, settings::prepareReload)
                     .getMessage()
                     .contains("c:4: edge lacks"));
             assertFalse(LoggerFactory.getLogger("x").isWarnEnabled(), "the old level stays");
             Files.writeString(file, "log {\nlevel debug\n}\n");
-            settings.reread().run();
+            settings.prepareReload().run();
             assertTrue(LoggerFactory.getLogger("x").isDebugEnabled());
         } finally {
             nettlewick.log.LogSetup.apply(java.util.Optional.empty());
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void theLedgersCommandsAnswerWithTablesJsonAndCodes(@TempDir Path dir) throws Exception {
+    void ledgerCommandsAnswerWithTablesJsonAndExitCodes(@TempDir Path dir) throws Exception {
         Path conf = Files.writeString(
                 dir.resolve("c"),
                 "ledger {\nstore \"" + dir.resolve("s")
--- a/src/test/java/nettlewick/cli/PrintedGoldenTest.java
+++ b/src/test/java/nettlewick/cli/PrintedGoldenTest.java
@@ -49,12 +49,12 @@
     }
 
     @Test
-    void theReferenceOfTheSettings() {
+    void theSettingsReferenceIsAsRecorded() {
         assertMatches("settings/reference.txt", printed(0, "settings", "reference"));
     }
 
     @Test
-    void theSettingsInForce() {
+    void theSettingsInForceAreAsRecorded() {
         assertMatches("settings/show.txt", printed(0, "settings", "show", "deploy/nettlewick.conf"));
     }
 
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void theLedgersTablesAndJson() throws Exception {
+    void ledgerTablesAndJsonAreAsRecorded() throws Exception {
         Path conf = copy();
         String text = call(conf, 0, "statement");
         text += call(conf, 1, "verify");
@@ -107,7 +107,7 @@
 
     /** A period is archived only where all dispatchers have closed it: the other one's entries are taken out. */
     @Test
-    void theArchiveOfAPeriod() throws Exception {
+    void archivingAPeriodPrintsAsRecorded() throws Exception {
         Path conf = copy();
         try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve("store/ledger.db"));
                 Statement s = c.createStatement()) {
--- a/src/test/java/nettlewick/cli/RollingProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -32,24 +32,24 @@
  * requests at once on them, and that open a new one for each.
  */
 @Timeout(120)
-class RollingProcessTest {
-    private static final int TIER = 3;
+class RollingRestartProcessTest {
+    private static final int DISPATCHERS = 3;
     private static final int CLIENTS = 9;
     private static final int PIPELINED = 3;
     /** Of requests on new connections, one in so many may be answered by a close. */
-    private static final int NEW = 200;
+    private static final int MAX_BROKEN_RATIO = 200;
 
     @TempDir
     private Path dir;
 
-    private final int[] ports = new int[TIER];
-    private final Process[] tier = new Process[TIER];
+    private final int[] ports = new int[DISPATCHERS];
+    private final Process[] dispatchers = new Process[DISPATCHERS];
     private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
     private final Map<String, AtomicInteger> statuses = new java.util.concurrent.ConcurrentHashMap<>();
     private final AtomicInteger numbers = new AtomicInteger();
     private final AtomicInteger newOnes = new AtomicInteger();
     private final AtomicInteger newBroken = new AtomicInteger();
-    private volatile boolean over;
+    private volatile boolean stopped;
 
     private record Answer(String status, String head) {
         boolean last() {
@@ -73,7 +73,7 @@
         return new Answer(head.substring(9, 12), head.toString());
     }
 
-    private byte[] job(String id, String... headers) {
+    private byte[] request(String id, String... headers) {
         Buffer bytes = StandIns.job("/api", id, id.startsWith("mark") ? "mark-submit" : "step-view", "10", headers);
         return bytes.toString().replace("X-Deadline: 4\r", "X-Deadline: 0.9\r").getBytes(StandardCharsets.US_ASCII);
     }
@@ -82,7 +82,7 @@
         return (client % 2 == 0 ? "mark-" : "view-") + numbers.incrementAndGet();
     }
 
-    private void took(Answer answer, String id) {
+    private void record(Answer answer, String id) {
         statuses.computeIfAbsent(answer.status(), s -> new AtomicInteger()).incrementAndGet();
         if (!answer.status().equals("200")
                 && !(answer.status().equals("503") && answer.head().contains("Retry-After"))) {
@@ -98,15 +98,15 @@
     }
 
     /** On one connection as long as it stays open: so many requests at once, then their answers. */
-    private void keep(int client, int at, int together) {
+    private void useOneConnection(int client, int at, int together) {
         try (Socket socket = connect(at)) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (boolean last = false; !last && !over; ) {
+            for (boolean last = false; !last && !stopped; ) {
                 java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
                 List<String> ids = new ArrayList<>();
                 for (int i = 0; i < together; i++) {
                     ids.add(id(client));
-                    all.write(job(ids.get(i)));
+                    all.write(request(ids.get(i)));
                 }
                 socket.getOutputStream().write(all.toByteArray());
                 for (String id : ids) {
@@ -121,7 +121,7 @@
                         broken.add(id + " of " + ids + " at n" + at + ": closed, no answer");
                         return;
                     }
-                    took(answer, id);
+                    record(answer, id);
                     last = answer.last();
                 }
             }
@@ -131,17 +131,17 @@
         }
     }
 
-    private void once(int client, int at) {
+    private void useNewConnection(int client, int at) {
         String id = id(client);
         try (Socket socket = connect(at)) {
             newOnes.incrementAndGet();
             try {
-                socket.getOutputStream().write(job(id, "Connection: close"));
+                socket.getOutputStream().write(request(id, "Connection: close"));
                 Answer answer = read(new BufferedInputStream(socket.getInputStream()));
                 if (answer == null) {
                     newBroken.incrementAndGet();
                 } else {
-                    took(answer, id);
+                    record(answer, id);
                 }
             } catch (IOException e) {
                 newBroken.incrementAndGet();
@@ -164,7 +164,7 @@
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         settings.put("rank", number);
-        settings.put("fleet_size", TIER);
+        settings.put("fleet_size", DISPATCHERS);
         List<Map<String, Object>> classes = new ArrayList<>();
         for (Object one : (List<?>) settings.get("classes")) {
             Map<String, Object> changed = new HashMap<>((Map<String, Object>) one);
@@ -175,7 +175,7 @@
         config.put("name", "n" + number);
         config.put("listen", "127.0.0.1:" + ports[number]);
         Path file = Files.writeString(dir.resolve("config" + number), new Gson().toJson(config));
-        tier[number] = Child.start(
+        dispatchers[number] = Child.start(
                 dir.resolve("log" + number),
                 Map.of("ROUTER_CONFIG", file.toString(), "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir),
                 "serve");
@@ -195,7 +195,7 @@
 
     @Test
     void everyRequestOfARollingRestartIsAnswered() throws Exception {
-        for (int n = 0; n < TIER; n++) {
+        for (int n = 0; n < DISPATCHERS; n++) {
             try (ServerSocket socket = new ServerSocket(0)) {
                 ports[n] = socket.getLocalPort();
             }
@@ -204,23 +204,23 @@
             for (int r = 0; r < 4; r++) {
                 world.addRunner("s-" + r);
             }
-            for (int n = 0; n < TIER; n++) {
+            for (int n = 0; n < DISPATCHERS; n++) {
                 start(world, n);
             }
-            for (int n = 0; n < TIER; n++) {
+            for (int n = 0; n < DISPATCHERS; n++) {
                 int one = n;
-                Child.until(tier[n], dir.resolve("log" + n), () -> healthy(one));
+                Child.until(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
             }
             List<Thread> clients = new ArrayList<>();
             for (int c = 0; c < CLIENTS; c++) {
                 int client = c;
                 Thread t = new Thread(
                         () -> {
-                            for (int at = client / 3; !over; at++) {
+                            for (int at = client / 3; !stopped; at++) {
                                 switch (client % 3) {
-                                    case 0 -> keep(client, at % TIER, 1);
-                                    case 1 -> keep(client, at % TIER, PIPELINED);
-                                    default -> once(client, at % TIER);
+                                    case 0 -> useOneConnection(client, at % DISPATCHERS, 1);
+                                    case 1 -> useOneConnection(client, at % DISPATCHERS, PIPELINED);
+                                    default -> useNewConnection(client, at % DISPATCHERS);
                                 }
                             }
                         },
@@ -228,21 +228,23 @@
                 t.start();
                 clients.add(t);
             }
-            for (int n = 0; n < TIER; n++) {
+            for (int n = 0; n < DISPATCHERS; n++) {
                 int one = n;
                 int before = numbers.get();
                 StandIns.until(() -> numbers.get() > before + 200);
-                tier[n].destroy();
-                assertTrue(tier[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not ended");
+                dispatchers[n].destroy();
+                assertTrue(dispatchers[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not ended");
                 start(world, n);
-                Child.until(tier[n], dir.resolve("log" + n), () -> healthy(one));
+                Child.until(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
             }
-            over = true;
+            stopped = true;
             for (Thread t : clients) {
                 t.join();
             }
             assertEquals(List.of(), List.copyOf(broken), statuses::toString);
-            assertTrue(newBroken.get() <= newOnes.get() / NEW, newBroken + " of " + newOnes + " on new connections");
+            assertTrue(
+                    newBroken.get() <= newOnes.get() / MAX_BROKEN_RATIO,
+                    newBroken + " of " + newOnes + " on new connections");
             assertTrue(statuses.get("200").get() > 300, statuses::toString);
             world.runs.forEach(
                     (id, runs) -> assertTrue(!id.startsWith("mark") || runs.get() <= 1, id + " ran " + runs));
@@ -251,8 +253,8 @@
 
     @AfterEach
     void end() {
-        over = true;
-        for (Process p : tier) {
+        stopped = true;
+        for (Process p : dispatchers) {
             if (p != null) {
                 p.destroyForcibly();
             }
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -54,7 +54,7 @@
 
     /** Guards against a reload, or a second SIGTERM, that cuts a planned end short. */
     @Test
-    void aPlannedEndAnswersAllThoughSignalsCross() throws Exception {
+    void aGracefulShutdownAnswersAllRequestsThoughSignalsCross() throws Exception {
         int port;
         try (ServerSocket socket = new ServerSocket(0)) {
             port = socket.getLocalPort();
