--- a/src/main/java/nettlewick/cli/Command.java
+++ b/src/main/java/nettlewick/cli/Command.java
@@ -1,7 +1,12 @@
 package nettlewick.cli;
 
-/** A sub-command; its fields are its options. */
+/** A sub-command; the fields of its implementation are its options. */
 interface Command {
-    /** Does the work; the exit code comes back. */
+    /**
+     * Does the work.
+     *
+     * @return the exit code
+     * @throws UsageException to end with one line on standard error and another exit code
+     */
     int run();
 }
--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -23,56 +23,34 @@
 import nettlewick.sse.EventStreamFrontend;
 import nettlewick.stubs.StubPlatform;
 
+/** Runs a small platform in one process for a first look: discovery, endpoints and a dispatcher. */
 @Parameters(
-        commandNames = "demo",
         commandDescription =
-                "Run discovery, four sim runners and a dispatcher in one process on loopback, and say how to call it")
+                "Run discovery, four endpoints and a dispatcher in one process on loopback, and print how to call them")
 final class DemoCommand implements Command {
-    @Parameter(names = "--seconds", description = "End by itself after so long; 0: at Ctrl-C")
+    @Parameter(names = "--seconds", description = "End after this many seconds; 0: at Ctrl-C")
     private int seconds;
 
     private static final int ENDPOINTS = 4;
     private static final int RUN_MILLIS = 400;
+    /** With the ledger's folder to fill in. */
+    private static final String SETTINGS = """
+            log {
+                level warning
+            }
+            edge {
+                listen 127.0.0.1:0
+            }
+            ledger {
+                store "%s"
+                mode batch 20ms
+            }
+            """;
 
     @Override
     public int run() {
         try {
-            Path folder = Files.createTempDirectory("nettlewick-demo");
-            Path file = Files.writeString(folder.resolve("nettlewick.conf"), """
-                    log {
-                        level warning
-                    }
-                    edge {
-                        listen 127.0.0.1:0
-                    }
-                    ledger {
-                        store "%s"
-                        mode batch 20ms
-                    }
-                    """.formatted(folder.resolve("ledger")));
-            Settings settings = SettingsCommand.read(file.toString());
-            LogSetup.apply(settings.block("log"));
-            StubPlatform platform = new StubPlatform();
-            platform.runTime = RUN_MILLIS;
-            for (int i = 1; i <= ENDPOINTS; i++) {
-                platform.addRunner("runner-" + i);
-            }
-            Map<String, Object> text = platform.config();
-            text.put("admin_addr", "127.0.0.1:0");
-            PlatformConfig config = PlatformConfig.of(new Gson().toJson(text), Map.of());
-            Clock clock = Clock.system();
-            LedgerService ledger = new LedgerService(
-                    config.name(), LedgerSettings.of(settings.block("ledger").orElseThrow()), clock, config.seed());
-            ledger.start();
-            EventStreamConfig eventStreams =
-                    EventStreamConfig.of(settings.block("edge").orElseThrow());
-            DispatcherServer server = new DispatcherServer(
-                            config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
-                    .keep(ledger.books());
-            StubPlatform.get(server.start());
-            Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
-            Runtime.getRuntime().addShutdownHook(shutdown);
-            printUsage(server.ports(), server.adminPort(), file);
+            start();
             if (seconds > 0) {
                 TimeUnit.SECONDS.sleep(seconds);
                 System.exit(0);
@@ -89,6 +67,43 @@
         }
     }
 
+    private static void start() throws Exception {
+        Path folder = Files.createTempDirectory("nettlewick-demo");
+        Path file = Files.writeString(folder.resolve("nettlewick.conf"), SETTINGS.formatted(folder.resolve("ledger")));
+        Settings settings = SettingsCommand.read(file.toString());
+        LogSetup.apply(settings.block("log"));
+        StubPlatform platform = startPlatform();
+        PlatformConfig config = config(platform);
+        Clock clock = Clock.system();
+        LedgerService ledger = new LedgerService(
+                config.name(), LedgerSettings.of(settings.block("ledger").orElseThrow()), clock, config.seed());
+        ledger.start();
+        EventStreamConfig eventStreams =
+                EventStreamConfig.of(settings.block("edge").orElseThrow());
+        DispatcherServer server = new DispatcherServer(
+                        config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
+                .keep(ledger.books());
+        StubPlatform.get(server.start());
+        Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
+        Runtime.getRuntime().addShutdownHook(shutdown);
+        printUsage(server.ports(), server.adminPort(), file);
+    }
+
+    private static StubPlatform startPlatform() throws Exception {
+        StubPlatform platform = new StubPlatform();
+        platform.runTime = RUN_MILLIS;
+        for (int i = 1; i <= ENDPOINTS; i++) {
+            platform.addRunner("runner-" + i);
+        }
+        return platform;
+    }
+
+    private static PlatformConfig config(StubPlatform platform) {
+        Map<String, Object> fields = platform.config();
+        fields.put("admin_addr", "127.0.0.1:0");
+        return PlatformConfig.of(new Gson().toJson(fields), Map.of());
+    }
+
     private static void printUsage(List<Integer> ports, int admin, Path file) {
         String jar = Path.of(DemoCommand.class
                         .getProtectionDomain()
@@ -98,11 +113,11 @@
                 .toString();
         String head = "-H 'X-Class: step-view' -H 'X-Tenant: red' -H 'X-Deadline: 4' -d '{}'";
         System.out.printf("""
-                discovery, %d sim runners and a dispatcher are up; Ctrl-C ends them
+                discovery, %d endpoints and a dispatcher are up; Ctrl-C ends them
 
-                a job:        curl -s -H "X-Request-Id: $RANDOM$RANDOM" %s http://127.0.0.1:%d/api
+                a request:    curl -s -H "X-Request-Id: $RANDOM$RANDOM" %s http://127.0.0.1:%d/api
                 a stream:     curl -sN -H "X-Request-Id: $RANDOM$RANDOM" %s http://127.0.0.1:%d/api
-                the figures:  curl -s http://127.0.0.1:%d/-/metrics
+                metrics:      curl -s http://127.0.0.1:%d/-/metrics
                 a statement:  java -jar %s ledger statement --settings %s
                 """, ENDPOINTS, head, ports.get(0), head, ports.get(1), admin, jar, file);
         System.out.flush();
@@ -119,7 +134,7 @@
                 }
             }
         } catch (IOException e) {
-            System.err.println("nettlewick: " + folder + " is left: " + e);
+            System.err.println("nettlewick: " + folder + " could not be deleted: " + e);
         } catch (Exception e) {
             System.err.println("nettlewick: " + e);
         }
--- a/src/main/java/nettlewick/cli/FleetTestCommand.java
+++ b/src/main/java/nettlewick/cli/FleetTestCommand.java
@@ -10,8 +10,8 @@
 import nettlewick.fleettest.Lab;
 import nettlewick.settings.InvalidSettingsException;
 
+/** Runs a fleet of real dispatcher processes through a scenario of faults, or compares the results of two runs. */
 @Parameters(
-        commandNames = "lab",
         commandDescription = "check FILE, run FILE (a fleet of real processes with"
                 + " faults between them), or compare FOLDER FOLDER")
 final class FleetTestCommand implements Command {
@@ -21,6 +21,8 @@
     @Parameter(names = "--out", description = "Folder for what a run leaves")
     private String outputFolder = "lab-run";
 
+    private static final String ERASE_TO_END_OF_LINE = "\u001b[K";
+
     @Override
     public int run() {
         String action = arguments.get(0);
@@ -28,7 +30,8 @@
         if (!List.of("check", "run", "compare").contains(action) || arguments.size() != (compares ? 3 : 2)) {
             throw new UsageException(
                     Main.USAGE_ERROR,
-                    "lab: expected check FILE, run FILE or compare FOLDER FOLDER, got " + String.join(" ", arguments));
+                    "fleet-test: expected check FILE, run FILE or compare FOLDER FOLDER, got "
+                            + String.join(" ", arguments));
         }
         try {
             Path first = Path.of(arguments.get(1));
@@ -40,25 +43,25 @@
                 System.out.println(Lab.check(first));
                 return 0;
             }
-            return Lab.run(first, Path.of(outputFolder), this::progress, this::figure) ? 0 : Main.FAILED;
+            return Lab.run(first, Path.of(outputFolder), this::printProgress, this::printFigure) ? 0 : Main.FAILED;
         } catch (InvalidSettingsException | InvalidPathException e) {
             throw new UsageException(Main.USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
-            throw new UsageException(Main.FAILED, "lab: " + e.getMessage());
+            throw new UsageException(Main.FAILED, "fleet-test: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.FAILED;
         } catch (Exception e) {
-            throw new UsageException(Main.FAILED, "lab: " + e);
+            throw new UsageException(Main.FAILED, "fleet-test: " + e);
         }
     }
 
-    private void progress(String line) {
-        System.err.print("\r" + line + "\u001b[K");
+    private void printProgress(String line) {
+        System.err.print("\r" + line + ERASE_TO_END_OF_LINE);
     }
 
-    private void figure(String line) {
-        System.err.print("\r\u001b[K");
+    private void printFigure(String line) {
+        System.err.print("\r" + ERASE_TO_END_OF_LINE);
         System.out.println(line);
     }
 }
--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -4,20 +4,20 @@
 import com.beust.jcommander.Parameters;
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
-import java.math.BigDecimal;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Collectors;
 import nettlewick.core.Clock;
 import nettlewick.ledger.LedgerAdmin;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.ledger.Statement;
 import nettlewick.settings.Block;
 
+/** Lets an operator read, close, correct, export, check and archive the usage ledger (docs/ledger.md). */
 @Parameters(
-        commandNames = "ledger",
         commandDescription =
                 "statement [PERIOD] | close PERIOD | correct ENTRY SLOT-MS | export [NAME] | reconcile | verify | "
                         + "archive PERIOD FILE | restore PERIOD [FILE]")
@@ -40,8 +40,6 @@
     @Parameter(names = "--member", description = "This member alone: for statement")
     private String tenant;
 
-    private static final BigDecimal MICROS_PER_MILLI = BigDecimal.valueOf(1000);
-
     @Override
     public int run() {
         Block block = SettingsCommand.read(file)
@@ -49,30 +47,7 @@
                 .orElseThrow(() -> new UsageException(Main.USAGE_ERROR, file + ": has no block ledger"));
         LedgerAdmin admin = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
         try {
-            return switch (arguments.get(0)) {
-                case "statement" -> statement(admin, optionalArgument(1, 2));
-                case "close" -> close(admin, requiredArgument(1, 2, "PERIOD"));
-                case "correct" ->
-                    correct(admin, requiredArgument(1, 3, "ENTRY SLOT-MS"), requiredArgument(2, 3, "ENTRY SLOT-MS"));
-                case "export" -> export(admin, optionalArgument(1, 2));
-                case "reconcile" -> reconcile(admin);
-                case "verify" -> verify(admin);
-                case "archive" ->
-                    printMoved(
-                            "archived",
-                            requiredArgument(1, 3, "PERIOD FILE"),
-                            admin.archive(
-                                    requiredArgument(1, 3, "PERIOD FILE"),
-                                    Path.of(requiredArgument(2, 3, "PERIOD FILE"))));
-                case "restore" ->
-                    printMoved(
-                            "restored",
-                            requiredArgument(1, 3, "PERIOD [FILE]"),
-                            admin.restore(
-                                    requiredArgument(1, 3, "PERIOD [FILE]"),
-                                    optionalArgument(2, 3) == null ? null : Path.of(optionalArgument(2, 3))));
-                default -> throw new UsageException(Main.USAGE_ERROR, "ledger: no such call: " + arguments.get(0));
-            };
+            return run(admin);
         } catch (LedgerAdmin.Refused e) {
             throw new UsageException(e.misuse() ? Main.USAGE_ERROR : Main.FAILED, e.getMessage());
         } catch (InterruptedException e) {
@@ -81,6 +56,33 @@
         }
     }
 
+    private int run(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+        return switch (arguments.get(0)) {
+            case "statement" -> statement(admin, optionalArgument(1, 2));
+            case "close" -> close(admin, requiredArgument(1, 2, "PERIOD"));
+            case "correct" ->
+                correct(admin, requiredArgument(1, 3, "ENTRY SLOT-MS"), requiredArgument(2, 3, "ENTRY SLOT-MS"));
+            case "export" -> export(admin, optionalArgument(1, 2));
+            case "reconcile" -> reconcile(admin);
+            case "verify" -> verify(admin);
+            case "archive" -> archive(admin);
+            case "restore" -> restore(admin);
+            default -> throw new UsageException(Main.USAGE_ERROR, "ledger: no such call: " + arguments.get(0));
+        };
+    }
+
+    private int archive(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+        String period = requiredArgument(1, 3, "PERIOD FILE");
+        Path archive = Path.of(requiredArgument(2, 3, "PERIOD FILE"));
+        return printMoved("archived", period, admin.archive(period, archive));
+    }
+
+    private int restore(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+        String period = requiredArgument(1, 3, "PERIOD [FILE]");
+        String archive = optionalArgument(2, 3);
+        return printMoved("restored", period, admin.restore(period, archive == null ? null : Path.of(archive)));
+    }
+
     private String optionalArgument(int index, int maxArguments) {
         if (arguments.size() > maxArguments) {
             throw new UsageException(
@@ -103,64 +105,11 @@
         System.out.print(json ? gson.toJson(object) + "\n" : text);
     }
 
-    private static String formatMillis(long micros) {
-        return BigDecimal.valueOf(micros).divide(MICROS_PER_MILLI).setScale(3).toPlainString();
-    }
-
     private int statement(LedgerAdmin admin, String period) throws LedgerAdmin.Refused {
         List<Statement> statements =
                 admin.statements(period).stream().map(this::forTenant).toList();
-        StringBuilder text = new StringBuilder();
-        for (Statement s : statements) {
-            text.append("period ")
-                    .append(s.period())
-                    .append(
-                            s.closed()
-                                    ? ", closed\n"
-                                    : ", open at " + (s.open().isEmpty() ? "nobody" : String.join(", ", s.open()))
-                                            + "\n");
-            TextTable rows = new TextTable(
-                    "member",
-                    "class",
-                    "served",
-                    "refused",
-                    "failed",
-                    "left",
-                    "billed slot-ms",
-                    "estimated",
-                    "spare",
-                    "in doubt",
-                    "repeats");
-            s.rows()
-                    .forEach(r -> rows.addRow(
-                            r.member(),
-                            r.jobClass(),
-                            r.served(),
-                            r.refused(),
-                            r.failed(),
-                            r.left(),
-                            formatMillis(r.billed()),
-                            formatMillis(r.estimated()),
-                            formatMillis(r.spare()),
-                            r.doubts(),
-                            r.repeats()));
-            text.append(rows);
-            TextTable late = new TextTable("found after the close of", "member", "class", "entries", "slot-ms");
-            s.late()
-                    .forEach(l ->
-                            late.addRow(l.closed(), l.member(), l.jobClass(), l.entries(), formatMillis(l.work())));
-            text.append(late.isEmpty() ? "" : "\n" + late);
-            TextTable gaps = new TextTable("gap", "from", "to", "jobs not entered");
-            s.gaps().forEach(g -> gaps.addRow(g.ref(), g.from(), g.to(), g.jobs()));
-            text.append(gaps.isEmpty() ? "" : "\n" + gaps);
-            TextTable voided = new TextTable("correction", "of", "does not count, since");
-            s.voided().forEach(v -> voided.addRow(v.ref(), v.target(), v.why()));
-            text.append(voided.isEmpty() ? "" : "\n" + voided)
-                    .append("billed in all: ")
-                    .append(formatMillis(s.billed()))
-                    .append(" slot-ms\n\n");
-        }
-        print(Map.of("statements", statements), text.length() == 0 ? "nothing is entered yet\n" : text.toString());
+        String text = statements.stream().map(StatementText::of).collect(Collectors.joining());
+        print(Map.of("statements", statements), text.isEmpty() ? "nothing is entered yet\n" : text);
         return 0;
     }
 
@@ -187,7 +136,7 @@
             throws LedgerAdmin.Refused, InterruptedException {
         long work;
         try {
-            work = new BigDecimal(value).multiply(MICROS_PER_MILLI).longValueExact();
+            work = StatementText.parseMillis(value);
         } catch (ArithmeticException | NumberFormatException e) {
             throw new UsageException(
                     Main.USAGE_ERROR,
--- a/src/main/java/nettlewick/cli/Main.java
+++ b/src/main/java/nettlewick/cli/Main.java
@@ -5,24 +5,22 @@
 import com.beust.jcommander.ParameterException;
 import java.util.List;
 
-/** Command line of the jar: picks the sub-command and turns its errors into one line and an exit code. */
+/** Entry point of the jar: picks the sub-command and turns its errors into one line and an exit code. */
 public final class Main {
-    /** Exit code for what is wrong with the work asked for. */
+    /** Exit code if the requested work failed. */
     static final int FAILED = 1;
-    /** Exit code for a command line or a configuration that is not in order. */
+    /** Exit code if the command line or a configuration is invalid. */
     static final int USAGE_ERROR = 2;
 
-    private static final List<String> NAMES =
-            List.of("serve", "drill", "replay", "demo", "ledger", "settings", "lab", "version", "warm");
-
-    /** Asked for before a command or after it. */
+    /** The option {@code --help}, before or after the name of a sub-command. */
     private static final class Help {
         @Parameter(names = "--help", help = true, description = "Print the usage")
-        private boolean asked;
+        private boolean requested;
     }
 
     private Main() {}
 
+    /** Runs a sub-command; ends the JVM only if its exit code is not 0, since a dispatcher runs on. */
     public static void main(String[] args) {
         ReloadSignal.install();
         int code = run(args);
@@ -31,55 +29,50 @@
         }
     }
 
-    /** The command of that name alone: the classes of all others are left unloaded. All where none has it. */
-    private static List<String> names(String name) {
-        return NAMES.contains(name) ? List.of(name) : NAMES;
-    }
-
-    private static Command command(String name) {
-        return switch (name) {
-            case "serve" -> new ServeCommand();
-            case "drill" -> new SimulatorAdapterCommand();
-            case "replay" -> new ReplayCommand();
-            case "demo" -> new DemoCommand();
-            case "ledger" -> new LedgerCommand();
-            case "settings" -> new SettingsCommand();
-            case "lab" -> new FleetTestCommand();
-            case "version" -> new VersionCommand();
-            default -> new WarmUpCommand();
-        };
-    }
-
-    /** Runs one command; the exit code comes back. */
+    /** Runs a sub-command and returns its exit code. */
     static int run(String... args) {
         Help help = new Help();
-        JCommander.Builder builder =
-                JCommander.newBuilder().programName("nettlewick").addObject(help);
-        for (String name : names(args.length == 0 ? "" : args[0])) {
-            builder.addCommand(name, List.of(command(name), help));
-        }
-        JCommander line = builder.build();
+        JCommander parser = parser(args.length == 0 ? "" : args[0], help);
         try {
-            line.parse(args);
+            parser.parse(args);
         } catch (ParameterException e) {
             System.err.println("nettlewick: " + e.getMessage());
             return USAGE_ERROR;
         }
-        if (help.asked && line.getParsedCommand() != null) {
-            line.getUsageFormatter().usage(line.getParsedCommand());
-            return 0;
+        String name = parser.getParsedCommand();
+        if (name == null) {
+            parser.usage();
+            return help.requested ? 0 : USAGE_ERROR;
         }
-        if (line.getParsedCommand() == null) {
-            line.usage();
-            return help.asked ? 0 : USAGE_ERROR;
+        if (help.requested) {
+            parser.getUsageFormatter().usage(name);
+            return 0;
         }
-        Command command = (Command)
-                line.getCommands().get(line.getParsedCommand()).getObjects().get(0);
+        Command command = (Command) parser.getCommands().get(name).getObjects().get(0);
         try {
             return command.run();
         } catch (UsageException e) {
             System.err.println("nettlewick: " + e.getMessage());
-            return e.code;
+            return e.exitCode();
+        }
+    }
+
+    /** A parser for the named sub-command alone, so that no class of another one is loaded; for all if none matches. */
+    private static JCommander parser(String name, Help help) {
+        JCommander.Builder builder =
+                JCommander.newBuilder().programName("nettlewick").addObject(help);
+        for (SubCommand subCommand : matching(name)) {
+            builder.addCommand(subCommand.mainName(), List.of(subCommand.create(), help), subCommand.aliases());
+        }
+        return builder.build();
+    }
+
+    private static List<SubCommand> matching(String name) {
+        for (SubCommand subCommand : SubCommand.values()) {
+            if (subCommand.answersTo(name)) {
+                return List.of(subCommand);
+            }
         }
+        return List.of(SubCommand.values());
     }
 }
--- a/src/main/java/nettlewick/cli/OptionalFeatures.java
+++ b/src/main/java/nettlewick/cli/OptionalFeatures.java
@@ -8,32 +8,41 @@
 import nettlewick.net.Frontend;
 import nettlewick.net.PlatformConfig;
 
-/** What a settings file adds to a dispatcher. Without one, none of its classes is loaded. */
+/** What a settings file adds to a dispatcher. Without one, none of the classes behind it is loaded. */
 interface OptionalFeatures {
-    /** No file, nothing added. */
+    /** Adds nothing. */
     OptionalFeatures NONE = new OptionalFeatures() {};
 
-    /** Starts what has to be there before the first job. */
+    /**
+     * Starts what must run before the first request.
+     *
+     * @throws UsageException if the settings contradict the platform's configuration
+     */
     default void start(PlatformConfig config, Clock clock) throws IOException {}
 
-    /** Further ways in. */
+    /** Appends further frontends. */
     default void addFrontends(List<Frontend.Maker> frontends) {}
 
-    /** What keeps the books. */
+    /** Records the usage of every request. */
     default UsageRecorder usageRecorder() {
         return UsageRecorder.NONE;
     }
 
-    /** Who is told of jobs and attempts. */
+    /** Is notified of requests and attempts. */
     default RequestListener requestListener() {
         return RequestListener.NONE;
     }
 
-    /** Reads the file again; the step that takes it over comes back, so that all or nothing counts. */
+    /**
+     * Reads the file again without applying it.
+     *
+     * @return the step that applies it
+     * @throws nettlewick.settings.InvalidSettingsException if it is invalid; the current settings stay in force
+     */
     default Runnable prepareReload() {
         return () -> {};
     }
 
-    /** After the last answer. */
+    /** Stops everything, after the last answer. */
     default void close() {}
 }
--- a/src/main/java/nettlewick/cli/ReloadSignal.java
+++ b/src/main/java/nettlewick/cli/ReloadSignal.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * SIGHUP: the configuration is to be read again. Caught from the first line of {@code main} on and kept until
- * somebody asks. Danger: left to the JVM, it ends the process like SIGTERM.
+ * Catches SIGHUP, which asks for a reload of the configuration, from the first line of {@code main} on, and keeps it
+ * until a handler is there. Left to the JVM, the signal would end the process.
  */
 final class ReloadSignal {
     private static final Semaphore PENDING = new Semaphore(0);
 
     private ReloadSignal() {}
 
-    /** By reflection: the class is in the JDK's supported module, but the compiler warns of its name. */
+    /** Starts to catch the signal. By reflection, since the compiler warns of the class's name. */
     static void install() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Runs {@code reread} for each SIGHUP, those before now too; several in a row count as one. */
+    /** Runs {@code reload} for each SIGHUP, also one that came before this call; several at once count as one. */
     static void onSignal(Runnable reload) {
         Thread thread = new Thread(
                 () -> {
--- a/src/main/java/nettlewick/cli/ReplayCommand.java
+++ b/src/main/java/nettlewick/cli/ReplayCommand.java
@@ -14,9 +14,8 @@
 import nettlewick.pcap.Capture;
 import nettlewick.pcap.CaptureReplayer;
 
-@Parameters(
-        commandNames = "replay",
-        commandDescription = "Send the requests of a capture file at their recorded spacing")
+/** Sends the requests of a capture file through a dispatcher. */
+@Parameters(commandDescription = "Send the requests of a capture file at their recorded spacing")
 final class ReplayCommand implements Command {
     @Parameter(description = "FILE", required = true)
     private String file;
--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -22,26 +22,29 @@
 import nettlewick.net.TrafficListener;
 import nettlewick.pcap.CaptureWriter;
 
-@Parameters(commandNames = "serve", commandDescription = "Run one real dispatcher, as $ROUTER_CONFIG tells")
+/** Runs one dispatcher until it receives SIGTERM. */
+@Parameters(commandDescription = "Run one dispatcher, configured by $ROUTER_CONFIG")
 final class ServeCommand implements Command {
-    @Parameter(names = "--settings", description = "File with settings of our own: further fronts, logs, ledger")
+    @Parameter(
+            names = "--settings",
+            description = "Settings file: further frontends, log, ledger, leases, tenant pools")
     private String settingsFile;
 
-    @Parameter(names = "--capture", description = "File that the traffic served is written to, as pcap")
+    @Parameter(names = "--capture", description = "File that the served traffic is written to, as pcap")
     private String capture;
 
-    @Parameter(names = "--capture-mb", description = "Most megabytes of that file")
+    @Parameter(names = "--capture-mb", description = "Maximum size of that file in megabytes")
     private int captureMegabytes = 16;
 
     @Parameter(
             names = "--clock-ahead",
             hidden = true,
-            description = "Milliseconds by which this process's clock is off, for the lab")
-    private long clockAhead;
+            description = "Milliseconds by which this process's clock is ahead, for fleet tests")
+    private long clockAheadMillis;
 
     private static final ComponentLogger LOG = ComponentLogger.of("node");
-    private static final long MEGABYTE = 1 << 20;
-    private static final int START_SECONDS = 20;
+    private static final long BYTES_PER_MEGABYTE = 1 << 20;
+    private static final int START_TIMEOUT_SECONDS = 20;
 
     @Override
     public int run() {
@@ -49,7 +52,7 @@
                 settingsFile == null ? OptionalFeatures.NONE : new SettingsFileFeatures(settingsFile);
         PlatformConfig config;
         List<Frontend.Maker> frontends = new ArrayList<>();
-        Clock clock = Clock.system(clockAhead);
+        Clock clock = Clock.system(clockAheadMillis);
         try {
             config = PlatformConfig.load(System.getenv());
             TrafficListener listener = capture == null ? TrafficListener.NONE : captureWriter(clock);
@@ -65,7 +68,7 @@
                         config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Maker[]::new))
                 .keep(features.usageRecorder())
                 .tell(features.requestListener());
-        // Danger: by itself the JVM ends on SIGTERM with code 143; what was taken is answered first, then 0.
+        // By itself the JVM would end on SIGTERM with code 143 at once; requests in flight are answered first.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -76,7 +79,7 @@
                         "shutdown"));
         ReloadSignal.onSignal(() -> reload(server, features));
         try {
-            server.start().toCompletionStage().toCompletableFuture().get(START_SECONDS, TimeUnit.SECONDS);
+            server.start().toCompletionStage().toCompletableFuture().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("nettlewick: cannot listen: " + e.getMessage());
             Runtime.getRuntime().halt(Main.FAILED);
@@ -86,7 +89,7 @@
         return 0;
     }
 
-    /** Tells this process from others of the same dispatcher; null where that cannot be told. */
+    /** Hands over from and to other processes of the same dispatcher; null if that is not possible. */
     private static HotRestart hotRestart(PlatformConfig config, Clock clock) {
         try {
             return config.listen().port() == 0
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Danger: a bad file must not cost what is in force. Both are read before either counts. */
+    /** Reads both files before either is applied: an invalid one leaves all in force as it is. */
     private static void reload(DispatcherServer server, OptionalFeatures features) {
         try {
             PlatformConfig config = PlatformConfig.reload(System.getenv());
@@ -114,7 +117,8 @@
 
     private TrafficListener captureWriter(Clock clock) {
         try {
-            return new CaptureWriter(Files.newOutputStream(Path.of(capture)), clock, captureMegabytes * MEGABYTE);
+            return new CaptureWriter(
+                    Files.newOutputStream(Path.of(capture)), clock, captureMegabytes * BYTES_PER_MEGABYTE);
         } catch (IOException | IllegalArgumentException e) {
             throw new UsageException(Main.FAILED, "--capture " + capture + " cannot be written: " + e.getMessage());
         }
--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -11,9 +11,8 @@
 import nettlewick.settings.Reference;
 import nettlewick.settings.Settings;
 
-@Parameters(
-        commandNames = "settings",
-        commandDescription = "check FILE, show FILE (what is in force), or print the reference")
+/** Checks or shows a settings file, or prints the reference of all settings. */
+@Parameters(commandDescription = "check FILE, show FILE (what is in force), or print the reference")
 final class SettingsCommand implements Command {
     @Parameter(description = "check FILE | show FILE | reference", required = true)
     private List<String> arguments = new ArrayList<>();
@@ -35,13 +34,21 @@
         return 0;
     }
 
-    /** Checks what the words alone do not show; BadSettings where something is wrong. */
+    /**
+     * Checks what the schema alone does not show.
+     *
+     * @throws InvalidSettingsException if something is wrong
+     */
     static Settings requireValid(Settings settings) {
         settings.block("ledger").ifPresent(LedgerSettings::of);
         return settings;
     }
 
-    /** Reads a file; what is wrong with it ends the command with one line. */
+    /**
+     * Reads and checks a file.
+     *
+     * @throws UsageException if it cannot be read or is invalid
+     */
     static Settings read(String file) {
         try {
             return requireValid(Settings.read(Path.of(file)));
--- a/src/main/java/nettlewick/cli/SettingsFileFeatures.java
+++ b/src/main/java/nettlewick/cli/SettingsFileFeatures.java
@@ -22,7 +22,7 @@
 import nettlewick.sse.EventStreamFrontend;
 import nettlewick.tenantpools.TenantPoolsService;
 
-/** What the file of {@code serve --settings} adds. */
+/** The features that the file of {@code serve --settings} turns on: ledger, leases, tenant pools, event streams. */
 final class SettingsFileFeatures implements OptionalFeatures {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
 
--- a/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
+++ b/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
@@ -5,7 +5,8 @@
 import nettlewick.simulator.WireCodec;
 import nettlewick.simulator.WireHost;
 
-@Parameters(commandNames = "drill", commandDescription = "Serve the simulator's wire on standard input and output")
+/** Serves the platform's simulator on standard input and output. */
+@Parameters(commandDescription = "Serve the simulator's wire on standard input and output")
 final class SimulatorAdapterCommand implements Command {
     @Override
     public int run() {
--- a/src/main/java/nettlewick/cli/TextTable.java
+++ b/src/main/java/nettlewick/cli/TextTable.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table for people: columns as wide as need be, numbers to the right. */
+/** A text table for people: columns as wide as their longest cell, columns of numbers aligned to the right. */
 final class TextTable {
     private final List<List<String>> rows = new ArrayList<>();
 
@@ -26,26 +26,36 @@
     @Override
     public String toString() {
         int columns = rows.get(0).size();
-        int[] width = new int[columns];
-        boolean[] right = new boolean[columns];
-        for (int c = 0; c < columns; c++) {
-            right[c] = rows.size() > 1;
-            for (int r = 0; r < rows.size(); r++) {
-                String cell = rows.get(r).get(c);
-                width[c] = Math.max(width[c], cell.codePointCount(0, cell.length()));
-                right[c] &= r == 0 || cell.matches("-?[0-9.]+");
-            }
+        int[] widths = new int[columns];
+        boolean[] numeric = new boolean[columns];
+        for (int column = 0; column < columns; column++) {
+            widths[column] = width(column);
+            numeric[column] = isNumeric(column);
         }
         StringBuilder text = new StringBuilder();
         for (List<String> row : rows) {
             StringBuilder line = new StringBuilder();
-            for (int c = 0; c < columns; c++) {
-                String cell = row.get(c);
-                String pad = " ".repeat(width[c] - cell.codePointCount(0, cell.length()));
-                line.append(c == 0 ? "" : "  ").append(right[c] ? pad + cell : cell + pad);
+            for (int column = 0; column < columns; column++) {
+                String cell = row.get(column);
+                String padding = " ".repeat(widths[column] - length(cell));
+                line.append(column == 0 ? "" : "  ").append(numeric[column] ? padding + cell : cell + padding);
             }
             text.append(line.toString().stripTrailing()).append('\n');
         }
         return text.toString();
     }
+
+    private int width(int column) {
+        return rows.stream().mapToInt(row -> length(row.get(column))).max().orElse(0);
+    }
+
+    /** Whether there are rows and all of them, without the heads, hold numbers in this column. */
+    private boolean isNumeric(int column) {
+        return !isEmpty()
+                && rows.stream().skip(1).allMatch(row -> row.get(column).matches("-?[0-9.]+"));
+    }
+
+    private static int length(String cell) {
+        return cell.codePointCount(0, cell.length());
+    }
 }
--- a/src/main/java/nettlewick/cli/UsageException.java
+++ b/src/main/java/nettlewick/cli/UsageException.java
@@ -1,12 +1,16 @@
 package nettlewick.cli;
 
-/** Ends a command with one plain line and an exit code. */
+/** Ends a command with one line on standard error and an exit code. */
 final class UsageException extends RuntimeException {
     private static final long serialVersionUID = 1;
-    final int code;
+    private final int exitCode;
 
-    UsageException(int code, String line) {
+    UsageException(int exitCode, String line) {
         super(line.replaceAll("[\\r\\n]+", " "));
-        this.code = code;
+        this.exitCode = exitCode;
+    }
+
+    int exitCode() {
+        return exitCode;
     }
 }
--- a/src/main/java/nettlewick/cli/VersionCommand.java
+++ b/src/main/java/nettlewick/cli/VersionCommand.java
@@ -2,7 +2,8 @@
 
 import com.beust.jcommander.Parameters;
 
-@Parameters(commandNames = "version", commandDescription = "Print the version")
+/** Prints the version. */
+@Parameters(commandDescription = "Print the version")
 final class VersionCommand implements Command {
     @Override
     public int run() {
--- a/src/main/java/nettlewick/cli/WarmUpCommand.java
+++ b/src/main/java/nettlewick/cli/WarmUpCommand.java
@@ -8,10 +8,10 @@
 import nettlewick.net.PlatformConfig;
 import nettlewick.net.PlatformFrontend;
 
-/** What the build runs to record the classes of a start in an archive, which makes later starts faster. */
-@Parameters(commandNames = "warm", commandDescription = "Start on a free loopback port, warm up, and end")
+/** Starts and ends a dispatcher, so that the build can record the loaded classes in an archive for faster starts. */
+@Parameters(commandDescription = "Start on a free loopback port, warm up, and end")
 final class WarmUpCommand implements Command {
-    /** Nobody answers at port 1: the watch on discovery runs into its retry, as it does on a bad day. */
+    /** Nothing listens on port 1, so the classes of the discovery watch's retry are loaded too. */
     private static final String CONFIG = """
             {"name":"warm","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
              "known":{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","class":"m",
--- a/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -80,7 +80,7 @@
                 "zone");
     }
 
-    /** Settings of a site that is asked for its list and runs long jobs, for one of so many dispatchers. */
+    /** Settings of a site whose endpoint list is polled and whose requests run long, for one of several dispatchers. */
     private Map<String, Object> config(int rank, int of, int port) {
         Map<String, Object> config = world.config();
         @SuppressWarnings("unchecked")
@@ -112,7 +112,7 @@
         return process;
     }
 
-    /** What came back on a connection of its own; nothing if it broke. */
+    /** The response on a new connection; empty if it broke. */
     private static String exchange(int port, String bytes) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
@@ -152,7 +152,7 @@
         world.runs.forEach((id, runs) -> assertTrue(!id.contains("mark") || runs.get() <= 1, id + " ran " + runs));
     }
 
-    /** Guards against jobs of seconds that are lost with the old process of an upgrade. */
+    /** Requests that run for seconds survive the end of the old process. */
     @Test
     void aHotRestartLosesNoRequestThatWaitingSaves() throws Exception {
         for (int i = 0; i < 4; i++) {
@@ -200,7 +200,7 @@
         }
     }
 
-    /** Dispatchers killed two of seven at a time come back with nothing but their last list. */
+    /** Two of seven dispatchers at a time are killed and come back with only their last endpoint list. */
     @Test
     void repeatedRestartsWithOnlyTheLastEndpointListKeepServing() throws Exception {
         List<String> hosts = new ArrayList<>();
@@ -258,7 +258,7 @@
         assertEquals(0, count("502"));
     }
 
-    /** Guards against a runner that takes jobs and answers none: found by starts, progress and probes. */
+    /** An endpoint that accepts requests and answers none is found by missing starts and progress and by probes. */
     @Test
     void aHungEndpointGetsFewRequestsAndNoNonIdempotentOneIsRetried() throws Exception {
         for (int i = 0; i < 5; i++) {
@@ -304,7 +304,7 @@
         nothingRanTwice();
     }
 
-    /** A list that comes late, is refused, and is cut off while runners drain. */
+    /** The endpoint list comes late, is rejected and is cut off while endpoints drain. */
     @Test
     void aFailedEndpointListPollIsRetriedAndDrainingEndpointsAreRemembered() throws Exception {
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/nettlewick/cli/Child.java
+++ b/src/test/java/nettlewick/cli/Child.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** The program as a process of its own, to be killed for real. */
+/** Starts the program as a child process, so that it can be killed. */
 public final class Child {
     private Child() {}
 
-    /** Starts a command; its log goes to that file. */
+    /** Starts a sub-command; its output is appended to the file. */
     public static Process start(Path log, Map<String, String> environment, String... words) throws IOException {
         List<String> line = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -31,7 +31,7 @@
         return builder.start();
     }
 
-    /** Waits for what this process has to bring about; one that has ended ends the wait, with its log. */
+    /** Waits for a condition that the process brings about; fails with its log if it ends before. */
     public static void until(Process child, Path log, BooleanSupplier condition) throws Exception {
         while (!condition.getAsBoolean()) {
             if (!child.isAlive()) {
--- a/src/test/java/nettlewick/cli/DatagramRelay.java
+++ b/src/test/java/nettlewick/cli/DatagramRelay.java
@@ -5,13 +5,15 @@
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.util.Arrays;
+import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Carries datagrams between dispatchers, each reached at a port of the relay's; loses, doubles, delays and cuts. */
+/** Forwards datagrams between dispatchers, and loses, duplicates, delays or blocks them. */
 final class DatagramRelay implements AutoCloseable {
     private static final int MAX_DELAY_MILLIS = 20;
     private final DatagramSocket[] ends;
@@ -27,7 +29,7 @@
     private volatile double lossProbability;
     private volatile double duplicationProbability;
     private volatile int muted = -1;
-    private volatile java.util.Set<Integer> partitioned = java.util.Set.of();
+    private volatile Set<Integer> partitioned = Set.of();
 
     DatagramRelay(int[] targets, long seed) throws IOException {
         this.targets = targets.clone();
@@ -43,9 +45,7 @@
     }
 
     int[] ports() {
-        return java.util.Arrays.stream(ends)
-                .mapToInt(DatagramSocket::getLocalPort)
-                .toArray();
+        return Arrays.stream(ends).mapToInt(DatagramSocket::getLocalPort).toArray();
     }
 
     void setFaults(double lossPart, double doublePart) {
@@ -53,13 +53,13 @@
         duplicationProbability = doublePart;
     }
 
-    /** What this one says reaches nobody, though it hears all; -1: nobody is cut off. */
+    /** Blocks all datagrams from one dispatcher, but none to it; -1 blocks none. */
     void mute(int number) {
         muted = number;
     }
 
-    /** Nothing passes between these and the others; none: all is whole. */
-    void partition(java.util.Set<Integer> some) {
+    /** Blocks all datagrams between these dispatchers and the others; an empty set ends the partition. */
+    void partition(Set<Integer> some) {
         partitioned = some;
     }
 
@@ -89,7 +89,7 @@
             } catch (IOException e) {
                 return;
             }
-            byte[] data = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
+            byte[] data = Arrays.copyOf(packet.getData(), packet.getLength());
             synchronized (random) {
                 int from = sender(packet.getPort());
                 boolean cut = from == muted || partitioned.contains(from) != partitioned.contains(to);
--- a/src/test/java/nettlewick/cli/EndpointListProcessTest.java
+++ b/src/test/java/nettlewick/cli/EndpointListProcessTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes before a discovery that falls silent and writes indented lists, and with another site's names. */
+/** Real dispatcher processes with a discovery that falls silent and sends indented JSON, and with other names. */
 @Timeout(120)
 class EndpointListProcessTest {
     private static final long SECOND = 1_000_000_000L;
@@ -81,7 +81,7 @@
                 + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     }
 
-    /** Guards against a list that is read by lines, and a watch that stays open and says nothing. */
+    /** A list may span several lines, and a watch that stays open but silent is replaced. */
     @Test
     void dispatchersNoticeASilentDiscoveryAndStopUsingADrainingEndpoint() throws Exception {
         world.indented = true;
@@ -99,7 +99,7 @@
         world.tell("s-old", "Terminating");
         StubPlatform.until(() -> world.watches.size() >= watches + ports.length);
         StubPlatform.until(() -> {
-            // What was missed has come once a job goes to the new runner; from then on none goes to the old one.
+            // The missed update has arrived once a request goes to the new endpoint.
             for (int port : ports) {
                 String id = "p" + System.nanoTime();
                 if (!answers(port, request(id, "step-view", "red", "5"), " 200 ")
@@ -116,10 +116,10 @@
         }
         assertTrue(
                 world.seen.subList(before, world.seen.size()).stream().noneMatch(s -> s.startsWith("s-old ")),
-                "one drains");
+                "the old endpoint drains");
     }
 
-    /** Names, effects and limits come from the settings: one tenant, no zone, one runner, 300 ms. */
+    /** A class behaves as its settings say, whatever its name: one tenant, no zone, a deadline of 300 ms. */
     @Test
     void classesBehaveAsTheSettingsSayWhateverTheirNames() throws Exception {
         Map<String, Object> config = world.config();
@@ -149,9 +149,9 @@
         };
         String unsafe = send(port, request("u", "step-view", "gilda-do-bairro", "0.3"));
         assertTrue(!unsafe.contains("r-u") && !unsafe.contains(" 503 "), "it may have run: " + unsafe);
-        assertEquals(1, runs("u"), "unsafe under a name that is repeatable elsewhere");
+        assertEquals(1, runs("u"), "non-idempotent here, whatever the name means elsewhere");
         send(port, request("r", "mark-submit", "gilda-do-bairro", "5"));
-        assertTrue(runs("r") <= 6, "within the cap");
+        assertTrue(runs("r") <= 6, "within the cap on attempts");
         world.instead = null;
         assertTrue(send(port, request("z", "zurzir", "gilda-do-bairro", "5")).contains("r-z"));
     }
--- a/src/test/java/nettlewick/cli/FleetTestCommandTest.java
+++ b/src/test/java/nettlewick/cli/FleetTestCommandTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The command {@code fleet-test} as a process, under its older name. */
 @Timeout(60)
 class FleetTestCommandTest {
     private static final String WORLD = """
@@ -44,23 +45,23 @@
 
     @Test
     void aBadScenarioPrintsOneLineAndStartsNothing() throws Exception {
-        Process lab = fleetTest("run", WORLD + "steps {\n at 1s pause s1 for 2s\n}\n");
-        assertTrue(lab.waitFor(30, TimeUnit.SECONDS));
-        assertEquals(2, lab.exitValue());
+        Process process = fleetTest("run", WORLD + "steps {\n at 1s pause s1 for 2s\n}\n");
+        assertTrue(process.waitFor(30, TimeUnit.SECONDS));
+        assertEquals(2, process.exitValue());
         List<String> lines = Files.readAllLines(dir.resolve("log"));
         assertEquals(1, lines.size(), lines::toString);
         assertTrue(lines.get(0).contains("scenario.conf:11: at is s1, but has to be dispatchers"), lines.get(0));
         assertTrue(Files.notExists(dir.resolve("out")));
     }
 
-    /** Guards against hundreds of processes left behind by a lab that somebody ended. */
+    /** Ending a fleet test must end the processes that it started. */
     @Test
     void anInterruptedFleetTestLeavesNoProcess() throws Exception {
-        Process lab = fleetTest("run", WORLD);
-        Child.until(lab, dir.resolve("log"), () -> lab.descendants().count() >= 3);
-        List<ProcessHandle> fleet = lab.descendants().toList();
-        lab.destroy();
-        assertTrue(lab.waitFor(30, TimeUnit.SECONDS));
+        Process process = fleetTest("run", WORLD);
+        Child.until(process, dir.resolve("log"), () -> process.descendants().count() >= 3);
+        List<ProcessHandle> fleet = process.descendants().toList();
+        process.destroy();
+        assertTrue(process.waitFor(30, TimeUnit.SECONDS));
         StubPlatform.until(() -> fleet.stream().noneMatch(ProcessHandle::isAlive));
     }
 }
--- a/src/test/java/nettlewick/cli/LeaseProcessTest.java
+++ b/src/test/java/nettlewick/cli/LeaseProcessTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five real dispatchers, three of them voters, that hand a duty on through a kill, a pause and a planned end. */
+/** Five real dispatcher processes, three of them voters, keep one lease through kills, pauses and partitions. */
 @Timeout(180)
 class LeaseProcessTest {
     private static final int SIZE = 5;
@@ -39,9 +39,9 @@
     private final Path[] log = new Path[SIZE];
     private final int[] ports = new int[SIZE];
     private boolean folders;
-    /** One whose list of voters is another, by mistake. */
+    /** The dispatcher that is configured with a different list of voters; -1 if none. */
     private int differing = -1;
-    /** Where the others reach each: at its own port, or at a relay's. */
+    /** The port at which the others reach each dispatcher: its own, or a relay's. */
     private final int[] reachablePorts = new int[SIZE];
 
     private void start(int number, Map<String, Object> config) throws IOException {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Term and fence of each holding that a log tells of. */
+    /** The fence of each term of the lease that a log reports as held. */
     private static Map<Long, Long> held(Path log) {
         try {
             Map<Long, Long> fences = new TreeMap<>();
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Waits until some process holds the duty for that term or a later one; which. */
+    /** Waits until a process holds the lease for the given term or a later one, and returns its number. */
     private int awaitHolder(long term, int excluded) throws InterruptedException {
         int[] found = {-1};
         StubPlatform.until(() -> {
@@ -131,7 +131,7 @@
         checkTerms(4);
     }
 
-    /** One whose settings name five voters where the others' name three: it votes with nobody, and holds nothing. */
+    /** One dispatcher's settings name five voters, the others' three: it neither votes nor holds the lease. */
     @Test
     void aDispatcherWithAnotherVoterListHoldsNothingAndHindersNobody() throws Exception {
         differing = SIZE - 1;
@@ -152,7 +152,7 @@
         checkTerms(3);
     }
 
-    /** With folders a tier that is killed whole goes on with the terms and above the fences that it had. */
+    /** With persistent voters a fleet that is killed at once continues with later terms and higher fences. */
     @Test
     void aFleetThatLosesPowerContinuesFromStoredTerms() throws Exception {
         folders = true;
@@ -173,7 +173,7 @@
         checkTerms(3);
     }
 
-    /** Cuts, losses, doublings and reorderings between all, and every voter once back without memory. */
+    /** Partitions, lost, duplicated and reordered datagrams, and every voter restarted once without memory. */
     @Test
     void aLeaseSurvivesPartitionsAndVotersWithoutMemory() throws Exception {
         reservePorts();
@@ -195,15 +195,15 @@
             }
             long before = terms().lastKey();
             int last = awaitHolder(before, -1);
-            // The holder's half has two of five and one voter of three, whichever it is.
+            // The holder's side has two of five dispatchers and one of three voters, whoever holds the lease.
             relay.partition(Set.of(last, last < VOTERS ? 4 : 0));
             int next = awaitHolder(before + 1, last);
-            // It may have lost it before the split, to a datagram.
+            // It may have lost the lease before the partition, to a lost datagram.
             StubPlatform.until(() -> count(log[last], "duty-lost") >= count(log[last], "duty-held"));
             relay.partition(Set.of());
             processes[next].destroyForcibly().waitFor();
             awaitHolder(before + 2, next);
-            assertTrue(relay.lostCount() > 0 && relay.duplicatedCount() > 0, "the relay did what it is for");
+            assertTrue(relay.lostCount() > 0 && relay.duplicatedCount() > 0, "the relay lost and duplicated datagrams");
         }
         checkTerms(3);
     }
@@ -224,7 +224,7 @@
         return config;
     }
 
-    /** Stops a holder until another holds the duty for that term, then lets it go on and find out; the other one. */
+    /** Pauses a holder until another one holds the lease for the given term, and returns that one's number. */
     private int pauseUntilReplaced(int stopped, long term) throws Exception {
         signal(stopped, "-STOP");
         int next = awaitHolder(term, stopped);
@@ -233,7 +233,7 @@
         return next;
     }
 
-    /** Starts one anew that has forgotten everything, and waits until it votes again, if it is to. */
+    /** Restarts a dispatcher without memory, and waits until it votes again if it is a voter. */
     private void restart(StubPlatform platform, int number) throws Exception {
         start(number, config(platform, number));
         if (number < VOTERS) {
@@ -241,7 +241,7 @@
         }
     }
 
-    /** Danger: a voter that has not heard the others yet counts as one that is lost; two of three are too many. */
+    /** Starts all and waits until all voters vote: one that has not heard from the others yet counts as failed. */
     private void startAll(StubPlatform platform) throws Exception {
         for (int n = 0; n < SIZE; n++) {
             start(n, config(platform, n));
@@ -252,7 +252,7 @@
         }
     }
 
-    /** The fence of each term, over all logs: none was held twice. */
+    /** The fence of each term over all logs; fails if a term was held twice. */
     private TreeMap<Long, Long> terms() {
         TreeMap<Long, Long> fences = new TreeMap<>();
         for (Path one : logs) {
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -32,7 +32,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The real program, killed for real: no job answered is missing, none is entered twice, none delivered twice.
+ * Real processes, killed at random: no answered request is missing from the ledger, and none is recorded or delivered
+ * twice.
  */
 @Timeout(300)
 class LedgerKillProcessTest {
@@ -53,7 +54,7 @@
                 dir.resolve(name), "ledger {\nstore \"" + dir.resolve("store") + "\"\n" + more + "\n}\n");
     }
 
-    /** One job; whether it was answered whole, whatever the answer. Null where the connection broke. */
+    /** Sends a request; whether its response is complete, whatever it says, or null if the connection broke. */
     private static Boolean ask(int port, String id) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream()
@@ -79,7 +80,6 @@
         Random random = new Random(412);
         Set<String> answered = ConcurrentHashMap.newKeySet();
         Set<String> asked = ConcurrentHashMap.newKeySet();
-        Path log = dir.resolve("log");
         Path sync = conf("sync.conf", "mode sync");
         Path batch = conf("batch.conf", "mode batch 20ms");
         try (StandIns world = new StandIns()) {
@@ -89,66 +89,77 @@
             }
             for (int kill = 0; kill < KILLS; kill++) {
                 int port = freePort();
-                Map<String, Object> config = world.config();
-                config.put("listen", "127.0.0.1:" + port);
-                Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
-                Process child = Child.start(
-                        log,
-                        Map.of("ROUTER_CONFIG", file.toString()),
-                        "serve",
-                        "--settings",
-                        (kill % 2 == 0 ? sync : batch).toString());
-                StandIns.until(() -> !child.isAlive() || healthy(port));
-                assertTrue(child.isAlive(), "it started: " + Files.readString(log));
-                // Killed by the count of answers, drawn from the seed: at any point between intent and entry.
-                AtomicInteger left = new AtomicInteger(1 + random.nextInt(120));
-                int spin = random.nextInt(40_000);
-                String life = "k" + kill + "-";
-                AtomicInteger number = new AtomicInteger();
-                List<Thread> clients = new ArrayList<>();
-                for (int c = 0; c < CLIENTS; c++) {
-                    Thread client = new Thread(() -> {
-                        while (child.isAlive()) {
-                            String id = life + number.incrementAndGet();
-                            asked.add(id);
-                            if (Boolean.TRUE.equals(ask(port, id))) {
-                                answered.add(id);
-                            }
-                            if (left.decrementAndGet() == 0) {
-                                for (int i = 0; i < spin; i++) {
-                                    Thread.onSpinWait();
-                                }
-                                child.destroyForcibly();
-                            }
-                        }
-                    });
-                    client.start();
-                    clients.add(client);
-                }
-                for (Thread client : clients) {
-                    client.join();
-                }
-                child.waitFor();
+                Process child = startDispatcher(world, port, kill % 2 == 0 ? sync : batch);
+                sendUntilKilled(child, port, "k" + kill + "-", random, asked, answered);
             }
         }
-        // Any command that writes enters what the last life left.
+        // Any command that writes records what the last incarnation left.
         LedgerSettings settings =
                 LedgerSettings.of(Settings.read(batch).block("ledger").orElseThrow());
-        StoreProbe.Seen seen = StoreProbe.recover(settings);
+        assertEachAnswerOnce(StoreProbe.recover(settings), asked, answered);
+    }
+
+    private Process startDispatcher(StandIns world, int port, Path settings) throws Exception {
+        Map<String, Object> config = world.config();
+        config.put("listen", "127.0.0.1:" + port);
+        Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
+        Path log = dir.resolve("log");
+        Process child =
+                Child.start(log, Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
+        StandIns.until(() -> !child.isAlive() || healthy(port));
+        assertTrue(child.isAlive(), "it started: " + Files.readString(log));
+        return child;
+    }
+
+    /** Sends requests from several clients; after a random number of answers the process is killed. */
+    private static void sendUntilKilled(
+            Process child, int port, String prefix, Random random, Set<String> asked, Set<String> answered)
+            throws Exception {
+        AtomicInteger left = new AtomicInteger(1 + random.nextInt(120));
+        int spin = random.nextInt(40_000);
+        AtomicInteger number = new AtomicInteger();
+        List<Thread> clients = new ArrayList<>();
+        for (int c = 0; c < CLIENTS; c++) {
+            Thread client = new Thread(() -> {
+                while (child.isAlive()) {
+                    String id = prefix + number.incrementAndGet();
+                    asked.add(id);
+                    if (Boolean.TRUE.equals(ask(port, id))) {
+                        answered.add(id);
+                    }
+                    if (left.decrementAndGet() == 0) {
+                        for (int i = 0; i < spin; i++) {
+                            Thread.onSpinWait();
+                        }
+                        child.destroyForcibly();
+                    }
+                }
+            });
+            client.start();
+            clients.add(client);
+        }
+        for (Thread client : clients) {
+            client.join();
+        }
+        child.waitFor();
+    }
+
+    private static void assertEachAnswerOnce(StoreProbe.Seen seen, Set<String> asked, Set<String> answered)
+            throws Exception {
         Map<String, Integer> times = new HashMap<>();
         seen.entered().forEach(id -> times.merge(id, 1, Integer::sum));
         seen.doubts().forEach(id -> times.merge(id, 1, Integer::sum));
         List<String> missing =
                 answered.stream().filter(id -> !times.containsKey(id)).toList();
-        assertEquals(List.of(), missing, "answered and neither entered nor in doubt");
+        assertEquals(List.of(), missing, "answered and neither recorded nor in doubt");
         assertEquals(
                 List.of(),
                 times.entrySet().stream().filter(e -> e.getValue() > 1).toList(),
-                "entered twice");
+                "recorded twice");
         assertTrue(asked.containsAll(times.keySet()), "invented");
-        // What is entered and not answered was on its way when the process was killed: one a client at most.
+        // Recorded but not answered: in flight when the process was killed, at most one per client.
         long more = times.keySet().stream().filter(id -> !answered.contains(id)).count();
-        assertTrue(more <= (long) KILLS * CLIENTS, more + " entered or in doubt and not seen answered");
+        assertTrue(more <= (long) KILLS * CLIENTS, more + " recorded or in doubt and not seen answered");
         assertEquals(
                 answered.size() + more, seen.entered().size() + seen.doubts().size());
         assertTrue(answered.size() > KILLS * 20, answered.size() + " answered");
@@ -165,7 +176,7 @@
         }
     }
 
-    /** The exporter as a process, killed around each of its calls, with a receiver that fails too. */
+    /** The exporter is killed around each of its calls, and the receiver fails as well. */
     @Test
     void aKilledExporterDeliversEachEntryOnce() throws Exception {
         Random random = new Random(77);
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -8,20 +8,25 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.ByteArrayOutputStream;
+import java.io.InputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Semaphore;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.ledger.StoreProbe;
+import nettlewick.log.LogSetup;
 import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.slf4j.LoggerFactory;
 
-/** The command line: one plain line and an exit code for whatever is wrong. */
+/** The command line: errors are one line and an exit code. */
 class MainTest {
     private static String run(int code, String... args) {
         PrintStream before = System.err;
@@ -52,7 +57,7 @@
     }
 
     /**
-     * Guards against the JVM's own answer to SIGHUP, which is to end; one that came early is not forgotten.
+     * The JVM itself would end on SIGHUP; a signal before the handler is installed is kept.
      */
     @Test
     @Timeout(20)
@@ -85,7 +90,48 @@
         assertTrue(out(0, "--help").contains("serve"));
         String serve = out(0, "serve", "--help");
         assertTrue(serve.contains("--settings") && !serve.contains("replay"), serve);
-        assertTrue(out(0, "replay", "--help").contains("Usage: replay"), "what it requires may be missing");
+        assertTrue(out(0, "replay", "--help").contains("Usage: replay"), "required arguments may be missing");
+    }
+
+    /** Deploy files and scripts use the older names. */
+    @ParameterizedTest
+    @CsvSource({"simulator-adapter, drill", "fleet-test, lab", "warm-up, warm"})
+    void aCommandAnswersToItsNameAndItsAlias(String name, String alias) {
+        String usage = out(0, name, "--help");
+        assertTrue(usage.contains("Usage: " + name), usage);
+        assertEquals(usage, out(0, alias, "--help"));
+        assertEquals(run(2, name, "--nope"), run(2, alias, "--nope"));
+    }
+
+    @Test
+    void aFleetTestScenarioIsCheckedUnderBothNames(@TempDir Path dir) throws Exception {
+        Path scenario = Files.writeString(
+                dir.resolve("scenario.conf"),
+                "world {\ndispatchers 3\nrunners 2\n}\n"
+                        + "load {\nrate 5\nlength 10m\nclass step-view 100% 50ms 500ms\n}\n");
+        String checked = out(0, "fleet-test", "check", scenario.toString());
+        assertFalse(checked.isBlank());
+        assertEquals(checked, out(0, "lab", "check", scenario.toString()));
+        assertEquals(run(2, "fleet-test", "nope"), run(2, "lab", "nope"));
+    }
+
+    @Test
+    @Timeout(60)
+    void warmingUpEndsWithZeroUnderBothNames() {
+        assertEquals("", out(0, "warm-up"));
+        assertEquals("", out(0, "warm"));
+    }
+
+    @Test
+    void theSimulatorAdapterEndsWithItsInputUnderBothNames() {
+        InputStream before = System.in;
+        try {
+            System.setIn(InputStream.nullInputStream());
+            assertEquals("", out(0, "simulator-adapter"));
+            assertEquals("", out(0, "drill"));
+        } finally {
+            System.setIn(before);
+        }
     }
 
     @Test
@@ -100,7 +146,7 @@
         run(2, "settings", "check", dir.resolve("none").toString());
     }
 
-    /** Guards against a file that is half taken over: it is read whole before anything of it counts. */
+    /** A file is read and checked as a whole before any of it is applied. */
     @Test
     void reloadedSettingsApplyAsAWholeOrNotAtAll(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("c"), "log {\nlevel error\n}\n");
@@ -110,12 +156,12 @@
             assertTrue(assertThrows(InvalidSettingsException.class, settings::prepareReload)
                     .getMessage()
                     .contains("c:4: edge lacks"));
-            assertFalse(LoggerFactory.getLogger("x").isWarnEnabled(), "the old level stays");
+            assertFalse(LoggerFactory.getLogger("x").isWarnEnabled(), "the old level stays in force");
             Files.writeString(file, "log {\nlevel debug\n}\n");
             settings.prepareReload().run();
             assertTrue(LoggerFactory.getLogger("x").isDebugEnabled());
         } finally {
-            nettlewick.log.LogSetup.apply(java.util.Optional.empty());
+            LogSetup.apply(Optional.empty());
         }
     }
 
--- a/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -6,6 +6,7 @@
 import com.google.gson.Gson;
 import io.vertx.core.buffer.Buffer;
 import java.io.BufferedInputStream;
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -17,10 +18,14 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import nettlewick.net.StandIns;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -28,15 +33,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A rolling restart of three real dispatchers by SIGTERM, under clients that keep their connections, that send several
- * requests at once on them, and that open a new one for each.
+ * A rolling restart of three real dispatcher processes by SIGTERM, under clients that reuse connections, that pipeline
+ * requests, and that open a connection for each request.
  */
 @Timeout(120)
 class RollingRestartProcessTest {
     private static final int DISPATCHERS = 3;
     private static final int CLIENTS = 9;
     private static final int PIPELINED = 3;
-    /** Of requests on new connections, one in so many may be answered by a close. */
+    /** One request in this many on a new connection may be answered by a close. */
     private static final int MAX_BROKEN_RATIO = 200;
 
     @TempDir
@@ -45,7 +50,7 @@
     private final int[] ports = new int[DISPATCHERS];
     private final Process[] dispatchers = new Process[DISPATCHERS];
     private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
-    private final Map<String, AtomicInteger> statuses = new java.util.concurrent.ConcurrentHashMap<>();
+    private final Map<String, AtomicInteger> statuses = new ConcurrentHashMap<>();
     private final AtomicInteger numbers = new AtomicInteger();
     private final AtomicInteger newOnes = new AtomicInteger();
     private final AtomicInteger newBroken = new AtomicInteger();
@@ -53,11 +58,11 @@
 
     private record Answer(String status, String head) {
         boolean last() {
-            return head.toLowerCase(java.util.Locale.ROOT).contains("\nconnection: close");
+            return head.toLowerCase(Locale.ROOT).contains("\nconnection: close");
         }
     }
 
-    /** The next answer, or null where the connection ended before its first byte. */
+    /** The next response, or null if the connection ended before its first byte. */
     private static Answer read(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -67,8 +72,7 @@
             }
             head.append((char) b);
         }
-        java.util.regex.Matcher length =
-                java.util.regex.Pattern.compile("(?i)content-length: (\\d+)").matcher(head);
+        Matcher length = Pattern.compile("(?i)content-length: (\\d+)").matcher(head);
         in.readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
         return new Answer(head.substring(9, 12), head.toString());
     }
@@ -97,12 +101,12 @@
         return socket;
     }
 
-    /** On one connection as long as it stays open: so many requests at once, then their answers. */
+    /** Sends that many requests at once on one connection and reads their responses, as long as it stays open. */
     private void useOneConnection(int client, int at, int together) {
         try (Socket socket = connect(at)) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (boolean last = false; !last && !stopped; ) {
-                java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
+                ByteArrayOutputStream all = new ByteArrayOutputStream();
                 List<String> ids = new ArrayList<>();
                 for (int i = 0; i < together; i++) {
                     ids.add(id(client));
@@ -126,7 +130,7 @@
                 }
             }
         } catch (IOException e) {
-            // Nobody was there, or the connection had ended before anything was sent.
+            // The dispatcher is down, or the connection ended before anything was sent.
             pause();
         }
     }
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real dispatcher whose signals cross one another and the requests of its clients. */
+/** A real dispatcher process that receives several signals while requests are in flight. */
 @Timeout(60)
 class SignalsProcessTest {
     @TempDir
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Guards against a reload, or a second SIGTERM, that cuts a planned end short. */
+    /** Neither a reload nor a second SIGTERM may cut a graceful shutdown short. */
     @Test
     void aGracefulShutdownAnswersAllRequestsThoughSignalsCross() throws Exception {
         int port;
@@ -94,7 +94,7 @@
                                     .body());
                 }
                 assertEquals("r-w", working.read().body());
-                assertNull(kept.read(), "ended in good order, not reset");
+                assertNull(kept.read(), "closed, not reset");
             }
             assertTrue(dispatcher.waitFor(15, TimeUnit.SECONDS), "it has not ended");
             assertEquals(0, dispatcher.exitValue());
