--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -22,60 +22,64 @@
 import nettlewick.net.lifecycle.HotRestart;
 import nettlewick.pcap.CaptureWriter;
 
-@Parameters(commandNames = "serve", commandDescription = "Run one real dispatcher, as $ROUTER_CONFIG tells")
+/** Runs one dispatcher until it receives SIGTERM. */
+@Parameters(commandDescription = "Run one dispatcher, configured by $ROUTER_CONFIG")
 final class ServeCommand implements Command {
-    @Parameter(names = "--settings", description = "File with settings of our own: further fronts, logs, ledger")
+    @Parameter(
+            names = "--settings",
+            description = "Settings file: further frontends, log, ledger, leases, tenant pools")
     private String settingsFile;
 
-    @Parameter(names = "--capture", description = "File that the traffic served is written to, as pcap")
+    @Parameter(names = "--capture", description = "File that the served traffic is written to, as pcap")
     private String capture;
 
-    @Parameter(names = "--capture-mb", description = "Most megabytes of that file")
-    private int captureMost = 16;
+    @Parameter(names = "--capture-mb", description = "Maximum size of that file in megabytes")
+    private int captureMegabytes = 16;
 
     @Parameter(
             names = "--clock-ahead",
             hidden = true,
-            description = "Milliseconds by which this process's clock is off, for the lab")
-    private long clockAhead;
+            description = "Milliseconds by which this process's clock is ahead, for fleet tests")
+    private long clockAheadMillis;
 
     private static final ComponentLogger LOG = ComponentLogger.of("node");
-    private static final long MEGABYTE = 1 << 20;
-    private static final int START_SECONDS = 20;
+    private static final long BYTES_PER_MEGABYTE = 1 << 20;
+    private static final int START_TIMEOUT_SECONDS = 20;
 
     @Override
     public int run() {
-        OptionalFeatures more = settingsFile == null ? OptionalFeatures.NONE : new SettingsFile(settingsFile);
+        OptionalFeatures features =
+                settingsFile == null ? OptionalFeatures.NONE : new SettingsFileFeatures(settingsFile);
         PlatformConfig config;
-        List<Frontend.Maker> fronts = new ArrayList<>();
-        Clock clock = Clock.system(clockAhead);
+        List<Frontend.Maker> frontends = new ArrayList<>();
+        Clock clock = Clock.system(clockAheadMillis);
         try {
             config = PlatformConfig.load(System.getenv());
-            TrafficListener tap = capture == null ? TrafficListener.NONE : writer(clock);
-            fronts.add(base -> new PlatformFrontend(base, tap));
-            more.fronts(fronts);
-            more.start(config, clock);
+            TrafficListener listener = capture == null ? TrafficListener.NONE : captureWriter(clock);
+            frontends.add(base -> new PlatformFrontend(base, listener));
+            features.addFrontends(frontends);
+            features.start(config, clock);
         } catch (JsonFields.InvalidFieldException e) {
-            throw new UsageException(Main.MISUSED, e.getMessage());
+            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
             throw new UsageException(Main.FAILED, "cannot start: " + e.getMessage());
         }
-        DispatcherServer node = new DispatcherServer(
-                        config, clock, succession(config, clock), fronts.toArray(Frontend.Maker[]::new))
-                .keep(more.books())
-                .tell(more.witness());
-        // Danger: by itself the JVM ends on SIGTERM with code 143; what was taken is answered first, then 0.
+        DispatcherServer server = new DispatcherServer(
+                        config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Maker[]::new))
+                .keep(features.usageRecorder())
+                .tell(features.requestListener());
+        // By itself the JVM would end on SIGTERM with code 143 at once; requests in flight are answered first.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            node.shutDown();
-                            more.close();
+                            server.shutDown();
+                            features.close();
                             Runtime.getRuntime().halt(0);
                         },
                         "shutdown"));
-        ReloadSignal.serve(() -> reread(node, more));
+        ReloadSignal.onSignal(() -> reload(server, features));
         try {
-            node.start().toCompletionStage().toCompletableFuture().get(START_SECONDS, TimeUnit.SECONDS);
+            server.start().toCompletionStage().toCompletableFuture().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("nettlewick: cannot listen: " + e.getMessage());
             Runtime.getRuntime().halt(Main.FAILED);
@@ -85,8 +89,8 @@
         return 0;
     }
 
-    /** Tells this process from others of the same dispatcher; null where that cannot be told. */
-    private static HotRestart succession(PlatformConfig config, Clock clock) {
+    /** Hands over from and to other processes of the same dispatcher; null if that is not possible. */
+    private static HotRestart hotRestart(PlatformConfig config, Clock clock) {
         try {
             return config.listen().port() == 0
                     ? null
@@ -100,20 +104,21 @@
         }
     }
 
-    /** Danger: a bad file must not cost what is in force. Both are read before either counts. */
-    private static void reread(DispatcherServer node, OptionalFeatures more) {
+    /** Reads both files before either is applied: an invalid one leaves all in force as it is. */
+    private static void reload(DispatcherServer server, OptionalFeatures features) {
         try {
             PlatformConfig config = PlatformConfig.reload(System.getenv());
-            more.reread().run();
-            node.reload(config);
+            features.prepareReload().run();
+            server.reload(config);
         } catch (RuntimeException e) {
             LOG.warning("old-configuration-stays", "the old configuration stays: " + e.getMessage());
         }
     }
 
-    private TrafficListener writer(Clock clock) {
+    private TrafficListener captureWriter(Clock clock) {
         try {
-            return new CaptureWriter(Files.newOutputStream(Path.of(capture)), clock, captureMost * MEGABYTE);
+            return new CaptureWriter(
+                    Files.newOutputStream(Path.of(capture)), clock, captureMegabytes * BYTES_PER_MEGABYTE);
         } catch (IOException | IllegalArgumentException e) {
             throw new UsageException(Main.FAILED, "--capture " + capture + " cannot be written: " + e.getMessage());
         }
--- a/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
+++ b/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
@@ -5,7 +5,8 @@
 import nettlewick.simulator.MalformedMessageException;
 import nettlewick.simulator.SimulatorAdapter;
 
-@Parameters(commandNames = "drill", commandDescription = "Serve the simulator's wire on standard input and output")
+/** Serves the platform's simulator on standard input and output. */
+@Parameters(commandDescription = "Serve the simulator's wire on standard input and output")
 final class SimulatorAdapterCommand implements Command {
     @Override
     public int run() {
--- a/src/main/java/nettlewick/contention/ContentionEvidence.java
+++ b/src/main/java/nettlewick/contention/ContentionEvidence.java
@@ -7,229 +7,155 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
-import org.apache.commons.statistics.distribution.HypergeometricDistribution;
 
 /**
- * What the tier has seen of one member, by windows, and whether its work harms the others' (docs/pools.md).
- * One for each holding of the member's duty. Pure.
+ * Collects all dispatchers' reports on one tenant in windows and judges whether the tenant's load harms other tenants.
+ * A lease holder creates one when it acquires the tenant's lease. Confined to one thread.
  */
 public final class ContentionEvidence {
-    /** Windows that a verdict looks at, and how many of them have to show a member over its share. */
+    /** Windows that a verdict looks at. */
     static final int WINDOWS = 6;
-
-    private static final int SUSTAINED = 4;
-    /** Over its share by this factor. */
-    private static final double OVER = 1.25;
-    /** Jobs of others that a comparison needs on each side. */
-    private static final int LEAST = 20;
-    /** How often others may be harmed by chance or at any time, and the level of the test. */
-    static final double HARMED = 0.05;
-
-    private static final double TWICE = 2;
-    private static final double LEVEL = 0.01;
-    /** Others' jobs that run so much longer against their hints are slowed by something else. */
-    private static final double SLOWED = 1.5;
-    /** The part that this member has in all that is asked for beyond shares. */
-    private static final double WORTH = 0.5;
-    /** A life of a dispatcher, with what it had counted by the end of each window. */
-    private static final class Teller {
-        long life;
-        final TreeMap<Long, UsageReport> counted = new TreeMap<>();
-    }
-
-    /** What a window, or some of them, came to without one dispatcher. */
-    private static final class View {
-        UsageReport sum = UsageReport.NOTHING;
-        int over;
-    }
+    /** How many of them must show the tenant over its quota. */
+    private static final int MIN_OVER_QUOTA_WINDOWS = 4;
+    /** Stands for "leave no dispatcher out". */
+    private static final int NO_DISPATCHER = -1;
 
     /**
-     * What a window came to.
+     * The verdict at the end of a window.
      *
-     * @param noisy whether the member is to be moved, by all of the last windows
-     * @param over  whether it asked for more than its share in this one
-     * @param part  its part of all work asked for in this one
+     * @param causesContention whether the tenant is to be migrated, judged by the last windows together
+     * @param overQuota        whether it asked for more than its quota in this window
+     * @param demandFraction   its fraction of all work requested in this window
      */
-    public record Finding(boolean noisy, boolean over, double part) {}
+    public record Finding(boolean causesContention, boolean overQuota, double demandFraction) {}
 
-    private final int member;
-    private final double share;
-    private final Map<Integer, Double> shares;
-    private final Map<Integer, Teller> tellers = new HashMap<>();
-    /** The number of the window that is open. */
-    private long open = WINDOWS;
+    private final int tenantHash;
+    private final double quota;
+    private final Map<Integer, Double> quotaByTenantHash = new HashMap<>();
+    private final Map<Integer, DispatcherHistory> historyByDispatcher = new HashMap<>();
+    private long openWindow = WINDOWS;
+    private int unsolicitedReports;
 
-    private UncontendedBaseline quiet = UncontendedBaseline.NONE;
-    private int alarms;
-    /** Marks of the other members that are apart, and of their runners. */
-    private final Set<Integer> others = new HashSet<>();
-
-    private final Set<Integer> elsewhere = new HashSet<>();
-
-    /** @param shares of all members, by name; they add up to one or less */
-    public ContentionEvidence(String tenant, Map<String, Double> shares) {
-        this.member = UsageCounters.mark(tenant);
-        share = shares.getOrDefault(tenant, 0.0);
-        this.shares = new HashMap<>();
-        shares.forEach((name, part) -> this.shares.put(UsageCounters.mark(name), part));
+    /**
+     * Creates the evidence on one tenant, without any report.
+     *
+     * @param quotas of all tenants, by name, as fractions; they add up to one at most
+     */
+    public ContentionEvidence(String tenant, Map<String, Double> quotas) {
+        tenantHash = UsageCounters.nameHash(tenant);
+        quota = quotas.getOrDefault(tenant, 0.0);
+        quotas.forEach((name, fraction) -> quotaByTenantHash.put(UsageCounters.nameHash(name), fraction));
     }
 
     /**
-     * A dispatcher's word; what no version here has written is passed over, and false comes back. A word may
-     * tell what was true some windows ago: a new holder is told what the one before it had heard.
+     * Adds a dispatcher's report. It may describe an earlier window: dispatchers repeat recent windows to a new holder.
+     *
+     * @return false if the data is no report of a known format, or too old; it is ignored then
      */
-    public boolean hear(int from, long life, byte[] data) {
-        UsageReport word = UsageReport.of(data);
-        if (word == null || UsageReport.age(data) < 0 || UsageReport.age(data) > WINDOWS) {
+    public boolean recordReport(int dispatcher, long incarnation, byte[] data) {
+        UsageReport report = UsageReportCodec.decode(data);
+        if (report == null || UsageReportCodec.ageWindows(data) < 0 || UsageReportCodec.ageWindows(data) > WINDOWS) {
             return false;
         }
-        alarms += word.alarmed() ? 1 : 0;
-        Teller t = tellers.computeIfAbsent(from, f -> new Teller());
-        if (t.life != life) {
-            // What a life had seen before it was first heard of belongs to no window.
-            t.life = life;
-            t.counted.clear();
-        }
-        t.counted.merge(open - UsageReport.age(data), word, UsageReport::most);
+        unsolicitedReports += report.unsolicited() ? 1 : 0;
+        historyByDispatcher
+                .computeIfAbsent(dispatcher, d -> new DispatcherHistory())
+                .record(incarnation, openWindow - UsageReportCodec.ageWindows(data), report);
         return true;
     }
 
     /**
-     * Closes a window and judges.
+     * Closes the open window and judges the last ones.
      *
-     * @param apart other members that are in pools of their own, and the sim runners there: what happens
-     *              between them harms nobody else, and is no measure of what others' jobs are like
+     * @param isolated other tenants that are confined to dedicated endpoints, with those endpoints: what happens there
+     *                 harms nobody else and says nothing about the shared endpoints
      */
-    public Finding window(Map<String, Set<String>> apart) {
-        others.clear();
-        elsewhere.clear();
-        apart.forEach((name, endpoints) -> {
-            others.add(UsageCounters.mark(name));
-            endpoints.forEach(r -> elsewhere.add(UsageCounters.mark(r)));
+    public Finding closeWindow(Map<String, Set<String>> isolated) {
+        Set<Integer> isolatedTenants = new HashSet<>();
+        Set<Integer> isolatedEndpoints = new HashSet<>();
+        isolated.forEach((name, endpoints) -> {
+            isolatedTenants.add(UsageCounters.nameHash(name));
+            endpoints.forEach(endpoint -> isolatedEndpoints.add(UsageCounters.nameHash(endpoint)));
         });
-        List<Map<Integer, UsageReport>> windows = new ArrayList<>();
-        for (int n = 0; n < WINDOWS; n++) {
-            windows.add(new LinkedHashMap<>());
-        }
-        long first = open - WINDOWS + 1;
-        tellers.forEach((from, t) -> {
-            t.counted.headMap(first - 1).clear();
-            UsageReport before = null;
-            for (Map.Entry<Long, UsageReport> e : t.counted.entrySet()) {
-                // Danger: a word that came late may say less than one of an older window.
-                UsageReport all = before == null ? e.getValue() : before.most(e.getValue());
-                if (before != null) {
-                    windows.get((int) (e.getKey() - first)).put(from, all.minus(before));
-                }
-                before = all;
-            }
-        });
-        open++;
-        UsageReport last = sum(windows.get(WINDOWS - 1), -1);
-        boolean over = over(last, member, share);
-        return new Finding(over && noisy(windows), over, part(last, member));
+        List<Map<Integer, UsageReport>> windows = recentWindows();
+        openWindow++;
+        UsageReport last = sum(windows.get(WINDOWS - 1), NO_DISPATCHER);
+        boolean overQuota = TenantDemand.isOverQuota(last, tenantHash, quota);
+        return new Finding(
+                overQuota && causesContention(windows, isolatedTenants, isolatedEndpoints),
+                overQuota,
+                TenantDemand.fraction(last, tenantHash));
     }
 
-    /** Whether any dispatcher has spoken of its own accord since this was asked last. */
-    public boolean alarmed() {
-        boolean any = alarms > 0;
-        alarms = 0;
+    /** Whether any dispatcher has sent an unsolicited report since the last call. */
+    public boolean takeUnsolicited() {
+        boolean any = unsolicitedReports > 0;
+        unsolicitedReports = 0;
         return any;
     }
 
-    private static double part(UsageReport sum, int of) {
-        return sum.total() <= 0 ? 0 : sum.asked().getOrDefault(of, 0L) / (double) sum.total();
-    }
-
-    static boolean over(UsageReport sum, int tenant, double share) {
-        return part(sum, tenant) > OVER * share;
+    /** For each of the last windows, oldest first, what each dispatcher counted in it. */
+    private List<Map<Integer, UsageReport>> recentWindows() {
+        List<Map<Integer, UsageReport>> windows = new ArrayList<>();
+        for (int n = 0; n < WINDOWS; n++) {
+            windows.add(new LinkedHashMap<>());
+        }
+        long firstWindow = openWindow - WINDOWS + 1;
+        historyByDispatcher.forEach((dispatcher, history) -> history.forEachWindow(
+                firstWindow,
+                (window, counts) -> windows.get((int) (window - firstWindow)).put(dispatcher, counts)));
+        return windows;
     }
 
-    private static UsageReport sum(Map<Integer, UsageReport> window, int without) {
-        UsageReport sum = UsageReport.NOTHING;
-        for (Map.Entry<Integer, UsageReport> e : window.entrySet()) {
-            sum = e.getKey() == without ? sum : sum.plus(e.getValue());
+    private static UsageReport sum(Map<Integer, UsageReport> window, int excludedDispatcher) {
+        UsageReport sum = UsageReport.EMPTY;
+        for (Map.Entry<Integer, UsageReport> entry : window.entrySet()) {
+            sum = entry.getKey() == excludedDispatcher ? sum : sum.plus(entry.getValue());
         }
         return sum;
     }
 
-    /** Danger: one that lies, or whose links are broken, must not move a member by itself. */
-    private boolean noisy(List<Map<Integer, UsageReport>> windows) {
-        if (!holds(windows, -1)) {
+    /**
+     * The evidence must hold with any one dispatcher left out, so that one that reports falsely, or whose network is
+     * broken, cannot have a tenant migrated.
+     */
+    private boolean causesContention(
+            List<Map<Integer, UsageReport>> windows, Set<Integer> isolatedTenants, Set<Integer> isolatedEndpoints) {
+        if (!isShownWithout(NO_DISPATCHER, windows, isolatedTenants, isolatedEndpoints)) {
             return false;
         }
-        Set<Integer> all = new HashSet<>();
-        windows.forEach(w -> all.addAll(w.keySet()));
-        return all.size() > 1 && all.stream().allMatch(one -> holds(windows, one));
+        Set<Integer> dispatchers = new HashSet<>();
+        windows.forEach(window -> dispatchers.addAll(window.keySet()));
+        return dispatchers.size() > 1
+                && dispatchers.stream().allMatch(d -> isShownWithout(d, windows, isolatedTenants, isolatedEndpoints));
     }
 
-    private boolean holds(List<Map<Integer, UsageReport>> windows, int without) {
-        quiet = UncontendedBaseline.NONE;
-        tellers.forEach((from, t) -> quiet = from == without || t.counted.isEmpty()
-                ? quiet
-                : quiet.plus(t.counted.lastEntry().getValue().quiet()));
-        View v = new View();
+    private boolean isShownWithout(
+            int excludedDispatcher,
+            List<Map<Integer, UsageReport>> windows,
+            Set<Integer> isolatedTenants,
+            Set<Integer> isolatedEndpoints) {
+        UsageReport total = UsageReport.EMPTY;
+        int overQuotaWindows = 0;
         for (Map<Integer, UsageReport> window : windows) {
-            UsageReport sum = sum(window, without);
-            v.sum = v.sum.plus(sum);
-            v.over += over(sum, member, share) ? 1 : 0;
-        }
-        return v.over >= SUSTAINED && worth(v.sum, member, shares, others) && attributable(v.sum) && !slowed(v.sum);
-    }
-
-    /**
-     * Whether a member asks for so much of what all ask for beyond their shares, those apart left out.
-     *
-     * @param shares by the marks of names
-     */
-    static boolean worth(UsageReport sum, int tenant, Map<Integer, Double> shares, Set<Integer> apart) {
-        double beyond = 0;
-        for (int other : sum.asked().keySet()) {
-            beyond += apart.contains(other) ? 0 : Math.max(0, part(sum, other) - shares.getOrDefault(other, 0.0));
+            UsageReport sum = sum(window, excludedDispatcher);
+            total = total.plus(sum);
+            overQuotaWindows += TenantDemand.isOverQuota(sum, tenantHash, quota) ? 1 : 0;
         }
-        return part(sum, tenant) - shares.getOrDefault(tenant, 0.0) >= WORTH * beyond;
+        UncontendedBaseline baseline = baselineWithout(excludedDispatcher);
+        return overQuotaWindows >= MIN_OVER_QUOTA_WINDOWS
+                && TenantDemand.causesMostExcess(total, tenantHash, quotaByTenantHash, isolatedTenants)
+                && HarmAnalysis.isAttributable(total, baseline, quota, isolatedEndpoints)
+                && !HarmAnalysis.isSlowedByOtherCause(total, baseline);
     }
 
-    private boolean slowed(UsageReport sum) {
-        return quiet.hinted() > 0
-                && sum.hinted() > 0
-                && sum.ran() / (double) sum.hinted() > SLOWED * quiet.ran() / quiet.hinted();
-    }
-
-    /** Whether others are harmed more often where this member is than where, or when, it is not. */
-    private boolean attributable(UsageReport sum) {
-        long with = 0;
-        long harmedWith = 0;
-        double rest = 0;
-        double harmedRest = 0;
-        for (Map.Entry<Integer, UsageReport.At> e : sum.at().entrySet()) {
-            UsageReport.At a = elsewhere.contains(e.getKey()) ? UsageReport.At.NONE : e.getValue();
-            if (a.all() > 0 && a.own() > share * a.all()) {
-                with += a.others();
-                harmedWith += a.harmed();
-            } else {
-                rest += a.others();
-                harmedRest += a.harmed();
+    private UncontendedBaseline baselineWithout(int excludedDispatcher) {
+        UncontendedBaseline baseline = UncontendedBaseline.NONE;
+        for (Map.Entry<Integer, DispatcherHistory> entry : historyByDispatcher.entrySet()) {
+            if (entry.getKey() != excludedDispatcher) {
+                baseline = baseline.plus(entry.getValue().latestBaseline());
             }
         }
-        if (rest < LEAST) {
-            rest = quiet.others();
-            harmedRest = quiet.harmed();
-        }
-        if (with < LEAST
-                || rest < LEAST
-                || harmedWith < HARMED * with
-                || harmedWith / (double) with < TWICE * harmedRest / rest) {
-            return false;
-        }
-        int restAll = (int) Math.min(Integer.MAX_VALUE / 4, Math.round(rest));
-        int restHarmed = (int) Math.min(restAll, Math.round(harmedRest));
-        int withAll = (int) Math.min(Integer.MAX_VALUE / 4, with);
-        int withHarmed = (int) Math.min(withAll, harmedWith);
-        // Fisher's exact test, one side: the chance of so many harmed among these, were all alike.
-        return HypergeometricDistribution.of(restAll + withAll, restHarmed + withHarmed, withAll)
-                        .survivalProbability(withHarmed - 1)
-                < LEVEL;
+        return baseline;
     }
 }
--- a/src/main/java/nettlewick/contention/UncontendedBaseline.java
+++ b/src/main/java/nettlewick/contention/UncontendedBaseline.java
@@ -1,47 +1,47 @@
 package nettlewick.contention;
 
-import java.nio.ByteBuffer;
-
 /**
- * What a dispatcher saw in windows in which a member kept to its share there: what others' jobs were like
- * without it. Older windows count less. Pure.
+ * How other tenants' attempts fared on one dispatcher in windows in which a tenant kept to its quota. Older windows
+ * count less.
  *
- * @param others attempts of all but this member
- * @param harmed those of them that were harmed
- * @param ran    how long others' jobs ran, in milliseconds
- * @param hinted what their hints said
+ * @param otherAttempts  attempts of all other tenants
+ * @param harmedAttempts those of them that were harmed
+ * @param runMillis      how long their requests ran, where a cost hint came with them
+ * @param hintedMillis   what the cost hints said
  */
-public record UncontendedBaseline(double others, double harmed, double ran, double hinted) {
+public record UncontendedBaseline(double otherAttempts, double harmedAttempts, double runMillis, double hintedMillis) {
+    /** Nothing was observed. */
     static final UncontendedBaseline NONE = new UncontendedBaseline(0, 0, 0, 0);
-    static final int BYTES = 4 * Double.BYTES;
-    private static final double FADES = 0.97;
 
-    /** With one more window, if the member kept to its share in it. */
-    UncontendedBaseline after(UsageReport news, int tenant, double share) {
-        if (news.total() <= 0 || ContentionEvidence.over(news, tenant, share)) {
+    private static final double DECAY_PER_WINDOW = 0.97;
+
+    /** This baseline with one more window, or unchanged if the tenant was over its quota in it. */
+    UncontendedBaseline withWindow(UsageReport window, int tenantHash, double quota) {
+        if (window.totalWork() <= 0 || TenantDemand.isOverQuota(window, tenantHash, quota)) {
             return this;
         }
-        UsageReport.At all = news.everywhere();
+        UsageReport.EndpointUsage usage = window.acrossEndpoints();
         return new UncontendedBaseline(
-                others * FADES + all.others(),
-                harmed * FADES + all.harmed(),
-                ran * FADES + news.ran(),
-                hinted * FADES + news.hinted());
-    }
-
-    UncontendedBaseline plus(UncontendedBaseline o) {
-        return new UncontendedBaseline(others + o.others, harmed + o.harmed, ran + o.ran, hinted + o.hinted);
+                otherAttempts * DECAY_PER_WINDOW + usage.otherAttempts(),
+                harmedAttempts * DECAY_PER_WINDOW + usage.harmedAttempts(),
+                runMillis * DECAY_PER_WINDOW + window.runMillis(),
+                hintedMillis * DECAY_PER_WINDOW + window.hintedMillis());
     }
 
-    boolean good() {
-        return others >= harmed && harmed >= 0 && ran >= 0 && hinted >= 0 && Double.isFinite(others + ran + hinted);
-    }
-
-    void put(ByteBuffer to) {
-        to.putDouble(others).putDouble(harmed).putDouble(ran).putDouble(hinted);
+    UncontendedBaseline plus(UncontendedBaseline other) {
+        return new UncontendedBaseline(
+                otherAttempts + other.otherAttempts,
+                harmedAttempts + other.harmedAttempts,
+                runMillis + other.runMillis,
+                hintedMillis + other.hintedMillis);
     }
 
-    static UncontendedBaseline get(ByteBuffer from) {
-        return new UncontendedBaseline(from.getDouble(), from.getDouble(), from.getDouble(), from.getDouble());
+    /** Whether the figures can have been counted: finite, not negative, no more harmed than there were. */
+    boolean isValid() {
+        return otherAttempts >= harmedAttempts
+                && harmedAttempts >= 0
+                && runMillis >= 0
+                && hintedMillis >= 0
+                && Double.isFinite(otherAttempts + runMillis + hintedMillis);
     }
 }
--- a/src/main/java/nettlewick/contention/UsageReport.java
+++ b/src/main/java/nettlewick/contention/UsageReport.java
@@ -1,164 +1,108 @@
 package nettlewick.contention;
 
-import java.nio.BufferUnderflowException;
-import java.nio.ByteBuffer;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.function.BinaryOperator;
+import java.util.function.LongBinaryOperator;
 
 /**
- * What one dispatcher has seen of one member and of all others since its life began. All figures only grow,
- * so
- * that words may be lost, doubled or out of order: the newest of each is the largest.
+ * What one dispatcher has counted since its incarnation began, as seen from one tenant. Counts only grow, so reports
+ * may be lost, duplicated or reordered: of two, the larger is the newer.
  *
- * @param total    work asked for by all, in slot milliseconds by hints
- * @param asked    the same by member, by the mark of its name; the largest few
- * @param ran      how long attempts of all but this member ran, in milliseconds, where a hint came with them
- * @param hinted   what their hints said
- * @param at       by the mark of a sim runner's name
- * @param quiet    what others' jobs are like here without it; the newest word's counts
- * @param alarmed  whether the sender speaks of its own accord
+ * @param totalWork    work requested by all tenants, in slot milliseconds by cost hint
+ * @param workByTenant the same by the hash of the tenant's name; only the largest tenants
+ * @param runMillis    how long attempts of all other tenants ran, where a cost hint came with them
+ * @param hintedMillis what those cost hints said
+ * @param endpoints    usage by the hash of the endpoint's name
+ * @param baseline     how other tenants fared while the tenant kept to its quota; that of the newer report counts
+ * @param unsolicited  whether the dispatcher reports without the lease holder having asked
  */
 public record UsageReport(
-        long total,
-        Map<Integer, Long> asked,
-        long ran,
-        long hinted,
-        Map<Integer, At> at,
-        UncontendedBaseline quiet,
-        boolean alarmed) {
+        long totalWork,
+        Map<Integer, Long> workByTenant,
+        long runMillis,
+        long hintedMillis,
+        Map<Integer, EndpointUsage> endpoints,
+        UncontendedBaseline baseline,
+        boolean unsolicited) {
     /**
-     * What was seen at one sim runner.
+     * What was counted on one endpoint.
      *
-     * @param own    slot milliseconds in work of this member
-     * @param all    of all members
-     * @param others attempts of all but this member that ended there
-     * @param harmed those of them that were turned away, lost, or begun late
+     * @param tenantWork     slot milliseconds used by the tenant
+     * @param totalWork      slot milliseconds used by all tenants
+     * @param otherAttempts  attempts of all other tenants that ended there
+     * @param harmedAttempts those of them that were rejected, timed out or started late
      */
-    public record At(long own, long all, long others, long harmed) {
-        static final At NONE = new At(0, 0, 0, 0);
-
-        At plus(At o) {
-            return new At(own + o.own, all + o.all, others + o.others, harmed + o.harmed);
+    public record EndpointUsage(long tenantWork, long totalWork, long otherAttempts, long harmedAttempts) {
+        /** Nothing was counted. */
+        static final EndpointUsage NONE = new EndpointUsage(0, 0, 0, 0);
+
+        private EndpointUsage combine(EndpointUsage other, LongBinaryOperator operator) {
+            return new EndpointUsage(
+                    operator.applyAsLong(tenantWork, other.tenantWork),
+                    operator.applyAsLong(totalWork, other.totalWork),
+                    operator.applyAsLong(otherAttempts, other.otherAttempts),
+                    operator.applyAsLong(harmedAttempts, other.harmedAttempts));
         }
 
-        At minus(At o) {
-            return new At(own - o.own, all - o.all, others - o.others, harmed - o.harmed);
+        EndpointUsage plus(EndpointUsage other) {
+            return combine(other, Long::sum);
         }
 
-        At most(At o) {
-            return new At(
-                    Math.max(own, o.own), Math.max(all, o.all), Math.max(others, o.others), Math.max(harmed, o.harmed));
+        EndpointUsage minus(EndpointUsage other) {
+            return combine(other, (mine, theirs) -> mine - theirs);
         }
-    }
-
-    static final UsageReport NOTHING = new UsageReport(0, Map.of(), 0, 0, Map.of(), UncontendedBaseline.NONE, false);
-    private static final byte FORM = 3;
-    private static final int AGE_AT = 2;
 
-    byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(
-                3 + UncontendedBaseline.BYTES + 3 * Long.BYTES + 2 + asked.size() * 12 + 2 + at.size() * 36);
-        b.put(FORM).put((byte) (alarmed ? 1 : 0)).put((byte) 0);
-        quiet.put(b);
-        b.putLong(total).putLong(ran).putLong(hinted).putShort((short) asked.size());
-        asked.forEach((mark, work) -> b.putInt(mark).putLong(work));
-        b.putShort((short) at.size());
-        at.forEach((mark, a) -> b.putInt(mark)
-                .putLong(a.own())
-                .putLong(a.all())
-                .putLong(a.others())
-                .putLong(a.harmed()));
-        return b.array();
-    }
-
-    /** The same bytes as a word that was true so many windows ago. */
-    static byte[] aged(byte[] word, int windows) {
-        byte[] old = word.clone();
-        old[AGE_AT] = (byte) windows;
-        return old;
-    }
-
-    /** How many windows ago what {@link #of} can read was true. */
-    static int age(byte[] word) {
-        return word[AGE_AT];
-    }
-
-    /** Null for what no version here has written, or what makes no sense. */
-    static UsageReport of(byte[] data) {
-        try {
-            ByteBuffer b = ByteBuffer.wrap(data);
-            if (b.get() != FORM) {
-                return null;
-            }
-            boolean alarmed = b.get() == 1;
-            b.get();
-            UncontendedBaseline quiet = UncontendedBaseline.get(b);
-            long total = b.getLong();
-            long ran = b.getLong();
-            long hinted = b.getLong();
-            Map<Integer, Long> asked = new LinkedHashMap<>();
-            boolean good = quiet.good() && total >= 0 && ran >= 0 && hinted >= 0;
-            for (int n = b.getShort(); n > 0; n--) {
-                int mark = b.getInt();
-                long work = b.getLong();
-                good &= work >= 0;
-                asked.put(mark, work);
-            }
-            Map<Integer, At> at = new LinkedHashMap<>();
-            for (int n = b.getShort(); n > 0; n--) {
-                int mark = b.getInt();
-                At a = new At(b.getLong(), b.getLong(), b.getLong(), b.getLong());
-                good &= a.own() >= 0 && a.all() >= a.own() && a.harmed() >= 0 && a.others() >= a.harmed();
-                at.put(mark, a);
-            }
-            return good ? new UsageReport(total, asked, ran, hinted, at, quiet, alarmed) : null;
-        } catch (BufferUnderflowException e) {
-            return null;
+        EndpointUsage maximum(EndpointUsage other) {
+            return combine(other, Math::max);
         }
     }
 
-    private interface Join {
-        long of(long mine, long other);
-    }
-
-    private UsageReport join(UsageReport o, Join join, java.util.function.BinaryOperator<At> joinAt) {
-        Map<Integer, Long> sums = new LinkedHashMap<>(asked);
-        o.asked.forEach((mark, work) -> sums.put(mark, join.of(sums.getOrDefault(mark, 0L), work)));
-        Map<Integer, At> endpoints = new LinkedHashMap<>(at);
-        o.at.forEach((mark, a) -> endpoints.put(mark, joinAt.apply(endpoints.getOrDefault(mark, At.NONE), a)));
-        UsageReport newer = o.total >= total ? o : this;
+    /** Nothing was counted. */
+    static final UsageReport EMPTY = new UsageReport(0, Map.of(), 0, 0, Map.of(), UncontendedBaseline.NONE, false);
+
+    private UsageReport combine(
+            UsageReport other, LongBinaryOperator operator, BinaryOperator<EndpointUsage> endpointOperator) {
+        Map<Integer, Long> work = new LinkedHashMap<>(workByTenant);
+        other.workByTenant.forEach(
+                (tenant, amount) -> work.put(tenant, operator.applyAsLong(work.getOrDefault(tenant, 0L), amount)));
+        Map<Integer, EndpointUsage> usage = new LinkedHashMap<>(endpoints);
+        other.endpoints.forEach((endpoint, counts) ->
+                usage.put(endpoint, endpointOperator.apply(usage.getOrDefault(endpoint, EndpointUsage.NONE), counts)));
+        UsageReport newer = other.totalWork >= totalWork ? other : this;
         return new UsageReport(
-                join.of(total, o.total),
-                sums,
-                join.of(ran, o.ran),
-                join.of(hinted, o.hinted),
-                endpoints,
-                newer.quiet,
-                newer.alarmed);
+                operator.applyAsLong(totalWork, other.totalWork),
+                work,
+                operator.applyAsLong(runMillis, other.runMillis),
+                operator.applyAsLong(hintedMillis, other.hintedMillis),
+                usage,
+                newer.baseline,
+                newer.unsolicited);
     }
 
-    UsageReport most(UsageReport o) {
-        return join(o, Math::max, At::most);
+    /** The larger of each count: the newer state where two reports of one incarnation overlap. */
+    UsageReport maximum(UsageReport other) {
+        return combine(other, Math::max, EndpointUsage::maximum);
     }
 
-    /** What came since that word; of what is not in this one, nothing. */
-    UsageReport minus(UsageReport o) {
-        UsageReport all = join(o, (a, b) -> a - b, At::minus);
-        all.asked.keySet().retainAll(asked.keySet());
-        all.at.keySet().retainAll(at.keySet());
-        return all;
+    /** What was counted since an earlier report; tenants and endpoints that are not in this one are left out. */
+    UsageReport minus(UsageReport earlier) {
+        UsageReport difference = combine(earlier, (mine, theirs) -> mine - theirs, EndpointUsage::minus);
+        difference.workByTenant.keySet().retainAll(workByTenant.keySet());
+        difference.endpoints.keySet().retainAll(endpoints.keySet());
+        return difference;
     }
 
-    UsageReport plus(UsageReport o) {
-        return join(o, Long::sum, At::plus);
+    UsageReport plus(UsageReport other) {
+        return combine(other, Long::sum, EndpointUsage::plus);
     }
 
-    UsageReport saying(UncontendedBaseline without, boolean alarm) {
-        return new UsageReport(total, asked, ran, hinted, at, without, alarm);
+    UsageReport withBaseline(UncontendedBaseline newBaseline, boolean isUnsolicited) {
+        return new UsageReport(totalWork, workByTenant, runMillis, hintedMillis, endpoints, newBaseline, isUnsolicited);
     }
 
-    /** Of all runners together. */
-    At everywhere() {
-        return at.values().stream().reduce(At.NONE, At::plus);
+    /** The sum over all endpoints. */
+    EndpointUsage acrossEndpoints() {
+        return endpoints.values().stream().reduce(EndpointUsage.NONE, EndpointUsage::plus);
     }
 }
--- a/src/main/java/nettlewick/contention/UsageReporter.java
+++ b/src/main/java/nettlewick/contention/UsageReporter.java
@@ -11,92 +11,112 @@
 import java.util.stream.Collectors;
 
 /**
- * What is told to the holders of members' duties, and when it is worth a word: where a member asks for more
- * than its share here while others are harmed, and wherever its holder listens. Not to be shared by threads.
+ * Decides when this dispatcher sends usage reports to the holder of a tenant's lease: whenever the holder listens, and
+ * unsolicited when the tenant exceeds its quota here while other tenants are harmed. Confined to one thread.
  */
 public final class UsageReporter {
-    /** A dispatcher speaks of its own accord after so many windows in a row. */
-    private static final int IN_A_ROW = 2;
+    /** A dispatcher reports unsolicited after this many consecutive windows over quota. */
+    private static final int MIN_CONSECUTIVE_WINDOWS = 2;
 
-    private static final class Told {
-        UsageReport last;
-        double windowAt;
-        UncontendedBaseline quiet = UncontendedBaseline.NONE;
-        boolean alarmed;
-        /** Windows in a row in which the member was over its share here. */
-        int over;
-        /** What there was to say at the end of each of the last windows, the newest first. */
-        final Deque<byte[]> past = new ArrayDeque<>();
-        /** The fence under which it was spoken last, and how many windows have ended since. */
-        long spokenTo = -1;
+    /** What was reported on one tenant. */
+    private static final class TenantReporting {
+        /** Counts at the end of the last window; null before the first. */
+        private UsageReport lastCounts;
 
-        int silent;
+        private double windowEndsAt;
+        private UncontendedBaseline baseline = UncontendedBaseline.NONE;
+        private boolean unsolicited;
+        private int consecutiveOverQuota;
+        /** Encoded reports of the last windows, newest first. */
+        private final Deque<byte[]> recentReports = new ArrayDeque<>();
+        /** The fence of the holder that was sent the last report. */
+        private long lastFence = -1;
+
+        private int unsentWindows;
     }
 
     private final UsageCounters counters;
-    private final Map<String, Double> shares;
-    private final Map<Integer, Double> byMark = new HashMap<>();
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, Double> quotas;
+    private final Map<Integer, Double> quotaByTenantHash = new HashMap<>();
+    private final Map<String, TenantReporting> reportingByTenant = new HashMap<>();
 
-    public UsageReporter(UsageCounters counters, Map<String, Double> shares) {
+    /**
+     * Creates a reporter that has sent nothing yet.
+     *
+     * @param quotas of all tenants, by name, as fractions
+     */
+    public UsageReporter(UsageCounters counters, Map<String, Double> quotas) {
         this.counters = counters;
-        this.shares = Map.copyOf(shares);
-        shares.forEach((name, part) -> byMark.put(UsageCounters.mark(name), part));
+        this.quotas = Map.copyOf(quotas);
+        quotas.forEach((name, quota) -> quotaByTenantHash.put(UsageCounters.nameHash(name), quota));
     }
 
     /**
-     * The words to send now, each its own datagram: mostly none or one, and to a holder that has not heard
-     * the last windows those too, so that what was seen does not end with the holder before it.
+     * The encoded reports to send now, each in its own datagram: usually none or one. A holder that has not been sent
+     * the last windows gets those too, so that evidence survives a change of the holder.
      *
-     * @param fence   the holder's
-     * @param listens whether the holder wants words from all
-     * @param window  how long what was seen is put together, in milliseconds
-     * @param apart   other members that are in pools of their own; asked for at a window's end only
+     * @param fence         the holder's fence
+     * @param holderListens whether the holder wants reports from all dispatchers
+     * @param isolated      other tenants that are confined to dedicated endpoints; asked at the end of a window only
      */
-    public List<byte[]> words(
-            String tenant, long fence, boolean listens, double window, double now, Supplier<Set<String>> apart) {
-        Told t = told.computeIfAbsent(tenant, m -> new Told());
-        if (t.last == null || now >= t.windowAt) {
-            t.windowAt = now + window;
-            UsageReport all = counters.all(tenant);
-            look(t, t.last == null ? UsageReport.NOTHING : all.minus(t.last), tenant, apart.get());
-            t.last = all;
-            t.past.addFirst(bytes(t, tenant));
-            if (t.past.size() > ContentionEvidence.WINDOWS) {
-                t.past.removeLast();
-            }
-            t.silent = Math.min(ContentionEvidence.WINDOWS, t.silent + 1);
+    public List<byte[]> reportsToSend(
+            String tenant,
+            long fence,
+            boolean holderListens,
+            double windowMillis,
+            double nowMillis,
+            Supplier<Set<String>> isolated) {
+        TenantReporting reporting = reportingByTenant.computeIfAbsent(tenant, t -> new TenantReporting());
+        if (reporting.lastCounts == null || nowMillis >= reporting.windowEndsAt) {
+            reporting.windowEndsAt = nowMillis + windowMillis;
+            closeWindow(reporting, tenant, isolated.get());
         }
-        if (!listens && !t.alarmed) {
+        if (!holderListens && !reporting.unsolicited) {
             return List.of();
         }
-        List<byte[]> words = new ArrayList<>();
-        int ago = 0;
-        int unheard = fence == t.spokenTo ? t.silent : ContentionEvidence.WINDOWS;
-        for (byte[] old : t.past) {
-            if (++ago <= unheard) {
-                words.add(UsageReport.aged(old, ago));
+        List<byte[]> reports = new ArrayList<>();
+        int missing = fence == reporting.lastFence ? reporting.unsentWindows : ContentionEvidence.WINDOWS;
+        int age = 0;
+        for (byte[] recent : reporting.recentReports) {
+            if (++age <= missing) {
+                reports.add(UsageReportCodec.withAge(recent, age));
             }
         }
-        words.add(bytes(t, tenant));
-        t.spokenTo = fence;
-        t.silent = 0;
-        return words;
+        reports.add(encodedReport(reporting, tenant));
+        reporting.lastFence = fence;
+        reporting.unsentWindows = 0;
+        return reports;
+    }
+
+    private void closeWindow(TenantReporting reporting, String tenant, Set<String> isolated) {
+        UsageReport counts = counters.fullReport(tenant);
+        UsageReport window = reporting.lastCounts == null ? UsageReport.EMPTY : counts.minus(reporting.lastCounts);
+        evaluateWindow(reporting, window, tenant, isolated);
+        reporting.lastCounts = counts;
+        reporting.recentReports.addFirst(encodedReport(reporting, tenant));
+        if (reporting.recentReports.size() > ContentionEvidence.WINDOWS) {
+            reporting.recentReports.removeLast();
+        }
+        reporting.unsentWindows = Math.min(ContentionEvidence.WINDOWS, reporting.unsentWindows + 1);
     }
 
-    private byte[] bytes(Told t, String tenant) {
-        return counters.word(tenant).saying(t.quiet, t.alarmed).bytes();
+    private byte[] encodedReport(TenantReporting reporting, String tenant) {
+        return UsageReportCodec.encode(counters.report(tenant).withBaseline(reporting.baseline, reporting.unsolicited));
     }
 
-    private void look(Told t, UsageReport news, String tenant, Set<String> apart) {
-        double share = shares.get(tenant);
-        int mark = UsageCounters.mark(tenant);
-        Set<Integer> left = apart.stream().map(UsageCounters::mark).collect(Collectors.toSet());
-        t.quiet = t.quiet.after(news, UsageCounters.mark(tenant), share);
-        UsageReport.At all = news.everywhere();
-        // Danger: one that sees a few jobs in a window finds every small member over its share now and then.
-        boolean most = ContentionEvidence.over(news, mark, share) && ContentionEvidence.worth(news, mark, byMark, left);
-        t.over = most ? t.over + 1 : 0;
-        t.alarmed = t.over >= IN_A_ROW && all.harmed() > 0 && all.harmed() >= ContentionEvidence.HARMED * all.others();
+    private void evaluateWindow(TenantReporting reporting, UsageReport window, String tenant, Set<String> isolated) {
+        double quota = quotas.get(tenant);
+        int tenantHash = UsageCounters.nameHash(tenant);
+        Set<Integer> isolatedHashes =
+                isolated.stream().map(UsageCounters::nameHash).collect(Collectors.toSet());
+        reporting.baseline = reporting.baseline.withWindow(window, tenantHash, quota);
+        UsageReport.EndpointUsage usage = window.acrossEndpoints();
+        // A dispatcher sees so few requests in a window that any small tenant may be over its quota by chance.
+        boolean responsible = TenantDemand.isOverQuota(window, tenantHash, quota)
+                && TenantDemand.causesMostExcess(window, tenantHash, quotaByTenantHash, isolatedHashes);
+        reporting.consecutiveOverQuota = responsible ? reporting.consecutiveOverQuota + 1 : 0;
+        reporting.unsolicited = reporting.consecutiveOverQuota >= MIN_CONSECUTIVE_WINDOWS
+                && usage.harmedAttempts() > 0
+                && usage.harmedAttempts() >= HarmAnalysis.MIN_HARMED_FRACTION * usage.otherAttempts();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -8,97 +8,106 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import nettlewick.contention.MigrationState;
 import nettlewick.contention.MigrationState.Step;
-import nettlewick.contention.PoolReservation;
+import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import nettlewick.core.EndpointUpdate;
 import nettlewick.core.RequestListener;
 import nettlewick.decision.EndpointState;
 import nettlewick.decision.PoolAssignment;
 
 /**
- * What this dispatcher knows of all members' pools, and what that says to its module. Belongs to the duties'
- * thread, but for the list of runners, which the core's thread brings.
+ * What this dispatcher knows of all tenants' pools, and the assignments that follow from it for the scheduler. Confined
+ * to the lease thread, except for endpoint updates, which come from the core's thread.
  */
 final class PoolAssignments implements RequestListener {
-    private record Known(PoolState state, double at) {}
+    private record KnownPool(PoolState state, double heardAtMillis) {
+        private MigrationState migration() {
+            return state.migration();
+        }
+    }
 
-    private final double forget;
-    private final Map<String, EndpointUpdate.Entry> ready = new ConcurrentHashMap<>();
-    private final Map<String, Known> pools = new LinkedHashMap<>();
+    private final double staleAfterMillis;
+    private final Map<String, EndpointUpdate.Entry> readyEntries = new ConcurrentHashMap<>();
+    private final Map<String, KnownPool> pools = new LinkedHashMap<>();
 
-    /** @param forget after so many milliseconds without a word, a pool keeps nobody else away */
-    PoolAssignments(double forget) {
-        this.forget = forget;
+    /** @param staleAfterMillis how long a pool excludes other tenants without news of it */
+    PoolAssignments(double staleAfterMillis) {
+        this.staleAfterMillis = staleAfterMillis;
     }
 
     @Override
-    public void listed(EndpointUpdate roster) {
-        if (roster.whole()) {
-            Set<String> named = new HashSet<>();
-            roster.entries().forEach(e -> named.add(e.id()));
-            ready.keySet().retainAll(named);
+    public void listed(EndpointUpdate update) {
+        if (update.whole()) {
+            Set<String> names = new HashSet<>();
+            update.entries().forEach(entry -> names.add(entry.id()));
+            readyEntries.keySet().retainAll(names);
         }
-        for (EndpointUpdate.Entry e : roster.entries()) {
-            if (e.state() == EndpointState.READY) {
-                ready.put(e.id(), e);
+        for (EndpointUpdate.Entry entry : update.entries()) {
+            if (entry.state() == EndpointState.READY) {
+                readyEntries.put(entry.id(), entry);
             } else {
-                ready.remove(e.id());
+                readyEntries.remove(entry.id());
             }
         }
     }
 
-    /** The newest state of a member's pool, heard of now. */
-    void take(String tenant, PoolState state, double now) {
-        pools.put(tenant, new Known(state, now));
+    /** Takes the newest state of a tenant's pool, also if it has not changed. */
+    void recordState(String tenant, PoolState state, double nowMillis) {
+        pools.put(tenant, new KnownPool(state, nowMillis));
     }
 
-    /** The runners that are ready, as this list and the members' states tell. */
-    Map<String, PoolReservation.Runner> ready() {
+    /** The ready endpoints by name, each with the tenant that it was added for. */
+    Map<String, ReadyEndpoint> readyEndpoints() {
         Map<String, String> addedFor = new HashMap<>();
-        pools.forEach((tenant, known) -> known.state().added().forEach(name -> addedFor.put(name, tenant)));
-        Map<String, PoolReservation.Runner> endpoints = new HashMap<>();
-        ready.forEach((name, e) -> endpoints.put(
+        pools.forEach((tenant, known) -> known.state().addedEndpoints().forEach(name -> addedFor.put(name, tenant)));
+        Map<String, ReadyEndpoint> endpoints = new HashMap<>();
+        readyEntries.forEach((name, entry) -> endpoints.put(
                 name,
-                new PoolReservation.Runner(
-                        name, String.valueOf(e.zone()), String.valueOf(e.kind()), addedFor.get(name))));
+                new ReadyEndpoint(
+                        name, String.valueOf(entry.zone()), String.valueOf(entry.kind()), addedFor.get(name))));
         return endpoints;
     }
 
-    /** What other members' pools hold. Danger: where two hold one, the first of them by name keeps it. */
-    Set<String> taken(String tenant, List<String> own) {
-        Set<String> taken = new HashSet<>();
+    /**
+     * Names of endpoints that other tenants hold. Where two tenants hold the same one, the first by name keeps it.
+     *
+     * @param own names of endpoints that the tenant holds itself
+     */
+    Set<String> endpointsReservedByOthers(String tenant, List<String> own) {
+        Set<String> reserved = new HashSet<>();
         pools.forEach((other, known) -> {
-            if (!other.equals(tenant) && known.state().move().step() != Step.NONE) {
-                known.state().move().runners().stream()
-                        .filter(r -> other.compareTo(tenant) < 0 || !own.contains(r))
-                        .forEach(taken::add);
+            if (!other.equals(tenant) && known.migration().step() != Step.SHARED) {
+                known.migration().endpoints().stream()
+                        .filter(name -> other.compareTo(tenant) < 0 || !own.contains(name))
+                        .forEach(reserved::add);
             }
         });
-        return taken;
+        return reserved;
     }
 
-    /** Other members whose work goes to pools of their own alone, with their runners. */
-    Map<String, Set<String>> apart(String but) {
-        Map<String, Set<String>> apart = new HashMap<>();
+    /** Other tenants that are confined to dedicated endpoints, with the names of those. */
+    Map<String, Set<String>> isolatedTenants(String excluded) {
+        Map<String, Set<String>> isolated = new HashMap<>();
         pools.forEach((tenant, known) -> {
-            if (known.state().move().step() == Step.OPEN && !tenant.equals(but)) {
-                apart.put(tenant, Set.copyOf(known.state().move().runners()));
+            if (known.migration().step() == Step.DEDICATED && !tenant.equals(excluded)) {
+                isolated.put(tenant, Set.copyOf(known.migration().endpoints()));
             }
         });
-        return apart;
+        return isolated;
     }
 
-    /** What the module has to go by now. */
-    List<PoolAssignment> assignments(double now) {
-        List<PoolAssignment> all = new ArrayList<>();
+    /** The assignments that the scheduler must follow now. */
+    List<PoolAssignment> currentAssignments(double nowMillis) {
+        List<PoolAssignment> current = new ArrayList<>();
         pools.forEach((tenant, known) -> {
-            Step step = known.state().move().step();
-            if (step.shut()) {
-                boolean heard = now - known.at() < forget;
-                all.add(new PoolAssignment(
-                        tenant, Set.copyOf(known.state().move().runners()), heard, step == Step.OPEN));
+            Step step = known.migration().step();
+            if (step.excludesOtherTenants()) {
+                boolean fresh = nowMillis - known.heardAtMillis() < staleAfterMillis;
+                Set<String> endpoints = Set.copyOf(known.migration().endpoints());
+                current.add(new PoolAssignment(tenant, endpoints, fresh, step == Step.DEDICATED));
             }
         });
-        return all;
+        return current;
     }
 }
--- a/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
@@ -3,129 +3,193 @@
 import java.time.YearMonth;
 import java.time.ZoneId;
 import java.util.List;
-import nettlewick.tenantpools.PoolState.Intent;
-import nettlewick.tenantpools.PoolState.Money;
+import nettlewick.tenantpools.PoolState.Budget;
+import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * How many runners are added for a member, within its means (docs/pools.md): what to store next, or what to
- * ask
- * of the provider, given what it has told. Time is handed in, in milliseconds. Pure.
+ * Decides how many endpoints are added for a tenant within its spending cap (docs/pools.md): what to store or to ask of
+ * the provider next, given its last report. Confined to one thread.
  */
 final class ScaleOutPolicy {
-    /** A list older than this is asked for again, so long as anything hangs on it. */
-    private static final double OLD = 5000;
-    /** So often while runners are still to come. */
-    private static final double SOON = 500;
+    private static final double MAX_REPORT_AGE_MILLIS = 5000;
+    private static final double MAX_REPORT_AGE_WHILE_STARTING_MILLIS = 500;
+    /** As many as anyone may want, without overflow. */
+    private static final int UNLIMITED = Integer.MAX_VALUE / 2;
 
     /**
-     * @param cap   of the member; null: nothing is ever added
-     * @param cents price of an hour of one more runner
-     * @param least its least billed time
-     * @param reach longest time until someone can end what is no longer wanted
-     * @param back  whether all is handed back once the cap itself is reached
+     * The limits of scaling out for a tenant.
+     *
+     * @param centsPerHour    the price of one more endpoint
+     * @param minBilledMillis the least time that it is billed
+     * @param reactionMillis  the longest time until somebody can end an endpoint that is no longer wanted
+     * @param releaseAtCap    whether all added endpoints are released once the cap itself is reached
      */
-    record Terms(SpendingCap.Cap cap, long cents, long least, long reach, boolean back) {
-        long leastCost() {
-            return InstanceCharge.cost(Math.max(least, reach), cents);
+    record ScaleOutSettings(
+            SpendingCap.MonthlyCap cap,
+            long centsPerHour,
+            long minBilledMillis,
+            long reactionMillis,
+            boolean releaseAtCap) {
+        /** The least that one more endpoint costs. */
+        long minCostCents() {
+            return InstanceCharge.costCents(Math.max(minBilledMillis, reactionMillis), centsPerHour);
         }
     }
 
     /**
-     * What to do: at most one of the three.
+     * The state of a tenant's budget, for operators.
      *
-     * @param notAfter by the provider's clock: what was reckoned for the wish holds until then
+     * @param resumesIn the month in which endpoints can be added again once the cap is near
      */
-    record Next(Money store, boolean list, Intent put, long notAfter) {
-        static final Next NOTHING = new Next(null, false, null, 0);
-        static final Next LIST = new Next(null, true, null, 0);
-
-        static Next store(Money money) {
-            return new Next(money, false, null, 0);
-        }
-    }
+    record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesIn) {}
 
-    /** What was found on the way, for operators. */
-    record Means(long spent, long committed, long cap, YearMonth resumes) {}
+    /**
+     * The moment of a decision.
+     *
+     * @param providerNowMillis the provider's clock, in milliseconds of Unix time
+     * @param month             the month whose budget counts
+     * @param monthDisputed     whether the provider's clock shows another month
+     * @param affordable        how many more endpoints the budget allows
+     */
+    private record Account(
+            SpendingCap spending, long providerNowMillis, YearMonth month, boolean monthDisputed, int affordable) {}
 
     private final ZoneId zone;
-    private final Terms terms;
-    private Means means;
+    private final ScaleOutSettings settings;
+    private BudgetStatus budgetStatus;
 
-    ScaleOutPolicy(Terms terms) {
-        this.terms = terms;
-        zone = terms.cap().zone();
+    ScaleOutPolicy(ScaleOutSettings settings) {
+        this.settings = settings;
+        zone = settings.cap().zone();
     }
 
-    /** As of the last list; null before the first. */
-    Means means() {
-        return means;
+    /** As of the last report; null before the first. */
+    BudgetStatus budgetStatus() {
+        return budgetStatus;
     }
 
     /**
-     * @param told   the newest list; null: none since this holding began
-     * @param wanted how many should run; below 0: as many as do
-     * @param wall   the own clock in milliseconds of Unix time, right or wrong
-     * @param key    a new one, drawn for this question
+     * Decides the next action.
+     *
+     * @param report         the newest one; null if there is none since the lease was acquired
+     * @param desired        how many endpoints should run; negative: as many as do
+     * @param nowMillis      on the monotonic clock
+     * @param wallMillis     on the local wall clock, in milliseconds of Unix time; it may be wrong
+     * @param idempotencyKey a new one, for a resize that this decision starts
      */
-    Next next(Money m, ProviderReport told, int wanted, double now, long wall, String key) {
-        boolean idle = wanted <= 0 && m.intent() == null && (told == null || told.size() == 0);
-        boolean coming = told != null && told.running().size() < told.size();
-        if (told == null || now - told.at() > (coming ? SOON : OLD)) {
-            return idle && told != null ? Next.NOTHING : Next.LIST;
+    ScaleOutDecision decide(
+            Budget budget,
+            ProviderReport report,
+            int desired,
+            double nowMillis,
+            long wallMillis,
+            String idempotencyKey) {
+        if (report == null) {
+            return new ScaleOutDecision.FetchReport();
+        }
+        if (isOutdated(report, nowMillis)) {
+            boolean idle = desired <= 0 && budget.pendingResize() == null && report.desiredSize() == 0;
+            return idle ? new ScaleOutDecision.Nothing() : new ScaleOutDecision.FetchReport();
         }
-        long date = told.now(now);
-        YearMonth month = month(m, Math.min(date, wall));
-        if (!month.toString().equals(m.month())) {
-            return Next.store(m.in(month.toString()));
+        long providerNowMillis = report.providerNowMillis(nowMillis);
+        YearMonth month = budgetMonth(budget, Math.min(providerNowMillis, wallMillis));
+        if (!month.toString().equals(budget.month())) {
+            return new ScaleOutDecision.Store(budget.withMonth(month.toString()));
         }
-        SpendingCap spending = new SpendingCap(terms.cap(), month);
-        long spent = spending.spent(told.bills(), date);
-        long committed = spending.committed(told.bills(), date, terms.reach());
-        means = new Means(spent, committed, terms.cap().cap(), month.plusMonths(1));
-        // What is to run and does not yet costs as well.
-        long bound = Math.max(0, told.size() - told.running().size()) * terms.leastCost();
-        // Danger: while clocks differ on the month, one month's costs would be paid from another's means.
-        boolean turning = !SpendingCap.monthOf(date, zone).equals(month);
-        int affordable = turning
+        Account account = account(report, providerNowMillis, month);
+        return budget.pendingResize() == null
+                ? startResize(budget, report, account, desired, idempotencyKey)
+                : continueResize(budget, report, account);
+    }
+
+    private static boolean isOutdated(ProviderReport report, double nowMillis) {
+        boolean starting = report.runningCharges().size() < report.desiredSize();
+        return nowMillis - report.requestedAtMillis()
+                > (starting ? MAX_REPORT_AGE_WHILE_STARTING_MILLIS : MAX_REPORT_AGE_MILLIS);
+    }
+
+    private Account account(ProviderReport report, long providerNowMillis, YearMonth month) {
+        SpendingCap spending = new SpendingCap(settings.cap(), month);
+        budgetStatus = new BudgetStatus(
+                spending.spentCents(report.charges(), providerNowMillis),
+                spending.committedCents(report.charges(), providerNowMillis, settings.reactionMillis()),
+                settings.cap().cents(),
+                month.plusMonths(1));
+        // Otherwise costs of one month could be paid from the budget of another.
+        boolean monthDisputed = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
+        long starting =
+                Math.max(0, report.desiredSize() - report.runningCharges().size());
+        int affordable = monthDisputed
                 ? 0
-                : spending.affords(told.bills(), date, terms.reach(), Integer.MAX_VALUE / 2, terms.leastCost(), bound);
-        Intent open = m.intent();
-        if (open != null) {
-            if (open.size() == told.size()) {
-                return Next.store(m.asking(null));
-            }
-            // An old intent may be dearer now. What may still be under way for it comes in time or not at
-            // all.
-            return open.size() - told.size() <= affordable
-                    ? new Next(null, false, open, date + terms.reach())
-                    : Next.store(m.asking(null));
+                : spending.affordableCount(
+                        report.charges(),
+                        providerNowMillis,
+                        settings.reactionMillis(),
+                        UNLIMITED,
+                        settings.minCostCents(),
+                        starting * settings.minCostCents());
+        return new Account(spending, providerNowMillis, month, monthDisputed, affordable);
+    }
+
+    /**
+     * Sends the pending resize unless it is done or has become too expensive since. A request of it that is still in
+     * transit takes effect within its time limit or not at all.
+     */
+    private ScaleOutDecision continueResize(Budget budget, ProviderReport report, Account account) {
+        ResizeRequest pending = budget.pendingResize();
+        int more = pending.size() - report.desiredSize();
+        return more == 0 || more > account.affordable()
+                ? new ScaleOutDecision.Store(budget.withPendingResize(null))
+                : new ScaleOutDecision.Resize(pending, account.providerNowMillis() + settings.reactionMillis());
+    }
+
+    private ScaleOutDecision startResize(
+            Budget budget, ProviderReport report, Account account, int desired, String idempotencyKey) {
+        int size = report.desiredSize();
+        int target = targetSize(report, account, desired);
+        if (target <= size) {
+            int fewer = (int) Math.min(
+                    size - target, countPastMinBilledTime(report.runningCharges(), account.providerNowMillis()));
+            return fewer <= 0
+                    ? new ScaleOutDecision.Nothing()
+                    : storeResize(budget, new ResizeRequest(idempotencyKey, size - fewer, 0));
+        }
+        int more = Math.min(target - size, account.affordable());
+        String month = account.month().toString();
+        if (!account.monthDisputed() && more < target - size && !month.equals(budget.nearCapMonth())) {
+            return new ScaleOutDecision.Store(budget.withNearCapMonth(month));
         }
-        int target = terms.back() && spending.atCap(told.bills(), date) ? 0 : wanted < 0 ? told.size() : wanted;
-        if (target > told.size()) {
-            int more = Math.min(target - told.size(), affordable);
-            if (!turning && more < target - told.size() && !month.toString().equals(m.near())) {
-                return Next.store(m.nearIn(month.toString()));
-            }
-            return more <= 0
-                    ? Next.NOTHING
-                    : Next.store(m.asking(new Intent(key, told.size() + more, more * terms.leastCost())));
+        return more <= 0
+                ? new ScaleOutDecision.Nothing()
+                : storeResize(budget, new ResizeRequest(idempotencyKey, size + more, more * settings.minCostCents()));
+    }
+
+    private int targetSize(ProviderReport report, Account account, int desired) {
+        if (settings.releaseAtCap() && account.spending().isCapReached(report.charges(), account.providerNowMillis())) {
+            return 0;
         }
-        int fewer = (int) Math.min(told.size() - target, over(told.running(), date));
-        return fewer <= 0 ? Next.NOTHING : Next.store(m.asking(new Intent(key, told.size() - fewer, 0)));
+        return desired < 0 ? report.desiredSize() : desired;
+    }
+
+    private static ScaleOutDecision storeResize(Budget budget, ResizeRequest resize) {
+        return new ScaleOutDecision.Store(budget.withPendingResize(resize));
     }
 
     /**
-     * Danger: a clock that jumps ahead would open a month's money early, and one that jumps back open it
-     * twice.
-     * It takes the provider's clock and the own one to turn a month, and it only goes forward.
+     * A month begins only when both the provider's clock and the local one have reached it, and never again after a
+     * later one: a clock that jumps must not open a month's budget early or twice.
      */
-    private YearMonth month(Money m, long date) {
-        YearMonth now = SpendingCap.monthOf(date, zone);
-        return m.month().isEmpty() || now.isAfter(YearMonth.parse(m.month())) ? now : YearMonth.parse(m.month());
+    private YearMonth budgetMonth(Budget budget, long earlierClockMillis) {
+        YearMonth now = SpendingCap.monthOf(earlierClockMillis, zone);
+        return budget.month().isEmpty() || now.isAfter(YearMonth.parse(budget.month()))
+                ? now
+                : YearMonth.parse(budget.month());
     }
 
-    /** Those whose least billed time is over: to end them sooner saves nothing. */
-    private static long over(List<InstanceCharge> running, long date) {
-        return running.stream().filter(b -> date >= b.since() + b.least()).count();
+    /** Instances whose minimum billed time is over: ending the others earlier saves nothing. */
+    private static long countPastMinBilledTime(List<InstanceCharge> running, long providerNowMillis) {
+        return running.stream()
+                .filter(charge -> providerNowMillis >= charge.startedAtMillis() + charge.minBilledMillis())
+                .count();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/SpendingCap.java
+++ b/src/main/java/nettlewick/tenantpools/SpendingCap.java
@@ -6,67 +6,87 @@
 import java.util.List;
 
 /**
- * What a member has spent in a month and is bound to spend, and whether one runner more is within its means.
- * All by the provider's clock, in whole hundredths. Pure.
+ * What a tenant has spent in a month and is committed to spend, compared with its monthly cap. All times are the
+ * provider's, all amounts whole hundredths. Immutable.
  */
 public final class SpendingCap {
     /**
-     * @param cap  of a month; 0: nothing may be added
-     * @param near the part of the cap past which nothing is added
-     * @param zone whose months count
+     * What may be spent in a month.
+     *
+     * @param cents        the cap; 0 if nothing may be added
+     * @param nearFraction the fraction of the cap past which nothing is added
+     * @param zone         the time zone whose months count
      */
-    public record Cap(long cap, double near, ZoneId zone) {
-        long mark() {
-            return (long) Math.floor(cap * near);
+    public record MonthlyCap(long cents, double nearFraction, ZoneId zone) {
+        long nearMarkCents() {
+            return (long) Math.floor(cents * nearFraction);
         }
     }
 
-    private final Cap cap;
-    private final YearMonth month;
-    private final long from;
-    private final long to;
+    private final MonthlyCap cap;
+    private final long startMillis;
+    private final long endMillis;
 
-    /** @param month the month that counts; it never goes back, whatever a clock says */
-    public SpendingCap(Cap cap, YearMonth month) {
+    /** Creates the account of a month. */
+    public SpendingCap(MonthlyCap cap, YearMonth month) {
         this.cap = cap;
-        this.month = month;
-        from = month.atDay(1).atStartOfDay(cap.zone()).toInstant().toEpochMilli();
-        to = month.plusMonths(1).atDay(1).atStartOfDay(cap.zone()).toInstant().toEpochMilli();
+        startMillis = firstInstant(month, cap.zone());
+        endMillis = firstInstant(month.plusMonths(1), cap.zone());
     }
 
-    static YearMonth monthOf(long millis, ZoneId zone) {
-        return YearMonth.from(Instant.ofEpochMilli(millis).atZone(zone));
+    private static long firstInstant(YearMonth month, ZoneId zone) {
+        return month.atDay(1).atStartOfDay(zone).toInstant().toEpochMilli();
     }
 
-    YearMonth month() {
-        return month;
+    static YearMonth monthOf(long millis, ZoneId zone) {
+        return YearMonth.from(Instant.ofEpochMilli(millis).atZone(zone));
     }
 
-    /** Billed of this month by now. */
-    long spent(List<InstanceCharge> bills, long now) {
-        return bills.stream()
-                .mapToLong(b -> Math.max(0, b.cost(from, Math.min(now, to), now)))
+    /** What has been billed for this month until now. */
+    long spentCents(List<InstanceCharge> charges, long nowMillis) {
+        return charges.stream()
+                .mapToLong(
+                        charge -> Math.max(0, charge.costCents(startMillis, Math.min(nowMillis, endMillis), nowMillis)))
                 .sum();
     }
 
     /**
-     * What those that run, or were ended before their least time, cost from now on until nobody can be late
-     * in
-     * ending them. Danger: what falls into the next month counts here too, lest its last hour buys anything.
+     * What is still to be billed for instances that run, or ended before their minimum billed time. Costs past the end
+     * of the month count too: otherwise its last hour would allow any number of instances.
+     *
+     * @param reactionMillis the longest time until running instances can be ended
      */
-    long committed(List<InstanceCharge> bills, long now, long reach) {
-        return bills.stream()
-                .mapToLong(b -> Math.max(0, b.cost(Math.max(now, from), Long.MAX_VALUE, now + reach)))
+    long committedCents(List<InstanceCharge> charges, long nowMillis, long reactionMillis) {
+        return charges.stream()
+                .mapToLong(charge -> Math.max(
+                        0,
+                        charge.costCents(Math.max(nowMillis, startMillis), Long.MAX_VALUE, nowMillis + reactionMillis)))
                 .sum();
     }
 
-    /** How many more of these the member may have, of so many wanted. */
-    int affords(List<InstanceCharge> bills, long now, long reach, int wanted, long leastCost, long open) {
-        long left = cap.mark() - spent(bills, now) - committed(bills, now, reach) - open;
-        return leastCost <= 0 || left <= 0 ? 0 : (int) Math.min(wanted, Math.max(0, (left - 1) / leastCost));
+    /**
+     * How many of the wanted instances can be added so that spending stays below the near mark.
+     *
+     * @param minCostCents the least that one more instance costs
+     * @param pendingCents what instances cost that are requested but do not run yet
+     */
+    int affordableCount(
+            List<InstanceCharge> charges,
+            long nowMillis,
+            long reactionMillis,
+            int wanted,
+            long minCostCents,
+            long pendingCents) {
+        long availableCents = cap.nearMarkCents()
+                - spentCents(charges, nowMillis)
+                - committedCents(charges, nowMillis, reactionMillis)
+                - pendingCents;
+        return minCostCents <= 0 || availableCents <= 0
+                ? 0
+                : (int) Math.min(wanted, Math.max(0, (availableCents - 1) / minCostCents));
     }
 
-    boolean atCap(List<InstanceCharge> bills, long now) {
-        return spent(bills, now) >= cap.cap();
+    boolean isCapReached(List<InstanceCharge> charges, long nowMillis) {
+        return spentCents(charges, nowMillis) >= cap.cents();
     }
 }
--- a/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -1,342 +1,207 @@
 package nettlewick.tenantpools;
 
-import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 import java.util.function.Supplier;
 import nettlewick.contention.ContentionEvidence;
 import nettlewick.contention.MigrationState;
+import nettlewick.contention.MigrationState.Step;
 import nettlewick.contention.PoolMigration;
-import nettlewick.contention.PoolReservation;
+import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import nettlewick.contention.UsageReporter;
-import nettlewick.core.Clock;
 import nettlewick.lease.LeaseTask;
 import nettlewick.log.ComponentLogger;
 
 /**
- * What is done with one member's duty: its holder judges, moves, and asks the provider; everyone else
- * follows,
- * and tells what it sees. Belongs to the duties' thread.
+ * The lease task of one tenant. The holder judges contention, migrates the tenant and scales out; every other
+ * dispatcher follows the stored state and reports what it sees. Confined to the lease thread, except {@link
+ * #budgetStatus}.
  */
 final class TenantPoolTask implements LeaseTask {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
-    /** What may come next is looked at once in so many milliseconds, and after each version. */
-    private static final double EACH = 20;
-    /** A demand is taken for gone only once this many windows show less. */
-    private static final int DEMANDS = 10;
-    /** Windows for which all are listened to after anyone has spoken of its own accord. */
-    private static final int LISTENS = 10;
-    /** Pauses between tries at the provider: the first bound and the longest. */
-    private static final double FIRST = 100;
+    /** The holder evaluates the state at most this often, and after each new version. */
+    private static final double MIN_EVALUATION_INTERVAL_MILLIS = 20;
 
-    private static final double LONGEST = 10_000;
+    /** The lease is not held here. */
+    private static final long NO_FENCE = -1;
 
-    private final String member;
+    private final String tenant;
     private final Supplier<PoolSettings> settings;
-    private final PoolAssignments board;
-    private final UsageReporter speaker;
-    private final Provider provider;
-    private final Clock clock;
-    private final DoubleConsumer changed;
-    private final SplittableRandom random;
-    private Desk desk;
-    /** Whether the holder wants words from all. */
-    private boolean listening;
-
-    // While it is held
-    private long fence = -1;
+    private final PoolAssignments assignments;
+    private final UsageReporter reporter;
+    private final ScaleOutController scaleOut;
+    private final DoubleConsumer onChange;
+    /** Whether the holder, here or elsewhere, wants reports from all dispatchers. */
+    private boolean holderListens;
+
+    // The rest describes the time in which the lease is held here.
+    private long fence = NO_FENCE;
     private boolean announced;
     private long lastVersion;
-    private double turnAt;
-    private ContentionEvidence evidence;
-    private PoolMigration mover;
-    private double windowAt;
-    /**
-     * For so many windows more, whatever they bring, words are wanted; and whether the member is being
-     * moved.
-     */
-    private int alarmedFor;
-
-    private boolean lately;
-    private final ArrayDeque<Double> parts = new ArrayDeque<>();
-    private ProviderReport told;
-    private boolean asking;
-    private double askAt;
-    private int failures;
-    private boolean settled;
-    private ScaleOutPolicy growth;
-    private ScaleOutPolicy.Terms grownBy;
-    /** Read by whoever asks for figures; null while it is not held here. */
-    private volatile ScaleOutPolicy.Means means;
-
-    private long keys;
+    private double nextEvaluationAt;
+    private ContentionMonitor monitor;
+    private PoolMigration migration;
+    private boolean migrating;
 
-    /** @param changed told at each word and each beat, with the time */
+    /** @param onChange called with the time in milliseconds whenever state may have arrived or become stale */
     TenantPoolTask(
             String tenant,
             Supplier<PoolSettings> settings,
-            PoolAssignments board,
-            UsageReporter speaker,
-            Provider provider,
-            Clock clock,
-            long seed,
-            DoubleConsumer changed) {
-        this.member = tenant;
+            PoolAssignments assignments,
+            UsageReporter reporter,
+            ScaleOutController scaleOut,
+            DoubleConsumer onChange) {
+        this.tenant = tenant;
         this.settings = settings;
-        this.board = board;
-        this.speaker = speaker;
-        this.provider = provider;
-        this.clock = clock;
-        this.changed = changed;
-        random = new SplittableRandom(seed);
+        this.assignments = assignments;
+        this.reporter = reporter;
+        this.scaleOut = scaleOut;
+        this.onChange = onChange;
     }
 
-    @Override
-    public void joins(Desk one) {
-        desk = one;
+    private PoolSettings.TenantSettings tenantSettings() {
+        return settings.get().tenants().get(tenant);
     }
 
-    private PoolSettings.Member own() {
-        return settings.get().members().get(member);
+    @Override
+    public void joins(Desk desk) {
+        scaleOut.attach(desk);
     }
 
     @Override
-    public byte[] turn(HeldLease hold) {
-        PoolState s = PoolState.of(hold.state());
-        if (fence != hold.fence()) {
-            begin(hold);
-            return s.held().bytes();
+    public byte[] turn(HeldLease lease) {
+        PoolState state = PoolState.decode(lease.state());
+        if (fence != lease.fence()) {
+            startHolding(lease);
+            return state.withNextTerm().encode();
         }
-        if (hold.version() == lastVersion && hold.now() < turnAt) {
+        if (lease.version() == lastVersion && lease.now() < nextEvaluationAt) {
             return null;
         }
-        lastVersion = hold.version();
-        turnAt = hold.now() + EACH;
+        lastVersion = lease.version();
+        nextEvaluationAt = lease.now() + MIN_EVALUATION_INTERVAL_MILLIS;
         if (!announced) {
             announced = true;
-            LeaseTask.held(PoolSettings.duty(member), hold, s.term());
+            LeaseTask.held(PoolSettings.leaseName(tenant), lease, state.term());
         }
-        lately = s.move().step() != MigrationState.Step.NONE;
-        judge(hold.now());
-        PoolState next = step(s, hold.now());
-        return next == s ? null : next.bytes();
+        migrating = state.migration().step() != Step.SHARED;
+        ContentionEvidence.Finding finding = monitor.closeWindowIfDue(
+                lease.now(), settings.get().windowMillis(), () -> assignments.isolatedTenants(tenant));
+        if (finding != null) {
+            migration.recordFinding(finding, lease.now());
+        }
+        PoolState next = nextState(state, lease.now());
+        return next == state ? null : next.encode();
     }
 
-    private void begin(HeldLease hold) {
-        fence = hold.fence();
+    private void startHolding(HeldLease lease) {
+        fence = lease.fence();
         announced = false;
         lastVersion = -1;
-        evidence = new ContentionEvidence(member, settings.get().shares());
-        mover = new PoolMigration(member);
-        windowAt = hold.now() + settings.get().window();
-        parts.clear();
-        alarmedFor = 0;
-        told = null;
-        asking = false;
-        askAt = hold.now();
-        failures = 0;
-        settled = false;
-    }
-
-    private void judge(double now) {
-        if (now >= windowAt) {
-            windowAt = now + settings.get().window();
-            ContentionEvidence.Finding finding = evidence.window(board.apart(member));
-            alarmedFor = Math.max(0, alarmedFor - 1);
-            mover.hear(finding, now);
-            parts.add(finding.part());
-            if (parts.size() > DEMANDS) {
-                parts.remove();
-            }
-        }
-    }
-
-    /** The next state, or the same one. */
-    private PoolState step(PoolState s, double now) {
-        Map<String, PoolReservation.Runner> ready = board.ready();
-        boolean whole = own().growth() == null || settled;
-        PoolMigration.View view =
-                new PoolMigration.View(ready, board.taken(member, s.move().runners()), whole);
-        MigrationState next = mover.next(s.move(), own().will(), settings.get().moves(member), view, now);
-        if (!next.equals(s.move())) {
-            LOG.info(
-                    "pool-" + next.step().name().toLowerCase(Locale.ROOT),
-                    "member " + member + ": " + next.step() + " with runners " + next.runners(),
-                    "member",
-                    member,
-                    "step",
-                    next.step(),
-                    "fence",
-                    fence);
-            return s.moved(next);
-        }
-        if (own().growth() == null) {
-            return s;
-        }
-        List<String> names = told == null
-                ? s.added()
-                : told.running().stream().map(InstanceCharge::name).sorted().toList();
-        return names.equals(s.added()) ? grow(s, ready, now) : s.with(names);
-    }
-
-    private PoolState grow(PoolState s, Map<String, PoolReservation.Runner> ready, double now) {
-        if (!own().growth().equals(grownBy)) {
-            grownBy = own().growth();
-            growth = new ScaleOutPolicy(grownBy);
-        }
-        String key = PoolSettings.duty(member) + "-" + Long.toHexString(fence) + "-" + keys;
-        ScaleOutPolicy.Next next = growth.next(s.money(), told, wanted(s.move(), ready), now, (long) clock.now(), key);
-        means = growth.means();
-        settled = next == ScaleOutPolicy.Next.NOTHING
-                && told != null
-                && told.running().size() >= told.size()
-                && told.running().stream().allMatch(b -> ready.containsKey(b.name()));
-        if (next.store() != null) {
-            keys++;
-            if (!next.store().near().equals(s.money().near())) {
-                ScaleOutPolicy.Means m = growth.means();
-                LOG.warning(
-                        "near-cap",
-                        "member " + member + " is near its cap: spent " + m.spent()
-                                + ", bound to spend " + m.committed() + " of " + m.cap()
-                                + "; nothing is added before " + m.resumes(),
-                        "member",
-                        member,
-                        "spent",
-                        m.spent(),
-                        "cap",
-                        m.cap());
-            }
-            return s.paying(next.store());
+        monitor = new ContentionMonitor(
+                tenant, settings.get().quotas(), lease.now() + settings.get().windowMillis());
+        migration = new PoolMigration(tenant);
+        scaleOut.startHolding(fence, lease.now());
+    }
+
+    /** The next state, or the same object if nothing changes. */
+    private PoolState nextState(PoolState state, double nowMillis) {
+        PoolSettings.TenantSettings own = tenantSettings();
+        Map<String, ReadyEndpoint> ready = assignments.readyEndpoints();
+        PoolMigration.FleetView fleet = new PoolMigration.FleetView(
+                ready,
+                assignments.endpointsReservedByOthers(tenant, state.migration().endpoints()),
+                own.scaleOut() == null || scaleOut.isComplete());
+        MigrationState next = migration.nextState(
+                state.migration(), own.policy(), settings.get().migrationSettings(tenant), fleet, nowMillis);
+        if (!next.equals(state.migration())) {
+            logStep(next);
+            return state.withMigration(next);
         }
-        if (asking || now < askAt) {
-            return s;
-        }
-        if (next.list()) {
-            asking = true;
-            provider.list(member, now, back(fence));
-        } else if (next.put() != null) {
-            asking = true;
-            LOG.info(
-                    "asks-provider",
-                    "asks the provider for " + next.put().size() + " runners for " + member,
-                    "member",
-                    member,
-                    "size",
-                    next.put().size(),
-                    "key",
-                    next.put().key(),
-                    "fence",
-                    fence);
-            provider.put(member, next, told.etag(), fence, own().kind(), now, back(fence));
-        }
-        return s;
-    }
-
-    private Consumer<Provider.Answer> back(long under) {
-        return answer -> desk.run(() -> {
-            if (under == fence) {
-                answered(answer, System.nanoTime() / 1e6);
-            }
-        });
-    }
-
-    private void answered(Provider.Answer answer, double now) {
-        asking = false;
-        if (answer.way() == Provider.Way.TOLD) {
-            failures = 0;
-            askAt = now;
-            if (told == null || answer.told().at() >= told.at()) {
-                told = answer.told();
-            }
-            return;
-        }
-        // Danger: all holders come back at once to a provider that was down. The pause is drawn from the
-        // whole.
-        double bound = Math.min(LONGEST, FIRST * Math.pow(2, Math.min(30, failures++)));
-        askAt = now + answer.later() + bound * random.nextDouble();
-        switch (answer.way()) {
-            case STALE -> told = null;
-            case FENCED -> {
-                LOG.warning(
-                        "outdone",
-                        "the provider has seen a higher fence for " + member,
-                        "member",
-                        member,
-                        "fence",
-                        fence,
-                        "seen",
-                        answer.fence());
-                desk.outdo(PoolSettings.duty(member), answer.fence());
-            }
-            default ->
-                LOG.info(
-                        "provider-fails",
-                        "the provider did not answer for " + member,
-                        "member",
-                        member,
-                        "way",
-                        answer.way());
-        }
-    }
-
-    /** How many runners its demand is worth beyond its share; below 0: not known yet. */
-    private int wanted(MigrationState move, Map<String, PoolReservation.Runner> ready) {
-        if (move.step() == MigrationState.Step.NONE || move.step() == MigrationState.Step.CLOSE) {
+        return own.scaleOut() == null
+                ? state
+                : scaleOut.evaluate(state, own, desiredEndpoints(state.migration(), ready), ready.keySet(), nowMillis);
+    }
+
+    private void logStep(MigrationState next) {
+        String step = next.step().wireName();
+        LOG.info(
+                "pool-" + step.toLowerCase(Locale.ROOT),
+                "tenant " + tenant + ": " + step + " with endpoints " + next.endpoints(),
+                "member",
+                tenant,
+                "step",
+                step,
+                "fence",
+                fence);
+    }
+
+    /** How many added endpoints match the demand beyond the tenant's quota; negative while the demand is unknown. */
+    private int desiredEndpoints(MigrationState state, Map<String, ReadyEndpoint> ready) {
+        if (state.step() == Step.SHARED || state.step() == Step.RETURNING) {
             return 0;
         }
-        double part = parts.stream().mapToDouble(p -> p).max().orElse(-1);
-        long common = ready.values().stream().filter(r -> r.addedFor() == null).count();
-        double beyond = part - settings.get().shares().get(member);
-        return part < 0 ? -1 : (int) Math.max(0, Math.min(own().most(), Math.round(beyond * common)));
+        double demandFraction = monitor.peakDemandFraction();
+        if (demandFraction < 0) {
+            return -1;
+        }
+        long shared = ready.values().stream()
+                .filter(endpoint -> endpoint.addedForTenant() == null)
+                .count();
+        double excessFraction = demandFraction - settings.get().quotas().get(tenant);
+        return (int) Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(excessFraction * shared)));
     }
 
     @Override
     public void lost() {
-        fence = -1;
-        means = null;
+        fence = NO_FENCE;
+        scaleOut.stopHolding();
     }
 
     @Override
-    public void news(long under, long version, byte[] state, boolean wanted, double now) {
-        listening = wanted;
-        board.take(member, PoolState.of(state), now);
-        changed.accept(now);
+    public void news(long holderFence, long version, byte[] state, boolean listens, double nowMillis) {
+        holderListens = listens;
+        assignments.recordState(tenant, PoolState.decode(state), nowMillis);
+        onChange.accept(nowMillis);
     }
 
     @Override
-    public void word(int from, long life, byte[] word, double now) {
-        if (fence >= 0 && !evidence.hear(from, life, word)) {
-            LOG.warning("word-passed-over", "a word on " + member + " cannot be read", "from", from);
+    public void word(int dispatcher, long incarnation, byte[] report, double nowMillis) {
+        if (fence < 0) {
+            return;
+        }
+        if (!monitor.recordReport(dispatcher, incarnation, report)) {
+            LOG.warning(
+                    "word-passed-over", "a usage report on tenant " + tenant + " cannot be read", "from", dispatcher);
         }
-        // At once: the others' words of the last windows are in before this one ends.
-        if (fence >= 0 && evidence.alarmed()) {
-            if (alarmedFor == 0) {
-                LOG.info("hears-all", "hears all on member " + member, "member", member, "from", from);
-            }
-            alarmedFor = LISTENS;
+        if (monitor.listenIfUnsolicited()) {
+            LOG.info(
+                    "hears-all",
+                    "listens to all dispatchers on tenant " + tenant,
+                    "member",
+                    tenant,
+                    "from",
+                    dispatcher);
         }
     }
 
     @Override
-    public List<byte[]> tell(long under, double now) {
-        changed.accept(now);
-        return speaker.words(
-                member,
-                under,
-                listening,
-                settings.get().window(),
-                now,
-                () -> board.apart(member).keySet());
+    public List<byte[]> tell(long holderFence, double nowMillis) {
+        onChange.accept(nowMillis);
+        return reporter.reportsToSend(
+                tenant,
+                holderFence,
+                holderListens,
+                settings.get().windowMillis(),
+                nowMillis,
+                () -> assignments.isolatedTenants(tenant).keySet());
     }
 
     @Override
     public boolean listens() {
-        return fence >= 0 && (lately || alarmedFor > 0);
+        return fence >= 0 && (migrating || monitor.isListening());
     }
 
     @Override
@@ -344,8 +209,8 @@
         return !listens();
     }
 
-    /** Figures for operators while it is held here. */
-    ScaleOutPolicy.Means means() {
-        return means;
+    /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
+    ScaleOutPolicy.BudgetStatus budgetStatus() {
+        return scaleOut.budgetStatus();
     }
 }
--- /dev/null
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
@@ -0,0 +1,159 @@
+package nettlewick.tenantpools;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import nettlewick.contention.UsageCounters;
+import nettlewick.contention.UsageReporter;
+import nettlewick.core.Attempt;
+import nettlewick.core.Clock;
+import nettlewick.core.EndpointUpdate;
+import nettlewick.core.Request;
+import nettlewick.core.RequestCoordinator;
+import nettlewick.core.RequestListener;
+import nettlewick.decision.AttemptResult;
+import nettlewick.decision.PoolAssignment;
+import nettlewick.decision.SchedulerSettings;
+import nettlewick.lease.LeaseTask;
+import nettlewick.log.ComponentLogger;
+import nettlewick.settings.Block;
+
+/**
+ * Connects the tenants' pools to the lease service, which runs their tasks, and to the core, which is given the
+ * resulting assignments. Requests and endpoint updates arrive on the core's thread, everything else on the lease
+ * thread.
+ */
+public final class TenantPoolsService implements RequestListener, AutoCloseable {
+    private static final ComponentLogger LOG = ComponentLogger.of("pools");
+
+    private volatile PoolSettings settings;
+    private final SchedulerSettings platform;
+    private final UsageCounters counters;
+    private final PoolAssignments assignments;
+    private final ProviderClient provider;
+    private final Map<String, TenantPoolTask> tasks = new LinkedHashMap<>();
+    private volatile RequestCoordinator coordinator;
+    private List<PoolAssignment> lastAssigned = List.of();
+
+    /**
+     * Checks the settings and creates one lease task for each tenant that they name.
+     *
+     * @throws nettlewick.settings.InvalidSettingsException if the block contradicts itself or the platform's settings
+     */
+    public TenantPoolsService(Block block, SchedulerSettings platform, Clock clock, long seed) {
+        this.platform = platform;
+        settings = PoolSettings.of(block, platform.tenants());
+        counters = new UsageCounters(platform.classes());
+        assignments = new PoolAssignments(settings.staleAfterMillis());
+        provider = settings.providerUrl() == null
+                ? null
+                : new ProviderClient(settings.providerUrl(), settings.providerTimeoutMillis());
+        UsageReporter reporter = new UsageReporter(counters, settings.quotas());
+        settings.tenants()
+                .keySet()
+                .forEach(tenant -> tasks.put(tenant, task(tenant, reporter, clock, seed ^ tenant.hashCode())));
+    }
+
+    private TenantPoolTask task(String tenant, UsageReporter reporter, Clock clock, long seed) {
+        return new TenantPoolTask(
+                tenant,
+                () -> settings,
+                assignments,
+                reporter,
+                new ScaleOutController(tenant, provider, clock, seed),
+                this::publishAssignments);
+    }
+
+    /** The tenants' lease tasks, by the name of the lease. */
+    public Map<String, LeaseTask> leaseTasks() {
+        Map<String, LeaseTask> leaseTasks = new LinkedHashMap<>();
+        tasks.forEach((name, task) -> leaseTasks.put(PoolSettings.leaseName(name), task));
+        return leaseTasks;
+    }
+
+    /**
+     * Checks a new version of the block. Tenants cannot be added or removed without a restart, since each has a lease:
+     * a block that does is logged and not applied.
+     *
+     * @return the step that applies it
+     * @throws nettlewick.settings.InvalidSettingsException if it is invalid; the current settings stay in force
+     */
+    public Runnable prepareReload(Block block) {
+        PoolSettings next = PoolSettings.of(block, platform.tenants());
+        return () -> {
+            if (next.tenants().keySet().equals(tasks.keySet())) {
+                settings = next;
+            } else {
+                LOG.warning(
+                        "members-stay",
+                        "adding or removing tenants of the block pools needs a restart; the old block stays in force");
+            }
+        };
+    }
+
+    /** Hands changed assignments to the core. Called on the lease thread. */
+    private void publishAssignments(double nowMillis) {
+        List<PoolAssignment> next = assignments.currentAssignments(nowMillis);
+        RequestCoordinator to = coordinator;
+        if (to != null && !next.equals(lastAssigned)) {
+            lastAssigned = next;
+            LOG.info("pools-followed", "tenants with dedicated endpoints: " + next.size(), "follows", describe(next));
+            to.assignPools(next);
+        }
+    }
+
+    /**
+     * {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether it excludes others, whether it is confined, endpoints. The
+     * fleet test parses this form.
+     */
+    private static String describe(List<PoolAssignment> all) {
+        return all.stream()
+                .map(a -> a.tenant() + ":" + (a.exclusive() ? 1 : 0) + ":" + (a.confined() ? 1 : 0)
+                        + ":"
+                        + a.endpoints().stream().sorted().collect(Collectors.joining(",")))
+                .collect(Collectors.joining(";"));
+    }
+
+    @Override
+    public void joins(RequestCoordinator coordinator) {
+        this.coordinator = coordinator;
+    }
+
+    @Override
+    public void asked(Request request) {
+        counters.asked(request);
+    }
+
+    @Override
+    public void ended(Attempt attempt, AttemptResult result) {
+        counters.ended(attempt, result);
+    }
+
+    @Override
+    public void listed(EndpointUpdate update) {
+        assignments.listed(update);
+    }
+
+    @Override
+    public Map<String, Number> figures() {
+        Map<String, Number> figures = new TreeMap<>();
+        tasks.forEach((name, task) -> {
+            ScaleOutPolicy.BudgetStatus budget = task.budgetStatus();
+            if (budget != null) {
+                figures.put("pools." + name + ".spent_cents", budget.spentCents());
+                figures.put("pools." + name + ".committed_cents", budget.committedCents());
+                figures.put("pools." + name + ".cap_cents", budget.capCents());
+            }
+        });
+        return figures;
+    }
+
+    @Override
+    public void close() {
+        if (provider != null) {
+            provider.close();
+        }
+    }
+}
--- a/src/test/java/nettlewick/cli/DutyRelay.java
+++ b/src/test/java/nettlewick/cli/DatagramRelay.java
@@ -5,15 +5,17 @@
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.util.Arrays;
+import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Carries datagrams between dispatchers, each reached at a port of the relay's; loses, doubles, delays and cuts. */
-final class DutyRelay implements AutoCloseable {
-    private static final int LATE_MILLIS = 20;
+/** Forwards datagrams between dispatchers, and loses, duplicates, delays or blocks them. */
+final class DatagramRelay implements AutoCloseable {
+    private static final int MAX_DELAY_MILLIS = 20;
     private final DatagramSocket[] ends;
     private final int[] targets;
     private final SplittableRandom random;
@@ -23,44 +25,42 @@
         return t;
     });
     private final AtomicInteger lost = new AtomicInteger();
-    private final AtomicInteger doubled = new AtomicInteger();
-    private volatile double loss;
-    private volatile double doubles;
+    private final AtomicInteger duplicated = new AtomicInteger();
+    private volatile double lossProbability;
+    private volatile double duplicationProbability;
     private volatile int muted = -1;
-    private volatile java.util.Set<Integer> half = java.util.Set.of();
+    private volatile Set<Integer> partitioned = Set.of();
 
-    DutyRelay(int[] targets, long seed) throws IOException {
+    DatagramRelay(int[] targets, long seed) throws IOException {
         this.targets = targets.clone();
         random = new SplittableRandom(seed);
         ends = new DatagramSocket[targets.length];
         for (int n = 0; n < ends.length; n++) {
             ends[n] = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
             int to = n;
-            Thread t = new Thread(() -> carry(to), "relay-" + n);
+            Thread t = new Thread(() -> forwardLoop(to), "relay-" + n);
             t.setDaemon(true);
             t.start();
         }
     }
 
     int[] ports() {
-        return java.util.Arrays.stream(ends)
-                .mapToInt(DatagramSocket::getLocalPort)
-                .toArray();
+        return Arrays.stream(ends).mapToInt(DatagramSocket::getLocalPort).toArray();
     }
 
-    void fates(double lossPart, double doublePart) {
-        loss = lossPart;
-        doubles = doublePart;
+    void setFaults(double lossPart, double doublePart) {
+        lossProbability = lossPart;
+        duplicationProbability = doublePart;
     }
 
-    /** What this one says reaches nobody, though it hears all; -1: nobody is cut off. */
+    /** Blocks all datagrams from one dispatcher, but none to it; -1 blocks none. */
     void mute(int number) {
         muted = number;
     }
 
-    /** Nothing passes between these and the others; none: all is whole. */
-    void split(java.util.Set<Integer> some) {
-        half = some;
+    /** Blocks all datagrams between these dispatchers and the others; an empty set ends the partition. */
+    void partition(Set<Integer> some) {
+        partitioned = some;
     }
 
     private int sender(int port) {
@@ -72,15 +72,15 @@
         return -1;
     }
 
-    int lost() {
+    int lostCount() {
         return lost.get();
     }
 
-    int doubled() {
-        return doubled.get();
+    int duplicatedCount() {
+        return duplicated.get();
     }
 
-    private void carry(int to) {
+    private void forwardLoop(int to) {
         byte[] room = new byte[8192];
         while (!ends[to].isClosed()) {
             DatagramPacket packet = new DatagramPacket(room, room.length);
@@ -89,18 +89,18 @@
             } catch (IOException e) {
                 return;
             }
-            byte[] data = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
+            byte[] data = Arrays.copyOf(packet.getData(), packet.getLength());
             synchronized (random) {
                 int from = sender(packet.getPort());
-                boolean cut = from == muted || half.contains(from) != half.contains(to);
-                if (cut || random.nextDouble() < loss) {
+                boolean cut = from == muted || partitioned.contains(from) != partitioned.contains(to);
+                if (cut || random.nextDouble() < lossProbability) {
                     lost.incrementAndGet();
                     continue;
                 }
-                send(to, data, random.nextInt(LATE_MILLIS));
-                if (random.nextDouble() < doubles) {
-                    doubled.incrementAndGet();
-                    send(to, data, random.nextInt(LATE_MILLIS));
+                send(to, data, random.nextInt(MAX_DELAY_MILLIS));
+                if (random.nextDouble() < duplicationProbability) {
+                    duplicated.incrementAndGet();
+                    send(to, data, random.nextInt(MAX_DELAY_MILLIS));
                 }
             }
         }
--- a/src/test/java/nettlewick/cli/LabCommandTest.java
+++ b/src/test/java/nettlewick/cli/FleetTestCommandTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The command {@code fleet-test} as a process, under its older name. */
 @Timeout(60)
-class LabCommandTest {
+class FleetTestCommandTest {
     private static final String WORLD = """
             world {
                 dispatchers 3
@@ -30,7 +31,7 @@
     @TempDir
     private Path dir;
 
-    private Process lab(String what, String text) throws Exception {
+    private Process fleetTest(String what, String text) throws Exception {
         Path file = Files.writeString(dir.resolve("scenario.conf"), text);
         return Child.start(
                 dir.resolve("log"),
@@ -43,24 +44,24 @@
     }
 
     @Test
-    void aBadScenarioIsOneLineAndNothingStarts() throws Exception {
-        Process lab = lab("run", WORLD + "steps {\n at 1s pause s1 for 2s\n}\n");
-        assertTrue(lab.waitFor(30, TimeUnit.SECONDS));
-        assertEquals(2, lab.exitValue());
+    void aBadScenarioPrintsOneLineAndStartsNothing() throws Exception {
+        Process process = fleetTest("run", WORLD + "steps {\n at 1s pause s1 for 2s\n}\n");
+        assertTrue(process.waitFor(30, TimeUnit.SECONDS));
+        assertEquals(2, process.exitValue());
         List<String> lines = Files.readAllLines(dir.resolve("log"));
         assertEquals(1, lines.size(), lines::toString);
         assertTrue(lines.get(0).contains("scenario.conf:11: at is s1, but has to be dispatchers"), lines.get(0));
         assertTrue(Files.notExists(dir.resolve("out")));
     }
 
-    /** Guards against hundreds of processes left behind by a lab that somebody ended. */
+    /** Ending a fleet test must end the processes that it started. */
     @Test
-    void anInterruptedLabLeavesNoProcess() throws Exception {
-        Process lab = lab("run", WORLD);
-        Child.until(lab, dir.resolve("log"), () -> lab.descendants().count() >= 3);
-        List<ProcessHandle> fleet = lab.descendants().toList();
-        lab.destroy();
-        assertTrue(lab.waitFor(30, TimeUnit.SECONDS));
+    void anInterruptedFleetTestLeavesNoProcess() throws Exception {
+        Process process = fleetTest("run", WORLD);
+        Child.until(process, dir.resolve("log"), () -> process.descendants().count() >= 3);
+        List<ProcessHandle> fleet = process.descendants().toList();
+        process.destroy();
+        assertTrue(process.waitFor(30, TimeUnit.SECONDS));
         StubPlatform.until(() -> fleet.stream().noneMatch(ProcessHandle::isAlive));
     }
 }
--- /dev/null
+++ b/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
@@ -0,0 +1,255 @@
+package nettlewick.contention;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.Supplier;
+import net.jqwik.api.Arbitraries;
+import net.jqwik.api.Arbitrary;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.Provide;
+import nettlewick.contention.VirtualTier.Load;
+import org.junit.jupiter.api.Test;
+
+/** Whose load counts as contention, judged from twelve dispatchers that each see a few requests in a window. */
+class ContentionEvidenceTest {
+    private static final int DISPATCHERS = 12;
+    private static final int ENDPOINTS = 8;
+    private static final int MAX_WINDOWS = 40;
+
+    private final Map<String, Double> quotas = new LinkedHashMap<>(Map.of("red", 0.25, "blue", 0.25, "green", 0.5));
+    private VirtualTier fleet;
+
+    private void startFleet() {
+        fleet = new VirtualTier(DISPATCHERS, quotas, 3);
+    }
+
+    private ContentionEvidence.Finding runWindow(Load load) {
+        return fleet.runWindow(load);
+    }
+
+    /** After how many windows red is found to cause contention; -1 if never. */
+    private int windowsUntilDetected(Load load) {
+        for (int w = 1; w <= MAX_WINDOWS; w++) {
+            if (runWindow(load).causesContention()) {
+                return w;
+            }
+        }
+        return -1;
+    }
+
+    private static Load load(double red, double others, double harmedFraction, double slowdown) {
+        return new Load(Map.of("red", red, "blue", others, "green", 2 * others), harmedFraction, slowdown);
+    }
+
+    private void runUncontendedWindows() {
+        for (int w = 0; w < 10; w++) {
+            assertFalse(runWindow(load(1, 1, 0.01, 1)).causesContention());
+        }
+    }
+
+    @Test
+    void aFloodThatHarmsOthersIsDetectedWithinEightWindows() {
+        startFleet();
+        runUncontendedWindows();
+        int after = windowsUntilDetected(load(6, 1, 0.3, 1.1));
+        assertTrue(after >= 4 && after <= 8, "detected after " + after);
+    }
+
+    @Test
+    void lostReportsOnlyDelayDetection() {
+        startFleet();
+        fleet.lossProbability = 0.3;
+        runUncontendedWindows();
+        int after = windowsUntilDetected(load(6, 1, 0.3, 1.1));
+        assertTrue(after >= 4 && after <= 12, "detected after " + after);
+    }
+
+    @Test
+    void aFloodThatHarmsNobodyIsNotContention() {
+        startFleet();
+        runUncontendedWindows();
+        assertEquals(-1, windowsUntilDetected(load(6, 1, 0.01, 1)));
+    }
+
+    @Test
+    void harmThatPredatesTheFloodIsNotAttributedToIt() {
+        startFleet();
+        for (int w = 0; w < 10; w++) {
+            runWindow(load(1, 1, 0.3, 1));
+        }
+        assertEquals(-1, windowsUntilDetected(load(6, 1, 0.3, 1)));
+    }
+
+    @Test
+    void aSlowDependencyIsNotAttributedToAnyTenant() {
+        startFleet();
+        runUncontendedWindows();
+        assertEquals(-1, windowsUntilDetected(load(1, 1, 0.4, 3)));
+        assertEquals(
+                -1,
+                windowsUntilDetected(load(6, 1, 0.4, 3)),
+                "a flood during the slowdown cannot be told apart from it");
+    }
+
+    @Test
+    void manySmallTenantsTogetherAreNotBlamed() {
+        quotas.clear();
+        Map<String, Double> requests = new LinkedHashMap<>();
+        for (int m = 0; m < 10; m++) {
+            quotas.put(m == 0 ? "red" : "small-" + m, 0.04);
+            requests.put(m == 0 ? "red" : "small-" + m, 1.5);
+        }
+        quotas.put("green", 0.6);
+        requests.put("green", 5.0);
+        startFleet();
+        Map<String, Double> calm = new LinkedHashMap<>(requests);
+        calm.replaceAll((m, j) -> m.equals("green") ? 6 : 0.3);
+        for (int w = 0; w < 10; w++) {
+            runWindow(new Load(calm, 0.01, 1));
+        }
+        assertEquals(-1, windowsUntilDetected(new Load(requests, 0.3, 1)));
+    }
+
+    /** Of two flooding tenants the larger is migrated first; the other one is detected afterwards. */
+    @Test
+    void theSecondTenantIsDetectedOnceTheLargerIsIsolated() {
+        startFleet();
+        runUncontendedWindows();
+        Load both = new Load(Map.of("red", 5.0, "blue", 7.0, "green", 2.0), 0.3, 1.1);
+        assertEquals(-1, windowsUntilDetected(both));
+        fleet.isolated = Map.of("blue", Set.of("s9"));
+        assertTrue(windowsUntilDetected(both) > 0);
+    }
+
+    @Test
+    void theVictimIsNotBlamed() {
+        startFleet();
+        runUncontendedWindows();
+        assertEquals(-1, windowsUntilDetected(new Load(Map.of("red", 1.0, "blue", 8.0, "green", 2.0), 0.3, 1)));
+    }
+
+    @Test
+    void oneDispatchersReportsAreNotEnough() {
+        startFleet();
+        runUncontendedWindows();
+        Supplier<byte[]> accusations = VirtualTier.blame("red", ENDPOINTS);
+        for (int w = 0; w < MAX_WINDOWS; w++) {
+            fleet.evidence.recordReport(DISPATCHERS, 1, accusations.get());
+            assertFalse(runWindow(load(1, 1, 0.02, 1)).causesContention());
+        }
+    }
+
+    /** The holder is replaced in each window of a flood: dispatchers repeat the last windows to each new one. */
+    @Test
+    void evidenceSurvivesALeaseHolderChangeInEachWindow() {
+        for (double lost : new double[] {0, 0.3}) {
+            startFleet();
+            fleet.lossProbability = lost;
+            runUncontendedWindows();
+            Load flood = load(6, 1, 0.3, 1.1);
+            int after = -1;
+            for (int w = 1; w <= MAX_WINDOWS && after < 0; w++) {
+                after = runWindow(flood).causesContention() ? w : -1;
+                fleet.replaceHolder(true);
+            }
+            assertTrue(after >= 4 && after <= 10, "detected after " + after + " with " + lost + " lost");
+        }
+    }
+
+    @Test
+    void aHolderWithoutEarlierReportsDetectsNothingInOneWindow() {
+        startFleet();
+        runUncontendedWindows();
+        for (int w = 1; w <= MAX_WINDOWS; w++) {
+            assertFalse(runWindow(load(6, 1, 0.3, 1.1)).causesContention());
+            fleet.replaceHolder(false);
+        }
+    }
+
+    /** Reports of one incarnation may be late, duplicated and reordered. */
+    @Test
+    void earlierReportsMayArriveInAnyOrderAndTwice() {
+        startFleet();
+        runUncontendedWindows();
+        for (int w = 0; w < 6; w++) {
+            runWindow(load(6, 1, 0.3, 1.1));
+        }
+        for (int seed = 0; seed < 20; seed++) {
+            Random random = new Random(seed);
+            fleet.evidence = new ContentionEvidence("red", quotas);
+            List<Runnable> deliveries = new ArrayList<>();
+            for (int d = 0; d < DISPATCHERS; d++) {
+                int dispatcher = d;
+                for (int age = 1; age <= ContentionEvidence.WINDOWS; age++) {
+                    byte[] old = UsageReportCodec.withAge(
+                            fleet.dispatchers.get(d).recentReports.get(age - 1), age);
+                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, old));
+                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, old));
+                }
+            }
+            Collections.shuffle(deliveries, random);
+            deliveries.forEach(Runnable::run);
+            assertTrue(runWindow(load(6, 1, 0.3, 1.1)).causesContention(), "seed " + seed);
+        }
+    }
+
+    @Test
+    void aNewIncarnationStartsWithoutEarlierCounts() {
+        startFleet();
+        for (int d = 0; d < DISPATCHERS; d++) {
+            VirtualTier.DispatcherUsage usage = fleet.dispatchers.get(d);
+            usage.totalWork = 1_000_000;
+            usage.workByTenant.put(UsageCounters.nameHash("red"), 1_000_000L);
+            usage.endpoints.put(
+                    UsageCounters.nameHash("s0"), new UsageReport.EndpointUsage(900_000, 1_000_000, 10_000, 9000));
+        }
+        runUncontendedWindows();
+        fleet.dispatchers.replaceAll(s -> new VirtualTier.DispatcherUsage());
+        for (int d = 0; d < DISPATCHERS; d++) {
+            assertTrue(fleet.evidence.recordReport(
+                    d, 2, UsageReportCodec.encode(fleet.dispatchers.get(d).report(0.25))));
+        }
+        runUncontendedWindows();
+    }
+
+    @Test
+    void aTenantWithinItsQuotaIsNeverDetectedInAnHourOfNoise() {
+        assertEquals(0, VirtualTier.falseMoves(DISPATCHERS, 1800, 5));
+    }
+
+    @Property(tries = 300)
+    void reportsSurviveEncodingAndDecoding(@ForAll("reports") UsageReport report) {
+        byte[] bytes = UsageReportCodec.encode(report);
+        assertEquals(report, UsageReportCodec.decode(bytes));
+        byte[] cut = Arrays.copyOf(bytes, bytes.length - 1);
+        assertNull(UsageReportCodec.decode(cut));
+    }
+
+    @Provide
+    Arbitrary<UsageReport> reports() {
+        return Arbitraries.longs()
+                .between(0, Long.MAX_VALUE / 2)
+                .list()
+                .ofSize(4)
+                .map(n -> new UsageReport(
+                        n.get(0),
+                        Map.of(7, n.get(1)),
+                        n.get(2),
+                        n.get(3),
+                        Map.of(9, new UsageReport.EndpointUsage(n.get(0) / 2, n.get(0), n.get(1), n.get(1) / 3)),
+                        new UncontendedBaseline(n.get(2), n.get(2) / 2, n.get(3), n.get(0)),
+                        n.get(1) % 2 == 0));
+    }
+}
