--- a/src/main/java/nettlewick/core/AttemptTracker.java
+++ b/src/main/java/nettlewick/core/AttemptTracker.java
@@ -104,7 +104,7 @@
         if (!attempt.markEnded()) {
             return;
         }
-        attempt.recordEnd(endedAtMillis, outcome.result().neverRan);
+        attempt.recordEnd(endedAtMillis, outcome.result().neverRan());
         listener.ended(attempt, outcome.result());
         InFlightRequest inFlight = table.get(attempt.request().id());
         boolean isSettled = inFlight == null || inFlight.isAnswered();
--- a/src/main/java/nettlewick/decision/AttemptResult.java
+++ b/src/main/java/nettlewick/decision/AttemptResult.java
@@ -19,8 +19,7 @@
     /** Never sent. */
     NOT_SENT(true);
 
-    /** Whether this result proves that the request never ran. */
-    public final boolean neverRan;
+    private final boolean neverRan;
 
     AttemptResult(boolean neverRan) {
         this.neverRan = neverRan;
