--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -15,6 +15,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Collections;
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicReference;
@@ -27,7 +28,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Capture files: read in all their forms, put in order, refused in one line, replayed, and written. */
+/** Capture files are read in all formats, reassembled, reported in one line if damaged, replayed, and written. */
 @Timeout(30)
 class CaptureTest {
     private static final String FIRST_REQUEST = "POST /api?n=1 HTTP/1.1\r\nX-Request-Id: a\r\nX-Class: step-view\r\n"
@@ -35,7 +36,7 @@
     private static final String SECOND_REQUEST =
             FIRST_REQUEST.replace("n=1", "n=2").replace("Id: a", "Id: b");
 
-    /** A capture being made by hand: form of the file, then packet after packet. */
+    /** Builds a capture file packet by packet. */
     private static final class CaptureFileBuilder {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
         private final ByteOrder order;
@@ -61,7 +62,7 @@
             out.write(b.array(), 0, b.position());
         }
 
-        /** A segment from the client's port at this millisecond. */
+        /** Adds a segment from the client's port, captured at this millisecond. */
         CaptureFileBuilder add(int millis, int port, int seq, int flags, String text) {
             byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
             ByteBuffer p = ByteBuffer.allocate(100 + bytes.length);
@@ -126,7 +127,7 @@
         assertEquals("hello", c.requests().get(0).body().toString());
     }
 
-    /** Segments repeated, overlapping and out of order, over the point where sequence numbers wrap round. */
+    /** Segments are repeated, overlap and come out of order, across the wrap of sequence numbers. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void segmentsAreReassembledInOrder(long seed) throws IOException {
@@ -138,7 +139,7 @@
             pieces.add(new int[] {at, Math.min(text.length(), at + 40 + random.nextInt(30))});
         }
         List<int[]> shuffled = new ArrayList<>(pieces);
-        java.util.Collections.shuffle(shuffled, random);
+        Collections.shuffle(shuffled, random);
         shuffled.addAll(pieces.subList(0, 3));
         CaptureFileBuilder tape =
                 new CaptureFileBuilder(ByteOrder.LITTLE_ENDIAN, false, 101).add(0, 9, start - 1, 2, "");
@@ -161,7 +162,7 @@
         assertEquals(1, c.incompleteCount());
     }
 
-    /** Cut anywhere, a file is read to an end in good time: as far as it goes whole, or with one plain line. */
+    /** Truncated anywhere or damaged, a file is read without hanging: to its end, or up to an error of one line. */
     @Test
     void aTruncatedFileIsReportedInOneLine() throws IOException {
         byte[] whole = new CaptureFileBuilder(ByteOrder.BIG_ENDIAN, true, 1)
@@ -178,7 +179,7 @@
                 refused++;
             }
         }
-        assertEquals(whole.length - 2, refused, "whole only before the first packet and after it");
+        assertEquals(whole.length - 2, refused, "complete only before the first packet and after it");
         for (long seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             byte[] odd = whole.clone();
@@ -194,7 +195,7 @@
         assertThrows(CaptureFormatException.class, () -> read("{\"no\":\"capture\"}          ".getBytes()));
     }
 
-    /** What the writer writes, the reader reads; and what the reader reads goes through the core. */
+    /** The reader reads what the writer wrote, and the replayer submits what was read. */
     @Test
     void servedTrafficIsWrittenReadAndReplayed() throws Exception {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
