--- a/src/main/java/nettlewick/settings/Block.java
+++ b/src/main/java/nettlewick/settings/Block.java
@@ -5,12 +5,21 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Optional;
+import java.util.stream.Collectors;
 
-/** A block of settings that were checked: its values have the types that its section gives them. */
+/** A block of checked settings: its values have the types that its section gives them. */
 public final class Block {
-    /** One line: its words as they stand, and the values they stand for. */
+    /**
+     * One line.
+     *
+     * @param place where it is
+     * @param words as they are written, without the keyword
+     * @param parts the value of each word
+     */
     public record Value(SourceLocation place, List<String> words, List<Object> parts) {
+        /** The value of one word, counted from 0; the caller knows its type from the schema. */
         @SuppressWarnings("unchecked")
         public <T> T part(int number) {
             return (T) parts.get(number);
@@ -33,10 +42,12 @@
         return section;
     }
 
+    /** The word after the block's name; null where it has none. */
     public String label() {
         return label;
     }
 
+    /** Where the block starts. */
     public SourceLocation place() {
         return place;
     }
@@ -55,8 +66,7 @@
 
     void add(Block block) {
         for (Block other : inner) {
-            if (other.section == block.section
-                    && (!block.section.many() || java.util.Objects.equals(other.label, block.label))) {
+            if (other.section == block.section && (!block.section.many() || Objects.equals(other.label, block.label))) {
                 throw InvalidSettingsException.value(
                         block.place,
                         block.section.name(),
@@ -67,7 +77,7 @@
         inner.add(block);
     }
 
-    /** What was set under a keyword, or its fallback; empty where there is neither. */
+    /** All values of a keyword, or its default; empty where there is neither. */
     public List<Value> all(String name) {
         Keyword keyword = section.findKeyword(name);
         if (keyword == null) {
@@ -84,6 +94,7 @@
         return List.of(new Value(SourceLocation.DEFAULT, words, keyword.read(SourceLocation.DEFAULT, words)));
     }
 
+    /** The first value of a keyword, or its default; empty where there is neither. */
     public Optional<Value> one(String name) {
         return all(name).stream().findFirst();
     }
@@ -94,39 +105,47 @@
                 .part(0);
     }
 
+    /** Whether a keyword is set or has a default. */
     public boolean has(String name) {
         return !all(name).isEmpty();
     }
 
+    /** A text. Like the other accessors of one value, for keywords that are set or have a default only. */
     public String text(String name) {
         return required(name);
     }
 
+    /** Whether the value is yes. */
     public boolean flag(String name) {
         return this.<Boolean>required(name);
     }
 
+    /** A whole number or a size in bytes. */
     public long whole(String name) {
         return this.<Long>required(name);
     }
 
-    /** Milliseconds. */
+    /** A time span, in milliseconds. */
     public double span(String name) {
         return this.<Double>required(name);
     }
 
+    /** An address and port. */
     public InetSocketAddress address(String name) {
         return required(name);
     }
 
+    /** A value of any type; the caller knows it from the schema. */
     public <T> T get(String name) {
         return required(name);
     }
 
+    /** The first block of this name in this one. */
     public Optional<Block> block(String name) {
         return inner.stream().filter(b -> b.section.name().equals(name)).findFirst();
     }
 
+    /** All blocks of this name in this one. */
     public List<Block> blocks(String name) {
         return inner.stream().filter(b -> b.section.name().equals(name)).toList();
     }
@@ -135,17 +154,17 @@
         return inner;
     }
 
-    /** What was set, as lines of a file. */
+    /** What was set in this block itself, as lines of a file. */
     public String lines() {
         StringBuilder text = new StringBuilder();
         values.forEach((name, set) -> set.forEach(v -> text.append(name)
                 .append(' ')
-                .append(v.words().stream().map(ValueType::quote).collect(java.util.stream.Collectors.joining(" ")))
+                .append(v.words().stream().map(ValueType::quote).collect(Collectors.joining(" ")))
                 .append('\n')));
         return text.toString();
     }
 
-    /** Where a keyword stands, for what only its user can check. */
+    /** The error for a value that only its user could check; {@code wanted} ends the sentence "... has to be". */
     public InvalidSettingsException bad(String name, String expected) {
         Value value = one(name).orElse(null);
         return InvalidSettingsException.value(
--- a/src/main/java/nettlewick/settings/InvalidSettingsException.java
+++ b/src/main/java/nettlewick/settings/InvalidSettingsException.java
@@ -1,15 +1,16 @@
 package nettlewick.settings;
 
-/** Settings that are not in order, in one line that names file, line, keyword and value. */
+/** Settings that are invalid; the message is one line that names file, line, keyword and value. */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1;
     private static final int MAX_MESSAGE_CHARS = 400;
 
+    /** @param message without the location, which is put before it */
     public InvalidSettingsException(SourceLocation location, String message) {
         super(toSingleLine(location + ": " + message));
     }
 
-    /** A keyword whose value is not what it has to be. */
+    /** A keyword whose value is invalid; {@code expected} ends the sentence "... has to be". */
     public static InvalidSettingsException value(
             SourceLocation location, String keyword, String value, String expected) {
         return new InvalidSettingsException(
--- a/src/main/java/nettlewick/settings/Keyword.java
+++ b/src/main/java/nettlewick/settings/Keyword.java
@@ -1,17 +1,19 @@
 package nettlewick.settings;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
 
 /**
- * One keyword of a block, as the check and the reference see it.
+ * One keyword of a block, for the check and for the reference page.
  *
- * @param forms    the ways to write its values; each is a list of types, one a word
- * @param fallback its values where nobody sets it, as they would be written; null for none
- * @param many     whether it may stand more than once
- * @param required whether the block makes no sense without it
- * @param live     whether SIGHUP changes it; else only a restart does
- * @param about    what it does, in a sentence
+ * @param name     as it is written
+ * @param forms    the ways to write its values; each is a list of types, one for each word
+ * @param fallback its values where it is not set, as they would be written; null for none
+ * @param many     whether it may be set more than once
+ * @param required whether it has to be set
+ * @param live     whether SIGHUP applies a change; otherwise only a restart does
+ * @param about    what it does, for the reference page
  */
 public record Keyword(
         String name,
@@ -21,39 +23,39 @@
         boolean required,
         boolean live,
         String about) {
-    /** A keyword with one value and a value for where nobody sets it. */
+    /** A keyword with one value and a default. */
     public static Keyword of(String name, ValueType<?> type, String fallback, String about) {
         return new Keyword(name, List.of(List.of(type)), fallback, false, false, false, about);
     }
 
-    /** One that has to be set. */
+    /** A keyword with one value that has to be set. */
     public static Keyword needed(String name, ValueType<?> type, String about) {
         return new Keyword(name, List.of(List.of(type)), null, false, true, false, about);
     }
 
-    /** One that may be left out, without a value for that. */
+    /** A keyword with one value that may be left out and has no default. */
     public static Keyword free(String name, ValueType<?> type, String about) {
         return new Keyword(name, List.of(List.of(type)), null, false, false, false, about);
     }
 
-    /** One of several words that may stand more than once. */
+    /** A keyword with several words, which may be set more than once and is applied by SIGHUP. */
     public static Keyword several(String name, String about, ValueType<?>... types) {
         return new Keyword(name, List.of(List.of(types)), null, true, false, true, about);
     }
 
-    /** The same, taken over by SIGHUP. */
+    /** The same, applied by SIGHUP. */
     public Keyword changing() {
         return new Keyword(name, forms, fallback, many, required, true, about);
     }
 
-    /** The same, with one more way to write it. */
+    /** The same, with another way to write its values. */
     public Keyword or(ValueType<?>... types) {
-        List<List<ValueType<?>>> all = new java.util.ArrayList<>(forms);
+        List<List<ValueType<?>>> all = new ArrayList<>(forms);
         all.add(List.of(types));
         return new Keyword(name, all, fallback, many, required, live, about);
     }
 
-    /** How it is written. */
+    /** How it is written, with all of its forms. */
     String usage() {
         return usage(forms);
     }
@@ -64,39 +66,51 @@
                 .collect(Collectors.joining(" or "));
     }
 
-    /** The values that these words stand for; BadSettings where they stand for none. */
+    /** The values that these words stand for; throws {@link InvalidSettingsException} where no form fits. */
     List<Object> read(SourceLocation location, List<String> words) {
-        String wrong = null;
-        String expected = null;
-        int furthest = 0;
-        List<List<ValueType<?>>> near = new java.util.ArrayList<>();
         for (List<ValueType<?>> form : forms) {
-            List<Object> values = new java.util.ArrayList<>();
-            for (int i = 0; i < Math.min(form.size(), words.size()); i++) {
-                Object value = form.get(i).read(words.get(i));
-                if (value == null) {
-                    if (form.size() == words.size()) {
-                        wrong = words.get(i);
-                        expected = form.get(i).wanted();
-                    }
-                    break;
-                }
-                values.add(value);
-            }
+            List<Object> values = readPrefix(form, words);
             if (values.size() == form.size() && form.size() == words.size()) {
                 return List.copyOf(values);
             }
-            if (values.size() > furthest) {
-                furthest = values.size();
-                near.clear();
-            }
-            if (values.size() == furthest) {
-                near.add(form);
+        }
+        throw mismatch(location, words);
+    }
+
+    /** The values of the words up to the first one that does not fit the form. */
+    private static List<Object> readPrefix(List<ValueType<?>> form, List<String> words) {
+        List<Object> values = new ArrayList<>();
+        for (int i = 0; i < Math.min(form.size(), words.size()); i++) {
+            Object value = form.get(i).read(words.get(i));
+            if (value == null) {
+                break;
             }
+            values.add(value);
         }
-        throw wrong != null && forms.size() == 1
-                ? InvalidSettingsException.value(location, name, wrong, expected)
-                : InvalidSettingsException.value(
-                        location, name, String.join(" ", words), "written as: " + usage(furthest > 1 ? near : forms));
+        return values;
+    }
+
+    /** Names the first wrong word where there is one form of this length, else the forms that fit best. */
+    private InvalidSettingsException mismatch(SourceLocation location, List<String> words) {
+        List<ValueType<?>> first = forms.get(0);
+        if (forms.size() == 1 && first.size() == words.size()) {
+            int wrong = readPrefix(first, words).size();
+            return InvalidSettingsException.value(
+                    location, name, words.get(wrong), first.get(wrong).wanted());
+        }
+        return InvalidSettingsException.value(
+                location, name, String.join(" ", words), "written as: " + usage(nearestForms(words)));
+    }
+
+    private List<List<ValueType<?>>> nearestForms(List<String> words) {
+        int longestPrefix = forms.stream()
+                .mapToInt(form -> readPrefix(form, words).size())
+                .max()
+                .orElse(0);
+        return longestPrefix <= 1
+                ? forms
+                : forms.stream()
+                        .filter(form -> readPrefix(form, words).size() == longestPrefix)
+                        .toList();
     }
 }
--- a/src/main/java/nettlewick/settings/LineParser.java
+++ b/src/main/java/nettlewick/settings/LineParser.java
@@ -1,6 +1,7 @@
 package nettlewick.settings;
 
 import java.io.IOException;
+import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -12,17 +13,21 @@
 import java.util.List;
 
 /**
- * The form of the settings: a keyword and its values a line, {@code #} comments, values in double quotes with
- * backslash before a quote or a backslash ({@code \n}, {@code \t} too), {@code include FILE}, and blocks from
- * a
- * line that ends in an open brace to a line with a closing one alone.
+ * Reads settings files as lines of words: follows {@code include FILE}, which is resolved beside the including file,
+ * and checks that each file closes the blocks that it opens. A line's syntax is {@link LineTokenizer}'s.
  */
 final class LineParser {
     private static final int MAX_INCLUDE_DEPTH = 16;
     private static final int MAX_LINES = 100_000;
     private static final String INCLUDE = "include";
 
-    /** One line that says something. {@code closes}: the closing brace of a block, without words. */
+    /**
+     * A line that is neither empty nor only a comment.
+     *
+     * @param words  without the braces
+     * @param opens  whether it ends in the opening brace of a block
+     * @param closes whether it is the closing brace of a block; it has no words then
+     */
     record Line(SourceLocation place, List<String> words, boolean opens, boolean closes) {}
 
     private final List<Line> lines = new ArrayList<>();
@@ -30,14 +35,14 @@
 
     private LineParser() {}
 
-    /** All lines of a file and of those that it includes, in the order in which they count. */
+    /** All lines of a file, with those of an included file in place of the include. */
     static List<Line> parseFile(Path file) {
         LineParser all = new LineParser();
         all.addFile(file, new SourceLocation("command line", 0));
         return all.lines;
     }
 
-    /** The lines of a text that stands in no file; what it includes is looked for in the current folder. */
+    /** The lines of a text that is in no file; includes are resolved in the current folder. */
     static List<Line> parseText(String name, String text) {
         LineParser all = new LineParser();
         all.addText(name, Path.of(name).toAbsolutePath(), text);
@@ -51,7 +56,7 @@
             real = file.toRealPath();
             text = StandardCharsets.UTF_8
                     .newDecoder()
-                    .decode(java.nio.ByteBuffer.wrap(Files.readAllBytes(real)))
+                    .decode(ByteBuffer.wrap(Files.readAllBytes(real)))
                     .toString();
         } catch (CharacterCodingException e) {
             throw new InvalidSettingsException(asked, file + " is not UTF-8 text");
@@ -61,7 +66,7 @@
         }
         if (includeStack.contains(real)) {
             throw InvalidSettingsException.value(
-                    asked, INCLUDE, file.toString(), "a file that does not include itself: " + "this is a loop");
+                    asked, INCLUDE, file.toString(), "a file that does not include itself: this is a loop");
         }
         if (includeStack.size() >= MAX_INCLUDE_DEPTH) {
             throw InvalidSettingsException.value(
@@ -76,7 +81,8 @@
         int depth = 0;
         for (String raw : text.split("\n", -1)) {
             SourceLocation location = new SourceLocation(name, ++number);
-            Line line = parseLine(location, raw.endsWith("\r") ? raw.substring(0, raw.length() - 1) : raw);
+            Line line =
+                    LineTokenizer.parseLine(location, raw.endsWith("\r") ? raw.substring(0, raw.length() - 1) : raw);
             if (line == null) {
                 continue;
             }
@@ -115,74 +121,4 @@
                     line.place(), INCLUDE, line.words().get(1), "the path of a file");
         }
     }
-
-    /** The words of a line; null where it says nothing. */
-    private static Line parseLine(SourceLocation location, String raw) {
-        List<String> words = new ArrayList<>();
-        boolean opens = false;
-        int at = 0;
-        while (at < raw.length()) {
-            char c = raw.charAt(at);
-            if (Character.isWhitespace(c)) {
-                at++;
-                continue;
-            }
-            if (c == '#') {
-                break;
-            }
-            if (opens) {
-                throw new InvalidSettingsException(location, "{ has to be the last of its line");
-            }
-            StringBuilder word = new StringBuilder();
-            if (c == '"') {
-                at = parseQuoted(location, raw, at + 1, word);
-                words.add(word.toString());
-            } else {
-                for (; at < raw.length() && !Character.isWhitespace(raw.charAt(at)) && raw.charAt(at) != '#'; at++) {
-                    word.append(raw.charAt(at));
-                }
-                if (word.indexOf("\"") >= 0) {
-                    throw new InvalidSettingsException(location, "a quote inside " + word);
-                }
-                if (word.toString().equals("{")) {
-                    opens = true;
-                } else {
-                    words.add(word.toString());
-                }
-            }
-        }
-        if (words.equals(List.of("}")) && !opens) {
-            return new Line(location, List.of(), false, true);
-        }
-        if (words.contains("}")) {
-            throw new InvalidSettingsException(location, "} has to stand alone on its line");
-        }
-        if (words.isEmpty() && opens) {
-            throw new InvalidSettingsException(location, "{ without the name of a block");
-        }
-        return words.isEmpty() ? null : new Line(location, List.copyOf(words), opens, false);
-    }
-
-    private static int parseQuoted(SourceLocation location, String raw, int from, StringBuilder word) {
-        for (int at = from; at < raw.length(); at++) {
-            char c = raw.charAt(at);
-            if (c == '"') {
-                if (at + 1 < raw.length() && !Character.isWhitespace(raw.charAt(at + 1))) {
-                    throw new InvalidSettingsException(location, "no space after the quote of \"" + word + '"');
-                }
-                return at + 1;
-            }
-            if (c == '\\') {
-                at++;
-                int known = at < raw.length() ? "\"\\nt".indexOf(raw.charAt(at)) : -1;
-                if (known < 0) {
-                    throw new InvalidSettingsException(location, "a backslash before neither \" nor \\ nor n nor t");
-                }
-                word.append("\"\\\n\t".charAt(known));
-            } else {
-                word.append(c);
-            }
-        }
-        throw new InvalidSettingsException(location, "the quote before " + word + " is not closed");
-    }
 }
--- a/src/main/java/nettlewick/settings/Reference.java
+++ b/src/main/java/nettlewick/settings/Reference.java
@@ -1,6 +1,6 @@
 package nettlewick.settings;
 
-/** The reference page of the settings, made from the table that checks them. */
+/** Prints the reference page of the settings from the schema that checks them. */
 public final class Reference {
     private Reference() {}
 
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -3,10 +3,14 @@
 import java.util.List;
 
 /**
- * One kind of block, as the check and the reference see it.
+ * One kind of block, for the check and for the reference page.
  *
- * @param label what stands behind its name; null for nothing
- * @param many  whether there may be several (each with a label of its own, where it has one)
+ * @param name     as it is written
+ * @param label    the type of the word after its name; null for none
+ * @param many     whether there may be several, each with a label of its own where there are labels
+ * @param about    what it is for, for the reference page
+ * @param keywords that may be set in it
+ * @param inner    the blocks that it may contain
  */
 public record Section(
         String name, ValueType<String> label, boolean many, String about, List<Keyword> keywords, List<Section> inner) {
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -3,6 +3,7 @@
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
@@ -10,7 +11,7 @@
 import java.util.stream.Stream;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** What our own file sets, checked against {@link Table}. */
+/** The settings of a file, checked against {@link SettingsSchema} or another schema. */
 public final class Settings {
     private final Block root;
 
@@ -23,22 +24,22 @@
         return read(LineParser.parseFile(file), SettingsSchema.ROOT);
     }
 
-    /** Checks a text as if it stood in a file of that name. */
+    /** Checks a text as if it were in a file of that name. */
     public static Settings parse(String name, String text) {
         return read(LineParser.parseText(name, text), SettingsSchema.ROOT);
     }
 
-    /** Reads and checks a file of the same form with keywords of its own. */
+    /** Reads and checks a file of the same syntax with another schema. */
     public static Settings read(Path file, Section table) {
         return read(LineParser.parseFile(file), table);
     }
 
-    /** Checks a text of the same form with keywords of its own, as if it stood in a file of that name. */
+    /** Checks a text against another schema, as if it were in a file of that name. */
     public static Settings parse(String name, String text, Section table) {
         return read(LineParser.parseText(name, text), table);
     }
 
-    /** What is in force where there is no file. */
+    /** The defaults, which apply where there is no file. */
     public static Settings none() {
         return read(List.of(), SettingsSchema.ROOT);
     }
@@ -116,7 +117,7 @@
         String nearest = Stream.concat(
                         in.keywords().stream().map(Keyword::name),
                         in.inner().stream().map(Section::name))
-                .min(java.util.Comparator.comparingInt(
+                .min(Comparator.comparingInt(
                         known -> LevenshteinDistance.getDefaultInstance().apply(word, known)))
                 .orElse("none");
         return new InvalidSettingsException(
@@ -125,11 +126,12 @@
                         + "; the nearest is " + nearest);
     }
 
+    /** The first block of this name in the file. */
     public Optional<Block> block(String name) {
         return root.block(name);
     }
 
-    /** The keywords, with their blocks, that differ in that one and which only a restart changes. */
+    /** The keywords, with their blocks, that differ in {@code next} and that SIGHUP does not apply. */
     public List<String> needRestart(Settings next) {
         List<String> names = new ArrayList<>();
         collectDifferences("", root, next.root, names);
@@ -162,7 +164,7 @@
         return block.all(keyword.name()).stream().map(Block.Value::words).toList();
     }
 
-    /** All that is in force, in the form of the file, each line with where it came from. */
+    /** All settings that apply, in the syntax of the file, each with its origin. */
     public String show() {
         StringBuilder text = new StringBuilder();
         show(root, "", text);
--- a/src/main/java/nettlewick/settings/SettingsSchema.java
+++ b/src/main/java/nettlewick/settings/SettingsSchema.java
@@ -4,7 +4,7 @@
 import inet.ipaddr.IPAddressString;
 import java.util.List;
 
-/** All keywords there are: what checks the settings and what the reference is made from. */
+/** All sections and keywords: what checks the settings and what the reference page is printed from. */
 public final class SettingsSchema {
     private static final double HOUR = 3.6e6;
     private static final double DAY = 24 * HOUR;
@@ -32,7 +32,8 @@
                                     "repeats",
                                     ValueType.whole(1, 1_000_000),
                                     "10",
-                                    "Most lines of one part and event in each `window`; the rest are counted, and told with "
+                                    "Most lines of one part and event in each `window`; the rest are "
+                                            + "counted, and told with "
                                             + "the next one.")
                             .changing(),
                     Keyword.of("window", ValueType.span(100, HOUR), "10s", "The window of `repeats`.")
@@ -162,13 +163,15 @@
                                     "patience",
                                     ValueType.span(1, 60_000),
                                     "250ms",
-                                    "Longest that an answer waits for a disk that is slow; then it leaves all the same.")
+                                    "Longest that an answer waits for a disk that is slow; then it leaves "
+                                            + "all the same.")
                             .changing(),
                     Keyword.of(
                                     "queue",
                                     ValueType.whole(16, 10_000_000),
                                     "50000",
-                                    "Most jobs that wait in memory while the store cannot be written; what passes it goes "
+                                    "Most jobs that wait in memory while the store cannot be written; what "
+                                            + "passes it goes "
                                             + "into a gap "
                                             + "entry.")
                             .changing(),
@@ -311,7 +314,8 @@
                                     "reach",
                                     ValueType.span(0, DAY),
                                     "1m",
-                                    "Longest time until someone can end a runner; its cost counts as bound to be spent.")
+                                    "Longest time until someone can end a runner; its cost counts as bound "
+                                            + "to be spent.")
                             .changing(),
                     Keyword.of(
                                     "at-cap",
--- a/src/main/java/nettlewick/settings/SourceLocation.java
+++ b/src/main/java/nettlewick/settings/SourceLocation.java
@@ -1,8 +1,13 @@
 package nettlewick.settings;
 
-/** Where a setting stands; {@code line} counts from 1, 0 for what stands in no file. */
+/**
+ * Where a setting comes from.
+ *
+ * @param file the file's name, or what stands for it
+ * @param line counts from 1; 0 where there is no line
+ */
 public record SourceLocation(String file, int line) {
-    /** The place of what nobody has set. */
+    /** Of settings that are not set and have a default. */
     public static final SourceLocation DEFAULT = new SourceLocation("default", 0);
 
     @Override
--- a/src/main/java/nettlewick/settings/ValueType.java
+++ b/src/main/java/nettlewick/settings/ValueType.java
@@ -2,22 +2,22 @@
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.URI;
 import java.net.UnknownHostException;
 import java.nio.file.Path;
 import java.time.LocalDate;
 import java.time.ZoneId;
 import java.util.List;
-import java.util.Locale;
 import java.util.function.Function;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /**
- * What one word of a setting may be.
+ * The type of one word of a setting.
  *
- * @param name   as the reference names it
- * @param wanted ends the sentence "... has to be"
- * @param reader makes the value of a word; throws what it likes on others
+ * @param name   as the reference page names it
+ * @param wanted what a word has to be; ends the sentence "... has to be"
+ * @param reader the value of a word; null or any unchecked exception for words that have none
  */
 public record ValueType<T>(String name, String wanted, Function<String, T> reader) {
     private static final Pattern UNIT = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([a-z]*)");
@@ -49,12 +49,14 @@
         return new ValueType<>(only, only, word -> word.equals(only) ? word : null);
     }
 
+    /** One of these words. */
     public static ValueType<String> choice(String... words) {
         List<String> all = List.of(words);
         return new ValueType<>(
                 String.join("|", all), "one of " + String.join(", ", all), word -> all.contains(word) ? word : null);
     }
 
+    /** Yes or no. */
     public static ValueType<Boolean> flag() {
         return new ValueType<>(
                 "yes|no",
@@ -62,6 +64,7 @@
                 word -> word.equals("yes") ? Boolean.TRUE : word.equals("no") ? Boolean.FALSE : null);
     }
 
+    /** A whole number within bounds, both included. */
     public static ValueType<Long> whole(long least, long most) {
         return new ValueType<>("NUMBER", "a whole number from " + least + " to " + most, word -> {
             long value = Long.parseLong(word);
@@ -69,7 +72,7 @@
         });
     }
 
-    /** A time span, as milliseconds: 250ms, 15s, 10m, 24h, 7d. */
+    /** A time span such as 250ms, 15s, 10m, 24h or 7d, as milliseconds; the bounds are milliseconds too. */
     public static ValueType<Double> span(double least, double most) {
         return new ValueType<>(
                 "SPAN",
@@ -99,7 +102,7 @@
                         : millis % 1000 == 0 ? (long) (millis / 1000) + "s" : (long) millis + "ms";
     }
 
-    /** A part such as 20%, as a number from 0 to 1. */
+    /** A percentage such as 20%, as a number from 0 to 1. */
     public static ValueType<Double> percent() {
         return new ValueType<>("PERCENT", "a part such as 20%", word -> {
             double value = word.endsWith("%") ? Double.parseDouble(word.substring(0, word.length() - 1)) : -1;
@@ -125,7 +128,7 @@
         });
     }
 
-    /** An IP address and a port; a name would ask DNS. */
+    /** An IP address and a port. Host names are refused, since they would need DNS. */
     public static ValueType<InetSocketAddress> address() {
         return new ValueType<>("ADDRESS", "an IP address and a port", word -> {
             int colon = word.lastIndexOf(':');
@@ -142,27 +145,30 @@
         });
     }
 
+    /** A path of a file or folder, which need not exist. */
     public static ValueType<Path> path() {
         return new ValueType<>("FILE", "a path", word -> word.isEmpty() ? null : Path.of(word));
     }
 
+    /** A date in ISO form. */
     public static ValueType<LocalDate> date() {
         return new ValueType<>("DATE", "a date such as 2026-09-01", LocalDate::parse);
     }
 
+    /** A time zone by its ID. */
     public static ValueType<ZoneId> zone() {
         return new ValueType<>("ZONE", "a time zone such as Indian/Mauritius or UTC", ZoneId::of);
     }
 
-    /** An address that is called by plain HTTP. */
-    public static ValueType<java.net.URI> url() {
+    /** An http URL. */
+    public static ValueType<URI> url() {
         return new ValueType<>("URL", "a URL such as http://127.0.0.1:9000/batches", word -> {
-            java.net.URI uri = java.net.URI.create(word);
+            URI uri = URI.create(word);
             return "http".equals(uri.getScheme()) && uri.getHost() != null ? uri : null;
         });
     }
 
-    /** A level of log lines. */
+    /** A log level. */
     public static ValueType<String> level() {
         return choice("error", "warning", "info", "debug", "off");
     }
@@ -177,8 +183,4 @@
                                 .replace("\t", "\\t")
                         + '"';
     }
-
-    static String lower(String text) {
-        return text.toLowerCase(Locale.ROOT);
-    }
 }
--- a/src/test/java/nettlewick/settings/SettingsTest.java
+++ b/src/test/java/nettlewick/settings/SettingsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The form of our settings: what is read, and the one line for whatever is wrong. */
+/** Reading and checking settings, and the one-line errors. */
 class SettingsTest {
     private static String parseError(String text) {
         String line = assertThrows(InvalidSettingsException.class, () -> Settings.parse("f", text))
@@ -52,7 +52,7 @@
         assertTrue(s.block("edge").isEmpty());
     }
 
-    /** Each fault is one line with file, line, keyword and value. */
+    /** Each error is one line with file, line, keyword and value. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '~',
@@ -128,7 +128,7 @@
                 Settings.read(Path.of("deploy/nettlewick.conf")).block("ledger").isPresent());
     }
 
-    /** Whatever is in the file, the answer is settings or one line. */
+    /** Whatever is in the file, the result is settings or a one-line error. */
     @Property(tries = 2000, seed = "43")
     void anyTextGivesSettingsOrAOneLineError(@ForAll @StringLength(max = 80) String text) {
         String shaped = text.replaceAll("[^ -~]", "\n").replace("q", "log {\n").replace("z", "\n}\n");
