--- a/src/main/java/nettlewick/sqlite/Database.java
+++ b/src/main/java/nettlewick/sqlite/Database.java
@@ -12,19 +12,22 @@
 import org.sqlite.SQLiteErrorCode;
 
 /**
- * One SQLite file in WAL mode. Several processes may hold it; one object belongs to one thread. What
- * {@link #change} does is one transaction, and durable when it returns.
+ * One SQLite file in WAL mode. Several processes may open it; one object belongs to one thread. What {@link #change}
+ * does is one transaction, and durable when it returns.
  */
 public final class Database implements AutoCloseable {
+    /** How long to wait for another process's transaction. */
     private static final int BUSY_MILLIS = 5000;
 
-    /** Something done to the file. */
+    /** Work on the database that returns a result. */
     public interface Work<T> {
+        /** Does the work. */
         T run() throws SQLException, IOException;
     }
 
-    /** Places at which tests let the disk fail: {@code open}, {@code commit}, {@code committed}. */
+    /** Called at points where tests inject disk faults: {@code open}, {@code commit}, {@code committed}. */
     public interface Point {
+        /** @throws IOException the injected fault */
         void at(String name) throws IOException;
     }
 
@@ -39,9 +42,9 @@
     }
 
     /**
-     * Opens a file, and makes it where there is none unless it is only read.
+     * Opens a file. Unless it is read only, the file and its folder are created where they do not exist.
      *
-     * @param what what it is called in messages, such as "the ledger"
+     * @param what the file's name in messages, such as "the ledger"
      */
     public static Database open(Path file, boolean readOnly, String what, Point point) throws StoreException {
         SQLiteConfig config = new SQLiteConfig();
@@ -57,19 +60,24 @@
             }
             return new Database(what, config.createConnection("jdbc:sqlite:" + file), point);
         } catch (SQLException e) {
-            throw failed(what, "opened", e);
+            throw failure(what, "opened", e);
         } catch (IOException e) {
             throw new StoreException("the folder of " + what + " cannot be used: " + e, e, false);
         }
     }
 
-    private static StoreException failed(String what, String done, SQLException e) {
+    private static StoreException failure(String what, String done, SQLException e) {
         int code = e.getErrorCode() & 0xff;
         boolean damaged = code == SQLiteErrorCode.SQLITE_CORRUPT.code || code == SQLiteErrorCode.SQLITE_NOTADB.code;
         return new StoreException(what + " cannot be " + done + ": " + e.getMessage(), e, damaged);
     }
 
-    /** Runs work as one transaction; {@code undo} is for what the caller remembers, where it fails. */
+    /**
+     * Runs work as one transaction.
+     *
+     * @param done what was attempted, as a participle for the message
+     * @param undo restores the caller's own state where the transaction fails
+     */
     public <T> T change(String done, Runnable undo, Work<T> work) throws StoreException {
         try {
             connection.setAutoCommit(false);
@@ -87,24 +95,24 @@
                 connection.setAutoCommit(true);
             }
         } catch (SQLException e) {
-            throw failed(what, done, e);
+            throw failure(what, done, e);
         } catch (IOException e) {
             throw new StoreException(what + " cannot be " + done + ": " + e.getMessage(), e, false);
         }
     }
 
-    /** Reads; what cannot be understood counts as damage. */
+    /** Runs work that only reads. Values that cannot be parsed count as damage. */
     public <T> T look(Work<T> work) throws StoreException {
         try {
             return work.run();
         } catch (SQLException e) {
-            throw failed(what, "read", e);
+            throw failure(what, "read", e);
         } catch (IOException | IllegalArgumentException e) {
             throw new StoreException(what + " cannot be read: " + e.getMessage(), e, true);
         }
     }
 
-    /** Makes tables that are not there. */
+    /** Runs statements that create tables. */
     public void tables(String... statements) throws SQLException {
         try (Statement s = connection.createStatement()) {
             for (String table : statements) {
@@ -113,6 +121,7 @@
         }
     }
 
+    /** A statement with its values set; the caller closes it. */
     public PreparedStatement prepare(String sql, Object... values) throws SQLException {
         PreparedStatement s = connection.prepareStatement(sql);
         for (int i = 0; i < values.length; i++) {
@@ -121,7 +130,7 @@
         return s;
     }
 
-    /** Runs one statement; how many rows it changed. */
+    /** Runs one statement; returns how many rows it changed. */
     public int run(String sql, Object... values) throws SQLException {
         try (PreparedStatement s = prepare(sql, values)) {
             return s.executeUpdate();
@@ -140,8 +149,8 @@
     public void close() {
         try {
             connection.close();
-        } catch (SQLException e) {
-            // Nothing is owed: what was committed is durable.
+        } catch (SQLException ignored) {
+            // What was committed is durable.
         }
     }
 }
--- a/src/main/java/nettlewick/sqlite/StoreException.java
+++ b/src/main/java/nettlewick/sqlite/StoreException.java
@@ -1,16 +1,17 @@
 package nettlewick.sqlite;
 
-/** The store cannot do what was asked, in one line. */
+/** A database operation failed; the message is one line for operators. */
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1;
     private final boolean damaged;
 
+    /** @param damaged whether the file itself is corrupt or no database */
     public StoreException(String message, Throwable cause, boolean damaged) {
         super(message, cause);
         this.damaged = damaged;
     }
 
-    /** Whether the file itself is no longer a store. */
+    /** Whether the file itself is corrupt or no database, so that repeating the operation does not help. */
     public boolean damaged() {
         return damaged;
     }
