--- a/src/main/java/nettlewick/decision/AggregationMessage.java
+++ b/src/main/java/nettlewick/decision/AggregationMessage.java
@@ -6,7 +6,7 @@
 
 /** The datagrams of {@link LoadAggregator}: a byte for version and kind, then entries of a mark and mostly a number. */
 final class AggregationMessage {
-    /** The most slots that an entry can tell. */
+    /** The most slots that an entry can state. */
     static final int MAX_SLOTS = 255;
 
     private static final int VERSION = 0xA0;
@@ -14,13 +14,13 @@
     private static final int MAX_DATAGRAM_BYTES = 256;
     private static final int BYTE_MASK = 0xFF;
 
-    /** What a datagram's entries tell; the order is that of the wire. */
+    /** What a datagram's entries state; the order is that of the wire. */
     enum Kind {
-        /** What the sender holds at endpoints, told to their owner. */
+        /** Slots in flight from the sender, reported to the owner of each endpoint. */
         HOLD,
-        /** Endpoints that the sender watches, told to their owner. */
+        /** Endpoints that the sender watches, reported to the owner of each. */
         WATCH,
-        /** What others hold at endpoints, told by their owner to a watcher. */
+        /** Slots in flight from others, reported by the owner of each endpoint to a watcher. */
         SUM
     }
 
@@ -28,7 +28,7 @@
      * One entry.
      *
      * @param mark  the mark of the endpoint's id
-     * @param slots slots held there; 0 for {@link Kind#WATCH}
+     * @param slots slots in flight there; 0 for {@link Kind#WATCH}
      */
     record Entry(char mark, int slots) {}
 
@@ -59,7 +59,7 @@
         return entries;
     }
 
-    /** The datagrams that tell these entries, as many in each as fit. */
+    /** The datagrams with these entries, as many in each as fit. */
     static List<byte[]> encode(Kind kind, List<Entry> entries) {
         List<byte[]> datagrams = new ArrayList<>();
         int entriesEach = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / entryBytes(kind);
--- a/src/main/java/nettlewick/decision/CapacityEstimator.java
+++ b/src/main/java/nettlewick/decision/CapacityEstimator.java
@@ -44,7 +44,7 @@
 
     /**
      * Takes a load report over. What was known to be in use when it was made is added back, since that is
-     * known better now; what remains is what only the report tells: a queue, or work of others.
+     * known better now; what remains is known from the report alone: a queue, or work of others.
      */
     void recordReport(Endpoint endpoint, EndpointLoad load) {
         EndpointKindStats stats = pools.statsFor(endpoint);
--- a/src/main/java/nettlewick/decision/InFlightAttempts.java
+++ b/src/main/java/nettlewick/decision/InFlightAttempts.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The attempts in flight at one endpoint, the slots they take, and the slots that peers hold there. */
+/** The attempts in flight at one endpoint, the slots they take, and the slots that peers have in flight there. */
 final class InFlightAttempts {
     private static final int HISTORY_TICKS = 16;
 
@@ -45,17 +45,17 @@
         return slots;
     }
 
-    /** Slots that peers hold at the endpoint, by their latest messages. */
+    /** Slots that peers have in flight at the endpoint, by their latest messages. */
     double peerSlots() {
         return peerSlots;
     }
 
-    void setPeerSlots(double held) {
-        peerSlots = held;
+    void setPeerSlots(double inUse) {
+        peerSlots = inUse;
     }
 
-    void addPeerSlots(double held) {
-        peerSlots += held;
+    void addPeerSlots(double change) {
+        peerSlots += change;
     }
 
     /** Remembers the slots known to be in use at this tick. */
--- a/src/main/java/nettlewick/decision/LatencyEstimator.java
+++ b/src/main/java/nettlewick/decision/LatencyEstimator.java
@@ -64,7 +64,7 @@
         return runTime(request, endpoint) > objective(request);
     }
 
-    /** Whether the request's slots are worth clearly more than usual. */
+    /** Whether the request's priority per slot is clearly above the mean. */
     boolean isHighValue(ScheduledRequest request) {
         return request.priorityPerSlot() > HIGH_VALUE_FACTOR * statistics.meanPriorityPerSlot();
     }
--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -11,10 +11,10 @@
 import nettlewick.decision.AggregationMessage.Kind;
 
 /**
- * Sums what all dispatchers of a large tier hold at each endpoint (docs/neighbours.md). Each endpoint has an
- * owner among the dispatchers. A dispatcher tells the owner what it holds at the endpoint, when that changes
- * and again while it holds something, and which endpoints it watches; the owner tells each watcher what the
- * others hold. Every dispatcher is holder, watcher and owner at once. What is told expires.
+ * Sums what all dispatchers of a large tier have in flight at each endpoint (docs/neighbours.md). Each endpoint
+ * has an owner among the dispatchers. A dispatcher reports to the owner the slots that it has in flight there,
+ * when that changes and again while there are any, and which endpoints it watches; the owner reports to each
+ * watcher what the others have in flight. Every dispatcher is holder, watcher and owner at once. All reports expire.
  */
 final class LoadAggregator {
     /** Tiers of this many dispatchers or fewer gossip with every peer instead. */
@@ -32,7 +32,7 @@
     private final int rank;
     private final int size;
     private final PeerFaultCounters faults;
-    /** As a holder: what each owner was last told, and when. */
+    /** As a holder: what was last reported to the owner, and when. */
     private final Map<Endpoint, Holding> reportedHoldings = new HashMap<>();
 
     private long subscribedAt = SchedulerClock.NEVER;
--- a/src/main/java/nettlewick/decision/LoadGossip.java
+++ b/src/main/java/nettlewick/decision/LoadGossip.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * The datagrams in which a dispatcher tells its peers the slots that it holds at each endpoint. An endpoint goes
+ * The datagrams in which a dispatcher reports the slots that it has in flight at each endpoint. An endpoint goes
  * by sixteen bits of its id's hash: its place in a list would mean another endpoint at a peer whose list differs.
  */
 final class LoadGossip {
@@ -21,7 +21,12 @@
     /** The longest datagram that may be sent. */
     private static final int MAX_MESSAGE_BYTES = 256;
 
+    /** Slots below which a difference is rounding. */
+    private static final double ROUNDING_SLOTS = 1e-9;
+
     private static final int MAX_SLOTS = 255;
+    private static final int MAX_PARTS = 15;
+    private static final int BYTE_MASK = 0xFF;
     private static final int ENTRIES_PER_MESSAGE = (MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 
     /**
@@ -38,8 +43,8 @@
 
     /** Sixteen bits that stand for an id, the same in every process. */
     static char markOf(String id) {
-        int h = id.hashCode() * 0x9e3779b9;
-        return (char) (h >>> 16 ^ h);
+        int hash = id.hashCode() * 0x9e3779b9;
+        return (char) (hash >>> 16 ^ hash);
     }
 
     /** The endpoints by their marks; those that share a mark are in no entry. */
@@ -56,31 +61,30 @@
     }
 
     /**
-     * The datagrams for those of the endpoints where slots are held, in their order; what would need more than
+     * The datagrams for those of the endpoints with slots in flight, in their order; what would need more than
      * fifteen datagrams is left out from the end.
      */
     static List<byte[]> encode(List<Endpoint> endpoints) {
         List<Endpoint> holding = endpoints.stream()
-                .filter(endpoint -> endpoint.inFlight().slots() > 1e-9)
+                .filter(endpoint -> endpoint.inFlight().slots() > ROUNDING_SLOTS)
                 .toList();
-        int parts =
-                Math.min(MAX_SLOTS / 16, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
+        int parts = Math.min(MAX_PARTS, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
         List<byte[]> messages = new ArrayList<>();
         for (int part = 0; part < parts; part++) {
             int from = part * ENTRIES_PER_MESSAGE;
             int to = Math.min(holding.size(), from + ENTRIES_PER_MESSAGE);
-            ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + (to - from) * ENTRY_BYTES);
-            b.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
+            ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + (to - from) * ENTRY_BYTES);
+            buffer.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
             for (Endpoint endpoint : holding.subList(from, to)) {
-                b.putChar(markOf(endpoint.id())).put((byte)
-                        Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlight().slots() - 1e-9)));
+                buffer.putChar(markOf(endpoint.id())).put((byte)
+                        Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlight().slots() - ROUNDING_SLOTS)));
             }
-            messages.add(b.array());
+            messages.add(buffer.array());
         }
         return messages;
     }
 
-    /** Whether these datagrams tell that nothing is held. */
+    /** Whether these datagrams report that nothing is in flight. */
     static boolean reportNothing(List<byte[]> messages) {
         return messages.size() == 1 && messages.get(0).length == HEADER_BYTES;
     }
@@ -103,20 +107,20 @@
 
     /** The datagram's content, null if it is damaged; entries for endpoints without a mark here are only counted. */
     static Received decode(byte[] data, Map<Character, Endpoint> byMark) {
-        int parts = (data[2] & MAX_SLOTS) >> 4;
+        int parts = (data[2] & BYTE_MASK) >> 4;
         int part = data[2] & 0x0F;
         Map<Endpoint, Integer> slots = new HashMap<>();
         int unlisted = 0;
-        ByteBuffer b = ByteBuffer.wrap(data).position(HEADER_BYTES);
-        while (b.hasRemaining()) {
-            Endpoint endpoint = byMark.get(b.getChar());
-            int held = b.get() & MAX_SLOTS;
+        ByteBuffer buffer = ByteBuffer.wrap(data).position(HEADER_BYTES);
+        while (buffer.hasRemaining()) {
+            Endpoint endpoint = byMark.get(buffer.getChar());
+            int slotsHeld = buffer.get() & BYTE_MASK;
             if (endpoint != null) {
-                slots.put(endpoint, held);
+                slots.put(endpoint, slotsHeld);
             } else {
                 unlisted++;
             }
         }
-        return part < parts ? new Received(part, parts, data[NUMBER_OFFSET] & MAX_SLOTS, slots, unlisted) : null;
+        return part < parts ? new Received(part, parts, data[NUMBER_OFFSET] & BYTE_MASK, slots, unlisted) : null;
     }
 }
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -6,7 +6,7 @@
 
 /**
  * Outlier detection: ejects endpoints for how they end what is sent to them, lets them back in step by step,
- * and tells which attempts are lost or late.
+ * and recognises attempts that are lost or late.
  */
 final class OutlierDetector {
     /** First time for which a failing endpoint is ejected. */
@@ -150,7 +150,7 @@
                 (own.count() * own.value() + PRIOR_SAMPLES * kind.slowdown().value()) / (own.count() + PRIOR_SAMPLES));
     }
 
-    /** Whether an attempt may be waiting at its endpoint, which a report of the queue would tell better. */
+    /** Whether an attempt may be waiting at its endpoint, unless reports state the queue. */
     private static boolean mayBeQueued(Attempt attempt) {
         return !attempt.hasStarted()
                 && !attempt.isLost()
@@ -168,7 +168,7 @@
 
     /**
      * Slots of own requests that wait there; 0 if none has waited for longer than a start takes. Where reports
-     * tell no queue, slots may be free while a first request that fits none of them holds up all others.
+     * state no queue, slots may be free while a first request that fits none of them holds up all others.
      */
     static double blockedSlots(Endpoint endpoint, long now) {
         double slots = 0;
--- a/src/main/java/nettlewick/decision/OwnedEndpoint.java
+++ b/src/main/java/nettlewick/decision/OwnedEndpoint.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What dispatchers hold at an endpoint whose sums this dispatcher keeps, and who watches the endpoint. */
+/** What dispatchers have in flight at an endpoint whose sums this dispatcher keeps, and who watches the endpoint. */
 final class OwnedEndpoint {
     private static final long SECOND_NANOS = 1_000_000_000;
     /** For how long a holding is believed. */
@@ -17,7 +17,7 @@
 
     private record Holding(int slots, long reportedAt) {}
 
-    /** A dispatcher that watches the endpoint, and what it was told last. */
+    /** A dispatcher that watches the endpoint, and the sum it was sent last. */
     private static final class Watcher {
         private long subscribedAt;
         private int lastSum;
@@ -26,7 +26,7 @@
 
     /** Takes a sum for the dispatcher of a rank. */
     interface SumConsumer {
-        /** Called once for each watcher that is to be told. */
+        /** Called once for each watcher that is due a sum. */
         void accept(int rank, int slotsOfOthers);
     }
 
@@ -50,7 +50,7 @@
         watcher.subscribedAt = now;
     }
 
-    /** Forgets holdings and watches that were not told again in time. */
+    /** Forgets holdings and watches that were not refreshed in time. */
     void expire(long now) {
         hasChanged |= holdings.values().removeIf(holding -> now - holding.reportedAt() > HOLDING_TTL_NANOS);
         watchers.values().removeIf(watcher -> now - watcher.subscribedAt > WATCH_TTL_NANOS);
@@ -60,12 +60,12 @@
         return holdings.isEmpty() && watchers.isEmpty();
     }
 
-    /** Whether a sum may have to be told. */
+    /** Whether a sum may have to be sent. */
     boolean hasChanged() {
         return hasChanged;
     }
 
-    /** Tells each watcher what the others hold, where that has changed or is due again. */
+    /** Sends each watcher the sum of the others, where that has changed or is due again. */
     void notifyWatchers(long now, SumConsumer consumer) {
         hasChanged = false;
         int total = 0;
@@ -77,7 +77,7 @@
         }
     }
 
-    /** A higher sum is told at once, or too many requests would be sent to an endpoint that is full. */
+    /** A higher sum is sent at once, or too many requests would be sent to an endpoint that is full. */
     private void notify(int rank, Watcher watcher, int total, long now, SumConsumer consumer) {
         Holding own = holdings.get(rank);
         int others = Math.min(AggregationMessage.MAX_SLOTS, total - (own == null ? 0 : own.slots()));
--- a/src/main/java/nettlewick/decision/PeerLoadExchange.java
+++ b/src/main/java/nettlewick/decision/PeerLoadExchange.java
@@ -5,7 +5,7 @@
 import nettlewick.decision.Action.SendToPeer;
 
 /**
- * Tells peers what this dispatcher has in flight at each endpoint and takes in what they say: by gossip in a
+ * Reports to peers what this dispatcher has in flight at each endpoint and takes their reports in: by gossip in a
  * small tier, by owners' sums ({@link LoadAggregator}) in a larger one.
  */
 final class PeerLoadExchange {
@@ -50,7 +50,7 @@
                 || aggregator != null && aggregator.receive(rank, data, clock.now());
     }
 
-    /** Drops what gossip has told too long ago. */
+    /** Drops gossip that is too old. */
     void expireGossip() {
         gossip.expire(clock.now());
     }
--- a/src/main/java/nettlewick/decision/PeerMessage.java
+++ b/src/main/java/nettlewick/decision/PeerMessage.java
@@ -23,6 +23,8 @@
         double amount) {
     private static final byte MAGIC = (byte) 0xD2;
     private static final byte VERSION = 1;
+    private static final int INCARNATION_OFFSET = 3;
+    private static final int HEADER_BYTES = INCARNATION_OFFSET + Integer.BYTES;
 
     /** The types of messages, in the order of their numbers on the wire. */
     enum Type {
@@ -38,18 +40,18 @@
 
     /** The bytes of the message. */
     byte[] encode() {
-        ByteBuffer b = ByteBuffer.allocate(length(type));
-        b.put(MAGIC)
+        ByteBuffer buffer = ByteBuffer.allocate(length(type));
+        buffer.put(MAGIC)
                 .put(VERSION)
                 .put((byte) (type.ordinal() << 1 | (binding ? 1 : 0)))
                 .putInt(incarnation);
         switch (type) {
-            case STATE -> b.putFloat((float) augmentedShare).putFloat((float) amount);
-            case TRANSFER -> b.putInt(peerIncarnation).putInt(number).putFloat((float) amount);
-            case ACK -> b.putInt(peerIncarnation).putInt(number);
+            case STATE -> buffer.putFloat((float) augmentedShare).putFloat((float) amount);
+            case TRANSFER -> buffer.putInt(peerIncarnation).putInt(number).putFloat((float) amount);
+            case ACK -> buffer.putInt(peerIncarnation).putInt(number);
             default -> {}
         }
-        return b.array();
+        return buffer.array();
     }
 
     /** The message in these bytes; null if they are truncated, of another kind or of another version. */
@@ -61,26 +63,28 @@
                 || data[2] >> 1 >= Type.values().length) {
             return null;
         }
-        Type what = Type.values()[data[2] >> 1];
-        if (data.length != length(what)) {
+        Type type = Type.values()[data[2] >> 1];
+        if (data.length != length(type)) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(data).position(3);
+        ByteBuffer buffer = ByteBuffer.wrap(data).position(INCARNATION_OFFSET);
         boolean binding = (data[2] & 1) == 1;
-        int epoch = b.getInt();
-        int peerEpoch = what == Type.TRANSFER || what == Type.ACK ? b.getInt() : 0;
-        int number = what == Type.TRANSFER || what == Type.ACK ? b.getInt() : 0;
-        double augmented = what == Type.STATE ? b.getFloat() : 0;
-        double amount = what == Type.STATE || what == Type.TRANSFER ? b.getFloat() : 0;
-        boolean sound = Double.isFinite(augmented + amount) && augmented >= 0 && amount >= 0;
-        return sound ? new PeerMessage(what, binding, epoch, peerEpoch, number, augmented, amount) : null;
+        int incarnation = buffer.getInt();
+        int peerIncarnation = type == Type.TRANSFER || type == Type.ACK ? buffer.getInt() : 0;
+        int number = type == Type.TRANSFER || type == Type.ACK ? buffer.getInt() : 0;
+        double augmentedShare = type == Type.STATE ? buffer.getFloat() : 0;
+        double amount = type == Type.STATE || type == Type.TRANSFER ? buffer.getFloat() : 0;
+        boolean isValid = Double.isFinite(augmentedShare + amount) && augmentedShare >= 0 && amount >= 0;
+        return isValid
+                ? new PeerMessage(type, binding, incarnation, peerIncarnation, number, augmentedShare, amount)
+                : null;
     }
 
-    private static int length(Type what) {
-        return switch (what) {
-            case STATE, ACK -> 15;
-            case TRANSFER -> 19;
-            case STATE_REQUEST -> 7;
+    private static int length(Type type) {
+        return switch (type) {
+            case STATE, ACK -> HEADER_BYTES + 8;
+            case TRANSFER -> HEADER_BYTES + 12;
+            case STATE_REQUEST -> HEADER_BYTES;
         };
     }
 }
--- a/src/main/java/nettlewick/decision/ProbePool.java
+++ b/src/main/java/nettlewick/decision/ProbePool.java
@@ -9,7 +9,7 @@
     /** Endpoints of the own zone in a pool: at least this many. */
     static final int MIN_SIZE = 8;
 
-    /** The least where owners tell what all dispatchers hold: fewer are as good, and cheaper to be told of. */
+    /** The least where loads are aggregated: fewer endpoints are as good there, and cost fewer messages. */
     private static final int MIN_SIZE_AGGREGATED = 5;
 
     private static final int MAX_SIZE = 24;
--- a/src/main/java/nettlewick/decision/RequestStatistics.java
+++ b/src/main/java/nettlewick/decision/RequestStatistics.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-/** Means over the requests of this dispatcher: what they cost, how long they run, and what they are worth. */
+/** Means over the requests of this dispatcher: cost, run time, and priority per slot. */
 final class RequestStatistics {
     private final RunningMean cost = new RunningMean();
     private final RunningMean priorityPerSlot = new RunningMean();
--- a/src/main/java/nettlewick/decision/RetryPolicy.java
+++ b/src/main/java/nettlewick/decision/RetryPolicy.java
@@ -18,7 +18,7 @@
         this.latency = latency;
     }
 
-    /** Whether one more attempt is allowed now, and an answer would still be worth something. */
+    /** Whether one more attempt is allowed now, and an answer would still have a value. */
     boolean mayRetry(ScheduledRequest request) {
         boolean isWorthless = request.requestClass().latePriorityWeight() <= 0 && latency.isPastObjective(request);
         return !isWorthless && isWithinLimits(request) && mayRunAgain(request);
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/SharedLoads.java
@@ -9,10 +9,10 @@
 
 /** What peers have in flight at the endpoints by their {@link LoadGossip}, and when to send this dispatcher's. */
 final class SharedLoads {
-    /** Age to which gossip is believed; it is sent at least twice as often while slots are held. */
+    /** Age to which gossip is believed; it is sent at least twice as often while there is anything in flight. */
     private static final long TTL_NANOS = 1_000_000_000;
 
-    /** One of the datagrams that together tell the load of a dispatcher. */
+    /** One of the datagrams that together report the load of a dispatcher. */
     private record PartKey(int rank, int part) {}
 
     private record ReceivedLoad(Map<Endpoint, Integer> slots, long at, int number) {}
@@ -72,8 +72,8 @@
     }
 
     /**
-     * The datagrams to send now. None if nothing has changed and the last ones are recent or said that nothing
-     * is held: peers forget by themselves what is not sent again.
+     * The datagrams to send now. None if nothing has changed and the last ones are recent or reported nothing
+     * in flight: peers forget by themselves what is not sent again.
      */
     List<byte[]> dueMessages(long now) {
         List<byte[]> messages = LoadGossip.encode(byName);
--- a/src/main/java/nettlewick/decision/SliceExchange.java
+++ b/src/main/java/nettlewick/decision/SliceExchange.java
@@ -8,7 +8,7 @@
  * giver debits at once and sends again until acknowledged, so that no lost message lifts the sum of slices.
  */
 final class SliceExchange {
-    /** The transfer gain; with two neighbours its bound is 1/4. */
+    /** The transfer gain; with two neighbors its bound is 1/4. */
     private static final double TRANSFER_GAIN = 0.25;
 
     private static final int MIN_REACH = 2;
@@ -43,7 +43,7 @@
         return peers.values().stream().mapToDouble(PeerState::inheritedAmount).sum();
     }
 
-    /** Ends an interval: tells the successor, checks the predecessor, and transfers down to {@code floor}. */
+    /** Ends an interval: sends the successor its state, checks the predecessor, and transfers down to {@code floor}. */
     void closeInterval(double floor) {
         int fleetSize = settings.fleetSize();
         int successor = (settings.rank() + 1) % fleetSize;
@@ -63,7 +63,7 @@
 
     /**
      * Exchanges with the nearest binding peer in one direction. Returns its rank, or {@code alreadyMet} if
-     * there is none; that one, and the successor, are told the state no second time.
+     * there is none; that one, and the successor, get the state no second time.
      */
     private int exchangeInDirection(int direction, int successor, int alreadyMet, double floor) {
         int fleetSize = settings.fleetSize();
--- a/src/main/java/nettlewick/decision/SliceInheritance.java
+++ b/src/main/java/nettlewick/decision/SliceInheritance.java
@@ -17,7 +17,7 @@
         this.messenger = messenger;
     }
 
-    /** Checks the predecessor; {@code peer} is null while it was never heard. */
+    /** Checks the predecessor; {@code peer} is null while it has sent nothing. */
     void checkPredecessor(int rank, PeerState peer) {
         if (peer == null
                 || !peer.isBinding()
@@ -26,7 +26,7 @@
             return;
         }
         // A predecessor whose messages were lost may still run: inheriting its slice would lift the sum over
-        // all dispatchers. It is asked first, and gets the slice back when it is heard again.
+        // all dispatchers. Its state is requested first, and the slice is returned when it answers later.
         if (peer.silence(clock.now()) <= 2 * REQUEST_AFTER_NANOS) {
             messenger.requestState(rank);
         } else if (slice.isBinding()) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Gives an inherited slice back to a peer that was heard again. */
+    /** Gives an inherited slice back to a peer that has sent a message again. */
     void returnTo(PeerState peer) {
         slice.returnInherited(peer.inheritedAmount());
         peer.clearInheritance();
--- a/src/main/java/nettlewick/decision/SliceMessenger.java
+++ b/src/main/java/nettlewick/decision/SliceMessenger.java
@@ -14,7 +14,7 @@
         this.incarnation = incarnation;
     }
 
-    /** The number that tells this process from earlier ones of the same rank. */
+    /** The number that distinguishes this process from earlier ones of the same rank. */
     int incarnation() {
         return incarnation;
     }
--- a/src/test/java/nettlewick/decision/AdmissionControllerTest.java
+++ b/src/test/java/nettlewick/decision/AdmissionControllerTest.java
@@ -17,7 +17,7 @@
 
 /** Which requests are shed where no room is seen. */
 class AdmissionControllerTest extends SchedulerFixture {
-    /** Guards against worthy jobs that pile up at a slowed worker and make each other late. */
+    /** Guards against high-value requests that pile up at a slow endpoint and make each other late. */
     @ParameterizedTest
     @ValueSource(ints = {0, 20})
     void aHighValueRequestWaitsOnlyWhileItCanMeetItsObjective(int waiting) {
@@ -104,7 +104,7 @@
                 }
             }
         }
-        assertTrue(rejected[0] > 100, "the flooding tenant was refused only " + rejected[0]);
-        assertTrue(rejected[1] < 25 && rejected[1] < rejected[0] / 8, "the small tenant was refused " + rejected[1]);
+        assertTrue(rejected[0] > 100, "the flooding tenant was rejected only " + rejected[0]);
+        assertTrue(rejected[1] < 25 && rejected[1] < rejected[0] / 8, "the small tenant was rejected " + rejected[1]);
     }
 }
--- a/src/test/java/nettlewick/decision/AttemptMonitorTest.java
+++ b/src/test/java/nettlewick/decision/AttemptMonitorTest.java
@@ -15,7 +15,7 @@
 
 /** Which attempts are taken for lost or late, and which of their requests are sent again. */
 class AttemptMonitorTest extends SchedulerFixture {
-    /** Guards against second copies that feed the queues of a full fleet: a silent job's needs room elsewhere. */
+    /** Guards against hedged requests that feed the queues of a full fleet: each needs room elsewhere. */
     @ParameterizedTest
     @ValueSource(ints = {0, 2})
     void aHedgedRequestIsSentOnlyWhereRoomIsSeen(int free) {
--- a/src/test/java/nettlewick/decision/DedicatedEndpointsTest.java
+++ b/src/test/java/nettlewick/decision/DedicatedEndpointsTest.java
@@ -14,7 +14,7 @@
 import nettlewick.decision.Event.PoolsAssigned;
 import org.junit.jupiter.api.Test;
 
-/** Tenants with workers of their own: who goes where, through each step of a move. */
+/** Tenants with dedicated endpoints: which requests go where, through each step of a move. */
 class DedicatedEndpointsTest {
     private static final int ENDPOINTS = 8;
     private static final Set<String> DEDICATED = Set.of("w1", "w2");
@@ -35,15 +35,15 @@
         at(new PoolsAssigned(List.of(new PoolAssignment("red", Set.of(endpoints), shut, confined))));
     }
 
-    /** Where so many jobs of a tenant go, all workers having just said that they have room. */
-    private Set<String> used(String tenant, String jobClass, int count) {
+    /** The endpoints that {@code count} requests of a tenant go to, all having just reported room. */
+    private Set<String> used(String tenant, String requestClass, int count) {
         Set<String> used = new HashSet<>();
         for (int i = 0; i < count; i++) {
             for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
                 at(Samples.probeAnswer("w" + endpoint, 3, 0));
             }
-            String key = jobClass.equals("read") ? null : "k" + i;
-            Arrival a = new Arrival("j" + requests++, jobClass, tenant, 5 * Samples.SECOND, 1, 0, 0, key, false);
+            String key = requestClass.equals("read") ? null : "k" + i;
+            Arrival a = new Arrival("j" + requests++, requestClass, tenant, 5 * Samples.SECOND, 1, 0, 0, key, false);
             Samples.actionsOfType(Dispatch.class, at(a)).forEach(d -> {
                 used.add(d.endpoint());
                 at(Samples.outcome(d, 0, AttemptResult.SERVED));
@@ -61,7 +61,7 @@
         assertTrue(used("blue", "read", 20).stream().noneMatch(DEDICATED::contains));
     }
 
-    /** Guards against a flood that is sent on to full workers since others' have room, and comes back. */
+    /** Guards against a flood that queues at full endpoints since those of others have room. */
     @Test
     void aConfinedTenantIsRejectedAtOnceWhereItsEndpointsAreFull() {
         assign(true, true, "w1", "w2");
@@ -73,11 +73,11 @@
                         DEDICATED.contains("w" + endpoint) ? 1 : 0));
             }
             List<Action> red = at(new Arrival("r" + i, "read", "red", 5 * Samples.SECOND, 1, 0, 0, null, false));
-            assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, red), "job " + i);
+            assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, red), "request " + i);
             assertTrue(Samples.actionsOfType(Reject.class, red).get(0).retryAfter() > 0, "when to come back");
             List<Dispatch> blue = Samples.actionsOfType(
                     Dispatch.class, at(new Arrival("b" + i, "read", "blue", 5 * Samples.SECOND, 1, 0, 0, null, false)));
-            assertEquals(1, blue.size(), "job " + i);
+            assertEquals(1, blue.size(), "request " + i);
             at(Samples.outcome(blue.get(0), 0, AttemptResult.SERVED));
         }
     }
@@ -110,7 +110,7 @@
         assertEquals(Set.of("w0", "w4", "w6"), used);
     }
 
-    /** Guards against a keyed job that may have run in one zone and runs again in another after a move. */
+    /** Guards against a keyed request that may have run in one zone and runs again in another after a move. */
     @Test
     void aKeyedRequestIsNotRetriedOutsideItsDedupScopeAfterAMove() {
         for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
--- a/src/test/java/nettlewick/decision/EndpointRegistryTest.java
+++ b/src/test/java/nettlewick/decision/EndpointRegistryTest.java
@@ -17,12 +17,12 @@
 import nettlewick.decision.Event.Timer;
 import org.junit.jupiter.api.Test;
 
-/** What the module sees of the list while operators take workers out and put them back. */
+/** What the module sees of the list while operators disable and enable endpoints. */
 class EndpointRegistryTest {
     private final EndpointRegistry registry = new EndpointRegistry();
 
-    private EndpointEntry effectiveEntry(EndpointState life, long startedAt) {
-        return registry.apply(new EndpointList(false, List.of(entry("w", life, startedAt, "north", 0))))
+    private EndpointEntry effectiveEntry(EndpointState state, long startedAt) {
+        return registry.apply(new EndpointList(false, List.of(entry("w", state, startedAt, "north", 0))))
                 .entries()
                 .get(0);
     }
@@ -48,7 +48,7 @@
                         .state());
     }
 
-    /** Guards against a full load for a worker that was restarted while it was out. */
+    /** Guards against a full load for an endpoint that was restarted while it was disabled. */
     @Test
     void aReenabledEndpointWarmsUp() {
         registry.apply(new EndpointAdminChange("w", true, SECOND));
@@ -88,10 +88,10 @@
                         .toList());
     }
 
-    /** Guards against loads of one worker taken for another's where dispatchers have different ones out. */
+    /** Guards against loads of one endpoint taken for another's where dispatchers have disabled different ones. */
     @Test
     void gossipNamesTheSameEndpointsWhicheverAreDisabled() {
-        List<String> notes = new ArrayList<>();
+        List<String> messages = new ArrayList<>();
         for (int out = 0; out < 2; out++) {
             Dispatcher module = Dispatcher.create(Samples.settings(0, 2, true), 1);
             module.handle(
@@ -103,7 +103,7 @@
                             Samples.probeAnswer("w" + (1 - out), 0, 9),
                             Samples.probeAnswer("w3", 0, 9),
                             Samples.arrival("a", "read", "red")));
-            notes.add(
+            messages.add(
                     Samples.actionsOfType(SendToPeer.class, module.handle(SECOND / 10, List.of(new Timer("beat"))))
                             .stream()
                             .map(SendToPeer::data)
@@ -112,9 +112,10 @@
                             .toList()
                             .toString());
         }
-        assertEquals(notes.get(0), notes.get(1));
+        assertEquals(messages.get(0), messages.get(1));
         char mark = LoadGossip.markOf("w2");
-        assertTrue(notes.get(0).contains(", " + (byte) (mark >> 8) + ", " + (byte) mark + ", 1]"), notes.toString());
+        assertTrue(
+                messages.get(0).contains(", " + (byte) (mark >> 8) + ", " + (byte) mark + ", 1]"), messages.toString());
     }
 
     @Test
--- a/src/test/java/nettlewick/decision/EndpointSelectorTest.java
+++ b/src/test/java/nettlewick/decision/EndpointSelectorTest.java
@@ -28,10 +28,10 @@
         for (int i = 0; i < 4; i++) {
             used.add(send("read").endpoint());
         }
-        assertTrue(used.size() >= 3, "four jobs herd onto " + used);
+        assertTrue(used.size() >= 3, "four requests all go to " + used);
     }
 
-    /** Guards against a dispatcher that started into a release and leaves all workers that are cold alone. */
+    /** Guards against a dispatcher that started into a release and leaves all endpoints that warm up alone. */
     @Test
     void aDispatcherThatHasJustStartedUsesWarmingEndpointsToo() {
         at(
--- a/src/test/java/nettlewick/decision/LargeFleetTest.java
+++ b/src/test/java/nettlewick/decision/LargeFleetTest.java
@@ -9,7 +9,7 @@
 import nettlewick.decision.Event.PeerMessageReceived;
 import org.junit.jupiter.api.Test;
 
-/** What is fine for one dispatcher, or for few, and hurts where there are many. */
+/** What works for one dispatcher, or for few, and fails where there are many. */
 class LargeFleetTest {
     private static final long SECOND = Samples.SECOND;
 
@@ -27,10 +27,12 @@
         fleet.run(12 * SECOND);
         double share =
                 (double) (fleet.sentToFullEndpoint + fleet.rejected - bad) / (fleet.sent + fleet.rejected - before);
-        assertTrue(share < 0.1, share + " of the jobs were refused or sent to a full worker; 80 of 120 slots are free");
+        assertTrue(
+                share < 0.1,
+                share + " of the requests were rejected or sent to a full endpoint; 80 of 120 slots are free");
     }
 
-    /** Datagrams a dispatcher sends each second while every one of them has two or three jobs a second. */
+    /** Datagrams that a dispatcher sends each second while every one of them has two or three requests a second. */
     private static double datagramsPerDispatcher(int dispatchers, int endpoints) {
         SmallFleet fleet = new SmallFleet(dispatchers, endpoints, 5);
         for (int rank = 0; rank < dispatchers; rank++) {
@@ -42,7 +44,7 @@
         return (fleet.datagrams - before) / 4.0 / dispatchers;
     }
 
-    /** Guards against notes of every dispatcher to every other: their bytes grew with the square of the tier. */
+    /** Guards against gossip between all dispatchers: their bytes grew with the square of the tier. */
     @Test
     void datagramsOfOneDispatcherDoNotGrowWithTheTier() {
         double small = datagramsPerDispatcher(20, 40);
@@ -51,9 +53,9 @@
     }
 
     /**
-     * Guards against a large tier that knows only what few peers hold: reports are a second old, jobs a quarter,
-     * and runners fill behind each dispatcher's back. With notes to four neighbours 0.32 of the jobs found their
-     * runner full here, with notes to all 0.10.
+     * Guards against a large tier that knows only what few peers hold: reports are a second old, requests a quarter,
+     * and endpoints fill without each dispatcher's knowledge. With gossip to four neighbors 0.32 of the requests found
+     * their endpoint full here, with gossip to all 0.10.
      */
     @Test
     void loadOfAllDispatchersIsKnownInALargeTier() {
@@ -67,10 +69,10 @@
         int full = fleet.sentToFullEndpoint;
         fleet.run(10 * SECOND);
         double share = (double) (fleet.sentToFullEndpoint - full) / (fleet.sent - sent);
-        assertTrue(share < 0.06, share + " of the jobs found their runner full");
+        assertTrue(share < 0.06, share + " of the requests found their endpoint full");
     }
 
-    /** Who tells me is whom I tell; the ring of places leaves nobody out, and small tiers tell all as before. */
+    /** Neighbors are mutual, the ring leaves no dispatcher out, and in small tiers all are neighbors. */
     @Test
     void neighborsAreFewSymmetricAndNearestByRingPosition() {
         int size = 1000;
--- a/src/test/java/nettlewick/decision/LoadAggregatorTest.java
+++ b/src/test/java/nettlewick/decision/LoadAggregatorTest.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Owners' tallies where peers die, start anew, lie or send what is not theirs to send. */
+/** Owners' sums where peers stop, restart or send what is not theirs to send. */
 class LoadAggregatorTest {
     private static final long SECOND = Samples.SECOND;
     private static final int SIZE = 40;
 
-    /** One dispatcher of the tier with its own list of the same runners. */
+    /** One dispatcher of the tier with its own list of the same endpoints. */
     private static final class TierMember {
         final int rank;
         final PeerFaultCounters faults = new PeerFaultCounters();
@@ -58,7 +58,7 @@
         }
     }
 
-    /** One whose list ends with this runner. */
+    /** One whose list ends with this endpoint. */
     private static TierMember member(int rank, String id) {
         return new TierMember(rank, Integer.parseInt(id.substring(1)) + 1);
     }
@@ -84,11 +84,12 @@
         flush(owner, all, 3);
         assertEquals(2, watcher.at(id).inFlight().peerSlots(), "an end waits for a tenth of a second");
         flush(owner, all, SECOND / 8);
-        assertEquals(0, watcher.at(id).inFlight().peerSlots(), "and is told then, with no further word from anybody");
+        assertEquals(
+                0, watcher.at(id).inFlight().peerSlots(), "and is sent then, with no further message from any peer");
         Samples.setSlotsInFlight(holder.at(id), 1);
         flush(holder, all, SECOND / 8 + 1);
         flush(owner, all, SECOND / 8 + 1);
-        assertEquals(1, watcher.at(id).inFlight().peerSlots(), "a start is told at once");
+        assertEquals(1, watcher.at(id).inFlight().peerSlots(), "a higher sum is sent at once");
         List<TierMember> ownerDead = List.of(holder, watcher);
         for (long t = SECOND / 4; t <= 2 * SECOND; t += SECOND / 4) {
             for (TierMember m : ownerDead) {
@@ -96,7 +97,8 @@
                 m.aggregator.expire(t);
             }
         }
-        assertEquals(0, watcher.at(id).inFlight().peerSlots(), "what a dead owner told is believed for a second only");
+        assertEquals(
+                0, watcher.at(id).inFlight().peerSlots(), "the sums of a stopped owner are believed for a second only");
         TierMember again = member(7, id);
         List<TierMember> back = List.of(again, holder, watcher);
         for (long t = 2 * SECOND + SECOND / 8; t <= 3 * SECOND + SECOND / 2; t += SECOND / 4) {
@@ -111,7 +113,7 @@
                 "an owner that starts anew tells sums again once watchers tell it, each second");
     }
 
-    /** Guards against two datagrams to each watcher for every job at a runner that is busy. */
+    /** Guards against two datagrams to each watcher for every request at an endpoint that is busy. */
     @Test
     void aSlotThatIsTakenAgainAtOnceSendsNoSum() {
         String id = ownedBy(7);
@@ -122,7 +124,7 @@
         int changes = 0;
         int told = 0;
         for (long at = 0; at < 2 * SECOND; at += SECOND / 20) {
-            // Each 50 ms a job ends and another begins 20 ms later.
+            // Each 50 ms a request ends and another begins 20 ms later.
             for (long when : new long[] {at, at + SECOND / 50}) {
                 Samples.setSlotsInFlight(holder.at(id), when == at ? 1 : 2);
                 flush(holder, all, when);
@@ -146,7 +148,7 @@
         TierMember watcher = member(5, id);
         Samples.setSlotsInFlight(watcher.at(id), 0);
         Samples.setSlotsInFlight(stranger.at(id), 3);
-        // The owner tells the stranger its sums by mistake of the stranger: a holder's word for a runner it does
+        // The owner tells the stranger its sums by mistake of the stranger: a holder's word for an endpoint it does
         // not own reaches rank 9, which is not the owner.
         TierMember notOwner = member(9, id);
         flush(stranger, List.of(owner), 0);
@@ -156,14 +158,14 @@
                 .get(7)
                 .get(0);
         assertTrue(notOwner.aggregator.receive(3, hold, SECOND));
-        assertEquals(1, notOwner.faults.counts().damaged(), "a holding told to one that owns nothing there");
+        assertEquals(1, notOwner.faults.counts().damaged(), "a holding reported to one that owns nothing there");
         flush(watcher, List.of(owner), 2);
         flush(owner, List.of(watcher), 3);
         assertEquals(3, watcher.at(id).inFlight().peerSlots());
         byte[] sum = owner.aggregator.drainMessages(4, owner.endpoints, List.of()).getOrDefault(5, List.of()).stream()
                 .findFirst()
                 .orElse(null);
-        assertEquals(null, sum, "nothing changed, nothing is told");
+        assertEquals(null, sum, "nothing changed, nothing is sent");
         TierMember other = new TierMember(5, 0);
         Samples.setSlotsInFlight(stranger.at(id), 2);
         flush(stranger, List.of(owner), SECOND / 5);
@@ -171,11 +173,11 @@
                 .drainMessages(SECOND / 5 + 1, owner.endpoints, List.of())
                 .get(5);
         assertTrue(other.aggregator.receive(7, sums.get(0), 6));
-        assertEquals(1, other.faults.counts().unlisted(), "a sum of a runner this list does not hold");
+        assertEquals(1, other.faults.counts().unlisted(), "a sum of an endpoint this list does not hold");
         assertTrue(watcher.aggregator.receive(2, sums.get(0), 6));
-        assertEquals(1, watcher.faults.counts().damaged(), "a sum from one that does not own the runner");
+        assertEquals(1, watcher.faults.counts().damaged(), "a sum from one that does not own the endpoint");
         assertEquals(3, watcher.at(id).inFlight().peerSlots(), "changes nothing");
-        assertFalse(watcher.aggregator.receive(7, new byte[] {(byte) 0xA3, 1, 9}, 7), "no kind of the tally's");
+        assertFalse(watcher.aggregator.receive(7, new byte[] {(byte) 0xA3, 1, 9}, 7), "of no kind that is known");
     }
 
     @Test
@@ -188,6 +190,6 @@
                 .mapToLong(d -> d.length)
                 .sum();
         assertTrue(out.values().stream().flatMap(List::stream).allMatch(d -> d.length <= 256));
-        assertTrue(entries > 2800 * 5, entries + " bytes for holdings and watches of 3,000 runners");
+        assertTrue(entries > 2800 * 5, entries + " bytes for holdings and watches of 3,000 endpoints");
     }
 }
--- a/src/test/java/nettlewick/decision/MeasureFleet.java
+++ b/src/test/java/nettlewick/decision/MeasureFleet.java
@@ -2,7 +2,7 @@
 
 /**
  * What the module costs as a tier grows, in virtual time: {@code make measure-fleet}. Each size plays the same traffic
- * for each runner (half of its slots), one dispatcher in seven with five times the others' part.
+ * for each endpoint (half of its slots), one dispatcher in seven with five times the others' part.
  */
 final class MeasureFleet {
     private static final int[][] SIZES = {{12, 6}, {200, 100}, {2000, 1000}};
--- a/src/test/java/nettlewick/decision/OutlierDetectorTest.java
+++ b/src/test/java/nettlewick/decision/OutlierDetectorTest.java
@@ -55,7 +55,7 @@
         assertTrue(isEjected(0, 1));
     }
 
-    /** Guards against a job that waits for its deadline on a connection that fell silent among live ones. */
+    /** Guards against a request that waits for its deadline on a connection that fell silent among live ones. */
     @Test
     void anOvertakenOrStalledAttemptIsLost() {
         Endpoint endpoint = fleet.get(0);
@@ -66,7 +66,7 @@
         assertTrue(OutlierDetector.isLost(first, 600 * MS, 1000 * MS));
         assertFalse(OutlierDetector.isLost(second, 2600 * MS, 1000 * MS));
         assertTrue(OutlierDetector.isLost(second, 2601 * MS, 1000 * MS));
-        assertFalse(OutlierDetector.isLost(second, 9000 * MS, 0), "where no progress is told, silence tells nothing");
+        assertFalse(OutlierDetector.isLost(second, 9000 * MS, 0), "without progress events, silence means nothing");
     }
 
     /** Guards against a slot that a lost attempt would hold here until its deadline. */
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Guards against attempts called lost, and called off, for waiting where reports tell no queue: seen on an
-     * overloaded day, where what was called off ran on and 75% of all attempts found their runner full.
+     * Guards against attempts taken for lost, and cancelled, for waiting where reports state no queue: seen on an
+     * overloaded day, where cancelled attempts ran on and 75% of all attempts found their endpoint full.
      */
     @Test
     void aReportWithoutAQueueProvesItEmptyOnlyWithRoomForTheLargestRequest() {
--- a/src/test/java/nettlewick/decision/QueuelessSiteTest.java
+++ b/src/test/java/nettlewick/decision/QueuelessSiteTest.java
@@ -25,16 +25,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a site shows that reports no queue, counts memory, runs jobs of seconds and stops nothing that is called
- * off: the module goes by its settings and by what attempts show, not by another site's figures.
+ * What a site shows that reports no queue, counts memory, runs requests of seconds and stops nothing that is
+ * cancelled: the module goes by its settings and by what attempts show, not by another site's figures.
  */
 class QueuelessSiteTest {
     private static final double NONE = Double.NaN;
     private long now = SECOND;
 
-    private static RequestClass requestClass(String name, Idempotency repeat, long aim, double stretch, double worth) {
+    private static RequestClass requestClass(
+            String name, Idempotency repeat, long objective, double stretch, double priority) {
         return new RequestClass(
-                name, repeat, Scope.ZONE, 30 * SECOND, aim, stretch, 25 * SECOND, worth, 0, false, -1, 0);
+                name, repeat, Scope.ZONE, 30 * SECOND, objective, stretch, 25 * SECOND, priority, 0, false, -1, 0);
     }
 
     private final RequestScheduler scheduler = new RequestScheduler(
@@ -62,8 +63,8 @@
         return scheduler.handle(now, List.of(events));
     }
 
-    private static Arrival job(String id, String jobClass, long hint, double slots, double memory) {
-        return new Arrival(id, jobClass, "red", 25 * SECOND, slots, memory, hint, null, false);
+    private static Arrival request(String id, String requestClass, long hint, double slots, double memory) {
+        return new Arrival(id, requestClass, "red", 25 * SECOND, slots, memory, hint, null, false);
     }
 
     private static ProbeAnswer report(String endpoint, double free, double memory) {
@@ -83,30 +84,30 @@
         at(now, new EndpointList(true, entries));
     }
 
-    /** A job that runs at {@code worker} and ends after {@code run}; the clock goes on by as much. */
-    private void runRequest(String id, String jobClass, String endpoint, long hint, long run) {
-        List<Action> actions = at(now, report(endpoint, 4, 4), job(id, jobClass, hint, 1, 0.5));
+    /** A request that runs at {@code endpoint} and ends after {@code run}; the clock goes on by as much. */
+    private void runRequest(String id, String requestClass, String endpoint, long hint, long run) {
+        List<Action> actions = at(now, report(endpoint, 4, 4), request(id, requestClass, hint, 1, 0.5));
         assertEquals(endpoint, sentTo(actions));
         at(now + MS, new Progress(id, 0, endpoint, 0));
         at(now + run, new Outcome(id, 0, endpoint, AttemptResult.SERVED, run + MS, true, null));
     }
 
-    /** Guards against a runner taken for free while its first waiting job does not fit in memory. */
+    /** Guards against an endpoint taken for free while its first waiting request does not fit in memory. */
     @Test
     void anEndpointWhoseFirstQueuedRequestDoesNotFitIsNotTakenForFree() {
         list("north", "north");
         assertEquals(
-                "w0", sentTo(at(now, report("w0", 4, 4), report("w1", 0, 4), job("a", "heavy", 3 * SECOND, 1, 3))));
+                "w0", sentTo(at(now, report("w0", 4, 4), report("w1", 0, 4), request("a", "heavy", 3 * SECOND, 1, 3))));
         at(now + MS, new Progress("a", 0, "w0", 0));
         assertEquals(
-                "w0", sentTo(at(now, report("w0", 3, 4), report("w1", 0, 4), job("b", "heavy", 3 * SECOND, 1, 3))));
+                "w0", sentTo(at(now, report("w0", 3, 4), report("w1", 0, 4), request("b", "heavy", 3 * SECOND, 1, 3))));
         for (int i = 0; i < 5; i++) {
             at(now + 100 * MS, report("w0", 3, 1), report("w1", 1.2, 4), new Timer("beat"));
         }
-        assertEquals("w1", sentTo(at(now, job("c", "heavy", 3 * SECOND, 1, 0.5))), "a third would wait behind b");
+        assertEquals("w1", sentTo(at(now, request("c", "heavy", 3 * SECOND, 1, 0.5))), "a third would wait behind b");
     }
 
-    /** Guards against the wait behind heavy jobs being counted as if they were light ones. */
+    /** Guards against the wait behind heavy requests being counted as if they were light ones. */
     @Test
     void aLightRequestBehindHeavyOnesIsRejectedAtOnce() {
         list("north");
@@ -115,13 +116,13 @@
         }
         runRequest("l", "light", "w0", 200 * MS, 200 * MS);
         for (int i = 0; i < 7; i++) {
-            at(now, report("w0", Math.max(0, 4 - i), 4), job("q" + i, "transfer", 4 * SECOND, 1, 0.1));
+            at(now, report("w0", Math.max(0, 4 - i), 4), request("q" + i, "transfer", 4 * SECOND, 1, 0.1));
         }
-        List<Action> actions = at(now, report("w0", 0, 4), job("late", "light", 200 * MS, 1, 0.1));
+        List<Action> actions = at(now, report("w0", 0, 4), request("late", "light", 200 * MS, 1, 0.1));
         assertEquals(1, Samples.actionsOfType(Reject.class, actions).size(), actions.toString());
     }
 
-    /** Guards against a near runner that is slowed taking what another zone's would do in time. */
+    /** Guards against a near endpoint that is slowed taking what another zone's would do in time. */
     @Test
     void aRequestThatWouldBeLateInItsZoneGoesToAnother() {
         list("north", "south");
@@ -133,16 +134,16 @@
             runRequest("s" + i, "heavy", "w0", SECOND, 5 * SECOND);
         }
         List<Action> actions =
-                at(now, report("w0", 4, 4), report("w1", 4, 4), job("t", "transfer", 4 * SECOND, 1, 0.1));
+                at(now, report("w0", 4, 4), report("w1", 4, 4), request("t", "transfer", 4 * SECOND, 1, 0.1));
         assertEquals("w1", sentTo(actions));
     }
 
-    /** A heavy tail in one class: a job of 23 times its hint that shows progress is neither lost nor a fault. */
+    /** A heavy tail in one class: a request of 23 times its hint that shows progress is neither lost nor a fault. */
     @Test
     void aRequestOfManyTimesItsHintIsNeitherLostNorAFault() {
         list("north", "north");
         at(now, report("w0", 4, 4), report("w1", 0, 4));
-        assertEquals("w0", sentTo(at(now, job("tail", "heavy", SECOND, 1, 0.1))));
+        assertEquals("w0", sentTo(at(now, request("tail", "heavy", SECOND, 1, 0.1))));
         at(now + MS, new Progress("tail", 0, "w0", 0));
         for (int second = 1; second <= 22; second++) {
             List<Action> actions = at(
@@ -157,10 +158,10 @@
         assertEquals(0, scheduler.endpointCounts().ejected());
         at(now + SECOND, new Outcome("tail", 0, "w0", AttemptResult.SERVED, 23 * SECOND, true, null));
         assertEquals(
-                "w0", sentTo(at(now, report("w0", 4, 4), job("next", "transfer", SECOND, 1, 0.1))), "room is room");
+                "w0", sentTo(at(now, report("w0", 4, 4), request("next", "transfer", SECOND, 1, 0.1))), "room is room");
     }
 
-    /** A dependency slows every runner at once: nobody is left out for it, and where there is room none refused. */
+    /** A dependency slows every endpoint at once: none is ejected, and where there is room nothing is rejected. */
     @Test
     void aSlowdownOfAllEndpointsEjectsNone() {
         list("north", "north", "south");
@@ -173,7 +174,7 @@
                         report("w0", 4, 4),
                         report("w1", 4, 4),
                         report("w2", 4, 4),
-                        job(id, i == 0 ? "light" : i == 1 ? "dues" : "transfer", 1500 * MS, 1, 0.1));
+                        request(id, i == 0 ? "light" : i == 1 ? "dues" : "transfer", 1500 * MS, 1, 0.1));
                 rejected += Samples.actionsOfType(Reject.class, actions).size();
                 String endpoint = sentTo(actions);
                 at(now + MS, new Progress(id, 0, endpoint, 0));
@@ -187,7 +188,7 @@
         assertEquals(0, scheduler.endpointCounts().ejected());
     }
 
-    /** Guards against waits foretold too short, time after time, at what reports do not show. */
+    /** Guards against waits predicted too short, time after time, at what reports do not show. */
     @Test
     void aPredictedWaitIsCorrectedByWaitsSeen() {
         WaitCalibration waits = new WaitCalibration();
--- a/src/test/java/nettlewick/decision/RuleChecker.java
+++ b/src/test/java/nettlewick/decision/RuleChecker.java
@@ -18,7 +18,7 @@
 import nettlewick.decision.SchedulerSettings.RequestClass;
 import nettlewick.decision.SchedulerSettings.Scope;
 
-/** Watches one instance from outside and notes each broken rule. Shares no code with the module. */
+/** Watches one instance from outside and records each broken rule. Shares no code with the module. */
 final class RuleChecker {
     final List<String> broken = new ArrayList<>();
     private final SchedulerSettings settings;
@@ -36,7 +36,7 @@
     }
 
     private static final class Send {
-        String worker;
+        String endpoint;
         long at;
         boolean out = true;
         boolean never;
@@ -89,11 +89,11 @@
         } else if (action instanceof Reject a) {
             Request r = answer(a.id(), now);
             boolean mayRun = r.sends.stream().anyMatch(s -> !s.never);
-            RequestClass c = jobClass(r);
+            RequestClass c = requestClass(r);
             if (mayRun
                     && (c.idempotency() == Idempotency.NON_IDEMPOTENT
                             || c.idempotency() == Idempotency.KEYED && c.dedupScope() != Scope.ALL)) {
-                broken.add("effect: " + a.id() + " refused though it may have run");
+                broken.add("effect: " + a.id() + " rejected though it may have run");
             }
         } else if (action instanceof Fail a) {
             answer(a.id(), now);
@@ -118,7 +118,7 @@
 
     private void dispatch(long now, Dispatch a) {
         Request r = requests.get(a.id());
-        RequestClass c = jobClass(r);
+        RequestClass c = requestClass(r);
         EndpointEntry endpoint = list.get(a.endpoint());
         if (r.answered) {
             broken.add("lost: " + a.id() + " sent after its answer");
@@ -139,7 +139,7 @@
             broken.add("effect: fragile " + a.id() + " sent again");
         }
         if (first != null && c.idempotency() == Idempotency.KEYED) {
-            EndpointEntry f = list.get(first.worker);
+            EndpointEntry f = list.get(first.endpoint);
             if (now - first.at > c.dedupWindow()
                     || c.dedupScope() == Scope.ZONE && !f.zone().equals(endpoint.zone())
                     || c.dedupScope() == Scope.CELL && f.cell() != endpoint.cell()) {
@@ -147,7 +147,7 @@
             }
         }
         Send s = new Send();
-        s.worker = a.endpoint();
+        s.endpoint = a.endpoint();
         s.at = now;
         r.sends.add(s);
         if (endpoint.startedAt() > 0
@@ -156,7 +156,7 @@
         }
     }
 
-    /** This instance's part: what a warm worker carries for it, ramped, times the factor, and one for chance. */
+    /** This instance's part: what a warm endpoint carries for it, ramped, times the factor, and one for chance. */
     private void cold(long now, EndpointEntry endpoint) {
         List<Long> sends = coldSends.computeIfAbsent(endpoint.id(), k -> new ArrayList<>());
         sends.add(now);
@@ -192,7 +192,7 @@
         });
     }
 
-    private RequestClass jobClass(Request r) {
+    private RequestClass requestClass(Request r) {
         return settings.classes().stream()
                 .filter(c -> c.name().equals(r.arrival.requestClass()))
                 .findFirst()
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -22,8 +22,8 @@
 
     private Samples() {}
 
-    static RequestClass requestClass(String name, Idempotency repeat, Scope scope, double worth) {
-        return new RequestClass(name, repeat, scope, 4 * SECOND, 200 * MS, 2, 5 * SECOND, worth, 0, false, -1, 0);
+    static RequestClass requestClass(String name, Idempotency repeat, Scope scope, double priority) {
+        return new RequestClass(name, repeat, scope, 4 * SECOND, 200 * MS, 2, 5 * SECOND, priority, 0, false, -1, 0);
     }
 
     static Limits limits(boolean all) {
@@ -50,11 +50,11 @@
                 new Rules(5 * MS, 10 * SECOND, 8 * SECOND, 0.25, 250 * MS, 2 * SECOND, 3));
     }
 
-    static EndpointEntry entry(String id, EndpointState life, long startedAt, String zone, int cell) {
-        return new EndpointEntry(id, life, startedAt, cell, "box", zone, 1);
+    static EndpointEntry entry(String id, EndpointState state, long startedAt, String zone, int cell) {
+        return new EndpointEntry(id, state, startedAt, cell, "box", zone, 1);
     }
 
-    /** {@code count} warm workers, half of them in each zone, two to a cell. */
+    /** {@code count} warm endpoints, half of them in each zone, two to a cell. */
     static EndpointList endpoints(int count) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -63,8 +63,8 @@
         return new EndpointList(true, entries);
     }
 
-    static Arrival arrival(String id, String jobClass, String tenant) {
-        return new Arrival(id, jobClass, tenant, 5 * SECOND, 1, 0, 0, null, false);
+    static Arrival arrival(String id, String requestClass, String tenant) {
+        return new Arrival(id, requestClass, tenant, 5 * SECOND, 1, 0, 0, null, false);
     }
 
     static ScheduledRequest request(String requestClass, Idempotency idempotency, Scope scope) {
--- a/src/test/java/nettlewick/decision/SchedulerFixture.java
+++ b/src/test/java/nettlewick/decision/SchedulerFixture.java
@@ -16,9 +16,9 @@
         return scheduler.handle(now, List.of(events));
     }
 
-    Dispatch send(String jobClass) {
-        List<Dispatch> sent =
-                Samples.actionsOfType(Dispatch.class, at(now + 1, Samples.arrival("j" + requests++, jobClass, "red")));
+    Dispatch send(String requestClass) {
+        List<Dispatch> sent = Samples.actionsOfType(
+                Dispatch.class, at(now + 1, Samples.arrival("j" + requests++, requestClass, "red")));
         assertEquals(1, sent.size());
         return sent.get(0);
     }
--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/SharedLoadsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against belief in old reports where peers know better, and in notes that mean other workers. */
+/** Guards against belief in old reports where peers know better, and in gossip that means other endpoints. */
 class SharedLoadsTest {
     private static final long SECOND = 1_000_000_000;
 
@@ -26,19 +26,19 @@
         Samples.setSlotsInFlight(theirs.get(0), 2);
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
-        byte[] note = sender.dueMessages(0).get(0);
+        byte[] message = sender.dueMessages(0).get(0);
         assertEquals(List.of(), sender.dueMessages(1), "nothing new");
         byte[] again = sender.dueMessages(SECOND).get(0);
-        assertEquals(note.length, again.length, "told again before it is too old");
-        assertArrayEquals(LoadGossip.withNumber(note, 1), again, "with the next number");
+        assertEquals(message.length, again.length, "sent again before it is too old");
+        assertArrayEquals(LoadGossip.withNumber(message, 1), again, "with the next number");
 
         List<Endpoint> ours = fleet(3);
         SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
         receiver.replaceEndpoints(ours);
         assertFalse(receiver.receive(1, new byte[] {(byte) 0xD2, 1, 0}, 0));
-        assertTrue(receiver.receive(1, note, 0));
-        assertTrue(receiver.receive(1, note, 0));
-        assertTrue(receiver.receive(2, note, SECOND), "another peer, and the others silent");
+        assertTrue(receiver.receive(1, message, 0));
+        assertTrue(receiver.receive(1, message, 0));
+        assertTrue(receiver.receive(2, message, SECOND), "another peer, and the others silent");
         receiver.expire(SECOND);
         assertEquals(4, ours.get(0).inFlight().peerSlots());
         assertEquals(0, ours.get(1).inFlight().peerSlots());
@@ -46,7 +46,7 @@
         assertEquals(2, ours.get(0).inFlight().peerSlots(), "one is too old");
     }
 
-    /** An idle dispatcher of a large tier would send empty notes to its peers for nothing, twice a second. */
+    /** An idle dispatcher of a large tier would send empty gossip to its peers for nothing, twice a second. */
     @Test
     void anIdleDispatcherSendsItsEmptyLoadOnce() {
         List<Endpoint> theirs = fleet(3);
@@ -55,14 +55,14 @@
         assertEquals(1, sender.dueMessages(0).size());
         assertEquals(List.of(), sender.dueMessages(SECOND));
         Samples.setSlotsInFlight(theirs.get(1), 1);
-        assertEquals(1, sender.dueMessages(SECOND + 1).size(), "a change is told at once");
+        assertEquals(1, sender.dueMessages(SECOND + 1).size(), "a change is sent at once");
         Samples.setSlotsInFlight(theirs.get(1), 0);
         assertEquals(1, sender.dueMessages(SECOND + 2).size(), "and that it is over");
         assertEquals(List.of(), sender.dueMessages(3 * SECOND));
     }
 
     /**
-     * A note that another overtook would stand for what is no longer held; a damaged one, or entries of workers
+     * An overtaken message would stand for what is no longer held; a damaged one, or entries of endpoints
      * that are not on the list, must change nothing else. Each is counted.
      */
     @Test
@@ -100,7 +100,7 @@
                 ours.stream().map(endpoint -> endpoint.inFlight().peerSlots()).toList());
     }
 
-    /** While a release is under way, lists of one length differ: a note must not mean another worker. */
+    /** While a release is under way, lists of one length differ: a mark must not mean another endpoint. */
     @Test
     void marksMeanTheSameEndpointsWhateverListThePeerHas() {
         List<Endpoint> theirs = fleet(4);
@@ -118,19 +118,20 @@
                 endpoint.id().equals("w2") ? 1 : 0, endpoint.inFlight().peerSlots(), endpoint.id()));
     }
 
-    /** Several hundred workers in use do not fit in one datagram; what shrinks to fewer leaves nothing behind. */
+    /** Several hundred endpoints in use do not fit in one datagram; what shrinks to fewer leaves nothing behind. */
     @Test
     void largeLoadsAreSplitOverSeveralDatagrams() {
         List<Endpoint> theirs = fleet(600);
         theirs.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
         SharedLoads sender = new SharedLoads(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
-        List<byte[]> notes = sender.dueMessages(0);
-        assertTrue(notes.size() > 1 && notes.stream().allMatch(n -> n.length <= 256), notes.size() + " notes");
+        List<byte[]> messages = sender.dueMessages(0);
+        assertTrue(
+                messages.size() > 1 && messages.stream().allMatch(n -> n.length <= 256), messages.size() + " messages");
         List<Endpoint> ours = fleet(600);
         SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
         receiver.replaceEndpoints(ours);
-        notes.forEach(n -> assertTrue(receiver.receive(1, n, 0)));
+        messages.forEach(n -> assertTrue(receiver.receive(1, n, 0)));
         double known = ours.stream()
                 .mapToDouble(endpoint -> endpoint.inFlight().peerSlots())
                 .sum();
--- a/src/test/java/nettlewick/decision/SiteRulesTest.java
+++ b/src/test/java/nettlewick/decision/SiteRulesTest.java
@@ -269,7 +269,7 @@
                         .toList());
     }
 
-    /** Notes to peers name workers by marks of their ids: what is told of each stays, the mark goes. */
+    /** Gossip names endpoints by marks of their ids: what it reports of each stays, the mark goes. */
     private static String withoutMarks(String line) {
         return line.replaceAll("(\\[-45, 3, -?\\d+, -?\\d+|\\G(?!^)), -?\\d+, -?\\d+(, -?\\d+)", "$1, m$2");
     }
--- a/src/test/java/nettlewick/decision/SliceExchangeTest.java
+++ b/src/test/java/nettlewick/decision/SliceExchangeTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Transfers between dispatchers, best friends, and messages that are not ours. */
+/** Transfers between dispatchers, inheritance, and messages of other kinds. */
 class SliceExchangeTest {
     private record Mail(long at, int from, int to, byte[] data) {}
 
-    /** A few dispatchers whose workers are always full, joined by a network that loses, doubles and reorders. */
+    /** A few dispatchers whose endpoints are always full, joined by a network that loses, doubles and reorders. */
     private static final class Ring {
         final SplittableRandom random;
         final RequestScheduler[] members;
@@ -32,7 +32,7 @@
         int requests;
         double loss = 0.2;
         boolean full = true;
-        /** Of ten jobs, so many are lost while workers are full: slices that serve all may grow by themselves. */
+        /** Of ten requests, this many are lost at full endpoints: slices that serve all may grow by themselves. */
         int broken = 5;
 
         boolean[] dead;
@@ -71,7 +71,7 @@
             }
         }
 
-        /** Lets time pass; at dispatcher {@code i} so many jobs arrive each tenth of a second. */
+        /** Lets time pass; at dispatcher {@code i} this many requests arrive each tenth of a second. */
         void run(long until, int... arrivals) {
             while (now < until) {
                 now += 10 * Samples.MS;
@@ -139,16 +139,16 @@
     void aRestartedPeerGetsNoTransferOfItsLastIncarnation() {
         RequestScheduler taker = new RequestScheduler(Samples.settings(0, 3, true), 7);
         taker.handle(1, List.of(Samples.endpoints(4)));
-        int life = incarnationOf(taker);
-        byte[] gift = new PeerMessage(PeerMessage.Type.TRANSFER, true, 111, life, 1, 0, 5).encode();
+        int incarnation = incarnationOf(taker);
+        byte[] transfer = new PeerMessage(PeerMessage.Type.TRANSFER, true, 111, incarnation, 1, 0, 5).encode();
         byte[] newLife = new PeerMessage(PeerMessage.Type.STATE, true, 222, 0, 0, 1, 1).encode();
-        assertEquals(1, acks(taker, gift));
+        assertEquals(1, acks(taker, transfer));
         double once = taker.slice();
         acks(taker, newLife);
-        assertEquals(1, acks(taker, gift), "an old life's late copy is acknowledged");
+        assertEquals(1, acks(taker, transfer), "a late copy of an old incarnation is acknowledged");
         assertEquals(once, taker.slice(), 1e-9, "but not credited twice");
-        byte[] foreign = new PeerMessage(PeerMessage.Type.TRANSFER, true, 222, life + 1, 1, 0, 5).encode();
-        assertEquals(0, acks(taker, foreign), "a gift to a former life of ours is left alone");
+        byte[] foreign = new PeerMessage(PeerMessage.Type.TRANSFER, true, 222, incarnation + 1, 1, 0, 5).encode();
+        assertEquals(0, acks(taker, foreign), "a transfer to an earlier incarnation is ignored");
         assertEquals(once, taker.slice(), 1e-9);
     }
 
@@ -219,7 +219,7 @@
                 .size();
     }
 
-    /** A dispatcher's life, as its answer to a question shows it. */
+    /** A dispatcher's incarnation, as its answer to a state request shows it. */
     private static int incarnationOf(RequestScheduler scheduler) {
         byte[] ask = new PeerMessage(PeerMessage.Type.STATE_REQUEST, false, 111, 0, 0, 0, 0).encode();
         SendToPeer answer = Samples.actionsOfType(
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -25,8 +25,8 @@
 import nettlewick.decision.Event.Timer;
 
 /**
- * Many module instances before one fleet of workers of two slots, in virtual time, by a script and a seed. It is no
- * model of a site: nothing fails by itself, all workers are alike, and reports are as old as they may be.
+ * Many module instances before one fleet of endpoints of two slots, in virtual time, by a script and a seed. It is no
+ * model of a site: nothing fails by itself, all endpoints are alike, and reports are as old as they may be.
  */
 final class SmallFleet {
     static final int SLOTS = 2;
@@ -34,7 +34,7 @@
     private static final long HOP = 4 * Samples.MS;
     private static final long REPORT = 500 * Samples.MS;
 
-    /** A worker: what runs, what waits, and the load it last reported. */
+    /** An endpoint: what runs, what waits, and the load it last reported. */
     final class SimulatedEndpoint {
         final EndpointEntry entry;
         final Deque<Runnable> waiting = new ArrayDeque<>();
@@ -154,7 +154,7 @@
         now = until;
     }
 
-    /** Jobs of that work arrive at this instance at that rate, evenly but for a little chance. */
+    /** Requests of that work arrive at this instance at that rate, almost evenly. */
     void traffic(int rank, double perSecond, long each, long from, long until) {
         long time = from;
         while (time < until) {
@@ -221,12 +221,12 @@
     }
 
     private static String kind(byte[] data) {
-        PeerMessage note = PeerMessage.decode(data);
-        return note != null
-                ? note.type().name().toLowerCase(Locale.ROOT)
+        PeerMessage message = PeerMessage.decode(data);
+        return message != null
+                ? message.type().name().toLowerCase(Locale.ROOT)
                 : AggregationMessage.isAggregationMessage(data)
                         ? AggregationMessage.kindOf(data).name().toLowerCase(Locale.ROOT)
-                        : "note";
+                        : "message";
     }
 
     private void later(int rank, Event event) {
