--- a/src/main/java/nettlewick/admin/AdminFrontend.java
+++ b/src/main/java/nettlewick/admin/AdminFrontend.java
@@ -26,7 +26,7 @@
  */
 public final class AdminFrontend {
     /** Connections held at once; beyond it the oldest is closed, since idle ones would use up file descriptors. */
-    public static final int CALLERS_MOST = 24;
+    public static final int MAX_CONNECTIONS = 24;
 
     /** From connecting to the close. */
     private static final long CALL_TIMEOUT_MILLIS = 4500;
@@ -80,7 +80,7 @@
 
     private void accept(HttpConnection connection) {
         connection.exceptionHandler(e -> {});
-        if (connections.size() >= CALLERS_MOST) {
+        if (connections.size() >= MAX_CONNECTIONS) {
             HttpConnection oldest = connections.iterator().next();
             connections.remove(oldest);
             oldest.close();
@@ -136,10 +136,11 @@
 
     private void execute(HttpServerRequest request, String path) {
         switch (path) {
-            case "/-/ready" -> answerYesOr(request, operations.ready(), STATUS_UNAVAILABLE, "takes no clients\n");
-            case "/-/drain" -> answerYesOr(request, operations.drain(), STATUS_CONFLICT, "starts or ends\n");
-            case "/-/resume" -> answerYesOr(request, operations.resume(), STATUS_CONFLICT, "ends\n");
-            default -> answer(request, STATUS_OK, MetricsText.format(operations.figures(), operations.more()));
+            case "/-/ready" -> answerYesOr(request, operations.isReady(), STATUS_UNAVAILABLE, "takes no clients\n");
+            case "/-/drain" -> answerYesOr(request, operations.startDraining(), STATUS_CONFLICT, "starts or ends\n");
+            case "/-/resume" -> answerYesOr(request, operations.stopDraining(), STATUS_CONFLICT, "ends\n");
+            default ->
+                answer(request, STATUS_OK, MetricsText.format(operations.metrics(), operations.additionalMetrics()));
         }
     }
 
@@ -153,7 +154,7 @@
             return;
         }
         operations
-                .ban(id, isDisabled)
+                .setEndpointDisabled(id, isDisabled)
                 .onComplete(result -> eventLoop.runOnContext(v -> answerDisabled(request, result)));
     }
 
--- a/src/main/java/nettlewick/admin/MetricsText.java
+++ b/src/main/java/nettlewick/admin/MetricsText.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import nettlewick.core.Metrics;
-import nettlewick.core.Metrics.End;
+import nettlewick.core.Metrics.RequestEnd;
 
 /** Formats metrics as operators read them: one {@code name=value} a line. The names are fixed. */
 final class MetricsText {
@@ -13,18 +13,18 @@
 
     static String format(Metrics.Snapshot metrics, Map<String, Number> additional) {
         StringBuilder text = new StringBuilder();
-        metrics.jobs().forEach((requestClass, counts) -> appendEnds(text, requestClass, counts));
-        appendLine(text, "relayed", metrics.relayed());
-        appendLine(text, "open_requests", metrics.open());
-        appendLine(text, "registry_entries", metrics.listed());
-        appendLine(text, "out_of_rotation", metrics.avoided());
-        metrics.peers().forEach((kind, count) -> appendLine(text, "peers.passed_over." + kind, count));
+        metrics.endsByClass().forEach((requestClass, counts) -> appendEnds(text, requestClass, counts));
+        appendLine(text, "relayed", metrics.forwardedAttempts());
+        appendLine(text, "open_requests", metrics.inFlightRequests());
+        appendLine(text, "registry_entries", metrics.listedEndpoints());
+        appendLine(text, "out_of_rotation", metrics.ejectedEndpoints());
+        metrics.peerMessageFaults().forEach((kind, count) -> appendLine(text, "peers.passed_over." + kind, count));
         additional.forEach((name, value) -> appendLine(text, name, value.longValue()));
         return text.toString();
     }
 
     private static void appendEnds(StringBuilder text, String requestClass, List<Long> counts) {
-        for (End end : End.values()) {
+        for (RequestEnd end : RequestEnd.values()) {
             appendLine(text, "operations." + requestClass + '.' + end.metricName(), counts.get(end.ordinal()));
         }
     }
--- a/src/main/java/nettlewick/admin/Operations.java
+++ b/src/main/java/nettlewick/admin/Operations.java
@@ -7,13 +7,13 @@
 /** What operators can ask of a dispatcher. Called on the operators' event loop; implementations must not block. */
 public interface Operations {
     /** Whether this process takes clients. */
-    boolean ready();
+    boolean isReady();
 
     /** A copy of the metrics now. */
-    Metrics.Snapshot figures();
+    Metrics.Snapshot metrics();
 
     /** Metrics of parts that not every dispatcher has, by name without the common prefix. */
-    default Map<String, Number> more() {
+    default Map<String, Number> additionalMetrics() {
         return Map.of();
     }
 
@@ -23,11 +23,11 @@
      * @return completes once the change is stored and in force, with false if no endpoint has this id; fails if the
      *         change cannot be stored
      */
-    Future<Boolean> ban(String endpoint, boolean isDisabled);
+    Future<Boolean> setEndpointDisabled(String endpoint, boolean isDisabled);
 
     /** Starts to send clients away; false while this process starts or ends. */
-    boolean drain();
+    boolean startDraining();
 
     /** Takes clients again; false if this process ends. */
-    boolean resume();
+    boolean stopDraining();
 }
--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -82,7 +82,7 @@
                 EventStreamConfig.of(settings.block("edge").orElseThrow());
         DispatcherServer server = new DispatcherServer(
                         config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
-                .keep(ledger.books());
+                .recordUsageWith(ledger.books());
         StubPlatform.get(server.start());
         Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
         Runtime.getRuntime().addShutdownHook(shutdown);
@@ -101,7 +101,7 @@
     private static PlatformConfig config(StubPlatform platform) {
         Map<String, Object> fields = platform.config();
         fields.put("admin_addr", "127.0.0.1:0");
-        return PlatformConfig.of(new Gson().toJson(fields), Map.of());
+        return PlatformConfig.parse(new Gson().toJson(fields), Map.of());
     }
 
     private static void printUsage(List<Integer> ports, int admin, Path file) {
--- a/src/main/java/nettlewick/cli/OptionalFeatures.java
+++ b/src/main/java/nettlewick/cli/OptionalFeatures.java
@@ -21,7 +21,7 @@
     default void start(PlatformConfig config, Clock clock) throws IOException {}
 
     /** Appends further frontends. */
-    default void addFrontends(List<Frontend.Maker> frontends) {}
+    default void addFrontends(List<Frontend.Factory> frontends) {}
 
     /** Records the usage of every request. */
     default UsageRecorder usageRecorder() {
--- a/src/main/java/nettlewick/cli/ReplayCommand.java
+++ b/src/main/java/nettlewick/cli/ReplayCommand.java
@@ -37,7 +37,7 @@
                         return replayer;
                     });
             Future<CaptureReplayer.Summary> summary =
-                    server.start().compose(v -> frontend.future()).compose(CaptureReplayer::done);
+                    server.start().compose(v -> frontend.future()).compose(CaptureReplayer::whenDone);
             System.out.println(summary.toCompletionStage().toCompletableFuture().get());
             server.close();
             return 0;
--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -51,7 +51,7 @@
         OptionalFeatures features =
                 settingsFile == null ? OptionalFeatures.NONE : new SettingsFileFeatures(settingsFile);
         PlatformConfig config;
-        List<Frontend.Maker> frontends = new ArrayList<>();
+        List<Frontend.Factory> frontends = new ArrayList<>();
         Clock clock = Clock.system(clockAheadMillis);
         try {
             config = PlatformConfig.load(System.getenv());
@@ -65,9 +65,9 @@
             throw new UsageException(Main.FAILED, "cannot start: " + e.getMessage());
         }
         DispatcherServer server = new DispatcherServer(
-                        config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Maker[]::new))
-                .keep(features.usageRecorder())
-                .tell(features.requestListener());
+                        config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Factory[]::new))
+                .recordUsageWith(features.usageRecorder())
+                .notifyListener(features.requestListener());
         // By itself the JVM would end on SIGTERM with code 143 at once; requests in flight are answered first.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
@@ -97,7 +97,7 @@
                     : new HotRestart(
                             Path.of(System.getProperty("java.io.tmpdir")),
                             config.name() + "-" + config.listen().port(),
-                            (long) clock.now());
+                            (long) clock.nowMillis());
         } catch (UncheckedIOException e) {
             LOG.warning("no-upgrade", "no upgrade beside a living process: " + e.getMessage());
             return null;
--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -30,7 +30,7 @@
                     "settings: expected check FILE, show FILE or reference, got " + String.join(" ", arguments));
         }
         Settings settings = read(arguments.get(1));
-        System.out.print(action.equals("show") ? settings.show() : arguments.get(1) + " is in order\n");
+        System.out.print(action.equals("show") ? settings.describe() : arguments.get(1) + " is in order\n");
         return 0;
     }
 
--- a/src/main/java/nettlewick/cli/SettingsFileFeatures.java
+++ b/src/main/java/nettlewick/cli/SettingsFileFeatures.java
@@ -64,12 +64,12 @@
             leaseService =
                     LeaseService.start(LeaseSettings.of(initial.block("duty").get()), leaseTasks);
         } else if (initial.block("pools").isPresent()) {
-            throw initial.block("pools").get().bad("member", "beside a block `duty`: its holders decide");
+            throw initial.block("pools").get().invalidValue("member", "beside a block `duty`: its holders decide");
         }
     }
 
     @Override
-    public void addFrontends(List<Frontend.Maker> frontends) {
+    public void addFrontends(List<Frontend.Factory> frontends) {
         initial.block("edge")
                 .map(EventStreamConfig::of)
                 .ifPresent(edge -> frontends.add(base -> new EventStreamFrontend(base, edge)));
@@ -97,7 +97,7 @@
                 next.block("ledger").map(LedgerSettings::of).ifPresent(ledger::reload);
             }
             applyPools.run();
-            List<String> unchanged = initial.needRestart(next);
+            List<String> unchanged = initial.keywordsThatNeedARestart(next);
             LOG.info(
                     "settings-reread",
                     "settings reread" + (unchanged.isEmpty() ? "" : "; only a restart changes " + unchanged));
--- a/src/main/java/nettlewick/cli/WarmUpCommand.java
+++ b/src/main/java/nettlewick/cli/WarmUpCommand.java
@@ -27,7 +27,7 @@
     public int run() {
         try {
             DispatcherServer server =
-                    new DispatcherServer(PlatformConfig.of(CONFIG, Map.of()), Clock.system(), PlatformFrontend::new);
+                    new DispatcherServer(PlatformConfig.parse(CONFIG, Map.of()), Clock.system(), PlatformFrontend::new);
             server.start().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             server.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return 0;
--- a/src/main/java/nettlewick/contention/UsageCounters.java
+++ b/src/main/java/nettlewick/contention/UsageCounters.java
@@ -83,11 +83,11 @@
     }
 
     @Override
-    public synchronized void asked(Request request) {
+    public synchronized void onRequestAccepted(Request request) {
         // A client's retry of a rejected request is no new demand.
-        if (!request.repeat()) {
-            double millis = request.costHint() > 0
-                    ? request.costHint()
+        if (!request.isRetry()) {
+            double millis = request.costHintMillis() > 0
+                    ? request.costHintMillis()
                     : meanRunByClass
                             .getOrDefault(request.requestClass(), new MeanRun())
                             .millis();
@@ -100,14 +100,14 @@
     }
 
     @Override
-    public synchronized void ended(Attempt attempt, AttemptResult result) {
+    public synchronized void onAttemptEnded(Attempt attempt, AttemptResult result) {
         Request request = attempt.request();
         EndpointTotals endpoint = touch(attempt.endpoint());
         AttemptTotals totals =
                 endpoint.byTenant.computeIfAbsent(String.valueOf(request.tenant()), t -> new AttemptTotals());
-        totals.busyMillis += attempt.ran() * request.slots();
+        totals.busyMillis += attempt.ranMillis() * request.slots();
         if (result == AttemptResult.SERVED && hasStarted(attempt)) {
-            recordRun(request, attempt.ran());
+            recordRun(request, attempt.ranMillis());
         }
         boolean harmed = isHarmed(attempt, result);
         if (harmed || result == AttemptResult.SERVED) {
@@ -131,15 +131,15 @@
         MeanRun mean = meanRunByClass.computeIfAbsent(request.requestClass(), c -> new MeanRun());
         mean.sumMillis += runMillis;
         mean.count++;
-        if (request.costHint() > 0) {
+        if (request.costHintMillis() > 0) {
             TenantTotals totals = totalsOf(request.tenant());
             totals.runMillis += runMillis;
-            totals.hintedMillis += request.costHint();
+            totals.hintedMillis += request.costHintMillis();
         }
     }
 
     private static boolean hasStarted(Attempt attempt) {
-        return !Double.isNaN(attempt.waited());
+        return !Double.isNaN(attempt.queuedMillis());
     }
 
     /** Rejected, lost before it started, or started late. */
@@ -152,7 +152,7 @@
         }
         double objectiveMillis =
                 latencyObjectivesMillis.getOrDefault(attempt.request().requestClass(), NO_OBJECTIVE_MILLIS);
-        return attempt.waited() > MAX_WAIT_FRACTION * objectiveMillis;
+        return attempt.queuedMillis() > MAX_WAIT_FRACTION * objectiveMillis;
     }
 
     /** A report as seen from a tenant, bounded so that it fits a datagram. */
--- a/src/main/java/nettlewick/core/ActionExecutor.java
+++ b/src/main/java/nettlewick/core/ActionExecutor.java
@@ -47,7 +47,7 @@
         } else if (action instanceof Action.Probe probe) {
             probes.send(probe.endpoint());
         } else if (action instanceof SendToPeer message) {
-            transport.tell(message.rank(), message.data());
+            transport.sendToPeer(message.rank(), message.data());
         } else if (action instanceof SetTimer timer) {
             setTimer(timer);
         }
@@ -56,7 +56,7 @@
     private void reject(Reject reject) {
         InFlightRequest inFlight = table.get(reject.id());
         if (inFlight != null) {
-            answers.reject(inFlight, ModuleTime.toMillis(reject.retryAfter()));
+            answers.reject(inFlight, ModuleTime.toMillis(reject.retryAfterNanos()));
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     private void setTimer(SetTimer timer) {
-        double dueAt = loop.nowMillis() + ModuleTime.toMillis(timer.delay());
+        double dueAt = loop.nowMillis() + ModuleTime.toMillis(timer.delayNanos());
         loop.schedule(dueAt, () -> loop.addEvent(new Timer(timer.name())));
     }
 }
--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -56,10 +56,10 @@
      * client is present, and time is left. To be asked right before the write, on the event loop that owns the
      * client's connection.
      */
-    public boolean mayBegin(double nowMillis) {
+    public boolean mayStart(double nowMillis) {
         return requestUndecided.getAsBoolean()
                 && nowMillis < latestStartMillis
-                && request.caller().present();
+                && request.caller().isPresent();
     }
 
     /** The endpoint reported that it works on it; only the first report counts as its start. */
@@ -88,12 +88,12 @@
     }
 
     /** Milliseconds from its sending to its reported start; NaN where no start was reported. */
-    public double waited() {
+    public double queuedMillis() {
         return startedAtMillis - sentAtMillis();
     }
 
     /** Milliseconds from its reported start to its end; 0 where there was no report or it is in flight. */
-    public double ran() {
+    public double ranMillis() {
         return Double.isNaN(endedAtMillis) ? 0 : runMillis(endedAtMillis);
     }
 
--- a/src/main/java/nettlewick/core/AttemptTracker.java
+++ b/src/main/java/nettlewick/core/AttemptTracker.java
@@ -43,22 +43,23 @@
             return;
         }
         double now = loop.nowMillis();
-        Attempt attempt = inFlight.addAttempt(dispatch.endpoint(), now);
+        Attempt attempt = inFlight.addAttempt(dispatch.endpointId(), now);
         AttemptResult obstacle = findObstacle(inFlight, attempt, now);
         if (obstacle != null) {
             end(attempt, Attempt.Outcome.of(obstacle), now);
             return;
         }
-        double deadline = inFlight.request().deadline();
-        double timeoutAt =
-                dispatch.timeout() > 0 ? Math.min(deadline, now + ModuleTime.toMillis(dispatch.timeout())) : deadline;
+        double deadline = inFlight.request().deadlineMillis();
+        double timeoutAt = dispatch.timeoutNanos() > 0
+                ? Math.min(deadline, now + ModuleTime.toMillis(dispatch.timeoutNanos()))
+                : deadline;
         loop.schedule(timeoutAt, () -> giveUp(attempt, AttemptResult.TIMEOUT));
         transport.send(attempt);
     }
 
     /** The result of an attempt that may not be sent; null where it may. */
     private AttemptResult findObstacle(InFlightRequest inFlight, Attempt attempt, double now) {
-        if (inFlight.isAnswered() || now >= inFlight.request().deadline() || attempt.number() >= maxAttempts) {
+        if (inFlight.isAnswered() || now >= inFlight.request().deadlineMillis() || attempt.number() >= maxAttempts) {
             return AttemptResult.NOT_SENT;
         }
         if (!endpoints.isKnown(attempt.endpoint())) {
@@ -81,7 +82,7 @@
     private void giveUp(Attempt attempt, AttemptResult result) {
         if (!attempt.isEnded()) {
             end(attempt, Attempt.Outcome.of(result), loop.nowMillis());
-            transport.drop(attempt);
+            transport.cancel(attempt);
         }
     }
 
@@ -95,7 +96,7 @@
         loop.addEvent(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), share));
         InFlightRequest inFlight = table.get(attempt.request().id());
         if (inFlight != null && !inFlight.isAnswered()) {
-            inFlight.request().caller().progress(share);
+            inFlight.request().caller().onProgress(share);
         }
     }
 
@@ -105,7 +106,7 @@
             return;
         }
         attempt.recordEnd(endedAtMillis, outcome.result().neverRan());
-        listener.ended(attempt, outcome.result());
+        listener.onAttemptEnded(attempt, outcome.result());
         InFlightRequest inFlight = table.get(attempt.request().id());
         boolean isSettled = inFlight == null || inFlight.isAnswered();
         if (!isSettled && outcome.result() == AttemptResult.SERVED) {
--- a/src/main/java/nettlewick/core/Clock.java
+++ b/src/main/java/nettlewick/core/Clock.java
@@ -29,7 +29,7 @@
     }
 
     /** A clock that stands at {@code nowMillis} until {@link #set} moves it. */
-    public static Clock standing(double nowMillis) {
+    public static Clock stoppedAt(double nowMillis) {
         return new Clock(() -> nowMillis);
     }
 
@@ -37,13 +37,13 @@
      * Milliseconds since the Unix epoch. Takes no lock: all threads read it all the time, and one that is suspended
      * inside a lock would make the others queue for it.
      */
-    public double now() {
+    public double nowMillis() {
         return source.getAsDouble();
     }
 
     /** Stops the clock at this time, in milliseconds; at the current time where this one is in the past. */
-    public synchronized void set(double nowMillis) {
-        double next = Math.max(nowMillis, now());
+    public synchronized void advanceTo(double nowMillis) {
+        double next = Math.max(nowMillis, nowMillis());
         source = () -> next;
     }
 }
--- a/src/main/java/nettlewick/core/CoreLoop.java
+++ b/src/main/java/nettlewick/core/CoreLoop.java
@@ -40,7 +40,7 @@
         this.module = module;
         this.actionExecutor = actionExecutor;
         statsSampler = new ModuleStatsSampler(module, metrics);
-        nowMillis = clock.now();
+        nowMillis = clock.nowMillis();
     }
 
     /** Queues a task for the core thread. Any thread. */
@@ -91,14 +91,14 @@
     }
 
     private double millisUntilWork() {
-        return pendingEvents.isEmpty() ? timers.millisUntilNext(clock.now(), MAX_IDLE_MILLIS) : 0;
+        return pendingEvents.isEmpty() ? timers.millisUntilNext(clock.nowMillis(), MAX_IDLE_MILLIS) : 0;
     }
 
     /** Waits for a task for at most that long, then runs all tasks that are ready and decides on their events. */
     void runIteration(double maxWaitMillis) throws InterruptedException {
         claimOwnership();
         Runnable first = queue.poll((long) Math.ceil(maxWaitMillis * MICROS_PER_MILLI), TimeUnit.MICROSECONDS);
-        nowMillis = clock.now();
+        nowMillis = clock.nowMillis();
         runQueued(first);
         timers.removeDue(nowMillis).forEach(CoreLoop::runGuarded);
         while (!pendingEvents.isEmpty()) {
--- a/src/main/java/nettlewick/core/DeadlineGuard.java
+++ b/src/main/java/nettlewick/core/DeadlineGuard.java
@@ -13,7 +13,7 @@
     }
 
     void watch(InFlightRequest inFlight) {
-        loop.schedule(inFlight.request().deadline() + GRACE_MILLIS, () -> check(inFlight, true));
+        loop.schedule(inFlight.request().deadlineMillis() + GRACE_MILLIS, () -> check(inFlight, true));
     }
 
     /**
--- a/src/main/java/nettlewick/core/DrainHandover.java
+++ b/src/main/java/nettlewick/core/DrainHandover.java
@@ -29,7 +29,7 @@
     /** Hands an accepted request to the module now, holds it back, or rejects it. */
     void admit(InFlightRequest inFlight) {
         Request request = inFlight.request();
-        switch (policy.decide(request.requestClass(), request.costHint(), loop.nowMillis())) {
+        switch (policy.decide(request.requestClass(), request.costHintMillis(), loop.nowMillis())) {
             case ADMIT -> handToModule(inFlight);
             case REJECT -> rejectUnsent(inFlight);
             case HOLD -> {
@@ -93,7 +93,7 @@
 
     private double remainingMillis(InFlightRequest inFlight) {
         Request request = inFlight.request();
-        double expectedMillis = policy.expectedRunMillis(request.requestClass(), request.costHint());
+        double expectedMillis = policy.expectedRunMillis(request.requestClass(), request.costHintMillis());
         return inFlight.attempts().stream()
                 .filter(a -> !a.isEnded())
                 .mapToDouble(a -> a.remainingMillis(loop.nowMillis(), expectedMillis))
@@ -105,6 +105,6 @@
     void learnRunTime(Attempt served) {
         Request request = served.request();
         double ranMillis = served.runMillis(loop.nowMillis());
-        policy.recordRunTime(request.requestClass(), request.costHint(), ranMillis);
+        policy.recordRunTime(request.requestClass(), request.costHintMillis(), ranMillis);
     }
 }
--- a/src/main/java/nettlewick/core/EndpointStates.java
+++ b/src/main/java/nettlewick/core/EndpointStates.java
@@ -14,12 +14,12 @@
 
     /** Applies an update and returns it as the decision module reads it. */
     EndpointList apply(EndpointUpdate update) {
-        if (update.whole()) {
+        if (update.isFullList()) {
             ready.clear();
         }
         update.entries().forEach(this::apply);
         return new EndpointList(
-                update.whole(),
+                update.isFullList(),
                 update.entries().stream().map(EndpointStates::toModuleEntry).toList());
     }
 
@@ -36,7 +36,7 @@
         return new EndpointEntry(
                 entry.id(),
                 entry.state(),
-                entry.startedAt() > 0 ? ModuleTime.toNanos(entry.startedAt()) : 0,
+                entry.startedAtMillis() > 0 ? ModuleTime.toNanos(entry.startedAtMillis()) : 0,
                 entry.cell(),
                 entry.kind(),
                 entry.zone(),
--- a/src/main/java/nettlewick/core/EndpointUpdate.java
+++ b/src/main/java/nettlewick/core/EndpointUpdate.java
@@ -9,7 +9,7 @@
  * @param whole   whether the entries replace the former list; else they are those that changed
  * @param entries the endpoints
  */
-public record EndpointUpdate(boolean whole, List<Entry> entries) {
+public record EndpointUpdate(boolean isFullList, List<Entry> entries) {
     /**
      * One endpoint.
      *
@@ -20,5 +20,5 @@
      * @param size      its capacity
      */
     public record Entry(
-            String id, EndpointState state, double startedAt, int cell, String kind, String zone, double size) {}
+            String id, EndpointState state, double startedAtMillis, int cell, String kind, String zone, double size) {}
 }
--- a/src/main/java/nettlewick/core/FinalAnswers.java
+++ b/src/main/java/nettlewick/core/FinalAnswers.java
@@ -19,13 +19,13 @@
 
     /** Rejects a request that was not accepted; {@code retryAfterMillis} 0 is no advice. */
     void rejectUnaccepted(Request request, double retryAfterMillis) {
-        listener.refused(request);
-        accounting.record(request, Ending.REFUSED, () -> request.caller().rejected(retryAfterMillis));
+        listener.onRequestRejected(request);
+        accounting.record(request, Ending.REFUSED, () -> request.caller().onRejected(retryAfterMillis));
     }
 
     /** Fails a request that was not accepted. */
     void failUnaccepted(Request request, String reason) {
-        accounting.record(request, Ending.FAILED, () -> request.caller().failed(reason));
+        accounting.record(request, Ending.FAILED, () -> request.caller().onFailed(reason));
     }
 
     /** Rejects a request; {@code retryAfterMillis} 0 is no advice. */
@@ -45,8 +45,8 @@
 
     private void release(InFlightRequest inFlight, double retryAfterMillis) {
         Request request = inFlight.request();
-        listener.refused(request);
-        accounting.record(inFlight, Ending.REFUSED, null, () -> request.caller().rejected(retryAfterMillis));
+        listener.onRequestRejected(request);
+        accounting.record(inFlight, Ending.REFUSED, null, () -> request.caller().onRejected(retryAfterMillis));
         table.removeIfFinished(inFlight);
     }
 
@@ -67,7 +67,7 @@
 
     private void release(InFlightRequest inFlight, String reason) {
         Request request = inFlight.request();
-        accounting.record(inFlight, Ending.FAILED, null, () -> request.caller().failed(reason));
+        accounting.record(inFlight, Ending.FAILED, null, () -> request.caller().onFailed(reason));
         table.removeIfFinished(inFlight);
     }
 
@@ -85,7 +85,7 @@
         if (table.markAnswered(inFlight)) {
             Request request = inFlight.request();
             accounting.record(
-                    inFlight, Ending.SERVED, server, () -> request.caller().served(result));
+                    inFlight, Ending.SERVED, server, () -> request.caller().onServed(result));
         }
     }
 }
--- a/src/main/java/nettlewick/core/InFlightRequest.java
+++ b/src/main/java/nettlewick/core/InFlightRequest.java
@@ -71,11 +71,11 @@
             for (Attempt attempt : attempts) {
                 if (attempt.mayHaveRun()) {
                     double windowEnd = attempt.sentAtMillis() + ModuleTime.toMillis(requestClass.dedupWindow());
-                    return Math.min(request.deadline(), windowEnd);
+                    return Math.min(request.deadlineMillis(), windowEnd);
                 }
             }
         }
-        return request.deadline();
+        return request.deadlineMillis();
     }
 
     boolean hasAttemptInFlight() {
--- a/src/main/java/nettlewick/core/Metrics.java
+++ b/src/main/java/nettlewick/core/Metrics.java
@@ -14,14 +14,14 @@
  */
 public final class Metrics {
     /** How a request ended for its client. Snapshots hold counts in this order. */
-    public enum End {
-        FULFILLED("fulfilled"),
-        THROTTLED("throttled"),
-        FAULTED("faulted");
+    public enum RequestEnd {
+        SERVED("fulfilled"),
+        REJECTED("throttled"),
+        FAILED("faulted");
 
         private final String metricName;
 
-        End(String metricName) {
+        RequestEnd(String metricName) {
             this.metricName = metricName;
         }
 
@@ -34,7 +34,7 @@
     /**
      * All metrics at one moment.
      *
-     * @param jobs    for each request class a count for each {@link End}, in its order
+     * @param jobs    for each request class a count for each {@link RequestEnd}, in its order
      * @param relayed attempts forwarded to an endpoint in full
      * @param open    requests in flight
      * @param listed  endpoints on the list
@@ -43,9 +43,14 @@
      *                {@code unlisted})
      */
     public record Snapshot(
-            Map<String, List<Long>> jobs, long relayed, int open, int listed, int avoided, Map<String, Long> peers) {}
-
-    private final Map<String, Map<End, AtomicLong>> endsByClass = new LinkedHashMap<>();
+            Map<String, List<Long>> endsByClass,
+            long forwardedAttempts,
+            int inFlightRequests,
+            int listedEndpoints,
+            int ejectedEndpoints,
+            Map<String, Long> peerMessageFaults) {}
+
+    private final Map<String, Map<RequestEnd, AtomicLong>> endsByClass = new LinkedHashMap<>();
     private final AtomicLong forwarded = new AtomicLong();
     private final AtomicInteger inFlight = new AtomicInteger();
     private volatile int listedEndpoints;
@@ -56,45 +61,45 @@
         requestClasses.forEach(name -> endsByClass.put(name, newCounters()));
     }
 
-    private static Map<End, AtomicLong> newCounters() {
-        Map<End, AtomicLong> counters = new EnumMap<>(End.class);
-        for (End end : End.values()) {
+    private static Map<RequestEnd, AtomicLong> newCounters() {
+        Map<RequestEnd, AtomicLong> counters = new EnumMap<>(RequestEnd.class);
+        for (RequestEnd end : RequestEnd.values()) {
             counters.put(end, new AtomicLong());
         }
         return counters;
     }
 
     /** Counts one request from its acceptance to its end; only the first end counts. Confined to one thread. */
-    public final class Ticket {
+    public final class RequestTracker {
         private final String requestClass;
         private UsageRecorder.Receipt receipt = UsageRecorder.Receipt.NONE;
         private boolean ended;
 
-        private Ticket(String requestClass) {
+        private RequestTracker(String requestClass) {
             this.requestClass = requestClass;
         }
 
         /** Sets the receipt that is notified of the end; at once where the request has ended. */
-        public void owe(UsageRecorder.Receipt pending) {
+        public void setReceipt(UsageRecorder.Receipt pending) {
             if (ended) {
-                pending.left();
+                pending.markAbandoned();
             } else {
                 receipt = pending;
             }
         }
 
         /** The last byte of the answer is written. */
-        public void answered(End end) {
+        public void markAnswered(RequestEnd end) {
             if (markEnded()) {
-                count(requestClass, end);
-                receipt.answered();
+                countEnd(requestClass, end);
+                receipt.markAnswered();
             }
         }
 
         /** The client has gone: no answer counts. */
-        public void left() {
+        public void markAbandoned() {
             if (markEnded()) {
-                receipt.left();
+                receipt.markAbandoned();
             }
         }
 
@@ -109,21 +114,21 @@
     }
 
     /** Counts a request as in flight until its ticket ends. */
-    public Ticket taken(String requestClass) {
+    public RequestTracker trackRequest(String requestClass) {
         inFlight.incrementAndGet();
-        return new Ticket(requestClass);
+        return new RequestTracker(requestClass);
     }
 
     /** Counts the end of a request; one of an unknown class is not counted. */
-    public void count(String requestClass, End end) {
-        Map<End, AtomicLong> counters = endsByClass.get(requestClass);
+    public void countEnd(String requestClass, RequestEnd end) {
+        Map<RequestEnd, AtomicLong> counters = endsByClass.get(requestClass);
         if (counters != null) {
             counters.get(end).incrementAndGet();
         }
     }
 
     /** Counts an attempt that was written to its endpoint in full. */
-    public void relayed() {
+    public void countForwarded() {
         forwarded.incrementAndGet();
     }
 
--- a/src/main/java/nettlewick/core/ModuleEvents.java
+++ b/src/main/java/nettlewick/core/ModuleEvents.java
@@ -13,12 +13,12 @@
                 request.id(),
                 request.requestClass(),
                 request.tenant(),
-                ModuleTime.toNanos(request.deadline()) - ModuleTime.toNanos(nowMillis),
+                ModuleTime.toNanos(request.deadlineMillis()) - ModuleTime.toNanos(nowMillis),
                 request.slots(),
                 request.memory(),
-                ModuleTime.toNanos(request.costHint()),
-                request.key(),
-                request.repeat());
+                ModuleTime.toNanos(request.costHintMillis()),
+                request.affinityKey(),
+                request.isRetry());
     }
 
     /** {@code requestSettled} says whether the request has its final answer. */
--- a/src/main/java/nettlewick/core/ProbeTracker.java
+++ b/src/main/java/nettlewick/core/ProbeTracker.java
@@ -20,7 +20,7 @@
         Probe probe = new Probe(endpoint, now);
         loop.schedule(now + PROBE_TIMEOUT_MILLIS, () -> {
             end(probe, Attempt.Outcome.of(AttemptResult.TIMEOUT), loop.nowMillis());
-            transport.drop(probe);
+            transport.cancel(probe);
         });
         transport.probe(probe);
     }
--- a/src/main/java/nettlewick/core/ReplaceableListener.java
+++ b/src/main/java/nettlewick/core/ReplaceableListener.java
@@ -11,22 +11,22 @@
     }
 
     @Override
-    public void asked(Request request) {
-        target.asked(request);
+    public void onRequestAccepted(Request request) {
+        target.onRequestAccepted(request);
     }
 
     @Override
-    public void ended(Attempt attempt, AttemptResult result) {
-        target.ended(attempt, result);
+    public void onAttemptEnded(Attempt attempt, AttemptResult result) {
+        target.onAttemptEnded(attempt, result);
     }
 
     @Override
-    public void refused(Request request) {
-        target.refused(request);
+    public void onRequestRejected(Request request) {
+        target.onRequestRejected(request);
     }
 
     @Override
-    public void listed(EndpointUpdate update) {
-        target.listed(update);
+    public void onEndpointsUpdated(EndpointUpdate update) {
+        target.onEndpointsUpdated(update);
     }
 }
--- a/src/main/java/nettlewick/core/Request.java
+++ b/src/main/java/nettlewick/core/Request.java
@@ -19,20 +19,20 @@
         String id,
         String requestClass,
         String tenant,
-        String key,
-        double deadline,
+        String affinityKey,
+        double deadlineMillis,
         double slots,
         double memory,
-        double costHint,
-        boolean repeat,
-        Cargo cargo,
+        double costHintMillis,
+        boolean isRetry,
+        Payload payload,
         Caller caller) {
 
     /** What passes through unchanged; only the frontend that made it and the transport look inside. */
-    public interface Cargo {}
+    public interface Payload {}
 
     /** A cargo that may carry an idempotency key. */
-    public interface Keyed extends Cargo {
+    public interface IdempotencyKeyed extends Payload {
         /** The key, or null for none. */
         String idempotencyKey();
     }
@@ -43,28 +43,28 @@
      */
     public interface Caller {
         /** The receipt to notify once the final answer, which comes next, is written. By default it is at once. */
-        default void receipt(UsageRecorder.Receipt receipt) {
-            receipt.answered();
+        default void onReceipt(UsageRecorder.Receipt receipt) {
+            receipt.markAnswered();
         }
 
         /**
          * Whether anybody still waits for the answer. Asked on the event loop right before an attempt is written; a
          * client that may reconnect for its answer counts as present all the time.
          */
-        default boolean present() {
+        default boolean isPresent() {
             return true;
         }
 
         /** Not final: this share of the work is done, from 0 to 1. */
-        default void progress(double share) {}
+        default void onProgress(double share) {}
 
         /** Final: the endpoint's result. */
-        void served(byte[] result);
+        void onServed(byte[] result);
 
         /** Final: rejected, a retry is harmless, best after that many milliseconds (0 for no advice). */
-        void rejected(double retryAfterMillis);
+        void onRejected(double retryAfterMillis);
 
         /** Final: no result, and the request may have been executed. */
-        void failed(String reason);
+        void onFailed(String reason);
     }
 }
--- a/src/main/java/nettlewick/core/RequestCoordinator.java
+++ b/src/main/java/nettlewick/core/RequestCoordinator.java
@@ -87,7 +87,7 @@
     }
 
     /** Metrics for operators. */
-    public Metrics figures() {
+    public Metrics metrics() {
         return metrics;
     }
 
@@ -126,7 +126,7 @@
     public void updateEndpoints(EndpointUpdate update) {
         loop.post(() -> {
             loop.addEvent(endpoints.apply(update));
-            listener.listed(update);
+            listener.onEndpointsUpdated(update);
         });
     }
 
@@ -145,19 +145,19 @@
 
     /** An endpoint reported that it works on an attempt; {@code share} from 0 to 1 is done. */
     public void reportProgress(Attempt attempt, double share) {
-        double reportedAt = clock.now();
+        double reportedAt = clock.nowMillis();
         loop.post(() -> attempts.reportProgress(attempt, share, reportedAt));
     }
 
     /** An attempt is over. Only its first end counts. */
     public void attemptEnded(Attempt attempt, Attempt.Outcome outcome) {
-        double endedAt = clock.now();
+        double endedAt = clock.nowMillis();
         loop.post(() -> attempts.end(attempt, outcome, endedAt));
     }
 
     /** A probe is over. Only its first end counts. */
     public void probeAnswered(Probe probe, Attempt.Outcome outcome) {
-        double endedAt = clock.now();
+        double endedAt = clock.nowMillis();
         loop.post(() -> probes.end(probe, outcome, endedAt));
     }
 
--- a/src/main/java/nettlewick/core/RequestIntake.java
+++ b/src/main/java/nettlewick/core/RequestIntake.java
@@ -38,12 +38,12 @@
         } else if (table.isFull()) {
             answers.rejectUnaccepted(
                     request, ModuleTime.toMillis(settings.limits().maxRetryAfter()) / 2);
-        } else if (request.deadline() <= loop.nowMillis()) {
+        } else if (request.deadlineMillis() <= loop.nowMillis()) {
             // It waited on its connection or in the queue and was never sent, so a retry is harmless.
             answers.rejectUnaccepted(request, 0);
         } else {
             InFlightRequest inFlight = table.add(request, classOf(request));
-            listener.asked(request);
+            listener.onRequestAccepted(request);
             deadlineGuard.watch(inFlight);
             drainHandover.admit(inFlight);
         }
--- a/src/main/java/nettlewick/core/RequestListener.java
+++ b/src/main/java/nettlewick/core/RequestListener.java
@@ -9,22 +9,22 @@
     RequestListener NONE = new RequestListener() {};
 
     /** The coordinator that it observes; called before anything else, on any thread. */
-    default void joins(RequestCoordinator coordinator) {}
+    default void onAttached(RequestCoordinator coordinator) {}
 
     /** A request has been accepted. */
-    default void asked(Request request) {}
+    default void onRequestAccepted(Request request) {}
 
     /** An attempt is over, and how; also one that was never sent. */
-    default void ended(Attempt attempt, AttemptResult result) {}
+    default void onAttemptEnded(Attempt attempt, AttemptResult result) {}
 
     /** A request was rejected. */
-    default void refused(Request request) {}
+    default void onRequestRejected(Request request) {}
 
     /** The endpoint list was updated. */
-    default void listed(EndpointUpdate update) {}
+    default void onEndpointsUpdated(EndpointUpdate update) {}
 
     /** Metrics for operators, by name; any thread. */
-    default Map<String, Number> figures() {
+    default Map<String, Number> metrics() {
         return Map.of();
     }
 }
--- a/src/main/java/nettlewick/core/Transport.java
+++ b/src/main/java/nettlewick/core/Transport.java
@@ -9,14 +9,14 @@
     void send(Attempt attempt);
 
     /** Nobody waits for the attempt any more: its connection is to be closed. */
-    void drop(Attempt attempt);
+    void cancel(Attempt attempt);
 
     /** Asks an endpoint for its load; ends by {@link RequestCoordinator#probeAnswered} or {@link #drop(Probe)}. */
     void probe(Probe probe);
 
     /** Nobody waits for the probe any more. */
-    void drop(Probe probe);
+    void cancel(Probe probe);
 
     /** Sends a message to the dispatcher of that rank; it may be lost. */
-    void tell(int rank, byte[] data);
+    void sendToPeer(int rank, byte[] data);
 }
--- a/src/main/java/nettlewick/core/UsageAccounting.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -33,15 +33,16 @@
             return;
         }
         FinishedRequest finished = measure(request, attempts, ending, server);
-        Runnable releaseOverdue = recorder.settle(finished, receipt -> {
+        Runnable releaseOverdue = recorder.record(finished, receipt -> {
             if (receipt != Receipt.NONE) {
-                request.caller().receipt(receipt);
+                request.caller().onReceipt(receipt);
             }
             answer.run();
         });
         if (releaseOverdue != null) {
             double now = loop.nowMillis();
-            loop.schedule(Math.min(now + recorder.patience(), Math.max(now, request.deadline())), releaseOverdue);
+            loop.schedule(
+                    Math.min(now + recorder.timeoutMillis(), Math.max(now, request.deadlineMillis())), releaseOverdue);
         }
     }
 
@@ -70,7 +71,7 @@
         if (!isEstimate) {
             return server.runMillis(now);
         }
-        return request.costHint() > 0 ? request.costHint() : server.totalMillis(now);
+        return request.costHintMillis() > 0 ? request.costHintMillis() : server.totalMillis(now);
     }
 
     private static long toSlotMicros(double millis, Request request) {
--- a/src/main/java/nettlewick/core/UsageRecorder.java
+++ b/src/main/java/nettlewick/core/UsageRecorder.java
@@ -27,28 +27,34 @@
      * @param spare    slot-microseconds seen so far of all other attempts: hedged, lost and cancelled ones
      */
     record FinishedRequest(
-            Request request, Ending ending, double at, int attempts, long work, boolean estimate, long spare) {}
+            Request request,
+            Ending ending,
+            double decidedAtMillis,
+            int attemptCount,
+            long workSlotMicros,
+            boolean isEstimate,
+            long extraWorkSlotMicros) {}
 
     /** Takes what became of a released answer; only the first call counts. Any thread. */
     interface Receipt {
         /** Takes no notice. */
         Receipt NONE = new Receipt() {
             @Override
-            public void answered() {
+            public void markAnswered() {
                 // Nothing is recorded.
             }
 
             @Override
-            public void left() {
+            public void markAbandoned() {
                 // Nothing is recorded.
             }
         };
 
         /** The last byte of the answer has just been written. */
-        void answered();
+        void markAnswered();
 
         /** The client went away before that. */
-        void left();
+        void markAbandoned();
     }
 
     /** Records nothing. */
@@ -64,15 +70,15 @@
      *                Where the client has gone there is no answer and the receipt means nothing
      * @return releases the answer if that has not happened, for use after {@link #patience}; null where it has
      */
-    Runnable settle(FinishedRequest finished, Consumer<Receipt> release);
+    Runnable record(FinishedRequest finished, Consumer<Receipt> release);
 
     /** How long an answer may be held back, in milliseconds. */
-    default double patience() {
+    default double timeoutMillis() {
         return 0;
     }
 
     /** Metrics for operators, by name. */
-    default Map<String, Number> figures() {
+    default Map<String, Number> metrics() {
         return Map.of();
     }
 }
--- a/src/main/java/nettlewick/decision/Action.java
+++ b/src/main/java/nettlewick/decision/Action.java
@@ -7,14 +7,14 @@
      *
      * @param timeout nanoseconds to wait for the outcome; 0 for as long as the client waits
      */
-    record Dispatch(String id, String endpoint, long timeout) implements Action {}
+    record Dispatch(String id, String endpointId, long timeoutNanos) implements Action {}
 
     /**
      * Final answer: the request is rejected, and sending it again is harmless.
      *
      * @param retryAfter nanoseconds after which to try again; 0 for no advice
      */
-    record Reject(String id, long retryAfter) implements Action {}
+    record Reject(String id, long retryAfterNanos) implements Action {}
 
     /** Final answer: the request failed and may have run. */
     record Fail(String id) implements Action {}
@@ -29,7 +29,7 @@
     record SendToPeer(int rank, byte[] data) implements Action {}
 
     /** Deliver an {@link Event.Timer} of this name after {@code delay} nanoseconds. */
-    record SetTimer(String name, long delay) implements Action {}
+    record SetTimer(String name, long delayNanos) implements Action {}
 
     /** Open a subscription to the endpoint list. */
     record Subscribe() implements Action {}
--- a/src/main/java/nettlewick/decision/ArrivalHandler.java
+++ b/src/main/java/nettlewick/decision/ArrivalHandler.java
@@ -77,7 +77,7 @@
                 admission.creditOf(arrival.tenant()),
                 clock.now());
         record(request);
-        if (request.hasKey() && arrival.remaining() > MIN_REMAINING_NANOS && probeHomeEndpoints(request)) {
+        if (request.hasKey() && arrival.remainingNanos() > MIN_REMAINING_NANOS && probeHomeEndpoints(request)) {
             actions.add(new SetTimer(HOLD_TIMER, HOLD_NANOS));
             table.hold(request);
         } else {
@@ -91,7 +91,7 @@
         probePool.recordArrival();
         table.add(request);
         // A rejected request that comes again would count twice in its tenant's demand.
-        if (!request.arrival().repeat()) {
+        if (!request.arrival().isClientRetry()) {
             request.tenantCredit().recordOffered(request.cost());
         }
     }
--- a/src/main/java/nettlewick/decision/AttemptMonitor.java
+++ b/src/main/java/nettlewick/decision/AttemptMonitor.java
@@ -45,7 +45,7 @@
     }
 
     private void check(Attempt attempt) {
-        if (OutlierDetector.isLost(attempt, clock.now(), settings.progress())) {
+        if (OutlierDetector.isLost(attempt, clock.now(), settings.progressIntervalNanos())) {
             hedging.recordLost(attempt);
             attempt.endpoint().inFlight().release(attempt);
             replace(attempt);
--- a/src/main/java/nettlewick/decision/DedicatedEndpoints.java
+++ b/src/main/java/nettlewick/decision/DedicatedEndpoints.java
@@ -18,7 +18,7 @@
     DedicatedEndpoints(List<PoolAssignment> assignments) {
         this.assignments = List.copyOf(assignments);
         for (PoolAssignment assignment : assignments) {
-            if (assignment.exclusive()) {
+            if (assignment.isExclusive()) {
                 exclusiveIds.addAll(assignment.endpoints());
             }
         }
@@ -48,7 +48,7 @@
 
     private boolean isCandidate(Endpoint endpoint, PoolAssignment assignment) {
         return assignment.endpoints().contains(endpoint.id())
-                || !assignment.confined() && !exclusiveIds.contains(endpoint.id());
+                || !assignment.isConfined() && !exclusiveIds.contains(endpoint.id());
     }
 
     /** The common pools followed by those of all tenants with dedicated endpoints. */
@@ -62,7 +62,7 @@
     boolean isConfined(String tenant) {
         return assignments.stream()
                         .anyMatch(assignment ->
-                                assignment.confined() && assignment.tenant().equals(tenant))
+                                assignment.isConfined() && assignment.tenant().equals(tenant))
                 && poolsByTenant.get(tenant).stream()
                         .anyMatch(pool -> !pool.ready().isEmpty());
     }
--- a/src/main/java/nettlewick/decision/EndpointCapacity.java
+++ b/src/main/java/nettlewick/decision/EndpointCapacity.java
@@ -26,13 +26,13 @@
     void applyReport(EndpointLoad load, long now, EndpointKindStats stats, LargestRequest largest) {
         reportedAt = now;
         freeMemory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
-        double held = Double.isNaN(load.inHand()) ? 0 : load.inHand();
-        boolean hasQueue = !Double.isNaN(load.waiting());
+        double held = Double.isNaN(load.heldRequests()) ? 0 : load.heldRequests();
+        boolean hasQueue = !Double.isNaN(load.queuedRequests());
         freeSlots = freeSlots(load, held, hasQueue);
         if (freeSlots >= 1) {
             stats.recordFreeSlots(freeSlots + held);
         }
-        queuedSlots = hasQueue ? load.waiting() : freeSlots >= 1 ? 0 : Math.max(0, held - stats.mostFreeSlots());
+        queuedSlots = hasQueue ? load.queuedRequests() : freeSlots >= 1 ? 0 : Math.max(0, held - stats.mostFreeSlots());
         reportsQueue = hasQueue;
         // Without a reported queue, a request that does not fit may wait while slots are free; only room for
         // the largest one proves that none waits.
@@ -45,7 +45,7 @@
             return load.freeSlots();
         }
         if (hasQueue) {
-            return load.waiting() < 1 ? 1 : 0;
+            return load.queuedRequests() < 1 ? 1 : 0;
         }
         if (!Double.isNaN(load.busyShare())) {
             return load.busyShare() < 1 ? 1 / Math.max(load.busyShare(), MIN_BUSY_SHARE) : 0;
--- a/src/main/java/nettlewick/decision/EndpointDirectory.java
+++ b/src/main/java/nettlewick/decision/EndpointDirectory.java
@@ -25,7 +25,7 @@
 
     /** Takes the list as {@link EndpointRegistry} returns it, with administrative changes applied. */
     void apply(EndpointList list) {
-        if (list.whole()) {
+        if (list.isComplete()) {
             byId.values().forEach(Endpoint::markNotReady);
         }
         for (EndpointEntry entry : list.entries()) {
--- a/src/main/java/nettlewick/decision/EndpointLoad.java
+++ b/src/main/java/nettlewick/decision/EndpointLoad.java
@@ -9,4 +9,5 @@
  * @param inHand     requests running or waiting
  * @param busyShare  busy part of its capacity, in [0, 1]
  */
-public record EndpointLoad(double freeSlots, double freeMemory, double waiting, double inHand, double busyShare) {}
+public record EndpointLoad(
+        double freeSlots, double freeMemory, double queuedRequests, double heldRequests, double busyShare) {}
--- a/src/main/java/nettlewick/decision/EndpointRegistry.java
+++ b/src/main/java/nettlewick/decision/EndpointRegistry.java
@@ -22,7 +22,7 @@
 
     /** Takes an update of the list over and returns it as the module should see it. */
     EndpointList apply(EndpointList update) {
-        if (update.whole()) {
+        if (update.isComplete()) {
             discovered.clear();
         }
         List<EndpointEntry> effective = new ArrayList<>();
@@ -34,13 +34,13 @@
             }
             effective.add(effectiveEntry(entry));
         }
-        return new EndpointList(update.whole(), effective);
+        return new EndpointList(update.isComplete(), effective);
     }
 
     /** Takes an operator's change over and returns the update that it amounts to. */
     EndpointList apply(EndpointAdminChange change) {
         adminChanges.put(change.endpoint(), change);
-        if (change.disabled()) {
+        if (change.isDisabled()) {
             reenabled.remove(change.endpoint());
         } else {
             reenabled.add(change.endpoint());
@@ -74,10 +74,10 @@
             return entry;
         }
         // An endpoint that is enabled again was restarted meanwhile; discovery may not know yet that it is warming up.
-        long startedAt = change.disabled() ? entry.startedAt() : Math.max(entry.startedAt(), change.since());
+        long startedAt = change.isDisabled() ? entry.startedAt() : Math.max(entry.startedAt(), change.since());
         return new EndpointEntry(
                 entry.id(),
-                change.disabled() ? EndpointState.DRAINING : entry.state(),
+                change.isDisabled() ? EndpointState.DRAINING : entry.state(),
                 startedAt,
                 entry.cell(),
                 entry.kind(),
--- a/src/main/java/nettlewick/decision/Event.java
+++ b/src/main/java/nettlewick/decision/Event.java
@@ -5,14 +5,14 @@
 /** An event that the host reports to the decision module. */
 public sealed interface Event {
     /** The endpoint list: whole, so that endpoints missing in it are gone, or only the entries that changed. */
-    record EndpointList(boolean whole, List<EndpointEntry> entries) implements Event {}
+    record EndpointList(boolean isComplete, List<EndpointEntry> entries) implements Event {}
 
     /**
      * An operator has disabled an endpoint or enabled it again. Nothing new goes to a disabled endpoint,
      * whatever the list says; one that is enabled again counts as started at {@code since}. Repeated changes and
      * unknown endpoints are allowed.
      */
-    record EndpointAdminChange(String endpoint, boolean disabled, long since) implements Event {}
+    record EndpointAdminChange(String endpoint, boolean isDisabled, long since) implements Event {}
 
     /** All tenants' dedicated endpoints from now on; tenants that are not named use the common ones again. */
     record PoolsAssigned(List<PoolAssignment> assignments) implements Event {}
@@ -35,12 +35,12 @@
             String id,
             String requestClass,
             String tenant,
-            long remaining,
+            long remainingNanos,
             double slots,
             double memory,
-            long costHint,
+            long costHintNanos,
             String key,
-            boolean repeat)
+            boolean isClientRetry)
             implements Event {}
 
     /**
@@ -55,8 +55,8 @@
             int attempt,
             String endpoint,
             AttemptResult result,
-            long latency,
-            boolean settled,
+            long latencyNanos,
+            boolean isSettled,
             EndpointLoad load)
             implements Event {}
 
@@ -67,10 +67,10 @@
     record Abandoned(String id) implements Event {}
 
     /** Progress of an attempt in flight; {@code share} is the part done, 0 when it has just started. */
-    record Progress(String id, int attempt, String endpoint, double share) implements Event {}
+    record Progress(String id, int attempt, String endpoint, double completedShare) implements Event {}
 
     /** The answer to a probe, after {@code latency} nanoseconds; {@code load} may be null. */
-    record ProbeAnswer(String endpoint, AttemptResult result, long latency, EndpointLoad load) implements Event {}
+    record ProbeAnswer(String endpoint, AttemptResult result, long latencyNanos, EndpointLoad load) implements Event {}
 
     /** A datagram from the dispatcher of that rank. */
     record PeerMessageReceived(int rank, byte[] data) implements Event {}
--- a/src/main/java/nettlewick/decision/LatencyEstimator.java
+++ b/src/main/java/nettlewick/decision/LatencyEstimator.java
@@ -76,6 +76,6 @@
     }
 
     private double work(ScheduledRequest request) {
-        return request.hasCostHint() ? request.arrival().costHint() : statistics.meanLatency(request);
+        return request.hasCostHint() ? request.arrival().costHintNanos() : statistics.meanLatency(request);
     }
 }
--- a/src/main/java/nettlewick/decision/OutcomeHandler.java
+++ b/src/main/java/nettlewick/decision/OutcomeHandler.java
@@ -47,7 +47,7 @@
     void recordOutcome(Outcome outcome) {
         Endpoint endpoint = directory.find(outcome.endpoint());
         if (endpoint != null) {
-            outliers.recordResult(endpoint, outcome.result(), outcome.latency(), clock.now());
+            outliers.recordResult(endpoint, outcome.result(), outcome.latencyNanos(), clock.now());
             if (outcome.load() != null) {
                 capacity.recordReport(endpoint, outcome.load());
             }
@@ -60,7 +60,7 @@
             recordEnd(attempt, outcome);
         }
         if (outcome.result() == AttemptResult.SERVED && !attempt.request().isAnswered()) {
-            recordAnswer(attempt, outcome.latency());
+            recordAnswer(attempt, outcome.latencyNanos());
         }
         proceed(attempt.request(), outcome);
     }
@@ -80,7 +80,7 @@
         if (attempt.hasStarted()) {
             statistics.recordRunTime(clock.now() - attempt.startedAt());
         } else if (attempt.sawFreeCapacity()) {
-            statistics.recordRunTime(outcome.latency());
+            statistics.recordRunTime(outcome.latencyNanos());
         }
         registry.recordServed(outcome.endpoint());
     }
@@ -98,7 +98,7 @@
     }
 
     private void proceed(ScheduledRequest request, Outcome outcome) {
-        if (outcome.settled() || request.isAnswered()) {
+        if (outcome.isSettled() || request.isAnswered()) {
             completion.close(request);
         } else if (!mayFollow(request, outcome.result())) {
             if (request.inFlightAttempts() == 0) {
@@ -127,7 +127,7 @@
                 capacity.recordReport(endpoint, answer.load());
             }
         } else if (answer.result() != AttemptResult.OVERLOADED && answer.result() != AttemptResult.NOT_SENT) {
-            outliers.recordResult(endpoint, answer.result(), answer.latency(), clock.now());
+            outliers.recordResult(endpoint, answer.result(), answer.latencyNanos(), clock.now());
         }
     }
 
@@ -142,7 +142,7 @@
         if (attempt == null) {
             return;
         }
-        boolean isStart = progress.share() <= 0;
+        boolean isStart = progress.completedShare() <= 0;
         if (isStart && !attempt.hasStarted() && attempt.predictedWaitNanos() > 0) {
             pools.statsFor(attempt.endpoint())
                     .waitCalibration()
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -126,7 +126,7 @@
         for (Attempt attempt : endpoint.inFlight().attempts()) {
             ScheduledRequest request = attempt.request();
             double expected =
-                    Math.max(statistics.meanLatency(request), request.arrival().costHint());
+                    Math.max(statistics.meanLatency(request), request.arrival().costHintNanos());
             long silent = now - Math.max(attempt.sentAt(), endpoint.health().lastSignAt());
             silence += expected <= 0 ? 0 : silent / Math.max(expected, SchedulerTimings.TICK_NANOS);
         }
@@ -135,7 +135,7 @@
 
     /** Records, for an attempt that was served, how long it ran against its hint. */
     static void recordRunTime(Attempt attempt, EndpointKindStats kind, long now) {
-        long hint = attempt.request().arrival().costHint();
+        long hint = attempt.request().arrival().costHintNanos();
         if (attempt.hasStarted() && hint > 0 && now > attempt.startedAt()) {
             double slowdown = Math.log((double) (now - attempt.startedAt()) / hint);
             attempt.endpoint().health().slowdown().add(slowdown);
--- a/src/main/java/nettlewick/decision/PoolAssignment.java
+++ b/src/main/java/nettlewick/decision/PoolAssignment.java
@@ -8,7 +8,7 @@
  * @param exclusive whether requests of other tenants stay away from them
  * @param confined  whether the tenant's requests go there only, while one of them is ready
  */
-public record PoolAssignment(String tenant, Set<String> endpoints, boolean exclusive, boolean confined) {
+public record PoolAssignment(String tenant, Set<String> endpoints, boolean isExclusive, boolean isConfined) {
     /** Copies the set of endpoints. */
     public PoolAssignment {
         endpoints = Set.copyOf(endpoints);
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -114,7 +114,7 @@
 
     private void start() {
         sliceController.start();
-        if (context.settings().listOnRequest()) {
+        if (context.settings().listsOnRequest()) {
             subscription.subscribe();
         }
         tick.start();
--- a/src/main/java/nettlewick/decision/ScheduledRequest.java
+++ b/src/main/java/nettlewick/decision/ScheduledRequest.java
@@ -29,8 +29,8 @@
         this.classIndex = classIndex;
         tenantCredit = credit;
         arrivedAt = now;
-        deadline = now + arrival.remaining();
-        cost = arrival.slots() * (hasCostHint() ? arrival.costHint() / 1e9 : 1);
+        deadline = now + arrival.remainingNanos();
+        cost = arrival.slots() * (hasCostHint() ? arrival.costHintNanos() / 1e9 : 1);
     }
 
     String id() {
@@ -72,7 +72,7 @@
     }
 
     boolean hasCostHint() {
-        return arrival.costHint() > 0;
+        return arrival.costHintNanos() > 0;
     }
 
     boolean hasKey() {
--- a/src/main/java/nettlewick/decision/SchedulerSettings.java
+++ b/src/main/java/nettlewick/decision/SchedulerSettings.java
@@ -25,10 +25,10 @@
         List<RequestClass> classes,
         List<Tenant> tenants,
         List<String> kinds,
-        boolean listOnRequest,
-        boolean sizesFixed,
+        boolean listsOnRequest,
+        boolean hasFixedSizes,
         LoadReporting loadReporting,
-        long progress,
+        long progressIntervalNanos,
         Limits limits,
         Rules rules) {
     /**
@@ -43,8 +43,8 @@
         check(limits.maxAttempts() >= 1, "limits.attempts", limits.maxAttempts());
         check(limits.maxRetryAfter() >= 0, "limits.maxRetryAfter", limits.maxRetryAfter());
         check(rules.slowStartShare() >= 0 && rules.slowStartShare() <= 1, "rules.coldShare", rules.slowStartShare());
-        check(rules.slowStart() >= 0, "rules.cold", rules.slowStart());
-        check(rules.fall() >= 0, "rules.fall", rules.fall());
+        check(rules.slowStartNanos() >= 0, "rules.cold", rules.slowStartNanos());
+        check(rules.overloadWindowNanos() >= 0, "rules.fall", rules.overloadWindowNanos());
         check(rules.overloadFactor() > 0, "rules.overloadFactor", rules.overloadFactor());
         for (RequestClass c : classes) {
             check(c.kind() >= -1 && c.kind() < kinds.size(), "classes[" + c.name() + "].kind", c.kind());
@@ -127,12 +127,12 @@
      * @param overloadFactor how many times its capacity overloads a warming endpoint
      */
     public record Rules(
-            long answerSlack,
-            long askWithin,
-            long slowStart,
+            long answerSlackNanos,
+            long listRequestWithinNanos,
+            long slowStartNanos,
             double slowStartShare,
             long drainGrace,
-            long fall,
+            long overloadWindowNanos,
             double overloadFactor) {}
 
     /** What it means to run a request twice. */
--- a/src/main/java/nettlewick/decision/SlowStartBudget.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -30,7 +30,7 @@
 
     boolean isWarmingUp(Endpoint endpoint, long now) {
         long startedAt = endpoint.entry().startedAt();
-        return startedAt > 0 && now - startedAt < rules.slowStart();
+        return startedAt > 0 && now - startedAt < rules.slowStartNanos();
     }
 
     /**
@@ -50,7 +50,7 @@
         if (!isWarmingUp(endpoint, now)) {
             return true;
         }
-        double age = (double) Math.max(0, now - endpoint.entry().startedAt()) / rules.slowStart();
+        double age = (double) Math.max(0, now - endpoint.entry().startedAt()) / rules.slowStartNanos();
         double ramp = rules.slowStartShare() + (1 - rules.slowStartShare()) * age;
         double rate = TARGET_LOAD_SHARE * rules.overloadFactor() * expectedRate(kind) * ramp;
         endpoint.slowStartCredit().accrue(rate, maxCredit, now);
--- a/src/main/java/nettlewick/fleettest/Duties.java
+++ b/src/main/java/nettlewick/fleettest/Duties.java
@@ -74,7 +74,7 @@
                 caps.put(v.part(0), new ProviderModel.Cap(v.part(2), pools.get("near")));
             }
         }
-        Block.Value price = pools.one("price").orElse(null);
+        Block.Value price = pools.first("price").orElse(null);
         if (price == null) {
             return;
         }
@@ -129,7 +129,7 @@
                 + folder.resolve("duty.key") + "\"\n");
         reached.forEach(
                 a -> text.append("dispatcher ").append(ScenarioRun.text(a)).append('\n'));
-        text.append("}\npools {\n").append(scenario.duty().pools().lines());
+        text.append("}\npools {\n").append(scenario.duty().pools().toLines());
         if (provider != null) {
             text.append("provider http://")
                     .append(ScenarioRun.text(providers.get(number)))
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -141,7 +141,7 @@
                 .map(v -> new Kind(((Long) v.part(0)).intValue(), v.parts().size() > 1 ? v.part(2) : 1.0))
                 .toList();
         if (kinds.isEmpty()) {
-            throw w.bad("runners", "set: so many sim runners");
+            throw w.invalidValue("runners", "set: so many sim runners");
         }
         List<String> zones = w.all("zone").stream().map(v -> (String) v.part(0)).toList();
         Map<String, Double> clocks = new HashMap<>();
@@ -150,25 +150,25 @@
                         v.<ScenarioTarget>part(0).name(),
                         v.part(1).equals("ahead") ? v.<Double>part(2) : -v.<Double>part(2)));
         World world = new World(
-                w.whole("seed"),
-                (int) w.whole("dispatchers"),
+                w.wholeNumber("seed"),
+                (int) w.wholeNumber("dispatchers"),
                 kinds,
                 zones.isEmpty() ? List.of("a") : zones,
                 new EndpointModel.Kind(
-                        (int) w.whole("slots"),
-                        (int) w.whole("queue"),
-                        w.span("cold"),
+                        (int) w.wholeNumber("slots"),
+                        (int) w.wholeNumber("queue"),
+                        w.spanMillis("cold"),
                         w.get("cold-share"),
                         w.get("overload"),
-                        w.span("fall"),
-                        w.span("report-age"),
+                        w.spanMillis("fall"),
+                        w.spanMillis("report-age"),
                         w.flag("cancel")),
                 w.flag("peers"),
                 w.flag("known"),
                 w.text("discovery").equals("asked"),
-                w.span("calls"),
-                w.span("grace"),
-                w.span("notice"),
+                w.spanMillis("calls"),
+                w.spanMillis("grace"),
+                w.spanMillis("notice"),
                 clocks);
         List<JobClass> classes = new ArrayList<>();
         for (Block.Value v : l.all("class")) {
@@ -176,24 +176,24 @@
             classes.add(new JobClass(v.part(0), v.part(1), v.part(2), aim, Math.max(4000, 4 * aim)));
         }
         if (classes.isEmpty()) {
-            throw l.bad("class", "set: a name, a part, a time of work and an aim");
+            throw l.invalidValue("class", "set: a name, a part, a time of work and an aim");
         }
         Load load = new Load(
                 l.get("rate"),
-                l.span("length"),
-                l.span("warm"),
+                l.spanMillis("length"),
+                l.spanMillis("warm"),
                 l.get("uneven"),
-                (int) l.whole("tries"),
+                (int) l.wholeNumber("tries"),
                 l.flag("honour"),
-                l.span("window"),
+                l.spanMillis("window"),
                 List.copyOf(classes),
                 members(l));
         LinkSettings links = all.block("links")
                 .map(b -> new LinkSettings(
                         b.get("loss"),
                         b.get("duplicates"),
-                        b.span("delay"),
-                        b.span("jitter"),
+                        b.spanMillis("delay"),
+                        b.spanMillis("jitter"),
                         b.text("tcp").equals("relayed")))
                 .orElse(new LinkSettings(0, 0, 0, 0, true));
         List<Step> steps = new ArrayList<>();
@@ -206,10 +206,10 @@
         Duty duty = all.block("pools")
                 .map(pools -> all.block("duty")
                         .map(b -> new Duty(
-                                (int) b.whole("voters"),
-                                b.span("lease"),
-                                b.span("comes"),
-                                b.has("month-turns") ? b.span("month-turns") : Double.NaN,
+                                (int) b.wholeNumber("voters"),
+                                b.spanMillis("lease"),
+                                b.spanMillis("comes"),
+                                b.has("month-turns") ? b.spanMillis("month-turns") : Double.NaN,
                                 pools))
                         .orElse(new Duty(3, 1000, 1000, Double.NaN, pools)))
                 .orElse(null);
@@ -264,8 +264,8 @@
         if (step.verb().equals("flood")) {
             if (load.members().stream()
                     .noneMatch(m -> m.name().equals(step.first().name()))) {
-                throw InvalidSettingsException.value(
-                        v.place(), "at", step.first().name(), "a member of the load");
+                throw InvalidSettingsException.invalidValue(
+                        v.location(), "at", step.first().name(), "a member of the load");
             }
             return;
         }
@@ -275,8 +275,8 @@
                     && !world.zones().contains(p.name())
                     && (p.single('n') < 0 || p.single('n') >= world.dispatchers())
                     && p.single('s') < 0) {
-                throw InvalidSettingsException.value(
-                        v.place(),
+                throw InvalidSettingsException.invalidValue(
+                        v.location(),
                         "at",
                         p.name(),
                         "one of the " + world.dispatchers()
@@ -285,8 +285,8 @@
         }
         boolean relay = List.of("refuse", "stall", "reset", "trickle").contains(step.verb());
         if (relay && !links.relayed()) {
-            throw InvalidSettingsException.value(
-                    v.place(),
+            throw InvalidSettingsException.invalidValue(
+                    v.location(),
                     "at",
                     String.join(" ", v.words()),
                     "without " + step.verb() + " where the links say tcp direct");
@@ -294,8 +294,8 @@
         List<String> own = List.of("pause", "garble");
         boolean runner = step.first() != null && step.first().single('s') >= 0;
         if (own.contains(step.verb()) && (runner || step.first().name().equals("runners"))) {
-            throw InvalidSettingsException.value(
-                    v.place(), "at", step.first().name(), "dispatchers: only they are " + "processes");
+            throw InvalidSettingsException.invalidValue(
+                    v.location(), "at", step.first().name(), "dispatchers: only they are " + "processes");
         }
     }
 
--- a/src/main/java/nettlewick/fleettest/ScenarioTable.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioTable.java
@@ -45,7 +45,7 @@
         targets(forms, "slow", List.of(word("by"), number(1, 1000), word("for"), SPAN));
         targets(forms, "cut", List.of(word("from"), ScenarioTarget.type(), word("for"), SPAN));
         targets(forms, "mute", List.of(word("to"), ScenarioTarget.type(), word("for"), SPAN));
-        forms.add(List.of(SPAN, word("add"), ValueType.whole(1, MOST), word("runners")));
+        forms.add(List.of(SPAN, word("add"), ValueType.wholeNumber(1, MOST), word("runners")));
         forms.add(List.of(SPAN, word("loss"), ValueType.percent(), word("for"), SPAN));
         forms.add(List.of(SPAN, word("rate"), word("by"), number(0, 1000), word("for"), SPAN));
         forms.add(List.of(SPAN, word("lists"), word("apart"), SPAN));
@@ -80,13 +80,13 @@
             false,
             "Processes and runners.",
             List.of(
-                    Keyword.of("seed", ValueType.whole(0, Long.MAX_VALUE / 2), "1", "Of all that is drawn."),
-                    Keyword.needed("dispatchers", ValueType.whole(1, MOST), "Real processes."),
-                    many("runners", "So many sim runners.", ValueType.whole(1, 10_000))
-                            .or(ValueType.whole(1, 10_000), word("speed"), number(0.01, 100)),
+                    Keyword.of("seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Of all that is drawn."),
+                    Keyword.mandatory("dispatchers", ValueType.wholeNumber(1, MOST), "Real processes."),
+                    many("runners", "So many sim runners.", ValueType.wholeNumber(1, 10_000))
+                            .orWrittenAs(ValueType.wholeNumber(1, 10_000), word("speed"), number(0.01, 100)),
                     many("zone", "Dispatchers and runners are dealt to the zones in turn.", ValueType.word("NAME")),
-                    Keyword.of("slots", ValueType.whole(1, 1000), "4", "Jobs a runner runs at once."),
-                    Keyword.of("queue", ValueType.whole(0, 10_000), "8", "Jobs that wait at a runner."),
+                    Keyword.of("slots", ValueType.wholeNumber(1, 1000), "4", "Jobs a runner runs at once."),
+                    Keyword.of("queue", ValueType.wholeNumber(0, 10_000), "8", "Jobs that wait at a runner."),
                     Keyword.of("peers", ValueType.flag(), "yes", "Whether dispatchers tell one another."),
                     Keyword.of(
                             "known", ValueType.flag(), "yes", "Whether a process that starts again has its last list."),
@@ -114,11 +114,11 @@
             false,
             "What clients ask.",
             List.of(
-                    Keyword.needed("rate", number(0.1, 100_000), "Jobs a second."),
+                    Keyword.mandatory("rate", number(0.1, 100_000), "Jobs a second."),
                     Keyword.of("length", ValueType.span(100, HOUR), "10s", "For how long."),
                     Keyword.of("warm", ValueType.span(0, HOUR), "0s", "Growing load before that; no figure counts it."),
                     Keyword.of("uneven", number(1, 100), "1", "Traffic of each zone's first dispatcher."),
-                    Keyword.of("tries", ValueType.whole(1, 20), "3", "How often a client asks in all."),
+                    Keyword.of("tries", ValueType.wholeNumber(1, 20), "3", "How often a client asks in all."),
                     Keyword.of("honour", ValueType.flag(), "yes", "Whether clients heed when to come back."),
                     Keyword.of("window", ValueType.span(1, HOUR), "5s", "Window of keyed classes."),
                     many(
@@ -133,7 +133,8 @@
                                     "Name and share, and the part of all jobs that it asks for, if that differs.",
                                     ValueType.word("NAME"),
                                     ValueType.percent())
-                            .or(ValueType.word("NAME"), ValueType.percent(), word("asks"), ValueType.percent())),
+                            .orWrittenAs(
+                                    ValueType.word("NAME"), ValueType.percent(), word("asks"), ValueType.percent())),
             List.of());
 
     private static final Section LINKS = new Section(
@@ -156,9 +157,9 @@
             false,
             "Duties between the processes.",
             List.of(
-                    Keyword.of("voters", ValueType.whole(1, 9), "3", "So many of the first dispatchers grant."),
+                    Keyword.of("voters", ValueType.wholeNumber(1, 9), "3", "So many of the first dispatchers grant."),
                     Keyword.of("lease", ValueType.span(100, MINUTE), "1s", "How long a grant lasts."),
-                    Keyword.free("month-turns", SPAN, "So long after the lab's beginning, by all clocks."),
+                    Keyword.optional("month-turns", SPAN, "So long after the lab's beginning, by all clocks."),
                     Keyword.of(
                             "comes", ValueType.span(0, HOUR), "1s", "How long the provider takes to start a runner.")),
             List.of());
--- a/src/main/java/nettlewick/lease/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -15,7 +15,7 @@
  * This dispatcher's part in all leases: the lease thread, which owns the socket, the voter and each
  * {@link ManagedLease}, and passes messages between them. What is done under a lease is its {@link LeaseTask}'s.
  */
-public final class LeaseService implements AutoCloseable, LeaseTask.Desk {
+public final class LeaseService implements AutoCloseable, LeaseTask.LeaseControl {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
     private static final double TICKS_PER_LEASE = 30;
     private static final double REPORTS_PER_LEASE = 3;
@@ -30,7 +30,7 @@
     private final Map<String, LeaseTask> tasks;
     private final Map<String, ManagedLease> leases = new LinkedHashMap<>();
     private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
-    private final Thread thread = new Thread(this::run, "lease");
+    private final Thread thread = new Thread(this::execute, "lease");
     private double nextReportsAtMillis;
     private volatile boolean isClosing;
 
@@ -63,11 +63,11 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    private void run() {
+    private void execute() {
         long tickMillis = (long) Math.max(1, settings.terms().leaseMillis() / TICKS_PER_LEASE);
         try {
             double nextTickAtMillis = nowMillis();
-            tasks.values().forEach(task -> task.joins(this));
+            tasks.values().forEach(task -> task.start(this));
             while (!isClosing) {
                 transport.await(tickMillis);
                 transport.receive(this::handle);
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public void run(Runnable task) {
+    public void execute(Runnable task) {
         submitted.add(task);
         transport.wakeUp();
     }
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void outdo(String leaseName, long fence) {
+    public void yieldToHigherFence(String leaseName, long fence) {
         withLease(leaseName, lease -> lease.yieldToHigherFence(fence, nowMillis()));
     }
 
--- a/src/main/java/nettlewick/lease/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -46,13 +46,13 @@
                 .toList();
         int dispatcher = dispatcherNumber(block, dispatchers);
         List<String> leaseNames = leaseNames(block);
-        int voterCount = (int) Math.min(block.whole("voters"), dispatchers.size());
+        int voterCount = (int) Math.min(block.wholeNumber("voters"), dispatchers.size());
         return new LeaseSettings(
                 dispatcher,
                 block.address("listen"),
                 dispatchers,
                 IntStream.range(0, voterCount).boxed().toList(),
-                new LeaseTerms(block.span("lease"), block.whole("drift") / PERCENT),
+                new LeaseTerms(block.spanMillis("lease"), block.wholeNumber("drift") / PERCENT),
                 readKey(block),
                 leaseNames,
                 block.has("folder") ? block.get("folder") : null);
@@ -60,23 +60,23 @@
 
     private static int dispatcherNumber(Block block, List<InetSocketAddress> dispatchers) {
         boolean isSet = block.has("number");
-        int number = isSet ? (int) block.whole("number") : dispatchers.indexOf(block.address("listen"));
+        int number = isSet ? (int) block.wholeNumber("number") : dispatchers.indexOf(block.address("listen"));
         if (number >= 0 && number < dispatchers.size()) {
             return number;
         }
         throw isSet
-                ? block.bad("number", "below " + dispatchers.size())
-                : block.bad("listen", "the address of one `dispatcher`, or `number` has to be set");
+                ? block.invalidValue("number", "below " + dispatchers.size())
+                : block.invalidValue("listen", "the address of one `dispatcher`, or `number` has to be set");
     }
 
     private static List<String> leaseNames(Block block) {
         List<String> names =
                 block.all("name").stream().map(value -> value.<String>part(0)).toList();
         if (names.stream().distinct().count() < names.size()) {
-            throw block.bad("name", "there once only");
+            throw block.invalidValue("name", "there once only");
         }
         if (names.stream().anyMatch(name -> name.getBytes(UTF_8).length > MessageCodec.MAX_NAME_BYTES)) {
-            throw block.bad("name", "of " + MessageCodec.MAX_NAME_BYTES + " bytes at most");
+            throw block.invalidValue("name", "of " + MessageCodec.MAX_NAME_BYTES + " bytes at most");
         }
         return names;
     }
@@ -96,11 +96,11 @@
         try {
             byte[] key = Files.readAllBytes(block.<Path>get("key"));
             if (key.length < MIN_KEY_BYTES) {
-                throw block.bad("key", "a file of " + MIN_KEY_BYTES + " bytes at least");
+                throw block.invalidValue("key", "a file of " + MIN_KEY_BYTES + " bytes at least");
             }
             return key;
         } catch (IOException e) {
-            throw block.bad("key", "a file that can be read");
+            throw block.invalidValue("key", "a file that can be read");
         }
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseTask.java
+++ b/src/main/java/nettlewick/lease/LeaseTask.java
@@ -16,12 +16,12 @@
      * @param state   as a majority of voters has stored it; empty before the first change
      * @param now     milliseconds of the monotonic clock
      */
-    record HeldLease(long fence, long version, byte[] state, double now) {}
+    record HeldLease(long fence, long version, byte[] state, double nowMillis) {}
 
     /** The lease service, as a task sees it. */
-    interface Desk {
+    interface LeaseControl {
         /** Runs this on the lease thread. Any thread. */
-        void run(Runnable task);
+        void execute(Runnable task);
 
         /** Whether the lease is held at this moment; to be called on the lease thread, right before an act. */
         boolean mayAct(String leaseName);
@@ -30,11 +30,11 @@
          * The resource that is acted on has seen this fence, which is above the holder's own: the lease is released and
          * acquired again above it. On the lease thread.
          */
-        void outdo(String leaseName, long fence);
+        void yieldToHigherFence(String leaseName, long fence);
     }
 
     /** Logs that the lease is held, once its term is stored. */
-    static void held(String leaseName, HeldLease lease, long term) {
+    static void logHeld(String leaseName, HeldLease lease, long term) {
         ComponentLogger.of("duty")
                 .info(
                         "duty-held",
@@ -50,13 +50,13 @@
     }
 
     /** Called once, when the lease service starts. */
-    default void joins(Desk desk) {}
+    default void start(LeaseControl control) {}
 
     /** Called at the holder many times a lease, while no change is pending: the next state, or null for no change. */
-    byte[] turn(HeldLease lease);
+    byte[] proposeNextState(HeldLease lease);
 
     /** The lease is no longer held here. */
-    default void lost() {}
+    default void onLost() {}
 
     /**
      * The newest version that a majority has stored, whoever holds the lease; called again at each announcement, also
@@ -66,15 +66,15 @@
      * @param listens whether the holder requests reports from all dispatchers
      * @param now     milliseconds of the monotonic clock
      */
-    default void news(long fence, long version, byte[] state, boolean listens, double now) {}
+    default void onStoredState(long fence, long version, byte[] state, boolean requestsReports, double nowMillis) {}
 
     /** At the holder: whether it requests reports from all dispatchers. */
-    default boolean listens() {
+    default boolean requestsReports() {
         return false;
     }
 
     /** At the holder: whether announcements may be rare, since nobody waits for one. */
-    default boolean idle() {
+    default boolean isIdle() {
         return false;
     }
 
@@ -86,7 +86,7 @@
      * @param word the report
      * @param now  milliseconds of the monotonic clock
      */
-    default void word(int from, long life, byte[] word, double now) {}
+    default void onReport(int sender, long incarnation, byte[] report, double nowMillis) {}
 
     /**
      * The reports to send to the holder, each in a datagram of its own.
@@ -94,7 +94,7 @@
      * @param fence the holder's; 0 where no holder is known
      * @param now   milliseconds of the monotonic clock
      */
-    default List<byte[]> tell(long fence, double now) {
+    default List<byte[]> collectReports(long fence, double nowMillis) {
         return List.of();
     }
 }
--- a/src/main/java/nettlewick/lease/ManagedLease.java
+++ b/src/main/java/nettlewick/lease/ManagedLease.java
@@ -91,7 +91,8 @@
         }
         sender.accept(follower.handle(message));
         if (follower.isUpToDate(message)) {
-            task.news(follower.fence(), follower.version(), follower.state(), message.requestsReports(), nowMillis);
+            task.onStoredState(
+                    follower.fence(), follower.version(), follower.state(), message.requestsReports(), nowMillis);
         }
     }
 
@@ -103,13 +104,13 @@
 
     void handleReport(LeaseMessage message, double nowMillis) {
         if (mayAct(nowMillis)) {
-            task.word(message.sender(), message.requestId(), message.state(), nowMillis);
+            task.onReport(message.sender(), message.requestId(), message.state(), nowMillis);
         }
     }
 
     /** Sends the task's reports to the holder. */
     void sendReports(double nowMillis) {
-        for (byte[] report : task.tell(follower.fence(), nowMillis)) {
+        for (byte[] report : task.collectReports(follower.fence(), nowMillis)) {
             if (follower.hasHolder()) {
                 LeaseMessage message = LeaseMessage.of(Kind.REPORT, leaseName, settings.dispatcher(), incarnation, 0)
                         .withState(0, 0, report);
@@ -133,7 +134,7 @@
         if (!isHeld || follower.version() != candidate.version()) {
             adoptStoredState(nowMillis);
         }
-        if (announcements.isDue(task.listens(), nowMillis)) {
+        if (announcements.isDue(task.requestsReports(), nowMillis)) {
             announce(nowMillis);
         }
         proposeNextState(nowMillis);
@@ -143,7 +144,7 @@
         isHeld = false;
         announcements.stop();
         LOG.info("duty-lost", "no longer holds " + leaseName, "duty", leaseName, "fence", heldFence);
-        task.lost();
+        task.onLost();
     }
 
     private void adoptStoredState(double nowMillis) {
@@ -151,12 +152,12 @@
         heldFence = candidate.fence();
         follower.recordOwnState(heldFence, candidate.version(), candidate.state());
         announcements.restart(nowMillis);
-        task.news(heldFence, candidate.version(), candidate.state(), task.listens(), nowMillis);
+        task.onStoredState(heldFence, candidate.version(), candidate.state(), task.requestsReports(), nowMillis);
     }
 
     private void announce(double nowMillis) {
         LeaseMessage message = announcement(announcements.includesState());
-        announcements.advance(task.idle(), nowMillis);
+        announcements.advance(task.isIdle(), nowMillis);
         List<Outgoing> out = new ArrayList<>();
         for (int recipient = 0; recipient < settings.dispatchers().size(); recipient++) {
             if (recipient != settings.dispatcher()) {
@@ -164,19 +165,20 @@
             }
         }
         sender.accept(out);
-        task.news(follower.fence(), follower.version(), follower.state(), task.listens(), nowMillis);
+        task.onStoredState(follower.fence(), follower.version(), follower.state(), task.requestsReports(), nowMillis);
     }
 
     private LeaseMessage announcement(boolean hasState) {
         long flags = (hasState ? LeaseMessage.FLAG_HAS_STATE : 0)
-                | (task.listens() ? LeaseMessage.FLAG_REPORTS_REQUESTED : 0);
+                | (task.requestsReports() ? LeaseMessage.FLAG_REPORTS_REQUESTED : 0);
         return LeaseMessage.of(Kind.ANNOUNCE, leaseName, settings.dispatcher(), flags, follower.fence())
                 .withState(
                         follower.fence(), follower.version(), hasState ? follower.state() : LeaseMessage.EMPTY_STATE);
     }
 
     private void proposeNextState(double nowMillis) {
-        byte[] next = task.turn(new LeaseTask.HeldLease(heldFence, candidate.version(), candidate.state(), nowMillis));
+        byte[] next = task.proposeNextState(
+                new LeaseTask.HeldLease(heldFence, candidate.version(), candidate.state(), nowMillis));
         if (next == null) {
             return;
         }
--- a/src/main/java/nettlewick/lease/TermCounter.java
+++ b/src/main/java/nettlewick/lease/TermCounter.java
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public byte[] turn(HeldLease lease) {
+    public byte[] proposeNextState(HeldLease lease) {
         long term = lease.state().length == Long.BYTES
                 ? ByteBuffer.wrap(lease.state()).getLong()
                 : 0;
@@ -25,7 +25,7 @@
         }
         if (loggedFence != lease.fence()) {
             loggedFence = lease.fence();
-            LeaseTask.held(leaseName, lease, term);
+            LeaseTask.logHeld(leaseName, lease, term);
         }
         return null;
     }
--- a/src/main/java/nettlewick/lease/VoterStore.java
+++ b/src/main/java/nettlewick/lease/VoterStore.java
@@ -34,8 +34,8 @@
     static VoterStore open(Path folder) throws StoreException {
         VoterStore store = new VoterStore(Database.open(folder.resolve(FILE), false, "the voter's memory", name -> {}));
         try {
-            store.database.change("made", () -> {}, () -> {
-                store.database.tables(TABLES);
+            store.database.inTransaction("made", () -> {}, () -> {
+                store.database.createTables(TABLES);
                 return null;
             });
             return store;
@@ -52,7 +52,7 @@
             store.load(0, NO_DISPATCHER);
             return store;
         } catch (StoreException e) {
-            if (!e.damaged()) {
+            if (!e.isDamaged()) {
                 throw e;
             }
             try {
@@ -72,8 +72,8 @@
      * or by one that had not begun to vote.
      */
     Map<String, LeaseRecord> load(int membershipHash, int dispatcher) throws StoreException {
-        return database.look(() -> {
-            String owner = database.value("SELECT list || ' ' || number FROM whose");
+        return database.read(() -> {
+            String owner = database.queryFirst("SELECT list || ' ' || number FROM whose");
             Map<String, LeaseRecord> records = new TreeMap<>();
             try (PreparedStatement select = database.prepare(SELECT_RECORDS);
                     ResultSet rows = select.executeQuery()) {
@@ -91,8 +91,10 @@
 
     /** Deletes everything, for a voter that starts without records. */
     void clear() throws StoreException {
-        database.change(
-                "emptied", () -> {}, () -> database.run("DELETE FROM whose") + database.run("DELETE FROM register"));
+        database.inTransaction(
+                "emptied",
+                () -> {},
+                () -> database.execute("DELETE FROM whose") + database.execute("DELETE FROM register"));
     }
 
     /**
@@ -100,19 +102,19 @@
      * that it ever promised.
      */
     void markVoting(int membershipHash, int dispatcher) throws StoreException {
-        database.change(
+        database.inTransaction(
                 "written",
                 () -> {},
-                () -> database.run("DELETE FROM whose")
-                        + database.run("INSERT INTO whose VALUES (?, ?)", membershipHash, dispatcher));
+                () -> database.execute("DELETE FROM whose")
+                        + database.execute("INSERT INTO whose VALUES (?, ?)", membershipHash, dispatcher));
     }
 
     /** Stores these records over earlier ones, without their grants. */
     void save(Map<String, LeaseRecord> changed) throws StoreException {
-        database.change("written", () -> {}, () -> {
+        database.inTransaction("written", () -> {}, () -> {
             for (Map.Entry<String, LeaseRecord> entry : changed.entrySet()) {
                 LeaseRecord changedRecord = entry.getValue();
-                database.run(
+                database.execute(
                         "INSERT OR REPLACE INTO register VALUES (?, ?, ?, ?, ?)",
                         entry.getKey(),
                         changedRecord.promisedBallot(),
--- a/src/main/java/nettlewick/ledger/ExportSettings.java
+++ b/src/main/java/nettlewick/ledger/ExportSettings.java
@@ -20,24 +20,24 @@
         int attempts) {
     static ExportSettings of(Block export) {
         if (export.has("folder") == export.has("url")) {
-            throw export.bad("folder", "set, or a url in its place, and not both");
+            throw export.invalidValue("folder", "set, or a url in its place, and not both");
         }
-        Block.Value retry = export.one("retry").orElseThrow();
+        Block.Value retry = export.first("retry").orElseThrow();
         double first = retry.<Double>part(0);
         double longest = retry.<Double>part(1);
         if (first > longest) {
-            throw export.bad("retry", "a first pause no longer than the longest");
+            throw export.invalidValue("retry", "a first pause no longer than the longest");
         }
         return new ExportSettings(
                 export.label(),
                 export.has("folder") ? export.get("folder") : null,
                 export.has("url") ? export.get("url") : null,
                 export.text("format").equals("csv"),
-                export.whole("most"),
-                export.span("every"),
-                export.span("timeout"),
+                export.wholeNumber("most"),
+                export.spanMillis("every"),
+                export.spanMillis("timeout"),
                 first,
                 longest,
-                (int) export.whole("attempts"));
+                (int) export.wholeNumber("attempts"));
     }
 }
--- a/src/main/java/nettlewick/ledger/Ledger.java
+++ b/src/main/java/nettlewick/ledger/Ledger.java
@@ -59,12 +59,12 @@
         }
 
         @Override
-        public void answered() {
+        public void markAnswered() {
             end(true);
         }
 
         @Override
-        public void left() {
+        public void markAbandoned() {
             end(false);
         }
 
@@ -73,7 +73,7 @@
             synchronized (order) {
                 if (!over) {
                     over = true;
-                    double at = clock.now();
+                    double at = clock.nowMillis();
                     entry = Spool.ended(draft, at, answered).in(settings.terms());
                     Spool to = spool;
                     if (place != null && to != null) {
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public double patience() {
+    public double timeoutMillis() {
         return settings.patience();
     }
 
@@ -190,11 +190,11 @@
     // The core's side
 
     @Override
-    public Runnable settle(FinishedRequest job, Consumer<Receipt> send) {
+    public Runnable record(FinishedRequest job, Consumer<Receipt> send) {
         if (held.get() >= settings.queue()) {
             synchronized (order) {
-                gapFrom = gapJobs == 0 ? job.at() : gapFrom;
-                gapTo = job.at();
+                gapFrom = gapJobs == 0 ? job.decidedAtMillis() : gapFrom;
+                gapTo = job.decidedAtMillis();
                 gapJobs++;
             }
             missed.incrementAndGet();
@@ -208,7 +208,7 @@
         if (job.ending() == Ending.LEFT) {
             send.accept(Receipt.NONE);
             item.gone.set(true);
-            item.left();
+            item.markAbandoned();
             return null;
         }
         if (!settings.sync() || item.place == null) {
@@ -227,20 +227,20 @@
 
     private Entry draft(FinishedRequest job) {
         Request r = job.request();
-        String key = r.cargo() instanceof Request.Keyed keyed ? keyed.idempotencyKey() : null;
+        String key = r.payload() instanceof Request.IdempotencyKeyed keyed ? keyed.idempotencyKey() : null;
         return new Entry(
                 new EntryRef(NOBODY, 0),
                 Entry.Kind.JOB,
-                job.at(),
+                job.decidedAtMillis(),
                 Entry.fit(r.tenant()),
                 Entry.fit(r.requestClass()),
                 Entry.fit(r.id()),
                 key == null ? null : Entry.hash(key),
                 job.ending(),
-                job.work(),
-                job.estimate(),
-                job.spare(),
-                job.attempts(),
+                job.workSlotMicros(),
+                job.isEstimate(),
+                job.extraWorkSlotMicros(),
+                job.attemptCount(),
                 jobs.incrementAndGet(),
                 null,
                 null,
@@ -381,7 +381,7 @@
         Store store = Store.open(settings.store(), dispatcher, faults);
         try {
             if (own == NOBODY) {
-                Recovery.Report report = Recovery.run(store, clock.now(), settings.terms());
+                Recovery.Report report = Recovery.run(store, clock.nowMillis(), settings.terms());
                 doubts.addAndGet(report.doubts());
                 if (!report.idle()) {
                     LOG.info(
@@ -394,7 +394,7 @@
                             "doubts",
                             report.doubts());
                 }
-                own = store.begin(clock.now());
+                own = store.begin(clock.nowMillis());
             }
             return store;
         } catch (StoreException e) {
@@ -405,7 +405,7 @@
 
     /** Danger: a damaged file is evidence; it is put aside, and a new life begins in a new one. */
     private Store afterFailure(Store store, StoreException e) {
-        if (!e.damaged()) {
+        if (!e.isDamaged()) {
             return store;
         }
         if (store != null) {
@@ -414,7 +414,7 @@
         try {
             LOG.warning(
                     "store-put-aside",
-                    "the store is damaged; it was put aside as " + Store.putAside(settings.store(), clock.now())
+                    "the store is damaged; it was put aside as " + Store.putAside(settings.store(), clock.nowMillis())
                             + " and a new one begins");
             own = NOBODY;
             head = 0;
@@ -484,9 +484,9 @@
     /** Whether a command that closes a period waits for this life. */
     private void look(Store store) throws StoreException {
         double until = store.marked();
-        if (until > 0 && clock.now() >= until && store.settled(own.life()) < until) {
+        if (until > 0 && clock.nowMillis() >= until && store.settled(own.life()) < until) {
             synchronized (order) {
-                ended.add(new Flush(clock.now()));
+                ended.add(new Flush(clock.nowMillis()));
             }
         }
     }
@@ -498,7 +498,7 @@
     }
 
     @Override
-    public Map<String, Number> figures() {
+    public Map<String, Number> metrics() {
         Map<String, Number> figures = new LinkedHashMap<>();
         figures.put("ledger.entries", entered.get());
         figures.put("ledger.in_doubt", doubts.get());
--- a/src/main/java/nettlewick/ledger/LedgerAdmin.java
+++ b/src/main/java/nettlewick/ledger/LedgerAdmin.java
@@ -50,8 +50,8 @@
 
     private <T> T write(Task<T> task) throws Refused, InterruptedException {
         try (Store store = Store.open(settings.store())) {
-            Recovery.run(store, clock.now(), settings.terms());
-            ChainOrigin own = store.begin(clock.now());
+            Recovery.run(store, clock.nowMillis(), settings.terms());
+            ChainOrigin own = store.begin(clock.nowMillis());
             try (AutoCloseable held = Spool.claim(settings.store(), own.life())) {
                 return task.run(store, own);
             } catch (StoreException | IOException | InterruptedException | Refused | RuntimeException e) {
@@ -107,7 +107,7 @@
      */
     public void close(String name, String by) throws Refused, InterruptedException {
         Terms.Period period = period(name);
-        if (clock.now() < period.to()) {
+        if (clock.nowMillis() < period.to()) {
             throw new Refused("period " + name + " ends at " + BatchCodec.time(period.to()), true);
         }
         write((store, own) -> {
@@ -133,8 +133,8 @@
                 }
             }
             // A life that died meanwhile has left a spool.
-            Recovery.run(store, clock.now(), settings.terms());
-            store.close(own, period, clock.now(), by);
+            Recovery.run(store, clock.nowMillis(), settings.terms());
+            store.close(own, period, clock.nowMillis(), by);
             return null;
         });
     }
@@ -189,7 +189,7 @@
                         true);
             }
             long number = store.append(
-                    own, List.of(Entry.correction(new EntryRef(own, 0), clock.now(), entry, work, by, reason)));
+                    own, List.of(Entry.correction(new EntryRef(own, 0), clock.nowMillis(), entry, work, by, reason)));
             return new EntryRef(own, number);
         });
     }
--- a/src/main/java/nettlewick/ledger/LedgerSettings.java
+++ b/src/main/java/nettlewick/ledger/LedgerSettings.java
@@ -28,7 +28,7 @@
 
     /** Takes the block over; BadSettings for what its words alone do not show. */
     public static LedgerSettings of(Block ledger) {
-        List<Object> mode = ledger.one("mode").orElseThrow().parts();
+        List<Object> mode = ledger.first("mode").orElseThrow().parts();
         Terms terms;
         try {
             terms = new Terms(
@@ -37,17 +37,17 @@
                             .map(t -> new Terms.Term(t.part(0), t.part(2), t.part(4)))
                             .toList());
         } catch (IllegalArgumentException e) {
-            throw ledger.bad("term", "in order: " + e.getMessage());
+            throw ledger.invalidValue("term", "in order: " + e.getMessage());
         }
         return new LedgerSettings(
                 ledger.get("store"),
                 mode.size() == 1,
                 mode.size() == 1 ? SYNC_BATCH : (Double) mode.get(1),
-                ledger.span("commit"),
-                ledger.span("patience"),
-                (int) ledger.whole("queue"),
+                ledger.spanMillis("commit"),
+                ledger.spanMillis("patience"),
+                (int) ledger.wholeNumber("queue"),
                 terms,
-                ledger.span("key-window"),
+                ledger.spanMillis("key-window"),
                 ledger.blocks("export").stream().map(ExportSettings::of).toList(),
                 ledger.block("peers").map(PeerSettings::of).orElse(null));
     }
--- a/src/main/java/nettlewick/ledger/PeerClient.java
+++ b/src/main/java/nettlewick/ledger/PeerClient.java
@@ -127,7 +127,7 @@
         byte[] drawn = new byte[NONCE_BYTES];
         random.nextBytes(drawn);
         String nonce = HexFormat.of().formatHex(drawn);
-        double now = clock.now();
+        double now = clock.nowMillis();
         Promise<Buffer> done = Promise.promise();
         long timer = vertx.setTimer((long) timeout, id -> done.tryFail(new IOException("no answer in time")));
         RequestOptions options = new RequestOptions()
--- a/src/main/java/nettlewick/ledger/PeerFront.java
+++ b/src/main/java/nettlewick/ledger/PeerFront.java
@@ -90,7 +90,7 @@
                         request.getHeader(NONCE),
                         request.getHeader(TIME),
                         request.getHeader(SEAL),
-                        clock.now())
+                        clock.nowMillis())
                 : "not a GET";
         if (fault != null) {
             LOG.warning("peer-refused", "a call from " + from + " is refused: " + fault, "from", from);
--- a/src/main/java/nettlewick/ledger/PeerSettings.java
+++ b/src/main/java/nettlewick/ledger/PeerSettings.java
@@ -23,8 +23,8 @@
                 block.all("peer").stream()
                         .map(v -> v.<InetSocketAddress>part(0))
                         .toList(),
-                block.span("every"),
-                block.span("timeout"),
-                (int) block.whole("chunk"));
+                block.spanMillis("every"),
+                block.spanMillis("timeout"),
+                (int) block.wholeNumber("chunk"));
     }
 }
--- a/src/main/java/nettlewick/ledger/Store.java
+++ b/src/main/java/nettlewick/ledger/Store.java
@@ -128,7 +128,7 @@
 
     private void begin(String name) throws StoreException {
         change("opened", () -> {
-            database.tables(TABLES);
+            database.createTables(TABLES);
             String version = value("SELECT value FROM meta WHERE name = 'version'");
             if (version == null) {
                 run("INSERT INTO meta VALUES('version', ?)", Integer.toString(VERSION));
@@ -159,7 +159,7 @@
     }
 
     private <T> T change(String what, Work<T> work) throws StoreException {
-        return database.change(
+        return database.inTransaction(
                 what,
                 () -> {
                     heads.clear();
@@ -169,7 +169,7 @@
     }
 
     private <T> T look(Work<T> work) throws StoreException {
-        return database.look(work);
+        return database.read(work);
     }
 
     private PreparedStatement prepare(String sql, Object... values) throws SQLException {
@@ -177,11 +177,11 @@
     }
 
     private int run(String sql, Object... values) throws SQLException {
-        return database.run(sql, values);
+        return database.execute(sql, values);
     }
 
     private String value(String sql, Object... values) throws SQLException {
-        return database.value(sql, values);
+        return database.queryFirst(sql, values);
     }
 
     private String meta(String name) throws StoreException {
--- a/src/main/java/nettlewick/log/LogSetup.java
+++ b/src/main/java/nettlewick/log/LogSetup.java
@@ -54,7 +54,7 @@
         }
         appender.configure(
                 log.text("form").equals("json") ? LineFormat.JSON : LineFormat.TEXT,
-                new RepeatLimiter((int) log.whole("repeats"), log.span("window")));
+                new RepeatLimiter((int) log.wholeNumber("repeats"), log.spanMillis("window")));
     }
 
     /** All components take the root's level again. */
--- a/src/main/java/nettlewick/net/AdminOperations.java
+++ b/src/main/java/nettlewick/net/AdminOperations.java
@@ -18,22 +18,22 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return dispatcher.isReady();
     }
 
     @Override
-    public Metrics.Snapshot figures() {
-        return dispatcher.coordinator().figures().snapshot();
+    public Metrics.Snapshot metrics() {
+        return dispatcher.coordinator().metrics().snapshot();
     }
 
     @Override
-    public Map<String, Number> more() {
+    public Map<String, Number> additionalMetrics() {
         return dispatcher.additionalMetrics();
     }
 
     @Override
-    public Future<Boolean> ban(String endpoint, boolean disabled) {
+    public Future<Boolean> setEndpointDisabled(String endpoint, boolean disabled) {
         Promise<Boolean> done = Promise.promise();
         dispatcher.eventLoop().runOnContext(v -> storeAndApply(endpoint, disabled, done));
         return done.future();
@@ -52,7 +52,7 @@
         try {
             dispatcher
                     .disabledEndpoints()
-                    .setDisabled(endpoint, disabled, dispatcher.clock().now())
+                    .setDisabled(endpoint, disabled, dispatcher.clock().nowMillis())
                     .forEach(dispatcher::applyDisabledEndpoint);
             LOG.info(
                     disabled ? "taken-out" : "put-back",
@@ -71,8 +71,8 @@
     }
 
     @Override
-    public boolean drain() {
-        boolean accepted = dispatcher.serviceState().drain(dispatcher.clock().now());
+    public boolean startDraining() {
+        boolean accepted = dispatcher.serviceState().drain(dispatcher.clock().nowMillis());
         LOG.info(
                 accepted ? "drained" : "drain-refused",
                 accepted ? "drained by hand" : "drain refused: this process starts or ends");
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public boolean resume() {
+    public boolean stopDraining() {
         boolean accepted = dispatcher.serviceState().resume();
         LOG.info(
                 accepted ? "resumed" : "resume-refused",
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -67,7 +67,7 @@
     /** Null where this process never shares its address. */
     private HotRestartHandover handover;
 
-    private final List<Frontend.Maker> frontendFactories;
+    private final List<Frontend.Factory> frontendFactories;
     private final List<Frontend> frontends = new ArrayList<>();
     private final ServiceState serviceState = new ServiceState();
     private final AdminFrontend adminFrontend;
@@ -77,7 +77,7 @@
     private volatile List<Integer> ports = List.of();
 
     /** Creates a dispatcher that never shares its address with another process. */
-    public DispatcherServer(PlatformConfig config, Clock clock, Frontend.Maker... frontendFactories) {
+    public DispatcherServer(PlatformConfig config, Clock clock, Frontend.Factory... frontendFactories) {
         this(config, clock, null, frontendFactories);
     }
 
@@ -88,7 +88,7 @@
      *     shares
      */
     public DispatcherServer(
-            PlatformConfig config, Clock clock, HotRestart hotRestart, Frontend.Maker... frontendFactories) {
+            PlatformConfig config, Clock clock, HotRestart hotRestart, Frontend.Factory... frontendFactories) {
         this.hotRestart = hotRestart;
         disabledEndpoints = new DisabledEndpointStore(hotRestart == null ? null : hotRestart.sharedFile("bans.json"));
         this.frontendFactories = List.of(frontendFactories);
@@ -106,13 +106,13 @@
     }
 
     /** Sets what records usage; to be called before {@link #start}. */
-    public DispatcherServer keep(UsageRecorder recorder) {
+    public DispatcherServer recordUsageWith(UsageRecorder recorder) {
         usageRecorder = recorder;
         return this;
     }
 
     /** Sets what is notified of every request; to be called before {@link #start}. */
-    public DispatcherServer tell(RequestListener listener) {
+    public DispatcherServer notifyListener(RequestListener listener) {
         requestListener = listener;
         return this;
     }
@@ -132,7 +132,7 @@
     private Future<Void> startOnEventLoop() {
         boolean isSuccessor = hotRestart != null && hotRestart.hasOtherProcess();
         createCoordinator(isSuccessor);
-        Frontend.Base environment = new Frontend.Base(
+        Frontend.Environment environment = new Frontend.Environment(
                 vertx,
                 eventLoop,
                 config,
@@ -165,7 +165,7 @@
                 endpointPools,
                 usageRecorder);
         coordinator.setListener(requestListener);
-        requestListener.joins(coordinator);
+        requestListener.onAttached(coordinator);
         endpointPools.bind(coordinator);
         if (hotRestart != null) {
             handover = new HotRestartHandover(
@@ -213,10 +213,10 @@
      * to this process is lost to the other one, and a failing health check would turn the load balancer away
      * from both.
      */
-    private Future<Void> startAsSuccessor(Future<Void> firstUpdate, Frontend.Base environment) {
+    private Future<Void> startAsSuccessor(Future<Void> firstUpdate, Frontend.Environment environment) {
         LOG.info("succeeds", "another process serves here; this one is to succeed it");
         peerSocket.listenWhenPortIsFree(coordinator::receivePeerMessage);
-        Frontend privateFrontend = new PlatformFrontend(new Frontend.Base(
+        Frontend privateFrontend = new PlatformFrontend(new Frontend.Environment(
                 vertx,
                 eventLoop,
                 config.withFreeListenPort(),
@@ -228,7 +228,7 @@
         return privateFrontend
                 .listen()
                 .compose(this::warmUp)
-                .compose(v -> privateFrontend.shut(0))
+                .compose(v -> privateFrontend.closeConnections(0))
                 .compose(v -> firstUpdate)
                 .compose(v -> handover.whenPredecessorIdle())
                 .compose(v -> listenOnFrontends())
@@ -298,8 +298,8 @@
 
     /** Metrics beside those of the request coordinator, by name. */
     Map<String, Number> additionalMetrics() {
-        Map<String, Number> metrics = new TreeMap<>(usageRecorder.figures());
-        metrics.putAll(requestListener.figures());
+        Map<String, Number> metrics = new TreeMap<>(usageRecorder.metrics());
+        metrics.putAll(requestListener.metrics());
         metrics.putAll(peerSocket == null ? Map.of() : peerSocket.ignoredDatagrams());
         return metrics;
     }
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -81,7 +81,7 @@
         SchedulerSettings settings = dispatcher.settings();
         long longestMillis = longestDeadlineMillis(settings);
         long killMillis = minKillDelayMillis(settings);
-        double startedAt = dispatcher.clock().now();
+        double startedAt = dispatcher.clock().nowMillis();
         dispatcher.eventLoop().runOnContext(v -> begin(startedAt, killMillis, longestMillis + CLOSE_MARGIN_MILLIS));
         try {
             done.await(killMillis + longestMillis + CLOSE_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
@@ -128,13 +128,13 @@
 
     /** Closes the frontends at that time, or as soon as no client is connected. */
     private void closeFrontends(double deadline, long closeTimeoutMillis) {
-        if (dispatcher.clock().now() < deadline
-                && dispatcher.frontends().stream().anyMatch(Frontend::connected)) {
+        if (dispatcher.clock().nowMillis() < deadline
+                && dispatcher.frontends().stream().anyMatch(Frontend::hasConnections)) {
             dispatcher.vertx().setTimer(CONNECTION_CHECK_MILLIS, id -> closeFrontends(deadline, closeTimeoutMillis));
         } else {
             dispatcher.serviceState().closeConnections();
             Future.join(dispatcher.frontends().stream()
-                            .map(f -> f.shut(closeTimeoutMillis))
+                            .map(f -> f.closeConnections(closeTimeoutMillis))
                             .toList())
                     .onComplete(r -> done.countDown());
         }
--- a/src/main/java/nettlewick/net/HotRestartHandover.java
+++ b/src/main/java/nettlewick/net/HotRestartHandover.java
@@ -62,7 +62,7 @@
     }
 
     private void pollPredecessor(Promise<Void> done) {
-        if (clock.now() >= hotRestart.startedAt() + SUCCESSOR_READY_MILLIS || !hotRestart.isPredecessorBusy()) {
+        if (clock.nowMillis() >= hotRestart.startedAt() + SUCCESSOR_READY_MILLIS || !hotRestart.isPredecessorBusy()) {
             done.complete();
         } else {
             vertx.setTimer(IDLE_CHECK_MILLIS, id -> pollPredecessor(done));
@@ -74,7 +74,7 @@
      * save. Called periodically.
      */
     void checkForSuccessor() {
-        double startedAt = serviceState.leaving() ? Double.NaN : hotRestart.successorStartedAt();
+        double startedAt = serviceState.isLeaving() ? Double.NaN : hotRestart.successorStartedAt();
         if (!Double.isNaN(startedAt) && successorStartedAt != startedAt) {
             successorStartedAt = startedAt;
             coordinator.expectSuccessor(
@@ -83,7 +83,7 @@
             pollOwnWork();
         } else if (Double.isNaN(startedAt)
                 && !Double.isNaN(successorStartedAt)
-                && !serviceState.leaving()
+                && !serviceState.isLeaving()
                 && !hotRestart.hasServingSuccessor()) {
             successorStartedAt = Double.NaN;
             coordinator.cancelDraining();
@@ -97,7 +97,7 @@
                     if (!worthWaiting) {
                         // From now on the successor may accept clients at any time.
                         coordinator.expectSuccessor(
-                                successorStartedAt + SUCCESSOR_READY_MILLIS, clock.now() + minKillDelayMillis);
+                                successorStartedAt + SUCCESSOR_READY_MILLIS, clock.nowMillis() + minKillDelayMillis);
                         hotRestart.markIdle();
                     } else {
                         vertx.setTimer(IDLE_CHECK_MILLIS, id -> pollOwnWork());
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -80,7 +80,7 @@
             events = new ArrayList<>();
             for (Action action : actions) {
                 if (action instanceof Dispatch d) {
-                    events.add(new Outcome(d.id(), 0, d.endpoint(), AttemptResult.SERVED, STEP_NANOS, true, null));
+                    events.add(new Outcome(d.id(), 0, d.endpointId(), AttemptResult.SERVED, STEP_NANOS, true, null));
                 } else if (action instanceof Probe p) {
                     events.add(new ProbeAnswer(
                             p.endpoint(), AttemptResult.SERVED, STEP_NANOS, new EndpointLoad(4, 4, 0, 0, 0)));
--- a/src/main/java/nettlewick/net/client/ClientConnection.java
+++ b/src/main/java/nettlewick/net/client/ClientConnection.java
@@ -70,7 +70,7 @@
     private boolean clientAskedToClose;
 
     ClientConnection(Clock clock, RequestByteBudget budget) {
-        this(clock, clock::now, budget);
+        this(clock, clock::nowMillis, budget);
     }
 
     /**
@@ -82,7 +82,7 @@
         this.clock = clock;
         this.receivedAt = receivedAt;
         requests = new PipelinedRequests(budget);
-        state = new ClientConnectionState(clock.now());
+        state = new ClientConnectionState(clock.nowMillis());
     }
 
     ClientConnectionState state() {
@@ -96,7 +96,7 @@
 
     /** Called for any bytes that arrive. */
     void bytesReceived() {
-        state.bytesReceived(clock.now());
+        state.bytesReceived(clock.nowMillis());
     }
 
     @Override
@@ -205,7 +205,7 @@
         ChannelPromise done = ends ? promise.unvoid() : promise;
         if (ends) {
             // Before the write: nothing read from here on is accepted.
-            state.beginClosing(clock.now());
+            state.beginClosing(clock.nowMillis());
             done.addListener(f -> shutDownOutput());
         }
         ctx.write(written, done);
@@ -228,11 +228,11 @@
 
     /** A response that is not the last one is written: the next request may start. */
     private void responseWritten(ChannelHandlerContext ctx) {
-        state.responseWritten(clock.now(), resultSent);
+        state.responseWritten(clock.nowMillis(), resultSent);
         if (rejection != null) {
             writeRejection();
         } else if (!requests.isEmpty()) {
-            state.bytesReceived(clock.now());
+            state.bytesReceived(clock.nowMillis());
             ctx.executor().execute(() -> {
                 startNextRequest();
                 // Without this event the server holds its responses back until more bytes arrive.
@@ -260,7 +260,7 @@
 
     private void writeRejection() {
         String text = PRECEDES_REJECTED.response(false).repeat(requests.waiting()) + rejection.response(true);
-        state.beginClosing(clock.now());
+        state.beginClosing(clock.nowMillis());
         requests.clear();
         // Written at the first handler, past the server's own responses.
         context.pipeline()
@@ -321,7 +321,7 @@
      * close with unread bytes resets the connection, and the client may lose the response before reading it.
      */
     private void shutDownOutput() {
-        if (!state.beginLingering(clock.now())) {
+        if (!state.beginLingering(clock.nowMillis())) {
             return;
         }
         requests.clear();
--- a/src/main/java/nettlewick/net/client/Frontend.java
+++ b/src/main/java/nettlewick/net/client/Frontend.java
@@ -18,31 +18,31 @@
      * @param holdsList whether the dispatcher can serve: it has an endpoint list and is warmed up
      * @param maxConnections how many client connections the frontend may hold
      */
-    record Base(
+    record Environment(
             Vertx vertx,
-            Context loop,
+            Context eventLoop,
             PlatformConfig config,
             Clock clock,
-            RequestCoordinator core,
-            BooleanSupplier holdsList,
-            ServiceState state,
+            RequestCoordinator coordinator,
+            BooleanSupplier hasEndpointList,
+            ServiceState serviceState,
             int maxConnections) {}
 
     /** Creates a frontend; called on the event loop. */
-    interface Maker {
+    interface Factory {
         /** Creates the frontend; it does not listen yet. */
-        Frontend create(Base environment);
+        Frontend create(Environment environment);
     }
 
     /** Starts listening; completes with the port. */
     Future<Integer> listen();
 
     /** Whether any client is connected. */
-    boolean connected();
+    boolean hasConnections();
 
     /**
      * Closes idle connections, and others with their next response; completes when none is left or after the
      * timeout.
      */
-    Future<Void> shut(long timeoutMillis);
+    Future<Void> closeConnections(long timeoutMillis);
 }
--- a/src/main/java/nettlewick/net/client/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/client/HttpFrontend.java
@@ -42,7 +42,7 @@
 
     private static final double TICK_TOLERANCE_MILLIS = 10;
 
-    protected final Base base;
+    protected final Environment environment;
     private final Vertx vertx;
     private final HttpServerOptions options;
     private final HttpServer server;
@@ -58,8 +58,8 @@
      *
      * @param sendBuffer bytes that the kernel holds for a slow reader; -1 for the kernel's default
      */
-    protected HttpFrontend(Base environment, SocketAddress listen, int sendBuffer) {
-        this.base = environment;
+    protected HttpFrontend(Environment environment, SocketAddress listen, int sendBuffer) {
+        this.environment = environment;
         vertx = environment.vertx();
         maxConnections = environment.maxConnections();
         // No upgrade to HTTP/2: no client uses it, and it would need validation of its own.
@@ -76,12 +76,12 @@
         server.exceptionHandler(e -> {});
         server.connectionHandler(this::connectionOpened);
         server.requestHandler(this::handle);
-        lastTickAt = environment.clock().now();
+        lastTickAt = environment.clock().nowMillis();
         tickTimer = vertx.setPeriodic(
-                TICK_MILLIS, id -> lastTickAt = environment.clock().now());
+                TICK_MILLIS, id -> lastTickAt = environment.clock().nowMillis());
         connectionCheckTimer = vertx.setPeriodic(CONNECTION_CHECK_MILLIS, id -> {
-            double now = environment.clock().now();
-            boolean closesIdle = environment.state().closesIdleConnections(now);
+            double now = environment.clock().nowMillis();
+            boolean closesIdle = environment.serviceState().closesIdleConnections(now);
             List.copyOf(connections.values()).forEach(client -> {
                 if (closesIdle) {
                     client.closeIfQuiet(now);
@@ -102,14 +102,14 @@
      * unread in their sockets and their clients' time runs: it counts from the last tick.
      */
     private double receivedAt() {
-        double now = base.clock().now();
+        double now = environment.clock().nowMillis();
         return now - lastTickAt > TICK_MILLIS + TICK_TOLERANCE_MILLIS ? lastTickAt : now;
     }
 
     /** When the last byte of the request in flight arrived, in milliseconds. */
     protected final double arrivedAt(HttpServerRequest request) {
         ClientConnection client = connections.get(request.connection());
-        return client == null ? base.clock().now() : client.arrivedAt();
+        return client == null ? environment.clock().nowMillis() : client.arrivedAt();
     }
 
     /** Whether the client of a request in flight is still connected, judged by reading its socket now. */
@@ -123,7 +123,7 @@
 
     private void connectionOpened(HttpConnection connection) {
         Channel channel = ((ConnectionBase) connection).channel();
-        ClientConnection client = new ClientConnection(base.clock(), this::receivedAt, budget);
+        ClientConnection client = new ClientConnection(environment.clock(), this::receivedAt, budget);
         connections.put(connection, client);
         connection.exceptionHandler(e -> {});
         connection.closeHandler(v -> {
@@ -174,17 +174,17 @@
 
     /** Whether every response closes its connection. */
     protected final boolean closesConnections() {
-        return base.state().closesAfterResponse();
+        return environment.serviceState().closesAfterResponse();
     }
 
     @Override
-    public final boolean connected() {
+    public final boolean hasConnections() {
         return !connections.isEmpty();
     }
 
     /** Closes connections as they become idle; completes when none is left or after the timeout. */
     @Override
-    public final Future<Void> shut(long timeoutMillis) {
+    public final Future<Void> closeConnections(long timeoutMillis) {
         Promise<Void> done = Promise.promise();
         closeIdleUntilDone(done, timeoutMillis);
         return done.future().onComplete(v -> server.shutdown(0, TimeUnit.MILLISECONDS));
@@ -193,7 +193,7 @@
     private void closeIdleUntilDone(Promise<Void> done, long remainingMillis) {
         // A client that has just read its response may have sent its next request, whose response then says that
         // it is the last.
-        double now = base.clock().now();
+        double now = environment.clock().nowMillis();
         for (ClientConnection client : List.copyOf(connections.values())) {
             client.closeIfQuiet(now);
             if (client.state().hasLingered(now)) {
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -30,18 +30,18 @@
     private final TrafficListener trafficListener;
 
     /** Creates a frontend whose traffic nobody observes. */
-    public PlatformFrontend(Base environment) {
+    public PlatformFrontend(Environment environment) {
         this(environment, TrafficListener.NONE);
     }
 
     /** Creates a frontend that shows its traffic to a listener. */
-    public PlatformFrontend(Base environment, TrafficListener trafficListener) {
+    public PlatformFrontend(Environment environment, TrafficListener trafficListener) {
         super(environment, environment.config().listen(), -1);
         this.trafficListener = trafficListener;
-        eventLoop = environment.loop();
+        eventLoop = environment.eventLoop();
         clock = environment.clock();
-        coordinator = environment.core();
-        hasEndpointList = environment.holdsList();
+        coordinator = environment.coordinator();
+        hasEndpointList = environment.hasEndpointList();
         reader = new RequestReader(environment.config());
     }
 
@@ -50,7 +50,7 @@
         String path = request.path();
         if ("/_health".equals(path)) {
             respondToHealthCheck(request);
-        } else if (!RequestReader.isJob(path)) {
+        } else if (!RequestReader.isRequestPath(path)) {
             RequestReader.reject(request, 404, "no such path");
         } else if (!HttpMethod.POST.equals(request.method())) {
             request.response().putHeader("Allow", "POST");
@@ -62,43 +62,45 @@
 
     @Override
     protected void connectionClosed(HttpConnection connection) {
-        trafficListener.closed(connection);
+        trafficListener.connectionClosed(connection);
     }
 
     private void respondToHealthCheck(HttpServerRequest request) {
         if (!HttpMethod.GET.equals(request.method()) && !HttpMethod.HEAD.equals(request.method())) {
             request.response().putHeader("Allow", "GET, HEAD");
             RequestReader.reject(request, 405, "health is asked for by GET");
-        } else if (hasEndpointList.getAsBoolean() && base.state().isHealthy()) {
+        } else if (hasEndpointList.getAsBoolean() && environment.serviceState().isHealthy()) {
             request.response().end();
         } else {
             RequestReader.reject(
-                    request, SERVICE_UNAVAILABLE, base.state().isHealthy() ? "no list of sim runners yet" : "draining");
+                    request,
+                    SERVICE_UNAVAILABLE,
+                    environment.serviceState().isHealthy() ? "no list of sim runners yet" : "draining");
         }
     }
 
-    private void submit(HttpServerRequest http, RequestReader.Draft parsed) {
+    private void submit(HttpServerRequest http, RequestReader.ParsedRequest parsed) {
         HttpServerResponse response = http.response();
-        trafficListener.request(http, parsed.forwarded().body());
-        Metrics.Ticket ticket = coordinator.figures().taken(parsed.jobClass());
-        Request request = parsed.with(new Request.Caller() {
+        trafficListener.requestReceived(http, parsed.forwarded().body());
+        Metrics.RequestTracker ticket = coordinator.metrics().trackRequest(parsed.requestClass());
+        Request request = parsed.toRequest(new Request.Caller() {
             @Override
-            public boolean present() {
+            public boolean isPresent() {
                 return !response.closed() && isClientConnected(http) && !response.closed();
             }
 
             @Override
-            public void receipt(UsageRecorder.Receipt receipt) {
-                eventLoop.runOnContext(v -> ticket.owe(receipt));
+            public void onReceipt(UsageRecorder.Receipt receipt) {
+                eventLoop.runOnContext(v -> ticket.setReceipt(receipt));
             }
 
             @Override
-            public void served(byte[] result) {
+            public void onServed(byte[] result) {
                 eventLoop.runOnContext(v -> respond(http, 200, Buffer.buffer(result), ticket));
             }
 
             @Override
-            public void rejected(double retryAfter) {
+            public void onRejected(double retryAfter) {
                 eventLoop.runOnContext(v -> {
                     if (retryAfter > 0 && !response.closed()) {
                         response.putHeader("Retry-After", formatSeconds(retryAfter));
@@ -108,12 +110,12 @@
             }
 
             @Override
-            public void failed(String reason) {
+            public void onFailed(String reason) {
                 eventLoop.runOnContext(v -> respond(http, 502, Buffer.buffer(reason + "\n"), ticket));
             }
         });
         response.closeHandler(v -> {
-            ticket.left();
+            ticket.markAbandoned();
             coordinator.abandon(request);
         });
         coordinator.submit(request);
@@ -123,7 +125,7 @@
         return String.format(Locale.ROOT, "%.3f", millis / 1000);
     }
 
-    private void respond(HttpServerRequest http, int status, Buffer body, Metrics.Ticket ticket) {
+    private void respond(HttpServerRequest http, int status, Buffer body, Metrics.RequestTracker ticket) {
         HttpServerResponse response = http.response();
         if (response.ended() || response.closed()) {
             return;
@@ -132,10 +134,10 @@
             response.putHeader("Connection", "close");
         }
         response.setStatusCode(status);
-        trafficListener.answer(http, response, body);
-        Metrics.End end = status == HttpResponseStatus.OK.code()
-                ? Metrics.End.FULFILLED
-                : status == SERVICE_UNAVAILABLE ? Metrics.End.THROTTLED : Metrics.End.FAULTED;
-        response.end(body).onSuccess(v -> ticket.answered(end)).onFailure(e -> ticket.left());
+        trafficListener.responseStarting(http, response, body);
+        Metrics.RequestEnd end = status == HttpResponseStatus.OK.code()
+                ? Metrics.RequestEnd.SERVED
+                : status == SERVICE_UNAVAILABLE ? Metrics.RequestEnd.REJECTED : Metrics.RequestEnd.FAILED;
+        response.end(body).onSuccess(v -> ticket.markAnswered(end)).onFailure(e -> ticket.markAbandoned());
     }
 }
--- a/src/main/java/nettlewick/net/client/RequestReader.java
+++ b/src/main/java/nettlewick/net/client/RequestReader.java
@@ -44,9 +44,9 @@
      * @param costHint the client's estimate of the cost
      * @param clientRetry whether the client says that it repeats the request
      */
-    public record Draft(
+    public record ParsedRequest(
             String id,
-            String jobClass,
+            String requestClass,
             String tenant,
             String affinityKey,
             double deadline,
@@ -56,10 +56,10 @@
             boolean clientRetry,
             ForwardedRequest forwarded) {
         /** The request, with who asked for it. */
-        public Request with(Request.Caller caller) {
+        public Request toRequest(Request.Caller caller) {
             return new Request(
                     id,
-                    jobClass,
+                    requestClass,
                     tenant,
                     affinityKey,
                     deadline,
@@ -90,7 +90,7 @@
     }
 
     /** Whether requests for endpoints are accepted at this path. */
-    public static boolean isJob(String path) {
+    public static boolean isRequestPath(String path) {
         return path != null && (path.equals(REQUEST_PATH) || path.startsWith(REQUEST_PATH + "/"));
     }
 
@@ -99,14 +99,14 @@
      *
      * @param receivedAtMillis when the last byte of the request arrived
      */
-    public void read(HttpServerRequest request, double receivedAtMillis, Handler<Draft> consumer) {
+    public void read(HttpServerRequest request, double receivedAtMillis, Handler<ParsedRequest> consumer) {
         // Its length is limited by {@link ClientConnection}, which passes complete requests only.
         Buffer body = Buffer.buffer();
         request.exceptionHandler(e -> {});
         request.handler(body::appendBuffer);
         request.endHandler(v -> {
             try {
-                consumer.handle(draft(request.method(), request.uri(), request.headers(), body, receivedAtMillis));
+                consumer.handle(parse(request.method(), request.uri(), request.headers(), body, receivedAtMillis));
             } catch (InvalidRequestException e) {
                 reject(request, e.status(), e.getMessage());
             }
@@ -131,7 +131,7 @@
      * @param receivedAtMillis when the last byte of the request arrived
      * @throws InvalidRequestException if a part is missing or invalid
      */
-    public Draft draft(HttpMethod method, String uri, MultiMap headers, Buffer body, double receivedAtMillis)
+    public ParsedRequest parse(HttpMethod method, String uri, MultiMap headers, Buffer body, double receivedAtMillis)
             throws InvalidRequestException {
         String id = requireId(headers, "X-Request-Id");
         String requestClass = requireHeader(headers, "X-Class");
@@ -149,7 +149,7 @@
         if (slots < 0 || memory < 0) {
             throw new InvalidRequestException(400, "X-Extras holds a figure below 0");
         }
-        return new Draft(
+        return new ParsedRequest(
                 id,
                 requestClass,
                 headers.get("X-Tenant"),
--- a/src/main/java/nettlewick/net/client/TrafficListener.java
+++ b/src/main/java/nettlewick/net/client/TrafficListener.java
@@ -11,11 +11,11 @@
     TrafficListener NONE = new TrafficListener() {};
 
     /** A complete request has been received. */
-    default void request(HttpServerRequest request, Buffer body) {}
+    default void requestReceived(HttpServerRequest request, Buffer body) {}
 
     /** The response is about to be written; it has only the headers that the frontend has set. */
-    default void answer(HttpServerRequest request, HttpServerResponse response, Buffer body) {}
+    default void responseStarting(HttpServerRequest request, HttpServerResponse response, Buffer body) {}
 
     /** Called when a client connection has closed. */
-    default void closed(HttpConnection connection) {}
+    default void connectionClosed(HttpConnection connection) {}
 }
--- a/src/main/java/nettlewick/net/config/DescriptorBudget.java
+++ b/src/main/java/nettlewick/net/config/DescriptorBudget.java
@@ -9,7 +9,7 @@
     /** Descriptors for neither clients nor endpoints: jar files, listeners, the discovery watch, selectors. */
     private static final int RESERVED = 64;
     /** Descriptors of the admin frontend: its callers, its listener, its two selectors. */
-    private static final int ADMIN = AdminFrontend.CALLERS_MOST + 8;
+    private static final int ADMIN = AdminFrontend.MAX_CONNECTIONS + 8;
 
     private DescriptorBudget() {}
 
--- a/src/main/java/nettlewick/net/config/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/config/PlatformConfig.java
@@ -57,7 +57,7 @@
             throw new JsonFields.InvalidFieldException("ROUTER_CONFIG", null, "the path of the configuration");
         }
         try {
-            return of(Files.readString(Path.of(file)), environment);
+            return parse(Files.readString(Path.of(file)), environment);
         } catch (IOException | InvalidPathException e) {
             throw new JsonFields.InvalidFieldException("ROUTER_CONFIG", file + " (" + e + ")", "a readable file");
         }
@@ -78,7 +78,7 @@
      *
      * @throws JsonFields.InvalidFieldException if a field is invalid
      */
-    public static PlatformConfig of(String text, Map<String, String> environment) {
+    public static PlatformConfig parse(String text, Map<String, String> environment) {
         JsonFields fields = JsonFields.parse("the configuration", text);
         String seed = fields.text("seed");
         SchedulerSettings settings = SettingsParser.parse(fields.object("settings"));
--- a/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
+++ b/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
@@ -63,11 +63,11 @@
 
     /** Checks at its deadline whether the current call is broken; messages meanwhile postpone the deadline. */
     private void scheduleDeadlineCheck(int call) {
-        double remainingMillis = stalenessTimer.deadline() - clock.now();
+        double remainingMillis = stalenessTimer.deadline() - clock.nowMillis();
         vertx.setTimer(
                 (long) Math.max(1, Math.ceil(Math.min(remainingMillis, WatchStalenessTimer.NOTIFIED_AFTER_MILLIS))),
                 id -> {
-                    if (call == currentCall && clock.now() >= stalenessTimer.deadline()) {
+                    if (call == currentCall && clock.nowMillis() >= stalenessTimer.deadline()) {
                         endCall(call, "silent");
                     } else if (call == currentCall) {
                         scheduleDeadlineCheck(call);
@@ -80,7 +80,7 @@
             return;
         }
         int call = ++currentCall;
-        stalenessTimer.callStarted(clock.now());
+        stalenessTimer.callStarted(clock.nowMillis());
         scheduleDeadlineCheck(call);
         client.connect(new HttpConnectOptions()
                         .setServer(discovery)
@@ -123,9 +123,9 @@
             return;
         }
         try {
-            stalenessTimer.bytesReceived(clock.now());
+            stalenessTimer.bytesReceived(clock.nowMillis());
             if (framer.feed(bytes.getBytes(), text -> applyList(text, call))) {
-                stalenessTimer.messageReceived(clock.now());
+                stalenessTimer.messageReceived(clock.nowMillis());
             }
         } catch (JsonFields.InvalidFieldException e) {
             endCall(call, "unreadable: " + e.getMessage());
@@ -191,7 +191,7 @@
             connection.close();
             connection = null;
         }
-        long pauseMillis = (long) Math.ceil(stalenessTimer.callEnded(clock.now()));
+        long pauseMillis = (long) Math.ceil(stalenessTimer.callEnded(clock.nowMillis()));
         LOG.info(
                 "watch-broken",
                 "watch broken: " + reason + "; again in " + pauseMillis + " ms",
--- a/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
+++ b/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
@@ -67,10 +67,10 @@
      * @param seed of the random numbers of the pauses
      */
     public static WatchStalenessTimer of(SchedulerSettings settings, long seed) {
-        double maxWaitMillis = settings.rules().askWithin() / 1e6;
+        double maxWaitMillis = settings.rules().listRequestWithinNanos() / 1e6;
         return new WatchStalenessTimer(
                 new PollBackoff(
-                        settings.listOnRequest(), settings.fleetSize(), maxWaitMillis, new SplittableRandom(seed)),
+                        settings.listsOnRequest(), settings.fleetSize(), maxWaitMillis, new SplittableRandom(seed)),
                 maxWaitMillis);
     }
 
--- a/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
+++ b/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
@@ -30,8 +30,8 @@
     @Override
     RequestOptions requestOptions() {
         Request request = attempt.request();
-        ForwardedRequest forwarded = (ForwardedRequest) request.cargo();
-        double remainingSeconds = Math.max(0.001, (request.deadline() - pools().now()) / 1000);
+        ForwardedRequest forwarded = (ForwardedRequest) request.payload();
+        double remainingSeconds = Math.max(0.001, (request.deadlineMillis() - pools().now()) / 1000);
         RequestOptions options = new RequestOptions()
                 .setMethod(forwarded.method())
                 .setURI(forwarded.uri())
@@ -47,7 +47,7 @@
 
     @Override
     boolean mayStillSend() {
-        return attempt.mayBegin(pools().now());
+        return attempt.mayStart(pools().now());
     }
 
     @Override
@@ -59,7 +59,7 @@
 
     @Override
     Buffer body() {
-        return ((ForwardedRequest) attempt.request().cargo()).body();
+        return ((ForwardedRequest) attempt.request().payload()).body();
     }
 
     @Override
@@ -104,7 +104,7 @@
 
     @Override
     void requestWritten() {
-        pools().coordinator().figures().relayed();
+        pools().coordinator().metrics().countForwarded();
     }
 
     @Override
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
@@ -102,7 +102,7 @@
     }
 
     double now() {
-        return clock.now();
+        return clock.nowMillis();
     }
 
     void runAfter(long millis, Runnable task) {
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void drop(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         cancel(attempt);
     }
 
@@ -225,12 +225,12 @@
     }
 
     @Override
-    public void drop(Probe probe) {
+    public void cancel(Probe probe) {
         cancel(probe);
     }
 
     @Override
-    public void tell(int rank, byte[] data) {
+    public void sendToPeer(int rank, byte[] data) {
         eventLoop.runOnContext(v -> peerSocket.send(rank, data));
     }
 
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
@@ -123,12 +123,14 @@
     void update(EndpointListSnapshot.ReachableEndpoint update) {
         updates++;
         boolean moved = update.address() != null && !update.address().equals(address);
-        if (moved || update.entry().startedAt() != incarnation || update.entry().state() != EndpointState.READY) {
+        if (moved
+                || update.entry().startedAtMillis() != incarnation
+                || update.entry().state() != EndpointState.READY) {
             // A restarted process does not know its former connections.
             idle.closeAll();
         }
         address = update.address() != null ? update.address() : address;
-        incarnation = update.entry().startedAt();
+        incarnation = update.entry().startedAtMillis();
         state = update.entry().state();
     }
 
--- a/src/main/java/nettlewick/net/endpoint/ForwardedRequest.java
+++ b/src/main/java/nettlewick/net/endpoint/ForwardedRequest.java
@@ -9,4 +9,4 @@
  * idempotency key.
  */
 public record ForwardedRequest(HttpMethod method, String uri, Buffer body, String idempotencyKey)
-        implements Request.Keyed {}
+        implements Request.IdempotencyKeyed {}
--- a/src/main/java/nettlewick/pcap/CaptureFileWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureFileWriter.java
@@ -71,7 +71,7 @@
     }
 
     private byte[] recordHeader(int packetBytes) {
-        double nowMillis = clock.now();
+        double nowMillis = clock.nowMillis();
         return ByteBuffer.allocate(RECORD_HEADER_BYTES)
                 .order(ByteOrder.BIG_ENDIAN)
                 .putInt((int) (nowMillis / MILLIS_PER_SECOND))
--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -16,7 +16,7 @@
 
     private static final int STATUS_NOT_FOUND = 404;
 
-    private final Base base;
+    private final Environment base;
     private final Capture capture;
     private final RequestReader requestReader;
     private final Promise<Summary> done = Promise.promise();
@@ -43,14 +43,14 @@
     }
 
     /** Creates a replayer; it starts with {@link #listen}. */
-    public CaptureReplayer(Base base, Capture capture) {
+    public CaptureReplayer(Environment base, Capture capture) {
         this.base = base;
         this.capture = capture;
         requestReader = new RequestReader(base.config());
     }
 
     /** Completes when every request has its final answer. */
-    public Future<Summary> done() {
+    public Future<Summary> whenDone() {
         return done.future();
     }
 
@@ -61,17 +61,17 @@
     }
 
     @Override
-    public boolean connected() {
+    public boolean hasConnections() {
         return false;
     }
 
     @Override
-    public Future<Void> shut(long millis) {
+    public Future<Void> closeConnections(long millis) {
         return Future.succeededFuture();
     }
 
     private void startWhenListed(int polls) {
-        if (!base.holdsList().getAsBoolean() && polls < MAX_LIST_POLLS) {
+        if (!base.hasEndpointList().getAsBoolean() && polls < MAX_LIST_POLLS) {
             base.vertx().setTimer(LIST_POLL_INTERVAL_MILLIS, id -> startWhenListed(polls + 1));
             return;
         }
@@ -86,45 +86,46 @@
 
     private void submitOrSkip(RecordedRequest recorded) {
         try {
-            base.core().submit(readDraft(recorded).with(new CountingCaller()));
+            base.coordinator().submit(readDraft(recorded).toRequest(new CountingCaller()));
         } catch (RequestReader.InvalidRequestException e) {
             countEnd(() -> skippedCount++);
         }
     }
 
-    private RequestReader.Draft readDraft(RecordedRequest recorded) throws RequestReader.InvalidRequestException {
+    private RequestReader.ParsedRequest readDraft(RecordedRequest recorded)
+            throws RequestReader.InvalidRequestException {
         String path = recorded.uri().split("\\?", 2)[0];
-        if (!"POST".equals(recorded.method()) || !RequestReader.isJob(path)) {
+        if (!"POST".equals(recorded.method()) || !RequestReader.isRequestPath(path)) {
             throw new RequestReader.InvalidRequestException(STATUS_NOT_FOUND, "not a job");
         }
-        return requestReader.draft(
+        return requestReader.parse(
                 HttpMethod.POST,
                 recorded.uri(),
                 recorded.headers(),
                 recorded.body(),
-                base.clock().now());
+                base.clock().nowMillis());
     }
 
     /** Counts the final answer of one request. */
     private final class CountingCaller implements Request.Caller {
         @Override
-        public void served(byte[] result) {
+        public void onServed(byte[] result) {
             countEnd(() -> servedCount++);
         }
 
         @Override
-        public void rejected(double retryAfterMillis) {
+        public void onRejected(double retryAfterMillis) {
             countEnd(() -> rejectedCount++);
         }
 
         @Override
-        public void failed(String reason) {
+        public void onFailed(String reason) {
             countEnd(() -> failedCount++);
         }
     }
 
     private void countEnd(Runnable count) {
-        base.loop().runOnContext(v -> {
+        base.eventLoop().runOnContext(v -> {
             count.run();
             unansweredCount--;
             completeIfAllAnswered();
--- a/src/main/java/nettlewick/pcap/CaptureWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureWriter.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void request(HttpServerRequest request, Buffer body) {
+    public void requestReceived(HttpServerRequest request, Buffer body) {
         StringBuilder head = new StringBuilder(request.method().name())
                 .append(' ')
                 .append(request.uri())
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void answer(HttpServerRequest request, HttpServerResponse response, Buffer body) {
+    public void responseStarting(HttpServerRequest request, HttpServerResponse response, Buffer body) {
         StringBuilder head = new StringBuilder("HTTP/1.1 ")
                 .append(response.getStatusCode())
                 .append(' ')
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void closed(HttpConnection connection) {
+    public void connectionClosed(HttpConnection connection) {
         RecordedConnection recorded = connections.remove(connection);
         if (recorded != null) {
             recorded.close();
--- a/src/main/java/nettlewick/settings/Block.java
+++ b/src/main/java/nettlewick/settings/Block.java
@@ -18,7 +18,7 @@
      * @param words as they are written, without the keyword
      * @param parts the value of each word
      */
-    public record Value(SourceLocation place, List<String> words, List<Object> parts) {
+    public record Value(SourceLocation location, List<String> words, List<Object> parts) {
         /** The value of one word, counted from 0; the caller knows its type from the schema. */
         @SuppressWarnings("unchecked")
         public <T> T part(int number) {
@@ -48,26 +48,27 @@
     }
 
     /** Where the block starts. */
-    public SourceLocation place() {
+    public SourceLocation location() {
         return place;
     }
 
     void set(Keyword keyword, Value value) {
         List<Value> before = values.computeIfAbsent(keyword.name(), k -> new ArrayList<>());
-        if (!before.isEmpty() && !keyword.many()) {
-            throw InvalidSettingsException.value(
-                    value.place(),
+        if (!before.isEmpty() && !keyword.isRepeatable()) {
+            throw InvalidSettingsException.invalidValue(
+                    value.location(),
                     keyword.name(),
                     String.join(" ", value.words()),
-                    "set once only; it is set at " + before.get(0).place());
+                    "set once only; it is set at " + before.get(0).location());
         }
         before.add(value);
     }
 
     void add(Block block) {
         for (Block other : inner) {
-            if (other.section == block.section && (!block.section.many() || Objects.equals(other.label, block.label))) {
-                throw InvalidSettingsException.value(
+            if (other.section == block.section
+                    && (!block.section.isRepeatable() || Objects.equals(other.label, block.label))) {
+                throw InvalidSettingsException.invalidValue(
                         block.place,
                         block.section.name(),
                         block.label == null ? "a second block" : block.label,
@@ -87,20 +88,20 @@
         if (set != null) {
             return List.copyOf(set);
         }
-        if (keyword.fallback() == null) {
+        if (keyword.defaultWords() == null) {
             return List.of();
         }
-        List<String> words = List.of(keyword.fallback().split(" "));
+        List<String> words = List.of(keyword.defaultWords().split(" "));
         return List.of(new Value(SourceLocation.DEFAULT, words, keyword.read(SourceLocation.DEFAULT, words)));
     }
 
     /** The first value of a keyword, or its default; empty where there is neither. */
-    public Optional<Value> one(String name) {
+    public Optional<Value> first(String name) {
         return all(name).stream().findFirst();
     }
 
     private <T> T required(String name) {
-        return one(name)
+        return first(name)
                 .orElseThrow(() -> new IllegalStateException(name + " is not set"))
                 .part(0);
     }
@@ -121,12 +122,12 @@
     }
 
     /** A whole number or a size in bytes. */
-    public long whole(String name) {
+    public long wholeNumber(String name) {
         return this.<Long>required(name);
     }
 
     /** A time span, in milliseconds. */
-    public double span(String name) {
+    public double spanMillis(String name) {
         return this.<Double>required(name);
     }
 
@@ -155,7 +156,7 @@
     }
 
     /** What was set in this block itself, as lines of a file. */
-    public String lines() {
+    public String toLines() {
         StringBuilder text = new StringBuilder();
         values.forEach((name, set) -> set.forEach(v -> text.append(name)
                 .append(' ')
@@ -165,10 +166,10 @@
     }
 
     /** The error for a value that only its user could check; {@code wanted} ends the sentence "... has to be". */
-    public InvalidSettingsException bad(String name, String expected) {
-        Value value = one(name).orElse(null);
-        return InvalidSettingsException.value(
-                value == null ? place : value.place(),
+    public InvalidSettingsException invalidValue(String name, String expected) {
+        Value value = first(name).orElse(null);
+        return InvalidSettingsException.invalidValue(
+                value == null ? place : value.location(),
                 name,
                 value == null ? "not set" : String.join(" ", value.words()),
                 expected);
--- a/src/main/java/nettlewick/settings/InvalidSettingsException.java
+++ b/src/main/java/nettlewick/settings/InvalidSettingsException.java
@@ -11,7 +11,7 @@
     }
 
     /** A keyword whose value is invalid; {@code expected} ends the sentence "... has to be". */
-    public static InvalidSettingsException value(
+    public static InvalidSettingsException invalidValue(
             SourceLocation location, String keyword, String value, String expected) {
         return new InvalidSettingsException(
                 location, keyword + " is " + (value.isEmpty() ? "empty" : value) + ", but has to be " + expected);
--- a/src/main/java/nettlewick/settings/Keyword.java
+++ b/src/main/java/nettlewick/settings/Keyword.java
@@ -18,41 +18,41 @@
 public record Keyword(
         String name,
         List<List<ValueType<?>>> forms,
-        String fallback,
-        boolean many,
-        boolean required,
-        boolean live,
-        String about) {
+        String defaultWords,
+        boolean isRepeatable,
+        boolean isRequired,
+        boolean isReloadable,
+        String description) {
     /** A keyword with one value and a default. */
     public static Keyword of(String name, ValueType<?> type, String fallback, String about) {
         return new Keyword(name, List.of(List.of(type)), fallback, false, false, false, about);
     }
 
     /** A keyword with one value that has to be set. */
-    public static Keyword needed(String name, ValueType<?> type, String about) {
+    public static Keyword mandatory(String name, ValueType<?> type, String about) {
         return new Keyword(name, List.of(List.of(type)), null, false, true, false, about);
     }
 
     /** A keyword with one value that may be left out and has no default. */
-    public static Keyword free(String name, ValueType<?> type, String about) {
+    public static Keyword optional(String name, ValueType<?> type, String about) {
         return new Keyword(name, List.of(List.of(type)), null, false, false, false, about);
     }
 
     /** A keyword with several words, which may be set more than once and is applied by SIGHUP. */
-    public static Keyword several(String name, String about, ValueType<?>... types) {
+    public static Keyword repeatable(String name, String about, ValueType<?>... types) {
         return new Keyword(name, List.of(List.of(types)), null, true, false, true, about);
     }
 
     /** The same, applied by SIGHUP. */
-    public Keyword changing() {
-        return new Keyword(name, forms, fallback, many, required, true, about);
+    public Keyword reloadable() {
+        return new Keyword(name, forms, defaultWords, isRepeatable, isRequired, true, description);
     }
 
     /** The same, with another way to write its values. */
-    public Keyword or(ValueType<?>... types) {
+    public Keyword orWrittenAs(ValueType<?>... types) {
         List<List<ValueType<?>>> all = new ArrayList<>(forms);
         all.add(List.of(types));
-        return new Keyword(name, all, fallback, many, required, live, about);
+        return new Keyword(name, all, defaultWords, isRepeatable, isRequired, isReloadable, description);
     }
 
     /** How it is written, with all of its forms. */
@@ -95,10 +95,10 @@
         List<ValueType<?>> first = forms.get(0);
         if (forms.size() == 1 && first.size() == words.size()) {
             int wrong = readPrefix(first, words).size();
-            return InvalidSettingsException.value(
-                    location, name, words.get(wrong), first.get(wrong).wanted());
+            return InvalidSettingsException.invalidValue(
+                    location, name, words.get(wrong), first.get(wrong).expectation());
         }
-        return InvalidSettingsException.value(
+        return InvalidSettingsException.invalidValue(
                 location, name, String.join(" ", words), "written as: " + usage(nearestForms(words)));
     }
 
--- a/src/main/java/nettlewick/settings/LineParser.java
+++ b/src/main/java/nettlewick/settings/LineParser.java
@@ -65,11 +65,11 @@
                     asked, file + " cannot be read (" + e.getClass().getSimpleName() + ")");
         }
         if (includeStack.contains(real)) {
-            throw InvalidSettingsException.value(
+            throw InvalidSettingsException.invalidValue(
                     asked, INCLUDE, file.toString(), "a file that does not include itself: this is a loop");
         }
         if (includeStack.size() >= MAX_INCLUDE_DEPTH) {
-            throw InvalidSettingsException.value(
+            throw InvalidSettingsException.invalidValue(
                     asked, INCLUDE, file.toString(), "nested less than " + MAX_INCLUDE_DEPTH + " deep");
         }
         addText(file.toString(), real, text);
@@ -108,7 +108,7 @@
 
     private void addIncluded(Line line, Path from) {
         if (line.words().size() != 2 || line.opens()) {
-            throw InvalidSettingsException.value(
+            throw InvalidSettingsException.invalidValue(
                     line.place(),
                     INCLUDE,
                     String.join(" ", line.words().subList(1, line.words().size())),
@@ -117,7 +117,7 @@
         try {
             addFile(from.resolveSibling(line.words().get(1)), line.place());
         } catch (InvalidPathException e) {
-            throw InvalidSettingsException.value(
+            throw InvalidSettingsException.invalidValue(
                     line.place(), INCLUDE, line.words().get(1), "the path of a file");
         }
     }
--- a/src/main/java/nettlewick/settings/Reference.java
+++ b/src/main/java/nettlewick/settings/Reference.java
@@ -34,14 +34,14 @@
                     .append(k.usage().replace("|", "\\|"))
                     .append("` | ")
                     .append(
-                            k.required()
+                            k.isRequired()
                                     ? "has to be set"
-                                    : k.fallback() == null ? "nothing" : "`" + k.fallback() + "`")
+                                    : k.defaultWords() == null ? "nothing" : "`" + k.defaultWords() + "`")
                     .append(" | ")
-                    .append(k.live() ? "yes" : "restart")
+                    .append(k.isReloadable() ? "yes" : "restart")
                     .append(" | ")
-                    .append(k.about())
-                    .append(k.many() ? " May stand more than once." : "")
+                    .append(k.description())
+                    .append(k.isRepeatable() ? " May stand more than once." : "")
                     .append(" |\n");
         }
         for (Section inner : section.inner()) {
@@ -50,7 +50,7 @@
                     .append(name)
                     .append(inner.label() == null ? "" : " " + inner.label().name())
                     .append("`\n\n")
-                    .append(inner.about())
+                    .append(inner.description())
                     .append('\n');
             appendSection(inner, name + " ", page);
         }
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -13,7 +13,12 @@
  * @param inner    the blocks that it may contain
  */
 public record Section(
-        String name, ValueType<String> label, boolean many, String about, List<Keyword> keywords, List<Section> inner) {
+        String name,
+        ValueType<String> label,
+        boolean isRepeatable,
+        String description,
+        List<Keyword> keywords,
+        List<Section> inner) {
     Keyword findKeyword(String word) {
         return keywords.stream().filter(k -> k.name().equals(word)).findFirst().orElse(null);
     }
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -40,7 +40,7 @@
     }
 
     /** The defaults, which apply where there is no file. */
-    public static Settings none() {
+    public static Settings defaults() {
         return read(List.of(), SettingsSchema.ROOT);
     }
 
@@ -71,13 +71,13 @@
         if (section.label() == null
                 ? !rest.isEmpty()
                 : rest.size() != 1 || (label = section.label().read(rest.get(0))) == null) {
-            throw InvalidSettingsException.value(
+            throw InvalidSettingsException.invalidValue(
                     line.place(),
                     name,
                     String.join(" ", rest),
                     section.label() == null
                             ? "followed by { alone"
-                            : section.label().wanted());
+                            : section.label().expectation());
         }
         Block block = new Block(section, label, line.place());
         in.add(block);
@@ -96,9 +96,9 @@
 
     private static void requireComplete(Block block) {
         for (Keyword keyword : block.section().keywords()) {
-            if (keyword.required() && !block.has(keyword.name())) {
+            if (keyword.isRequired() && !block.has(keyword.name())) {
                 throw new InvalidSettingsException(
-                        block.place(), block.section().name() + " lacks " + keyword.usage());
+                        block.location(), block.section().name() + " lacks " + keyword.usage());
             }
         }
     }
@@ -108,7 +108,7 @@
         String value = String.join(" ", line.words().subList(1, line.words().size()));
         boolean other = line.opens() ? in.findKeyword(word) != null : in.findSection(word) != null;
         if (other) {
-            return InvalidSettingsException.value(
+            return InvalidSettingsException.invalidValue(
                     line.place(),
                     word,
                     value + (line.opens() ? " {" : ""),
@@ -132,7 +132,7 @@
     }
 
     /** The keywords, with their blocks, that differ in {@code next} and that SIGHUP does not apply. */
-    public List<String> needRestart(Settings next) {
+    public List<String> keywordsThatNeedARestart(Settings next) {
         List<String> names = new ArrayList<>();
         collectDifferences("", root, next.root, names);
         return names;
@@ -140,7 +140,7 @@
 
     private static void collectDifferences(String path, Block mine, Block other, List<String> names) {
         for (Keyword keyword : mine.section().keywords()) {
-            if (!keyword.live() && !wordsOf(mine, keyword).equals(wordsOf(other, keyword))) {
+            if (!keyword.isReloadable() && !wordsOf(mine, keyword).equals(wordsOf(other, keyword))) {
                 names.add(path + keyword.name());
             }
         }
@@ -165,13 +165,13 @@
     }
 
     /** All settings that apply, in the syntax of the file, each with its origin. */
-    public String show() {
+    public String describe() {
         StringBuilder text = new StringBuilder();
-        show(root, "", text);
+        describe(root, "", text);
         return text.toString();
     }
 
-    private static void show(Block block, String indent, StringBuilder text) {
+    private static void describe(Block block, String indent, StringBuilder text) {
         for (Keyword keyword : block.section().keywords()) {
             List<Block.Value> values = block.all(keyword.name());
             if (values.isEmpty()) {
@@ -182,7 +182,7 @@
                         "%-50s # %s%n",
                         indent + keyword.name() + " "
                                 + value.words().stream().map(ValueType::quote).collect(Collectors.joining(" ")),
-                        value.place()));
+                        value.location()));
             }
         }
         for (Section section : block.section().inner()) {
@@ -195,8 +195,8 @@
                     "%-50s # %s%n",
                     indent + inner.section().name()
                             + (inner.label() == null ? "" : " " + ValueType.quote(inner.label())) + " {",
-                    inner.place()));
-            show(inner, indent + "    ", text);
+                    inner.location()));
+            describe(inner, indent + "    ", text);
             text.append(indent).append("}\n");
         }
     }
--- a/src/main/java/nettlewick/settings/SettingsSchema.java
+++ b/src/main/java/nettlewick/settings/SettingsSchema.java
@@ -20,24 +20,24 @@
                                     ValueType.choice("text", "json"),
                                     "text",
                                     "Plain lines, or one JSON object a line.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("level", ValueType.level(), "info", "Least level that is written, of all parts.")
-                            .changing(),
-                    Keyword.several(
+                            .reloadable(),
+                    Keyword.repeatable(
                             "part",
                             "Least level of one part, as the lines name it (`node`, `core`, " + "`ledger`).",
                             ValueType.word("PART"),
                             ValueType.level()),
                     Keyword.of(
                                     "repeats",
-                                    ValueType.whole(1, 1_000_000),
+                                    ValueType.wholeNumber(1, 1_000_000),
                                     "10",
                                     "Most lines of one part and event in each `window`; the rest are "
                                             + "counted, and told with "
                                             + "the next one.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("window", ValueType.span(100, HOUR), "10s", "The window of `repeats`.")
-                            .changing()),
+                            .reloadable()),
             List.of());
 
     private static final Section EDGE = new Section(
@@ -46,7 +46,7 @@
             false,
             "The front for progress streams (server-sent events).",
             List.of(
-                    Keyword.needed("listen", ValueType.address(), "Where it listens."),
+                    Keyword.mandatory("listen", ValueType.address(), "Where it listens."),
                     Keyword.of(
                             "retry",
                             ValueType.span(1, HOUR),
@@ -62,10 +62,10 @@
                     Keyword.of("keep", ValueType.span(0, HOUR), "30s", "How long a finished stream can be read again."),
                     Keyword.of(
                             "keep-streams",
-                            ValueType.whole(0, 100_000),
+                            ValueType.wholeNumber(0, 100_000),
                             "500",
                             "Most finished streams that can be read again."),
-                    Keyword.of("max-readers", ValueType.whole(1, 100_000), "200", "Most streams open at once.")),
+                    Keyword.of("max-readers", ValueType.wholeNumber(1, 100_000), "200", "Most streams open at once.")),
             List.of());
 
     private static final Section EXPORT = new Section(
@@ -75,21 +75,21 @@
             "Somewhere the dispatcher's own entries go, each exactly once, in numbered batches. Has either a "
                     + "`folder` or a `url`.",
             List.of(
-                    Keyword.free(
+                    Keyword.optional(
                             "folder",
                             ValueType.path(),
                             "Files go here, with a `manifest.jsonl` that names each " + "with its sum."),
-                    Keyword.free("url", ValueType.url(), "Batches are sent here by POST; see the operators' page."),
+                    Keyword.optional("url", ValueType.url(), "Batches are sent here by POST; see the operators' page."),
                     Keyword.of("format", ValueType.choice("csv", "jsonl"), "csv", "The form of a batch."),
-                    Keyword.of("most", ValueType.whole(1, 1_000_000), "5000", "Most entries of a batch."),
+                    Keyword.of("most", ValueType.wholeNumber(1, 1_000_000), "5000", "Most entries of a batch."),
                     Keyword.of("every", ValueType.span(100, DAY), "1m", "How often `serve` exports.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                                     "timeout",
                                     ValueType.span(10, HOUR),
                                     "10s",
                                     "How long a receiver may take for one batch.")
-                            .changing(),
+                            .reloadable(),
                     new Keyword(
                             "retry",
                             List.of(List.of(ValueType.span(1, HOUR), ValueType.span(1, HOUR))),
@@ -100,11 +100,11 @@
                             "First and longest pause between tries; pauses double and are drawn at random."),
                     Keyword.of(
                                     "attempts",
-                                    ValueType.whole(1, 1000),
+                                    ValueType.wholeNumber(1, 1000),
                                     "8",
                                     "Tries of one batch before the round is given up; "
                                             + "the next round tries it again.")
-                            .changing()),
+                            .reloadable()),
             List.of());
 
     private static final Section PEERS = new Section(
@@ -113,8 +113,8 @@
             false,
             "Reconciling with other dispatchers: each can hold the entries of all.",
             List.of(
-                    Keyword.needed("listen", ValueType.address(), "Where the other dispatchers call."),
-                    Keyword.needed(
+                    Keyword.mandatory("listen", ValueType.address(), "Where the other dispatchers call."),
+                    Keyword.mandatory(
                             "key",
                             ValueType.path(),
                             "File with the shared key, 32 bytes at least; all " + "dispatchers have the same."),
@@ -126,12 +126,12 @@
                             false,
                             false,
                             "An IP network whose callers are let in."),
-                    Keyword.several("peer", "A dispatcher that is asked for its entries.", ValueType.address()),
+                    Keyword.repeatable("peer", "A dispatcher that is asked for its entries.", ValueType.address()),
                     Keyword.of("every", ValueType.span(10, DAY), "30s", "How often each peer is asked.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("timeout", ValueType.span(10, HOUR), "5s", "How long a peer may take for one answer."),
-                    Keyword.of("chunk", ValueType.whole(1, 100_000), "2000", "Most entries fetched at once.")
-                            .changing()),
+                    Keyword.of("chunk", ValueType.wholeNumber(1, 100_000), "2000", "Most entries fetched at once.")
+                            .reloadable()),
             List.of());
 
     private static final Section LEDGER = new Section(
@@ -140,7 +140,8 @@
             false,
             "The billing ledger: an entry for each job answered, on a disk that lasts.",
             List.of(
-                    Keyword.needed("store", ValueType.path(), "Folder that holds the store; made if it is not there."),
+                    Keyword.mandatory(
+                            "store", ValueType.path(), "Folder that holds the store; made if it is not there."),
                     new Keyword(
                             "mode",
                             List.of(
@@ -158,25 +159,25 @@
                                     ValueType.span(1, 60_000),
                                     "250ms",
                                     "How often jobs that have ended are moved from the spool into the store.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                                     "patience",
                                     ValueType.span(1, 60_000),
                                     "250ms",
                                     "Longest that an answer waits for a disk that is slow; then it leaves "
                                             + "all the same.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                                     "queue",
-                                    ValueType.whole(16, 10_000_000),
+                                    ValueType.wholeNumber(16, 10_000_000),
                                     "50000",
                                     "Most jobs that wait in memory while the store cannot be written; what "
                                             + "passes it goes "
                                             + "into a gap "
                                             + "entry.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("zone", ValueType.zone(), "UTC", "The time zone of terms' dates."),
-                    Keyword.several(
+                    Keyword.repeatable(
                             "term",
                             "A billing period: from the first day's midnight to the second day's. "
                                     + "Time "
@@ -199,10 +200,10 @@
             false,
             "Duties that one dispatcher holds at a time, see docs/duties.md.",
             List.of(
-                    Keyword.needed("listen", ValueType.address(), "Where this dispatcher hears of duties (UDP)."),
-                    Keyword.free(
+                    Keyword.mandatory("listen", ValueType.address(), "Where this dispatcher hears of duties (UDP)."),
+                    Keyword.optional(
                             "number",
-                            ValueType.whole(0, 65_535),
+                            ValueType.wholeNumber(0, 65_535),
                             "Its place among the `dispatcher` lines, from 0, "
                                     + "where others reach it at another address than `listen`."),
                     new Keyword(
@@ -213,18 +214,22 @@
                             true,
                             false,
                             "A dispatcher of the tier, all of them in the same order everywhere."),
-                    Keyword.of("voters", ValueType.whole(1, 9), "5", "So many of the first dispatchers grant duties."),
+                    Keyword.of(
+                            "voters",
+                            ValueType.wholeNumber(1, 9),
+                            "5",
+                            "So many of the first dispatchers grant duties."),
                     Keyword.of("lease", ValueType.span(100, 60_000), "3s", "How long a grant lasts."),
                     Keyword.of(
                             "drift",
-                            ValueType.whole(0, 20),
+                            ValueType.wholeNumber(0, 20),
                             "5",
                             "By how many percent two clocks' rates may differ at most."),
-                    Keyword.needed(
+                    Keyword.mandatory(
                             "key",
                             ValueType.path(),
                             "File with the shared key, 32 bytes at least; all dispatchers " + "have the same."),
-                    Keyword.free(
+                    Keyword.optional(
                             "folder",
                             ValueType.path(),
                             "Where a voter keeps what it promised and accepted, on a disk that "
@@ -253,53 +258,53 @@
                                     List.of(
                                             ValueType.word("MEMBER"),
                                             ValueType.literal("cap"),
-                                            ValueType.whole(0, 1_000_000_000_000L),
+                                            ValueType.wholeNumber(0, 1_000_000_000_000L),
                                             ValueType.literal("most"),
-                                            ValueType.whole(1, 1000))),
+                                            ValueType.wholeNumber(1, 1000))),
                             null,
                             true,
                             true,
                             true,
                             "A member that is looked after, with a month's cap in hundredths and the most runners "
                                     + "that are added for it at once."),
-                    Keyword.several(
+                    Keyword.repeatable(
                             "keep",
                             "A member that stays in a pool, or is never moved to one.",
                             ValueType.word("MEMBER"),
                             ValueType.choice("pool", "common")),
                     Keyword.of("reserve", ValueType.percent(), "40%", "The part of all runners that pools may hold.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("window", ValueType.span(100, HOUR), "2s", "Evidence is judged once in each.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                                     "settle",
                                     ValueType.span(0, HOUR),
                                     "1s",
                                     "How long a reserved pool is told before others leave it.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("come", ValueType.span(0, HOUR), "2s", "How long runners that are added are waited for.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("clear", ValueType.span(0, HOUR), "3s", "How long others' work in hand has to end.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                                     "stay",
                                     ValueType.span(0, DAY),
                                     "1m",
                                     "How long a member has kept to its share before it comes back.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                             "forget",
                             ValueType.span(100, DAY),
                             "30s",
                             "After so long without a word of it, a pool keeps nobody else away."),
-                    Keyword.free("provider", ValueType.url(), "Who starts and stops runners."),
+                    Keyword.optional("provider", ValueType.url(), "Who starts and stops runners."),
                     Keyword.of(
                             "timeout", ValueType.span(10, HOUR), "5s", "How long the provider may take for an answer."),
                     new Keyword(
                             "price",
                             List.of(List.of(
                                     ValueType.word("KIND"),
-                                    ValueType.whole(0, 1_000_000_000),
+                                    ValueType.wholeNumber(0, 1_000_000_000),
                                     ValueType.literal("least"),
                                     ValueType.span(0, DAY))),
                             null,
@@ -309,20 +314,20 @@
                             "The kind of runner that is added, an hour's price in hundredths, and the least time "
                                     + "billed."),
                     Keyword.of("near", ValueType.percent(), "95%", "The part of a cap past which nothing is added.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                                     "reach",
                                     ValueType.span(0, DAY),
                                     "1m",
                                     "Longest time until someone can end a runner; its cost counts as bound "
                                             + "to be spent.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of(
                                     "at-cap",
                                     ValueType.choice("stay", "return"),
                                     "stay",
                                     "Whether added runners stay at the cap itself, or are handed back.")
-                            .changing(),
+                            .reloadable(),
                     Keyword.of("zone", ValueType.zone(), "UTC", "The time zone of the months.")),
             List.of());
 
--- a/src/main/java/nettlewick/settings/ValueType.java
+++ b/src/main/java/nettlewick/settings/ValueType.java
@@ -19,7 +19,7 @@
  * @param wanted what a word has to be; ends the sentence "... has to be"
  * @param reader the value of a word; null or any unchecked exception for words that have none
  */
-public record ValueType<T>(String name, String wanted, Function<String, T> reader) {
+public record ValueType<T>(String name, String expectation, Function<String, T> reader) {
     private static final Pattern UNIT = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([a-z]*)");
 
     /** The value of a word, or null where it is none. */
@@ -65,7 +65,7 @@
     }
 
     /** A whole number within bounds, both included. */
-    public static ValueType<Long> whole(long least, long most) {
+    public static ValueType<Long> wholeNumber(long least, long most) {
         return new ValueType<>("NUMBER", "a whole number from " + least + " to " + most, word -> {
             long value = Long.parseLong(word);
             return value >= least && value <= most ? value : null;
@@ -111,7 +111,7 @@
     }
 
     /** A number of bytes: 512, 64k, 16m, 2g (powers of 1,024). */
-    public static ValueType<Long> size(long least, long most) {
+    public static ValueType<Long> byteSize(long least, long most) {
         return new ValueType<>("SIZE", "a size in bytes, or with k, m or g, from " + least + " to " + most, word -> {
             Matcher m = UNIT.matcher(word);
             int shift = !m.matches() || m.group(1).contains(".")
--- a/src/main/java/nettlewick/simulator/ReplyWriter.java
+++ b/src/main/java/nettlewick/simulator/ReplyWriter.java
@@ -55,12 +55,12 @@
         if (action instanceof Dispatch dispatch) {
             startOrder("RELAY");
             json.writeStringField("txn", dispatch.id());
-            json.writeStringField("worker", dispatch.endpoint());
-            writeIfPositive("patience", dispatch.timeout());
+            json.writeStringField("worker", dispatch.endpointId());
+            writeIfPositive("patience", dispatch.timeoutNanos());
         } else if (action instanceof Reject reject) {
             startOrder("OVERLOAD_REPLY");
             json.writeStringField("txn", reject.id());
-            writeIfPositive("backoff", reject.retryAfter());
+            writeIfPositive("backoff", reject.retryAfterNanos());
         } else if (action instanceof Fail fail) {
             startOrder("DROP_REQUEST");
             json.writeStringField("txn", fail.id());
@@ -77,7 +77,7 @@
             json.writeStringField("data", Base64.getEncoder().encodeToString(message.data()));
         } else if (action instanceof SetTimer timer) {
             startOrder("REMIND");
-            json.writeNumberField("wait", timer.delay());
+            json.writeNumberField("wait", timer.delayNanos());
             json.writeStringField("mark", timer.name());
         } else {
             startOrder("SUBSCRIBE");
--- a/src/main/java/nettlewick/sqlite/Database.java
+++ b/src/main/java/nettlewick/sqlite/Database.java
@@ -26,16 +26,16 @@
     }
 
     /** Called at points where tests inject disk faults: {@code open}, {@code commit}, {@code committed}. */
-    public interface Point {
+    public interface FaultPoint {
         /** @throws IOException the injected fault */
-        void at(String name) throws IOException;
+        void reach(String name) throws IOException;
     }
 
     private final String what;
     private final Connection connection;
-    private final Point point;
+    private final FaultPoint point;
 
-    private Database(String what, Connection connection, Point point) {
+    private Database(String what, Connection connection, FaultPoint point) {
         this.what = what;
         this.connection = connection;
         this.point = point;
@@ -46,7 +46,7 @@
      *
      * @param what the file's name in messages, such as "the ledger"
      */
-    public static Database open(Path file, boolean readOnly, String what, Point point) throws StoreException {
+    public static Database open(Path file, boolean readOnly, String what, FaultPoint point) throws StoreException {
         SQLiteConfig config = new SQLiteConfig();
         config.setJournalMode(SQLiteConfig.JournalMode.WAL);
         config.setSynchronous(SQLiteConfig.SynchronousMode.FULL);
@@ -56,7 +56,7 @@
         try {
             if (!readOnly) {
                 Files.createDirectories(file.toAbsolutePath().getParent());
-                point.at("open");
+                point.reach("open");
             }
             return new Database(what, config.createConnection("jdbc:sqlite:" + file), point);
         } catch (SQLException e) {
@@ -78,14 +78,14 @@
      * @param done what was attempted, as a participle for the message
      * @param undo restores the caller's own state where the transaction fails
      */
-    public <T> T change(String done, Runnable undo, Work<T> work) throws StoreException {
+    public <T> T inTransaction(String done, Runnable undo, Work<T> work) throws StoreException {
         try {
             connection.setAutoCommit(false);
             try {
                 T result = work.run();
-                point.at("commit");
+                point.reach("commit");
                 connection.commit();
-                point.at("committed");
+                point.reach("committed");
                 return result;
             } catch (SQLException | IOException | RuntimeException | Error e) {
                 undo.run();
@@ -102,7 +102,7 @@
     }
 
     /** Runs work that only reads. Values that cannot be parsed count as damage. */
-    public <T> T look(Work<T> work) throws StoreException {
+    public <T> T read(Work<T> work) throws StoreException {
         try {
             return work.run();
         } catch (SQLException e) {
@@ -113,7 +113,7 @@
     }
 
     /** Runs statements that create tables. */
-    public void tables(String... statements) throws SQLException {
+    public void createTables(String... statements) throws SQLException {
         try (Statement s = connection.createStatement()) {
             for (String table : statements) {
                 s.execute(table);
@@ -131,14 +131,14 @@
     }
 
     /** Runs one statement; returns how many rows it changed. */
-    public int run(String sql, Object... values) throws SQLException {
+    public int execute(String sql, Object... values) throws SQLException {
         try (PreparedStatement s = prepare(sql, values)) {
             return s.executeUpdate();
         }
     }
 
     /** The first value of the first row, or null. */
-    public String value(String sql, Object... values) throws SQLException {
+    public String queryFirst(String sql, Object... values) throws SQLException {
         try (PreparedStatement s = prepare(sql, values);
                 ResultSet r = s.executeQuery()) {
             return r.next() ? r.getString(1) : null;
--- a/src/main/java/nettlewick/sqlite/StoreException.java
+++ b/src/main/java/nettlewick/sqlite/StoreException.java
@@ -12,7 +12,7 @@
     }
 
     /** Whether the file itself is corrupt or no database, so that repeating the operation does not help. */
-    public boolean damaged() {
+    public boolean isDamaged() {
         return damaged;
     }
 }
--- a/src/main/java/nettlewick/sse/EventStreamConfig.java
+++ b/src/main/java/nettlewick/sse/EventStreamConfig.java
@@ -29,11 +29,11 @@
         return new EventStreamConfig(
                 SocketAddress.inetSocketAddress(
                         listen.getPort(), listen.getAddress().getHostAddress()),
-                (long) edge.span("retry"),
-                (long) edge.span("heartbeat"),
-                (long) edge.span("grace"),
-                (long) edge.span("keep"),
-                (int) edge.whole("keep-streams"),
-                (int) edge.whole("max-readers"));
+                (long) edge.spanMillis("retry"),
+                (long) edge.spanMillis("heartbeat"),
+                (long) edge.spanMillis("grace"),
+                (long) edge.spanMillis("keep"),
+                (int) edge.wholeNumber("keep-streams"),
+                (int) edge.wholeNumber("max-readers"));
     }
 }
