--- a/src/main/java/nettlewick/sse/EventStreamFrontend.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -36,7 +36,7 @@
     private int subscriberCount;
 
     /** Creates the frontend and starts its timers on the event loop. */
-    public EventStreamFrontend(Base base, EventStreamConfig config) {
+    public EventStreamFrontend(Environment base, EventStreamConfig config) {
         super(base, config.listen(), SEND_BUFFER_BYTES);
         this.config = config;
         requestReader = new RequestReader(base.config());
@@ -46,7 +46,7 @@
         base.vertx()
                 .setPeriodic(
                         EXPIRY_INTERVAL_MILLIS,
-                        id -> streams.forgetExpired(base.clock().now()));
+                        id -> streams.forgetExpired(base.clock().nowMillis()));
     }
 
     @Override
@@ -58,7 +58,7 @@
             } else {
                 rejectMethod(http, "GET", "streams are read by GET");
             }
-        } else if (!RequestReader.isJob(path)) {
+        } else if (!RequestReader.isRequestPath(path)) {
             RequestReader.reject(http, STATUS_NOT_FOUND, "no such path");
         } else if (!HttpMethod.POST.equals(http.method())) {
             rejectMethod(http, "POST", "jobs come by POST");
@@ -89,23 +89,24 @@
         }
     }
 
-    private void startOrAttach(HttpServerRequest http, RequestReader.Draft draft) {
+    private void startOrAttach(HttpServerRequest http, RequestReader.ParsedRequest draft) {
         RequestStream known = streams.get(draft.id());
         if (known == null) {
             start(http, draft);
-        } else if (known.isSameRequest(draft.jobClass(), draft.tenant())) {
+        } else if (known.isSameRequest(draft.requestClass(), draft.tenant())) {
             attach(http, draft.id(), known);
         } else {
             RequestReader.reject(http, STATUS_CONFLICT, "another job has this id");
         }
     }
 
-    private void start(HttpServerRequest http, RequestReader.Draft draft) {
+    private void start(HttpServerRequest http, RequestReader.ParsedRequest draft) {
         RequestStream stream = new RequestStream(
-                draft.jobClass(),
+                draft.requestClass(),
                 draft.tenant(),
-                task -> base.loop().runOnContext(v -> task.run()),
-                ended -> streams.retainFinished(draft.id(), ended, base.clock().now()));
+                task -> environment.eventLoop().runOnContext(v -> task.run()),
+                ended -> streams.retainFinished(
+                        draft.id(), ended, environment.clock().nowMillis()));
         long lastSeenId = lastSeenId(http);
         boolean mayHaveRun = streams.isForgotten(draft.id()) || lastSeenId > 0;
         if (mayHaveRun) {
@@ -122,10 +123,10 @@
         }
     }
 
-    private void submit(RequestReader.Draft draft, RequestStream stream) {
-        Request request = draft.with(stream);
-        stream.setRequest(request, base.core().figures().taken(draft.jobClass()));
-        base.core().submit(request);
+    private void submit(RequestReader.ParsedRequest draft, RequestStream stream) {
+        Request request = draft.toRequest(stream);
+        stream.setRequest(request, environment.coordinator().metrics().trackRequest(draft.requestClass()));
+        environment.coordinator().submit(request);
     }
 
     /** The id of the last event that the client says it has seen; 0 for none. */
@@ -157,7 +158,7 @@
                 "Content-Location",
                 STREAM_PATH_PREFIX
                         + URLEncoder.encode(id, StandardCharsets.UTF_8).replace("+", "%20"));
-        if (base.state().leaving()) {
+        if (environment.serviceState().isLeaving()) {
             response.putHeader("Connection", "close");
         }
         subscribe(response, lastSeenId, stream);
@@ -179,13 +180,13 @@
         }
         subscriberCount--;
         if (stream.detach(subscriber)) {
-            base.vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> abandonIfAlone(stream));
+            environment.vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> abandonIfAlone(stream));
         }
     }
 
     private void abandonIfAlone(RequestStream stream) {
         if (!stream.hasSubscribers() && !stream.isEnded()) {
-            base.core().abandon(stream.request());
+            environment.coordinator().abandon(stream.request());
             stream.fail("its client went away");
         }
     }
--- a/src/main/java/nettlewick/sse/RequestStream.java
+++ b/src/main/java/nettlewick/sse/RequestStream.java
@@ -27,7 +27,7 @@
     /** Null where the request was never submitted. */
     private Request request;
 
-    private Metrics.Ticket ticket;
+    private Metrics.RequestTracker ticket;
     private UsageRecorder.Receipt pendingReceipt = UsageRecorder.Receipt.NONE;
 
     /**
@@ -42,7 +42,7 @@
     }
 
     /** Sets the request that is about to be submitted, and what counts its end. */
-    void setRequest(Request submitted, Metrics.Ticket endCounter) {
+    void setRequest(Request submitted, Metrics.RequestTracker endCounter) {
         request = submitted;
         ticket = endCounter;
     }
@@ -123,33 +123,33 @@
 
     /** A failure that nobody waited for any more does not count. */
     private void countEnd() {
-        ticket.owe(pendingReceipt);
+        ticket.setReceipt(pendingReceipt);
         switch (finalEvent.type()) {
-            case RESULT -> ticket.answered(Metrics.End.FULFILLED);
-            case REJECTED -> ticket.answered(Metrics.End.THROTTLED);
+            case RESULT -> ticket.markAnswered(Metrics.RequestEnd.SERVED);
+            case REJECTED -> ticket.markAnswered(Metrics.RequestEnd.REJECTED);
             default -> {
                 if (hasSubscribers()) {
-                    ticket.answered(Metrics.End.FAULTED);
+                    ticket.markAnswered(Metrics.RequestEnd.FAILED);
                 } else {
-                    ticket.left();
+                    ticket.markAbandoned();
                 }
             }
         }
     }
 
     @Override
-    public void receipt(UsageRecorder.Receipt receipt) {
+    public void onReceipt(UsageRecorder.Receipt receipt) {
         eventLoop.accept(() -> {
             if (finalEvent == null) {
                 pendingReceipt = receipt;
             } else {
-                receipt.left();
+                receipt.markAbandoned();
             }
         });
     }
 
     @Override
-    public void progress(double share) {
+    public void onProgress(double share) {
         eventLoop.accept(() -> {
             if (finalEvent == null) {
                 lastEventId++;
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void served(byte[] result) {
+    public void onServed(byte[] result) {
         eventLoop.accept(() -> {
             String text = new String(result, StandardCharsets.UTF_8);
             finish(StreamEvent.result(lastEventId + 1, text));
@@ -168,12 +168,12 @@
     }
 
     @Override
-    public void rejected(double retryAfterMillis) {
+    public void onRejected(double retryAfterMillis) {
         eventLoop.accept(() -> finish(StreamEvent.rejected(lastEventId + 1, retryAfterMillis)));
     }
 
     @Override
-    public void failed(String reason) {
+    public void onFailed(String reason) {
         eventLoop.accept(() -> fail(reason));
     }
 }
--- a/src/main/java/nettlewick/tenantpools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -37,8 +37,8 @@
     }
 
     @Override
-    public void listed(EndpointUpdate update) {
-        if (update.whole()) {
+    public void onEndpointsUpdated(EndpointUpdate update) {
+        if (update.isFullList()) {
             Set<String> names = new HashSet<>();
             update.entries().forEach(entry -> names.add(entry.id()));
             readyEntries.keySet().retainAll(names);
--- a/src/main/java/nettlewick/tenantpools/PoolSettings.java
+++ b/src/main/java/nettlewick/tenantpools/PoolSettings.java
@@ -64,14 +64,14 @@
                 tenantSettings(block, quotas),
                 quotas,
                 block.has("provider") ? block.get("provider") : null,
-                block.span("window"),
+                block.spanMillis("window"),
                 block.get("reserve"),
-                block.span("settle"),
-                block.span("come"),
-                block.span("clear"),
-                block.span("stay"),
-                block.span("forget"),
-                block.span("timeout"));
+                block.spanMillis("settle"),
+                block.spanMillis("come"),
+                block.spanMillis("clear"),
+                block.spanMillis("stay"),
+                block.spanMillis("forget"),
+                block.spanMillis("timeout"));
     }
 
     private static Map<String, TenantSettings> tenantSettings(Block block, Map<String, Double> quotas) {
@@ -84,13 +84,13 @@
         for (Block.Value line : block.all("member")) {
             String name = line.part(0);
             if (!quotas.containsKey(name)) {
-                throw block.bad("member", "a tenant of the platform's configuration");
+                throw block.invalidValue("member", "a tenant of the platform's configuration");
             }
             OperatorPolicy policy = policies.getOrDefault(name, OperatorPolicy.AUTOMATIC);
             settings.put(name, tenantSettings(block, line, policy));
         }
         if (!settings.keySet().containsAll(policies.keySet())) {
-            throw block.bad("keep", "followed by the name of a `member` line");
+            throw block.invalidValue("keep", "followed by the name of a `member` line");
         }
         return settings;
     }
@@ -102,20 +102,20 @@
         return new TenantSettings(
                 policy,
                 scaleOutSettings(block, line.part(2)),
-                block.one("price").get().part(0),
+                block.first("price").get().part(0),
                 line.<Long>part(4).intValue());
     }
 
     private static ScaleOutPolicy.ScaleOutSettings scaleOutSettings(Block block, long capCents) {
         if (!block.has("provider") || !block.has("price")) {
-            throw block.bad(block.has("provider") ? "price" : "provider", "set where a member has a cap");
+            throw block.invalidValue(block.has("provider") ? "price" : "provider", "set where a member has a cap");
         }
-        Block.Value price = block.one("price").get();
+        Block.Value price = block.first("price").get();
         return new ScaleOutPolicy.ScaleOutSettings(
                 new SpendingCap.MonthlyCap(capCents, block.get("near"), block.<ZoneId>get("zone")),
                 price.part(1),
                 price.<Double>part(3).longValue(),
-                (long) block.span("reach"),
+                (long) block.spanMillis("reach"),
                 block.text("at-cap").equals("return"));
     }
 
--- a/src/main/java/nettlewick/tenantpools/ScaleOutController.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutController.java
@@ -31,7 +31,7 @@
     private final ProviderClient provider;
     private final Clock clock;
     private final SplittableRandom random;
-    private LeaseTask.Desk leaseControl;
+    private LeaseTask.LeaseControl leaseControl;
 
     private long fence = NO_FENCE;
     /** The newest since the lease was acquired; null before the first. */
@@ -55,7 +55,7 @@
         random = new SplittableRandom(seed);
     }
 
-    void attach(LeaseTask.Desk control) {
+    void attach(LeaseTask.LeaseControl control) {
         leaseControl = control;
     }
 
@@ -102,7 +102,8 @@
             policy = new ScaleOutPolicy(policySettings);
         }
         String key = PoolSettings.leaseName(tenant) + "-" + Long.toHexString(fence) + "-" + nextKey;
-        ScaleOutDecision decision = policy.decide(state.budget(), report, desired, nowMillis, (long) clock.now(), key);
+        ScaleOutDecision decision =
+                policy.decide(state.budget(), report, desired, nowMillis, (long) clock.nowMillis(), key);
         budgetStatus = policy.budgetStatus();
         complete = decision instanceof ScaleOutDecision.Nothing && allRun(ready);
         if (decision instanceof ScaleOutDecision.Store store) {
@@ -179,7 +180,7 @@
 
     /** Hands an answer to the lease thread; one that belongs to an earlier holding is dropped. */
     private Consumer<ProviderAnswer> answerHandler(long requestFence) {
-        return answer -> leaseControl.run(() -> {
+        return answer -> leaseControl.execute(() -> {
             if (requestFence == fence) {
                 handleAnswer(answer, System.nanoTime() / NANOS_PER_MILLI);
             }
@@ -234,6 +235,6 @@
                 fence,
                 "seen",
                 highestFence);
-        leaseControl.outdo(PoolSettings.leaseName(tenant), highestFence);
+        leaseControl.yieldToHigherFence(PoolSettings.leaseName(tenant), highestFence);
     }
 }
--- a/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -66,33 +66,33 @@
     }
 
     @Override
-    public void joins(Desk desk) {
+    public void start(LeaseControl desk) {
         scaleOut.attach(desk);
     }
 
     @Override
-    public byte[] turn(HeldLease lease) {
+    public byte[] proposeNextState(HeldLease lease) {
         PoolState state = PoolState.decode(lease.state());
         if (fence != lease.fence()) {
             startHolding(lease);
             return state.withNextTerm().encode();
         }
-        if (lease.version() == lastVersion && lease.now() < nextEvaluationAt) {
+        if (lease.version() == lastVersion && lease.nowMillis() < nextEvaluationAt) {
             return null;
         }
         lastVersion = lease.version();
-        nextEvaluationAt = lease.now() + MIN_EVALUATION_INTERVAL_MILLIS;
+        nextEvaluationAt = lease.nowMillis() + MIN_EVALUATION_INTERVAL_MILLIS;
         if (!announced) {
             announced = true;
-            LeaseTask.held(PoolSettings.leaseName(tenant), lease, state.term());
+            LeaseTask.logHeld(PoolSettings.leaseName(tenant), lease, state.term());
         }
         migrating = state.migration().step() != Step.SHARED;
         ContentionEvidence.Finding finding = monitor.closeWindowIfDue(
-                lease.now(), settings.get().windowMillis(), () -> assignments.isolatedTenants(tenant));
+                lease.nowMillis(), settings.get().windowMillis(), () -> assignments.isolatedTenants(tenant));
         if (finding != null) {
-            migration.recordFinding(finding, lease.now());
+            migration.recordFinding(finding, lease.nowMillis());
         }
-        PoolState next = nextState(state, lease.now());
+        PoolState next = nextState(state, lease.nowMillis());
         return next == state ? null : next.encode();
     }
 
@@ -101,9 +101,11 @@
         announced = false;
         lastVersion = -1;
         monitor = new ContentionMonitor(
-                tenant, settings.get().quotas(), lease.now() + settings.get().windowMillis());
+                tenant,
+                settings.get().quotas(),
+                lease.nowMillis() + settings.get().windowMillis());
         migration = new PoolMigration(tenant);
-        scaleOut.startHolding(fence, lease.now());
+        scaleOut.startHolding(fence, lease.nowMillis());
     }
 
     /** The next state, or the same object if nothing changes. */
@@ -155,20 +157,20 @@
     }
 
     @Override
-    public void lost() {
+    public void onLost() {
         fence = NO_FENCE;
         scaleOut.stopHolding();
     }
 
     @Override
-    public void news(long holderFence, long version, byte[] state, boolean listens, double nowMillis) {
+    public void onStoredState(long holderFence, long version, byte[] state, boolean listens, double nowMillis) {
         holderListens = listens;
         assignments.recordState(tenant, PoolState.decode(state), nowMillis);
         onChange.accept(nowMillis);
     }
 
     @Override
-    public void word(int dispatcher, long incarnation, byte[] report, double nowMillis) {
+    public void onReport(int dispatcher, long incarnation, byte[] report, double nowMillis) {
         if (fence < 0) {
             return;
         }
@@ -188,7 +190,7 @@
     }
 
     @Override
-    public List<byte[]> tell(long holderFence, double nowMillis) {
+    public List<byte[]> collectReports(long holderFence, double nowMillis) {
         onChange.accept(nowMillis);
         return reporter.reportsToSend(
                 tenant,
@@ -200,13 +202,13 @@
     }
 
     @Override
-    public boolean listens() {
+    public boolean requestsReports() {
         return fence >= 0 && (migrating || monitor.isListening());
     }
 
     @Override
-    public boolean idle() {
-        return !listens();
+    public boolean isIdle() {
+        return !requestsReports();
     }
 
     /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
--- a/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
@@ -110,34 +110,34 @@
      */
     private static String describe(List<PoolAssignment> all) {
         return all.stream()
-                .map(a -> a.tenant() + ":" + (a.exclusive() ? 1 : 0) + ":" + (a.confined() ? 1 : 0)
+                .map(a -> a.tenant() + ":" + (a.isExclusive() ? 1 : 0) + ":" + (a.isConfined() ? 1 : 0)
                         + ":"
                         + a.endpoints().stream().sorted().collect(Collectors.joining(",")))
                 .collect(Collectors.joining(";"));
     }
 
     @Override
-    public void joins(RequestCoordinator coordinator) {
+    public void onAttached(RequestCoordinator coordinator) {
         this.coordinator = coordinator;
     }
 
     @Override
-    public void asked(Request request) {
-        counters.asked(request);
+    public void onRequestAccepted(Request request) {
+        counters.onRequestAccepted(request);
     }
 
     @Override
-    public void ended(Attempt attempt, AttemptResult result) {
-        counters.ended(attempt, result);
+    public void onAttemptEnded(Attempt attempt, AttemptResult result) {
+        counters.onAttemptEnded(attempt, result);
     }
 
     @Override
-    public void listed(EndpointUpdate update) {
-        assignments.listed(update);
+    public void onEndpointsUpdated(EndpointUpdate update) {
+        assignments.onEndpointsUpdated(update);
     }
 
     @Override
-    public Map<String, Number> figures() {
+    public Map<String, Number> metrics() {
         Map<String, Number> figures = new TreeMap<>();
         tasks.forEach((name, task) -> {
             ScaleOutPolicy.BudgetStatus budget = task.budgetStatus();
--- a/src/main/java/nettlewick/waiting/WaitStore.java
+++ b/src/main/java/nettlewick/waiting/WaitStore.java
@@ -58,10 +58,10 @@
         this.database = database;
     }
 
-    static WaitStore open(Path folder, Database.Point point) throws StoreException {
+    static WaitStore open(Path folder, Database.FaultPoint point) throws StoreException {
         WaitStore store = new WaitStore(Database.open(folder.resolve(FILE), false, "the store of waiting jobs", point));
         try {
-            store.change(() -> store.database.tables(TABLE));
+            store.change(() -> store.database.createTables(TABLE));
             return store;
         } catch (StoreException e) {
             store.close();
@@ -74,7 +74,7 @@
     }
 
     private void change(Change change) throws StoreException {
-        database.change("written", () -> {}, () -> {
+        database.inTransaction("written", () -> {}, () -> {
             change.run();
             return null;
         });
@@ -119,7 +119,7 @@
 
     /** The module has turned a job away, which proves that it never ran: it waits again. */
     void back(String id, double now) throws StoreException {
-        change(() -> database.run("UPDATE job SET state = 0, changed = ? WHERE id = ? AND state = 1", now, id));
+        change(() -> database.execute("UPDATE job SET state = 0, changed = ? WHERE id = ? AND state = 1", now, id));
     }
 
     /** These have their ends; the first end of a job stays. */
@@ -138,13 +138,13 @@
 
     /** Forgets jobs that ended before then. */
     int forget(double before) throws StoreException {
-        return database.change(
-                "written", () -> {}, () -> database.run("DELETE FROM job WHERE state = 2 AND changed < ?", before));
+        return database.inTransaction(
+                "written", () -> {}, () -> database.execute("DELETE FROM job WHERE state = 2 AND changed < ?", before));
     }
 
     /** All jobs, those that were accepted first at the beginning. */
     List<Stored> load() throws StoreException {
-        return database.look(() -> {
+        return database.read(() -> {
             List<Stored> all = new ArrayList<>();
             try (PreparedStatement s = database.prepare("SELECT state, job, changed, site, attempts, event, "
                             + "fate, cause "
--- a/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -40,13 +40,13 @@
     @TempDir
     private Path dir;
 
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, String> statuses = new ConcurrentHashMap<>();
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
         world.runTime = 20;
     }
 
@@ -107,7 +107,7 @@
         Map<String, String> all = new LinkedHashMap<>(environment);
         all.put("ROUTER_CONFIG", file.toString());
         all.put("JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir);
-        Process process = Child.start(dir.resolve("log"), all, "serve");
+        Process process = ChildProcess.start(dir.resolve("log"), all, "serve");
         processes.add(process);
         return process;
     }
@@ -137,7 +137,8 @@
     private String job(int port, String id, String jobClass, int millis) {
         String status = status(exchange(
                 port,
-                StandIns.job("/api", id, jobClass, "" + millis, "Connection: close", "X-Cost-Hint: " + 1000 * millis)
+                DispatcherOnStubPlatform.job(
+                                "/api", id, jobClass, "" + millis, "Connection: close", "X-Cost-Hint: " + 1000 * millis)
                         .toString()
                         .replace("X-Deadline: 4\r", "X-Deadline: 24\r")));
         statuses.put(id, status);
@@ -161,7 +162,7 @@
         int port = freePort();
         int admin = freePort();
         Process old = start(config(0, 1, port), Map.of());
-        StandIns.until(() -> yes(port, "/_health"));
+        DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         AtomicInteger asked = new AtomicInteger();
         Process heir = start(config(0, 1, port), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admin));
@@ -180,7 +181,7 @@
                 }
             }));
         }
-        StandIns.until(() -> yes(admin, "/-/ready"));
+        DispatcherOnStubPlatform.until(() -> yes(admin, "/-/ready"));
         old.destroy();
         if (!old.waitFor(3700, TimeUnit.MILLISECONDS)) {
             old.destroyForcibly();
@@ -215,7 +216,7 @@
             tier[d] = start(config(d, 7, ports[d]), Map.of());
         }
         for (int port : ports) {
-            StandIns.until(() -> yes(port, "/_health"));
+            DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
         }
         // From now on discovery takes calls and says nothing.
         world.discoveryInstead = request -> {};
@@ -238,7 +239,7 @@
                     }));
                 }
             }
-            StandIns.until(() -> world.runs.size() >= 4);
+            DispatcherOnStubPlatform.until(() -> world.runs.size() >= 4);
             for (int d : victims) {
                 tier[d].destroyForcibly().waitFor();
             }
@@ -250,7 +251,7 @@
             CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(40, TimeUnit.SECONDS);
             for (int d : victims) {
                 int port = ports[d];
-                StandIns.until(() -> yes(port, "/_health"));
+                DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
                 assertEquals("200", job(port, "mark-back-" + round + "-" + d, "mark-submit", 10));
             }
         }
@@ -270,7 +271,7 @@
             start(config(d, 3, ports[d]), Map.of());
         }
         for (int port : ports) {
-            StandIns.until(() -> yes(port, "/_health"));
+            DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
             assertEquals("200", job(port, "view-first-" + port, "step-view", 10));
         }
         world.hung.add("s-2");
@@ -319,7 +320,7 @@
             start(config(d, 4, ports[d]), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admins[d]));
         }
         for (int port : ports) {
-            StandIns.until(() -> yes(port, "/_health"));
+            DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
             assertEquals("200", job(port, "view-first-" + port, "step-view", 10));
         }
         // Refused, cut off or never answered by turns; every call counts.
@@ -333,11 +334,11 @@
         assertTrue(asked <= 4 * 16, asked + " calls while some " + before[0] + " were there");
         world.discoveryInstead = null;
         int known = world.watches.size();
-        StandIns.until(() -> world.watches.size() >= known + 4);
+        DispatcherOnStubPlatform.until(() -> world.watches.size() >= known + 4);
         world.tell("s-1", "Terminating");
         // Told and taken in, by each one's own figures: from then on the count has to be none.
         for (int admin : admins) {
-            StandIns.until(() -> answer(admin, "/-/metrics").contains("out_of_rotation=1"));
+            DispatcherOnStubPlatform.until(() -> answer(admin, "/-/metrics").contains("out_of_rotation=1"));
         }
         int told = world.seen.size();
         for (int j = 0; j < 60; j++) {
--- a/src/test/java/nettlewick/cli/Child.java
+++ b/src/test/java/nettlewick/cli/ChildProcess.java
@@ -10,8 +10,8 @@
 import java.util.function.BooleanSupplier;
 
 /** Starts the program as a child process, so that it can be killed. */
-public final class Child {
-    private Child() {}
+public final class ChildProcess {
+    private ChildProcess() {}
 
     /** Starts a sub-command; its output is appended to the file. */
     public static Process start(Path log, Map<String, String> environment, String... words) throws IOException {
@@ -32,7 +32,7 @@
     }
 
     /** Waits for a condition that the process brings about; fails with its log if it ends before. */
-    public static void until(Process child, Path log, BooleanSupplier condition) throws Exception {
+    public static void awaitCondition(Process child, Path log, BooleanSupplier condition) throws Exception {
         while (!condition.getAsBoolean()) {
             if (!child.isAlive()) {
                 throw new AssertionError("the process ended with " + child.exitValue() + ": " + Files.readString(log));
--- a/src/test/java/nettlewick/cli/EndpointListProcessTest.java
+++ b/src/test/java/nettlewick/cli/EndpointListProcessTest.java
@@ -51,9 +51,9 @@
         config.put("listen", "127.0.0.1:" + port);
         Path file = Files.writeString(dir.resolve("config" + processes.size()), new Gson().toJson(config));
         Path log = Files.createFile(dir.resolve("log" + processes.size()));
-        Process process = Child.start(log, Map.of("ROUTER_CONFIG", file.toString()), "serve");
+        Process process = ChildProcess.start(log, Map.of("ROUTER_CONFIG", file.toString()), "serve");
         processes.add(process);
-        Child.until(
+        ChildProcess.awaitCondition(
                 process,
                 log,
                 () -> answers(port, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 "));
--- a/src/test/java/nettlewick/cli/FleetTestCommandTest.java
+++ b/src/test/java/nettlewick/cli/FleetTestCommandTest.java
@@ -33,7 +33,7 @@
 
     private Process fleetTest(String what, String text) throws Exception {
         Path file = Files.writeString(dir.resolve("scenario.conf"), text);
-        return Child.start(
+        return ChildProcess.start(
                 dir.resolve("log"),
                 Map.of("LC_ALL", "C"),
                 "lab",
@@ -58,7 +58,8 @@
     @Test
     void anInterruptedFleetTestLeavesNoProcess() throws Exception {
         Process process = fleetTest("run", WORLD);
-        Child.until(process, dir.resolve("log"), () -> process.descendants().count() >= 3);
+        ChildProcess.awaitCondition(
+                process, dir.resolve("log"), () -> process.descendants().count() >= 3);
         List<ProcessHandle> fleet = process.descendants().toList();
         process.destroy();
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
--- a/src/test/java/nettlewick/cli/LeaseProcessTest.java
+++ b/src/test/java/nettlewick/cli/LeaseProcessTest.java
@@ -58,7 +58,7 @@
         log[number] = dir.resolve("log" + logs.size());
         Files.createFile(log[number]);
         logs.add(log[number]);
-        processes[number] = Child.start(
+        processes[number] = ChildProcess.start(
                 log[number], Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
     }
 
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.ledger.StoreProbe;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.settings.Settings;
 import nettlewick.stubs.Receiver;
 import org.junit.jupiter.api.Test;
@@ -58,7 +58,7 @@
     private static Boolean ask(int port, String id) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream()
-                    .write(StandIns.job("/api", id, "step-view", "{}", "Connection: close")
+                    .write(DispatcherOnStubPlatform.job("/api", id, "step-view", "{}", "Connection: close")
                             .getBytes());
             InputStream in = socket.getInputStream();
             String got = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -82,7 +82,7 @@
         Set<String> asked = ConcurrentHashMap.newKeySet();
         Path sync = conf("sync.conf", "mode sync");
         Path batch = conf("batch.conf", "mode batch 20ms");
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             world.runTime = 4;
             for (int i = 0; i < 4; i++) {
                 world.addRunner("s-" + i);
@@ -99,14 +99,14 @@
         assertEachAnswerOnce(StoreProbe.recover(settings), asked, answered);
     }
 
-    private Process startDispatcher(StandIns world, int port, Path settings) throws Exception {
+    private Process startDispatcher(DispatcherOnStubPlatform world, int port, Path settings) throws Exception {
         Map<String, Object> config = world.config();
         config.put("listen", "127.0.0.1:" + port);
         Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
         Path log = dir.resolve("log");
-        Process child =
-                Child.start(log, Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
-        StandIns.until(() -> !child.isAlive() || healthy(port));
+        Process child = ChildProcess.start(
+                log, Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
+        DispatcherOnStubPlatform.until(() -> !child.isAlive() || healthy(port));
         assertTrue(child.isAlive(), "it started: " + Files.readString(log));
         return child;
     }
@@ -213,7 +213,7 @@
             for (int round = 0; killed < 40; round++) {
                 StoreProbe.fill(settings, random, 10 + random.nextInt(40), total);
                 left.set(1 + random.nextInt(7));
-                Process child = Child.start(log, Map.of(), "ledger", "export", "--settings", conf.toString());
+                Process child = ChildProcess.start(log, Map.of(), "ledger", "export", "--settings", conf.toString());
                 current.add(child);
                 assertTrue(child.waitFor(60, TimeUnit.SECONDS), "it ends");
                 current.clear();
--- a/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -78,7 +78,8 @@
     }
 
     private byte[] request(String id, String... headers) {
-        Buffer bytes = StandIns.job("/api", id, id.startsWith("mark") ? "mark-submit" : "step-view", "10", headers);
+        Buffer bytes = DispatcherOnStubPlatform.job(
+                "/api", id, id.startsWith("mark") ? "mark-submit" : "step-view", "10", headers);
         return bytes.toString().replace("X-Deadline: 4\r", "X-Deadline: 0.9\r").getBytes(StandardCharsets.US_ASCII);
     }
 
@@ -163,7 +164,7 @@
         }
     }
 
-    private void start(StandIns world, int number) throws IOException {
+    private void start(DispatcherOnStubPlatform world, int number) throws IOException {
         Map<String, Object> config = world.config();
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
@@ -179,7 +180,7 @@
         config.put("name", "n" + number);
         config.put("listen", "127.0.0.1:" + ports[number]);
         Path file = Files.writeString(dir.resolve("config" + number), new Gson().toJson(config));
-        dispatchers[number] = Child.start(
+        dispatchers[number] = ChildProcess.start(
                 dir.resolve("log" + number),
                 Map.of("ROUTER_CONFIG", file.toString(), "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir),
                 "serve");
@@ -204,7 +205,7 @@
                 ports[n] = socket.getLocalPort();
             }
         }
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             for (int r = 0; r < 4; r++) {
                 world.addRunner("s-" + r);
             }
@@ -213,7 +214,7 @@
             }
             for (int n = 0; n < DISPATCHERS; n++) {
                 int one = n;
-                Child.until(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
+                ChildProcess.awaitCondition(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
             }
             List<Thread> clients = new ArrayList<>();
             for (int c = 0; c < CLIENTS; c++) {
@@ -235,11 +236,11 @@
             for (int n = 0; n < DISPATCHERS; n++) {
                 int one = n;
                 int before = numbers.get();
-                StandIns.until(() -> numbers.get() > before + 200);
+                DispatcherOnStubPlatform.until(() -> numbers.get() > before + 200);
                 dispatchers[n].destroy();
                 assertTrue(dispatchers[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not ended");
                 start(world, n);
-                Child.until(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
+                ChildProcess.awaitCondition(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
             }
             stopped = true;
             for (Thread t : clients) {
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -11,8 +11,8 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.net.RawClient;
-import nettlewick.net.StandIns;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -59,37 +59,37 @@
         try (ServerSocket socket = new ServerSocket(0)) {
             port = socket.getLocalPort();
         }
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             world.addRunner("s-1");
             Map<String, Object> config = world.config();
             config.put("listen", "127.0.0.1:" + port);
             Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
-            dispatcher = Child.start(
+            dispatcher = ChildProcess.start(
                     dir.resolve("log"),
                     Map.of("ROUTER_CONFIG", file.toString(), "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir),
                     "serve");
-            Child.until(dispatcher, dir.resolve("log"), () -> healthy(port));
+            ChildProcess.awaitCondition(dispatcher, dir.resolve("log"), () -> healthy(port));
             try (RawClient working = new RawClient(port);
                     RawClient kept = new RawClient(port)) {
                 assertEquals(
                         "r-k1",
-                        kept.send(StandIns.job("/api", "k1", "step-view", "10"))
+                        kept.send(DispatcherOnStubPlatform.job("/api", "k1", "step-view", "10"))
                                 .read()
                                 .body());
-                working.send(StandIns.job("/api", "w", "mark-submit", "1200"));
-                StandIns.until(() -> world.seen.size() == 2);
+                working.send(DispatcherOnStubPlatform.job("/api", "w", "mark-submit", "1200"));
+                DispatcherOnStubPlatform.until(() -> world.seen.size() == 2);
                 for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
                     signal(signal);
                 }
                 assertEquals(
                         "r-k2",
-                        kept.send(StandIns.job("/api", "k2", "step-view", "10"))
+                        kept.send(DispatcherOnStubPlatform.job("/api", "k2", "step-view", "10"))
                                 .read()
                                 .body());
                 try (RawClient late = new RawClient(port)) {
                     assertEquals(
                             "r-l",
-                            late.send(StandIns.job("/api", "l", "mark-submit", "10"))
+                            late.send(DispatcherOnStubPlatform.job("/api", "l", "mark-submit", "10"))
                                     .read()
                                     .body());
                 }
--- a/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
+++ b/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import nettlewick.contention.VirtualTier.Load;
+import nettlewick.contention.SimulatedDispatchers.Load;
 import org.junit.jupiter.api.Test;
 
 /** Whose load counts as contention, judged from twelve dispatchers that each see a few requests in a window. */
@@ -29,10 +29,10 @@
     private static final int MAX_WINDOWS = 40;
 
     private final Map<String, Double> quotas = new LinkedHashMap<>(Map.of("red", 0.25, "blue", 0.25, "green", 0.5));
-    private VirtualTier fleet;
+    private SimulatedDispatchers fleet;
 
     private void startFleet() {
-        fleet = new VirtualTier(DISPATCHERS, quotas, 3);
+        fleet = new SimulatedDispatchers(DISPATCHERS, quotas, 3);
     }
 
     private ContentionEvidence.Finding runWindow(Load load) {
@@ -144,7 +144,7 @@
     void oneDispatchersReportsAreNotEnough() {
         startFleet();
         runUncontendedWindows();
-        Supplier<byte[]> accusations = VirtualTier.blame("red", ENDPOINTS);
+        Supplier<byte[]> accusations = SimulatedDispatchers.falseAccusations("red", ENDPOINTS);
         for (int w = 0; w < MAX_WINDOWS; w++) {
             fleet.evidence.recordReport(DISPATCHERS, 1, accusations.get());
             assertFalse(runWindow(load(1, 1, 0.02, 1)).causesContention());
@@ -209,14 +209,14 @@
     void aNewIncarnationStartsWithoutEarlierCounts() {
         startFleet();
         for (int d = 0; d < DISPATCHERS; d++) {
-            VirtualTier.DispatcherUsage usage = fleet.dispatchers.get(d);
+            SimulatedDispatchers.DispatcherUsage usage = fleet.dispatchers.get(d);
             usage.totalWork = 1_000_000;
             usage.workByTenant.put(UsageCounters.nameHash("red"), 1_000_000L);
             usage.endpoints.put(
                     UsageCounters.nameHash("s0"), new UsageReport.EndpointUsage(900_000, 1_000_000, 10_000, 9000));
         }
         runUncontendedWindows();
-        fleet.dispatchers.replaceAll(s -> new VirtualTier.DispatcherUsage());
+        fleet.dispatchers.replaceAll(s -> new SimulatedDispatchers.DispatcherUsage());
         for (int d = 0; d < DISPATCHERS; d++) {
             assertTrue(fleet.evidence.recordReport(
                     d, 2, UsageReportCodec.encode(fleet.dispatchers.get(d).report(0.25))));
@@ -226,7 +226,7 @@
 
     @Test
     void aTenantWithinItsQuotaIsNeverDetectedInAnHourOfNoise() {
-        assertEquals(0, VirtualTier.falseMoves(DISPATCHERS, 1800, 5));
+        assertEquals(0, SimulatedDispatchers.countFalseDetections(DISPATCHERS, 1800, 5));
     }
 
     @Property(tries = 300)
--- a/src/test/java/nettlewick/contention/VirtualTier.java
+++ b/src/test/java/nettlewick/contention/SimulatedDispatchers.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 
 /** Dispatchers in virtual time that each see a few requests in a window and report to the holder of red's lease. */
-public final class VirtualTier {
+public final class SimulatedDispatchers {
     private static final int ENDPOINTS = 8;
     private static final long WORK_MILLIS = 50;
 
@@ -60,7 +60,7 @@
     /** Probability that a report is lost. */
     double lossProbability;
 
-    VirtualTier(int size, Map<String, Double> quotas, long seed) {
+    SimulatedDispatchers(int size, Map<String, Double> quotas, long seed) {
         this.quotas = quotas;
         random = new SplittableRandom(seed);
         evidence = new ContentionEvidence("red", quotas);
@@ -114,7 +114,7 @@
     }
 
     /** Encoded reports of a dispatcher that falsely blames a tenant for all harm, each worse than the one before. */
-    public static Supplier<byte[]> blame(String tenant, int endpoints) {
+    public static Supplier<byte[]> falseAccusations(String tenant, int endpoints) {
         DispatcherUsage accuser = new DispatcherUsage();
         return () -> {
             accuser.totalWork += 1_000_000;
@@ -133,9 +133,9 @@
      * How often a tenant within its quota is found to cause contention during windows with bursts of all tenants,
      * slow endpoints, a slow dependency, other tenants' floods and its own load up to its quota.
      */
-    public static int falseMoves(int dispatchers, int windows, long seed) {
+    public static int countFalseDetections(int dispatchers, int windows, long seed) {
         Map<String, Double> quotas = Map.of("red", 0.25, "blue", 0.25, "green", 0.5);
-        VirtualTier tier = new VirtualTier(dispatchers, quotas, seed);
+        SimulatedDispatchers tier = new SimulatedDispatchers(dispatchers, quotas, seed);
         SplittableRandom random = new SplittableRandom(seed + 1);
         int moves = 0;
         Load load = null;
--- a/src/test/java/nettlewick/contention/UsageReporterTest.java
+++ b/src/test/java/nettlewick/contention/UsageReporterTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettlewick.core.Attempts;
 import nettlewick.core.Request;
+import nettlewick.core.TestAttempts;
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.SchedulerSettings.RequestClass;
@@ -24,7 +24,7 @@
 
     private void recordRequests(String tenant, int count, boolean retry) {
         for (int i = 0; i < count; i++) {
-            counters.asked(new Request("j", "c", tenant, null, 1e6, 1, 0, 50, retry, null, null));
+            counters.onRequestAccepted(new Request("j", "c", tenant, null, 1e6, 1, 0, 50, retry, null, null));
         }
     }
 
@@ -112,7 +112,7 @@
     private void recordHarm() {
         for (int i = 0; i < 3; i++) {
             Request r = new Request("h" + i, "c", "blue", null, 1e6, 1, 0, 50, true, null, null);
-            counters.ended(Attempts.of(r, "s1"), AttemptResult.OVERLOADED);
+            counters.onAttemptEnded(TestAttempts.create(r, "s1"), AttemptResult.OVERLOADED);
         }
     }
 
--- a/src/test/java/nettlewick/core/ClockTest.java
+++ b/src/test/java/nettlewick/core/ClockTest.java
@@ -14,21 +14,21 @@
     void readersDoNotBlockEachOther() throws Exception {
         Clock clock = Clock.system();
         synchronized (clock) {
-            double then = CompletableFuture.supplyAsync(clock::now).get(20, TimeUnit.SECONDS);
+            double then = CompletableFuture.supplyAsync(clock::nowMillis).get(20, TimeUnit.SECONDS);
             assertTrue(then > 0);
         }
     }
 
     @Test
     void timeNeverGoesBack() {
-        Clock clock = Clock.standing(1000);
-        clock.set(2000);
-        clock.set(1500);
-        assertEquals(2000, clock.now());
+        Clock clock = Clock.stoppedAt(1000);
+        clock.advanceTo(2000);
+        clock.advanceTo(1500);
+        assertEquals(2000, clock.nowMillis());
         Clock system = Clock.system(3_600_000);
-        double before = system.now();
-        assertTrue(system.now() >= before && before > System.currentTimeMillis() + 3_000_000);
-        system.set(5);
-        assertTrue(system.now() >= before);
+        double before = system.nowMillis();
+        assertTrue(system.nowMillis() >= before && before > System.currentTimeMillis() + 3_000_000);
+        system.advanceTo(5);
+        assertTrue(system.nowMillis() >= before);
     }
 }
--- a/src/test/java/nettlewick/core/CoreLoopTest.java
+++ b/src/test/java/nettlewick/core/CoreLoopTest.java
@@ -15,7 +15,7 @@
     @Test
     void onlyTheThreadThatRunsTheLoopMayAddEvents() throws InterruptedException {
         CoreLoop loop =
-                new CoreLoop(Clock.standing(0), (now, events) -> List.of(), new Metrics(List.of()), action -> {});
+                new CoreLoop(Clock.stoppedAt(0), (now, events) -> List.of(), new Metrics(List.of()), action -> {});
         loop.runIteration(0);
         loop.addEvent(new Abandoned("here"));
         CompletableFuture<Void> elsewhere = CompletableFuture.runAsync(() -> loop.addEvent(new Abandoned("elsewhere")));
--- a/src/test/java/nettlewick/core/FinalAnswerTest.java
+++ b/src/test/java/nettlewick/core/FinalAnswerTest.java
@@ -35,7 +35,7 @@
         advanceTo(0);
         for (int turn = 0; turn < 3; turn++) {
             coordinator.receivePeerMessage(1, new byte[0]);
-            clock.set(START + 111 + turn);
+            clock.advanceTo(START + 111 + turn);
             coordinator.runIteration(0);
         }
         assertEquals(List.of("failed a"), sideEffects);
@@ -56,11 +56,11 @@
         Request a = submit("a", 100);
         advanceTo(0);
         Attempt attempt = sentAttempts.get(0);
-        assertTrue(attempt.mayBegin(START + 99));
-        assertTrue(!attempt.mayBegin(START + 100));
+        assertTrue(attempt.mayStart(START + 99));
+        assertTrue(!attempt.mayStart(START + 100));
         coordinator.abandon(a);
         advanceTo(1);
-        assertTrue(!attempt.mayBegin(START + 2));
+        assertTrue(!attempt.mayStart(START + 2));
     }
 
     /** One outcome for each dispatch and one final answer for each request. */
@@ -77,7 +77,7 @@
         assertEquals(List.of(AttemptResult.SERVED, AttemptResult.SERVED), attemptResults());
         assertTrue(moduleEvents.stream()
                 .filter(e -> e instanceof Event.Outcome)
-                .allMatch(e -> ((Event.Outcome) e).settled()));
+                .allMatch(e -> ((Event.Outcome) e).isSettled()));
     }
 
     @Test
--- a/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
@@ -22,7 +22,7 @@
 /** A coordinator with a scripted decision module, a transport that only records, and a manual clock. */
 abstract class RequestCoordinatorFixture {
     static final double START = 1_000_000;
-    final Clock clock = Clock.standing(START);
+    final Clock clock = Clock.stoppedAt(START);
     final List<Event> moduleEvents = new ArrayList<>();
     final List<String> sideEffects = new ArrayList<>();
     final List<Attempt> sentAttempts = new ArrayList<>();
@@ -70,7 +70,7 @@
                     }
 
                     @Override
-                    public void drop(Attempt a) {
+                    public void cancel(Attempt a) {
                         sideEffects.add("drop " + a.request().id() + a.number());
                     }
 
@@ -80,12 +80,12 @@
                     }
 
                     @Override
-                    public void drop(nettlewick.core.Probe p) {
+                    public void cancel(nettlewick.core.Probe p) {
                         sideEffects.add("drop probe");
                     }
 
                     @Override
-                    public void tell(int rank, byte[] data) {
+                    public void sendToPeer(int rank, byte[] data) {
                         sideEffects.add("tell " + rank);
                     }
                 },
@@ -101,7 +101,7 @@
 
     /** Sets the clock to that many milliseconds after the start and runs all tasks that are ready. */
     void advanceTo(double millis) throws InterruptedException {
-        clock.set(START + millis);
+        clock.advanceTo(START + millis);
         for (int i = 0; i < 8; i++) {
             coordinator.runIteration(0);
         }
@@ -115,17 +115,17 @@
         Request[] made = new Request[1];
         made[0] = new Request(id, "c", null, null, START + deadline, 1, 0, hint, false, null, new Request.Caller() {
             @Override
-            public void served(byte[] result) {
+            public void onServed(byte[] result) {
                 sideEffects.add("served " + id);
             }
 
             @Override
-            public void rejected(double retryAfter) {
+            public void onRejected(double retryAfter) {
                 sideEffects.add("refused " + id + " " + retryAfter);
             }
 
             @Override
-            public void failed(String reason) {
+            public void onFailed(String reason) {
                 sideEffects.add("failed " + id);
             }
         });
--- a/src/test/java/nettlewick/core/RequestCoordinatorTest.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorTest.java
@@ -25,14 +25,14 @@
         List<UsageRecorder.FinishedRequest> records = new ArrayList<>();
         usageRecorder = new UsageRecorder() {
             @Override
-            public Runnable settle(FinishedRequest finished, Consumer<Receipt> release) {
+            public Runnable record(FinishedRequest finished, Consumer<Receipt> release) {
                 records.add(finished);
                 waiting.add(release);
                 return () -> sideEffects.add("overdue " + finished.request().id());
             }
 
             @Override
-            public double patience() {
+            public double timeoutMillis() {
                 return timeoutMillis;
             }
         };
@@ -119,10 +119,10 @@
         assertEquals(1, records.size());
         UsageRecorder.FinishedRequest a = records.get(0);
         assertEquals(UsageRecorder.Ending.SERVED, a.ending());
-        assertEquals(2, a.attempts());
-        assertEquals(15_000, a.work(), "slot-microseconds of the attempt that served it");
-        assertEquals(25_000, a.spare(), "slot-microseconds of the attempt that still runs");
-        assertEquals(false, a.estimate());
+        assertEquals(2, a.attemptCount());
+        assertEquals(15_000, a.workSlotMicros(), "slot-microseconds of the attempt that served it");
+        assertEquals(25_000, a.extraWorkSlotMicros(), "slot-microseconds of the attempt that still runs");
+        assertEquals(false, a.isEstimate());
         assertTrue(
                 sideEffects.stream().noneMatch(s -> s.startsWith("served")),
                 "held back until the recorder releases it");
@@ -161,8 +161,8 @@
         advanceTo(5);
         coordinator.attemptEnded(sentAttempts.get(0), new Outcome(AttemptResult.SERVED, new byte[0], null));
         advanceTo(6);
-        assertEquals(1500, records.get(0).work(), "the hint, 1.5 ms");
-        assertTrue(records.get(0).estimate());
+        assertEquals(1500, records.get(0).workSlotMicros(), "the hint, 1.5 ms");
+        assertTrue(records.get(0).isEstimate());
     }
 
     @Test
@@ -171,8 +171,8 @@
         advanceTo(100);
         Arrival arrival = (Arrival) moduleEvents.get(1);
         assertEquals(1_000_100_000_000L, lastDecisionNanos);
-        assertEquals(150_500_000, arrival.remaining());
-        assertEquals(1_500_000, arrival.costHint());
+        assertEquals(150_500_000, arrival.remainingNanos());
+        assertEquals(1_500_000, arrival.costHintNanos());
         assertEquals(
                 2_500_000, ((EndpointList) moduleEvents.get(0)).entries().get(0).startedAt());
     }
--- a/src/test/java/nettlewick/core/Attempts.java
+++ b/src/test/java/nettlewick/core/TestAttempts.java
@@ -1,10 +1,10 @@
 package nettlewick.core;
 
 /** Makes attempts for tests of {@link RequestListener}s in other packages. */
-public final class Attempts {
-    private Attempts() {}
+public final class TestAttempts {
+    private TestAttempts() {}
 
-    public static Attempt of(Request request, String endpoint) {
+    public static Attempt create(Request request, String endpoint) {
         return new Attempt(request, 0, endpoint, 0, Double.MAX_VALUE, () -> true);
     }
 }
--- a/src/test/java/nettlewick/decision/AttemptMonitorTest.java
+++ b/src/test/java/nettlewick/decision/AttemptMonitorTest.java
@@ -61,10 +61,10 @@
         answers(2, 0, 8);
         at(now, Samples.probeAnswer("w0", 9, 0));
         Dispatch first = send("book");
-        assertEquals("w0", first.endpoint());
+        assertEquals("w0", first.endpointId());
         at(now + 1, Samples.outcome(first, 0, AttemptResult.ERROR));
         for (int i = 0; i < 4; i++) {
-            assertFalse(send("book").endpoint().equals("w0"));
+            assertFalse(send("book").endpointId().equals("w0"));
         }
     }
 
@@ -79,7 +79,7 @@
         List<String> stuck = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             Dispatch sent = send(i == 0 ? "book" : "read");
-            assertEquals("w0", sent.endpoint());
+            assertEquals("w0", sent.endpointId());
             stuck.add(sent.id());
         }
         List<Dispatch> again = new ArrayList<>();
@@ -89,6 +89,6 @@
             again.addAll(Samples.actionsOfType(Dispatch.class, at(now + 100 * Samples.MS, new Timer("beat"))));
         }
         assertEquals(stuck.subList(1, 6), again.stream().map(Dispatch::id).toList(), "all but the fragile one, once");
-        assertFalse(again.get(0).endpoint().equals("w0"));
+        assertFalse(again.get(0).endpointId().equals("w0"));
     }
 }
--- a/src/test/java/nettlewick/decision/DedicatedEndpointsTest.java
+++ b/src/test/java/nettlewick/decision/DedicatedEndpointsTest.java
@@ -45,7 +45,7 @@
             String key = requestClass.equals("read") ? null : "k" + i;
             Arrival a = new Arrival("j" + requests++, requestClass, tenant, 5 * Samples.SECOND, 1, 0, 0, key, false);
             Samples.actionsOfType(Dispatch.class, at(a)).forEach(d -> {
-                used.add(d.endpoint());
+                used.add(d.endpointId());
                 at(Samples.outcome(d, 0, AttemptResult.SERVED));
             });
         }
@@ -74,7 +74,7 @@
             }
             List<Action> red = at(new Arrival("r" + i, "read", "red", 5 * Samples.SECOND, 1, 0, 0, null, false));
             assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, red), "request " + i);
-            assertTrue(Samples.actionsOfType(Reject.class, red).get(0).retryAfter() > 0, "when to come back");
+            assertTrue(Samples.actionsOfType(Reject.class, red).get(0).retryAfterNanos() > 0, "when to come back");
             List<Dispatch> blue = Samples.actionsOfType(
                     Dispatch.class, at(new Arrival("b" + i, "read", "blue", 5 * Samples.SECOND, 1, 0, 0, null, false)));
             assertEquals(1, blue.size(), "request " + i);
@@ -119,7 +119,7 @@
         Dispatch first = Samples.actionsOfType(
                         Dispatch.class, at(new Arrival("k", "keyed", "red", 5 * Samples.SECOND, 1, 0, 0, null, false)))
                 .get(0);
-        assertEquals("w0", first.endpoint(), "of the north");
+        assertEquals("w0", first.endpointId(), "of the north");
         assign(true, true, "w1", "w3");
         List<Action> then = at(Samples.outcome(first, 0, AttemptResult.BROKEN));
         assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, then));
@@ -129,9 +129,9 @@
         Dispatch second = Samples.actionsOfType(
                         Dispatch.class, at(new Arrival("k2", "keyed", "red", 5 * Samples.SECOND, 1, 0, 0, null, false)))
                 .get(0);
-        String there = second.endpoint();
+        String there = second.endpointId();
         List<Dispatch> again =
                 Samples.actionsOfType(Dispatch.class, at(Samples.outcome(second, 0, AttemptResult.BROKEN)));
-        assertTrue(again.stream().noneMatch(d -> d.endpoint().equals(there.equals("w1") ? "w2" : "w1")));
+        assertTrue(again.stream().noneMatch(d -> d.endpointId().equals(there.equals("w1") ? "w2" : "w1")));
     }
 }
--- a/src/test/java/nettlewick/decision/EndpointRegistryTest.java
+++ b/src/test/java/nettlewick/decision/EndpointRegistryTest.java
@@ -84,7 +84,7 @@
         assertEquals(
                 List.of(false, true, false),
                 Samples.actionsOfType(Dispatch.class, actions).stream()
-                        .map(d -> d.endpoint().equals("w1"))
+                        .map(d -> d.endpointId().equals("w1"))
                         .toList());
     }
 
@@ -132,7 +132,7 @@
             assertTrue(
                     actions.stream()
                             .noneMatch(a -> a instanceof Dispatch d
-                                            && d.endpoint().equals("w0")
+                                            && d.endpointId().equals("w0")
                                     || a instanceof Probe p && p.endpoint().equals("w0")),
                     actions.toString());
             Samples.actionsOfType(Dispatch.class, actions)
--- a/src/test/java/nettlewick/decision/EndpointSelectorTest.java
+++ b/src/test/java/nettlewick/decision/EndpointSelectorTest.java
@@ -26,7 +26,7 @@
         answers(3, 0, 8);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 4; i++) {
-            used.add(send("read").endpoint());
+            used.add(send("read").endpointId());
         }
         assertTrue(used.size() >= 3, "four requests all go to " + used);
     }
@@ -60,7 +60,7 @@
                                             100 * Samples.MS,
                                             null,
                                             false)))
-                    .forEach(d -> used.add(d.endpoint()));
+                    .forEach(d -> used.add(d.endpointId()));
         }
         assertEquals(Set.of("w0", "w1"), used);
     }
@@ -70,7 +70,7 @@
         at(1, Samples.endpoints(8));
         answers(1, 0, 8);
         at(now, Samples.probeAnswer("w1", 9, 0));
-        assertEquals(0, Integer.parseInt(send("read").endpoint().substring(1)) % 2);
+        assertEquals(0, Integer.parseInt(send("read").endpointId().substring(1)) % 2);
     }
 
     @Test
@@ -79,7 +79,7 @@
         answers(0, 0, 8);
         Dispatch first = send("read");
         at(now + 1, Samples.outcome(first, 0, AttemptResult.OVERLOADED));
-        assertFalse(send("read").endpoint().equals(first.endpoint()));
+        assertFalse(send("read").endpointId().equals(first.endpointId()));
     }
 
     @Test
@@ -98,10 +98,10 @@
         other.handle(2, List.of(keyed));
         asked.forEach(p -> other.handle(3, List.of(Samples.probeAnswer(p.endpoint(), 2, 0))));
         assertEquals(
-                sent.endpoint(),
+                sent.endpointId(),
                 Samples.actionsOfType(Dispatch.class, other.handle(2 + 13 * Samples.MS, List.of(new Timer("hold"))))
                         .get(0)
-                        .endpoint());
+                        .endpointId());
     }
 
     @Test
@@ -111,7 +111,7 @@
         at(2, new EndpointList(false, List.of(Samples.entry("fresh", EndpointState.READY, 2, "north", 9))));
         at(3, Samples.probeAnswer("fresh", 9, 0));
         for (int i = 0; i < 20; i++) {
-            assertFalse(send("read").endpoint().equals("fresh"));
+            assertFalse(send("read").endpointId().equals("fresh"));
         }
     }
 
@@ -119,7 +119,7 @@
     void aDrainingOrMissingEndpointGetsNothing() {
         at(1, Samples.endpoints(2));
         at(2, new EndpointList(false, List.of(Samples.entry("w0", EndpointState.DRAINING, 0, "north", 0))));
-        assertEquals("w1", send("read").endpoint());
+        assertEquals("w1", send("read").endpointId());
         at(now, new EndpointList(true, List.of()));
         assertEquals(
                 1,
@@ -171,11 +171,11 @@
                 "w0",
                 Samples.actionsOfType(Dispatch.class, two.handle(3, List.of(Samples.arrival("a", "any", "red"))))
                         .get(0)
-                        .endpoint());
+                        .endpointId());
         assertEquals(
                 "w1",
                 Samples.actionsOfType(Dispatch.class, two.handle(3, List.of(Samples.arrival("b", "bound", "red"))))
                         .get(0)
-                        .endpoint());
+                        .endpointId());
     }
 }
--- a/src/test/java/nettlewick/decision/ExampleTest.java
+++ b/src/test/java/nettlewick/decision/ExampleTest.java
@@ -64,17 +64,17 @@
         List<Action> actions = dispatcher.handle(
                 now + 1, List.of(new Arrival("job-1", "render", "acme", 5 * second, 1, 0, second / 10, null, false)));
         Dispatch sent = (Dispatch) actions.get(0);
-        System.out.println("job-1 goes to " + sent.endpoint());
+        System.out.println("job-1 goes to " + sent.endpointId());
 
         actions = dispatcher.handle(
                 now + second / 10,
                 List.of(
-                        new Outcome("job-1", 0, sent.endpoint(), AttemptResult.OVERLOADED, 400_000, false, null),
+                        new Outcome("job-1", 0, sent.endpointId(), AttemptResult.OVERLOADED, 400_000, false, null),
                         new Timer("beat"),
                         new PeerMessageReceived(1, new byte[] {1, 2, 3})));
         actions.forEach(System.out::println);
         // example ends
-        assertEquals("10.0.0.2:9000", sent.endpoint());
+        assertEquals("10.0.0.2:9000", sent.endpointId());
         assertTrue(actions.contains(new Dispatch("job-1", "10.0.0.1:9000", 0)), actions.toString());
     }
 
--- a/src/test/java/nettlewick/decision/LargeFleetTest.java
+++ b/src/test/java/nettlewick/decision/LargeFleetTest.java
@@ -122,7 +122,7 @@
         for (int i = 0; i < 2; i++) {
             List<Action> actions = scheduler.handle(3 + i, List.of(Samples.arrival("j" + i, "read", "red")));
             assertEquals(
-                    "w1", Samples.actionsOfType(Dispatch.class, actions).get(0).endpoint());
+                    "w1", Samples.actionsOfType(Dispatch.class, actions).get(0).endpointId());
         }
     }
 }
--- a/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
+++ b/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
@@ -101,8 +101,8 @@
                     s.classes(),
                     s.tenants(),
                     s.kinds(),
-                    s.listOnRequest(),
-                    s.sizesFixed(),
+                    s.listsOnRequest(),
+                    s.hasFixedSizes(),
                     hedged ? LoadReporting.ON_PROBE : LoadReporting.INLINE,
                     hedged ? 0 : 100 * MS,
                     limits,
@@ -173,9 +173,9 @@
         /** The values of an action in an order of this test's own, so that renamed types change nothing. */
         private static String describe(Action action) {
             if (action instanceof Dispatch d) {
-                return "dispatch " + d.id() + " " + d.endpoint() + " " + d.timeout();
+                return "dispatch " + d.id() + " " + d.endpointId() + " " + d.timeoutNanos();
             } else if (action instanceof Reject r) {
-                return "reject " + r.id() + " " + r.retryAfter();
+                return "reject " + r.id() + " " + r.retryAfterNanos();
             } else if (action instanceof Fail f) {
                 return "fail " + f.id();
             } else if (action instanceof Cancel c) {
@@ -183,7 +183,7 @@
             } else if (action instanceof Probe p) {
                 return "probe " + p.endpoint();
             } else if (action instanceof SetTimer t) {
-                return "timer " + t.delay();
+                return "timer " + t.delayNanos();
             } else if (action instanceof SendToPeer t) {
                 return "message " + t.rank() + " " + HexFormat.of().formatHex(t.data());
             }
@@ -203,7 +203,7 @@
                         new EndpointLoad(random.nextInt(3), Double.NaN, random.nextInt(3), Double.NaN, Double.NaN);
                 at(now + 8 * MS, rank, new ProbeAnswer(p.endpoint(), AttemptResult.SERVED, 8 * MS, load));
             } else if (action instanceof SetTimer t) {
-                at(now + t.delay(), rank, new Timer(t.name()));
+                at(now + t.delayNanos(), rank, new Timer(t.name()));
             } else if (action instanceof SendToPeer t) {
                 messages.computeIfAbsent(kind(t.data()), k -> new ArrayList<>()).add(t.data());
                 if (random.nextInt(10) > 0) {
@@ -217,7 +217,7 @@
             AttemptResult result = RESULTS[random.nextInt(RESULTS.length)];
             long took = 30 * MS + random.nextLong(700 * MS);
             if (random.nextBoolean()) {
-                at(now + 8 * MS, rank, new Progress(d.id(), number, d.endpoint(), 0));
+                at(now + 8 * MS, rank, new Progress(d.id(), number, d.endpointId(), 0));
             }
             EndpointLoad load =
                     new EndpointLoad(random.nextInt(3), Double.NaN, random.nextInt(4), Double.NaN, Double.NaN);
@@ -227,7 +227,7 @@
                     new Outcome(
                             d.id(),
                             number,
-                            d.endpoint(),
+                            d.endpointId(),
                             result,
                             took,
                             result == AttemptResult.SERVED,
--- a/src/test/java/nettlewick/decision/QueuelessSiteTest.java
+++ b/src/test/java/nettlewick/decision/QueuelessSiteTest.java
@@ -73,7 +73,7 @@
 
     private String sentTo(List<Action> actions) {
         List<Dispatch> sent = Samples.actionsOfType(Dispatch.class, actions);
-        return sent.isEmpty() ? null : sent.get(0).endpoint();
+        return sent.isEmpty() ? null : sent.get(0).endpointId();
     }
 
     private void list(String... zones) {
--- a/src/test/java/nettlewick/decision/RetryAfterTest.java
+++ b/src/test/java/nettlewick/decision/RetryAfterTest.java
@@ -18,7 +18,7 @@
     void aRejectionForLackOfEndpointsSaysWhenToRetry() {
         Reject rejected = rejections(true, Samples.arrival("a", "read", "red")).get(0);
         assertTrue(
-                rejected.retryAfter() >= Samples.SECOND && rejected.retryAfter() <= 2 * Samples.SECOND,
+                rejected.retryAfterNanos() >= Samples.SECOND && rejected.retryAfterNanos() <= 2 * Samples.SECOND,
                 rejected.toString());
     }
 
@@ -26,12 +26,12 @@
     void anUnknownClassIsRejectedWithTheLongestRetryAfter() {
         assertEquals(
                 2 * Samples.SECOND,
-                rejections(true, Samples.arrival("a", "none", "red")).get(0).retryAfter());
+                rejections(true, Samples.arrival("a", "none", "red")).get(0).retryAfterNanos());
     }
 
     @Test
     void noRetryAfterWhereTheSiteAllowsNone() {
         assertEquals(
-                0, rejections(false, Samples.arrival("a", "read", "red")).get(0).retryAfter());
+                0, rejections(false, Samples.arrival("a", "read", "red")).get(0).retryAfterNanos());
     }
 }
--- a/src/test/java/nettlewick/decision/RuleChecker.java
+++ b/src/test/java/nettlewick/decision/RuleChecker.java
@@ -51,10 +51,10 @@
         if (event instanceof Arrival e) {
             Request r = new Request();
             r.arrival = e;
-            r.deadline = now + e.remaining();
+            r.deadline = now + e.remainingNanos();
             requests.put(e.id(), r);
         } else if (event instanceof EndpointList e) {
-            if (e.whole()) {
+            if (e.isComplete()) {
                 list.replaceAll((id, endpoint) -> new EndpointEntry(
                         id,
                         EndpointState.GONE,
@@ -73,7 +73,7 @@
                 case OVERLOADED, UNREACHABLE, NOT_SENT -> true;
                 default -> false;
             };
-            r.answered |= e.settled();
+            r.answered |= e.isSettled();
             warmServed +=
                     e.result() == AttemptResult.SERVED && list.get(e.endpoint()).startedAt() == 0 ? 1 : 0;
         } else if (event instanceof Abandoned e) {
@@ -109,7 +109,7 @@
         if (r.answered) {
             broken.add("lost: " + id + " answered twice");
         }
-        if (now > r.deadline + settings.rules().answerSlack()) {
+        if (now > r.deadline + settings.rules().answerSlackNanos()) {
             broken.add("lost: " + id + " answered too late");
         }
         r.answered = true;
@@ -119,12 +119,12 @@
     private void dispatch(long now, Dispatch a) {
         Request r = requests.get(a.id());
         RequestClass c = requestClass(r);
-        EndpointEntry endpoint = list.get(a.endpoint());
+        EndpointEntry endpoint = list.get(a.endpointId());
         if (r.answered) {
             broken.add("lost: " + a.id() + " sent after its answer");
         }
         if (endpoint == null || endpoint.state() != EndpointState.READY) {
-            broken.add("drain: " + a.endpoint() + " is not ready");
+            broken.add("drain: " + a.endpointId() + " is not ready");
             return;
         }
         if (r.sends.size() >= settings.limits().maxAttempts()) {
@@ -147,11 +147,11 @@
             }
         }
         Send s = new Send();
-        s.endpoint = a.endpoint();
+        s.endpoint = a.endpointId();
         s.at = now;
         r.sends.add(s);
         if (endpoint.startedAt() > 0
-                && now - endpoint.startedAt() < settings.rules().slowStart()) {
+                && now - endpoint.startedAt() < settings.rules().slowStartNanos()) {
             cold(now, endpoint);
         }
     }
@@ -160,22 +160,23 @@
     private void cold(long now, EndpointEntry endpoint) {
         List<Long> sends = coldSends.computeIfAbsent(endpoint.id(), k -> new ArrayList<>());
         sends.add(now);
-        long recent =
-                sends.stream().filter(at -> now - at < settings.rules().fall()).count();
+        long recent = sends.stream()
+                .filter(at -> now - at < settings.rules().overloadWindowNanos())
+                .count();
         long warm = Math.max(
                 1,
                 list.values().stream()
                         .filter(x -> x.startedAt() == 0 && x.state() == EndpointState.READY)
                         .count());
         double seconds = Math.max(1, (now - began) / 1e9);
-        double age = (double) (now - endpoint.startedAt()) / settings.rules().slowStart();
+        double age = (double) (now - endpoint.startedAt()) / settings.rules().slowStartNanos();
         double ramp = settings.rules().slowStartShare() + (1 - settings.rules().slowStartShare()) * age;
         double budget = settings.rules().overloadFactor()
                         * ramp
                         * warmServed
                         / seconds
                         / warm
-                        * settings.rules().fall()
+                        * settings.rules().overloadWindowNanos()
                         / 1e9
                 + 1;
         if (recent > budget) {
@@ -186,7 +187,7 @@
     /** To be called when nothing more happens. */
     void finish(long now) {
         requests.forEach((id, r) -> {
-            if (!r.answered && now > r.deadline + settings.rules().answerSlack()) {
+            if (!r.answered && now > r.deadline + settings.rules().answerSlackNanos()) {
                 broken.add("lost: " + id + " never answered");
             }
         });
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -73,7 +73,8 @@
     }
 
     static Outcome outcome(Dispatch sent, int attempt, AttemptResult result) {
-        return new Outcome(sent.id(), attempt, sent.endpoint(), result, 50 * MS, result == AttemptResult.SERVED, null);
+        return new Outcome(
+                sent.id(), attempt, sent.endpointId(), result, 50 * MS, result == AttemptResult.SERVED, null);
     }
 
     static ProbeAnswer probeAnswer(String endpoint, double free, double waiting) {
--- a/src/test/java/nettlewick/decision/SiteRulesTest.java
+++ b/src/test/java/nettlewick/decision/SiteRulesTest.java
@@ -124,11 +124,11 @@
         /** The event without what a host would not report: null where it reports nothing. */
         private Event asTheHostReportsIt(long now, Event event) {
             if (event instanceof Arrival a) {
-                deadlines.put(a.id(), now + a.remaining());
+                deadlines.put(a.id(), now + a.remainingNanos());
             } else if (event instanceof Abandoned a) {
                 return deadlines.containsKey(a.id()) && done.add(a.id()) ? event : null;
-            } else if (event instanceof Outcome o && o.settled() && !done.add(o.id())) {
-                return new Outcome(o.id(), o.attempt(), o.endpoint(), o.result(), o.latency(), true, null);
+            } else if (event instanceof Outcome o && o.isSettled() && !done.add(o.id())) {
+                return new Outcome(o.id(), o.attempt(), o.endpoint(), o.result(), o.latencyNanos(), true, null);
             }
             return event;
         }
@@ -156,7 +156,7 @@
                                 ? new ProbeAnswer(p.endpoint(), AttemptResult.TIMEOUT, Samples.MS, null)
                                 : Samples.probeAnswer(p.endpoint(), random.nextInt(4), random.nextInt(3)));
             } else if (action instanceof SetTimer t) {
-                schedule(now + t.delay(), new Timer(t.name()));
+                schedule(now + t.delayNanos(), new Timer(t.name()));
             }
         }
 
@@ -171,7 +171,7 @@
             }
             schedule(
                     now + Math.max(1, wait),
-                    new Outcome(d.id(), number, d.endpoint(), result, wait, result == AttemptResult.SERVED, null));
+                    new Outcome(d.id(), number, d.endpointId(), result, wait, result == AttemptResult.SERVED, null));
         }
 
         private static AttemptResult drawResult(int percent) {
@@ -195,7 +195,7 @@
 
     private static EndpointList rename(EndpointList list, UnaryOperator<String> name) {
         return new EndpointList(
-                list.whole(),
+                list.isComplete(),
                 list.entries().stream()
                         .map(endpoint -> new EndpointEntry(
                                 name.apply(endpoint.id()),
--- a/src/test/java/nettlewick/decision/SliceExchangeTest.java
+++ b/src/test/java/nettlewick/decision/SliceExchangeTest.java
@@ -61,7 +61,7 @@
                         }
                     }
                 } else if (action instanceof SetTimer t) {
-                    nextTickAt[rank] = now + t.delay();
+                    nextTickAt[rank] = now + t.delayNanos();
                 } else if (action instanceof Probe p) {
                     carry(
                             rank,
--- a/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
+++ b/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
@@ -67,11 +67,11 @@
                         : slots * (1 - Math.min(1, uneven / dispatchers)) / Math.max(1, dispatchers - 1);
                 kinds.add(new EndpointKindStats(slots, carriedRate, random.nextInt(2) * 100));
                 toldAt.add(start + random.nextLong(SECOND));
-                restartAt.add(start + SECOND + random.nextLong(rules.slowStart()));
+                restartAt.add(start + SECOND + random.nextLong(rules.slowStartNanos()));
             }
             SlowStartBudget rule = new SlowStartBudget(rules, dispatchers);
             List<Long> sends = new ArrayList<>();
-            for (long now = start; now < start + rules.slowStart(); now += STEP) {
+            for (long now = start; now < start + rules.slowStartNanos(); now += STEP) {
                 for (int d = 0; d < dispatchers; d++) {
                     Endpoint endpoint = views.get(d);
                     if (restartAt.get(d) >= now && restartAt.get(d) < now + STEP) {
@@ -87,9 +87,9 @@
                         sends.add(now);
                     }
                 }
-                long from = now - rules.fall();
+                long from = now - rules.overloadWindowNanos();
                 sends.removeIf(at -> at <= from);
-                double age = (double) (now - start) / rules.slowStart();
+                double age = (double) (now - start) / rules.slowStartNanos();
                 double n = factor * (coldShare + (1 - coldShare) * age) * slots * fall / mean;
                 double most = n + (n < 30 ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2);
                 assertTrue(
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -118,10 +118,10 @@
                             s.classes(),
                             s.tenants(),
                             s.kinds(),
-                            s.listOnRequest(),
-                            s.sizesFixed(),
+                            s.listsOnRequest(),
+                            s.hasFixedSizes(),
                             s.loadReporting(),
-                            s.progress(),
+                            s.progressIntervalNanos(),
                             s.limits(),
                             s.rules()),
                     seed + rank));
@@ -180,16 +180,16 @@
             at(
                     now + HOP,
                     () -> endpoints
-                            .get(d.endpoint())
+                            .get(d.endpointId())
                             .take(
                                     work.get(d.id()),
-                                    () -> later(rank, new Progress(d.id(), number, d.endpoint(), 0)),
+                                    () -> later(rank, new Progress(d.id(), number, d.endpointId(), 0)),
                                     () -> later(
                                             rank,
                                             new Outcome(
                                                     d.id(),
                                                     number,
-                                                    d.endpoint(),
+                                                    d.endpointId(),
                                                     AttemptResult.SERVED,
                                                     now + HOP - sentAt,
                                                     true,
@@ -214,7 +214,7 @@
             kind[1] += t.data().length;
             at(now + HOP, () -> handle(t.rank(), new PeerMessageReceived(rank, t.data())));
         } else if (action instanceof SetTimer t) {
-            at(now + t.delay(), () -> handle(rank, new Timer(t.name())));
+            at(now + t.delayNanos(), () -> handle(rank, new Timer(t.name())));
         } else if (action instanceof Reject) {
             rejected++;
         }
--- a/src/test/java/nettlewick/fleettest/MeasureDuties.java
+++ b/src/test/java/nettlewick/fleettest/MeasureDuties.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import nettlewick.contention.VirtualTier;
-import nettlewick.lease.VirtualDuties;
+import nettlewick.contention.SimulatedDispatchers;
+import nettlewick.lease.SimulatedLeaseTier;
 
 /**
  * Members' pools by many processes and members, against the program with them off and against a load without the
@@ -82,7 +82,7 @@
         for (String name : List.of("two_holders", "moved_jobs_lost", "rules_broken", "crashed")) {
             all.merge(name, money.get(name), Double::sum);
         }
-        all.put("unheld_share_20_percent_loss", VirtualDuties.unheld(100, 5, LOSS, 120_000, 1));
+        all.put("unheld_share_20_percent_loss", SimulatedLeaseTier.unheldShare(100, 5, LOSS, 120_000, 1));
         figures(all, today, alone);
         System.err.println("runs are in " + folder);
         all.forEach((name, value) -> System.out.println(name + "=" + Results.plain(value)));
@@ -151,10 +151,10 @@
         // An hour of two-second windows, by three seeds.
         int moves = 0;
         for (int seed = 0; seed < 3; seed++) {
-            moves += VirtualTier.falseMoves(100, 1800, seed);
+            moves += SimulatedDispatchers.countFalseDetections(100, 1800, seed);
         }
-        all.put("bytes_per_s_a_dispatcher_100", VirtualDuties.bytes(100, 30, 20_000));
-        all.put("bytes_per_s_a_dispatcher_1000", VirtualDuties.bytes(1000, 300, 20_000));
+        all.put("bytes_per_s_a_dispatcher_100", SimulatedLeaseTier.bytesPerSecond(100, 30, 20_000));
+        all.put("bytes_per_s_a_dispatcher_1000", SimulatedLeaseTier.bytesPerSecond(1000, 300, 20_000));
         all.put("false_moves", (double) moves);
         all.put("cores_duties_100", all.get("cores") - today.get("cores"));
     }
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import nettlewick.contention.VirtualTier;
+import nettlewick.contention.SimulatedDispatchers;
 import nettlewick.lease.HostileDispatcher;
 import nettlewick.stubs.ProviderServer;
 import org.junit.jupiter.api.Test;
@@ -68,7 +68,7 @@
                 settings,
                 "pool-" + blamed,
                 play.fleet.members.stream().map(m -> m.duty).toList(),
-                VirtualTier.blame(blamed, 10));
+                SimulatedDispatchers.falseAccusations(blamed, 10));
     }
 
     private static final String CAPPED = "member red cap 1000 most 2\nmember blue\nmember green\n";
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -3,16 +3,16 @@
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static nettlewick.golden.WireText.ask;
 import static nettlewick.golden.WireText.entry;
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.stream.Collectors;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.net.DispatcherServer;
-import nettlewick.net.StandIns;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -22,12 +22,12 @@
 @Timeout(60)
 class ClientWireGoldenTest {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private DispatcherServer node;
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
     }
 
     @AfterEach
--- a/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
@@ -2,7 +2,7 @@
 
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static nettlewick.golden.WireText.entry;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.google.gson.Gson;
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.atomic.AtomicInteger;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -65,7 +65,7 @@
     @Test
     void requestsAndProbesToRunners() throws Exception {
         AtomicInteger refusals = new AtomicInteger();
-        StandIns world = new StandIns();
+        DispatcherOnStubPlatform world = new DispatcherOnStubPlatform();
         try (world;
                 RecordingServer one = new RecordingServer((r, s) -> runner(r, s, refusals));
                 RecordingServer two = new RecordingServer((r, s) -> runner(r, s, refusals))) {
@@ -154,7 +154,7 @@
         StringBuilder text = new StringBuilder();
         for (boolean known : new boolean[] {false, true}) {
             AtomicInteger calls = new AtomicInteger();
-            StandIns world = new StandIns();
+            DispatcherOnStubPlatform world = new DispatcherOnStubPlatform();
             try (world;
                     RecordingServer discovery = new RecordingServer((request, socket) -> {
                         int call = calls.incrementAndGet();
--- a/src/test/java/nettlewick/lease/LeaseCandidateTest.java
+++ b/src/test/java/nettlewick/lease/LeaseCandidateTest.java
@@ -89,9 +89,9 @@
     /** A single lost datagram does not make a candidate start again. */
     @Test
     void leasesAreHeldMostOfTheTimeWithAFifthOfDatagramsLost() {
-        double unheld = VirtualDuties.unheld(12, 3, 0.2, 60_000, 5);
+        double unheld = SimulatedLeaseTier.unheldShare(12, 3, 0.2, 60_000, 5);
         assertTrue(unheld < 0.025, "unheld " + unheld);
-        System.out.println("unheld=" + unheld + " five=" + VirtualDuties.unheld(100, 5, 0.2, 60_000, 5) + " third_lost="
-                + VirtualDuties.unheld(12, 3, 0.3, 60_000, 5));
+        System.out.println("unheld=" + unheld + " five=" + SimulatedLeaseTier.unheldShare(100, 5, 0.2, 60_000, 5)
+                + " third_lost=" + SimulatedLeaseTier.unheldShare(12, 3, 0.3, 60_000, 5));
     }
 }
--- a/src/test/java/nettlewick/lease/VirtualDuties.java
+++ b/src/test/java/nettlewick/lease/SimulatedLeaseTier.java
@@ -13,7 +13,7 @@
 import nettlewick.lease.LeaseMessage.Outgoing;
 
 /** A simulated tier in virtual time: how many bytes its leases cost, and how long leases are unheld under losses. */
-public final class VirtualDuties {
+public final class SimulatedLeaseTier {
     private static final double LEASE_MILLIS = 3000;
     private static final double TICK_MILLIS = 100;
     private static final int CANDIDATES = 8;
@@ -28,7 +28,7 @@
     private final MessageCodec codec = new MessageCodec(new byte[32], 1, 0, 1);
     private long bytes;
 
-    private VirtualDuties(int dispatchers, int voterCount, int leaseCount, double loss, long seed) {
+    private SimulatedLeaseTier(int dispatchers, int voterCount, int leaseCount, double loss, long seed) {
         this.loss = loss;
         random = new SplittableRandom(seed);
         voterNumbers = IntStream.range(0, voterCount).boxed().toList();
@@ -83,8 +83,8 @@
     }
 
     /** The mean number of bytes that one dispatcher sends in a second for this many leases. */
-    public static double bytes(int dispatchers, int leaseCount, double millis) {
-        VirtualDuties tier = new VirtualDuties(dispatchers, 5, leaseCount, 0, 1);
+    public static double bytesPerSecond(int dispatchers, int leaseCount, double millis) {
+        SimulatedLeaseTier tier = new SimulatedLeaseTier(dispatchers, 5, leaseCount, 0, 1);
         for (double now = 0; now < millis; now += TICK_MILLIS) {
             if (now == millis / 2) {
                 tier.bytes = 0;
@@ -104,8 +104,8 @@
     }
 
     /** The share of the time in which a lease has no holder, the mean of thirty, from the start and under losses. */
-    public static double unheld(int dispatchers, int voterCount, double loss, double millis, long seed) {
-        VirtualDuties tier = new VirtualDuties(dispatchers, voterCount, 30, loss, seed);
+    public static double unheldShare(int dispatchers, int voterCount, double loss, double millis, long seed) {
+        SimulatedLeaseTier tier = new SimulatedLeaseTier(dispatchers, voterCount, 30, loss, seed);
         double unheldTicks = 0;
         int ticks = 0;
         for (double now = 0; now < millis; now += TICK_MILLIS) {
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -64,11 +64,11 @@
 
     /** A job whose answer is written as soon as it may leave. */
     private static void answer(Ledger ledger, String id, Set<String> left) {
-        ledger.settle(job(id, Ending.SERVED), receipt -> {
+        ledger.record(job(id, Ending.SERVED), receipt -> {
             synchronized (left) {
                 left.add(id);
             }
-            receipt.answered();
+            receipt.markAnswered();
         });
     }
 
@@ -81,7 +81,7 @@
     }
 
     private static boolean has(Ledger ledger, String figure, long value) {
-        return ledger.figures().get("ledger." + figure).longValue() == value;
+        return ledger.metrics().get("ledger." + figure).longValue() == value;
     }
 
     @Test
@@ -124,11 +124,11 @@
         List<Runnable> overdue = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             String id = "j" + i;
-            overdue.add(ledger.settle(job(id, Ending.SERVED), r -> {
+            overdue.add(ledger.record(job(id, Ending.SERVED), r -> {
                 synchronized (left) {
                     left.add(id);
                 }
-                r.answered();
+                r.markAnswered();
             }));
         }
         overdue.forEach(Runnable::run);
@@ -158,7 +158,7 @@
         until(() -> left.size() == 50);
         assertTrue(
                 has(ledger, "queue", 20) && has(ledger, "gap", 30),
-                ledger.figures().toString());
+                ledger.metrics().toString());
         until(() -> has(ledger, "trouble", 1));
         full.set(false);
         until(() -> has(ledger, "queue", 0) && has(ledger, "trouble", 0));
@@ -188,7 +188,7 @@
             answer(ledger, "j" + i, left);
         }
         until(() -> left.size() == 100 && has(ledger, "entries", 100));
-        assertTrue(has(ledger, "unsynced", 100), "each left without being on the disk: " + ledger.figures());
+        assertTrue(has(ledger, "unsynced", 100), "each left without being on the disk: " + ledger.metrics());
         bad.set(false);
         answer(ledger, "last", left);
         until(() -> has(ledger, "entries", 101));
@@ -210,11 +210,11 @@
     @Test
     void aClientThatLeavesIsCountedAndNotBilledWhicheverComesFirst() throws Exception {
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
-        ledger.settle(job("before", Ending.LEFT), r -> {});
-        ledger.settle(job("after", Ending.SERVED), UsageRecorder.Receipt::left);
-        ledger.settle(job("both", Ending.SERVED), r -> {
-            r.answered();
-            r.left();
+        ledger.record(job("before", Ending.LEFT), r -> {});
+        ledger.record(job("after", Ending.SERVED), UsageRecorder.Receipt::markAbandoned);
+        ledger.record(job("both", Ending.SERVED), r -> {
+            r.markAnswered();
+            r.markAbandoned();
         });
         until(() -> has(ledger, "entries", 3));
         assertEquals(
@@ -226,22 +226,22 @@
     /** A standing clock, one that jumps, and a job answered in the last and the first instant of a period. */
     @Test
     void theTimeOfTheLastByteDecidesThePeriod() throws Exception {
-        Clock clock = Clock.standing(DECEMBER - 1);
+        Clock clock = Clock.stoppedAt(DECEMBER - 1);
         Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
         List<UsageRecorder.Receipt> receipts = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            ledger.settle(job("j" + i, Ending.SERVED), r -> {
+            ledger.record(job("j" + i, Ending.SERVED), r -> {
                 synchronized (receipts) {
                     receipts.add(r);
                 }
             });
         }
         until(() -> receipts.size() == 3);
-        receipts.get(0).answered();
-        clock.set(DECEMBER);
-        receipts.get(1).answered();
-        clock.set(DECEMBER + 40 * 8.64e7);
-        receipts.get(2).answered();
+        receipts.get(0).markAnswered();
+        clock.advanceTo(DECEMBER);
+        receipts.get(1).markAnswered();
+        clock.advanceTo(DECEMBER + 40 * 8.64e7);
+        receipts.get(2).markAnswered();
         until(() -> has(ledger, "entries", 3));
         LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
         assertEquals(
@@ -252,7 +252,7 @@
     /** Closing beside a living process waits for what it has answered; the answer decides, not the commit. */
     @Test
     void aCloseWaitsForWhatALivingProcessHasAnswered() throws Exception {
-        Clock clock = Clock.standing(DECEMBER - 5);
+        Clock clock = Clock.stoppedAt(DECEMBER - 5);
         CountDownLatch commit = new CountDownLatch(1);
         AtomicBoolean hold = new AtomicBoolean();
         Ledger ledger = ledger(settings(false, 5, 100), clock, point -> {
@@ -265,7 +265,7 @@
         Set<String> left = new HashSet<>();
         answer(ledger, "early", left);
         until(() -> left.contains("early"));
-        clock.set(DECEMBER + 5);
+        clock.advanceTo(DECEMBER + 5);
         LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
         LedgerAdmin.Refused soon = assertThrows(LedgerAdmin.Refused.class, () -> desk.close("2026-12", "op"));
         assertTrue(soon.misuse() && soon.getMessage().contains("ends at"), soon.getMessage());
@@ -307,12 +307,12 @@
 
     @Test
     void aPeriodThatEndedWhileNobodyRanIsClosedFromWhatWasLeft() throws Exception {
-        Clock clock = Clock.standing(DECEMBER - 5);
+        Clock clock = Clock.stoppedAt(DECEMBER - 5);
         Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
         until(() -> ledger.origin() != null);
         answer(ledger, "j", new HashSet<>());
         ledger.close();
-        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), Clock.standing(DECEMBER + 1));
+        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), Clock.stoppedAt(DECEMBER + 1));
         desk.close("2026-11", "op");
         assertEquals(1000, desk.statements("2026-11").get(0).billed());
         EntryRef target = entries().get(0).ref();
@@ -353,7 +353,7 @@
 
     @Test
     void aClosedAndExportedPeriodIsArchivedAndComesBackTheSame() throws Exception {
-        Clock clock = Clock.standing(DECEMBER - 5);
+        Clock clock = Clock.stoppedAt(DECEMBER - 5);
         Path out = dir.resolve("out");
         LedgerSettings s = new LedgerSettings(
                 dir.resolve("s"),
@@ -373,7 +373,7 @@
         }
         until(() -> has(ledger, "entries", 20));
         ledger.close();
-        LedgerAdmin desk = new LedgerAdmin(s, Clock.standing(DECEMBER + 1));
+        LedgerAdmin desk = new LedgerAdmin(s, Clock.stoppedAt(DECEMBER + 1));
         Path file = dir.resolve("archive/2026-11.gz");
         assertTrue(assertThrows(LedgerAdmin.Refused.class, () -> desk.archive("2026-11", file))
                 .getMessage()
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -25,11 +25,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
-import nettlewick.cli.Child;
+import nettlewick.cli.ChildProcess;
 import nettlewick.core.Clock;
 import nettlewick.core.Request;
 import nettlewick.core.UsageRecorder;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import org.HdrHistogram.Histogram;
 
 /** {@code make measure-ledger}: what the ledger costs and holds; the last lines are {@code name=value}. */
@@ -108,7 +108,7 @@
         long jobs = 0;
         while (System.nanoTime() - began < THROUGHPUT_NANOS) {
             room.acquire();
-            ledger.settle(
+            ledger.record(
                     new UsageRecorder.FinishedRequest(
                             new Request(
                                     "00c0ffee" + jobs++,
@@ -129,14 +129,14 @@
                             false,
                             0),
                     receipt -> {
-                        receipt.answered();
+                        receipt.markAnswered();
                         room.release();
                     });
         }
         ledger.close();
         say(
                 "entries_per_s_" + name,
-                ledger.figures().get("ledger.entries").doubleValue() / ((System.nanoTime() - began) / 1e9),
+                ledger.metrics().get("ledger.entries").doubleValue() / ((System.nanoTime() - began) / 1e9),
                 "%.0f");
     }
 
@@ -240,7 +240,7 @@
                     one,
                     new MessageSeal(key),
                     Clock.system());
-            int port = StandIns.get(front.listen());
+            int port = DispatcherOnStubPlatform.get(front.listen());
             PeerClient client = new PeerClient(
                     vertx,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -255,7 +255,7 @@
             say("reconcile_share", (double) client.bytes() / ledger, "%.7f");
             front.close();
         }
-        StandIns.get(vertx.close());
+        DispatcherOnStubPlatform.get(vertx.close());
         began = System.nanoTime();
         UsageBook book = new UsageBook(new Terms(java.time.ZoneOffset.UTC, List.of()), 15_000);
         try (Store store = Store.read(one)) {
@@ -288,7 +288,7 @@
     }
 
     private void answers() throws Exception {
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             world.runTime = 6;
             for (int i = 0; i < RUNNERS; i++) {
                 world.addRunner("s-" + i);
@@ -312,7 +312,7 @@
                 sides.put(
                         mode,
                         new Side(
-                                Child.start(
+                                ChildProcess.start(
                                         folder.resolve(mode + ".log"),
                                         Map.of("ROUTER_CONFIG", file.toString()),
                                         "serve",
@@ -361,7 +361,7 @@
                 side.process.destroyForcibly();
                 side.process.waitFor();
             }
-            StandIns.get(vertx.close());
+            DispatcherOnStubPlatform.get(vertx.close());
         }
     }
 
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -240,9 +240,9 @@
         Store a = store("a");
         HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
         int silent = StubPlatform.get(mute.listen(0, "127.0.0.1")).actualPort();
-        double before = clock.now();
+        double before = clock.nowMillis();
         assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).round());
-        assertTrue(clock.now() - before < 5000);
+        assertTrue(clock.nowMillis() - before < 5000);
         HttpServer trickle = vertx.createHttpServer().requestHandler(r -> {
             r.response().setChunked(true).write("[");
             r.response().exceptionHandler(e -> {});
@@ -374,7 +374,7 @@
         for (int i = 0; i < 90; i++) {
             services.get(i % 3)
                     .books()
-                    .settle(
+                    .record(
                             new nettlewick.core.UsageRecorder.FinishedRequest(
                                     new nettlewick.core.Request("j" + i, "c", "m", null, 0, 1, 0, 0, false, null, null),
                                     nettlewick.core.UsageRecorder.Ending.SERVED,
@@ -383,14 +383,14 @@
                                     1000,
                                     false,
                                     0),
-                            nettlewick.core.UsageRecorder.Receipt::answered);
+                            nettlewick.core.UsageRecorder.Receipt::markAnswered);
         }
         LedgerService thief = new LedgerService("d9", services.get(0).books().settings(), clock, 7);
         assertTrue(assertThrows(IOException.class, thief::start).getMessage().contains("the ledger of d0, not of"));
         StubPlatform.until(() -> count("d2") == 90 && count("d1") == 60);
         StubPlatform.until(() -> services.stream()
                 .allMatch(s -> s.books()
-                                .figures()
+                                .metrics()
                                 .getOrDefault("ledger.export.x.lag", -1L)
                                 .longValue()
                         == 0));
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/ServedTest.java
@@ -1,6 +1,6 @@
 package nettlewick.ledger;
 
-import static nettlewick.net.StandIns.job;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
 import static nettlewick.stubs.StubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,8 +17,8 @@
 import java.util.stream.Collectors;
 import nettlewick.core.Clock;
 import nettlewick.core.UsageRecorder.Ending;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.net.DispatcherServer;
-import nettlewick.net.StandIns;
 import nettlewick.settings.Settings;
 import nettlewick.sse.EventStreamConfig;
 import nettlewick.sse.EventStreamFrontend;
@@ -34,14 +34,14 @@
     @TempDir
     private Path dir;
 
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private Ledger ledger;
     private List<Integer> ports;
     private DispatcherServer node;
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
         world.addRunner("s-1");
         world.addRunner("s-2");
         ledger = new Ledger(
@@ -51,7 +51,7 @@
                 Clock.system());
         ledger.start();
         ledger.await();
-        world.books = ledger;
+        world.usageRecorder = ledger;
         EventStreamConfig edge = EventStreamConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}")
                 .block("edge")
                 .get());
@@ -81,7 +81,7 @@
     }
 
     private Map<String, Entry> entries(int count) throws Exception {
-        until(() -> ledger.figures().get("ledger.entries").longValue() == count);
+        until(() -> ledger.metrics().get("ledger.entries").longValue() == count);
         Map<String, Entry> all = new java.util.HashMap<>();
         try (Store store = Store.read(dir)) {
             store.each(e -> all.put(e.request(), e));
--- a/src/test/java/nettlewick/ledger/StoreTest.java
+++ b/src/test/java/nettlewick/ledger/StoreTest.java
@@ -162,7 +162,7 @@
     void aFileThatIsNoStoreIsPutAsideNotDeleted() throws Exception {
         Files.writeString(dir.resolve(Store.FILE), "this is not SQLite at all, but long enough to be looked at");
         StoreException e = assertThrows(StoreException.class, this::open);
-        assertTrue(e.damaged());
+        assertTrue(e.isDamaged());
         Path aside = Store.putAside(dir, NOW);
         assertTrue(Files.readString(aside).startsWith("this is not"));
         open().close();
--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -29,12 +29,12 @@
 @Timeout(30)
 class AdminOperationsTest {
     private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private Map<String, Object> config;
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
         world.addRunner("s-1");
         config = world.config();
         config.put("admin_addr", "127.0.0.1:0");
@@ -113,7 +113,7 @@
     void silentCallersDoNotBlockOthers() throws Exception {
         start();
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * AdminFrontend.CALLERS_MOST; i++) {
+        for (int i = 0; i < 3 * AdminFrontend.MAX_CONNECTIONS; i++) {
             silent.add(new Socket("127.0.0.1", world.dispatcher().adminPort()));
             silent.get(i).getOutputStream().write("GET /-/re".getBytes(StandardCharsets.US_ASCII));
         }
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -79,7 +79,7 @@
             }
         });
         flood.get();
-        until(() -> !world.dispatcher().frontends().get(0).connected());
+        until(() -> !world.dispatcher().frontends().get(0).hasConnections());
     }
 
     /**
@@ -91,7 +91,7 @@
         world.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         double start = System.currentTimeMillis();
-        Clock clock = Clock.standing(start);
+        Clock clock = Clock.stoppedAt(start);
         DispatcherServer dispatcher = start(clock);
         int port = dispatcher.ports().get(0);
         try (RawClient client = new RawClient(port)) {
@@ -102,7 +102,7 @@
             BlockedEventLoop loop = new BlockedEventLoop(dispatcher);
             client.send("\r\nbytes that nobody asked for");
             // The core ends the request at its deadline; the answer waits behind the loop's halt, the bytes unread.
-            clock.set(start + 600);
+            clock.advanceTo(start + 600);
             boolean[] ended = new boolean[1];
             while (!ended[0]) {
                 CompletableFuture<Integer> open = new CompletableFuture<>();
@@ -116,7 +116,7 @@
             awaitEventLoop(port);
             client.send("and more: a connection that was closed would be reset by now");
         }
-        StandIns.get(dispatcher.close());
+        DispatcherOnStubPlatform.get(dispatcher.close());
     }
 
     /**
--- a/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 
 import com.google.gson.Gson;
 import io.vertx.core.http.HttpServerRequest;
@@ -21,12 +21,12 @@
 abstract class ConnectionRaceTestBase {
     static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     static final String GARBAGE = "no request at all\r\n\r\n";
-    StandIns world;
+    DispatcherOnStubPlatform world;
     Map<String, Object> config;
 
     @BeforeEach
     final void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
         config = world.config();
     }
 
@@ -54,8 +54,8 @@
     /** Starts a dispatcher whose time is the test's; the test closes it. */
     DispatcherServer start(Clock clock) throws Exception {
         DispatcherServer dispatcher = new DispatcherServer(
-                PlatformConfig.of(new Gson().toJson(config), Map.of()), clock, PlatformFrontend::new);
-        StandIns.get(dispatcher.start());
+                PlatformConfig.parse(new Gson().toJson(config), Map.of()), clock, PlatformFrontend::new);
+        DispatcherOnStubPlatform.get(dispatcher.start());
         until(() -> isHealthy(dispatcher.ports().get(0)));
         return dispatcher;
     }
--- a/src/test/java/nettlewick/net/StandIns.java
+++ b/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
@@ -12,29 +12,29 @@
 import nettlewick.net.config.PlatformConfig;
 
 /** The stand-ins with a dispatcher among them. */
-public final class StandIns extends nettlewick.stubs.StubPlatform {
+public final class DispatcherOnStubPlatform extends nettlewick.stubs.StubPlatform {
     private DispatcherServer node;
     /** What keeps the books of the next dispatcher. */
-    public UsageRecorder books = UsageRecorder.NONE;
+    public UsageRecorder usageRecorder = UsageRecorder.NONE;
 
-    public StandIns() throws Exception {}
+    public DispatcherOnStubPlatform() throws Exception {}
 
     DispatcherServer dispatcher() {
         return node;
     }
 
-    public DispatcherServer start(Frontend.Maker... more) throws Exception {
+    public DispatcherServer start(Frontend.Factory... more) throws Exception {
         return start(config(), more);
     }
 
-    public DispatcherServer start(Map<String, Object> config, Frontend.Maker... more) throws Exception {
-        List<Frontend.Maker> fronts = new ArrayList<>(List.of(PlatformFrontend::new));
+    public DispatcherServer start(Map<String, Object> config, Frontend.Factory... more) throws Exception {
+        List<Frontend.Factory> fronts = new ArrayList<>(List.of(PlatformFrontend::new));
         fronts.addAll(List.of(more));
         node = new DispatcherServer(
-                        PlatformConfig.of(new Gson().toJson(config), Map.of()),
+                        PlatformConfig.parse(new Gson().toJson(config), Map.of()),
                         Clock.system(),
-                        fronts.toArray(Frontend.Maker[]::new))
-                .keep(books);
+                        fronts.toArray(Frontend.Factory[]::new))
+                .recordUsageWith(usageRecorder);
         get(node.start());
         if (hasRunners()) {
             until(node::hasEndpointList);
--- a/src/test/java/nettlewick/net/DispatcherServerTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -36,11 +36,11 @@
 @Timeout(30)
 class DispatcherServerTest {
     private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
     }
 
     @AfterEach
@@ -288,16 +288,16 @@
         DispatcherServer dispatcher = world.dispatcher();
         Map<String, Object> config = world.config();
         String file = new Gson().toJson(config);
-        try (StandIns other = new StandIns()) {
+        try (DispatcherOnStubPlatform other = new DispatcherOnStubPlatform()) {
             config.put("discovery", "127.0.0.1:1");
             config.put("name", "n9");
-            PlatformConfig moved = PlatformConfig.of(new Gson().toJson(config), Map.of());
-            assertEquals(List.of("name"), PlatformConfig.of(file, Map.of()).restartOnlyChanges(moved));
+            PlatformConfig moved = PlatformConfig.parse(new Gson().toJson(config), Map.of());
+            assertEquals(List.of("name"), PlatformConfig.parse(file, Map.of()).restartOnlyChanges(moved));
             dispatcher.reload(moved);
             until(() -> dispatcher.discovery().port() == 1);
             assertTrue(send(port, job("/api", "a", "step-view", "")).endsWith("r-a"), "served from what is held");
             other.addRunner("s-2");
-            dispatcher.reload(PlatformConfig.of(new Gson().toJson(other.config()), Map.of()));
+            dispatcher.reload(PlatformConfig.parse(new Gson().toJson(other.config()), Map.of()));
             until(() -> other.watches.size() == 1);
             assertEquals("/catalog/members?watch=1", other.watches.get(0));
             until(() -> send(port, job("/api", "b" + System.nanoTime(), "step-view", ""))
@@ -339,7 +339,7 @@
         config.put("listen", "localhost:80\n80");
         String line = assertThrows(
                         JsonFields.InvalidFieldException.class,
-                        () -> PlatformConfig.of(new Gson().toJson(config), Map.of()))
+                        () -> PlatformConfig.parse(new Gson().toJson(config), Map.of()))
                 .getMessage();
         assertTrue(line.contains("listen") && line.contains("localhost:80"), line);
         assertFalse(line.contains("\n"), line);
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/nettlewick/net/FragmentedMessagesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.get;
-import static nettlewick.net.StandIns.job;
+import static nettlewick.net.DispatcherOnStubPlatform.get;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -75,7 +75,7 @@
             });
         });
         get(endpoint.listen(0, "127.0.0.1"));
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             world.addRunner("s-1", endpoint.actualPort());
             int port = world.start().ports().get(0);
             for (; cut.get() < answer.length(); cut.incrementAndGet()) {
@@ -95,28 +95,28 @@
         List<String> calls = new CopyOnWriteArrayList<>();
         AdminFrontend front = new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
             @Override
-            public boolean ready() {
+            public boolean isReady() {
                 return true;
             }
 
             @Override
-            public Metrics.Snapshot figures() {
+            public Metrics.Snapshot metrics() {
                 return null;
             }
 
             @Override
-            public Future<Boolean> ban(String endpoint, boolean out) {
+            public Future<Boolean> setEndpointDisabled(String endpoint, boolean out) {
                 calls.add(endpoint + out);
                 return Future.succeededFuture(true);
             }
 
             @Override
-            public boolean drain() {
+            public boolean startDraining() {
                 return false;
             }
 
             @Override
-            public boolean resume() {
+            public boolean stopDraining() {
                 return false;
             }
         });
--- a/src/test/java/nettlewick/net/HotRestartTest.java
+++ b/src/test/java/nettlewick/net/HotRestartTest.java
@@ -1,8 +1,8 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.get;
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.get;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -78,7 +78,7 @@
 
     @Test
     void successorTakesOverWithoutRejectingARequest(@TempDir Path dir) throws Exception {
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             world.addRunner("s-1");
             world.runTime = 2;
             int port = freePort();
@@ -86,7 +86,7 @@
             text.put("listen", "127.0.0.1:" + port);
             text.put("peer_listen", "127.0.0.1:" + port);
             text.put("peers", java.util.List.of("127.0.0.1:" + port, "127.0.0.1:1"));
-            PlatformConfig config = PlatformConfig.of(new Gson().toJson(text), Map.of());
+            PlatformConfig config = PlatformConfig.parse(new Gson().toJson(text), Map.of());
             DispatcherServer old =
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 1), PlatformFrontend::new);
             get(old.start());
@@ -97,7 +97,7 @@
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 2), PlatformFrontend::new);
             get(successor.start());
             CompletableFuture<Void> end = CompletableFuture.runAsync(old::shutDown);
-            until(() -> old.serviceState().leaving());
+            until(() -> old.serviceState().isLeaving());
             int jobs = 0;
             // The kept connection is served by the old process for as long as it lives, and then closed.
             String last = ask(kept, "kept");
--- a/src/test/java/nettlewick/net/IdleClientFloodTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,12 +26,12 @@
     private static final int SOCKETS = 160;
     private static final int IDLE_CLIENTS = 120;
     private final List<RawClient> idleClients = new ArrayList<>();
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private Map<String, Object> config;
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
         config = world.config();
         config.put("limits", Map.of("cores", 0.5, "memory_mb", 144, "sockets", SOCKETS));
         world.addRunner("s-1");
@@ -87,8 +87,8 @@
         world.discoveryInstead = silent::add;
         config.put("known", world.known());
         DispatcherServer dispatcher = new DispatcherServer(
-                PlatformConfig.of(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFrontend::new);
-        StandIns.get(dispatcher.start());
+                PlatformConfig.parse(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFrontend::new);
+        DispatcherOnStubPlatform.get(dispatcher.start());
         int port = dispatcher.ports().get(0);
         connectIdleClients(port);
         try (RawClient client = new RawClient(port)) {
@@ -99,6 +99,6 @@
                             .status());
         }
         assertTrue(isServed(port, "known"));
-        StandIns.get(dispatcher.close());
+        DispatcherOnStubPlatform.get(dispatcher.close());
     }
 }
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
             gone.send(job("/api", "gone", "mark-submit", ""));
             until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
             gone.close();
-            until(() -> !world.dispatcher().frontends().get(0).connected());
+            until(() -> !world.dispatcher().frontends().get(0).hasConnections());
             endpoint.open();
             until(() -> endpoint.accepted.size() == 1);
             awaitEventLoop(port);
@@ -73,7 +73,7 @@
         setCeiling("connect_timeout", 10_000_000_000L);
         for (boolean drains : new boolean[] {true, false}) {
             try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue();
-                    StandIns one = new StandIns()) {
+                    DispatcherOnStubPlatform one = new DispatcherOnStubPlatform()) {
                 Map<String, Object> mine = one.config();
                 mine.put("settings", config.get("settings"));
                 one.addRunner("s-1", endpoint.port());
--- a/src/test/java/nettlewick/net/MalformedResponseTest.java
+++ b/src/test/java/nettlewick/net/MalformedResponseTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -25,7 +25,7 @@
     private static final double SLACK = 0.5;
 
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private RawEndpoint endpoint;
     private int port;
 
@@ -125,7 +125,7 @@
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
         endpoint = new RawEndpoint().open();
         world.addRunner("s-1", endpoint.port());
         Map<String, Object> config = world.config();
@@ -186,7 +186,7 @@
         gone.send(hurried("first") + hurried("second") + hurried("third"));
         until(() -> endpoint.seen.size() == 1);
         gone.close();
-        until(() -> !world.dispatcher().frontends().get(0).connected());
+        until(() -> !world.dispatcher().frontends().get(0).hasConnections());
         endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
         try (RawClient stays = new RawClient(port)) {
             until(() -> {
--- a/src/test/java/nettlewick/net/MismatchedResponseTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -38,7 +38,7 @@
         setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().open()) {
             world.addRunner("s-1", endpoint.port());
-            DispatcherServer dispatcher = start(Clock.standing(System.currentTimeMillis()));
+            DispatcherServer dispatcher = start(Clock.stoppedAt(System.currentTimeMillis()));
             int port = dispatcher.ports().get(0);
             Promise<Void> twice = Promise.promise();
             endpoint.script = (request, socket) -> {
@@ -70,7 +70,7 @@
             assertEquals(List.of("a", "b", "c"), endpoint.ids());
             assertNotEquals(
                     endpoint.seen.get(0).connection(), endpoint.seen.get(1).connection());
-            StandIns.get(dispatcher.close());
+            DispatcherOnStubPlatform.get(dispatcher.close());
         }
     }
 
--- a/src/test/java/nettlewick/net/client/ClientConnectionTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionTest.java
@@ -26,7 +26,7 @@
 /** What clients may send, byte by byte, against a guard on a channel without a socket. */
 class ClientConnectionTest {
     private static final String GET = "GET /a HTTP/1.1\r\n\r\n";
-    private final Clock clock = Clock.standing(1000);
+    private final Clock clock = Clock.stoppedAt(1000);
     private final ClientConnection connection = new ClientConnection(clock, new RequestByteBudget(100_000));
     private final EmbeddedChannel channel = new EmbeddedChannel(
             new StrictHttpDecoder(new HttpServerOptions(), () -> connection().bytesReceived()),
@@ -205,23 +205,23 @@
 
     @Test
     void closesSilentClientsRejectsSlowOnesAndSparesThoseInFlight() {
-        clock.set(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS - 1);
-        connection.closeIfOverdue(clock.now());
+        clock.advanceTo(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS - 1);
+        connection.closeIfOverdue(clock.nowMillis());
         assertTrue(channel.isOpen());
         send("GET /a HT");
-        clock.set(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS);
-        connection.closeIfOverdue(clock.now());
+        clock.advanceTo(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS);
+        connection.closeIfOverdue(clock.nowMillis());
         assertTrue(answers().startsWith("HTTP/1.1 408 "));
-        clock.set(clock.now() + ClientConnectionState.LINGER_MILLIS);
-        connection.closeIfOverdue(clock.now());
+        clock.advanceTo(clock.nowMillis() + ClientConnectionState.LINGER_MILLIS);
+        connection.closeIfOverdue(clock.nowMillis());
         assertFalse(channel.isOpen());
     }
 
     @Test
     void requestInFlightHasNoTimeoutHere() {
         send(GET);
-        clock.set(1e9);
-        connection.closeIfOverdue(clock.now());
+        clock.advanceTo(1e9);
+        connection.closeIfOverdue(clock.nowMillis());
         assertTrue(channel.isOpen());
         assertNull(channel.readOutbound());
     }
@@ -231,11 +231,11 @@
     void doesNotCloseWhileAResponseIsBeingWritten() {
         send(GET);
         channel.write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
-        clock.set(1000 + ClientConnectionState.QUIET_MILLIS + 1);
-        connection.closeIfQuiet(clock.now());
+        clock.advanceTo(1000 + ClientConnectionState.QUIET_MILLIS + 1);
+        connection.closeIfQuiet(clock.nowMillis());
         assertTrue(channel.isOpen(), "its answer is written and not on the socket yet");
         channel.flush();
-        connection.closeIfQuiet(clock.now());
+        connection.closeIfQuiet(clock.nowMillis());
         assertFalse(channel.isOpen());
     }
 
--- a/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
@@ -58,7 +58,7 @@
             DiscoveryWatch watch = new DiscoveryWatch(
                     vertx,
                     at,
-                    Clock.standing(0),
+                    Clock.stoppedAt(0),
                     new WatchStalenessTimer(new PollBackoff(false, 1, 0, new SplittableRandom(1)), 0),
                     news -> told.add(news.endpoints().get(0).entry().id()));
             watch.start(null);
--- a/src/test/java/nettlewick/net/peer/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/peer/PeerSocketTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.net.config.PlatformConfig;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -28,16 +28,16 @@
         try (DatagramSocket free = new DatagramSocket(0, loopback)) {
             own = free.getLocalPort();
         }
-        try (StandIns world = new StandIns();
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform();
                 DatagramSocket peer = new DatagramSocket(0, loopback);
                 DatagramSocket stranger = new DatagramSocket(0, loopback)) {
             Map<String, Object> config = world.config();
             config.put("peer_listen", "127.0.0.1:" + own);
             config.put("peers", List.of("127.0.0.1:" + own, "127.0.0.1:" + peer.getLocalPort()));
-            PeerSocket socket = new PeerSocket(vertx, PlatformConfig.of(new Gson().toJson(config), Map.of()));
+            PeerSocket socket = new PeerSocket(vertx, PlatformConfig.parse(new Gson().toJson(config), Map.of()));
             socket.send(1, new byte[4]);
             BlockingQueue<String> handler = new LinkedBlockingQueue<>();
-            StandIns.get(socket.listen((rank, data) -> handler.add(rank + " " + data.length)));
+            DispatcherOnStubPlatform.get(socket.listen((rank, data) -> handler.add(rank + " " + data.length)));
             stranger.send(new DatagramPacket(new byte[7], 7, loopback, own));
             peer.send(new DatagramPacket(new byte[257], 257, loopback, own));
             peer.send(new DatagramPacket(new byte[256], 256, loopback, own));
@@ -54,7 +54,7 @@
             peer.receive(got);
             assertEquals(5, got.getLength());
         } finally {
-            StandIns.get(vertx.close());
+            DispatcherOnStubPlatform.get(vertx.close());
         }
     }
 }
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -20,7 +20,7 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicReference;
 import nettlewick.core.Clock;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.net.client.PlatformFrontend;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -199,7 +199,7 @@
     @Test
     void servedTrafficIsWrittenReadAndReplayed() throws Exception {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             world.addRunner("s-1");
             CaptureWriter writer = new CaptureWriter(file, Clock.system(), 1 << 20);
             int port = world.start(base -> new PlatformFrontend(base, writer))
@@ -208,7 +208,7 @@
             var client = world.vertx.createHttpClient(new HttpClientOptions().setDefaultPort(port));
             for (String id : List.of("a", "b")) {
                 String body = "x".repeat(3000) + id;
-                StandIns.get(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
+                DispatcherOnStubPlatform.get(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
                         .compose(r -> r.putHeader("X-Request-Id", id)
                                 .putHeader("X-Class", "save-run")
                                 .putHeader("X-Deadline", "4")
@@ -219,7 +219,7 @@
         Capture c = read(file.toByteArray());
         assertEquals(List.of("/api/a", "/api/b"), uris(c));
         assertEquals("x".repeat(3000) + "b", c.requests().get(1).body().toString());
-        try (StandIns world = new StandIns()) {
+        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
             world.addRunner("s-1");
             AtomicReference<CaptureReplayer> front = new AtomicReference<>();
             world.start(base -> {
@@ -228,7 +228,7 @@
             });
             assertEquals(
                     new CaptureReplayer.Summary(2, 2, 0, 0, 0, 0),
-                    StandIns.get(front.get().done()));
+                    DispatcherOnStubPlatform.get(front.get().whenDone()));
             assertEquals(2, world.seen.size());
         }
     }
@@ -236,7 +236,7 @@
     @Test
     void aFullFileStaysReadable() throws IOException {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
-        CaptureWriter writer = new CaptureWriter(file, Clock.standing(1000), 24);
+        CaptureWriter writer = new CaptureWriter(file, Clock.stoppedAt(1000), 24);
         writer.close();
         assertEquals(0, read(file.toByteArray()).requests().size());
         assertEquals(24, file.size());
--- a/src/test/java/nettlewick/settings/SettingsTest.java
+++ b/src/test/java/nettlewick/settings/SettingsTest.java
@@ -42,13 +42,13 @@
                 """);
         Block ledger = s.block("ledger").get();
         assertEquals(Path.of("/a b/\"c\"#"), ledger.get("store"));
-        assertEquals(List.of("sync"), ledger.one("mode").get().parts());
-        assertEquals(15_000, ledger.span("key-window"));
+        assertEquals(List.of("sync"), ledger.first("mode").get().parts());
+        assertEquals(15_000, ledger.spanMillis("key-window"));
         assertEquals(2, ledger.all("term").size());
         assertEquals("x", ledger.blocks("export").get(0).label());
         assertEquals(
                 List.of(500.0, 30_000.0),
-                ledger.blocks("export").get(0).one("retry").get().parts());
+                ledger.blocks("export").get(0).first("retry").get().parts());
         assertTrue(s.block("edge").isEmpty());
     }
 
@@ -107,11 +107,12 @@
     @Test
     void effectiveSettingsAreShownWithTheirOriginAndParseBack() {
         Settings s = Settings.parse("f", "edge {\nlisten 1.2.3.4:80\nretry 4s\n}");
-        String shown = s.show();
+        String shown = s.describe();
         assertTrue(shown.matches("(?s).*retry 4s +# f:3\n.*grace 3s +# default\n.*"), shown);
-        assertEquals(List.of(), s.needRestart(Settings.parse("g", shown)));
-        assertEquals(List.of("edge.retry"), s.needRestart(Settings.parse("f", "edge {\nlisten 1.2.3.4:80\n}")));
-        assertEquals(List.of("edge"), s.needRestart(Settings.none()));
+        assertEquals(List.of(), s.keywordsThatNeedARestart(Settings.parse("g", shown)));
+        assertEquals(
+                List.of("edge.retry"), s.keywordsThatNeedARestart(Settings.parse("f", "edge {\nlisten 1.2.3.4:80\n}")));
+        assertEquals(List.of("edge"), s.keywordsThatNeedARestart(Settings.defaults()));
     }
 
     @Test
--- a/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
@@ -1,6 +1,6 @@
 package nettlewick.sse;
 
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import nettlewick.core.Metrics;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.settings.Settings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -31,14 +31,14 @@
 @Timeout(60)
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 class EventStreamFrontendTest {
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private HttpClient client;
     private int port;
     private Metrics metrics;
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
         client = EventStreamClient.client(world.vertx);
     }
 
@@ -51,7 +51,7 @@
                         .block("edge")
                         .get());
         port = world.start(base -> {
-                    metrics = base.core().figures();
+                    metrics = base.coordinator().metrics();
                     return new EventStreamFrontend(base, edge);
                 })
                 .ports()
@@ -83,8 +83,8 @@
                         new EventStreamClient.ReceivedEvent(2, "progress", "{\"share\":0.5}"),
                         new EventStreamClient.ReceivedEvent(3, "result", "{\"result\":\"r-j\"}")),
                 w.events);
-        StandIns.until(() -> metrics.snapshot().open() == 0);
-        assertEquals(List.of(1L, 0L, 0L), metrics.snapshot().jobs().get("step-view"));
+        DispatcherOnStubPlatform.until(() -> metrics.snapshot().inFlightRequests() == 0);
+        assertEquals(List.of(1L, 0L, 0L), metrics.snapshot().endsByClass().get("step-view"));
         assertTrue(w.rawText.startsWith("retry: 1000\n\n"), w.rawText);
         assertTrue(w.rawText.contains("\n:\n\n"), "a heartbeat: " + w.rawText);
     }
@@ -175,7 +175,8 @@
             socket.setReceiveBufferSize(2048);
             socket.connect(new InetSocketAddress("127.0.0.1", port));
             socket.getOutputStream()
-                    .write(StandIns.job("/api", "s", "step-view", "").getBytes());
+                    .write(DispatcherOnStubPlatform.job("/api", "s", "step-view", "")
+                            .getBytes());
             EventStreamClient fast = streamClient("s", "step-view").post(client);
             awaitEnd(fast);
             assertEquals(1, fast.finalEventCount());
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -3,13 +3,13 @@
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static nettlewick.golden.WireText.ask;
 import static nettlewick.golden.WireText.entry;
-import static nettlewick.net.StandIns.job;
-import static nettlewick.net.StandIns.until;
+import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import nettlewick.net.StandIns;
+import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.settings.Settings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -20,12 +20,12 @@
 @Timeout(60)
 class EventStreamGoldenTest {
     private static final String HEARTBEAT_CHUNK = "3\r\n:\n\n\r\n";
-    private StandIns world;
+    private DispatcherOnStubPlatform world;
     private int port;
 
     @BeforeEach
     void open() throws Exception {
-        world = new StandIns();
+        world = new DispatcherOnStubPlatform();
     }
 
     @AfterEach
--- a/src/test/java/nettlewick/tenantpools/GrowthTest.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** What instances cost, what the budget still allows, and when the provider is asked for which size. */
-class GrowthTest {
+class ScaleOutPolicyTest {
     private static final long HOUR = 3_600_000;
     private static final ScaleOutDecision NOTHING = new ScaleOutDecision.Nothing();
     /** A local clock that is past every month. */
