--- a/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
@@ -200,7 +200,7 @@
         });
     }
 
-    private void cancel(Object owner) {
+    private void cancelRequestOf(Object owner) {
         eventLoop.runOnContext(v -> {
             OutboundRequest request = requests.get(owner);
             if (request != null) {
@@ -216,7 +216,7 @@
 
     @Override
     public void cancel(Attempt attempt) {
-        cancel(attempt);
+        cancelRequestOf(attempt);
     }
 
     @Override
@@ -226,7 +226,7 @@
 
     @Override
     public void cancel(Probe probe) {
-        cancel(probe);
+        cancelRequestOf(probe);
     }
 
     @Override
