--- a/src/main/java/nettlewick/net/client/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/client/HttpFrontend.java
@@ -42,7 +42,7 @@
 
     private static final double TICK_TOLERANCE_MILLIS = 10;
 
-    protected final Environment environment;
+    private final Environment environment;
     private final Vertx vertx;
     private final HttpServerOptions options;
     private final HttpServer server;
@@ -94,6 +94,11 @@
         });
     }
 
+    /** The parts of the dispatcher that frontends work with. */
+    protected final Environment environment() {
+        return environment;
+    }
+
     /** Answers a request, now or later; called on the event loop. */
     protected abstract void handle(HttpServerRequest request);
 
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -69,13 +69,14 @@
         if (!HttpMethod.GET.equals(request.method()) && !HttpMethod.HEAD.equals(request.method())) {
             request.response().putHeader("Allow", "GET, HEAD");
             RequestReader.reject(request, 405, "health is asked for by GET");
-        } else if (hasEndpointList.getAsBoolean() && environment.serviceState().isHealthy()) {
+        } else if (hasEndpointList.getAsBoolean()
+                && environment().serviceState().isHealthy()) {
             request.response().end();
         } else {
             RequestReader.reject(
                     request,
                     SERVICE_UNAVAILABLE,
-                    environment.serviceState().isHealthy() ? "no list of sim runners yet" : "draining");
+                    environment().serviceState().isHealthy() ? "no list of sim runners yet" : "draining");
         }
     }
 
--- a/src/main/java/nettlewick/sse/EventStreamFrontend.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -104,9 +104,9 @@
         RequestStream stream = new RequestStream(
                 draft.requestClass(),
                 draft.tenant(),
-                task -> environment.eventLoop().runOnContext(v -> task.run()),
+                task -> environment().eventLoop().runOnContext(v -> task.run()),
                 ended -> streams.retainFinished(
-                        draft.id(), ended, environment.clock().nowMillis()));
+                        draft.id(), ended, environment().clock().nowMillis()));
         long lastSeenId = lastSeenId(http);
         boolean mayHaveRun = streams.isForgotten(draft.id()) || lastSeenId > 0;
         if (mayHaveRun) {
@@ -125,8 +125,8 @@
 
     private void submit(RequestReader.ParsedRequest draft, RequestStream stream) {
         Request request = draft.toRequest(stream);
-        stream.setRequest(request, environment.coordinator().metrics().trackRequest(draft.requestClass()));
-        environment.coordinator().submit(request);
+        stream.setRequest(request, environment().coordinator().metrics().trackRequest(draft.requestClass()));
+        environment().coordinator().submit(request);
     }
 
     /** The id of the last event that the client says it has seen; 0 for none. */
@@ -158,7 +158,7 @@
                 "Content-Location",
                 STREAM_PATH_PREFIX
                         + URLEncoder.encode(id, StandardCharsets.UTF_8).replace("+", "%20"));
-        if (environment.serviceState().isLeaving()) {
+        if (environment().serviceState().isLeaving()) {
             response.putHeader("Connection", "close");
         }
         subscribe(response, lastSeenId, stream);
@@ -180,13 +180,13 @@
         }
         subscriberCount--;
         if (stream.detach(subscriber)) {
-            environment.vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> abandonIfAlone(stream));
+            environment().vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> abandonIfAlone(stream));
         }
     }
 
     private void abandonIfAlone(RequestStream stream) {
         if (!stream.hasSubscribers() && !stream.isEnded()) {
-            environment.coordinator().abandon(stream.request());
+            environment().coordinator().abandon(stream.request());
             stream.fail("its client went away");
         }
     }
