--- a/src/main/java/nettlewick/contention/UsageCounters.java
+++ b/src/main/java/nettlewick/contention/UsageCounters.java
@@ -74,7 +74,9 @@
     public UsageCounters(List<RequestClass> classes) {
         latencyObjectivesMillis = classes.stream()
                 .collect(Collectors.toMap(
-                        RequestClass::name, c -> c.latencyObjective() / NANOS_PER_MILLI, (first, second) -> first));
+                        RequestClass::name,
+                        c -> c.latencyObjectiveNanos() / NANOS_PER_MILLI,
+                        (first, second) -> first));
     }
 
     /** Stands for the name of a tenant or endpoint in reports. */
--- a/src/main/java/nettlewick/core/InFlightRequest.java
+++ b/src/main/java/nettlewick/core/InFlightRequest.java
@@ -70,7 +70,7 @@
         if (requestClass.idempotency() == Idempotency.KEYED) {
             for (Attempt attempt : attempts) {
                 if (attempt.mayHaveRun()) {
-                    double windowEnd = attempt.sentAtMillis() + ModuleTime.toMillis(requestClass.dedupWindow());
+                    double windowEnd = attempt.sentAtMillis() + ModuleTime.toMillis(requestClass.dedupWindowNanos());
                     return Math.min(request.deadlineMillis(), windowEnd);
                 }
             }
--- a/src/main/java/nettlewick/core/ModuleStatsSampler.java
+++ b/src/main/java/nettlewick/core/ModuleStatsSampler.java
@@ -29,7 +29,7 @@
         }
         sampledAtMillis = nowMillis;
         EndpointCounts counts = module.endpointCounts();
-        metrics.setEndpointCounts(counts.listed(), counts.ejected());
+        metrics.setEndpointCounts(counts.listed(), counts.unavailable());
         reportPeerFaults(module.peerMessageFaults());
     }
 
--- a/src/main/java/nettlewick/core/RetryAdvice.java
+++ b/src/main/java/nettlewick/core/RetryAdvice.java
@@ -16,8 +16,8 @@
     private final double maxMillis;
 
     RetryAdvice(Limits limits) {
-        isAllowed = limits.retryAfter();
-        maxMillis = ModuleTime.toMillis(limits.maxRetryAfter());
+        isAllowed = limits.allowsRetryAfter();
+        maxMillis = ModuleTime.toMillis(limits.maxRetryAfterNanos());
     }
 
     /** For a request that this process cannot take now and another one can. */
--- a/src/main/java/nettlewick/decision/AdmissionController.java
+++ b/src/main/java/nettlewick/decision/AdmissionController.java
@@ -25,7 +25,7 @@
         this.clock = context.clock();
         this.statistics = statistics;
         this.slice = slice;
-        maxRetryAfterNanos = settings.limits().maxRetryAfter();
+        maxRetryAfterNanos = settings.limits().maxRetryAfterNanos();
         double fractions =
                 settings.tenants().stream().mapToDouble(Tenant::fraction).sum();
         for (Tenant tenant : settings.tenants()) {
--- a/src/main/java/nettlewick/decision/AttemptMonitor.java
+++ b/src/main/java/nettlewick/decision/AttemptMonitor.java
@@ -63,13 +63,13 @@
         if (attempt.isReplaced() || request.isAnswered() || request.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return;
         }
-        if (settings.limits().hedgedRequests()) {
+        if (settings.limits().allowsHedging()) {
             int before = request.attemptCount();
             retrier.retry(request);
             if (request.attemptCount() > before) {
                 attempt.markReplaced();
             }
-        } else if (settings.limits().cancel() && request.idempotency() == Idempotency.IDEMPOTENT) {
+        } else if (settings.limits().allowsCancel() && request.idempotency() == Idempotency.IDEMPOTENT) {
             actions.add(new Cancel(request.id(), attempt.number()));
         }
     }
--- a/src/main/java/nettlewick/decision/CapacityEstimator.java
+++ b/src/main/java/nettlewick/decision/CapacityEstimator.java
@@ -31,7 +31,7 @@
         this.statistics = statistics;
         boundPriorityByKind = new double[settings.kinds().size() + 1];
         for (RequestClass requestClass : settings.classes()) {
-            int kind = requestClass.kind() + 1;
+            int kind = requestClass.kindIndex() + 1;
             boundPriorityByKind[kind] = Math.max(boundPriorityByKind[kind], requestClass.priorityWeight());
         }
     }
@@ -78,7 +78,7 @@
     }
 
     private boolean isReservedFrom(ScheduledRequest request, Endpoint endpoint) {
-        return request.requestClass().kind() < 0
+        return request.requestClass().kindIndex() < 0
                 && endpoint.kind() >= 0
                 && boundPriorityByKind[endpoint.kind() + 1]
                         > request.requestClass().priorityWeight();
--- a/src/main/java/nettlewick/decision/Dispatcher.java
+++ b/src/main/java/nettlewick/decision/Dispatcher.java
@@ -38,7 +38,7 @@
      * @param listed  endpoints on the list
      * @param ejected those of them that are ejected, draining or administratively disabled
      */
-    record EndpointCounts(int listed, int ejected) {}
+    record EndpointCounts(int listed, int unavailable) {}
 
     /** Datagrams of peers that were ignored since the start, whole or in part. */
     default PeerMessageFaults peerMessageFaults() {
--- a/src/main/java/nettlewick/decision/EndpointPools.java
+++ b/src/main/java/nettlewick/decision/EndpointPools.java
@@ -60,7 +60,7 @@
 
     /** The pool that the request's endpoint is chosen from. */
     EndpointPool candidates(ScheduledRequest request) {
-        EndpointPool common = ofKind(request.requestClass().kind());
+        EndpointPool common = ofKind(request.requestClass().kindIndex());
         return dedicated == null ? common : dedicated.poolFor(request.arrival().tenant(), common);
     }
 
--- a/src/main/java/nettlewick/decision/Event.java
+++ b/src/main/java/nettlewick/decision/Event.java
@@ -56,7 +56,7 @@
             String endpoint,
             AttemptResult result,
             long latencyNanos,
-            boolean isSettled,
+            boolean isFinal,
             EndpointLoad load)
             implements Event {}
 
--- a/src/main/java/nettlewick/decision/LatencyEstimator.java
+++ b/src/main/java/nettlewick/decision/LatencyEstimator.java
@@ -25,7 +25,7 @@
         double wait = expectedWait(request, endpoint);
         double slack = objective(request) - runTime(request, endpoint);
         return endpoint.capacity().isFresh(clock.now())
-                && wait > Math.max(MAX_WAIT_SHARE * request.requestClass().latencyObjective(), slack);
+                && wait > Math.max(MAX_WAIT_SHARE * request.requestClass().latencyObjectiveNanos(), slack);
     }
 
     /** By the queue ahead of it, and no less than an own request has waited there by now. */
@@ -45,7 +45,7 @@
 
     /** Nanoseconds after arrival within which an answer keeps its full value. */
     double objective(ScheduledRequest request) {
-        return request.requestClass().latencyObjective()
+        return request.requestClass().latencyObjectiveNanos()
                 + request.requestClass().objectiveStretch() * work(request);
     }
 
--- a/src/main/java/nettlewick/decision/OutcomeHandler.java
+++ b/src/main/java/nettlewick/decision/OutcomeHandler.java
@@ -98,7 +98,7 @@
     }
 
     private void proceed(ScheduledRequest request, Outcome outcome) {
-        if (outcome.isSettled() || request.isAnswered()) {
+        if (outcome.isFinal() || request.isAnswered()) {
             completion.close(request);
         } else if (!mayFollow(request, outcome.result())) {
             if (request.inFlightAttempts() == 0) {
--- a/src/main/java/nettlewick/decision/ProbePool.java
+++ b/src/main/java/nettlewick/decision/ProbePool.java
@@ -93,7 +93,7 @@
 
     /** On each tick: probes endpoints in turn whose last report is no longer young. */
     void probeDue() {
-        if (!settings.limits().probes() || probed.isEmpty()) {
+        if (!settings.limits().allowsProbes() || probed.isEmpty()) {
             return;
         }
         tokens = Math.min(tokens + PROBES_PER_TICK, probed.size());
@@ -117,7 +117,7 @@
     boolean probeStale(List<Endpoint> endpoints) {
         boolean isAnyStale = false;
         for (Endpoint endpoint : endpoints) {
-            if (settings.limits().probes()
+            if (settings.limits().allowsProbes()
                     && endpoint.isReady()
                     && isProbeDue(endpoint, SchedulerTimings.SHARE_INTERVAL_NANOS / 2 + 1)) {
                 probe(endpoint);
--- a/src/main/java/nettlewick/decision/RequestCompletion.java
+++ b/src/main/java/nettlewick/decision/RequestCompletion.java
@@ -38,13 +38,13 @@
 
     /** Rejects the request, with a time after which to try again where the site allows that. */
     void reject(ScheduledRequest request) {
-        actions.add(new Reject(request.id(), limits.retryAfter() ? admission.retryAfter(request) : 0));
+        actions.add(new Reject(request.id(), limits.allowsRetryAfter() ? admission.retryAfter(request) : 0));
         close(request);
     }
 
     /** Rejects an arrival of a class that the settings don't name. */
     void rejectUnknownClass(String id) {
-        actions.add(new Reject(id, limits.retryAfter() ? limits.maxRetryAfter() : 0));
+        actions.add(new Reject(id, limits.allowsRetryAfter() ? limits.maxRetryAfterNanos() : 0));
     }
 
     /** Records that the request has its answer, or needs none. */
@@ -58,7 +58,7 @@
     /** Cancels the attempts in flight beside the one that answers. */
     void cancelOthers(ScheduledRequest request, int answering) {
         for (Attempt attempt : request.attempts()) {
-            if (!attempt.hasEnded() && attempt.number() != answering && limits.cancel()) {
+            if (!attempt.hasEnded() && attempt.number() != answering && limits.allowsCancel()) {
                 actions.add(new Cancel(request.id(), attempt.number()));
             }
         }
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -114,7 +114,7 @@
 
     private void start() {
         sliceController.start();
-        if (context.settings().listsOnRequest()) {
+        if (context.settings().requestsEndpointList()) {
             subscription.subscribe();
         }
         tick.start();
--- a/src/main/java/nettlewick/decision/RetryPolicy.java
+++ b/src/main/java/nettlewick/decision/RetryPolicy.java
@@ -25,7 +25,7 @@
     }
 
     private boolean isWithinLimits(ScheduledRequest request) {
-        int maxInFlight = limits.hedgedRequests() ? 1 : 0;
+        int maxInFlight = limits.allowsHedging() ? 1 : 0;
         return request.attemptCount() < limits.maxAttempts()
                 && clock.now() < request.deadline()
                 && request.inFlightAttempts() <= maxInFlight;
@@ -38,7 +38,7 @@
                 || request.idempotency() == Idempotency.IDEMPOTENT
                 || request.idempotency() == Idempotency.KEYED
                         && clock.now() - executed.sentAt()
-                                <= request.requestClass().dedupWindow();
+                                <= request.requestClass().dedupWindowNanos();
     }
 
     /** Whether a further attempt may go to an endpoint without room: such attempts multiply under overload. */
--- a/src/main/java/nettlewick/decision/SchedulerContext.java
+++ b/src/main/java/nettlewick/decision/SchedulerContext.java
@@ -19,6 +19,6 @@
 
     /** Whether this dispatcher exchanges messages with others at all. */
     boolean hasPeers() {
-        return settings.limits().peers() && settings.fleetSize() > 1;
+        return settings.limits().allowsPeers() && settings.fleetSize() > 1;
     }
 }
--- a/src/main/java/nettlewick/decision/SchedulerSettings.java
+++ b/src/main/java/nettlewick/decision/SchedulerSettings.java
@@ -25,7 +25,7 @@
         List<RequestClass> classes,
         List<Tenant> tenants,
         List<String> kinds,
-        boolean listsOnRequest,
+        boolean requestsEndpointList,
         boolean hasFixedSizes,
         LoadReporting loadReporting,
         long progressIntervalNanos,
@@ -41,15 +41,15 @@
         check(rank >= 0 && rank < fleetSize, "rank", rank);
         check(!classes.isEmpty(), "classes", classes);
         check(limits.maxAttempts() >= 1, "limits.attempts", limits.maxAttempts());
-        check(limits.maxRetryAfter() >= 0, "limits.maxRetryAfter", limits.maxRetryAfter());
+        check(limits.maxRetryAfterNanos() >= 0, "limits.maxRetryAfter", limits.maxRetryAfterNanos());
         check(rules.slowStartShare() >= 0 && rules.slowStartShare() <= 1, "rules.coldShare", rules.slowStartShare());
         check(rules.slowStartNanos() >= 0, "rules.cold", rules.slowStartNanos());
         check(rules.overloadWindowNanos() >= 0, "rules.fall", rules.overloadWindowNanos());
         check(rules.overloadFactor() > 0, "rules.overloadFactor", rules.overloadFactor());
         for (RequestClass c : classes) {
-            check(c.kind() >= -1 && c.kind() < kinds.size(), "classes[" + c.name() + "].kind", c.kind());
-            check(c.latencyObjective() > 0, "classes[" + c.name() + "].aim", c.latencyObjective());
-            check(c.dedupWindow() >= 0, "classes[" + c.name() + "].window", c.dedupWindow());
+            check(c.kindIndex() >= -1 && c.kindIndex() < kinds.size(), "classes[" + c.name() + "].kind", c.kindIndex());
+            check(c.latencyObjectiveNanos() > 0, "classes[" + c.name() + "].aim", c.latencyObjectiveNanos());
+            check(c.dedupWindowNanos() >= 0, "classes[" + c.name() + "].window", c.dedupWindowNanos());
             check(c.priorityWeight() >= 0, "classes[" + c.name() + "].worth", c.priorityWeight());
         }
         for (Tenant t : tenants) {
@@ -82,14 +82,14 @@
             String name,
             Idempotency idempotency,
             Scope dedupScope,
-            long dedupWindow,
-            long latencyObjective,
+            long dedupWindowNanos,
+            long latencyObjectiveNanos,
             double objectiveStretch,
-            long deadline,
+            long deadlineNanos,
             double priorityWeight,
             double latePriorityWeight,
-            boolean stream,
-            int kind,
+            boolean isStreamed,
+            int kindIndex,
             int priority) {}
 
     /**
@@ -108,12 +108,12 @@
      */
     public record Limits(
             int maxAttempts,
-            boolean cancel,
-            boolean peers,
-            boolean probes,
-            boolean retryAfter,
-            boolean hedgedRequests,
-            long maxRetryAfter) {}
+            boolean allowsCancel,
+            boolean allowsPeers,
+            boolean allowsProbes,
+            boolean allowsRetryAfter,
+            boolean allowsHedging,
+            long maxRetryAfterNanos) {}
 
     /**
      * The figures of the four rules that a site's dispatchers keep.
@@ -128,10 +128,10 @@
      */
     public record Rules(
             long answerSlackNanos,
-            long listRequestWithinNanos,
+            long maxListRequestDelayNanos,
             long slowStartNanos,
             double slowStartShare,
-            long drainGrace,
+            long drainGraceNanos,
             long overloadWindowNanos,
             double overloadFactor) {}
 
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -62,7 +62,7 @@
 
     private static long longestDeadlineMillis(SchedulerSettings settings) {
         return settings.classes().stream()
-                        .mapToLong(RequestClass::deadline)
+                        .mapToLong(RequestClass::deadlineNanos)
                         .max()
                         .orElse(0)
                 / 1_000_000;
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -100,7 +100,7 @@
         for (int index = 0; index < SYNTHETIC_REQUESTS; index++) {
             RequestClass kind =
                     settings.classes().get(index % settings.classes().size());
-            events.add(new Arrival("j" + index, kind.name(), null, kind.deadline(), 1, 0, 0, null, false));
+            events.add(new Arrival("j" + index, kind.name(), null, kind.deadlineNanos(), 1, 0, 0, null, false));
             long now = index * STEP_NANOS;
             List<Action> actions = scheduler.handle(now, events);
             events = new ArrayList<>();
--- a/src/main/java/nettlewick/net/client/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/client/HttpFrontend.java
@@ -132,7 +132,7 @@
                 environment.clock(),
                 () -> earliestArrival(madeAt, registeredAt),
                 budget,
-                environment.config().settings().limits().retryAfter());
+                environment.config().settings().limits().allowsRetryAfter());
         connections.put(connection, client);
         connection.exceptionHandler(e -> {});
         connection.closeHandler(v -> {
--- a/src/main/java/nettlewick/net/config/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/config/PlatformConfig.java
@@ -88,7 +88,7 @@
         }
         if (fields.has("peers")
                 && peers.size() != settings.fleetSize()
-                && settings.limits().peers()) {
+                && settings.limits().allowsPeers()) {
             throw new JsonFields.InvalidFieldException(
                     "peers", peers.size() + " addresses", "one for each of settings.fleet_size");
         }
--- a/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
+++ b/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
@@ -67,10 +67,13 @@
      * @param seed of the random numbers of the pauses
      */
     public static WatchStalenessTimer of(SchedulerSettings settings, long seed) {
-        double maxWaitMillis = settings.rules().listRequestWithinNanos() / 1e6;
+        double maxWaitMillis = settings.rules().maxListRequestDelayNanos() / 1e6;
         return new WatchStalenessTimer(
                 new PollBackoff(
-                        settings.listsOnRequest(), settings.fleetSize(), maxWaitMillis, new SplittableRandom(seed)),
+                        settings.requestsEndpointList(),
+                        settings.fleetSize(),
+                        maxWaitMillis,
+                        new SplittableRandom(seed)),
                 maxWaitMillis);
     }
 
--- a/src/main/java/nettlewick/net/peer/PeerSocket.java
+++ b/src/main/java/nettlewick/net/peer/PeerSocket.java
@@ -55,7 +55,7 @@
 
     /** Starts listening; passes each message on with its sender's rank. */
     public Future<Void> listen(BiConsumer<Integer, byte[]> handler) {
-        if (config.peerListen() == null || !config.settings().limits().peers()) {
+        if (config.peerListen() == null || !config.settings().limits().allowsPeers()) {
             return Future.succeededFuture();
         }
         socket = vertx.createDatagramSocket(new DatagramSocketOptions());
--- a/src/test/java/nettlewick/core/FinalAnswerTest.java
+++ b/src/test/java/nettlewick/core/FinalAnswerTest.java
@@ -77,7 +77,7 @@
         assertEquals(List.of(AttemptResult.SERVED, AttemptResult.SERVED), attemptResults());
         assertTrue(moduleEvents.stream()
                 .filter(e -> e instanceof Event.Outcome)
-                .allMatch(e -> ((Event.Outcome) e).isSettled()));
+                .allMatch(e -> ((Event.Outcome) e).isFinal()));
     }
 
     @Test
--- a/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
+++ b/src/test/java/nettlewick/decision/PeerMessageGoldenTest.java
@@ -101,7 +101,7 @@
                     s.classes(),
                     s.tenants(),
                     s.kinds(),
-                    s.listsOnRequest(),
+                    s.requestsEndpointList(),
                     s.hasFixedSizes(),
                     hedged ? LoadReporting.ON_PROBE : LoadReporting.INLINE,
                     hedged ? 0 : 100 * MS,
--- a/src/test/java/nettlewick/decision/QueuelessSiteTest.java
+++ b/src/test/java/nettlewick/decision/QueuelessSiteTest.java
@@ -155,7 +155,7 @@
             assertEquals(List.of(), Samples.actionsOfType(Cancel.class, actions));
             assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, actions));
         }
-        assertEquals(0, scheduler.endpointCounts().ejected());
+        assertEquals(0, scheduler.endpointCounts().unavailable());
         at(now + SECOND, new Outcome("tail", 0, "w0", AttemptResult.SERVED, 23 * SECOND, true, null));
         assertEquals(
                 "w0", sentTo(at(now, report("w0", 4, 4), request("next", "transfer", SECOND, 1, 0.1))), "room is room");
@@ -185,7 +185,7 @@
             }
         }
         assertEquals(0, rejected, "2.3 times as slow, with room everywhere");
-        assertEquals(0, scheduler.endpointCounts().ejected());
+        assertEquals(0, scheduler.endpointCounts().unavailable());
     }
 
     /** Guards against waits predicted too short, time after time, at what reports do not show. */
--- a/src/test/java/nettlewick/decision/RuleChecker.java
+++ b/src/test/java/nettlewick/decision/RuleChecker.java
@@ -73,7 +73,7 @@
                 case OVERLOADED, UNREACHABLE, NOT_SENT -> true;
                 default -> false;
             };
-            r.answered |= e.isSettled();
+            r.answered |= e.isFinal();
             warmServed +=
                     e.result() == AttemptResult.SERVED && list.get(e.endpoint()).startedAt() == 0 ? 1 : 0;
         } else if (event instanceof Abandoned e) {
@@ -97,9 +97,9 @@
             }
         } else if (action instanceof Fail a) {
             answer(a.id(), now);
-        } else if (!settings.limits().cancel() && action instanceof Cancel
-                || !settings.limits().probes() && action instanceof Probe
-                || !settings.limits().peers() && action instanceof SendToPeer) {
+        } else if (!settings.limits().allowsCancel() && action instanceof Cancel
+                || !settings.limits().allowsProbes() && action instanceof Probe
+                || !settings.limits().allowsPeers() && action instanceof SendToPeer) {
             broken.add("forbidden: " + action);
         }
     }
@@ -131,7 +131,7 @@
             broken.add("forbidden: one attempt too many for " + a.id());
         }
         long out = r.sends.stream().filter(s -> s.out).count();
-        if (out > 0 && !settings.limits().hedgedRequests() || out > 1) {
+        if (out > 0 && !settings.limits().allowsHedging() || out > 1) {
             broken.add("forbidden: too many attempts at once for " + a.id());
         }
         Send first = r.sends.stream().filter(s -> !s.never).findFirst().orElse(null);
@@ -140,7 +140,7 @@
         }
         if (first != null && c.idempotency() == Idempotency.KEYED) {
             EndpointEntry f = list.get(first.endpoint);
-            if (now - first.at > c.dedupWindow()
+            if (now - first.at > c.dedupWindowNanos()
                     || c.dedupScope() == Scope.ZONE && !f.zone().equals(endpoint.zone())
                     || c.dedupScope() == Scope.CELL && f.cell() != endpoint.cell()) {
                 broken.add("effect: dedup " + a.id() + " sent again outside its window or group");
--- a/src/test/java/nettlewick/decision/SiteRulesTest.java
+++ b/src/test/java/nettlewick/decision/SiteRulesTest.java
@@ -127,7 +127,7 @@
                 deadlines.put(a.id(), now + a.remainingNanos());
             } else if (event instanceof Abandoned a) {
                 return deadlines.containsKey(a.id()) && done.add(a.id()) ? event : null;
-            } else if (event instanceof Outcome o && o.isSettled() && !done.add(o.id())) {
+            } else if (event instanceof Outcome o && o.isFinal() && !done.add(o.id())) {
                 return new Outcome(o.id(), o.attempt(), o.endpoint(), o.result(), o.latencyNanos(), true, null);
             }
             return event;
@@ -234,14 +234,14 @@
                         "x" + c.name(),
                         c.idempotency(),
                         c.dedupScope(),
-                        c.dedupWindow(),
-                        c.latencyObjective(),
+                        c.dedupWindowNanos(),
+                        c.latencyObjectiveNanos(),
                         c.objectiveStretch(),
-                        c.deadline(),
+                        c.deadlineNanos(),
                         c.priorityWeight(),
                         c.latePriorityWeight(),
-                        c.stream(),
-                        c.kind(),
+                        c.isStreamed(),
+                        c.kindIndex(),
                         c.priority()))
                 .toList();
         List<Tenant> tenants = settings.tenants().stream()
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SmallFleet.java
@@ -118,7 +118,7 @@
                             s.classes(),
                             s.tenants(),
                             s.kinds(),
-                            s.listsOnRequest(),
+                            s.requestsEndpointList(),
                             s.hasFixedSizes(),
                             s.loadReporting(),
                             s.progressIntervalNanos(),
--- a/src/test/java/nettlewick/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/nettlewick/simulator/SimulatorAdapterTest.java
@@ -97,7 +97,7 @@
         assertEquals(new Tenant("red", 1, 4.5), s.tenants().get(0));
         assertEquals(new Limits(3, true, false, true, true, false, 9), s.limits());
         assertEquals(new Rules(8, 10, 7, 0.3, 2, 3, 3), s.rules());
-        assertTrue(s.listsOnRequest() && s.hasFixedSizes());
+        assertTrue(s.requestsEndpointList() && s.hasFixedSizes());
         assertEquals(LoadReporting.ON_PROBE, s.loadReporting());
     }
 
