--- a/src/main/java/nettlewick/decision/AdmissionController.java
+++ b/src/main/java/nettlewick/decision/AdmissionController.java
@@ -8,17 +8,17 @@
 
 /** Deals the slice's credit to tenants by deficit round robin and says which requests have any. */
 final class AdmissionController {
-    private static final int DEALING_ROUNDS = 3;
-    private static final double NEGLIGIBLE_CREDIT = 1e-12;
-    private static final double MIN_RATE = 1e-9;
+    private static final int MAX_DISTRIBUTION_ROUNDS = 3;
+    private static final double NEGLIGIBLE_SLOT_SECONDS = 1e-12;
+    private static final double MIN_CREDIT_RATE = 1e-9;
 
     private final SchedulerClock clock;
     private final RequestStatistics statistics;
     private final CapacitySlice slice;
     private final long maxRetryAfterNanos;
     private final Map<String, TenantCredit> byTenant = new HashMap<>();
-    private final List<TenantCredit> all = new ArrayList<>();
-    private long dealtAt;
+    private final List<TenantCredit> credits = new ArrayList<>();
+    private long lastDistributedAt;
 
     AdmissionController(SchedulerContext context, RequestStatistics statistics, CapacitySlice slice) {
         SchedulerSettings settings = context.settings();
@@ -34,26 +34,26 @@
                             ? tenant.fraction() / fractions
                             : 1.0 / settings.tenants().size());
             byTenant.put(tenant.name(), credit);
-            all.add(credit);
+            credits.add(credit);
         }
-        if (all.isEmpty()) {
-            all.add(new TenantCredit(1));
+        if (credits.isEmpty()) {
+            credits.add(new TenantCredit(1));
         }
     }
 
     /** Credit accrues from now on. */
     void start() {
-        dealtAt = clock.now();
+        lastDistributedAt = clock.now();
     }
 
     /** The credit of a tenant; of the first one for a name that the settings don't hold. */
     TenantCredit creditOf(String tenant) {
-        return byTenant.getOrDefault(tenant, all.get(0));
+        return byTenant.getOrDefault(tenant, credits.get(0));
     }
 
     /** All tenants' credits, in the order of the settings. */
     List<TenantCredit> credits() {
-        return all;
+        return credits;
     }
 
     /** Whether the request's tenant has used up its credit. */
@@ -62,43 +62,44 @@
     }
 
     /** Deals out the credit earned since the last call by the tenants' weights; others take what a full one leaves. */
-    void dealCredit() {
-        double undealt = slice.rate() * (clock.now() - dealtAt) / 1e9;
-        dealtAt = clock.now();
-        for (int round = 0; round < DEALING_ROUNDS && undealt > NEGLIGIBLE_CREDIT; round++) {
-            double weights = weightsBelowDepth();
-            if (weights <= 0) {
+    void distributeCredit() {
+        double remaining = slice.rate() * (clock.now() - lastDistributedAt) / 1e9;
+        lastDistributedAt = clock.now();
+        for (int round = 0; round < MAX_DISTRIBUTION_ROUNDS && remaining > NEGLIGIBLE_SLOT_SECONDS; round++) {
+            double totalWeight = totalWeightBelowMaximum();
+            if (totalWeight <= 0) {
                 return;
             }
-            undealt -= dealRound(undealt, weights);
+            remaining -= distributeOnce(remaining, totalWeight);
         }
         if (!slice.isEnforced()) {
-            all.forEach(tenant -> tenant.raiseTo(depth(tenant) / 2));
+            credits.forEach(tenant -> tenant.raiseTo(maxBalance(tenant) / 2));
         }
     }
 
-    private double weightsBelowDepth() {
-        double weights = 0;
-        for (TenantCredit tenant : all) {
-            weights += tenant.balance() < depth(tenant) ? tenant.weight() : 0;
+    private double totalWeightBelowMaximum() {
+        double totalWeight = 0;
+        for (TenantCredit tenant : credits) {
+            totalWeight += tenant.balance() < maxBalance(tenant) ? tenant.weight() : 0;
         }
-        return weights;
+        return totalWeight;
     }
 
-    private double dealRound(double undealt, double weights) {
-        double dealt = 0;
-        for (TenantCredit tenant : all) {
-            if (tenant.balance() < depth(tenant)) {
-                double part = Math.min(depth(tenant) - tenant.balance(), undealt * tenant.weight() / weights);
-                tenant.add(part);
-                dealt += part;
+    private double distributeOnce(double available, double totalWeight) {
+        double distributed = 0;
+        for (TenantCredit tenant : credits) {
+            if (tenant.balance() < maxBalance(tenant)) {
+                double amount =
+                        Math.min(maxBalance(tenant) - tenant.balance(), available * tenant.weight() / totalWeight);
+                tenant.add(amount);
+                distributed += amount;
             }
         }
-        return dealt;
+        return distributed;
     }
 
     /** The most credit that a tenant may save up, in slot-seconds. */
-    private double depth(TenantCredit tenant) {
+    private double maxBalance(TenantCredit tenant) {
         return Math.max(
                 2 * statistics.meanCost(),
                 slice.rate() * tenant.weight() * SchedulerTimings.SHARE_INTERVAL_NANOS / 2e9);
@@ -106,14 +107,14 @@
 
     /** Measures the tenants' demands over the interval that ends now. */
     void closeInterval(double seconds) {
-        all.forEach(tenant -> tenant.closeInterval(seconds));
+        credits.forEach(tenant -> tenant.closeInterval(seconds));
     }
 
     /** Nanoseconds until the request's tenant is expected to have credit for a mean request. */
     long retryAfter(ScheduledRequest request) {
         TenantCredit tenant = request.tenantCredit();
-        double rate = Math.max(slice.rate() * tenant.weight(), MIN_RATE);
-        double wait = (statistics.meanCost() - tenant.balance()) / rate * 1e9;
-        return (long) Math.min(maxRetryAfterNanos, Math.max(SchedulerTimings.SHARE_INTERVAL_NANOS, wait));
+        double creditRate = Math.max(slice.rate() * tenant.weight(), MIN_CREDIT_RATE);
+        double waitNanos = (statistics.meanCost() - tenant.balance()) / creditRate * 1e9;
+        return (long) Math.min(maxRetryAfterNanos, Math.max(SchedulerTimings.SHARE_INTERVAL_NANOS, waitNanos));
     }
 }
--- a/src/main/java/nettlewick/decision/ArrivalHandler.java
+++ b/src/main/java/nettlewick/decision/ArrivalHandler.java
@@ -13,7 +13,7 @@
     /** Time given to the probes of a key's home endpoints. */
     private static final long HOLD_NANOS = SchedulerTimings.TICK_NANOS / 8;
     /** A request with less time left than this is not held back. */
-    private static final long MIN_REMAINING_NANOS = 4 * SchedulerTimings.TICK_NANOS;
+    private static final long MIN_REMAINING_TO_HOLD_NANOS = 4 * SchedulerTimings.TICK_NANOS;
 
     private final SchedulerSettings settings;
     private final SchedulerClock clock;
@@ -76,8 +76,8 @@
                 classIndex,
                 admission.creditOf(arrival.tenant()),
                 clock.now());
-        record(request);
-        if (request.hasKey() && arrival.remainingNanos() > MIN_REMAINING_NANOS && probeHomeEndpoints(request)) {
+        recordArrival(request);
+        if (request.hasKey() && arrival.remainingNanos() > MIN_REMAINING_TO_HOLD_NANOS && probeHomeEndpoints(request)) {
             actions.add(new SetTimer(HOLD_TIMER, HOLD_NANOS));
             table.hold(request);
         } else {
@@ -85,7 +85,7 @@
         }
     }
 
-    private void record(ScheduledRequest request) {
+    private void recordArrival(ScheduledRequest request) {
         statistics.recordArrival(request);
         rates.recordArrival();
         probePool.recordArrival();
@@ -111,7 +111,7 @@
     }
 
     private void admit(ScheduledRequest request) {
-        admission.dealCredit();
+        admission.distributeCredit();
         EndpointSelection selection = selector.select(request);
         if (!selection.hasRoom() && mustShed(request, selection.endpoint())) {
             completion.reject(request);
--- a/src/main/java/nettlewick/decision/Attempt.java
+++ b/src/main/java/nettlewick/decision/Attempt.java
@@ -11,8 +11,8 @@
     private boolean isReplaced;
     private boolean isLost;
     private long startedAt = SchedulerClock.NEVER;
-    private long lastSignAt = SchedulerClock.NEVER;
-    private boolean sawFreeCapacity;
+    private long lastProgressAt = SchedulerClock.NEVER;
+    private boolean wasSentToFreeCapacity;
     private double predictedWaitNanos;
 
     Attempt(ScheduledRequest request, Endpoint endpoint, int number, long sentAt) {
@@ -41,15 +41,15 @@
 
     /** Records that free capacity was seen at the endpoint when the attempt was sent. */
     void markSentToFreeCapacity() {
-        sawFreeCapacity = true;
+        wasSentToFreeCapacity = true;
     }
 
-    boolean sawFreeCapacity() {
-        return sawFreeCapacity;
+    boolean wasSentToFreeCapacity() {
+        return wasSentToFreeCapacity;
     }
 
     /** Records how long the request was expected to wait at the endpoint. */
-    void predictWait(double waitNanos) {
+    void setPredictedWait(double waitNanos) {
         predictedWaitNanos = waitNanos;
     }
 
@@ -74,7 +74,7 @@
 
     /** Records a sign of progress; {@code isStart} if it is the first, which says that the request runs. */
     void recordProgress(boolean isStart, long now) {
-        lastSignAt = now;
+        lastProgressAt = now;
         if (isStart) {
             startedAt = now;
         }
@@ -89,8 +89,8 @@
         return startedAt;
     }
 
-    long lastSignAt() {
-        return lastSignAt;
+    long lastProgressAt() {
+        return lastProgressAt;
     }
 
     /** Records that the attempt takes no slot, or no longer. */
--- a/src/main/java/nettlewick/decision/AttemptMonitor.java
+++ b/src/main/java/nettlewick/decision/AttemptMonitor.java
@@ -35,22 +35,22 @@
     /** On each tick. An endpoint that hangs may keep reporting room, so silence is what gives it away. */
     void tick() {
         for (Endpoint endpoint : directory.all()) {
-            List.copyOf(endpoint.inFlight().attempts()).forEach(this::check);
+            List.copyOf(endpoint.inFlight().attempts()).forEach(this::checkAttempt);
             if (!endpoint.health().isEjected(clock.now())
                     && OutlierDetector.isSilent(endpoint, statistics, clock.now())) {
                 outliers.eject(endpoint, clock.now());
-                List.copyOf(endpoint.inFlight().attempts()).forEach(this::replace);
+                List.copyOf(endpoint.inFlight().attempts()).forEach(this::replaceOrCancel);
             }
         }
     }
 
-    private void check(Attempt attempt) {
+    private void checkAttempt(Attempt attempt) {
         if (OutlierDetector.isLost(attempt, clock.now(), settings.progressIntervalNanos())) {
             hedging.recordLost(attempt);
             attempt.endpoint().inFlight().release(attempt);
-            replace(attempt);
+            replaceOrCancel(attempt);
         } else if (OutlierDetector.isStartOverdue(attempt, clock.now()) && hedging.mayHedge(attempt.request())) {
-            replace(attempt);
+            replaceOrCancel(attempt);
             if (attempt.isReplaced()) {
                 hedging.recordHedge();
             }
@@ -58,15 +58,15 @@
     }
 
     /** Sends the request of a stuck attempt once more, or cancels the attempt, as its class and the site allow. */
-    private void replace(Attempt attempt) {
+    private void replaceOrCancel(Attempt attempt) {
         ScheduledRequest request = attempt.request();
         if (attempt.isReplaced() || request.isAnswered() || request.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return;
         }
         if (settings.limits().allowsHedging()) {
-            int before = request.attemptCount();
+            int attemptsBefore = request.attemptCount();
             retrier.retry(request);
-            if (request.attemptCount() > before) {
+            if (request.attemptCount() > attemptsBefore) {
                 attempt.markReplaced();
             }
         } else if (settings.limits().allowsCancel() && request.idempotency() == Idempotency.IDEMPOTENT) {
--- a/src/main/java/nettlewick/decision/AttemptSender.java
+++ b/src/main/java/nettlewick/decision/AttemptSender.java
@@ -29,7 +29,7 @@
         if (selection.hasRoom() || statistics.meanLatency(request) == 0) {
             attempt.markSentToFreeCapacity();
         } else {
-            attempt.predictWait(latency.queueTime(request, endpoint));
+            attempt.setPredictedWait(latency.queueTime(request, endpoint));
         }
         if (endpoint.inFlight().isEmpty()) {
             endpoint.health().recordResponse(clock.now());
--- a/src/main/java/nettlewick/decision/CapacitySlice.java
+++ b/src/main/java/nettlewick/decision/CapacitySlice.java
@@ -5,19 +5,19 @@
 /** The rate of work, in slots, that this dispatcher may accept, and whether that limit binds. */
 final class CapacitySlice {
     /** Least slice, in mean requests for each interval. */
-    private static final double FLOOR_REQUESTS = 0.1;
+    private static final double MIN_REQUESTS_PER_INTERVAL = 0.1;
     /** What a binding slice may be above the rate it serves, and grows in an interval while it serves all. */
-    private static final double GROWTH = 0.1;
+    private static final double GROWTH_PER_INTERVAL = 0.1;
 
-    private static final double MAX_CUT = 3 * GROWTH;
+    private static final double MAX_CUT_PER_INTERVAL = 3 * GROWTH_PER_INTERVAL;
     /** The weight of unused capacity in the augmented share. */
-    private static final double ALPHA = 1;
+    private static final double UNUSED_CAPACITY_WEIGHT = 1;
 
     private double rate;
     private double augmentedShare;
     private boolean isBinding;
     /** A slice that bound before anything was accepted would stay at its floor. */
-    private boolean isUntried = true;
+    private boolean hasAcceptedNothing = true;
 
     /** The slice in slots. */
     double rate() {
@@ -33,38 +33,40 @@
         return isBinding;
     }
 
-    void setBinding(boolean binds) {
-        isBinding = binds;
+    void setBinding(boolean binding) {
+        isBinding = binding;
     }
 
     /** Whether the slice limits what is accepted: it binds, and something was accepted before. */
     boolean isEnforced() {
-        return isBinding && !isUntried;
+        return isBinding && !hasAcceptedNothing;
     }
 
     /** The least slice, in slots, for requests of this mean cost. */
-    static double floor(double meanCost, double seconds) {
-        return FLOOR_REQUESTS * meanCost / seconds;
+    static double minRate(double meanCost, double intervalSeconds) {
+        return MIN_REQUESTS_PER_INTERVAL * meanCost / intervalSeconds;
     }
 
     /** Adjusts the slice to the rates of the interval that has ended. */
-    void adjust(ServiceRates rates, double floor) {
+    void adjust(ServiceRates rates, double minRate) {
         if (!isEnforced()) {
-            rate = Math.max(floor, rates.acceptedRate());
-            isUntried = rates.acceptedRate() <= 0;
+            rate = Math.max(minRate, rates.acceptedRate());
+            hasAcceptedNothing = rates.acceptedRate() <= 0;
             return;
         }
         // Capacity changes while slices bind: a slice is cut to what it serves of what it tries, and tries a
         // little more where it serves all.
-        boolean servesAll = rates.servedRate() >= (1 - GROWTH) * rates.triedRate();
-        double cut = Math.max((1 + GROWTH) * rates.servedRate(), (1 - MAX_CUT) * rate);
-        rate = Math.max(floor, servesAll ? rate * (1 + GROWTH) : Math.min(rate, cut));
+        boolean servesAll = rates.servedRate() >= (1 - GROWTH_PER_INTERVAL) * rates.triedRate();
+        double reducedRate =
+                Math.max((1 + GROWTH_PER_INTERVAL) * rates.servedRate(), (1 - MAX_CUT_PER_INTERVAL) * rate);
+        rate = Math.max(minRate, servesAll ? rate * (1 + GROWTH_PER_INTERVAL) : Math.min(rate, reducedRate));
     }
 
     /** Computes the augmented share from the tenants' demands. */
     void updateAugmentedShare(List<TenantCredit> tenants) {
-        double fair = TenantCredit.fairShare(tenants, rate);
-        augmentedShare = fair + ALPHA * Math.max(0, rate - TenantCredit.totalCarried(tenants, fair));
+        double fairShare = TenantCredit.fairShare(tenants, rate);
+        augmentedShare = fairShare
+                + UNUSED_CAPACITY_WEIGHT * Math.max(0, rate - TenantCredit.totalAllocation(tenants, fairShare));
     }
 
     void credit(double amount) {
--- a/src/main/java/nettlewick/decision/HedgingPolicy.java
+++ b/src/main/java/nettlewick/decision/HedgingPolicy.java
@@ -5,7 +5,7 @@
 /** When a hedged request may be sent on suspicion alone: within a budget earned by attempts that were lost. */
 final class HedgingPolicy {
     private static final int HEDGES_PER_LOSS = 2;
-    private static final int MAX_SAVED_HEDGES = 6;
+    private static final int MAX_HEDGE_BUDGET = 6;
 
     private final Predicate<ScheduledRequest> canMeetObjective;
     private int budget;
@@ -17,7 +17,7 @@
 
     /** Counts an attempt that was found lost, once. */
     void recordLost(Attempt attempt) {
-        budget = Math.min(budget + (attempt.isLost() ? 0 : HEDGES_PER_LOSS), MAX_SAVED_HEDGES);
+        budget = Math.min(budget + (attempt.isLost() ? 0 : HEDGES_PER_LOSS), MAX_HEDGE_BUDGET);
     }
 
     boolean mayHedge(ScheduledRequest request) {
--- a/src/main/java/nettlewick/decision/OutcomeHandler.java
+++ b/src/main/java/nettlewick/decision/OutcomeHandler.java
@@ -62,7 +62,7 @@
         if (outcome.result() == AttemptResult.SERVED && !attempt.request().isAnswered()) {
             recordAnswer(attempt, outcome.latencyNanos());
         }
-        proceed(attempt.request(), outcome);
+        closeOrRetry(attempt.request(), outcome);
     }
 
     private Attempt findAttempt(String id, int number) {
@@ -79,7 +79,7 @@
         OutlierDetector.recordRunTime(attempt, pools.statsFor(attempt.endpoint()), clock.now());
         if (attempt.hasStarted()) {
             statistics.recordRunTime(clock.now() - attempt.startedAt());
-        } else if (attempt.sawFreeCapacity()) {
+        } else if (attempt.wasSentToFreeCapacity()) {
             statistics.recordRunTime(outcome.latencyNanos());
         }
         registry.recordServed(outcome.endpoint());
@@ -90,17 +90,17 @@
         rates.recordServed(request.cost());
         pools.statsFor(attempt.endpoint()).recordServed(request.cost());
         // A latency that holds a wait would make waiting look like long work.
-        if (attempt.sawFreeCapacity()) {
+        if (attempt.wasSentToFreeCapacity()) {
             statistics.recordLatency(request, latencyNanos);
         }
         request.markAnswered();
         completion.cancelOthers(request, attempt.number());
     }
 
-    private void proceed(ScheduledRequest request, Outcome outcome) {
+    private void closeOrRetry(ScheduledRequest request, Outcome outcome) {
         if (outcome.isFinal() || request.isAnswered()) {
             completion.close(request);
-        } else if (!mayFollow(request, outcome.result())) {
+        } else if (!allowsFurtherAttempt(request, outcome.result())) {
             if (request.inFlightAttempts() == 0) {
                 completion.giveUp(request);
             }
@@ -110,9 +110,9 @@
     }
 
     /** Whether a further attempt makes sense after this result: not past the deadline, nor where none can be sent. */
-    private boolean mayFollow(ScheduledRequest request, AttemptResult result) {
-        boolean isTimeUp = result == AttemptResult.TIMEOUT && clock.now() >= request.deadline();
-        return !isTimeUp && result != AttemptResult.NOT_SENT;
+    private boolean allowsFurtherAttempt(ScheduledRequest request, AttemptResult result) {
+        boolean isDeadlineReached = result == AttemptResult.TIMEOUT && clock.now() >= request.deadline();
+        return !isDeadlineReached && result != AttemptResult.NOT_SENT;
     }
 
     /** Takes the answer to a probe in. */
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -107,7 +107,7 @@
      */
     static boolean isLost(Attempt attempt, long now, long progressNanos) {
         if (attempt.hasStarted()) {
-            return progressNanos > 0 && now - attempt.lastSignAt() > MISSED_PROGRESS_LIMIT * progressNanos;
+            return progressNanos > 0 && now - attempt.lastProgressAt() > MISSED_PROGRESS_LIMIT * progressNanos;
         }
         Endpoint endpoint = attempt.endpoint();
         return endpoint.health().latestStartedSentAt() - attempt.sentAt() > OVERTAKEN_NANOS
@@ -117,7 +117,7 @@
 
     /** Whether an attempt that was sent to a free slot should have started by now. */
     static boolean isStartOverdue(Attempt attempt, long now) {
-        return attempt.sawFreeCapacity() && !attempt.hasStarted() && now - attempt.sentAt() > START_TIMEOUT_NANOS;
+        return attempt.wasSentToFreeCapacity() && !attempt.hasStarted() && now - attempt.sentAt() > START_TIMEOUT_NANOS;
     }
 
     /** Whether an endpoint has been silent too long, in expected run times summed over its attempts. */
--- a/src/main/java/nettlewick/decision/PeerMessage.java
+++ b/src/main/java/nettlewick/decision/PeerMessage.java
@@ -18,7 +18,7 @@
         boolean binding,
         int incarnation,
         int peerIncarnation,
-        int number,
+        int transferNumber,
         double augmentedShare,
         double amount) {
     private static final byte MAGIC = (byte) 0xD2;
@@ -47,8 +47,9 @@
                 .putInt(incarnation);
         switch (type) {
             case STATE -> buffer.putFloat((float) augmentedShare).putFloat((float) amount);
-            case TRANSFER -> buffer.putInt(peerIncarnation).putInt(number).putFloat((float) amount);
-            case ACK -> buffer.putInt(peerIncarnation).putInt(number);
+            case TRANSFER ->
+                buffer.putInt(peerIncarnation).putInt(transferNumber).putFloat((float) amount);
+            case ACK -> buffer.putInt(peerIncarnation).putInt(transferNumber);
             default -> {}
         }
         return buffer.array();
@@ -71,12 +72,12 @@
         boolean binding = (data[2] & 1) == 1;
         int incarnation = buffer.getInt();
         int peerIncarnation = type == Type.TRANSFER || type == Type.ACK ? buffer.getInt() : 0;
-        int number = type == Type.TRANSFER || type == Type.ACK ? buffer.getInt() : 0;
+        int transferNumber = type == Type.TRANSFER || type == Type.ACK ? buffer.getInt() : 0;
         double augmentedShare = type == Type.STATE ? buffer.getFloat() : 0;
         double amount = type == Type.STATE || type == Type.TRANSFER ? buffer.getFloat() : 0;
         boolean isValid = Double.isFinite(augmentedShare + amount) && augmentedShare >= 0 && amount >= 0;
         return isValid
-                ? new PeerMessage(type, binding, incarnation, peerIncarnation, number, augmentedShare, amount)
+                ? new PeerMessage(type, binding, incarnation, peerIncarnation, transferNumber, augmentedShare, amount)
                 : null;
     }
 
--- a/src/main/java/nettlewick/decision/PeerState.java
+++ b/src/main/java/nettlewick/decision/PeerState.java
@@ -9,7 +9,7 @@
     private boolean isBinding;
     private double augmentedShare;
     private double slice;
-    private long heardAt = SchedulerClock.NEVER;
+    private long lastMessageAt = SchedulerClock.NEVER;
     private final Map<Integer, Integer> lastTransferByIncarnation = new HashMap<>();
     private int transfersSent;
     private double pendingAmount;
@@ -22,7 +22,7 @@
             pendingAmount = 0;
             inheritedAmount = 0;
         }
-        heardAt = now;
+        lastMessageAt = now;
         isBinding = message.binding();
     }
 
@@ -52,8 +52,8 @@
     }
 
     /** Nanoseconds since its last message. */
-    long silence(long now) {
-        return now - heardAt;
+    long timeSinceMessage(long now) {
+        return now - lastMessageAt;
     }
 
     /** Starts the next transfer to the peer, which is pending until acknowledged. */
@@ -83,15 +83,15 @@
 
     /** Whether this transfer from the peer is a new one; true only once for each. */
     boolean recordTransfer(PeerMessage transfer) {
-        boolean isNew = transfer.number() > lastTransferByIncarnation.getOrDefault(transfer.incarnation(), 0);
+        boolean isNew = transfer.transferNumber() > lastTransferByIncarnation.getOrDefault(transfer.incarnation(), 0);
         if (isNew) {
-            lastTransferByIncarnation.put(transfer.incarnation(), transfer.number());
+            lastTransferByIncarnation.put(transfer.incarnation(), transfer.transferNumber());
         }
         return isNew;
     }
 
     /** Marks the peer's slice as inherited and returns it. */
-    double inherit() {
+    double inheritSlice() {
         inheritedAmount = slice;
         return slice;
     }
--- a/src/main/java/nettlewick/decision/RequestCompletion.java
+++ b/src/main/java/nettlewick/decision/RequestCompletion.java
@@ -56,9 +56,9 @@
     }
 
     /** Cancels the attempts in flight beside the one that answers. */
-    void cancelOthers(ScheduledRequest request, int answering) {
+    void cancelOthers(ScheduledRequest request, int answeringAttempt) {
         for (Attempt attempt : request.attempts()) {
-            if (!attempt.hasEnded() && attempt.number() != answering && limits.allowsCancel()) {
+            if (!attempt.hasEnded() && attempt.number() != answeringAttempt && limits.allowsCancel()) {
                 actions.add(new Cancel(request.id(), attempt.number()));
             }
         }
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -167,8 +167,8 @@
         }
     }
 
-    private void updateEndpoints(EndpointList effective) {
-        directory.apply(effective);
+    private void updateEndpoints(EndpointList effectiveList) {
+        directory.apply(effectiveList);
         pools.refill(directory.all());
         probePool.redraw();
         loads.replaceEndpoints(directory.all().stream()
--- a/src/main/java/nettlewick/decision/RetryPolicy.java
+++ b/src/main/java/nettlewick/decision/RetryPolicy.java
@@ -20,8 +20,8 @@
 
     /** Whether one more attempt is allowed now, and an answer would still have a value. */
     boolean mayRetry(ScheduledRequest request) {
-        boolean isWorthless = request.requestClass().latePriorityWeight() <= 0 && latency.isPastObjective(request);
-        return !isWorthless && isWithinLimits(request) && mayRunAgain(request);
+        boolean hasNoValue = request.requestClass().latePriorityWeight() <= 0 && latency.isPastObjective(request);
+        return !hasNoValue && isWithinLimits(request) && mayRunAgain(request);
     }
 
     private boolean isWithinLimits(ScheduledRequest request) {
@@ -33,11 +33,11 @@
 
     /** Whether running the request once more has no effect that its class forbids. */
     private boolean mayRunAgain(ScheduledRequest request) {
-        Attempt executed = request.firstPossiblyExecutedAttempt();
-        return executed == null
+        Attempt firstExecuted = request.firstPossiblyExecutedAttempt();
+        return firstExecuted == null
                 || request.idempotency() == Idempotency.IDEMPOTENT
                 || request.idempotency() == Idempotency.KEYED
-                        && clock.now() - executed.sentAt()
+                        && clock.now() - firstExecuted.sentAt()
                                 <= request.requestClass().dedupWindowNanos();
     }
 
--- a/src/main/java/nettlewick/decision/SchedulerSettings.java
+++ b/src/main/java/nettlewick/decision/SchedulerSettings.java
@@ -60,8 +60,8 @@
         kinds = List.copyOf(kinds);
     }
 
-    private static void check(boolean fine, String setting, Object value) {
-        if (!fine) {
+    private static void check(boolean isValid, String setting, Object value) {
+        if (!isValid) {
             throw new IllegalArgumentException("setting " + setting + " makes no sense: " + value);
         }
     }
--- a/src/main/java/nettlewick/decision/SliceController.java
+++ b/src/main/java/nettlewick/decision/SliceController.java
@@ -74,31 +74,31 @@
                 hasFreeSlot |= capacity.freeSlots(endpoint) >= 1;
             }
         }
-        admission.dealCredit();
+        admission.distributeCredit();
         slice.setBinding(hasFreshReport && !hasFreeSlot);
     }
 
     /** Measures what a warm endpoint of each kind carries for this dispatcher. */
     private void measureCarriedRates() {
         for (EndpointPool pool : pools.common()) {
-            long warm = pool.ready().stream()
+            long warmEndpoints = pool.ready().stream()
                     .filter(endpoint -> !slowStart.isWarmingUp(endpoint, clock.now()))
                     .count();
-            pool.stats().closeInterval(warm);
+            pool.stats().closeInterval(warmEndpoints);
         }
     }
 
     /** Demands, rates, the slice and its augmented share, then transfers along the ring. */
     private void closeInterval() {
-        admission.dealCredit();
+        admission.distributeCredit();
         double seconds = SchedulerTimings.SHARE_INTERVAL_NANOS / 1e9;
         admission.closeInterval(seconds);
         rates.closeInterval(seconds);
-        double floor = CapacitySlice.floor(statistics.meanCost(), seconds);
-        slice.adjust(rates, floor);
+        double minRate = CapacitySlice.minRate(statistics.meanCost(), seconds);
+        slice.adjust(rates, minRate);
         slice.updateAugmentedShare(admission.credits());
         if (hasPeers) {
-            exchange.closeInterval(floor);
+            exchange.closeInterval(minRate);
         }
     }
 }
--- a/src/main/java/nettlewick/decision/SliceExchange.java
+++ b/src/main/java/nettlewick/decision/SliceExchange.java
@@ -11,9 +11,9 @@
     /** The transfer gain; with two neighbors its bound is 1/4. */
     private static final double TRANSFER_GAIN = 0.25;
 
-    private static final int MIN_REACH = 2;
+    private static final int MIN_SEARCH_DISTANCE = 2;
     /** A peer that has been silent for longer takes no part. */
-    private static final long MAX_SILENCE_NANOS = 5 * SchedulerTimings.SHARE_INTERVAL_NANOS / 2;
+    private static final long MAX_MESSAGE_AGE_NANOS = 5 * SchedulerTimings.SHARE_INTERVAL_NANOS / 2;
 
     private final SchedulerSettings settings;
     private final SchedulerClock clock;
@@ -22,7 +22,7 @@
     private final SliceInheritance inheritance;
     private final Map<Integer, PeerState> peers = new LinkedHashMap<>();
     /** How far along the ring binding peers are looked for. */
-    private int reach = MIN_REACH;
+    private int searchDistance = MIN_SEARCH_DISTANCE;
 
     SliceExchange(
             SchedulerContext context, CapacitySlice slice, SliceMessenger messenger, SliceInheritance inheritance) {
@@ -44,20 +44,20 @@
     }
 
     /** Ends an interval: sends the successor its state, checks the predecessor, and transfers down to {@code floor}. */
-    void closeInterval(double floor) {
+    void closeInterval(double minRate) {
         int fleetSize = settings.fleetSize();
         int successor = (settings.rank() + 1) % fleetSize;
         int predecessor = Math.floorMod(settings.rank() - 1, fleetSize);
         messenger.sendState(successor);
         inheritance.checkPredecessor(predecessor, peers.get(predecessor));
         if (!slice.isBinding()) {
-            reach = MIN_REACH;
+            searchDistance = MIN_SEARCH_DISTANCE;
             return;
         }
-        int ahead = exchangeInDirection(1, successor, -1, floor);
-        int behind = exchangeInDirection(-1, successor, ahead, floor);
-        if (ahead < 0 && behind < 0) {
-            reach = reach >= fleetSize / 2 ? MIN_REACH : 2 * reach;
+        int nextBindingRank = exchangeInDirection(1, successor, -1, minRate);
+        int previousBindingRank = exchangeInDirection(-1, successor, nextBindingRank, minRate);
+        if (nextBindingRank < 0 && previousBindingRank < 0) {
+            searchDistance = searchDistance >= fleetSize / 2 ? MIN_SEARCH_DISTANCE : 2 * searchDistance;
         }
     }
 
@@ -65,28 +65,28 @@
      * Exchanges with the nearest binding peer in one direction. Returns its rank, or {@code alreadyMet} if
      * there is none; that one, and the successor, get the state no second time.
      */
-    private int exchangeInDirection(int direction, int successor, int alreadyMet, double floor) {
+    private int exchangeInDirection(int direction, int successor, int alreadyFound, double minRate) {
         int fleetSize = settings.fleetSize();
-        for (int distance = 1; distance <= Math.min(reach, fleetSize / 2); distance++) {
+        for (int distance = 1; distance <= Math.min(searchDistance, fleetSize / 2); distance++) {
             int rank = Math.floorMod(settings.rank() + direction * distance, fleetSize);
-            if (rank != successor && rank != alreadyMet) {
+            if (rank != successor && rank != alreadyFound) {
                 messenger.sendState(rank);
             }
             PeerState peer = peers.get(rank);
-            if (peer != null && peer.isBinding() && peer.silence(clock.now()) <= MAX_SILENCE_NANOS) {
-                if (rank != alreadyMet) {
-                    transferTo(rank, peer, floor);
+            if (peer != null && peer.isBinding() && peer.timeSinceMessage(clock.now()) <= MAX_MESSAGE_AGE_NANOS) {
+                if (rank != alreadyFound) {
+                    transferTo(rank, peer, minRate);
                 }
                 return rank;
             }
         }
-        return alreadyMet;
+        return alreadyFound;
     }
 
     /** The end with the higher augmented share gives. */
-    private void transferTo(int rank, PeerState peer, double floor) {
+    private void transferTo(int rank, PeerState peer, double minRate) {
         double amount =
-                Math.min(TRANSFER_GAIN * (slice.augmentedShare() - peer.augmentedShare()), slice.rate() - floor);
+                Math.min(TRANSFER_GAIN * (slice.augmentedShare() - peer.augmentedShare()), slice.rate() - minRate);
         if (amount > 0 && !peer.hasPendingTransfer()) {
             slice.debit(amount);
             peer.beginTransfer(amount);
@@ -107,14 +107,14 @@
     void receive(int rank, PeerMessage message) {
         PeerState peer = peers.computeIfAbsent(rank, r -> new PeerState());
         peer.recordMessage(message, clock.now());
-        inheritance.returnTo(peer);
+        inheritance.returnSlice(peer);
         boolean isForThisIncarnation = message.peerIncarnation() == messenger.incarnation();
         switch (message.type()) {
             case STATE -> peer.recordState(message.augmentedShare(), message.amount());
             case STATE_REQUEST -> messenger.sendState(rank);
             case ACK -> {
                 if (isForThisIncarnation) {
-                    peer.acknowledgeTransfer(message.number());
+                    peer.acknowledgeTransfer(message.transferNumber());
                 }
             }
             case TRANSFER -> {
--- a/src/main/java/nettlewick/decision/SliceInheritance.java
+++ b/src/main/java/nettlewick/decision/SliceInheritance.java
@@ -3,9 +3,10 @@
 /** Takes over the binding slice of the dispatcher before this one on the ring once it has long been silent. */
 final class SliceInheritance {
     /** The state is requested after this many silent intervals, and the slice inherited after twice as many. */
-    private static final int SILENT_INTERVALS = 3;
+    private static final int SILENT_INTERVALS_BEFORE_REQUEST = 3;
 
-    private static final long REQUEST_AFTER_NANOS = SILENT_INTERVALS * SchedulerTimings.SHARE_INTERVAL_NANOS;
+    private static final long STATE_REQUEST_AFTER_NANOS =
+            SILENT_INTERVALS_BEFORE_REQUEST * SchedulerTimings.SHARE_INTERVAL_NANOS;
 
     private final SchedulerClock clock;
     private final CapacitySlice slice;
@@ -22,22 +23,22 @@
         if (peer == null
                 || !peer.isBinding()
                 || peer.isInherited()
-                || peer.silence(clock.now()) <= REQUEST_AFTER_NANOS) {
+                || peer.timeSinceMessage(clock.now()) <= STATE_REQUEST_AFTER_NANOS) {
             return;
         }
         // A predecessor whose messages were lost may still run: inheriting its slice would lift the sum over
         // all dispatchers. Its state is requested first, and the slice is returned when it answers later.
-        if (peer.silence(clock.now()) <= 2 * REQUEST_AFTER_NANOS) {
+        if (peer.timeSinceMessage(clock.now()) <= 2 * STATE_REQUEST_AFTER_NANOS) {
             messenger.requestState(rank);
         } else if (slice.isBinding()) {
-            slice.credit(peer.inherit());
+            slice.credit(peer.inheritSlice());
         } else {
             peer.markNotBinding();
         }
     }
 
     /** Gives an inherited slice back to a peer that has sent a message again. */
-    void returnTo(PeerState peer) {
+    void returnSlice(PeerState peer) {
         slice.returnInherited(peer.inheritedAmount());
         peer.clearInheritance();
     }
--- a/src/main/java/nettlewick/decision/SliceMessenger.java
+++ b/src/main/java/nettlewick/decision/SliceMessenger.java
@@ -33,12 +33,12 @@
     }
 
     void acknowledge(int rank, PeerMessage transfer) {
-        send(rank, PeerMessage.Type.ACK, transfer.incarnation(), transfer.number(), 0);
+        send(rank, PeerMessage.Type.ACK, transfer.incarnation(), transfer.transferNumber(), 0);
     }
 
-    private void send(int rank, PeerMessage.Type type, int peerIncarnation, int number, double amount) {
+    private void send(int rank, PeerMessage.Type type, int peerIncarnation, int transferNumber, double amount) {
         PeerMessage message = new PeerMessage(
-                type, slice.isBinding(), incarnation, peerIncarnation, number, slice.augmentedShare(), amount);
+                type, slice.isBinding(), incarnation, peerIncarnation, transferNumber, slice.augmentedShare(), amount);
         actions.add(new SendToPeer(rank, message.encode()));
     }
 }
--- a/src/main/java/nettlewick/decision/TenantCredit.java
+++ b/src/main/java/nettlewick/decision/TenantCredit.java
@@ -49,22 +49,25 @@
     }
 
     /** What all tenants carry together when none gets more than {@code level} for its weight. */
-    static double totalCarried(List<TenantCredit> all, double level) {
-        return all.stream()
-                .mapToDouble(t -> Math.min(t.demand, level * t.weight))
+    static double totalAllocation(List<TenantCredit> tenants, double ratePerWeight) {
+        return tenants.stream()
+                .mapToDouble(tenant -> Math.min(tenant.demand, ratePerWeight * tenant.weight))
                 .sum();
     }
 
     /** The largest rate for its weight that any tenant gets from the slice. */
-    static double fairShare(List<TenantCredit> all, double slice) {
-        double high = all.stream().mapToDouble(t -> t.demand / t.weight).max().orElse(0);
-        if (totalCarried(all, high) <= slice) {
+    static double fairShare(List<TenantCredit> tenants, double sliceRate) {
+        double high = tenants.stream()
+                .mapToDouble(tenant -> tenant.demand / tenant.weight)
+                .max()
+                .orElse(0);
+        if (totalAllocation(tenants, high) <= sliceRate) {
             return high;
         }
         double low = 0;
         for (int i = 0; i < BISECTION_STEPS; i++) {
             double middle = (low + high) / 2;
-            if (totalCarried(all, middle) < slice) {
+            if (totalAllocation(tenants, middle) < sliceRate) {
                 low = middle;
             } else {
                 high = middle;
--- a/src/test/java/nettlewick/decision/AdmissionControllerTest.java
+++ b/src/test/java/nettlewick/decision/AdmissionControllerTest.java
@@ -20,26 +20,26 @@
     /** Guards against high-value requests that pile up at a slow endpoint and make each other late. */
     @ParameterizedTest
     @ValueSource(ints = {0, 20})
-    void aHighValueRequestWaitsOnlyWhileItCanMeetItsObjective(int waiting) {
-        SchedulerSettings s = Samples.settings(0, 1, true);
-        RequestScheduler one = new RequestScheduler(
+    void aHighPriorityRequestWaitsOnlyWhileItCanMeetItsObjective(int waiting) {
+        SchedulerSettings base = Samples.settings(0, 1, true);
+        RequestScheduler single = new RequestScheduler(
                 new SchedulerSettings(
                         0,
                         1,
-                        s.zone(),
+                        base.zone(),
                         List.of(
                                 Samples.requestClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2),
                                 Samples.requestClass("dear", Idempotency.NON_IDEMPOTENT, Scope.ALL, 20)),
-                        s.tenants(),
-                        s.kinds(),
+                        base.tenants(),
+                        base.kinds(),
                         false,
                         false,
-                        s.loadReporting(),
+                        base.loadReporting(),
                         0,
-                        s.limits(),
-                        s.rules()),
+                        base.limits(),
+                        base.rules()),
                 1);
-        one.handle(
+        single.handle(
                 1,
                 List.of(
                         Samples.endpoints(1),
@@ -47,14 +47,14 @@
                         Samples.arrival("a", "read", "red"),
                         Samples.arrival("b", "dear", "red")));
         long later = Samples.SECOND / 2;
-        one.handle(
+        single.handle(
                 later,
                 List.of(
                         new Outcome("a", 0, "w0", AttemptResult.SERVED, later, true, null),
                         new Outcome("b", 0, "w0", AttemptResult.SERVED, later, true, null),
                         Samples.probeAnswer("w0", 0, waiting),
                         Samples.probeAnswer("w0", 0, waiting)));
-        List<Action> actions = one.handle(
+        List<Action> actions = single.handle(
                 later + 1,
                 List.of(new Arrival("c", "dear", "red", 5 * Samples.SECOND, 1, 0, 300 * Samples.MS, null, false)));
         assertEquals(waiting > 0, actions.stream().anyMatch(Reject.class::isInstance), actions.toString());
@@ -63,14 +63,14 @@
     @Test
     void aRequestThatWouldMissItsObjectiveIsRejectedEarly() {
         at(1, Samples.endpoints(8));
-        answers(2, 0, 8);
+        answerProbes(2, 0, 8);
         for (int i = 0; i < 20; i++) {
             at(now + 100 * Samples.MS, Samples.outcome(send("read"), 0, AttemptResult.SERVED));
-            answers(2, 0, 8);
+            answerProbes(2, 0, 8);
         }
         for (int i = 0; i < 4; i++) {
             at(now + 300 * Samples.MS, new Timer("beat"));
-            answers(0, 40, 8);
+            answerProbes(0, 40, 8);
         }
         List<Action> actions = at(now + 1, Samples.arrival("late", "read", "red"));
         assertEquals(1, Samples.actionsOfType(Reject.class, actions).size(), actions.toString());
@@ -79,19 +79,19 @@
     @Test
     void aTenantOverItsQuotaIsRejectedBeforeOneWithin() {
         at(1, Samples.endpoints(8));
-        answers(1, 0, 8);
+        answerProbes(1, 0, 8);
         int[] rejected = new int[2];
         int capacity = 0;
         for (int step = 0; step < 400; step++) {
             at(now + 25 * Samples.MS);
-            answers(0, 0, 8);
+            answerProbes(0, 0, 8);
             capacity = 3;
             if (step % 4 == 0) {
                 at(now, new Timer("beat"));
             }
             for (int i = 0; i < 5; i++) {
                 String tenant = i == 0 && step % 2 == 0 ? "blue" : "red";
-                List<Action> actions = at(now, Samples.arrival("t" + requests++, "book", tenant));
+                List<Action> actions = at(now, Samples.arrival("t" + requestCount++, "book", tenant));
                 if (step > 200) {
                     rejected[tenant.equals("red") ? 0 : 1] +=
                             Samples.actionsOfType(Reject.class, actions).size();
--- a/src/test/java/nettlewick/decision/AttemptMonitorTest.java
+++ b/src/test/java/nettlewick/decision/AttemptMonitorTest.java
@@ -18,39 +18,39 @@
     /** Guards against hedged requests that feed the queues of a full fleet: each needs room elsewhere. */
     @ParameterizedTest
     @ValueSource(ints = {0, 2})
-    void aHedgedRequestIsSentOnlyWhereRoomIsSeen(int free) {
+    void aHedgedRequestIsSentOnlyWhereRoomIsSeen(int freeSlots) {
         at(1, Samples.endpoints(1));
-        answers(3, 0, 1);
+        answerProbes(3, 0, 1);
         at(now, new Arrival("lost", "read", "red", 5 * Samples.SECOND, 1, 0, 300 * Samples.MS, null, false));
         now += 510 * Samples.MS;
-        Dispatch later = send("read");
+        Dispatch laterRequest = send("read");
         at(now, Samples.endpoints(4));
-        answers(free, free == 0 ? 5 : 0, 4);
-        at(now, new Progress(later.id(), 0, "w0", 0));
-        List<Dispatch> again = Samples.actionsOfType(Dispatch.class, at(now + 1, new Timer("beat")));
-        assertEquals(free > 0, again.stream().anyMatch(d -> d.id().equals("lost")));
+        answerProbes(freeSlots, freeSlots == 0 ? 5 : 0, 4);
+        at(now, new Progress(laterRequest.id(), 0, "w0", 0));
+        List<Dispatch> retried = Samples.actionsOfType(Dispatch.class, at(now + 1, new Timer("beat")));
+        assertEquals(freeSlots > 0, retried.stream().anyMatch(d -> d.id().equals("lost")));
     }
 
     /** Guards against waiting for an attempt that never began, where some are known to be lost. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void anOverdueRequestIsHedgedOnlyAfterOthersWereLost(boolean lost) {
+    void anOverdueRequestIsHedgedOnlyAfterOthersWereLost(boolean hasLostAttempt) {
         at(1, Samples.endpoints(4));
-        answers(3, 0, 4);
-        if (lost) {
-            Dispatch gone = send("book");
+        answerProbes(3, 0, 4);
+        if (hasLostAttempt) {
+            Dispatch lostRequest = send("book");
             now += 1600 * Samples.MS;
-            answers(3, 0, 4);
+            answerProbes(3, 0, 4);
             at(now, new Timer("beat"));
-            at(now, Samples.outcome(gone, 0, AttemptResult.TIMEOUT));
+            at(now, Samples.outcome(lostRequest, 0, AttemptResult.TIMEOUT));
             now += 600 * Samples.MS;
-            answers(3, 0, 4);
+            answerProbes(3, 0, 4);
         }
         at(now, new Arrival("big", "read", "red", 5 * Samples.SECOND, 1, 0, Samples.SECOND, null, false));
         now += 700 * Samples.MS;
-        answers(3, 0, 4);
+        answerProbes(3, 0, 4);
         assertEquals(
-                lost,
+                hasLostAttempt,
                 !Samples.actionsOfType(Dispatch.class, at(now, new Timer("beat")))
                         .isEmpty());
     }
@@ -58,7 +58,7 @@
     @Test
     void anImmediateErrorEjectsAnEndpointThatReportsRoom() {
         at(1, Samples.endpoints(8));
-        answers(2, 0, 8);
+        answerProbes(2, 0, 8);
         at(now, Samples.probeAnswer("w0", 9, 0));
         Dispatch first = send("book");
         assertEquals("w0", first.endpointId());
@@ -71,24 +71,25 @@
     @Test
     void aSilentEndpointIsEjectedAndItsIdempotentRequestsAreRetried() {
         at(1, Samples.endpoints(8));
-        answers(2, 0, 8);
+        answerProbes(2, 0, 8);
         for (int i = 0; i < 20; i++) {
             at(now + 50 * Samples.MS, Samples.outcome(send("read"), 0, AttemptResult.SERVED));
         }
         at(now, Samples.probeAnswer("w0", 9, 0));
-        List<String> stuck = new ArrayList<>();
+        List<String> stuckIds = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             Dispatch sent = send(i == 0 ? "book" : "read");
             assertEquals("w0", sent.endpointId());
-            stuck.add(sent.id());
+            stuckIds.add(sent.id());
         }
-        List<Dispatch> again = new ArrayList<>();
+        List<Dispatch> retried = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            answers(2, 0, 8);
+            answerProbes(2, 0, 8);
             at(now, Samples.probeAnswer("w0", 9, 0));
-            again.addAll(Samples.actionsOfType(Dispatch.class, at(now + 100 * Samples.MS, new Timer("beat"))));
+            retried.addAll(Samples.actionsOfType(Dispatch.class, at(now + 100 * Samples.MS, new Timer("beat"))));
         }
-        assertEquals(stuck.subList(1, 6), again.stream().map(Dispatch::id).toList(), "all but the fragile one, once");
-        assertFalse(again.get(0).endpointId().equals("w0"));
+        assertEquals(
+                stuckIds.subList(1, 6), retried.stream().map(Dispatch::id).toList(), "all but the fragile one, once");
+        assertFalse(retried.get(0).endpointId().equals("w0"));
     }
 }
--- a/src/test/java/nettlewick/decision/CapacitySliceTest.java
+++ b/src/test/java/nettlewick/decision/CapacitySliceTest.java
@@ -11,7 +11,7 @@
     private final CapacitySlice slice = new CapacitySlice();
     private final ServiceRates rates = new ServiceRates();
 
-    private void interval(double accepted, double lost, double served) {
+    private void endInterval(double accepted, double lost, double served) {
         for (int i = 0; i < 20; i++) {
             rates.recordArrival();
         }
@@ -24,9 +24,9 @@
 
     @Test
     void aSliceThatDoesNotBindFollowsWhatWasAccepted() {
-        interval(0, 0, 0);
+        endInterval(0, 0, 0);
         assertEquals(0.5, slice.rate(), "the floor");
-        interval(8, 4, 4);
+        endInterval(8, 4, 4);
         assertEquals(2, slice.rate(), 1e-9, "half of the way from 0 to 4");
     }
 
@@ -34,20 +34,22 @@
     void aBindingSliceIsNotEnforcedBeforeAnythingWasAccepted() {
         slice.setBinding(true);
         assertFalse(slice.isEnforced());
-        interval(8, 0, 8);
+        endInterval(8, 0, 8);
         assertTrue(slice.isEnforced());
     }
 
     @Test
     void aBindingSliceGrowsWhileItServesAllAndIsCutWhereItDoesNot() {
-        interval(8, 0, 8);
+        endInterval(8, 0, 8);
         slice.setBinding(true);
-        double before = slice.rate();
-        interval(4, 0, 4);
-        assertEquals(1.1 * before, slice.rate(), 1e-9);
-        before = slice.rate();
-        interval(8, 8, 0);
-        assertTrue(slice.rate() < before && slice.rate() >= 0.7 * before - 1e-9, "cut by three tenths at most");
+        double previousRate = slice.rate();
+        endInterval(4, 0, 4);
+        assertEquals(1.1 * previousRate, slice.rate(), 1e-9);
+        previousRate = slice.rate();
+        endInterval(8, 8, 0);
+        assertTrue(
+                slice.rate() < previousRate && slice.rate() >= 0.7 * previousRate - 1e-9,
+                "cut by three tenths at most");
     }
 
     @Test
--- a/src/test/java/nettlewick/decision/EndpointSelectorTest.java
+++ b/src/test/java/nettlewick/decision/EndpointSelectorTest.java
@@ -23,7 +23,7 @@
     @Test
     void ownRequestsInFlightCountAgainstAnEndpointsRoom() {
         at(1, Samples.endpoints(8));
-        answers(3, 0, 8);
+        answerProbes(3, 0, 8);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             used.add(send("read").endpointId());
@@ -41,11 +41,11 @@
                         List.of(
                                 Samples.entry("w0", EndpointState.READY, 0, "north", 0),
                                 Samples.entry("w1", EndpointState.READY, 8 * Samples.SECOND, "north", 0))));
-        answers(2, 0, 2);
+        answerProbes(2, 0, 2);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 6; i++) {
             now += 100 * Samples.MS;
-            answers(2, 0, 2);
+            answerProbes(2, 0, 2);
             Samples.actionsOfType(
                             Dispatch.class,
                             at(
@@ -68,7 +68,7 @@
     @Test
     void theOwnZoneComesFirstWhileItHasRoom() {
         at(1, Samples.endpoints(8));
-        answers(1, 0, 8);
+        answerProbes(1, 0, 8);
         at(now, Samples.probeAnswer("w1", 9, 0));
         assertEquals(0, Integer.parseInt(send("read").endpointId().substring(1)) % 2);
     }
@@ -76,7 +76,7 @@
     @Test
     void anOverloadedEndpointIsTriedAfterOthers() {
         at(1, Samples.endpoints(8));
-        answers(0, 0, 8);
+        answerProbes(0, 0, 8);
         Dispatch first = send("read");
         at(now + 1, Samples.outcome(first, 0, AttemptResult.OVERLOADED));
         assertFalse(send("read").endpointId().equals(first.endpointId()));
@@ -107,7 +107,7 @@
     @Test
     void aNewEndpointGetsNoBurst() {
         at(1, Samples.endpoints(8));
-        answers(2, 0, 8);
+        answerProbes(2, 0, 8);
         at(2, new EndpointList(false, List.of(Samples.entry("fresh", EndpointState.READY, 2, "north", 9))));
         at(3, Samples.probeAnswer("fresh", 9, 0));
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/nettlewick/decision/ExampleTest.java
+++ b/src/test/java/nettlewick/decision/ExampleTest.java
@@ -26,7 +26,7 @@
 /** The README's example: it runs, and the README shows it as it stands here. */
 class ExampleTest {
     @Test
-    void oneInstanceByHand() {
+    void exampleMakesTheExpectedDecisions() {
         // example begins
         long second = 1_000_000_000L;
         SchedulerSettings settings = new SchedulerSettings(
--- a/src/test/java/nettlewick/decision/PeerMessageRouterTest.java
+++ b/src/test/java/nettlewick/decision/PeerMessageRouterTest.java
@@ -18,7 +18,7 @@
             new SliceExchange(context, slice, messenger, new SliceInheritance(context.clock(), slice, messenger)));
 
     @Test
-    void foreignBytesAreCounted() {
+    void undecodableDatagramsAreCounted() {
         router.receive(1, new byte[] {1, 2, 3});
         assertEquals(1, faults.counts().damaged());
     }
--- a/src/test/java/nettlewick/decision/PeerStateTest.java
+++ b/src/test/java/nettlewick/decision/PeerStateTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void onlyTheLatestTransferIsAcknowledgedAndARestartDropsIt() {
+    void onlyTheLatestTransferIsAcknowledgedAndAPeerRestartDropsIt() {
         PeerState peer = new PeerState();
         peer.recordMessage(transfer(7, 1), 0);
         peer.beginTransfer(2);
--- a/src/test/java/nettlewick/decision/RequestSchedulerTest.java
+++ b/src/test/java/nettlewick/decision/RequestSchedulerTest.java
@@ -27,49 +27,50 @@
     /** Guards against machines of other zones that nobody watches, and that idle while the watched ones jam. */
     @Test
     void theProbePoolOfASmallZoneIsFilledFromOtherZones() {
-        List<EndpointEntry> twelve = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            twelve.add(Samples.entry("w" + i, EndpointState.READY, 0, i < 3 ? "north" : "south" + i % 3, i));
+            entries.add(Samples.entry("w" + i, EndpointState.READY, 0, i < 3 ? "north" : "south" + i % 3, i));
         }
-        at(1, new EndpointList(true, twelve));
-        Set<String> asked = new HashSet<>();
-        for (int beat = 1; beat <= 60; beat++) {
+        at(1, new EndpointList(true, entries));
+        Set<String> probed = new HashSet<>();
+        for (int tick = 1; tick <= 60; tick++) {
             for (Probe p : Samples.actionsOfType(
                     Probe.class,
-                    at(1 + beat * 100 * Samples.MS, new Timer("beat"), Samples.arrival("p" + beat, "read", "red")))) {
-                asked.add(p.endpoint());
+                    at(1 + tick * 100 * Samples.MS, new Timer("beat"), Samples.arrival("p" + tick, "read", "red")))) {
+                probed.add(p.endpoint());
                 at(now, Samples.probeAnswer(p.endpoint(), 2, 0));
             }
         }
-        assertEquals(12, asked.size());
+        assertEquals(12, probed.size());
     }
 
     @Test
-    void aBrokenSubscriptionIsRenewed() {
-        SchedulerSettings s = Samples.settings(0, 3, true);
-        RequestScheduler asking = new RequestScheduler(
+    void aFailedSubscriptionIsRenewed() {
+        SchedulerSettings base = Samples.settings(0, 3, true);
+        RequestScheduler requesting = new RequestScheduler(
                 new SchedulerSettings(
                         0,
                         3,
-                        s.zone(),
-                        s.classes(),
-                        s.tenants(),
-                        s.kinds(),
+                        base.zone(),
+                        base.classes(),
+                        base.tenants(),
+                        base.kinds(),
                         true,
                         false,
-                        s.loadReporting(),
+                        base.loadReporting(),
                         0,
-                        s.limits(),
-                        s.rules()),
+                        base.limits(),
+                        base.rules()),
                 5);
         assertEquals(
                 1,
-                Samples.actionsOfType(Subscribe.class, asking.handle(1, List.of(Samples.endpoints(2))))
+                Samples.actionsOfType(Subscribe.class, requesting.handle(1, List.of(Samples.endpoints(2))))
                         .size());
-        asking.handle(2, List.of(new EndpointListFailed()));
+        requesting.handle(2, List.of(new EndpointListFailed()));
         assertEquals(
                 1,
-                Samples.actionsOfType(Subscribe.class, asking.handle(2 * Samples.SECOND, List.of(new Timer("beat"))))
+                Samples.actionsOfType(
+                                Subscribe.class, requesting.handle(2 * Samples.SECOND, List.of(new Timer("beat"))))
                         .size());
     }
 
@@ -108,37 +109,37 @@
 
     @Test
     void settingsOutOfRangeAreRejectedByName() {
-        SchedulerSettings s = Samples.settings(0, 3, true);
+        SchedulerSettings base = Samples.settings(0, 3, true);
         IllegalArgumentException e = assertThrows(
                 IllegalArgumentException.class,
                 () -> new SchedulerSettings(
                         3,
                         3,
-                        s.zone(),
-                        s.classes(),
-                        s.tenants(),
-                        s.kinds(),
+                        base.zone(),
+                        base.classes(),
+                        base.tenants(),
+                        base.kinds(),
                         false,
                         false,
-                        s.loadReporting(),
+                        base.loadReporting(),
                         0,
-                        s.limits(),
-                        s.rules()));
+                        base.limits(),
+                        base.rules()));
         assertEquals("setting rank makes no sense: 3", e.getMessage());
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new SchedulerSettings(
                         0,
                         3,
-                        s.zone(),
+                        base.zone(),
                         List.of(),
-                        s.tenants(),
-                        s.kinds(),
+                        base.tenants(),
+                        base.kinds(),
                         false,
                         false,
-                        s.loadReporting(),
+                        base.loadReporting(),
                         0,
-                        s.limits(),
-                        s.rules()));
+                        base.limits(),
+                        base.rules()));
     }
 }
--- a/src/test/java/nettlewick/decision/RequestTableTest.java
+++ b/src/test/java/nettlewick/decision/RequestTableTest.java
@@ -14,7 +14,7 @@
 class RequestTableTest {
     private final RequestTable table = new RequestTable();
 
-    private ScheduledRequest arrivedAt(String id, long time) {
+    private ScheduledRequest addRequest(String id, long time) {
         RequestClass read = Samples.requestClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2);
         ScheduledRequest request = new ScheduledRequest(Samples.arrival(id, "read", "red"), read, 0, null, time);
         table.add(request);
@@ -23,8 +23,8 @@
 
     @Test
     void answeredRequestsAreDroppedFromTheUnansweredAlone() {
-        ScheduledRequest first = arrivedAt("a", 0);
-        ScheduledRequest second = arrivedAt("b", 0);
+        ScheduledRequest first = addRequest("a", 0);
+        ScheduledRequest second = addRequest("b", 0);
         first.markAnswered();
         table.dropAnswered();
         assertEquals(List.of(second), table.unanswered());
@@ -35,8 +35,8 @@
 
     @Test
     void heldRequestsAreReleasedOnceByTheirArrival() {
-        ScheduledRequest early = arrivedAt("a", 5);
-        ScheduledRequest late = arrivedAt("b", 9);
+        ScheduledRequest early = addRequest("a", 5);
+        ScheduledRequest late = addRequest("b", 9);
         table.hold(early);
         table.hold(late);
         assertEquals(List.of(early), table.releaseHeld(5));
--- a/src/test/java/nettlewick/decision/RetryPolicyTest.java
+++ b/src/test/java/nettlewick/decision/RetryPolicyTest.java
@@ -21,13 +21,13 @@
     private final RetryPolicy policy = new RetryPolicy(context.settings().limits(), context.clock(), pools, latency);
     private final Endpoint endpoint = new Endpoint("w0");
 
-    private static ScheduledRequest valuable(Idempotency idempotency, Scope scope) {
-        RequestClass lateStillCounts =
+    private static ScheduledRequest requestWithLateValue(Idempotency idempotency, Scope scope) {
+        RequestClass withLateValue =
                 new RequestClass("c", idempotency, scope, 4 * SECOND, 200 * MS, 2, 5 * SECOND, 2, 1, false, -1, 0);
-        return new ScheduledRequest(Samples.arrival("a", "c", "red"), lateStillCounts, 0, null, 0);
+        return new ScheduledRequest(Samples.arrival("a", "c", "red"), withLateValue, 0, null, 0);
     }
 
-    private Attempt endedAttempt(ScheduledRequest request, AttemptResult result) {
+    private Attempt addEndedAttempt(ScheduledRequest request, AttemptResult result) {
         Attempt attempt = request.addAttempt(endpoint, 0);
         attempt.end(result);
         return attempt;
@@ -35,43 +35,43 @@
 
     @Test
     void aNonIdempotentRequestIsRetriedOnlyIfItNeverRan() {
-        ScheduledRequest request = valuable(Idempotency.NON_IDEMPOTENT, Scope.ALL);
-        endedAttempt(request, AttemptResult.OVERLOADED);
+        ScheduledRequest request = requestWithLateValue(Idempotency.NON_IDEMPOTENT, Scope.ALL);
+        addEndedAttempt(request, AttemptResult.OVERLOADED);
         assertTrue(policy.mayRetry(request));
         assertTrue(RetryPolicy.isSafeToReject(request));
-        endedAttempt(request, AttemptResult.BROKEN);
+        addEndedAttempt(request, AttemptResult.BROKEN);
         assertFalse(policy.mayRetry(request));
         assertFalse(RetryPolicy.isSafeToReject(request));
     }
 
     @Test
     void aKeyedRequestIsRetriedWithinItsDedupWindow() {
-        ScheduledRequest request = valuable(Idempotency.KEYED, Scope.ZONE);
-        endedAttempt(request, AttemptResult.TIMEOUT);
+        ScheduledRequest request = requestWithLateValue(Idempotency.KEYED, Scope.ZONE);
+        addEndedAttempt(request, AttemptResult.TIMEOUT);
         context.clock().advanceTo(4 * SECOND);
         assertTrue(policy.mayRetry(request));
         assertFalse(RetryPolicy.isSafeToReject(request), "the client may reach another zone");
         context.clock().advanceTo(4 * SECOND + 1);
         assertFalse(policy.mayRetry(request));
-        ScheduledRequest everywhere = valuable(Idempotency.KEYED, Scope.ALL);
-        endedAttempt(everywhere, AttemptResult.TIMEOUT);
-        assertTrue(RetryPolicy.isSafeToReject(everywhere));
+        ScheduledRequest sharedByAll = requestWithLateValue(Idempotency.KEYED, Scope.ALL);
+        addEndedAttempt(sharedByAll, AttemptResult.TIMEOUT);
+        assertTrue(RetryPolicy.isSafeToReject(sharedByAll));
     }
 
     @Test
     void attemptsAreLimitedInNumberInFlightAndInTime() {
-        ScheduledRequest request = valuable(Idempotency.IDEMPOTENT, Scope.ALL);
+        ScheduledRequest request = requestWithLateValue(Idempotency.IDEMPOTENT, Scope.ALL);
         request.addAttempt(endpoint, 0);
         assertTrue(policy.mayRetry(request), "one hedged request");
         request.addAttempt(endpoint, 0);
         assertFalse(policy.mayRetry(request));
         request.attempts().forEach(attempt -> attempt.end(AttemptResult.ERROR));
-        endedAttempt(request, AttemptResult.ERROR);
+        addEndedAttempt(request, AttemptResult.ERROR);
         assertTrue(policy.mayRetry(request));
-        endedAttempt(request, AttemptResult.ERROR);
+        addEndedAttempt(request, AttemptResult.ERROR);
         assertFalse(policy.mayRetry(request), "four attempts");
         context.clock().advanceTo(5 * SECOND);
-        assertFalse(policy.mayRetry(valuable(Idempotency.IDEMPOTENT, Scope.ALL)), "at the deadline");
+        assertFalse(policy.mayRetry(requestWithLateValue(Idempotency.IDEMPOTENT, Scope.ALL)), "at the deadline");
     }
 
     @Test
--- a/src/test/java/nettlewick/decision/RuleChecker.java
+++ b/src/test/java/nettlewick/decision/RuleChecker.java
@@ -20,42 +20,42 @@
 
 /** Watches one instance from outside and records each broken rule. Shares no code with the module. */
 final class RuleChecker {
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final SchedulerSettings settings;
-    private final Map<String, Request> requests = new HashMap<>();
-    private final Map<String, EndpointEntry> list = new HashMap<>();
-    private final Map<String, List<Long>> coldSends = new HashMap<>();
-    private double warmServed;
-    private long began = -1;
+    private final Map<String, TrackedRequest> requests = new HashMap<>();
+    private final Map<String, EndpointEntry> endpoints = new HashMap<>();
+    private final Map<String, List<Long>> dispatchesDuringSlowStart = new HashMap<>();
+    private double servedByWarmEndpoints;
+    private long startedAt = -1;
 
-    private static final class Request {
+    private static final class TrackedRequest {
         Arrival arrival;
         long deadline;
-        boolean answered;
-        final List<Send> sends = new ArrayList<>();
+        boolean isAnswered;
+        final List<TrackedAttempt> attempts = new ArrayList<>();
     }
 
-    private static final class Send {
-        String endpoint;
-        long at;
-        boolean out = true;
-        boolean never;
+    private static final class TrackedAttempt {
+        String endpointId;
+        long sentAt;
+        boolean isInFlight = true;
+        boolean neverRan;
     }
 
     RuleChecker(SchedulerSettings settings) {
         this.settings = settings;
     }
 
-    void event(long now, Event event) {
-        began = began < 0 ? now : began;
+    void recordEvent(long now, Event event) {
+        startedAt = startedAt < 0 ? now : startedAt;
         if (event instanceof Arrival e) {
-            Request r = new Request();
-            r.arrival = e;
-            r.deadline = now + e.remainingNanos();
-            requests.put(e.id(), r);
+            TrackedRequest request = new TrackedRequest();
+            request.arrival = e;
+            request.deadline = now + e.remainingNanos();
+            requests.put(e.id(), request);
         } else if (event instanceof EndpointList e) {
             if (e.isComplete()) {
-                list.replaceAll((id, endpoint) -> new EndpointEntry(
+                endpoints.replaceAll((id, endpoint) -> new EndpointEntry(
                         id,
                         EndpointState.GONE,
                         endpoint.startedAt(),
@@ -64,138 +64,146 @@
                         endpoint.zone(),
                         1));
             }
-            e.entries().forEach(endpoint -> list.put(endpoint.id(), endpoint));
+            e.entries().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         } else if (event instanceof Outcome e) {
-            Request r = requests.get(e.id());
-            Send s = r.sends.get(e.attempt());
-            s.out = false;
-            s.never = switch (e.result()) {
+            TrackedRequest request = requests.get(e.id());
+            TrackedAttempt attempt = request.attempts.get(e.attempt());
+            attempt.isInFlight = false;
+            attempt.neverRan = switch (e.result()) {
                 case OVERLOADED, UNREACHABLE, NOT_SENT -> true;
                 default -> false;
             };
-            r.answered |= e.isFinal();
-            warmServed +=
-                    e.result() == AttemptResult.SERVED && list.get(e.endpoint()).startedAt() == 0 ? 1 : 0;
+            request.isAnswered |= e.isFinal();
+            servedByWarmEndpoints += e.result() == AttemptResult.SERVED
+                            && endpoints.get(e.endpoint()).startedAt() == 0
+                    ? 1
+                    : 0;
         } else if (event instanceof Abandoned e) {
             if (requests.containsKey(e.id())) {
-                requests.get(e.id()).answered = true;
+                requests.get(e.id()).isAnswered = true;
             }
         }
     }
 
-    void action(long now, Action action) {
+    void checkAction(long now, Action action) {
         if (action instanceof Dispatch a) {
-            dispatch(now, a);
+            checkDispatch(now, a);
         } else if (action instanceof Reject a) {
-            Request r = answer(a.id(), now);
-            boolean mayRun = r.sends.stream().anyMatch(s -> !s.never);
-            RequestClass c = requestClass(r);
-            if (mayRun
-                    && (c.idempotency() == Idempotency.NON_IDEMPOTENT
-                            || c.idempotency() == Idempotency.KEYED && c.dedupScope() != Scope.ALL)) {
-                broken.add("effect: " + a.id() + " rejected though it may have run");
+            TrackedRequest request = recordAnswer(a.id(), now);
+            boolean mayHaveRun = request.attempts.stream().anyMatch(s -> !s.neverRan);
+            RequestClass requestClass = requestClass(request);
+            if (mayHaveRun
+                    && (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                            || requestClass.idempotency() == Idempotency.KEYED
+                                    && requestClass.dedupScope() != Scope.ALL)) {
+                violations.add("effect: " + a.id() + " rejected though it may have run");
             }
         } else if (action instanceof Fail a) {
-            answer(a.id(), now);
+            recordAnswer(a.id(), now);
         } else if (!settings.limits().allowsCancel() && action instanceof Cancel
                 || !settings.limits().allowsProbes() && action instanceof Probe
                 || !settings.limits().allowsPeers() && action instanceof SendToPeer) {
-            broken.add("forbidden: " + action);
+            violations.add("forbidden: " + action);
         }
     }
 
-    private Request answer(String id, long now) {
-        Request r = requests.get(id);
-        if (r.answered) {
-            broken.add("lost: " + id + " answered twice");
+    private TrackedRequest recordAnswer(String id, long now) {
+        TrackedRequest request = requests.get(id);
+        if (request.isAnswered) {
+            violations.add("lost: " + id + " answered twice");
         }
-        if (now > r.deadline + settings.rules().answerSlackNanos()) {
-            broken.add("lost: " + id + " answered too late");
+        if (now > request.deadline + settings.rules().answerSlackNanos()) {
+            violations.add("lost: " + id + " answered too late");
         }
-        r.answered = true;
-        return r;
+        request.isAnswered = true;
+        return request;
     }
 
-    private void dispatch(long now, Dispatch a) {
-        Request r = requests.get(a.id());
-        RequestClass c = requestClass(r);
-        EndpointEntry endpoint = list.get(a.endpointId());
-        if (r.answered) {
-            broken.add("lost: " + a.id() + " sent after its answer");
+    private void checkDispatch(long now, Dispatch dispatch) {
+        TrackedRequest request = requests.get(dispatch.id());
+        RequestClass requestClass = requestClass(request);
+        EndpointEntry endpoint = endpoints.get(dispatch.endpointId());
+        if (request.isAnswered) {
+            violations.add("lost: " + dispatch.id() + " sent after its answer");
         }
         if (endpoint == null || endpoint.state() != EndpointState.READY) {
-            broken.add("drain: " + a.endpointId() + " is not ready");
+            violations.add("drain: " + dispatch.endpointId() + " is not ready");
             return;
         }
-        if (r.sends.size() >= settings.limits().maxAttempts()) {
-            broken.add("forbidden: one attempt too many for " + a.id());
+        if (request.attempts.size() >= settings.limits().maxAttempts()) {
+            violations.add("forbidden: one attempt too many for " + dispatch.id());
         }
-        long out = r.sends.stream().filter(s -> s.out).count();
-        if (out > 0 && !settings.limits().allowsHedging() || out > 1) {
-            broken.add("forbidden: too many attempts at once for " + a.id());
+        long inFlight =
+                request.attempts.stream().filter(attempt -> attempt.isInFlight).count();
+        if (inFlight > 0 && !settings.limits().allowsHedging() || inFlight > 1) {
+            violations.add("forbidden: too many attempts at once for " + dispatch.id());
         }
-        Send first = r.sends.stream().filter(s -> !s.never).findFirst().orElse(null);
-        if (first != null && c.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            broken.add("effect: fragile " + a.id() + " sent again");
+        TrackedAttempt first = request.attempts.stream()
+                .filter(attempt -> !attempt.neverRan)
+                .findFirst()
+                .orElse(null);
+        if (first != null && requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            violations.add("effect: fragile " + dispatch.id() + " sent again");
         }
-        if (first != null && c.idempotency() == Idempotency.KEYED) {
-            EndpointEntry f = list.get(first.endpoint);
-            if (now - first.at > c.dedupWindowNanos()
-                    || c.dedupScope() == Scope.ZONE && !f.zone().equals(endpoint.zone())
-                    || c.dedupScope() == Scope.CELL && f.cell() != endpoint.cell()) {
-                broken.add("effect: dedup " + a.id() + " sent again outside its window or group");
+        if (first != null && requestClass.idempotency() == Idempotency.KEYED) {
+            EndpointEntry firstEndpoint = endpoints.get(first.endpointId);
+            if (now - first.sentAt > requestClass.dedupWindowNanos()
+                    || requestClass.dedupScope() == Scope.ZONE
+                            && !firstEndpoint.zone().equals(endpoint.zone())
+                    || requestClass.dedupScope() == Scope.CELL && firstEndpoint.cell() != endpoint.cell()) {
+                violations.add("effect: dedup " + dispatch.id() + " sent again outside its window or group");
             }
         }
-        Send s = new Send();
-        s.endpoint = a.endpointId();
-        s.at = now;
-        r.sends.add(s);
+        TrackedAttempt attempt = new TrackedAttempt();
+        attempt.endpointId = dispatch.endpointId();
+        attempt.sentAt = now;
+        request.attempts.add(attempt);
         if (endpoint.startedAt() > 0
                 && now - endpoint.startedAt() < settings.rules().slowStartNanos()) {
-            cold(now, endpoint);
+            checkSlowStart(now, endpoint);
         }
     }
 
     /** This instance's part: what a warm endpoint carries for it, ramped, times the factor, and one for chance. */
-    private void cold(long now, EndpointEntry endpoint) {
-        List<Long> sends = coldSends.computeIfAbsent(endpoint.id(), k -> new ArrayList<>());
-        sends.add(now);
-        long recent = sends.stream()
+    private void checkSlowStart(long now, EndpointEntry endpoint) {
+        List<Long> dispatches = dispatchesDuringSlowStart.computeIfAbsent(endpoint.id(), k -> new ArrayList<>());
+        dispatches.add(now);
+        long recent = dispatches.stream()
                 .filter(at -> now - at < settings.rules().overloadWindowNanos())
                 .count();
-        long warm = Math.max(
+        long warmEndpoints = Math.max(
                 1,
-                list.values().stream()
-                        .filter(x -> x.startedAt() == 0 && x.state() == EndpointState.READY)
+                endpoints.values().stream()
+                        .filter(other -> other.startedAt() == 0 && other.state() == EndpointState.READY)
                         .count());
-        double seconds = Math.max(1, (now - began) / 1e9);
+        double seconds = Math.max(1, (now - startedAt) / 1e9);
         double age = (double) (now - endpoint.startedAt()) / settings.rules().slowStartNanos();
         double ramp = settings.rules().slowStartShare() + (1 - settings.rules().slowStartShare()) * age;
         double budget = settings.rules().overloadFactor()
                         * ramp
-                        * warmServed
+                        * servedByWarmEndpoints
                         / seconds
-                        / warm
+                        / warmEndpoints
                         * settings.rules().overloadWindowNanos()
                         / 1e9
                 + 1;
         if (recent > budget) {
-            broken.add("cold: " + endpoint.id() + " got " + recent + " of " + budget);
+            violations.add("cold: " + endpoint.id() + " got " + recent + " of " + budget);
         }
     }
 
     /** To be called when nothing more happens. */
     void finish(long now) {
-        requests.forEach((id, r) -> {
-            if (!r.answered && now > r.deadline + settings.rules().answerSlackNanos()) {
-                broken.add("lost: " + id + " never answered");
+        requests.forEach((id, request) -> {
+            if (!request.isAnswered && now > request.deadline + settings.rules().answerSlackNanos()) {
+                violations.add("lost: " + id + " never answered");
             }
         });
     }
 
-    private RequestClass requestClass(Request r) {
+    private RequestClass requestClass(TrackedRequest request) {
         return settings.classes().stream()
-                .filter(c -> c.name().equals(r.arrival.requestClass()))
+                .filter(requestClass -> requestClass.name().equals(request.arrival.requestClass()))
                 .findFirst()
                 .orElseThrow();
     }
--- a/src/test/java/nettlewick/decision/SchedulerClockTest.java
+++ b/src/test/java/nettlewick/decision/SchedulerClockTest.java
@@ -7,7 +7,7 @@
 /** The clock of a batch. */
 class SchedulerClockTest {
     @Test
-    void timeNeverGoesBackAndMayStartAnywhere() {
+    void timeNeverGoesBackAndMayStartAtAnyValue() {
         SchedulerClock clock = new SchedulerClock();
         clock.advanceTo(-5);
         assertEquals(-5, clock.now());
--- a/src/test/java/nettlewick/decision/SchedulerFixture.java
+++ b/src/test/java/nettlewick/decision/SchedulerFixture.java
@@ -9,7 +9,7 @@
 class SchedulerFixture {
     final RequestScheduler scheduler = new RequestScheduler(Samples.settings(0, 3, true), 11);
     long now = 1;
-    int requests;
+    int requestCount;
 
     List<Action> at(long time, Event... events) {
         now = time;
@@ -18,14 +18,14 @@
 
     Dispatch send(String requestClass) {
         List<Dispatch> sent = Samples.actionsOfType(
-                Dispatch.class, at(now + 1, Samples.arrival("j" + requests++, requestClass, "red")));
+                Dispatch.class, at(now + 1, Samples.arrival("j" + requestCount++, requestClass, "red")));
         assertEquals(1, sent.size());
         return sent.get(0);
     }
 
-    void answers(double free, double waiting, int endpoints) {
+    void answerProbes(double freeSlots, double waiting, int endpoints) {
         for (int i = 0; i < endpoints; i++) {
-            at(now, Samples.probeAnswer("w" + i, free, waiting));
+            at(now, Samples.probeAnswer("w" + i, freeSlots, waiting));
         }
     }
 }
--- a/src/test/java/nettlewick/decision/SiteRulesTest.java
+++ b/src/test/java/nettlewick/decision/SiteRulesTest.java
@@ -34,68 +34,68 @@
 
 /** The four rules over random event sequences, and the checker over planted violations of each. */
 class SiteRulesTest {
-    private record Due(long at, int order, Event event) {}
+    private record ScheduledEvent(long at, int order, Event event) {}
 
     /** Plays seeded random events against one instance and writes down all that it did. */
-    private static final class Player {
-        private static final long END = 20 * Samples.SECOND;
-        private static final long DRAINED = END + 6 * Samples.SECOND;
+    private static final class RandomRun {
+        private static final long ARRIVALS_END = 20 * Samples.SECOND;
+        private static final long RUN_END = ARRIVALS_END + 6 * Samples.SECOND;
 
         private final SplittableRandom random;
         private final Dispatcher dispatcher;
         private final SchedulerSettings settings;
         private final RuleChecker checker;
-        private final UnaryOperator<String> name;
-        private final PriorityQueue<Due> due =
-                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingInt(Due::order));
+        private final UnaryOperator<String> endpointNaming;
+        private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledEvent::at).thenComparingInt(ScheduledEvent::order));
         private final List<String> trace = new ArrayList<>();
-        private final Map<String, Integer> attempts = new HashMap<>();
+        private final Map<String, Integer> attemptCounts = new HashMap<>();
         private final Map<String, Long> deadlines = new HashMap<>();
-        private final Set<String> done = new HashSet<>();
-        private int order;
+        private final Set<String> finishedIds = new HashSet<>();
+        private int nextOrder;
 
-        Player(long seed, SchedulerSettings settings, RuleChecker checker, UnaryOperator<String> name) {
+        RandomRun(long seed, SchedulerSettings settings, RuleChecker checker, UnaryOperator<String> endpointNaming) {
             random = new SplittableRandom(seed);
             dispatcher = Dispatcher.create(settings, seed);
             this.settings = settings;
             this.checker = checker;
-            this.name = name;
+            this.endpointNaming = endpointNaming;
         }
 
         private void schedule(long at, Event event) {
-            due.add(new Due(at, order++, event));
+            queue.add(new ScheduledEvent(at, nextOrder++, event));
         }
 
-        List<String> play() {
-            schedule(1, rename(Samples.endpoints(8), name));
+        List<String> run() {
+            schedule(1, renameEndpoints(Samples.endpoints(8), endpointNaming));
             for (int i = 0; i < 1500; i++) {
                 scheduleRequest("r" + i);
             }
             for (int i = 0; i < 30; i++) {
                 scheduleEndpointUpdate();
             }
-            while (!due.isEmpty() && due.peek().at() < DRAINED) {
-                Due next = due.poll();
-                Event event = asTheHostReportsIt(next.at(), next.event());
+            while (!queue.isEmpty() && queue.peek().at() < RUN_END) {
+                ScheduledEvent next = queue.poll();
+                Event event = asReportedByHost(next.at(), next.event());
                 if (event != null) {
                     deliver(next.at(), event);
                 }
             }
-            checker.finish(DRAINED);
+            checker.finish(RUN_END);
             return trace;
         }
 
         private void scheduleRequest(String id) {
-            RequestClass c =
+            RequestClass requestClass =
                     settings.classes().get(random.nextInt(settings.classes().size()));
             String tenant =
                     settings.tenants().get(random.nextInt(10) == 0 ? 1 : 0).name();
-            long at = 2 + random.nextLong(END);
+            long at = 2 + random.nextLong(ARRIVALS_END);
             schedule(
                     at,
                     new Arrival(
                             id,
-                            c.name(),
+                            requestClass.name(),
                             tenant,
                             50 * Samples.MS + random.nextLong(3 * Samples.SECOND),
                             1 + random.nextInt(2),
@@ -109,7 +109,7 @@
         }
 
         private void scheduleEndpointUpdate() {
-            long at = 2 + random.nextLong(END);
+            long at = 2 + random.nextLong(ARRIVALS_END);
             int endpoint = random.nextInt(12);
             EndpointState state = EndpointState.values()[random.nextInt(3)];
             EndpointEntry entry = Samples.entry(
@@ -118,37 +118,37 @@
                     state == EndpointState.READY && endpoint >= 6 ? at : 0,
                     endpoint % 2 == 0 ? "north" : "south",
                     endpoint / 2);
-            schedule(at, rename(new EndpointList(false, List.of(entry)), name));
+            schedule(at, renameEndpoints(new EndpointList(false, List.of(entry)), endpointNaming));
         }
 
         /** The event without what a host would not report: null where it reports nothing. */
-        private Event asTheHostReportsIt(long now, Event event) {
+        private Event asReportedByHost(long now, Event event) {
             if (event instanceof Arrival a) {
                 deadlines.put(a.id(), now + a.remainingNanos());
             } else if (event instanceof Abandoned a) {
-                return deadlines.containsKey(a.id()) && done.add(a.id()) ? event : null;
-            } else if (event instanceof Outcome o && o.isFinal() && !done.add(o.id())) {
+                return deadlines.containsKey(a.id()) && finishedIds.add(a.id()) ? event : null;
+            } else if (event instanceof Outcome o && o.isFinal() && !finishedIds.add(o.id())) {
                 return new Outcome(o.id(), o.attempt(), o.endpoint(), o.result(), o.latencyNanos(), true, null);
             }
             return event;
         }
 
         private void deliver(long now, Event event) {
-            checker.event(now, event);
+            checker.recordEvent(now, event);
             for (Action action : dispatcher.handle(now, List.of(event))) {
                 trace.add(now + " " + (action instanceof SendToPeer t ? t.rank() + Arrays.toString(t.data()) : action));
-                checker.action(now, action);
-                carryOut(now, action);
+                checker.checkAction(now, action);
+                execute(now, action);
             }
         }
 
-        private void carryOut(long now, Action action) {
+        private void execute(long now, Action action) {
             if (action instanceof Dispatch d) {
                 scheduleOutcome(now, d);
             } else if (action instanceof Reject r) {
-                done.add(r.id());
+                finishedIds.add(r.id());
             } else if (action instanceof Fail f) {
-                done.add(f.id());
+                finishedIds.add(f.id());
             } else if (action instanceof Probe p) {
                 schedule(
                         now + 1 + random.nextLong(5 * Samples.MS),
@@ -161,17 +161,17 @@
         }
 
         private void scheduleOutcome(long now, Dispatch d) {
-            int number = attempts.merge(d.id(), 1, Integer::sum) - 1;
-            long left = deadlines.get(d.id()) - now;
+            int number = attemptCounts.merge(d.id(), 1, Integer::sum) - 1;
+            long remaining = deadlines.get(d.id()) - now;
             AttemptResult result = drawResult(random.nextInt(100));
-            long wait = 1 + random.nextLong(400 * Samples.MS);
-            if (result == AttemptResult.TIMEOUT || wait >= left) {
+            long latency = 1 + random.nextLong(400 * Samples.MS);
+            if (result == AttemptResult.TIMEOUT || latency >= remaining) {
                 result = AttemptResult.TIMEOUT;
-                wait = left;
+                latency = remaining;
             }
             schedule(
-                    now + Math.max(1, wait),
-                    new Outcome(d.id(), number, d.endpointId(), result, wait, result == AttemptResult.SERVED, null));
+                    now + Math.max(1, latency),
+                    new Outcome(d.id(), number, d.endpointId(), result, latency, result == AttemptResult.SERVED, null));
         }
 
         private static AttemptResult drawResult(int percent) {
@@ -188,17 +188,17 @@
         }
     }
 
-    private static List<String> play(
-            long seed, SchedulerSettings settings, RuleChecker checker, UnaryOperator<String> name) {
-        return new Player(seed, settings, checker, name).play();
+    private static List<String> run(
+            long seed, SchedulerSettings settings, RuleChecker checker, UnaryOperator<String> endpointNaming) {
+        return new RandomRun(seed, settings, checker, endpointNaming).run();
     }
 
-    private static EndpointList rename(EndpointList list, UnaryOperator<String> name) {
+    private static EndpointList renameEndpoints(EndpointList list, UnaryOperator<String> naming) {
         return new EndpointList(
                 list.isComplete(),
                 list.entries().stream()
                         .map(endpoint -> new EndpointEntry(
-                                name.apply(endpoint.id()),
+                                naming.apply(endpoint.id()),
                                 endpoint.state(),
                                 endpoint.startedAt(),
                                 endpoint.cell(),
@@ -213,17 +213,17 @@
     void rulesAreKept(long seed) {
         SchedulerSettings settings = Samples.settings(0, 3, seed % 3 != 0);
         RuleChecker checker = new RuleChecker(settings);
-        List<String> trace = play(seed, settings, checker, n -> n);
-        assertEquals(List.of(), checker.broken);
+        List<String> trace = run(seed, settings, checker, n -> n);
+        assertEquals(List.of(), checker.violations);
         assertTrue(trace.stream().filter(line -> line.contains("Dispatch[")).count() > 500, "the run was idle");
     }
 
     @Test
     void replayGivesTheSameActions() {
         SchedulerSettings settings = Samples.settings(1, 3, true);
-        assertSame(
-                play(5, settings, new RuleChecker(settings), n -> n),
-                play(5, settings, new RuleChecker(settings), n -> n));
+        assertSameLines(
+                run(5, settings, new RuleChecker(settings), n -> n),
+                run(5, settings, new RuleChecker(settings), n -> n));
     }
 
     @Test
@@ -260,80 +260,82 @@
                 0,
                 settings.limits(),
                 settings.rules());
-        List<String> plain = play(6, settings, new RuleChecker(settings), n -> n);
-        List<String> other = play(6, renamed, new RuleChecker(renamed), n -> "q" + n);
-        assertSame(
-                plain.stream().map(SiteRulesTest::withoutMarks).toList(),
-                other.stream()
-                        .map(line -> withoutMarks(
+        List<String> originalTrace = run(6, settings, new RuleChecker(settings), n -> n);
+        List<String> renamedTrace = run(6, renamed, new RuleChecker(renamed), n -> "q" + n);
+        assertSameLines(
+                originalTrace.stream().map(SiteRulesTest::withoutEndpointHashes).toList(),
+                renamedTrace.stream()
+                        .map(line -> withoutEndpointHashes(
                                 line.replace("endpointId=qw", "endpointId=w").replace("endpoint=qw", "endpoint=w")))
                         .toList());
     }
 
     /** Gossip names endpoints by marks of their ids: what it reports of each stays, the mark goes. */
-    private static String withoutMarks(String line) {
+    private static String withoutEndpointHashes(String line) {
         return line.replaceAll("(\\[-45, 3, -?\\d+, -?\\d+|\\G(?!^)), -?\\d+, -?\\d+(, -?\\d+)", "$1, m$2");
     }
 
     /** Compares line by line, so that a failure names the first difference only. */
-    private static void assertSame(List<String> one, List<String> other) {
-        for (int i = 0; i < Math.min(one.size(), other.size()); i++) {
-            assertEquals(one.get(i), other.get(i));
+    private static void assertSameLines(List<String> expected, List<String> actual) {
+        for (int i = 0; i < Math.min(expected.size(), actual.size()); i++) {
+            assertEquals(expected.get(i), actual.get(i));
         }
-        assertEquals(one.size(), other.size());
+        assertEquals(expected.size(), actual.size());
     }
 
     @Test
-    void checkerCatchesALostRequest() {
-        RuleChecker checker = started();
-        checker.event(5, Samples.arrival("a", "read", "red"));
+    void checkerCatchesAMissingAndASecondAnswer() {
+        RuleChecker checker = checkerWithEndpoints();
+        checker.recordEvent(5, Samples.arrival("a", "read", "red"));
         checker.finish(60 * Samples.SECOND);
-        assertBroken(checker, "lost");
-        RuleChecker twice = started();
-        twice.event(5, Samples.arrival("a", "read", "red"));
-        twice.action(6, new Reject("a", 0));
-        twice.action(7, new Dispatch("a", "w0", 0));
-        assertBroken(twice, "lost");
+        assertViolated(checker, "lost");
+        RuleChecker afterAnswer = checkerWithEndpoints();
+        afterAnswer.recordEvent(5, Samples.arrival("a", "read", "red"));
+        afterAnswer.checkAction(6, new Reject("a", 0));
+        afterAnswer.checkAction(7, new Dispatch("a", "w0", 0));
+        assertViolated(afterAnswer, "lost");
     }
 
     @Test
-    void checkerCatchesARepeatedEffect() {
-        RuleChecker checker = started();
-        checker.event(5, Samples.arrival("a", "book", "red"));
+    void checkerCatchesARepeatedNonIdempotentRequest() {
+        RuleChecker checker = checkerWithEndpoints();
+        checker.recordEvent(5, Samples.arrival("a", "book", "red"));
         Dispatch sent = new Dispatch("a", "w0", 0);
-        checker.action(6, sent);
-        checker.event(7, Samples.outcome(sent, 0, AttemptResult.BROKEN));
-        checker.action(8, new Dispatch("a", "w2", 0));
-        assertBroken(checker, "effect");
+        checker.checkAction(6, sent);
+        checker.recordEvent(7, Samples.outcome(sent, 0, AttemptResult.BROKEN));
+        checker.checkAction(8, new Dispatch("a", "w2", 0));
+        assertViolated(checker, "effect");
     }
 
     @Test
     void checkerCatchesADispatchToADrainingEndpoint() {
-        RuleChecker checker = started();
-        checker.event(4, new EndpointList(false, List.of(Samples.entry("w0", EndpointState.DRAINING, 0, "north", 0))));
-        checker.event(5, Samples.arrival("a", "read", "red"));
-        checker.action(6, new Dispatch("a", "w0", 0));
-        assertBroken(checker, "drain");
+        RuleChecker checker = checkerWithEndpoints();
+        checker.recordEvent(
+                4, new EndpointList(false, List.of(Samples.entry("w0", EndpointState.DRAINING, 0, "north", 0))));
+        checker.recordEvent(5, Samples.arrival("a", "read", "red"));
+        checker.checkAction(6, new Dispatch("a", "w0", 0));
+        assertViolated(checker, "drain");
     }
 
     @Test
     void checkerCatchesAnOverloadedWarmingEndpoint() {
-        RuleChecker checker = started();
-        checker.event(4, new EndpointList(false, List.of(Samples.entry("w9", EndpointState.READY, 4, "north", 4))));
+        RuleChecker checker = checkerWithEndpoints();
+        checker.recordEvent(
+                4, new EndpointList(false, List.of(Samples.entry("w9", EndpointState.READY, 4, "north", 4))));
         for (int i = 0; i < 5; i++) {
-            checker.event(5, Samples.arrival("a" + i, "read", "red"));
-            checker.action(6, new Dispatch("a" + i, "w9", 0));
+            checker.recordEvent(5, Samples.arrival("a" + i, "read", "red"));
+            checker.checkAction(6, new Dispatch("a" + i, "w9", 0));
         }
-        assertBroken(checker, "cold");
+        assertViolated(checker, "cold");
     }
 
-    private static RuleChecker started() {
+    private static RuleChecker checkerWithEndpoints() {
         RuleChecker checker = new RuleChecker(Samples.settings(0, 3, true));
-        checker.event(1, Samples.endpoints(8));
+        checker.recordEvent(1, Samples.endpoints(8));
         return checker;
     }
 
-    private static void assertBroken(RuleChecker checker, String rule) {
-        assertTrue(checker.broken.stream().anyMatch(line -> line.startsWith(rule)), checker.broken.toString());
+    private static void assertViolated(RuleChecker checker, String rule) {
+        assertTrue(checker.violations.stream().anyMatch(line -> line.startsWith(rule)), checker.violations.toString());
     }
 }
--- a/src/test/java/nettlewick/decision/SliceInheritanceTest.java
+++ b/src/test/java/nettlewick/decision/SliceInheritanceTest.java
@@ -38,7 +38,7 @@
         assertEquals(4, slice.rate());
         checkAfter(20);
         assertEquals(4, slice.rate(), "only once");
-        inheritance.returnTo(peer);
+        inheritance.returnSlice(peer);
         assertEquals(0, slice.rate());
         assertFalse(peer.isInherited());
     }
--- a/src/test/java/nettlewick/decision/TenantCreditTest.java
+++ b/src/test/java/nettlewick/decision/TenantCreditTest.java
@@ -17,9 +17,9 @@
     @Test
     void unusedCapacityOfOneTenantGoesToTheOthers() {
         List<TenantCredit> tenants = List.of(tenant(0.5, 1), tenant(0.5, 9));
-        double fair = TenantCredit.fairShare(tenants, 4);
-        assertEquals(6, fair, 1e-6, "1 and 3 slots for weights of a half");
-        assertEquals(4, TenantCredit.totalCarried(tenants, fair), 1e-6);
+        double fairShare = TenantCredit.fairShare(tenants, 4);
+        assertEquals(6, fairShare, 1e-6, "1 and 3 slots for weights of a half");
+        assertEquals(4, TenantCredit.totalAllocation(tenants, fairShare), 1e-6);
     }
 
     @Test
