--- a/src/main/java/nettlewick/decision/ArrivalHandler.java
+++ b/src/main/java/nettlewick/decision/ArrivalHandler.java
@@ -5,7 +5,7 @@
 import nettlewick.decision.Action.SetTimer;
 import nettlewick.decision.Event.Arrival;
 
-/** Admits or rejects arriving requests, after probing home endpoints with stale reports if they have a key. */
+/** Admits or rejects arriving requests; one with an affinity key may first wait for probes of its home endpoints. */
 final class ArrivalHandler {
     /** The timer that admits requests held while their home endpoints are probed. */
     static final String HOLD_TIMER = "hold";
@@ -122,7 +122,7 @@
         if (selection.endpoint() != null) {
             sender.send(request, selection);
         } else {
-            completion.giveUp(request);
+            completion.rejectOrFail(request);
         }
     }
 
--- a/src/main/java/nettlewick/decision/Event.java
+++ b/src/main/java/nettlewick/decision/Event.java
@@ -29,7 +29,7 @@
      * @param memory         memory that the request occupies at an endpoint
      * @param costHintNanos  expected run time, 0 if unknown
      * @param key            affinity key: requests with the same key preferably go to the same endpoints; or null
-     * @param isClientRetry  whether the client sends the request again after a rejection
+     * @param isClientRetry  whether it is a client's retry of a rejected request
      */
     record Arrival(
             String id,
--- a/src/main/java/nettlewick/decision/OutcomeHandler.java
+++ b/src/main/java/nettlewick/decision/OutcomeHandler.java
@@ -102,7 +102,7 @@
             completion.close(request);
         } else if (!allowsFurtherAttempt(request, outcome.result())) {
             if (request.inFlightAttempts() == 0) {
-                completion.giveUp(request);
+                completion.rejectOrFail(request);
             }
         } else {
             retrier.retry(request);
--- a/src/main/java/nettlewick/decision/PeerMessage.java
+++ b/src/main/java/nettlewick/decision/PeerMessage.java
@@ -9,7 +9,7 @@
  * @param binding         whether the sender's slice is binding
  * @param incarnation     the sender's incarnation
  * @param peerIncarnation for transfers and acknowledgements: the incarnation of the receiver that the message is for
- * @param number          for transfers and acknowledgements: the number of the transfer
+ * @param transferNumber  for transfers and acknowledgements: the number of the transfer
  * @param augmentedShare  for states: the sender's augmented share
  * @param amount          for states: the sender's slice; for transfers: the capacity transferred
  */
--- a/src/main/java/nettlewick/decision/PeerMessageRouter.java
+++ b/src/main/java/nettlewick/decision/PeerMessageRouter.java
@@ -15,7 +15,7 @@
         this.exchange = exchange;
     }
 
-    /** Handles a datagram, whose sender is not verified: any host may send datagrams to the peer port. */
+    /** Handles a datagram. Any host can send datagrams to the peer port, so the rank is checked. */
     void receive(int rank, byte[] data) {
         PeerMessage message = PeerMessage.decode(data);
         if (message == null && !LoadGossip.isLoadGossip(data) && !AggregationMessage.isAggregationMessage(data)) {
--- a/src/main/java/nettlewick/decision/RequestCompletion.java
+++ b/src/main/java/nettlewick/decision/RequestCompletion.java
@@ -24,7 +24,7 @@
     }
 
     /** Ends a request that gets no further attempt: rejects it if it can safely be sent again, otherwise fails it. */
-    void giveUp(ScheduledRequest request) {
+    void rejectOrFail(ScheduledRequest request) {
         if (request.attemptCount() > 0) {
             rates.recordLost(request.cost());
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Cancels all attempts in flight but the one that answers. */
+    /** Cancels all attempts in flight but the one that answers, if the limits allow it. */
     void cancelOthers(ScheduledRequest request, int answeringAttempt) {
         for (Attempt attempt : request.attempts()) {
             if (!attempt.hasEnded() && attempt.number() != answeringAttempt && limits.allowsCancel()) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Handles the begin of a streamed answer, which cancels the other attempts. */
+    /** Handles the start of a streamed answer, which cancels the other attempts. */
     void recordStreamStarted(StreamStarted event) {
         ScheduledRequest request = table.find(event.id());
         if (request != null) {
--- a/src/main/java/nettlewick/decision/RequestRetrier.java
+++ b/src/main/java/nettlewick/decision/RequestRetrier.java
@@ -14,7 +14,7 @@
         this.completion = completion;
     }
 
-    /** Sends one more attempt if that is allowed and useful; otherwise ends a request with no attempt in flight. */
+    /** Sends one more attempt if that is allowed and useful; otherwise ends the request if none is in flight. */
     void retry(ScheduledRequest request) {
         if (request.isAnswered() || request.isStreaming()) {
             return;
@@ -27,7 +27,7 @@
             }
         }
         if (request.inFlightAttempts() == 0) {
-            completion.giveUp(request);
+            completion.rejectOrFail(request);
         }
     }
 }
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -18,7 +18,7 @@
 /**
  * The implementation of the decision module: passes each event of a batch to its handler and collects the actions.
  * Capacity is shared by D2R2 from R. Stanojevic, "Fully Decentralized Emulation of Best-Effort and Processor
- * Sharing Queues" (sections 3 and 5), with tenants as flows; docs/design.md lists the differences.
+ * Sharing Queues" (sections 3 and 5), with tenants as flows; docs/design.md lists what is kept and changed.
  */
 final class RequestScheduler implements Dispatcher {
     private final SchedulerContext context;
--- a/src/main/java/nettlewick/decision/SchedulerSettings.java
+++ b/src/main/java/nettlewick/decision/SchedulerSettings.java
@@ -122,7 +122,7 @@
      * @param maxListRequestDelayNanos time within which the endpoint list has to be requested
      * @param slowStartNanos           duration of the slow start of an endpoint
      * @param slowStartShare           the fraction of its capacity that an endpoint has when it starts
-     * @param drainGraceNanos          time after the begin of draining within which requests may still arrive
+     * @param drainGraceNanos          time after the start of draining within which requests may still arrive
      * @param overloadWindowNanos      the window over which the load of an endpoint in slow start is measured
      * @param overloadFactor           multiple of its capacity that overloads an endpoint in slow start
      */
--- a/src/main/java/nettlewick/decision/SchedulerTick.java
+++ b/src/main/java/nettlewick/decision/SchedulerTick.java
@@ -61,7 +61,7 @@
     void run() {
         actions.add(new SetTimer(TIMER, SchedulerTimings.TICK_NANOS));
         subscription.tick();
-        giveUpExpired();
+        endExpiredRequests();
         loads.expireGossip();
         capacity.tick(directory.all());
         monitor.tick();
@@ -72,13 +72,13 @@
     }
 
     /** Ends requests near their deadline with no attempt in flight, which no outcome would end. */
-    private void giveUpExpired() {
+    private void endExpiredRequests() {
         for (ScheduledRequest request : table.unanswered()) {
             if (!request.isAnswered()
                     && !request.isStreaming()
                     && request.inFlightAttempts() == 0
                     && clock.now() + DEADLINE_MARGIN_NANOS >= request.deadline()) {
-                completion.giveUp(request);
+                completion.rejectOrFail(request);
             }
         }
         table.dropAnswered();
