--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.settings.InvalidSettingsException;
-import nettlewick.settings.Reference;
+import nettlewick.settings.SettingsReference;
 import nettlewick.settings.Settings;
 
 /** Checks or shows a settings file, or prints the reference of all settings. */
@@ -21,7 +21,7 @@
     public int run() {
         String action = arguments.get(0);
         if (action.equals("reference") && arguments.size() == 1) {
-            System.out.print(Reference.page());
+            System.out.print(SettingsReference.toMarkdown());
             return 0;
         }
         if (!List.of("check", "show").contains(action) || arguments.size() != 2) {
--- a/src/main/java/nettlewick/cli/SettingsFileFeatures.java
+++ b/src/main/java/nettlewick/cli/SettingsFileFeatures.java
@@ -97,7 +97,7 @@
                 next.block("ledger").map(LedgerSettings::of).ifPresent(ledger::reload);
             }
             applyPools.run();
-            List<String> unchanged = initial.keywordsThatNeedARestart(next);
+            List<String> unchanged = initial.keywordsRequiringRestart(next);
             LOG.info(
                     "settings-reread",
                     "settings reread" + (unchanged.isEmpty() ? "" : "; only a restart changes " + unchanged));
--- a/src/main/java/nettlewick/fleettest/Duties.java
+++ b/src/main/java/nettlewick/fleettest/Duties.java
@@ -70,8 +70,8 @@
         Block pools = scenario.duty().pools();
         Map<String, ProviderModel.Cap> caps = new HashMap<>();
         for (Block.Value v : pools.all("member")) {
-            if (v.parts().size() > 1) {
-                caps.put(v.part(0), new ProviderModel.Cap(v.part(2), pools.get("near")));
+            if (v.arguments().size() > 1) {
+                caps.put(v.argument(0), new ProviderModel.Cap(v.argument(2), pools.get("near")));
             }
         }
         Block.Value price = pools.first("price").orElse(null);
@@ -79,8 +79,8 @@
             return;
         }
         model = new ProviderModel(
-                price.part(1),
-                price.<Double>part(3).longValue(),
+                price.argument(1),
+                price.<Double>argument(3).longValue(),
                 scenario.world().zones(),
                 caps);
         long comes = (long) scenario.duty().comes();
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -138,17 +138,17 @@
         Block w = all.block("world").orElseThrow(() -> missing(file, "world"));
         Block l = all.block("load").orElseThrow(() -> missing(file, "load"));
         List<Kind> kinds = w.all("runners").stream()
-                .map(v -> new Kind(((Long) v.part(0)).intValue(), v.parts().size() > 1 ? v.part(2) : 1.0))
+                .map(v -> new Kind(((Long) v.argument(0)).intValue(), v.arguments().size() > 1 ? v.argument(2) : 1.0))
                 .toList();
         if (kinds.isEmpty()) {
             throw w.invalidValue("runners", "set: so many sim runners");
         }
-        List<String> zones = w.all("zone").stream().map(v -> (String) v.part(0)).toList();
+        List<String> zones = w.all("zone").stream().map(v -> (String) v.argument(0)).toList();
         Map<String, Double> clocks = new HashMap<>();
         w.all("clock")
                 .forEach(v -> clocks.put(
-                        v.<ScenarioTarget>part(0).name(),
-                        v.part(1).equals("ahead") ? v.<Double>part(2) : -v.<Double>part(2)));
+                        v.<ScenarioTarget>argument(0).name(),
+                        v.argument(1).equals("ahead") ? v.<Double>argument(2) : -v.<Double>argument(2)));
         World world = new World(
                 w.wholeNumber("seed"),
                 (int) w.wholeNumber("dispatchers"),
@@ -157,43 +157,43 @@
                 new EndpointModel.Kind(
                         (int) w.wholeNumber("slots"),
                         (int) w.wholeNumber("queue"),
-                        w.spanMillis("cold"),
+                        w.durationMillis("cold"),
                         w.get("cold-share"),
                         w.get("overload"),
-                        w.spanMillis("fall"),
-                        w.spanMillis("report-age"),
+                        w.durationMillis("fall"),
+                        w.durationMillis("report-age"),
                         w.flag("cancel")),
                 w.flag("peers"),
                 w.flag("known"),
                 w.text("discovery").equals("asked"),
-                w.spanMillis("calls"),
-                w.spanMillis("grace"),
-                w.spanMillis("notice"),
+                w.durationMillis("calls"),
+                w.durationMillis("grace"),
+                w.durationMillis("notice"),
                 clocks);
         List<JobClass> classes = new ArrayList<>();
         for (Block.Value v : l.all("class")) {
-            double aim = v.part(3);
-            classes.add(new JobClass(v.part(0), v.part(1), v.part(2), aim, Math.max(4000, 4 * aim)));
+            double aim = v.argument(3);
+            classes.add(new JobClass(v.argument(0), v.argument(1), v.argument(2), aim, Math.max(4000, 4 * aim)));
         }
         if (classes.isEmpty()) {
             throw l.invalidValue("class", "set: a name, a part, a time of work and an aim");
         }
         Load load = new Load(
                 l.get("rate"),
-                l.spanMillis("length"),
-                l.spanMillis("warm"),
+                l.durationMillis("length"),
+                l.durationMillis("warm"),
                 l.get("uneven"),
                 (int) l.wholeNumber("tries"),
                 l.flag("honour"),
-                l.spanMillis("window"),
+                l.durationMillis("window"),
                 List.copyOf(classes),
                 members(l));
         LinkSettings links = all.block("links")
                 .map(b -> new LinkSettings(
                         b.get("loss"),
                         b.get("duplicates"),
-                        b.spanMillis("delay"),
-                        b.spanMillis("jitter"),
+                        b.durationMillis("delay"),
+                        b.durationMillis("jitter"),
                         b.text("tcp").equals("relayed")))
                 .orElse(new LinkSettings(0, 0, 0, 0, true));
         List<Step> steps = new ArrayList<>();
@@ -207,9 +207,9 @@
                 .map(pools -> all.block("duty")
                         .map(b -> new Duty(
                                 (int) b.wholeNumber("voters"),
-                                b.spanMillis("lease"),
-                                b.spanMillis("comes"),
-                                b.has("month-turns") ? b.spanMillis("month-turns") : Double.NaN,
+                                b.durationMillis("lease"),
+                                b.durationMillis("comes"),
+                                b.has("month-turns") ? b.durationMillis("month-turns") : Double.NaN,
                                 pools))
                         .orElse(new Duty(3, 1000, 1000, Double.NaN, pools)))
                 .orElse(null);
@@ -219,7 +219,7 @@
     private static List<Member> members(Block load) {
         List<Member> members = new ArrayList<>();
         for (Block.Value v : load.all("member")) {
-            members.add(new Member(v.part(0), v.part(1), v.parts().size() > 2 ? v.part(3) : v.part(1)));
+            members.add(new Member(v.argument(0), v.argument(1), v.arguments().size() > 2 ? v.argument(3) : v.argument(1)));
         }
         return members.isEmpty() ? List.of(new Member("red", 1, 1)) : List.copyOf(members);
     }
@@ -240,7 +240,7 @@
         double figure = Double.NaN;
         double span = Double.POSITIVE_INFINITY;
         for (int i = named ? 3 : 2; i < words.size(); i++) {
-            Object part = v.parts().get(i);
+            Object part = v.arguments().get(i);
             String before = words.get(i - 1);
             if (part instanceof ScenarioTarget p && first == null) {
                 first = new ScenarioTarget(p.name(), Double.isNaN(figure) ? 1 : figure);
@@ -253,7 +253,7 @@
                 figure = n.doubleValue();
             }
         }
-        return new Step(v.part(0), verb, first, second, figure, span);
+        return new Step(v.argument(0), verb, first, second, figure, span);
     }
 
     /** Danger: a step that means nobody would pass as one that did no harm. */
--- a/src/main/java/nettlewick/fleettest/ScenarioTable.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioTable.java
@@ -15,7 +15,7 @@
     private static final double HOUR = 60 * MINUTE;
     private static final int MOST = 400;
 
-    private static final ValueType<?> SPAN = ValueType.span(0, HOUR);
+    private static final ValueType<?> SPAN = ValueType.duration(0, HOUR);
 
     private ScenarioTable() {}
 
@@ -50,7 +50,7 @@
         forms.add(List.of(SPAN, word("rate"), word("by"), number(0, 1000), word("for"), SPAN));
         forms.add(List.of(SPAN, word("lists"), word("apart"), SPAN));
         forms.add(
-                List.of(SPAN, word("flood"), ValueType.word("MEMBER"), word("by"), number(0, 1000), word("for"), SPAN));
+                List.of(SPAN, word("flood"), ValueType.identifier("MEMBER"), word("by"), number(0, 1000), word("for"), SPAN));
         for (ProviderServer.Fate fate : ProviderServer.Fate.values()) {
             forms.add(List.of(SPAN, word("provider"), word(fate.name().toLowerCase(Locale.ROOT)), word("for"), SPAN));
         }
@@ -80,26 +80,26 @@
             false,
             "Processes and runners.",
             List.of(
-                    Keyword.of("seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Of all that is drawn."),
-                    Keyword.mandatory("dispatchers", ValueType.wholeNumber(1, MOST), "Real processes."),
+                    Keyword.withDefault("seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Of all that is drawn."),
+                    Keyword.required("dispatchers", ValueType.wholeNumber(1, MOST), "Real processes."),
                     many("runners", "So many sim runners.", ValueType.wholeNumber(1, 10_000))
-                            .orWrittenAs(ValueType.wholeNumber(1, 10_000), word("speed"), number(0.01, 100)),
-                    many("zone", "Dispatchers and runners are dealt to the zones in turn.", ValueType.word("NAME")),
-                    Keyword.of("slots", ValueType.wholeNumber(1, 1000), "4", "Jobs a runner runs at once."),
-                    Keyword.of("queue", ValueType.wholeNumber(0, 10_000), "8", "Jobs that wait at a runner."),
-                    Keyword.of("peers", ValueType.flag(), "yes", "Whether dispatchers tell one another."),
-                    Keyword.of(
+                            .withAlternativeForm(ValueType.wholeNumber(1, 10_000), word("speed"), number(0.01, 100)),
+                    many("zone", "Dispatchers and runners are dealt to the zones in turn.", ValueType.identifier("NAME")),
+                    Keyword.withDefault("slots", ValueType.wholeNumber(1, 1000), "4", "Jobs a runner runs at once."),
+                    Keyword.withDefault("queue", ValueType.wholeNumber(0, 10_000), "8", "Jobs that wait at a runner."),
+                    Keyword.withDefault("peers", ValueType.flag(), "yes", "Whether dispatchers tell one another."),
+                    Keyword.withDefault(
                             "known", ValueType.flag(), "yes", "Whether a process that starts again has its last list."),
-                    Keyword.of("discovery", ValueType.choice("pushed", "asked"), "pushed", "How lists come."),
-                    Keyword.of("calls", ValueType.span(0, MINUTE), "0s", "Time of discovery for each call."),
-                    Keyword.of("cold", ValueType.span(0, HOUR), "0s", "How long a runner is cold."),
-                    Keyword.of("cold-share", ValueType.percent(), "32%", "Speed of a runner that has just started."),
-                    Keyword.of("overload", number(1, 100), "3", "Times its capacity that push a cold runner over."),
-                    Keyword.of("fall", ValueType.span(1, MINUTE), "1s", "For how long."),
-                    Keyword.of("report-age", ValueType.span(0, MINUTE), "500ms", "How old a load report may be."),
-                    Keyword.of("grace", ValueType.span(1, MINUTE), "3s", "For sends to a draining runner."),
-                    Keyword.of("notice", ValueType.span(0, MINUTE), "1s", "Until the front leaves a dead one out."),
-                    Keyword.of("cancel", ValueType.flag(), "yes", "Whether runners stop what is called off."),
+                    Keyword.withDefault("discovery", ValueType.choice("pushed", "asked"), "pushed", "How lists come."),
+                    Keyword.withDefault("calls", ValueType.duration(0, MINUTE), "0s", "Time of discovery for each call."),
+                    Keyword.withDefault("cold", ValueType.duration(0, HOUR), "0s", "How long a runner is cold."),
+                    Keyword.withDefault("cold-share", ValueType.percent(), "32%", "Speed of a runner that has just started."),
+                    Keyword.withDefault("overload", number(1, 100), "3", "Times its capacity that push a cold runner over."),
+                    Keyword.withDefault("fall", ValueType.duration(1, MINUTE), "1s", "For how long."),
+                    Keyword.withDefault("report-age", ValueType.duration(0, MINUTE), "500ms", "How old a load report may be."),
+                    Keyword.withDefault("grace", ValueType.duration(1, MINUTE), "3s", "For sends to a draining runner."),
+                    Keyword.withDefault("notice", ValueType.duration(0, MINUTE), "1s", "Until the front leaves a dead one out."),
+                    Keyword.withDefault("cancel", ValueType.flag(), "yes", "Whether runners stop what is called off."),
                     many(
                             "clock",
                             "A dispatcher whose clock is off.",
@@ -114,27 +114,27 @@
             false,
             "What clients ask.",
             List.of(
-                    Keyword.mandatory("rate", number(0.1, 100_000), "Jobs a second."),
-                    Keyword.of("length", ValueType.span(100, HOUR), "10s", "For how long."),
-                    Keyword.of("warm", ValueType.span(0, HOUR), "0s", "Growing load before that; no figure counts it."),
-                    Keyword.of("uneven", number(1, 100), "1", "Traffic of each zone's first dispatcher."),
-                    Keyword.of("tries", ValueType.wholeNumber(1, 20), "3", "How often a client asks in all."),
-                    Keyword.of("honour", ValueType.flag(), "yes", "Whether clients heed when to come back."),
-                    Keyword.of("window", ValueType.span(1, HOUR), "5s", "Window of keyed classes."),
+                    Keyword.required("rate", number(0.1, 100_000), "Jobs a second."),
+                    Keyword.withDefault("length", ValueType.duration(100, HOUR), "10s", "For how long."),
+                    Keyword.withDefault("warm", ValueType.duration(0, HOUR), "0s", "Growing load before that; no figure counts it."),
+                    Keyword.withDefault("uneven", number(1, 100), "1", "Traffic of each zone's first dispatcher."),
+                    Keyword.withDefault("tries", ValueType.wholeNumber(1, 20), "3", "How often a client asks in all."),
+                    Keyword.withDefault("honour", ValueType.flag(), "yes", "Whether clients heed when to come back."),
+                    Keyword.withDefault("window", ValueType.duration(1, HOUR), "5s", "Window of keyed classes."),
                     many(
                             "class",
                             "Name, part of all jobs, mean work, and within what an answer is wanted.",
-                            ValueType.word("NAME"),
+                            ValueType.identifier("NAME"),
                             ValueType.percent(),
-                            ValueType.span(1, HOUR),
-                            ValueType.span(1, HOUR)),
+                            ValueType.duration(1, HOUR),
+                            ValueType.duration(1, HOUR)),
                     many(
                                     "member",
                                     "Name and share, and the part of all jobs that it asks for, if that differs.",
-                                    ValueType.word("NAME"),
+                                    ValueType.identifier("NAME"),
                                     ValueType.percent())
-                            .orWrittenAs(
-                                    ValueType.word("NAME"), ValueType.percent(), word("asks"), ValueType.percent())),
+                            .withAlternativeForm(
+                                    ValueType.identifier("NAME"), ValueType.percent(), word("asks"), ValueType.percent())),
             List.of());
 
     private static final Section LINKS = new Section(
@@ -143,11 +143,11 @@
             false,
             "Between the processes.",
             List.of(
-                    Keyword.of("loss", ValueType.percent(), "0%", "Of datagrams."),
-                    Keyword.of("duplicates", ValueType.percent(), "0%", "Of datagrams."),
-                    Keyword.of("delay", ValueType.span(0, MINUTE), "0s", "Of datagrams and bytes."),
-                    Keyword.of("jitter", ValueType.span(0, MINUTE), "0s", "Up to so much more; datagrams overtake."),
-                    Keyword.of(
+                    Keyword.withDefault("loss", ValueType.percent(), "0%", "Of datagrams."),
+                    Keyword.withDefault("duplicates", ValueType.percent(), "0%", "Of datagrams."),
+                    Keyword.withDefault("delay", ValueType.duration(0, MINUTE), "0s", "Of datagrams and bytes."),
+                    Keyword.withDefault("jitter", ValueType.duration(0, MINUTE), "0s", "Up to so much more; datagrams overtake."),
+                    Keyword.withDefault(
                             "tcp", ValueType.choice("relayed", "direct"), "relayed", "Way to runners and discovery.")),
             List.of());
 
@@ -157,11 +157,11 @@
             false,
             "Duties between the processes.",
             List.of(
-                    Keyword.of("voters", ValueType.wholeNumber(1, 9), "3", "So many of the first dispatchers grant."),
-                    Keyword.of("lease", ValueType.span(100, MINUTE), "1s", "How long a grant lasts."),
+                    Keyword.withDefault("voters", ValueType.wholeNumber(1, 9), "3", "So many of the first dispatchers grant."),
+                    Keyword.withDefault("lease", ValueType.duration(100, MINUTE), "1s", "How long a grant lasts."),
                     Keyword.optional("month-turns", SPAN, "So long after the lab's beginning, by all clocks."),
-                    Keyword.of(
-                            "comes", ValueType.span(0, HOUR), "1s", "How long the provider takes to start a runner.")),
+                    Keyword.withDefault(
+                            "comes", ValueType.duration(0, HOUR), "1s", "How long the provider takes to start a runner.")),
             List.of());
 
     private static final Section STEPS =
--- a/src/main/java/nettlewick/lease/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -42,7 +42,7 @@
      */
     public static LeaseSettings of(Block block) {
         List<InetSocketAddress> dispatchers = block.all("dispatcher").stream()
-                .map(value -> value.<InetSocketAddress>part(0))
+                .map(value -> value.<InetSocketAddress>argument(0))
                 .toList();
         int dispatcher = dispatcherNumber(block, dispatchers);
         List<String> leaseNames = leaseNames(block);
@@ -52,7 +52,7 @@
                 block.address("listen"),
                 dispatchers,
                 IntStream.range(0, voterCount).boxed().toList(),
-                new LeaseTerms(block.spanMillis("lease"), block.wholeNumber("drift") / PERCENT),
+                new LeaseTerms(block.durationMillis("lease"), block.wholeNumber("drift") / PERCENT),
                 readKey(block),
                 leaseNames,
                 block.has("folder") ? block.get("folder") : null);
@@ -71,7 +71,7 @@
 
     private static List<String> leaseNames(Block block) {
         List<String> names =
-                block.all("name").stream().map(value -> value.<String>part(0)).toList();
+                block.all("name").stream().map(value -> value.<String>argument(0)).toList();
         if (names.stream().distinct().count() < names.size()) {
             throw block.invalidValue("name", "there once only");
         }
--- a/src/main/java/nettlewick/ledger/ExportSettings.java
+++ b/src/main/java/nettlewick/ledger/ExportSettings.java
@@ -23,8 +23,8 @@
             throw export.invalidValue("folder", "set, or a url in its place, and not both");
         }
         Block.Value retry = export.first("retry").orElseThrow();
-        double first = retry.<Double>part(0);
-        double longest = retry.<Double>part(1);
+        double first = retry.<Double>argument(0);
+        double longest = retry.<Double>argument(1);
         if (first > longest) {
             throw export.invalidValue("retry", "a first pause no longer than the longest");
         }
@@ -34,8 +34,8 @@
                 export.has("url") ? export.get("url") : null,
                 export.text("format").equals("csv"),
                 export.wholeNumber("most"),
-                export.spanMillis("every"),
-                export.spanMillis("timeout"),
+                export.durationMillis("every"),
+                export.durationMillis("timeout"),
                 first,
                 longest,
                 (int) export.wholeNumber("attempts"));
--- a/src/main/java/nettlewick/ledger/LedgerSettings.java
+++ b/src/main/java/nettlewick/ledger/LedgerSettings.java
@@ -28,13 +28,13 @@
 
     /** Takes the block over; BadSettings for what its words alone do not show. */
     public static LedgerSettings of(Block ledger) {
-        List<Object> mode = ledger.first("mode").orElseThrow().parts();
+        List<Object> mode = ledger.first("mode").orElseThrow().arguments();
         Terms terms;
         try {
             terms = new Terms(
                     ledger.get("zone"),
                     ledger.all("term").stream()
-                            .map(t -> new Terms.Term(t.part(0), t.part(2), t.part(4)))
+                            .map(t -> new Terms.Term(t.argument(0), t.argument(2), t.argument(4)))
                             .toList());
         } catch (IllegalArgumentException e) {
             throw ledger.invalidValue("term", "in order: " + e.getMessage());
@@ -43,11 +43,11 @@
                 ledger.get("store"),
                 mode.size() == 1,
                 mode.size() == 1 ? SYNC_BATCH : (Double) mode.get(1),
-                ledger.spanMillis("commit"),
-                ledger.spanMillis("patience"),
+                ledger.durationMillis("commit"),
+                ledger.durationMillis("patience"),
                 (int) ledger.wholeNumber("queue"),
                 terms,
-                ledger.spanMillis("key-window"),
+                ledger.durationMillis("key-window"),
                 ledger.blocks("export").stream().map(ExportSettings::of).toList(),
                 ledger.block("peers").map(PeerSettings::of).orElse(null));
     }
--- a/src/main/java/nettlewick/ledger/PeerSettings.java
+++ b/src/main/java/nettlewick/ledger/PeerSettings.java
@@ -19,12 +19,12 @@
         return new PeerSettings(
                 block.address("listen"),
                 block.get("key"),
-                block.all("admit").stream().map(v -> v.<IPAddress>part(0)).toList(),
+                block.all("admit").stream().map(v -> v.<IPAddress>argument(0)).toList(),
                 block.all("peer").stream()
-                        .map(v -> v.<InetSocketAddress>part(0))
+                        .map(v -> v.<InetSocketAddress>argument(0))
                         .toList(),
-                block.spanMillis("every"),
-                block.spanMillis("timeout"),
+                block.durationMillis("every"),
+                block.durationMillis("timeout"),
                 (int) block.wholeNumber("chunk"));
     }
 }
--- a/src/main/java/nettlewick/log/LogSetup.java
+++ b/src/main/java/nettlewick/log/LogSetup.java
@@ -50,11 +50,11 @@
         }
         Block log = settings.get();
         for (Block.Value component : log.all("part")) {
-            context.getLogger(component.<String>part(0)).setLevel(parseLevel(component.part(1)));
+            context.getLogger(component.<String>argument(0)).setLevel(parseLevel(component.argument(1)));
         }
         appender.configure(
                 log.text("form").equals("json") ? LineFormat.JSON : LineFormat.TEXT,
-                new RepeatLimiter((int) log.wholeNumber("repeats"), log.spanMillis("window")));
+                new RepeatLimiter((int) log.wholeNumber("repeats"), log.durationMillis("window")));
     }
 
     /** All components take the root's level again. */
--- a/src/main/java/nettlewick/settings/Block.java
+++ b/src/main/java/nettlewick/settings/Block.java
@@ -18,11 +18,11 @@
      * @param words as they are written, without the keyword
      * @param parts the value of each word
      */
-    public record Value(SourceLocation location, List<String> words, List<Object> parts) {
+    public record Value(SourceLocation location, List<String> words, List<Object> arguments) {
         /** The value of one word, counted from 0; the caller knows its type from the schema. */
         @SuppressWarnings("unchecked")
-        public <T> T part(int number) {
-            return (T) parts.get(number);
+        public <T> T argument(int number) {
+            return (T) arguments.get(number);
         }
     }
 
@@ -92,7 +92,7 @@
             return List.of();
         }
         List<String> words = List.of(keyword.defaultWords().split(" "));
-        return List.of(new Value(SourceLocation.DEFAULT, words, keyword.read(SourceLocation.DEFAULT, words)));
+        return List.of(new Value(SourceLocation.DEFAULT, words, keyword.parse(SourceLocation.DEFAULT, words)));
     }
 
     /** The first value of a keyword, or its default; empty where there is neither. */
@@ -103,7 +103,7 @@
     private <T> T required(String name) {
         return first(name)
                 .orElseThrow(() -> new IllegalStateException(name + " is not set"))
-                .part(0);
+                .argument(0);
     }
 
     /** Whether a keyword is set or has a default. */
@@ -127,7 +127,7 @@
     }
 
     /** A time span, in milliseconds. */
-    public double spanMillis(String name) {
+    public double durationMillis(String name) {
         return this.<Double>required(name);
     }
 
@@ -160,7 +160,7 @@
         StringBuilder text = new StringBuilder();
         values.forEach((name, set) -> set.forEach(v -> text.append(name)
                 .append(' ')
-                .append(v.words().stream().map(ValueType::quote).collect(Collectors.joining(" ")))
+                .append(v.words().stream().map(ValueType::quoteIfNeeded).collect(Collectors.joining(" ")))
                 .append('\n')));
         return text.toString();
     }
--- a/src/main/java/nettlewick/settings/Keyword.java
+++ b/src/main/java/nettlewick/settings/Keyword.java
@@ -24,12 +24,12 @@
         boolean isReloadable,
         String description) {
     /** A keyword with one value and a default. */
-    public static Keyword of(String name, ValueType<?> type, String fallback, String about) {
+    public static Keyword withDefault(String name, ValueType<?> type, String fallback, String about) {
         return new Keyword(name, List.of(List.of(type)), fallback, false, false, false, about);
     }
 
     /** A keyword with one value that has to be set. */
-    public static Keyword mandatory(String name, ValueType<?> type, String about) {
+    public static Keyword required(String name, ValueType<?> type, String about) {
         return new Keyword(name, List.of(List.of(type)), null, false, true, false, about);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** The same, with another way to write its values. */
-    public Keyword orWrittenAs(ValueType<?>... types) {
+    public Keyword withAlternativeForm(ValueType<?>... types) {
         List<List<ValueType<?>>> all = new ArrayList<>(forms);
         all.add(List.of(types));
         return new Keyword(name, all, defaultWords, isRepeatable, isRequired, isReloadable, description);
@@ -67,9 +67,9 @@
     }
 
     /** The values that these words stand for; throws {@link InvalidSettingsException} where no form fits. */
-    List<Object> read(SourceLocation location, List<String> words) {
+    List<Object> parse(SourceLocation location, List<String> words) {
         for (List<ValueType<?>> form : forms) {
-            List<Object> values = readPrefix(form, words);
+            List<Object> values = parsePrefix(form, words);
             if (values.size() == form.size() && form.size() == words.size()) {
                 return List.copyOf(values);
             }
@@ -78,10 +78,10 @@
     }
 
     /** The values of the words up to the first one that does not fit the form. */
-    private static List<Object> readPrefix(List<ValueType<?>> form, List<String> words) {
+    private static List<Object> parsePrefix(List<ValueType<?>> form, List<String> words) {
         List<Object> values = new ArrayList<>();
         for (int i = 0; i < Math.min(form.size(), words.size()); i++) {
-            Object value = form.get(i).read(words.get(i));
+            Object value = form.get(i).parse(words.get(i));
             if (value == null) {
                 break;
             }
@@ -94,7 +94,7 @@
     private InvalidSettingsException mismatch(SourceLocation location, List<String> words) {
         List<ValueType<?>> first = forms.get(0);
         if (forms.size() == 1 && first.size() == words.size()) {
-            int wrong = readPrefix(first, words).size();
+            int wrong = parsePrefix(first, words).size();
             return InvalidSettingsException.invalidValue(
                     location, name, words.get(wrong), first.get(wrong).expectation());
         }
@@ -104,13 +104,13 @@
 
     private List<List<ValueType<?>>> nearestForms(List<String> words) {
         int longestPrefix = forms.stream()
-                .mapToInt(form -> readPrefix(form, words).size())
+                .mapToInt(form -> parsePrefix(form, words).size())
                 .max()
                 .orElse(0);
         return longestPrefix <= 1
                 ? forms
                 : forms.stream()
-                        .filter(form -> readPrefix(form, words).size() == longestPrefix)
+                        .filter(form -> parsePrefix(form, words).size() == longestPrefix)
                         .toList();
     }
 }
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -18,12 +18,12 @@
         boolean isRepeatable,
         String description,
         List<Keyword> keywords,
-        List<Section> inner) {
+        List<Section> subsections) {
     Keyword findKeyword(String word) {
         return keywords.stream().filter(k -> k.name().equals(word)).findFirst().orElse(null);
     }
 
     Section findSection(String word) {
-        return inner.stream().filter(s -> s.name().equals(word)).findFirst().orElse(null);
+        return subsections.stream().filter(s -> s.name().equals(word)).findFirst().orElse(null);
     }
 }
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -70,7 +70,7 @@
         String label = null;
         if (section.label() == null
                 ? !rest.isEmpty()
-                : rest.size() != 1 || (label = section.label().read(rest.get(0))) == null) {
+                : rest.size() != 1 || (label = section.label().parse(rest.get(0))) == null) {
             throw InvalidSettingsException.invalidValue(
                     line.place(),
                     name,
@@ -91,7 +91,7 @@
             throw describeUnknown(in.section(), line);
         }
         List<String> words = line.words().subList(1, line.words().size());
-        in.set(keyword, new Block.Value(line.place(), words, keyword.read(line.place(), words)));
+        in.set(keyword, new Block.Value(line.place(), words, keyword.parse(line.place(), words)));
     }
 
     private static void requireComplete(Block block) {
@@ -116,7 +116,7 @@
         }
         String nearest = Stream.concat(
                         in.keywords().stream().map(Keyword::name),
-                        in.inner().stream().map(Section::name))
+                        in.subsections().stream().map(Section::name))
                 .min(Comparator.comparingInt(
                         known -> LevenshteinDistance.getDefaultInstance().apply(word, known)))
                 .orElse("none");
@@ -132,7 +132,7 @@
     }
 
     /** The keywords, with their blocks, that differ in {@code next} and that SIGHUP does not apply. */
-    public List<String> keywordsThatNeedARestart(Settings next) {
+    public List<String> keywordsRequiringRestart(Settings next) {
         List<String> names = new ArrayList<>();
         collectDifferences("", root, next.root, names);
         return names;
@@ -144,7 +144,7 @@
                 names.add(path + keyword.name());
             }
         }
-        for (Section section : mine.section().inner()) {
+        for (Section section : mine.section().subsections()) {
             List<Block> before = mine.blocks(section.name());
             List<Block> after = other.blocks(section.name());
             if (!before.stream()
@@ -181,11 +181,11 @@
                 text.append(String.format(
                         "%-50s # %s%n",
                         indent + keyword.name() + " "
-                                + value.words().stream().map(ValueType::quote).collect(Collectors.joining(" ")),
+                                + value.words().stream().map(ValueType::quoteIfNeeded).collect(Collectors.joining(" ")),
                         value.location()));
             }
         }
-        for (Section section : block.section().inner()) {
+        for (Section section : block.section().subsections()) {
             if (block.blocks(section.name()).isEmpty()) {
                 text.append(indent).append("# no block ").append(section.name()).append(": off\n");
             }
@@ -194,7 +194,7 @@
             text.append(String.format(
                     "%-50s # %s%n",
                     indent + inner.section().name()
-                            + (inner.label() == null ? "" : " " + ValueType.quote(inner.label())) + " {",
+                            + (inner.label() == null ? "" : " " + ValueType.quoteIfNeeded(inner.label())) + " {",
                     inner.location()));
             describe(inner, indent + "    ", text);
             text.append(indent).append("}\n");
--- a/src/main/java/nettlewick/settings/Reference.java
+++ b/src/main/java/nettlewick/settings/SettingsReference.java
@@ -1,11 +1,11 @@
 package nettlewick.settings;
 
 /** Prints the reference page of the settings from the schema that checks them. */
-public final class Reference {
-    private Reference() {}
+public final class SettingsReference {
+    private SettingsReference() {}
 
     /** The page, in Markdown. */
-    public static String page() {
+    public static String toMarkdown() {
         StringBuilder page = new StringBuilder("""
                 # Settings
 
@@ -44,7 +44,7 @@
                     .append(k.isRepeatable() ? " May stand more than once." : "")
                     .append(" |\n");
         }
-        for (Section inner : section.inner()) {
+        for (Section inner : section.subsections()) {
             String name = path + inner.name();
             page.append("\n## `")
                     .append(name)
--- a/src/main/java/nettlewick/settings/SettingsSchema.java
+++ b/src/main/java/nettlewick/settings/SettingsSchema.java
@@ -15,20 +15,20 @@
             false,
             "How log lines are written, on standard error.",
             List.of(
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "form",
                                     ValueType.choice("text", "json"),
                                     "text",
                                     "Plain lines, or one JSON object a line.")
                             .reloadable(),
-                    Keyword.of("level", ValueType.level(), "info", "Least level that is written, of all parts.")
+                    Keyword.withDefault("level", ValueType.logLevel(), "info", "Least level that is written, of all parts.")
                             .reloadable(),
                     Keyword.repeatable(
                             "part",
                             "Least level of one part, as the lines name it (`node`, `core`, " + "`ledger`).",
-                            ValueType.word("PART"),
-                            ValueType.level()),
-                    Keyword.of(
+                            ValueType.identifier("PART"),
+                            ValueType.logLevel()),
+                    Keyword.withDefault(
                                     "repeats",
                                     ValueType.wholeNumber(1, 1_000_000),
                                     "10",
@@ -36,7 +36,7 @@
                                             + "counted, and told with "
                                             + "the next one.")
                             .reloadable(),
-                    Keyword.of("window", ValueType.span(100, HOUR), "10s", "The window of `repeats`.")
+                    Keyword.withDefault("window", ValueType.duration(100, HOUR), "10s", "The window of `repeats`.")
                             .reloadable()),
             List.of());
 
@@ -46,31 +46,31 @@
             false,
             "The front for progress streams (server-sent events).",
             List.of(
-                    Keyword.mandatory("listen", ValueType.address(), "Where it listens."),
-                    Keyword.of(
+                    Keyword.required("listen", ValueType.address(), "Where it listens."),
+                    Keyword.withDefault(
                             "retry",
-                            ValueType.span(1, HOUR),
+                            ValueType.duration(1, HOUR),
                             "1s",
                             "What clients are told to wait before they connect again."),
-                    Keyword.of(
-                            "heartbeat", ValueType.span(10, HOUR), "5s", "Pause between comments on a silent stream."),
-                    Keyword.of(
+                    Keyword.withDefault(
+                            "heartbeat", ValueType.duration(10, HOUR), "5s", "Pause between comments on a silent stream."),
+                    Keyword.withDefault(
                             "grace",
-                            ValueType.span(0, HOUR),
+                            ValueType.duration(0, HOUR),
                             "3s",
                             "How long a job whose clients are all gone is kept going."),
-                    Keyword.of("keep", ValueType.span(0, HOUR), "30s", "How long a finished stream can be read again."),
-                    Keyword.of(
+                    Keyword.withDefault("keep", ValueType.duration(0, HOUR), "30s", "How long a finished stream can be read again."),
+                    Keyword.withDefault(
                             "keep-streams",
                             ValueType.wholeNumber(0, 100_000),
                             "500",
                             "Most finished streams that can be read again."),
-                    Keyword.of("max-readers", ValueType.wholeNumber(1, 100_000), "200", "Most streams open at once.")),
+                    Keyword.withDefault("max-readers", ValueType.wholeNumber(1, 100_000), "200", "Most streams open at once.")),
             List.of());
 
     private static final Section EXPORT = new Section(
             "export",
-            ValueType.word("NAME"),
+            ValueType.identifier("NAME"),
             true,
             "Somewhere the dispatcher's own entries go, each exactly once, in numbered batches. Has either a "
                     + "`folder` or a `url`.",
@@ -80,25 +80,25 @@
                             ValueType.path(),
                             "Files go here, with a `manifest.jsonl` that names each " + "with its sum."),
                     Keyword.optional("url", ValueType.url(), "Batches are sent here by POST; see the operators' page."),
-                    Keyword.of("format", ValueType.choice("csv", "jsonl"), "csv", "The form of a batch."),
-                    Keyword.of("most", ValueType.wholeNumber(1, 1_000_000), "5000", "Most entries of a batch."),
-                    Keyword.of("every", ValueType.span(100, DAY), "1m", "How often `serve` exports.")
+                    Keyword.withDefault("format", ValueType.choice("csv", "jsonl"), "csv", "The form of a batch."),
+                    Keyword.withDefault("most", ValueType.wholeNumber(1, 1_000_000), "5000", "Most entries of a batch."),
+                    Keyword.withDefault("every", ValueType.duration(100, DAY), "1m", "How often `serve` exports.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "timeout",
-                                    ValueType.span(10, HOUR),
+                                    ValueType.duration(10, HOUR),
                                     "10s",
                                     "How long a receiver may take for one batch.")
                             .reloadable(),
                     new Keyword(
                             "retry",
-                            List.of(List.of(ValueType.span(1, HOUR), ValueType.span(1, HOUR))),
+                            List.of(List.of(ValueType.duration(1, HOUR), ValueType.duration(1, HOUR))),
                             "500ms 30s",
                             false,
                             false,
                             true,
                             "First and longest pause between tries; pauses double and are drawn at random."),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "attempts",
                                     ValueType.wholeNumber(1, 1000),
                                     "8",
@@ -113,8 +113,8 @@
             false,
             "Reconciling with other dispatchers: each can hold the entries of all.",
             List.of(
-                    Keyword.mandatory("listen", ValueType.address(), "Where the other dispatchers call."),
-                    Keyword.mandatory(
+                    Keyword.required("listen", ValueType.address(), "Where the other dispatchers call."),
+                    Keyword.required(
                             "key",
                             ValueType.path(),
                             "File with the shared key, 32 bytes at least; all " + "dispatchers have the same."),
@@ -127,10 +127,10 @@
                             false,
                             "An IP network whose callers are let in."),
                     Keyword.repeatable("peer", "A dispatcher that is asked for its entries.", ValueType.address()),
-                    Keyword.of("every", ValueType.span(10, DAY), "30s", "How often each peer is asked.")
+                    Keyword.withDefault("every", ValueType.duration(10, DAY), "30s", "How often each peer is asked.")
                             .reloadable(),
-                    Keyword.of("timeout", ValueType.span(10, HOUR), "5s", "How long a peer may take for one answer."),
-                    Keyword.of("chunk", ValueType.wholeNumber(1, 100_000), "2000", "Most entries fetched at once.")
+                    Keyword.withDefault("timeout", ValueType.duration(10, HOUR), "5s", "How long a peer may take for one answer."),
+                    Keyword.withDefault("chunk", ValueType.wholeNumber(1, 100_000), "2000", "Most entries fetched at once.")
                             .reloadable()),
             List.of());
 
@@ -140,13 +140,13 @@
             false,
             "The billing ledger: an entry for each job answered, on a disk that lasts.",
             List.of(
-                    Keyword.mandatory(
+                    Keyword.required(
                             "store", ValueType.path(), "Folder that holds the store; made if it is not there."),
                     new Keyword(
                             "mode",
                             List.of(
                                     List.of(ValueType.literal("sync")),
-                                    List.of(ValueType.literal("batch"), ValueType.span(1, 60_000))),
+                                    List.of(ValueType.literal("batch"), ValueType.duration(1, 60_000))),
                             "batch 20ms",
                             false,
                             false,
@@ -154,20 +154,20 @@
                             "`sync`: an answer leaves only after its intent is on the disk. `batch`: after it is "
                                     + "written; "
                                     + "the disk is told every SPAN."),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "commit",
-                                    ValueType.span(1, 60_000),
+                                    ValueType.duration(1, 60_000),
                                     "250ms",
                                     "How often jobs that have ended are moved from the spool into the store.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "patience",
-                                    ValueType.span(1, 60_000),
+                                    ValueType.duration(1, 60_000),
                                     "250ms",
                                     "Longest that an answer waits for a disk that is slow; then it leaves "
                                             + "all the same.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "queue",
                                     ValueType.wholeNumber(16, 10_000_000),
                                     "50000",
@@ -176,20 +176,20 @@
                                             + "into a gap "
                                             + "entry.")
                             .reloadable(),
-                    Keyword.of("zone", ValueType.zone(), "UTC", "The time zone of terms' dates."),
+                    Keyword.withDefault("zone", ValueType.timeZone(), "UTC", "The time zone of terms' dates."),
                     Keyword.repeatable(
                             "term",
                             "A billing period: from the first day's midnight to the second day's. "
                                     + "Time "
                                     + "outside all terms is billed by calendar month.",
-                            ValueType.word("NAME"),
+                            ValueType.identifier("NAME"),
                             ValueType.literal("from"),
                             ValueType.date(),
                             ValueType.literal("to"),
                             ValueType.date()),
-                    Keyword.of(
+                    Keyword.withDefault(
                             "key-window",
-                            ValueType.span(0, DAY),
+                            ValueType.duration(0, DAY),
                             "15s",
                             "A key answered at two dispatchers within this is billed once.")),
             List.of(EXPORT, PEERS));
@@ -200,7 +200,7 @@
             false,
             "Duties that one dispatcher holds at a time, see docs/duties.md.",
             List.of(
-                    Keyword.mandatory("listen", ValueType.address(), "Where this dispatcher hears of duties (UDP)."),
+                    Keyword.required("listen", ValueType.address(), "Where this dispatcher hears of duties (UDP)."),
                     Keyword.optional(
                             "number",
                             ValueType.wholeNumber(0, 65_535),
@@ -214,18 +214,18 @@
                             true,
                             false,
                             "A dispatcher of the tier, all of them in the same order everywhere."),
-                    Keyword.of(
+                    Keyword.withDefault(
                             "voters",
                             ValueType.wholeNumber(1, 9),
                             "5",
                             "So many of the first dispatchers grant duties."),
-                    Keyword.of("lease", ValueType.span(100, 60_000), "3s", "How long a grant lasts."),
-                    Keyword.of(
+                    Keyword.withDefault("lease", ValueType.duration(100, 60_000), "3s", "How long a grant lasts."),
+                    Keyword.withDefault(
                             "drift",
                             ValueType.wholeNumber(0, 20),
                             "5",
                             "By how many percent two clocks' rates may differ at most."),
-                    Keyword.mandatory(
+                    Keyword.required(
                             "key",
                             ValueType.path(),
                             "File with the shared key, 32 bytes at least; all dispatchers " + "have the same."),
@@ -236,7 +236,7 @@
                                     + "lasts; else a restart forgets it, and asks the others."),
                     new Keyword(
                             "name",
-                            List.of(List.of(ValueType.word("NAME"))),
+                            List.of(List.of(ValueType.identifier("NAME"))),
                             null,
                             true,
                             false,
@@ -254,9 +254,9 @@
                     new Keyword(
                             "member",
                             List.of(
-                                    List.of(ValueType.word("MEMBER")),
+                                    List.of(ValueType.identifier("MEMBER")),
                                     List.of(
-                                            ValueType.word("MEMBER"),
+                                            ValueType.identifier("MEMBER"),
                                             ValueType.literal("cap"),
                                             ValueType.wholeNumber(0, 1_000_000_000_000L),
                                             ValueType.literal("most"),
@@ -270,65 +270,65 @@
                     Keyword.repeatable(
                             "keep",
                             "A member that stays in a pool, or is never moved to one.",
-                            ValueType.word("MEMBER"),
+                            ValueType.identifier("MEMBER"),
                             ValueType.choice("pool", "common")),
-                    Keyword.of("reserve", ValueType.percent(), "40%", "The part of all runners that pools may hold.")
+                    Keyword.withDefault("reserve", ValueType.percent(), "40%", "The part of all runners that pools may hold.")
                             .reloadable(),
-                    Keyword.of("window", ValueType.span(100, HOUR), "2s", "Evidence is judged once in each.")
+                    Keyword.withDefault("window", ValueType.duration(100, HOUR), "2s", "Evidence is judged once in each.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "settle",
-                                    ValueType.span(0, HOUR),
+                                    ValueType.duration(0, HOUR),
                                     "1s",
                                     "How long a reserved pool is told before others leave it.")
                             .reloadable(),
-                    Keyword.of("come", ValueType.span(0, HOUR), "2s", "How long runners that are added are waited for.")
+                    Keyword.withDefault("come", ValueType.duration(0, HOUR), "2s", "How long runners that are added are waited for.")
                             .reloadable(),
-                    Keyword.of("clear", ValueType.span(0, HOUR), "3s", "How long others' work in hand has to end.")
+                    Keyword.withDefault("clear", ValueType.duration(0, HOUR), "3s", "How long others' work in hand has to end.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "stay",
-                                    ValueType.span(0, DAY),
+                                    ValueType.duration(0, DAY),
                                     "1m",
                                     "How long a member has kept to its share before it comes back.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                             "forget",
-                            ValueType.span(100, DAY),
+                            ValueType.duration(100, DAY),
                             "30s",
                             "After so long without a word of it, a pool keeps nobody else away."),
                     Keyword.optional("provider", ValueType.url(), "Who starts and stops runners."),
-                    Keyword.of(
-                            "timeout", ValueType.span(10, HOUR), "5s", "How long the provider may take for an answer."),
+                    Keyword.withDefault(
+                            "timeout", ValueType.duration(10, HOUR), "5s", "How long the provider may take for an answer."),
                     new Keyword(
                             "price",
                             List.of(List.of(
-                                    ValueType.word("KIND"),
+                                    ValueType.identifier("KIND"),
                                     ValueType.wholeNumber(0, 1_000_000_000),
                                     ValueType.literal("least"),
-                                    ValueType.span(0, DAY))),
+                                    ValueType.duration(0, DAY))),
                             null,
                             false,
                             false,
                             true,
                             "The kind of runner that is added, an hour's price in hundredths, and the least time "
                                     + "billed."),
-                    Keyword.of("near", ValueType.percent(), "95%", "The part of a cap past which nothing is added.")
+                    Keyword.withDefault("near", ValueType.percent(), "95%", "The part of a cap past which nothing is added.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "reach",
-                                    ValueType.span(0, DAY),
+                                    ValueType.duration(0, DAY),
                                     "1m",
                                     "Longest time until someone can end a runner; its cost counts as bound "
                                             + "to be spent.")
                             .reloadable(),
-                    Keyword.of(
+                    Keyword.withDefault(
                                     "at-cap",
                                     ValueType.choice("stay", "return"),
                                     "stay",
                                     "Whether added runners stay at the cap itself, or are handed back.")
                             .reloadable(),
-                    Keyword.of("zone", ValueType.zone(), "UTC", "The time zone of the months.")),
+                    Keyword.withDefault("zone", ValueType.timeZone(), "UTC", "The time zone of the months.")),
             List.of());
 
     /** The file itself. */
--- a/src/main/java/nettlewick/settings/ValueType.java
+++ b/src/main/java/nettlewick/settings/ValueType.java
@@ -19,13 +19,13 @@
  * @param wanted what a word has to be; ends the sentence "... has to be"
  * @param reader the value of a word; null or any unchecked exception for words that have none
  */
-public record ValueType<T>(String name, String expectation, Function<String, T> reader) {
+public record ValueType<T>(String name, String expectation, Function<String, T> parser) {
     private static final Pattern UNIT = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([a-z]*)");
 
     /** The value of a word, or null where it is none. */
-    T read(String word) {
+    T parse(String word) {
         try {
-            return reader.apply(word);
+            return parser.apply(word);
         } catch (RuntimeException e) {
             return null;
         }
@@ -37,7 +37,7 @@
     }
 
     /** A name: letters, digits, dot, dash and underscore. */
-    public static ValueType<String> word(String name) {
+    public static ValueType<String> identifier(String name) {
         return new ValueType<>(
                 name,
                 "a name of letters, digits, '.', '-' and '_', 64 at most",
@@ -73,10 +73,10 @@
     }
 
     /** A time span such as 250ms, 15s, 10m, 24h or 7d, as milliseconds; the bounds are milliseconds too. */
-    public static ValueType<Double> span(double least, double most) {
+    public static ValueType<Double> duration(double least, double most) {
         return new ValueType<>(
                 "SPAN",
-                "a time with its unit (ms, s, m, h, d) from " + formatSpan(least) + " to " + formatSpan(most),
+                "a time with its unit (ms, s, m, h, d) from " + formatDuration(least) + " to " + formatDuration(most),
                 word -> {
                     Matcher m = UNIT.matcher(word);
                     double unit = !m.matches()
@@ -94,7 +94,7 @@
                 });
     }
 
-    static String formatSpan(double millis) {
+    static String formatDuration(double millis) {
         return millis % 8.64e7 == 0 && millis > 0
                 ? (long) (millis / 8.64e7) + "d"
                 : millis % 3.6e6 == 0 && millis > 0
@@ -156,7 +156,7 @@
     }
 
     /** A time zone by its ID. */
-    public static ValueType<ZoneId> zone() {
+    public static ValueType<ZoneId> timeZone() {
         return new ValueType<>("ZONE", "a time zone such as Indian/Mauritius or UTC", ZoneId::of);
     }
 
@@ -169,11 +169,11 @@
     }
 
     /** A log level. */
-    public static ValueType<String> level() {
+    public static ValueType<String> logLevel() {
         return choice("error", "warning", "info", "debug", "off");
     }
 
-    static String quote(String word) {
+    static String quoteIfNeeded(String word) {
         return word.matches("[^\\s\"#{}\\\\]+")
                 ? word
                 : '"'
--- a/src/main/java/nettlewick/sse/EventStreamConfig.java
+++ b/src/main/java/nettlewick/sse/EventStreamConfig.java
@@ -29,10 +29,10 @@
         return new EventStreamConfig(
                 SocketAddress.inetSocketAddress(
                         listen.getPort(), listen.getAddress().getHostAddress()),
-                (long) edge.spanMillis("retry"),
-                (long) edge.spanMillis("heartbeat"),
-                (long) edge.spanMillis("grace"),
-                (long) edge.spanMillis("keep"),
+                (long) edge.durationMillis("retry"),
+                (long) edge.durationMillis("heartbeat"),
+                (long) edge.durationMillis("grace"),
+                (long) edge.durationMillis("keep"),
                 (int) edge.wholeNumber("keep-streams"),
                 (int) edge.wholeNumber("max-readers"));
     }
--- a/src/main/java/nettlewick/tenantpools/PoolSettings.java
+++ b/src/main/java/nettlewick/tenantpools/PoolSettings.java
@@ -64,25 +64,25 @@
                 tenantSettings(block, quotas),
                 quotas,
                 block.has("provider") ? block.get("provider") : null,
-                block.spanMillis("window"),
+                block.durationMillis("window"),
                 block.get("reserve"),
-                block.spanMillis("settle"),
-                block.spanMillis("come"),
-                block.spanMillis("clear"),
-                block.spanMillis("stay"),
-                block.spanMillis("forget"),
-                block.spanMillis("timeout"));
+                block.durationMillis("settle"),
+                block.durationMillis("come"),
+                block.durationMillis("clear"),
+                block.durationMillis("stay"),
+                block.durationMillis("forget"),
+                block.durationMillis("timeout"));
     }
 
     private static Map<String, TenantSettings> tenantSettings(Block block, Map<String, Double> quotas) {
         Map<String, OperatorPolicy> policies = new LinkedHashMap<>();
         for (Block.Value line : block.all("keep")) {
-            boolean dedicated = line.part(1).equals("pool");
-            policies.put(line.part(0), dedicated ? OperatorPolicy.ALWAYS_DEDICATED : OperatorPolicy.ALWAYS_SHARED);
+            boolean dedicated = line.argument(1).equals("pool");
+            policies.put(line.argument(0), dedicated ? OperatorPolicy.ALWAYS_DEDICATED : OperatorPolicy.ALWAYS_SHARED);
         }
         Map<String, TenantSettings> settings = new LinkedHashMap<>();
         for (Block.Value line : block.all("member")) {
-            String name = line.part(0);
+            String name = line.argument(0);
             if (!quotas.containsKey(name)) {
                 throw block.invalidValue("member", "a tenant of the platform's configuration");
             }
@@ -101,9 +101,9 @@
         }
         return new TenantSettings(
                 policy,
-                scaleOutSettings(block, line.part(2)),
-                block.first("price").get().part(0),
-                line.<Long>part(4).intValue());
+                scaleOutSettings(block, line.argument(2)),
+                block.first("price").get().argument(0),
+                line.<Long>argument(4).intValue());
     }
 
     private static ScaleOutPolicy.ScaleOutSettings scaleOutSettings(Block block, long capCents) {
@@ -113,9 +113,9 @@
         Block.Value price = block.first("price").get();
         return new ScaleOutPolicy.ScaleOutSettings(
                 new SpendingCap.MonthlyCap(capCents, block.get("near"), block.<ZoneId>get("zone")),
-                price.part(1),
-                price.<Double>part(3).longValue(),
-                (long) block.spanMillis("reach"),
+                price.argument(1),
+                price.<Double>argument(3).longValue(),
+                (long) block.durationMillis("reach"),
                 block.text("at-cap").equals("return"));
     }
 
--- a/src/test/java/nettlewick/settings/SettingsTest.java
+++ b/src/test/java/nettlewick/settings/SettingsTest.java
@@ -42,13 +42,13 @@
                 """);
         Block ledger = s.block("ledger").get();
         assertEquals(Path.of("/a b/\"c\"#"), ledger.get("store"));
-        assertEquals(List.of("sync"), ledger.first("mode").get().parts());
-        assertEquals(15_000, ledger.spanMillis("key-window"));
+        assertEquals(List.of("sync"), ledger.first("mode").get().arguments());
+        assertEquals(15_000, ledger.durationMillis("key-window"));
         assertEquals(2, ledger.all("term").size());
         assertEquals("x", ledger.blocks("export").get(0).label());
         assertEquals(
                 List.of(500.0, 30_000.0),
-                ledger.blocks("export").get(0).first("retry").get().parts());
+                ledger.blocks("export").get(0).first("retry").get().arguments());
         assertTrue(s.block("edge").isEmpty());
     }
 
@@ -109,16 +109,16 @@
         Settings s = Settings.parse("f", "edge {\nlisten 1.2.3.4:80\nretry 4s\n}");
         String shown = s.describe();
         assertTrue(shown.matches("(?s).*retry 4s +# f:3\n.*grace 3s +# default\n.*"), shown);
-        assertEquals(List.of(), s.keywordsThatNeedARestart(Settings.parse("g", shown)));
+        assertEquals(List.of(), s.keywordsRequiringRestart(Settings.parse("g", shown)));
         assertEquals(
-                List.of("edge.retry"), s.keywordsThatNeedARestart(Settings.parse("f", "edge {\nlisten 1.2.3.4:80\n}")));
-        assertEquals(List.of("edge"), s.keywordsThatNeedARestart(Settings.defaults()));
+                List.of("edge.retry"), s.keywordsRequiringRestart(Settings.parse("f", "edge {\nlisten 1.2.3.4:80\n}")));
+        assertEquals(List.of("edge"), s.keywordsRequiringRestart(Settings.defaults()));
     }
 
     @Test
     void referencePageMatchesTheSchema() throws Exception {
         assertEquals(
-                Reference.page(),
+                SettingsReference.toMarkdown(),
                 Files.readString(Path.of("docs/settings.md")),
                 "run: java -jar target/nettlewick.jar settings reference > docs/settings.md");
     }
