--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.settings.InvalidSettingsException;
-import nettlewick.settings.SettingsReference;
 import nettlewick.settings.Settings;
+import nettlewick.settings.SettingsReference;
 
 /** Checks or shows a settings file, or prints the reference of all settings. */
 @Parameters(commandDescription = "check FILE, show FILE (what is in force), or print the reference")
--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -10,18 +10,18 @@
  */
 public final class Attempt extends OutboundCall {
     /** Below this share of progress, an extrapolation of the run time is too rough. */
-    private static final double MIN_SHARE_TO_EXTRAPOLATE = 0.05;
+    private static final double MIN_PROGRESS_TO_EXTRAPOLATE = 0.05;
     /** Least part of the expected run time that is assumed to remain without progress to go by. */
-    private static final double MIN_REMAINING_PART = 0.25;
+    private static final double MIN_REMAINING_FRACTION = 0.25;
 
     private final Request request;
     private final int number;
     private final double latestStartMillis;
-    private final BooleanSupplier requestUndecided;
+    private final BooleanSupplier isRequestUnanswered;
     private boolean neverRan;
     private double startedAtMillis = Double.NaN;
     private double endedAtMillis = Double.NaN;
-    private double shareDone;
+    private double reportedProgress;
 
     /**
      * @param latestStartMillis until when it may start
@@ -33,12 +33,12 @@
             String endpoint,
             double sentAtMillis,
             double latestStartMillis,
-            BooleanSupplier requestUndecided) {
+            BooleanSupplier isRequestUnanswered) {
         super(endpoint, sentAtMillis);
         this.request = request;
         this.number = number;
         this.latestStartMillis = latestStartMillis;
-        this.requestUndecided = requestUndecided;
+        this.isRequestUnanswered = isRequestUnanswered;
     }
 
     /** The request that it is for. */
@@ -57,7 +57,7 @@
      * client's connection.
      */
     public boolean mayStart(double nowMillis) {
-        return requestUndecided.getAsBoolean()
+        return isRequestUnanswered.getAsBoolean()
                 && nowMillis < latestStartMillis
                 && request.caller().isPresent();
     }
@@ -68,8 +68,8 @@
     }
 
     /** The endpoint reported which share is done, from 0 to 1. */
-    void recordProgress(double share) {
-        shareDone = Math.max(shareDone, share);
+    void recordProgress(double progress) {
+        reportedProgress = Math.max(reportedProgress, progress);
     }
 
     /** Records its end; {@code provenNeverRan} says that the endpoint certainly did not execute it. */
@@ -81,10 +81,10 @@
     /** Milliseconds that it has left to run, where the whole is expected to take {@code expectedRunMillis}. */
     double remainingMillis(double nowMillis, double expectedRunMillis) {
         double elapsed = runMillis(nowMillis);
-        if (shareDone > MIN_SHARE_TO_EXTRAPOLATE && elapsed > 0) {
-            return elapsed * (1 - shareDone) / shareDone;
+        if (reportedProgress > MIN_PROGRESS_TO_EXTRAPOLATE && elapsed > 0) {
+            return elapsed * (1 - reportedProgress) / reportedProgress;
         }
-        return Math.max(expectedRunMillis * MIN_REMAINING_PART, expectedRunMillis - elapsed);
+        return Math.max(expectedRunMillis * MIN_REMAINING_FRACTION, expectedRunMillis - elapsed);
     }
 
     /** Milliseconds from its sending to its reported start; NaN where no start was reported. */
--- a/src/main/java/nettlewick/core/AttemptTracker.java
+++ b/src/main/java/nettlewick/core/AttemptTracker.java
@@ -44,21 +44,21 @@
         }
         double now = loop.nowMillis();
         Attempt attempt = inFlight.addAttempt(dispatch.endpointId(), now);
-        AttemptResult obstacle = findObstacle(inFlight, attempt, now);
-        if (obstacle != null) {
-            end(attempt, Attempt.Outcome.of(obstacle), now);
+        AttemptResult unsentResult = resultIfNotSendable(inFlight, attempt, now);
+        if (unsentResult != null) {
+            end(attempt, Attempt.Outcome.of(unsentResult), now);
             return;
         }
         double deadline = inFlight.request().deadlineMillis();
         double timeoutAt = dispatch.timeoutNanos() > 0
                 ? Math.min(deadline, now + ModuleTime.toMillis(dispatch.timeoutNanos()))
                 : deadline;
-        loop.schedule(timeoutAt, () -> giveUp(attempt, AttemptResult.TIMEOUT));
+        loop.schedule(timeoutAt, () -> endAndCancel(attempt, AttemptResult.TIMEOUT));
         transport.send(attempt);
     }
 
     /** The result of an attempt that may not be sent; null where it may. */
-    private AttemptResult findObstacle(InFlightRequest inFlight, Attempt attempt, double now) {
+    private AttemptResult resultIfNotSendable(InFlightRequest inFlight, Attempt attempt, double now) {
         if (inFlight.isAnswered() || now >= inFlight.request().deadlineMillis() || attempt.number() >= maxAttempts) {
             return AttemptResult.NOT_SENT;
         }
@@ -75,11 +75,11 @@
         if (inFlight != null
                 && cancel.attempt() >= 0
                 && cancel.attempt() < inFlight.attempts().size()) {
-            giveUp(inFlight.attempts().get(cancel.attempt()), AttemptResult.CANCELLED);
+            endAndCancel(inFlight.attempts().get(cancel.attempt()), AttemptResult.CANCELLED);
         }
     }
 
-    private void giveUp(Attempt attempt, AttemptResult result) {
+    private void endAndCancel(Attempt attempt, AttemptResult result) {
         if (!attempt.isEnded()) {
             end(attempt, Attempt.Outcome.of(result), loop.nowMillis());
             transport.cancel(attempt);
@@ -87,16 +87,16 @@
     }
 
     /** Passes on that an endpoint reported progress at that time. */
-    void reportProgress(Attempt attempt, double share, double reportedAtMillis) {
+    void reportProgress(Attempt attempt, double progress, double reportedAtMillis) {
         if (attempt.isEnded()) {
             return;
         }
         attempt.recordStart(reportedAtMillis);
-        attempt.recordProgress(share);
-        loop.addEvent(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), share));
+        attempt.recordProgress(progress);
+        loop.addEvent(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), progress));
         InFlightRequest inFlight = table.get(attempt.request().id());
         if (inFlight != null && !inFlight.isAnswered()) {
-            inFlight.request().caller().onProgress(share);
+            inFlight.request().caller().onProgress(progress);
         }
     }
 
--- a/src/main/java/nettlewick/core/CoreLoop.java
+++ b/src/main/java/nettlewick/core/CoreLoop.java
@@ -32,7 +32,7 @@
     private final TimerQueue timers = new TimerQueue();
     private List<Event> pendingEvents = new ArrayList<>();
     private double nowMillis;
-    private Thread owner;
+    private Thread coreThread;
     private volatile boolean stopped;
 
     CoreLoop(Clock clock, Dispatcher module, Metrics metrics, Consumer<Action> actionExecutor) {
@@ -78,7 +78,7 @@
 
     @Override
     public void run() {
-        claimOwnership();
+        claimCoreThread();
         decide();
         while (!stopped) {
             try {
@@ -96,7 +96,7 @@
 
     /** Waits for a task for at most that long, then runs all tasks that are ready and decides on their events. */
     void runIteration(double maxWaitMillis) throws InterruptedException {
-        claimOwnership();
+        claimCoreThread();
         Runnable first = queue.poll((long) Math.ceil(maxWaitMillis * MICROS_PER_MILLI), TimeUnit.MICROSECONDS);
         nowMillis = clock.nowMillis();
         runQueued(first);
@@ -124,7 +124,7 @@
         try {
             actions = module.handle(ModuleTime.toNanos(nowMillis), events);
         } catch (RuntimeException e) {
-            LOG.fault("module-failed", "decision module failed on " + events.size() + " events", e);
+            LOG.error("module-failed", "decision module failed on " + events.size() + " events", e);
             return;
         }
         for (Action action : actions) {
@@ -137,18 +137,18 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.fault("task-failed", "core task failed", e);
+            LOG.error("task-failed", "core task failed", e);
         }
     }
 
-    private void claimOwnership() {
-        if (owner == null) {
-            owner = Thread.currentThread();
+    private void claimCoreThread() {
+        if (coreThread == null) {
+            coreThread = Thread.currentThread();
         }
         assert isCoreThread();
     }
 
     private boolean isCoreThread() {
-        return owner == Thread.currentThread();
+        return coreThread == Thread.currentThread();
     }
 }
--- a/src/main/java/nettlewick/core/DrainHandover.java
+++ b/src/main/java/nettlewick/core/DrainHandover.java
@@ -42,7 +42,7 @@
     /** A successor takes the retry at once; without one the next process takes a while to start. */
     private void rejectUnsent(InFlightRequest inFlight) {
         answers.reject(
-                inFlight, policy.hasStoppedAdmitting() ? retryAdvice.afterRestart() : retryAdvice.atOtherDispatcher());
+                inFlight, policy.isAdmissionStopped() ? retryAdvice.afterRestart() : retryAdvice.atOtherDispatcher());
     }
 
     private void releaseHeld() {
@@ -56,20 +56,20 @@
     }
 
     /** There is no successor after all. */
-    void cancel() {
+    void cancelExpectedDraining() {
         policy.cancelExpectedDraining();
         releaseHeld();
     }
 
     /** Draining starts: what is held back is rejected. */
-    void start(double killAtMillis) {
+    void startDraining(double killAtMillis) {
         policy.startDraining(killAtMillis);
         List.copyOf(held).forEach(this::rejectUnsent);
         held.clear();
     }
 
     /** Ends all requests: rejects them where a retry is harmless, else fails them. Later ones are rejected. */
-    void endAll() {
+    void endAllRequests() {
         policy.stopAdmitting();
         for (InFlightRequest inFlight : table.unanswered()) {
             answers.withdraw(inFlight, retryAdvice.afterRestart(), "this dispatcher ends");
@@ -77,11 +77,11 @@
     }
 
     /** Whether a request ends in time only if draining waits; the kill comes {@code killDelayMillis} after it. */
-    boolean isWaitingUseful(double killDelayMillis) {
+    boolean isDelayingDrainUseful(double killDelayMillis) {
         double now = loop.nowMillis();
         return table.unanswered().stream()
                 .filter(r -> !held.contains(r))
-                .anyMatch(r -> policy.isSavedByWaiting(remainingMillis(r), now, killDelayMillis));
+                .anyMatch(r -> policy.isSavedByDelayingDrain(remainingMillis(r), now, killDelayMillis));
     }
 
     private double remainingMillis(InFlightRequest inFlight) {
--- a/src/main/java/nettlewick/core/DrainPolicy.java
+++ b/src/main/java/nettlewick/core/DrainPolicy.java
@@ -25,7 +25,7 @@
     private double expectedDrainAtMillis = Double.NaN;
     private double killAtMillis = Double.NaN;
     private boolean draining;
-    private boolean stopped;
+    private boolean admissionStopped;
 
     /** Records how long a request ran; without a hint, {@code hintMillis} is 0. */
     void recordRunTime(String requestClass, double hintMillis, double runMillis) {
@@ -58,11 +58,11 @@
 
     /** The kill is so near that every further request is rejected. */
     void stopAdmitting() {
-        stopped = true;
+        admissionStopped = true;
     }
 
-    boolean hasStoppedAdmitting() {
-        return stopped;
+    boolean isAdmissionStopped() {
+        return admissionStopped;
     }
 
     /** When held requests proceed if draining has not started. */
@@ -72,7 +72,7 @@
 
     /** Decides about a request that arrives now. One that outlived this process would be lost with it. */
     Decision decide(String requestClass, double hintMillis, double nowMillis) {
-        if (stopped) {
+        if (admissionStopped) {
             return Decision.REJECT;
         }
         boolean noKillExpected = Double.isNaN(killAtMillis) || !draining && nowMillis >= holdUntilMillis();
@@ -86,7 +86,7 @@
      * Whether a request with that much left to run is saved if draining waits until its expected start: it may end
      * before the kill then, and would not if draining started now with the kill {@code killDelayMillis} later.
      */
-    boolean isSavedByWaiting(double remainingMillis, double nowMillis, double killDelayMillis) {
+    boolean isSavedByDelayingDrain(double remainingMillis, double nowMillis, double killDelayMillis) {
         boolean canWait = !draining && nowMillis < expectedDrainAtMillis;
         boolean mayEndAfterWaiting =
                 nowMillis + OPTIMISTIC_RUN_TIME_FACTOR * remainingMillis <= killAtMillis - KILL_MARGIN_MILLIS;
--- a/src/main/java/nettlewick/core/FinalAnswers.java
+++ b/src/main/java/nettlewick/core/FinalAnswers.java
@@ -94,11 +94,14 @@
     }
 
     /** Answers with an attempt's result. The request stays in the table, since its attempt's outcome is due next. */
-    void serve(InFlightRequest inFlight, Attempt server, byte[] result) {
+    void serve(InFlightRequest inFlight, Attempt servingAttempt, byte[] result) {
         if (table.markAnswered(inFlight)) {
             Request request = inFlight.request();
             accounting.record(
-                    inFlight, Ending.SERVED, server, () -> request.caller().onServed(result));
+                    inFlight,
+                    Ending.SERVED,
+                    servingAttempt,
+                    () -> request.caller().onServed(result));
         }
     }
 }
--- a/src/main/java/nettlewick/core/InFlightRequest.java
+++ b/src/main/java/nettlewick/core/InFlightRequest.java
@@ -11,11 +11,11 @@
  * thread; only {@link #isAnswered} may be read by others.
  */
 final class InFlightRequest {
-    private static final int USUAL_ATTEMPTS = 2;
+    private static final int INITIAL_ATTEMPT_CAPACITY = 2;
 
     private final Request request;
     private final RequestClass requestClass;
-    private final List<Attempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<Attempt> attempts = new ArrayList<>(INITIAL_ATTEMPT_CAPACITY);
     /** Volatile since the event loop reads it before it writes an attempt to an endpoint. */
     private volatile boolean answered;
 
--- a/src/main/java/nettlewick/core/Metrics.java
+++ b/src/main/java/nettlewick/core/Metrics.java
@@ -72,7 +72,7 @@
     /** Counts one request from its acceptance to its end; only the first end counts. Confined to one thread. */
     public final class RequestTracker {
         private final String requestClass;
-        private UsageRecorder.Receipt receipt = UsageRecorder.Receipt.NONE;
+        private UsageRecorder.DeliveryCallback deliveryCallback = UsageRecorder.DeliveryCallback.NONE;
         private boolean ended;
 
         private RequestTracker(String requestClass) {
@@ -80,11 +80,11 @@
         }
 
         /** Sets the receipt that is notified of the end; at once where the request has ended. */
-        public void setReceipt(UsageRecorder.Receipt pending) {
+        public void setDeliveryCallback(UsageRecorder.DeliveryCallback callback) {
             if (ended) {
-                pending.markAbandoned();
+                callback.onAbandoned();
             } else {
-                receipt = pending;
+                deliveryCallback = callback;
             }
         }
 
@@ -92,14 +92,14 @@
         public void markAnswered(RequestEnd end) {
             if (markEnded()) {
                 countEnd(requestClass, end);
-                receipt.markAnswered();
+                deliveryCallback.onDelivered();
             }
         }
 
         /** The client has gone: no answer counts. */
         public void markAbandoned() {
             if (markEnded()) {
-                receipt.markAbandoned();
+                deliveryCallback.onAbandoned();
             }
         }
 
--- a/src/main/java/nettlewick/core/ModuleStatsSampler.java
+++ b/src/main/java/nettlewick/core/ModuleStatsSampler.java
@@ -43,13 +43,13 @@
                 Map.of("damaged", faults.damaged(), "late", faults.late(), "unlisted", faults.unlisted()));
         countsByKind.forEach((kind, count) -> {
             if (count > 0 && loggedFaultKinds.add(kind)) {
-                logFirst(kind, count);
+                logFirstFault(kind, count);
             }
         });
         metrics.setPeerMessageFaults(countsByKind);
     }
 
-    private static void logFirst(String kind, long count) {
+    private static void logFirstFault(String kind, long count) {
         CoreLoop.LOG.warning(
                 "peer-" + kind,
                 "peer datagrams discarded: " + count + " " + kind
--- a/src/main/java/nettlewick/core/Request.java
+++ b/src/main/java/nettlewick/core/Request.java
@@ -43,8 +43,8 @@
      */
     public interface Caller {
         /** The receipt to notify once the final answer, which comes next, is written. By default it is at once. */
-        default void onReceipt(UsageRecorder.Receipt receipt) {
-            receipt.markAnswered();
+        default void setDeliveryCallback(UsageRecorder.DeliveryCallback callback) {
+            callback.onDelivered();
         }
 
         /**
@@ -56,7 +56,7 @@
         }
 
         /** Not final: this share of the work is done, from 0 to 1. */
-        default void onProgress(double share) {}
+        default void onProgress(double progress) {}
 
         /** Final: the endpoint's result. */
         void onServed(byte[] result);
--- a/src/main/java/nettlewick/core/RequestCoordinator.java
+++ b/src/main/java/nettlewick/core/RequestCoordinator.java
@@ -83,8 +83,8 @@
     }
 
     /** Notifies this listener of all that happens; to be set before the core thread starts. */
-    public void setListener(RequestListener one) {
-        listener.replace(one);
+    public void setListener(RequestListener newListener) {
+        listener.replace(newListener);
     }
 
     /** Metrics for operators. */
@@ -145,9 +145,9 @@
     }
 
     /** An endpoint reported that it works on an attempt; {@code share} from 0 to 1 is done. */
-    public void reportProgress(Attempt attempt, double share) {
+    public void reportProgress(Attempt attempt, double progress) {
         double reportedAt = clock.nowMillis();
-        loop.post(() -> attempts.reportProgress(attempt, share, reportedAt));
+        loop.post(() -> attempts.reportProgress(attempt, progress, reportedAt));
     }
 
     /** An attempt is over. Only its first end counts. */
@@ -168,8 +168,8 @@
     }
 
     /** Runs {@code then} on the core thread with the number of requests that wait for their final answer. */
-    public void withUnansweredCount(IntConsumer then) {
-        loop.post(() -> then.accept(table.unansweredCount()));
+    public void queryUnansweredCount(IntConsumer callback) {
+        loop.post(() -> callback.accept(table.unansweredCount()));
     }
 
     /** Sets how many requests may wait for their final answer at once. */
@@ -182,7 +182,7 @@
      * else failed, since they may be running. Requests that arrive later are rejected.
      */
     public void answerAllNow() {
-        loop.post(drainHandover::endAll);
+        loop.post(drainHandover::endAllRequests);
     }
 
     /**
@@ -195,12 +195,12 @@
 
     /** No successor takes over after all: what was held back proceeds. */
     public void cancelDraining() {
-        loop.post(drainHandover::cancel);
+        loop.post(drainHandover::cancelExpectedDraining);
     }
 
     /** Draining starts, the kill comes at that time: requests that would outlive this process are rejected. */
     public void startDraining(double killAtMillis) {
-        loop.post(() -> drainHandover.start(killAtMillis));
+        loop.post(() -> drainHandover.startDraining(killAtMillis));
     }
 
     /**
@@ -208,7 +208,7 @@
      *
      * @param killDelayMillis from the start of draining to the kill
      */
-    public void askWhetherWaitingHelps(double killDelayMillis, Consumer<Boolean> then) {
-        loop.post(() -> then.accept(drainHandover.isWaitingUseful(killDelayMillis)));
+    public void queryWhetherDelayingDrainHelps(double killDelayMillis, Consumer<Boolean> callback) {
+        loop.post(() -> callback.accept(drainHandover.isDelayingDrainUseful(killDelayMillis)));
     }
 }
--- a/src/main/java/nettlewick/core/RetryAdvice.java
+++ b/src/main/java/nettlewick/core/RetryAdvice.java
@@ -22,12 +22,12 @@
 
     /** For a request that this process cannot take now and another one can. */
     double atOtherDispatcher() {
-        return limited(OTHER_DISPATCHER_MILLIS);
+        return capToMax(OTHER_DISPATCHER_MILLIS);
     }
 
     /** For a request that finds no process until this one has been started anew. */
     double afterRestart() {
-        return limited(RESTART_MILLIS);
+        return capToMax(RESTART_MILLIS);
     }
 
     /** For a request that comes while as many wait for their answer as may. */
@@ -35,7 +35,7 @@
         return isAllowed ? maxMillis / 2 : 0;
     }
 
-    private double limited(double millis) {
+    private double capToMax(double millis) {
         boolean isBounded = maxMillis > 0;
         return isAllowed ? (isBounded ? Math.min(millis, maxMillis) : millis) : 0;
     }
--- a/src/main/java/nettlewick/core/RunTimeEstimator.java
+++ b/src/main/java/nettlewick/core/RunTimeEstimator.java
@@ -34,10 +34,10 @@
 
     /** How long a request is expected to run: its hint where nothing is known of the class; 0 if unknown. */
     double expectedMillis(String requestClass, double hintMillis) {
-        ClassRunTimes known = runTimesByClass.get(requestClass);
-        if (known == null) {
+        ClassRunTimes classRunTimes = runTimesByClass.get(requestClass);
+        if (classRunTimes == null) {
             return Math.max(0, hintMillis);
         }
-        return hintMillis > 0 ? hintMillis * Math.exp(known.meanLogSlowdown) : known.meanRunMillis;
+        return hintMillis > 0 ? hintMillis * Math.exp(classRunTimes.meanLogSlowdown) : classRunTimes.meanRunMillis;
     }
 }
--- a/src/main/java/nettlewick/core/UsageAccounting.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -1,9 +1,9 @@
 package nettlewick.core;
 
 import java.util.List;
+import nettlewick.core.UsageRecorder.DeliveryCallback;
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.core.UsageRecorder.FinishedRequest;
-import nettlewick.core.UsageRecorder.Receipt;
 
 /** Has each request's end and the work it took recorded before its final answer is released. Core thread. */
 final class UsageAccounting {
@@ -23,55 +23,57 @@
     }
 
     /** Records the end of a request in flight, then lets {@code answer} run; {@code server} may be null. */
-    void record(InFlightRequest inFlight, Ending ending, Attempt server, Runnable answer) {
-        record(inFlight.request(), inFlight.attempts(), ending, server, answer);
+    void record(InFlightRequest inFlight, Ending ending, Attempt servingAttempt, Runnable answer) {
+        record(inFlight.request(), inFlight.attempts(), ending, servingAttempt, answer);
     }
 
-    private void record(Request request, List<Attempt> attempts, Ending ending, Attempt server, Runnable answer) {
+    private void record(
+            Request request, List<Attempt> attempts, Ending ending, Attempt servingAttempt, Runnable answer) {
         if (recorder == UsageRecorder.NONE) {
             answer.run();
             return;
         }
-        FinishedRequest finished = measure(request, attempts, ending, server);
-        Runnable releaseOverdue = recorder.record(finished, receipt -> {
-            if (receipt != Receipt.NONE) {
-                request.caller().onReceipt(receipt);
+        FinishedRequest finished = measure(request, attempts, ending, servingAttempt);
+        Runnable releaseIfOverdue = recorder.record(finished, callback -> {
+            if (callback != DeliveryCallback.NONE) {
+                request.caller().setDeliveryCallback(callback);
             }
             answer.run();
         });
-        if (releaseOverdue != null) {
+        if (releaseIfOverdue != null) {
             double now = loop.nowMillis();
             loop.schedule(
-                    Math.min(now + recorder.timeoutMillis(), Math.max(now, request.deadlineMillis())), releaseOverdue);
+                    Math.min(now + recorder.timeoutMillis(), Math.max(now, request.deadlineMillis())),
+                    releaseIfOverdue);
         }
     }
 
-    private FinishedRequest measure(Request request, List<Attempt> attempts, Ending ending, Attempt server) {
+    private FinishedRequest measure(Request request, List<Attempt> attempts, Ending ending, Attempt servingAttempt) {
         double now = loop.nowMillis();
-        boolean isEstimate = server != null && !server.hasStarted();
+        boolean isEstimate = servingAttempt != null && !servingAttempt.hasStarted();
         double extraMillis = 0;
         for (Attempt attempt : attempts) {
-            extraMillis += attempt == server ? 0 : attempt.runMillis(now);
+            extraMillis += attempt == servingAttempt ? 0 : attempt.runMillis(now);
         }
         return new FinishedRequest(
                 request,
                 ending,
                 now,
                 attempts.size(),
-                toSlotMicros(servedMillis(request, server, isEstimate), request),
+                toSlotMicros(servingMillis(request, servingAttempt, isEstimate), request),
                 isEstimate,
                 toSlotMicros(extraMillis, request));
     }
 
-    private double servedMillis(Request request, Attempt server, boolean isEstimate) {
-        if (server == null) {
+    private double servingMillis(Request request, Attempt servingAttempt, boolean isEstimate) {
+        if (servingAttempt == null) {
             return 0;
         }
         double now = loop.nowMillis();
         if (!isEstimate) {
-            return server.runMillis(now);
+            return servingAttempt.runMillis(now);
         }
-        return request.costHintMillis() > 0 ? request.costHintMillis() : server.totalMillis(now);
+        return request.costHintMillis() > 0 ? request.costHintMillis() : servingAttempt.totalMillis(now);
     }
 
     private static long toSlotMicros(double millis, Request request) {
--- a/src/main/java/nettlewick/core/UsageRecorder.java
+++ b/src/main/java/nettlewick/core/UsageRecorder.java
@@ -36,30 +36,30 @@
             long extraWorkSlotMicros) {}
 
     /** Takes what became of a released answer; only the first call counts. Any thread. */
-    interface Receipt {
+    interface DeliveryCallback {
         /** Takes no notice. */
-        Receipt NONE = new Receipt() {
+        DeliveryCallback NONE = new DeliveryCallback() {
             @Override
-            public void markAnswered() {
+            public void onDelivered() {
                 // Nothing is recorded.
             }
 
             @Override
-            public void markAbandoned() {
+            public void onAbandoned() {
                 // Nothing is recorded.
             }
         };
 
         /** The last byte of the answer has just been written. */
-        void markAnswered();
+        void onDelivered();
 
         /** The client went away before that. */
-        void markAbandoned();
+        void onAbandoned();
     }
 
     /** Records nothing. */
     UsageRecorder NONE = (finished, release) -> {
-        release.accept(Receipt.NONE);
+        release.accept(DeliveryCallback.NONE);
         return null;
     };
 
@@ -70,7 +70,7 @@
      *                Where the client has gone there is no answer and the receipt means nothing
      * @return releases the answer if that has not happened, for use after {@link #patience}; null where it has
      */
-    Runnable record(FinishedRequest finished, Consumer<Receipt> release);
+    Runnable record(FinishedRequest finished, Consumer<DeliveryCallback> release);
 
     /** How long an answer may be held back, in milliseconds. */
     default double timeoutMillis() {
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -138,12 +138,14 @@
         Block w = all.block("world").orElseThrow(() -> missing(file, "world"));
         Block l = all.block("load").orElseThrow(() -> missing(file, "load"));
         List<Kind> kinds = w.all("runners").stream()
-                .map(v -> new Kind(((Long) v.argument(0)).intValue(), v.arguments().size() > 1 ? v.argument(2) : 1.0))
+                .map(v -> new Kind(
+                        ((Long) v.argument(0)).intValue(), v.arguments().size() > 1 ? v.argument(2) : 1.0))
                 .toList();
         if (kinds.isEmpty()) {
             throw w.invalidValue("runners", "set: so many sim runners");
         }
-        List<String> zones = w.all("zone").stream().map(v -> (String) v.argument(0)).toList();
+        List<String> zones =
+                w.all("zone").stream().map(v -> (String) v.argument(0)).toList();
         Map<String, Double> clocks = new HashMap<>();
         w.all("clock")
                 .forEach(v -> clocks.put(
@@ -219,7 +221,8 @@
     private static List<Member> members(Block load) {
         List<Member> members = new ArrayList<>();
         for (Block.Value v : load.all("member")) {
-            members.add(new Member(v.argument(0), v.argument(1), v.arguments().size() > 2 ? v.argument(3) : v.argument(1)));
+            members.add(
+                    new Member(v.argument(0), v.argument(1), v.arguments().size() > 2 ? v.argument(3) : v.argument(1)));
         }
         return members.isEmpty() ? List.of(new Member("red", 1, 1)) : List.copyOf(members);
     }
--- a/src/main/java/nettlewick/fleettest/ScenarioTable.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioTable.java
@@ -49,8 +49,8 @@
         forms.add(List.of(SPAN, word("loss"), ValueType.percent(), word("for"), SPAN));
         forms.add(List.of(SPAN, word("rate"), word("by"), number(0, 1000), word("for"), SPAN));
         forms.add(List.of(SPAN, word("lists"), word("apart"), SPAN));
-        forms.add(
-                List.of(SPAN, word("flood"), ValueType.identifier("MEMBER"), word("by"), number(0, 1000), word("for"), SPAN));
+        forms.add(List.of(
+                SPAN, word("flood"), ValueType.identifier("MEMBER"), word("by"), number(0, 1000), word("for"), SPAN));
         for (ProviderServer.Fate fate : ProviderServer.Fate.values()) {
             forms.add(List.of(SPAN, word("provider"), word(fate.name().toLowerCase(Locale.ROOT)), word("for"), SPAN));
         }
@@ -80,25 +80,35 @@
             false,
             "Processes and runners.",
             List.of(
-                    Keyword.withDefault("seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Of all that is drawn."),
+                    Keyword.withDefault(
+                            "seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Of all that is drawn."),
                     Keyword.required("dispatchers", ValueType.wholeNumber(1, MOST), "Real processes."),
                     many("runners", "So many sim runners.", ValueType.wholeNumber(1, 10_000))
                             .withAlternativeForm(ValueType.wholeNumber(1, 10_000), word("speed"), number(0.01, 100)),
-                    many("zone", "Dispatchers and runners are dealt to the zones in turn.", ValueType.identifier("NAME")),
+                    many(
+                            "zone",
+                            "Dispatchers and runners are dealt to the zones in turn.",
+                            ValueType.identifier("NAME")),
                     Keyword.withDefault("slots", ValueType.wholeNumber(1, 1000), "4", "Jobs a runner runs at once."),
                     Keyword.withDefault("queue", ValueType.wholeNumber(0, 10_000), "8", "Jobs that wait at a runner."),
                     Keyword.withDefault("peers", ValueType.flag(), "yes", "Whether dispatchers tell one another."),
                     Keyword.withDefault(
                             "known", ValueType.flag(), "yes", "Whether a process that starts again has its last list."),
                     Keyword.withDefault("discovery", ValueType.choice("pushed", "asked"), "pushed", "How lists come."),
-                    Keyword.withDefault("calls", ValueType.duration(0, MINUTE), "0s", "Time of discovery for each call."),
+                    Keyword.withDefault(
+                            "calls", ValueType.duration(0, MINUTE), "0s", "Time of discovery for each call."),
                     Keyword.withDefault("cold", ValueType.duration(0, HOUR), "0s", "How long a runner is cold."),
-                    Keyword.withDefault("cold-share", ValueType.percent(), "32%", "Speed of a runner that has just started."),
-                    Keyword.withDefault("overload", number(1, 100), "3", "Times its capacity that push a cold runner over."),
+                    Keyword.withDefault(
+                            "cold-share", ValueType.percent(), "32%", "Speed of a runner that has just started."),
+                    Keyword.withDefault(
+                            "overload", number(1, 100), "3", "Times its capacity that push a cold runner over."),
                     Keyword.withDefault("fall", ValueType.duration(1, MINUTE), "1s", "For how long."),
-                    Keyword.withDefault("report-age", ValueType.duration(0, MINUTE), "500ms", "How old a load report may be."),
-                    Keyword.withDefault("grace", ValueType.duration(1, MINUTE), "3s", "For sends to a draining runner."),
-                    Keyword.withDefault("notice", ValueType.duration(0, MINUTE), "1s", "Until the front leaves a dead one out."),
+                    Keyword.withDefault(
+                            "report-age", ValueType.duration(0, MINUTE), "500ms", "How old a load report may be."),
+                    Keyword.withDefault(
+                            "grace", ValueType.duration(1, MINUTE), "3s", "For sends to a draining runner."),
+                    Keyword.withDefault(
+                            "notice", ValueType.duration(0, MINUTE), "1s", "Until the front leaves a dead one out."),
                     Keyword.withDefault("cancel", ValueType.flag(), "yes", "Whether runners stop what is called off."),
                     many(
                             "clock",
@@ -116,7 +126,11 @@
             List.of(
                     Keyword.required("rate", number(0.1, 100_000), "Jobs a second."),
                     Keyword.withDefault("length", ValueType.duration(100, HOUR), "10s", "For how long."),
-                    Keyword.withDefault("warm", ValueType.duration(0, HOUR), "0s", "Growing load before that; no figure counts it."),
+                    Keyword.withDefault(
+                            "warm",
+                            ValueType.duration(0, HOUR),
+                            "0s",
+                            "Growing load before that; no figure counts it."),
                     Keyword.withDefault("uneven", number(1, 100), "1", "Traffic of each zone's first dispatcher."),
                     Keyword.withDefault("tries", ValueType.wholeNumber(1, 20), "3", "How often a client asks in all."),
                     Keyword.withDefault("honour", ValueType.flag(), "yes", "Whether clients heed when to come back."),
@@ -134,7 +148,10 @@
                                     ValueType.identifier("NAME"),
                                     ValueType.percent())
                             .withAlternativeForm(
-                                    ValueType.identifier("NAME"), ValueType.percent(), word("asks"), ValueType.percent())),
+                                    ValueType.identifier("NAME"),
+                                    ValueType.percent(),
+                                    word("asks"),
+                                    ValueType.percent())),
             List.of());
 
     private static final Section LINKS = new Section(
@@ -146,7 +163,8 @@
                     Keyword.withDefault("loss", ValueType.percent(), "0%", "Of datagrams."),
                     Keyword.withDefault("duplicates", ValueType.percent(), "0%", "Of datagrams."),
                     Keyword.withDefault("delay", ValueType.duration(0, MINUTE), "0s", "Of datagrams and bytes."),
-                    Keyword.withDefault("jitter", ValueType.duration(0, MINUTE), "0s", "Up to so much more; datagrams overtake."),
+                    Keyword.withDefault(
+                            "jitter", ValueType.duration(0, MINUTE), "0s", "Up to so much more; datagrams overtake."),
                     Keyword.withDefault(
                             "tcp", ValueType.choice("relayed", "direct"), "relayed", "Way to runners and discovery.")),
             List.of());
@@ -157,11 +175,15 @@
             false,
             "Duties between the processes.",
             List.of(
-                    Keyword.withDefault("voters", ValueType.wholeNumber(1, 9), "3", "So many of the first dispatchers grant."),
+                    Keyword.withDefault(
+                            "voters", ValueType.wholeNumber(1, 9), "3", "So many of the first dispatchers grant."),
                     Keyword.withDefault("lease", ValueType.duration(100, MINUTE), "1s", "How long a grant lasts."),
                     Keyword.optional("month-turns", SPAN, "So long after the lab's beginning, by all clocks."),
                     Keyword.withDefault(
-                            "comes", ValueType.duration(0, HOUR), "1s", "How long the provider takes to start a runner.")),
+                            "comes",
+                            ValueType.duration(0, HOUR),
+                            "1s",
+                            "How long the provider takes to start a runner.")),
             List.of());
 
     private static final Section STEPS =
--- a/src/main/java/nettlewick/lease/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -95,7 +95,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.fault("duty-failed", "the task of a lease failed", e);
+            LOG.error("duty-failed", "the task of a lease failed", e);
         }
     }
 
--- a/src/main/java/nettlewick/lease/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -70,8 +70,9 @@
     }
 
     private static List<String> leaseNames(Block block) {
-        List<String> names =
-                block.all("name").stream().map(value -> value.<String>argument(0)).toList();
+        List<String> names = block.all("name").stream()
+                .map(value -> value.<String>argument(0))
+                .toList();
         if (names.stream().distinct().count() < names.size()) {
             throw block.invalidValue("name", "there once only");
         }
--- a/src/main/java/nettlewick/ledger/Ledger.java
+++ b/src/main/java/nettlewick/ledger/Ledger.java
@@ -39,15 +39,15 @@
     private static final ChainOrigin NOBODY = new ChainOrigin("", 0);
 
     /** A job from its end's decision to its entry. */
-    private final class Item implements Receipt {
+    private final class Item implements DeliveryCallback {
         final Entry draft;
-        final Consumer<Receipt> send;
+        final Consumer<DeliveryCallback> send;
         final AtomicBoolean gone = new AtomicBoolean();
         Spool.Place place;
         boolean over;
         volatile Entry entry;
 
-        Item(Entry draft, Consumer<Receipt> send) {
+        Item(Entry draft, Consumer<DeliveryCallback> send) {
             this.draft = draft;
             this.send = send;
         }
@@ -59,12 +59,12 @@
         }
 
         @Override
-        public void markAnswered() {
+        public void onDelivered() {
             end(true);
         }
 
         @Override
-        public void markAbandoned() {
+        public void onAbandoned() {
             end(false);
         }
 
@@ -190,7 +190,7 @@
     // The core's side
 
     @Override
-    public Runnable record(FinishedRequest job, Consumer<Receipt> send) {
+    public Runnable record(FinishedRequest job, Consumer<DeliveryCallback> send) {
         if (held.get() >= settings.queue()) {
             synchronized (order) {
                 gapFrom = gapJobs == 0 ? job.decidedAtMillis() : gapFrom;
@@ -198,7 +198,7 @@
                 gapJobs++;
             }
             missed.incrementAndGet();
-            send.accept(Receipt.NONE);
+            send.accept(DeliveryCallback.NONE);
             return null;
         }
         held.incrementAndGet();
@@ -206,9 +206,9 @@
         Spool to = spool;
         item.place = to == null ? null : to.intent(item.draft);
         if (job.ending() == Ending.LEFT) {
-            send.accept(Receipt.NONE);
+            send.accept(DeliveryCallback.NONE);
             item.gone.set(true);
-            item.markAbandoned();
+            item.onAbandoned();
             return null;
         }
         if (!settings.sync() || item.place == null) {
@@ -320,7 +320,7 @@
         try {
             item.release();
         } catch (RuntimeException e) {
-            LOG.fault("release-failed", "an answer could not be let go", e, "request", item.draft.request());
+            LOG.error("release-failed", "an answer could not be let go", e, "request", item.draft.request());
         }
     }
 
--- a/src/main/java/nettlewick/log/ComponentLogger.java
+++ b/src/main/java/nettlewick/log/ComponentLogger.java
@@ -40,7 +40,7 @@
     }
 
     /** A fault in the program, with its cause. */
-    public void fault(String event, String message, Throwable cause, Object... fields) {
+    public void error(String event, String message, Throwable cause, Object... fields) {
         write(Level.ERROR, event, message, cause, fields);
     }
 
--- a/src/main/java/nettlewick/net/HotRestartHandover.java
+++ b/src/main/java/nettlewick/net/HotRestartHandover.java
@@ -91,7 +91,7 @@
     }
 
     private void pollOwnWork() {
-        coordinator.askWhetherWaitingHelps(
+        coordinator.queryWhetherDelayingDrainHelps(
                 minKillDelayMillis,
                 worthWaiting -> eventLoop.runOnContext(v -> {
                     if (!worthWaiting) {
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -91,8 +91,8 @@
             }
 
             @Override
-            public void onReceipt(UsageRecorder.Receipt receipt) {
-                eventLoop.runOnContext(v -> ticket.setReceipt(receipt));
+            public void setDeliveryCallback(UsageRecorder.DeliveryCallback receipt) {
+                eventLoop.runOnContext(v -> ticket.setDeliveryCallback(receipt));
             }
 
             @Override
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -24,6 +24,9 @@
     }
 
     Section findSection(String word) {
-        return subsections.stream().filter(s -> s.name().equals(word)).findFirst().orElse(null);
+        return subsections.stream()
+                .filter(s -> s.name().equals(word))
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -181,7 +181,9 @@
                 text.append(String.format(
                         "%-50s # %s%n",
                         indent + keyword.name() + " "
-                                + value.words().stream().map(ValueType::quoteIfNeeded).collect(Collectors.joining(" ")),
+                                + value.words().stream()
+                                        .map(ValueType::quoteIfNeeded)
+                                        .collect(Collectors.joining(" ")),
                         value.location()));
             }
         }
--- a/src/main/java/nettlewick/settings/SettingsSchema.java
+++ b/src/main/java/nettlewick/settings/SettingsSchema.java
@@ -21,7 +21,8 @@
                                     "text",
                                     "Plain lines, or one JSON object a line.")
                             .reloadable(),
-                    Keyword.withDefault("level", ValueType.logLevel(), "info", "Least level that is written, of all parts.")
+                    Keyword.withDefault(
+                                    "level", ValueType.logLevel(), "info", "Least level that is written, of all parts.")
                             .reloadable(),
                     Keyword.repeatable(
                             "part",
@@ -53,19 +54,27 @@
                             "1s",
                             "What clients are told to wait before they connect again."),
                     Keyword.withDefault(
-                            "heartbeat", ValueType.duration(10, HOUR), "5s", "Pause between comments on a silent stream."),
+                            "heartbeat",
+                            ValueType.duration(10, HOUR),
+                            "5s",
+                            "Pause between comments on a silent stream."),
                     Keyword.withDefault(
                             "grace",
                             ValueType.duration(0, HOUR),
                             "3s",
                             "How long a job whose clients are all gone is kept going."),
-                    Keyword.withDefault("keep", ValueType.duration(0, HOUR), "30s", "How long a finished stream can be read again."),
+                    Keyword.withDefault(
+                            "keep",
+                            ValueType.duration(0, HOUR),
+                            "30s",
+                            "How long a finished stream can be read again."),
                     Keyword.withDefault(
                             "keep-streams",
                             ValueType.wholeNumber(0, 100_000),
                             "500",
                             "Most finished streams that can be read again."),
-                    Keyword.withDefault("max-readers", ValueType.wholeNumber(1, 100_000), "200", "Most streams open at once.")),
+                    Keyword.withDefault(
+                            "max-readers", ValueType.wholeNumber(1, 100_000), "200", "Most streams open at once.")),
             List.of());
 
     private static final Section EXPORT = new Section(
@@ -81,7 +90,8 @@
                             "Files go here, with a `manifest.jsonl` that names each " + "with its sum."),
                     Keyword.optional("url", ValueType.url(), "Batches are sent here by POST; see the operators' page."),
                     Keyword.withDefault("format", ValueType.choice("csv", "jsonl"), "csv", "The form of a batch."),
-                    Keyword.withDefault("most", ValueType.wholeNumber(1, 1_000_000), "5000", "Most entries of a batch."),
+                    Keyword.withDefault(
+                            "most", ValueType.wholeNumber(1, 1_000_000), "5000", "Most entries of a batch."),
                     Keyword.withDefault("every", ValueType.duration(100, DAY), "1m", "How often `serve` exports.")
                             .reloadable(),
                     Keyword.withDefault(
@@ -129,8 +139,10 @@
                     Keyword.repeatable("peer", "A dispatcher that is asked for its entries.", ValueType.address()),
                     Keyword.withDefault("every", ValueType.duration(10, DAY), "30s", "How often each peer is asked.")
                             .reloadable(),
-                    Keyword.withDefault("timeout", ValueType.duration(10, HOUR), "5s", "How long a peer may take for one answer."),
-                    Keyword.withDefault("chunk", ValueType.wholeNumber(1, 100_000), "2000", "Most entries fetched at once.")
+                    Keyword.withDefault(
+                            "timeout", ValueType.duration(10, HOUR), "5s", "How long a peer may take for one answer."),
+                    Keyword.withDefault(
+                                    "chunk", ValueType.wholeNumber(1, 100_000), "2000", "Most entries fetched at once.")
                             .reloadable()),
             List.of());
 
@@ -272,9 +284,14 @@
                             "A member that stays in a pool, or is never moved to one.",
                             ValueType.identifier("MEMBER"),
                             ValueType.choice("pool", "common")),
-                    Keyword.withDefault("reserve", ValueType.percent(), "40%", "The part of all runners that pools may hold.")
+                    Keyword.withDefault(
+                                    "reserve",
+                                    ValueType.percent(),
+                                    "40%",
+                                    "The part of all runners that pools may hold.")
                             .reloadable(),
-                    Keyword.withDefault("window", ValueType.duration(100, HOUR), "2s", "Evidence is judged once in each.")
+                    Keyword.withDefault(
+                                    "window", ValueType.duration(100, HOUR), "2s", "Evidence is judged once in each.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "settle",
@@ -282,9 +299,17 @@
                                     "1s",
                                     "How long a reserved pool is told before others leave it.")
                             .reloadable(),
-                    Keyword.withDefault("come", ValueType.duration(0, HOUR), "2s", "How long runners that are added are waited for.")
+                    Keyword.withDefault(
+                                    "come",
+                                    ValueType.duration(0, HOUR),
+                                    "2s",
+                                    "How long runners that are added are waited for.")
                             .reloadable(),
-                    Keyword.withDefault("clear", ValueType.duration(0, HOUR), "3s", "How long others' work in hand has to end.")
+                    Keyword.withDefault(
+                                    "clear",
+                                    ValueType.duration(0, HOUR),
+                                    "3s",
+                                    "How long others' work in hand has to end.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "stay",
@@ -299,7 +324,10 @@
                             "After so long without a word of it, a pool keeps nobody else away."),
                     Keyword.optional("provider", ValueType.url(), "Who starts and stops runners."),
                     Keyword.withDefault(
-                            "timeout", ValueType.duration(10, HOUR), "5s", "How long the provider may take for an answer."),
+                            "timeout",
+                            ValueType.duration(10, HOUR),
+                            "5s",
+                            "How long the provider may take for an answer."),
                     new Keyword(
                             "price",
                             List.of(List.of(
@@ -313,7 +341,11 @@
                             true,
                             "The kind of runner that is added, an hour's price in hundredths, and the least time "
                                     + "billed."),
-                    Keyword.withDefault("near", ValueType.percent(), "95%", "The part of a cap past which nothing is added.")
+                    Keyword.withDefault(
+                                    "near",
+                                    ValueType.percent(),
+                                    "95%",
+                                    "The part of a cap past which nothing is added.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "reach",
--- a/src/main/java/nettlewick/sse/RequestStream.java
+++ b/src/main/java/nettlewick/sse/RequestStream.java
@@ -28,7 +28,7 @@
     private Request request;
 
     private Metrics.RequestTracker ticket;
-    private UsageRecorder.Receipt pendingReceipt = UsageRecorder.Receipt.NONE;
+    private UsageRecorder.DeliveryCallback pendingReceipt = UsageRecorder.DeliveryCallback.NONE;
 
     /**
      * @param eventLoop runs a task on the event loop
@@ -123,7 +123,7 @@
 
     /** A failure that nobody waited for any more does not count. */
     private void countEnd() {
-        ticket.setReceipt(pendingReceipt);
+        ticket.setDeliveryCallback(pendingReceipt);
         switch (finalEvent.type()) {
             case RESULT -> ticket.markAnswered(Metrics.RequestEnd.SERVED);
             case REJECTED -> ticket.markAnswered(Metrics.RequestEnd.REJECTED);
@@ -138,12 +138,12 @@
     }
 
     @Override
-    public void onReceipt(UsageRecorder.Receipt receipt) {
+    public void setDeliveryCallback(UsageRecorder.DeliveryCallback receipt) {
         eventLoop.accept(() -> {
             if (finalEvent == null) {
                 pendingReceipt = receipt;
             } else {
-                receipt.markAbandoned();
+                receipt.onAbandoned();
             }
         });
     }
--- a/src/test/java/nettlewick/core/DrainPolicyTest.java
+++ b/src/test/java/nettlewick/core/DrainPolicyTest.java
@@ -15,7 +15,7 @@
     @Test
     void nothingIsHeldWhenNoDrainingIsExpected() {
         assertEquals(Decision.ADMIT, policy.decide("transfer", 20_000, 0));
-        assertFalse(policy.isSavedByWaiting(5000, 0, 3700));
+        assertFalse(policy.isSavedByDelayingDrain(5000, 0, 3700));
     }
 
     /** Long requests admitted shortly before the kill would be lost with the process. */
@@ -71,33 +71,33 @@
 
     /** Waiting saves neither requests that end in time anyway nor those that outlive the wait too. */
     @Test
-    void waitingSavesOnlyRequestsThatEndBetweenTheTwoKillTimes() {
+    void delayingDrainSavesOnlyRequestsThatEndBetweenTheTwoKillTimes() {
         policy.expectDraining(4000, 7700);
-        assertFalse(policy.isSavedByWaiting(2000, 0, 3700));
-        assertTrue(policy.isSavedByWaiting(4000, 0, 3700));
-        assertTrue(policy.isSavedByWaiting(7000, 0, 3700), "it may end in time, and waiting costs little");
-        assertFalse(policy.isSavedByWaiting(9500, 0, 3700));
-        assertFalse(policy.isSavedByWaiting(4000, 4000, 3700), "draining was expected to have started");
+        assertFalse(policy.isSavedByDelayingDrain(2000, 0, 3700));
+        assertTrue(policy.isSavedByDelayingDrain(4000, 0, 3700));
+        assertTrue(policy.isSavedByDelayingDrain(7000, 0, 3700), "it may end in time, and waiting costs little");
+        assertFalse(policy.isSavedByDelayingDrain(9500, 0, 3700));
+        assertFalse(policy.isSavedByDelayingDrain(4000, 4000, 3700), "draining was expected to have started");
     }
 
     /** At any time, no request is admitted that is expected to outlive the kill, and none is held for too long. */
     @Test
-    void randomRequestsAreNeverAdmittedToBeLost() {
+    void requestsThatOutliveTheKillAreNeverAdmitted() {
         SplittableRandom random = new SplittableRandom(23);
         for (int i = 0; i < 20_000; i++) {
-            DrainPolicy p = new DrainPolicy();
-            double term = random.nextDouble(5000);
-            double kill = term + 3700;
-            p.expectDraining(term, kill);
-            double now = random.nextDouble(term + DrainPolicy.MAX_DRAIN_DELAY_MILLIS);
-            double run = random.nextDouble(15_000);
-            boolean begun = random.nextBoolean();
-            if (begun) {
-                p.startDraining(kill);
+            DrainPolicy randomPolicy = new DrainPolicy();
+            double drainAtMillis = random.nextDouble(5000);
+            double killAtMillis = drainAtMillis + 3700;
+            randomPolicy.expectDraining(drainAtMillis, killAtMillis);
+            double nowMillis = random.nextDouble(drainAtMillis + DrainPolicy.MAX_DRAIN_DELAY_MILLIS);
+            double runMillis = random.nextDouble(15_000);
+            boolean drainingStarted = random.nextBoolean();
+            if (drainingStarted) {
+                randomPolicy.startDraining(killAtMillis);
             }
-            Decision verdict = p.decide("c", run, now);
-            assertEquals(verdict == Decision.ADMIT, now + 1.3 * run <= kill - 300);
-            assertTrue(verdict != Decision.HOLD || !begun && now < p.holdUntilMillis());
+            Decision decision = randomPolicy.decide("c", runMillis, nowMillis);
+            assertEquals(decision == Decision.ADMIT, nowMillis + 1.3 * runMillis <= killAtMillis - 300);
+            assertTrue(decision != Decision.HOLD || !drainingStarted && nowMillis < randomPolicy.holdUntilMillis());
         }
     }
 }
--- a/src/test/java/nettlewick/core/FinalAnswerTest.java
+++ b/src/test/java/nettlewick/core/FinalAnswerTest.java
@@ -30,12 +30,12 @@
 
     /** A flood on other connections leaves no iteration without events, so the answer must not wait for one. */
     @Test
-    void theDeadlineAnswerDoesNotWaitForAFloodOfEventsToEnd() throws InterruptedException {
+    void deadlineAnswerDoesNotWaitForPendingEventsToRunOut() throws InterruptedException {
         submit("a", 100);
         advanceTo(0);
-        for (int turn = 0; turn < 3; turn++) {
+        for (int iteration = 0; iteration < 3; iteration++) {
             coordinator.receivePeerMessage(1, new byte[0]);
-            clock.advanceTo(START + 111 + turn);
+            clock.advanceTo(START_MILLIS + 111 + iteration);
             coordinator.runIteration(0);
         }
         assertEquals(List.of("refused a 200.0"), sideEffects);
@@ -56,11 +56,11 @@
         Request a = submit("a", 100);
         advanceTo(0);
         Attempt attempt = sentAttempts.get(0);
-        assertTrue(attempt.mayStart(START + 99));
-        assertTrue(!attempt.mayStart(START + 100));
+        assertTrue(attempt.mayStart(START_MILLIS + 99));
+        assertTrue(!attempt.mayStart(START_MILLIS + 100));
         coordinator.abandon(a);
         advanceTo(1);
-        assertTrue(!attempt.mayStart(START + 2));
+        assertTrue(!attempt.mayStart(START_MILLIS + 2));
     }
 
     /** One outcome for each dispatch and one final answer for each request. */
--- a/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
@@ -21,8 +21,8 @@
 
 /** A coordinator with a scripted decision module, a transport that only records, and a manual clock. */
 abstract class RequestCoordinatorFixture {
-    static final double START = 1_000_000;
-    final Clock clock = Clock.stoppedAt(START);
+    static final double START_MILLIS = 1_000_000;
+    final Clock clock = Clock.stoppedAt(START_MILLIS);
     final List<Event> moduleEvents = new ArrayList<>();
     final List<String> sideEffects = new ArrayList<>();
     final List<Attempt> sentAttempts = new ArrayList<>();
@@ -105,29 +105,39 @@
 
     /** Sets the clock to that many milliseconds after the start and runs all tasks that are ready. */
     void advanceTo(double millis) throws InterruptedException {
-        clock.advanceTo(START + millis);
+        clock.advanceTo(START_MILLIS + millis);
         for (int i = 0; i < 8; i++) {
             coordinator.runIteration(0);
         }
     }
 
-    Request submit(String id, double deadline) {
-        return submit(id, deadline, 1.5);
+    Request submit(String id, double deadlineMillis) {
+        return submit(id, deadlineMillis, 1.5);
     }
 
-    Request submit(String id, double deadline, double hint) {
-        return submit(id, "c", deadline, hint);
+    Request submit(String id, double deadlineMillis, double costHintMillis) {
+        return submit(id, "c", deadlineMillis, costHintMillis);
     }
 
     /** Submits a request that must not run twice. */
-    Request submitNonIdempotent(String id, double deadline) {
-        return submit(id, "once", deadline, 1.5);
+    Request submitNonIdempotent(String id, double deadlineMillis) {
+        return submit(id, "once", deadlineMillis, 1.5);
     }
 
-    private Request submit(String id, String requestClass, double deadline, double hint) {
-        Request[] made = new Request[1];
-        made[0] = new Request(
-                id, requestClass, null, null, START + deadline, 1, 0, hint, false, null, new Request.Caller() {
+    private Request submit(String id, String requestClass, double deadlineMillis, double costHintMillis) {
+        Request[] request = new Request[1];
+        request[0] = new Request(
+                id,
+                requestClass,
+                null,
+                null,
+                START_MILLIS + deadlineMillis,
+                1,
+                0,
+                costHintMillis,
+                false,
+                null,
+                new Request.Caller() {
                     @Override
                     public void onServed(byte[] result) {
                         sideEffects.add("served " + id);
@@ -143,8 +153,8 @@
                         sideEffects.add("failed " + id);
                     }
                 });
-        coordinator.submit(made[0]);
-        return made[0];
+        coordinator.submit(request[0]);
+        return request[0];
     }
 
     void onArrival(Action... actions) {
--- a/src/test/java/nettlewick/core/RequestCoordinatorTest.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorTest.java
@@ -21,13 +21,14 @@
 class RequestCoordinatorTest extends RequestCoordinatorFixture {
     /** Creates a coordinator whose recorder collects records, and answers that the test releases. */
     private List<UsageRecorder.FinishedRequest> createWithRecorder(
-            List<Consumer<UsageRecorder.Receipt>> waiting, double timeoutMillis) throws InterruptedException {
+            List<Consumer<UsageRecorder.DeliveryCallback>> heldAnswers, double timeoutMillis)
+            throws InterruptedException {
         List<UsageRecorder.FinishedRequest> records = new ArrayList<>();
         usageRecorder = new UsageRecorder() {
             @Override
-            public Runnable record(FinishedRequest finished, Consumer<Receipt> release) {
+            public Runnable record(FinishedRequest finished, Consumer<DeliveryCallback> release) {
                 records.add(finished);
-                waiting.add(release);
+                heldAnswers.add(release);
                 return () -> sideEffects.add("overdue " + finished.request().id());
             }
 
@@ -44,12 +45,12 @@
     @Test
     void requestsThatWouldOutliveTheProcessAreHeldAndRejectedUnsent() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
-        coordinator.expectSuccessor(START + 4000, START + 7700);
+        coordinator.expectSuccessor(START_MILLIS + 4000, START_MILLIS + 7700);
         submit("long", 60_000, 9000);
         submit("gone", 60_000, 9000);
         advanceTo(1000);
         assertTrue(sentAttempts.isEmpty(), sideEffects.toString());
-        coordinator.startDraining(START + 5000);
+        coordinator.startDraining(START_MILLIS + 5000);
         advanceTo(1300);
         submit("after", 60_000, 9000);
         advanceTo(1400);
@@ -64,16 +65,16 @@
     @Test
     void heldRequestsProceedWhenDrainingDoesNotStart() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
-        coordinator.expectSuccessor(START + 4000, START + 7700);
+        coordinator.expectSuccessor(START_MILLIS + 4000, START_MILLIS + 7700);
         submit("late", 60_000, 9000);
-        Request left = submit("left", 60_000, 9000);
+        Request abandoned = submit("left", 60_000, 9000);
         advanceTo(10);
-        coordinator.abandon(left);
+        coordinator.abandon(abandoned);
         advanceTo(4999);
         assertTrue(sentAttempts.isEmpty());
         advanceTo(5000);
         assertEquals(List.of("send late0"), sideEffects);
-        coordinator.expectSuccessor(START + 8000, START + 11_700);
+        coordinator.expectSuccessor(START_MILLIS + 8000, START_MILLIS + 11_700);
         submit("next", 60_000, 9000);
         advanceTo(5010);
         coordinator.cancelDraining();
@@ -83,27 +84,27 @@
 
     /** A successor waits only for requests that end in time if it does. */
     @Test
-    void reportedProgressDecidesWhetherWaitingSavesARequest() throws InterruptedException {
+    void reportedProgressDecidesWhetherDelayingDrainSavesARequest() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
-        List<Boolean> saves = new ArrayList<>();
+        List<Boolean> delayHelps = new ArrayList<>();
         submit("job", 60_000, 4000);
         advanceTo(0);
-        coordinator.expectSuccessor(START + 4000, START + 7700);
-        coordinator.askWhetherWaitingHelps(3700, saves::add);
+        coordinator.expectSuccessor(START_MILLIS + 4000, START_MILLIS + 7700);
+        coordinator.queryWhetherDelayingDrainHelps(3700, delayHelps::add);
         advanceTo(1);
         coordinator.reportProgress(sentAttempts.get(0), 0);
         advanceTo(2);
         coordinator.reportProgress(sentAttempts.get(0), 0.8);
         advanceTo(1000);
-        coordinator.askWhetherWaitingHelps(3700, saves::add);
+        coordinator.queryWhetherDelayingDrainHelps(3700, delayHelps::add);
         advanceTo(1001);
-        assertEquals(List.of(true, false), saves);
+        assertEquals(List.of(true, false), delayHelps);
     }
 
     @Test
     void usageRecorderSeesEachEndOnceWithServedAndExtraWork() throws InterruptedException {
-        List<Consumer<UsageRecorder.Receipt>> waiting = new ArrayList<>();
-        List<UsageRecorder.FinishedRequest> records = createWithRecorder(waiting, 50);
+        List<Consumer<UsageRecorder.DeliveryCallback>> heldAnswers = new ArrayList<>();
+        List<UsageRecorder.FinishedRequest> records = createWithRecorder(heldAnswers, 50);
         script = e -> e instanceof Arrival a && a.id().equals("a")
                 ? List.of(new Dispatch("a", "w", 0), new Dispatch("a", "w", 0))
                 : e instanceof Arrival a && a.id().equals("r") ? List.of(new Reject("r", 0)) : List.of();
@@ -130,7 +131,7 @@
         assertTrue(sideEffects.stream().noneMatch(s -> s.startsWith("overdue")));
         advanceTo(75);
         assertTrue(sideEffects.contains("overdue a"), "released all the same after the timeout");
-        waiting.get(0).accept(UsageRecorder.Receipt.NONE);
+        heldAnswers.get(0).accept(UsageRecorder.DeliveryCallback.NONE);
         assertTrue(sideEffects.contains("served a"));
         submit("r", 1000);
         coordinator.abandon(submit("l", 1000));
--- a/src/test/java/nettlewick/core/RetryAdviceTest.java
+++ b/src/test/java/nettlewick/core/RetryAdviceTest.java
@@ -22,13 +22,13 @@
 
     /** Guards against a rejection that says nothing of when to come back. */
     @Test
-    void everyRejectionCarriesAdviceWithinTheSitesLimit() {
+    void everyRejectionCarriesAdviceWithinTheConfiguredMaximum() {
         assertTrue(all(advice(true, MAX_NANOS)).stream().allMatch(millis -> millis > 0 && millis <= MAX_MILLIS));
     }
 
     /** Guards against advice where the site does not let dispatchers give any. */
     @Test
-    void noRejectionCarriesAdviceWhereTheSiteForbidsIt() {
+    void noRejectionCarriesAdviceWhenRetryAfterIsDisabled() {
         assertEquals(List.of(0.0, 0.0, 0.0), all(advice(false, MAX_NANOS)));
     }
 }
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -68,7 +68,7 @@
             synchronized (left) {
                 left.add(id);
             }
-            receipt.markAnswered();
+            receipt.onDelivered();
         });
     }
 
@@ -128,7 +128,7 @@
                 synchronized (left) {
                     left.add(id);
                 }
-                r.markAnswered();
+                r.onDelivered();
             }));
         }
         overdue.forEach(Runnable::run);
@@ -211,10 +211,10 @@
     void aClientThatLeavesIsCountedAndNotBilledWhicheverComesFirst() throws Exception {
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
         ledger.record(job("before", Ending.LEFT), r -> {});
-        ledger.record(job("after", Ending.SERVED), UsageRecorder.Receipt::markAbandoned);
+        ledger.record(job("after", Ending.SERVED), UsageRecorder.DeliveryCallback::onAbandoned);
         ledger.record(job("both", Ending.SERVED), r -> {
-            r.markAnswered();
-            r.markAbandoned();
+            r.onDelivered();
+            r.onAbandoned();
         });
         until(() -> has(ledger, "entries", 3));
         assertEquals(
@@ -228,7 +228,7 @@
     void theTimeOfTheLastByteDecidesThePeriod() throws Exception {
         Clock clock = Clock.stoppedAt(DECEMBER - 1);
         Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
-        List<UsageRecorder.Receipt> receipts = new ArrayList<>();
+        List<UsageRecorder.DeliveryCallback> receipts = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             ledger.record(job("j" + i, Ending.SERVED), r -> {
                 synchronized (receipts) {
@@ -237,11 +237,11 @@
             });
         }
         until(() -> receipts.size() == 3);
-        receipts.get(0).markAnswered();
+        receipts.get(0).onDelivered();
         clock.advanceTo(DECEMBER);
-        receipts.get(1).markAnswered();
+        receipts.get(1).onDelivered();
         clock.advanceTo(DECEMBER + 40 * 8.64e7);
-        receipts.get(2).markAnswered();
+        receipts.get(2).onDelivered();
         until(() -> has(ledger, "entries", 3));
         LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
         assertEquals(
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -129,7 +129,7 @@
                             false,
                             0),
                     receipt -> {
-                        receipt.markAnswered();
+                        receipt.onDelivered();
                         room.release();
                     });
         }
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -383,7 +383,7 @@
                                     1000,
                                     false,
                                     0),
-                            nettlewick.core.UsageRecorder.Receipt::markAnswered);
+                            nettlewick.core.UsageRecorder.DeliveryCallback::onDelivered);
         }
         LedgerService thief = new LedgerService("d9", services.get(0).books().settings(), clock, 7);
         assertTrue(assertThrows(IOException.class, thief::start).getMessage().contains("the ledger of d0, not of"));
--- a/src/test/java/nettlewick/log/LogTest.java
+++ b/src/test/java/nettlewick/log/LogTest.java
@@ -43,7 +43,7 @@
     void textFormatPutsAFaultOnOneLine() {
         LogSetup.apply(Optional.empty());
         String line = captureStderr(
-                () -> ComponentLogger.of("p1").fault("odd", "it\nbroke", new IllegalStateException("why\nnot")));
+                () -> ComponentLogger.of("p1").error("odd", "it\nbroke", new IllegalStateException("why\nnot")));
         assertTrue(
                 line.matches("\\S+Z SEVERE p1: it broke: java.lang.IllegalStateException: why not at .* < .*\n"), line);
     }
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -106,7 +106,7 @@
             boolean[] ended = new boolean[1];
             while (!ended[0]) {
                 CompletableFuture<Integer> open = new CompletableFuture<>();
-                dispatcher.coordinator().withUnansweredCount(open::complete);
+                dispatcher.coordinator().queryUnansweredCount(open::complete);
                 ended[0] = open.get() == 0;
             }
             loop.release();
