--- a/src/main/java/nettlewick/core/ActionExecutor.java
+++ b/src/main/java/nettlewick/core/ActionExecutor.java
@@ -10,7 +10,7 @@
 import nettlewick.decision.Action.SetTimer;
 import nettlewick.decision.Event.Timer;
 
-/** Executes the decision module's actions. Core thread. */
+/** Executes the decision module's actions. Core thread only. */
 final class ActionExecutor implements Consumer<Action> {
     private final CoreLoop loop;
     private final InFlightTable table;
--- a/src/main/java/nettlewick/core/Attempt.java
+++ b/src/main/java/nettlewick/core/Attempt.java
@@ -5,13 +5,13 @@
 import nettlewick.decision.EndpointLoad;
 
 /**
- * One try of a request at one endpoint. The core thread owns it; other threads may call {@link #request},
- * {@link #number}, {@link #endpoint} and {@link #mayBegin}.
+ * One attempt to execute a request at one endpoint. Owned by the core thread; other threads may call {@link #request},
+ * {@link #number}, {@link #endpoint} and {@link #mayStart}.
  */
 public final class Attempt extends OutboundCall {
-    /** Below this share of progress, an extrapolation of the run time is too rough. */
+    /** Below this progress, extrapolating the run time is too inaccurate. */
     private static final double MIN_PROGRESS_TO_EXTRAPOLATE = 0.05;
-    /** Least part of the expected run time that is assumed to remain without progress to go by. */
+    /** Fraction of the expected run time that is assumed to remain at least, if no progress was reported. */
     private static final double MIN_REMAINING_FRACTION = 0.25;
 
     private final Request request;
@@ -24,8 +24,8 @@
     private double reportedProgress;
 
     /**
-     * @param latestStartMillis until when it may start
-     * @param requestUndecided  tells, on any thread, whether the request's final answer is still undecided
+     * @param latestStartMillis   time from which on the attempt must not be started
+     * @param isRequestUnanswered whether the request still has no final answer; called on any thread
      */
     Attempt(
             Request request,
@@ -41,20 +41,20 @@
         this.isRequestUnanswered = isRequestUnanswered;
     }
 
-    /** The request that it is for. */
+    /** The request that this attempt executes. */
     public Request request() {
         return request;
     }
 
-    /** Its place among the request's attempts, from 0. */
+    /** The index among the request's attempts, starting at 0. */
     public int number() {
         return number;
     }
 
     /**
-     * Whether it may still be written to its endpoint at that time, in milliseconds: its request is undecided, the
-     * client is present, and time is left. To be asked right before the write, on the event loop that owns the
-     * client's connection.
+     * Whether the attempt may still be written to its endpoint at {@code nowMillis}: the request has no final answer,
+     * its client is still connected, and the latest start time has not passed. To be called immediately before the
+     * write, on the event loop that owns the client's connection.
      */
     public boolean mayStart(double nowMillis) {
         return isRequestUnanswered.getAsBoolean()
@@ -62,23 +62,23 @@
                 && request.caller().isPresent();
     }
 
-    /** The endpoint reported that it works on it; only the first report counts as its start. */
+    /** Records that the endpoint reported working on the attempt; only the first report counts as the start. */
     void recordStart(double atMillis) {
         startedAtMillis = Double.isNaN(startedAtMillis) ? atMillis : startedAtMillis;
     }
 
-    /** The endpoint reported which share is done, from 0 to 1. */
+    /** Records the progress that the endpoint reported, from 0 to 1. */
     void recordProgress(double progress) {
         reportedProgress = Math.max(reportedProgress, progress);
     }
 
-    /** Records its end; {@code provenNeverRan} says that the endpoint certainly did not execute it. */
+    /** Records the end; {@code provenNeverRan} means that the endpoint certainly did not execute the attempt. */
     void recordEnd(double atMillis, boolean provenNeverRan) {
         endedAtMillis = atMillis;
         neverRan = provenNeverRan;
     }
 
-    /** Milliseconds that it has left to run, where the whole is expected to take {@code expectedRunMillis}. */
+    /** Estimated remaining run time, given the expected total of {@code expectedRunMillis}. */
     double remainingMillis(double nowMillis, double expectedRunMillis) {
         double elapsed = runMillis(nowMillis);
         if (reportedProgress > MIN_PROGRESS_TO_EXTRAPOLATE && elapsed > 0) {
@@ -87,32 +87,32 @@
         return Math.max(expectedRunMillis * MIN_REMAINING_FRACTION, expectedRunMillis - elapsed);
     }
 
-    /** Milliseconds from its sending to its reported start; NaN where no start was reported. */
+    /** Milliseconds from sending to the reported start; NaN if no start was reported. */
     public double queuedMillis() {
         return startedAtMillis - sentAtMillis();
     }
 
-    /** Milliseconds from its reported start to its end; 0 where there was no report or it is in flight. */
+    /** Milliseconds from the reported start to the end; 0 if no start was reported or the attempt is in flight. */
     public double ranMillis() {
         return Double.isNaN(endedAtMillis) ? 0 : runMillis(endedAtMillis);
     }
 
-    /** Whether the endpoint may have executed it, or may yet. */
+    /** Whether the endpoint may have executed the attempt, or may still do so. */
     boolean mayHaveRun() {
         return !isEnded() || !neverRan;
     }
 
-    /** Whether its start was reported. */
+    /** Whether the endpoint reported the start. */
     boolean hasStarted() {
         return !Double.isNaN(startedAtMillis);
     }
 
-    /** Milliseconds from its reported start to its end, or to {@code nowMillis} while in flight; 0 without a report. */
+    /** Milliseconds from the reported start to the end, or to {@code nowMillis} while in flight; 0 if not reported. */
     double runMillis(double nowMillis) {
         return hasStarted() ? millisSince(startedAtMillis, nowMillis) : 0;
     }
 
-    /** Milliseconds from its sending to its end, or to {@code nowMillis} while in flight. */
+    /** Milliseconds from sending to the end, or to {@code nowMillis} while in flight. */
     double totalMillis(double nowMillis) {
         return millisSince(sentAtMillis(), nowMillis);
     }
@@ -122,13 +122,13 @@
     }
 
     /**
-     * How an attempt or a probe ended.
+     * The outcome of an attempt or a load probe.
      *
-     * @param body the result where the attempt was served, else null
-     * @param load the load that the endpoint reported with it, or null
+     * @param body the response body if the attempt was served, otherwise null
+     * @param load the load report that came with it, or null
      */
     public record Outcome(AttemptResult result, byte[] body, EndpointLoad load) {
-        /** An outcome that carries neither a body nor a load. */
+        /** Creates an outcome without a body and without a load report. */
         public static Outcome of(AttemptResult result) {
             return new Outcome(result, null, null);
         }
--- a/src/main/java/nettlewick/core/AttemptTracker.java
+++ b/src/main/java/nettlewick/core/AttemptTracker.java
@@ -6,7 +6,7 @@
 import nettlewick.decision.Event.Progress;
 import nettlewick.decision.SchedulerSettings;
 
-/** Sends attempts, times them out, and reports exactly one outcome for each to the decision module. Core thread. */
+/** Sends attempts, enforces their timeouts, and reports one outcome of each to the module. Core thread only. */
 final class AttemptTracker {
     private final CoreLoop loop;
     private final InFlightTable table;
@@ -36,7 +36,7 @@
         maxAttempts = settings.limits().maxAttempts();
     }
 
-    /** Starts the attempt that the module asked for, or ends it at once where it may not be sent. */
+    /** Starts the attempt that the module requested, or ends it immediately if it must not be sent. */
     void dispatch(Dispatch dispatch) {
         InFlightRequest inFlight = table.get(dispatch.id());
         if (inFlight == null) {
@@ -57,7 +57,7 @@
         transport.send(attempt);
     }
 
-    /** The result of an attempt that may not be sent; null where it may. */
+    /** The result to report for an attempt that must not be sent; null if it may be sent. */
     private AttemptResult resultIfNotSendable(InFlightRequest inFlight, Attempt attempt, double now) {
         if (inFlight.isAnswered() || now >= inFlight.request().deadlineMillis() || attempt.number() >= maxAttempts) {
             return AttemptResult.NOT_SENT;
@@ -65,11 +65,11 @@
         if (!endpoints.isKnown(attempt.endpoint())) {
             return AttemptResult.UNREACHABLE;
         }
-        // The module's view may lag behind: an endpoint that drains gets nothing new.
+        // The module's endpoint states may be out of date, so draining endpoints are checked here as well.
         return endpoints.isAccepting(attempt.endpoint()) ? null : AttemptResult.OVERLOADED;
     }
 
-    /** Stops waiting for the attempt that the module names. */
+    /** Cancels the attempt that the module names; ignored if there is no such attempt. */
     void cancel(Cancel cancel) {
         InFlightRequest inFlight = table.get(cancel.id());
         if (inFlight != null
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Passes on that an endpoint reported progress at that time. */
+    /** Records progress that an endpoint reported and passes it on to the module and the caller. */
     void reportProgress(Attempt attempt, double progress, double reportedAtMillis) {
         if (attempt.isEnded()) {
             return;
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Takes the end of an attempt; only its first end counts. */
+    /** Ends an attempt; calls after the first one are ignored. */
     void end(Attempt attempt, Attempt.Outcome outcome, double endedAtMillis) {
         if (!attempt.markEnded()) {
             return;
--- a/src/main/java/nettlewick/core/Clock.java
+++ b/src/main/java/nettlewick/core/Clock.java
@@ -3,9 +3,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The one source of time: milliseconds since the Unix epoch, as a floating-point number that never goes back.
- * It is anchored to Unix time once, when it is created, and follows the monotonic clock from then on, so that a
- * corrected system clock moves no deadline. Any thread may use it.
+ * Time source of the process: milliseconds since the Unix epoch, as a floating-point number that never decreases.
+ * The clock is anchored to Unix time when it is created and follows the monotonic clock from then on, so adjustments
+ * of the system clock do not move deadlines. Thread-safe.
  */
 public final class Clock {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -16,32 +16,32 @@
         this.source = source;
     }
 
-    /** The machine's clock. */
+    /** The system clock. */
     public static Clock system() {
         return system(0);
     }
 
-    /** The machine's clock moved ahead by that many milliseconds, for trials of clocks that differ. */
+    /** The system clock plus an offset, to test processes whose clocks differ. */
     public static Clock system(long aheadMillis) {
         double anchorMillis = System.currentTimeMillis() + aheadMillis;
         long startNanos = System.nanoTime();
         return new Clock(() -> anchorMillis + (System.nanoTime() - startNanos) / NANOS_PER_MILLI);
     }
 
-    /** A clock that stands at {@code nowMillis} until {@link #set} moves it. */
+    /** A manual clock that returns {@code nowMillis} until {@link #advanceTo} moves it. */
     public static Clock stoppedAt(double nowMillis) {
         return new Clock(() -> nowMillis);
     }
 
     /**
-     * Milliseconds since the Unix epoch. Takes no lock: all threads read it all the time, and one that is suspended
-     * inside a lock would make the others queue for it.
+     * Milliseconds since the Unix epoch. Takes no lock: all threads read the clock frequently, and a thread suspended
+     * while holding a lock would block the others.
      */
     public double nowMillis() {
         return source.getAsDouble();
     }
 
-    /** Stops the clock at this time, in milliseconds; at the current time where this one is in the past. */
+    /** Fixes the clock at {@code nowMillis}, or at the current time if that is later. */
     public synchronized void advanceTo(double nowMillis) {
         double next = Math.max(nowMillis, nowMillis());
         source = () -> next;
--- a/src/main/java/nettlewick/core/CoreLoop.java
+++ b/src/main/java/nettlewick/core/CoreLoop.java
@@ -12,11 +12,11 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * The core thread's loop. It owns the decision module: takes tasks from the queue and the timers, hands the events
- * that they raise to the module in batches, and has the resulting actions executed.
+ * The event loop of the core thread. It owns the decision module: it runs queued tasks and due timers, passes the
+ * events that they add to the module in batches, and executes the resulting actions.
  *
- * <p>{@link #post} and {@link #stop} may be called by any thread. All else belongs to the core thread, which is the
- * first one to run the loop; assertions check that.
+ * <p>{@link #post} and {@link #stop} may be called on any thread. All other methods must be called on the core thread,
+ * which is the first thread to run the loop; assertions check this.
  */
 final class CoreLoop implements Runnable {
     static final ComponentLogger LOG = ComponentLogger.of("core");
@@ -43,17 +43,17 @@
         nowMillis = clock.nowMillis();
     }
 
-    /** Queues a task for the core thread. Any thread. */
+    /** Queues a task for the core thread. Thread-safe. */
     void post(Runnable task) {
         queue.add(task);
     }
 
-    /** Ends {@link #run} once the tasks queued before have run. Any thread. */
+    /** Ends {@link #run} after the tasks that are already queued. Thread-safe. */
     void stop() {
         post(() -> stopped = true);
     }
 
-    /** The time at which the current iteration began. */
+    /** The time at which the current iteration started. */
     double nowMillis() {
         assert isCoreThread();
         return nowMillis;
@@ -70,7 +70,7 @@
         return !pendingEvents.isEmpty();
     }
 
-    /** Runs the task in the first iteration that begins at or after that time. */
+    /** Runs the task in the first iteration that starts at or after {@code dueAtMillis}. */
     void schedule(double dueAtMillis, Runnable task) {
         assert isCoreThread();
         timers.add(dueAtMillis, task);
@@ -94,7 +94,7 @@
         return pendingEvents.isEmpty() ? timers.millisUntilNext(clock.nowMillis(), MAX_IDLE_MILLIS) : 0;
     }
 
-    /** Waits for a task for at most that long, then runs all tasks that are ready and decides on their events. */
+    /** Waits up to {@code maxWaitMillis} for a task, runs all ready tasks, then passes their events to the module. */
     void runIteration(double maxWaitMillis) throws InterruptedException {
         claimCoreThread();
         Runnable first = queue.poll((long) Math.ceil(maxWaitMillis * MICROS_PER_MILLI), TimeUnit.MICROSECONDS);
@@ -124,7 +124,7 @@
         try {
             actions = module.handle(ModuleTime.toNanos(nowMillis), events);
         } catch (RuntimeException e) {
-            LOG.error("module-failed", "decision module failed on " + events.size() + " events", e);
+            LOG.error("module-failed", "decision module failed to handle " + events.size() + " events", e);
             return;
         }
         for (Action action : actions) {
@@ -132,12 +132,12 @@
         }
     }
 
-    /** A fault in one task must not end the thread that all requests depend on. */
+    /** Logs exceptions: a failing task must not terminate the core thread, on which all requests depend. */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("task-failed", "core task failed", e);
+            LOG.error("task-failed", "task on the core thread failed", e);
         }
     }
 
--- a/src/main/java/nettlewick/core/DeadlineGuard.java
+++ b/src/main/java/nettlewick/core/DeadlineGuard.java
@@ -1,6 +1,6 @@
 package nettlewick.core;
 
-/** Ends each request that the decision module has not answered by its deadline. Core thread. */
+/** Ends requests that the decision module has not answered by their deadline. Core thread only. */
 final class DeadlineGuard {
     private static final double GRACE_MILLIS = 10;
 
@@ -19,9 +19,9 @@
     }
 
     /**
-     * After a pause of the thread the outcome of an attempt that timed out may be pending in this iteration too, and
-     * the module may still reject what would be failed here. So the module goes first, but only once: under a flood
-     * there are pending events in every iteration.
+     * After a pause of the core thread, the outcome of a timed-out attempt may be pending in the same iteration, and
+     * the module may still reject a request that would be failed here. The check is therefore postponed until the
+     * module has handled pending events, but only once: under high load, every iteration has pending events.
      */
     private void check(InFlightRequest inFlight, boolean mayPostpone) {
         if (inFlight.isAnswered()) {
@@ -33,7 +33,7 @@
         }
         CoreLoop.LOG.warning(
                 "left-open",
-                "request " + inFlight.id() + " was still in flight at its deadline",
+                "request " + inFlight.id() + " had no final answer at its deadline",
                 "request",
                 inFlight.id(),
                 "member",
--- a/src/main/java/nettlewick/core/DrainHandover.java
+++ b/src/main/java/nettlewick/core/DrainHandover.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Carries out the {@link DrainPolicy}: hands requests to the decision module, holds back or rejects those that would
- * outlive this process, and ends what is in flight before the kill. Core thread.
+ * Applies the {@link DrainPolicy}: passes requests to the decision module, holds or rejects those that would outlive
+ * this process, and ends the requests in flight before the process is killed. Core thread only.
  */
 final class DrainHandover {
     private final CoreLoop loop;
@@ -22,7 +22,7 @@
         this.retryAdvice = retryAdvice;
     }
 
-    /** Hands an accepted request to the module now, holds it back, or rejects it. */
+    /** Passes an accepted request to the module, holds it, or rejects it. */
     void admit(InFlightRequest inFlight) {
         Request request = inFlight.request();
         switch (policy.decide(request.requestClass(), request.costHintMillis(), loop.nowMillis())) {
@@ -39,7 +39,7 @@
         loop.addEvent(ModuleEvents.arrival(inFlight.request(), loop.nowMillis()));
     }
 
-    /** A successor takes the retry at once; without one the next process takes a while to start. */
+    /** A successor can take the retry immediately; after {@link #endAllRequests}, a new process must start first. */
     private void rejectUnsent(InFlightRequest inFlight) {
         answers.reject(
                 inFlight, policy.isAdmissionStopped() ? retryAdvice.afterRestart() : retryAdvice.atOtherDispatcher());
@@ -50,25 +50,25 @@
         held.clear();
     }
 
-    /** A successor starts: draining and the kill are expected at these times. */
+    /** Sets when draining and the kill are expected, because a successor process is starting. */
     void expectSuccessor(double drainAtMillis, double killAtMillis) {
         policy.expectDraining(drainAtMillis, killAtMillis);
     }
 
-    /** There is no successor after all. */
+    /** Releases the held requests, because no successor is taking over. */
     void cancelExpectedDraining() {
         policy.cancelExpectedDraining();
         releaseHeld();
     }
 
-    /** Draining starts: what is held back is rejected. */
+    /** Starts draining and rejects the held requests. */
     void startDraining(double killAtMillis) {
         policy.startDraining(killAtMillis);
         List.copyOf(held).forEach(this::rejectUnsent);
         held.clear();
     }
 
-    /** Ends all requests: rejects them where a retry is harmless, else fails them. Later ones are rejected. */
+    /** Ends all requests: rejects them if a retry is safe, otherwise fails them. Later requests are rejected. */
     void endAllRequests() {
         policy.stopAdmitting();
         for (InFlightRequest inFlight : table.unanswered()) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Whether a request ends in time only if draining waits; the kill comes {@code killDelayMillis} after it. */
+    /** Whether some request ends in time only if draining, which precedes the kill by that delay, is postponed. */
     boolean isDelayingDrainUseful(double killDelayMillis) {
         double now = loop.nowMillis();
         return table.unanswered().stream()
@@ -94,7 +94,7 @@
                 .orElse(expectedMillis);
     }
 
-    /** Learns from an attempt that was served how long requests of its class run. */
+    /** Updates the run time estimate of the request class from an attempt that was served. */
     void learnRunTime(Attempt served) {
         Request request = served.request();
         double ranMillis = served.runMillis(loop.nowMillis());
--- a/src/main/java/nettlewick/core/DrainPolicy.java
+++ b/src/main/java/nettlewick/core/DrainPolicy.java
@@ -1,24 +1,24 @@
 package nettlewick.core;
 
 /**
- * Decides which requests a process that will be drained still takes, by how long they are expected to run before the
- * kill; see docs/deployments.md. Pure: it reads no clock, and all times and durations are milliseconds.
+ * Decides which requests a process still accepts before it is drained and killed, based on their expected run time;
+ * see docs/deployments.md. Reads no clock; all times and durations are in milliseconds.
  */
 final class DrainPolicy {
-    /** What becomes of a request: it proceeds, is held back until draining starts, or is rejected. */
+    /** Whether a request is admitted, held until draining starts, or rejected. */
     enum Decision {
         ADMIT,
         HOLD,
         REJECT
     }
 
-    /** Applied to expected run times where a request must end in time. */
+    /** Applied to the expected run time of requests that must end before the kill. */
     private static final double RUN_TIME_SAFETY_FACTOR = 1.3;
-    /** Applied to expected run times where waiting is worth while even if the request may end too late. */
+    /** Applied to the expected run time when deciding to delay draining, which is worthwhile for uncertain requests. */
     private static final double OPTIMISTIC_RUN_TIME_FACTOR = 0.8;
-    /** Covers the writing of the answer and a difference between two processes' clocks. */
+    /** Allows for writing the answer and for clock differences between the two processes. */
     private static final double KILL_MARGIN_MILLIS = 300;
-    /** Draining that has not started that long after it was expected is not coming. */
+    /** If draining has not started this long after the expected time, it is no longer expected. */
     static final double MAX_DRAIN_DELAY_MILLIS = 1000;
 
     private final RunTimeEstimator runTimes = new RunTimeEstimator();
@@ -27,17 +27,17 @@
     private boolean draining;
     private boolean admissionStopped;
 
-    /** Records how long a request ran; without a hint, {@code hintMillis} is 0. */
+    /** Records the run time of a request; {@code hintMillis} is 0 if it had no cost hint. */
     void recordRunTime(String requestClass, double hintMillis, double runMillis) {
         runTimes.record(requestClass, hintMillis, runMillis);
     }
 
-    /** How long a request is expected to run, 0 if unknown. */
+    /** The expected run time of a request; 0 if unknown. */
     double expectedRunMillis(String requestClass, double hintMillis) {
         return runTimes.expectedMillis(requestClass, hintMillis);
     }
 
-    /** Draining and the kill are expected at these times; ignored once draining has started. */
+    /** Sets when draining and the kill are expected; ignored after draining has started. */
     void expectDraining(double drainAtMillis, double killAtMillis) {
         if (!draining) {
             expectedDrainAtMillis = drainAtMillis;
@@ -45,18 +45,18 @@
         }
     }
 
-    /** No draining is expected any more; ignored once draining has started. */
+    /** Withdraws the expectation of draining; ignored after draining has started. */
     void cancelExpectedDraining() {
         expectDraining(Double.NaN, Double.NaN);
     }
 
-    /** Draining has started; the kill comes no sooner than at that time. */
+    /** Starts draining; the process is killed at {@code killAtMillis} at the earliest. */
     void startDraining(double killAtMillis) {
         draining = true;
         this.killAtMillis = killAtMillis;
     }
 
-    /** The kill is so near that every further request is rejected. */
+    /** Rejects all further requests, because the kill is imminent. */
     void stopAdmitting() {
         admissionStopped = true;
     }
@@ -65,12 +65,12 @@
         return admissionStopped;
     }
 
-    /** When held requests proceed if draining has not started. */
+    /** When held requests are admitted if draining has not started by then. */
     double holdUntilMillis() {
         return expectedDrainAtMillis + MAX_DRAIN_DELAY_MILLIS;
     }
 
-    /** Decides about a request that arrives now. One that outlived this process would be lost with it. */
+    /** Decides on a request that arrives now. A request still running at the kill would be lost. */
     Decision decide(String requestClass, double hintMillis, double nowMillis) {
         if (admissionStopped) {
             return Decision.REJECT;
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Whether a request with that much left to run is saved if draining waits until its expected start: it may end
-     * before the kill then, and would not if draining started now with the kill {@code killDelayMillis} later.
+     * Whether a request with {@code remainingMillis} left to run is saved if draining is delayed to its expected start:
+     * it may then end before the kill, but not if draining started now and the kill came {@code killDelayMillis} later.
      */
     boolean isSavedByDelayingDrain(double remainingMillis, double nowMillis, double killDelayMillis) {
         boolean canWait = !draining && nowMillis < expectedDrainAtMillis;
--- a/src/main/java/nettlewick/core/EndpointStates.java
+++ b/src/main/java/nettlewick/core/EndpointStates.java
@@ -6,13 +6,13 @@
 import nettlewick.decision.EndpointState;
 import nettlewick.decision.Event.EndpointList;
 
-/** Which endpoints have ever been listed, and which of them take requests now. Core thread. */
+/** Tracks which endpoints have ever been listed and which of them accept requests. Core thread only. */
 final class EndpointStates {
     private final Set<String> known = new HashSet<>();
     private final Set<String> ready = new HashSet<>();
     private final Set<String> disabled = new HashSet<>();
 
-    /** Applies an update and returns it as the decision module reads it. */
+    /** Applies an update and returns it as an event for the decision module. */
     EndpointList apply(EndpointUpdate update) {
         if (update.isFullList()) {
             ready.clear();
@@ -43,7 +43,7 @@
                 entry.size());
     }
 
-    /** Takes over whether an operator has disabled the endpoint. */
+    /** Sets whether the endpoint is administratively disabled. */
     void setDisabled(String endpoint, boolean isDisabled) {
         if (isDisabled) {
             disabled.add(endpoint);
--- a/src/main/java/nettlewick/core/FinalAnswers.java
+++ b/src/main/java/nettlewick/core/FinalAnswers.java
@@ -3,7 +3,7 @@
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.decision.Event.Abandoned;
 
-/** Gives each request its one final answer; for a request that has one already, all methods do nothing. Core thread. */
+/** Delivers exactly one final answer per request; calls for an answered request are ignored. Core thread only. */
 final class FinalAnswers {
     private final CoreLoop loop;
     private final InFlightTable table;
@@ -17,7 +17,7 @@
         this.listener = listener;
     }
 
-    /** Rejects a request that was not accepted; {@code retryAfterMillis} 0 is no advice. */
+    /** Rejects a request that was not accepted; {@code retryAfterMillis} is 0 for no advice. */
     void rejectUnaccepted(Request request, double retryAfterMillis) {
         listener.onRequestRejected(request);
         accounting.record(request, Ending.REFUSED, () -> request.caller().onRejected(retryAfterMillis));
@@ -28,19 +28,19 @@
         accounting.record(request, Ending.FAILED, () -> request.caller().onFailed(reason));
     }
 
-    /** Rejects a request; {@code retryAfterMillis} 0 is no advice. */
+    /** Rejects a request; {@code retryAfterMillis} is 0 for no advice. */
     void reject(InFlightRequest inFlight, double retryAfterMillis) {
         if (table.markAnswered(inFlight)) {
-            release(inFlight, retryAfterMillis);
+            releaseRejection(inFlight, retryAfterMillis);
         }
     }
 
     /**
-     * Ends a request that the module still counts on, and tells the module: rejects it where a retry is harmless, else
+     * Ends a request that the module still handles, and notifies the module: rejects it if a retry is safe, otherwise
      * fails it.
      *
-     * @param retryAfterMillis advice where it is rejected; 0 for none
-     * @param reason           goes to the client where it is failed
+     * @param retryAfterMillis advice if the request is rejected; 0 for none
+     * @param reason           sent to the client if the request is failed
      */
     void withdraw(InFlightRequest inFlight, double retryAfterMillis, String reason) {
         if (inFlight.isSafeToReject()) {
@@ -53,38 +53,38 @@
     private void rejectAndWithdraw(InFlightRequest inFlight, double retryAfterMillis) {
         if (table.markAnswered(inFlight)) {
             loop.addEvent(new Abandoned(inFlight.id()));
-            release(inFlight, retryAfterMillis);
+            releaseRejection(inFlight, retryAfterMillis);
         }
     }
 
-    private void release(InFlightRequest inFlight, double retryAfterMillis) {
+    private void releaseRejection(InFlightRequest inFlight, double retryAfterMillis) {
         Request request = inFlight.request();
         listener.onRequestRejected(request);
         accounting.record(inFlight, Ending.REFUSED, null, () -> request.caller().onRejected(retryAfterMillis));
         table.removeIfFinished(inFlight);
     }
 
-    /** Fails a request; the reason goes to its client. */
+    /** Fails a request; the reason is sent to its client. */
     void fail(InFlightRequest inFlight, String reason) {
         if (table.markAnswered(inFlight)) {
-            release(inFlight, reason);
+            releaseFailure(inFlight, reason);
         }
     }
 
     private void failAndWithdraw(InFlightRequest inFlight, String reason) {
         if (table.markAnswered(inFlight)) {
             loop.addEvent(new Abandoned(inFlight.id()));
-            release(inFlight, reason);
+            releaseFailure(inFlight, reason);
         }
     }
 
-    private void release(InFlightRequest inFlight, String reason) {
+    private void releaseFailure(InFlightRequest inFlight, String reason) {
         Request request = inFlight.request();
         accounting.record(inFlight, Ending.FAILED, null, () -> request.caller().onFailed(reason));
         table.removeIfFinished(inFlight);
     }
 
-    /** Ends a request whose client has gone: it is owed no answer. */
+    /** Ends a request whose client has disconnected; no answer is sent. */
     void abandon(InFlightRequest inFlight) {
         if (table.markAnswered(inFlight)) {
             accounting.record(inFlight, Ending.LEFT, null, () -> {});
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Answers with an attempt's result. The request stays in the table, since its attempt's outcome is due next. */
+    /** Answers with an attempt's result. The request stays in the table until that attempt's outcome is reported. */
     void serve(InFlightRequest inFlight, Attempt servingAttempt, byte[] result) {
         if (table.markAnswered(inFlight)) {
             Request request = inFlight.request();
--- a/src/main/java/nettlewick/core/InFlightRequest.java
+++ b/src/main/java/nettlewick/core/InFlightRequest.java
@@ -7,8 +7,8 @@
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /**
- * A request from its acceptance until its final answer and the outcome of its last attempt. Owned by the core
- * thread; only {@link #isAnswered} may be read by others.
+ * An accepted request, until it has a final answer and the outcome of its last attempt. Owned by the core thread; other
+ * threads may call {@link #isAnswered} only.
  */
 final class InFlightRequest {
     private static final int INITIAL_ATTEMPT_CAPACITY = 2;
@@ -16,7 +16,7 @@
     private final Request request;
     private final RequestClass requestClass;
     private final List<Attempt> attempts = new ArrayList<>(INITIAL_ATTEMPT_CAPACITY);
-    /** Volatile since the event loop reads it before it writes an attempt to an endpoint. */
+    /** Volatile because the event loop reads it before it writes an attempt to an endpoint. */
     private volatile boolean answered;
 
     InFlightRequest(Request request, RequestClass requestClass) {
@@ -32,12 +32,12 @@
         return request.id();
     }
 
-    /** The attempts in the order of their numbers, as a view. */
+    /** An unmodifiable view of the attempts, in the order of their numbers. */
     List<Attempt> attempts() {
         return Collections.unmodifiableList(attempts);
     }
 
-    /** Adds the next attempt, not sent yet. */
+    /** Adds the next attempt, which has not been sent yet. */
     Attempt addAttempt(String endpoint, double nowMillis) {
         Attempt attempt =
                 new Attempt(request, attempts.size(), endpoint, nowMillis, latestStartMillis(), () -> !answered);
@@ -45,26 +45,26 @@
         return attempt;
     }
 
-    /** Whether its final answer is decided. Any thread. */
+    /** Whether the final answer is decided. Thread-safe. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** Marks the final answer as decided; true for the first call only. */
+    /** Marks the final answer as decided; returns true for the first call only. */
     boolean markAnswered() {
         boolean first = !answered;
         answered = true;
         return first;
     }
 
-    /** Whether it may be rejected without the risk that a retry executes it twice with effect. */
+    /** Whether rejecting the request carries no risk that a retry repeats its effects. */
     boolean isSafeToReject() {
         return attempts.stream().noneMatch(Attempt::mayHaveRun) || requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
     /**
-     * Until when one more attempt may start: the deadline, and with an idempotency key also the end of the dedup
-     * window, counted from the first attempt that may have run.
+     * The latest start time of another attempt: the deadline or, for keyed requests, the end of the deduplication
+     * window if earlier. The window starts when the first attempt that may have run was sent.
      */
     private double latestStartMillis() {
         if (requestClass.idempotency() == Idempotency.KEYED) {
--- a/src/main/java/nettlewick/core/InFlightTable.java
+++ b/src/main/java/nettlewick/core/InFlightTable.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
-/** The requests in flight, the ids of those that finished lately, and the limit on unanswered ones. Core thread. */
+/** Requests in flight, ids of recently finished requests, and the limit on unanswered requests. Core thread only. */
 final class InFlightTable {
-    /** Some minutes of traffic. */
+    /** Covers a few minutes of traffic. */
     private static final int MAX_FINISHED_IDS = 10_000;
 
     private final Map<String, InFlightRequest> requests = new HashMap<>();
-    /** The oldest first. */
+    /** Oldest first. */
     private final Set<String> finishedIds = new LinkedHashSet<>();
 
     private int maxUnanswered;
@@ -27,7 +27,7 @@
         this.maxUnanswered = maxUnanswered;
     }
 
-    /** Whether as many requests wait for their final answer as may. */
+    /** Whether the limit on unanswered requests is reached. */
     boolean isFull() {
         return unansweredCount >= maxUnanswered;
     }
@@ -36,7 +36,7 @@
         return unansweredCount;
     }
 
-    /** Whether the id belongs to a request in flight or to one that finished lately. */
+    /** Whether the id belongs to a request in flight or to a recently finished one. */
     boolean isKnownId(String id) {
         return requests.containsKey(id) || finishedIds.contains(id);
     }
@@ -48,17 +48,17 @@
         return inFlight;
     }
 
-    /** The request in flight of that id, or null. */
+    /** The request in flight with that id, or null. */
     InFlightRequest get(String id) {
         return requests.get(id);
     }
 
-    /** A copy of those that wait for their final answer. */
+    /** A copy of the requests without a final answer. */
     List<InFlightRequest> unanswered() {
         return requests.values().stream().filter(r -> !r.isAnswered()).toList();
     }
 
-    /** Marks the final answer as decided; true for the first call of a request only. */
+    /** Marks the final answer as decided; returns true for the first call per request only. */
     boolean markAnswered(InFlightRequest inFlight) {
         boolean first = inFlight.markAnswered();
         if (first) {
@@ -67,7 +67,7 @@
         return first;
     }
 
-    /** Drops a request that is answered and has no attempt in flight, and remembers its id. */
+    /** Removes the request if it is answered and has no attempt in flight, and remembers its id. */
     void removeIfFinished(InFlightRequest inFlight) {
         if (inFlight.isAnswered() && !inFlight.hasAttemptInFlight() && requests.remove(inFlight.id(), inFlight)) {
             finishedIds.add(inFlight.id());
--- a/src/main/java/nettlewick/core/Metrics.java
+++ b/src/main/java/nettlewick/core/Metrics.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Metrics for operators. Whoever sees something happen counts it, on any thread; readers get an immutable copy. Counts
- * start with the process, all request classes at 0.
+ * Metrics for operators. Thread-safe: events are counted on the thread on which they occur, and readers get an
+ * immutable snapshot. Counts start at 0 when the process starts, for all request classes.
  */
 public final class Metrics {
-    /** How a request ended for its client. Snapshots hold counts in this order. */
+    /** How a request ended for its client. Snapshots contain the counts in this order. */
     public enum RequestEnd {
         SERVED("fulfilled"),
         REJECTED("throttled"),
@@ -25,22 +25,22 @@
             this.metricName = metricName;
         }
 
-        /** Its part of the metric's name that operators read. */
+        /** The component of the metric name that stands for this end. */
         public String metricName() {
             return metricName;
         }
     }
 
     /**
-     * All metrics at one moment.
+     * All metrics at one point in time.
      *
-     * @param jobs    for each request class a count for each {@link RequestEnd}, in its order
-     * @param relayed attempts forwarded to an endpoint in full
-     * @param open    requests in flight
-     * @param listed  endpoints on the list
-     * @param avoided endpoints on the list that get no requests now
-     * @param peers   peer datagrams that the decision module discarded, by kind ({@code damaged}, {@code late},
-     *                {@code unlisted})
+     * @param endsByClass       for each request class the counts of each {@link RequestEnd}, in declaration order
+     * @param forwardedAttempts attempts written to an endpoint completely
+     * @param inFlightRequests  requests in flight
+     * @param listedEndpoints   endpoints on the endpoint list
+     * @param ejectedEndpoints  endpoints on the endpoint list that currently get no requests
+     * @param peerMessageFaults peer datagrams that the decision module discarded, by kind ({@code damaged},
+     *                          {@code late}, {@code unlisted})
      */
     public record Snapshot(
             Map<String, List<Long>> endsByClass,
@@ -69,7 +69,7 @@
         return counters;
     }
 
-    /** Counts one request from its acceptance to its end; only the first end counts. Confined to one thread. */
+    /** Counts one request as in flight until its end; only the first end counts. Must be used on one thread. */
     public final class RequestTracker {
         private final String requestClass;
         private UsageRecorder.DeliveryCallback deliveryCallback = UsageRecorder.DeliveryCallback.NONE;
@@ -79,7 +79,7 @@
             this.requestClass = requestClass;
         }
 
-        /** Sets the receipt that is notified of the end; at once where the request has ended. */
+        /** Sets the callback to notify of the end; if the request has ended, it is notified immediately. */
         public void setDeliveryCallback(UsageRecorder.DeliveryCallback callback) {
             if (ended) {
                 callback.onAbandoned();
@@ -88,7 +88,7 @@
             }
         }
 
-        /** The last byte of the answer is written. */
+        /** Records that the last byte of the answer was written. */
         public void markAnswered(RequestEnd end) {
             if (markEnded()) {
                 countEnd(requestClass, end);
@@ -96,7 +96,7 @@
             }
         }
 
-        /** The client has gone: no answer counts. */
+        /** Records that the client has disconnected; no answer is counted. */
         public void markAbandoned() {
             if (markEnded()) {
                 deliveryCallback.onAbandoned();
@@ -113,13 +113,13 @@
         }
     }
 
-    /** Counts a request as in flight until its ticket ends. */
+    /** Counts a request as in flight until the returned tracker is ended. */
     public RequestTracker trackRequest(String requestClass) {
         inFlight.incrementAndGet();
         return new RequestTracker(requestClass);
     }
 
-    /** Counts the end of a request; one of an unknown class is not counted. */
+    /** Counts the end of a request; ignored if the request class is unknown. */
     public void countEnd(String requestClass, RequestEnd end) {
         Map<RequestEnd, AtomicLong> counters = endsByClass.get(requestClass);
         if (counters != null) {
@@ -127,23 +127,23 @@
         }
     }
 
-    /** Counts an attempt that was written to its endpoint in full. */
+    /** Counts an attempt that was written to its endpoint completely. */
     public void countForwarded() {
         forwarded.incrementAndGet();
     }
 
-    /** Sets how many endpoints are on the list, and how many of them get no requests now. */
+    /** Sets the number of endpoints on the endpoint list, and how many of them currently get no requests. */
     void setEndpointCounts(int listed, int ejected) {
         listedEndpoints = listed;
         ejectedEndpoints = ejected;
     }
 
-    /** Sets how many peer datagrams the decision module has discarded since the start, by kind. */
+    /** Sets the number of peer datagrams discarded by the decision module since the process started, by kind. */
     void setPeerMessageFaults(Map<String, Long> countsByKind) {
         peerMessageFaults = Map.copyOf(countsByKind);
     }
 
-    /** A copy of all metrics now. */
+    /** A copy of all metrics at the current time. */
     public Snapshot snapshot() {
         Map<String, List<Long>> ends = new LinkedHashMap<>();
         endsByClass.forEach((name, counters) ->
--- a/src/main/java/nettlewick/core/ModuleEvents.java
+++ b/src/main/java/nettlewick/core/ModuleEvents.java
@@ -4,7 +4,7 @@
 import nettlewick.decision.Event.Outcome;
 import nettlewick.decision.Event.ProbeAnswer;
 
-/** Makes the decision module's events from what this package knows. */
+/** Creates events for the decision module from the state of this package. */
 final class ModuleEvents {
     private ModuleEvents() {}
 
@@ -21,7 +21,7 @@
                 request.isRetry());
     }
 
-    /** {@code requestSettled} says whether the request has its final answer. */
+    /** {@code requestSettled} is whether the request has a final answer. */
     static Outcome outcome(Attempt attempt, Attempt.Outcome outcome, double endedAtMillis, boolean requestSettled) {
         return new Outcome(
                 attempt.request().id(),
--- a/src/main/java/nettlewick/core/ModuleStatsSampler.java
+++ b/src/main/java/nettlewick/core/ModuleStatsSampler.java
@@ -8,7 +8,7 @@
 import nettlewick.decision.Dispatcher.EndpointCounts;
 import nettlewick.decision.Dispatcher.PeerMessageFaults;
 
-/** Copies the decision module's own counts into the {@link Metrics} at intervals. Core thread. */
+/** Copies the decision module's statistics to the {@link Metrics} periodically. Core thread only. */
 final class ModuleStatsSampler {
     private static final double SAMPLE_INTERVAL_MILLIS = 50;
 
@@ -33,7 +33,7 @@
         reportPeerFaults(module.peerMessageFaults());
     }
 
-    /** Publishes the counts of discarded peer messages; each kind is logged when it is first seen. */
+    /** Publishes the counts of discarded peer messages; logs the first occurrence of each kind. */
     private void reportPeerFaults(PeerMessageFaults faults) {
         if (faults.equals(lastFaults)) {
             return;
@@ -52,8 +52,8 @@
     private static void logFirstFault(String kind, long count) {
         CoreLoop.LOG.warning(
                 "peer-" + kind,
-                "peer datagrams discarded: " + count + " " + kind
-                        + "; counted from now on in the metrics, not logged again",
+                "discarded " + count + " peer datagrams of kind '" + kind
+                        + "'; further ones are counted in the metrics and not logged",
                 "kind",
                 kind);
     }
--- a/src/main/java/nettlewick/core/OutboundCall.java
+++ b/src/main/java/nettlewick/core/OutboundCall.java
@@ -1,7 +1,7 @@
 package nettlewick.core;
 
 /**
- * Something sent to an endpoint that ends once. The core thread owns its state; the endpoint's id may be read by any
+ * A call to an endpoint, which ends exactly once. Owned by the core thread; {@link #endpoint} may be called on any
  * thread.
  */
 abstract class OutboundCall {
@@ -14,7 +14,7 @@
         this.sentAtMillis = sentAtMillis;
     }
 
-    /** The id of the endpoint that it goes to. */
+    /** The id of the endpoint that is called. */
     public final String endpoint() {
         return endpoint;
     }
@@ -23,7 +23,7 @@
         return sentAtMillis;
     }
 
-    /** Marks it as ended; true for the first call only. */
+    /** Marks the call as ended; returns true for the first call only. */
     final boolean markEnded() {
         boolean first = !ended;
         ended = true;
--- a/src/main/java/nettlewick/core/Probe.java
+++ b/src/main/java/nettlewick/core/Probe.java
@@ -1,6 +1,6 @@
 package nettlewick.core;
 
-/** One request to an endpoint for its load. */
+/** A load probe of an endpoint. */
 public final class Probe extends OutboundCall {
     Probe(String endpoint, double sentAtMillis) {
         super(endpoint, sentAtMillis);
--- a/src/main/java/nettlewick/core/ProbeTracker.java
+++ b/src/main/java/nettlewick/core/ProbeTracker.java
@@ -2,9 +2,9 @@
 
 import nettlewick.decision.AttemptResult;
 
-/** Sends load probes, times them out, and reports exactly one answer for each to the decision module. Core thread. */
+/** Sends load probes, enforces their timeout, and reports one answer of each to the module. Core thread only. */
 final class ProbeTracker {
-    /** An answer older than this is worth nothing to the module. */
+    /** An answer that takes longer than this is of no use to the module. */
     private static final double PROBE_TIMEOUT_MILLIS = 1000;
 
     private final CoreLoop loop;
@@ -25,7 +25,7 @@
         transport.probe(probe);
     }
 
-    /** Takes the end of a probe; only its first end counts. */
+    /** Ends a probe; calls after the first one are ignored. */
     void end(Probe probe, Attempt.Outcome outcome, double endedAtMillis) {
         if (probe.markEnded()) {
             loop.addEvent(ModuleEvents.probeAnswer(probe, outcome, endedAtMillis));
--- a/src/main/java/nettlewick/core/ReplaceableListener.java
+++ b/src/main/java/nettlewick/core/ReplaceableListener.java
@@ -2,7 +2,7 @@
 
 import nettlewick.decision.AttemptResult;
 
-/** Forwards to a listener that may be set after construction, but before the core thread starts. */
+/** Delegates to a listener that may be set after construction, but only before the core thread starts. */
 final class ReplaceableListener implements RequestListener {
     private RequestListener target = NONE;
 
--- a/src/main/java/nettlewick/core/Request.java
+++ b/src/main/java/nettlewick/core/Request.java
@@ -1,19 +1,19 @@
 package nettlewick.core;
 
 /**
- * A client's request, independent of the protocol that it came by. Immutable; any thread.
+ * A client's request, independent of the protocol by which it arrived. Immutable.
  *
- * @param id           chosen by the client, accepted once
- * @param requestClass one of the classes of the settings
- * @param tenant       whose request it is; null for none
- * @param key          what requests that belong together share, for affinity; null for none
- * @param deadline     when the client stops waiting, in milliseconds on the {@link Clock}
- * @param slots        the endpoint slots that it occupies
- * @param memory       the endpoint memory that it occupies
- * @param costHint     the client's estimate of the work, in milliseconds; 0 for none
- * @param repeat       whether the client says that it is a retry
- * @param cargo        what goes on to the endpoint unchanged
- * @param caller       who waits for the answer
+ * @param id             chosen by the client; each id is accepted once
+ * @param requestClass   one of the request classes of the settings
+ * @param tenant         the tenant that sent the request; null for none
+ * @param affinityKey    shared by requests that should go to the same endpoint; null for none
+ * @param deadlineMillis when the client stops waiting, in milliseconds on the {@link Clock}
+ * @param slots          the endpoint slots that the request occupies
+ * @param memory         the endpoint memory that the request occupies
+ * @param costHintMillis the client's estimate of the work, in milliseconds; 0 for none
+ * @param isRetry        whether the client marked the request as a retry
+ * @param payload        passed to the endpoint unchanged
+ * @param caller         receives the answer
  */
 public record Request(
         String id,
@@ -28,43 +28,44 @@
         Payload payload,
         Caller caller) {
 
-    /** What passes through unchanged; only the frontend that made it and the transport look inside. */
+    /** Content that is passed through unchanged; only the frontend that created it and the transport read it. */
     public interface Payload {}
 
-    /** A cargo that may carry an idempotency key. */
+    /** A payload that may have an idempotency key. */
     public interface IdempotencyKeyed extends Payload {
         /** The key, or null for none. */
         String idempotencyKey();
     }
 
     /**
-     * The side that waits for a request. Exactly one of the three final answers comes. Calls come from the core
-     * thread, or from the usage recorder's thread where one holds answers back, and must not block.
+     * Receives the answer to a request. Exactly one of {@link #onServed}, {@link #onRejected} and {@link #onFailed} is
+     * called. Methods are called on the core thread, or on the usage recorder's thread if one holds answers back, and
+     * must not block.
      */
     public interface Caller {
-        /** The receipt to notify once the final answer, which comes next, is written. By default it is at once. */
+        /** Sets the callback to notify when the final answer that follows is written. Notified at once by default. */
         default void setDeliveryCallback(UsageRecorder.DeliveryCallback callback) {
             callback.onDelivered();
         }
 
         /**
-         * Whether anybody still waits for the answer. Asked on the event loop right before an attempt is written; a
-         * client that may reconnect for its answer counts as present all the time.
+         * Whether the client still waits for the answer. Called on the event loop immediately before an attempt is
+         * written; a client that may reconnect to get its answer always counts as present.
          */
         default boolean isPresent() {
             return true;
         }
 
-        /** Not final: this share of the work is done, from 0 to 1. */
+        /** Not final: progress of the work, from 0 to 1. */
         default void onProgress(double progress) {}
 
-        /** Final: the endpoint's result. */
+        /** Final: the endpoint's response body. */
         void onServed(byte[] result);
 
-        /** Final: rejected, a retry is harmless, best after that many milliseconds (0 for no advice). */
+        /** Final: rejected; a retry is safe, preferably after this delay (0 for no advice). */
         void onRejected(double retryAfterMillis);
 
-        /** Final: no result, and the request may have been executed. */
+        /** Final: failed without a result; the request may have been executed. */
         void onFailed(String reason);
     }
 }
--- a/src/main/java/nettlewick/core/RequestCoordinator.java
+++ b/src/main/java/nettlewick/core/RequestCoordinator.java
@@ -13,11 +13,11 @@
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /**
- * Connects requests, attempts and outcomes to the decision module and guarantees what its interface asks for: one
- * outcome for each dispatch, one answer for each probe, and one final answer for each request, in time.
+ * Connects requests, attempts and outcomes to the decision module and provides the guarantees that its interface
+ * requires: one outcome per dispatch, one answer per probe, and one final answer per request by its deadline.
  *
- * <p>One thread runs {@link #run}; it owns the module and all state. The other public methods may be called by any
- * thread: they queue a task for the core thread and return at once. Results leave through {@link Transport} and
+ * <p>The core thread runs {@link #run} and owns the module and all state. The other public methods are thread-safe:
+ * they queue a task for the core thread and return immediately. Results are delivered through {@link Transport} and
  * {@link Request.Caller}. Times are in milliseconds on the {@link Clock}.
  */
 public final class RequestCoordinator implements Runnable {
@@ -34,17 +34,17 @@
     private final ProbeTracker probes;
     private final ActionExecutor actions;
 
-    /** Creates a coordinator that records no usage; see the other constructor. */
+    /** Creates a coordinator that does not record usage; see the other constructor. */
     public RequestCoordinator(
             Clock clock, SchedulerSettings settings, long seed, int maxInFlight, Transport transport) {
         this(clock, settings, seed, maxInFlight, transport, UsageRecorder.NONE);
     }
 
     /**
-     * Creates a coordinator with a decision module of its own.
+     * Creates a coordinator and its decision module.
      *
-     * @param seed        of the module's random numbers
-     * @param maxInFlight how many requests may wait for their final answer at once; more are rejected
+     * @param seed        seed of the module's random numbers
+     * @param maxInFlight maximum number of unanswered requests; more are rejected
      */
     public RequestCoordinator(
             Clock clock,
@@ -82,7 +82,7 @@
         actions.accept(action);
     }
 
-    /** Notifies this listener of all that happens; to be set before the core thread starts. */
+    /** Sets the listener; must be called before the core thread starts. */
     public void setListener(RequestListener newListener) {
         listener.replace(newListener);
     }
@@ -98,7 +98,7 @@
         loop.run();
     }
 
-    /** Ends {@link #run} once the tasks queued before have run. */
+    /** Ends {@link #run} after the tasks that are already queued. */
     public void stop() {
         loop.stop();
     }
@@ -108,12 +108,12 @@
         loop.runIteration(maxWaitMillis);
     }
 
-    /** Takes a request; its caller gets exactly one final answer. */
+    /** Submits a request; its caller gets exactly one final answer. */
     public void submit(Request request) {
         loop.post(() -> intake.accept(request));
     }
 
-    /** Nobody waits for this request any more: it gets no answer. */
+    /** Abandons a request whose client has disconnected; its caller gets no answer. */
     public void abandon(Request request) {
         loop.post(() -> {
             InFlightRequest inFlight = table.get(request.id());
@@ -131,7 +131,7 @@
         });
     }
 
-    /** An operator disabled an endpoint, or enabled it again, at that time in milliseconds. */
+    /** Sets whether an endpoint is administratively disabled, and since when. */
     public void setEndpointDisabled(String endpoint, boolean disabled, double sinceMillis) {
         loop.post(() -> {
             endpoints.setDisabled(endpoint, disabled);
@@ -139,74 +139,75 @@
         });
     }
 
-    /** Replaces the tenants' dedicated endpoints; each assignment says whether others stay away from them. */
+    /** Replaces the tenants' dedicated endpoints; each assignment says whether other tenants must avoid them. */
     public void assignPools(List<PoolAssignment> assignments) {
         loop.post(() -> loop.addEvent(new PoolsAssigned(assignments)));
     }
 
-    /** An endpoint reported that it works on an attempt; {@code share} from 0 to 1 is done. */
+    /** Reports that an endpoint works on an attempt, with its progress from 0 to 1. */
     public void reportProgress(Attempt attempt, double progress) {
         double reportedAt = clock.nowMillis();
         loop.post(() -> attempts.reportProgress(attempt, progress, reportedAt));
     }
 
-    /** An attempt is over. Only its first end counts. */
+    /** Reports the outcome of an attempt; calls after the first one are ignored. */
     public void attemptEnded(Attempt attempt, Attempt.Outcome outcome) {
         double endedAt = clock.nowMillis();
         loop.post(() -> attempts.end(attempt, outcome, endedAt));
     }
 
-    /** A probe is over. Only its first end counts. */
+    /** Reports the answer to a probe; calls after the first one are ignored. */
     public void probeAnswered(Probe probe, Attempt.Outcome outcome) {
         double endedAt = clock.nowMillis();
         loop.post(() -> probes.end(probe, outcome, endedAt));
     }
 
-    /** A message came from the dispatcher of that rank. */
+    /** Passes on a message from the peer of that rank. */
     public void receivePeerMessage(int rank, byte[] data) {
         loop.post(() -> loop.addEvent(new PeerMessageReceived(rank, data)));
     }
 
-    /** Runs {@code then} on the core thread with the number of requests that wait for their final answer. */
+    /** Calls {@code callback} on the core thread with the number of unanswered requests. */
     public void queryUnansweredCount(IntConsumer callback) {
         loop.post(() -> callback.accept(table.unansweredCount()));
     }
 
-    /** Sets how many requests may wait for their final answer at once. */
+    /** Sets the maximum number of unanswered requests. */
     public void setMaxInFlight(int maxInFlight) {
         loop.post(() -> table.setMaxUnanswered(maxInFlight));
     }
 
     /**
-     * Answers all requests in flight, for a shutdown that cannot wait: they are rejected where a retry is harmless,
-     * else failed, since they may be running. Requests that arrive later are rejected.
+     * Answers all requests in flight, for a shutdown that cannot wait: rejects them if a retry is safe, otherwise fails
+     * them because they may be running. Requests that arrive later are rejected.
      */
     public void answerAllNow() {
         loop.post(drainHandover::endAllRequests);
     }
 
     /**
-     * A successor process is about to take over: draining and the kill are expected at these times, in milliseconds.
-     * Requests that would outlive this process are held back until draining starts.
+     * Announces that a successor process will take over, with the expected times of draining and of the kill. Requests
+     * that would outlive this process are held until draining starts.
      */
     public void expectSuccessor(double drainAtMillis, double killAtMillis) {
         loop.post(() -> drainHandover.expectSuccessor(drainAtMillis, killAtMillis));
     }
 
-    /** No successor takes over after all: what was held back proceeds. */
+    /** Cancels the expected takeover by a successor: held requests proceed. */
     public void cancelDraining() {
         loop.post(drainHandover::cancelExpectedDraining);
     }
 
-    /** Draining starts, the kill comes at that time: requests that would outlive this process are rejected. */
+    /** Starts draining: requests expected to run beyond {@code killAtMillis} are rejected. */
     public void startDraining(double killAtMillis) {
         loop.post(() -> drainHandover.startDraining(killAtMillis));
     }
 
     /**
-     * Tells {@code then}, on the core thread, whether a request in flight ends in time only if draining waits.
+     * Calls {@code callback} on the core thread with whether a request in flight ends in time only if draining is
+     * delayed.
      *
-     * @param killDelayMillis from the start of draining to the kill
+     * @param killDelayMillis time from the start of draining to the kill
      */
     public void queryWhetherDelayingDrainHelps(double killDelayMillis, Consumer<Boolean> callback) {
         loop.post(() -> callback.accept(drainHandover.isDelayingDrainUseful(killDelayMillis)));
--- a/src/main/java/nettlewick/core/RequestIntake.java
+++ b/src/main/java/nettlewick/core/RequestIntake.java
@@ -3,7 +3,7 @@
 import nettlewick.decision.SchedulerSettings;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
-/** Accepts requests, or answers at once those that cannot be accepted. Core thread. */
+/** Accepts requests and immediately answers those that cannot be accepted. Core thread only. */
 final class RequestIntake {
     private final CoreLoop loop;
     private final InFlightTable table;
@@ -35,13 +35,13 @@
 
     void accept(Request request) {
         if (table.isKnownId(request.id())) {
-            // The module takes an id once, so a second request under it would never be answered. One under the id
-            // of a request that has just finished might execute twice.
+            // The module accepts an id only once, so a duplicate of a request in flight would never be answered. A
+            // duplicate of a finished request might be executed twice.
             answers.failUnaccepted(request, "the id of a request that was taken before");
         } else if (table.isFull()) {
             answers.rejectUnaccepted(request, retryAdvice.whileFull());
         } else if (request.deadlineMillis() <= loop.nowMillis()) {
-            // It waited on its connection or in the queue and was never sent, so a retry is harmless.
+            // The deadline passed on the client connection or in the queue; nothing was sent, so a retry is safe.
             answers.rejectUnaccepted(request, retryAdvice.atOtherDispatcher());
         } else {
             InFlightRequest inFlight = table.add(request, classOf(request));
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Frontends accept no request of an unknown class. */
+    /** Throws for an unknown request class; frontends do not accept such requests. */
     private RequestClass classOf(Request request) {
         return settings.classes().stream()
                 .filter(c -> c.name().equals(request.requestClass()))
--- a/src/main/java/nettlewick/core/RequestListener.java
+++ b/src/main/java/nettlewick/core/RequestListener.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 import nettlewick.decision.AttemptResult;
 
-/** Observes requests, attempts and endpoints. Called on the core thread unless noted: must not block or throw. */
+/** Observes requests, attempts and endpoints. Called on the core thread unless noted; must not block or throw. */
 public interface RequestListener {
-    /** Observes nothing. */
+    /** A listener that does nothing. */
     RequestListener NONE = new RequestListener() {};
 
-    /** The coordinator that it observes; called before anything else, on any thread. */
+    /** Called first, on any thread, with the coordinator that this listener observes. */
     default void onAttached(RequestCoordinator coordinator) {}
 
     /** A request has been accepted. */
     default void onRequestAccepted(Request request) {}
 
-    /** An attempt is over, and how; also one that was never sent. */
+    /** An attempt ended, including one that was never sent. */
     default void onAttemptEnded(Attempt attempt, AttemptResult result) {}
 
     /** A request was rejected. */
--- a/src/main/java/nettlewick/core/RetryAdvice.java
+++ b/src/main/java/nettlewick/core/RetryAdvice.java
@@ -3,13 +3,13 @@
 import nettlewick.decision.SchedulerSettings.Limits;
 
 /**
- * When clients are advised to try again after a rejection that this package decides on. Where the site does not let
- * dispatchers advise, all methods return 0, for no advice. Pure; durations in milliseconds.
+ * The retry delay that clients are advised to use after a rejection decided by this package. If the limits disable
+ * retry advice, all methods return 0. Stateless; durations are in milliseconds.
  */
 final class RetryAdvice {
-    /** Another dispatcher, or the successor of this one, takes the request at once. */
+    /** Another dispatcher or the successor of this one can take the retry immediately. */
     private static final double OTHER_DISPATCHER_MILLIS = 200;
-    /** A dispatcher that ends is started anew within seconds. */
+    /** A dispatcher that exits is restarted within seconds. */
     private static final double RESTART_MILLIS = 1000;
 
     private final boolean isAllowed;
@@ -20,17 +20,17 @@
         maxMillis = ModuleTime.toMillis(limits.maxRetryAfter());
     }
 
-    /** For a request that this process cannot take now and another one can. */
+    /** For a request that this process cannot take, but another one can. */
     double atOtherDispatcher() {
         return capToMax(OTHER_DISPATCHER_MILLIS);
     }
 
-    /** For a request that finds no process until this one has been started anew. */
+    /** For a request that no process can take until this one has been restarted. */
     double afterRestart() {
         return capToMax(RESTART_MILLIS);
     }
 
-    /** For a request that comes while as many wait for their answer as may. */
+    /** For a request that arrives while the limit on unanswered requests is reached. */
     double whileFull() {
         return isAllowed ? maxMillis / 2 : 0;
     }
--- a/src/main/java/nettlewick/core/RunTimeEstimator.java
+++ b/src/main/java/nettlewick/core/RunTimeEstimator.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Estimates from past requests how long the next one of a class runs. Pure; durations in milliseconds. */
+/** Estimates the run time of requests from past requests of their class. Durations are in milliseconds. */
 final class RunTimeEstimator {
-    /** About how many past requests an average covers. */
+    /** The approximate number of past requests that an average covers. */
     private static final int SAMPLE_WINDOW = 30;
 
-    /** Moving averages of one class: run time against the hint, as a logarithm, and run time alone. */
+    /** Moving averages of one request class: the logarithm of run time over cost hint, and the run time. */
     private static final class ClassRunTimes {
         private double sampleCount;
         private double meanLogSlowdown;
@@ -23,7 +23,7 @@
 
     private final Map<String, ClassRunTimes> runTimesByClass = new HashMap<>();
 
-    /** Records that a request ran that long; its hint is 0 where there was none. */
+    /** Records the run time of a request; {@code hintMillis} is 0 if it had no cost hint. */
     void record(String requestClass, double hintMillis, double runMillis) {
         if (runMillis > 0) {
             runTimesByClass
@@ -32,7 +32,7 @@
         }
     }
 
-    /** How long a request is expected to run: its hint where nothing is known of the class; 0 if unknown. */
+    /** The expected run time of a request: its cost hint if the class has no samples; 0 if unknown. */
     double expectedMillis(String requestClass, double hintMillis) {
         ClassRunTimes classRunTimes = runTimesByClass.get(requestClass);
         if (classRunTimes == null) {
--- a/src/main/java/nettlewick/core/TimerQueue.java
+++ b/src/main/java/nettlewick/core/TimerQueue.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Tasks that wait for their time, earliest first; those due at the same time keep the order they were added in. */
+/** Scheduled tasks, earliest first; tasks that are due at the same time keep their insertion order. */
 final class TimerQueue {
     private record ScheduledTask(double dueAtMillis, long sequence, Runnable task)
             implements Comparable<ScheduledTask> {
@@ -22,7 +22,7 @@
         tasks.add(new ScheduledTask(dueAtMillis, nextSequence++, task));
     }
 
-    /** Removes and returns the tasks that are due at that time, in their order. */
+    /** Removes and returns the tasks that are due at {@code nowMillis}, in order. */
     List<Runnable> removeDue(double nowMillis) {
         List<Runnable> due = new ArrayList<>();
         while (!tasks.isEmpty() && tasks.peek().dueAtMillis() <= nowMillis) {
@@ -31,7 +31,7 @@
         return due;
     }
 
-    /** Milliseconds until the next task is due, never negative; {@code idleMillis} where there is none. */
+    /** Milliseconds until the next task is due, never negative; {@code idleMillis} if there is no task. */
     double millisUntilNext(double nowMillis, double idleMillis) {
         return tasks.isEmpty() ? idleMillis : Math.max(0, tasks.peek().dueAtMillis() - nowMillis);
     }
--- a/src/main/java/nettlewick/core/Transport.java
+++ b/src/main/java/nettlewick/core/Transport.java
@@ -1,22 +1,22 @@
 package nettlewick.core;
 
 /**
- * Carries out on the wire what was decided. Called on the core thread: must not block. Results come back through
- * {@link RequestCoordinator}.
+ * Sends attempts, probes and peer messages over the network. Called on the core thread and must not block. Results are
+ * reported to {@link RequestCoordinator}.
  */
 public interface Transport {
-    /** Starts an attempt; it ends by {@link RequestCoordinator#attemptEnded} or by {@link #drop}. */
+    /** Starts an attempt; it ends with {@link RequestCoordinator#attemptEnded} or {@link #cancel(Attempt)}. */
     void send(Attempt attempt);
 
-    /** Nobody waits for the attempt any more: its connection is to be closed. */
+    /** Cancels an attempt, whose connection is to be closed. */
     void cancel(Attempt attempt);
 
-    /** Asks an endpoint for its load; ends by {@link RequestCoordinator#probeAnswered} or {@link #drop(Probe)}. */
+    /** Starts a load probe; it ends with {@link RequestCoordinator#probeAnswered} or {@link #cancel(Probe)}. */
     void probe(Probe probe);
 
-    /** Nobody waits for the probe any more. */
+    /** Cancels a probe. */
     void cancel(Probe probe);
 
-    /** Sends a message to the dispatcher of that rank; it may be lost. */
+    /** Sends a message to the peer of that rank; it may be lost. */
     void sendToPeer(int rank, byte[] data);
 }
--- a/src/main/java/nettlewick/core/UsageAccounting.java
+++ b/src/main/java/nettlewick/core/UsageAccounting.java
@@ -5,7 +5,7 @@
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.core.UsageRecorder.FinishedRequest;
 
-/** Has each request's end and the work it took recorded before its final answer is released. Core thread. */
+/** Records the end and the work of each request before its final answer is released. Core thread only. */
 final class UsageAccounting {
     private static final double MICROS_PER_MILLI = 1e3;
 
@@ -17,12 +17,12 @@
         this.recorder = recorder;
     }
 
-    /** Records the end of a request that was never in flight, then lets {@code answer} run. */
+    /** Records the end of a request that was never in flight, then runs {@code answer}. */
     void record(Request request, Ending ending, Runnable answer) {
         record(request, List.of(), ending, null, answer);
     }
 
-    /** Records the end of a request in flight, then lets {@code answer} run; {@code server} may be null. */
+    /** Records the end of a request in flight, then runs {@code answer}; {@code servingAttempt} may be null. */
     void record(InFlightRequest inFlight, Ending ending, Attempt servingAttempt, Runnable answer) {
         record(inFlight.request(), inFlight.attempts(), ending, servingAttempt, answer);
     }
--- a/src/main/java/nettlewick/core/UsageRecorder.java
+++ b/src/main/java/nettlewick/core/UsageRecorder.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * Records how requests end and what work they took, before their answers are released. Optional: {@link #NONE}
- * releases each answer at once and records nothing.
+ * Records how requests end and how much work they took, before their answers are released. {@link #NONE} records
+ * nothing and releases each answer immediately.
  */
 public interface UsageRecorder {
-    /** How a request ended for its client. The order is stored, and the names are exported. */
+    /** How a request ended for its client. The ordinals are stored and the names are exported; do not change them. */
     enum Ending {
         SERVED,
         REFUSED,
@@ -19,12 +19,13 @@
     /**
      * A request whose end is decided.
      *
-     * @param at       when it was decided, in milliseconds on the {@link Clock}
-     * @param attempts how many attempts there were
-     * @param work     slot-microseconds from start to end of the attempt that served it; 0 where none did
-     * @param estimate whether the work is taken from the client's hint, or from the time since the attempt was sent,
-     *                 because no start was reported
-     * @param spare    slot-microseconds seen so far of all other attempts: hedged, lost and cancelled ones
+     * @param decidedAtMillis     when the end was decided, in milliseconds on the {@link Clock}
+     * @param attemptCount        number of attempts
+     * @param workSlotMicros      slot-microseconds from start to end of the attempt that served the request; 0 if none
+     * @param isEstimate          whether the work is taken from the client's cost hint, or from the time since the
+     *                            attempt was sent, because no start was reported
+     * @param extraWorkSlotMicros slot-microseconds observed so far of all other attempts: hedged, lost and cancelled
+     *                            ones
      */
     record FinishedRequest(
             Request request,
@@ -35,9 +36,9 @@
             boolean isEstimate,
             long extraWorkSlotMicros) {}
 
-    /** Takes what became of a released answer; only the first call counts. Any thread. */
+    /** Is notified whether a released answer reached the client; only the first call counts. Thread-safe. */
     interface DeliveryCallback {
-        /** Takes no notice. */
+        /** A callback that does nothing. */
         DeliveryCallback NONE = new DeliveryCallback() {
             @Override
             public void onDelivered() {
@@ -50,10 +51,10 @@
             }
         };
 
-        /** The last byte of the answer has just been written. */
+        /** The last byte of the answer was written. */
         void onDelivered();
 
-        /** The client went away before that. */
+        /** The client disconnected before the last byte was written. */
         void onAbandoned();
     }
 
@@ -64,15 +65,15 @@
     };
 
     /**
-     * Records the end of a request. Called on the core thread: must not block or throw.
+     * Records the end of a request. Called on the core thread; must not block or throw.
      *
-     * @param release releases the answer; to be called exactly once, on any thread, now or when the record allows it.
-     *                Where the client has gone there is no answer and the receipt means nothing
-     * @return releases the answer if that has not happened, for use after {@link #patience}; null where it has
+     * @param release releases the answer; to be called exactly once, on any thread, immediately or after recording. If
+     *                the client has disconnected, there is no answer and the callback is not used
+     * @return releases the answer if it is still held after {@link #timeoutMillis}; null if it is already released
      */
     Runnable record(FinishedRequest finished, Consumer<DeliveryCallback> release);
 
-    /** How long an answer may be held back, in milliseconds. */
+    /** The longest time that an answer may be held back, in milliseconds. */
     default double timeoutMillis() {
         return 0;
     }
--- a/src/test/java/nettlewick/core/ClockTest.java
+++ b/src/test/java/nettlewick/core/ClockTest.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The clock never blocks its readers and never goes back. */
+/** The clock does not block its readers and never goes back. */
 class ClockTest {
-    /** A thread that is suspended while it reads the time must not block the others. */
+    /** Guards against a thread that is suspended while it reads the clock and blocks all others. */
     @Test
     void readersDoNotBlockEachOther() throws Exception {
         Clock clock = Clock.system();
--- a/src/test/java/nettlewick/core/CoreLoopTest.java
+++ b/src/test/java/nettlewick/core/CoreLoopTest.java
@@ -10,7 +10,7 @@
 import nettlewick.decision.Event.Abandoned;
 import org.junit.jupiter.api.Test;
 
-/** The loop's state belongs to the first thread that runs it. */
+/** The loop's state may be accessed only by the first thread that runs the loop. */
 class CoreLoopTest {
     @Test
     void onlyTheThreadThatRunsTheLoopMayAddEvents() throws InterruptedException {
--- a/src/test/java/nettlewick/core/DrainPolicyTest.java
+++ b/src/test/java/nettlewick/core/DrainPolicyTest.java
@@ -8,7 +8,7 @@
 import nettlewick.core.DrainPolicy.Decision;
 import org.junit.jupiter.api.Test;
 
-/** Which requests a process that will be drained still takes. */
+/** Which requests a process that is about to be drained still admits. */
 class DrainPolicyTest {
     private final DrainPolicy policy = new DrainPolicy();
 
@@ -18,7 +18,7 @@
         assertFalse(policy.isSavedByDelayingDrain(5000, 0, 3700));
     }
 
-    /** Long requests admitted shortly before the kill would be lost with the process. */
+    /** Guards against losing long requests that are admitted shortly before the kill. */
     @Test
     void requestsThatOutliveTheProcessAreHeldThenRejected() {
         policy.expectDraining(4000, 7700);
@@ -28,7 +28,7 @@
         policy.startDraining(7700);
         assertEquals(Decision.REJECT, policy.decide("transfer", 5000, 4100));
         assertEquals(Decision.ADMIT, policy.decide("statement", 500, 4100));
-        assertEquals(Decision.ADMIT, policy.decide("unknown", 0, 7600), "nothing is known of its class");
+        assertEquals(Decision.ADMIT, policy.decide("unknown", 0, 7600), "the run time of its class is unknown");
         policy.cancelExpectedDraining();
         assertEquals(
                 Decision.REJECT,
@@ -36,7 +36,7 @@
                 "draining that has started cannot be cancelled");
     }
 
-    /** A request that arrives after all in flight were answered must not be forwarded: nobody would answer it. */
+    /** Guards against forwarding a request after all in flight were answered, when it would get no answer. */
     @Test
     void nothingIsAdmittedAfterAdmissionStopped() {
         policy.startDraining(7700);
@@ -46,7 +46,7 @@
         assertEquals(Decision.REJECT, policy.decide("statement", 1, 7460));
     }
 
-    /** Requests must not be held for a successor that never came up. */
+    /** Guards against holding requests for a successor that failed to start. */
     @Test
     void holdingEndsWhenDrainingDoesNotStart() {
         policy.expectDraining(4000, 7700);
@@ -69,18 +69,18 @@
         assertEquals(0, policy.expectedRunMillis("other", 0));
     }
 
-    /** Waiting saves neither requests that end in time anyway nor those that outlive the wait too. */
+    /** Delaying the drain saves neither requests that end in time anyway nor those that outlive the delay too. */
     @Test
     void delayingDrainSavesOnlyRequestsThatEndBetweenTheTwoKillTimes() {
         policy.expectDraining(4000, 7700);
         assertFalse(policy.isSavedByDelayingDrain(2000, 0, 3700));
         assertTrue(policy.isSavedByDelayingDrain(4000, 0, 3700));
-        assertTrue(policy.isSavedByDelayingDrain(7000, 0, 3700), "it may end in time, and waiting costs little");
+        assertTrue(policy.isSavedByDelayingDrain(7000, 0, 3700), "it may end in time, and the delay costs little");
         assertFalse(policy.isSavedByDelayingDrain(9500, 0, 3700));
-        assertFalse(policy.isSavedByDelayingDrain(4000, 4000, 3700), "draining was expected to have started");
+        assertFalse(policy.isSavedByDelayingDrain(4000, 4000, 3700), "the expected start of draining has passed");
     }
 
-    /** At any time, no request is admitted that is expected to outlive the kill, and none is held for too long. */
+    /** No request that is expected to outlive the kill is admitted, and none is held beyond the hold limit. */
     @Test
     void requestsThatOutliveTheKillAreNeverAdmitted() {
         SplittableRandom random = new SplittableRandom(23);
--- a/src/test/java/nettlewick/core/FinalAnswerTest.java
+++ b/src/test/java/nettlewick/core/FinalAnswerTest.java
@@ -14,9 +14,9 @@
 import nettlewick.decision.Event.Arrival;
 import org.junit.jupiter.api.Test;
 
-/** Each request gets its final answer once and in time, and nothing is sent for it afterwards. */
+/** Each request gets exactly one final answer by its deadline, and no attempt is sent afterwards. */
 class FinalAnswerTest extends RequestCoordinatorFixture {
-    /** After a pause of the thread, a request that the module would reject must not be failed by the guard. */
+    /** Guards against failing a request that the module would reject, after a pause of the core thread. */
     @Test
     void theModuleHandlesADeadlineBeforeTheGuardActs() throws InterruptedException {
         script = e -> e instanceof Arrival
@@ -25,10 +25,10 @@
         submit("a", 100);
         advanceTo(1);
         advanceTo(200);
-        assertTrue(sideEffects.contains("refused a 0.0") && !sideEffects.contains("failed a"), sideEffects.toString());
+        assertTrue(sideEffects.contains("rejected a 0.0") && !sideEffects.contains("failed a"), sideEffects.toString());
     }
 
-    /** A flood on other connections leaves no iteration without events, so the answer must not wait for one. */
+    /** Under high load every iteration has pending events, so the answer must not wait for one without any. */
     @Test
     void deadlineAnswerDoesNotWaitForPendingEventsToRunOut() throws InterruptedException {
         submit("a", 100);
@@ -38,18 +38,18 @@
             clock.advanceTo(START_MILLIS + 111 + iteration);
             coordinator.runIteration(0);
         }
-        assertEquals(List.of("refused a 200.0"), sideEffects);
+        assertEquals(List.of("rejected a 200.0"), sideEffects);
     }
 
-    /** A request that only waited until its deadline must not be answered as one that may have been executed. */
+    /** Guards against answering "may have run" for a request that was never sent. */
     @Test
     void aRequestThatArrivesAfterItsDeadlineIsRejectedUnsent() throws InterruptedException {
         submit("a", 0);
         advanceTo(0);
-        assertEquals(List.of("refused a 200.0"), sideEffects);
+        assertEquals(List.of("rejected a 200.0"), sideEffects);
     }
 
-    /** No attempt may start for a request that is decided or past its deadline. */
+    /** No attempt may start for a request that has a final answer or whose deadline has passed. */
     @Test
     void anAttemptMayStartOnlyWhileItsRequestIsUndecidedAndTimeIsLeft() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0));
@@ -63,7 +63,7 @@
         assertTrue(!attempt.mayStart(START_MILLIS + 2));
     }
 
-    /** One outcome for each dispatch and one final answer for each request. */
+    /** One outcome per dispatch and one final answer per request. */
     @Test
     void onlyTheFirstEndCounts() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0), new Dispatch("a", "w", 0));
@@ -91,20 +91,20 @@
         assertEquals(List.of(AttemptResult.TIMEOUT), attemptResults());
         advanceTo(100);
         assertEquals(List.of(AttemptResult.TIMEOUT, AttemptResult.TIMEOUT), attemptResults());
-        assertEquals(List.of("send a0", "send a1", "drop a0", "drop a1"), sideEffects);
+        assertEquals(List.of("send a0", "send a1", "cancel a0", "cancel a1"), sideEffects);
     }
 
-    /** The client of a request that the module forgets gets an answer all the same. */
+    /** Guards against a client without an answer if the module loses track of its request. */
     @Test
     void aRequestLeftUnansweredIsEndedAtItsDeadline() throws InterruptedException {
         submit("a", 100);
         advanceTo(0);
         advanceTo(111);
-        assertEquals(List.of("refused a 200.0"), sideEffects);
+        assertEquals(List.of("rejected a 200.0"), sideEffects);
         assertTrue(moduleEvents.contains(new Abandoned("a")));
     }
 
-    /** Guards against the answer "may have run" for a request of which every attempt is proven not to have run. */
+    /** Guards against answering "may have run" for a request whose attempts are all proven not to have run. */
     @Test
     void aRequestWhoseAttemptsNeverRanIsRejectedAtItsDeadline() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0));
@@ -112,20 +112,20 @@
         advanceTo(0);
         coordinator.attemptEnded(sentAttempts.get(0), Outcome.of(AttemptResult.UNREACHABLE));
         advanceTo(111);
-        assertEquals(List.of("send a0", "refused a 200.0"), sideEffects);
+        assertEquals(List.of("send a0", "rejected a 200.0"), sideEffects);
     }
 
-    /** Guards against the promise that a request has not run where its endpoint may still execute it. */
+    /** Guards against answering "has not run" for a request that its endpoint may still execute. */
     @Test
     void aRequestThatMayHaveRunIsFailedAtItsDeadline() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0));
         submitNonIdempotent("a", 100);
         advanceTo(0);
         advanceTo(111);
-        assertEquals(List.of("send a0", "drop a0", "failed a"), sideEffects);
+        assertEquals(List.of("send a0", "cancel a0", "failed a"), sideEffects);
     }
 
-    /** The kill must find no accepted request unanswered, whether it came before the signal or after it. */
+    /** Guards against requests that are unanswered at the kill, whether they arrive before or after the signal. */
     @Test
     void answerAllNowEndsRequestsInFlightAndRejectsLaterOnes() throws InterruptedException {
         script = e -> e instanceof Arrival a && a.id().equals("b") ? List.of(new Dispatch("b", "w", 0)) : List.of();
@@ -137,7 +137,7 @@
         advanceTo(20);
         submit("c", 5000);
         advanceTo(30);
-        assertEquals(List.of("send b0", "refused a 1000.0", "refused b 1000.0", "refused c 1000.0"), sideEffects);
+        assertEquals(List.of("send b0", "rejected a 1000.0", "rejected b 1000.0", "rejected c 1000.0"), sideEffects);
         assertTrue(moduleEvents.contains(new Abandoned("a")) && moduleEvents.contains(new Abandoned("b")));
     }
 
--- a/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorFixture.java
@@ -19,7 +19,7 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A coordinator with a scripted decision module, a transport that only records, and a manual clock. */
+/** A coordinator with a scripted decision module, a recording transport, and a manual clock. */
 abstract class RequestCoordinatorFixture {
     static final double START_MILLIS = 1_000_000;
     final Clock clock = Clock.stoppedAt(START_MILLIS);
@@ -30,7 +30,7 @@
     Function<Event, List<Action>> script = e -> List.of();
     long lastDecisionNanos;
     RequestCoordinator coordinator;
-    /** Tests of usage records set it before {@link #createCoordinator}. */
+    /** Tests that replace it must call {@link #createCoordinator} afterwards. */
     UsageRecorder usageRecorder = UsageRecorder.NONE;
 
     private static RequestClass requestClass(String name, Idempotency idempotency) {
@@ -75,7 +75,7 @@
 
                     @Override
                     public void cancel(Attempt a) {
-                        sideEffects.add("drop " + a.request().id() + a.number());
+                        sideEffects.add("cancel " + a.request().id() + a.number());
                     }
 
                     @Override
@@ -85,12 +85,12 @@
 
                     @Override
                     public void cancel(nettlewick.core.Probe p) {
-                        sideEffects.add("drop probe");
+                        sideEffects.add("cancel probe");
                     }
 
                     @Override
                     public void sendToPeer(int rank, byte[] data) {
-                        sideEffects.add("tell " + rank);
+                        sideEffects.add("peer message " + rank);
                     }
                 },
                 usageRecorder);
@@ -103,7 +103,7 @@
         return new EndpointUpdate.Entry(endpoint, state, 2.5, 0, "k", "z", 1);
     }
 
-    /** Sets the clock to that many milliseconds after the start and runs all tasks that are ready. */
+    /** Advances the clock to {@code millis} after the start and runs all tasks that are ready. */
     void advanceTo(double millis) throws InterruptedException {
         clock.advanceTo(START_MILLIS + millis);
         for (int i = 0; i < 8; i++) {
@@ -119,7 +119,7 @@
         return submit(id, "c", deadlineMillis, costHintMillis);
     }
 
-    /** Submits a request that must not run twice. */
+    /** Submits a non-idempotent request. */
     Request submitNonIdempotent(String id, double deadlineMillis) {
         return submit(id, "once", deadlineMillis, 1.5);
     }
@@ -145,7 +145,7 @@
 
                     @Override
                     public void onRejected(double retryAfter) {
-                        sideEffects.add("refused " + id + " " + retryAfter);
+                        sideEffects.add("rejected " + id + " " + retryAfter);
                     }
 
                     @Override
--- a/src/test/java/nettlewick/core/RequestCoordinatorTest.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorTest.java
@@ -17,9 +17,9 @@
 import nettlewick.decision.Event.ProbeAnswer;
 import org.junit.jupiter.api.Test;
 
-/** What the coordinator does for requests, attempts and probes, with a scripted decision module. */
+/** How the coordinator handles requests, attempts and probes, with a scripted decision module. */
 class RequestCoordinatorTest extends RequestCoordinatorFixture {
-    /** Creates a coordinator whose recorder collects records, and answers that the test releases. */
+    /** Creates a coordinator whose recorder collects records and holds the answers until the test releases them. */
     private List<UsageRecorder.FinishedRequest> createWithRecorder(
             List<Consumer<UsageRecorder.DeliveryCallback>> heldAnswers, double timeoutMillis)
             throws InterruptedException {
@@ -41,7 +41,7 @@
         return records;
     }
 
-    /** Long requests must not be lost at a hot restart; {@link DrainPolicyTest} shows which. */
+    /** Guards against losing long requests at a hot restart; {@link DrainPolicyTest} covers which are held. */
     @Test
     void requestsThatWouldOutliveTheProcessAreHeldAndRejectedUnsent() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
@@ -54,14 +54,14 @@
         advanceTo(1300);
         submit("after", 60_000, 9000);
         advanceTo(1400);
-        assertEquals(List.of("refused long 200.0", "refused gone 200.0", "refused after 200.0"), sideEffects);
+        assertEquals(List.of("rejected long 200.0", "rejected gone 200.0", "rejected after 200.0"), sideEffects);
         submit("short", 60_000, 900);
         advanceTo(1500);
         assertEquals("send short0", sideEffects.get(sideEffects.size() - 1));
         assertTrue(moduleEvents.stream().noneMatch(e -> e instanceof Arrival a && !a.id().equals("short")));
     }
 
-    /** No request is held for ever, or forwarded after its client has gone. */
+    /** Guards against holding a request forever, and against forwarding it after its client has disconnected. */
     @Test
     void heldRequestsProceedWhenDrainingDoesNotStart() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
@@ -82,7 +82,7 @@
         assertEquals(List.of("send late0", "send next0"), sideEffects);
     }
 
-    /** A successor waits only for requests that end in time if it does. */
+    /** A successor delays draining only for requests that then end in time. */
     @Test
     void reportedProgressDecidesWhetherDelayingDrainSavesARequest() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
@@ -126,11 +126,11 @@
         assertEquals(false, a.isEstimate());
         assertTrue(
                 sideEffects.stream().noneMatch(s -> s.startsWith("served")),
-                "held back until the recorder releases it");
+                "the answer is held back until the recorder releases it");
         advanceTo(74);
         assertTrue(sideEffects.stream().noneMatch(s -> s.startsWith("overdue")));
         advanceTo(75);
-        assertTrue(sideEffects.contains("overdue a"), "released all the same after the timeout");
+        assertTrue(sideEffects.contains("overdue a"), "the recorder's timeout releases the answer");
         heldAnswers.get(0).accept(UsageRecorder.DeliveryCallback.NONE);
         assertTrue(sideEffects.contains("served a"));
         submit("r", 1000);
@@ -178,7 +178,7 @@
                 2_500_000, ((EndpointList) moduleEvents.get(0)).entries().get(0).startedAt());
     }
 
-    /** A second request under the same id must neither disturb the first nor execute it twice. */
+    /** Guards against a second request with the same id, which would disturb the first or execute it twice. */
     @Test
     void aRequestIdIsAcceptedOnceInFlightAndAfterwards() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0));
@@ -210,7 +210,7 @@
         submit("b", 100);
         submit("c", 100);
         advanceTo(0);
-        assertEquals(List.of("failed a", "refused c 0.0"), sideEffects);
+        assertEquals(List.of("failed a", "rejected c 0.0"), sideEffects);
         assertEquals(2, moduleEvents.stream().filter(e -> e instanceof Arrival).count());
     }
 
@@ -232,16 +232,16 @@
                         .toList());
     }
 
-    /** All requests depend on the core thread, so a fault in the module must not end it. */
+    /** Guards against an exception in the module that terminates the core thread, on which all requests depend. */
     @Test
     void aModuleFaultDoesNotStopTheLoop() throws InterruptedException {
         script = e -> {
-            throw new IllegalStateException("made up");
+            throw new IllegalStateException("simulated module failure");
         };
         submit("a", 100);
         advanceTo(0);
         script = e -> List.of();
         advanceTo(200);
-        assertEquals(List.of("refused a 200.0"), sideEffects);
+        assertEquals(List.of("rejected a 200.0"), sideEffects);
     }
 }
--- a/src/test/java/nettlewick/core/RetryAdviceTest.java
+++ b/src/test/java/nettlewick/core/RetryAdviceTest.java
@@ -7,7 +7,7 @@
 import nettlewick.decision.SchedulerSettings.Limits;
 import org.junit.jupiter.api.Test;
 
-/** When rejected clients are advised to try again, by what the site allows. */
+/** The retry delay that rejected clients are advised to use, depending on the limits. */
 class RetryAdviceTest {
     private static final long MAX_NANOS = 500_000_000;
     private static final double MAX_MILLIS = 500;
@@ -20,13 +20,13 @@
         return List.of(advice.atOtherDispatcher(), advice.afterRestart(), advice.whileFull());
     }
 
-    /** Guards against a rejection that says nothing of when to come back. */
+    /** Guards against a rejection without retry advice. */
     @Test
     void everyRejectionCarriesAdviceWithinTheConfiguredMaximum() {
         assertTrue(all(advice(true, MAX_NANOS)).stream().allMatch(millis -> millis > 0 && millis <= MAX_MILLIS));
     }
 
-    /** Guards against advice where the site does not let dispatchers give any. */
+    /** Guards against retry advice although the limits disable it. */
     @Test
     void noRejectionCarriesAdviceWhenRetryAfterIsDisabled() {
         assertEquals(List.of(0.0, 0.0, 0.0), all(advice(false, MAX_NANOS)));
--- a/src/test/java/nettlewick/core/TestAttempts.java
+++ b/src/test/java/nettlewick/core/TestAttempts.java
@@ -1,6 +1,6 @@
 package nettlewick.core;
 
-/** Makes attempts for tests of {@link RequestListener}s in other packages. */
+/** Creates attempts for tests of {@link RequestListener}s in other packages. */
 public final class TestAttempts {
     private TestAttempts() {}
 
--- a/src/test/java/nettlewick/core/TimerQueueTest.java
+++ b/src/test/java/nettlewick/core/TimerQueueTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Timers come due in the order of their times, then in the order they were added. */
+/** Timers are due in the order of their times, then in insertion order. */
 class TimerQueueTest {
     private final TimerQueue timers = new TimerQueue();
     private final List<String> ran = new ArrayList<>();
