--- a/src/main/java/nettlewick/simulator/Batch.java
+++ b/src/main/java/nettlewick/simulator/Batch.java
@@ -5,25 +5,25 @@
 import nettlewick.decision.SchedulerSettings;
 
 /**
- * One line of input.
+ * A batch of events: one line of input.
  *
- * @param nowNanos the time at which all its events happen
- * @param number   repeated in the reply
- * @param groups   the events, by instance
+ * @param nowNanos the time of all events in the batch
+ * @param number   the batch number, repeated in the reply
+ * @param groups   the items, by instance
  */
 record Batch(long nowNanos, long number, List<Group> groups) {
-    /** What happens to one instance, in order. */
+    /** The items of one instance, in order. */
     record Group(int instance, List<Item> items) {}
 
-    /** One thing that happens to an instance. */
+    /** An item that concerns one instance. */
     sealed interface Item {}
 
-    /** A new instance of the module begins. */
+    /** Starts a new instance of the decision module. */
     record NewInstance(SchedulerSettings settings, long seed) implements Item {}
 
-    /** The instance dies. */
+    /** Removes the instance. */
     record Kill() implements Item {}
 
-    /** An event that the instance is to handle. */
-    record Occurrence(Event event) implements Item {}
+    /** An event for the instance to handle. */
+    record EventItem(Event event) implements Item {}
 }
--- a/src/main/java/nettlewick/simulator/BatchReader.java
+++ b/src/main/java/nettlewick/simulator/BatchReader.java
@@ -1,8 +1,8 @@
 package nettlewick.simulator;
 
-import static nettlewick.simulator.JsonValues.expect;
-import static nettlewick.simulator.JsonValues.required;
-import static nettlewick.simulator.JsonValues.wholeNumber;
+import static nettlewick.simulator.JsonValues.readWholeNumber;
+import static nettlewick.simulator.JsonValues.requirePresent;
+import static nettlewick.simulator.JsonValues.requireToken;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,23 +13,23 @@
 import nettlewick.simulator.Batch.Group;
 import nettlewick.simulator.Batch.Item;
 
-/** Reads batches from lines. Remembers the endpoint lists that batches name by a slot. */
+/** Parses lines into batches. Keeps the endpoint lists that later batches refer to by slot number. */
 final class BatchReader {
-    private final JsonFactory json;
-    private final EventReader events = new EventReader();
+    private final JsonFactory jsonFactory;
+    private final EventReader eventReader = new EventReader();
 
-    BatchReader(JsonFactory json) {
-        this.json = json;
+    BatchReader(JsonFactory jsonFactory) {
+        this.jsonFactory = jsonFactory;
     }
 
     /**
-     * Reads one line.
+     * Parses one line.
      *
-     * @throws MalformedMessageException for a line that is not a batch
+     * @throws MalformedMessageException if the line is not a valid batch
      */
     Batch read(String line) {
-        try (JsonParser parser = json.createParser(line)) {
-            return batch(parser);
+        try (JsonParser parser = jsonFactory.createParser(line)) {
+            return readBatch(parser);
         } catch (IOException e) {
             throw new MalformedMessageException("not JSON: " + e.getMessage());
         } catch (IllegalArgumentException e) {
@@ -37,7 +37,7 @@
         }
     }
 
-    private Batch batch(JsonParser parser) throws IOException {
+    private Batch readBatch(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new MalformedMessageException("a batch is an object");
         }
@@ -48,9 +48,9 @@
             String name = parser.currentName();
             parser.nextToken();
             switch (name) {
-                case "wall" -> now = wholeNumber(parser, "batch", name);
-                case "batch" -> number = wholeNumber(parser, "batch", name);
-                case "groups" -> groups = groups(parser);
+                case "wall" -> now = readWholeNumber(parser, "batch", name);
+                case "batch" -> number = readWholeNumber(parser, "batch", name);
+                case "groups" -> groups = readGroups(parser);
                 default -> parser.skipChildren();
             }
         }
@@ -58,42 +58,45 @@
             throw new MalformedMessageException("something follows the batch on its line");
         }
         return new Batch(
-                required(now, "batch", "wall"),
-                required(number, "batch", "batch"),
-                required(groups, "batch", "groups"));
+                requirePresent(now, "batch", "wall"),
+                requirePresent(number, "batch", "batch"),
+                requirePresent(groups, "batch", "groups"));
     }
 
-    private List<Group> groups(JsonParser parser) throws IOException {
+    private List<Group> readGroups(JsonParser parser) throws IOException {
         List<Group> groups = new ArrayList<>();
-        expect(parser, JsonToken.START_ARRAY, "groups");
+        requireToken(parser, JsonToken.START_ARRAY, "groups");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            expect(parser, JsonToken.START_OBJECT, "a group");
-            groups.add(group(parser));
+            requireToken(parser, JsonToken.START_OBJECT, "a group");
+            groups.add(readGroup(parser));
         }
         return groups;
     }
 
-    private Group group(JsonParser parser) throws IOException {
+    private Group readGroup(JsonParser parser) throws IOException {
         Long instance = null;
         List<Item> items = null;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
             switch (name) {
-                case "dispatcher_id" -> instance = wholeNumber(parser, "group", name);
-                case "items" -> items = items(parser);
+                case "dispatcher_id" -> instance = readWholeNumber(parser, "group", name);
+                case "items" -> items = readItems(parser);
                 default -> parser.skipChildren();
             }
         }
-        return new Group(required(instance, "group", "dispatcher_id").intValue(), required(items, "group", "items"));
+        return new Group(
+                requirePresent(instance, "group", "dispatcher_id").intValue(), requirePresent(items, "group", "items"));
     }
 
-    private List<Item> items(JsonParser parser) throws IOException {
+    private List<Item> readItems(JsonParser parser) throws IOException {
         List<Item> items = new ArrayList<>();
-        expect(parser, JsonToken.START_ARRAY, "items");
+        requireToken(parser, JsonToken.START_ARRAY, "items");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            expect(parser, JsonToken.START_OBJECT, "an event");
-            events.read(new MessageFields("event", JsonValues.object(parser))).ifPresent(items::add);
+            requireToken(parser, JsonToken.START_OBJECT, "an event");
+            eventReader
+                    .read(new MessageFields("event", JsonValues.readObject(parser)))
+                    .ifPresent(items::add);
         }
         return items;
     }
--- a/src/main/java/nettlewick/simulator/EventReader.java
+++ b/src/main/java/nettlewick/simulator/EventReader.java
@@ -21,22 +21,22 @@
 import nettlewick.decision.Event.Progress;
 import nettlewick.decision.Event.StreamStarted;
 import nettlewick.decision.Event.Timer;
+import nettlewick.simulator.Batch.EventItem;
 import nettlewick.simulator.Batch.Item;
 import nettlewick.simulator.Batch.Kill;
 import nettlewick.simulator.Batch.NewInstance;
-import nettlewick.simulator.Batch.Occurrence;
 
 /**
- * Reads single events. A list of endpoints comes once, under the number of a slot; changes of an instance's list name
- * the slot.
+ * Converts JSON events. An endpoint list is sent once with a slot number; events that change the list of an instance
+ * refer to it by that number.
  */
 final class EventReader {
     /** Values of {@code ROSTER_CHANGE.scope}. */
     private static final int SCOPE_CHANGES = 0;
 
-    private static final int SCOPE_FAILED = 3;
+    private static final int SCOPE_LIST_FAILED = 3;
 
-    /** Values of a list entry's {@code lifecycle}. */
+    /** Values of {@code lifecycle} in an endpoint list entry. */
     private static final int LIFECYCLE_READY = 0;
 
     private static final int LIFECYCLE_GONE = 2;
@@ -44,25 +44,25 @@
 
     private final Map<Long, List<EndpointEntry>> listsBySlot = new HashMap<>();
 
-    /** What happens to the instance; empty for a list that later events refer to. */
+    /** The item for the instance; empty for an endpoint list, which is stored for later events. */
     Optional<Item> read(MessageFields event) {
         String type = event.text("type");
-        MessageFields fields = event.named(type);
+        MessageFields fields = event.withName(type);
         switch (type) {
             case "NEW_INSTANCE":
                 return Optional.of(
-                        new NewInstance(SettingsReader.read(fields.part("setup")), fields.wholeNumber("init_seed")));
+                        new NewInstance(SettingsReader.read(fields.object("setup")), fields.wholeNumber("init_seed")));
             case "KILL":
                 return Optional.of(new Kill());
             case "LEDGER":
                 listsBySlot.put(fields.wholeNumber("slot"), entries(fields.list("elements")));
                 return Optional.empty();
             default:
-                return Optional.of(new Occurrence(occurrence(type, fields)));
+                return Optional.of(new EventItem(readEvent(type, fields)));
         }
     }
 
-    private Event occurrence(String type, MessageFields fields) {
+    private Event readEvent(String type, MessageFields fields) {
         return switch (type) {
             case "ROSTER_CHANGE" -> endpointList(fields);
             case "ARRIVAL" -> arrival(fields);
@@ -79,11 +79,11 @@
 
     private Event endpointList(MessageFields fields) {
         long scope = fields.wholeNumber("scope");
-        if (scope == SCOPE_FAILED) {
+        if (scope == SCOPE_LIST_FAILED) {
             return new EndpointListFailed();
         }
         List<EndpointEntry> entries = listsBySlot.get(fields.wholeNumber("slot"));
-        if (entries == null || scope < SCOPE_CHANGES || scope > SCOPE_FAILED) {
+        if (entries == null || scope < SCOPE_CHANGES || scope > SCOPE_LIST_FAILED) {
             throw new MalformedMessageException("ROSTER_CHANGE of scope " + scope + " names no known slot or scope");
         }
         return new EndpointList(scope != SCOPE_CHANGES, entries);
@@ -140,9 +140,9 @@
         };
     }
 
-    /** The load report that came along; null where none did. A value that is not reported is NaN. */
+    /** The load report of the message, or null. Values that are not reported are NaN. */
     private static EndpointLoad load(MessageFields fields) {
-        MessageFields report = fields.partOrNull("telemetry");
+        MessageFields report = fields.objectOrNull("telemetry");
         if (report == null) {
             return null;
         }
--- a/src/main/java/nettlewick/simulator/MalformedMessageException.java
+++ b/src/main/java/nettlewick/simulator/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package nettlewick.simulator;
 
-/** Input that does not follow the simulator's protocol; the message is one line. */
+/** Thrown for input that violates the simulator's protocol. The message is a single line. */
 public final class MalformedMessageException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/nettlewick/simulator/MessageFields.java
+++ b/src/main/java/nettlewick/simulator/MessageFields.java
@@ -3,28 +3,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** The fields of one JSON object; errors name the object, the field and what was expected. */
+/** Typed access to the fields of a JSON object; errors name the object, the field and the expected type. */
 final class MessageFields {
-    private final String where;
+    private final String objectName;
     private final Map<String, Object> values;
 
     /**
      * Wraps an object.
      *
-     * @param where how errors call the object
+     * @param objectName the name of the object in error messages
      */
-    MessageFields(String where, Map<String, Object> values) {
-        this.where = where;
+    MessageFields(String objectName, Map<String, Object> values) {
+        this.objectName = objectName;
         this.values = values;
     }
 
-    /** Wraps an element of an array, which has to be an object. */
-    static MessageFields of(String where, Object element) {
-        return new MessageFields(where, object(element));
+    /** Wraps an array element, which must be an object. */
+    static MessageFields of(String objectName, Object element) {
+        return new MessageFields(objectName, object(element));
     }
 
-    /** The same fields under another name in errors. */
-    MessageFields named(String newName) {
+    /** The same fields with another object name in error messages. */
+    MessageFields withName(String newName) {
         return new MessageFields(newName, values);
     }
 
@@ -32,10 +32,10 @@
         if (required(name) instanceof String text) {
             return text;
         }
-        throw new MalformedMessageException(where + "." + name + " is not a text");
+        throw new MalformedMessageException(objectName + "." + name + " is not a text");
     }
 
-    /** The text; null where there is none. */
+    /** The string, or null if the field is missing or not a string. */
     String textOrNull(String name) {
         return values.get(name) instanceof String text ? text : null;
     }
@@ -44,32 +44,32 @@
         if (required(name) instanceof Long value) {
             return value;
         }
-        throw new MalformedMessageException(where + "." + name + " is not a whole number");
+        throw new MalformedMessageException(objectName + "." + name + " is not a whole number");
     }
 
-    double numberOr(String name, double otherwise) {
+    double numberOr(String name, double defaultValue) {
         Object value = values.get(name);
-        return value == null ? otherwise : number(value);
+        return value == null ? defaultValue : toNumber(value);
     }
 
     boolean flag(String name) {
         return Boolean.TRUE.equals(values.get(name));
     }
 
-    MessageFields part(String name) {
-        return of(where + "." + name, required(name));
+    MessageFields object(String name) {
+        return of(objectName + "." + name, required(name));
     }
 
-    /** The part; null where there is none. */
-    MessageFields partOrNull(String name) {
-        return values.get(name) == null ? null : part(name);
+    /** The nested object, or null if the field is missing. */
+    MessageFields objectOrNull(String name) {
+        return values.get(name) == null ? null : object(name);
     }
 
     List<?> list(String name) {
         if (required(name) instanceof List<?> list) {
             return list;
         }
-        throw new MalformedMessageException(where + "." + name + " is not an array");
+        throw new MalformedMessageException(objectName + "." + name + " is not an array");
     }
 
     List<?> listOrEmpty(String name) {
@@ -77,10 +77,10 @@
     }
 
     private Object required(String name) {
-        return JsonValues.required(values.get(name), where, name);
+        return JsonValues.requirePresent(values.get(name), objectName, name);
     }
 
-    static double number(Object value) {
+    static double toNumber(Object value) {
         if (value instanceof Number n) {
             return n.doubleValue();
         }
--- a/src/main/java/nettlewick/simulator/ReplyWriter.java
+++ b/src/main/java/nettlewick/simulator/ReplyWriter.java
@@ -36,7 +36,7 @@
         json.writeEndObject();
     }
 
-    /** Ends the reply and its line; the stream below stays open. */
+    /** Ends the reply and its line; the underlying stream stays open. */
     void endReply() throws IOException {
         json.writeEndArray();
         json.writeEndObject();
@@ -44,7 +44,7 @@
         json.close();
     }
 
-    /** Says that an instance failed on its events. */
+    /** Reports that an instance failed to handle its events. */
     void writeFault(String cause) throws IOException {
         startOrder("INTERNAL_ERROR");
         json.writeStringField("msg", cause);
--- a/src/main/java/nettlewick/simulator/SettingsReader.java
+++ b/src/main/java/nettlewick/simulator/SettingsReader.java
@@ -11,22 +11,22 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import nettlewick.decision.SchedulerSettings.Tenant;
 
-/** Reads the settings of one instance. */
+/** Converts the JSON settings of one instance. */
 final class SettingsReader {
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final int ANY_KIND = -1;
+    private static final int ANY_ENDPOINT_KIND = -1;
 
     private SettingsReader() {}
 
     static SchedulerSettings read(MessageFields instance) {
-        MessageFields setup = instance.named("setup");
-        MessageFields family = setup.partOrNull("family_info");
-        List<RequestClass> classes = classes(setup, family);
+        MessageFields setup = instance.withName("setup");
+        MessageFields familyInfo = setup.objectOrNull("family_info");
+        List<RequestClass> classes = classes(setup, familyInfo);
         List<Tenant> tenants = tenants(setup);
         List<String> models = new ArrayList<>();
         setup.listOrEmpty("models").forEach(model -> models.add(String.valueOf(model)));
-        MessageFields limits = setup.part("ceilings");
-        MessageFields rules = setup.part("rules");
+        MessageFields limits = setup.object("ceilings");
+        MessageFields rules = setup.object("rules");
         LoadReporting reporting = reporting(setup);
         String weights = setup.textOrNull("weights");
         return new SchedulerSettings(
@@ -39,15 +39,15 @@
                 "on_request".equals(setup.textOrNull("membership_mode")),
                 "nominal".equals(weights) || "rough".equals(weights),
                 reporting,
-                family == null ? 0 : (long) family.numberOr("progress", 0),
+                familyInfo == null ? 0 : (long) familyInfo.numberOr("progress", 0),
                 limits(limits),
                 rules(rules));
     }
 
-    private static List<RequestClass> classes(MessageFields setup, MessageFields family) {
-        List<?> kinds = family == null ? List.of() : family.listOrEmpty("class_kind");
-        List<?> stretches = family == null ? List.of() : family.listOrEmpty("class_stretch");
-        List<?> priorities = family == null ? List.of() : family.listOrEmpty("class_priority");
+    private static List<RequestClass> classes(MessageFields setup, MessageFields familyInfo) {
+        List<?> endpointKinds = familyInfo == null ? List.of() : familyInfo.listOrEmpty("class_kind");
+        List<?> objectiveStretches = familyInfo == null ? List.of() : familyInfo.listOrEmpty("class_stretch");
+        List<?> priorities = familyInfo == null ? List.of() : familyInfo.listOrEmpty("class_priority");
         List<RequestClass> classes = new ArrayList<>();
         for (Object element : setup.list("classes")) {
             MessageFields fields = MessageFields.of("setup.classes", element);
@@ -58,25 +58,25 @@
                     scope(fields.textOrNull("dedup_scope")),
                     (long) fields.numberOr("window", 0),
                     fields.wholeNumber("aim"),
-                    fields.numberOr("aim_stretch", numberAt(stretches, index, 0)),
+                    fields.numberOr("aim_stretch", numberAt(objectiveStretches, index, 0)),
                     (long) fields.numberOr("deadline", 0),
                     fields.numberOr("worth", 1),
                     fields.numberOr("late_worth", 0),
                     fields.flag("stream"),
-                    (int) numberAt(kinds, index, ANY_KIND),
+                    (int) numberAt(endpointKinds, index, ANY_ENDPOINT_KIND),
                     (int) numberAt(priorities, index, 0)));
         }
         return classes;
     }
 
-    private static double numberAt(List<?> values, int index, double otherwise) {
-        return index < values.size() ? MessageFields.number(values.get(index)) : otherwise;
+    private static double numberAt(List<?> values, int index, double defaultValue) {
+        return index < values.size() ? MessageFields.toNumber(values.get(index)) : defaultValue;
     }
 
     private static List<Tenant> tenants(MessageFields setup) {
         List<Tenant> tenants = new ArrayList<>();
         for (Object element : setup.listOrEmpty("tenants")) {
-            MessageFields fields = MessageFields.of("event", element);
+            MessageFields fields = MessageFields.of("setup.tenants", element);
             tenants.add(
                     new Tenant(fields.text("name"), fields.numberOr("fraction", 0), fields.numberOr("quota_per_s", 0)));
         }
@@ -84,7 +84,7 @@
     }
 
     private static LoadReporting reporting(MessageFields setup) {
-        MessageFields report = setup.partOrNull("report");
+        MessageFields report = setup.objectOrNull("report");
         String source = report == null ? "off" : report.textOrNull("source");
         if ("inline".equals(source)) {
             return LoadReporting.INLINE;
--- a/src/main/java/nettlewick/simulator/SimulatorAdapter.java
+++ b/src/main/java/nettlewick/simulator/SimulatorAdapter.java
@@ -18,51 +18,51 @@
 import nettlewick.decision.Dispatcher;
 import nettlewick.decision.Event;
 import nettlewick.decision.SchedulerSettings;
+import nettlewick.simulator.Batch.EventItem;
 import nettlewick.simulator.Batch.Group;
 import nettlewick.simulator.Batch.Item;
 import nettlewick.simulator.Batch.Kill;
 import nettlewick.simulator.Batch.NewInstance;
-import nettlewick.simulator.Batch.Occurrence;
 
 /**
- * Hosts many instances of the decision module in one process, for the simulator. Decides nothing. Not safe for use by
- * several threads.
+ * Runs many instances of the decision module in one process, for the simulator. Makes no decisions itself. Not
+ * thread-safe.
  */
 public final class SimulatorAdapter {
     private static final int BUFFER_BYTES = 1 << 16;
 
     private final Map<Integer, Dispatcher> instances = new HashMap<>();
-    private final JsonFactory json = new JsonFactory();
-    private final BatchReader batches = new BatchReader(json);
-    private final BiFunction<SchedulerSettings, Long, Dispatcher> module;
+    private final JsonFactory jsonFactory = new JsonFactory();
+    private final BatchReader batchReader = new BatchReader(jsonFactory);
+    private final BiFunction<SchedulerSettings, Long, Dispatcher> dispatcherFactory;
 
-    /** Hosts instances of this program's decision module. */
+    /** Creates an adapter for instances of this program's decision module. */
     public SimulatorAdapter() {
         this(Dispatcher::create);
     }
 
-    /** Hosts instances that are made from settings and a seed. */
-    SimulatorAdapter(BiFunction<SchedulerSettings, Long, Dispatcher> module) {
-        this.module = module;
+    /** Creates an adapter for instances that the factory creates from settings and a seed. */
+    SimulatorAdapter(BiFunction<SchedulerSettings, Long, Dispatcher> dispatcherFactory) {
+        this.dispatcherFactory = dispatcherFactory;
     }
 
     /**
      * Answers each line of {@code in} with one line on {@code out} until the input ends.
      *
-     * @throws MalformedMessageException for a line that is not of the protocol
+     * @throws MalformedMessageException if a line violates the protocol
      */
     public void serve(InputStream in, OutputStream out) throws IOException {
         BufferedReader reader = new BufferedReader(
                 new InputStreamReader(new BufferedInputStream(in, BUFFER_BYTES), StandardCharsets.UTF_8), BUFFER_BYTES);
         BufferedOutputStream buffered = new BufferedOutputStream(out, BUFFER_BYTES);
         for (String line = reader.readLine(); line != null; line = reader.readLine()) {
-            answer(batches.read(line), buffered);
+            writeReply(batchReader.read(line), buffered);
             buffered.flush();
         }
     }
 
-    private void answer(Batch batch, OutputStream out) throws IOException {
-        ReplyWriter reply = new ReplyWriter(json, out, batch.number());
+    private void writeReply(Batch batch, OutputStream out) throws IOException {
+        ReplyWriter reply = new ReplyWriter(jsonFactory, out, batch.number());
         for (Group group : batch.groups()) {
             reply.startGroup(group.instance());
             try {
@@ -78,13 +78,13 @@
     private void handle(Group group, long nowNanos, ReplyWriter reply) throws IOException {
         List<Event> events = new ArrayList<>(group.items().size());
         for (Item item : group.items()) {
-            if (item instanceof Occurrence occurrence) {
+            if (item instanceof EventItem occurrence) {
                 events.add(occurrence.event());
                 continue;
             }
             decide(group.instance(), nowNanos, events, reply);
             if (item instanceof NewInstance created) {
-                instances.put(group.instance(), module.apply(created.settings(), created.seed()));
+                instances.put(group.instance(), dispatcherFactory.apply(created.settings(), created.seed()));
             } else if (item instanceof Kill) {
                 instances.remove(group.instance());
             }
@@ -92,7 +92,7 @@
         decide(group.instance(), nowNanos, events, reply);
     }
 
-    /** Hands the gathered events to the instance and writes what it decides. Events of a dead instance are dropped. */
+    /** Passes the collected events to the instance and writes its actions; drops them if there is no instance. */
     private void decide(int instance, long nowNanos, List<Event> events, ReplyWriter reply) throws IOException {
         Dispatcher dispatcher = instances.get(instance);
         if (!events.isEmpty() && dispatcher != null) {
--- a/src/test/java/nettlewick/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/nettlewick/simulator/SimulatorAdapterTest.java
@@ -43,7 +43,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire: events in, actions out, and plain words for what is malformed. */
+/** The simulator protocol: events, settings, actions, and the errors for malformed input. */
 class SimulatorAdapterTest {
     private static final String SETUP = """
             {"fleet_size":3,"rank":1,"zone":"north","zones":["north"],"models":["box"],"novel":{"x":[1]},\
@@ -57,12 +57,12 @@
             "rules":{"answer_slack":8,"ask_within":10,"cold":7,"cold_share":0.3,"drain_grace":2,"fall":3,\
             "overload_factor":3.0}}""";
 
-    private static String start(String more) {
+    private static String start(String extraItems) {
         return "{\"wall\":5,\"batch\":1,\"groups\":[{\"dispatcher_id\":4,\"items\":["
                 + "{\"type\":\"LEDGER\",\"slot\":0,\"elements\":[{\"worker\":\"10.0.0.1:90\",\"lifecycle\":0,"
                 + "\"started_at\":null,\"cohort\":2,\"generation_hw\":\"box\",\"campus\":\"north\",\"size\":1.5}]},"
                 + "{\"type\":\"NEW_INSTANCE\",\"init_seed\":18446744073709551615,\"setup\":" + SETUP + "},"
-                + "{\"type\":\"ROSTER_CHANGE\",\"scope\":2,\"stamp\":1,\"slot\":0}" + more + "]}]}";
+                + "{\"type\":\"ROSTER_CHANGE\",\"scope\":2,\"stamp\":1,\"slot\":0}" + extraItems + "]}]}";
     }
 
     private static String serve(String... lines) throws IOException {
@@ -82,7 +82,7 @@
                 .get(0)
                 .items()
                 .get(0);
-        return ((Batch.Occurrence) read).event();
+        return ((Batch.EventItem) read).event();
     }
 
     @Test
@@ -202,27 +202,27 @@
                 "{\"wall\":1,\"batch\":1,\"groups\":[{\"dispatcher_id\":1,\"items\":"
                         + "[{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}]}]}"
             })
-    void malformedLinesEndWithOnePlainLine(String line) {
+    void malformedLinesGiveAOneLineError(String line) {
         MalformedMessageException e = assertThrows(MalformedMessageException.class, () -> serve(line));
         assertFalse(e.getMessage().isBlank());
         assertFalse(e.getMessage().contains("\n"));
     }
 
     @Test
-    void settingsThatMakeNoSenseAreNamed() {
+    void invalidSettingsAreNamedInTheError() {
         MalformedMessageException e = assertThrows(
                 MalformedMessageException.class, () -> serve(start("").replace("\"rank\":1", "\"rank\":9")));
         assertEquals("setting rank makes no sense: 9", e.getMessage());
     }
 
     @Test
-    void aFailureInsideIsReported() throws IOException {
+    void moduleFaultIsReportedInTheReply() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter((settings, seed) -> (now, events) -> {
-                    throw new IllegalStateException("planted");
+                    throw new IllegalStateException("simulated module failure");
                 })
                 .serve(new ByteArrayInputStream(start("").getBytes(StandardCharsets.UTF_8)), out);
         String text = out.toString(StandardCharsets.UTF_8);
-        assertTrue(text.contains("INTERNAL_ERROR") && text.contains("planted"), text);
+        assertTrue(text.contains("INTERNAL_ERROR") && text.contains("simulated module failure"), text);
     }
 }
--- a/src/test/java/nettlewick/simulator/SimulatorWireGoldenTest.java
+++ b/src/test/java/nettlewick/simulator/SimulatorWireGoldenTest.java
@@ -17,17 +17,18 @@
 import nettlewick.decision.Action.Cancel;
 import org.junit.jupiter.api.Test;
 
-/** Lines of the simulator and the lines that answer them, and what is said of lines that cannot be read. */
+/** Compares the replies to simulator batches, and the errors for malformed lines, with golden files. */
 class SimulatorWireGoldenTest {
-    private static final long MS = 1_000_000;
-    /** An order that something follows from: its kind, and its first two fields. */
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** An order that the simulator reacts to: its type and its first two fields. */
     private static final Pattern ORDER = Pattern.compile("\\{\"type\":\"(RELAY|PING|BROADCAST_TO|REMIND)\","
             + "\"\\w+\":\"?([^\",}]+)\"?(?:,\"\\w+\":\"?([^\",}]+))?");
-    /** A worker that falls silent, so that its requests are waited for in vain. */
-    private static final String SILENT = "10.0.0.0:90";
-    /** Workers report progress this often, so that one that does not is noticed. */
-    private static final String PROGRESS = "\"family_info\":{\"class_kind\":[-1,0,0],\"class_stretch\":[2.0,2.5,2.5],"
-            + "\"class_priority\":[0,1,0],\"progress\":10000000},";
+    /** An endpoint that stops responding, so that its requests time out. */
+    private static final String UNRESPONSIVE_WORKER = "10.0.0.0:90";
+    /** Makes endpoints report progress periodically, so that one that stops can be detected. */
+    private static final String PROGRESS_SETUP =
+            "\"family_info\":{\"class_kind\":[-1,0,0],\"class_stretch\":[2.0,2.5,2.5],"
+                    + "\"class_priority\":[0,1,0],\"progress\":10000000},";
 
     private static final String SETUP = """
             {"fleet_size":2,"rank":%RANK%,"zone":"north","zones":["north"],"models":["box"],"novel":{"x":[1]},\
@@ -41,9 +42,10 @@
             "rules":{"answer_slack":8000000,"ask_within":1000000000,"cold":7000000000,"cold_share":0.3,\
             "drain_grace":2000000000,"fall":1000000000,"overload_factor":3.0}}""";
 
-    /** A line for the simulator's instance 4, or for 4 and 5. */
+    /** A batch for instance 4, or for instances 4 and 5. */
     private static String line(long millis, int batch, String... groups) {
-        StringBuilder text = new StringBuilder("{\"wall\":" + millis * MS + ",\"batch\":" + batch + ",\"groups\":[");
+        StringBuilder text =
+                new StringBuilder("{\"wall\":" + millis * NANOS_PER_MILLI + ",\"batch\":" + batch + ",\"groups\":[");
         for (int i = 0; i < groups.length; i++) {
             text.append(i > 0 ? "," : "")
                     .append("{\"dispatcher_id\":")
@@ -73,9 +75,9 @@
                 + "{\"type\":\"ROSTER_CHANGE\",\"scope\":2,\"stamp\":1,\"slot\":0}";
     }
 
-    private static String arrival(String id, String jobClass, String more) {
-        return "{\"type\":\"ARRIVAL\",\"txn\":\"" + id + "\",\"class\":\"" + jobClass
-                + "\",\"owner\":\"red\",\"remaining\":5000000000" + more + "}";
+    private static String arrival(String id, String requestClass, String extraFields) {
+        return "{\"type\":\"ARRIVAL\",\"txn\":\"" + id + "\",\"class\":\"" + requestClass
+                + "\",\"owner\":\"red\",\"remaining\":5000000000" + extraFields + "}";
     }
 
     private static String reply(String id, int attempt, String worker, String disposition) {
@@ -132,16 +134,16 @@
     }
 
     @Test
-    void roundsWithAPushedList() throws IOException {
-        rounds("pushed");
+    void exchangeWithPushedEndpointList() throws IOException {
+        assertExchangeMatchesGolden("pushed");
     }
 
     @Test
-    void roundsWithAListThatIsAskedFor() throws IOException {
-        rounds("on_request");
+    void exchangeWithEndpointListOnRequest() throws IOException {
+        assertExchangeMatchesGolden("on_request");
     }
 
-    private static void rounds(String mode) throws IOException {
+    private static void assertExchangeMatchesGolden(String mode) throws IOException {
         StringBuilder text = new StringBuilder();
         String[] answers = serve(lines(mode)).split("(?<=\n)");
         for (int i = 0; i < answers.length; i++) {
@@ -150,7 +152,7 @@
         assertMatches("wire/simulator-" + mode + ".txt", text.toString());
     }
 
-    /** Two instances whose orders are answered some rounds later; all lines in and out are noted. */
+    /** Simulates two instances whose orders are answered some batches later, and records all lines in and out. */
     private static final class Exchange {
         private static final String[] DISPOSITIONS = {
             "completed",
@@ -165,98 +167,109 @@
         };
         private static final String[] CLASSES = {"read", "keyed", "mark"};
 
-        private final SimulatorAdapter host = new SimulatorAdapter();
+        private final SimulatorAdapter adapter = new SimulatorAdapter();
         private final StringBuilder text = new StringBuilder();
-        private final TreeMap<Long, List<List<String>>> due = new TreeMap<>();
-        private final Map<String, Integer> attempts = new HashMap<>();
-        private int relays;
+        private final TreeMap<Long, List<List<String>>> itemsByTime = new TreeMap<>();
+        private final Map<String, Integer> attemptCounts = new HashMap<>();
+        private int relayCount;
 
-        private void schedule() {
-            add(due, 5, 0, start(0, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
-            add(due, 5, 1, start(1, "on_request").replace("\"report\"", PROGRESS + "\"report\""));
+        private void scheduleArrivals() {
+            add(itemsByTime, 5, 0, start(0, "on_request").replace("\"report\"", PROGRESS_SETUP + "\"report\""));
+            add(itemsByTime, 5, 1, start(1, "on_request").replace("\"report\"", PROGRESS_SETUP + "\"report\""));
             for (int i = 0; i < 90; i++) {
-                String more = i % 3 == 1 ? ",\"name_key\":\"k" + i % 5 + "\"" : ",\"weight_hint\":" + 1000 * i;
-                add(due, 10 + 4L * i, i % 2, arrival("t" + i, CLASSES[i % 3], more));
+                String extraFields = i % 3 == 1 ? ",\"name_key\":\"k" + i % 5 + "\"" : ",\"weight_hint\":" + 1000 * i;
+                add(itemsByTime, 10 + 4L * i, i % 2, arrival("t" + i, CLASSES[i % 3], extraFields));
                 if (i % 10 == 7 || i % 10 == 2) {
-                    add(due, 15 + 4L * i, i % 2, "{\"type\":\"VANISHED\",\"txn\":\"t" + i + "\"}");
+                    add(itemsByTime, 15 + 4L * i, i % 2, "{\"type\":\"VANISHED\",\"txn\":\"t" + i + "\"}");
                 }
             }
         }
 
-        private String play() throws IOException {
-            schedule();
-            for (int batch = 1; batch <= 300 && !due.isEmpty(); batch++) {
-                long now = due.firstKey();
-                List<List<String>> items = due.remove(now);
+        private String run() throws IOException {
+            scheduleArrivals();
+            for (int batch = 1; batch <= 300 && !itemsByTime.isEmpty(); batch++) {
+                long now = itemsByTime.firstKey();
+                List<List<String>> items = itemsByTime.remove(now);
                 String line = line(now, batch, String.join(",", items.get(0)), String.join(",", items.get(1)));
                 ByteArrayOutputStream out = new ByteArrayOutputStream();
-                host.serve(new ByteArrayInputStream((line + "\n").getBytes(StandardCharsets.UTF_8)), out);
+                adapter.serve(new ByteArrayInputStream((line + "\n").getBytes(StandardCharsets.UTF_8)), out);
                 String answer = out.toString(StandardCharsets.UTF_8);
                 text.append("> ").append(line).append("\n< ").append(answer);
-                int second = answer.indexOf("{\"dispatcher_id\":5");
+                int secondGroupStart = answer.indexOf("{\"dispatcher_id\":5");
                 Matcher order = ORDER.matcher(answer);
                 while (order.find()) {
-                    obey(now, order.start() > second ? 1 : 0, order.group(1), order.group(2), order.group(3));
+                    scheduleResult(
+                            now,
+                            order.start() > secondGroupStart ? 1 : 0,
+                            order.group(1),
+                            order.group(2),
+                            order.group(3));
                 }
             }
             return text.toString();
         }
 
-        private void obey(long now, int instance, String type, String first, String last) {
+        private void scheduleResult(long now, int instance, String type, String first, String last) {
             switch (type) {
                 case "RELAY" -> answerRelay(now, instance, first, last);
                 case "PING" -> answerProbe(now, instance, first);
                 case "BROADCAST_TO" ->
                     add(
-                            due,
+                            itemsByTime,
                             now + 1,
                             1 - instance,
                             "{\"type\":\"MEMO\",\"who\":" + instance + ",\"data\":\"" + last + "\"}");
-                default -> add(due, now + Math.max(1, Long.parseLong(first) / MS), instance, timer(last));
+                default ->
+                    add(itemsByTime, now + Math.max(1, Long.parseLong(first) / NANOS_PER_MILLI), instance, timer(last));
             }
         }
 
         private void answerRelay(long now, int instance, String id, String endpoint) {
-            int attempt = attempts.merge(id, 1, Integer::sum) - 1;
-            String result = DISPOSITIONS[relays++ % DISPOSITIONS.length];
-            String about = "\"txn\":\"" + id + "\",\"seq_no\":" + attempt + ",\"worker\":\"" + endpoint + "\"";
-            if (relays % 3 == 0) {
-                add(due, now + 2, instance, "{\"type\":\"ACCEPTED\"," + about + ",\"latency\":1}");
+            int attempt = attemptCounts.merge(id, 1, Integer::sum) - 1;
+            String result = DISPOSITIONS[relayCount++ % DISPOSITIONS.length];
+            String attemptFields = "\"txn\":\"" + id + "\",\"seq_no\":" + attempt + ",\"worker\":\"" + endpoint + "\"";
+            if (relayCount % 3 == 0) {
+                add(itemsByTime, now + 2, instance, "{\"type\":\"ACCEPTED\"," + attemptFields + ",\"latency\":1}");
             }
-            add(due, now + 1, instance, "{\"type\":\"INTERIM\"," + about + ",\"sort\":2,\"amount\":0}");
-            add(due, now + (isSilent(now, endpoint) ? 3000 : 9), instance, reply(id, attempt, endpoint, result));
+            add(itemsByTime, now + 1, instance, "{\"type\":\"INTERIM\"," + attemptFields + ",\"sort\":2,\"amount\":0}");
+            add(
+                    itemsByTime,
+                    now + (isUnresponsive(now, endpoint) ? 3000 : 9),
+                    instance,
+                    reply(id, attempt, endpoint, result));
         }
 
         private void answerProbe(long now, int instance, String endpoint) {
-            boolean silent = isSilent(now, endpoint);
+            boolean unresponsive = isUnresponsive(now, endpoint);
             String answer = "{\"type\":\"HEALTH\",\"worker\":\"" + endpoint + "\",\"disposition\":\""
-                    + (silent ? "overdue" : "completed")
+                    + (unresponsive ? "overdue" : "completed")
                     + "\",\"latency\":2000000,\"telemetry\":{\"x0\":1,\"concurrent\":2}}";
-            add(due, now + (silent ? 100 : 3), instance, answer);
+            add(itemsByTime, now + (unresponsive ? 100 : 3), instance, answer);
         }
 
-        private static boolean isSilent(long now, String endpoint) {
-            return now > 40 && SILENT.equals(endpoint);
+        private static boolean isUnresponsive(long now, String endpoint) {
+            return now > 40 && UNRESPONSIVE_WORKER.equals(endpoint);
         }
     }
 
     /**
-     * Plays two instances: a relayed request is answered some rounds later, each disposition in its turn, timers come
-     * when they are due, memos reach the other instance, and probes are answered. One endpoint falls silent.
+     * Simulates two instances: forwarded requests are answered some batches later with each disposition in turn, timers
+     * fire when they are due, peer messages reach the other instance, and probes are answered. One endpoint stops
+     * responding.
      */
     @Test
-    void aPlayedExchange() throws IOException {
-        String text = new Exchange().play();
+    void simulatedExchangeMatchesGolden() throws IOException {
+        String text = new Exchange().run();
         for (String kind :
                 List.of("RELAY", "OVERLOAD_REPLY", "DROP_REQUEST", "PING", "BROADCAST_TO", "REMIND", "SUBSCRIBE")) {
-            assertTrue(text.indexOf("{\"type\":\"" + kind + "\"") > 0, kind + " was not played");
+            assertTrue(text.indexOf("{\"type\":\"" + kind + "\"") > 0, kind + " does not occur");
         }
         assertMatches("wire/simulator-played.txt", text);
     }
 
-    /** The order that the played exchange does not bring about, from a module that gives nothing else. */
+    /** Covers the one order that the simulated exchange does not produce, with a module that returns only this one. */
     @Test
-    void anAttemptIsCalledOff() throws IOException {
+    void cancelActionIsWritten() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(
                         (settings, seed) -> (now, events) -> List.of(new Cancel("e", 1), new Cancel("\"\u00e9", 12)))
@@ -264,15 +277,16 @@
         assertMatches("wire/simulator-call-off.txt", out.toString(StandardCharsets.UTF_8));
     }
 
-    private static void add(TreeMap<Long, List<List<String>>> due, long at, int instance, String item) {
-        due.computeIfAbsent(at, t -> List.of(new ArrayList<>(), new ArrayList<>()))
+    private static void add(TreeMap<Long, List<List<String>>> itemsByTime, long at, int instance, String item) {
+        itemsByTime
+                .computeIfAbsent(at, t -> List.of(new ArrayList<>(), new ArrayList<>()))
                 .get(instance)
                 .add(item);
     }
 
     @Test
-    void badLines() {
-        String good = line(5, 1, start(0, "pushed"));
+    void malformedLinesAreReported() {
+        String validLine = line(5, 1, start(0, "pushed"));
         StringBuilder text = new StringBuilder();
         for (String line : List.of(
                 "",
@@ -290,16 +304,16 @@
                 line(1, 1, "{\"type\":\"MEMO\",\"who\":1,\"data\":\"?\"}"),
                 line(1, 1, "{\"type\":\"ROSTER_CHANGE\",\"scope\":1,\"stamp\":1,\"slot\":9}"),
                 line(1, 1, reply("a", 0, "w", "strange")),
-                good.replace("\"rank\":0", "\"rank\":9"),
-                good.replace("retryable", "sometimes"),
-                good.replace("\"fleet_size\":2", "\"fleet_size\":0"),
-                good.replace("\"attempts_cap\":3,", ""),
-                good.replace("\"lifecycle\":0", "\"lifecycle\":17"))) {
+                validLine.replace("\"rank\":0", "\"rank\":9"),
+                validLine.replace("retryable", "sometimes"),
+                validLine.replace("\"fleet_size\":2", "\"fleet_size\":0"),
+                validLine.replace("\"attempts_cap\":3,", ""),
+                validLine.replace("\"lifecycle\":0", "\"lifecycle\":17"))) {
             text.append("> ").append(line.length() > 200 ? "a line of " + line.length() + " characters" : line);
             try {
                 text.append("\n< ").append(serve(List.of(line)));
             } catch (IOException | RuntimeException e) {
-                // The message alone is printed; the name of its type is not part of the format.
+                // Only the message is compared, since the exception's class name is not part of the protocol.
                 text.append("\n! ").append(e.getMessage()).append('\n');
             }
         }
