--- a/src/main/java/nettlewick/settings/InvalidSettingsException.java
+++ b/src/main/java/nettlewick/settings/InvalidSettingsException.java
@@ -1,16 +1,16 @@
 package nettlewick.settings;
 
-/** Settings that are invalid; the message is one line that names file, line, keyword and value. */
+/** Thrown for invalid settings. The message is a single line that names the file, line, keyword and value. */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1;
     private static final int MAX_MESSAGE_CHARS = 400;
 
-    /** @param message without the location, which is put before it */
+    /** @param message the message without the location, which is prepended */
     public InvalidSettingsException(SourceLocation location, String message) {
         super(toSingleLine(location + ": " + message));
     }
 
-    /** A keyword whose value is invalid; {@code expected} ends the sentence "... has to be". */
+    /** The error for an invalid value; {@code expected} completes "KEYWORD is VALUE, but has to be". */
     public static InvalidSettingsException invalidValue(
             SourceLocation location, String keyword, String value, String expected) {
         return new InvalidSettingsException(
--- a/src/main/java/nettlewick/settings/Keyword.java
+++ b/src/main/java/nettlewick/settings/Keyword.java
@@ -5,15 +5,15 @@
 import java.util.stream.Collectors;
 
 /**
- * One keyword of a block, for the check and for the reference page.
+ * A keyword that may be set in a block, for validation and for the settings reference.
  *
- * @param name     as it is written
- * @param forms    the ways to write its values; each is a list of types, one for each word
- * @param fallback its values where it is not set, as they would be written; null for none
- * @param many     whether it may be set more than once
- * @param required whether it has to be set
- * @param live     whether SIGHUP applies a change; otherwise only a restart does
- * @param about    what it does, for the reference page
+ * @param name         the keyword as written
+ * @param forms        the alternative argument lists; each has one type per word
+ * @param defaultWords the arguments that apply if the keyword is not set, as written; null for none
+ * @param isRepeatable whether the keyword may be set more than once
+ * @param isRequired   whether the keyword must be set
+ * @param isReloadable whether SIGHUP applies a change; otherwise a restart is required
+ * @param description  the description in the settings reference
  */
 public record Keyword(
         String name,
@@ -23,50 +23,50 @@
         boolean isRequired,
         boolean isReloadable,
         String description) {
-    /** A keyword with one value and a default. */
-    public static Keyword withDefault(String name, ValueType<?> type, String fallback, String about) {
-        return new Keyword(name, List.of(List.of(type)), fallback, false, false, false, about);
+    /** A keyword with one argument and a default. */
+    public static Keyword withDefault(String name, ValueType<?> type, String defaultWords, String description) {
+        return new Keyword(name, List.of(List.of(type)), defaultWords, false, false, false, description);
     }
 
-    /** A keyword with one value that has to be set. */
-    public static Keyword required(String name, ValueType<?> type, String about) {
-        return new Keyword(name, List.of(List.of(type)), null, false, true, false, about);
+    /** A keyword with one argument that must be set. */
+    public static Keyword required(String name, ValueType<?> type, String description) {
+        return new Keyword(name, List.of(List.of(type)), null, false, true, false, description);
     }
 
-    /** A keyword with one value that may be left out and has no default. */
-    public static Keyword optional(String name, ValueType<?> type, String about) {
-        return new Keyword(name, List.of(List.of(type)), null, false, false, false, about);
+    /** A keyword with one argument that may be omitted and has no default. */
+    public static Keyword optional(String name, ValueType<?> type, String description) {
+        return new Keyword(name, List.of(List.of(type)), null, false, false, false, description);
     }
 
-    /** A keyword with several words, which may be set more than once and is applied by SIGHUP. */
-    public static Keyword repeatable(String name, String about, ValueType<?>... types) {
-        return new Keyword(name, List.of(List.of(types)), null, true, false, true, about);
+    /** A keyword with several arguments that may be set more than once; SIGHUP applies changes. */
+    public static Keyword repeatable(String name, String description, ValueType<?>... types) {
+        return new Keyword(name, List.of(List.of(types)), null, true, false, true, description);
     }
 
-    /** The same, applied by SIGHUP. */
+    /** A copy of this keyword whose changes SIGHUP applies. */
     public Keyword reloadable() {
         return new Keyword(name, forms, defaultWords, isRepeatable, isRequired, true, description);
     }
 
-    /** The same, with another way to write its values. */
+    /** A copy of this keyword with an additional form. */
     public Keyword withAlternativeForm(ValueType<?>... types) {
-        List<List<ValueType<?>>> all = new ArrayList<>(forms);
-        all.add(List.of(types));
-        return new Keyword(name, all, defaultWords, isRepeatable, isRequired, isReloadable, description);
+        List<List<ValueType<?>>> allForms = new ArrayList<>(forms);
+        allForms.add(List.of(types));
+        return new Keyword(name, allForms, defaultWords, isRepeatable, isRequired, isReloadable, description);
     }
 
-    /** How it is written, with all of its forms. */
+    /** The syntax of the keyword in all of its forms. */
     String usage() {
         return usage(forms);
     }
 
-    private String usage(List<List<ValueType<?>>> some) {
-        return some.stream()
+    private String usage(List<List<ValueType<?>>> usageForms) {
+        return usageForms.stream()
                 .map(form -> name + " " + form.stream().map(ValueType::name).collect(Collectors.joining(" ")))
                 .collect(Collectors.joining(" or "));
     }
 
-    /** The values that these words stand for; throws {@link InvalidSettingsException} where no form fits. */
+    /** Parses the arguments by the first form that matches; throws {@link InvalidSettingsException} if none does. */
     List<Object> parse(SourceLocation location, List<String> words) {
         for (List<ValueType<?>> form : forms) {
             List<Object> values = parsePrefix(form, words);
@@ -77,7 +77,7 @@
         throw mismatch(location, words);
     }
 
-    /** The values of the words up to the first one that does not fit the form. */
+    /** Parses the words up to the first one that does not match the form. */
     private static List<Object> parsePrefix(List<ValueType<?>> form, List<String> words) {
         List<Object> values = new ArrayList<>();
         for (int i = 0; i < Math.min(form.size(), words.size()); i++) {
@@ -90,13 +90,16 @@
         return values;
     }
 
-    /** Names the first wrong word where there is one form of this length, else the forms that fit best. */
+    /** Names the first invalid word if the only form has this length, otherwise the forms that match best. */
     private InvalidSettingsException mismatch(SourceLocation location, List<String> words) {
         List<ValueType<?>> first = forms.get(0);
         if (forms.size() == 1 && first.size() == words.size()) {
-            int wrong = parsePrefix(first, words).size();
+            int mismatchIndex = parsePrefix(first, words).size();
             return InvalidSettingsException.invalidValue(
-                    location, name, words.get(wrong), first.get(wrong).expectation());
+                    location,
+                    name,
+                    words.get(mismatchIndex),
+                    first.get(mismatchIndex).expectation());
         }
         return InvalidSettingsException.invalidValue(
                 location, name, String.join(" ", words), "written as: " + usage(nearestForms(words)));
--- a/src/main/java/nettlewick/settings/LineParser.java
+++ b/src/main/java/nettlewick/settings/LineParser.java
@@ -13,8 +13,8 @@
 import java.util.List;
 
 /**
- * Reads settings files as lines of words: follows {@code include FILE}, which is resolved beside the including file,
- * and checks that each file closes the blocks that it opens. A line's syntax is {@link LineTokenizer}'s.
+ * Parses settings files into lines of words. Resolves {@code include FILE} relative to the including file, and checks
+ * that each file closes the blocks that it opens. {@link LineTokenizer} defines the syntax of a line.
  */
 final class LineParser {
     private static final int MAX_INCLUDE_DEPTH = 16;
@@ -24,74 +24,74 @@
     /**
      * A line that is neither empty nor only a comment.
      *
-     * @param words  without the braces
-     * @param opens  whether it ends in the opening brace of a block
-     * @param closes whether it is the closing brace of a block; it has no words then
+     * @param words  the words without braces
+     * @param opens  whether the line ends in the opening brace of a block
+     * @param closes whether the line is the closing brace of a block, without words
      */
-    record Line(SourceLocation place, List<String> words, boolean opens, boolean closes) {}
+    record Line(SourceLocation location, List<String> words, boolean opens, boolean closes) {}
 
     private final List<Line> lines = new ArrayList<>();
     private final Deque<Path> includeStack = new ArrayDeque<>();
 
     private LineParser() {}
 
-    /** All lines of a file, with those of an included file in place of the include. */
+    /** Parses a file; each include is replaced by the lines of the included file. */
     static List<Line> parseFile(Path file) {
-        LineParser all = new LineParser();
-        all.addFile(file, new SourceLocation("command line", 0));
-        return all.lines;
+        LineParser parser = new LineParser();
+        parser.addFile(file, new SourceLocation("command line", 0));
+        return parser.lines;
     }
 
-    /** The lines of a text that is in no file; includes are resolved in the current folder. */
+    /** Parses text that is not in a file; includes are resolved relative to the current directory. */
     static List<Line> parseText(String name, String text) {
-        LineParser all = new LineParser();
-        all.addText(name, Path.of(name).toAbsolutePath(), text);
-        return all.lines;
+        LineParser parser = new LineParser();
+        parser.addText(name, Path.of(name).toAbsolutePath(), text);
+        return parser.lines;
     }
 
-    private void addFile(Path file, SourceLocation asked) {
-        Path real;
+    private void addFile(Path file, SourceLocation includedAt) {
+        Path realPath;
         String text;
         try {
-            real = file.toRealPath();
+            realPath = file.toRealPath();
             text = StandardCharsets.UTF_8
                     .newDecoder()
-                    .decode(ByteBuffer.wrap(Files.readAllBytes(real)))
+                    .decode(ByteBuffer.wrap(Files.readAllBytes(realPath)))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new InvalidSettingsException(asked, file + " is not UTF-8 text");
+            throw new InvalidSettingsException(includedAt, file + " is not UTF-8 text");
         } catch (IOException e) {
             throw new InvalidSettingsException(
-                    asked, file + " cannot be read (" + e.getClass().getSimpleName() + ")");
+                    includedAt, file + " cannot be read (" + e.getClass().getSimpleName() + ")");
         }
-        if (includeStack.contains(real)) {
+        if (includeStack.contains(realPath)) {
             throw InvalidSettingsException.invalidValue(
-                    asked, INCLUDE, file.toString(), "a file that does not include itself: this is a loop");
+                    includedAt, INCLUDE, file.toString(), "a file that is not part of an include loop");
         }
         if (includeStack.size() >= MAX_INCLUDE_DEPTH) {
             throw InvalidSettingsException.invalidValue(
-                    asked, INCLUDE, file.toString(), "nested less than " + MAX_INCLUDE_DEPTH + " deep");
+                    includedAt, INCLUDE, file.toString(), "nested less than " + MAX_INCLUDE_DEPTH + " deep");
         }
-        addText(file.toString(), real, text);
+        addText(file.toString(), realPath, text);
     }
 
-    private void addText(String name, Path real, String text) {
-        includeStack.push(real);
-        int number = 0;
-        int depth = 0;
+    private void addText(String name, Path path, String text) {
+        includeStack.push(path);
+        int lineNumber = 0;
+        int blockDepth = 0;
         for (String raw : text.split("\n", -1)) {
-            SourceLocation location = new SourceLocation(name, ++number);
+            SourceLocation location = new SourceLocation(name, ++lineNumber);
             Line line =
                     LineTokenizer.parseLine(location, raw.endsWith("\r") ? raw.substring(0, raw.length() - 1) : raw);
             if (line == null) {
                 continue;
             }
-            depth += line.opens() ? 1 : line.closes() ? -1 : 0;
-            if (depth < 0) {
-                throw new InvalidSettingsException(location, "} closes no block of this file");
+            blockDepth += line.opens() ? 1 : line.closes() ? -1 : 0;
+            if (blockDepth < 0) {
+                throw new InvalidSettingsException(location, "unmatched } in this file");
             }
             if (!line.closes() && line.words().get(0).equals(INCLUDE)) {
-                addIncluded(line, real);
+                addIncluded(line, path);
             } else {
                 lines.add(line);
             }
@@ -99,26 +99,26 @@
                 throw new InvalidSettingsException(location, "more than " + MAX_LINES + " lines");
             }
         }
-        if (depth > 0) {
+        if (blockDepth > 0) {
             throw new InvalidSettingsException(
-                    new SourceLocation(name, number), "the file ends inside a block: } is missing");
+                    new SourceLocation(name, lineNumber), "unclosed block at the end of the file: } is missing");
         }
         includeStack.pop();
     }
 
-    private void addIncluded(Line line, Path from) {
+    private void addIncluded(Line line, Path includingFile) {
         if (line.words().size() != 2 || line.opens()) {
             throw InvalidSettingsException.invalidValue(
-                    line.place(),
+                    line.location(),
                     INCLUDE,
                     String.join(" ", line.words().subList(1, line.words().size())),
                     "one file");
         }
         try {
-            addFile(from.resolveSibling(line.words().get(1)), line.place());
+            addFile(includingFile.resolveSibling(line.words().get(1)), line.location());
         } catch (InvalidPathException e) {
             throw InvalidSettingsException.invalidValue(
-                    line.place(), INCLUDE, line.words().get(1), "the path of a file");
+                    line.location(), INCLUDE, line.words().get(1), "the path of a file");
         }
     }
 }
--- a/src/main/java/nettlewick/settings/LineTokenizer.java
+++ b/src/main/java/nettlewick/settings/LineTokenizer.java
@@ -5,33 +5,33 @@
 import nettlewick.settings.LineParser.Line;
 
 /**
- * The syntax of one line: a keyword and its values as words, {@code #} comments, values in double quotes with a
- * backslash before a quote or a backslash ({@code \n} and {@code \t} too), a block's name before an opening brace, or
- * a closing brace alone.
+ * The syntax of a line: a keyword with its arguments as words, the name of a block before an opening brace, or only a
+ * closing brace; {@code #} starts a comment. Words may be in double quotes, in which a backslash escapes a quote or a
+ * backslash, and {@code \n} and {@code \t} stand for a line feed and a tab.
  */
 final class LineTokenizer {
     private LineTokenizer() {}
 
-    /** The line's words; null where it is empty or only a comment. */
-    static Line parseLine(SourceLocation location, String raw) {
+    /** Parses a line; null if it is empty or only a comment. */
+    static Line parseLine(SourceLocation location, String text) {
         List<String> words = new ArrayList<>();
         boolean opens = false;
-        int at = 0;
-        while (at < raw.length()) {
-            char c = raw.charAt(at);
+        int index = 0;
+        while (index < text.length()) {
+            char c = text.charAt(index);
             if (Character.isWhitespace(c)) {
-                at++;
+                index++;
                 continue;
             }
             if (c == '#') {
                 break;
             }
             if (opens) {
-                throw new InvalidSettingsException(location, "{ has to be the last of its line");
+                throw new InvalidSettingsException(location, "{ has to be the last word of its line");
             }
             StringBuilder word = new StringBuilder();
             boolean isQuoted = c == '"';
-            at = isQuoted ? parseQuoted(location, raw, at + 1, word) : parsePlain(location, raw, at, word);
+            index = isQuoted ? parseQuoted(location, text, index + 1, word) : parsePlain(location, text, index, word);
             if (!isQuoted && word.toString().equals("{")) {
                 opens = true;
             } else {
@@ -46,48 +46,48 @@
             return new Line(location, List.of(), false, true);
         }
         if (words.contains("}")) {
-            throw new InvalidSettingsException(location, "} has to stand alone on its line");
+            throw new InvalidSettingsException(location, "} has to be the only word of its line");
         }
         if (words.isEmpty() && opens) {
-            throw new InvalidSettingsException(location, "{ without the name of a block");
+            throw new InvalidSettingsException(location, "{ without a block name");
         }
         return words.isEmpty() ? null : new Line(location, List.copyOf(words), opens, false);
     }
 
-    /** Appends a word without quotes; where it ends. */
-    private static int parsePlain(SourceLocation location, String raw, int from, StringBuilder word) {
-        int at = from;
-        while (at < raw.length() && !Character.isWhitespace(raw.charAt(at)) && raw.charAt(at) != '#') {
-            word.append(raw.charAt(at));
-            at++;
+    /** Appends an unquoted word and returns the index of its end. */
+    private static int parsePlain(SourceLocation location, String text, int start, StringBuilder word) {
+        int index = start;
+        while (index < text.length() && !Character.isWhitespace(text.charAt(index)) && text.charAt(index) != '#') {
+            word.append(text.charAt(index));
+            index++;
         }
         if (word.indexOf("\"") >= 0) {
-            throw new InvalidSettingsException(location, "a quote inside " + word);
+            throw new InvalidSettingsException(location, "unexpected quote in " + word);
         }
-        return at;
+        return index;
     }
 
-    /** Appends a word in quotes; where it ends, past the closing quote. */
-    private static int parseQuoted(SourceLocation location, String raw, int from, StringBuilder word) {
-        for (int at = from; at < raw.length(); at++) {
-            char c = raw.charAt(at);
+    /** Appends a quoted word and returns the index after the closing quote. */
+    private static int parseQuoted(SourceLocation location, String text, int start, StringBuilder word) {
+        for (int index = start; index < text.length(); index++) {
+            char c = text.charAt(index);
             if (c == '"') {
-                if (at + 1 < raw.length() && !Character.isWhitespace(raw.charAt(at + 1))) {
-                    throw new InvalidSettingsException(location, "no space after the quote of \"" + word + '"');
+                if (index + 1 < text.length() && !Character.isWhitespace(text.charAt(index + 1))) {
+                    throw new InvalidSettingsException(location, "no space after the closing quote of \"" + word + '"');
                 }
-                return at + 1;
+                return index + 1;
             }
             if (c == '\\') {
-                at++;
-                int known = at < raw.length() ? "\"\\nt".indexOf(raw.charAt(at)) : -1;
-                if (known < 0) {
-                    throw new InvalidSettingsException(location, "a backslash before neither \" nor \\ nor n nor t");
+                index++;
+                int escapeIndex = index < text.length() ? "\"\\nt".indexOf(text.charAt(index)) : -1;
+                if (escapeIndex < 0) {
+                    throw new InvalidSettingsException(location, "a backslash must be followed by \", \\, n or t");
                 }
-                word.append("\"\\\n\t".charAt(known));
+                word.append("\"\\\n\t".charAt(escapeIndex));
             } else {
                 word.append(c);
             }
         }
-        throw new InvalidSettingsException(location, "the quote before " + word + " is not closed");
+        throw new InvalidSettingsException(location, "the opening quote before " + word + " is not closed");
     }
 }
--- a/src/main/java/nettlewick/settings/Section.java
+++ b/src/main/java/nettlewick/settings/Section.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * One kind of block, for the check and for the reference page.
+ * The schema of a block, for validation and for the settings reference.
  *
- * @param name     as it is written
- * @param label    the type of the word after its name; null for none
- * @param many     whether there may be several, each with a label of its own where there are labels
- * @param about    what it is for, for the reference page
- * @param keywords that may be set in it
- * @param inner    the blocks that it may contain
+ * @param name         the name of the block as written
+ * @param label        the type of the word after the name; null for none
+ * @param isRepeatable whether there may be several such blocks, with distinct labels if they have labels
+ * @param description  the description in the settings reference
+ * @param keywords     the keywords that may be set in the block
+ * @param subsections  the blocks that may be nested in the block
  */
 public record Section(
         String name,
--- a/src/main/java/nettlewick/settings/Settings.java
+++ b/src/main/java/nettlewick/settings/Settings.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** The settings of a file, checked against {@link SettingsSchema} or another schema. */
+/** The settings of a file, validated against {@link SettingsSchema} or another schema. */
 public final class Settings {
     private final Block root;
 
@@ -19,34 +19,34 @@
         this.root = root;
     }
 
-    /** Reads and checks a file; throws {@link InvalidSettingsException} with one line for the first fault. */
+    /** Reads and validates a file; throws {@link InvalidSettingsException} for the first error. */
     public static Settings read(Path file) {
         return read(LineParser.parseFile(file), SettingsSchema.ROOT);
     }
 
-    /** Checks a text as if it were in a file of that name. */
+    /** Parses and validates text as if it were a file of that name. */
     public static Settings parse(String name, String text) {
         return read(LineParser.parseText(name, text), SettingsSchema.ROOT);
     }
 
-    /** Reads and checks a file of the same syntax with another schema. */
-    public static Settings read(Path file, Section table) {
-        return read(LineParser.parseFile(file), table);
+    /** Reads a file of the same syntax and validates it against another schema. */
+    public static Settings read(Path file, Section schema) {
+        return read(LineParser.parseFile(file), schema);
     }
 
-    /** Checks a text against another schema, as if it were in a file of that name. */
-    public static Settings parse(String name, String text, Section table) {
-        return read(LineParser.parseText(name, text), table);
+    /** Parses text as if it were a file of that name and validates it against another schema. */
+    public static Settings parse(String name, String text, Section schema) {
+        return read(LineParser.parseText(name, text), schema);
     }
 
-    /** The defaults, which apply where there is no file. */
+    /** The defaults, which apply without a settings file. */
     public static Settings defaults() {
         return read(List.of(), SettingsSchema.ROOT);
     }
 
-    static Settings read(List<LineParser.Line> lines, Section table) {
+    static Settings read(List<LineParser.Line> lines, Section schema) {
         Deque<Block> open = new ArrayDeque<>();
-        open.push(new Block(table, null, SourceLocation.DEFAULT));
+        open.push(new Block(schema, null, SourceLocation.DEFAULT));
         for (LineParser.Line line : lines) {
             if (line.closes()) {
                 requireComplete(open.pop());
@@ -60,93 +60,93 @@
         return new Settings(open.peek());
     }
 
-    private static Block openBlock(Block in, LineParser.Line line) {
+    private static Block openBlock(Block parent, LineParser.Line line) {
         String name = line.words().get(0);
-        Section section = in.section().findSection(name);
+        Section section = parent.section().findSection(name);
         if (section == null) {
-            throw describeUnknown(in.section(), line);
+            throw describeUnknown(parent.section(), line);
         }
-        List<String> rest = line.words().subList(1, line.words().size());
+        List<String> labelWords = line.words().subList(1, line.words().size());
         String label = null;
         if (section.label() == null
-                ? !rest.isEmpty()
-                : rest.size() != 1 || (label = section.label().parse(rest.get(0))) == null) {
+                ? !labelWords.isEmpty()
+                : labelWords.size() != 1 || (label = section.label().parse(labelWords.get(0))) == null) {
             throw InvalidSettingsException.invalidValue(
-                    line.place(),
+                    line.location(),
                     name,
-                    String.join(" ", rest),
+                    String.join(" ", labelWords),
                     section.label() == null
                             ? "followed by { alone"
                             : section.label().expectation());
         }
-        Block block = new Block(section, label, line.place());
-        in.add(block);
+        Block block = new Block(section, label, line.location());
+        parent.add(block);
         return block;
     }
 
-    private static void setValue(Block in, LineParser.Line line) {
+    private static void setValue(Block parent, LineParser.Line line) {
         String name = line.words().get(0);
-        Keyword keyword = in.section().findKeyword(name);
+        Keyword keyword = parent.section().findKeyword(name);
         if (keyword == null) {
-            throw describeUnknown(in.section(), line);
+            throw describeUnknown(parent.section(), line);
         }
         List<String> words = line.words().subList(1, line.words().size());
-        in.set(keyword, new Block.Value(line.place(), words, keyword.parse(line.place(), words)));
+        parent.set(keyword, new Block.Value(line.location(), words, keyword.parse(line.location(), words)));
     }
 
     private static void requireComplete(Block block) {
         for (Keyword keyword : block.section().keywords()) {
             if (keyword.isRequired() && !block.has(keyword.name())) {
                 throw new InvalidSettingsException(
-                        block.location(), block.section().name() + " lacks " + keyword.usage());
+                        block.location(), block.section().name() + " lacks the required " + keyword.usage());
             }
         }
     }
 
-    private static InvalidSettingsException describeUnknown(Section in, LineParser.Line line) {
+    private static InvalidSettingsException describeUnknown(Section parent, LineParser.Line line) {
         String word = line.words().get(0);
         String value = String.join(" ", line.words().subList(1, line.words().size()));
-        boolean other = line.opens() ? in.findKeyword(word) != null : in.findSection(word) != null;
-        if (other) {
+        boolean isMisplaced = line.opens() ? parent.findKeyword(word) != null : parent.findSection(word) != null;
+        if (isMisplaced) {
             return InvalidSettingsException.invalidValue(
-                    line.place(),
+                    line.location(),
                     word,
                     value + (line.opens() ? " {" : ""),
                     line.opens() ? "on a line without {" : "a block, which opens with {");
         }
         String nearest = Stream.concat(
-                        in.keywords().stream().map(Keyword::name),
-                        in.subsections().stream().map(Section::name))
+                        parent.keywords().stream().map(Keyword::name),
+                        parent.subsections().stream().map(Section::name))
                 .min(Comparator.comparingInt(
                         known -> LevenshteinDistance.getDefaultInstance().apply(word, known)))
                 .orElse("none");
         return new InvalidSettingsException(
-                line.place(),
-                word + (value.isEmpty() ? "" : " (" + value + ")") + " is no keyword of " + in.name()
+                line.location(),
+                word + (value.isEmpty() ? "" : " (" + value + ")") + " is not a keyword of " + parent.name()
                         + "; the nearest is " + nearest);
     }
 
-    /** The first block of this name in the file. */
+    /** The first top-level block with this name. */
     public Optional<Block> block(String name) {
         return root.block(name);
     }
 
-    /** The keywords, with their blocks, that differ in {@code next} and that SIGHUP does not apply. */
+    /** The keywords, qualified by their blocks, that differ in {@code next} and that SIGHUP does not apply. */
     public List<String> keywordsRequiringRestart(Settings next) {
         List<String> names = new ArrayList<>();
         collectDifferences("", root, next.root, names);
         return names;
     }
 
-    private static void collectDifferences(String path, Block mine, Block other, List<String> names) {
-        for (Keyword keyword : mine.section().keywords()) {
-            if (!keyword.isReloadable() && !wordsOf(mine, keyword).equals(wordsOf(other, keyword))) {
+    private static void collectDifferences(String path, Block current, Block next, List<String> names) {
+        for (Keyword keyword : current.section().keywords()) {
+            if (!keyword.isReloadable() && !wordsOf(current, keyword).equals(wordsOf(next, keyword))) {
                 names.add(path + keyword.name());
             }
         }
-        for (Section section : mine.section().subsections()) {
-            List<Block> before = mine.blocks(section.name());
-            List<Block> after = other.blocks(section.name());
+        for (Section section : current.section().subsections()) {
+            List<Block> before = current.blocks(section.name());
+            List<Block> after = next.blocks(section.name());
             if (!before.stream()
                     .map(Block::label)
                     .toList()
@@ -164,7 +164,7 @@
         return block.all(keyword.name()).stream().map(Block.Value::words).toList();
     }
 
-    /** All settings that apply, in the syntax of the file, each with its origin. */
+    /** The effective settings in the syntax of a settings file, each with its source location. */
     public String describe() {
         StringBuilder text = new StringBuilder();
         describe(root, "", text);
@@ -192,7 +192,7 @@
                 text.append(indent).append("# no block ").append(section.name()).append(": off\n");
             }
         }
-        for (Block inner : block.inner()) {
+        for (Block inner : block.children()) {
             text.append(String.format(
                     "%-50s # %s%n",
                     indent + inner.section().name()
--- a/src/main/java/nettlewick/settings/SettingsReference.java
+++ b/src/main/java/nettlewick/settings/SettingsReference.java
@@ -1,10 +1,10 @@
 package nettlewick.settings;
 
-/** Prints the reference page of the settings from the schema that checks them. */
+/** Generates the settings reference from the schema that validates the settings. */
 public final class SettingsReference {
     private SettingsReference() {}
 
-    /** The page, in Markdown. */
+    /** The settings reference in Markdown. */
     public static String toMarkdown() {
         StringBuilder page = new StringBuilder("""
                 # Settings
@@ -29,30 +29,33 @@
         if (!section.keywords().isEmpty()) {
             page.append("\n| keyword | unless set | SIGHUP | meaning |\n| --- | --- | --- | --- |\n");
         }
-        for (Keyword k : section.keywords()) {
+        for (Keyword keyword : section.keywords()) {
             page.append("| `")
-                    .append(k.usage().replace("|", "\\|"))
+                    .append(keyword.usage().replace("|", "\\|"))
                     .append("` | ")
                     .append(
-                            k.isRequired()
+                            keyword.isRequired()
                                     ? "has to be set"
-                                    : k.defaultWords() == null ? "nothing" : "`" + k.defaultWords() + "`")
+                                    : keyword.defaultWords() == null ? "nothing" : "`" + keyword.defaultWords() + "`")
                     .append(" | ")
-                    .append(k.isReloadable() ? "yes" : "restart")
+                    .append(keyword.isReloadable() ? "yes" : "restart")
                     .append(" | ")
-                    .append(k.description())
-                    .append(k.isRepeatable() ? " May stand more than once." : "")
+                    .append(keyword.description())
+                    .append(keyword.isRepeatable() ? " May stand more than once." : "")
                     .append(" |\n");
         }
-        for (Section inner : section.subsections()) {
-            String name = path + inner.name();
+        for (Section subsection : section.subsections()) {
+            String name = path + subsection.name();
             page.append("\n## `")
                     .append(name)
-                    .append(inner.label() == null ? "" : " " + inner.label().name())
+                    .append(
+                            subsection.label() == null
+                                    ? ""
+                                    : " " + subsection.label().name())
                     .append("`\n\n")
-                    .append(inner.description())
+                    .append(subsection.description())
                     .append('\n');
-            appendSection(inner, name + " ", page);
+            appendSection(subsection, name + " ", page);
         }
     }
 }
--- a/src/main/java/nettlewick/settings/SettingsSchema.java
+++ b/src/main/java/nettlewick/settings/SettingsSchema.java
@@ -4,10 +4,10 @@
 import inet.ipaddr.IPAddressString;
 import java.util.List;
 
-/** All sections and keywords: what checks the settings and what the reference page is printed from. */
+/** The schema of the settings file: all sections and keywords, for validation and for the settings reference. */
 public final class SettingsSchema {
-    private static final double HOUR = 3.6e6;
-    private static final double DAY = 24 * HOUR;
+    private static final double HOUR_MILLIS = 3.6e6;
+    private static final double DAY_MILLIS = 24 * HOUR_MILLIS;
 
     private static final Section LOG = new Section(
             "log",
@@ -37,7 +37,8 @@
                                             + "counted, and told with "
                                             + "the next one.")
                             .reloadable(),
-                    Keyword.withDefault("window", ValueType.duration(100, HOUR), "10s", "The window of `repeats`.")
+                    Keyword.withDefault(
+                                    "window", ValueType.duration(100, HOUR_MILLIS), "10s", "The window of `repeats`.")
                             .reloadable()),
             List.of());
 
@@ -50,22 +51,22 @@
                     Keyword.required("listen", ValueType.address(), "Where it listens."),
                     Keyword.withDefault(
                             "retry",
-                            ValueType.duration(1, HOUR),
+                            ValueType.duration(1, HOUR_MILLIS),
                             "1s",
                             "What clients are told to wait before they connect again."),
                     Keyword.withDefault(
                             "heartbeat",
-                            ValueType.duration(10, HOUR),
+                            ValueType.duration(10, HOUR_MILLIS),
                             "5s",
                             "Pause between comments on a silent stream."),
                     Keyword.withDefault(
                             "grace",
-                            ValueType.duration(0, HOUR),
+                            ValueType.duration(0, HOUR_MILLIS),
                             "3s",
                             "How long a job whose clients are all gone is kept going."),
                     Keyword.withDefault(
                             "keep",
-                            ValueType.duration(0, HOUR),
+                            ValueType.duration(0, HOUR_MILLIS),
                             "30s",
                             "How long a finished stream can be read again."),
                     Keyword.withDefault(
@@ -92,17 +93,18 @@
                     Keyword.withDefault("format", ValueType.choice("csv", "jsonl"), "csv", "The form of a batch."),
                     Keyword.withDefault(
                             "most", ValueType.wholeNumber(1, 1_000_000), "5000", "Most entries of a batch."),
-                    Keyword.withDefault("every", ValueType.duration(100, DAY), "1m", "How often `serve` exports.")
+                    Keyword.withDefault(
+                                    "every", ValueType.duration(100, DAY_MILLIS), "1m", "How often `serve` exports.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "timeout",
-                                    ValueType.duration(10, HOUR),
+                                    ValueType.duration(10, HOUR_MILLIS),
                                     "10s",
                                     "How long a receiver may take for one batch.")
                             .reloadable(),
                     new Keyword(
                             "retry",
-                            List.of(List.of(ValueType.duration(1, HOUR), ValueType.duration(1, HOUR))),
+                            List.of(List.of(ValueType.duration(1, HOUR_MILLIS), ValueType.duration(1, HOUR_MILLIS))),
                             "500ms 30s",
                             false,
                             false,
@@ -137,10 +139,14 @@
                             false,
                             "An IP network whose callers are let in."),
                     Keyword.repeatable("peer", "A dispatcher that is asked for its entries.", ValueType.address()),
-                    Keyword.withDefault("every", ValueType.duration(10, DAY), "30s", "How often each peer is asked.")
+                    Keyword.withDefault(
+                                    "every", ValueType.duration(10, DAY_MILLIS), "30s", "How often each peer is asked.")
                             .reloadable(),
                     Keyword.withDefault(
-                            "timeout", ValueType.duration(10, HOUR), "5s", "How long a peer may take for one answer."),
+                            "timeout",
+                            ValueType.duration(10, HOUR_MILLIS),
+                            "5s",
+                            "How long a peer may take for one answer."),
                     Keyword.withDefault(
                                     "chunk", ValueType.wholeNumber(1, 100_000), "2000", "Most entries fetched at once.")
                             .reloadable()),
@@ -201,7 +207,7 @@
                             ValueType.date()),
                     Keyword.withDefault(
                             "key-window",
-                            ValueType.duration(0, DAY),
+                            ValueType.duration(0, DAY_MILLIS),
                             "15s",
                             "A key answered at two dispatchers within this is billed once.")),
             List.of(EXPORT, PEERS));
@@ -256,7 +262,7 @@
                             "A duty that nothing is done with; those of members' pools come by themselves.")),
             List.of());
 
-    /** Members' pools; the lab's scenarios have it too. */
+    /** Tenant pools; fleet test scenarios use this section too. */
     public static final Section POOLS = new Section(
             "pools",
             null,
@@ -291,41 +297,44 @@
                                     "The part of all runners that pools may hold.")
                             .reloadable(),
                     Keyword.withDefault(
-                                    "window", ValueType.duration(100, HOUR), "2s", "Evidence is judged once in each.")
+                                    "window",
+                                    ValueType.duration(100, HOUR_MILLIS),
+                                    "2s",
+                                    "Evidence is judged once in each.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "settle",
-                                    ValueType.duration(0, HOUR),
+                                    ValueType.duration(0, HOUR_MILLIS),
                                     "1s",
                                     "How long a reserved pool is told before others leave it.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "come",
-                                    ValueType.duration(0, HOUR),
+                                    ValueType.duration(0, HOUR_MILLIS),
                                     "2s",
                                     "How long runners that are added are waited for.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "clear",
-                                    ValueType.duration(0, HOUR),
+                                    ValueType.duration(0, HOUR_MILLIS),
                                     "3s",
                                     "How long others' work in hand has to end.")
                             .reloadable(),
                     Keyword.withDefault(
                                     "stay",
-                                    ValueType.duration(0, DAY),
+                                    ValueType.duration(0, DAY_MILLIS),
                                     "1m",
                                     "How long a member has kept to its share before it comes back.")
                             .reloadable(),
                     Keyword.withDefault(
                             "forget",
-                            ValueType.duration(100, DAY),
+                            ValueType.duration(100, DAY_MILLIS),
                             "30s",
                             "After so long without a word of it, a pool keeps nobody else away."),
                     Keyword.optional("provider", ValueType.url(), "Who starts and stops runners."),
                     Keyword.withDefault(
                             "timeout",
-                            ValueType.duration(10, HOUR),
+                            ValueType.duration(10, HOUR_MILLIS),
                             "5s",
                             "How long the provider may take for an answer."),
                     new Keyword(
@@ -334,7 +343,7 @@
                                     ValueType.identifier("KIND"),
                                     ValueType.wholeNumber(0, 1_000_000_000),
                                     ValueType.literal("least"),
-                                    ValueType.duration(0, DAY))),
+                                    ValueType.duration(0, DAY_MILLIS))),
                             null,
                             false,
                             false,
@@ -349,7 +358,7 @@
                             .reloadable(),
                     Keyword.withDefault(
                                     "reach",
-                                    ValueType.duration(0, DAY),
+                                    ValueType.duration(0, DAY_MILLIS),
                                     "1m",
                                     "Longest time until someone can end a runner; its cost counts as bound "
                                             + "to be spent.")
@@ -363,7 +372,7 @@
                     Keyword.withDefault("zone", ValueType.timeZone(), "UTC", "The time zone of the months.")),
             List.of());
 
-    /** The file itself. */
+    /** The top level of the file. */
     static final Section ROOT =
             new Section("the settings", null, false, "", List.of(), List.of(LOG, EDGE, LEDGER, DUTY, POOLS));
 
@@ -371,8 +380,8 @@
 
     private static ValueType<IPAddress> network() {
         return new ValueType<>("NETWORK", "an IP network such as 127.0.0.0/8", word -> {
-            IPAddressString text = new IPAddressString(word);
-            IPAddress network = word.isEmpty() || word.contains("*") ? null : text.getAddress();
+            IPAddressString parsed = new IPAddressString(word);
+            IPAddress network = word.isEmpty() || word.contains("*") ? null : parsed.getAddress();
             return network == null ? null : network.toPrefixBlock();
         });
     }
--- a/src/main/java/nettlewick/settings/SourceLocation.java
+++ b/src/main/java/nettlewick/settings/SourceLocation.java
@@ -1,13 +1,13 @@
 package nettlewick.settings;
 
 /**
- * Where a setting comes from.
+ * Where a setting is defined.
  *
- * @param file the file's name, or what stands for it
- * @param line counts from 1; 0 where there is no line
+ * @param file the file name, or a description of another source
+ * @param line the line number from 1; 0 if there is none
  */
 public record SourceLocation(String file, int line) {
-    /** Of settings that are not set and have a default. */
+    /** The location of default values. */
     public static final SourceLocation DEFAULT = new SourceLocation("default", 0);
 
     @Override
--- a/src/main/java/nettlewick/settings/ValueType.java
+++ b/src/main/java/nettlewick/settings/ValueType.java
@@ -13,16 +13,16 @@
 import java.util.regex.Pattern;
 
 /**
- * The type of one word of a setting.
+ * The type of one argument of a keyword.
  *
- * @param name   as the reference page names it
- * @param wanted what a word has to be; ends the sentence "... has to be"
- * @param reader the value of a word; null or any unchecked exception for words that have none
+ * @param name        the placeholder in the settings reference
+ * @param expectation the valid words, in error messages; completes "KEYWORD is VALUE, but has to be"
+ * @param parser      parses a word; returns null or throws any unchecked exception if the word is invalid
  */
 public record ValueType<T>(String name, String expectation, Function<String, T> parser) {
-    private static final Pattern UNIT = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([a-z]*)");
+    private static final Pattern NUMBER_WITH_UNIT = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([a-z]*)");
 
-    /** The value of a word, or null where it is none. */
+    /** The value of a word, or null if the word is invalid. */
     T parse(String word) {
         try {
             return parser.apply(word);
@@ -31,32 +31,34 @@
         }
     }
 
-    /** Any text that is not empty. */
+    /** Any non-empty text. */
     public static ValueType<String> text(String name) {
-        return new ValueType<>(name, "a text", word -> word.isEmpty() ? null : word);
+        return new ValueType<>(name, "a non-empty text", word -> word.isEmpty() ? null : word);
     }
 
-    /** A name: letters, digits, dot, dash and underscore. */
+    /** A name of letters, digits, dots, dashes and underscores. */
     public static ValueType<String> identifier(String name) {
         return new ValueType<>(
                 name,
-                "a name of letters, digits, '.', '-' and '_', 64 at most",
+                "a name of at most 64 letters, digits, '.', '-' and '_'",
                 word -> word.matches("[A-Za-z0-9._-]{1,64}") ? word : null);
     }
 
-    /** This word and no other. */
-    public static ValueType<String> literal(String only) {
-        return new ValueType<>(only, only, word -> word.equals(only) ? word : null);
+    /** Exactly this word. */
+    public static ValueType<String> literal(String literal) {
+        return new ValueType<>(literal, literal, word -> word.equals(literal) ? word : null);
     }
 
     /** One of these words. */
     public static ValueType<String> choice(String... words) {
-        List<String> all = List.of(words);
+        List<String> choices = List.of(words);
         return new ValueType<>(
-                String.join("|", all), "one of " + String.join(", ", all), word -> all.contains(word) ? word : null);
+                String.join("|", choices),
+                "one of " + String.join(", ", choices),
+                word -> choices.contains(word) ? word : null);
     }
 
-    /** Yes or no. */
+    /** {@code yes} or {@code no}. */
     public static ValueType<Boolean> flag() {
         return new ValueType<>(
                 "yes|no",
@@ -64,24 +66,24 @@
                 word -> word.equals("yes") ? Boolean.TRUE : word.equals("no") ? Boolean.FALSE : null);
     }
 
-    /** A whole number within bounds, both included. */
-    public static ValueType<Long> wholeNumber(long least, long most) {
-        return new ValueType<>("NUMBER", "a whole number from " + least + " to " + most, word -> {
+    /** An integer within inclusive bounds. */
+    public static ValueType<Long> wholeNumber(long min, long max) {
+        return new ValueType<>("NUMBER", "a whole number from " + min + " to " + max, word -> {
             long value = Long.parseLong(word);
-            return value >= least && value <= most ? value : null;
+            return value >= min && value <= max ? value : null;
         });
     }
 
-    /** A time span such as 250ms, 15s, 10m, 24h or 7d, as milliseconds; the bounds are milliseconds too. */
-    public static ValueType<Double> duration(double least, double most) {
+    /** A duration such as 250ms, 15s, 10m, 24h or 7d, in milliseconds like the inclusive bounds. */
+    public static ValueType<Double> duration(double min, double max) {
         return new ValueType<>(
                 "SPAN",
-                "a time with its unit (ms, s, m, h, d) from " + formatDuration(least) + " to " + formatDuration(most),
+                "a duration with its unit (ms, s, m, h, d) from " + formatDuration(min) + " to " + formatDuration(max),
                 word -> {
-                    Matcher m = UNIT.matcher(word);
-                    double unit = !m.matches()
+                    Matcher matcher = NUMBER_WITH_UNIT.matcher(word);
+                    double unit = !matcher.matches()
                             ? 0
-                            : switch (m.group(2)) {
+                            : switch (matcher.group(2)) {
                                 case "ms" -> 1;
                                 case "s" -> 1e3;
                                 case "m" -> 6e4;
@@ -89,8 +91,8 @@
                                 case "d" -> 8.64e7;
                                 default -> 0;
                             };
-                    double value = unit == 0 ? -1 : Double.parseDouble(m.group(1)) * unit;
-                    return value >= least && value <= most ? value : null;
+                    double value = unit == 0 ? -1 : Double.parseDouble(matcher.group(1)) * unit;
+                    return value >= min && value <= max ? value : null;
                 });
     }
 
@@ -104,37 +106,37 @@
 
     /** A percentage such as 20%, as a number from 0 to 1. */
     public static ValueType<Double> percent() {
-        return new ValueType<>("PERCENT", "a part such as 20%", word -> {
+        return new ValueType<>("PERCENT", "a percentage such as 20%", word -> {
             double value = word.endsWith("%") ? Double.parseDouble(word.substring(0, word.length() - 1)) : -1;
             return value >= 0 && value <= 100 ? value / 100 : null;
         });
     }
 
-    /** A number of bytes: 512, 64k, 16m, 2g (powers of 1,024). */
-    public static ValueType<Long> byteSize(long least, long most) {
-        return new ValueType<>("SIZE", "a size in bytes, or with k, m or g, from " + least + " to " + most, word -> {
-            Matcher m = UNIT.matcher(word);
-            int shift = !m.matches() || m.group(1).contains(".")
+    /** A size in bytes such as 512, 64k, 16m or 2g (powers of 1,024). */
+    public static ValueType<Long> byteSize(long min, long max) {
+        return new ValueType<>("SIZE", "a size in bytes, or with unit k, m or g, from " + min + " to " + max, word -> {
+            Matcher matcher = NUMBER_WITH_UNIT.matcher(word);
+            int shift = !matcher.matches() || matcher.group(1).contains(".")
                     ? -1
-                    : switch (m.group(2)) {
+                    : switch (matcher.group(2)) {
                         case "" -> 0;
                         case "k" -> 10;
                         case "m" -> 20;
                         case "g" -> 30;
                         default -> -1;
                     };
-            long value = shift < 0 ? -1 : Math.multiplyExact(Long.parseLong(m.group(1)), 1L << shift);
-            return value >= least && value <= most ? value : null;
+            long value = shift < 0 ? -1 : Math.multiplyExact(Long.parseLong(matcher.group(1)), 1L << shift);
+            return value >= min && value <= max ? value : null;
         });
     }
 
-    /** An IP address and a port. Host names are refused, since they would need DNS. */
+    /** An IP address and a port. Host names are rejected, because resolving them would need DNS. */
     public static ValueType<InetSocketAddress> address() {
         return new ValueType<>("ADDRESS", "an IP address and a port", word -> {
             int colon = word.lastIndexOf(':');
             String host = word.substring(0, colon);
-            boolean six = host.startsWith("[") && host.endsWith("]") && host.contains(":");
-            if (!six && !host.matches("(\\d{1,3}\\.){3}\\d{1,3}")) {
+            boolean isIpv6 = host.startsWith("[") && host.endsWith("]") && host.contains(":");
+            if (!isIpv6 && !host.matches("(\\d{1,3}\\.){3}\\d{1,3}")) {
                 return null;
             }
             try {
@@ -145,12 +147,12 @@
         });
     }
 
-    /** A path of a file or folder, which need not exist. */
+    /** A path of a file or directory, which need not exist. */
     public static ValueType<Path> path() {
         return new ValueType<>("FILE", "a path", word -> word.isEmpty() ? null : Path.of(word));
     }
 
-    /** A date in ISO form. */
+    /** A date in ISO 8601 format. */
     public static ValueType<LocalDate> date() {
         return new ValueType<>("DATE", "a date such as 2026-09-01", LocalDate::parse);
     }
