--- a/src/main/java/nettlewick/log/ComponentLogger.java
+++ b/src/main/java/nettlewick/log/ComponentLogger.java
@@ -6,11 +6,11 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The log of one component of the program. A line has the name of an event, a sentence for people, and fields as pairs
- * of a name and a value ({@code "request", id, "endpoint", host}). Any thread.
+ * The logger of one component. A line has an event name, a human-readable message, and fields as pairs of name and
+ * value ({@code "request", id, "endpoint", host}). Thread-safe.
  */
 public final class ComponentLogger {
-    /** The field that holds the event's name. */
+    /** The field that contains the event name. */
     static final String EVENT = "event";
 
     private final Logger logger;
@@ -19,27 +19,27 @@
         logger = LoggerFactory.getLogger(name);
     }
 
-    /** The logger of a component; its name starts the lines and stands in the settings' keyword {@code part}. */
+    /** The logger of a component; its name is part of each line and is used by the settings keyword {@code part}. */
     public static ComponentLogger of(String name) {
         return new ComponentLogger(name);
     }
 
-    /** For whoever looks into a problem; not written unless the settings ask for it. */
+    /** Logs details for troubleshooting; not written by default. */
     public void debug(String event, String message, Object... fields) {
         write(Level.DEBUG, event, message, null, fields);
     }
 
-    /** For operators; nothing has to be done. */
+    /** Logs an event that needs no action by operators. */
     public void info(String event, String message, Object... fields) {
         write(Level.INFO, event, message, null, fields);
     }
 
-    /** For operators, who may have to do something. */
+    /** Logs an event that may need action by operators. */
     public void warning(String event, String message, Object... fields) {
         write(Level.WARN, event, message, null, fields);
     }
 
-    /** A fault in the program, with its cause. */
+    /** Logs a program error with its cause. */
     public void error(String event, String message, Throwable cause, Object... fields) {
         write(Level.ERROR, event, message, cause, fields);
     }
--- a/src/main/java/nettlewick/log/LineFormat.java
+++ b/src/main/java/nettlewick/log/LineFormat.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.slf4j.event.KeyValuePair;
 
-/** Formats a log event as one line. The cause of a fault and its first stack frames stand on the same line. Pure. */
+/** Formats a log event as a single line, which includes the cause and its first stack frames. Stateless. */
 enum LineFormat {
     /** Time, level, component and message. */
     TEXT {
@@ -26,12 +26,12 @@
                     .append(event.getLoggerName())
                     .append(": ")
                     .append(event.getFormattedMessage());
-            String cause = describeCause(event.getThrowableProxy());
+            String cause = formatCause(event.getThrowableProxy());
             if (cause != null) {
                 line.append(": ").append(cause);
             }
             if (suppressedCount > 0) {
-                line.append(" (").append(suppressedCount).append(" more like this were held back)");
+                line.append(" (").append(suppressedCount).append(" similar lines were suppressed)");
             }
             return toSingleLine(line);
         }
@@ -51,7 +51,7 @@
                         .value(event.getLoggerName());
                 writeFields(event.getKeyValuePairs(), out);
                 out.name("message").value(event.getFormattedMessage());
-                String cause = describeCause(event.getThrowableProxy());
+                String cause = formatCause(event.getThrowableProxy());
                 if (cause != null) {
                     out.name("cause").value(cause);
                 }
@@ -68,7 +68,7 @@
 
     private static final int MAX_STACK_FRAMES = 6;
 
-    /** The line with its line feed, and how many lines of its kind were suppressed before it. */
+    /** Formats the line, including its line feed and the number of similar lines suppressed before it. */
     abstract String format(ILoggingEvent event, int suppressedCount);
 
     private static void writeFields(List<KeyValuePair> fields, JsonWriter out) throws IOException {
@@ -94,7 +94,7 @@
                 : event.getLevel().toString();
     }
 
-    private static String describeCause(IThrowableProxy throwable) {
+    private static String formatCause(IThrowableProxy throwable) {
         if (throwable == null) {
             return null;
         }
--- a/src/main/java/nettlewick/log/LogSetup.java
+++ b/src/main/java/nettlewick/log/LogSetup.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Configures Logback without files of its own, and applies the settings block {@code log}. Logback finds this class by
- * its service file and then leaves out its search for XML, which would lengthen each start by some tenths of a second.
+ * Configures Logback without configuration files, and applies the settings block {@code log}. Logback finds this class
+ * through its service file and then skips its search for XML files, which would delay each start by several 100 ms.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
     private static final int DEFAULT_MAX_REPEATS = 10;
@@ -20,7 +20,7 @@
 
     private static volatile StderrAppender appender;
 
-    /** Called by Logback, once, before the first line. */
+    /** Called once by Logback, before the first line is logged. */
     @Override
     public ExecutionStatus configure(LoggerContext context) {
         StderrAppender created = new StderrAppender(LineFormat.TEXT, defaultLimiter());
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Applies the settings block {@code log}, at the start or while running; without one, lines are text from level
-     * info on. Any thread.
+     * Applies the settings block {@code log}, at startup or on reload. Without the block, lines are text at level info
+     * and above. Thread-safe.
      */
     public static void apply(Optional<Block> settings) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
@@ -57,7 +57,7 @@
                 new RepeatLimiter((int) log.wholeNumber("repeats"), log.durationMillis("window")));
     }
 
-    /** All components take the root's level again. */
+    /** Sets the root level and removes the levels of all components. */
     private static void resetLevels(LoggerContext context, String rootLevel) {
         for (Logger logger : context.getLoggerList()) {
             boolean isRoot = logger.getName().equals(Logger.ROOT_LOGGER_NAME);
--- a/src/main/java/nettlewick/log/RepeatLimiter.java
+++ b/src/main/java/nettlewick/log/RepeatLimiter.java
@@ -5,11 +5,11 @@
 import java.util.OptionalInt;
 
 /**
- * Limits how many lines of one kind are written within a window of time, and counts the rest. Reads no clock; times are
- * milliseconds. Not safe for several threads.
+ * Limits how many lines of one kind are written within a time window, and counts the suppressed ones. Reads no clock;
+ * times are in milliseconds. Not thread-safe.
  */
 final class RepeatLimiter {
-    /** Beyond this many kinds all are forgotten at once, after which a few lines too many are written. */
+    /** Bounds memory; at this many kinds all windows are discarded, after which some lines exceed the limit. */
     private static final int MAX_KINDS = 1000;
 
     private static final class Window {
@@ -32,15 +32,15 @@
     }
 
     /**
-     * Whether to write a line of this kind: empty where it is suppressed, else how many were suppressed since the last
-     * one that was written.
+     * Decides whether to write a line of this kind: empty if it is suppressed, otherwise the number of lines suppressed
+     * since the last one that was written.
      */
-    OptionalInt admit(String kind, double nowMillis) {
+    OptionalInt tryAdmit(String kind, double nowMillis) {
         if (windows.size() >= MAX_KINDS && !windows.containsKey(kind)) {
             windows.clear();
         }
         Window window = windows.get(kind);
-        if (window == null || hasEnded(window, nowMillis)) {
+        if (window == null || hasExpired(window, nowMillis)) {
             windows.put(kind, new Window(nowMillis));
             return OptionalInt.of(window == null ? 0 : window.suppressedCount);
         }
@@ -52,8 +52,8 @@
         return OptionalInt.empty();
     }
 
-    /** A clock that was set back ends the window too. */
-    private boolean hasEnded(Window window, double nowMillis) {
+    /** The window also ends if the clock was set back. */
+    private boolean hasExpired(Window window, double nowMillis) {
         return nowMillis - window.startMillis >= windowMillis || nowMillis < window.startMillis;
     }
 }
--- a/src/main/java/nettlewick/log/StderrAppender.java
+++ b/src/main/java/nettlewick/log/StderrAppender.java
@@ -8,9 +8,8 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Writes log events to standard error, as {@link System#err} is at each line, and limits repeats of one component and
- * event. Any thread; Logback holds this object's lock
- * while it calls {@link #append}.
+ * Writes log events to the current {@link System#err} and limits repeats of the same event of a component. Thread-safe:
+ * Logback holds this object's lock while it calls {@link #append}.
  */
 final class StderrAppender extends AppenderBase<ILoggingEvent> {
     private LineFormat format;
@@ -21,7 +20,7 @@
         this.repeatLimiter = repeatLimiter;
     }
 
-    /** Replaces the format and the limit; counts of suppressed lines start again. */
+    /** Replaces the format and the limiter, which resets the counts of suppressed lines. */
     synchronized void configure(LineFormat newFormat, RepeatLimiter newRepeatLimiter) {
         format = newFormat;
         repeatLimiter = newRepeatLimiter;
@@ -29,8 +28,8 @@
 
     @Override
     protected void append(ILoggingEvent event) {
-        String kind = event.getLoggerName() + ' ' + describeKind(event);
-        OptionalInt suppressedCount = repeatLimiter.admit(kind, event.getTimeStamp());
+        String kind = event.getLoggerName() + ' ' + repeatKind(event);
+        OptionalInt suppressedCount = repeatLimiter.tryAdmit(kind, event.getTimeStamp());
         if (suppressedCount.isPresent()) {
             byte[] line = format.format(event, suppressedCount.getAsInt()).getBytes(StandardCharsets.UTF_8);
             System.err.write(line, 0, line.length);
@@ -38,8 +37,8 @@
         }
     }
 
-    /** Lines of libraries have no event name: their message before its arguments are filled in stands for it. */
-    private static String describeKind(ILoggingEvent event) {
+    /** The event name; for lines of libraries, which have none, the message pattern. */
+    private static String repeatKind(ILoggingEvent event) {
         List<KeyValuePair> fields = event.getKeyValuePairs();
         return fields != null && !fields.isEmpty() && fields.get(0).key.equals(ComponentLogger.EVENT)
                 ? String.valueOf(fields.get(0).value)
--- a/src/main/java/nettlewick/log/package-info.java
+++ b/src/main/java/nettlewick/log/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Log lines of the program's components, on standard error.
+ * Logging of the program's components to standard error.
  *
- * <p>{@link nettlewick.log.ComponentLogger} is what the other packages write to, from any thread. Logback finds
+ * <p>Other packages log through {@link nettlewick.log.ComponentLogger}, which is thread-safe. Logback finds
  * {@link nettlewick.log.LogSetup} through its service file; that class installs the
  * {@link nettlewick.log.StderrAppender} and applies the settings block {@code log}. Depends on SLF4J, Logback, Gson and
- * {@code settings}.
+ * {@code nettlewick.settings}.
  */
 package nettlewick.log;
--- a/src/test/java/nettlewick/log/LogTest.java
+++ b/src/test/java/nettlewick/log/LogTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Log lines in both formats, levels by component, and the limit on repeats. */
+/** Both line formats, levels by component, and the limit on repeated lines. */
 class LogTest {
     private final PrintStream originalStderr = System.err;
 
@@ -23,11 +23,11 @@
         LogSetup.apply(Settings.parse("f", "log {\n" + text + "\n}").block("log"));
     }
 
-    private String captureStderr(Runnable lines) {
+    private String captureStderr(Runnable action) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setErr(new PrintStream(out));
         try {
-            lines.run();
+            action.run();
         } finally {
             System.setErr(originalStderr);
         }
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void textFormatPutsAFaultOnOneLine() {
+    void textFormatPutsAnErrorOnOneLine() {
         LogSetup.apply(Optional.empty());
         String line = captureStderr(
                 () -> ComponentLogger.of("p1").error("odd", "it\nbroke", new IllegalStateException("why\nnot")));
@@ -53,12 +53,12 @@
         applySettings("form json");
         String line = captureStderr(() ->
                 ComponentLogger.of("p2").warning("late", "a \"request\"", "request", "r\n1", "endpoint", null, "n", 4));
-        JsonObject got = JsonParser.parseString(line).getAsJsonObject();
-        assertEquals("p2", got.get("part").getAsString());
-        assertEquals("late", got.get("event").getAsString());
-        assertEquals("r\n1", got.get("request").getAsString());
-        assertEquals(4, got.get("n").getAsInt());
-        assertEquals("WARNING", got.get("level").getAsString());
+        JsonObject parsed = JsonParser.parseString(line).getAsJsonObject();
+        assertEquals("p2", parsed.get("part").getAsString());
+        assertEquals("late", parsed.get("event").getAsString());
+        assertEquals("r\n1", parsed.get("request").getAsString());
+        assertEquals(4, parsed.get("n").getAsInt());
+        assertEquals("WARNING", parsed.get("level").getAsString());
         assertEquals(1, line.lines().count());
     }
 
@@ -75,13 +75,13 @@
     @Test
     void repeatsAreSuppressedAndCountedInTheNextLine() {
         RepeatLimiter repeats = new RepeatLimiter(2, 100);
-        assertEquals(OptionalInt.of(0), repeats.admit("a", 0));
-        assertEquals(OptionalInt.of(0), repeats.admit("a", 10));
-        assertEquals(OptionalInt.empty(), repeats.admit("a", 20));
-        assertEquals(OptionalInt.of(0), repeats.admit("b", 20));
-        assertEquals(OptionalInt.empty(), repeats.admit("a", 99));
-        assertEquals(OptionalInt.of(2), repeats.admit("a", 100));
-        assertEquals(OptionalInt.of(0), repeats.admit("a", 101));
+        assertEquals(OptionalInt.of(0), repeats.tryAdmit("a", 0));
+        assertEquals(OptionalInt.of(0), repeats.tryAdmit("a", 10));
+        assertEquals(OptionalInt.empty(), repeats.tryAdmit("a", 20));
+        assertEquals(OptionalInt.of(0), repeats.tryAdmit("b", 20));
+        assertEquals(OptionalInt.empty(), repeats.tryAdmit("a", 99));
+        assertEquals(OptionalInt.of(2), repeats.tryAdmit("a", 100));
+        assertEquals(OptionalInt.of(0), repeats.tryAdmit("a", 101));
         applySettings("repeats 1\nwindow 1h");
         String text = captureStderr(() -> {
             for (int i = 0; i < 50; i++) {
