--- a/src/main/java/nettlewick/core/ModuleStatsSampler.java
+++ b/src/main/java/nettlewick/core/ModuleStatsSampler.java
@@ -8,7 +8,7 @@
 import nettlewick.decision.Dispatcher.EndpointCounts;
 import nettlewick.decision.Dispatcher.PeerMessageFaults;
 
-/** Copies the decision module's own counts into the {@link Metrics} at intervals. Core thread. */
+/** Copies the decision module's statistics to the {@link Metrics} periodically. Core thread only. */
 final class ModuleStatsSampler {
     private static final double SAMPLE_INTERVAL_MILLIS = 50;
 
@@ -33,7 +33,7 @@
         reportPeerFaults(module.peerMessageFaults());
     }
 
-    /** Publishes the counts of discarded peer messages; each kind is logged when it is first seen. */
+    /** Publishes the counts of discarded peer messages; logs the first occurrence of each kind. */
     private void reportPeerFaults(PeerMessageFaults faults) {
         if (faults.equals(lastFaults)) {
             return;
@@ -43,17 +43,17 @@
                 Map.of("damaged", faults.damaged(), "late", faults.late(), "unlisted", faults.unlisted()));
         countsByKind.forEach((kind, count) -> {
             if (count > 0 && loggedFaultKinds.add(kind)) {
-                logFirst(kind, count);
+                logFirstFault(kind, count);
             }
         });
         metrics.setPeerMessageFaults(countsByKind);
     }
 
-    private static void logFirst(String kind, long count) {
+    private static void logFirstFault(String kind, long count) {
         CoreLoop.LOG.warning(
                 "peer-" + kind,
-                "peer datagrams discarded: " + count + " " + kind
-                        + "; counted from now on in the metrics, not logged again",
+                "discarded " + count + " peer datagrams of kind '" + kind
+                        + "'; further ones are counted in the metrics and not logged",
                 "kind",
                 kind);
     }
--- a/src/test/java/nettlewick/core/RequestCoordinatorTest.java
+++ b/src/test/java/nettlewick/core/RequestCoordinatorTest.java
@@ -17,17 +17,18 @@
 import nettlewick.decision.Event.ProbeAnswer;
 import org.junit.jupiter.api.Test;
 
-/** What the coordinator does for requests, attempts and probes, with a scripted decision module. */
+/** How the coordinator handles requests, attempts and probes, with a scripted decision module. */
 class RequestCoordinatorTest extends RequestCoordinatorFixture {
-    /** Creates a coordinator whose recorder collects records, and answers that the test releases. */
+    /** Creates a coordinator whose recorder collects records and holds the answers until the test releases them. */
     private List<UsageRecorder.FinishedRequest> createWithRecorder(
-            List<Consumer<UsageRecorder.Receipt>> waiting, double timeoutMillis) throws InterruptedException {
+            List<Consumer<UsageRecorder.DeliveryCallback>> heldAnswers, double timeoutMillis)
+            throws InterruptedException {
         List<UsageRecorder.FinishedRequest> records = new ArrayList<>();
         usageRecorder = new UsageRecorder() {
             @Override
-            public Runnable record(FinishedRequest finished, Consumer<Receipt> release) {
+            public Runnable record(FinishedRequest finished, Consumer<DeliveryCallback> release) {
                 records.add(finished);
-                waiting.add(release);
+                heldAnswers.add(release);
                 return () -> sideEffects.add("overdue " + finished.request().id());
             }
 
@@ -40,40 +41,40 @@
         return records;
     }
 
-    /** Long requests must not be lost at a hot restart; {@link DrainPolicyTest} shows which. */
+    /** Guards against losing long requests at a hot restart; {@link DrainPolicyTest} covers which are held. */
     @Test
     void requestsThatWouldOutliveTheProcessAreHeldAndRejectedUnsent() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
-        coordinator.expectSuccessor(START + 4000, START + 7700);
+        coordinator.expectSuccessor(START_MILLIS + 4000, START_MILLIS + 7700);
         submit("long", 60_000, 9000);
         submit("gone", 60_000, 9000);
         advanceTo(1000);
         assertTrue(sentAttempts.isEmpty(), sideEffects.toString());
-        coordinator.startDraining(START + 5000);
+        coordinator.startDraining(START_MILLIS + 5000);
         advanceTo(1300);
         submit("after", 60_000, 9000);
         advanceTo(1400);
-        assertEquals(List.of("refused long 200.0", "refused gone 200.0", "refused after 200.0"), sideEffects);
+        assertEquals(List.of("rejected long 200.0", "rejected gone 200.0", "rejected after 200.0"), sideEffects);
         submit("short", 60_000, 900);
         advanceTo(1500);
         assertEquals("send short0", sideEffects.get(sideEffects.size() - 1));
         assertTrue(moduleEvents.stream().noneMatch(e -> e instanceof Arrival a && !a.id().equals("short")));
     }
 
-    /** No request is held for ever, or forwarded after its client has gone. */
+    /** Guards against holding a request forever, and against forwarding it after its client has disconnected. */
     @Test
     void heldRequestsProceedWhenDrainingDoesNotStart() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
-        coordinator.expectSuccessor(START + 4000, START + 7700);
+        coordinator.expectSuccessor(START_MILLIS + 4000, START_MILLIS + 7700);
         submit("late", 60_000, 9000);
-        Request left = submit("left", 60_000, 9000);
+        Request abandoned = submit("left", 60_000, 9000);
         advanceTo(10);
-        coordinator.abandon(left);
+        coordinator.abandon(abandoned);
         advanceTo(4999);
         assertTrue(sentAttempts.isEmpty());
         advanceTo(5000);
         assertEquals(List.of("send late0"), sideEffects);
-        coordinator.expectSuccessor(START + 8000, START + 11_700);
+        coordinator.expectSuccessor(START_MILLIS + 8000, START_MILLIS + 11_700);
         submit("next", 60_000, 9000);
         advanceTo(5010);
         coordinator.cancelDraining();
@@ -81,29 +82,29 @@
         assertEquals(List.of("send late0", "send next0"), sideEffects);
     }
 
-    /** A successor waits only for requests that end in time if it does. */
+    /** A successor delays draining only for requests that then end in time. */
     @Test
-    void reportedProgressDecidesWhetherWaitingSavesARequest() throws InterruptedException {
+    void reportedProgressDecidesWhetherDelayingDrainSavesARequest() throws InterruptedException {
         script = e -> e instanceof Arrival a ? List.of(new Dispatch(a.id(), "w", 0)) : List.of();
-        List<Boolean> saves = new ArrayList<>();
+        List<Boolean> delayHelps = new ArrayList<>();
         submit("job", 60_000, 4000);
         advanceTo(0);
-        coordinator.expectSuccessor(START + 4000, START + 7700);
-        coordinator.askWhetherWaitingHelps(3700, saves::add);
+        coordinator.expectSuccessor(START_MILLIS + 4000, START_MILLIS + 7700);
+        coordinator.queryWhetherDelayingDrainHelps(3700, delayHelps::add);
         advanceTo(1);
         coordinator.reportProgress(sentAttempts.get(0), 0);
         advanceTo(2);
         coordinator.reportProgress(sentAttempts.get(0), 0.8);
         advanceTo(1000);
-        coordinator.askWhetherWaitingHelps(3700, saves::add);
+        coordinator.queryWhetherDelayingDrainHelps(3700, delayHelps::add);
         advanceTo(1001);
-        assertEquals(List.of(true, false), saves);
+        assertEquals(List.of(true, false), delayHelps);
     }
 
     @Test
     void usageRecorderSeesEachEndOnceWithServedAndExtraWork() throws InterruptedException {
-        List<Consumer<UsageRecorder.Receipt>> waiting = new ArrayList<>();
-        List<UsageRecorder.FinishedRequest> records = createWithRecorder(waiting, 50);
+        List<Consumer<UsageRecorder.DeliveryCallback>> heldAnswers = new ArrayList<>();
+        List<UsageRecorder.FinishedRequest> records = createWithRecorder(heldAnswers, 50);
         script = e -> e instanceof Arrival a && a.id().equals("a")
                 ? List.of(new Dispatch("a", "w", 0), new Dispatch("a", "w", 0))
                 : e instanceof Arrival a && a.id().equals("r") ? List.of(new Reject("r", 0)) : List.of();
@@ -125,12 +126,12 @@
         assertEquals(false, a.isEstimate());
         assertTrue(
                 sideEffects.stream().noneMatch(s -> s.startsWith("served")),
-                "held back until the recorder releases it");
+                "the answer is held back until the recorder releases it");
         advanceTo(74);
         assertTrue(sideEffects.stream().noneMatch(s -> s.startsWith("overdue")));
         advanceTo(75);
-        assertTrue(sideEffects.contains("overdue a"), "released all the same after the timeout");
-        waiting.get(0).accept(UsageRecorder.Receipt.NONE);
+        assertTrue(sideEffects.contains("overdue a"), "the recorder's timeout releases the answer");
+        heldAnswers.get(0).accept(UsageRecorder.DeliveryCallback.NONE);
         assertTrue(sideEffects.contains("served a"));
         submit("r", 1000);
         coordinator.abandon(submit("l", 1000));
@@ -177,7 +178,7 @@
                 2_500_000, ((EndpointList) moduleEvents.get(0)).entries().get(0).startedAt());
     }
 
-    /** A second request under the same id must neither disturb the first nor execute it twice. */
+    /** Guards against a second request with the same id, which would disturb the first or execute it twice. */
     @Test
     void aRequestIdIsAcceptedOnceInFlightAndAfterwards() throws InterruptedException {
         onArrival(new Dispatch("a", "w", 0));
@@ -209,7 +210,7 @@
         submit("b", 100);
         submit("c", 100);
         advanceTo(0);
-        assertEquals(List.of("failed a", "refused c 0.0"), sideEffects);
+        assertEquals(List.of("failed a", "rejected c 0.0"), sideEffects);
         assertEquals(2, moduleEvents.stream().filter(e -> e instanceof Arrival).count());
     }
 
@@ -231,16 +232,16 @@
                         .toList());
     }
 
-    /** All requests depend on the core thread, so a fault in the module must not end it. */
+    /** Guards against an exception in the module that terminates the core thread, on which all requests depend. */
     @Test
     void aModuleFaultDoesNotStopTheLoop() throws InterruptedException {
         script = e -> {
-            throw new IllegalStateException("made up");
+            throw new IllegalStateException("simulated module failure");
         };
         submit("a", 100);
         advanceTo(0);
         script = e -> List.of();
         advanceTo(200);
-        assertEquals(List.of("refused a 200.0"), sideEffects);
+        assertEquals(List.of("rejected a 200.0"), sideEffects);
     }
 }
