--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -83,8 +83,8 @@
                 EventStreamConfig.of(settings.block("edge").orElseThrow());
         DispatcherServer server = new DispatcherServer(
                         config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
-                .recordUsageWith(ledger.books())
-                .serveOperatorsWith(AdminFrontend::new);
+                .withUsageRecorder(ledger.books())
+                .withAdminServer(AdminFrontend::new);
         StubPlatform.get(server.start());
         Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
         Runtime.getRuntime().addShutdownHook(shutdown);
--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -67,10 +67,10 @@
         }
         DispatcherServer server = new DispatcherServer(
                         config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Factory[]::new))
-                .recordUsageWith(features.usageRecorder())
-                .notifyListener(features.requestListener())
+                .withUsageRecorder(features.usageRecorder())
+                .withRequestListener(features.requestListener())
                 // No method reference: linking one would load the class where there are no operators.
-                .serveOperatorsWith((address, operations) -> new AdminFrontend(address, operations));
+                .withAdminServer((address, operations) -> new AdminFrontend(address, operations));
         // By itself the JVM would end on SIGTERM with code 143 at once; requests in flight are answered first.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -103,19 +103,19 @@
     }
 
     /** Sets what records usage; to be called before {@link #start}. */
-    public DispatcherServer recordUsageWith(UsageRecorder recorder) {
+    public DispatcherServer withUsageRecorder(UsageRecorder recorder) {
         usageRecorder = recorder;
         return this;
     }
 
     /** Sets what is notified of every request; to be called before {@link #start}. */
-    public DispatcherServer notifyListener(RequestListener listener) {
+    public DispatcherServer withRequestListener(RequestListener listener) {
         requestListener = listener;
         return this;
     }
 
     /** Sets what operators call, where the configuration has an address for it; to be called before {@link #start}. */
-    public DispatcherServer serveOperatorsWith(AdminServer.Factory factory) {
+    public DispatcherServer withAdminServer(AdminServer.Factory factory) {
         adminServer =
                 config.adminListen() == null ? null : factory.create(config.adminListen(), new AdminOperations(this));
         return this;
--- a/src/main/java/nettlewick/net/HotRestartHandover.java
+++ b/src/main/java/nettlewick/net/HotRestartHandover.java
@@ -74,7 +74,7 @@
      * save. Called periodically.
      */
     void checkForSuccessor() {
-        double startedAt = serviceState.isLeaving() ? Double.NaN : hotRestart.successorStartedAt();
+        double startedAt = serviceState.isDrainingOrStopping() ? Double.NaN : hotRestart.successorStartedAt();
         if (!Double.isNaN(startedAt) && successorStartedAt != startedAt) {
             successorStartedAt = startedAt;
             coordinator.expectSuccessor(
@@ -83,7 +83,7 @@
             pollOwnWork();
         } else if (Double.isNaN(startedAt)
                 && !Double.isNaN(successorStartedAt)
-                && !serviceState.isLeaving()
+                && !serviceState.isDrainingOrStopping()
                 && !hotRestart.hasServingSuccessor()) {
             successorStartedAt = Double.NaN;
             coordinator.cancelDraining();
--- a/src/main/java/nettlewick/net/client/Frontend.java
+++ b/src/main/java/nettlewick/net/client/Frontend.java
@@ -15,7 +15,7 @@
      * The parts that a frontend is built on.
      *
      * @param eventLoop the event loop that the frontend lives on
-     * @param holdsList whether the dispatcher can serve: it has an endpoint list and is warmed up
+     * @param canServe whether the dispatcher can serve: it has an endpoint list and is warmed up
      * @param maxConnections how many client connections the frontend may hold
      */
     record Environment(
@@ -24,7 +24,7 @@
             PlatformConfig config,
             Clock clock,
             RequestCoordinator coordinator,
-            BooleanSupplier hasEndpointList,
+            BooleanSupplier canServe,
             ServiceState serviceState,
             int maxConnections) {}
 
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -26,7 +26,7 @@
     private final Clock clock;
     private final RequestCoordinator coordinator;
     private final RequestReader reader;
-    private final BooleanSupplier hasEndpointList;
+    private final BooleanSupplier canServe;
     private final TrafficListener trafficListener;
 
     /** Creates a frontend whose traffic nobody observes. */
@@ -41,7 +41,7 @@
         eventLoop = environment.eventLoop();
         clock = environment.clock();
         coordinator = environment.coordinator();
-        hasEndpointList = environment.hasEndpointList();
+        canServe = environment.canServe();
         reader = new RequestReader(environment.config());
     }
 
@@ -69,8 +69,7 @@
         if (!HttpMethod.GET.equals(request.method()) && !HttpMethod.HEAD.equals(request.method())) {
             request.response().putHeader("Allow", "GET, HEAD");
             RequestReader.reject(request, 405, "health is asked for by GET");
-        } else if (hasEndpointList.getAsBoolean()
-                && environment().serviceState().isHealthy()) {
+        } else if (canServe.getAsBoolean() && environment().serviceState().isHealthy()) {
             request.response().end();
         } else {
             RequestReader.reject(
--- a/src/main/java/nettlewick/net/lifecycle/ServiceState.java
+++ b/src/main/java/nettlewick/net/lifecycle/ServiceState.java
@@ -79,7 +79,7 @@
     }
 
     /** Whether this process drains or ends. */
-    public synchronized boolean isLeaving() {
+    public synchronized boolean isDrainingOrStopping() {
         return phase != Phase.SERVING && phase != Phase.STARTING;
     }
 
--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -71,7 +71,7 @@
     }
 
     private void startWhenListed(int polls) {
-        if (!base.hasEndpointList().getAsBoolean() && polls < MAX_LIST_POLLS) {
+        if (!base.canServe().getAsBoolean() && polls < MAX_LIST_POLLS) {
             base.vertx().setTimer(LIST_POLL_INTERVAL_MILLIS, id -> startWhenListed(polls + 1));
             return;
         }
--- a/src/main/java/nettlewick/sse/EventStreamFrontend.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -158,7 +158,7 @@
                 "Content-Location",
                 STREAM_PATH_PREFIX
                         + URLEncoder.encode(id, StandardCharsets.UTF_8).replace("+", "%20"));
-        if (environment().serviceState().isLeaving()) {
+        if (environment().serviceState().isDrainingOrStopping()) {
             response.putHeader("Connection", "close");
         }
         subscribe(response, lastSeenId, stream);
--- a/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -135,7 +135,7 @@
     private String job(int port, String id, String jobClass, int millis) {
         String status = status(exchange(
                 port,
-                DispatcherOnStubPlatform.job(
+                DispatcherOnStubPlatform.requestBytes(
                                 "/api", id, jobClass, "" + millis, "Connection: close", "X-Cost-Hint: " + 1000 * millis)
                         .toString()
                         .replace("X-Deadline: 4\r", "X-Deadline: 24\r")));
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -56,7 +56,7 @@
     private static Boolean ask(int port, String id) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream()
-                    .write(DispatcherOnStubPlatform.job("/api", id, "step-view", "{}", "Connection: close")
+                    .write(DispatcherOnStubPlatform.requestBytes("/api", id, "step-view", "{}", "Connection: close")
                             .getBytes());
             InputStream in = socket.getInputStream();
             String got = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
--- a/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -80,7 +80,7 @@
     }
 
     private byte[] request(String id, String... headers) {
-        Buffer bytes = DispatcherOnStubPlatform.job(
+        Buffer bytes = DispatcherOnStubPlatform.requestBytes(
                 "/api", id, id.startsWith("mark") ? "mark-submit" : "step-view", "10", headers);
         return bytes.toString().replace("X-Deadline: 4\r", "X-Deadline: 0.9\r").getBytes(StandardCharsets.US_ASCII);
     }
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -70,23 +70,23 @@
                     RawClient kept = new RawClient(port)) {
                 assertEquals(
                         "r-k1",
-                        kept.send(DispatcherOnStubPlatform.job("/api", "k1", "step-view", "10"))
+                        kept.send(DispatcherOnStubPlatform.requestBytes("/api", "k1", "step-view", "10"))
                                 .read()
                                 .body());
-                working.send(DispatcherOnStubPlatform.job("/api", "w", "mark-submit", "1200"));
+                working.send(DispatcherOnStubPlatform.requestBytes("/api", "w", "mark-submit", "1200"));
                 DispatcherOnStubPlatform.until(() -> world.seen.size() == 2);
                 for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
                     signal(signal);
                 }
                 assertEquals(
                         "r-k2",
-                        kept.send(DispatcherOnStubPlatform.job("/api", "k2", "step-view", "10"))
+                        kept.send(DispatcherOnStubPlatform.requestBytes("/api", "k2", "step-view", "10"))
                                 .read()
                                 .body());
                 try (RawClient late = new RawClient(port)) {
                     assertEquals(
                             "r-l",
-                            late.send(DispatcherOnStubPlatform.job("/api", "l", "mark-submit", "10"))
+                            late.send(DispatcherOnStubPlatform.requestBytes("/api", "l", "mark-submit", "10"))
                                     .read()
                                     .body());
                 }
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -3,7 +3,7 @@
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static nettlewick.golden.WireText.ask;
 import static nettlewick.golden.WireText.entry;
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 
 import java.io.IOException;
@@ -60,7 +60,7 @@
     }
 
     private static String post(String id, String jobClass, String body, String... headers) {
-        return job("/api", id, jobClass, body, headers).toString();
+        return requestBytes("/api", id, jobClass, body, headers).toString();
     }
 
     private static String all(int port, Map<String, String> requests) throws IOException {
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/ServedTest.java
@@ -1,6 +1,6 @@
 package nettlewick.ledger;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.stubs.StubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -77,7 +77,8 @@
     private static String asked(String id, String requestClass, String... headers) {
         List<String> all = new ArrayList<>(List.of(headers));
         all.add("Connection: close");
-        return job("/api", id, requestClass, "{}", all.toArray(String[]::new)).toString();
+        return requestBytes("/api", id, requestClass, "{}", all.toArray(String[]::new))
+                .toString();
     }
 
     private Map<String, Entry> entries(int count) throws Exception {
--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -72,17 +72,17 @@
     void metricsCountWhatClientsAndEndpointsSaw() throws Exception {
         int port = start();
         assertTrue(call("GET", "/-/metrics").contains("router.operations.mark-submit.faulted=0\n"));
-        talk(port, job("/api", "a", "step-view", "", "Connection: close"));
-        talk(port, job("/api", "a", "step-view", "", "Connection: close"));
-        talk(port, job("/api", "b", "no-class", "", "Connection: close"));
+        talk(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
+        talk(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
+        talk(port, requestBytes("/api", "b", "no-class", "", "Connection: close"));
         world.instead = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
-        talk(port, job("/api", "c", "mark-submit", "", "Connection: close"));
+        talk(port, requestBytes("/api", "c", "mark-submit", "", "Connection: close"));
         world.instead = request -> {};
         Socket waits = new Socket("127.0.0.1", port);
-        waits.getOutputStream().write(job("/api", "d", "save-run", "").getBytes());
+        waits.getOutputStream().write(requestBytes("/api", "d", "save-run", "").getBytes());
         until(() -> call("GET", "/-/metrics").contains("router.open_requests=1\n")
                 && call("GET", "/-/metrics").contains("router.relayed=3\n"));
         String figures = call("GET", "/-/metrics");
@@ -134,7 +134,8 @@
                             .replace("Connection: close\r\n", "")
                             .getBytes(StandardCharsets.US_ASCII));
             assertTrue(idle.getInputStream().read() >= 0);
-            busy.getOutputStream().write(job("/api", "before", "step-view", "").getBytes());
+            busy.getOutputStream()
+                    .write(requestBytes("/api", "before", "step-view", "").getBytes());
             until(() -> !world.seen.isEmpty());
             assertTrue(call("POST", "/-/drain").startsWith("200"));
             assertTrue(call("POST", "/-/drain").startsWith("200"));
@@ -146,10 +147,10 @@
             assertTrue(answer.contains("r-before") && answer.toLowerCase().contains("connection: close"), answer);
         }
         world.runTime = 10;
-        assertTrue(talk(port, job("/api", "late", "step-view", "")).contains("r-late"));
+        assertTrue(talk(port, requestBytes("/api", "late", "step-view", "")).contains("r-late"));
         assertTrue(call("POST", "/-/resume").startsWith("200"));
         assertTrue(talk(port, HEALTH).startsWith("HTTP/1.1 200"));
-        String kept = talk(port, job("/api", "kept", "step-view", "", "Connection: close"));
+        String kept = talk(port, requestBytes("/api", "kept", "step-view", "", "Connection: close"));
         assertTrue(kept.contains("r-kept"), kept);
     }
 
@@ -166,7 +167,7 @@
         world.tell("s-1", "Ready");
         until(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=1\n"));
         for (int i = 0; i < 20; i++) {
-            assertTrue(talk(port, job("/api", "b" + i, "step-view", "", "Connection: close"))
+            assertTrue(talk(port, requestBytes("/api", "b" + i, "step-view", "", "Connection: close"))
                     .contains("r-b"));
         }
         assertTrue(world.seen.stream().noneMatch(line -> line.startsWith("s-1 ")), world.seen.toString());
@@ -174,7 +175,7 @@
         until(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=0\n"));
         assertTrue(call("POST", "/-/sim-runners/s-2/disable").startsWith("200"));
         until(() -> {
-            talk(port, job("/api", "c" + System.nanoTime(), "step-view", "", "Connection: close"));
+            talk(port, requestBytes("/api", "c" + System.nanoTime(), "step-view", "", "Connection: close"));
             return world.seen.stream().anyMatch(line -> line.startsWith("s-1 "));
         });
     }
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -23,7 +23,7 @@
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
-            client.send(job("/api", "a", "mark-submit", ""));
+            client.send(requestBytes("/api", "a", "mark-submit", ""));
             until(() -> held.size() == 1);
             client.send(GARBAGE);
             awaitEventLoop(port);
@@ -42,17 +42,17 @@
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
-            client.send(job("/api", "a", "step-view", ""));
+            client.send(requestBytes("/api", "a", "step-view", ""));
             until(() -> held.size() == 1);
             Buffer more = Buffer.buffer();
             for (int i = 0; i < 5; i++) {
-                more.appendBuffer(job("/api", "more-" + i, "step-view", ""));
+                more.appendBuffer(requestBytes("/api", "more-" + i, "step-view", ""));
             }
             client.send(more);
             awaitEventLoop(port);
             finish(held.get(0));
             List<Integer> statuses = new ArrayList<>();
-            for (RawClient.Answer answer = client.read(); answer != null; answer = client.read()) {
+            for (RawClient.Response answer = client.read(); answer != null; answer = client.read()) {
                 statuses.add(answer.status());
             }
             assertEquals(List.of(200, 429, 429, 429, 429, 429), statuses);
@@ -67,7 +67,7 @@
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         RawClient client = new RawClient(port);
-        client.send(job("/api", "a", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 40"));
+        client.send(requestBytes("/api", "a", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 40"));
         until(() -> held.size() == 1);
         // More than the kernel holds for a connection that is not read: its end stands behind all of it.
         CompletableFuture<Void> flood = CompletableFuture.runAsync(() -> {
@@ -95,7 +95,7 @@
         DispatcherServer dispatcher = start(clock);
         int port = dispatcher.ports().get(0);
         try (RawClient client = new RawClient(port)) {
-            client.send(job("/api", "a", "mark-submit", "", "Connection: close")
+            client.send(requestBytes("/api", "a", "mark-submit", "", "Connection: close")
                     .toString()
                     .replace("X-Deadline: 4", "X-Deadline: 0.5"));
             until(() -> held.size() == 1);
@@ -129,7 +129,7 @@
         int port = start();
         try (RawClient client = new RawClient(port)) {
             assertNull(client.read(), "a connection that asks nothing is ended");
-            client.send(job("/api", "b", "step-view", "1"));
+            client.send(requestBytes("/api", "b", "step-view", "1"));
             awaitEventLoop(port);
             assertThrows(
                     java.io.IOException.class,
@@ -143,10 +143,13 @@
         }
         try (RawClient client = new RawClient(port)) {
             assertEquals(
-                    200, client.send(job("/api", "a", "step-view", "1")).read().status());
+                    200,
+                    client.send(requestBytes("/api", "a", "step-view", "1"))
+                            .read()
+                            .status());
             CompletableFuture<Void> end = CompletableFuture.runAsync(world.dispatcher()::shutDown);
             assertNull(client.read(), "so is a resting one at the planned end");
-            client.send(job("/api", "c", "step-view", "1"));
+            client.send(requestBytes("/api", "c", "step-view", "1"));
             end.get();
         }
         assertEquals(1, world.seen.size());
@@ -162,7 +165,7 @@
             assertEquals(200, first.send(HEALTH).read().status());
             dispatcher.connectionLimiter().setMaxConnections(1);
             try (RawClient second = new RawClient(port)) {
-                second.send(job("/api", "b", "step-view", "1"));
+                second.send(requestBytes("/api", "b", "step-view", "1"));
                 awaitEventLoop(first);
                 dispatcher.connectionLimiter().setMaxConnections(8);
                 CompletableFuture<Void> end = CompletableFuture.runAsync(dispatcher::shutDown);
--- a/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -1,6 +1,5 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 
 import com.google.gson.Gson;
--- a/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
+++ b/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
@@ -14,14 +14,14 @@
 
 /** The stand-ins with a dispatcher among them. */
 public final class DispatcherOnStubPlatform extends nettlewick.stubs.StubPlatform {
-    private DispatcherServer node;
+    private DispatcherServer dispatcher;
     /** What keeps the books of the next dispatcher. */
     public UsageRecorder usageRecorder = UsageRecorder.NONE;
 
     public DispatcherOnStubPlatform() throws Exception {}
 
     DispatcherServer dispatcher() {
-        return node;
+        return dispatcher;
     }
 
     public DispatcherServer start(Frontend.Factory... more) throws Exception {
@@ -31,21 +31,21 @@
     public DispatcherServer start(Map<String, Object> config, Frontend.Factory... more) throws Exception {
         List<Frontend.Factory> fronts = new ArrayList<>(List.of(PlatformFrontend::new));
         fronts.addAll(List.of(more));
-        node = new DispatcherServer(
+        dispatcher = new DispatcherServer(
                         PlatformConfig.parse(new Gson().toJson(config), Map.of()),
                         Clock.system(),
                         fronts.toArray(Frontend.Factory[]::new))
-                .recordUsageWith(usageRecorder)
-                .serveOperatorsWith(AdminFrontend::new);
-        get(node.start());
+                .withUsageRecorder(usageRecorder)
+                .withAdminServer(AdminFrontend::new);
+        get(dispatcher.start());
         if (hasRunners()) {
-            until(node::hasEndpointList);
+            until(dispatcher::hasEndpointList);
         }
-        return node;
+        return dispatcher;
     }
 
     /** Bytes for a socket: a job as a client hands it in. */
-    public static Buffer job(String path, String id, String requestClass, String body, String... headers) {
+    public static Buffer requestBytes(String path, String id, String requestClass, String body, String... headers) {
         StringBuilder head = new StringBuilder("POST " + path + " HTTP/1.1\r\nHost: backend.local\r\n"
                 + "X-Request-Id: " + id + "\r\nX-Class: " + requestClass
                 + "\r\nX-Tenant: red\r\nX-Deadline: 4\r\n");
@@ -58,8 +58,8 @@
     @Override
     public void close() {
         try {
-            if (node != null) {
-                get(node.close());
+            if (dispatcher != null) {
+                get(dispatcher.close());
             }
         } catch (Exception e) {
             throw new IllegalStateException(e);
--- a/src/test/java/nettlewick/net/DispatcherServerTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -88,7 +88,7 @@
     void forwardsUnchangedPartsByteForByte() throws Exception {
         int port = startHealthy("s-1");
         String uri = "/api/x%2Fy?a=1&&b=%7e+";
-        String answer = send(port, job(uri, "00Ab", "save-run", "{\"x\": 1}", "Idempotency-Key: K-1"));
+        String answer = send(port, requestBytes(uri, "00Ab", "save-run", "{\"x\": 1}", "Idempotency-Key: K-1"));
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
         assertTrue(answer.endsWith("\r\n\r\nr-00Ab"), answer);
         assertEquals(List.of("s-1 POST " + uri + " 00Ab K-1 {\"x\": 1}"), world.seen);
@@ -101,18 +101,20 @@
         String big = "x".repeat(64 * 1024 + 1);
         for (Buffer bad : List.of(
                 Buffer.buffer("NONSENSE\r\n\r\n"),
-                job("/api", "1", "step-view", big),
-                job("/other", "1", "step-view", ""),
+                requestBytes("/api", "1", "step-view", big),
+                requestBytes("/other", "1", "step-view", ""),
                 Buffer.buffer("GET /api HTTP/1.1\r\nHost: x\r\n\r\n"),
-                job("/api", "1", "no-class", ""),
-                job("/api", "1", "step-view", "", "X-Cost-Hint: z"),
-                job("/api", "1", "step-view", "", "X-Request-Id: 2"),
-                Buffer.buffer(job("/api", "1", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 5d")),
+                requestBytes("/api", "1", "no-class", ""),
+                requestBytes("/api", "1", "step-view", "", "X-Cost-Hint: z"),
+                requestBytes("/api", "1", "step-view", "", "X-Request-Id: 2"),
+                Buffer.buffer(requestBytes("/api", "1", "step-view", "")
+                        .toString()
+                        .replace("X-Deadline: 4", "X-Deadline: 5d")),
                 Buffer.buffer("POST /api HTTP/1.1\r\nX-Class: step-view\r\nContent-Length: 0\r\n\r\n"))) {
             answers.add(send(port, bad).replaceAll("(?s)HTTP/1.. (\\d+).*", "$1"));
         }
         assertEquals(List.of("400", "413", "404", "405", "400", "400", "400", "400", "400"), answers);
-        assertTrue(send(port, job("/api", "ok", "step-view", "")).contains("r-ok"));
+        assertTrue(send(port, requestBytes("/api", "ok", "step-view", "")).contains("r-ok"));
         assertEquals(1, world.seen.size());
     }
 
@@ -130,7 +132,8 @@
                 crowd.add(new Socket("127.0.0.1", port));
                 if (i % 40 == 0) {
                     usual.getOutputStream()
-                            .write(job("/api", "u" + i, "step-view", "").getBytes());
+                            .write(requestBytes("/api", "u" + i, "step-view", "")
+                                    .getBytes());
                     assertTrue(usual.getInputStream().read(new byte[4096]) > 0, "still connected, and served");
                 }
             }
@@ -156,9 +159,9 @@
     void retriesOnlyWhatIsIdempotentOnceItMayHaveRun() throws Exception {
         int port = startHealthy("s-1", "s-2", "s-3");
         world.instead = request -> request.connection().close();
-        assertTrue(send(port, job("/api", "m", "mark-submit", "")).contains(" 502 "));
+        assertTrue(send(port, requestBytes("/api", "m", "mark-submit", "")).contains(" 502 "));
         assertEquals(1, world.seen.stream().filter(s -> s.contains(" m ")).count());
-        send(port, job("/api", "v", "step-view", ""));
+        send(port, requestBytes("/api", "v", "step-view", ""));
         assertTrue(world.seen.stream().filter(s -> s.contains(" v ")).count() > 1, world.seen.toString());
     }
 
@@ -172,7 +175,8 @@
         int port = startHealthy("s-1", "s-2");
         until(() -> world.resets.get() > 3);
         for (int i = 0; i < 20; i++) {
-            assertTrue(send(port, job("/api", "m" + i, "mark-submit", "{}")).endsWith("r-m" + i));
+            assertTrue(send(port, requestBytes("/api", "m" + i, "mark-submit", "{}"))
+                    .endsWith("r-m" + i));
         }
     }
 
@@ -183,7 +187,7 @@
             world.instead = null;
             request.response().setStatusCode(503).putHeader("X-Not-Run", "1").end();
         };
-        assertTrue(send(port, job("/api", "m", "mark-submit", "")).contains("r-m"));
+        assertTrue(send(port, requestBytes("/api", "m", "mark-submit", "")).contains("r-m"));
         assertEquals(2, world.seen.size());
     }
 
@@ -195,12 +199,12 @@
         assertTrue(world.watches.get(1).endsWith("after=2"), world.watches.toString());
         world.addRunner("s-2");
         world.tell("s-1", "Terminating");
-        until(() -> send(port, job("/api", "a" + System.nanoTime(), "step-view", ""))
+        until(() -> send(port, requestBytes("/api", "a" + System.nanoTime(), "step-view", ""))
                         .contains(" 200 ")
                 && world.seen.get(world.seen.size() - 1).startsWith("s-2"));
         int before = world.seen.size();
         for (int i = 0; i < 5; i++) {
-            send(port, job("/api", "b" + i, "step-view", ""));
+            send(port, requestBytes("/api", "b" + i, "step-view", ""));
         }
         assertTrue(world.seen.subList(before, before + 5).stream().allMatch(s -> s.startsWith("s-2")));
     }
@@ -212,12 +216,12 @@
         world.breakWatches();
         until(() -> world.watches.size() == 2);
         world.tell("s-2", "Ready");
-        until(() -> send(port, job("/api", "a" + System.nanoTime(), "step-view", ""))
+        until(() -> send(port, requestBytes("/api", "a" + System.nanoTime(), "step-view", ""))
                         .contains(" 200 ")
                 && world.seen.get(world.seen.size() - 1).startsWith("s-2"));
         int before = world.seen.size();
         for (int i = 0; i < 8; i++) {
-            send(port, job("/api", "b" + i, "step-view", ""));
+            send(port, requestBytes("/api", "b" + i, "step-view", ""));
         }
         assertEquals(
                 8,
@@ -240,7 +244,8 @@
             int port = startHealthy("s-1");
             for (int i = 0; i < 12; i++) {
                 double before = System.nanoTime();
-                assertTrue(send(port, job("/api", "m" + i, "mark-submit", "")).contains("r-m" + i));
+                assertTrue(send(port, requestBytes("/api", "m" + i, "mark-submit", ""))
+                        .contains("r-m" + i));
                 assertTrue(System.nanoTime() - before < 1.5e9, "the connect time-out of 200 ms binds");
             }
             assertEquals(12, world.seen.size());
@@ -259,18 +264,19 @@
         int port = dispatcher.ports().get(0);
         until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
         CompletableFuture<String> taken =
-                CompletableFuture.supplyAsync(() -> send(port, job("/api", "t", "mark-submit", "")));
+                CompletableFuture.supplyAsync(() -> send(port, requestBytes("/api", "t", "mark-submit", "")));
         until(() -> world.seen.size() == 1);
         try (Socket idle = new Socket("127.0.0.1", port);
                 Socket kept = new Socket("127.0.0.1", port)) {
             CompletableFuture<Void> end = CompletableFuture.runAsync(dispatcher::shutDown);
             until(() -> send(port, HEALTH).contains(" 503 "));
-            String late = send(port, job("/api", "late", "step-view", ""));
+            String late = send(port, requestBytes("/api", "late", "step-view", ""));
             assertTrue(late.endsWith("r-late"), "still accepting: " + late);
             // Closing open connections at once would be a gap in service for clients that have no other server.
             until(() -> send(port, HEALTH).startsWith("broken"));
             world.runTime = 20;
-            kept.getOutputStream().write(job("/api", "kept", "step-view", "").getBytes());
+            kept.getOutputStream()
+                    .write(requestBytes("/api", "kept", "step-view", "").getBytes());
             byte[] answer = new byte[4096];
             String got = new String(answer, 0, kept.getInputStream().read(answer), StandardCharsets.US_ASCII);
             assertTrue(got.endsWith("r-kept"), "served on a connection that was there: " + got);
@@ -278,7 +284,7 @@
             assertTrue(taken.get().endsWith("r-t"), taken.get());
             end.get();
         }
-        assertTrue(send(port, job("/api", "x", "step-view", "")).startsWith("broken"));
+        assertTrue(send(port, requestBytes("/api", "x", "step-view", "")).startsWith("broken"));
     }
 
     /** Guards against going on with the old address, its numbers, or without a list while the new is silent. */
@@ -295,12 +301,13 @@
             assertEquals(List.of("name"), PlatformConfig.parse(file, Map.of()).restartOnlyChanges(moved));
             dispatcher.reload(moved);
             until(() -> dispatcher.discovery().port() == 1);
-            assertTrue(send(port, job("/api", "a", "step-view", "")).endsWith("r-a"), "served from what is held");
+            assertTrue(
+                    send(port, requestBytes("/api", "a", "step-view", "")).endsWith("r-a"), "served from what is held");
             other.addRunner("s-2");
             dispatcher.reload(PlatformConfig.parse(new Gson().toJson(other.config()), Map.of()));
             until(() -> other.watches.size() == 1);
             assertEquals("/catalog/members?watch=1", other.watches.get(0));
-            until(() -> send(port, job("/api", "b" + System.nanoTime(), "step-view", ""))
+            until(() -> send(port, requestBytes("/api", "b" + System.nanoTime(), "step-view", ""))
                             .contains(" 200 ")
                     && other.seen.size() > 0);
         }
@@ -330,7 +337,7 @@
         world.tell("s-0", "Odd");
         int port = world.start().ports().get(0);
         until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
-        assertTrue(send(port, job("/api", "a", "step-view", "")).endsWith("r-a"));
+        assertTrue(send(port, requestBytes("/api", "a", "step-view", "")).endsWith("r-a"));
     }
 
     @Test
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +21,7 @@
             int port = start();
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
-                client.send(job("/api", "late", "step-view", ""));
+                client.send(requestBytes("/api", "late", "step-view", ""));
                 until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
                 endpoint.open();
                 long[] came = new long[1];
@@ -53,7 +53,9 @@
             };
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
-                client.send(job("/api", "first", "step-view", ""), job("/api", "second", "step-view", ""));
+                client.send(
+                        requestBytes("/api", "first", "step-view", ""),
+                        requestBytes("/api", "second", "step-view", ""));
                 until(() -> endpoint.seen.size() == 1);
                 until(() -> System.nanoTime() - sent > 600_000_000L);
                 release.countDown();
@@ -79,7 +81,7 @@
             try (RawClient client = new RawClient(port)) {
                 BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
                 long sent = System.nanoTime();
-                client.send(job("/api", "unread", "step-view", ""));
+                client.send(requestBytes("/api", "unread", "step-view", ""));
                 until(() -> System.nanoTime() - sent > 500_000_000L);
                 loop.release();
                 assertEquals("r-unread", client.read().body());
@@ -108,7 +110,7 @@
             BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
-                client.send(job("/api", "new", "step-view", ""));
+                client.send(requestBytes("/api", "new", "step-view", ""));
                 until(() -> System.nanoTime() - sent > 500_000_000L);
                 acceptorReleased.countDown();
                 loop.release();
--- a/src/test/java/nettlewick/net/FragmentedMessagesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.get;
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -82,7 +82,7 @@
             for (; cut.get() < answer.length(); cut.incrementAndGet()) {
                 try (Socket client = new Socket("127.0.0.1", port)) {
                     client.getOutputStream()
-                            .write(job("/api", "c" + cut, "step-view", "", "Connection: close")
+                            .write(requestBytes("/api", "c" + cut, "step-view", "", "Connection: close")
                                     .getBytes());
                     String got = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                     assertTrue(got.endsWith("\r\n\r\né✓"), "cut at " + cut + ": " + got);
--- a/src/test/java/nettlewick/net/HotRestartTest.java
+++ b/src/test/java/nettlewick/net/HotRestartTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.get;
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -61,7 +61,7 @@
 
     /** One job on this connection; its answer's head and body. */
     private static String ask(Socket socket, String id) throws IOException {
-        socket.getOutputStream().write(job("/api", id, "step-view", "").getBytes());
+        socket.getOutputStream().write(requestBytes("/api", id, "step-view", "").getBytes());
         InputStream in = socket.getInputStream();
         StringBuilder got = new StringBuilder();
         while (got.indexOf("r-" + id) < 0) {
@@ -95,7 +95,7 @@
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 2), PlatformFrontend::new);
             get(successor.start());
             CompletableFuture<Void> end = CompletableFuture.runAsync(old::shutDown);
-            until(() -> old.serviceState().isLeaving());
+            until(() -> old.serviceState().isDrainingOrStopping());
             int jobs = 0;
             // The kept connection is served by the old process for as long as it lives, and then closed.
             String last = ask(kept, "kept");
--- a/src/test/java/nettlewick/net/IdleClientFloodTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -53,8 +53,8 @@
 
     private static boolean isServed(int port, String id) {
         try (RawClient client = new RawClient(port)) {
-            RawClient.Answer answer =
-                    client.send(job("/api", id, "step-view", "5")).read();
+            RawClient.Response answer =
+                    client.send(requestBytes("/api", id, "step-view", "5")).read();
             return answer != null && answer.body().equals("r-" + id);
         } catch (IOException e) {
             return false;
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -22,7 +22,7 @@
             world.addRunner("s-1", endpoint.port());
             int port = start();
             RawClient gone = new RawClient(port);
-            gone.send(job("/api", "gone", "mark-submit", ""));
+            gone.send(requestBytes("/api", "gone", "mark-submit", ""));
             until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
             gone.close();
             until(() -> !world.dispatcher().frontends().get(0).hasConnections());
@@ -32,7 +32,9 @@
             try (RawClient stays = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        stays.send(job("/api", "stays", "step-view", "")).read().body());
+                        stays.send(requestBytes("/api", "stays", "step-view", ""))
+                                .read()
+                                .body());
             }
             assertEquals(List.of("stays"), endpoint.ids());
             assertEquals(1, endpoint.accepted.size(), "the connection that came up serves the next job");
@@ -48,7 +50,7 @@
             world.addRunner("s-1", endpoint.port());
             int port = start();
             RawClient gone = new RawClient(port);
-            gone.send(job("/api", "gone", "mark-submit", ""));
+            gone.send(requestBytes("/api", "gone", "mark-submit", ""));
             until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
             BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
             // While the loop stands still, the connection to the runner comes up and the client leaves after it.
@@ -60,7 +62,9 @@
             try (RawClient stays = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        stays.send(job("/api", "stays", "step-view", "")).read().body());
+                        stays.send(requestBytes("/api", "stays", "step-view", ""))
+                                .read()
+                                .body());
             }
             assertEquals(List.of("stays"), endpoint.ids());
         }
@@ -80,7 +84,7 @@
                 int port = one.start(mine).ports().get(0);
                 until(() -> isHealthy(port));
                 try (RawClient client = new RawClient(port)) {
-                    client.send(job("/api", "a", "mark-submit", ""));
+                    client.send(requestBytes("/api", "a", "mark-submit", ""));
                     until(() -> one.dispatcher().endpointPools().pendingConnects() == 1);
                     one.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
                     until(() -> one.dispatcher().endpointPools().updatesOf("s-1") == 2);
@@ -117,7 +121,7 @@
             };
             try (RawClient client = new RawClient(port)) {
                 long sent = System.nanoTime();
-                client.send(job("/api", "k", "save-run", "", "Idempotency-Key: K")
+                client.send(requestBytes("/api", "k", "save-run", "", "Idempotency-Key: K")
                         .toString()
                         .replace("X-Deadline: 4", "X-Deadline: 12"));
                 until(() -> first.seen.size() == 1);
--- a/src/test/java/nettlewick/net/MalformedResponseTest.java
+++ b/src/test/java/nettlewick/net/MalformedResponseTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -155,7 +155,9 @@
     }
 
     private static String hurried(String id) {
-        return job("/api", id, "mark-submit", "").toString().replace("X-Deadline: 4", "X-Deadline: " + DEADLINE);
+        return requestBytes("/api", id, "mark-submit", "")
+                .toString()
+                .replace("X-Deadline: 4", "X-Deadline: " + DEADLINE);
     }
 
     @ParameterizedTest
@@ -164,15 +166,15 @@
         endpoint.script = (request, socket) -> response.write(socket, request.id());
         try (RawClient client = new RawClient(port)) {
             long sent = System.nanoTime();
-            RawClient.Answer answer = client.send(hurried("a")).read();
+            RawClient.Response answer = client.send(hurried("a")).read();
             double took = (System.nanoTime() - sent) / 1e9;
             assertEquals(response.served ? 200 : 502, answer.status(), answer.body());
             assertEquals(response.served, answer.body().equals("r-a"), answer.body());
             assertTrue(took <= DEADLINE + SLACK, "after " + took + " s");
             endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served(request.id()));
             // The same connection serves on, and the next request gets its own answer.
-            RawClient.Answer next =
-                    client.send(job("/api", "b", "step-view", "")).read();
+            RawClient.Response next =
+                    client.send(requestBytes("/api", "b", "step-view", "")).read();
             assertTrue(next.body().equals("r-b") || next.status() == 503, next.head() + next.body());
         }
         assertEquals(1, endpoint.ids().stream().filter("a"::equals).count(), "it may have run: never sent again");
@@ -191,7 +193,7 @@
         try (RawClient stays = new RawClient(port)) {
             until(() -> {
                 try {
-                    return stays.send(job("/api", "x" + System.nanoTime(), "step-view", ""))
+                    return stays.send(requestBytes("/api", "x" + System.nanoTime(), "step-view", ""))
                                     .read()
                                     .status()
                             == 200;
--- a/src/test/java/nettlewick/net/MismatchedResponseTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -21,8 +21,8 @@
             int port = start();
             endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served("another"));
             try (RawClient client = new RawClient(port)) {
-                RawClient.Answer answer =
-                        client.send(job("/api", "mine", "mark-submit", "")).read();
+                RawClient.Response answer = client.send(requestBytes("/api", "mine", "mark-submit", ""))
+                        .read();
                 assertEquals(502, answer.status(), answer.body());
             }
             assertEquals(List.of("mine"), endpoint.ids(), "it may have run, and is not sent again");
@@ -56,16 +56,22 @@
             try (RawClient client = new RawClient(port)) {
                 assertEquals(
                         "r-a",
-                        client.send(job("/api", "a", "mark-submit", "")).read().body());
+                        client.send(requestBytes("/api", "a", "mark-submit", ""))
+                                .read()
+                                .body());
                 // The next one that must not run twice comes at once: it takes a connection of its own.
                 assertEquals(
                         "r-b",
-                        client.send(job("/api", "b", "mark-submit", "")).read().body());
+                        client.send(requestBytes("/api", "b", "mark-submit", ""))
+                                .read()
+                                .body());
                 twice.complete();
                 awaitEventLoop(port);
                 assertEquals(
                         "r-c",
-                        client.send(job("/api", "c", "mark-submit", "")).read().body());
+                        client.send(requestBytes("/api", "c", "mark-submit", ""))
+                                .read()
+                                .body());
             }
             assertEquals(List.of("a", "b", "c"), endpoint.ids());
             assertNotEquals(
@@ -85,7 +91,7 @@
         assertEquals("/catalog/members?watch=1", world.watches.get(1));
         until(() -> {
             try (RawClient client = new RawClient(port)) {
-                return client.send(job("/api", "x" + System.nanoTime(), "mark-submit", "1"))
+                return client.send(requestBytes("/api", "x" + System.nanoTime(), "mark-submit", "1"))
                                 .read()
                                 .status()
                         == 503;
--- a/src/test/java/nettlewick/net/RawClient.java
+++ b/src/test/java/nettlewick/net/RawClient.java
@@ -14,8 +14,8 @@
     private static final Pattern LENGTH = Pattern.compile("(?i)content-length: (\\d+)");
 
     /** A whole answer. */
-    public record Answer(int status, String head, String body) {
-        public boolean last() {
+    public record Response(int status, String head, String body) {
+        public boolean closesConnection() {
             return head.toLowerCase(java.util.Locale.ROOT).contains("connection: close");
         }
     }
@@ -43,7 +43,7 @@
     }
 
     /** The next answer; null where the connection ended in good order before it. A reset is an exception. */
-    public Answer read() throws IOException {
+    public Response read() throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
@@ -57,7 +57,7 @@
         }
         Matcher length = LENGTH.matcher(head);
         byte[] body = in.readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
-        return new Answer(
+        return new Response(
                 Integer.parseInt(head.substring(9, 12)), head.toString(), new String(body, StandardCharsets.UTF_8));
     }
 
--- a/src/test/java/nettlewick/net/StartupTest.java
+++ b/src/test/java/nettlewick/net/StartupTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.vertx.core.Future;
@@ -65,7 +65,7 @@
     void timeOfRequestsCountsFromTheOpeningOfThePort() throws Exception {
         CompletableFuture<Void> started = startInBackground(SlowFrontend::new);
         try (RawClient client = connectOnceItListens(started)) {
-            String request = job("/api", "early", "step-view", "10").toString();
+            String request = requestBytes("/api", "early", "step-view", "10").toString();
             client.send(request.replace("X-Deadline: 4\r", "X-Deadline: 1.5\r"));
             assertEquals(200, client.read().status());
         }
--- a/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
@@ -178,7 +178,7 @@
             socket.setReceiveBufferSize(2048);
             socket.connect(new InetSocketAddress("127.0.0.1", port));
             socket.getOutputStream()
-                    .write(DispatcherOnStubPlatform.job("/api", "s", "step-view", "")
+                    .write(DispatcherOnStubPlatform.requestBytes("/api", "s", "step-view", "")
                             .getBytes());
             EventStreamClient fast = streamClient("s", "step-view").post(client);
             awaitEnd(fast);
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -3,7 +3,7 @@
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static nettlewick.golden.WireText.ask;
 import static nettlewick.golden.WireText.entry;
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -43,7 +43,7 @@
     }
 
     private static String post(String id, String requestClass, String... headers) {
-        return job("/api", id, requestClass, "", headers).toString();
+        return requestBytes("/api", id, requestClass, "", headers).toString();
     }
 
     private static String get(String path, String... headers) {
