--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -93,14 +93,14 @@
         List<EndpointEntry> endpoints = new ArrayList<>();
         for (int i = 0; i < SYNTHETIC_ENDPOINTS; i++) {
             List<String> endpointClasses = settings.kinds();
-            String kind = endpointClasses.isEmpty() ? null : endpointClasses.get(i % endpointClasses.size());
-            endpoints.add(new EndpointEntry("w" + i, EndpointState.READY, 0, 0, kind, settings.zone(), 1));
+            String endpointClass = endpointClasses.isEmpty() ? null : endpointClasses.get(i % endpointClasses.size());
+            endpoints.add(new EndpointEntry("w" + i, EndpointState.READY, 0, 0, endpointClass, settings.zone(), 1));
         }
         List<Event> events = new ArrayList<>(List.of(new EndpointList(true, endpoints)));
         for (int index = 0; index < SYNTHETIC_REQUESTS; index++) {
-            RequestClass kind =
+            RequestClass requestClass =
                     settings.classes().get(index % settings.classes().size());
-            events.add(new Arrival("j" + index, kind.name(), null, kind.deadline(), 1, 0, 0, null, false));
+            events.add(new Arrival("j" + index, requestClass.name(), null, requestClass.deadline(), 1, 0, 0, null, false));
             long now = index * STEP_NANOS;
             List<Action> actions = scheduler.handle(now, events);
             events = new ArrayList<>();
--- a/src/main/java/nettlewick/net/client/ClientConnection.java
+++ b/src/main/java/nettlewick/net/client/ClientConnection.java
@@ -93,8 +93,8 @@
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext added) {
-        context = added;
+    public void handlerAdded(ChannelHandlerContext ctx) {
+        context = ctx;
     }
 
     /** Called for any bytes that arrive. */
@@ -103,27 +103,27 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object read) {
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
             if (rejection != null || !state.takesRequests()) {
-                discard(read);
+                discard(message);
                 return;
             }
-            if (read instanceof HttpRequest request) {
+            if (message instanceof HttpRequest request) {
                 beginRequest(request);
             }
-            if (read instanceof HttpContent content && requests.isReading()) {
+            if (message instanceof HttpContent content && requests.isReading()) {
                 addContent(content);
             }
         } finally {
-            ReferenceCountUtil.release(read);
+            ReferenceCountUtil.release(message);
         }
     }
 
-    private void discard(Object read) {
-        discardedBytes += read instanceof ByteBuf bytes
+    private void discard(Object message) {
+        discardedBytes += message instanceof ByteBuf bytes
                 ? bytes.readableBytes()
-                : read instanceof ByteBufHolder holder ? holder.content().readableBytes() : 0;
+                : message instanceof ByteBufHolder holder ? holder.content().readableBytes() : 0;
         if (discardedBytes > MAX_DISCARDED_BYTES) {
             // Reading on without limit would take event-loop time from other clients. While a request is in
             // flight, {@link #closeIfOverdue} reads on in portions, since a connection that is not read never
@@ -199,11 +199,11 @@
     }
 
     @Override
-    public void write(ChannelHandlerContext ctx, Object written, ChannelPromise promise) {
-        if (written instanceof HttpResponse response) {
+    public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+        if (message instanceof HttpResponse response) {
             beginResponse(response);
         }
-        boolean last = written instanceof LastHttpContent;
+        boolean last = message instanceof LastHttpContent;
         boolean ends = last && closeAfterResponse;
         ChannelPromise done = ends ? promise.unvoid() : promise;
         if (ends) {
@@ -211,7 +211,7 @@
             state.beginClosing(clock.nowMillis());
             done.addListener(f -> shutDownOutput());
         }
-        ctx.write(written, done);
+        ctx.write(message, done);
         if (last && !ends) {
             responseWritten(ctx);
         }
--- a/src/main/java/nettlewick/net/client/EventLoopTicks.java
+++ b/src/main/java/nettlewick/net/client/EventLoopTicks.java
@@ -10,7 +10,7 @@
     /** The interval of the ticks. */
     static final long INTERVAL_MILLIS = 50;
     /** From this time since the last tick on the event loop is held up. */
-    static final double HELD_UP_MILLIS = INTERVAL_MILLIS + 10.0;
+    static final double STALL_THRESHOLD_MILLIS = INTERVAL_MILLIS + 10.0;
 
     private double lastTickAt;
 
@@ -25,6 +25,6 @@
 
     /** The earliest time at which what is found now may have arrived. */
     double earliestArrival(double now) {
-        return now - lastTickAt > HELD_UP_MILLIS ? lastTickAt : now;
+        return now - lastTickAt > STALL_THRESHOLD_MILLIS ? lastTickAt : now;
     }
 }
--- a/src/main/java/nettlewick/net/client/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/client/HttpFrontend.java
@@ -105,7 +105,7 @@
     private double earliestArrival(double madeAt, double registeredAt) {
         double now = environment.clock().nowMillis();
         double earliest = ticks.earliestArrival(now);
-        boolean isRegisteredBefore = earliest > registeredAt + EventLoopTicks.HELD_UP_MILLIS;
+        boolean isRegisteredBefore = earliest > registeredAt + EventLoopTicks.STALL_THRESHOLD_MILLIS;
         return isRegisteredBefore ? earliest : Math.min(earliest, madeAt);
     }
 
@@ -157,11 +157,11 @@
      * Closes the idle connection that was served least: one that was served nothing, else the one used least.
      * By age alone, many idle clients would evict the regular ones.
      */
-    private void evictFor(ClientConnection newcomer) {
-        for (int tries = 0; tries < MAX_EVICTION_ATTEMPTS; tries++) {
+    private void evictFor(ClientConnection newConnection) {
+        for (int attempt = 0; attempt < MAX_EVICTION_ATTEMPTS; attempt++) {
             ClientConnection candidate = connections.values().stream()
-                    .filter(g -> g != newcomer && g.state().isIdle())
-                    .min(Comparator.comparingInt(g -> g.state().resultsServed()))
+                    .filter(connection -> connection != newConnection && connection.state().isIdle())
+                    .min(Comparator.comparingInt(connection -> connection.state().resultsServed()))
                     .orElse(null);
             if (candidate == null) {
                 break;
@@ -171,8 +171,8 @@
                 return;
             }
         }
-        if (newcomer != null) {
-            newcomer.reject(503, "too many connections");
+        if (newConnection != null) {
+            newConnection.reject(503, "too many connections");
         }
     }
 
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -82,7 +82,7 @@
     private void submit(HttpServerRequest http, RequestReader.ParsedRequest parsed) {
         HttpServerResponse response = http.response();
         trafficListener.requestReceived(http, parsed.forwarded().body());
-        Metrics.RequestTracker ticket = coordinator.metrics().trackRequest(parsed.requestClass());
+        Metrics.RequestTracker tracker = coordinator.metrics().trackRequest(parsed.requestClass());
         Request request = parsed.toRequest(new Request.Caller() {
             @Override
             public boolean isPresent() {
@@ -91,12 +91,12 @@
 
             @Override
             public void onReceipt(UsageRecorder.Receipt receipt) {
-                eventLoop.runOnContext(v -> ticket.setReceipt(receipt));
+                eventLoop.runOnContext(v -> tracker.setReceipt(receipt));
             }
 
             @Override
             public void onServed(byte[] result) {
-                eventLoop.runOnContext(v -> respond(http, 200, Buffer.buffer(result), ticket));
+                eventLoop.runOnContext(v -> respond(http, 200, Buffer.buffer(result), tracker));
             }
 
             @Override
@@ -105,17 +105,17 @@
                     if (retryAfter > 0 && !response.closed()) {
                         response.putHeader("Retry-After", formatSeconds(retryAfter));
                     }
-                    respond(http, 503, Buffer.buffer("unavailable\n"), ticket);
+                    respond(http, 503, Buffer.buffer("unavailable\n"), tracker);
                 });
             }
 
             @Override
             public void onFailed(String reason) {
-                eventLoop.runOnContext(v -> respond(http, 502, Buffer.buffer(reason + "\n"), ticket));
+                eventLoop.runOnContext(v -> respond(http, 502, Buffer.buffer(reason + "\n"), tracker));
             }
         });
         response.closeHandler(v -> {
-            ticket.markAbandoned();
+            tracker.markAbandoned();
             coordinator.abandon(request);
         });
         coordinator.submit(request);
@@ -125,7 +125,7 @@
         return String.format(Locale.ROOT, "%.3f", millis / 1000);
     }
 
-    private void respond(HttpServerRequest http, int status, Buffer body, Metrics.RequestTracker ticket) {
+    private void respond(HttpServerRequest http, int status, Buffer body, Metrics.RequestTracker tracker) {
         HttpServerResponse response = http.response();
         if (response.ended() || response.closed()) {
             return;
@@ -138,6 +138,6 @@
         Metrics.RequestEnd end = status == HttpResponseStatus.OK.code()
                 ? Metrics.RequestEnd.SERVED
                 : status == SERVICE_UNAVAILABLE ? Metrics.RequestEnd.REJECTED : Metrics.RequestEnd.FAILED;
-        response.end(body).onSuccess(v -> ticket.markAnswered(end)).onFailure(e -> ticket.markAbandoned());
+        response.end(body).onSuccess(v -> tracker.markAnswered(end)).onFailure(e -> tracker.markAbandoned());
     }
 }
--- a/src/main/java/nettlewick/net/client/StrictHttpDecoder.java
+++ b/src/main/java/nettlewick/net/client/StrictHttpDecoder.java
@@ -15,9 +15,9 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object read) throws Exception {
+    public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
         onBytes.run();
-        super.channelRead(context, read);
+        super.channelRead(context, message);
     }
 
     @Override
--- a/src/main/java/nettlewick/net/config/DescriptorBudget.java
+++ b/src/main/java/nettlewick/net/config/DescriptorBudget.java
@@ -5,12 +5,12 @@
     /** One descriptor in this many is for clients. */
     private static final int CLIENT_DIVISOR = 3;
     /** Descriptors for neither clients nor endpoints: jar files, listeners, the discovery watch, selectors. */
-    private static final int RESERVED = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
     /** Descriptors of the admin frontend: its callers, its listener, its two selectors. */
     /** How many connections of operators may be open. */
     public static final int MAX_ADMIN_CONNECTIONS = 24;
 
-    private static final int ADMIN = MAX_ADMIN_CONNECTIONS + 8;
+    private static final int ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 8;
 
     private DescriptorBudget() {}
 
@@ -21,7 +21,7 @@
 
     /** How many connections to endpoints may be open of this many descriptors, without an admin frontend. */
     public static int maxEndpointConnections(int maxSockets) {
-        return Math.max(maxSockets / 8, maxSockets - maxClientConnections(maxSockets) - RESERVED);
+        return Math.max(maxSockets / 8, maxSockets - maxClientConnections(maxSockets) - RESERVED_DESCRIPTORS);
     }
 
     /**
@@ -30,9 +30,9 @@
      * @param shared whether another process of this dispatcher uses the same descriptors
      */
     public static int maxEndpointConnections(PlatformConfig config, boolean shared) {
-        int adminDescriptors = config.adminListen() == null ? 0 : ADMIN;
+        int adminDescriptors = config.adminListen() == null ? 0 : ADMIN_DESCRIPTORS;
         int allowed = maxEndpointConnections(config.maxSockets()) - adminDescriptors;
         // Two processes also have two sets of jar files, listeners and selectors.
-        return shared ? Math.max(allowed / 4, (allowed - RESERVED) / 2) : allowed;
+        return shared ? Math.max(allowed / 4, (allowed - RESERVED_DESCRIPTORS) / 2) : allowed;
     }
 }
--- a/src/main/java/nettlewick/net/config/SettingsParser.java
+++ b/src/main/java/nettlewick/net/config/SettingsParser.java
@@ -29,8 +29,8 @@
 
     /** Parses the settings; throws {@link JsonFields.InvalidFieldException} if a field is invalid. */
     static SchedulerSettings parse(JsonFields fields) {
-        JsonFields family = fields.objectOrEmpty("family_info");
-        List<RequestClass> classes = parseClasses(fields, family);
+        JsonFields familyInfo = fields.objectOrEmpty("family_info");
+        List<RequestClass> classes = parseClasses(fields, familyInfo);
         List<Tenant> tenants = parseTenants(fields);
         JsonFields ceilings = fields.object("ceilings");
         JsonFields rules = fields.object("rules");
@@ -47,7 +47,7 @@
                     "on_request".equals(fields.textOr("membership_mode", "pushed")),
                     "nominal".equals(weights) || "rough".equals(weights),
                     parseLoadReporting(source),
-                    family.integerOr("progress", 0, 0, MAX_DURATION_NANOS),
+                    familyInfo.integerOr("progress", 0, 0, MAX_DURATION_NANOS),
                     parseLimits(ceilings),
                     parseRules(rules));
         } catch (IllegalArgumentException e) {
@@ -55,10 +55,10 @@
         }
     }
 
-    private static List<RequestClass> parseClasses(JsonFields fields, JsonFields family) {
-        List<Double> kinds = family.numbers("class_kind");
-        List<Double> stretches = family.numbers("class_stretch");
-        List<Double> priorities = family.numbers("class_priority");
+    private static List<RequestClass> parseClasses(JsonFields fields, JsonFields familyInfo) {
+        List<Double> kinds = familyInfo.numbers("class_kind");
+        List<Double> stretches = familyInfo.numbers("class_stretch");
+        List<Double> priorities = familyInfo.numbers("class_priority");
         List<RequestClass> classes = new ArrayList<>();
         for (JsonFields entry : fields.objects("classes")) {
             int index = classes.size();
@@ -141,19 +141,19 @@
         return names;
     }
 
-    private static <E> E parseChoice(JsonFields fields, String name, Map<String, E> values, E defaultValue) {
+    private static <E> E parseChoice(JsonFields fields, String name, Map<String, E> choices, E defaultValue) {
         if (defaultValue != null && !fields.has(name)) {
             return defaultValue;
         }
-        E value = values.get(fields.text(name));
+        E value = choices.get(fields.text(name));
         if (value == null) {
             throw new JsonFields.InvalidFieldException(
-                    fields.path(name), fields.text(name), "one of " + namesOf(values.keySet()));
+                    fields.path(name), fields.text(name), "one of " + upperCaseKeywords(choices.keySet()));
         }
         return value;
     }
 
-    private static List<String> namesOf(Set<String> values) {
-        return values.stream().map(value -> value.toUpperCase(Locale.ROOT)).toList();
+    private static List<String> upperCaseKeywords(Set<String> keywords) {
+        return keywords.stream().map(value -> value.toUpperCase(Locale.ROOT)).toList();
     }
 }
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
@@ -109,12 +109,12 @@
         vertx.setTimer(millis, id -> task.run());
     }
 
-    void addOpenConnections(int more) {
-        openConnections += more;
+    void changeOpenConnections(int delta) {
+        openConnections += delta;
     }
 
-    void changePendingConnects(int more) {
-        pendingConnects += more;
+    void changePendingConnects(int delta) {
+        pendingConnects += delta;
     }
 
     /** Whether one more connection may be opened; if need be, the one that has been idle longest is closed. */
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
@@ -36,7 +36,7 @@
             if (!closed) {
                 closed = true;
                 openConnections--;
-                pools.addOpenConnections(-1);
+                pools.changeOpenConnections(-1);
                 idle.remove(this);
             }
             OutboundRequest carried = request;
@@ -195,7 +195,7 @@
 
     private void connect(OutboundRequest request) {
         openConnections++;
-        pools.addOpenConnections(1);
+        pools.changeOpenConnections(1);
         pools.changePendingConnects(1);
         double connectStartedAt = pools.now();
         double expectedIncarnation = incarnation;
@@ -208,7 +208,7 @@
             pools.changePendingConnects(-1);
             if (result.failed()) {
                 openConnections--;
-                pools.addOpenConnections(-1);
+                pools.changeOpenConnections(-1);
                 request.connectionLost();
                 return;
             }
--- a/src/main/java/nettlewick/net/format/JsonFields.java
+++ b/src/main/java/nettlewick/net/format/JsonFields.java
@@ -23,10 +23,10 @@
 
         /** Creates the error; the message is shortened to 300 characters. */
         public InvalidFieldException(String field, Object value, String expected) {
-            super(line(field + " is " + value + ", but has to be " + expected));
+            super(toSingleLine(field + " is " + value + ", but has to be " + expected));
         }
 
-        private static String line(String text) {
+        private static String toSingleLine(String text) {
             String flat = text.replaceAll("[\\r\\n]+", " ");
             return flat.length() > 300 ? flat.substring(0, 300) + "..." : flat;
         }
--- a/src/main/java/nettlewick/net/lifecycle/DisabledEndpointStore.java
+++ b/src/main/java/nettlewick/net/lifecycle/DisabledEndpointStore.java
@@ -37,7 +37,7 @@
 
     private final Path file;
     private Map<String, Entry> entries = new LinkedHashMap<>();
-    private Object lastStamp;
+    private Object lastFileStamp;
 
     /** Creates a store on this file; null keeps the entries in memory alone. */
     public DisabledEndpointStore(Path file) {
@@ -73,7 +73,7 @@
             entries = before;
             throw e;
         }
-        lastStamp = fileStamp();
+        lastFileStamp = fileStamp();
         return changedSince(before);
     }
 
@@ -93,11 +93,11 @@
 
     /** What has changed in the file since this was last called; everything the first time. */
     public List<Entry> readChanges() {
-        if (file == null || Objects.equals(lastStamp, fileStamp())) {
+        if (file == null || Objects.equals(lastFileStamp, fileStamp())) {
             return List.of();
         }
         Map<String, Entry> before = entries;
-        lastStamp = fileStamp();
+        lastFileStamp = fileStamp();
         read();
         return changedSince(before);
     }
--- a/src/main/java/nettlewick/net/lifecycle/HotRestart.java
+++ b/src/main/java/nettlewick/net/lifecycle/HotRestart.java
@@ -49,10 +49,10 @@
         try {
             // Locked before it gets its name: without a lock the file would be taken for a dead process's and
             // deleted.
-            Path made = Files.createTempFile(folder, "nettlewick", ".new");
-            channel = FileChannel.open(made, StandardOpenOption.WRITE);
+            Path unnamedFile = Files.createTempFile(folder, "nettlewick", ".new");
+            channel = FileChannel.open(unnamedFile, StandardOpenOption.WRITE);
             channel.lock();
-            Files.move(made, folder.resolve(ownName), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(unnamedFile, folder.resolve(ownName), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -125,24 +125,24 @@
     }
 
     private List<OtherProcess> otherProcesses() {
-        List<OtherProcess> living = new ArrayList<>();
+        List<OtherProcess> liveProcesses = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, prefix + "*" + ALIVE_SUFFIX)) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
                 if (!name.equals(ownName)) {
-                    inspect(file, name, living);
+                    addIfAlive(file, name, liveProcesses);
                 }
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return living;
+        return liveProcesses;
     }
 
-    private static void inspect(Path file, String name, List<OtherProcess> living) throws IOException {
+    private static void addIfAlive(Path file, String name, List<OtherProcess> liveProcesses) throws IOException {
         try (FileChannel other = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             if (isLocked(other)) {
-                living.add(new OtherProcess(
+                liveProcesses.add(new OtherProcess(
                         name, other.size() >= SERVING_MARK.length, other.size() > SERVING_MARK.length));
             } else {
                 Files.deleteIfExists(file);
--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -29,30 +29,30 @@
 @Timeout(30)
 class AdminOperationsTest {
     private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    private DispatcherOnStubPlatform world;
+    private DispatcherOnStubPlatform platform;
     private Map<String, Object> config;
 
     @BeforeEach
     void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        world.addRunner("s-1");
-        config = world.config();
+        platform = new DispatcherOnStubPlatform();
+        platform.addRunner("s-1");
+        config = platform.config();
         config.put("admin_addr", "127.0.0.1:0");
     }
 
     @AfterEach
     void close() {
-        world.close();
+        platform.close();
     }
 
     private int start() throws Exception {
-        DispatcherServer dispatcher = world.start(config);
+        DispatcherServer dispatcher = platform.start(config);
         until(() -> dispatcher.adminPort() > 0 && call("GET", "/-/ready").startsWith("200"));
         return dispatcher.ports().get(0);
     }
 
     /** Sends bytes and reads to the end of the connection. */
-    private static String talk(int port, Buffer bytes) {
+    private static String exchange(int port, Buffer bytes) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream().write(bytes.getBytes());
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -63,29 +63,29 @@
 
     /** The status of one call, and its body. */
     private String call(String method, String path) {
-        String answer = talk(
-                world.dispatcher().adminPort(), Buffer.buffer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"));
-        return answer.replaceAll("(?s)HTTP/1.1 (\\d+).*?\r\n\r\n", "$1 ");
+        String response = exchange(
+                platform.dispatcher().adminPort(), Buffer.buffer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"));
+        return response.replaceAll("(?s)HTTP/1.1 (\\d+).*?\r\n\r\n", "$1 ");
     }
 
     @Test
     void metricsCountWhatClientsAndEndpointsSaw() throws Exception {
         int port = start();
         assertTrue(call("GET", "/-/metrics").contains("router.operations.mark-submit.faulted=0\n"));
-        talk(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
-        talk(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
-        talk(port, requestBytes("/api", "b", "no-class", "", "Connection: close"));
-        world.instead = request -> request.response()
+        exchange(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
+        exchange(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
+        exchange(port, requestBytes("/api", "b", "no-class", "", "Connection: close"));
+        platform.instead = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
-        talk(port, requestBytes("/api", "c", "mark-submit", "", "Connection: close"));
-        world.instead = request -> {};
-        Socket waits = new Socket("127.0.0.1", port);
-        waits.getOutputStream().write(requestBytes("/api", "d", "save-run", "").getBytes());
+        exchange(port, requestBytes("/api", "c", "mark-submit", "", "Connection: close"));
+        platform.instead = request -> {};
+        Socket pendingClient = new Socket("127.0.0.1", port);
+        pendingClient.getOutputStream().write(requestBytes("/api", "d", "save-run", "").getBytes());
         until(() -> call("GET", "/-/metrics").contains("router.open_requests=1\n")
                 && call("GET", "/-/metrics").contains("router.relayed=3\n"));
-        String figures = call("GET", "/-/metrics");
+        String metrics = call("GET", "/-/metrics");
         for (String line : List.of(
                 "operations.step-view.fulfilled=1",
                 "operations.step-view.faulted=1",
@@ -93,9 +93,9 @@
                 "operations.save-run.fulfilled=0",
                 "registry_entries=1",
                 "out_of_rotation=0")) {
-            assertTrue(figures.contains("router." + line + "\n"), line + " in " + figures);
+            assertTrue(metrics.contains("router." + line + "\n"), line + " in " + metrics);
         }
-        waits.close();
+        pendingClient.close();
         until(() -> call("GET", "/-/metrics").contains("router.open_requests=0\n"));
     }
 
@@ -105,7 +105,7 @@
         assertTrue(call("GET", "/-/nothing").startsWith("404"));
         assertTrue(call("POST", "/-/ready").startsWith("405"));
         assertTrue(call("GET", "/-/drain").startsWith("405"));
-        assertEquals("200", talk(world.dispatcher().ports().get(0), HEALTH).substring(9, 12));
+        assertEquals("200", exchange(platform.dispatcher().ports().get(0), HEALTH).substring(9, 12));
     }
 
     /** Guards against silent callers, who would hold all descriptors of the operators' front. */
@@ -114,7 +114,7 @@
         start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 3 * AdminFrontend.MAX_CONNECTIONS; i++) {
-            silent.add(new Socket("127.0.0.1", world.dispatcher().adminPort()));
+            silent.add(new Socket("127.0.0.1", platform.dispatcher().adminPort()));
             silent.get(i).getOutputStream().write("GET /-/re".getBytes(StandardCharsets.US_ASCII));
         }
         assertTrue(call("GET", "/-/ready").startsWith("200"));
@@ -126,7 +126,7 @@
     @Test
     void drainSendsClientsAwayAndResumeAcceptsThemAgain() throws Exception {
         int port = start();
-        world.runTime = 1500;
+        platform.runTime = 1500;
         try (Socket idle = new Socket("127.0.0.1", port);
                 Socket busy = new Socket("127.0.0.1", port)) {
             idle.getOutputStream()
@@ -136,72 +136,72 @@
             assertTrue(idle.getInputStream().read() >= 0);
             busy.getOutputStream()
                     .write(requestBytes("/api", "before", "step-view", "").getBytes());
-            until(() -> !world.seen.isEmpty());
+            until(() -> !platform.seen.isEmpty());
             assertTrue(call("POST", "/-/drain").startsWith("200"));
             assertTrue(call("POST", "/-/drain").startsWith("200"));
-            assertTrue(talk(port, HEALTH).startsWith("HTTP/1.1 503"));
+            assertTrue(exchange(port, HEALTH).startsWith("HTTP/1.1 503"));
             assertTrue(call("GET", "/-/ready").startsWith("503"));
             // Both end by themselves: the idle one is closed, the busy one after its answer.
             idle.getInputStream().readAllBytes();
-            String answer = new String(busy.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-            assertTrue(answer.contains("r-before") && answer.toLowerCase().contains("connection: close"), answer);
+            String response = new String(busy.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            assertTrue(response.contains("r-before") && response.toLowerCase().contains("connection: close"), response);
         }
-        world.runTime = 10;
-        assertTrue(talk(port, requestBytes("/api", "late", "step-view", "")).contains("r-late"));
+        platform.runTime = 10;
+        assertTrue(exchange(port, requestBytes("/api", "late", "step-view", "")).contains("r-late"));
         assertTrue(call("POST", "/-/resume").startsWith("200"));
-        assertTrue(talk(port, HEALTH).startsWith("HTTP/1.1 200"));
-        String kept = talk(port, requestBytes("/api", "kept", "step-view", "", "Connection: close"));
-        assertTrue(kept.contains("r-kept"), kept);
+        assertTrue(exchange(port, HEALTH).startsWith("HTTP/1.1 200"));
+        String response = exchange(port, requestBytes("/api", "kept", "step-view", "", "Connection: close"));
+        assertTrue(response.contains("r-kept"), response);
     }
 
     /** Guards against work for a runner that is being repaired, whatever discovery says meanwhile. */
     @Test
     void disabledEndpointGetsNothingUntilItIsEnabled() throws Exception {
-        world.addRunner("s-2");
+        platform.addRunner("s-2");
         int port = start();
         assertTrue(call("POST", "/-/sim-runners/s-9/disable").startsWith("404"));
         assertTrue(call("GET", "/-/sim-runners/s-1/disable").startsWith("405"));
         for (int i = 0; i < 2; i++) {
             assertTrue(call("POST", "/-/sim-runners/s-1/disable").startsWith("200"));
         }
-        world.tell("s-1", "Ready");
+        platform.tell("s-1", "Ready");
         until(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=1\n"));
         for (int i = 0; i < 20; i++) {
-            assertTrue(talk(port, requestBytes("/api", "b" + i, "step-view", "", "Connection: close"))
+            assertTrue(exchange(port, requestBytes("/api", "b" + i, "step-view", "", "Connection: close"))
                     .contains("r-b"));
         }
-        assertTrue(world.seen.stream().noneMatch(line -> line.startsWith("s-1 ")), world.seen.toString());
+        assertTrue(platform.seen.stream().noneMatch(line -> line.startsWith("s-1 ")), platform.seen.toString());
         assertTrue(call("POST", "/-/sim-runners/s-1/enable").startsWith("200"));
         until(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=0\n"));
         assertTrue(call("POST", "/-/sim-runners/s-2/disable").startsWith("200"));
         until(() -> {
-            talk(port, requestBytes("/api", "c" + System.nanoTime(), "step-view", "", "Connection: close"));
-            return world.seen.stream().anyMatch(line -> line.startsWith("s-1 "));
+            exchange(port, requestBytes("/api", "c" + System.nanoTime(), "step-view", "", "Connection: close"));
+            return platform.seen.stream().anyMatch(line -> line.startsWith("s-1 "));
         });
     }
 
     @Test
     void disabledEndpointsAreSharedByAFileAndOutliveTheProcess(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("bans.json");
-        DisabledEndpointStore one = new DisabledEndpointStore(file);
-        DisabledEndpointStore other = new DisabledEndpointStore(file);
-        assertEquals(1, one.setDisabled("s-1", true, 10).size());
-        assertEquals(0, one.setDisabled("s-1", true, 20).size());
-        assertEquals(List.of(new DisabledEndpointStore.Entry("s-1", true, 10)), other.readChanges());
-        other.setDisabled("s-2", true, 30);
-        other.setDisabled("s-1", false, 40);
-        assertEquals(2, one.readChanges().size());
-        assertTrue(one.isDisabled("s-2") && !one.isDisabled("s-1"));
+        DisabledEndpointStore first = new DisabledEndpointStore(file);
+        DisabledEndpointStore second = new DisabledEndpointStore(file);
+        assertEquals(1, first.setDisabled("s-1", true, 10).size());
+        assertEquals(0, first.setDisabled("s-1", true, 20).size());
+        assertEquals(List.of(new DisabledEndpointStore.Entry("s-1", true, 10)), second.readChanges());
+        second.setDisabled("s-2", true, 30);
+        second.setDisabled("s-1", false, 40);
+        assertEquals(2, first.readChanges().size());
+        assertTrue(first.isDisabled("s-2") && !first.isDisabled("s-1"));
         Files.writeString(file, "{\"bans\":[{\"runner\":7}]}");
-        assertEquals(List.of(), one.readChanges());
-        assertTrue(one.isDisabled("s-2"), "what cannot be read brings nobody back");
-        DisabledEndpointStore none = new DisabledEndpointStore(dir.resolve("no/where"));
-        assertThrows(IOException.class, () -> none.setDisabled("s-1", true, 1));
-        assertFalse(none.isDisabled("s-1"));
+        assertEquals(List.of(), first.readChanges());
+        assertTrue(first.isDisabled("s-2"), "what cannot be read brings nobody back");
+        DisabledEndpointStore unwritable = new DisabledEndpointStore(dir.resolve("no/where"));
+        assertThrows(IOException.class, () -> unwritable.setDisabled("s-1", true, 1));
+        assertFalse(unwritable.isDisabled("s-1"));
     }
 
     @Test
-    void onlyAShutdownIsFinal() {
+    void drainIsReversibleAndShutdownIsNot() {
         ServiceState state = new ServiceState();
         assertFalse(state.drain(0), "it takes nobody yet");
         state.startServing();
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -19,7 +19,7 @@
     /** Guards against a request in work that is answered for what stands behind it, and forwarded all the same. */
     @Test
     void answersTheRequestInFlightBeforeRejectingGarbageBehindIt() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
@@ -32,13 +32,13 @@
             assertEquals(400, client.read().status());
             assertNull(client.read());
         }
-        assertEquals(1, world.seen.size());
+        assertEquals(1, platform.seen.size());
     }
 
     /** Guards against requests that were read whole and end with no answer, when more comes than may wait. */
     @Test
     void answersEachOfTooManyPipelinedRequests() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
@@ -52,18 +52,18 @@
             awaitEventLoop(port);
             finish(held.get(0));
             List<Integer> statuses = new ArrayList<>();
-            for (RawClient.Response answer = client.read(); answer != null; answer = client.read()) {
-                statuses.add(answer.status());
+            for (RawClient.Response response = client.read(); response != null; response = client.read()) {
+                statuses.add(response.status());
             }
             assertEquals(List.of(200, 429, 429, 429, 429, 429), statuses);
         }
-        assertEquals(1, world.seen.size(), "none of those that were refused went on");
+        assertEquals(1, platform.seen.size(), "none of those that were refused went on");
     }
 
     /** Guards against a flood behind a request in work that hides its client's departure. */
     @Test
     void noticesThatAClientLeavesBehindAFloodOfBytes() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         RawClient client = new RawClient(port);
@@ -79,7 +79,7 @@
             }
         });
         flood.get();
-        until(() -> !world.dispatcher().frontends().get(0).hasConnections());
+        until(() -> !platform.dispatcher().frontends().get(0).hasConnections());
     }
 
     /**
@@ -88,7 +88,7 @@
      */
     @Test
     void lastResponseIsNotLostToUnreadBytes() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         double start = System.currentTimeMillis();
         Clock clock = Clock.stoppedAt(start);
@@ -103,11 +103,11 @@
             client.send("\r\nbytes that nobody asked for");
             // The core ends the request at its deadline; the answer waits behind the loop's halt, the bytes unread.
             clock.advanceTo(start + 600);
-            boolean[] ended = new boolean[1];
-            while (!ended[0]) {
-                CompletableFuture<Integer> open = new CompletableFuture<>();
-                dispatcher.coordinator().withUnansweredCount(open::complete);
-                ended[0] = open.get() == 0;
+            boolean[] allAnswered = new boolean[1];
+            while (!allAnswered[0]) {
+                CompletableFuture<Integer> unanswered = new CompletableFuture<>();
+                dispatcher.coordinator().withUnansweredCount(unanswered::complete);
+                allAnswered[0] = unanswered.get() == 0;
             }
             loop.release();
             assertEquals(502, client.read().status());
@@ -125,7 +125,7 @@
      */
     @Test
     void neverAcceptsARequestThatCrossesTheCloseOfAnIdleConnection() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         int port = start();
         try (RawClient client = new RawClient(port)) {
             assertNull(client.read(), "a connection that asks nothing is ended");
@@ -147,20 +147,20 @@
                     client.send(requestBytes("/api", "a", "step-view", "1"))
                             .read()
                             .status());
-            CompletableFuture<Void> end = CompletableFuture.runAsync(world.dispatcher()::shutDown);
+            CompletableFuture<Void> shutdown = CompletableFuture.runAsync(platform.dispatcher()::shutDown);
             assertNull(client.read(), "so is a resting one at the planned end");
             client.send(requestBytes("/api", "c", "step-view", "1"));
-            end.get();
+            shutdown.get();
         }
-        assertEquals(1, world.seen.size());
+        assertEquals(1, platform.seen.size());
     }
 
     /** Guards against a connection that the kernel has accepted and the end of the listener resets. */
     @Test
     void answersConnectionsInTheAcceptQueueBeforeShutdown() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         int port = start();
-        DispatcherServer dispatcher = world.dispatcher();
+        DispatcherServer dispatcher = platform.dispatcher();
         try (RawClient first = new RawClient(port)) {
             assertEquals(200, first.send(HEALTH).read().status());
             dispatcher.connectionLimiter().setMaxConnections(1);
@@ -168,11 +168,11 @@
                 second.send(requestBytes("/api", "b", "step-view", "1"));
                 awaitEventLoop(first);
                 dispatcher.connectionLimiter().setMaxConnections(8);
-                CompletableFuture<Void> end = CompletableFuture.runAsync(dispatcher::shutDown);
+                CompletableFuture<Void> shutdown = CompletableFuture.runAsync(dispatcher::shutDown);
                 assertEquals("r-b", second.read().body());
                 first.close();
                 second.close();
-                end.get();
+                shutdown.get();
             }
         }
     }
--- a/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -20,18 +20,18 @@
 abstract class ConnectionRaceTestBase {
     static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     static final String GARBAGE = "no request at all\r\n\r\n";
-    DispatcherOnStubPlatform world;
+    DispatcherOnStubPlatform platform;
     Map<String, Object> config;
 
     @BeforeEach
     final void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        config = world.config();
+        platform = new DispatcherOnStubPlatform();
+        config = platform.config();
     }
 
     @AfterEach
     final void close() {
-        world.close();
+        platform.close();
     }
 
     /** Sets one of the settings' limits; connections come up as late as a test wants, probes stay out of the way. */
@@ -44,7 +44,7 @@
     }
 
     int start() throws Exception {
-        DispatcherServer dispatcher = world.start(config);
+        DispatcherServer dispatcher = platform.start(config);
         int port = dispatcher.ports().get(0);
         until(() -> isHealthy(port));
         return port;
@@ -85,13 +85,13 @@
     /** A runner that holds each job until the test lets it go. */
     List<HttpServerRequest> holdRequests() {
         List<HttpServerRequest> held = new java.util.concurrent.CopyOnWriteArrayList<>();
-        world.instead = held::add;
+        platform.instead = held::add;
         return held;
     }
 
-    static void finish(HttpServerRequest job) {
-        String id = job.getHeader("X-Request-Id");
-        job.response()
+    static void finish(HttpServerRequest request) {
+        String id = request.getHeader("X-Request-Id");
+        request.response()
                 .setChunked(true)
                 .end("{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
     }
@@ -109,12 +109,12 @@
         private final CountDownLatch release = new CountDownLatch(1);
 
         BlockedEventLoop(DispatcherServer dispatcher) throws InterruptedException {
-            CountDownLatch stands = new CountDownLatch(1);
+            CountDownLatch blocked = new CountDownLatch(1);
             dispatcher.eventLoop().runOnContext(v -> {
-                stands.countDown();
+                blocked.countDown();
                 await(release);
             });
-            stands.await();
+            blocked.await();
         }
 
         void release() {
--- a/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
+++ b/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
@@ -24,17 +24,17 @@
         return dispatcher;
     }
 
-    public DispatcherServer start(Frontend.Factory... more) throws Exception {
-        return start(config(), more);
+    public DispatcherServer start(Frontend.Factory... additionalFactories) throws Exception {
+        return start(config(), additionalFactories);
     }
 
-    public DispatcherServer start(Map<String, Object> config, Frontend.Factory... more) throws Exception {
-        List<Frontend.Factory> fronts = new ArrayList<>(List.of(PlatformFrontend::new));
-        fronts.addAll(List.of(more));
+    public DispatcherServer start(Map<String, Object> config, Frontend.Factory... additionalFactories) throws Exception {
+        List<Frontend.Factory> factories = new ArrayList<>(List.of(PlatformFrontend::new));
+        factories.addAll(List.of(additionalFactories));
         dispatcher = new DispatcherServer(
                         PlatformConfig.parse(new Gson().toJson(config), Map.of()),
                         Clock.system(),
-                        fronts.toArray(Frontend.Factory[]::new))
+                        factories.toArray(Frontend.Factory[]::new))
                 .withUsageRecorder(usageRecorder)
                 .withAdminServer(AdminFrontend::new);
         get(dispatcher.start());
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -17,20 +17,20 @@
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", endpoint.port());
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
+                long sentAt = System.nanoTime();
                 client.send(requestBytes("/api", "late", "step-view", ""));
-                until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-                endpoint.open();
-                long[] came = new long[1];
+                until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+                endpoint.startAccepting();
+                long[] receivedAt = new long[1];
                 endpoint.script = (request, socket) -> {
-                    came[0] = System.nanoTime();
-                    RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                    receivedAt[0] = System.nanoTime();
+                    RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
                 };
                 assertEquals("r-late", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(0));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(0));
             }
         }
     }
@@ -39,29 +39,29 @@
     @Test
     void countsTimeSpentBehindAPipelinedRequest() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
             CountDownLatch release = new CountDownLatch(1);
-            long[] came = new long[1];
+            long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
                 if (request.id().equals("first")) {
                     await(release);
                 }
-                came[0] = System.nanoTime();
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                receivedAt[0] = System.nanoTime();
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
             };
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
+                long sentAt = System.nanoTime();
                 client.send(
                         requestBytes("/api", "first", "step-view", ""),
                         requestBytes("/api", "second", "step-view", ""));
-                until(() -> endpoint.seen.size() == 1);
-                until(() -> System.nanoTime() - sent > 600_000_000L);
+                until(() -> endpoint.received.size() == 1);
+                until(() -> System.nanoTime() - sentAt > 600_000_000L);
                 release.countDown();
                 assertEquals("r-first", client.read().body());
                 assertEquals("r-second", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(1));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(1));
             }
         }
     }
@@ -70,22 +70,22 @@
     @Test
     void countsTimeSpentUnreadInTheSocket() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
-            long[] came = new long[1];
+            long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
-                came[0] = System.nanoTime();
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                receivedAt[0] = System.nanoTime();
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
             };
             try (RawClient client = new RawClient(port)) {
-                BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
-                long sent = System.nanoTime();
+                BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
+                long sentAt = System.nanoTime();
                 client.send(requestBytes("/api", "unread", "step-view", ""));
-                until(() -> System.nanoTime() - sent > 500_000_000L);
+                until(() -> System.nanoTime() - sentAt > 500_000_000L);
                 loop.release();
                 assertEquals("r-unread", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(0));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(0));
             }
         }
     }
@@ -94,35 +94,35 @@
     @Test
     void countsTimeSpentInTheAcceptQueue() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
-            long[] came = new long[1];
+            long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
-                came[0] = System.nanoTime();
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                receivedAt[0] = System.nanoTime();
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
             };
             CountDownLatch acceptorReleased = new CountDownLatch(1);
-            ((VertxInternal) world.dispatcher().vertx())
+            ((VertxInternal) platform.dispatcher().vertx())
                     .acceptorEventLoopGroup()
                     .next()
                     .execute(() -> await(acceptorReleased));
-            BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
+            BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
+                long sentAt = System.nanoTime();
                 client.send(requestBytes("/api", "new", "step-view", ""));
-                until(() -> System.nanoTime() - sent > 500_000_000L);
+                until(() -> System.nanoTime() - sentAt > 500_000_000L);
                 acceptorReleased.countDown();
                 loop.release();
                 assertEquals("r-new", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(0));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(0));
             }
         }
     }
 
-    private static void assertForwardedDeadline(double whole, long sent, long came, RawEndpoint.Seen seen) {
-        double forwarded = Double.parseDouble(seen.header("x-deadline"));
-        double left = whole - (came - sent) / 1e9;
-        assertTrue(forwarded <= left + 0.15, "told " + forwarded + " s with " + left + " s left");
+    private static void assertForwardedDeadline(double deadlineSeconds, long sentAt, long receivedAt, RawEndpoint.ReceivedRequest request) {
+        double forwardedSeconds = Double.parseDouble(request.header("x-deadline"));
+        double remainingSeconds = deadlineSeconds - (receivedAt - sentAt) / 1e9;
+        assertTrue(forwardedSeconds <= remainingSeconds + 0.15, "told " + forwardedSeconds + " s with " + remainingSeconds + " s left");
     }
 }
--- a/src/test/java/nettlewick/net/FragmentedMessagesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -43,14 +43,14 @@
                 .appendString("\r\n");
     }
 
-    private void write(NetSocket to, Buffer bytes, int cut) {
-        to.write(bytes.slice(0, cut));
-        vertx.setTimer(1, id -> to.write(bytes.slice(cut, bytes.length())));
+    private void write(NetSocket socket, Buffer bytes, int cut) {
+        socket.write(bytes.slice(0, cut));
+        vertx.setTimer(1, id -> socket.write(bytes.slice(cut, bytes.length())));
     }
 
-    private static void write(Socket to, byte[] bytes, int cut) throws Exception {
-        to.setTcpNoDelay(true);
-        OutputStream out = to.getOutputStream();
+    private static void write(Socket socket, byte[] bytes, int cut) throws Exception {
+        socket.setTcpNoDelay(true);
+        OutputStream out = socket.getOutputStream();
         out.write(bytes, 0, cut);
         out.flush();
         TimeUnit.MILLISECONDS.sleep(1);
@@ -59,7 +59,7 @@
 
     @Test
     void readsAnEndpointResponseSplitAtAnyByte() throws Exception {
-        Buffer answer = Buffer.buffer(OK)
+        Buffer response = Buffer.buffer(OK)
                 .appendBuffer(chunk("{\"state\":\"started\"}"))
                 .appendBuffer(chunk("{\"state\":\"done\",\"result\":\"é✓\"}"))
                 .appendString("0\r\n\r\n");
@@ -71,21 +71,21 @@
                 if (request.toString().startsWith("GET")) {
                     socket.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx0=4,x1=4");
                 } else {
-                    write(socket, answer, cut.get());
+                    write(socket, response, cut.get());
                 }
             }));
         });
         get(endpoint.listen(0, "127.0.0.1"));
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1", endpoint.actualPort());
-            int port = world.start().ports().get(0);
-            for (; cut.get() < answer.length(); cut.incrementAndGet()) {
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
+            platform.addRunner("s-1", endpoint.actualPort());
+            int port = platform.start().ports().get(0);
+            for (; cut.get() < response.length(); cut.incrementAndGet()) {
                 try (Socket client = new Socket("127.0.0.1", port)) {
                     client.getOutputStream()
                             .write(requestBytes("/api", "c" + cut, "step-view", "", "Connection: close")
                                     .getBytes());
-                    String got = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-                    assertTrue(got.endsWith("\r\n\r\né✓"), "cut at " + cut + ": " + got);
+                    String received = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                    assertTrue(received.endsWith("\r\n\r\né✓"), "cut at " + cut + ": " + received);
                 }
             }
         }
@@ -94,7 +94,7 @@
     @Test
     void readsAnAdminCallSplitAtAnyByte() throws Exception {
         List<String> calls = new CopyOnWriteArrayList<>();
-        AdminFrontend front = new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
+        AdminFrontend adminFrontend = new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
             @Override
             public boolean isReady() {
                 return true;
@@ -106,8 +106,8 @@
             }
 
             @Override
-            public Future<Boolean> setEndpointDisabled(String endpoint, boolean out) {
-                calls.add(endpoint + out);
+            public Future<Boolean> setEndpointDisabled(String endpoint, boolean isDisabled) {
+                calls.add(endpoint + isDisabled);
                 return Future.succeededFuture(true);
             }
 
@@ -121,7 +121,7 @@
                 return false;
             }
         });
-        int port = get(front.listen());
+        int port = get(adminFrontend.listen());
         byte[] call = "POST /-/sim-runners/s-%C3%A9/disable HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"
                 .getBytes(StandardCharsets.US_ASCII);
         for (int cut = 1; cut < call.length; cut++) {
@@ -135,6 +135,6 @@
             assertEquals(cut, calls.size());
         }
         assertEquals(List.of("s-étrue"), calls.stream().distinct().toList());
-        get(front.close());
+        get(adminFrontend.close());
     }
 }
--- a/src/test/java/nettlewick/net/HotRestartTest.java
+++ b/src/test/java/nettlewick/net/HotRestartTest.java
@@ -30,27 +30,27 @@
 class HotRestartTest {
     @Test
     void distinguishesLiveProcessesFromDeadOnes(@TempDir Path dir) throws Exception {
-        Path dead = Files.writeString(dir.resolve("n0_80-0000000000005-7.alive"), "takes clients\n");
+        Path deadFile = Files.writeString(dir.resolve("n0_80-0000000000005-7.alive"), "takes clients\n");
         Files.writeString(dir.resolve("n1_80-0000000000005-7.alive"), "");
-        try (HotRestart old = new HotRestart(dir, "n0:80", 10)) {
-            assertFalse(old.hasOtherProcess() || old.hasServingSuccessor());
-            assertFalse(Files.exists(dead));
+        try (HotRestart predecessor = new HotRestart(dir, "n0:80", 10)) {
+            assertFalse(predecessor.hasOtherProcess() || predecessor.hasServingSuccessor());
+            assertFalse(Files.exists(deadFile));
             HotRestart successor = new HotRestart(dir, "n0:80", 11);
-            assertTrue(old.hasOtherProcess() && successor.hasOtherProcess());
-            old.markServing();
-            assertFalse(old.hasServingSuccessor() || successor.hasServingSuccessor());
-            assertEquals(11, old.successorStartedAt());
+            assertTrue(predecessor.hasOtherProcess() && successor.hasOtherProcess());
+            predecessor.markServing();
+            assertFalse(predecessor.hasServingSuccessor() || successor.hasServingSuccessor());
+            assertEquals(11, predecessor.successorStartedAt());
             assertTrue(Double.isNaN(successor.successorStartedAt())
                     && successor.isPredecessorBusy()
-                    && !old.isPredecessorBusy());
-            old.markIdle();
+                    && !predecessor.isPredecessorBusy());
+            predecessor.markIdle();
             assertFalse(successor.isPredecessorBusy(), "nothing is left to save");
             successor.markServing();
-            assertTrue(Double.isNaN(old.successorStartedAt()));
-            assertTrue(old.hasServingSuccessor());
+            assertTrue(Double.isNaN(predecessor.successorStartedAt()));
+            assertTrue(predecessor.hasServingSuccessor());
             assertFalse(successor.hasServingSuccessor());
             successor.close();
-            assertFalse(old.hasOtherProcess());
+            assertFalse(predecessor.hasOtherProcess());
         }
         assertTrue(Files.exists(dir.resolve("n1_80-0000000000005-7.alive")));
     }
@@ -60,54 +60,54 @@
     }
 
     /** One job on this connection; its answer's head and body. */
-    private static String ask(Socket socket, String id) throws IOException {
+    private static String exchange(Socket socket, String id) throws IOException {
         socket.getOutputStream().write(requestBytes("/api", id, "step-view", "").getBytes());
         InputStream in = socket.getInputStream();
-        StringBuilder got = new StringBuilder();
-        while (got.indexOf("r-" + id) < 0) {
+        StringBuilder received = new StringBuilder();
+        while (received.indexOf("r-" + id) < 0) {
             int b = in.read();
             if (b < 0) {
-                throw new IOException(id + " got no answer but: " + got);
+                throw new IOException(id + " got no answer but: " + received);
             }
-            got.append((char) b);
+            received.append((char) b);
         }
-        return got.toString();
+        return received.toString();
     }
 
     @Test
     void successorTakesOverWithoutRejectingARequest(@TempDir Path dir) throws Exception {
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1");
-            world.runTime = 2;
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
+            platform.addRunner("s-1");
+            platform.runTime = 2;
             int port = freePort();
-            Map<String, Object> text = world.config();
-            text.put("listen", "127.0.0.1:" + port);
-            text.put("peer_listen", "127.0.0.1:" + port);
-            text.put("peers", java.util.List.of("127.0.0.1:" + port, "127.0.0.1:1"));
-            PlatformConfig config = PlatformConfig.parse(new Gson().toJson(text), Map.of());
-            DispatcherServer old =
+            Map<String, Object> configFields = platform.config();
+            configFields.put("listen", "127.0.0.1:" + port);
+            configFields.put("peer_listen", "127.0.0.1:" + port);
+            configFields.put("peers", java.util.List.of("127.0.0.1:" + port, "127.0.0.1:1"));
+            PlatformConfig config = PlatformConfig.parse(new Gson().toJson(configFields), Map.of());
+            DispatcherServer predecessor =
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 1), PlatformFrontend::new);
-            get(old.start());
-            until(old::hasEndpointList);
-            Socket kept = new Socket("127.0.0.1", port);
-            assertTrue(ask(kept, "before").contains("200"));
+            get(predecessor.start());
+            until(predecessor::hasEndpointList);
+            Socket keptConnection = new Socket("127.0.0.1", port);
+            assertTrue(exchange(keptConnection, "before").contains("200"));
             DispatcherServer successor =
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 2), PlatformFrontend::new);
             get(successor.start());
-            CompletableFuture<Void> end = CompletableFuture.runAsync(old::shutDown);
-            until(() -> old.serviceState().isDrainingOrStopping());
-            int jobs = 0;
+            CompletableFuture<Void> shutdown = CompletableFuture.runAsync(predecessor::shutDown);
+            until(() -> predecessor.serviceState().isDrainingOrStopping());
+            int requests = 0;
             // The kept connection is served by the old process for as long as it lives, and then closed.
-            String last = ask(kept, "kept");
-            assertTrue(last.toLowerCase().contains("connection: close"), last);
-            assertEquals(-1, kept.getInputStream().read());
-            while (!end.isDone() || jobs < 50) {
-                try (Socket fresh = new Socket("127.0.0.1", port)) {
-                    assertTrue(ask(fresh, "j" + jobs++).startsWith("HTTP/1.1 200"));
+            String lastResponse = exchange(keptConnection, "kept");
+            assertTrue(lastResponse.toLowerCase().contains("connection: close"), lastResponse);
+            assertEquals(-1, keptConnection.getInputStream().read());
+            while (!shutdown.isDone() || requests < 50) {
+                try (Socket newConnection = new Socket("127.0.0.1", port)) {
+                    assertTrue(exchange(newConnection, "j" + requests++).startsWith("HTTP/1.1 200"));
                 }
             }
             until(() -> successor.peerSocket().isBound());
-            get(old.close());
+            get(predecessor.close());
             try (Socket socket = new Socket("127.0.0.1", port)) {
                 socket.getOutputStream()
                         .write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
--- a/src/test/java/nettlewick/net/IdleClientFloodTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -26,15 +26,15 @@
     private static final int SOCKETS = 160;
     private static final int IDLE_CLIENTS = 120;
     private final List<RawClient> idleClients = new ArrayList<>();
-    private DispatcherOnStubPlatform world;
+    private DispatcherOnStubPlatform platform;
     private Map<String, Object> config;
 
     @BeforeEach
     void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        config = world.config();
+        platform = new DispatcherOnStubPlatform();
+        config = platform.config();
         config.put("limits", Map.of("cores", 0.5, "memory_mb", 144, "sockets", SOCKETS));
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
     }
 
     @AfterEach
@@ -42,7 +42,7 @@
         for (RawClient client : idleClients) {
             client.close();
         }
-        world.close();
+        platform.close();
     }
 
     private void connectIdleClients(int port) throws IOException {
@@ -53,9 +53,9 @@
 
     private static boolean isServed(int port, String id) {
         try (RawClient client = new RawClient(port)) {
-            RawClient.Response answer =
+            RawClient.Response response =
                     client.send(requestBytes("/api", id, "step-view", "5")).read();
-            return answer != null && answer.body().equals("r-" + id);
+            return response != null && response.body().equals("r-" + id);
         } catch (IOException e) {
             return false;
         }
@@ -64,28 +64,28 @@
     /** Guards against descriptors that idle clients take from runners and from discovery. */
     @Test
     void reachesDiscoveryAndEndpointsDespiteIdleClients() throws Exception {
-        DispatcherServer dispatcher = world.start(config);
+        DispatcherServer dispatcher = platform.start(config);
         int port = dispatcher.ports().get(0);
         until(() -> isServed(port, "first" + System.nanoTime()));
-        world.discoveryInstead = request -> request.connection().close();
-        world.breakWatches();
+        platform.discoveryInstead = request -> request.connection().close();
+        platform.breakWatches();
         connectIdleClients(port);
         until(() -> isServed(port, "crowded" + System.nanoTime()));
         // Discovery is back, and tells of another runner: it is asked and the runner is reached, the crowd still there.
-        world.addRunner("s-2");
-        world.tell("s-1", "Terminating");
-        world.discoveryInstead = null;
+        platform.addRunner("s-2");
+        platform.tell("s-1", "Terminating");
+        platform.discoveryInstead = null;
         until(() -> isServed(port, "back" + System.nanoTime())
-                && world.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
+                && platform.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
         assertTrue(dispatcher.hasEndpointList());
     }
 
     /** Guards against a restart that waits for a discovery that says nothing: the list it was given serves. */
     @Test
     void restartedDispatcherIsReadyWithoutDiscovery() throws Exception {
-        ConcurrentLinkedQueue<HttpServerRequest> silent = new ConcurrentLinkedQueue<>();
-        world.discoveryInstead = silent::add;
-        config.put("known", world.known());
+        ConcurrentLinkedQueue<HttpServerRequest> unansweredWatches = new ConcurrentLinkedQueue<>();
+        platform.discoveryInstead = unansweredWatches::add;
+        config.put("known", platform.known());
         DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.parse(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFrontend::new);
         DispatcherOnStubPlatform.get(dispatcher.start());
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -19,24 +19,24 @@
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", endpoint.port());
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
-            RawClient gone = new RawClient(port);
-            gone.send(requestBytes("/api", "gone", "mark-submit", ""));
-            until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-            gone.close();
-            until(() -> !world.dispatcher().frontends().get(0).hasConnections());
-            endpoint.open();
+            RawClient departedClient = new RawClient(port);
+            departedClient.send(requestBytes("/api", "gone", "mark-submit", ""));
+            until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+            departedClient.close();
+            until(() -> !platform.dispatcher().frontends().get(0).hasConnections());
+            endpoint.startAccepting();
             until(() -> endpoint.accepted.size() == 1);
             awaitEventLoop(port);
-            try (RawClient stays = new RawClient(port)) {
+            try (RawClient remainingClient = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        stays.send(requestBytes("/api", "stays", "step-view", ""))
+                        remainingClient.send(requestBytes("/api", "stays", "step-view", ""))
                                 .read()
                                 .body());
             }
-            assertEquals(List.of("stays"), endpoint.ids());
+            assertEquals(List.of("stays"), endpoint.receivedIds());
             assertEquals(1, endpoint.accepted.size(), "the connection that came up serves the next job");
         }
     }
@@ -47,26 +47,26 @@
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", endpoint.port());
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
-            RawClient gone = new RawClient(port);
-            gone.send(requestBytes("/api", "gone", "mark-submit", ""));
-            until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-            BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
+            RawClient departedClient = new RawClient(port);
+            departedClient.send(requestBytes("/api", "gone", "mark-submit", ""));
+            until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+            BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
             // While the loop stands still, the connection to the runner comes up and the client leaves after it.
-            endpoint.open();
+            endpoint.startAccepting();
             until(() -> endpoint.accepted.size() == 1);
-            gone.close();
+            departedClient.close();
             loop.release();
             awaitEventLoop(port);
-            try (RawClient stays = new RawClient(port)) {
+            try (RawClient remainingClient = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        stays.send(requestBytes("/api", "stays", "step-view", ""))
+                        remainingClient.send(requestBytes("/api", "stays", "step-view", ""))
                                 .read()
                                 .body());
             }
-            assertEquals(List.of("stays"), endpoint.ids());
+            assertEquals(List.of("stays"), endpoint.receivedIds());
         }
     }
 
@@ -77,20 +77,20 @@
         setCeiling("connect_timeout", 10_000_000_000L);
         for (boolean drains : new boolean[] {true, false}) {
             try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue();
-                    DispatcherOnStubPlatform one = new DispatcherOnStubPlatform()) {
-                Map<String, Object> mine = one.config();
-                mine.put("settings", config.get("settings"));
-                one.addRunner("s-1", endpoint.port());
-                int port = one.start(mine).ports().get(0);
+                    DispatcherOnStubPlatform ownPlatform = new DispatcherOnStubPlatform()) {
+                Map<String, Object> ownConfig = ownPlatform.config();
+                ownConfig.put("settings", config.get("settings"));
+                ownPlatform.addRunner("s-1", endpoint.port());
+                int port = ownPlatform.start(ownConfig).ports().get(0);
                 until(() -> isHealthy(port));
                 try (RawClient client = new RawClient(port)) {
                     client.send(requestBytes("/api", "a", "mark-submit", ""));
-                    until(() -> one.dispatcher().endpointPools().pendingConnects() == 1);
-                    one.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
-                    until(() -> one.dispatcher().endpointPools().updatesOf("s-1") == 2);
-                    endpoint.open();
+                    until(() -> ownPlatform.dispatcher().endpointPools().pendingConnects() == 1);
+                    ownPlatform.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
+                    until(() -> ownPlatform.dispatcher().endpointPools().updatesOf("s-1") == 2);
+                    endpoint.startAccepting();
                     assertEquals(503, client.read().status());
-                    assertEquals(List.of(), endpoint.ids());
+                    assertEquals(List.of(), endpoint.receivedIds());
                 }
             }
         }
@@ -104,35 +104,35 @@
         setCeiling("connect_timeout", 10_000_000_000L);
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         List<Map<String, Object>> classes = new ArrayList<>();
-        for (Object one : (List<?>) settings.get("classes")) {
-            Map<String, Object> changed = new HashMap<>((Map<String, Object>) one);
-            changed.put("window", 1_500_000_000L);
-            classes.add(changed);
+        for (Object requestClass : (List<?>) settings.get("classes")) {
+            Map<String, Object> changedClass = new HashMap<>((Map<String, Object>) requestClass);
+            changedClass.put("window", 1_500_000_000L);
+            classes.add(changedClass);
         }
         settings.put("classes", classes);
-        try (RawEndpoint first = new RawEndpoint().open();
+        try (RawEndpoint first = new RawEndpoint().startAccepting();
                 RawEndpoint second = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", first.port());
+            platform.addRunner("s-1", first.port());
             int port = start();
-            CountDownLatch listed = new CountDownLatch(1);
+            CountDownLatch secondListed = new CountDownLatch(1);
             first.script = (request, socket) -> {
-                await(listed);
+                await(secondListed);
                 socket.close();
             };
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
+                long sentAt = System.nanoTime();
                 client.send(requestBytes("/api", "k", "save-run", "", "Idempotency-Key: K")
                         .toString()
                         .replace("X-Deadline: 4", "X-Deadline: 12"));
-                until(() -> first.seen.size() == 1);
-                world.addRunner("s-2", second.port());
-                until(() -> world.dispatcher().endpointPools().updatesOf("s-2") == 1);
-                listed.countDown();
-                until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-                until(() -> System.nanoTime() - sent > 1_600_000_000L);
-                second.open();
+                until(() -> first.received.size() == 1);
+                platform.addRunner("s-2", second.port());
+                until(() -> platform.dispatcher().endpointPools().updatesOf("s-2") == 1);
+                secondListed.countDown();
+                until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+                until(() -> System.nanoTime() - sentAt > 1_600_000_000L);
+                second.startAccepting();
                 assertEquals(502, client.read().status(), "it may have run, and cannot be repeated any more");
-                assertEquals(List.of(), second.ids());
+                assertEquals(List.of(), second.receivedIds());
             }
         }
     }
--- a/src/test/java/nettlewick/net/MismatchedResponseTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -14,18 +14,18 @@
 class MismatchedResponseTest extends ConnectionRaceTestBase {
     /** Guards against one request's result in another's answer. */
     @Test
-    void lineForAnotherRequestServesNobody() throws Exception {
+    void lineForAnotherRequestFailsTheAttempt() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
-            endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served("another"));
+            endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.servedResponse("another"));
             try (RawClient client = new RawClient(port)) {
-                RawClient.Response answer = client.send(requestBytes("/api", "mine", "mark-submit", ""))
+                RawClient.Response response = client.send(requestBytes("/api", "mine", "mark-submit", ""))
                         .read();
-                assertEquals(502, answer.status(), answer.body());
+                assertEquals(502, response.status(), response.body());
             }
-            assertEquals(List.of("mine"), endpoint.ids(), "it may have run, and is not sent again");
+            assertEquals(List.of("mine"), endpoint.receivedIds(), "it may have run, and is not sent again");
         }
     }
 
@@ -36,15 +36,15 @@
     @Test
     void ignoresASecondResponseOnAnIdleConnection() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             DispatcherServer dispatcher = start(Clock.stoppedAt(System.currentTimeMillis()));
             int port = dispatcher.ports().get(0);
-            Promise<Void> twice = Promise.promise();
+            Promise<Void> sendDuplicate = Promise.promise();
             endpoint.script = (request, socket) -> {
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
                 if (request.id().equals("a")) {
-                    twice.future().onComplete(v -> {
+                    sendDuplicate.future().onComplete(v -> {
                         try {
                             RawEndpoint.write(socket, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
                         } catch (java.io.IOException e) {
@@ -65,7 +65,7 @@
                         client.send(requestBytes("/api", "b", "mark-submit", ""))
                                 .read()
                                 .body());
-                twice.complete();
+                sendDuplicate.complete();
                 awaitEventLoop(port);
                 assertEquals(
                         "r-c",
@@ -73,9 +73,9 @@
                                 .read()
                                 .body());
             }
-            assertEquals(List.of("a", "b", "c"), endpoint.ids());
+            assertEquals(List.of("a", "b", "c"), endpoint.receivedIds());
             assertNotEquals(
-                    endpoint.seen.get(0).connection(), endpoint.seen.get(1).connection());
+                    endpoint.received.get(0).connection(), endpoint.received.get(1).connection());
             DispatcherOnStubPlatform.get(dispatcher.close());
         }
     }
@@ -83,12 +83,12 @@
     /** Guards against changes that are passed over for ever because discovery counts from the beginning again. */
     @Test
     void requestsTheCompleteListWhenVersionsRestart() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         int port = start();
-        world.startVersionsAnew();
-        world.tell("s-1", "Terminating");
-        until(() -> world.watches.size() >= 2);
-        assertEquals("/catalog/members?watch=1", world.watches.get(1));
+        platform.startVersionsAnew();
+        platform.tell("s-1", "Terminating");
+        until(() -> platform.watches.size() >= 2);
+        assertEquals("/catalog/members?watch=1", platform.watches.get(1));
         until(() -> {
             try (RawClient client = new RawClient(port)) {
                 return client.send(requestBytes("/api", "x" + System.nanoTime(), "mark-submit", "1"))
--- a/src/test/java/nettlewick/net/RawEndpoint.java
+++ b/src/test/java/nettlewick/net/RawEndpoint.java
@@ -20,7 +20,7 @@
  */
 final class RawEndpoint implements AutoCloseable {
     /** A request as it came. */
-    record Seen(int connection, String id, String head) {
+    record ReceivedRequest(int connection, String id, String head) {
         /** A header's value, or null. */
         String header(String name) {
             for (String line : head.split("\r\n")) {
@@ -34,18 +34,18 @@
 
     /** What to do with a request; may write to the socket or close it. */
     interface Script {
-        void handle(Seen request, Socket socket) throws IOException;
+        void handle(ReceivedRequest request, Socket socket) throws IOException;
     }
 
     /** Connections held in the listener's queue until the kernel drops the next handshake. */
     private static final int BACKLOG = 1;
 
-    final List<Seen> seen = new CopyOnWriteArrayList<>();
+    final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
     final List<Socket> accepted = new CopyOnWriteArrayList<>();
-    volatile Script script = (request, socket) -> write(socket, served(request.id()));
+    volatile Script script = (request, socket) -> write(socket, servedResponse(request.id()));
     private final ServerSocket listener;
-    private final List<Socket> fillers = new ArrayList<>();
-    private final CountDownLatch opened = new CountDownLatch(1);
+    private final List<Socket> queuedConnections = new ArrayList<>();
+    private final CountDownLatch acceptStarted = new CountDownLatch(1);
 
     RawEndpoint() throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -58,27 +58,27 @@
         return listener.getLocalPort();
     }
 
-    /** From now on no connection comes up: the queue is full until {@link #open}. */
+    /** From now on no connection comes up: the queue is full until {@link #startAccepting}. */
     RawEndpoint fillAcceptQueue() throws IOException {
         for (int i = 0; i <= BACKLOG; i++) {
-            fillers.add(new Socket(listener.getInetAddress(), port()));
+            queuedConnections.add(new Socket(listener.getInetAddress(), port()));
         }
         return this;
     }
 
     /** Accepts all that waits and comes. */
-    RawEndpoint open() {
-        opened.countDown();
+    RawEndpoint startAccepting() {
+        acceptStarted.countDown();
         return this;
     }
 
     private void accept() {
         try {
-            opened.await();
+            acceptStarted.await();
             while (true) {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                if (fillers.stream().noneMatch(f -> f.getLocalPort() == socket.getPort())) {
+                if (queuedConnections.stream().noneMatch(f -> f.getLocalPort() == socket.getPort())) {
                     accepted.add(socket);
                 }
                 int number = accepted.size();
@@ -103,14 +103,14 @@
                     }
                     head.append((char) b);
                 }
-                Seen plain = new Seen(number, null, head.toString());
-                String length = plain.header("content-length");
+                ReceivedRequest withoutId = new ReceivedRequest(number, null, head.toString());
+                String length = withoutId.header("content-length");
                 in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                Seen request = new Seen(number, plain.header("x-request-id"), plain.head());
+                ReceivedRequest request = new ReceivedRequest(number, withoutId.header("x-request-id"), withoutId.head());
                 if (request.id() == null) {
                     write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ndepth=0,concurrent=0,x0=4");
                 } else {
-                    seen.add(request);
+                    received.add(request);
                     script.handle(request, socket);
                 }
             }
@@ -126,25 +126,25 @@
     }
 
     /** An answer with its one last line, for the request of that id. */
-    static String served(String id) {
-        return answer("{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
+    static String servedResponse(String id) {
+        return chunkedResponse("{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
     }
 
     /** A chunked answer of one chunk. */
-    static String answer(String lines) {
+    static String chunkedResponse(String lines) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(lines.length()) + "\r\n"
                 + lines + "\r\n0\r\n\r\n";
     }
 
-    List<String> ids() {
-        return seen.stream().map(Seen::id).toList();
+    List<String> receivedIds() {
+        return received.stream().map(ReceivedRequest::id).toList();
     }
 
     @Override
     public void close() throws IOException {
-        opened.countDown();
+        acceptStarted.countDown();
         listener.close();
-        for (Socket socket : fillers) {
+        for (Socket socket : queuedConnections) {
             socket.close();
         }
         for (Socket socket : accepted) {
--- a/src/test/java/nettlewick/net/StartupTest.java
+++ b/src/test/java/nettlewick/net/StartupTest.java
@@ -21,16 +21,16 @@
 
     @BeforeEach
     void configure() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         port = ReservedPorts.reserve();
         config.put("listen", "127.0.0.1:" + port);
-        config.put("known", world.known());
+        config.put("known", platform.known());
     }
 
-    private CompletableFuture<Void> startInBackground(Frontend.Factory... more) {
+    private CompletableFuture<Void> startInBackground(Frontend.Factory... additionalFactories) {
         return CompletableFuture.runAsync(() -> {
             try {
-                world.start(config, more);
+                platform.start(config, additionalFactories);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -62,7 +62,7 @@
 
     /** Guards against a request whose time is counted from before the port was open. */
     @Test
-    void timeOfRequestsCountsFromTheOpeningOfThePort() throws Exception {
+    void requestTimeCountsFromListening() throws Exception {
         CompletableFuture<Void> started = startInBackground(SlowFrontend::new);
         try (RawClient client = connectOnceItListens(started)) {
             String request = requestBytes("/api", "early", "step-view", "10").toString();
@@ -75,10 +75,10 @@
     /** Holds the event loop up while it is created, and once more when the frontends before it listen. */
     private static final class SlowFrontend implements Frontend {
         SlowFrontend(Environment environment) {
-            holdUp(SLOW_CREATION_MILLIS);
+            block(SLOW_CREATION_MILLIS);
         }
 
-        private static void holdUp(long millis) {
+        private static void block(long millis) {
             try {
                 TimeUnit.MILLISECONDS.sleep(millis);
             } catch (InterruptedException e) {
@@ -88,7 +88,7 @@
 
         @Override
         public Future<Integer> listen() {
-            holdUp(SLOW_LISTEN_MILLIS);
+            block(SLOW_LISTEN_MILLIS);
             return Future.succeededFuture(0);
         }
 
--- a/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
@@ -20,13 +20,13 @@
         char phase = 'W';
         double now = 0;
         double since = 0;
-        int answers = 0;
+        int responses = 0;
         int served = 0;
         for (int step : steps) {
             switch (step) {
                 case 0 -> {
                     state.bytesReceived(now);
-                    since = phase != 'W' ? since : answers == 0 ? 0 : now;
+                    since = phase != 'W' ? since : responses == 0 ? 0 : now;
                     phase = phase == 'W' ? 'R' : phase;
                 }
                 case 1 -> {
@@ -38,7 +38,7 @@
                     if (phase == 'A') {
                         phase = 'W';
                         since = now;
-                        answers++;
+                        responses++;
                         served += 1 - steps.size() % 2;
                     }
                 }
@@ -61,8 +61,8 @@
                 default -> now += step == 6 ? 900 : 3000;
             }
             double age = now - since;
-            double most = timeoutMillis(phase, served);
-            assertEquals(age >= most, state.isOverdue(now, false), phase + " since " + age);
+            double timeoutMillis = timeoutMillis(phase, served);
+            assertEquals(age >= timeoutMillis, state.isOverdue(now, false), phase + " since " + age);
             assertEquals("WRA".indexOf(phase) >= 0, state.takesRequests());
             assertEquals(phase == 'W', state.isIdle());
             assertEquals(phase == 'W' && age >= 200, state.isQuiet(now));
--- a/src/test/java/nettlewick/net/client/ClientConnectionTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionTest.java
@@ -53,7 +53,7 @@
         return all;
     }
 
-    private String answers() {
+    private String responses() {
         StringBuilder all = new StringBuilder();
         for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
             all.append(b.toString(StandardCharsets.US_ASCII));
@@ -61,7 +61,7 @@
         return all.toString();
     }
 
-    private void serve() {
+    private void respond() {
         channel.writeOutbound(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
         channel.runPendingTasks();
     }
@@ -88,25 +88,25 @@
     void rejectsAHeadWithAmbiguousFraming(String header) {
         send("POST /a HTTP/1.1\r\n" + header + "\r\n\r\nzGET /hidden HTTP/1.1\r\n\r\n");
         assertEquals(List.of(), passedRequests());
-        assertTrue(answers().startsWith("HTTP/1.1 400 "));
+        assertTrue(responses().startsWith("HTTP/1.1 400 "));
     }
 
     /** Guards against a rejection that does not say when to try again. */
     @ParameterizedTest
     @ValueSource(ints = {429, 503})
-    void tellsWhenToTryAgainWhereThatIsHarmless(int status) {
+    void sendsRetryAfterWhereARetryIsHarmless(int status) {
         connection.reject(status, "not now");
-        assertTrue(answers().contains("\r\nRetry-After: 1\r\n"));
+        assertTrue(responses().contains("\r\nRetry-After: 1\r\n"));
     }
 
     /** Guards against an invitation to repeat what can never be served. */
     @Test
-    void doesNotInviteToRepeatAnInvalidRequest() {
+    void sendsNoRetryAfterForAnInvalidRequest() {
         connection.reject(400, "no request that can be read");
-        assertFalse(answers().contains("Retry-After"));
+        assertFalse(responses().contains("Retry-After"));
     }
 
-    private void serveAndClose() {
+    private void respondAndClose() {
         DefaultFullHttpResponse last = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         last.headers().set("Connection", "close");
         channel.writeOutbound(last);
@@ -118,13 +118,13 @@
     void answersPipelinedRequestsBeforeClosing() {
         send(GET + "POST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nx");
         assertEquals(List.of("/a", ""), passedRequests());
-        serveAndClose();
-        assertFalse(answers().toLowerCase(java.util.Locale.ROOT).contains("connection"), "not the last one");
+        respondAndClose();
+        assertFalse(responses().toLowerCase(java.util.Locale.ROOT).contains("connection"), "not the last one");
         send("y");
         assertEquals(List.of("/b", "xy"), passedRequests());
         assertTrue(channel.isOpen());
-        serveAndClose();
-        assertTrue(answers().toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
+        respondAndClose();
+        assertTrue(responses().toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
         assertFalse(channel.isOpen());
     }
 
@@ -145,18 +145,18 @@
     @Test
     void rejectsALongBodyAtItsHeadAndAnEndlessHeadAtItsLimit() {
         send("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-        assertTrue(answers().startsWith("HTTP/1.1 413 "));
+        assertTrue(responses().startsWith("HTTP/1.1 413 "));
         for (int i = 0; i < 40; i++) {
             send("x".repeat(8192));
         }
         assertFalse(channel.config().isAutoRead(), "a bounded rest is read, then no more");
-        EmbeddedChannel other = new EmbeddedChannel(
+        EmbeddedChannel otherChannel = new EmbeddedChannel(
                 new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                 new HttpResponseEncoder(),
                 new ClientConnection(clock, new RequestByteBudget(1)));
-        other.writeInbound(
+        otherChannel.writeInbound(
                 Unpooled.copiedBuffer("GET /a HTTP/1.1\r\n" + "A: b\r\n".repeat(4000), StandardCharsets.US_ASCII));
-        assertTrue(((ByteBuf) other.readOutbound())
+        assertTrue(((ByteBuf) otherChannel.readOutbound())
                 .toString(StandardCharsets.US_ASCII)
                 .contains(" 431 "));
     }
@@ -166,11 +166,11 @@
         String head = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         send(head + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
         assertEquals(List.of("/a", "abc"), passedRequests());
-        serve();
-        answers();
+        respond();
+        responses();
         send(head + "zz\r\n");
         assertEquals(List.of(), passedRequests());
-        assertTrue(answers().startsWith("HTTP/1.1 400 "));
+        assertTrue(responses().startsWith("HTTP/1.1 400 "));
     }
 
     /** Guards against a cut inside a line, a length or a character that costs a usual client its job. */
@@ -179,13 +179,13 @@
     void readsARequestSplitAtAnyByte(String rest) {
         byte[] request = ("POST /a HTTP/1.1\r\nX: y\r\n" + rest).getBytes(StandardCharsets.UTF_8);
         for (int cut = 1; cut < request.length; cut++) {
-            ClientConnection one = new ClientConnection(clock, new RequestByteBudget(100));
-            EmbeddedChannel through =
-                    new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), one::bytesReceived), one);
-            through.writeInbound(Unpooled.copiedBuffer(request, 0, cut));
-            through.writeInbound(Unpooled.copiedBuffer(request, cut, request.length - cut));
-            assertEquals("/a", ((HttpRequest) through.readInbound()).uri(), "cut at " + cut);
-            LastHttpContent body = through.readInbound();
+            ClientConnection client = new ClientConnection(clock, new RequestByteBudget(100));
+            EmbeddedChannel clientChannel =
+                    new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), client::bytesReceived), client);
+            clientChannel.writeInbound(Unpooled.copiedBuffer(request, 0, cut));
+            clientChannel.writeInbound(Unpooled.copiedBuffer(request, cut, request.length - cut));
+            assertEquals("/a", ((HttpRequest) clientChannel.readInbound()).uri(), "cut at " + cut);
+            LastHttpContent body = clientChannel.readInbound();
             assertEquals("é✓", body.content().toString(StandardCharsets.UTF_8), "cut at " + cut);
         }
     }
@@ -201,32 +201,32 @@
     void servesPipelinedRequestsOneByOneAndRejectsAFlood() {
         send(GET + GET.replace("/a", "/b"));
         assertEquals(List.of("/a", ""), passedRequests());
-        serve();
+        respond();
         assertEquals(List.of("/b", ""), passedRequests());
-        serve();
-        answers();
+        respond();
+        responses();
         send(GET.repeat(300));
         assertEquals(List.of(), passedRequests());
-        assertTrue(answers().startsWith("HTTP/1.1 429 "));
+        assertTrue(responses().startsWith("HTTP/1.1 429 "));
     }
 
     @Test
     void sendsContinueBeforeTheBody() {
         send("POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
-        assertEquals("HTTP/1.1 100 Continue\r\n\r\n", answers());
+        assertEquals("HTTP/1.1 100 Continue\r\n\r\n", responses());
         send("x");
         assertEquals(List.of("/a", "x"), passedRequests());
     }
 
     @Test
-    void closesSilentClientsRejectsSlowOnesAndSparesThoseInFlight() {
+    void closesIdleConnectionsAndRejectsSlowRequests() {
         clock.advanceTo(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS - 1);
         connection.closeIfOverdue(clock.nowMillis());
         assertTrue(channel.isOpen());
         send("GET /a HT");
         clock.advanceTo(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS);
         connection.closeIfOverdue(clock.nowMillis());
-        assertTrue(answers().startsWith("HTTP/1.1 408 "));
+        assertTrue(responses().startsWith("HTTP/1.1 408 "));
         clock.advanceTo(clock.nowMillis() + ClientConnectionState.LINGER_MILLIS);
         connection.closeIfOverdue(clock.nowMillis());
         assertFalse(channel.isOpen());
@@ -272,32 +272,32 @@
     void rejectsRequestsAheadOfGarbageInOrder() {
         send(GET + GET.replace("/a", "/b") + "no request\r\n\r\n");
         assertEquals(List.of(), passedRequests());
-        String got = answers();
+        String responses = responses();
         assertEquals(
                 List.of("429", "429", "400"),
                 java.util.regex.Pattern.compile("HTTP/1.1 (\\d+)")
-                        .matcher(got)
+                        .matcher(responses)
                         .results()
                         .map(m -> m.group(1))
                         .toList(),
-                got);
+                responses);
     }
 
     @Test
     void limitsBufferedBytesAcrossAllClients() {
         RequestByteBudget budget = new RequestByteBudget(10);
-        List<EmbeddedChannel> clients = new ArrayList<>();
+        List<EmbeddedChannel> channels = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            clients.add(new EmbeddedChannel(
+            channels.add(new EmbeddedChannel(
                     new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                     new HttpResponseEncoder(),
                     new ClientConnection(clock, budget)));
-            clients.get(i)
+            channels.get(i)
                     .writeInbound(Unpooled.copiedBuffer(
                             "POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\n12345678", StandardCharsets.US_ASCII));
         }
-        assertNull(clients.get(0).readOutbound());
-        assertTrue(((ByteBuf) clients.get(1).readOutbound())
+        assertNull(channels.get(0).readOutbound());
+        assertTrue(((ByteBuf) channels.get(1).readOutbound())
                 .toString(StandardCharsets.US_ASCII)
                 .contains(" 503 "));
     }
--- a/src/test/java/nettlewick/net/client/EventLoopTicksTest.java
+++ b/src/test/java/nettlewick/net/client/EventLoopTicksTest.java
@@ -9,19 +9,19 @@
     private final EventLoopTicks ticks = new EventLoopTicks(0);
 
     @Test
-    void whatIsFoundInTimeHasArrivedNow() {
+    void readWithoutStallArrivedNow() {
         ticks.tick(50);
         assertEquals(100, ticks.earliestArrival(100));
     }
 
     @Test
-    void whatIsFoundAfterAHoldUpMayHaveArrivedSinceItBegan() {
+    void readAfterAStallMayHaveArrivedSinceItBegan() {
         ticks.tick(50);
         assertEquals(50, ticks.earliestArrival(800));
     }
 
     @Test
-    void aHoldUpThatIsOverCountsNoMore() {
+    void stallThatIsOverHasNoEffect() {
         ticks.tick(50);
         ticks.tick(800);
         assertEquals(805, ticks.earliestArrival(805));
--- a/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
@@ -36,36 +36,36 @@
                 .appendString("\r\n");
     }
 
-    private void write(NetSocket to, Buffer bytes, int cut) {
-        to.write(bytes.slice(0, cut));
-        vertx.setTimer(1, id -> to.write(bytes.slice(cut, bytes.length())));
+    private void write(NetSocket socket, Buffer bytes, int cut) {
+        socket.write(bytes.slice(0, cut));
+        vertx.setTimer(1, id -> socket.write(bytes.slice(cut, bytes.length())));
     }
 
     @Test
     void readsADiscoveryListSplitAtAnyByte() throws Exception {
         String list = "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s-é✓\",\"dial\":\"127.0.0.1:1\","
                 + "\"health\":\"Ready\"}]}";
-        Buffer answer = Buffer.buffer(OK).appendBuffer(chunk(list)).appendBuffer(chunk(""));
+        Buffer response = Buffer.buffer(OK).appendBuffer(chunk(list)).appendBuffer(chunk(""));
         AtomicInteger cut = new AtomicInteger();
         NetServer discovery = vertx.createNetServer().connectHandler(socket -> {
             socket.exceptionHandler(e -> {});
-            socket.handler(request -> write(socket, answer, cut.incrementAndGet()));
+            socket.handler(request -> write(socket, response, cut.incrementAndGet()));
         });
         get(discovery.listen(0, "127.0.0.1"));
-        SocketAddress at = SocketAddress.inetSocketAddress(discovery.actualPort(), "127.0.0.1");
-        List<String> told = new CopyOnWriteArrayList<>();
-        for (int i = 1; i < answer.length(); i++) {
+        SocketAddress address = SocketAddress.inetSocketAddress(discovery.actualPort(), "127.0.0.1");
+        List<String> receivedIds = new CopyOnWriteArrayList<>();
+        for (int i = 1; i < response.length(); i++) {
             DiscoveryWatch watch = new DiscoveryWatch(
                     vertx,
-                    at,
+                    address,
                     Clock.stoppedAt(0),
                     new WatchStalenessTimer(new PollBackoff(false, 1, 0, new SplittableRandom(1)), 0),
-                    news -> told.add(news.endpoints().get(0).entry().id()));
+                    snapshot -> receivedIds.add(snapshot.endpoints().get(0).entry().id()));
             watch.start(null);
-            int wanted = i;
-            until(() -> told.size() >= wanted);
+            int expectedCount = i;
+            until(() -> receivedIds.size() >= expectedCount);
             watch.stop();
         }
-        assertEquals(List.of("s-é✓"), told.stream().distinct().toList());
+        assertEquals(List.of("s-é✓"), receivedIds.stream().distinct().toList());
     }
 }
--- a/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
+++ b/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
@@ -17,17 +17,17 @@
 /** The clock of the list: what is missed on a silent watch is had before it counts as told. */
 class WatchStalenessTimerTest {
     /** How a call to discovery may go; all but the last bring no word. */
-    private enum Call {
-        NEVER_CONNECTS,
+    private enum CallOutcome {
+        CONNECT_TIMEOUT,
         REFUSED,
-        NO_ANSWER,
-        RESET_AT_ONCE,
-        HALF_A_LINE,
-        STATUS,
-        ANSWERS
+        NO_RESPONSE,
+        IMMEDIATE_RESET,
+        PARTIAL_LINE,
+        ERROR_STATUS,
+        MESSAGE
     }
 
-    private static WatchStalenessTimer agent(long seed) {
+    private static WatchStalenessTimer agentTimer(long seed) {
         return new WatchStalenessTimer(new PollBackoff(false, 100, 10_000, new SplittableRandom(seed)), 10_000);
     }
 
@@ -35,22 +35,22 @@
      * Plays calls from a silence on; when the first word after it comes. A call that brings nothing is over at
      * the clock's deadline, or at once where it is refused or reset.
      */
-    private static double recoveryTime(WatchStalenessTimer timer, double silentAt, Call[] calls, double wait) {
+    private static double recoveryTime(WatchStalenessTimer timer, double silentAt, CallOutcome[] calls, double responseMillis) {
         double now = Math.max(timer.deadline(), silentAt);
-        for (Call call : calls) {
+        for (CallOutcome call : calls) {
             now += timer.callEnded(now);
             timer.callStarted(now);
             switch (call) {
-                case REFUSED, RESET_AT_ONCE, STATUS -> now += 5;
-                case HALF_A_LINE -> {
+                case REFUSED, IMMEDIATE_RESET, ERROR_STATUS -> now += 5;
+                case PARTIAL_LINE -> {
                     timer.bytesReceived(now + 5);
                     now = timer.deadline();
                 }
-                case NEVER_CONNECTS, NO_ANSWER -> now = timer.deadline();
-                case ANSWERS -> {
-                    if (now + wait <= timer.deadline()) {
-                        timer.messageReceived(now + wait);
-                        return now + wait;
+                case CONNECT_TIMEOUT, NO_RESPONSE -> now = timer.deadline();
+                case MESSAGE -> {
+                    if (now + responseMillis <= timer.deadline()) {
+                        timer.messageReceived(now + responseMillis);
+                        return now + responseMillis;
                     }
                     now = timer.deadline();
                 }
@@ -62,30 +62,30 @@
 
     /** An agent that is silent, then fails two calls in whatever way, still has told all in time. */
     @Property(tries = 500, seed = "11")
-    void recoversInTimeThoughTwoCallsFail(@ForAll long seed) {
+    void recoversInTimeAfterTwoFailedCalls(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        WatchStalenessTimer timer = agent(seed);
+        WatchStalenessTimer timer = agentTimer(seed);
         timer.callStarted(0);
         double now = 20;
         timer.messageReceived(now);
-        for (int line = random.nextInt(5); line > 0; line--) {
+        for (int remainingLines = random.nextInt(5); remainingLines > 0; remainingLines--) {
             now += 2000;
             timer.messageReceived(now);
         }
         // It falls silent at some moment before the next line.
         double silentAt = now + random.nextDouble(2000);
-        Call first = Call.values()[random.nextInt(Call.values().length - 1)];
-        Call second = Call.values()[random.nextInt(Call.values().length - 1)];
-        double again = recoveryTime(timer, now, new Call[] {first, second, Call.ANSWERS}, 50);
+        CallOutcome first = CallOutcome.values()[random.nextInt(CallOutcome.values().length - 1)];
+        CallOutcome second = CallOutcome.values()[random.nextInt(CallOutcome.values().length - 1)];
+        double recoveredAt = recoveryTime(timer, now, new CallOutcome[] {first, second, CallOutcome.MESSAGE}, 50);
         assertTrue(
-                again <= now + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS, first + ", " + second + ": " + (again - now));
-        assertTrue(again <= silentAt + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS);
+                recoveredAt <= now + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS, first + ", " + second + ": " + (recoveredAt - now));
+        assertTrue(recoveredAt <= silentAt + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS);
     }
 
     /** Guards against a first word that stops after half a line and is waited for until the told time is past. */
     @Test
-    void partOfALineIsNoMessage() {
-        WatchStalenessTimer timer = agent(3);
+    void partOfALineIsNotAMessage() {
+        WatchStalenessTimer timer = agentTimer(3);
         timer.callStarted(0);
         timer.bytesReceived(5);
         timer.bytesReceived(2900);
@@ -94,20 +94,20 @@
 
     /** Guards against an agent that is only slow and would be given up for ever in the middle of its list. */
     @Test
-    void waitsForASlowAgentInTheEnd() {
-        WatchStalenessTimer timer = agent(4);
+    void eventuallyWaitsForASlowAgent() {
+        WatchStalenessTimer timer = agentTimer(4);
         timer.callStarted(0);
         timer.messageReceived(10);
         double now = timer.deadline();
-        double longest = 0;
+        double lastWaitMillis = 0;
         for (int call = 0; call < 3; call++) {
             now += timer.callEnded(now);
             timer.callStarted(now);
             timer.bytesReceived(now + 5);
-            longest = timer.deadline() - now;
+            lastWaitMillis = timer.deadline() - now;
             now = timer.deadline();
         }
-        assertTrue(longest >= 3000, "the third call may take " + longest);
+        assertTrue(lastWaitMillis >= 3000, "the third call may take " + lastWaitMillis);
     }
 
     /** A hundred that share one discovery: all cut off at once come back spread, and inside their own told time. */
@@ -120,18 +120,18 @@
                     new PollBackoff(true, 100, maxWaitMillis, new SplittableRandom(d)), maxWaitMillis);
             timer.callStarted(0);
             timer.messageReceived(10);
-            double found = timer.deadline();
-            double next = found + timer.callEnded(found);
-            calls.add(next);
+            double detectedAt = timer.deadline();
+            double nextCallAt = detectedAt + timer.callEnded(detectedAt);
+            calls.add(nextCallAt);
             assertTrue(
-                    next + 5000 <= 10 + timer.notifiedAfterMillis(),
-                    "one that waits its turn is answered in time: " + next);
+                    nextCallAt + 5000 <= 10 + timer.notifiedAfterMillis(),
+                    "one that waits its turn is answered in time: " + nextCallAt);
         }
-        double from = calls.stream().mapToDouble(c -> c).min().orElseThrow();
-        for (double at = from; at < from + 2500; at += 250) {
-            double start = at;
-            long in = calls.stream().filter(c -> c >= start && c < start + 250).count();
-            assertTrue(in <= 25, in + " calls from " + at);
+        double firstCallAt = calls.stream().mapToDouble(c -> c).min().orElseThrow();
+        for (double windowStart = firstCallAt; windowStart < firstCallAt + 2500; windowStart += 250) {
+            double start = windowStart;
+            long callsInWindow = calls.stream().filter(c -> c >= start && c < start + 250).count();
+            assertTrue(callsInWindow <= 25, callsInWindow + " calls from " + windowStart);
         }
     }
 
@@ -141,21 +141,21 @@
         WatchStalenessTimer timer =
                 new WatchStalenessTimer(new PollBackoff(true, 8, 20_000, new SplittableRandom(5)), 20_000);
         double now = 0;
-        int early = 0;
-        int late = 0;
+        int earlyCalls = 0;
+        int lateCalls = 0;
         while (now < 120_000) {
             timer.callStarted(now);
             now += 5;
-            early += now < 10_000 ? 1 : 0;
-            late += now >= 110_000 ? 1 : 0;
+            earlyCalls += now < 10_000 ? 1 : 0;
+            lateCalls += now >= 110_000 ? 1 : 0;
             now += timer.callEnded(now);
         }
-        assertTrue(late < early && late <= 6, early + " calls at first, " + late + " later");
+        assertTrue(lateCalls < earlyCalls && lateCalls <= 6, earlyCalls + " calls at first, " + lateCalls + " later");
     }
 
     @Test
     void movedServiceGetsTheFullFirstMessageTimeout() {
-        WatchStalenessTimer timer = agent(9);
+        WatchStalenessTimer timer = agentTimer(9);
         timer.callStarted(0);
         timer.messageReceived(10);
         timer.callStarted(5000);
@@ -165,12 +165,12 @@
         assertEquals(7500, timer.deadline());
     }
 
-    private static List<String> frameInPieces(String text, int each) {
+    private static List<String> frameInPieces(String text, int pieceLength) {
         JsonObjectFramer framer = new JsonObjectFramer();
         List<String> objects = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int at = 0; at < bytes.length; at += each) {
-            framer.feed(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + each)), objects::add);
+        for (int start = 0; start < bytes.length; start += pieceLength) {
+            framer.feed(Arrays.copyOfRange(bytes, start, Math.min(bytes.length, start + pieceLength)), objects::add);
         }
         return objects;
     }
@@ -180,11 +180,11 @@
     void framesIndentedObjectsSplitAtAnyByte() {
         String one = "{\n  \"seq\": 1,\n  \"hosts\": [\n    {\"host\": \"a{\\\"}\u00e9\"}\n  ]\n}";
         String two = "{\"seq\":2,\"hosts\":[]}";
-        for (int each = 1; each < 40; each++) {
+        for (int pieceLength = 1; pieceLength < 40; pieceLength++) {
             assertEquals(
                     List.of(one, two),
-                    frameInPieces("\n  " + one + "\r\n\n" + two + "\n\n", each),
-                    "pieces of " + each);
+                    frameInPieces("\n  " + one + "\r\n\n" + two + "\n\n", pieceLength),
+                    "pieces of " + pieceLength);
         }
         assertEquals(List.of(), frameInPieces(one.substring(0, one.length() - 1), 7));
         assertThrows(JsonFields.InvalidFieldException.class, () -> frameInPieces("<html>", 3));
--- a/src/test/java/nettlewick/net/lifecycle/DisabledEndpointStoreGoldenTest.java
+++ b/src/test/java/nettlewick/net/lifecycle/DisabledEndpointStoreGoldenTest.java
@@ -20,9 +20,9 @@
 
     /** Writes the file anew; only where that was asked for. */
     @BeforeAll
-    static void record(@TempDir Path made) throws Exception {
+    static void record(@TempDir Path folder) throws Exception {
         if (Boolean.getBoolean("golden.record")) {
-            assertMatches(FILE, written(made.resolve("bans")));
+            assertMatches(FILE, written(folder.resolve("bans")));
         }
     }
 
--- a/src/test/java/nettlewick/net/peer/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/peer/PeerSocketTest.java
@@ -24,25 +24,25 @@
     void acceptsAndSendsOnlyShortMessagesOfKnownPeers() throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         Vertx vertx = Vertx.vertx();
-        int own;
-        try (DatagramSocket free = new DatagramSocket(0, loopback)) {
-            own = free.getLocalPort();
+        int ownPort;
+        try (DatagramSocket portFinder = new DatagramSocket(0, loopback)) {
+            ownPort = portFinder.getLocalPort();
         }
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform();
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform();
                 DatagramSocket peer = new DatagramSocket(0, loopback);
-                DatagramSocket stranger = new DatagramSocket(0, loopback)) {
-            Map<String, Object> config = world.config();
-            config.put("peer_listen", "127.0.0.1:" + own);
-            config.put("peers", List.of("127.0.0.1:" + own, "127.0.0.1:" + peer.getLocalPort()));
+                DatagramSocket unknownSender = new DatagramSocket(0, loopback)) {
+            Map<String, Object> config = platform.config();
+            config.put("peer_listen", "127.0.0.1:" + ownPort);
+            config.put("peers", List.of("127.0.0.1:" + ownPort, "127.0.0.1:" + peer.getLocalPort()));
             PeerSocket socket = new PeerSocket(vertx, PlatformConfig.parse(new Gson().toJson(config), Map.of()));
             socket.send(1, new byte[4]);
-            BlockingQueue<String> handler = new LinkedBlockingQueue<>();
-            DispatcherOnStubPlatform.get(socket.listen((rank, data) -> handler.add(rank + " " + data.length)));
-            stranger.send(new DatagramPacket(new byte[7], 7, loopback, own));
-            peer.send(new DatagramPacket(new byte[257], 257, loopback, own));
-            peer.send(new DatagramPacket(new byte[256], 256, loopback, own));
-            assertEquals("1 256", handler.poll(10, TimeUnit.SECONDS));
-            assertEquals(0, handler.size());
+            BlockingQueue<String> receivedMessages = new LinkedBlockingQueue<>();
+            DispatcherOnStubPlatform.get(socket.listen((rank, data) -> receivedMessages.add(rank + " " + data.length)));
+            unknownSender.send(new DatagramPacket(new byte[7], 7, loopback, ownPort));
+            peer.send(new DatagramPacket(new byte[257], 257, loopback, ownPort));
+            peer.send(new DatagramPacket(new byte[256], 256, loopback, ownPort));
+            assertEquals("1 256", receivedMessages.poll(10, TimeUnit.SECONDS));
+            assertEquals(0, receivedMessages.size());
             assertEquals(
                     Map.of("peers.passed_over.oversized", 1L, "peers.passed_over.strangers", 1L),
                     socket.ignoredDatagrams(),
@@ -50,9 +50,9 @@
             socket.send(1, new byte[257]);
             socket.send(0, new byte[3]);
             socket.send(1, new byte[5]);
-            DatagramPacket got = new DatagramPacket(new byte[1024], 1024);
-            peer.receive(got);
-            assertEquals(5, got.getLength());
+            DatagramPacket received = new DatagramPacket(new byte[1024], 1024);
+            peer.receive(received);
+            assertEquals(5, received.getLength());
         } finally {
             DispatcherOnStubPlatform.get(vertx.close());
         }
