--- a/src/main/java/nettlewick/net/AdminOperations.java
+++ b/src/main/java/nettlewick/net/AdminOperations.java
@@ -55,14 +55,14 @@
                     .forEach(dispatcher::applyDisabledEndpoint);
             LOG.info(
                     disabled ? "taken-out" : "put-back",
-                    "sim runner " + endpoint + (disabled ? " taken out by hand" : " put back by hand"),
+                    "endpoint " + endpoint + (disabled ? " disabled by an operator" : " enabled by an operator"),
                     "runner",
                     endpoint);
             done.complete(true);
         } catch (IOException e) {
             LOG.warning(
                     "ban-not-stored",
-                    "cannot store that " + endpoint + (disabled ? " is out: " : " is back: ") + e,
+                    "cannot store that endpoint " + endpoint + (disabled ? " is disabled: " : " is enabled: ") + e,
                     "runner",
                     endpoint);
             done.fail(e);
@@ -74,7 +74,7 @@
         boolean accepted = dispatcher.serviceState().drain(dispatcher.clock().nowMillis());
         LOG.info(
                 accepted ? "drained" : "drain-refused",
-                accepted ? "drained by hand" : "drain refused: this process starts or ends");
+                accepted ? "drained by an operator" : "drain refused: the process is starting or shutting down");
         return accepted;
     }
 
@@ -83,7 +83,7 @@
         boolean accepted = dispatcher.serviceState().resume();
         LOG.info(
                 accepted ? "resumed" : "resume-refused",
-                accepted ? "resumed by hand" : "resume refused: this process ends");
+                accepted ? "resumed by an operator" : "resume refused: the process is shutting down");
         return accepted;
     }
 }
--- a/src/main/java/nettlewick/net/AdminServer.java
+++ b/src/main/java/nettlewick/net/AdminServer.java
@@ -3,11 +3,11 @@
 import io.vertx.core.Future;
 import io.vertx.core.net.SocketAddress;
 
-/** Where operators call a dispatcher. */
+/** The server on which a dispatcher accepts calls from operators. */
 public interface AdminServer {
     /** Creates the server for a dispatcher. */
     interface Factory {
-        /** Creates a server at that address that carries out what operators ask; it does not listen yet. */
+        /** Creates a server for this address that passes calls on to the operations; it does not listen yet. */
         AdminServer create(SocketAddress address, Operations operations);
     }
 
--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -44,7 +44,7 @@
     private static final long OTHER_PROCESS_CHECK_MILLIS = 250;
     /** Interval between checks whether another process has changed the disabled endpoints. */
     private static final long DISABLED_CHECK_MILLIS = 200;
-    /** Connections accepted beyond those that the frontends keep; the frontend chooses which of them stays. */
+    /** Connections accepted beyond the limits of the frontends, which then choose a connection to evict. */
     private static final int SPARE_CONNECTIONS = 8;
 
     private volatile PlatformConfig config;
@@ -68,7 +68,7 @@
     private final List<Frontend.Factory> frontendFactories;
     private final List<Frontend> frontends = new ArrayList<>();
     private final ServiceState serviceState = new ServiceState();
-    /** Null where operators have no address to call. */
+    /** Null if no admin address is configured. */
     private AdminServer adminServer;
 
     private volatile int adminPort;
@@ -102,19 +102,22 @@
         eventLoop = vertx.getOrCreateContext();
     }
 
-    /** Sets what records usage; to be called before {@link #start}. */
+    /** Sets the recorder of usage; to be called before {@link #start}. */
     public DispatcherServer withUsageRecorder(UsageRecorder recorder) {
         usageRecorder = recorder;
         return this;
     }
 
-    /** Sets what is notified of every request; to be called before {@link #start}. */
+    /** Sets the listener that is notified of every request; to be called before {@link #start}. */
     public DispatcherServer withRequestListener(RequestListener listener) {
         requestListener = listener;
         return this;
     }
 
-    /** Sets what operators call, where the configuration has an address for it; to be called before {@link #start}. */
+    /**
+     * Sets the factory of the admin server, which is created if the configuration has an address for it; to be called
+     * before {@link #start}.
+     */
     public DispatcherServer withAdminServer(AdminServer.Factory factory) {
         adminServer =
                 config.adminListen() == null ? null : factory.create(config.adminListen(), new AdminOperations(this));
@@ -183,7 +186,7 @@
         }
     }
 
-    /** Starts the watch; completes with the first update, or when it has been waited for long enough. */
+    /** Starts the watch; completes with the first update or after {@link #FIRST_UPDATE_TIMEOUT_MILLIS}. */
     private Future<Void> startDiscoveryWatch(boolean isSuccessor) {
         Promise<Void> firstUpdate = Promise.promise();
         WatchStalenessTimer stalenessTimer =
@@ -206,8 +209,8 @@
     }
 
     /**
-     * Starts where no other process serves at this address. It listens last: what it accepted while it loads and
-     * compiles its code would wait for that, until its deadline has passed.
+     * Starts when no other process serves this address. Listens last: a request accepted while code is still being
+     * loaded and compiled would wait for that and might miss its deadline.
      */
     private Future<Void> startAlone(Frontend.Environment environment) {
         return peerSocket
@@ -218,12 +221,11 @@
     }
 
     /**
-     * Starts beside a process that serves at this address. It listens last: a client that the kernel assigns
-     * to this process is lost to the other one, and a failing health check would turn the load balancer away
-     * from both.
+     * Starts while another process serves this address. Listens last: before it is ready, this process would take
+     * clients from the one that can serve them, and its failing health check would make the load balancer avoid both.
      */
     private Future<Void> startAsSuccessor(Future<Void> firstUpdate, Frontend.Environment environment) {
-        LOG.info("succeeds", "another process serves here; this one is to succeed it");
+        LOG.info("succeeds", "another process serves this address; starting as its successor");
         peerSocket.listenWhenPortIsFree(coordinator::receivePeerMessage);
         return warmUp(environment)
                 .compose(v -> firstUpdate)
@@ -250,8 +252,8 @@
     }
 
     /**
-     * Halves the limits while another process of this dispatcher lives: together they must not exceed the
-     * descriptors of one.
+     * Halves the limits while another process of this dispatcher is alive: together they must not exceed the descriptor
+     * limit of one.
      */
     private void adjustSharedLimits() {
         handover.checkForSuccessor();
@@ -286,7 +288,7 @@
         return serviceState.isServing() && hasEndpointList && warmedUp;
     }
 
-    /** Metrics beside those of the request coordinator, by name. */
+    /** Metrics in addition to those of the request coordinator, by name. */
     Map<String, Number> additionalMetrics() {
         Map<String, Number> metrics = new TreeMap<>(usageRecorder.metrics());
         metrics.putAll(requestListener.metrics());
@@ -349,12 +351,12 @@
         return hasEndpointList;
     }
 
-    /** Shuts down gracefully; blocks until everything that was accepted is answered. */
+    /** Shuts down gracefully; blocks until all accepted requests are answered or the longest deadline has passed. */
     public void shutDown() {
         new GracefulShutdown(this, hotRestart != null && hotRestart.hasServingSuccessor()).run();
     }
 
-    /** Applies a configuration that was read again, as far as that is possible while serving. */
+    /** Applies the parts of a reloaded configuration that can change while the dispatcher serves. */
     public void reload(PlatformConfig next) {
         eventLoop.runOnContext(v -> {
             List<String> restartOnly = config.restartOnlyChanges(next);
@@ -364,13 +366,14 @@
             coordinator.setMaxInFlight(config.maxInFlight());
             LOG.info(
                     "reread",
-                    "configuration reread, discovery at " + config.discovery().hostAddress() + ":"
+                    "configuration reloaded; discovery is at "
+                            + config.discovery().hostAddress() + ":"
                             + config.discovery().port()
-                            + (restartOnly.isEmpty() ? "" : "; only a restart changes " + restartOnly));
+                            + (restartOnly.isEmpty() ? "" : "; a restart is needed to change " + restartOnly));
         });
     }
 
-    /** Closes all parts at once, with whatever is still in flight. */
+    /** Closes all parts immediately; requests in flight are dropped. */
     public Future<Void> close() {
         Promise<Void> stopped = Promise.promise();
         eventLoop.runOnContext(v -> {
--- a/src/main/java/nettlewick/net/GracefulShutdown.java
+++ b/src/main/java/nettlewick/net/GracefulShutdown.java
@@ -13,26 +13,24 @@
  *
  * <ol>
  * <li>until {@link #ACCEPT_MILLIS} connections are accepted, then those in the kernel's queue, then none;
- * <li>until {@link #LAST_REQUEST_BEFORE_KILL_MILLIS} before SIGKILL, requests on open connections are served
- * as usual;
+ * <li>until {@link #LAST_REQUEST_BEFORE_KILL_MILLIS} before SIGKILL, requests on open connections are served as usual;
  * <li>from then on each response is the last of its connection, and idle connections are closed;
- * <li>{@link #LAST_RESPONSE_BEFORE_KILL_MILLIS} before SIGKILL, every request in flight gets its final
- * response and
- * the rest is rejected.
+ * <li>{@link #LAST_RESPONSE_BEFORE_KILL_MILLIS} before SIGKILL, every request in flight gets its final response and the
+ * rest is rejected.
  * </ol>
  *
- * <p>Where a successor accepts clients, new connections are left to it from the start.
+ * <p>If a successor accepts clients, new connections are left to it from the start.
  */
 final class GracefulShutdown {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
-    /** New connections keep arriving for this long after SIGTERM. */
+    /** How long new connections may keep arriving after SIGTERM. */
     private static final long ACCEPT_MILLIS = 700;
 
     private static final long CLOSE_MARGIN_MILLIS = 500;
     /**
-     * SIGKILL comes no sooner than this after the longest deadline, which counts as {@link
-     * #MAX_DEADLINE_MILLIS} at most. Clients keep using the connections they have, and one that is closed
-     * finds no other server until the restart; so open connections are served for nearly as long.
+     * SIGKILL follows no sooner than this after the longest deadline, which counts as at most {@link
+     * #MAX_DEADLINE_MILLIS}. Clients keep using their connections, and a client whose connection is closed finds no
+     * other server until the restart; so open connections are served for nearly as long.
      */
     private static final long KILL_MARGIN_MILLIS = 700;
 
@@ -73,11 +71,11 @@
         return Math.min(longestDeadlineMillis(settings), MAX_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
     }
 
-    /** Shuts down; blocks until everything is answered, or until the longest deadline has passed. */
+    /** Shuts down; blocks until all requests are answered or the longest deadline has passed. */
     void run() {
         LOG.info(
                 hasSuccessor ? "hands-over" : "shutting-down",
-                hasSuccessor ? "handing over to the process that succeeds this one" : "shutting down");
+                hasSuccessor ? "handing over to the successor process" : "shutting down");
         SchedulerSettings settings = dispatcher.settings();
         long longestMillis = longestDeadlineMillis(settings);
         long killMillis = minKillDelayMillis(settings);
@@ -88,12 +86,12 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        LOG.info("shut-down", "shut down");
+        LOG.info("shut-down", "shutdown complete");
     }
 
     private void begin(double startedAt, long killMillis, long closeTimeoutMillis) {
         if (dispatcher.coordinator() == null) {
-            // The signal came before the start: nothing is served yet.
+            // SIGTERM arrived before the start: nothing is served yet.
             done.countDown();
             return;
         }
@@ -118,7 +116,7 @@
                                                 then -> closeFrontends(
                                                         startedAt + killMillis - LAST_REQUEST_BEFORE_KILL_MILLIS,
                                                         closeTimeoutMillis))));
-        // Includes requests from before the signal: SIGKILL must find none without a response.
+        // Includes requests from before SIGTERM: none may be without a response when SIGKILL arrives.
         dispatcher
                 .vertx()
                 .setTimer(
--- a/src/main/java/nettlewick/net/HotRestartHandover.java
+++ b/src/main/java/nettlewick/net/HotRestartHandover.java
@@ -17,7 +17,7 @@
 final class HotRestartHandover {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
     /**
-     * Time from a successor's start at which it accepts clients at the latest, while its predecessor finishes long
+     * Longest time from the start of a successor until it accepts clients, while its predecessor finishes long
      * requests. The deployment allows 6 s.
      */
     private static final long SUCCESSOR_READY_MILLIS = 4500;
@@ -31,7 +31,7 @@
     private final RequestCoordinator coordinator;
     private final ServiceState serviceState;
     private final long minKillDelayMillis;
-    /** When the process that will succeed this one started, in Unix milliseconds; NaN while there is none. */
+    /** Start time of the expected successor, in Unix milliseconds; NaN while there is none. */
     private double successorStartedAt = Double.NaN;
 
     /** Creates the handover; {@code minKillDelayMillis} is the shortest time from SIGTERM to SIGKILL. */
@@ -52,9 +52,7 @@
         this.minKillDelayMillis = minKillDelayMillis;
     }
 
-    /**
-     * Completes once the predecessor has no work left that waiting would save, or when this process has to be ready.
-     */
+    /** Completes once waiting would save no more of the predecessor's work, or when this process has to be ready. */
     Future<Void> whenPredecessorIdle() {
         Promise<Void> done = Promise.promise();
         pollPredecessor(done);
@@ -70,8 +68,8 @@
     }
 
     /**
-     * Checks whether another process will succeed this one, and announces when no work is left that waiting would
-     * save. Called periodically.
+     * Checks whether a successor is starting, and announces when waiting would save no more work of this process.
+     * Called periodically.
      */
     void checkForSuccessor() {
         double startedAt = serviceState.isDrainingOrStopping() ? Double.NaN : hotRestart.successorStartedAt();
@@ -79,7 +77,7 @@
             successorStartedAt = startedAt;
             coordinator.expectSuccessor(
                     startedAt + SUCCESSOR_READY_MILLIS, startedAt + SUCCESSOR_READY_MILLIS + minKillDelayMillis);
-            LOG.info("awaits-successor", "another process is to succeed this one; long jobs are held back");
+            LOG.info("awaits-successor", "a successor process is starting; holding back long requests");
             pollOwnWork();
         } else if (Double.isNaN(startedAt)
                 && !Double.isNaN(successorStartedAt)
--- a/src/main/java/nettlewick/net/Operations.java
+++ b/src/main/java/nettlewick/net/Operations.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 import nettlewick.core.Metrics;
 
-/** What operators can ask of a dispatcher. Called on the operators' event loop; implementations must not block. */
+/**
+ * The operations that operators can call on a dispatcher. Called on the admin event loop; implementations must not
+ * block.
+ */
 public interface Operations {
-    /** Whether this process takes clients. */
+    /** Whether this process accepts clients. */
     boolean isReady();
 
-    /** A copy of the metrics now. */
+    /** A snapshot of the metrics. */
     Metrics.Snapshot metrics();
 
     /** Metrics of parts that not every dispatcher has, by name without the common prefix. */
@@ -25,9 +28,9 @@
      */
     Future<Boolean> setEndpointDisabled(String endpoint, boolean isDisabled);
 
-    /** Starts to send clients away; false while this process starts or ends. */
+    /** Starts draining; returns false while this process is starting or shutting down. */
     boolean startDraining();
 
-    /** Takes clients again; false if this process ends. */
+    /** Stops draining; returns false if this process is shutting down. */
     boolean stopDraining();
 }
--- a/src/main/java/nettlewick/net/VertxFactory.java
+++ b/src/main/java/nettlewick/net/VertxFactory.java
@@ -12,8 +12,8 @@
     /** Creates an instance for a machine with one core and no disk: one event loop, no file cache and no DNS. */
     static Vertx create(Transport transport) {
         System.setProperty("vertx.disableDnsResolver", "true");
-        // Netty's allocator would start the flight recorder with its first buffer, which costs a fifth of a second
-        // of CPU at each start.
+        // Netty's allocator would start the JDK flight recorder with its first buffer, which costs 0.2 s of CPU time at
+        // each start.
         System.setProperty("io.netty.jfr.enabled", "false");
         return Vertx.builder()
                 .with(new VertxOptions()
--- a/src/main/java/nettlewick/net/WarmUp.java
+++ b/src/main/java/nettlewick/net/WarmUp.java
@@ -31,9 +31,9 @@
 import nettlewick.net.config.PlatformConfig;
 
 /**
- * Exercises the path of a request before the first one arrives, so that no client waits for classes to be
- * loaded and compiled: requests the own health page, and lets a throw-away scheduler decide on made-up
- * requests.
+ * Exercises the path of a request before the first one arrives, so that no client waits for classes to be loaded and
+ * compiled: sends health checks to a private frontend, and runs synthetic requests through a scheduler that is
+ * discarded afterwards.
  */
 final class WarmUp {
     private static final int HEALTH_REQUESTS = 20;
@@ -43,7 +43,7 @@
 
     private WarmUp() {}
 
-    /** Warms up by requests to a frontend at a port that no client knows; completes once that is closed. */
+    /** Runs the warm-up against a frontend on a port that no client knows; completes once that frontend is closed. */
     static Future<Void> run(Frontend.Environment environment, HttpClientAgent client) {
         PlatformConfig privateConfig = environment.config().withFreeListenPort();
         Frontend privateFrontend = new PlatformFrontend(new Frontend.Environment(
@@ -66,7 +66,7 @@
                 .compose(v -> privateFrontend.closeConnections(0));
     }
 
-    /** Requests the own health page repeatedly on one connection; a failure ends it quietly. */
+    /** Sends health checks on one connection; a failure ends the warm-up without an error. */
     private static Future<Void> warmUpSockets(HttpClientAgent client, SocketAddress listen) {
         return client.connect(new HttpConnectOptions()
                         .setServer(listen)
@@ -87,7 +87,7 @@
                 .compose(body -> requestHealth(client, requestsLeft - 1));
     }
 
-    /** Lets a scheduler whose actions nobody carries out decide on made-up requests. */
+    /** Runs synthetic requests through a scheduler whose actions are not carried out. */
     private static void warmUpScheduler(SchedulerSettings settings) {
         Dispatcher scheduler = Dispatcher.create(settings, 1);
         List<EndpointEntry> endpoints = new ArrayList<>();
@@ -100,7 +100,8 @@
         for (int index = 0; index < SYNTHETIC_REQUESTS; index++) {
             RequestClass requestClass =
                     settings.classes().get(index % settings.classes().size());
-            events.add(new Arrival("j" + index, requestClass.name(), null, requestClass.deadline(), 1, 0, 0, null, false));
+            events.add(
+                    new Arrival("j" + index, requestClass.name(), null, requestClass.deadline(), 1, 0, 0, null, false));
             long now = index * STEP_NANOS;
             List<Action> actions = scheduler.handle(now, events);
             events = new ArrayList<>();
--- a/src/main/java/nettlewick/net/client/ClientConnection.java
+++ b/src/main/java/nettlewick/net/client/ClientConnection.java
@@ -42,8 +42,8 @@
     private static final FramingValidator.Rejection PRECEDES_REJECTED =
             new FramingValidator.Rejection(429, "what came behind it is refused");
     /**
-     * Bytes read after a rejection, so that a reset does not destroy its response; beyond this the client's
-     * sending stalls.
+     * Bytes read and discarded after a rejection, so that a reset does not destroy its response. Beyond this nothing is
+     * read, and the client cannot send any more.
      */
     private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
@@ -369,7 +369,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A broken client connection is not worth a log line.
+        // Broken client connections are not logged.
         ctx.close();
     }
 }
--- a/src/main/java/nettlewick/net/client/ClientConnectionState.java
+++ b/src/main/java/nettlewick/net/client/ClientConnectionState.java
@@ -1,8 +1,8 @@
 package nettlewick.net.client;
 
 /**
- * The states of one client connection and its timeout in each. Holds no socket, so that it can be compared with a
- * model; times are the caller's, in milliseconds.
+ * The states of one client connection and its timeout in each. Holds no socket, so that tests can compare it
+ * with a model; the caller passes times in milliseconds.
  *
  * <pre>
  * WAITING ---bytes--> READING ---begin--> ANSWERING ---response--> WAITING
--- a/src/main/java/nettlewick/net/client/ConnectionLimiter.java
+++ b/src/main/java/nettlewick/net/client/ConnectionLimiter.java
@@ -178,7 +178,7 @@
 
     @Override
     public String name() {
-        return "nio, gated";
+        return "nio, connection-limited";
     }
 
     @Override
--- a/src/main/java/nettlewick/net/client/EventLoopTicks.java
+++ b/src/main/java/nettlewick/net/client/EventLoopTicks.java
@@ -1,15 +1,15 @@
 package nettlewick.net.client;
 
 /**
- * Tells, by regular ticks of an event loop, when it was held up, and so the earliest time at which something that it
- * finds may have arrived: meanwhile requests are unread in their sockets and connections wait in the kernel's queue,
- * while their clients' time runs. An event loop looks at its sockets before it ticks, so nothing waited in them at the
- * last tick. Holds no timer; times are the caller's, in milliseconds. Belongs to its event loop.
+ * Detects stalls of an event loop by regular ticks, and so tells the earliest time at which data that is read now may
+ * have arrived: during a stall, requests are unread in their sockets and connections wait in the kernel's queue, while
+ * the deadlines of their clients run. An event loop reads its sockets before it ticks, so nothing waited in them at the
+ * last tick. Holds no timer; the caller passes times in milliseconds. Used on its event loop only.
  */
 final class EventLoopTicks {
     /** The interval of the ticks. */
     static final long INTERVAL_MILLIS = 50;
-    /** From this time since the last tick on the event loop is held up. */
+    /** The event loop counts as stalled when the last tick is longer ago than this. */
     static final double STALL_THRESHOLD_MILLIS = INTERVAL_MILLIS + 10.0;
 
     private double lastTickAt;
@@ -18,12 +18,12 @@
         lastTickAt = now;
     }
 
-    /** The event loop has come round and has looked at its sockets; or nothing can have arrived before now. */
+    /** Records that the event loop has read its sockets, or that nothing can have arrived before now. */
     void tick(double now) {
         lastTickAt = now;
     }
 
-    /** The earliest time at which what is found now may have arrived. */
+    /** The earliest time at which data that is read now may have arrived. */
     double earliestArrival(double now) {
         return now - lastTickAt > STALL_THRESHOLD_MILLIS ? lastTickAt : now;
     }
--- a/src/main/java/nettlewick/net/client/HttpFrontend.java
+++ b/src/main/java/nettlewick/net/client/HttpFrontend.java
@@ -32,7 +32,7 @@
     private static final int MAX_READ_BYTES = 16 * 1024;
 
     private static final int READS_PER_ITERATION = 2;
-    /** How many connections that turn out to hold a request are skipped while one to evict is sought. */
+    /** Maximum number of connections examined to find one to evict; one that turns out to hold a request is skipped. */
     private static final int MAX_EVICTION_ATTEMPTS = 4;
 
     private static final long CLOSE_SWEEP_MILLIS = 20;
@@ -154,14 +154,16 @@
     }
 
     /**
-     * Closes the idle connection that was served least: one that was served nothing, else the one used least.
-     * By age alone, many idle clients would evict the regular ones.
+     * Closes the idle connection with the fewest served results, and of these the oldest. If only the age counted, many
+     * idle clients would evict the active ones.
      */
     private void evictFor(ClientConnection newConnection) {
         for (int attempt = 0; attempt < MAX_EVICTION_ATTEMPTS; attempt++) {
             ClientConnection candidate = connections.values().stream()
-                    .filter(connection -> connection != newConnection && connection.state().isIdle())
-                    .min(Comparator.comparingInt(connection -> connection.state().resultsServed()))
+                    .filter(connection ->
+                            connection != newConnection && connection.state().isIdle())
+                    .min(Comparator.comparingInt(
+                            connection -> connection.state().resultsServed()))
                     .orElse(null);
             if (candidate == null) {
                 break;
@@ -178,7 +180,7 @@
 
     @Override
     public final Future<Integer> listen() {
-        // No request can have arrived before, however long the event loop was held up by the start.
+        // No request can have arrived before, however long the event loop was stalled during the start.
         ticks.tick(environment.clock().nowMillis());
         return server.listen().map(HttpServer::actualPort);
     }
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -29,12 +29,12 @@
     private final BooleanSupplier canServe;
     private final TrafficListener trafficListener;
 
-    /** Creates a frontend whose traffic nobody observes. */
+    /** Creates a frontend without a traffic listener. */
     public PlatformFrontend(Environment environment) {
         this(environment, TrafficListener.NONE);
     }
 
-    /** Creates a frontend that shows its traffic to a listener. */
+    /** Creates a frontend that reports its traffic to a listener. */
     public PlatformFrontend(Environment environment, TrafficListener trafficListener) {
         super(environment, environment.config().listen(), -1);
         this.trafficListener = trafficListener;
--- a/src/main/java/nettlewick/net/client/RequestReader.java
+++ b/src/main/java/nettlewick/net/client/RequestReader.java
@@ -20,8 +20,8 @@
 public final class RequestReader {
     private static final String REQUEST_PATH = "/api";
     /**
-     * Responses are due this long before the client's deadline, which counts from its sending and not from
-     * our reading.
+     * Responses are due this long before the client's deadline, which counts from when the client sent the request and
+     * not from when it was read here.
      */
     private static final double DEADLINE_MARGIN_MILLIS = 20;
 
@@ -55,7 +55,7 @@
             double costHint,
             boolean clientRetry,
             ForwardedRequest forwarded) {
-        /** The request, with who asked for it. */
+        /** The request, with its caller. */
         public Request toRequest(Request.Caller caller) {
             return new Request(
                     id,
--- a/src/main/java/nettlewick/net/config/DescriptorBudget.java
+++ b/src/main/java/nettlewick/net/config/DescriptorBudget.java
@@ -1,25 +1,25 @@
 package nettlewick.net.config;
 
-/** How the descriptors that a dispatcher may open are divided between clients, endpoints and operators. */
+/** Divides the file descriptors of a dispatcher between clients, endpoints and operators. */
 public final class DescriptorBudget {
-    /** One descriptor in this many is for clients. */
+    /** Clients get one descriptor in this many. */
     private static final int CLIENT_DIVISOR = 3;
     /** Descriptors for neither clients nor endpoints: jar files, listeners, the discovery watch, selectors. */
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** Descriptors of the admin frontend: its callers, its listener, its two selectors. */
     /** How many connections of operators may be open. */
     public static final int MAX_ADMIN_CONNECTIONS = 24;
 
+    /** Descriptors of the admin frontend: its connections, its listener, its two selectors. */
     private static final int ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 8;
 
     private DescriptorBudget() {}
 
-    /** How many client connections may be open of this many descriptors. */
+    /** How many client connections may be open with this many descriptors. */
     public static int maxClientConnections(int maxSockets) {
         return maxSockets / CLIENT_DIVISOR;
     }
 
-    /** How many connections to endpoints may be open of this many descriptors, without an admin frontend. */
+    /** How many connections to endpoints may be open with this many descriptors, without an admin frontend. */
     public static int maxEndpointConnections(int maxSockets) {
         return Math.max(maxSockets / 8, maxSockets - maxClientConnections(maxSockets) - RESERVED_DESCRIPTORS);
     }
--- a/src/main/java/nettlewick/net/config/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/config/PlatformConfig.java
@@ -18,8 +18,8 @@
 import nettlewick.net.format.SocketAddressParser;
 
 /**
- * The configuration of a dispatcher: the file named by {@code $ROUTER_CONFIG}, with other environment
- * variables over it.
+ * The configuration of a dispatcher: the file named by {@code $ROUTER_CONFIG}, overridden by other
+ * environment variables.
  *
  * @param maxSockets how many descriptors the process may open
  * @param peerListen where peer messages are received; null for nowhere
@@ -54,7 +54,7 @@
     public static PlatformConfig load(Map<String, String> environment) {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null) {
-            throw new JsonFields.InvalidFieldException("ROUTER_CONFIG", null, "the path of the configuration");
+            throw new JsonFields.InvalidFieldException("ROUTER_CONFIG", null, "the path of the configuration file");
         }
         try {
             return parse(Files.readString(Path.of(file)), environment);
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Reads the configuration again, after SIGHUP. The discovery address of the file counts over
-     * $ROUTER_DISCOVERY, which is as old as the process.
+     * Reloads the configuration after SIGHUP. The discovery address in the file takes precedence over
+     * $ROUTER_DISCOVERY, which still has its value from the start of the process.
      */
     public static PlatformConfig reload(Map<String, String> environment) {
         Map<String, String> remaining = new HashMap<>(environment);
@@ -168,7 +168,7 @@
                 adminListen);
     }
 
-    /** This configuration listening at any free port, for a warm-up that no client sees. */
+    /** This configuration with any free port to listen on, for a warm-up that no client sees. */
     public PlatformConfig withFreeListenPort() {
         return new PlatformConfig(
                 name,
--- a/src/main/java/nettlewick/net/config/SettingsParser.java
+++ b/src/main/java/nettlewick/net/config/SettingsParser.java
@@ -16,7 +16,7 @@
 import nettlewick.decision.SchedulerSettings.Tenant;
 import nettlewick.net.format.JsonFields;
 
-/** Reads the scheduler settings of a configuration; the one place that knows their keywords. */
+/** Parses the scheduler settings of a configuration; their keywords are known only here. */
 final class SettingsParser {
     private static final long MAX_DURATION_NANOS = Long.MAX_VALUE / 4;
     private static final long DEFAULT_POLL_WITHIN_NANOS = 1_000_000_000;
@@ -51,7 +51,7 @@
                     parseLimits(ceilings),
                     parseRules(rules));
         } catch (IllegalArgumentException e) {
-            throw new JsonFields.InvalidFieldException("settings", e.getMessage(), "settings that make sense");
+            throw new JsonFields.InvalidFieldException("settings", e.getMessage(), "a consistent set of settings");
         }
     }
 
@@ -154,6 +154,8 @@
     }
 
     private static List<String> upperCaseKeywords(Set<String> keywords) {
-        return keywords.stream().map(value -> value.toUpperCase(Locale.ROOT)).toList();
+        return keywords.stream()
+                .map(keyword -> keyword.toUpperCase(Locale.ROOT))
+                .toList();
     }
 }
--- a/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
+++ b/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
@@ -29,7 +29,7 @@
     private final Clock clock;
     private final Consumer<EndpointListSnapshot> listener;
     private SocketAddress discovery;
-    /** Sequence number of the list as this address counts; below 0 before its first message. */
+    /** Sequence number of the last update from this address; negative before the first one. */
     private long sequence = -1;
 
     private final WatchStalenessTimer stalenessTimer;
@@ -61,7 +61,7 @@
         connect();
     }
 
-    /** Checks at its deadline whether the current call is broken; messages meanwhile postpone the deadline. */
+    /** Checks at its deadline whether the current call is stale; messages that arrive earlier postpone the deadline. */
     private void scheduleDeadlineCheck(int call) {
         double remainingMillis = stalenessTimer.deadline() - clock.nowMillis();
         vertx.setTimer(
@@ -90,7 +90,7 @@
                 .onFailure(e -> endCall(call, "cannot connect"))
                 .onSuccess(opened -> {
                     if (call != currentCall) {
-                        // The watch has moved on while this connection was established.
+                        // This call was replaced while its connection was being established.
                         opened.close();
                         return;
                     }
@@ -141,24 +141,22 @@
         if (!snapshot.faults().isEmpty()) {
             LOG.warning(
                     "entries-left-out",
-                    snapshot.faults().size() + " entries left out: "
+                    snapshot.faults().size() + " invalid entries skipped in the endpoint list; the first: "
                             + snapshot.faults().get(0).getMessage());
         }
         if (snapshot.complete() || snapshot.sequence() > sequence) {
             sequence = snapshot.sequence();
             listener.accept(snapshot);
         } else if (snapshot.sequence() < sequence) {
-            // Discovery has restarted and counts from the beginning: its changes mean nothing without a complete
-            // list.
+            // Discovery has restarted its sequence numbers: its changes cannot be applied without a complete list.
             sequence = -1;
             endCall(call, "versions start anew");
         }
     }
 
     /**
-     * Moves the watch to another address. The current list stays in force until a complete one arrives. The
-     * new service has its own sequence numbers: asked for changes after the old one's number, it might send
-     * nothing for long.
+     * Moves the watch to another address. The current list stays in force until a complete one arrives. The new service
+     * has its own sequence numbers: if asked for changes after the old number, it might send nothing for a long time.
      */
     public void moveTo(SocketAddress newAddress) {
         if (stopped || newAddress.equals(discovery)) {
@@ -175,7 +173,7 @@
         connect();
     }
 
-    /** Ends the watch for good; a call started on a closed client would throw. */
+    /** Stops the watch permanently; a call started on a closed client would throw. */
     public void stop() {
         currentCall++;
         stopped = true;
@@ -194,7 +192,7 @@
         long pauseMillis = (long) Math.ceil(stalenessTimer.callEnded(clock.nowMillis()));
         LOG.info(
                 "watch-broken",
-                "watch broken: " + reason + "; again in " + pauseMillis + " ms",
+                "watch on discovery ended: " + reason + "; reconnecting in " + pauseMillis + " ms",
                 "why",
                 reason,
                 "pause_ms",
--- a/src/main/java/nettlewick/net/discovery/EndpointListSnapshot.java
+++ b/src/main/java/nettlewick/net/discovery/EndpointListSnapshot.java
@@ -13,9 +13,9 @@
 /**
  * An endpoint update from discovery: the complete list, or only what changed.
  *
- * @param sequence version of the list as the service counts
+ * @param sequence version of the list, as counted by the service
  * @param complete whether the list replaces all former entries
- * @param faults why entries could not be read; these are left out and do not affect the others
+ * @param faults why entries could not be read; these are skipped and do not affect the others
  */
 public record EndpointListSnapshot(
         long sequence,
--- a/src/main/java/nettlewick/net/discovery/JsonObjectFramer.java
+++ b/src/main/java/nettlewick/net/discovery/JsonObjectFramer.java
@@ -6,9 +6,9 @@
 import nettlewick.net.format.JsonFields;
 
 /**
- * Splits the byte stream from discovery into JSON objects, on one line each or indented over several, however
- * the bytes are split. Only white space may stand between objects; a line that ends there shows that the
- * service is alive. Does no I/O.
+ * Splits the byte stream from discovery into JSON objects, each on one line or indented over several, regardless of how
+ * the bytes arrive. Only whitespace may separate objects; a line that ends there shows that the service is alive. Does
+ * no I/O.
  */
 final class JsonObjectFramer {
     /** Maximum length of one object, in bytes. */
@@ -23,7 +23,7 @@
      * Takes the next bytes and passes on each object that they complete.
      *
      * @return whether a line between objects, or an object, has ended
-     * @throws JsonFields.InvalidFieldException for anything that is neither an object nor white space, and
+     * @throws JsonFields.InvalidFieldException for anything that is neither an object nor whitespace, and
      *     for an object that is too long
      */
     boolean feed(byte[] bytes, Consumer<String> consumer) {
@@ -32,7 +32,7 @@
             if (depth == 0 && b != '{') {
                 if (b != ' ' && b != '\n' && b != '\r' && b != '\t') {
                     throw new JsonFields.InvalidFieldException(
-                            "the list", "no object: " + (char) (b & 0xFF), "JSON objects");
+                            "the list", "not an object: " + (char) (b & 0xFF), "JSON objects");
                 }
                 messageEnded |= b == '\n';
                 continue;
@@ -40,7 +40,7 @@
             object.write(b);
             if (object.size() > MAX_OBJECT_BYTES) {
                 throw new JsonFields.InvalidFieldException(
-                        "the list", "over " + MAX_OBJECT_BYTES + " bytes", "shorter");
+                        "the list", "over " + MAX_OBJECT_BYTES + " bytes", "a shorter object");
             }
             trackNesting(b);
             if (depth == 0) {
--- a/src/main/java/nettlewick/net/discovery/PollBackoff.java
+++ b/src/main/java/nettlewick/net/discovery/PollBackoff.java
@@ -3,16 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Exponential backoff with jitter between calls to discovery, in milliseconds. An agent on the own machine
- * bears any number of calls. A shared service handles the calls of all dispatchers one after another, so the
- * pauses grow with their number. Does no I/O; the random numbers are the caller's.
+ * Exponential backoff with jitter between calls to discovery, in milliseconds. An agent on the same machine can be
+ * called at any rate. A shared service handles the calls of all dispatchers one after another, so the pauses grow with
+ * the number of dispatchers. Does no I/O; the caller passes the random numbers.
  */
 final class PollBackoff {
     private static final double MIN_PAUSE_MILLIS = 100;
     private static final double MAX_PAUSE_MILLIS = 2000;
-    /** Longest pause for an agent: what it sends after its return is needed at once. */
+    /** Longest pause for an agent: once it is back, its updates are needed immediately. */
     private static final double AGENT_MAX_PAUSE_MILLIS = 400;
-    /** Time for the first message, of an agent and of a shared service at its slowest. */
+    /** Timeout for the first message, and its upper limit for a shared service. */
     private static final double FIRST_MESSAGE_TIMEOUT_MILLIS = 1500;
 
     private static final double MAX_FIRST_MESSAGE_TIMEOUT_MILLIS = 5000;
@@ -25,9 +25,12 @@
     private double ceilingMillis;
 
     /**
-     * @param asked  whether discovery is one service that is asked, not an agent that has been told
-     * @param askers dispatchers of the tier
-     * @param within who has not asked for so long counts as told (the settings' {@code ask_within}), in ms
+     * Creates a backoff.
+     *
+     * @param sharedService whether discovery is one service that all dispatchers call, not an agent of this one
+     * @param dispatchers number of dispatchers that call the service
+     * @param maxWaitMillis a dispatcher that has not called for this long counts as notified (the settings' {@code
+     *     ask_within})
      */
     PollBackoff(boolean sharedService, int dispatchers, double maxWaitMillis, SplittableRandom random) {
         this.sharedService = sharedService;
@@ -40,14 +43,14 @@
         ceilingMillis = minMillis;
     }
 
-    /** A list has arrived: the next pause is a short one again. */
+    /** Resets the backoff after a list has arrived: the next pause is short again. */
     void reset() {
         ceilingMillis = minMillis;
     }
 
     /**
-     * Time to wait for the first message; shorter, a call to a busy shared service would be repeated too
-     * early.
+     * Timeout for the first message of a call; with a shorter one, a call to a busy shared service would be repeated
+     * too early.
      */
     double firstMessageTimeoutMillis() {
         return firstMessageTimeoutMillis;
@@ -59,8 +62,8 @@
     }
 
     /**
-     * Draws the next pause; the limit for the one after doubles. Pauses for a shared service are drawn from
-     * the whole range, so that dispatchers cut off together return spread out.
+     * Draws the next pause and doubles the limit of the one after it. For a shared service the pause is drawn from the
+     * whole range, so that dispatchers that lose their connections together do not call again together.
      *
      * @param limitMillis upper limit of this pause
      */
--- a/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
+++ b/src/main/java/nettlewick/net/discovery/WatchStalenessTimer.java
@@ -4,29 +4,32 @@
 import nettlewick.decision.SchedulerSettings;
 
 /**
- * Decides when a watch on discovery counts as broken and when it is resumed (docs/service.md). What a silent
- * watch misses counts as notified {@link #NOTIFIED_AFTER_MILLIS} later, whether it arrived or not; where a
- * call may have to wait for the service, {@link #NOTIFIED_AFTER_WAIT_MILLIS} after that wait, if later. So a
- * silent watch has to be noticed, resumed and answered within that time, with failing calls in between. Times
- * are in milliseconds. Does no I/O: the caller passes the time and the random numbers.
+ * Decides when a watch on discovery counts as broken and when it is resumed (docs/service.md). A dispatcher counts as
+ * notified of a change {@link #NOTIFIED_AFTER_MILLIS} after it, whether the change has arrived or not; where a call may
+ * have to wait for the service, {@link #NOTIFIED_AFTER_WAIT_MILLIS} after that wait, if that is later. So a silent
+ * watch has to be detected, resumed and answered within that time, even if some of the calls fail. Times are in
+ * milliseconds. Does no I/O: the caller passes the time and the random numbers.
  */
 public final class WatchStalenessTimer {
-    /** What a silent watch missed counts as notified after this time. */
+    /** A dispatcher counts as notified of a change after this time, even if its watch was silent. */
     static final double NOTIFIED_AFTER_MILLIS = 6000;
     /** Discovery writes an empty line this often while nothing changes. */
     private static final double KEEP_ALIVE_INTERVAL_MILLIS = 2000;
-    /** Silence after which a watch is broken: an agent can be called freely, a shared service cannot. */
+    /**
+     * Silence after which a watch counts as broken; longer for a shared service, which, unlike an agent, cannot be
+     * called at any rate.
+     */
     private static final double AGENT_SILENCE_MILLIS = 1.5 * KEEP_ALIVE_INTERVAL_MILLIS;
 
     private static final double SHARED_SERVICE_SILENCE_MILLIS = 2.25 * KEEP_ALIVE_INTERVAL_MILLIS;
-    /** Time after the wait for a shared service at which what was missed counts as notified. */
+    /** Time after the wait for a shared service at which a dispatcher counts as notified. */
     private static final double NOTIFIED_AFTER_WAIT_MILLIS = 2000;
-    /** Time for connection and first message of an agent that has answered before. */
+    /** Timeout for connection and first message of an agent that has answered before. */
     private static final double KNOWN_AGENT_FIRST_MESSAGE_MILLIS = 700;
 
     /**
-     * A first message that stops halfway, on a call that replaces a broken one, is given up this early twice,
-     * which leaves time for a third call. After that a slow agent is waited for.
+     * Timeout for the rest of the first message on a call that replaces a broken one. It applies to the first two such
+     * calls, which leaves time for a third; after that, a slow agent gets the full time.
      */
     private static final double PARTIAL_FIRST_MESSAGE_MILLIS = 800;
 
@@ -42,7 +45,7 @@
     private boolean receivedMessage;
     /** Whether an earlier call failed or was to another address. */
     private boolean isReplacement;
-    /** Consecutive calls that were given up in the middle of their first message. */
+    /** Consecutive calls that ended in the middle of their first message. */
     private int partialFirstMessages;
 
     private double deadline = Double.POSITIVE_INFINITY;
@@ -50,8 +53,10 @@
     private double silentSince = Double.NaN;
 
     /**
-     * @param pause  the pauses between calls
-     * @param within where discovery is asked: for how long a call may wait, in ms
+     * Creates a timer.
+     *
+     * @param backoff the pauses between calls
+     * @param maxWaitMillis for how long a call to a shared service may have to wait
      */
     WatchStalenessTimer(PollBackoff backoff, double maxWaitMillis) {
         this.backoff = backoff;
@@ -62,9 +67,9 @@
     }
 
     /**
-     * A timer for these settings.
+     * Creates a timer for these settings.
      *
-     * @param seed of the random numbers of the pauses
+     * @param seed the seed of the random pauses
      */
     public static WatchStalenessTimer of(SchedulerSettings settings, long seed) {
         double maxWaitMillis = settings.rules().listRequestWithinNanos() / 1e6;
@@ -74,12 +79,12 @@
                 maxWaitMillis);
     }
 
-    /** Longest time from the last message until what a watch missed counts as notified, in milliseconds. */
+    /** Time from the last message until changes missed since then count as notified, in milliseconds. */
     double notifiedAfterMillis() {
         return notifiedAfterMillis;
     }
 
-    /** A call starts; it has to connect and bring its first message before the deadline. */
+    /** Records the start of a call, which has to connect and deliver its first message before the deadline. */
     void callStarted(double now) {
         receivedBytes = false;
         receivedMessage = false;
@@ -90,8 +95,8 @@
     }
 
     /**
-     * Part of a message has arrived: a long first message is waited for, but none for longer than the allowed
-     * silence.
+     * Records that part of a message has arrived. This gives a long first message more time, but never more than the
+     * allowed silence.
      */
     void bytesReceived(double now) {
         if (!receivedBytes) {
@@ -101,7 +106,7 @@
         }
     }
 
-    /** A complete message has arrived; an empty line is one. */
+    /** Records a complete message; an empty line counts as one. */
     void messageReceived(double now) {
         receivedBytes = true;
         receivedMessage = true;
@@ -112,7 +117,7 @@
         lastMessageAt = now;
     }
 
-    /** A valid list or change has arrived: the next pause is a short one again. */
+    /** Records a valid list or change: the next pause is short again. */
     void listReceived() {
         backoff.reset();
     }
@@ -123,8 +128,8 @@
     }
 
     /**
-     * The call is over; returns the pause until the next one, in milliseconds. Until what may have been
-     * missed counts as notified, the pause leaves time for one more call.
+     * Records the end of the call; returns the pause until the next one, in milliseconds. Until changes that may have
+     * been missed count as notified, the pause leaves time for one more call.
      */
     double callEnded(double now) {
         deadline = Double.POSITIVE_INFINITY;
@@ -135,7 +140,7 @@
         return backoff.nextPauseMillis(remainingMillis > 0 ? remainingMillis : Double.POSITIVE_INFINITY);
     }
 
-    /** Discovery has another address, of which nothing is known. */
+    /** Discards what is known about the service, after its address has changed. */
     void addressChanged() {
         hasEverAnswered = false;
         isReplacement = true;
--- a/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
+++ b/src/main/java/nettlewick/net/endpoint/AttemptExchange.java
@@ -14,7 +14,7 @@
 
 /** One attempt to have an endpoint serve a request; the response reports its progress line by line. */
 final class AttemptExchange extends OutboundRequest {
-    /** A result has 64 KiB at most, and JSON may need six bytes for one. */
+    /** A result has at most 64 KiB, and JSON may need six bytes to encode one. */
     private static final int MAX_LINE_BYTES = 6 * 65536 + 4096;
 
     /** A duplicate response follows the first within this time. */
@@ -82,7 +82,7 @@
         try {
             JsonFields fields = JsonFields.parse("a line", text);
             if (fields.has("id") && !fields.text("id").equals(attempt.request().id())) {
-                // A line for another request: what became of this one is unknown, and it counts as failed.
+                // The line belongs to another request: whether this one ran is unknown, so it counts as failed.
                 finish(AttemptResult.ERROR, null, null);
                 return;
             }
--- a/src/main/java/nettlewick/net/endpoint/AttemptState.java
+++ b/src/main/java/nettlewick/net/endpoint/AttemptState.java
@@ -3,8 +3,7 @@
 import nettlewick.decision.AttemptResult;
 
 /**
- * Whether an attempt may have run, and its single result. Holds no socket, so that it can be compared with a
- * model.
+ * Whether an attempt may have run, and its single result. Holds no socket, so that tests can compare it with a model.
  */
 final class AttemptState {
     /** The phases of an attempt. */
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
@@ -12,7 +12,7 @@
  * never reached the endpoint is known as such. Lives on the event loop.
  */
 final class EndpointConnections {
-    /** Idle connections are closed after this fraction of the time at which the endpoint's machine closes them. */
+    /** Idle connections are closed after this fraction of the endpoint's own idle timeout. */
     private static final double IDLE_TIMEOUT_FACTOR = 0.6;
 
     private static final double MAX_RESET_WAIT_MILLIS = 20;
--- a/src/main/java/nettlewick/net/endpoint/OutboundRequest.java
+++ b/src/main/java/nettlewick/net/endpoint/OutboundRequest.java
@@ -10,7 +10,7 @@
 
 /** One request to an endpoint and its response: an attempt or a load probe. Lives on the event loop. */
 abstract class OutboundRequest {
-    /** Time for the rest of a response whose result is known; then its connection is closed. */
+    /** Time in which the rest of a response must arrive once its result is known; then its connection is closed. */
     private static final long RESPONSE_TAIL_MILLIS = 1000;
 
     static final int OK = 200;
@@ -186,7 +186,7 @@
         }
     }
 
-    /** Nobody waits for the request any more: its connection is closed. */
+    /** Cancels the request, whose response nobody waits for any more, by closing its connection. */
     void cancel() {
         if (state.finish(AttemptResult.CANCELLED) != null) {
             pools.requestFinished(this);
--- a/src/main/java/nettlewick/net/format/JsonFields.java
+++ b/src/main/java/nettlewick/net/format/JsonFields.java
@@ -10,8 +10,7 @@
 import java.util.List;
 
 /**
- * The fields of one JSON object, read with their type and range. A field that is missing or invalid is
- * reported in one plain line.
+ * Reads the fields of one JSON object with their types and ranges. A missing or invalid field is reported in one line.
  */
 public final class JsonFields {
     /**
@@ -78,7 +77,7 @@
         if (e instanceof JsonPrimitive p && p.isString()) {
             return p.getAsString();
         }
-        throw new InvalidFieldException(path(name), e, "a text");
+        throw new InvalidFieldException(path(name), e, "a string");
     }
 
     /** The string in this field, or the default if the field is absent. */
@@ -163,7 +162,7 @@
         List<String> texts = new ArrayList<>();
         for (JsonElement e : array(name)) {
             if (!(e instanceof JsonPrimitive p && p.isString())) {
-                throw new InvalidFieldException(path(name) + "[" + texts.size() + "]", e, "a text");
+                throw new InvalidFieldException(path(name) + "[" + texts.size() + "]", e, "a string");
             }
             texts.add(e.getAsString());
         }
--- a/src/main/java/nettlewick/net/format/SocketAddressParser.java
+++ b/src/main/java/nettlewick/net/format/SocketAddressParser.java
@@ -5,7 +5,7 @@
 
 /** Reads socket addresses, which are an IP address and a port. */
 public final class SocketAddressParser {
-    // A host name would need DNS, which the platform does not have, and would block.
+    // Host names are not accepted: the platform has no DNS, and a lookup would block.
     private static final Pattern IPV4_LITERAL = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}");
 
     private SocketAddressParser() {}
--- a/src/main/java/nettlewick/net/lifecycle/DisabledEndpointStore.java
+++ b/src/main/java/nettlewick/net/lifecycle/DisabledEndpointStore.java
@@ -19,14 +19,14 @@
 import nettlewick.net.format.JsonFields;
 
 /**
- * The endpoints that operators have disabled, stored in a file that the processes of an upgrade share. Lives
- * on one thread of each process.
+ * The endpoints that operators have disabled, stored in a file that both processes of a hot restart share. Used by one
+ * thread of each process.
  */
 public final class DisabledEndpointStore {
     private static final ComponentLogger LOG = ComponentLogger.of("bans");
     /**
-     * How long an enabled endpoint is remembered, for a process that starts meanwhile and has to apply its
-     * slow start.
+     * How long the entry of an enabled endpoint is kept, so that a process that starts in the meantime applies its slow
+     * start.
      */
     private static final double ENABLED_ENTRY_RETENTION_MILLIS = 60_000;
 
@@ -39,7 +39,7 @@
     private Map<String, Entry> entries = new LinkedHashMap<>();
     private Object lastFileStamp;
 
-    /** Creates a store on this file; null keeps the entries in memory alone. */
+    /** Creates a store in this file; null keeps the entries in memory only. */
     public DisabledEndpointStore(Path file) {
         this.file = file;
     }
@@ -60,8 +60,8 @@
             change(endpoint, disabled, now);
             return changedSince(before);
         }
-        // Both processes of an upgrade may be called at once; without the lock the later would undo the earlier
-        // change.
+        // Operators may call both processes of a hot restart at once; without the lock, the later change would undo the
+        // earlier one.
         try (FileChannel channel =
                         FileChannel.open(sibling(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.lock()) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** What has changed in the file since this was last called; everything the first time. */
+    /** Returns what has changed in the file since the last call; all entries the first time. */
     public List<Entry> readChanges() {
         if (file == null || Objects.equals(lastFileStamp, fileStamp())) {
             return List.of();
@@ -115,12 +115,12 @@
         }
     }
 
-    /** Reads the file; one that cannot be read must not enable endpoints that are under repair. */
+    /** Reads the file. If it is unreadable, the entries in memory stay: endpoints under repair must not be enabled. */
     private void read() {
         try {
             Map<String, Entry> read = new LinkedHashMap<>();
-            List<JsonFields> rows =
-                    JsonFields.parse("the bans", Files.readString(file)).objects("bans");
+            List<JsonFields> rows = JsonFields.parse("the file of disabled endpoints", Files.readString(file))
+                    .objects("bans");
             for (JsonFields row : rows) {
                 Entry entry =
                         new Entry(row.text("runner"), row.flag("out"), row.number("since", 0, MAX_TIMESTAMP_MILLIS));
@@ -130,7 +130,9 @@
         } catch (NoSuchFileException e) {
             // No endpoint was ever disabled.
         } catch (IOException | JsonFields.InvalidFieldException e) {
-            LOG.warning("bans-unreadable", "the bans held stay: " + e.getMessage());
+            LOG.warning(
+                    "bans-unreadable",
+                    "cannot read the disabled endpoints; keeping those in memory: " + e.getMessage());
         }
     }
 
--- a/src/main/java/nettlewick/net/lifecycle/HotRestart.java
+++ b/src/main/java/nettlewick/net/lifecycle/HotRestart.java
@@ -17,8 +17,8 @@
 import java.util.List;
 
 /**
- * Which other processes run as the same dispatcher, known by files in a shared folder. Each process holds a
- * lock on its own file; the kernel releases it however the process ends. Safe for any thread.
+ * Finds the other processes of the same dispatcher by files in a shared folder. Each process holds a lock on its own
+ * file; the kernel releases it however the process ends. Safe for any thread.
  */
 public final class HotRestart implements AutoCloseable {
     private static final String ALIVE_SUFFIX = ".alive";
@@ -47,8 +47,7 @@
         ownName = String.format(
                 "%s%013d-%d%s", prefix, startedAt, ProcessHandle.current().pid(), ALIVE_SUFFIX);
         try {
-            // Locked before it gets its name: without a lock the file would be taken for a dead process's and
-            // deleted.
+            // Locked before it gets its name: an unlocked file would be taken for that of a dead process and deleted.
             Path unnamedFile = Files.createTempFile(folder, "nettlewick", ".new");
             channel = FileChannel.open(unnamedFile, StandardOpenOption.WRITE);
             channel.lock();
@@ -72,7 +71,7 @@
         }
     }
 
-    /** Announces that this process has no work that a successor would save by waiting. */
+    /** Announces that waiting would save no work of this process. */
     public void markIdle() {
         try {
             channel.write(ByteBuffer.wrap(IDLE_MARK), SERVING_MARK.length);
@@ -89,8 +88,7 @@
     }
 
     /**
-     * When the latest process that will succeed this one, and does not accept clients yet, started: Unix time
-     * in milliseconds, NaN if there is none.
+     * Start time of the latest successor that does not accept clients yet, in Unix milliseconds; NaN if there is none.
      */
     public double successorStartedAt() {
         return otherProcesses().stream()
--- a/src/main/java/nettlewick/net/lifecycle/ServiceState.java
+++ b/src/main/java/nettlewick/net/lifecycle/ServiceState.java
@@ -1,13 +1,13 @@
 package nettlewick.net.lifecycle;
 
 /**
- * Whether this process serves clients, is drained, shuts down or hands over to a successor. Holds no socket.
- * Safe for any thread; times are the caller's, in milliseconds.
+ * Whether this process serves clients, is drained, shuts down or hands over to a successor. Holds no socket. Safe for
+ * any thread; the caller passes times in milliseconds.
  */
 public final class ServiceState {
     /**
-     * The phases of a process. In CLOSING nothing more is accepted: idle connections are closed, others with
-     * their response.
+     * The phases of a process. In CLOSING nothing more is accepted: idle connections are closed, and others after their
+     * response.
      */
     enum Phase {
         STARTING,
@@ -19,8 +19,8 @@
     }
 
     /**
-     * How long idle connections stay open after a drain. The load balancer notices within 0.1 s and
-     * connections arrive for 0.2 s more; closed sooner, one may cut off a request just sent. None may be left
+     * How long idle connections stay open after a drain. The load balancer notices the drain within 0.1 s and
+     * connections arrive for 0.2 s more; closing sooner could cut off a request just sent. No connection may be left
      * after 4 s.
      */
     public static final double IDLE_CLOSE_DELAY_MILLIS = 600;
@@ -28,14 +28,14 @@
     private Phase phase = Phase.STARTING;
     private double drainedAt;
 
-    /** The process is ready to serve clients. */
+    /** Records that the process is ready to serve clients. */
     public synchronized void startServing() {
         phase = phase == Phase.STARTING ? Phase.SERVING : phase;
     }
 
     /**
-     * Drains the process; repeated calls have no further effect. Returns false while this process starts or
-     * ends.
+     * Drains the process; repeated calls have no further effect. Returns false while this process is starting or
+     * shutting down.
      */
     public synchronized boolean drain(double now) {
         if (phase == Phase.SERVING) {
@@ -45,14 +45,14 @@
         return phase == Phase.DRAINED;
     }
 
-    /** Undoes a drain; returns false if this process ends. */
+    /** Undoes a drain; returns false if this process is shutting down. */
     public synchronized boolean resume() {
         phase = phase == Phase.DRAINED ? Phase.SERVING : phase;
         return phase == Phase.SERVING || phase == Phase.STARTING;
     }
 
     /**
-     * The graceful shutdown has begun.
+     * Records that the graceful shutdown has begun.
      *
      * @param hasSuccessor whether another process accepts new clients at this address
      */
@@ -60,7 +60,7 @@
         phase = phase == Phase.CLOSING ? phase : hasSuccessor ? Phase.HANDING_OVER : Phase.SHUTTING_DOWN;
     }
 
-    /** The graceful shutdown closes all connections. */
+    /** Records that the graceful shutdown now closes all connections. */
     public synchronized void closeConnections() {
         phase = Phase.CLOSING;
     }
@@ -71,14 +71,14 @@
     }
 
     /**
-     * Whether {@code /_health} may succeed. A process that hands over shares its address with its successor;
-     * failing would turn the load balancer away from both.
+     * Whether {@code /_health} may succeed. A process that hands over shares its address with its successor; a failing
+     * health check would make the load balancer avoid both.
      */
     public synchronized boolean isHealthy() {
         return phase == Phase.STARTING || phase == Phase.SERVING || phase == Phase.HANDING_OVER;
     }
 
-    /** Whether this process drains or ends. */
+    /** Whether this process is drained or shutting down. */
     public synchronized boolean isDrainingOrStopping() {
         return phase != Phase.SERVING && phase != Phase.STARTING;
     }
--- a/src/main/java/nettlewick/net/peer/PeerSocket.java
+++ b/src/main/java/nettlewick/net/peer/PeerSocket.java
@@ -29,7 +29,7 @@
     private final Vertx vertx;
     private DatagramSocket socket;
     private final Map<String, Integer> ranksByAddress = new HashMap<>();
-    /** Ignored datagrams: those longer than the protocol allows, and those from an address that is no peer's. */
+    /** Ignored datagrams: those longer than the protocol allows, and those from an unknown sender. */
     private final AtomicLong oversized = new AtomicLong();
 
     private final AtomicLong unknownSenders = new AtomicLong();
@@ -61,10 +61,10 @@
         socket = vertx.createDatagramSocket(new DatagramSocketOptions());
         socket.exceptionHandler(e -> {});
         socket.handler(packet -> {
-            // Anybody can send a datagram: only short ones from a known dispatcher are accepted.
+            // Anyone can send a datagram: only short ones from a known dispatcher are accepted.
             Integer rank = ranksByAddress.get(key(packet.sender()));
             if (rank == null || rank == config.settings().rank()) {
-                countIgnored(unknownSenders, "from an address that is no peer's, " + key(packet.sender()));
+                countIgnored(unknownSenders, "from an unknown sender, " + key(packet.sender()));
             } else if (packet.data().length() > MAX_DATAGRAM_BYTES) {
                 countIgnored(oversized, "of " + packet.data().length() + " bytes, from " + key(packet.sender()));
             } else {
@@ -91,8 +91,7 @@
         if (counter.getAndIncrement() == 0) {
             LOG.warning(
                     "datagram-passed-over",
-                    "a datagram " + description
-                            + " is passed over; such are counted in the figures from now on, not logged again");
+                    "ignored a datagram " + description + "; further ones are counted in the metrics but not logged");
         }
     }
 
--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -82,7 +82,9 @@
         exchange(port, requestBytes("/api", "c", "mark-submit", "", "Connection: close"));
         platform.instead = request -> {};
         Socket pendingClient = new Socket("127.0.0.1", port);
-        pendingClient.getOutputStream().write(requestBytes("/api", "d", "save-run", "").getBytes());
+        pendingClient
+                .getOutputStream()
+                .write(requestBytes("/api", "d", "save-run", "").getBytes());
         until(() -> call("GET", "/-/metrics").contains("router.open_requests=1\n")
                 && call("GET", "/-/metrics").contains("router.relayed=3\n"));
         String metrics = call("GET", "/-/metrics");
@@ -105,7 +107,8 @@
         assertTrue(call("GET", "/-/nothing").startsWith("404"));
         assertTrue(call("POST", "/-/ready").startsWith("405"));
         assertTrue(call("GET", "/-/drain").startsWith("405"));
-        assertEquals("200", exchange(platform.dispatcher().ports().get(0), HEALTH).substring(9, 12));
+        assertEquals(
+                "200", exchange(platform.dispatcher().ports().get(0), HEALTH).substring(9, 12));
     }
 
     /** Guards against silent callers, who would hold all descriptors of the operators' front. */
--- a/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
+++ b/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
@@ -28,7 +28,8 @@
         return start(config(), additionalFactories);
     }
 
-    public DispatcherServer start(Map<String, Object> config, Frontend.Factory... additionalFactories) throws Exception {
+    public DispatcherServer start(Map<String, Object> config, Frontend.Factory... additionalFactories)
+            throws Exception {
         List<Frontend.Factory> factories = new ArrayList<>(List.of(PlatformFrontend::new));
         factories.addAll(List.of(additionalFactories));
         dispatcher = new DispatcherServer(
--- a/src/test/java/nettlewick/net/DispatcherServerTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -81,7 +81,9 @@
 
     private static int contentLength(String text) {
         int headerIndex = text.toLowerCase(Locale.ROOT).indexOf("content-length: ");
-        return headerIndex < 0 ? -1 : Integer.parseInt(text.substring(headerIndex + 16, text.indexOf("\r\n", headerIndex)));
+        return headerIndex < 0
+                ? -1
+                : Integer.parseInt(text.substring(headerIndex + 16, text.indexOf("\r\n", headerIndex)));
     }
 
     @Test
@@ -131,7 +133,8 @@
             for (int i = 0; i < 120; i++) {
                 idleClients.add(new Socket("127.0.0.1", port));
                 if (i % 40 == 0) {
-                    activeClient.getOutputStream()
+                    activeClient
+                            .getOutputStream()
                             .write(requestBytes("/api", "u" + i, "step-view", "")
                                     .getBytes());
                     assertTrue(activeClient.getInputStream().read(new byte[4096]) > 0, "still connected, and served");
@@ -298,7 +301,9 @@
             config.put("discovery", "127.0.0.1:1");
             config.put("name", "n9");
             PlatformConfig moved = PlatformConfig.parse(new Gson().toJson(config), Map.of());
-            assertEquals(List.of("name"), PlatformConfig.parse(originalConfig, Map.of()).restartOnlyChanges(moved));
+            assertEquals(
+                    List.of("name"),
+                    PlatformConfig.parse(originalConfig, Map.of()).restartOnlyChanges(moved));
             dispatcher.reload(moved);
             until(() -> dispatcher.discovery().port() == 1);
             assertTrue(
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -120,9 +120,12 @@
         }
     }
 
-    private static void assertForwardedDeadline(double deadlineSeconds, long sentAt, long receivedAt, RawEndpoint.ReceivedRequest request) {
+    private static void assertForwardedDeadline(
+            double deadlineSeconds, long sentAt, long receivedAt, RawEndpoint.ReceivedRequest request) {
         double forwardedSeconds = Double.parseDouble(request.header("x-deadline"));
         double remainingSeconds = deadlineSeconds - (receivedAt - sentAt) / 1e9;
-        assertTrue(forwardedSeconds <= remainingSeconds + 0.15, "told " + forwardedSeconds + " s with " + remainingSeconds + " s left");
+        assertTrue(
+                forwardedSeconds <= remainingSeconds + 0.15,
+                "told " + forwardedSeconds + " s with " + remainingSeconds + " s left");
     }
 }
--- a/src/test/java/nettlewick/net/FragmentedMessagesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -94,33 +94,34 @@
     @Test
     void readsAnAdminCallSplitAtAnyByte() throws Exception {
         List<String> calls = new CopyOnWriteArrayList<>();
-        AdminFrontend adminFrontend = new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
-            @Override
-            public boolean isReady() {
-                return true;
-            }
+        AdminFrontend adminFrontend =
+                new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
+                    @Override
+                    public boolean isReady() {
+                        return true;
+                    }
 
-            @Override
-            public Metrics.Snapshot metrics() {
-                return null;
-            }
+                    @Override
+                    public Metrics.Snapshot metrics() {
+                        return null;
+                    }
 
-            @Override
-            public Future<Boolean> setEndpointDisabled(String endpoint, boolean isDisabled) {
-                calls.add(endpoint + isDisabled);
-                return Future.succeededFuture(true);
-            }
+                    @Override
+                    public Future<Boolean> setEndpointDisabled(String endpoint, boolean isDisabled) {
+                        calls.add(endpoint + isDisabled);
+                        return Future.succeededFuture(true);
+                    }
 
-            @Override
-            public boolean startDraining() {
-                return false;
-            }
+                    @Override
+                    public boolean startDraining() {
+                        return false;
+                    }
 
-            @Override
-            public boolean stopDraining() {
-                return false;
-            }
-        });
+                    @Override
+                    public boolean stopDraining() {
+                        return false;
+                    }
+                });
         int port = get(adminFrontend.listen());
         byte[] call = "POST /-/sim-runners/s-%C3%A9/disable HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"
                 .getBytes(StandardCharsets.US_ASCII);
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -32,7 +32,8 @@
             try (RawClient remainingClient = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        remainingClient.send(requestBytes("/api", "stays", "step-view", ""))
+                        remainingClient
+                                .send(requestBytes("/api", "stays", "step-view", ""))
                                 .read()
                                 .body());
             }
@@ -62,7 +63,8 @@
             try (RawClient remainingClient = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        remainingClient.send(requestBytes("/api", "stays", "step-view", ""))
+                        remainingClient
+                                .send(requestBytes("/api", "stays", "step-view", ""))
                                 .read()
                                 .body());
             }
--- a/src/test/java/nettlewick/net/MalformedResponseTest.java
+++ b/src/test/java/nettlewick/net/MalformedResponseTest.java
@@ -166,7 +166,8 @@
         endpoint.script = (request, socket) -> response.write(socket, request.id());
         try (RawClient client = new RawClient(port)) {
             long sentAt = System.nanoTime();
-            RawClient.Response received = client.send(requestWithShortDeadline("a")).read();
+            RawClient.Response received =
+                    client.send(requestWithShortDeadline("a")).read();
             double elapsedSeconds = (System.nanoTime() - sentAt) / 1e9;
             assertEquals(response.served ? 200 : 502, received.status(), received.body());
             assertEquals(response.served, received.body().equals("r-a"), received.body());
@@ -177,7 +178,8 @@
                     client.send(requestBytes("/api", "b", "step-view", "")).read();
             assertTrue(next.body().equals("r-b") || next.status() == 503, next.head() + next.body());
         }
-        assertEquals(1, endpoint.receivedIds().stream().filter("a"::equals).count(), "it may have run: never sent again");
+        assertEquals(
+                1, endpoint.receivedIds().stream().filter("a"::equals).count(), "it may have run: never sent again");
     }
 
     /** Guards against pipelined requests that go on for a client that has left. */
@@ -185,7 +187,9 @@
     void pipelinedRequestsOfADepartedClientAreNeverForwarded() throws Exception {
         endpoint.script = (request, socket) -> {};
         RawClient departedClient = new RawClient(port);
-        departedClient.send(requestWithShortDeadline("first") + requestWithShortDeadline("second") + requestWithShortDeadline("third"));
+        departedClient.send(requestWithShortDeadline("first")
+                + requestWithShortDeadline("second")
+                + requestWithShortDeadline("third"));
         until(() -> endpoint.received.size() == 1);
         departedClient.close();
         until(() -> !platform.dispatcher().frontends().get(0).hasConnections());
@@ -193,7 +197,8 @@
         try (RawClient remainingClient = new RawClient(port)) {
             until(() -> {
                 try {
-                    return remainingClient.send(requestBytes("/api", "x" + System.nanoTime(), "step-view", ""))
+                    return remainingClient
+                                    .send(requestBytes("/api", "x" + System.nanoTime(), "step-view", ""))
                                     .read()
                                     .status()
                             == 200;
--- a/src/test/java/nettlewick/net/MismatchedResponseTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -75,7 +75,8 @@
             }
             assertEquals(List.of("a", "b", "c"), endpoint.receivedIds());
             assertNotEquals(
-                    endpoint.received.get(0).connection(), endpoint.received.get(1).connection());
+                    endpoint.received.get(0).connection(),
+                    endpoint.received.get(1).connection());
             DispatcherOnStubPlatform.get(dispatcher.close());
         }
     }
--- a/src/test/java/nettlewick/net/RawEndpoint.java
+++ b/src/test/java/nettlewick/net/RawEndpoint.java
@@ -106,7 +106,8 @@
                 ReceivedRequest withoutId = new ReceivedRequest(number, null, head.toString());
                 String length = withoutId.header("content-length");
                 in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                ReceivedRequest request = new ReceivedRequest(number, withoutId.header("x-request-id"), withoutId.head());
+                ReceivedRequest request =
+                        new ReceivedRequest(number, withoutId.header("x-request-id"), withoutId.head());
                 if (request.id() == null) {
                     write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ndepth=0,concurrent=0,x0=4");
                 } else {
@@ -127,7 +128,8 @@
 
     /** An answer with its one last line, for the request of that id. */
     static String servedResponse(String id) {
-        return chunkedResponse("{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
+        return chunkedResponse(
+                "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
     }
 
     /** A chunked answer of one chunk. */
--- a/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
@@ -60,7 +60,8 @@
                     address,
                     Clock.stoppedAt(0),
                     new WatchStalenessTimer(new PollBackoff(false, 1, 0, new SplittableRandom(1)), 0),
-                    snapshot -> receivedIds.add(snapshot.endpoints().get(0).entry().id()));
+                    snapshot ->
+                            receivedIds.add(snapshot.endpoints().get(0).entry().id()));
             watch.start(null);
             int expectedCount = i;
             until(() -> receivedIds.size() >= expectedCount);
--- a/src/test/java/nettlewick/net/discovery/PollBackoffTest.java
+++ b/src/test/java/nettlewick/net/discovery/PollBackoffTest.java
@@ -40,16 +40,28 @@
                     .takeWhile(t -> t < 30_000)
                     .toArray();
         }
-        double[] allCallTimes =
-                Arrays.stream(callTimes).flatMapToDouble(Arrays::stream).sorted().toArray();
+        double[] allCallTimes = Arrays.stream(callTimes)
+                .flatMapToDouble(Arrays::stream)
+                .sorted()
+                .toArray();
         // 80 ms a call at the slowest: 12 calls a second. Eight agents' rhythm would make 40 in the first one.
         for (int second = 0; second < 30; second++) {
             int fromMillis = 1000 * second;
             assertTrue(
-                    Arrays.stream(allCallTimes).filter(t -> t >= fromMillis && t < fromMillis + 1000).count() <= 24, fromMillis + " ms");
+                    Arrays.stream(allCallTimes)
+                                    .filter(t -> t >= fromMillis && t < fromMillis + 1000)
+                                    .count()
+                            <= 24,
+                    fromMillis + " ms");
         }
         assertTrue(allCallTimes.length <= 8 * 20, allCallTimes.length + " calls in 30 s");
-        assertTrue(Arrays.stream(callTimes).mapToDouble(calls -> calls[0]).distinct().count() == 8, "at times of their own");
+        assertTrue(
+                Arrays.stream(callTimes)
+                                .mapToDouble(calls -> calls[0])
+                                .distinct()
+                                .count()
+                        == 8,
+                "at times of their own");
     }
 
     /** Guards against a call given up while it waits its turn, and against being told while it pauses. */
--- a/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
+++ b/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
@@ -35,7 +35,8 @@
      * Plays calls from a silence on; when the first word after it comes. A call that brings nothing is over at
      * the clock's deadline, or at once where it is refused or reset.
      */
-    private static double recoveryTime(WatchStalenessTimer timer, double silentAt, CallOutcome[] calls, double responseMillis) {
+    private static double recoveryTime(
+            WatchStalenessTimer timer, double silentAt, CallOutcome[] calls, double responseMillis) {
         double now = Math.max(timer.deadline(), silentAt);
         for (CallOutcome call : calls) {
             now += timer.callEnded(now);
@@ -78,7 +79,8 @@
         CallOutcome second = CallOutcome.values()[random.nextInt(CallOutcome.values().length - 1)];
         double recoveredAt = recoveryTime(timer, now, new CallOutcome[] {first, second, CallOutcome.MESSAGE}, 50);
         assertTrue(
-                recoveredAt <= now + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS, first + ", " + second + ": " + (recoveredAt - now));
+                recoveredAt <= now + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS,
+                first + ", " + second + ": " + (recoveredAt - now));
         assertTrue(recoveredAt <= silentAt + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS);
     }
 
@@ -130,7 +132,8 @@
         double firstCallAt = calls.stream().mapToDouble(c -> c).min().orElseThrow();
         for (double windowStart = firstCallAt; windowStart < firstCallAt + 2500; windowStart += 250) {
             double start = windowStart;
-            long callsInWindow = calls.stream().filter(c -> c >= start && c < start + 250).count();
+            long callsInWindow =
+                    calls.stream().filter(c -> c >= start && c < start + 250).count();
             assertTrue(callsInWindow <= 25, callsInWindow + " calls from " + windowStart);
         }
     }
--- a/src/test/java/nettlewick/net/endpoint/EndpointConnectionModelTest.java
+++ b/src/test/java/nettlewick/net/endpoint/EndpointConnectionModelTest.java
@@ -33,7 +33,8 @@
                     progress = !over && progress == 1 ? 2 : progress;
                 }
                 case 2 -> {
-                    AttemptResult expected = over ? null : progress == 2 ? AttemptResult.BROKEN : AttemptResult.UNREACHABLE;
+                    AttemptResult expected =
+                            over ? null : progress == 2 ? AttemptResult.BROKEN : AttemptResult.UNREACHABLE;
                     assertEquals(expected, attempt.connectionLost());
                     over = true;
                 }
