--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators can ask of a whole dispatcher on loopback. */
+/** The operations that operators can call on a whole dispatcher, on loopback. */
 @Timeout(30)
 class AdminOperationsTest {
     private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The status of one call, and its body. */
+    /** Sends one call; returns the status and body of its response. */
     private String call(String method, String path) {
         String response = exchange(
                 platform.dispatcher().adminPort(), Buffer.buffer(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"));
@@ -111,7 +111,7 @@
                 "200", exchange(platform.dispatcher().ports().get(0), HEALTH).substring(9, 12));
     }
 
-    /** Guards against silent callers, who would hold all descriptors of the operators' front. */
+    /** Guards against idle callers that hold all connections of the admin frontend. */
     @Test
     void silentCallersDoNotBlockOthers() throws Exception {
         start();
@@ -144,7 +144,7 @@
             assertTrue(call("POST", "/-/drain").startsWith("200"));
             assertTrue(exchange(port, HEALTH).startsWith("HTTP/1.1 503"));
             assertTrue(call("GET", "/-/ready").startsWith("503"));
-            // Both end by themselves: the idle one is closed, the busy one after its answer.
+            // Both connections are closed by the server: the idle one without, the busy one after a response.
             idle.getInputStream().readAllBytes();
             String response = new String(busy.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(response.contains("r-before") && response.toLowerCase().contains("connection: close"), response);
@@ -157,7 +157,7 @@
         assertTrue(response.contains("r-kept"), response);
     }
 
-    /** Guards against work for a runner that is being repaired, whatever discovery says meanwhile. */
+    /** Guards against requests to an endpoint under repair because discovery reports it as ready. */
     @Test
     void disabledEndpointGetsNothingUntilItIsEnabled() throws Exception {
         platform.addRunner("s-2");
@@ -197,7 +197,7 @@
         assertTrue(first.isDisabled("s-2") && !first.isDisabled("s-1"));
         Files.writeString(file, "{\"bans\":[{\"runner\":7}]}");
         assertEquals(List.of(), first.readChanges());
-        assertTrue(first.isDisabled("s-2"), "what cannot be read brings nobody back");
+        assertTrue(first.isDisabled("s-2"), "an unreadable file enables no endpoint");
         DisabledEndpointStore unwritable = new DisabledEndpointStore(dir.resolve("no/where"));
         assertThrows(IOException.class, () -> unwritable.setDisabled("s-1", true, 1));
         assertFalse(unwritable.isDisabled("s-1"));
@@ -206,7 +206,7 @@
     @Test
     void drainIsReversibleAndShutdownIsNot() {
         ServiceState state = new ServiceState();
-        assertFalse(state.drain(0), "it takes nobody yet");
+        assertFalse(state.drain(0), "a starting process cannot be drained");
         state.startServing();
         assertTrue(state.drain(0) && state.drain(500) && state.closesAfterResponse() && !state.isServing());
         assertFalse(state.closesIdleConnections(ServiceState.IDLE_CLOSE_DELAY_MILLIS - 1));
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -14,9 +14,11 @@
 import nettlewick.core.Clock;
 import org.junit.jupiter.api.Test;
 
-/** The end of a client's connection, and what crosses it: pipelined requests, garbage, floods, signals. */
+/**
+ * The close of a client connection, and what arrives at the same time: pipelined requests, garbage, floods, signals.
+ */
 class ClientConnectionCloseTest extends ConnectionRaceTestBase {
-    /** Guards against a request in work that is answered for what stands behind it, and forwarded all the same. */
+    /** Guards against rejecting a forwarded request because of the garbage that follows it. */
     @Test
     void answersTheRequestInFlightBeforeRejectingGarbageBehindIt() throws Exception {
         platform.addRunner("s-1");
@@ -35,7 +37,7 @@
         assertEquals(1, platform.seen.size());
     }
 
-    /** Guards against requests that were read whole and end with no answer, when more comes than may wait. */
+    /** Guards against complete requests that get no response because more are pipelined than may wait. */
     @Test
     void answersEachOfTooManyPipelinedRequests() throws Exception {
         platform.addRunner("s-1");
@@ -57,10 +59,10 @@
             }
             assertEquals(List.of(200, 429, 429, 429, 429, 429), statuses);
         }
-        assertEquals(1, platform.seen.size(), "none of those that were refused went on");
+        assertEquals(1, platform.seen.size(), "no rejected request is forwarded");
     }
 
-    /** Guards against a flood behind a request in work that hides its client's departure. */
+    /** Guards against a flood of bytes behind the request in flight that hides the close of its client. */
     @Test
     void noticesThatAClientLeavesBehindAFloodOfBytes() throws Exception {
         platform.addRunner("s-1");
@@ -69,7 +71,7 @@
         RawClient client = new RawClient(port);
         client.send(requestBytes("/api", "a", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 40"));
         until(() -> held.size() == 1);
-        // More than the kernel holds for a connection that is not read: its end stands behind all of it.
+        // More than the kernel buffers for a connection that is not read: the close comes after all of it.
         CompletableFuture<Void> flood = CompletableFuture.runAsync(() -> {
             try {
                 client.send(GARBAGE + "x".repeat(8 << 20));
@@ -83,8 +85,8 @@
     }
 
     /**
-     * Guards against a close over unread bytes, which resets the connection under the answer just written. The clock
-     * stands, so that the lingering close has no end of its own.
+     * Guards against closing a socket with unread bytes, which resets the connection and destroys the response just
+     * written. The clock is stopped, so that the lingering close does not time out.
      */
     @Test
     void lastResponseIsNotLostToUnreadBytes() throws Exception {
@@ -101,7 +103,8 @@
             until(() -> held.size() == 1);
             BlockedEventLoop loop = new BlockedEventLoop(dispatcher);
             client.send("\r\nbytes that nobody asked for");
-            // The core ends the request at its deadline; the answer waits behind the loop's halt, the bytes unread.
+            // The coordinator ends the request at its deadline; the response waits for the blocked event loop, and the
+            // bytes are unread.
             clock.advanceTo(start + 600);
             boolean[] allAnswered = new boolean[1];
             while (!allAnswered[0]) {
@@ -111,7 +114,7 @@
             }
             loop.release();
             assertEquals(502, client.read().status());
-            assertNull(client.read(), "ended in good order");
+            assertNull(client.read(), "closed without a reset");
             client.send("more");
             awaitEventLoop(port);
             client.send("and more: a connection that was closed would be reset by now");
@@ -120,15 +123,15 @@
     }
 
     /**
-     * Guards against a request that crosses the end of its idle connection and is read and dropped, or forwarded: it is
-     * never taken, and its client is told so by the reset.
+     * Guards against a request that arrives while its idle connection is being closed and is dropped or forwarded: it
+     * is never accepted, and a reset tells its client so.
      */
     @Test
     void neverAcceptsARequestThatCrossesTheCloseOfAnIdleConnection() throws Exception {
         platform.addRunner("s-1");
         int port = start();
         try (RawClient client = new RawClient(port)) {
-            assertNull(client.read(), "a connection that asks nothing is ended");
+            assertNull(client.read(), "a connection without a request is closed");
             client.send(requestBytes("/api", "b", "step-view", "1"));
             awaitEventLoop(port);
             assertThrows(
@@ -139,7 +142,7 @@
                             awaitEventLoop(port);
                         }
                     },
-                    "the client is told that nobody reads it");
+                    "a reset tells the client that nothing is read");
         }
         try (RawClient client = new RawClient(port)) {
             assertEquals(
@@ -148,14 +151,14 @@
                             .read()
                             .status());
             CompletableFuture<Void> shutdown = CompletableFuture.runAsync(platform.dispatcher()::shutDown);
-            assertNull(client.read(), "so is a resting one at the planned end");
+            assertNull(client.read(), "an idle connection is closed by the graceful shutdown");
             client.send(requestBytes("/api", "c", "step-view", "1"));
             shutdown.get();
         }
         assertEquals(1, platform.seen.size());
     }
 
-    /** Guards against a connection that the kernel has accepted and the end of the listener resets. */
+    /** Guards against resetting connections in the accept queue when the listener closes. */
     @Test
     void answersConnectionsInTheAcceptQueueBeforeShutdown() throws Exception {
         platform.addRunner("s-1");
--- a/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A dispatcher among stand-ins, for tests that force requests, answers, ends and signals to cross, on real sockets. */
+/**
+ * A dispatcher on the stub platform, for tests that force races between requests, responses, closes and signals on real
+ * sockets.
+ */
 @Timeout(30)
 abstract class ConnectionRaceTestBase {
     static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -34,7 +37,10 @@
         platform.close();
     }
 
-    /** Sets one of the settings' limits; connections come up as late as a test wants, probes stay out of the way. */
+    /**
+     * Sets one of the limits in the settings; tests use it to turn probes off and to let connections be established
+     * late.
+     */
     @SuppressWarnings("unchecked")
     void setCeiling(String name, Object value) {
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
@@ -50,7 +56,7 @@
         return port;
     }
 
-    /** Starts a dispatcher whose time is the test's; the test closes it. */
+    /** Starts a dispatcher with the test's clock; the test closes it. */
     DispatcherServer start(Clock clock) throws Exception {
         DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.parse(new Gson().toJson(config), Map.of()), clock, PlatformFrontend::new);
@@ -67,7 +73,7 @@
         }
     }
 
-    /** The event loop has been round: whatever was in its sockets before this call has been handled. */
+    /** Waits until the event loop has handled everything that was in its sockets before this call. */
     static void awaitEventLoop(int port) throws Exception {
         try (RawClient client = new RawClient(port)) {
             for (int i = 0; i < 3; i++) {
@@ -82,7 +88,7 @@
         }
     }
 
-    /** A runner that holds each job until the test lets it go. */
+    /** Makes the endpoints hold each request until the test finishes it. */
     List<HttpServerRequest> holdRequests() {
         List<HttpServerRequest> held = new java.util.concurrent.CopyOnWriteArrayList<>();
         platform.instead = held::add;
@@ -104,7 +110,7 @@
         }
     }
 
-    /** The event loop of a dispatcher, made to stand still. */
+    /** Blocks the event loop of a dispatcher until it is released. */
     static final class BlockedEventLoop {
         private final CountDownLatch release = new CountDownLatch(1);
 
--- a/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
+++ b/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
@@ -12,10 +12,10 @@
 import nettlewick.net.client.PlatformFrontend;
 import nettlewick.net.config.PlatformConfig;
 
-/** The stand-ins with a dispatcher among them. */
+/** The stub platform with a dispatcher on it. */
 public final class DispatcherOnStubPlatform extends nettlewick.stubs.StubPlatform {
     private DispatcherServer dispatcher;
-    /** What keeps the books of the next dispatcher. */
+    /** The usage recorder of the next dispatcher. */
     public UsageRecorder usageRecorder = UsageRecorder.NONE;
 
     public DispatcherOnStubPlatform() throws Exception {}
@@ -45,7 +45,7 @@
         return dispatcher;
     }
 
-    /** Bytes for a socket: a job as a client hands it in. */
+    /** The bytes of a request, as a client sends it. */
     public static Buffer requestBytes(String path, String id, String requestClass, String body, String... headers) {
         StringBuilder head = new StringBuilder("POST " + path + " HTTP/1.1\r\nHost: backend.local\r\n"
                 + "X-Request-Id: " + id + "\r\nX-Class: " + requestClass
--- a/src/test/java/nettlewick/net/DispatcherServerTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A whole dispatcher on loopback, between stand-ins. */
+/** A whole dispatcher on loopback, with a stub platform. */
 @Timeout(30)
 class DispatcherServerTest {
     private static final Buffer HEALTH = Buffer.buffer("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -48,7 +48,7 @@
         platform.close();
     }
 
-    /** Starts a dispatcher with these runners and waits until it is healthy. */
+    /** Starts a dispatcher with these endpoints and waits until it is healthy. */
     private int startHealthy(String... endpoints) throws Exception {
         for (String endpoint : endpoints) {
             platform.addRunner(endpoint);
@@ -58,7 +58,7 @@
         return port;
     }
 
-    /** Sends bytes and reads one answer: to the end of its body, or of the connection. */
+    /** Sends bytes and reads one response, to the end of its body or of the connection. */
     private static String send(int port, Buffer bytes) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream().write(bytes.getBytes());
@@ -120,7 +120,10 @@
         assertEquals(1, platform.seen.size());
     }
 
-    /** Guards against a crowd that asks once, or nothing, and stays: it must not drive out those who work. */
+    /**
+     * Guards against many clients that send one request or none and stay connected: they must not displace active
+     * clients.
+     */
     @Test
     void idleClientsAreEvictedBeforeSocketsRunOut() throws Exception {
         platform.addRunner("s-1");
@@ -141,7 +144,7 @@
                 }
             }
             for (Socket idleClient : idleClients.subList(0, 90)) {
-                assertEquals(-1, idleClient.getInputStream().read(), "closed to make way");
+                assertEquals(-1, idleClient.getInputStream().read(), "closed to make room");
             }
         } finally {
             for (Socket idleClient : idleClients) {
@@ -169,8 +172,8 @@
     }
 
     /**
-     * Guards against resets of kept connections: a probe goes again by itself, and a job leaves them alone, so
-     * that a mark-submit is not given up for a connection that was dead before it was used.
+     * Guards against resets of idle connections: a probe is sent again, and a request uses a new connection, so that a
+     * mark-submit does not fail because its connection was already dead.
      */
     @Test
     void usesNewConnectionsWhileIdleOnesBreak() throws Exception {
@@ -234,12 +237,16 @@
                         .count());
     }
 
-    /** A machine that vanished: connections to it never come up, and what waits for one never ran. */
+    /**
+     * A machine that has disappeared: connections to it are never established, and a request that waits for one never
+     * ran.
+     */
     @Test
     void requestWhoseConnectionTimesOutIsRetriedElsewhere() throws Exception {
         List<Socket> queuedConnections = new ArrayList<>();
         try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            // The queue of a listener that accepts nothing is full after two: further ones get no answer.
+            // The accept queue of a listener that accepts nothing is full after two connections: further ones get no
+            // reply.
             for (int i = 0; i < 2; i++) {
                 queuedConnections.add(new Socket("127.0.0.1", unresponsive.getLocalPort()));
             }
@@ -249,7 +256,7 @@
                 double before = System.nanoTime();
                 assertTrue(send(port, requestBytes("/api", "m" + i, "mark-submit", ""))
                         .contains("r-m" + i));
-                assertTrue(System.nanoTime() - before < 1.5e9, "the connect time-out of 200 ms binds");
+                assertTrue(System.nanoTime() - before < 1.5e9, "the connect timeout of 200 ms applies");
             }
             assertEquals(12, platform.seen.size());
         } finally {
@@ -275,14 +282,14 @@
             until(() -> send(port, HEALTH).contains(" 503 "));
             String late = send(port, requestBytes("/api", "late", "step-view", ""));
             assertTrue(late.endsWith("r-late"), "still accepting: " + late);
-            // Closing open connections at once would be a gap in service for clients that have no other server.
+            // Closing open connections at once would interrupt service for clients that have no other server.
             until(() -> send(port, HEALTH).startsWith("broken"));
             platform.runTime = 20;
             open.getOutputStream()
                     .write(requestBytes("/api", "kept", "step-view", "").getBytes());
             byte[] response = new byte[4096];
             String received = new String(response, 0, open.getInputStream().read(response), StandardCharsets.US_ASCII);
-            assertTrue(received.endsWith("r-kept"), "served on a connection that was there: " + received);
+            assertTrue(received.endsWith("r-kept"), "served on an open connection: " + received);
             assertEquals(-1, idle.getInputStream().read(), "the idle connection is closed");
             assertTrue(inFlight.get().endsWith("r-t"), inFlight.get());
             shutdown.get();
@@ -290,7 +297,10 @@
         assertTrue(send(port, requestBytes("/api", "x", "step-view", "")).startsWith("broken"));
     }
 
-    /** Guards against going on with the old address, its numbers, or without a list while the new is silent. */
+    /**
+     * Guards against keeping the old address or its sequence numbers, and against serving without a list while the new
+     * service is silent.
+     */
     @Test
     void servesFromTheKnownListWhileDiscoveryMoves() throws Exception {
         int port = startHealthy("s-1");
@@ -307,7 +317,8 @@
             dispatcher.reload(moved);
             until(() -> dispatcher.discovery().port() == 1);
             assertTrue(
-                    send(port, requestBytes("/api", "a", "step-view", "")).endsWith("r-a"), "served from what is held");
+                    send(port, requestBytes("/api", "a", "step-view", "")).endsWith("r-a"),
+                    "served from the current list");
             otherPlatform.addRunner("s-2");
             dispatcher.reload(PlatformConfig.parse(new Gson().toJson(otherPlatform.config()), Map.of()));
             until(() -> otherPlatform.watches.size() == 1);
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -9,9 +9,11 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The time told to a runner is at most what its client has left, wherever the request has waited. */
+/**
+ * The deadline forwarded to an endpoint is at most the time that the client has left, wherever the request has waited.
+ */
 class ForwardedDeadlineTest extends ConnectionRaceTestBase {
-    /** The time told to a runner is what the client has left when the request is written, not when it was chosen. */
+    /** The forwarded deadline is computed when the request is written, not when its endpoint is chosen. */
     @Test
     void computesTheDeadlineOnceConnected() throws Exception {
         setCeiling("probes", false);
@@ -35,7 +37,7 @@
         }
     }
 
-    /** Guards against a request that waited behind another and is told as if it had only now been sent. */
+    /** Guards against a full deadline for a request that has waited behind another on its connection. */
     @Test
     void countsTimeSpentBehindAPipelinedRequest() throws Exception {
         setCeiling("probes", false);
@@ -66,7 +68,7 @@
         }
     }
 
-    /** Guards against time that a request waits unread in its socket while the event loop is held up. */
+    /** Guards against ignoring the time that a request is unread in its socket during a stall of the event loop. */
     @Test
     void countsTimeSpentUnreadInTheSocket() throws Exception {
         setCeiling("probes", false);
@@ -90,7 +92,10 @@
         }
     }
 
-    /** Guards against time that a request waits with its new connection, while the whole process stands still. */
+    /**
+     * Guards against ignoring the time that a request and its new connection wait in the accept queue while the whole
+     * process is stalled.
+     */
     @Test
     void countsTimeSpentInTheAcceptQueue() throws Exception {
         setCeiling("probes", false);
@@ -126,6 +131,6 @@
         double remainingSeconds = deadlineSeconds - (receivedAt - sentAt) / 1e9;
         assertTrue(
                 forwardedSeconds <= remainingSeconds + 0.15,
-                "told " + forwardedSeconds + " s with " + remainingSeconds + " s left");
+                "forwarded " + forwardedSeconds + " s with " + remainingSeconds + " s left");
     }
 }
--- a/src/test/java/nettlewick/net/FragmentedMessagesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages that come in two pieces, cut at every byte there is: inside a line, a length, a character. */
+/** Messages that arrive in two fragments, split at every byte: inside a line, a length or a character. */
 @Timeout(60)
 class FragmentedMessagesTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -66,7 +66,7 @@
         AtomicInteger cut = new AtomicInteger(1);
         NetServer endpoint = vertx.createNetServer().connectHandler(socket -> {
             socket.exceptionHandler(e -> {});
-            // A request, which has no body here, may be read in parts as well; each is answered once.
+            // A request, which has no body here, may also arrive in fragments; each is answered once.
             socket.handler(RecordParser.newDelimited("\r\n\r\n", request -> {
                 if (request.toString().startsWith("GET")) {
                     socket.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx0=4,x1=4");
--- a/src/test/java/nettlewick/net/HotRestartTest.java
+++ b/src/test/java/nettlewick/net/HotRestartTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one dispatcher, as while a new version takes over. */
+/** Two processes of one dispatcher during a hot restart. */
 @Timeout(30)
 class HotRestartTest {
     @Test
@@ -44,7 +44,7 @@
                     && successor.isPredecessorBusy()
                     && !predecessor.isPredecessorBusy());
             predecessor.markIdle();
-            assertFalse(successor.isPredecessorBusy(), "nothing is left to save");
+            assertFalse(successor.isPredecessorBusy(), "an idle predecessor is not waited for");
             successor.markServing();
             assertTrue(Double.isNaN(predecessor.successorStartedAt()));
             assertTrue(predecessor.hasServingSuccessor());
@@ -59,7 +59,7 @@
         return ReservedPorts.reserve();
     }
 
-    /** One job on this connection; its answer's head and body. */
+    /** Sends one request on this connection; returns the head and body of the response. */
     private static String exchange(Socket socket, String id) throws IOException {
         socket.getOutputStream().write(requestBytes("/api", id, "step-view", "").getBytes());
         InputStream in = socket.getInputStream();
@@ -67,7 +67,7 @@
         while (received.indexOf("r-" + id) < 0) {
             int b = in.read();
             if (b < 0) {
-                throw new IOException(id + " got no answer but: " + received);
+                throw new IOException(id + " got no response but: " + received);
             }
             received.append((char) b);
         }
@@ -97,7 +97,7 @@
             CompletableFuture<Void> shutdown = CompletableFuture.runAsync(predecessor::shutDown);
             until(() -> predecessor.serviceState().isDrainingOrStopping());
             int requests = 0;
-            // The kept connection is served by the old process for as long as it lives, and then closed.
+            // The open connection is served by the predecessor while it lives, and then closed.
             String lastResponse = exchange(keptConnection, "kept");
             assertTrue(lastResponse.toLowerCase().contains("connection: close"), lastResponse);
             assertEquals(-1, keptConnection.getInputStream().read());
--- a/src/test/java/nettlewick/net/IdleClientFloodTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Idle clients that fill what descriptors clients may have, while discovery is down. */
+/** Idle clients that use up the descriptors for clients while discovery is down. */
 @Timeout(60)
 class IdleClientFloodTest {
     private static final int SOCKETS = 160;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Guards against descriptors that idle clients take from runners and from discovery. */
+    /** Guards against idle clients that take the descriptors for endpoints and discovery. */
     @Test
     void reachesDiscoveryAndEndpointsDespiteIdleClients() throws Exception {
         DispatcherServer dispatcher = platform.start(config);
@@ -71,7 +71,8 @@
         platform.breakWatches();
         connectIdleClients(port);
         until(() -> isServed(port, "crowded" + System.nanoTime()));
-        // Discovery is back, and tells of another runner: it is asked and the runner is reached, the crowd still there.
+        // Discovery is back and lists another endpoint: it is called, and the endpoint is reached, while the idle
+        // clients stay.
         platform.addRunner("s-2");
         platform.tell("s-1", "Terminating");
         platform.discoveryInstead = null;
@@ -80,7 +81,10 @@
         assertTrue(dispatcher.hasEndpointList());
     }
 
-    /** Guards against a restart that waits for a discovery that says nothing: the list it was given serves. */
+    /**
+     * Guards against a restarted dispatcher that waits for an unresponsive discovery: it serves from its configured
+     * list.
+     */
     @Test
     void restartedDispatcherIsReadyWithoutDiscovery() throws Exception {
         ConcurrentLinkedQueue<HttpServerRequest> unansweredWatches = new ConcurrentLinkedQueue<>();
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -11,9 +11,12 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What has changed by the time a connection to a runner is up: client, runner, window. */
+/**
+ * What may have changed by the time a connection to an endpoint is established: the client, the endpoint, the dedup
+ * window.
+ */
 class LateEndpointConnectionTest extends ConnectionRaceTestBase {
-    /** Guards against an attempt that begins when a connection comes up after its client has gone. */
+    /** Guards against starting an attempt when its connection is established after the client has left. */
     @Test
     void sendsNothingOnceTheClientHasLeft() throws Exception {
         setCeiling("probes", false);
@@ -38,11 +41,11 @@
                                 .body());
             }
             assertEquals(List.of("stays"), endpoint.receivedIds());
-            assertEquals(1, endpoint.accepted.size(), "the connection that came up serves the next job");
+            assertEquals(1, endpoint.accepted.size(), "the late connection serves the next request");
         }
     }
 
-    /** Guards against a departure that waits unread in the client's socket while its request is sent on. */
+    /** Guards against forwarding a request while the close of its client is unread in the socket. */
     @Test
     void noticesAnUnreadCloseBeforeForwarding() throws Exception {
         setCeiling("probes", false);
@@ -54,7 +57,7 @@
             departedClient.send(requestBytes("/api", "gone", "mark-submit", ""));
             until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
             BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
-            // While the loop stands still, the connection to the runner comes up and the client leaves after it.
+            // While the loop is blocked, the endpoint accepts the connection, and then the client leaves.
             endpoint.startAccepting();
             until(() -> endpoint.accepted.size() == 1);
             departedClient.close();
@@ -72,7 +75,10 @@
         }
     }
 
-    /** Guards against a job sent to a runner that was told to drain, or started anew, while its connection came up. */
+    /**
+     * Guards against sending a request to an endpoint that began to drain, or restarted, while the connection was being
+     * established.
+     */
     @Test
     void sendsNothingOnceTheEndpointHasChanged() throws Exception {
         setCeiling("probes", false);
@@ -98,7 +104,7 @@
         }
     }
 
-    /** Guards against a keyed job that is repeated after its window, since the connection came up late. */
+    /** Guards against retrying a keyed request after its dedup window because the connection was established late. */
     @Test
     @SuppressWarnings("unchecked")
     void doesNotRetryAfterTheDedupWindow() throws Exception {
@@ -133,7 +139,7 @@
                 until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
                 until(() -> System.nanoTime() - sentAt > 1_600_000_000L);
                 second.startAccepting();
-                assertEquals(502, client.read().status(), "it may have run, and cannot be repeated any more");
+                assertEquals(502, client.read().status(), "it may have run and can no longer be retried");
                 assertEquals(List.of(), second.receivedIds());
             }
         }
--- a/src/test/java/nettlewick/net/MalformedResponseTest.java
+++ b/src/test/java/nettlewick/net/MalformedResponseTest.java
@@ -17,11 +17,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a runner may send in place of a whole answer: each request gets one final answer in time, and runs once. */
+/**
+ * What an endpoint may send instead of a complete response: each request gets one final response in time, and runs
+ * once.
+ */
 @Timeout(30)
 class MalformedResponseTest {
     private static final double DEADLINE_SECONDS = 1.0;
-    /** The final answer may come this much after the deadline on a busy machine; the platform allows half a second. */
+    /**
+     * On a busy machine the final response may come this long after the deadline; the platform allows half a second.
+     */
     private static final double TOLERANCE_SECONDS = 0.5;
 
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -29,12 +34,12 @@
     private RawEndpoint endpoint;
     private int port;
 
-    /** How an answer may be spoilt, and whether the job's result was whole before that. */
+    /** How a response may be malformed, and whether the result was complete before that. */
     private enum MalformedResponse {
         NO_RESPONSE(false) {
             @Override
             void write(Socket socket, String id) {
-                // Silent to the deadline and beyond.
+                // Nothing is sent, even after the deadline.
             }
         },
         CONNECTION_CLOSED(false) {
@@ -114,10 +119,10 @@
             }
         };
 
-        final boolean served;
+        final boolean hasCompleteResult;
 
-        MalformedResponse(boolean served) {
-            this.served = served;
+        MalformedResponse(boolean hasCompleteResult) {
+            this.hasCompleteResult = hasCompleteResult;
         }
 
         abstract void write(Socket socket, String id) throws IOException;
@@ -169,20 +174,22 @@
             RawClient.Response received =
                     client.send(requestWithShortDeadline("a")).read();
             double elapsedSeconds = (System.nanoTime() - sentAt) / 1e9;
-            assertEquals(response.served ? 200 : 502, received.status(), received.body());
-            assertEquals(response.served, received.body().equals("r-a"), received.body());
+            assertEquals(response.hasCompleteResult ? 200 : 502, received.status(), received.body());
+            assertEquals(response.hasCompleteResult, received.body().equals("r-a"), received.body());
             assertTrue(elapsedSeconds <= DEADLINE_SECONDS + TOLERANCE_SECONDS, "after " + elapsedSeconds + " s");
             endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
-            // The same connection serves on, and the next request gets its own answer.
+            // The connection stays usable, and the next request gets its own response.
             RawClient.Response next =
                     client.send(requestBytes("/api", "b", "step-view", "")).read();
             assertTrue(next.body().equals("r-b") || next.status() == 503, next.head() + next.body());
         }
         assertEquals(
-                1, endpoint.receivedIds().stream().filter("a"::equals).count(), "it may have run: never sent again");
+                1,
+                endpoint.receivedIds().stream().filter("a"::equals).count(),
+                "it may have run and is never sent again");
     }
 
-    /** Guards against pipelined requests that go on for a client that has left. */
+    /** Guards against forwarding the pipelined requests of a client that has left. */
     @Test
     void pipelinedRequestsOfADepartedClientAreNeverForwarded() throws Exception {
         endpoint.script = (request, socket) -> {};
--- a/src/test/java/nettlewick/net/MismatchedResponseTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -10,9 +10,9 @@
 import nettlewick.core.Clock;
 import org.junit.jupiter.api.Test;
 
-/** Answers and lists that are meant for another request, or for another time. */
+/** Responses that belong to another request, and lists with restarted version numbers. */
 class MismatchedResponseTest extends ConnectionRaceTestBase {
-    /** Guards against one request's result in another's answer. */
+    /** Guards against answering a request with the result of another. */
     @Test
     void lineForAnotherRequestFailsTheAttempt() throws Exception {
         setCeiling("probes", false);
@@ -25,13 +25,13 @@
                         .read();
                 assertEquals(502, response.status(), response.body());
             }
-            assertEquals(List.of("mine"), endpoint.receivedIds(), "it may have run, and is not sent again");
+            assertEquals(List.of("mine"), endpoint.receivedIds(), "it may have run and is not sent again");
         }
     }
 
     /**
-     * Guards against a late second answer that is taken for the answer to the next request on the connection. The clock
-     * stands: no connection has rested when the next job comes.
+     * Guards against taking a late duplicate response for the response to the next request on the connection. The clock
+     * is stopped: no connection has been idle when the next request comes.
      */
     @Test
     void ignoresASecondResponseOnAnIdleConnection() throws Exception {
@@ -48,7 +48,7 @@
                         try {
                             RawEndpoint.write(socket, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
                         } catch (java.io.IOException e) {
-                            // The connection is closed by now.
+                            // The connection is already closed.
                         }
                     });
                 }
@@ -59,7 +59,7 @@
                         client.send(requestBytes("/api", "a", "mark-submit", ""))
                                 .read()
                                 .body());
-                // The next one that must not run twice comes at once: it takes a connection of its own.
+                // The next non-idempotent request comes at once, so it gets a new connection.
                 assertEquals(
                         "r-b",
                         client.send(requestBytes("/api", "b", "mark-submit", ""))
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Guards against changes that are passed over for ever because discovery counts from the beginning again. */
+    /** Guards against ignoring all changes after discovery has restarted its version numbers. */
     @Test
     void requestsTheCompleteListWhenVersionsRestart() throws Exception {
         platform.addRunner("s-1");
--- a/src/test/java/nettlewick/net/RawClient.java
+++ b/src/test/java/nettlewick/net/RawClient.java
@@ -9,11 +9,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A client on a plain socket, which reads answers one by one. */
+/** A client on a plain socket, which reads responses one by one. */
 public final class RawClient implements AutoCloseable {
     private static final Pattern LENGTH = Pattern.compile("(?i)content-length: (\\d+)");
 
-    /** A whole answer. */
+    /** A complete response. */
     public record Response(int status, String head, String body) {
         public boolean closesConnection() {
             return head.toLowerCase(java.util.Locale.ROOT).contains("connection: close");
@@ -42,7 +42,7 @@
         return this;
     }
 
-    /** The next answer; null where the connection ended in good order before it. A reset is an exception. */
+    /** Reads the next response; null if the connection was closed before it. A reset is an exception. */
     public Response read() throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
--- a/src/test/java/nettlewick/net/RawEndpoint.java
+++ b/src/test/java/nettlewick/net/RawEndpoint.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A sim runner on a plain socket, for crossings that a library would not let happen: it accepts only once it is
- * let, and answers what a script says.
+ * An endpoint on a plain socket, for races that an HTTP library would prevent: it accepts connections only when told
+ * to, and responds as a script says.
  */
 final class RawEndpoint implements AutoCloseable {
-    /** A request as it came. */
+    /** A request as it was received. */
     record ReceivedRequest(int connection, String id, String head) {
-        /** A header's value, or null. */
+        /** The value of a header, or null. */
         String header(String name) {
             for (String line : head.split("\r\n")) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ": ")) {
@@ -32,12 +32,12 @@
         }
     }
 
-    /** What to do with a request; may write to the socket or close it. */
+    /** Handles a request; may write to the socket or close it. */
     interface Script {
         void handle(ReceivedRequest request, Socket socket) throws IOException;
     }
 
-    /** Connections held in the listener's queue until the kernel drops the next handshake. */
+    /** Backlog of the listener; when its queue is full, the kernel drops further handshakes. */
     private static final int BACKLOG = 1;
 
     final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
@@ -58,7 +58,7 @@
         return listener.getLocalPort();
     }
 
-    /** From now on no connection comes up: the queue is full until {@link #startAccepting}. */
+    /** Fills the accept queue: no connection is established until {@link #startAccepting}. */
     RawEndpoint fillAcceptQueue() throws IOException {
         for (int i = 0; i <= BACKLOG; i++) {
             queuedConnections.add(new Socket(listener.getInetAddress(), port()));
@@ -66,7 +66,7 @@
         return this;
     }
 
-    /** Accepts all that waits and comes. */
+    /** Accepts all waiting and future connections. */
     RawEndpoint startAccepting() {
         acceptStarted.countDown();
         return this;
@@ -116,7 +116,7 @@
                 }
             }
         } catch (IOException e) {
-            // The other side has gone.
+            // The dispatcher has closed the connection.
         }
     }
 
@@ -126,13 +126,13 @@
         out.flush();
     }
 
-    /** An answer with its one last line, for the request of that id. */
+    /** A response with a single, final line for the request of this id. */
     static String servedResponse(String id) {
         return chunkedResponse(
                 "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
     }
 
-    /** A chunked answer of one chunk. */
+    /** A response with one chunk. */
     static String chunkedResponse(String lines) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(lines.length()) + "\r\n"
                 + lines + "\r\n0\r\n\r\n";
--- a/src/test/java/nettlewick/net/StartupTest.java
+++ b/src/test/java/nettlewick/net/StartupTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send to a dispatcher from the moment on at which its port accepts connections. */
+/** Clients that send requests as soon as the port of a dispatcher accepts connections. */
 class StartupTest extends ConnectionRaceTestBase {
     private static final long SLOW_CREATION_MILLIS = 1500;
     private static final long SLOW_LISTEN_MILLIS = 500;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Guards against connections that are accepted while the process cannot serve them yet. */
+    /** Guards against accepting connections before the process can serve them. */
     @Test
     void isReadyAsSoonAsItListens() throws Exception {
         CompletableFuture<Void> started = startInBackground();
@@ -60,7 +60,7 @@
         started.get();
     }
 
-    /** Guards against a request whose time is counted from before the port was open. */
+    /** Guards against counting the time of a request from before the port was open. */
     @Test
     void requestTimeCountsFromListening() throws Exception {
         CompletableFuture<Void> started = startInBackground(SlowFrontend::new);
@@ -72,7 +72,7 @@
         started.get();
     }
 
-    /** Holds the event loop up while it is created, and once more when the frontends before it listen. */
+    /** Blocks the event loop when it is created, and again while the frontends start to listen. */
     private static final class SlowFrontend implements Frontend {
         SlowFrontend(Environment environment) {
             block(SLOW_CREATION_MILLIS);
--- a/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
@@ -8,11 +8,11 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Random steps against the states of a client connection, compared with a plain model. */
+/** Random steps on the states of a client connection, compared with a simple model. */
 class ClientConnectionStateTest {
     private static final String SEED = "20261201";
 
-    /** The model: the phase as a letter, when it began, and what was served. */
+    /** The model: the phase as a letter, when it began, and how many responses and results were written. */
     @Property(seed = SEED, tries = 2000)
     void clientConnectionEndsInTimeAndNeverWithARequestInFlight(
             @ForAll @Size(max = 30) List<@IntRange(max = 7) Integer> steps) {
--- a/src/test/java/nettlewick/net/client/ClientConnectionTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients may send, byte by byte, against a guard on a channel without a socket. */
+/** What clients may send, byte by byte, on a channel without a socket. */
 class ClientConnectionTest {
     private static final String GET = "GET /a HTTP/1.1\r\n\r\n";
     private final Clock clock = Clock.stoppedAt(1000);
@@ -41,7 +41,7 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    /** Paths and bodies of the requests that got through. */
+    /** The paths and bodies of the requests that were passed on. */
     private List<String> passedRequests() {
         List<String> all = new ArrayList<>();
         for (Object o = channel.readInbound(); o != null; o = channel.readInbound()) {
@@ -91,7 +91,7 @@
         assertTrue(responses().startsWith("HTTP/1.1 400 "));
     }
 
-    /** Guards against a rejection that does not say when to try again. */
+    /** Guards against a rejection without a Retry-After header. */
     @ParameterizedTest
     @ValueSource(ints = {429, 503})
     void sendsRetryAfterWhereARetryIsHarmless(int status) {
@@ -99,7 +99,7 @@
         assertTrue(responses().contains("\r\nRetry-After: 1\r\n"));
     }
 
-    /** Guards against an invitation to repeat what can never be served. */
+    /** Guards against asking clients to retry a request that can never be served. */
     @Test
     void sendsNoRetryAfterForAnInvalidRequest() {
         connection.reject(400, "no request that can be read");
@@ -113,13 +113,13 @@
         channel.runPendingTasks();
     }
 
-    /** Guards against a pipelined request that is answered by a close at a planned end. */
+    /** Guards against closing a connection with an unanswered pipelined request during a graceful shutdown. */
     @Test
     void answersPipelinedRequestsBeforeClosing() {
         send(GET + "POST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nx");
         assertEquals(List.of("/a", ""), passedRequests());
         respondAndClose();
-        assertFalse(responses().toLowerCase(java.util.Locale.ROOT).contains("connection"), "not the last one");
+        assertFalse(responses().toLowerCase(java.util.Locale.ROOT).contains("connection"), "not the last response");
         send("y");
         assertEquals(List.of("/b", "xy"), passedRequests());
         assertTrue(channel.isOpen());
@@ -128,11 +128,11 @@
         assertFalse(channel.isOpen());
     }
 
-    /** Guards against a request that is sent on while the answer before it waits to close its connection. */
+    /** Guards against forwarding a request while the response before it is about to close the connection. */
     @Test
     void passesNothingAfterAResponseThatCloses() {
         send(GET.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n") + GET);
-        assertEquals(2, passedRequests().size(), "head and end of the first");
+        assertEquals(2, passedRequests().size(), "head and end of the first request");
         DefaultFullHttpResponse last = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         last.headers().set("Connection", "close");
         channel.write(last);
@@ -149,7 +149,7 @@
         for (int i = 0; i < 40; i++) {
             send("x".repeat(8192));
         }
-        assertFalse(channel.config().isAutoRead(), "a bounded rest is read, then no more");
+        assertFalse(channel.config().isAutoRead(), "a limited amount is discarded, then nothing is read");
         EmbeddedChannel otherChannel = new EmbeddedChannel(
                 new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                 new HttpResponseEncoder(),
@@ -173,7 +173,7 @@
         assertTrue(responses().startsWith("HTTP/1.1 400 "));
     }
 
-    /** Guards against a cut inside a line, a length or a character that costs a usual client its job. */
+    /** Guards against losing a request that is split inside a line, a length or a character. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5\r\n\r\né✓", "Transfer-Encoding: chunked\r\n\r\n5\r\né✓\r\n0\r\n\r\n"})
     void readsARequestSplitAtAnyByte(String rest) {
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void closesIdleConnectionsAndRejectsSlowRequests() {
+    void rejectsSlowRequestsAndClosesTheirConnections() {
         clock.advanceTo(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS - 1);
         connection.closeIfOverdue(clock.nowMillis());
         assertTrue(channel.isOpen());
@@ -241,20 +241,20 @@
         assertNull(channel.readOutbound());
     }
 
-    /** Guards against a planned end that throws away what a slow reader has not taken yet. */
+    /** Guards against a graceful shutdown that discards a response which a slow client has not read yet. */
     @Test
     void doesNotCloseWhileAResponseIsBeingWritten() {
         send(GET);
         channel.write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
         clock.advanceTo(1000 + ClientConnectionState.QUIET_MILLIS + 1);
         connection.closeIfQuiet(clock.nowMillis());
-        assertTrue(channel.isOpen(), "its answer is written and not on the socket yet");
+        assertTrue(channel.isOpen(), "its response is written but not yet flushed");
         channel.flush();
         connection.closeIfQuiet(clock.nowMillis());
         assertFalse(channel.isOpen());
     }
 
-    /** Guards against a request that is taken while the last answer of its connection is being written. */
+    /** Guards against accepting a request while the last response of its connection is being written. */
     @Test
     void acceptsNothingOnceTheLastResponseIsWritten() {
         send(GET);
@@ -267,7 +267,9 @@
         assertEquals(ClientConnectionState.Phase.CLOSING, connection.state().phase());
     }
 
-    /** Guards against whole requests that end unanswered for what stands behind them, and against their dispatch. */
+    /**
+     * Guards against complete requests that get no response because of the garbage behind them, or that are forwarded.
+     */
     @Test
     void rejectsRequestsAheadOfGarbageInOrder() {
         send(GET + GET.replace("/a", "/b") + "no request\r\n\r\n");
--- a/src/test/java/nettlewick/net/client/EventLoopTicksTest.java
+++ b/src/test/java/nettlewick/net/client/EventLoopTicksTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The earliest arrival of what an event loop finds in time, and late. */
+/** The earliest arrival time of data that an event loop reads on time, and after a stall. */
 class EventLoopTicksTest {
     private final EventLoopTicks ticks = new EventLoopTicks(0);
 
--- a/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The watch on discovery, with messages that arrive in pieces. */
+/** The watch on discovery, with messages that arrive in fragments. */
 @Timeout(60)
 class DiscoveryWatchTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/src/test/java/nettlewick/net/discovery/PollBackoffTest.java
+++ b/src/test/java/nettlewick/net/discovery/PollBackoffTest.java
@@ -9,11 +9,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** How soon discovery is asked again, one dispatcher alone and a tier together. */
+/** The pauses between calls to discovery, of one dispatcher and of many that share a service. */
 class PollBackoffTest {
     private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
-    /** An agent on the own machine: what it was before there were sites that ask. */
+    /** An agent on the same machine can be called at any rate, so its pauses stay short. */
     @Test
     void backsOffBrieflyWithALocalAgent() {
         PollBackoff backoff = new PollBackoff(false, 100, 10_000, new SplittableRandom(1));
@@ -25,11 +25,11 @@
         }
         backoff.reset();
         assertTrue(backoff.nextPauseMillis(NO_LIMIT) <= 100);
-        assertTrue(backoff.nextPauseMillis(30) <= 30, "what is left until the told time bounds it");
+        assertTrue(backoff.nextPauseMillis(30) <= 30, "the pause is limited by the remaining time");
         assertEquals(1500, backoff.firstMessageTimeoutMillis());
     }
 
-    /** Guards against eight dispatchers that a break cuts off together asking together, again and again. */
+    /** Guards against eight dispatchers that lose their connections together and keep calling together. */
     @Test
     void dispatchersThatShareOneServiceSpreadTheirCalls() {
         double[][] callTimes = new double[8][];
@@ -44,7 +44,8 @@
                 .flatMapToDouble(Arrays::stream)
                 .sorted()
                 .toArray();
-        // 80 ms a call at the slowest: 12 calls a second. Eight agents' rhythm would make 40 in the first one.
+        // The slowest service needs 80 ms a call: 12 calls a second. With the pauses for agents, eight dispatchers
+        // would make 40 calls in the first second.
         for (int second = 0; second < 30; second++) {
             int fromMillis = 1000 * second;
             assertTrue(
@@ -61,10 +62,13 @@
                                 .distinct()
                                 .count()
                         == 8,
-                "at times of their own");
+                "each dispatcher calls at a different time");
     }
 
-    /** Guards against a call given up while it waits its turn, and against being told while it pauses. */
+    /**
+     * Guards against abandoning a call that waits for its turn, and against a pause that is longer than the time after
+     * which a dispatcher counts as notified.
+     */
     @Test
     void settingsLimitThePauseAndTheFirstMessageTimeout() {
         PollBackoff backoff = new PollBackoff(true, 500, 10_000, new SplittableRandom(3));
--- a/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
+++ b/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
@@ -14,9 +14,9 @@
 import nettlewick.net.format.JsonFields;
 import org.junit.jupiter.api.Test;
 
-/** The clock of the list: what is missed on a silent watch is had before it counts as told. */
+/** A dispatcher receives what it missed on a silent watch before it counts as notified. */
 class WatchStalenessTimerTest {
-    /** How a call to discovery may go; all but the last bring no word. */
+    /** How a call to discovery may end; only the last outcome delivers a message. */
     private enum CallOutcome {
         CONNECT_TIMEOUT,
         REFUSED,
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Plays calls from a silence on; when the first word after it comes. A call that brings nothing is over at
-     * the clock's deadline, or at once where it is refused or reset.
+     * Simulates calls after a silence; returns when the first message arrives. A call without a message ends at the
+     * deadline of the timer, or at once if it is refused or reset.
      */
     private static double recoveryTime(
             WatchStalenessTimer timer, double silentAt, CallOutcome[] calls, double responseMillis) {
@@ -61,7 +61,7 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    /** An agent that is silent, then fails two calls in whatever way, still has told all in time. */
+    /** Whichever way two calls fail after an agent falls silent, the third recovers in time. */
     @Property(tries = 500, seed = "11")
     void recoversInTimeAfterTwoFailedCalls(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -73,7 +73,7 @@
             now += 2000;
             timer.messageReceived(now);
         }
-        // It falls silent at some moment before the next line.
+        // The agent falls silent at some time before its next line.
         double silentAt = now + random.nextDouble(2000);
         CallOutcome first = CallOutcome.values()[random.nextInt(CallOutcome.values().length - 1)];
         CallOutcome second = CallOutcome.values()[random.nextInt(CallOutcome.values().length - 1)];
@@ -84,17 +84,17 @@
         assertTrue(recoveredAt <= silentAt + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS);
     }
 
-    /** Guards against a first word that stops after half a line and is waited for until the told time is past. */
+    /** Guards against waiting for the rest of a first message until after the dispatcher counts as notified. */
     @Test
     void partOfALineIsNotAMessage() {
         WatchStalenessTimer timer = agentTimer(3);
         timer.callStarted(0);
         timer.bytesReceived(5);
         timer.bytesReceived(2900);
-        assertTrue(timer.deadline() <= 3005, "later parts do not move it on: " + timer.deadline());
+        assertTrue(timer.deadline() <= 3005, "later parts do not extend the deadline: " + timer.deadline());
     }
 
-    /** Guards against an agent that is only slow and would be given up for ever in the middle of its list. */
+    /** Guards against abandoning a slow agent in the middle of its list again and again. */
     @Test
     void eventuallyWaitsForASlowAgent() {
         WatchStalenessTimer timer = agentTimer(4);
@@ -109,10 +109,13 @@
             lastWaitMillis = timer.deadline() - now;
             now = timer.deadline();
         }
-        assertTrue(lastWaitMillis >= 3000, "the third call may take " + lastWaitMillis);
+        assertTrue(lastWaitMillis >= 3000, "time for the third call: " + lastWaitMillis);
     }
 
-    /** A hundred that share one discovery: all cut off at once come back spread, and inside their own told time. */
+    /**
+     * A hundred dispatchers of one service that are disconnected together spread their calls, and each still recovers
+     * before it counts as notified.
+     */
     @Test
     void dispatchersDoNotCallASharedServiceAtOnce() {
         double maxWaitMillis = 10_000;
@@ -127,7 +130,7 @@
             calls.add(nextCallAt);
             assertTrue(
                     nextCallAt + 5000 <= 10 + timer.notifiedAfterMillis(),
-                    "one that waits its turn is answered in time: " + nextCallAt);
+                    "a call that waits for its turn is answered in time: " + nextCallAt);
         }
         double firstCallAt = calls.stream().mapToDouble(c -> c).min().orElseThrow();
         for (double windowStart = firstCallAt; windowStart < firstCallAt + 2500; windowStart += 250) {
@@ -138,7 +141,7 @@
         }
     }
 
-    /** Where a service cannot be had at all, each asks it less and less often. */
+    /** While a service is unreachable, each dispatcher calls it less and less often. */
     @Test
     void callsBackOffWhileTheServiceIsUnreachable() {
         WatchStalenessTimer timer =
@@ -178,7 +181,7 @@
         return objects;
     }
 
-    /** Guards against a list that comes indented: read by lines, it would break every watch for good. */
+    /** Guards against splitting indented lists by lines, which would break every watch permanently. */
     @Test
     void framesIndentedObjectsSplitAtAnyByte() {
         String one = "{\n  \"seq\": 1,\n  \"hosts\": [\n    {\"host\": \"a{\\\"}\u00e9\"}\n  ]\n}";
--- a/src/test/java/nettlewick/net/endpoint/EndpointConnectionModelTest.java
+++ b/src/test/java/nettlewick/net/endpoint/EndpointConnectionModelTest.java
@@ -12,11 +12,11 @@
 import nettlewick.decision.AttemptResult;
 import org.junit.jupiter.api.Test;
 
-/** Random steps against the states of an attempt and of the idle connections, each compared with a plain model. */
+/** Random steps on the states of an attempt and of the idle connections, each compared with a simple model. */
 class EndpointConnectionModelTest {
     private static final String SEED = "20261201";
 
-    /** The model: how far a call came, and whether it has had its one end. */
+    /** The model: how far the attempt has progressed, and whether it is over. */
     @Property(seed = SEED, tries = 500)
     void attemptEndsOnceAndKnowsWhetherItMayHaveRun(@ForAll @Size(max = 12) List<@IntRange(max = 4) Integer> steps) {
         AttemptState attempt = new AttemptState();
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Guards against jobs on kept connections that break, and against mistrust that never ends. */
+    /** Guards against sending requests on idle connections while these break, and against never using them again. */
     @Property(seed = SEED, tries = 200)
     void reuseStopsWhileIdleConnectionsBreakAndResumesOnceTheyHold(@ForAll @Size(max = 30) List<Boolean> uses) {
         ConnectionReusePolicy policy = new ConnectionReusePolicy();
@@ -63,7 +63,7 @@
         assertEquals(true, policy.allowsReuse());
     }
 
-    /** The model: a list of links with the time each was put back. */
+    /** The model: a list of connections with the time at which each was returned. */
     @Property(seed = SEED, tries = 500)
     void takesTheNewestIdleConnectionAndNoExpiredOne(@ForAll @Size(max = 40) List<@IntRange(max = 5) Integer> steps) {
         List<Integer> closed = new ArrayList<>();
@@ -97,7 +97,7 @@
         assertEquals(expectedClosed.size() + model.size(), closed.size());
     }
 
-    /** Guards against a late second answer on a connection that is used again too soon. */
+    /** Guards against reusing a connection so early that a late duplicate response arrives on it. */
     @Test
     void takesTheNewestConnectionThatIdledLongEnough() {
         IdleConnections<Integer> idle = new IdleConnections<>(() -> 1000, link -> {});
--- a/src/test/java/nettlewick/net/lifecycle/DisabledEndpointStoreGoldenTest.java
+++ b/src/test/java/nettlewick/net/lifecycle/DisabledEndpointStoreGoldenTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reads the file of endpoints that are out by hand as an earlier build wrote it, and writes the same bytes. */
+/** Reads the file of disabled endpoints as an earlier build wrote it, and writes the same bytes. */
 class DisabledEndpointStoreGoldenTest {
     private static final String FILE = "net/bans.json";
     private static final double NOW = 1_733_356_800_000.0;
@@ -18,7 +18,7 @@
     @TempDir
     private Path dir;
 
-    /** Writes the file anew; only where that was asked for. */
+    /** Records the golden file again, only if requested. */
     @BeforeAll
     static void record(@TempDir Path folder) throws Exception {
         if (Boolean.getBoolean("golden.record")) {
--- a/src/test/java/nettlewick/net/peer/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/peer/PeerSocketTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against datagrams of strangers and against long ones, of which one that is sent voids the run. */
+/**
+ * Guards against accepting datagrams from unknown senders, and against oversized ones: a single oversized datagram that
+ * is sent invalidates the whole run.
+ */
 @Timeout(20)
 class PeerSocketTest {
     @Test
@@ -46,7 +49,7 @@
             assertEquals(
                     Map.of("peers.passed_over.oversized", 1L, "peers.passed_over.strangers", 1L),
                     socket.ignoredDatagrams(),
-                    "each passed over is counted");
+                    "each ignored datagram is counted");
             socket.send(1, new byte[257]);
             socket.send(0, new byte[3]);
             socket.send(1, new byte[5]);
