--- a/src/main/java/nettlewick/net/DispatcherServer.java
+++ b/src/main/java/nettlewick/net/DispatcherServer.java
@@ -31,7 +31,7 @@
 /**
  * Assembles a dispatcher from its parts (request coordinator, endpoint connections, discovery watch, peer
  * socket, frontends) and runs its start, reload and close. Public methods may be called from any thread; the
- * parts live on one event loop.
+ * parts run on one event loop.
  */
 public final class DispatcherServer {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
--- a/src/main/java/nettlewick/net/HotRestartHandover.java
+++ b/src/main/java/nettlewick/net/HotRestartHandover.java
@@ -12,7 +12,7 @@
 
 /**
  * Coordinates the handover between two processes of a dispatcher: a successor waits for its predecessor's long
- * requests, and a predecessor holds long requests back for its successor. Lives on the event loop.
+ * requests, and a predecessor holds long requests back for its successor. Runs on the event loop.
  */
 final class HotRestartHandover {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
--- a/src/main/java/nettlewick/net/client/ClientConnection.java
+++ b/src/main/java/nettlewick/net/client/ClientConnection.java
@@ -30,7 +30,7 @@
 /**
  * One client connection. Only complete, well-formed requests reach the server, one at a time; everything else
  * is rejected here, before anything is allocated for it, and what was read before it gets a response first.
- * Ends the connection by a lingering close. Lives on the event loop; its states are those of {@link
+ * Ends the connection by a lingering close. Runs on the event loop; its states are those of {@link
  * ClientConnectionState}.
  */
 final class ClientConnection extends ChannelDuplexHandler {
@@ -55,7 +55,7 @@
     /** The earliest time at which the bytes read now may have arrived, in milliseconds. */
     private final DoubleSupplier receivedAt;
 
-    private final boolean advisesRetry;
+    private final boolean sendsRetryAfter;
     private final ClientConnectionState state;
     private final PipelinedRequests requests;
     private ChannelHandlerContext context;
@@ -64,7 +64,7 @@
     private FramingValidator.Rejection rejection;
 
     private double arrivedAt;
-    private boolean workRequest;
+    private boolean isPostRequest;
     private boolean resultSent;
     private boolean closeAfterResponse;
     /** Whether the client itself asked for the connection to be closed. */
@@ -78,11 +78,11 @@
      * Creates the handler of a new connection.
      *
      * @param receivedAt the earliest time at which the bytes read now may have arrived
-     * @param advisesRetry whether clients that are rejected here are told when to try again
+     * @param sendsRetryAfter whether rejections tell clients when to try again
      */
-    ClientConnection(Clock clock, DoubleSupplier receivedAt, RequestByteBudget budget, boolean advisesRetry) {
+    ClientConnection(Clock clock, DoubleSupplier receivedAt, RequestByteBudget budget, boolean sendsRetryAfter) {
         this.clock = clock;
-        this.advisesRetry = advisesRetry;
+        this.sendsRetryAfter = sendsRetryAfter;
         this.receivedAt = receivedAt;
         requests = new PipelinedRequests(budget);
         state = new ClientConnectionState(clock.nowMillis());
@@ -192,7 +192,7 @@
             arrivedAt = next.arrivedAt();
             clientAskedToClose =
                     next.head().headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-            workRequest = HttpMethod.POST.equals(next.head().method());
+            isPostRequest = HttpMethod.POST.equals(next.head().method());
             context.fireChannelRead(next.head());
             context.fireChannelRead(new DefaultLastHttpContent(next.body()));
         }
@@ -218,7 +218,7 @@
     }
 
     private void beginResponse(HttpResponse response) {
-        resultSent = workRequest && response.status().code() == HttpResponseStatus.OK.code();
+        resultSent = isPostRequest && response.status().code() == HttpResponseStatus.OK.code();
         closeAfterResponse = response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
         boolean more = !requests.isEmpty() || rejection != null;
         if (closeAfterResponse && !clientAskedToClose && more) {
@@ -262,8 +262,8 @@
     }
 
     private void writeRejection() {
-        String text = PRECEDES_REJECTED.response(false, advisesRetry).repeat(requests.waiting())
-                + rejection.response(true, advisesRetry);
+        String text = PRECEDES_REJECTED.response(false, sendsRetryAfter).repeat(requests.waiting())
+                + rejection.response(true, sendsRetryAfter);
         state.beginClosing(clock.nowMillis());
         requests.clear();
         // Written at the first handler, past the server's own responses.
--- a/src/main/java/nettlewick/net/client/FramingValidator.java
+++ b/src/main/java/nettlewick/net/client/FramingValidator.java
@@ -26,12 +26,12 @@
          * The complete response, in ASCII.
          *
          * @param closes whether the connection ends with it
-         * @param advisesRetry whether a client that may try again is told when
+         * @param sendsRetryAfter whether a client that may try again is told when
          */
-        String response(boolean closes, boolean advisesRetry) {
+        String response(boolean closes, boolean sendsRetryAfter) {
             return "HTTP/1.1 " + HttpResponseStatus.valueOf(status)
                     + "\r\nContent-Type: text/plain\r\nContent-Length: " + (message.length() + 1)
-                    + (advisesRetry && isRetryHarmless() ? "\r\nRetry-After: " + RETRY_AFTER_SECONDS : "")
+                    + (sendsRetryAfter && isRetryHarmless() ? "\r\nRetry-After: " + RETRY_AFTER_SECONDS : "")
                     + (closes ? "\r\nConnection: close" : "") + "\r\n\r\n" + message + "\n";
         }
 
--- a/src/main/java/nettlewick/net/client/Frontend.java
+++ b/src/main/java/nettlewick/net/client/Frontend.java
@@ -9,12 +9,12 @@
 import nettlewick.net.config.PlatformConfig;
 import nettlewick.net.lifecycle.ServiceState;
 
-/** Serves clients by one protocol on one address. Lives on the event loop; all frontends share one coordinator. */
+/** Serves clients by one protocol on one address. Runs on the event loop; all frontends share one coordinator. */
 public interface Frontend {
     /**
      * The parts that a frontend is built on.
      *
-     * @param eventLoop the event loop that the frontend lives on
+     * @param eventLoop the event loop that the frontend runs on
      * @param canServe whether the dispatcher can serve: it has an endpoint list and is warmed up
      * @param maxConnections how many client connections the frontend may hold
      */
--- a/src/main/java/nettlewick/net/client/PipelinedRequests.java
+++ b/src/main/java/nettlewick/net/client/PipelinedRequests.java
@@ -12,7 +12,7 @@
 
 /**
  * The requests of one connection that are not passed to the server yet: the one being read, and the complete ones
- * that wait behind the one in flight. Counts their bytes against a budget. Lives on the event loop.
+ * that wait behind the one in flight. Counts their bytes against a budget. Runs on the event loop.
  */
 final class PipelinedRequests {
     /** A complete request. */
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -16,7 +16,7 @@
 import nettlewick.core.UsageRecorder;
 
 /**
- * Serves the platform's clients: each HTTP request is one request to schedule, with one response. Lives on
+ * Serves the platform's clients: each HTTP request is one request to schedule, with one response. Runs on
  * the event loop.
  */
 public final class PlatformFrontend extends HttpFrontend {
--- a/src/main/java/nettlewick/net/config/PlatformConfig.java
+++ b/src/main/java/nettlewick/net/config/PlatformConfig.java
@@ -188,8 +188,9 @@
     }
 
     /**
-     * The random seed of a process. Both processes of an upgrade are configured with the same seed, but peers identify
-     * an incarnation by a number drawn from it and would ignore messages of a second incarnation with the same number.
+     * The random seed of a process. Both processes of a hot restart are configured with the same seed, but peers
+     * identify an incarnation by a number drawn from it and would ignore messages of a second incarnation with the same
+     * number.
      *
      * @param isSuccessor whether another process of this dispatcher was alive at the start
      */
--- a/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
+++ b/src/main/java/nettlewick/net/discovery/DiscoveryWatch.java
@@ -18,7 +18,7 @@
 
 /**
  * Watches the discovery service for endpoint updates and resumes the watch with exponential backoff when it
- * breaks. Lives on the event loop.
+ * breaks. Runs on the event loop.
  */
 public final class DiscoveryWatch {
     private static final ComponentLogger LOG = ComponentLogger.of("resolver");
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnectionPools.java
@@ -22,7 +22,7 @@
 
 /**
  * The endpoints on the list from discovery, the connections to them, and the requests in flight on these. Carries out
- * the transport actions of the request coordinator. Lives on the event loop, unless a method says otherwise.
+ * the transport actions of the request coordinator. Runs on the event loop, unless a method says otherwise.
  */
 public final class EndpointConnectionPools implements Transport {
     private static final long IDLE_SWEEP_MILLIS = 250;
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
@@ -8,8 +8,8 @@
 import nettlewick.net.discovery.EndpointListSnapshot;
 
 /**
- * An endpoint and the connections to it. Connecting and sending are separate steps, so that a request that
- * never reached the endpoint is known as such. Lives on the event loop.
+ * An endpoint and the connections to it. Connecting and sending are separate steps, so that a request that never
+ * reached the endpoint can be told from one that may have run. Runs on the event loop.
  */
 final class EndpointConnections {
     /** Idle connections are closed after this fraction of the endpoint's own idle timeout. */
--- a/src/main/java/nettlewick/net/endpoint/LoadReport.java
+++ b/src/main/java/nettlewick/net/endpoint/LoadReport.java
@@ -9,7 +9,7 @@
 final class LoadReport {
     private LoadReport() {}
 
-    /** The report in a header or body; null if it holds nothing that can be read. */
+    /** Parses the report in a header or body; null if nothing in it is readable. */
     static EndpointLoad parse(String text) {
         if (text == null || text.isBlank()) {
             return null;
--- a/src/main/java/nettlewick/net/endpoint/OutboundRequest.java
+++ b/src/main/java/nettlewick/net/endpoint/OutboundRequest.java
@@ -8,7 +8,7 @@
 import nettlewick.decision.AttemptResult;
 import nettlewick.decision.EndpointLoad;
 
-/** One request to an endpoint and its response: an attempt or a load probe. Lives on the event loop. */
+/** One request to an endpoint and its response: an attempt or a load probe. Runs on the event loop. */
 abstract class OutboundRequest {
     /** Time in which the rest of a response must arrive once its result is known; then its connection is closed. */
     private static final long RESPONSE_TAIL_MILLIS = 1000;
@@ -44,7 +44,7 @@
     /** The body of the response has ended. */
     abstract void bodyEnded();
 
-    /** Whether it may still be sent; asked whenever some of it is about to be written. */
+    /** Whether it may still be sent; checked before each write. */
     boolean mayStillSend() {
         return true;
     }
@@ -108,7 +108,7 @@
         });
     }
 
-    /** Sends the last part. Without its last byte a request never runs, once its connection is closed. */
+    /** Sends the last part. If the connection is closed before the last byte, the request never runs. */
     private void writeLastPart(HttpClientRequest request, Buffer lastPart) {
         if (isOver()) {
             return;
--- a/src/main/java/nettlewick/net/peer/PeerSocket.java
+++ b/src/main/java/nettlewick/net/peer/PeerSocket.java
@@ -14,7 +14,7 @@
 import nettlewick.net.config.PlatformConfig;
 
 /**
- * Sends and receives the datagrams between dispatchers. Lives on the event loop; counters and {@link
+ * Sends and receives the datagrams between dispatchers. Runs on the event loop; counters and {@link
  * #isBound} may be read from any thread.
  */
 public final class PeerSocket {
--- a/src/main/java/nettlewick/net/peer/package-info.java
+++ b/src/main/java/nettlewick/net/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Exchanges datagrams with the other dispatchers. Depends on {@code config}. Lives on the event loop. */
+/** Exchanges datagrams with the other dispatchers. Depends on {@code config}. Runs on the event loop. */
 package nettlewick.net.peer;
