--- a/src/test/java/nettlewick/net/FragmentedMessagesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.get;
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages that come in two pieces, cut at every byte there is: inside a line, a length, a character. */
+/** Messages that arrive in two fragments, split at every byte: inside a line, a length or a character. */
 @Timeout(60)
 class FragmentedMessagesTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -43,14 +43,14 @@
                 .appendString("\r\n");
     }
 
-    private void write(NetSocket to, Buffer bytes, int cut) {
-        to.write(bytes.slice(0, cut));
-        vertx.setTimer(1, id -> to.write(bytes.slice(cut, bytes.length())));
+    private void write(NetSocket socket, Buffer bytes, int cut) {
+        socket.write(bytes.slice(0, cut));
+        vertx.setTimer(1, id -> socket.write(bytes.slice(cut, bytes.length())));
     }
 
-    private static void write(Socket to, byte[] bytes, int cut) throws Exception {
-        to.setTcpNoDelay(true);
-        OutputStream out = to.getOutputStream();
+    private static void write(Socket socket, byte[] bytes, int cut) throws Exception {
+        socket.setTcpNoDelay(true);
+        OutputStream out = socket.getOutputStream();
         out.write(bytes, 0, cut);
         out.flush();
         TimeUnit.MILLISECONDS.sleep(1);
@@ -59,33 +59,33 @@
 
     @Test
     void readsAnEndpointResponseSplitAtAnyByte() throws Exception {
-        Buffer answer = Buffer.buffer(OK)
+        Buffer response = Buffer.buffer(OK)
                 .appendBuffer(chunk("{\"state\":\"started\"}"))
                 .appendBuffer(chunk("{\"state\":\"done\",\"result\":\"é✓\"}"))
                 .appendString("0\r\n\r\n");
         AtomicInteger cut = new AtomicInteger(1);
         NetServer endpoint = vertx.createNetServer().connectHandler(socket -> {
             socket.exceptionHandler(e -> {});
-            // A request, which has no body here, may be read in parts as well; each is answered once.
+            // A request, which has no body here, may also arrive in fragments; each is answered once.
             socket.handler(RecordParser.newDelimited("\r\n\r\n", request -> {
                 if (request.toString().startsWith("GET")) {
                     socket.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx0=4,x1=4");
                 } else {
-                    write(socket, answer, cut.get());
+                    write(socket, response, cut.get());
                 }
             }));
         });
         get(endpoint.listen(0, "127.0.0.1"));
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1", endpoint.actualPort());
-            int port = world.start().ports().get(0);
-            for (; cut.get() < answer.length(); cut.incrementAndGet()) {
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
+            platform.addRunner("s-1", endpoint.actualPort());
+            int port = platform.start().ports().get(0);
+            for (; cut.get() < response.length(); cut.incrementAndGet()) {
                 try (Socket client = new Socket("127.0.0.1", port)) {
                     client.getOutputStream()
-                            .write(job("/api", "c" + cut, "step-view", "", "Connection: close")
+                            .write(requestBytes("/api", "c" + cut, "step-view", "", "Connection: close")
                                     .getBytes());
-                    String got = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-                    assertTrue(got.endsWith("\r\n\r\né✓"), "cut at " + cut + ": " + got);
+                    String received = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                    assertTrue(received.endsWith("\r\n\r\né✓"), "cut at " + cut + ": " + received);
                 }
             }
         }
@@ -94,34 +94,35 @@
     @Test
     void readsAnAdminCallSplitAtAnyByte() throws Exception {
         List<String> calls = new CopyOnWriteArrayList<>();
-        AdminFrontend front = new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
-            @Override
-            public boolean isReady() {
-                return true;
-            }
+        AdminFrontend adminFrontend =
+                new AdminFrontend(SocketAddress.inetSocketAddress(0, "127.0.0.1"), new Operations() {
+                    @Override
+                    public boolean isReady() {
+                        return true;
+                    }
 
-            @Override
-            public Metrics.Snapshot metrics() {
-                return null;
-            }
+                    @Override
+                    public Metrics.Snapshot metrics() {
+                        return null;
+                    }
 
-            @Override
-            public Future<Boolean> setEndpointDisabled(String endpoint, boolean out) {
-                calls.add(endpoint + out);
-                return Future.succeededFuture(true);
-            }
+                    @Override
+                    public Future<Boolean> setEndpointDisabled(String endpoint, boolean isDisabled) {
+                        calls.add(endpoint + isDisabled);
+                        return Future.succeededFuture(true);
+                    }
 
-            @Override
-            public boolean startDraining() {
-                return false;
-            }
+                    @Override
+                    public boolean startDraining() {
+                        return false;
+                    }
 
-            @Override
-            public boolean stopDraining() {
-                return false;
-            }
-        });
-        int port = get(front.listen());
+                    @Override
+                    public boolean stopDraining() {
+                        return false;
+                    }
+                });
+        int port = get(adminFrontend.listen());
         byte[] call = "POST /-/sim-runners/s-%C3%A9/disable HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"
                 .getBytes(StandardCharsets.US_ASCII);
         for (int cut = 1; cut < call.length; cut++) {
@@ -135,6 +136,6 @@
             assertEquals(cut, calls.size());
         }
         assertEquals(List.of("s-étrue"), calls.stream().distinct().toList());
-        get(front.close());
+        get(adminFrontend.close());
     }
 }
--- a/src/test/java/nettlewick/net/IdleClientFloodTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,21 +20,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Idle clients that fill what descriptors clients may have, while discovery is down. */
+/** Idle clients that use up the descriptors for clients while discovery is down. */
 @Timeout(60)
 class IdleClientFloodTest {
     private static final int SOCKETS = 160;
     private static final int IDLE_CLIENTS = 120;
     private final List<RawClient> idleClients = new ArrayList<>();
-    private DispatcherOnStubPlatform world;
+    private DispatcherOnStubPlatform platform;
     private Map<String, Object> config;
 
     @BeforeEach
     void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        config = world.config();
+        platform = new DispatcherOnStubPlatform();
+        config = platform.config();
         config.put("limits", Map.of("cores", 0.5, "memory_mb", 144, "sockets", SOCKETS));
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
     }
 
     @AfterEach
@@ -42,7 +42,7 @@
         for (RawClient client : idleClients) {
             client.close();
         }
-        world.close();
+        platform.close();
     }
 
     private void connectIdleClients(int port) throws IOException {
@@ -53,39 +53,43 @@
 
     private static boolean isServed(int port, String id) {
         try (RawClient client = new RawClient(port)) {
-            RawClient.Answer answer =
-                    client.send(job("/api", id, "step-view", "5")).read();
-            return answer != null && answer.body().equals("r-" + id);
+            RawClient.Response response =
+                    client.send(requestBytes("/api", id, "step-view", "5")).read();
+            return response != null && response.body().equals("r-" + id);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Guards against descriptors that idle clients take from runners and from discovery. */
+    /** Guards against idle clients that take the descriptors for endpoints and discovery. */
     @Test
     void reachesDiscoveryAndEndpointsDespiteIdleClients() throws Exception {
-        DispatcherServer dispatcher = world.start(config);
+        DispatcherServer dispatcher = platform.start(config);
         int port = dispatcher.ports().get(0);
         until(() -> isServed(port, "first" + System.nanoTime()));
-        world.discoveryInstead = request -> request.connection().close();
-        world.breakWatches();
+        platform.discoveryInstead = request -> request.connection().close();
+        platform.breakWatches();
         connectIdleClients(port);
         until(() -> isServed(port, "crowded" + System.nanoTime()));
-        // Discovery is back, and tells of another runner: it is asked and the runner is reached, the crowd still there.
-        world.addRunner("s-2");
-        world.tell("s-1", "Terminating");
-        world.discoveryInstead = null;
+        // Discovery is back and lists another endpoint: it is called, and the endpoint is reached, while the idle
+        // clients stay.
+        platform.addRunner("s-2");
+        platform.tell("s-1", "Terminating");
+        platform.discoveryInstead = null;
         until(() -> isServed(port, "back" + System.nanoTime())
-                && world.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
+                && platform.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
         assertTrue(dispatcher.hasEndpointList());
     }
 
-    /** Guards against a restart that waits for a discovery that says nothing: the list it was given serves. */
+    /**
+     * Guards against a restarted dispatcher that waits for an unresponsive discovery: it serves from its configured
+     * list.
+     */
     @Test
     void restartedDispatcherIsReadyWithoutDiscovery() throws Exception {
-        ConcurrentLinkedQueue<HttpServerRequest> silent = new ConcurrentLinkedQueue<>();
-        world.discoveryInstead = silent::add;
-        config.put("known", world.known());
+        ConcurrentLinkedQueue<HttpServerRequest> unansweredWatches = new ConcurrentLinkedQueue<>();
+        platform.discoveryInstead = unansweredWatches::add;
+        config.put("known", platform.known());
         DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.parse(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFrontend::new);
         DispatcherOnStubPlatform.get(dispatcher.start());
--- a/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
+++ b/src/test/java/nettlewick/net/discovery/WatchStalenessTimerTest.java
@@ -14,43 +14,44 @@
 import nettlewick.net.format.JsonFields;
 import org.junit.jupiter.api.Test;
 
-/** The clock of the list: what is missed on a silent watch is had before it counts as told. */
+/** A dispatcher receives what it missed on a silent watch before it counts as notified. */
 class WatchStalenessTimerTest {
-    /** How a call to discovery may go; all but the last bring no word. */
-    private enum Call {
-        NEVER_CONNECTS,
+    /** How a call to discovery may end; only the last outcome delivers a message. */
+    private enum CallOutcome {
+        CONNECT_TIMEOUT,
         REFUSED,
-        NO_ANSWER,
-        RESET_AT_ONCE,
-        HALF_A_LINE,
-        STATUS,
-        ANSWERS
+        NO_RESPONSE,
+        IMMEDIATE_RESET,
+        PARTIAL_LINE,
+        ERROR_STATUS,
+        MESSAGE
     }
 
-    private static WatchStalenessTimer agent(long seed) {
+    private static WatchStalenessTimer agentTimer(long seed) {
         return new WatchStalenessTimer(new PollBackoff(false, 100, 10_000, new SplittableRandom(seed)), 10_000);
     }
 
     /**
-     * Plays calls from a silence on; when the first word after it comes. A call that brings nothing is over at
-     * the clock's deadline, or at once where it is refused or reset.
+     * Simulates calls after a silence; returns when the first message arrives. A call without a message ends at the
+     * deadline of the timer, or at once if it is refused or reset.
      */
-    private static double recoveryTime(WatchStalenessTimer timer, double silentAt, Call[] calls, double wait) {
+    private static double recoveryTime(
+            WatchStalenessTimer timer, double silentAt, CallOutcome[] calls, double responseMillis) {
         double now = Math.max(timer.deadline(), silentAt);
-        for (Call call : calls) {
+        for (CallOutcome call : calls) {
             now += timer.callEnded(now);
             timer.callStarted(now);
             switch (call) {
-                case REFUSED, RESET_AT_ONCE, STATUS -> now += 5;
-                case HALF_A_LINE -> {
+                case REFUSED, IMMEDIATE_RESET, ERROR_STATUS -> now += 5;
+                case PARTIAL_LINE -> {
                     timer.bytesReceived(now + 5);
                     now = timer.deadline();
                 }
-                case NEVER_CONNECTS, NO_ANSWER -> now = timer.deadline();
-                case ANSWERS -> {
-                    if (now + wait <= timer.deadline()) {
-                        timer.messageReceived(now + wait);
-                        return now + wait;
+                case CONNECT_TIMEOUT, NO_RESPONSE -> now = timer.deadline();
+                case MESSAGE -> {
+                    if (now + responseMillis <= timer.deadline()) {
+                        timer.messageReceived(now + responseMillis);
+                        return now + responseMillis;
                     }
                     now = timer.deadline();
                 }
@@ -60,57 +61,61 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    /** An agent that is silent, then fails two calls in whatever way, still has told all in time. */
+    /** Whichever way two calls fail after an agent falls silent, the third recovers in time. */
     @Property(tries = 500, seed = "11")
-    void recoversInTimeThoughTwoCallsFail(@ForAll long seed) {
+    void recoversInTimeAfterTwoFailedCalls(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        WatchStalenessTimer timer = agent(seed);
+        WatchStalenessTimer timer = agentTimer(seed);
         timer.callStarted(0);
         double now = 20;
         timer.messageReceived(now);
-        for (int line = random.nextInt(5); line > 0; line--) {
+        for (int remainingLines = random.nextInt(5); remainingLines > 0; remainingLines--) {
             now += 2000;
             timer.messageReceived(now);
         }
-        // It falls silent at some moment before the next line.
+        // The agent falls silent at some time before its next line.
         double silentAt = now + random.nextDouble(2000);
-        Call first = Call.values()[random.nextInt(Call.values().length - 1)];
-        Call second = Call.values()[random.nextInt(Call.values().length - 1)];
-        double again = recoveryTime(timer, now, new Call[] {first, second, Call.ANSWERS}, 50);
+        CallOutcome first = CallOutcome.values()[random.nextInt(CallOutcome.values().length - 1)];
+        CallOutcome second = CallOutcome.values()[random.nextInt(CallOutcome.values().length - 1)];
+        double recoveredAt = recoveryTime(timer, now, new CallOutcome[] {first, second, CallOutcome.MESSAGE}, 50);
         assertTrue(
-                again <= now + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS, first + ", " + second + ": " + (again - now));
-        assertTrue(again <= silentAt + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS);
+                recoveredAt <= now + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS,
+                first + ", " + second + ": " + (recoveredAt - now));
+        assertTrue(recoveredAt <= silentAt + WatchStalenessTimer.NOTIFIED_AFTER_MILLIS);
     }
 
-    /** Guards against a first word that stops after half a line and is waited for until the told time is past. */
+    /** Guards against waiting for the rest of a first message until after the dispatcher counts as notified. */
     @Test
-    void partOfALineIsNoMessage() {
-        WatchStalenessTimer timer = agent(3);
+    void partOfALineIsNotAMessage() {
+        WatchStalenessTimer timer = agentTimer(3);
         timer.callStarted(0);
         timer.bytesReceived(5);
         timer.bytesReceived(2900);
-        assertTrue(timer.deadline() <= 3005, "later parts do not move it on: " + timer.deadline());
+        assertTrue(timer.deadline() <= 3005, "later parts do not extend the deadline: " + timer.deadline());
     }
 
-    /** Guards against an agent that is only slow and would be given up for ever in the middle of its list. */
+    /** Guards against abandoning a slow agent in the middle of its list again and again. */
     @Test
-    void waitsForASlowAgentInTheEnd() {
-        WatchStalenessTimer timer = agent(4);
+    void eventuallyWaitsForASlowAgent() {
+        WatchStalenessTimer timer = agentTimer(4);
         timer.callStarted(0);
         timer.messageReceived(10);
         double now = timer.deadline();
-        double longest = 0;
+        double lastWaitMillis = 0;
         for (int call = 0; call < 3; call++) {
             now += timer.callEnded(now);
             timer.callStarted(now);
             timer.bytesReceived(now + 5);
-            longest = timer.deadline() - now;
+            lastWaitMillis = timer.deadline() - now;
             now = timer.deadline();
         }
-        assertTrue(longest >= 3000, "the third call may take " + longest);
+        assertTrue(lastWaitMillis >= 3000, "time for the third call: " + lastWaitMillis);
     }
 
-    /** A hundred that share one discovery: all cut off at once come back spread, and inside their own told time. */
+    /**
+     * A hundred dispatchers of one service that are disconnected together spread their calls, and each still recovers
+     * before it counts as notified.
+     */
     @Test
     void dispatchersDoNotCallASharedServiceAtOnce() {
         double maxWaitMillis = 10_000;
@@ -120,42 +125,43 @@
                     new PollBackoff(true, 100, maxWaitMillis, new SplittableRandom(d)), maxWaitMillis);
             timer.callStarted(0);
             timer.messageReceived(10);
-            double found = timer.deadline();
-            double next = found + timer.callEnded(found);
-            calls.add(next);
+            double detectedAt = timer.deadline();
+            double nextCallAt = detectedAt + timer.callEnded(detectedAt);
+            calls.add(nextCallAt);
             assertTrue(
-                    next + 5000 <= 10 + timer.notifiedAfterMillis(),
-                    "one that waits its turn is answered in time: " + next);
+                    nextCallAt + 5000 <= 10 + timer.notifiedAfterMillis(),
+                    "a call that waits for its turn is answered in time: " + nextCallAt);
         }
-        double from = calls.stream().mapToDouble(c -> c).min().orElseThrow();
-        for (double at = from; at < from + 2500; at += 250) {
-            double start = at;
-            long in = calls.stream().filter(c -> c >= start && c < start + 250).count();
-            assertTrue(in <= 25, in + " calls from " + at);
+        double firstCallAt = calls.stream().mapToDouble(c -> c).min().orElseThrow();
+        for (double windowStart = firstCallAt; windowStart < firstCallAt + 2500; windowStart += 250) {
+            double start = windowStart;
+            long callsInWindow =
+                    calls.stream().filter(c -> c >= start && c < start + 250).count();
+            assertTrue(callsInWindow <= 25, callsInWindow + " calls from " + windowStart);
         }
     }
 
-    /** Where a service cannot be had at all, each asks it less and less often. */
+    /** While a service is unreachable, each dispatcher calls it less and less often. */
     @Test
     void callsBackOffWhileTheServiceIsUnreachable() {
         WatchStalenessTimer timer =
                 new WatchStalenessTimer(new PollBackoff(true, 8, 20_000, new SplittableRandom(5)), 20_000);
         double now = 0;
-        int early = 0;
-        int late = 0;
+        int earlyCalls = 0;
+        int lateCalls = 0;
         while (now < 120_000) {
             timer.callStarted(now);
             now += 5;
-            early += now < 10_000 ? 1 : 0;
-            late += now >= 110_000 ? 1 : 0;
+            earlyCalls += now < 10_000 ? 1 : 0;
+            lateCalls += now >= 110_000 ? 1 : 0;
             now += timer.callEnded(now);
         }
-        assertTrue(late < early && late <= 6, early + " calls at first, " + late + " later");
+        assertTrue(lateCalls < earlyCalls && lateCalls <= 6, earlyCalls + " calls at first, " + lateCalls + " later");
     }
 
     @Test
     void movedServiceGetsTheFullFirstMessageTimeout() {
-        WatchStalenessTimer timer = agent(9);
+        WatchStalenessTimer timer = agentTimer(9);
         timer.callStarted(0);
         timer.messageReceived(10);
         timer.callStarted(5000);
@@ -165,26 +171,26 @@
         assertEquals(7500, timer.deadline());
     }
 
-    private static List<String> frameInPieces(String text, int each) {
+    private static List<String> frameInPieces(String text, int pieceLength) {
         JsonObjectFramer framer = new JsonObjectFramer();
         List<String> objects = new ArrayList<>();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int at = 0; at < bytes.length; at += each) {
-            framer.feed(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + each)), objects::add);
+        for (int start = 0; start < bytes.length; start += pieceLength) {
+            framer.feed(Arrays.copyOfRange(bytes, start, Math.min(bytes.length, start + pieceLength)), objects::add);
         }
         return objects;
     }
 
-    /** Guards against a list that comes indented: read by lines, it would break every watch for good. */
+    /** Guards against splitting indented lists by lines, which would break every watch permanently. */
     @Test
     void framesIndentedObjectsSplitAtAnyByte() {
         String one = "{\n  \"seq\": 1,\n  \"hosts\": [\n    {\"host\": \"a{\\\"}\u00e9\"}\n  ]\n}";
         String two = "{\"seq\":2,\"hosts\":[]}";
-        for (int each = 1; each < 40; each++) {
+        for (int pieceLength = 1; pieceLength < 40; pieceLength++) {
             assertEquals(
                     List.of(one, two),
-                    frameInPieces("\n  " + one + "\r\n\n" + two + "\n\n", each),
-                    "pieces of " + each);
+                    frameInPieces("\n  " + one + "\r\n\n" + two + "\n\n", pieceLength),
+                    "pieces of " + pieceLength);
         }
         assertEquals(List.of(), frameInPieces(one.substring(0, one.length() - 1), 7));
         assertThrows(JsonFields.InvalidFieldException.class, () -> frameInPieces("<html>", 3));
