--- a/src/main/java/nettlewick/decision/OwnedEndpoint.java
+++ b/src/main/java/nettlewick/decision/AggregatedLoad.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** What dispatchers have in flight at an endpoint whose sums this dispatcher keeps, and who watches the endpoint. */
-final class OwnedEndpoint {
+final class AggregatedLoad {
     private static final long SECOND_NANOS = 1_000_000_000;
     /** For how long a holding is believed. */
     private static final long HOLDING_TTL_NANOS = SECOND_NANOS;
--- a/src/main/java/nettlewick/decision/ArrivalHandler.java
+++ b/src/main/java/nettlewick/decision/ArrivalHandler.java
@@ -113,7 +113,7 @@
     private void admit(ScheduledRequest request) {
         admission.dealCredit();
         EndpointSelection selection = selector.select(request);
-        if (!selection.hasRoom() && mustShed(request, selection.endpoint())) {
+        if (!selection.hasFreeCapacity() && mustShed(request, selection.endpoint())) {
             completion.reject(request);
             return;
         }
--- a/src/main/java/nettlewick/decision/AttemptSender.java
+++ b/src/main/java/nettlewick/decision/AttemptSender.java
@@ -26,7 +26,7 @@
         if (request.hasKey()) {
             affinity.recordDispatch();
         }
-        if (selection.hasRoom() || statistics.meanLatency(request) == 0) {
+        if (selection.hasFreeCapacity() || statistics.meanLatency(request) == 0) {
             attempt.markSentToFreeCapacity();
         } else {
             attempt.predictWait(latency.queueTime(request, endpoint));
--- a/src/main/java/nettlewick/decision/EndpointCapacity.java
+++ b/src/main/java/nettlewick/decision/EndpointCapacity.java
@@ -26,7 +26,7 @@
     void applyReport(EndpointLoad load, long now, EndpointKindStats stats, LargestRequest largest) {
         reportedAt = now;
         freeMemory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
-        double held = Double.isNaN(load.heldRequests()) ? 0 : load.heldRequests();
+        double held = Double.isNaN(load.outstandingRequests()) ? 0 : load.outstandingRequests();
         boolean hasQueue = !Double.isNaN(load.queuedRequests());
         freeSlots = freeSlots(load, held, hasQueue);
         if (freeSlots >= 1) {
--- a/src/main/java/nettlewick/decision/ListSubscription.java
+++ b/src/main/java/nettlewick/decision/EndpointListSubscription.java
@@ -4,13 +4,13 @@
 import nettlewick.decision.Action.Subscribe;
 
 /** Keeps a subscription to the endpoint list open where the site's list comes on request. */
-final class ListSubscription {
+final class EndpointListSubscription {
     private final SchedulerClock clock;
     private final SplittableRandom random;
     private final ActionBatch actions;
     private long renewAt = Long.MAX_VALUE;
 
-    ListSubscription(SchedulerContext context) {
+    EndpointListSubscription(SchedulerContext context) {
         this.clock = context.clock();
         this.random = context.random();
         this.actions = context.actions();
--- a/src/main/java/nettlewick/decision/EndpointLoad.java
+++ b/src/main/java/nettlewick/decision/EndpointLoad.java
@@ -10,4 +10,4 @@
  * @param busyShare  busy part of its capacity, in [0, 1]
  */
 public record EndpointLoad(
-        double freeSlots, double freeMemory, double queuedRequests, double heldRequests, double busyShare) {}
+        double freeSlots, double freeMemory, double queuedRequests, double outstandingRequests, double busyShare) {}
--- a/src/main/java/nettlewick/decision/EndpointSelector.java
+++ b/src/main/java/nettlewick/decision/EndpointSelector.java
@@ -56,7 +56,7 @@
         if (request.hasKey()) {
             EndpointSelection atHome = affinity.selectHome(request, pool);
             home = atHome.endpoint();
-            if (home != null && (atHome.hasRoom() || !affinity.mayLeaveHome())) {
+            if (home != null && (atHome.hasFreeCapacity() || !affinity.mayLeaveHome())) {
                 return atHome;
             }
         }
@@ -64,7 +64,7 @@
         if (best.endpoint() == null) {
             return new EndpointSelection(selectAtRandom(request, pool), true);
         }
-        return home != null && !best.hasRoom() ? new EndpointSelection(home, false) : best;
+        return home != null && !best.hasFreeCapacity() ? new EndpointSelection(home, false) : best;
     }
 
     /** An idle endpoint that an operator has enabled again: it would stay unused while others have more room. */
--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -39,7 +39,7 @@
     /** As a watcher: when the sum of each endpoint came. */
     private final Map<Endpoint, Long> sumReceivedAt = new HashMap<>();
 
-    private final Map<Character, OwnedEndpoint> ownedEndpoints = new HashMap<>();
+    private final Map<Character, AggregatedLoad> ownedEndpoints = new HashMap<>();
     private Map<Character, Endpoint> endpointsByMark = Map.of();
     private boolean isRefreshDue;
 
@@ -82,7 +82,7 @@
     }
 
     private void recordAsOwner(Kind kind, Entry entry, int from, long now) {
-        OwnedEndpoint owned = ownedEndpoints.computeIfAbsent(entry.mark(), m -> new OwnedEndpoint());
+        AggregatedLoad owned = ownedEndpoints.computeIfAbsent(entry.mark(), m -> new AggregatedLoad());
         if (kind == Kind.WATCH) {
             owned.recordWatch(from, now);
         } else {
@@ -110,7 +110,7 @@
             }
         }
         ownedEndpoints.values().forEach(owned -> owned.expire(now));
-        ownedEndpoints.values().removeIf(OwnedEndpoint::isUnused);
+        ownedEndpoints.values().removeIf(AggregatedLoad::isUnused);
         isRefreshDue = true;
     }
 
@@ -159,7 +159,7 @@
 
     /** An entry for the owner, which may be this dispatcher. */
     private void addForOwner(Kind kind, Endpoint endpoint, int slots, long now, Outbox outbox) {
-        Entry entry = new Entry(LoadGossip.markOf(endpoint.id()), slots);
+        Entry entry = new Entry(LoadGossipMessage.markOf(endpoint.id()), slots);
         int owner = ownerOf(entry.mark(), size);
         if (owner == rank) {
             recordAsOwner(kind, entry, rank, now);
--- a/src/main/java/nettlewick/decision/LoadGossip.java
+++ b/src/main/java/nettlewick/decision/LoadGossipMessage.java
@@ -12,7 +12,7 @@
  * The datagrams in which a dispatcher reports the slots that it has in flight at each endpoint. An endpoint goes
  * by sixteen bits of its id's hash: its place in a list would mean another endpoint at a peer whose list differs.
  */
-final class LoadGossip {
+final class LoadGossipMessage {
     private static final byte MAGIC = (byte) 0xD3;
     private static final byte VERSION = 3;
     private static final int HEADER_BYTES = 4;
@@ -39,7 +39,7 @@
      */
     record Received(int part, int parts, int number, Map<Endpoint, Integer> slotsInFlight, int unlisted) {}
 
-    private LoadGossip() {}
+    private LoadGossipMessage() {}
 
     /** Sixteen bits that stand for an id, the same in every process. */
     static char markOf(String id) {
--- a/src/main/java/nettlewick/decision/SharedLoads.java
+++ b/src/main/java/nettlewick/decision/LoadGossiper.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** What peers have in flight at the endpoints by their {@link LoadGossip}, and when to send this dispatcher's. */
-final class SharedLoads {
+/** What peers have in flight at the endpoints by their {@link LoadGossipMessage}, and when to send this dispatcher's. */
+final class LoadGossiper {
     /** Age to which gossip is believed; it is sent at least twice as often while there is anything in flight. */
     private static final long TTL_NANOS = 1_000_000_000;
 
@@ -26,14 +26,14 @@
     private int sendings;
 
     /** Counts in {@code faults} what it ignores. */
-    SharedLoads(PeerFaultCounters faults) {
+    LoadGossiper(PeerFaultCounters faults) {
         this.faults = faults;
     }
 
     /** Replaces the endpoints that discovery lists as ready. */
     void replaceEndpoints(Collection<Endpoint> ready) {
         byName = ready.stream().sorted(Comparator.comparing(Endpoint::id)).toList();
-        byMark = LoadGossip.indexByMark(byName);
+        byMark = LoadGossipMessage.indexByMark(byName);
     }
 
     /** The ready endpoints by their marks; those that share a mark are in no entry. */
@@ -47,10 +47,10 @@
      * counts from 0 again.
      */
     boolean receive(int rank, byte[] data, long now) {
-        if (!LoadGossip.isLoadGossip(data)) {
+        if (!LoadGossipMessage.isLoadGossip(data)) {
             return false;
         }
-        LoadGossip.Received message = LoadGossip.decode(data, byMark);
+        LoadGossipMessage.Received message = LoadGossipMessage.decode(data, byMark);
         if (message == null) {
             faults.countDamaged();
             return true;
@@ -76,19 +76,19 @@
      * in flight: peers forget by themselves what is not sent again.
      */
     List<byte[]> dueMessages(long now) {
-        List<byte[]> messages = LoadGossip.encode(byName);
+        List<byte[]> messages = LoadGossipMessage.encode(byName);
         boolean same = messages.size() == lastSent.size();
         for (int i = 0; same && i < messages.size(); i++) {
             same = Arrays.equals(messages.get(i), lastSent.get(i));
         }
-        if (same && (now - lastSentAt <= TTL_NANOS / 2 || LoadGossip.reportNothing(messages))) {
+        if (same && (now - lastSentAt <= TTL_NANOS / 2 || LoadGossipMessage.reportNothing(messages))) {
             return List.of();
         }
         lastSent = messages;
         lastSentAt = now;
         int number = sendings++;
         return messages.stream()
-                .map(message -> LoadGossip.withNumber(message, number))
+                .map(message -> LoadGossipMessage.withNumber(message, number))
                 .toList();
     }
 
--- a/src/main/java/nettlewick/decision/PeerLoadExchange.java
+++ b/src/main/java/nettlewick/decision/PeerLoadExchange.java
@@ -12,7 +12,7 @@
     private final SchedulerContext context;
     private final SchedulerClock clock;
     private final ActionBatch actions;
-    private final SharedLoads gossip;
+    private final LoadGossiper gossip;
     /** Null in a tier small enough for gossip between all. */
     private final LoadAggregator aggregator;
 
@@ -23,7 +23,7 @@
         SchedulerSettings settings = context.settings();
         this.clock = context.clock();
         this.actions = context.actions();
-        gossip = new SharedLoads(faults);
+        gossip = new LoadGossiper(faults);
         int size = settings.fleetSize();
         aggregator = size > LoadAggregator.MAX_DIRECT_GOSSIP_DISPATCHERS
                 ? new LoadAggregator(settings.rank(), size, faults)
--- a/src/main/java/nettlewick/decision/PeerMessageRouter.java
+++ b/src/main/java/nettlewick/decision/PeerMessageRouter.java
@@ -18,7 +18,9 @@
     /** Takes a datagram; anybody may send some to the peers' port. */
     void receive(int rank, byte[] data) {
         PeerMessage message = PeerMessage.decode(data);
-        if (message == null && !LoadGossip.isLoadGossip(data) && !AggregationMessage.isAggregationMessage(data)) {
+        if (message == null
+                && !LoadGossipMessage.isLoadGossip(data)
+                && !AggregationMessage.isAggregationMessage(data)) {
             faults.countDamaged();
             return;
         }
--- a/src/main/java/nettlewick/decision/RequestRetrier.java
+++ b/src/main/java/nettlewick/decision/RequestRetrier.java
@@ -21,7 +21,7 @@
         }
         if (policy.mayRetry(request)) {
             EndpointSelection selection = selector.select(request);
-            if (selection.endpoint() != null && (selection.hasRoom() || policy.mayQueue(request))) {
+            if (selection.endpoint() != null && (selection.hasFreeCapacity() || policy.mayQueue(request))) {
                 sender.send(request, selection);
                 return;
             }
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -32,7 +32,7 @@
     private final SliceExchange exchange;
     private final SliceController sliceController;
     private final PeerMessageRouter router;
-    private final ListSubscription subscription;
+    private final EndpointListSubscription subscription;
     private final ArrivalHandler arrivals;
     private final OutcomeHandler outcomes;
     private final RequestCompletion completion;
@@ -49,7 +49,7 @@
         exchange = new SliceExchange(context, slice, messenger, inheritance);
         loads = new PeerLoadExchange(context, faults);
         router = new PeerMessageRouter(context, faults, loads, exchange);
-        subscription = new ListSubscription(context);
+        subscription = new EndpointListSubscription(context);
 
         RequestStatistics statistics = new RequestStatistics(settings.classes().size());
         ServiceRates rates = new ServiceRates();
--- a/src/main/java/nettlewick/decision/SchedulerTick.java
+++ b/src/main/java/nettlewick/decision/SchedulerTick.java
@@ -16,7 +16,7 @@
     private final ActionBatch actions;
     private final RequestTable table;
     private final RequestCompletion completion;
-    private final ListSubscription subscription;
+    private final EndpointListSubscription subscription;
     private final EndpointDirectory directory;
     private final PeerLoadExchange loads;
     private final CapacityEstimator capacity;
@@ -29,7 +29,7 @@
             SchedulerContext context,
             RequestTable table,
             RequestCompletion completion,
-            ListSubscription subscription,
+            EndpointListSubscription subscription,
             EndpointDirectory directory,
             PeerLoadExchange loads,
             CapacityEstimator capacity,
--- a/src/test/java/nettlewick/ArchitectureTest.java
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -53,7 +53,7 @@
             "HashRing.java",
             "InFlightAttempts.java",
             "LargestRequest.java",
-            "LoadGossip.java",
+            "LoadGossipMessage.java",
             "PeerFaultCounters.java",
             "PeerMessage.java",
             "PeerMessageRouter.java",
--- a/src/test/java/nettlewick/decision/EndpointRegistryTest.java
+++ b/src/test/java/nettlewick/decision/EndpointRegistryTest.java
@@ -107,13 +107,13 @@
                     Samples.actionsOfType(SendToPeer.class, module.handle(SECOND / 10, List.of(new Timer("beat"))))
                             .stream()
                             .map(SendToPeer::data)
-                            .filter(LoadGossip::isLoadGossip)
+                            .filter(LoadGossipMessage::isLoadGossip)
                             .map(Arrays::toString)
                             .toList()
                             .toString());
         }
         assertEquals(messages.get(0), messages.get(1));
-        char mark = LoadGossip.markOf("w2");
+        char mark = LoadGossipMessage.markOf("w2");
         assertTrue(
                 messages.get(0).contains(", " + (byte) (mark >> 8) + ", " + (byte) mark + ", 1]"), messages.toString());
     }
--- a/src/test/java/nettlewick/decision/LargeFleetTest.java
+++ b/src/test/java/nettlewick/decision/LargeFleetTest.java
@@ -19,7 +19,7 @@
      */
     @Test
     void aBusyDispatcherSpreadsOverMoreOfTheFleetThanAnIdleOne() {
-        SmallFleet fleet = new SmallFleet(14, 60, 3);
+        SimulatedFleet fleet = new SimulatedFleet(14, 60, 3);
         fleet.traffic(0, 80, SECOND / 2, 0, 12 * SECOND);
         fleet.run(4 * SECOND);
         int before = fleet.sent + fleet.rejected;
@@ -34,7 +34,7 @@
 
     /** Datagrams that a dispatcher sends each second while every one of them has two or three requests a second. */
     private static double datagramsPerDispatcher(int dispatchers, int endpoints) {
-        SmallFleet fleet = new SmallFleet(dispatchers, endpoints, 5);
+        SimulatedFleet fleet = new SimulatedFleet(dispatchers, endpoints, 5);
         for (int rank = 0; rank < dispatchers; rank++) {
             fleet.traffic(rank, 2.5, SECOND / 4, 2 * SECOND, 6 * SECOND);
         }
@@ -59,8 +59,8 @@
      */
     @Test
     void loadOfAllDispatchersIsKnownInALargeTier() {
-        SmallFleet fleet = new SmallFleet(98, 64, 11);
-        double rate = 0.5 * SmallFleet.SLOTS * 64 / 0.25 / 98;
+        SimulatedFleet fleet = new SimulatedFleet(98, 64, 11);
+        double rate = 0.5 * SimulatedFleet.SLOTS * 64 / 0.25 / 98;
         for (int rank = 0; rank < 98; rank++) {
             fleet.traffic(rank, rate, SECOND / 4, 2 * SECOND, 10 * SECOND);
         }
@@ -115,7 +115,7 @@
                         Samples.probeAnswer("w1", 2, 0)));
         Endpoint full = new Endpoint("w0");
         Samples.setSlotsInFlight(full, 2);
-        SharedLoads peer = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper peer = new LoadGossiper(new PeerFaultCounters());
         peer.replaceEndpoints(List.of(full, new Endpoint("w1")));
         scheduler.handle(
                 2, List.of(new PeerMessageReceived(1, peer.dueMessages(2).get(0))));
--- a/src/test/java/nettlewick/decision/LoadAggregatorTest.java
+++ b/src/test/java/nettlewick/decision/LoadAggregatorTest.java
@@ -27,7 +27,7 @@
             for (int i = 0; i < count; i++) {
                 endpoints.add(new Endpoint("w" + i));
             }
-            aggregator.replaceEndpoints(LoadGossip.indexByMark(endpoints));
+            aggregator.replaceEndpoints(LoadGossipMessage.indexByMark(endpoints));
         }
 
         Endpoint at(String id) {
@@ -52,7 +52,7 @@
 
     private static String ownedBy(int owner) {
         for (int i = 0; ; i++) {
-            if (LoadAggregator.ownerOf(LoadGossip.markOf("w" + i), SIZE) == owner) {
+            if (LoadAggregator.ownerOf(LoadGossipMessage.markOf("w" + i), SIZE) == owner) {
                 return "w" + i;
             }
         }
--- a/src/test/java/nettlewick/decision/SharedLoadsTest.java
+++ b/src/test/java/nettlewick/decision/LoadGossiperTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against belief in old reports where peers know better, and in gossip that means other endpoints. */
-class SharedLoadsTest {
+class LoadGossiperTest {
     private static final long SECOND = 1_000_000_000;
 
     private static List<Endpoint> fleet(int count) {
@@ -24,16 +24,16 @@
     void peerSlotsCountWhileTheirMessageIsRecent() {
         List<Endpoint> theirs = fleet(3);
         Samples.setSlotsInFlight(theirs.get(0), 2);
-        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper sender = new LoadGossiper(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
         byte[] message = sender.dueMessages(0).get(0);
         assertEquals(List.of(), sender.dueMessages(1), "nothing new");
         byte[] again = sender.dueMessages(SECOND).get(0);
         assertEquals(message.length, again.length, "sent again before it is too old");
-        assertArrayEquals(LoadGossip.withNumber(message, 1), again, "with the next number");
+        assertArrayEquals(LoadGossipMessage.withNumber(message, 1), again, "with the next number");
 
         List<Endpoint> ours = fleet(3);
-        SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper receiver = new LoadGossiper(new PeerFaultCounters());
         receiver.replaceEndpoints(ours);
         assertFalse(receiver.receive(1, new byte[] {(byte) 0xD2, 1, 0}, 0));
         assertTrue(receiver.receive(1, message, 0));
@@ -50,7 +50,7 @@
     @Test
     void anIdleDispatcherSendsItsEmptyLoadOnce() {
         List<Endpoint> theirs = fleet(3);
-        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper sender = new LoadGossiper(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
         assertEquals(1, sender.dueMessages(0).size());
         assertEquals(List.of(), sender.dueMessages(SECOND));
@@ -68,7 +68,7 @@
     @Test
     void lateDamagedAndUnlistedMessagesAreCountedAndIgnored() {
         List<Endpoint> theirs = fleet(3);
-        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper sender = new LoadGossiper(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
         Samples.setSlotsInFlight(theirs.get(2), 2);
         byte[] older = sender.dueMessages(0).get(0);
@@ -77,7 +77,7 @@
         byte[] newer = sender.dueMessages(1).get(0);
         PeerFaultCounters heard = new PeerFaultCounters();
         List<Endpoint> ours = fleet(2);
-        SharedLoads receiver = new SharedLoads(heard);
+        LoadGossiper receiver = new LoadGossiper(heard);
         receiver.replaceEndpoints(ours);
         assertTrue(receiver.receive(1, newer, 2));
         assertTrue(receiver.receive(1, older, 3));
@@ -106,12 +106,12 @@
         List<Endpoint> theirs = fleet(4);
         theirs.forEach(
                 endpoint -> Samples.setSlotsInFlight(endpoint, endpoint.id().equals("w2") ? 1 : 0));
-        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper sender = new LoadGossiper(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
         List<Endpoint> ours = fleet(5).stream()
                 .filter(endpoint -> !endpoint.id().equals("w1"))
                 .toList();
-        SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper receiver = new LoadGossiper(new PeerFaultCounters());
         receiver.replaceEndpoints(ours);
         receiver.receive(1, sender.dueMessages(0).get(0), 0);
         ours.forEach(endpoint -> assertEquals(
@@ -123,13 +123,13 @@
     void largeLoadsAreSplitOverSeveralDatagrams() {
         List<Endpoint> theirs = fleet(600);
         theirs.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
-        SharedLoads sender = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper sender = new LoadGossiper(new PeerFaultCounters());
         sender.replaceEndpoints(theirs);
         List<byte[]> messages = sender.dueMessages(0);
         assertTrue(
                 messages.size() > 1 && messages.stream().allMatch(n -> n.length <= 256), messages.size() + " messages");
         List<Endpoint> ours = fleet(600);
-        SharedLoads receiver = new SharedLoads(new PeerFaultCounters());
+        LoadGossiper receiver = new LoadGossiper(new PeerFaultCounters());
         receiver.replaceEndpoints(ours);
         messages.forEach(n -> assertTrue(receiver.receive(1, n, 0)));
         double known = ours.stream()
--- a/src/test/java/nettlewick/decision/MeasureFleet.java
+++ b/src/test/java/nettlewick/decision/MeasureFleet.java
@@ -25,12 +25,12 @@
         int idle = 2;
         int busy = endpoints > 100 ? 2 : 10;
         long before = used();
-        SmallFleet fleet = new SmallFleet(dispatchers, endpoints, 7);
+        SimulatedFleet fleet = new SimulatedFleet(dispatchers, endpoints, 7);
         fleet.run(warm * SECOND);
         long cpu = fleet.cpu;
         fleet.run((warm + idle) * SECOND);
         double idleMs = (fleet.cpu - cpu) / 1e6 / idle / dispatchers;
-        double rate = 0.5 * SmallFleet.SLOTS * endpoints / (WORK / (double) SECOND);
+        double rate = 0.5 * SimulatedFleet.SLOTS * endpoints / (WORK / (double) SECOND);
         int heavy = (dispatchers + 6) / 7;
         double part = rate / (dispatchers + 4 * heavy);
         long from = fleet.now;
--- a/src/test/java/nettlewick/decision/SmallFleet.java
+++ b/src/test/java/nettlewick/decision/SimulatedFleet.java
@@ -28,7 +28,7 @@
  * Many module instances before one fleet of endpoints of two slots, in virtual time, by a script and a seed. It is no
  * model of a site: nothing fails by itself, all endpoints are alike, and reports are as old as they may be.
  */
-final class SmallFleet {
+final class SimulatedFleet {
     static final int SLOTS = 2;
     private static final String[] ZONES = {"north", "south", "east", "west"};
     private static final long HOP = 4 * Samples.MS;
@@ -99,7 +99,7 @@
     /** Nanoseconds that the module took, of all instances together. */
     long cpu;
 
-    SmallFleet(int dispatchers, int endpointCount, long seed) {
+    SimulatedFleet(int dispatchers, int endpointCount, long seed) {
         random = new SplittableRandom(seed);
         for (int i = 0; i < endpointCount; i++) {
             String id = "w" + i;
