--- a/src/main/java/nettlewick/decision/AggregatedLoad.java
+++ b/src/main/java/nettlewick/decision/AggregatedLoad.java
@@ -7,7 +7,7 @@
 final class AggregatedLoad {
     private static final long SECOND_NANOS = 1_000_000_000;
     /** For how long a holding is believed. */
-    private static final long HOLDING_TTL_NANOS = SECOND_NANOS;
+    private static final long REPORT_TTL_NANOS = SECOND_NANOS;
     /** For how long a watch is believed. */
     private static final long WATCH_TTL_NANOS = 5 * SECOND_NANOS / 2;
 
@@ -15,11 +15,11 @@
     /** A lower sum waits this long after the last one: often the slot is taken again meanwhile. */
     private static final long DECREASE_DELAY_NANOS = SECOND_NANOS / 10;
 
-    private record Holding(int slots, long reportedAt) {}
+    private record ReportedSlots(int slots, long reportedAt) {}
 
     /** A dispatcher that watches the endpoint, and the sum it was sent last. */
     private static final class Watcher {
-        private long subscribedAt;
+        private long refreshedAt;
         private int lastSum;
         private long lastSumAt = SchedulerClock.NEVER;
     }
@@ -30,34 +30,35 @@
         void accept(int rank, int slotsOfOthers);
     }
 
-    private final Map<Integer, Holding> holdings = new HashMap<>();
-    private final Map<Integer, Watcher> watchers = new HashMap<>();
+    private final Map<Integer, ReportedSlots> reportsByRank = new HashMap<>();
+    private final Map<Integer, Watcher> watchersByRank = new HashMap<>();
     private boolean hasChanged = true;
 
     /** Records what a dispatcher holds; 0 slots end the holding. */
-    void recordHolding(int rank, int slots, long now) {
-        Holding before = slots == 0 ? holdings.remove(rank) : holdings.put(rank, new Holding(slots, now));
-        hasChanged |= (before == null ? 0 : before.slots()) != slots;
+    void recordInFlight(int rank, int slots, long now) {
+        ReportedSlots previous =
+                slots == 0 ? reportsByRank.remove(rank) : reportsByRank.put(rank, new ReportedSlots(slots, now));
+        hasChanged |= (previous == null ? 0 : previous.slots()) != slots;
     }
 
     void recordWatch(int rank, long now) {
-        Watcher watcher = watchers.get(rank);
+        Watcher watcher = watchersByRank.get(rank);
         if (watcher == null) {
             watcher = new Watcher();
-            watchers.put(rank, watcher);
+            watchersByRank.put(rank, watcher);
             hasChanged = true;
         }
-        watcher.subscribedAt = now;
+        watcher.refreshedAt = now;
     }
 
     /** Forgets holdings and watches that were not refreshed in time. */
     void expire(long now) {
-        hasChanged |= holdings.values().removeIf(holding -> now - holding.reportedAt() > HOLDING_TTL_NANOS);
-        watchers.values().removeIf(watcher -> now - watcher.subscribedAt > WATCH_TTL_NANOS);
+        hasChanged |= reportsByRank.values().removeIf(report -> now - report.reportedAt() > REPORT_TTL_NANOS);
+        watchersByRank.values().removeIf(watcher -> now - watcher.refreshedAt > WATCH_TTL_NANOS);
     }
 
     boolean isUnused() {
-        return holdings.isEmpty() && watchers.isEmpty();
+        return reportsByRank.isEmpty() && watchersByRank.isEmpty();
     }
 
     /** Whether a sum may have to be sent. */
@@ -69,17 +70,17 @@
     void notifyWatchers(long now, SumConsumer consumer) {
         hasChanged = false;
         int total = 0;
-        for (Holding holding : holdings.values()) {
-            total += holding.slots();
+        for (ReportedSlots report : reportsByRank.values()) {
+            total += report.slots();
         }
-        for (Map.Entry<Integer, Watcher> entry : watchers.entrySet()) {
+        for (Map.Entry<Integer, Watcher> entry : watchersByRank.entrySet()) {
             notify(entry.getKey(), entry.getValue(), total, now, consumer);
         }
     }
 
     /** A higher sum is sent at once, or too many requests would be sent to an endpoint that is full. */
     private void notify(int rank, Watcher watcher, int total, long now, SumConsumer consumer) {
-        Holding own = holdings.get(rank);
+        ReportedSlots own = reportsByRank.get(rank);
         int others = Math.min(AggregationMessage.MAX_SLOTS, total - (own == null ? 0 : own.slots()));
         if (others < watcher.lastSum && now - watcher.lastSumAt < DECREASE_DELAY_NANOS) {
             hasChanged = true;
--- a/src/main/java/nettlewick/decision/AggregationMessage.java
+++ b/src/main/java/nettlewick/decision/AggregationMessage.java
@@ -17,7 +17,7 @@
     /** What a datagram's entries state; the order is that of the wire. */
     enum Kind {
         /** Slots in flight from the sender, reported to the owner of each endpoint. */
-        HOLD,
+        IN_FLIGHT,
         /** Endpoints that the sender watches, reported to the owner of each. */
         WATCH,
         /** Slots in flight from others, reported by the owner of each endpoint to a watcher. */
@@ -30,7 +30,7 @@
      * @param mark  the mark of the endpoint's id
      * @param slots slots in flight there; 0 for {@link Kind#WATCH}
      */
-    record Entry(char mark, int slots) {}
+    record Entry(char idHash, int slots) {}
 
     private AggregationMessage() {}
 
@@ -62,13 +62,13 @@
     /** The datagrams with these entries, as many in each as fit. */
     static List<byte[]> encode(Kind kind, List<Entry> entries) {
         List<byte[]> datagrams = new ArrayList<>();
-        int entriesEach = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / entryBytes(kind);
-        for (int from = 0; from < entries.size(); from += entriesEach) {
-            List<Entry> part = entries.subList(from, Math.min(entries.size(), from + entriesEach));
-            ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + part.size() * entryBytes(kind));
+        int entriesPerDatagram = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / entryBytes(kind);
+        for (int start = 0; start < entries.size(); start += entriesPerDatagram) {
+            List<Entry> batch = entries.subList(start, Math.min(entries.size(), start + entriesPerDatagram));
+            ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + batch.size() * entryBytes(kind));
             buffer.put((byte) (VERSION + kind.ordinal()));
-            for (Entry entry : part) {
-                buffer.putChar(entry.mark());
+            for (Entry entry : batch) {
+                buffer.putChar(entry.idHash());
                 if (kind != Kind.WATCH) {
                     buffer.put((byte) entry.slots());
                 }
--- a/src/main/java/nettlewick/decision/ArrivalHandler.java
+++ b/src/main/java/nettlewick/decision/ArrivalHandler.java
@@ -98,7 +98,7 @@
 
     /** Probes the home endpoints whose report is old; true if there is an answer to wait for. */
     private boolean probeHomeEndpoints(ScheduledRequest request) {
-        return probePool.probeStale(KeyAffinity.homeEndpoints(request, pools.candidates(request)));
+        return probePool.probeStale(KeyAffinity.preferredEndpoints(request, pools.candidates(request)));
     }
 
     /** On {@link #HOLD_TIMER}: admits the requests that have been held back for long enough. */
--- a/src/main/java/nettlewick/decision/CapacityEstimator.java
+++ b/src/main/java/nettlewick/decision/CapacityEstimator.java
@@ -53,7 +53,7 @@
         double free = capacity.freeSlots()
                 - capacity.queuedSlots()
                 + endpoint.inFlight().slotsAtTick(ticks - REPORT_LAG_TICKS);
-        free = Math.min(free, Math.max(1, stats.mostFreeSlots()));
+        free = Math.min(free, Math.max(1, stats.maxFreeSlots()));
         capacity.smoothFreeSlots(free, SchedulerTimings.SHARE_INTERVAL_NANOS, clock.now());
     }
 
@@ -69,12 +69,12 @@
 
     /** Slots, bounded by memory, that would be left beside this request; below 0 it has to wait. */
     double spareSlots(ScheduledRequest request, Endpoint endpoint) {
-        double room = freeSlots(endpoint);
+        double free = freeSlots(endpoint);
         double blocked = OutlierDetector.blockedSlots(endpoint, clock.now());
-        room = wasRecentlyOverloaded(request, endpoint) || blocked > 0 ? Math.min(-blocked, room) : room;
-        room -= isReservedFrom(request, endpoint) ? RESERVED_SLOTS : 0;
+        free = wasRecentlyOverloaded(request, endpoint) || blocked > 0 ? Math.min(-blocked, free) : free;
+        free -= isReservedFrom(request, endpoint) ? RESERVED_SLOTS : 0;
         boolean lacksMemory = request.arrival().memory() > endpoint.capacity().freeMemory();
-        return (lacksMemory ? Math.min(room, 0) : room) - request.arrival().slots();
+        return (lacksMemory ? Math.min(free, 0) : free) - request.arrival().slots();
     }
 
     private boolean isReservedFrom(ScheduledRequest request, Endpoint endpoint) {
--- a/src/main/java/nettlewick/decision/CapacitySlice.java
+++ b/src/main/java/nettlewick/decision/CapacitySlice.java
@@ -50,13 +50,13 @@
     /** Adjusts the slice to the rates of the interval that has ended. */
     void adjust(ServiceRates rates, double floor) {
         if (!isEnforced()) {
-            rate = Math.max(floor, rates.acceptedRate());
-            isUntried = rates.acceptedRate() <= 0;
+            rate = Math.max(floor, rates.netAcceptedRate());
+            isUntried = rates.netAcceptedRate() <= 0;
             return;
         }
         // Capacity changes while slices bind: a slice is cut to what it serves of what it tries, and tries a
         // little more where it serves all.
-        boolean servesAll = rates.servedRate() >= (1 - GROWTH) * rates.triedRate();
+        boolean servesAll = rates.servedRate() >= (1 - GROWTH) * rates.grossAcceptedRate();
         double cut = Math.max((1 + GROWTH) * rates.servedRate(), (1 - MAX_CUT) * rate);
         rate = Math.max(floor, servesAll ? rate * (1 + GROWTH) : Math.min(rate, cut));
     }
--- a/src/main/java/nettlewick/decision/DedicatedEndpoints.java
+++ b/src/main/java/nettlewick/decision/DedicatedEndpoints.java
@@ -32,17 +32,17 @@
     }
 
     /** Sorts the endpoints into the tenants' pools, each with the kinds of the common ones. */
-    void refill(Collection<Endpoint> endpoints, List<EndpointPool> common, int ringPlaces) {
+    void rebuild(Collection<Endpoint> endpoints, List<EndpointPool> sharedPools, int virtualNodes) {
         for (PoolAssignment assignment : assignments) {
             List<Endpoint> candidates = endpoints.stream()
                     .filter(endpoint -> isCandidate(endpoint, assignment))
                     .toList();
-            List<EndpointPool> own = poolsByTenant.computeIfAbsent(
+            List<EndpointPool> tenantPools = poolsByTenant.computeIfAbsent(
                     assignment.tenant(),
-                    tenant -> common.stream()
+                    tenant -> sharedPools.stream()
                             .map(pool -> new EndpointPool(pool.kind()))
                             .toList());
-            own.forEach(pool -> pool.refill(candidates, ringPlaces));
+            tenantPools.forEach(pool -> pool.rebuild(candidates, virtualNodes));
         }
     }
 
@@ -52,8 +52,8 @@
     }
 
     /** The common pools followed by those of all tenants with dedicated endpoints. */
-    List<EndpointPool> appendTo(List<EndpointPool> common) {
-        List<EndpointPool> all = new ArrayList<>(common);
+    List<EndpointPool> appendTo(List<EndpointPool> sharedPools) {
+        List<EndpointPool> all = new ArrayList<>(sharedPools);
         poolsByTenant.values().forEach(all::addAll);
         return all;
     }
@@ -68,9 +68,9 @@
     }
 
     /** The tenant's own pool of a kind, or the common one where no endpoint of its own is ready. */
-    EndpointPool poolFor(String tenant, EndpointPool common) {
-        List<EndpointPool> own = poolsByTenant.get(tenant);
-        EndpointPool pool = own == null ? common : own.get(common.kind() + 1);
-        return pool.ready().isEmpty() ? common : pool;
+    EndpointPool poolFor(String tenant, EndpointPool sharedPool) {
+        List<EndpointPool> tenantPools = poolsByTenant.get(tenant);
+        EndpointPool pool = tenantPools == null ? sharedPool : tenantPools.get(sharedPool.kind() + 1);
+        return pool.ready().isEmpty() ? sharedPool : pool;
     }
 }
--- a/src/main/java/nettlewick/decision/EndpointCapacity.java
+++ b/src/main/java/nettlewick/decision/EndpointCapacity.java
@@ -26,13 +26,14 @@
     void applyReport(EndpointLoad load, long now, EndpointKindStats stats, LargestRequest largest) {
         reportedAt = now;
         freeMemory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
-        double held = Double.isNaN(load.outstandingRequests()) ? 0 : load.outstandingRequests();
+        double outstanding = Double.isNaN(load.outstandingRequests()) ? 0 : load.outstandingRequests();
         boolean hasQueue = !Double.isNaN(load.queuedRequests());
-        freeSlots = freeSlots(load, held, hasQueue);
+        freeSlots = freeSlots(load, outstanding, hasQueue);
         if (freeSlots >= 1) {
-            stats.recordFreeSlots(freeSlots + held);
+            stats.recordFreeSlots(freeSlots + outstanding);
         }
-        queuedSlots = hasQueue ? load.queuedRequests() : freeSlots >= 1 ? 0 : Math.max(0, held - stats.mostFreeSlots());
+        queuedSlots =
+                hasQueue ? load.queuedRequests() : freeSlots >= 1 ? 0 : Math.max(0, outstanding - stats.maxFreeSlots());
         reportsQueue = hasQueue;
         // Without a reported queue, a request that does not fit may wait while slots are free; only room for
         // the largest one proves that none waits.
@@ -40,7 +41,7 @@
                 hasQueue ? queuedSlots < 0.5 : freeSlots >= largest.slots() && freeMemory >= largest.memory();
     }
 
-    private static double freeSlots(EndpointLoad load, double held, boolean hasQueue) {
+    private static double freeSlots(EndpointLoad load, double outstanding, boolean hasQueue) {
         if (!Double.isNaN(load.freeSlots())) {
             return load.freeSlots();
         }
@@ -50,7 +51,7 @@
         if (!Double.isNaN(load.busyShare())) {
             return load.busyShare() < 1 ? 1 / Math.max(load.busyShare(), MIN_BUSY_SHARE) : 0;
         }
-        return 1 / (1 + held);
+        return 1 / (1 + outstanding);
     }
 
     /** Smooths free slots over reports; the last value counts only within {@code windowNanos}. */
--- a/src/main/java/nettlewick/decision/EndpointHealth.java
+++ b/src/main/java/nettlewick/decision/EndpointHealth.java
@@ -5,7 +5,7 @@
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
     private static final int SLOWDOWN_SAMPLES = 6;
 
-    private long lastSignAt = SchedulerClock.NEVER;
+    private long lastResponseAt = SchedulerClock.NEVER;
     private int ejections;
     private long latestStartedSentAt = SchedulerClock.NEVER;
     private final RunningMean slowdown = new RunningMean(SLOWDOWN_SAMPLES);
@@ -36,24 +36,24 @@
     }
 
     /** Whether the endpoint was ejected and has shown no sign of work since. */
-    boolean isUnproven() {
+    boolean isUnconfirmed() {
         return ejections != 0;
     }
 
     /** A response of any kind. */
     void recordResponse(long now) {
-        lastSignAt = now;
+        lastResponseAt = now;
     }
 
     /** A sign that only a working endpoint gives. */
-    void recordSignOfLife(long now) {
-        lastSignAt = now;
+    void confirmHealthy(long now) {
+        lastResponseAt = now;
         ejections = 0;
         connectionFailures = 0;
     }
 
-    long lastSignAt() {
-        return lastSignAt;
+    long lastResponseAt() {
+        return lastResponseAt;
     }
 
     /** Counts a failed connection and returns how many failed in a row. */
--- a/src/main/java/nettlewick/decision/EndpointKindStats.java
+++ b/src/main/java/nettlewick/decision/EndpointKindStats.java
@@ -3,12 +3,12 @@
 /** What was measured at the endpoints of one kind: work served, slots, slowdown and waits. */
 final class EndpointKindStats {
     private static final int SLOWDOWN_SAMPLES = 100;
-    private static final double CARRIED_SMOOTHING = 4;
+    private static final double RATE_SMOOTHING_INTERVALS = 4;
 
     private double servedSlotSeconds;
-    private double carriedRate;
+    private double servedRatePerEndpoint;
     private int measurements;
-    private double mostFreeSlots;
+    private double maxFreeSlots;
     private final RunningMean slowdown = new RunningMean(SLOWDOWN_SAMPLES);
     private final WaitCalibration waitCalibration = new WaitCalibration();
 
@@ -17,9 +17,9 @@
     }
 
     /** Statistics as {@code measurements} intervals have left them. */
-    EndpointKindStats(double mostFreeSlots, double carriedRate, int measurements) {
-        this.mostFreeSlots = mostFreeSlots;
-        this.carriedRate = carriedRate;
+    EndpointKindStats(double maxFreeSlots, double servedRatePerEndpoint, int measurements) {
+        this.maxFreeSlots = maxFreeSlots;
+        this.servedRatePerEndpoint = servedRatePerEndpoint;
         this.measurements = measurements;
     }
 
@@ -31,16 +31,16 @@
     void closeInterval(long warmEndpoints) {
         if (warmEndpoints > 0) {
             measurements++;
-            carriedRate +=
-                    (servedSlotSeconds * 1e9 / SchedulerTimings.SHARE_INTERVAL_NANOS / warmEndpoints - carriedRate)
-                            / CARRIED_SMOOTHING;
+            servedRatePerEndpoint += (servedSlotSeconds * 1e9 / SchedulerTimings.SHARE_INTERVAL_NANOS / warmEndpoints
+                            - servedRatePerEndpoint)
+                    / RATE_SMOOTHING_INTERVALS;
         }
         servedSlotSeconds = 0;
     }
 
     /** Slots that a warm endpoint is busy with for this dispatcher. */
-    double carriedRate() {
-        return carriedRate;
+    double servedRatePerEndpoint() {
+        return servedRatePerEndpoint;
     }
 
     /** How many intervals the carried rate was measured over. */
@@ -49,12 +49,12 @@
     }
 
     void recordFreeSlots(double slots) {
-        mostFreeSlots = Math.max(mostFreeSlots, slots);
+        maxFreeSlots = Math.max(maxFreeSlots, slots);
     }
 
     /** Most free slots that an endpoint of the kind was seen to have. */
-    double mostFreeSlots() {
-        return mostFreeSlots;
+    double maxFreeSlots() {
+        return maxFreeSlots;
     }
 
     /** Logarithms of how much longer than hinted requests run on this kind. */
--- a/src/main/java/nettlewick/decision/EndpointPool.java
+++ b/src/main/java/nettlewick/decision/EndpointPool.java
@@ -17,7 +17,7 @@
     private int zoneCount;
     private final HashRing<Endpoint> ring = new HashRing<>();
     private final HashRing<Endpoint> localRing = new HashRing<>();
-    private final Set<Endpoint> ringMembers = new LinkedHashSet<>();
+    private final Set<Endpoint> membersOnRing = new LinkedHashSet<>();
 
     /** A pool for endpoints of one kind, or of all where {@code kind} is -1. */
     EndpointPool(int kind) {
@@ -25,7 +25,7 @@
     }
 
     /** Keeps those of the endpoints that are ready and of the kind; only changes reach the hash rings. */
-    void refill(Collection<Endpoint> endpoints, int ringPlaces) {
+    void rebuild(Collection<Endpoint> endpoints, int virtualNodes) {
         ready = endpoints.stream()
                 .filter(endpoint -> endpoint.isReady() && (kind < 0 || endpoint.kind() == kind))
                 .toList();
@@ -35,29 +35,29 @@
                 .map(endpoint -> String.valueOf(endpoint.entry().zone()))
                 .distinct()
                 .count();
-        updateRings(ringPlaces);
+        updateRings(virtualNodes);
     }
 
-    private void updateRings(int ringPlaces) {
-        Set<Endpoint> remaining = new LinkedHashSet<>(ready);
-        for (Endpoint endpoint : remaining) {
-            if (ringMembers.add(endpoint)) {
-                placeOnRings(endpoint, ringPlaces, true);
+    private void updateRings(int virtualNodes) {
+        Set<Endpoint> current = new LinkedHashSet<>(ready);
+        for (Endpoint endpoint : current) {
+            if (membersOnRing.add(endpoint)) {
+                setRingMembership(endpoint, virtualNodes, true);
             }
         }
-        ringMembers.removeIf(endpoint -> {
-            boolean leaves = !remaining.contains(endpoint);
+        membersOnRing.removeIf(endpoint -> {
+            boolean leaves = !current.contains(endpoint);
             if (leaves) {
-                placeOnRings(endpoint, ringPlaces, false);
+                setRingMembership(endpoint, virtualNodes, false);
             }
             return leaves;
         });
     }
 
-    private void placeOnRings(Endpoint endpoint, int ringPlaces, boolean on) {
-        ring.place(endpoint.id(), endpoint, ringPlaces, on);
+    private void setRingMembership(Endpoint endpoint, int virtualNodes, boolean isMember) {
+        ring.setMembership(endpoint.id(), endpoint, virtualNodes, isMember);
         if (endpoint.isLocal()) {
-            localRing.place(endpoint.id(), endpoint, ringPlaces, on);
+            localRing.setMembership(endpoint.id(), endpoint, virtualNodes, isMember);
         }
     }
 
--- a/src/main/java/nettlewick/decision/EndpointPools.java
+++ b/src/main/java/nettlewick/decision/EndpointPools.java
@@ -6,7 +6,7 @@
 
 /** The pools of endpoints by kind, those of tenants with dedicated endpoints, and who may use which. */
 final class EndpointPools {
-    private static final int RING_PLACES = 20;
+    private static final int VIRTUAL_NODES = 20;
 
     /** By kind, from -1 (endpoints of any kind) on. */
     private final List<EndpointPool> byKind = new ArrayList<>();
@@ -19,17 +19,17 @@
         }
     }
 
-    /** Replaces all tenants' dedicated endpoints; takes effect with the next {@link #refill}. */
+    /** Replaces all tenants' dedicated endpoints; takes effect with the next {@link #rebuild}. */
     void assign(List<PoolAssignment> assignments) {
         dedicated = assignments.isEmpty() ? null : new DedicatedEndpoints(assignments);
     }
 
     /** Sorts the endpoints into the pools: which are for all, and which for one tenant. */
-    void refill(Collection<Endpoint> endpoints) {
-        Collection<Endpoint> common = withoutExclusive(endpoints);
-        byKind.forEach(pool -> pool.refill(common, RING_PLACES));
+    void rebuild(Collection<Endpoint> endpoints) {
+        Collection<Endpoint> shared = withoutExclusive(endpoints);
+        byKind.forEach(pool -> pool.rebuild(shared, VIRTUAL_NODES));
         if (dedicated != null) {
-            dedicated.refill(endpoints, byKind, RING_PLACES);
+            dedicated.rebuild(endpoints, byKind, VIRTUAL_NODES);
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** The common pools, one a kind. */
-    List<EndpointPool> common() {
+    List<EndpointPool> shared() {
         return byKind;
     }
 
@@ -60,8 +60,8 @@
 
     /** The pool that the request's endpoint is chosen from. */
     EndpointPool candidates(ScheduledRequest request) {
-        EndpointPool common = ofKind(request.requestClass().kind());
-        return dedicated == null ? common : dedicated.poolFor(request.arrival().tenant(), common);
+        EndpointPool shared = ofKind(request.requestClass().kind());
+        return dedicated == null ? shared : dedicated.poolFor(request.arrival().tenant(), shared);
     }
 
     /** Whether the request may use its tenant's dedicated endpoints only. */
--- a/src/main/java/nettlewick/decision/EndpointSelector.java
+++ b/src/main/java/nettlewick/decision/EndpointSelector.java
@@ -6,9 +6,9 @@
 /** Chooses the endpoint of an attempt: the roomiest of the probe pool by fresh reports, the own zone first. */
 final class EndpointSelector {
     /** Ranks are spare slots, raised or lowered by these so that one concern outweighs all below it. */
-    private static final double LOCAL_ROOM_BONUS = 1000;
+    private static final double LOCAL_CAPACITY_BONUS = 1000;
 
-    private static final double REMOTE_ROOM_BONUS = 500;
+    private static final double REMOTE_CAPACITY_BONUS = 500;
     private static final double LOCAL_QUEUE_BONUS = 0.5;
     private static final double OVERLOAD_PENALTY = 2000;
     private static final double TOO_SLOW_PENALTY = 600;
@@ -52,19 +52,19 @@
         if (reenabled != null) {
             return new EndpointSelection(reenabled, true);
         }
-        Endpoint home = null;
+        Endpoint preferred = null;
         if (request.hasKey()) {
-            EndpointSelection atHome = affinity.selectHome(request, pool);
-            home = atHome.endpoint();
-            if (home != null && (atHome.hasFreeCapacity() || !affinity.mayLeaveHome())) {
-                return atHome;
+            EndpointSelection byAffinity = affinity.selectPreferred(request, pool);
+            preferred = byAffinity.endpoint();
+            if (preferred != null && (byAffinity.hasFreeCapacity() || !affinity.maySpillOver())) {
+                return byAffinity;
             }
         }
         EndpointSelection best = selectByReports(request, pool);
         if (best.endpoint() == null) {
             return new EndpointSelection(selectAtRandom(request, pool), true);
         }
-        return home != null && !best.hasFreeCapacity() ? new EndpointSelection(home, false) : best;
+        return preferred != null && !best.hasFreeCapacity() ? new EndpointSelection(preferred, false) : best;
     }
 
     /** An idle endpoint that an operator has enabled again: it would stay unused while others have more room. */
@@ -85,7 +85,7 @@
     private EndpointSelection selectByReports(ScheduledRequest request, EndpointPool pool) {
         Endpoint best = null;
         double bestRank = 0;
-        boolean hasRoom = false;
+        boolean hasFreeCapacity = false;
         for (Endpoint endpoint : pool.probed()) {
             if (endpoint.capacity().isFresh(clock.now()) && eligibility.isEligible(request, endpoint)) {
                 double spare = capacity.spareSlots(request, endpoint);
@@ -94,17 +94,17 @@
                 if (best == null || rank > bestRank) {
                     best = endpoint;
                     bestRank = rank;
-                    hasRoom = spare >= 0 && !isOverloaded;
+                    hasFreeCapacity = spare >= 0 && !isOverloaded;
                 }
             }
         }
-        return new EndpointSelection(best, hasRoom);
+        return new EndpointSelection(best, hasFreeCapacity);
     }
 
     /** Room in the own zone comes before room elsewhere; slow endpoints come later, overloaded ones last. */
     private double rank(ScheduledRequest request, Endpoint endpoint, double spare, boolean isOverloaded) {
         double rank = spare >= 0
-                ? spare + (endpoint.isLocal() ? LOCAL_ROOM_BONUS : REMOTE_ROOM_BONUS)
+                ? spare + (endpoint.isLocal() ? LOCAL_CAPACITY_BONUS : REMOTE_CAPACITY_BONUS)
                 : spare + (endpoint.isLocal() ? LOCAL_QUEUE_BONUS : 0);
         rank -= isOverloaded ? OVERLOAD_PENALTY : 0;
         rank -= spare >= 0 && latency.isTooSlowFor(request, endpoint) ? TOO_SLOW_PENALTY : 0;
--- a/src/main/java/nettlewick/decision/HashRing.java
+++ b/src/main/java/nettlewick/decision/HashRing.java
@@ -7,27 +7,27 @@
 
 /** Consistent hashing: members at places on a ring, the same for all dispatchers with the same members. */
 final class HashRing<T> {
-    private final TreeMap<Long, T> places = new TreeMap<>();
+    private final TreeMap<Long, T> nodes = new TreeMap<>();
 
     /** Puts a member on the ring at {@code copies} places, or takes it off. */
-    void place(String name, T member, int copies, boolean on) {
-        long place = hash(name);
-        for (int copy = 0; copy < copies; copy++) {
-            place = mix(place + copy);
-            if (on) {
-                places.put(place, member);
+    void setMembership(String name, T member, int virtualNodes, boolean isMember) {
+        long position = hash(name);
+        for (int node = 0; node < virtualNodes; node++) {
+            position = mix(position + node);
+            if (isMember) {
+                nodes.put(position, member);
             } else {
-                places.remove(place);
+                nodes.remove(position);
             }
         }
     }
 
     /** The first {@code count} different members that follow the key. */
     List<T> successors(String key, int count) {
-        long place = hash(key);
+        long position = hash(key);
         List<T> found = new ArrayList<>(count);
-        for (Map<Long, T> half : List.of(places.tailMap(place), places.headMap(place))) {
-            for (T member : half.values()) {
+        for (Map<Long, T> range : List.of(nodes.tailMap(position), nodes.headMap(position))) {
+            for (T member : range.values()) {
                 if (found.size() >= count) {
                     return found;
                 }
@@ -48,7 +48,7 @@
     }
 
     private static long mix(long h) {
-        long half = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
-        return (half ^ half >>> 32) * 0xd6e8feb86659fd93L;
+        long mixed = (h ^ h >>> 32) * 0xd6e8feb86659fd93L;
+        return (mixed ^ mixed >>> 32) * 0xd6e8feb86659fd93L;
     }
 }
--- a/src/main/java/nettlewick/decision/LatencyEstimator.java
+++ b/src/main/java/nettlewick/decision/LatencyEstimator.java
@@ -40,13 +40,13 @@
     double queueTime(ScheduledRequest request, Endpoint endpoint) {
         return Math.max(0, -capacity.spareSlots(request, endpoint))
                 * statistics.meanRunTime()
-                / Math.max(1, pools.statsFor(endpoint).mostFreeSlots());
+                / Math.max(1, pools.statsFor(endpoint).maxFreeSlots());
     }
 
     /** Nanoseconds after arrival within which an answer keeps its full value. */
     double objective(ScheduledRequest request) {
         return request.requestClass().latencyObjective()
-                + request.requestClass().objectiveStretch() * work(request);
+                + request.requestClass().objectiveStretch() * estimatedRunTime(request);
     }
 
     /** Whether an answer now would come after the objective. */
@@ -56,7 +56,7 @@
 
     /** Whether an attempt that starts now without waiting would meet the objective. */
     boolean canStillMeetObjective(ScheduledRequest request) {
-        return clock.now() + work(request) <= request.arrivedAt() + objective(request);
+        return clock.now() + estimatedRunTime(request) <= request.arrivedAt() + objective(request);
     }
 
     /** Whether the request runs too long there to meet its objective even without waiting. */
@@ -71,11 +71,11 @@
 
     /** Nanoseconds that it would run there, by its hint and by how that endpoint and its kind run against hints. */
     private double runTime(ScheduledRequest request, Endpoint endpoint) {
-        return work(request)
+        return estimatedRunTime(request)
                 * (request.hasCostHint() ? OutlierDetector.expectedSlowdown(endpoint, pools.statsFor(endpoint)) : 1);
     }
 
-    private double work(ScheduledRequest request) {
+    private double estimatedRunTime(ScheduledRequest request) {
         return request.hasCostHint() ? request.arrival().costHintNanos() : statistics.meanLatency(request);
     }
 }
--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -21,43 +21,43 @@
     static final int MAX_DIRECT_GOSSIP_DISPATCHERS = 16;
 
     private static final long SECOND_NANOS = 1_000_000_000;
-    private static final long HOLDING_REFRESH_NANOS = SECOND_NANOS / 2;
+    private static final long REPORT_REFRESH_NANOS = SECOND_NANOS / 2;
     private static final long SUM_TTL_NANOS = SECOND_NANOS;
     private static final long WATCH_REFRESH_NANOS = SECOND_NANOS;
     /** Slots below which a difference is rounding. */
     private static final double ROUNDING_SLOTS = 1e-9;
 
-    private record Holding(int slots, long reportedAt) {}
+    private record ReportedSlots(int slots, long reportedAt) {}
 
     private final int rank;
-    private final int size;
+    private final int tierSize;
     private final PeerFaultCounters faults;
     /** As a holder: what was last reported to the owner, and when. */
-    private final Map<Endpoint, Holding> reportedHoldings = new HashMap<>();
+    private final Map<Endpoint, ReportedSlots> reportedToOwner = new HashMap<>();
 
-    private long subscribedAt = SchedulerClock.NEVER;
+    private long watchesSentAt = SchedulerClock.NEVER;
     /** As a watcher: when the sum of each endpoint came. */
     private final Map<Endpoint, Long> sumReceivedAt = new HashMap<>();
 
-    private final Map<Character, AggregatedLoad> ownedEndpoints = new HashMap<>();
-    private Map<Character, Endpoint> endpointsByMark = Map.of();
+    private final Map<Character, AggregatedLoad> ownedLoads = new HashMap<>();
+    private Map<Character, Endpoint> endpointsByIdHash = Map.of();
     private boolean isRefreshDue;
 
     /** The part of the dispatcher {@code rank} in a tier of {@code size}. */
-    LoadAggregator(int rank, int size, PeerFaultCounters faults) {
+    LoadAggregator(int rank, int tierSize, PeerFaultCounters faults) {
         this.rank = rank;
-        this.size = size;
+        this.tierSize = tierSize;
         this.faults = faults;
     }
 
     /** The rank that owns the endpoint of this mark: the same at every dispatcher of the tier. */
-    static int ownerOf(char mark, int size) {
-        return Math.floorMod(mark * 0x9E3779B1 >>> 7, size);
+    static int ownerOf(char idHash, int tierSize) {
+        return Math.floorMod(idHash * 0x9E3779B1 >>> 7, tierSize);
     }
 
     /** Replaces the endpoints by marks; those that share a mark are in no entry. */
-    void replaceEndpoints(Map<Character, Endpoint> byMark) {
-        endpointsByMark = byMark;
+    void replaceEndpoints(Map<Character, Endpoint> byIdHash) {
+        endpointsByIdHash = byIdHash;
     }
 
     /**
@@ -70,10 +70,10 @@
         }
         Kind kind = AggregationMessage.kindOf(data);
         for (Entry entry : AggregationMessage.decode(data)) {
-            if (ownerOf(entry.mark(), size) != (kind == Kind.SUM ? from : rank)) {
+            if (ownerOf(entry.idHash(), tierSize) != (kind == Kind.SUM ? from : rank)) {
                 faults.countDamaged();
             } else if (kind == Kind.SUM) {
-                applySum(entry.mark(), entry.slots(), now);
+                applySum(entry.idHash(), entry.slots(), now);
             } else {
                 recordAsOwner(kind, entry, from, now);
             }
@@ -82,16 +82,16 @@
     }
 
     private void recordAsOwner(Kind kind, Entry entry, int from, long now) {
-        AggregatedLoad owned = ownedEndpoints.computeIfAbsent(entry.mark(), m -> new AggregatedLoad());
+        AggregatedLoad load = ownedLoads.computeIfAbsent(entry.idHash(), m -> new AggregatedLoad());
         if (kind == Kind.WATCH) {
-            owned.recordWatch(from, now);
+            load.recordWatch(from, now);
         } else {
-            owned.recordHolding(from, entry.slots(), now);
+            load.recordInFlight(from, entry.slots(), now);
         }
     }
 
-    private void applySum(char mark, int slotsOfOthers, long now) {
-        Endpoint endpoint = endpointsByMark.get(mark);
+    private void applySum(char idHash, int slotsOfOthers, long now) {
+        Endpoint endpoint = endpointsByIdHash.get(idHash);
         if (endpoint == null) {
             faults.countUnlisted(1);
         } else {
@@ -102,15 +102,17 @@
 
     /** Forgets what is too old: sums as a watcher, holdings and watches as an owner. */
     void expire(long now) {
-        for (Iterator<Map.Entry<Endpoint, Long>> i = sumReceivedAt.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Endpoint, Long> received = i.next();
+        for (Iterator<Map.Entry<Endpoint, Long>> iterator =
+                        sumReceivedAt.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<Endpoint, Long> received = iterator.next();
             if (now - received.getValue() > SUM_TTL_NANOS) {
                 received.getKey().inFlight().setPeerSlots(0);
-                i.remove();
+                iterator.remove();
             }
         }
-        ownedEndpoints.values().forEach(owned -> owned.expire(now));
-        ownedEndpoints.values().removeIf(AggregatedLoad::isUnused);
+        ownedLoads.values().forEach(load -> load.expire(now));
+        ownedLoads.values().removeIf(AggregatedLoad::isUnused);
         isRefreshDue = true;
     }
 
@@ -121,46 +123,46 @@
      * @param all     every endpoint this dispatcher knows
      * @param watched the endpoints of its probe pool
      */
-    Map<Integer, List<byte[]>> drainMessages(long now, Collection<Endpoint> all, List<Endpoint> watched) {
+    Map<Integer, List<byte[]>> dueMessages(long now, Collection<Endpoint> all, List<Endpoint> watched) {
         Outbox outbox = new Outbox();
         for (Endpoint endpoint : all) {
-            if (endpoint.inFlight().slots() > 0 || !reportedHoldings.isEmpty()) {
-                reportHolding(endpoint, now, outbox);
+            if (endpoint.inFlight().slots() > 0 || !reportedToOwner.isEmpty()) {
+                reportInFlight(endpoint, now, outbox);
             }
         }
-        if (now - subscribedAt >= WATCH_REFRESH_NANOS) {
-            subscribedAt = now;
+        if (now - watchesSentAt >= WATCH_REFRESH_NANOS) {
+            watchesSentAt = now;
             watched.forEach(endpoint -> addForOwner(Kind.WATCH, endpoint, 0, now, outbox));
         }
-        ownedEndpoints.forEach((mark, owned) -> {
-            if (owned.hasChanged() || isRefreshDue) {
-                owned.notifyWatchers(now, (watcher, others) -> addSum(watcher, mark, others, now, outbox));
+        ownedLoads.forEach((idHash, load) -> {
+            if (load.hasChanged() || isRefreshDue) {
+                load.notifyWatchers(now, (watcher, others) -> addSum(watcher, idHash, others, now, outbox));
             }
         });
         isRefreshDue = false;
         return outbox.datagrams();
     }
 
-    private void reportHolding(Endpoint endpoint, long now, Outbox outbox) {
+    private void reportInFlight(Endpoint endpoint, long now, Outbox outbox) {
         int slots = (int) Math.min(
                 AggregationMessage.MAX_SLOTS, Math.ceil(endpoint.inFlight().slots() - ROUNDING_SLOTS));
-        Holding last = reportedHoldings.get(endpoint);
-        boolean isSame = slots == (last == null ? 0 : last.slots());
-        if (isSame && (slots == 0 || now - last.reportedAt() < HOLDING_REFRESH_NANOS)) {
+        ReportedSlots lastReport = reportedToOwner.get(endpoint);
+        boolean isUnchanged = slots == (lastReport == null ? 0 : lastReport.slots());
+        if (isUnchanged && (slots == 0 || now - lastReport.reportedAt() < REPORT_REFRESH_NANOS)) {
             return;
         }
         if (slots == 0) {
-            reportedHoldings.remove(endpoint);
+            reportedToOwner.remove(endpoint);
         } else {
-            reportedHoldings.put(endpoint, new Holding(slots, now));
+            reportedToOwner.put(endpoint, new ReportedSlots(slots, now));
         }
-        addForOwner(Kind.HOLD, endpoint, slots, now, outbox);
+        addForOwner(Kind.IN_FLIGHT, endpoint, slots, now, outbox);
     }
 
     /** An entry for the owner, which may be this dispatcher. */
     private void addForOwner(Kind kind, Endpoint endpoint, int slots, long now, Outbox outbox) {
-        Entry entry = new Entry(LoadGossipMessage.markOf(endpoint.id()), slots);
-        int owner = ownerOf(entry.mark(), size);
+        Entry entry = new Entry(LoadGossipMessage.idHash(endpoint.id()), slots);
+        int owner = ownerOf(entry.idHash(), tierSize);
         if (owner == rank) {
             recordAsOwner(kind, entry, rank, now);
         } else {
@@ -169,11 +171,11 @@
     }
 
     /** A sum for a watcher, which may be this dispatcher. */
-    private void addSum(int watcher, char mark, int slotsOfOthers, long now, Outbox outbox) {
+    private void addSum(int watcher, char idHash, int slotsOfOthers, long now, Outbox outbox) {
         if (watcher == rank) {
-            applySum(mark, slotsOfOthers, now);
+            applySum(idHash, slotsOfOthers, now);
         } else {
-            outbox.add(watcher, Kind.SUM, new Entry(mark, slotsOfOthers));
+            outbox.add(watcher, Kind.SUM, new Entry(idHash, slotsOfOthers));
         }
     }
 
--- a/src/main/java/nettlewick/decision/LoadGossipMessage.java
+++ b/src/main/java/nettlewick/decision/LoadGossipMessage.java
@@ -16,7 +16,7 @@
     private static final byte MAGIC = (byte) 0xD3;
     private static final byte VERSION = 3;
     private static final int HEADER_BYTES = 4;
-    private static final int NUMBER_OFFSET = 3;
+    private static final int SEQUENCE_OFFSET = 3;
     private static final int ENTRY_BYTES = 3;
     /** The longest datagram that may be sent. */
     private static final int MAX_MESSAGE_BYTES = 256;
@@ -37,27 +37,27 @@
      * @param number   the number of the sending, modulo 256: a lower one than the last is late
      * @param unlisted entries that name no endpoint of this dispatcher's list
      */
-    record Received(int part, int parts, int number, Map<Endpoint, Integer> slotsInFlight, int unlisted) {}
+    record Received(int part, int parts, int sequence, Map<Endpoint, Integer> slotsInFlight, int unlisted) {}
 
     private LoadGossipMessage() {}
 
     /** Sixteen bits that stand for an id, the same in every process. */
-    static char markOf(String id) {
+    static char idHash(String id) {
         int hash = id.hashCode() * 0x9e3779b9;
         return (char) (hash >>> 16 ^ hash);
     }
 
     /** The endpoints by their marks; those that share a mark are in no entry. */
-    static Map<Character, Endpoint> indexByMark(List<Endpoint> endpoints) {
-        Map<Character, Endpoint> marks = new HashMap<>();
-        Set<Character> shared = new HashSet<>();
+    static Map<Character, Endpoint> indexByIdHash(List<Endpoint> endpoints) {
+        Map<Character, Endpoint> byIdHash = new HashMap<>();
+        Set<Character> collisions = new HashSet<>();
         for (Endpoint endpoint : endpoints) {
-            if (marks.put(markOf(endpoint.id()), endpoint) != null) {
-                shared.add(markOf(endpoint.id()));
+            if (byIdHash.put(idHash(endpoint.id()), endpoint) != null) {
+                collisions.add(idHash(endpoint.id()));
             }
         }
-        marks.keySet().removeAll(shared);
-        return marks;
+        byIdHash.keySet().removeAll(collisions);
+        return byIdHash;
     }
 
     /**
@@ -65,18 +65,18 @@
      * fifteen datagrams is left out from the end.
      */
     static List<byte[]> encode(List<Endpoint> endpoints) {
-        List<Endpoint> holding = endpoints.stream()
+        List<Endpoint> busy = endpoints.stream()
                 .filter(endpoint -> endpoint.inFlight().slots() > ROUNDING_SLOTS)
                 .toList();
-        int parts = Math.min(MAX_PARTS, Math.max(1, (holding.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
+        int parts = Math.min(MAX_PARTS, Math.max(1, (busy.size() + ENTRIES_PER_MESSAGE - 1) / ENTRIES_PER_MESSAGE));
         List<byte[]> messages = new ArrayList<>();
         for (int part = 0; part < parts; part++) {
             int from = part * ENTRIES_PER_MESSAGE;
-            int to = Math.min(holding.size(), from + ENTRIES_PER_MESSAGE);
+            int to = Math.min(busy.size(), from + ENTRIES_PER_MESSAGE);
             ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + (to - from) * ENTRY_BYTES);
             buffer.put(MAGIC).put(VERSION).put((byte) (parts << 4 | part)).put((byte) 0);
-            for (Endpoint endpoint : holding.subList(from, to)) {
-                buffer.putChar(markOf(endpoint.id())).put((byte)
+            for (Endpoint endpoint : busy.subList(from, to)) {
+                buffer.putChar(idHash(endpoint.id())).put((byte)
                         Math.min(MAX_SLOTS, Math.ceil(endpoint.inFlight().slots() - ROUNDING_SLOTS)));
             }
             messages.add(buffer.array());
@@ -85,14 +85,14 @@
     }
 
     /** Whether these datagrams report that nothing is in flight. */
-    static boolean reportNothing(List<byte[]> messages) {
+    static boolean isEmptyReport(List<byte[]> messages) {
         return messages.size() == 1 && messages.get(0).length == HEADER_BYTES;
     }
 
     /** A copy of the datagram with the number of its sending. */
-    static byte[] withNumber(byte[] message, int number) {
+    static byte[] withSequence(byte[] message, int sequence) {
         byte[] copy = message.clone();
-        copy[NUMBER_OFFSET] = (byte) number;
+        copy[SEQUENCE_OFFSET] = (byte) sequence;
         return copy;
     }
 
@@ -106,21 +106,21 @@
     }
 
     /** The datagram's content, null if it is damaged; entries for endpoints without a mark here are only counted. */
-    static Received decode(byte[] data, Map<Character, Endpoint> byMark) {
+    static Received decode(byte[] data, Map<Character, Endpoint> byIdHash) {
         int parts = (data[2] & BYTE_MASK) >> 4;
         int part = data[2] & 0x0F;
         Map<Endpoint, Integer> slots = new HashMap<>();
         int unlisted = 0;
         ByteBuffer buffer = ByteBuffer.wrap(data).position(HEADER_BYTES);
         while (buffer.hasRemaining()) {
-            Endpoint endpoint = byMark.get(buffer.getChar());
-            int slotsHeld = buffer.get() & BYTE_MASK;
+            Endpoint endpoint = byIdHash.get(buffer.getChar());
+            int inFlight = buffer.get() & BYTE_MASK;
             if (endpoint != null) {
-                slots.put(endpoint, slotsHeld);
+                slots.put(endpoint, inFlight);
             } else {
                 unlisted++;
             }
         }
-        return part < parts ? new Received(part, parts, data[NUMBER_OFFSET] & BYTE_MASK, slots, unlisted) : null;
+        return part < parts ? new Received(part, parts, data[SEQUENCE_OFFSET] & BYTE_MASK, slots, unlisted) : null;
     }
 }
--- a/src/main/java/nettlewick/decision/LoadGossiper.java
+++ b/src/main/java/nettlewick/decision/LoadGossiper.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What peers have in flight at the endpoints by their {@link LoadGossipMessage}, and when to send this dispatcher's. */
+/** Tracks the slots that peers report in flight at each endpoint, and decides when to send this dispatcher's own. */
 final class LoadGossiper {
     /** Age to which gossip is believed; it is sent at least twice as often while there is anything in flight. */
     private static final long TTL_NANOS = 1_000_000_000;
@@ -15,15 +15,15 @@
     /** One of the datagrams that together report the load of a dispatcher. */
     private record PartKey(int rank, int part) {}
 
-    private record ReceivedLoad(Map<Endpoint, Integer> slots, long at, int number) {}
+    private record ReceivedLoad(Map<Endpoint, Integer> slots, long receivedAt, int sequence) {}
 
     private final Map<PartKey, ReceivedLoad> received = new HashMap<>();
     private final PeerFaultCounters faults;
-    private List<Endpoint> byName = List.of();
-    private Map<Character, Endpoint> byMark = Map.of();
+    private List<Endpoint> sortedById = List.of();
+    private Map<Character, Endpoint> byIdHash = Map.of();
     private List<byte[]> lastSent = List.of();
     private long lastSentAt = SchedulerClock.NEVER;
-    private int sendings;
+    private int nextSequence;
 
     /** Counts in {@code faults} what it ignores. */
     LoadGossiper(PeerFaultCounters faults) {
@@ -32,13 +32,13 @@
 
     /** Replaces the endpoints that discovery lists as ready. */
     void replaceEndpoints(Collection<Endpoint> ready) {
-        byName = ready.stream().sorted(Comparator.comparing(Endpoint::id)).toList();
-        byMark = LoadGossipMessage.indexByMark(byName);
+        sortedById = ready.stream().sorted(Comparator.comparing(Endpoint::id)).toList();
+        byIdHash = LoadGossipMessage.indexByIdHash(sortedById);
     }
 
     /** The ready endpoints by their marks; those that share a mark are in no entry. */
-    Map<Character, Endpoint> endpointsByMark() {
-        return byMark;
+    Map<Character, Endpoint> endpointsByIdHash() {
+        return byIdHash;
     }
 
     /**
@@ -50,22 +50,24 @@
         if (!LoadGossipMessage.isLoadGossip(data)) {
             return false;
         }
-        LoadGossipMessage.Received message = LoadGossipMessage.decode(data, byMark);
+        LoadGossipMessage.Received message = LoadGossipMessage.decode(data, byIdHash);
         if (message == null) {
             faults.countDamaged();
             return true;
         }
         PartKey from = new PartKey(rank, message.part());
-        ReceivedLoad old = received.get(from);
-        int ahead = old == null || now - old.at() >= TTL_NANOS / 2 ? 1 : (byte) (message.number() - old.number());
-        if (ahead < 0) {
+        ReceivedLoad previous = received.get(from);
+        int sequenceAdvance = previous == null || now - previous.receivedAt() >= TTL_NANOS / 2
+                ? 1
+                : (byte) (message.sequence() - previous.sequence());
+        if (sequenceAdvance < 0) {
             faults.countLate();
             return true;
         }
         faults.countUnlisted(message.unlisted());
-        withdraw(received.put(from, new ReceivedLoad(message.slotsInFlight(), now, message.number())));
-        message.slotsInFlight().forEach((endpoint, held) -> endpoint.inFlight().addPeerSlots(held));
-        for (int gone = message.parts(); withdraw(received.remove(new PartKey(rank, gone))); gone++) {
+        subtract(received.put(from, new ReceivedLoad(message.slotsInFlight(), now, message.sequence())));
+        message.slotsInFlight().forEach((endpoint, slots) -> endpoint.inFlight().addPeerSlots(slots));
+        for (int stalePart = message.parts(); subtract(received.remove(new PartKey(rank, stalePart))); stalePart++) {
             continue;
         }
         return true;
@@ -76,31 +78,31 @@
      * in flight: peers forget by themselves what is not sent again.
      */
     List<byte[]> dueMessages(long now) {
-        List<byte[]> messages = LoadGossipMessage.encode(byName);
-        boolean same = messages.size() == lastSent.size();
-        for (int i = 0; same && i < messages.size(); i++) {
-            same = Arrays.equals(messages.get(i), lastSent.get(i));
+        List<byte[]> messages = LoadGossipMessage.encode(sortedById);
+        boolean isUnchanged = messages.size() == lastSent.size();
+        for (int i = 0; isUnchanged && i < messages.size(); i++) {
+            isUnchanged = Arrays.equals(messages.get(i), lastSent.get(i));
         }
-        if (same && (now - lastSentAt <= TTL_NANOS / 2 || LoadGossipMessage.reportNothing(messages))) {
+        if (isUnchanged && (now - lastSentAt <= TTL_NANOS / 2 || LoadGossipMessage.isEmptyReport(messages))) {
             return List.of();
         }
         lastSent = messages;
         lastSentAt = now;
-        int number = sendings++;
+        int sequence = nextSequence++;
         return messages.stream()
-                .map(message -> LoadGossipMessage.withNumber(message, number))
+                .map(message -> LoadGossipMessage.withSequence(message, sequence))
                 .toList();
     }
 
     /** Drops the loads of peers that have been silent since. */
     void expire(long now) {
-        received.values().removeIf(t -> now - t.at() > TTL_NANOS && withdraw(t));
+        received.values().removeIf(load -> now - load.receivedAt() > TTL_NANOS && subtract(load));
     }
 
-    private static boolean withdraw(ReceivedLoad old) {
-        if (old != null) {
-            old.slots().forEach((endpoint, held) -> endpoint.inFlight().addPeerSlots(-held));
+    private static boolean subtract(ReceivedLoad previous) {
+        if (previous != null) {
+            previous.slots().forEach((endpoint, slots) -> endpoint.inFlight().addPeerSlots(-slots));
         }
-        return old != null;
+        return previous != null;
     }
 }
--- a/src/main/java/nettlewick/decision/OutcomeHandler.java
+++ b/src/main/java/nettlewick/decision/OutcomeHandler.java
@@ -137,7 +137,7 @@
         if (endpoint == null) {
             return;
         }
-        endpoint.health().recordSignOfLife(clock.now());
+        endpoint.health().confirmHealthy(clock.now());
         Attempt attempt = findAttempt(progress.id(), progress.attempt());
         if (attempt == null) {
             return;
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -15,17 +15,17 @@
     private static final int MIN_CONSECUTIVE_FAILURES = 2;
 
     private static final double FALSE_POSITIVE_PROBABILITY = 0.005;
-    private static final double MIN_BREAK_SHARE = 0.001;
-    private static final double MAX_BREAK_SHARE = 0.5;
-    private static final int BREAK_SHARE_SAMPLES = 100;
-    private static final int BREAK_SHARE_INITIAL_SAMPLES = 50;
+    private static final double MIN_CONNECTION_FAILURE_RATE = 0.001;
+    private static final double MAX_CONNECTION_FAILURE_RATE = 0.5;
+    private static final int CONNECTION_FAILURE_RATE_SAMPLES = 100;
+    private static final int CONNECTION_FAILURE_RATE_INITIAL_SAMPLES = 50;
     /** A process that refuses connections does so at once; an endpoint that is cut off takes longer than this. */
-    private static final long MAX_REFUSAL_NANOS = 100_000_000;
+    private static final long MAX_CONNECTION_REFUSAL_NANOS = 100_000_000;
     /** Part of the ready endpoints that may be ejected at once: beyond it the fault is elsewhere. */
     private static final double MAX_EJECTED_SHARE = 0.5;
 
     /** More than sends can change their order by on the way. */
-    private static final long OVERTAKEN_NANOS = 250_000_000;
+    private static final long MAX_REORDERING_NANOS = 250_000_000;
     /** Progress messages that may fail to come before an attempt counts as lost. */
     private static final int MISSED_PROGRESS_LIMIT = 2;
     /** A report that came this long after a send shows the endpoint after it. */
@@ -37,21 +37,22 @@
     /** Expected run times of silence, summed over its attempts, after which an endpoint counts as silent. */
     private static final double MAX_SILENT_RUN_TIMES = 5;
 
-    private final Supplier<List<Endpoint>> ready;
+    private final Supplier<List<Endpoint>> readyEndpoints;
     /** Share of connections that break, over the whole fleet. */
-    private final RunningMean breakShare = new RunningMean(BREAK_SHARE_SAMPLES, BREAK_SHARE_INITIAL_SAMPLES);
+    private final RunningMean connectionFailureRate =
+            new RunningMean(CONNECTION_FAILURE_RATE_SAMPLES, CONNECTION_FAILURE_RATE_INITIAL_SAMPLES);
 
     /** A detector for the fleet whose ready endpoints {@code ready} returns. */
-    OutlierDetector(Supplier<List<Endpoint>> ready) {
-        this.ready = ready;
+    OutlierDetector(Supplier<List<Endpoint>> readyEndpoints) {
+        this.readyEndpoints = readyEndpoints;
     }
 
     /** Takes over how an attempt, or a probe that failed, ended at this endpoint. */
     void recordResult(Endpoint endpoint, AttemptResult result, long latencyNanos, long now) {
         switch (result) {
             case SERVED -> {
-                endpoint.health().recordSignOfLife(now);
-                breakShare.add(0);
+                endpoint.health().confirmHealthy(now);
+                connectionFailureRate.add(0);
                 endpoint.health().endEjection(now);
             }
             case OVERLOADED -> {
@@ -67,25 +68,28 @@
 
     /** Connections also break on the way, at endpoints that are well. */
     private void recordConnectionFailure(Endpoint endpoint, AttemptResult result, long latencyNanos, long now) {
-        breakShare.add(1);
-        boolean isCutOff = result == AttemptResult.UNREACHABLE && latencyNanos > MAX_REFUSAL_NANOS;
-        if (endpoint.health().countConnectionFailure() >= consecutiveFailureLimit() || isCutOff) {
+        connectionFailureRate.add(1);
+        boolean isConnectTimeout = result == AttemptResult.UNREACHABLE && latencyNanos > MAX_CONNECTION_REFUSAL_NANOS;
+        if (endpoint.health().countConnectionFailure() >= consecutiveFailureLimit() || isConnectTimeout) {
             eject(endpoint, now);
         }
     }
 
     /** Failures in a row that chance alone hardly brings, at the share of connections that break now. */
     private double consecutiveFailureLimit() {
-        double share = Math.min(MAX_BREAK_SHARE, Math.max(MIN_BREAK_SHARE, breakShare.value()));
-        return Math.max(MIN_CONSECUTIVE_FAILURES, Math.ceil(Math.log(FALSE_POSITIVE_PROBABILITY) / Math.log(share)));
+        double failureRate = Math.min(
+                MAX_CONNECTION_FAILURE_RATE, Math.max(MIN_CONNECTION_FAILURE_RATE, connectionFailureRate.value()));
+        return Math.max(
+                MIN_CONSECUTIVE_FAILURES, Math.ceil(Math.log(FALSE_POSITIVE_PROBABILITY) / Math.log(failureRate)));
     }
 
     /** Ejects the endpoint for a time, unless it or too much of the fleet is ejected already. */
     void eject(Endpoint endpoint, long now) {
-        long ejected =
-                ready.get().stream().filter(e -> e.health().isEjected(now)).count();
-        boolean mayEject =
-                ejected + 1 <= Math.max(1, MAX_EJECTED_SHARE * ready.get().size());
+        long ejectedCount = readyEndpoints.get().stream()
+                .filter(e -> e.health().isEjected(now))
+                .count();
+        boolean mayEject = ejectedCount + 1
+                <= Math.max(1, MAX_EJECTED_SHARE * readyEndpoints.get().size());
         if (!endpoint.health().isEjected(now) && mayEject) {
             endpoint.health().eject(BASE_EJECTION_NANOS, now);
         }
@@ -110,7 +114,7 @@
             return progressNanos > 0 && now - attempt.lastSignAt() > MISSED_PROGRESS_LIMIT * progressNanos;
         }
         Endpoint endpoint = attempt.endpoint();
-        return endpoint.health().latestStartedSentAt() - attempt.sentAt() > OVERTAKEN_NANOS
+        return endpoint.health().latestStartedSentAt() - attempt.sentAt() > MAX_REORDERING_NANOS
                 || endpoint.capacity().reportedAt() - attempt.sentAt() > REPORT_SETTLING_NANOS
                         && endpoint.capacity().isQueueProvenEmpty();
     }
@@ -122,32 +126,34 @@
 
     /** Whether an endpoint has been silent too long, in expected run times summed over its attempts. */
     static boolean isSilent(Endpoint endpoint, RequestStatistics statistics, long now) {
-        double silence = 0;
+        double silentRunTimes = 0;
         for (Attempt attempt : endpoint.inFlight().attempts()) {
             ScheduledRequest request = attempt.request();
-            double expected =
+            double expectedNanos =
                     Math.max(statistics.meanLatency(request), request.arrival().costHintNanos());
-            long silent = now - Math.max(attempt.sentAt(), endpoint.health().lastSignAt());
-            silence += expected <= 0 ? 0 : silent / Math.max(expected, SchedulerTimings.TICK_NANOS);
+            long silentNanos =
+                    now - Math.max(attempt.sentAt(), endpoint.health().lastResponseAt());
+            silentRunTimes +=
+                    expectedNanos <= 0 ? 0 : silentNanos / Math.max(expectedNanos, SchedulerTimings.TICK_NANOS);
         }
-        return silence > MAX_SILENT_RUN_TIMES;
+        return silentRunTimes > MAX_SILENT_RUN_TIMES;
     }
 
     /** Records, for an attempt that was served, how long it ran against its hint. */
-    static void recordRunTime(Attempt attempt, EndpointKindStats kind, long now) {
+    static void recordRunTime(Attempt attempt, EndpointKindStats stats, long now) {
         long hint = attempt.request().arrival().costHintNanos();
         if (attempt.hasStarted() && hint > 0 && now > attempt.startedAt()) {
             double slowdown = Math.log((double) (now - attempt.startedAt()) / hint);
             attempt.endpoint().health().slowdown().add(slowdown);
-            kind.slowdown().add(slowdown);
+            stats.slowdown().add(slowdown);
         }
     }
 
     /** How many times its hint a request is expected to run there. */
-    static double expectedSlowdown(Endpoint endpoint, EndpointKindStats kind) {
+    static double expectedSlowdown(Endpoint endpoint, EndpointKindStats stats) {
         RunningMean own = endpoint.health().slowdown();
         return Math.exp(
-                (own.count() * own.value() + PRIOR_SAMPLES * kind.slowdown().value()) / (own.count() + PRIOR_SAMPLES));
+                (own.count() * own.value() + PRIOR_SAMPLES * stats.slowdown().value()) / (own.count() + PRIOR_SAMPLES));
     }
 
     /** Whether an attempt may be waiting at its endpoint, unless reports state the queue. */
@@ -184,6 +190,6 @@
     /** Whether the request may go there: after its ejection an endpoint is tried with one harmless request first. */
     static boolean mayReceive(Endpoint endpoint, ScheduledRequest request, long now) {
         boolean isTrial = endpoint.inFlight().isEmpty() && request.idempotency() != Idempotency.NON_IDEMPOTENT;
-        return !endpoint.health().isEjected(now) && (!endpoint.health().isUnproven() || isTrial);
+        return !endpoint.health().isEjected(now) && (!endpoint.health().isUnconfirmed() || isTrial);
     }
 }
--- a/src/main/java/nettlewick/decision/PeerLoadExchange.java
+++ b/src/main/java/nettlewick/decision/PeerLoadExchange.java
@@ -40,7 +40,7 @@
     void replaceEndpoints(Collection<Endpoint> discoveredReady) {
         gossip.replaceEndpoints(discoveredReady);
         if (aggregator != null) {
-            aggregator.replaceEndpoints(gossip.endpointsByMark());
+            aggregator.replaceEndpoints(gossip.endpointsByIdHash());
         }
     }
 
@@ -75,7 +75,7 @@
     void flush(Collection<Endpoint> all, List<Endpoint> probed) {
         if (aggregator != null && context.hasPeers()) {
             aggregator
-                    .drainMessages(clock.now(), all, probed)
+                    .dueMessages(clock.now(), all, probed)
                     .forEach((rank, messages) ->
                             messages.forEach(message -> actions.add(new SendToPeer(rank, message))));
         }
--- a/src/main/java/nettlewick/decision/ProbePool.java
+++ b/src/main/java/nettlewick/decision/ProbePool.java
@@ -14,7 +14,7 @@
 
     private static final int MAX_SIZE = 24;
     /** Pool size as a multiple of this dispatcher's part of the endpoints. */
-    private static final double SIZE_PER_PART = 1.5;
+    private static final double SIZE_PER_SHARE = 1.5;
     /** Pool size as a multiple of the endpoints that its own traffic keeps busy. */
     private static final double SIZE_PER_BUSY_ENDPOINT = 2.5;
 
@@ -44,8 +44,8 @@
     }
 
     /** Draws all pools anew, after an endpoint update and in each interval, since sizes follow the traffic. */
-    void redraw() {
-        pools.all().forEach(this::redraw);
+    void reselect() {
+        pools.all().forEach(this::reselect);
         probed = pools.all().stream()
                 .flatMap(pool -> pool.probed().stream())
                 .distinct()
@@ -53,28 +53,28 @@
     }
 
     /** A stretch of the own zone, and two thirds as many of the other zones; more where the own zone is small. */
-    private void redraw(EndpointPool pool) {
+    private void reselect(EndpointPool pool) {
         int size = size(pool);
-        List<Endpoint> drawn = new ArrayList<>();
-        addStretch(pool.local(), size, drawn);
+        List<Endpoint> selected = new ArrayList<>();
+        addConsecutive(pool.local(), size, selected);
         int remote = pool.local().isEmpty()
                 ? size
                 : (2 * size + 2) / 3 + Math.max(0, size - pool.local().size());
-        addStretch(pool.remote(), remote, drawn);
-        pool.setProbed(drawn);
+        addConsecutive(pool.remote(), remote, selected);
+        pool.setProbed(selected);
     }
 
     private int size(EndpointPool pool) {
-        double part = (double) pool.local().size() * pool.zoneCount() / settings.fleetSize();
+        double share = (double) pool.local().size() * pool.zoneCount() / settings.fleetSize();
         double busy = SIZE_PER_BUSY_ENDPOINT
-                * rates.triedRate()
-                / Math.max(1, pool.stats().mostFreeSlots());
-        double wanted = Math.max(minSize, Math.max(busy, SIZE_PER_PART * part));
+                * rates.grossAcceptedRate()
+                / Math.max(1, pool.stats().maxFreeSlots());
+        double wanted = Math.max(minSize, Math.max(busy, SIZE_PER_SHARE * share));
         return (int) Math.ceil(Math.min(MAX_SIZE, wanted));
     }
 
     /** Each dispatcher begins at a place of its own, so that pools differ and dispatchers don't herd. */
-    private void addStretch(List<Endpoint> from, int size, List<Endpoint> to) {
+    private void addConsecutive(List<Endpoint> from, int size, List<Endpoint> to) {
         int start = (int) (ProbePoolNeighbors.ringPosition(settings.rank()) * from.size());
         for (int i = 0; i < Math.min(size, from.size()); i++) {
             to.add(from.get((start + i) % from.size()));
--- a/src/main/java/nettlewick/decision/ProbePoolNeighbors.java
+++ b/src/main/java/nettlewick/decision/ProbePoolNeighbors.java
@@ -11,7 +11,7 @@
  */
 final class ProbePoolNeighbors {
     /** Neighbors on each side. */
-    static final int REACH = 2;
+    static final int NEIGHBORS_PER_SIDE = 2;
 
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
 
@@ -19,8 +19,8 @@
 
     /** Where a dispatcher's pool begins, as a part of a list, in [0, 1): spread by the golden ratio. */
     static double ringPosition(int rank) {
-        double place = rank * GOLDEN_RATIO_FRACTION;
-        return place - Math.floor(place);
+        double position = rank * GOLDEN_RATIO_FRACTION;
+        return position - Math.floor(position);
     }
 
     /**
@@ -29,21 +29,21 @@
      *
      * @throws IllegalArgumentException where the rank is not one of the tier's or the reach is below 0
      */
-    static int[] neighborsOf(int rank, int size, int reach) {
-        if (rank < 0 || rank >= size || reach < 0) {
-            throw new IllegalArgumentException("no neighbors for rank " + rank + " of " + size + ", reach " + reach);
+    static int[] neighborsOf(int rank, int size, int perSide) {
+        if (rank < 0 || rank >= size || perSide < 0) {
+            throw new IllegalArgumentException("no neighbors for rank " + rank + " of " + size + ", reach " + perSide);
         }
-        if (size <= 2 * reach + 1) {
+        if (size <= 2 * perSide + 1) {
             return IntStream.range(0, size).filter(r -> r != rank).toArray();
         }
         Integer[] ring = IntStream.range(0, size).boxed().toArray(Integer[]::new);
         Arrays.sort(ring, Comparator.comparingDouble(ProbePoolNeighbors::ringPosition));
-        int at = Arrays.asList(ring).indexOf(rank);
-        int[] near = new int[2 * reach];
-        for (int d = 1; d <= reach; d++) {
-            near[2 * d - 2] = ring[(at + d) % size];
-            near[2 * d - 1] = ring[Math.floorMod(at - d, size)];
+        int position = Arrays.asList(ring).indexOf(rank);
+        int[] neighbors = new int[2 * perSide];
+        for (int distance = 1; distance <= perSide; distance++) {
+            neighbors[2 * distance - 2] = ring[(position + distance) % size];
+            neighbors[2 * distance - 1] = ring[Math.floorMod(position - distance, size)];
         }
-        return near;
+        return neighbors;
     }
 }
--- a/src/main/java/nettlewick/decision/RequestScheduler.java
+++ b/src/main/java/nettlewick/decision/RequestScheduler.java
@@ -169,8 +169,8 @@
 
     private void updateEndpoints(EndpointList effective) {
         directory.apply(effective);
-        pools.refill(directory.all());
-        probePool.redraw();
+        pools.rebuild(directory.all());
+        probePool.reselect();
         loads.replaceEndpoints(directory.all().stream()
                 .filter(endpoint -> registry.isDiscoveredReady(endpoint.id()))
                 .toList());
--- a/src/main/java/nettlewick/decision/ServiceRates.java
+++ b/src/main/java/nettlewick/decision/ServiceRates.java
@@ -12,8 +12,8 @@
     private double lost;
     private double served;
     private double arrivals;
-    private double acceptedRate;
-    private double triedRate;
+    private double netAcceptedRate;
+    private double grossAcceptedRate;
     private double servedRate;
 
     void recordArrival() {
@@ -38,21 +38,21 @@
         double gain = Math.min(MAX_GAIN, Math.max(MIN_GAIN, arrivals / MEASURED_REQUESTS));
         arrivals = 0;
         servedRate += gain * (served / seconds - servedRate);
-        triedRate += gain * (accepted / seconds - triedRate);
-        acceptedRate += gain * (Math.max(0, accepted - lost) / seconds - acceptedRate);
+        grossAcceptedRate += gain * (accepted / seconds - grossAcceptedRate);
+        netAcceptedRate += gain * (Math.max(0, accepted - lost) / seconds - netAcceptedRate);
         accepted = 0;
         lost = 0;
         served = 0;
     }
 
     /** Rate of what was accepted and not lost. */
-    double acceptedRate() {
-        return acceptedRate;
+    double netAcceptedRate() {
+        return netAcceptedRate;
     }
 
     /** Rate of all that was accepted. */
-    double triedRate() {
-        return triedRate;
+    double grossAcceptedRate() {
+        return grossAcceptedRate;
     }
 
     double servedRate() {
--- a/src/main/java/nettlewick/decision/SliceController.java
+++ b/src/main/java/nettlewick/decision/SliceController.java
@@ -60,7 +60,7 @@
                     clock.now() + SchedulerTimings.SHARE_INTERVAL_NANOS / 2);
             measureCarriedRates();
             closeInterval();
-            probePool.redraw();
+            probePool.reselect();
         }
     }
 
@@ -80,7 +80,7 @@
 
     /** Measures what a warm endpoint of each kind carries for this dispatcher. */
     private void measureCarriedRates() {
-        for (EndpointPool pool : pools.common()) {
+        for (EndpointPool pool : pools.shared()) {
             long warm = pool.ready().stream()
                     .filter(endpoint -> !slowStart.isWarmingUp(endpoint, clock.now()))
                     .count();
--- a/src/main/java/nettlewick/decision/SlowStartBudget.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -37,22 +37,24 @@
      * What a warm endpoint carries for this dispatcher. A dispatcher that has just started has measured
      * nothing; during a release of the endpoints it would leave the new ones alone and overload the others.
      */
-    private double expectedRate(EndpointKindStats kind) {
-        double assumed = ASSUMED_UTILIZATION * Math.max(1, kind.mostFreeSlots()) / fleetSize;
-        return kind.measurements() < MIN_MEASUREMENTS ? Math.max(kind.carriedRate(), assumed) : kind.carriedRate();
+    private double expectedRate(EndpointKindStats stats) {
+        double assumed = ASSUMED_UTILIZATION * Math.max(1, stats.maxFreeSlots()) / fleetSize;
+        return stats.measurements() < MIN_MEASUREMENTS
+                ? Math.max(stats.servedRatePerEndpoint(), assumed)
+                : stats.servedRatePerEndpoint();
     }
 
     /**
      * Whether one more request may go there. Each dispatcher sends its own part of what warm endpoints of the
      * kind carry, ramped by age; {@code maxCredit} slot-seconds bound what piles up into a burst.
      */
-    boolean admits(Endpoint endpoint, EndpointKindStats kind, double maxCredit, long now) {
+    boolean admits(Endpoint endpoint, EndpointKindStats stats, double maxCredit, long now) {
         if (!isWarmingUp(endpoint, now)) {
             return true;
         }
         double age = (double) Math.max(0, now - endpoint.entry().startedAt()) / rules.slowStartNanos();
         double ramp = rules.slowStartShare() + (1 - rules.slowStartShare()) * age;
-        double rate = TARGET_LOAD_SHARE * rules.overloadFactor() * expectedRate(kind) * ramp;
+        double rate = TARGET_LOAD_SHARE * rules.overloadFactor() * expectedRate(stats) * ramp;
         endpoint.slowStartCredit().accrue(rate, maxCredit, now);
         return endpoint.slowStartCredit().isPositive();
     }
--- a/src/test/java/nettlewick/decision/AggregationMessageTest.java
+++ b/src/test/java/nettlewick/decision/AggregationMessageTest.java
@@ -27,8 +27,8 @@
 
     @Test
     void truncatedLongAndForeignDatagramsAreNotRead() {
-        byte[] hold =
-                AggregationMessage.encode(Kind.HOLD, List.of(new Entry('a', 1))).get(0);
+        byte[] hold = AggregationMessage.encode(Kind.IN_FLIGHT, List.of(new Entry('a', 1)))
+                .get(0);
         assertFalse(AggregationMessage.isAggregationMessage(Arrays.copyOf(hold, 3)));
         assertFalse(AggregationMessage.isAggregationMessage(Arrays.copyOf(hold, 1)));
         assertFalse(AggregationMessage.isAggregationMessage(Arrays.copyOf(hold, 1 + 3 * 86)));
--- a/src/test/java/nettlewick/decision/EndpointCapacityTest.java
+++ b/src/test/java/nettlewick/decision/EndpointCapacityTest.java
@@ -35,7 +35,7 @@
     void withoutAReportedQueueWhatIsHeldBeyondTheSlotsWaits() {
         EndpointKindStats kind = new EndpointKindStats();
         report(2, NONE, 2, NONE, kind);
-        assertEquals(4, kind.mostFreeSlots());
+        assertEquals(4, kind.maxFreeSlots());
         report(0, NONE, 7, NONE, kind);
         assertEquals(3, capacity.queuedSlots());
         assertFalse(capacity.reportsQueue());
--- a/src/test/java/nettlewick/decision/EndpointHealthTest.java
+++ b/src/test/java/nettlewick/decision/EndpointHealthTest.java
@@ -18,9 +18,9 @@
             now += 10 * factor;
             assertFalse(health.isEjected(now));
         }
-        assertTrue(health.isUnproven());
-        health.recordSignOfLife(now);
-        assertFalse(health.isUnproven());
+        assertTrue(health.isUnconfirmed());
+        health.confirmHealthy(now);
+        assertFalse(health.isUnconfirmed());
         health.eject(10, now);
         health.endEjection(now + 1);
         assertFalse(health.isEjected(now + 1));
@@ -32,7 +32,7 @@
         health.countConnectionFailure();
         health.eject(10, 0);
         health.reset();
-        assertFalse(health.isEjected(1) || health.isUnproven());
+        assertFalse(health.isEjected(1) || health.isUnconfirmed());
         assertEquals(1, health.countConnectionFailure());
     }
 }
--- a/src/test/java/nettlewick/decision/EndpointPoolsTest.java
+++ b/src/test/java/nettlewick/decision/EndpointPoolsTest.java
@@ -22,17 +22,17 @@
     void endpointsAreSortedByKindAndExclusiveOnesLeaveTheCommonPools() {
         EndpointPools pools = new EndpointPools(2);
         List<Endpoint> all = List.of(endpoint("w0", 0), endpoint("w1", 1), endpoint("w2", 1));
-        pools.refill(all);
+        pools.rebuild(all);
         assertEquals(all, pools.ready());
         assertEquals(all.subList(1, 3), pools.ofKind(1).ready());
         pools.assign(List.of(new PoolAssignment("red", Set.of("w1"), true, true)));
-        pools.refill(all);
+        pools.rebuild(all);
         assertEquals(List.of(all.get(2)), pools.ofKind(1).ready());
         ScheduledRequest red = Samples.request("read", Idempotency.IDEMPOTENT, Scope.ALL);
         assertTrue(pools.isConfined(red));
         assertEquals(List.of(all.get(1)), pools.candidates(red).ready());
         pools.assign(List.of());
-        pools.refill(all);
+        pools.rebuild(all);
         assertFalse(pools.isConfined(red));
         assertEquals(all, pools.candidates(red).ready());
     }
--- a/src/test/java/nettlewick/decision/EndpointRegistryTest.java
+++ b/src/test/java/nettlewick/decision/EndpointRegistryTest.java
@@ -113,7 +113,7 @@
                             .toString());
         }
         assertEquals(messages.get(0), messages.get(1));
-        char mark = LoadGossipMessage.markOf("w2");
+        char mark = LoadGossipMessage.idHash("w2");
         assertTrue(
                 messages.get(0).contains(", " + (byte) (mark >> 8) + ", " + (byte) mark + ", 1]"), messages.toString());
     }
--- a/src/test/java/nettlewick/decision/HashRingTest.java
+++ b/src/test/java/nettlewick/decision/HashRingTest.java
@@ -12,7 +12,7 @@
     private static HashRing<String> ring(int members) {
         HashRing<String> ring = new HashRing<>();
         for (int i = 0; i < members; i++) {
-            ring.place("w" + i, "w" + i, 20, true);
+            ring.setMembership("w" + i, "w" + i, 20, true);
         }
         return ring;
     }
@@ -31,7 +31,7 @@
         for (int i = 0; i < 200; i++) {
             before.put("k" + i, ring.successors("k" + i, 1).get(0));
         }
-        ring.place("w3", "w3", 20, false);
+        ring.setMembership("w3", "w3", 20, false);
         before.forEach((key, member) -> {
             String now = ring.successors(key, 1).get(0);
             assertEquals(!member.equals("w3"), now.equals(member), key);
--- a/src/test/java/nettlewick/decision/LargeFleetTest.java
+++ b/src/test/java/nettlewick/decision/LargeFleetTest.java
@@ -76,7 +76,7 @@
     @Test
     void neighborsAreFewSymmetricAndNearestByRingPosition() {
         int size = 1000;
-        int reach = ProbePoolNeighbors.REACH;
+        int reach = ProbePoolNeighbors.NEIGHBORS_PER_SIDE;
         int[] told = new int[size];
         for (int each = 0; each < size; each++) {
             int rank = each;
--- a/src/test/java/nettlewick/decision/LoadAggregatorTest.java
+++ b/src/test/java/nettlewick/decision/LoadAggregatorTest.java
@@ -27,7 +27,7 @@
             for (int i = 0; i < count; i++) {
                 endpoints.add(new Endpoint("w" + i));
             }
-            aggregator.replaceEndpoints(LoadGossipMessage.indexByMark(endpoints));
+            aggregator.replaceEndpoints(LoadGossipMessage.indexByIdHash(endpoints));
         }
 
         Endpoint at(String id) {
@@ -40,7 +40,7 @@
 
     /** Delivers what {@code from} sends now to those of {@code members} it is meant for; what is lost is lost. */
     private static void flush(TierMember from, List<TierMember> members, long now) {
-        Map<Integer, List<byte[]>> out = from.aggregator.drainMessages(now, from.endpoints, from.endpoints);
+        Map<Integer, List<byte[]>> out = from.aggregator.dueMessages(now, from.endpoints, from.endpoints);
         out.forEach((rank, datagrams) -> {
             assertTrue(rank != from.rank && rank >= 0 && rank < SIZE, "to rank " + rank);
             datagrams.forEach(d -> assertTrue(d.length <= 256, d.length + " bytes"));
@@ -52,7 +52,7 @@
 
     private static String ownedBy(int owner) {
         for (int i = 0; ; i++) {
-            if (LoadAggregator.ownerOf(LoadGossipMessage.markOf("w" + i), SIZE) == owner) {
+            if (LoadAggregator.ownerOf(LoadGossipMessage.idHash("w" + i), SIZE) == owner) {
                 return "w" + i;
             }
         }
@@ -130,7 +130,7 @@
                 flush(holder, all, when);
                 flush(watcher, all, when);
                 told += owner.aggregator
-                        .drainMessages(when, owner.endpoints, List.of())
+                        .dueMessages(when, owner.endpoints, List.of())
                         .getOrDefault(5, List.of())
                         .size();
                 changes++;
@@ -154,7 +154,7 @@
         flush(stranger, List.of(owner), 0);
         assertEquals(new Dispatcher.PeerMessageFaults(0, 0, 0), owner.faults.counts());
         byte[] hold = stranger.aggregator
-                .drainMessages(SECOND, stranger.endpoints, List.of())
+                .dueMessages(SECOND, stranger.endpoints, List.of())
                 .get(7)
                 .get(0);
         assertTrue(notOwner.aggregator.receive(3, hold, SECOND));
@@ -162,7 +162,7 @@
         flush(watcher, List.of(owner), 2);
         flush(owner, List.of(watcher), 3);
         assertEquals(3, watcher.at(id).inFlight().peerSlots());
-        byte[] sum = owner.aggregator.drainMessages(4, owner.endpoints, List.of()).getOrDefault(5, List.of()).stream()
+        byte[] sum = owner.aggregator.dueMessages(4, owner.endpoints, List.of()).getOrDefault(5, List.of()).stream()
                 .findFirst()
                 .orElse(null);
         assertEquals(null, sum, "nothing changed, nothing is sent");
@@ -170,7 +170,7 @@
         Samples.setSlotsInFlight(stranger.at(id), 2);
         flush(stranger, List.of(owner), SECOND / 5);
         List<byte[]> sums = owner.aggregator
-                .drainMessages(SECOND / 5 + 1, owner.endpoints, List.of())
+                .dueMessages(SECOND / 5 + 1, owner.endpoints, List.of())
                 .get(5);
         assertTrue(other.aggregator.receive(7, sums.get(0), 6));
         assertEquals(1, other.faults.counts().unlisted(), "a sum of an endpoint this list does not hold");
@@ -184,7 +184,7 @@
     void manyEndpointsAreSplitOverDatagramsOfAtMost256Bytes() {
         TierMember holder = new TierMember(3, 3000);
         holder.endpoints.forEach(endpoint -> Samples.setSlotsInFlight(endpoint, 1));
-        Map<Integer, List<byte[]>> out = holder.aggregator.drainMessages(0, holder.endpoints, holder.endpoints);
+        Map<Integer, List<byte[]>> out = holder.aggregator.dueMessages(0, holder.endpoints, holder.endpoints);
         long entries = out.values().stream()
                 .flatMap(List::stream)
                 .mapToLong(d -> d.length)
--- a/src/test/java/nettlewick/decision/LoadGossiperTest.java
+++ b/src/test/java/nettlewick/decision/LoadGossiperTest.java
@@ -30,7 +30,7 @@
         assertEquals(List.of(), sender.dueMessages(1), "nothing new");
         byte[] again = sender.dueMessages(SECOND).get(0);
         assertEquals(message.length, again.length, "sent again before it is too old");
-        assertArrayEquals(LoadGossipMessage.withNumber(message, 1), again, "with the next number");
+        assertArrayEquals(LoadGossipMessage.withSequence(message, 1), again, "with the next number");
 
         List<Endpoint> ours = fleet(3);
         LoadGossiper receiver = new LoadGossiper(new PeerFaultCounters());
--- a/src/test/java/nettlewick/decision/OutlierDetectorTest.java
+++ b/src/test/java/nettlewick/decision/OutlierDetectorTest.java
@@ -137,6 +137,6 @@
         assertTrue(isEjected(0, 1500 * MS));
         outliers.recordResult(fleet.get(0), AttemptResult.SERVED, MS, 1500 * MS);
         assertFalse(isEjected(0, 1500 * MS));
-        assertFalse(fleet.get(0).health().isUnproven());
+        assertFalse(fleet.get(0).health().isUnconfirmed());
     }
 }
--- a/src/test/java/nettlewick/decision/ProbePoolTest.java
+++ b/src/test/java/nettlewick/decision/ProbePoolTest.java
@@ -24,8 +24,8 @@
                     return endpoint;
                 })
                 .toList();
-        pools.refill(endpoints);
-        probePool.redraw();
+        pools.rebuild(endpoints);
+        probePool.reselect();
     }
 
     private int probe() {
--- a/src/test/java/nettlewick/decision/ServiceRatesTest.java
+++ b/src/test/java/nettlewick/decision/ServiceRatesTest.java
@@ -21,9 +21,10 @@
             rates.recordServed(2);
             rates.closeInterval(1);
         }
-        assertEquals(List.of(3.0, 5.0, 1.0), List.of(many.acceptedRate(), many.triedRate(), many.servedRate()));
-        assertEquals(0.6, few.acceptedRate(), 1e-9);
+        assertEquals(
+                List.of(3.0, 5.0, 1.0), List.of(many.netAcceptedRate(), many.grossAcceptedRate(), many.servedRate()));
+        assertEquals(0.6, few.netAcceptedRate(), 1e-9);
         many.closeInterval(1);
-        assertEquals(4.5, many.triedRate(), 1e-9, "an interval starts from nothing");
+        assertEquals(4.5, many.grossAcceptedRate(), 1e-9, "an interval starts from nothing");
     }
 }
--- a/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
+++ b/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
@@ -78,7 +78,7 @@
                         endpoint.slowStartCredit()
                                 .reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), now);
                         EndpointKindStats before = kinds.get(d);
-                        kinds.set(d, new EndpointKindStats(before.mostFreeSlots(), before.carriedRate(), 0));
+                        kinds.set(d, new EndpointKindStats(before.maxFreeSlots(), before.servedRatePerEndpoint(), 0));
                     }
                     if (now >= toldAt.get(d) && rule.admits(endpoint, kinds.get(d), mean, now)) {
                         // Work is drawn with a spread of about a factor of two; half the mean counts at least.
