--- a/src/main/java/nettlewick/decision/AggregatedLoad.java
+++ b/src/main/java/nettlewick/decision/AggregatedLoad.java
@@ -3,30 +3,33 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What dispatchers have in flight at an endpoint whose sums this dispatcher keeps, and who watches the endpoint. */
+/**
+ * The slots that each dispatcher has in flight at one endpoint, kept by the endpoint's owner, and the watchers that
+ * receive their sum.
+ */
 final class AggregatedLoad {
     private static final long SECOND_NANOS = 1_000_000_000;
-    /** For how long a holding is believed. */
+    /** Age at which a report of slots in flight expires. */
     private static final long REPORT_TTL_NANOS = SECOND_NANOS;
-    /** For how long a watch is believed. */
+    /** Age at which a watcher's subscription expires. */
     private static final long WATCH_TTL_NANOS = 5 * SECOND_NANOS / 2;
 
     private static final long SUM_REFRESH_NANOS = SECOND_NANOS / 2;
-    /** A lower sum waits this long after the last one: often the slot is taken again meanwhile. */
+    /** A lower sum is not sent earlier than this after the last one, since the slot is often reused meanwhile. */
     private static final long DECREASE_DELAY_NANOS = SECOND_NANOS / 10;
 
     private record ReportedSlots(int slots, long reportedAt) {}
 
-    /** A dispatcher that watches the endpoint, and the sum it was sent last. */
+    /** A dispatcher that watches the endpoint, and the sum last sent to it. */
     private static final class Watcher {
         private long refreshedAt;
         private int lastSum;
         private long lastSumAt = SchedulerClock.NEVER;
     }
 
-    /** Takes a sum for the dispatcher of a rank. */
+    /** Receives the sums that are to be sent. */
     interface SumConsumer {
-        /** Called once for each watcher that is due a sum. */
+        /** Called once for each watcher to which a sum is due. */
         void accept(int rank, int slotsOfOthers);
     }
 
@@ -34,7 +37,7 @@
     private final Map<Integer, Watcher> watchersByRank = new HashMap<>();
     private boolean hasChanged = true;
 
-    /** Records what a dispatcher holds; 0 slots end the holding. */
+    /** Records the slots that a dispatcher has in flight; 0 removes its entry. */
     void recordInFlight(int rank, int slots, long now) {
         ReportedSlots previous =
                 slots == 0 ? reportsByRank.remove(rank) : reportsByRank.put(rank, new ReportedSlots(slots, now));
@@ -51,7 +54,7 @@
         watcher.refreshedAt = now;
     }
 
-    /** Forgets holdings and watches that were not refreshed in time. */
+    /** Removes reports and watchers that were not refreshed in time. */
     void expire(long now) {
         hasChanged |= reportsByRank.values().removeIf(report -> now - report.reportedAt() > REPORT_TTL_NANOS);
         watchersByRank.values().removeIf(watcher -> now - watcher.refreshedAt > WATCH_TTL_NANOS);
@@ -61,12 +64,12 @@
         return reportsByRank.isEmpty() && watchersByRank.isEmpty();
     }
 
-    /** Whether a sum may have to be sent. */
+    /** Whether a sum may have changed since it was sent to every watcher. */
     boolean hasChanged() {
         return hasChanged;
     }
 
-    /** Sends each watcher the sum of the others, where that has changed or is due again. */
+    /** Sends each watcher the sum of the other dispatchers' slots if it has changed or its refresh is due. */
     void notifyWatchers(long now, SumConsumer consumer) {
         hasChanged = false;
         int total = 0;
@@ -78,7 +81,7 @@
         }
     }
 
-    /** A higher sum is sent at once, or too many requests would be sent to an endpoint that is full. */
+    /** A higher sum is sent at once; otherwise watchers would overload an endpoint that is already full. */
     private void notify(int rank, Watcher watcher, int total, long now, SumConsumer consumer) {
         ReportedSlots own = reportsByRank.get(rank);
         int others = Math.min(AggregationMessage.MAX_SLOTS, total - (own == null ? 0 : own.slots()));
--- a/src/main/java/nettlewick/decision/AggregationMessage.java
+++ b/src/main/java/nettlewick/decision/AggregationMessage.java
@@ -4,9 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The datagrams of {@link LoadAggregator}: a byte for version and kind, then entries of a mark and mostly a number. */
+/**
+ * Codec for the datagrams of {@link LoadAggregator}: one byte for version and kind, then entries that consist of the
+ * hash of an endpoint's id and, except in {@link Kind#WATCH}, a slot count.
+ */
 final class AggregationMessage {
-    /** The most slots that an entry can state. */
+    /** Largest slot count that fits in the one byte of an entry. */
     static final int MAX_SLOTS = 255;
 
     private static final int VERSION = 0xA0;
@@ -14,27 +17,27 @@
     private static final int MAX_DATAGRAM_BYTES = 256;
     private static final int BYTE_MASK = 0xFF;
 
-    /** What a datagram's entries state; the order is that of the wire. */
+    /** The content of a datagram's entries. The ordinal is sent, so the order must not change. */
     enum Kind {
-        /** Slots in flight from the sender, reported to the owner of each endpoint. */
+        /** Slots that the sender has in flight, reported to the owner of each endpoint. */
         IN_FLIGHT,
-        /** Endpoints that the sender watches, reported to the owner of each. */
+        /** Endpoints whose sums the sender subscribes to, sent to the owner of each. */
         WATCH,
-        /** Slots in flight from others, reported by the owner of each endpoint to a watcher. */
+        /** Slots that all other dispatchers have in flight, sent by the owner of each endpoint to a watcher. */
         SUM
     }
 
     /**
      * One entry.
      *
-     * @param mark  the mark of the endpoint's id
-     * @param slots slots in flight there; 0 for {@link Kind#WATCH}
+     * @param idHash the hash of the endpoint's id, by {@link LoadGossipMessage#idHash}
+     * @param slots  slots in flight at the endpoint; 0 for {@link Kind#WATCH}
      */
     record Entry(char idHash, int slots) {}
 
     private AggregationMessage() {}
 
-    /** Whether these bytes are a datagram of a kind and length that this version reads. */
+    /** Whether the bytes are a datagram of a kind and length that this version can decode. */
     static boolean isAggregationMessage(byte[] data) {
         return data.length > HEADER_BYTES
                 && data.length <= MAX_DATAGRAM_BYTES
@@ -43,12 +46,12 @@
                 && (data.length - HEADER_BYTES) % entryBytes(kindOf(data)) == 0;
     }
 
-    /** The kind of a datagram that {@link #isAggregationMessage} accepts. */
+    /** Returns the kind of a datagram that {@link #isAggregationMessage} accepts. */
     static Kind kindOf(byte[] data) {
         return Kind.values()[(data[0] & BYTE_MASK) - VERSION];
     }
 
-    /** The entries of a datagram that {@link #isAggregationMessage} accepts. */
+    /** Decodes the entries of a datagram that {@link #isAggregationMessage} accepts. */
     static List<Entry> decode(byte[] data) {
         boolean hasSlots = kindOf(data) != Kind.WATCH;
         List<Entry> entries = new ArrayList<>();
@@ -59,7 +62,7 @@
         return entries;
     }
 
-    /** The datagrams with these entries, as many in each as fit. */
+    /** Encodes the entries into as few datagrams as possible. */
     static List<byte[]> encode(Kind kind, List<Entry> entries) {
         List<byte[]> datagrams = new ArrayList<>();
         int entriesPerDatagram = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / entryBytes(kind);
--- a/src/main/java/nettlewick/decision/CapacityEstimator.java
+++ b/src/main/java/nettlewick/decision/CapacityEstimator.java
@@ -3,15 +3,15 @@
 import java.util.Collection;
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
-/** What room an endpoint is believed to have, from its reports, own requests in flight and peers' messages. */
+/** Estimates an endpoint's free slots from its load reports, own requests in flight and peers' load messages. */
 final class CapacityEstimator {
-    /** A load report may be this much older than its answer; own requests sent within it don't show in it yet. */
+    /** A load report may be this much older than the answer it came with, so it misses requests sent since then. */
     private static final long REPORT_LAG_NANOS = SchedulerTimings.SHARE_INTERVAL_NANOS / 2;
 
     private static final int REPORT_LAG_TICKS = (int) (REPORT_LAG_NANOS / SchedulerTimings.TICK_NANOS);
-    /** Slots by which a report may be off. */
+    /** Margin of error of a load report, in slots. */
     private static final double REPORT_NOISE_SLOTS = 0.3;
-    /** Slots of a kind that requests bound to it keep from less valuable ones that may go elsewhere. */
+    /** Slots at endpoints of a kind reserved for requests bound to it, against lower-priority ones that are not. */
     private static final double RESERVED_SLOTS = 1;
 
     private static final long MIN_OVERLOAD_NANOS = SchedulerTimings.TICK_NANOS / 2;
@@ -19,7 +19,7 @@
     private final SchedulerClock clock;
     private final EndpointPools pools;
     private final RequestStatistics statistics;
-    /** By kind, from -1 on: the highest priority weight of a class that is bound to the kind. */
+    /** Highest priority weight of the classes bound to a kind, indexed by kind + 1. */
     private final double[] boundPriorityByKind;
 
     private int ticks;
@@ -36,15 +36,16 @@
         }
     }
 
-    /** On each tick: remembers what is known to be in use, to compare later reports with. */
+    /** On each tick, records the slots known to be in use, for comparison with later reports. */
     void tick(Collection<Endpoint> endpoints) {
         ticks++;
         endpoints.forEach(endpoint -> endpoint.inFlight().recordTick(ticks));
     }
 
     /**
-     * Takes a load report over. What was known to be in use when it was made is added back, since that is
-     * known better now; what remains is known from the report alone: a queue, or work of others.
+     * Applies a load report. The slots known to be in use when it was made are added back to its free slots, because
+     * their current number is known more precisely. What remains occupied is known from the report alone: queued
+     * requests, or work from other sources.
      */
     void recordReport(Endpoint endpoint, EndpointLoad load) {
         EndpointKindStats stats = pools.statsFor(endpoint);
@@ -57,17 +58,17 @@
         capacity.smoothFreeSlots(free, SchedulerTimings.SHARE_INTERVAL_NANOS, clock.now());
     }
 
-    /** Slots that are free but for this dispatcher's own requests. */
+    /** Slots that would be free without this dispatcher's own requests. */
     private double slotsLeftByOthers(Endpoint endpoint) {
         return endpoint.capacity().smoothedFreeSlots() - endpoint.inFlight().peerSlots() + REPORT_NOISE_SLOTS;
     }
 
-    /** Slots that are free now. */
+    /** Estimated free slots at present. */
     double freeSlots(Endpoint endpoint) {
         return slotsLeftByOthers(endpoint) - endpoint.inFlight().slots();
     }
 
-    /** Slots, bounded by memory, that would be left beside this request; below 0 it has to wait. */
+    /** Slots that would stay free with this request running, limited by memory; negative if it would be queued. */
     double spareSlots(ScheduledRequest request, Endpoint endpoint) {
         double free = freeSlots(endpoint);
         double blocked = OutlierDetector.blockedSlots(endpoint, clock.now());
@@ -84,7 +85,7 @@
                         > request.requestClass().priorityWeight();
     }
 
-    /** Whether the endpoint rejected a request so lately that hardly a slot can have become free since. */
+    /** Whether the endpoint reported overload so recently that a slot has hardly become free since. */
     boolean wasRecentlyOverloaded(ScheduledRequest request, Endpoint endpoint) {
         return clock.now() - endpoint.capacity().overloadedAt()
                 < (long) Math.max(MIN_OVERLOAD_NANOS, statistics.meanLatency(request) / 4);
--- a/src/main/java/nettlewick/decision/DedicatedEndpoints.java
+++ b/src/main/java/nettlewick/decision/DedicatedEndpoints.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The endpoints dedicated to tenants, as assigned, and the pools that this leaves to each of these tenants. */
+/** The endpoints dedicated to tenants, and the resulting endpoint pools of each of these tenants. */
 final class DedicatedEndpoints {
     private final List<PoolAssignment> assignments;
     private final Set<String> exclusiveIds = new HashSet<>();
-    /** By tenant, then by kind from -1 on. */
+    /** Pools of each tenant, indexed by kind + 1. */
     private final Map<String, List<EndpointPool>> poolsByTenant = new HashMap<>();
 
     DedicatedEndpoints(List<PoolAssignment> assignments) {
@@ -24,14 +24,14 @@
         }
     }
 
-    /** Those of the endpoints that are for all tenants. */
+    /** Returns the endpoints that are not exclusive to a tenant. */
     Collection<Endpoint> withoutExclusive(Collection<Endpoint> endpoints) {
         return endpoints.stream()
                 .filter(endpoint -> !exclusiveIds.contains(endpoint.id()))
                 .toList();
     }
 
-    /** Sorts the endpoints into the tenants' pools, each with the kinds of the common ones. */
+    /** Rebuilds the tenants' pools, one for each kind of the shared pools. */
     void rebuild(Collection<Endpoint> endpoints, List<EndpointPool> sharedPools, int virtualNodes) {
         for (PoolAssignment assignment : assignments) {
             List<Endpoint> candidates = endpoints.stream()
@@ -51,14 +51,14 @@
                 || !assignment.isConfined() && !exclusiveIds.contains(endpoint.id());
     }
 
-    /** The common pools followed by those of all tenants with dedicated endpoints. */
+    /** Returns the shared pools followed by those of all tenants with dedicated endpoints. */
     List<EndpointPool> appendTo(List<EndpointPool> sharedPools) {
         List<EndpointPool> all = new ArrayList<>(sharedPools);
         poolsByTenant.values().forEach(all::addAll);
         return all;
     }
 
-    /** Whether the tenant's requests may use its own endpoints only, and one of them is ready. */
+    /** Whether the tenant is restricted to its dedicated endpoints and at least one of them is ready. */
     boolean isConfined(String tenant) {
         return assignments.stream()
                         .anyMatch(assignment ->
@@ -67,7 +67,7 @@
                         .anyMatch(pool -> !pool.ready().isEmpty());
     }
 
-    /** The tenant's own pool of a kind, or the common one where no endpoint of its own is ready. */
+    /** Returns the tenant's pool of a kind, or the shared pool if the tenant's has no ready endpoint. */
     EndpointPool poolFor(String tenant, EndpointPool sharedPool) {
         List<EndpointPool> tenantPools = poolsByTenant.get(tenant);
         EndpointPool pool = tenantPools == null ? sharedPool : tenantPools.get(sharedPool.kind() + 1);
--- a/src/main/java/nettlewick/decision/Endpoint.java
+++ b/src/main/java/nettlewick/decision/Endpoint.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-/** An endpoint as this dispatcher knows it: its list entry, room, attempts in flight and health. */
+/** What this dispatcher knows of an endpoint: its list entry, capacity, attempts in flight and health. */
 final class Endpoint {
     private final String id;
     private EndpointEntry entry;
@@ -20,7 +20,7 @@
         return id;
     }
 
-    /** Takes a list entry over. {@code kindIndex} is -1 for a kind that the settings do not name. */
+    /** Applies a list entry. {@code kindIndex} is -1 for a kind that the settings do not define. */
     void update(EndpointEntry newEntry, int kindIndex, boolean isInOwnZone) {
         entry = newEntry;
         kind = kindIndex;
@@ -28,7 +28,7 @@
         isReady = newEntry.state() == EndpointState.READY;
     }
 
-    /** Forgets the load and the faults of an earlier incarnation. */
+    /** Discards the load and health data of the previous incarnation. */
     void resetAfterRestart() {
         capacity.reset();
         health.reset();
@@ -38,7 +38,7 @@
         isReady = false;
     }
 
-    /** Whether the entry belongs to an incarnation that is not known yet. */
+    /** Whether the entry describes an incarnation that is not known yet. */
     boolean isRestartedBy(EndpointEntry newEntry) {
         return entry == null || newEntry.startedAt() != entry.startedAt();
     }
@@ -47,7 +47,7 @@
         return entry;
     }
 
-    /** The place of its kind in the settings, or -1. */
+    /** The index of its kind in the settings, or -1. */
     int kind() {
         return kind;
     }
@@ -56,7 +56,7 @@
         return isReady;
     }
 
-    /** Whether it stands in the dispatcher's own zone. */
+    /** Whether it is in the dispatcher's own zone. */
     boolean isLocal() {
         return isLocal;
     }
--- a/src/main/java/nettlewick/decision/EndpointCapacity.java
+++ b/src/main/java/nettlewick/decision/EndpointCapacity.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-/** What load reports and answers of an endpoint say of its room. */
+/** An endpoint's capacity according to its load reports and answers. */
 final class EndpointCapacity {
     private static final double MIN_BUSY_SHARE = 0.01;
 
@@ -15,14 +15,14 @@
     private long overloadedAt = SchedulerClock.NEVER;
     private boolean isProbePending;
 
-    /** Forgets what belongs to the endpoint's last incarnation. */
+    /** Discards the data of the endpoint's previous incarnation. */
     void reset() {
         reportedAt = SchedulerClock.NEVER;
         smoothedAt = SchedulerClock.NEVER;
         overloadedAt = SchedulerClock.NEVER;
     }
 
-    /** Takes a report over in slots, whichever values this site's reports hold. */
+    /** Applies a load report, converting whichever values this site reports to slots. */
     void applyReport(EndpointLoad load, long now, EndpointKindStats stats, LargestRequest largest) {
         reportedAt = now;
         freeMemory = Double.isNaN(load.freeMemory()) ? Double.MAX_VALUE : load.freeMemory();
@@ -35,8 +35,8 @@
         queuedSlots =
                 hasQueue ? load.queuedRequests() : freeSlots >= 1 ? 0 : Math.max(0, outstanding - stats.maxFreeSlots());
         reportsQueue = hasQueue;
-        // Without a reported queue, a request that does not fit may wait while slots are free; only room for
-        // the largest one proves that none waits.
+        // Without a reported queue, a request that is too large may be waiting although slots are free. Only enough
+        // capacity for the largest request proves that the queue is empty.
         isQueueProvenEmpty =
                 hasQueue ? queuedSlots < 0.5 : freeSlots >= largest.slots() && freeMemory >= largest.memory();
     }
@@ -54,7 +54,7 @@
         return 1 / (1 + outstanding);
     }
 
-    /** Smooths free slots over reports; the last value counts only within {@code windowNanos}. */
+    /** Smooths free slots over reports; a previous value older than {@code windowNanos} is discarded. */
     void smoothFreeSlots(double sample, long windowNanos, long now) {
         smoothedFreeSlots =
                 now - smoothedAt > windowNanos ? sample : smoothedFreeSlots + (sample - smoothedFreeSlots) / 2;
@@ -65,7 +65,7 @@
         return reportedAt;
     }
 
-    /** Whether the last report is recent enough to be believed. */
+    /** Whether the last report is recent enough to be used. */
     boolean isFresh(long now) {
         return now - reportedAt <= SchedulerTimings.SHARE_INTERVAL_NANOS;
     }
@@ -82,17 +82,17 @@
         return freeMemory;
     }
 
-    /** Whether the last report proves that nothing waits. */
+    /** Whether the last report proves that no request is queued. */
     boolean isQueueProvenEmpty() {
         return isQueueProvenEmpty;
     }
 
-    /** Whether its reports say how many requests wait. */
+    /** Whether its reports include the number of queued requests. */
     boolean reportsQueue() {
         return reportsQueue;
     }
 
-    /** Free slots, leaving aside what is known to be sent there, smoothed over reports. */
+    /** Free slots as they would be without the requests known to be in flight there, smoothed over reports. */
     double smoothedFreeSlots() {
         return smoothedFreeSlots;
     }
--- a/src/main/java/nettlewick/decision/EndpointDirectory.java
+++ b/src/main/java/nettlewick/decision/EndpointDirectory.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import nettlewick.decision.Event.EndpointList;
 
-/** All endpoints that the list has named, by id, in the order in which they were first named. */
+/** All endpoints that have ever been on the list, by id, in the order of their first appearance. */
 final class EndpointDirectory {
     private final SchedulerSettings settings;
     private final SchedulerClock clock;
@@ -23,7 +23,7 @@
         this.statistics = statistics;
     }
 
-    /** Takes the list as {@link EndpointRegistry} returns it, with administrative changes applied. */
+    /** Applies an endpoint list as returned by {@link EndpointRegistry}, with administrative changes included. */
     void apply(EndpointList list) {
         if (list.isComplete()) {
             byId.values().forEach(Endpoint::markNotReady);
@@ -48,7 +48,7 @@
         return settings.zone() == null || settings.zone().equals(entry.zone());
     }
 
-    /** The endpoint of this id, null if the list never named it. */
+    /** Returns the endpoint with this id, null if it was never on the list. */
     Endpoint find(String id) {
         return byId.get(id);
     }
@@ -57,7 +57,7 @@
         return byId.values();
     }
 
-    /** Whether an endpoint gets no request now: not ready, or ejected. */
+    /** Whether an endpoint currently receives no requests because it is unknown, not ready or ejected. */
     boolean isUnavailable(String id) {
         Endpoint endpoint = byId.get(id);
         return endpoint == null || !endpoint.isReady() || endpoint.health().isEjected(clock.now());
--- a/src/main/java/nettlewick/decision/EndpointEligibility.java
+++ b/src/main/java/nettlewick/decision/EndpointEligibility.java
@@ -3,7 +3,7 @@
 import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.decision.SchedulerSettings.Scope;
 
-/** Whether a request may go to an endpoint at all, whatever its room. */
+/** Decides whether a request may be sent to an endpoint, regardless of free capacity. */
 final class EndpointEligibility {
     private final SchedulerClock clock;
     private final EndpointPools pools;
@@ -18,7 +18,10 @@
         this.slowStart = slowStart;
     }
 
-    /** Whether the endpoint is ready, healthy, in the request's dedup scope, new to it and warm enough. */
+    /**
+     * Whether the endpoint is ready, healthy, in the request's dedup scope and admitted by slow start, and has not
+     * been sent the request before.
+     */
     boolean isEligible(ScheduledRequest request, Endpoint endpoint) {
         return endpoint.isReady()
                 && OutlierDetector.mayReceive(endpoint, request, clock.now())
@@ -27,7 +30,7 @@
                 && slowStartAdmits(endpoint);
     }
 
-    /** Whether an endpoint that may be warming up takes one more request. */
+    /** Whether slow start permits one more request to the endpoint. */
     boolean slowStartAdmits(Endpoint endpoint) {
         return slowStart.admits(endpoint, pools.statsFor(endpoint), statistics.meanCost(), clock.now());
     }
--- a/src/main/java/nettlewick/decision/EndpointEntry.java
+++ b/src/main/java/nettlewick/decision/EndpointEntry.java
@@ -1,9 +1,9 @@
 package nettlewick.decision;
 
 /**
- * An endpoint as the list describes it.
+ * An entry of the endpoint list.
  *
- * @param startedAt when its process started, in nanoseconds; 0 for long ago
+ * @param startedAt when its process started, in nanoseconds; 0 if that was long ago
  * @param cell      its dedup cell
  * @param zone      its zone, or null
  * @param size      its capacity relative to its kind
--- a/src/main/java/nettlewick/decision/EndpointHealth.java
+++ b/src/main/java/nettlewick/decision/EndpointHealth.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-/** Signs of life and of faults of one endpoint, and how long it is ejected for them. */
+/** Responses and failures of one endpoint, and its ejections. */
 final class EndpointHealth {
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
     private static final int SLOWDOWN_SAMPLES = 6;
@@ -12,7 +12,7 @@
     private int connectionFailures;
     private long ejectedUntil = SchedulerClock.NEVER;
 
-    /** Forgets what belongs to the endpoint's last incarnation. */
+    /** Discards the data of the endpoint's previous incarnation. */
     void reset() {
         ejectedUntil = SchedulerClock.NEVER;
         ejections = 0;
@@ -25,7 +25,7 @@
         return now < ejectedUntil;
     }
 
-    /** Ejects the endpoint for {@code baseNanos}, doubled for each ejection since it last served, up to eightfold. */
+    /** Ejects the endpoint for {@code baseNanos}, doubled per ejection since it was last healthy, up to eightfold. */
     void eject(long baseNanos, long now) {
         ejectedUntil = now + (baseNanos << Math.min(ejections, MAX_BACKOFF_DOUBLINGS));
         ejections++;
@@ -35,17 +35,17 @@
         ejectedUntil = Math.min(ejectedUntil, now);
     }
 
-    /** Whether the endpoint was ejected and has shown no sign of work since. */
+    /** Whether the endpoint has been ejected and not confirmed healthy since. */
     boolean isUnconfirmed() {
         return ejections != 0;
     }
 
-    /** A response of any kind. */
+    /** Records a response of any kind, including errors. */
     void recordResponse(long now) {
         lastResponseAt = now;
     }
 
-    /** A sign that only a working endpoint gives. */
+    /** Records a response that only a working endpoint gives, such as a served request or progress. */
     void confirmHealthy(long now) {
         lastResponseAt = now;
         ejections = 0;
@@ -56,22 +56,22 @@
         return lastResponseAt;
     }
 
-    /** Counts a failed connection and returns how many failed in a row. */
+    /** Counts a failed connection and returns the number of consecutive failures. */
     int countConnectionFailure() {
         return ++connectionFailures;
     }
 
-    /** Records that an attempt sent at this time has started. */
+    /** Records that an attempt sent at this time has started running. */
     void recordStartOfAttemptSentAt(long sentAt) {
         latestStartedSentAt = Math.max(latestStartedSentAt, sentAt);
     }
 
-    /** When the latest of the attempts that have started was sent. */
+    /** The latest send time among the attempts that have started. */
     long latestStartedSentAt() {
         return latestStartedSentAt;
     }
 
-    /** Logarithms of how much longer than hinted its last requests ran. */
+    /** Mean logarithm of the ratio of run time to cost hint over its last requests. */
     RunningMean slowdown() {
         return slowdown;
     }
--- a/src/main/java/nettlewick/decision/EndpointKindStats.java
+++ b/src/main/java/nettlewick/decision/EndpointKindStats.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-/** What was measured at the endpoints of one kind: work served, slots, slowdown and waits. */
+/** Measurements over the endpoints of one kind: work served, slots, slowdown and waits. */
 final class EndpointKindStats {
     private static final int SLOWDOWN_SAMPLES = 100;
     private static final double RATE_SMOOTHING_INTERVALS = 4;
@@ -16,7 +16,7 @@
         this(0, 0, 0);
     }
 
-    /** Statistics as {@code measurements} intervals have left them. */
+    /** Creates statistics with the given state, as after {@code measurements} intervals. */
     EndpointKindStats(double maxFreeSlots, double servedRatePerEndpoint, int measurements) {
         this.maxFreeSlots = maxFreeSlots;
         this.servedRatePerEndpoint = servedRatePerEndpoint;
@@ -27,7 +27,7 @@
         servedSlotSeconds += slotSeconds;
     }
 
-    /** Ends an interval in which {@code warmEndpoints} were ready and past their slow start. */
+    /** Ends an interval in which {@code warmEndpoints} endpoints were ready and past their slow start. */
     void closeInterval(long warmEndpoints) {
         if (warmEndpoints > 0) {
             measurements++;
@@ -38,12 +38,12 @@
         servedSlotSeconds = 0;
     }
 
-    /** Slots that a warm endpoint is busy with for this dispatcher. */
+    /** Mean number of slots of a warm endpoint that are busy with this dispatcher's requests. */
     double servedRatePerEndpoint() {
         return servedRatePerEndpoint;
     }
 
-    /** How many intervals the carried rate was measured over. */
+    /** The number of intervals over which the served rate was measured. */
     int measurements() {
         return measurements;
     }
@@ -52,12 +52,12 @@
         maxFreeSlots = Math.max(maxFreeSlots, slots);
     }
 
-    /** Most free slots that an endpoint of the kind was seen to have. */
+    /** The most free slots observed at an endpoint of the kind. */
     double maxFreeSlots() {
         return maxFreeSlots;
     }
 
-    /** Logarithms of how much longer than hinted requests run on this kind. */
+    /** Mean logarithm of the ratio of run time to cost hint over requests of this kind of endpoint. */
     RunningMean slowdown() {
         return slowdown;
     }
--- a/src/main/java/nettlewick/decision/EndpointListSubscription.java
+++ b/src/main/java/nettlewick/decision/EndpointListSubscription.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 import nettlewick.decision.Action.Subscribe;
 
-/** Keeps a subscription to the endpoint list open where the site's list comes on request. */
+/** Keeps a subscription to the endpoint list open at sites that send the list on request only. */
 final class EndpointListSubscription {
     private final SchedulerClock clock;
     private final SplittableRandom random;
@@ -20,14 +20,14 @@
         actions.add(new Subscribe());
     }
 
-    /** The subscription broke: it is renewed after a random delay of half an interval or more. */
+    /** Schedules renewal of a failed subscription after a random delay of 0.5 to 1.5 share intervals. */
     void recordFailure() {
         renewAt = clock.now()
                 + SchedulerTimings.SHARE_INTERVAL_NANOS / 2
                 + random.nextLong(SchedulerTimings.SHARE_INTERVAL_NANOS);
     }
 
-    /** On each tick. */
+    /** On each tick, renews the subscription if that is due. */
     void tick() {
         if (clock.now() >= renewAt) {
             renewAt = Long.MAX_VALUE;
--- a/src/main/java/nettlewick/decision/EndpointPool.java
+++ b/src/main/java/nettlewick/decision/EndpointPool.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The endpoints that may serve a request class: all that are ready, and the few of them that are probed. */
+/** The endpoints that may serve a request class: all ready ones, and the subset that is probed. */
 final class EndpointPool {
     private final int kind;
     private final EndpointKindStats stats = new EndpointKindStats();
@@ -19,12 +19,12 @@
     private final HashRing<Endpoint> localRing = new HashRing<>();
     private final Set<Endpoint> membersOnRing = new LinkedHashSet<>();
 
-    /** A pool for endpoints of one kind, or of all where {@code kind} is -1. */
+    /** Creates a pool for endpoints of one kind, or of all kinds if {@code kind} is -1. */
     EndpointPool(int kind) {
         this.kind = kind;
     }
 
-    /** Keeps those of the endpoints that are ready and of the kind; only changes reach the hash rings. */
+    /** Replaces the pool's endpoints by the ready ones of its kind; the hash rings are updated incrementally. */
     void rebuild(Collection<Endpoint> endpoints, int virtualNodes) {
         ready = endpoints.stream()
                 .filter(endpoint -> endpoint.isReady() && (kind < 0 || endpoint.kind() == kind))
@@ -73,12 +73,12 @@
         return ready;
     }
 
-    /** The ready ones of the own zone. */
+    /** The ready endpoints in the dispatcher's own zone. */
     List<Endpoint> local() {
         return local;
     }
 
-    /** The ready ones of other zones. */
+    /** The ready endpoints in other zones. */
     List<Endpoint> remote() {
         return remote;
     }
@@ -87,7 +87,7 @@
         return zoneCount;
     }
 
-    /** The ready ones that are probed, and chosen from by their reports. */
+    /** The ready endpoints that are probed and selected from by load reports. */
     List<Endpoint> probed() {
         return probed;
     }
@@ -96,7 +96,7 @@
         probed = List.copyOf(endpoints);
     }
 
-    /** The first {@code count} endpoints of the own zone after the key on the hash ring, then those of all zones. */
+    /** Returns the key's first {@code count} successors on the own zone's hash ring, then those on the global ring. */
     List<Endpoint> successors(String key, int count) {
         List<Endpoint> found = localRing.successors(key, count);
         found.addAll(ring.successors(key, count));
--- a/src/main/java/nettlewick/decision/EndpointPools.java
+++ b/src/main/java/nettlewick/decision/EndpointPools.java
@@ -4,13 +4,13 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The pools of endpoints by kind, those of tenants with dedicated endpoints, and who may use which. */
+/** The endpoint pools by kind and by tenant with dedicated endpoints, and which requests may use them. */
 final class EndpointPools {
     private static final int VIRTUAL_NODES = 20;
 
-    /** By kind, from -1 (endpoints of any kind) on. */
+    /** The shared pools, indexed by kind + 1; the first holds endpoints of any kind. */
     private final List<EndpointPool> byKind = new ArrayList<>();
-    /** Null where no tenant has dedicated endpoints. */
+    /** Null if no tenant has dedicated endpoints. */
     private DedicatedEndpoints dedicated;
 
     EndpointPools(int kinds) {
@@ -19,12 +19,12 @@
         }
     }
 
-    /** Replaces all tenants' dedicated endpoints; takes effect with the next {@link #rebuild}. */
+    /** Replaces all tenants' dedicated endpoints; takes effect at the next {@link #rebuild}. */
     void assign(List<PoolAssignment> assignments) {
         dedicated = assignments.isEmpty() ? null : new DedicatedEndpoints(assignments);
     }
 
-    /** Sorts the endpoints into the pools: which are for all, and which for one tenant. */
+    /** Rebuilds the shared pools and those of tenants from the endpoints. */
     void rebuild(Collection<Endpoint> endpoints) {
         Collection<Endpoint> shared = withoutExclusive(endpoints);
         byKind.forEach(pool -> pool.rebuild(shared, VIRTUAL_NODES));
@@ -33,43 +33,43 @@
         }
     }
 
-    /** The common pool of a kind, or of all kinds for -1. */
+    /** The shared pool of a kind, or of all kinds for -1. */
     EndpointPool ofKind(int kind) {
         return byKind.get(kind + 1);
     }
 
-    /** The ready endpoints of any kind that are for all tenants. */
+    /** The ready endpoints of any kind that are not exclusive to a tenant. */
     List<Endpoint> ready() {
         return ofKind(-1).ready();
     }
 
-    /** What was measured at endpoints of the same kind. */
+    /** Measurements of the kind that the endpoint belongs to. */
     EndpointKindStats statsFor(Endpoint endpoint) {
         return ofKind(endpoint.kind()).stats();
     }
 
-    /** The common pools, one a kind. */
+    /** The shared pools: one for all kinds, then one for each kind. */
     List<EndpointPool> shared() {
         return byKind;
     }
 
-    /** The common pools, and those of tenants with dedicated endpoints. */
+    /** The shared pools and those of tenants with dedicated endpoints. */
     List<EndpointPool> all() {
         return dedicated == null ? byKind : dedicated.appendTo(byKind);
     }
 
-    /** The pool that the request's endpoint is chosen from. */
+    /** The pool from which the request's endpoint is selected. */
     EndpointPool candidates(ScheduledRequest request) {
         EndpointPool shared = ofKind(request.requestClass().kind());
         return dedicated == null ? shared : dedicated.poolFor(request.arrival().tenant(), shared);
     }
 
-    /** Whether the request may use its tenant's dedicated endpoints only. */
+    /** Whether the request is restricted to its tenant's dedicated endpoints. */
     boolean isConfined(ScheduledRequest request) {
         return dedicated != null && dedicated.isConfined(request.arrival().tenant());
     }
 
-    /** Those of the endpoints that are for all tenants. */
+    /** Returns the endpoints that are not exclusive to a tenant. */
     Collection<Endpoint> withoutExclusive(Collection<Endpoint> endpoints) {
         return dedicated == null ? endpoints : dedicated.withoutExclusive(endpoints);
     }
--- a/src/main/java/nettlewick/decision/EndpointRegistry.java
+++ b/src/main/java/nettlewick/decision/EndpointRegistry.java
@@ -12,15 +12,15 @@
 import nettlewick.decision.Event.EndpointAdminChange;
 import nettlewick.decision.Event.EndpointList;
 
-/** The endpoint list as discovered, with the changes of operators: a disabled endpoint counts as draining. */
+/** The discovered endpoint list combined with operators' changes: a disabled endpoint counts as draining. */
 final class EndpointRegistry {
     private final Map<String, EndpointEntry> discovered = new LinkedHashMap<>();
     private final Map<String, EndpointAdminChange> adminChanges = new HashMap<>();
 
-    /** Ids enabled again by operators that have served nothing since. */
+    /** Ids of endpoints that operators have re-enabled and that have not served a request since. */
     private final Set<String> reenabled = new HashSet<>();
 
-    /** Takes an update of the list over and returns it as the module should see it. */
+    /** Applies an update of the list and returns it with operators' changes included. */
     EndpointList apply(EndpointList update) {
         if (update.isComplete()) {
             discovered.clear();
@@ -37,7 +37,7 @@
         return new EndpointList(update.isComplete(), effective);
     }
 
-    /** Takes an operator's change over and returns the update that it amounts to. */
+    /** Applies an operator's change and returns the resulting update of the list. */
     EndpointList apply(EndpointAdminChange change) {
         adminChanges.put(change.endpoint(), change);
         if (change.isDisabled()) {
@@ -50,15 +50,16 @@
     }
 
     /**
-     * Whether discovery lists this endpoint as ready, whatever operators say: marks of endpoints in peer messages
-     * must mean the same at all dispatchers, and operators' changes reach each one at its own time.
+     * Whether discovery lists this endpoint as ready, regardless of operators' changes. Endpoint id hashes in peer
+     * messages must identify the same endpoints at all dispatchers, but operators' changes reach each dispatcher at a
+     * different time.
      */
     boolean isDiscoveredReady(String endpoint) {
         EndpointEntry entry = discovered.get(endpoint);
         return entry != null && entry.state() == EndpointState.READY;
     }
 
-    /** Whether operators have enabled this endpoint again and it has served nothing since. */
+    /** Whether operators have re-enabled this endpoint and it has not served a request since. */
     boolean isReenabled(String endpoint) {
         return reenabled.contains(endpoint);
     }
@@ -73,7 +74,7 @@
         if (change == null || entry.state() == EndpointState.GONE) {
             return entry;
         }
-        // An endpoint that is enabled again was restarted meanwhile; discovery may not know yet that it is warming up.
+        // A re-enabled endpoint has been restarted; discovery may not report the new start time yet.
         long startedAt = change.isDisabled() ? entry.startedAt() : Math.max(entry.startedAt(), change.since());
         return new EndpointEntry(
                 entry.id(),
@@ -85,7 +86,7 @@
                 entry.size());
     }
 
-    /** How many endpoints are on the list, and how many of them are unavailable. */
+    /** Counts the listed endpoints and the unavailable ones among them. */
     EndpointCounts count(Predicate<String> isUnavailable) {
         return new EndpointCounts(discovered.size(), (int)
                 discovered.keySet().stream().filter(isUnavailable).count());
--- a/src/main/java/nettlewick/decision/EndpointSelection.java
+++ b/src/main/java/nettlewick/decision/EndpointSelection.java
@@ -1,9 +1,9 @@
 package nettlewick.decision;
 
 /**
- * Where a request may be sent.
+ * The result of selecting an endpoint for a request.
  *
- * @param endpoint the endpoint chosen, null if there is none
- * @param hasRoom  whether room was seen there, or nothing is known of any endpoint's room
+ * @param endpoint        the selected endpoint, null if there is none
+ * @param hasFreeCapacity whether it has free capacity, or no endpoint's capacity is known
  */
 record EndpointSelection(Endpoint endpoint, boolean hasFreeCapacity) {}
--- a/src/main/java/nettlewick/decision/EndpointSelector.java
+++ b/src/main/java/nettlewick/decision/EndpointSelector.java
@@ -3,16 +3,16 @@
 import java.util.SplittableRandom;
 import nettlewick.decision.SchedulerSettings.Idempotency;
 
-/** Chooses the endpoint of an attempt: the roomiest of the probe pool by fresh reports, the own zone first. */
+/** Selects the endpoint of an attempt: the one with most free capacity in the probe pool, own zone first. */
 final class EndpointSelector {
-    /** Ranks are spare slots, raised or lowered by these so that one concern outweighs all below it. */
+    /** A rank is the number of spare slots, adjusted by these terms so that each criterion outweighs those below it. */
     private static final double LOCAL_CAPACITY_BONUS = 1000;
 
     private static final double REMOTE_CAPACITY_BONUS = 500;
     private static final double LOCAL_QUEUE_BONUS = 0.5;
     private static final double OVERLOAD_PENALTY = 2000;
     private static final double TOO_SLOW_PENALTY = 600;
-    /** Random draws among all ready endpoints where no report is fresh; the second half may leave the zone. */
+    /** Random draws limited to the own zone when no report is fresh; as many follow in which any zone is accepted. */
     private static final int LOCAL_DRAWS = ProbePool.MIN_SIZE;
 
     private final SchedulerClock clock;
@@ -45,7 +45,7 @@
         this.affinity = affinity;
     }
 
-    /** Chooses an endpoint for the next attempt of the request. */
+    /** Selects an endpoint for the next attempt of the request. */
     EndpointSelection select(ScheduledRequest request) {
         EndpointPool pool = pools.candidates(request);
         Endpoint reenabled = findReenabled(request, pool);
@@ -67,7 +67,7 @@
         return preferred != null && !best.hasFreeCapacity() ? new EndpointSelection(preferred, false) : best;
     }
 
-    /** An idle endpoint that an operator has enabled again: it would stay unused while others have more room. */
+    /** Finds an idle re-enabled endpoint, which would stay unused while others have more free capacity. */
     private Endpoint findReenabled(ScheduledRequest request, EndpointPool pool) {
         for (Endpoint endpoint : pool.ready()) {
             if (registry.isReenabled(endpoint.id())
@@ -101,7 +101,7 @@
         return new EndpointSelection(best, hasFreeCapacity);
     }
 
-    /** Room in the own zone comes before room elsewhere; slow endpoints come later, overloaded ones last. */
+    /** Free capacity in the own zone ranks above that in other zones; slow and overloaded endpoints rank lower. */
     private double rank(ScheduledRequest request, Endpoint endpoint, double spare, boolean isOverloaded) {
         double rank = spare >= 0
                 ? spare + (endpoint.isLocal() ? LOCAL_CAPACITY_BONUS : REMOTE_CAPACITY_BONUS)
@@ -121,7 +121,7 @@
         return selectLastResort(request, pool);
     }
 
-    /** Where no healthy endpoint is left, an ejected one may still take a first attempt. */
+    /** If no healthy endpoint is left, an ejected one may still be sent a first attempt. */
     private Endpoint selectLastResort(ScheduledRequest request, EndpointPool pool) {
         if (request.attemptCount() > 0 || pool.ready().isEmpty()) {
             return null;
--- a/src/main/java/nettlewick/decision/EndpointState.java
+++ b/src/main/java/nettlewick/decision/EndpointState.java
@@ -1,10 +1,10 @@
 package nettlewick.decision;
 
-/** The state of an endpoint as the list gives it. */
+/** The state of an endpoint according to the endpoint list. */
 public enum EndpointState {
-    /** Takes requests. */
+    /** Accepts requests. */
     READY,
-    /** Finishes what it has and takes nothing new. */
+    /** Finishes its requests and accepts no new ones. */
     DRAINING,
     /** No longer exists. */
     GONE
--- a/src/main/java/nettlewick/decision/HashRing.java
+++ b/src/main/java/nettlewick/decision/HashRing.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Consistent hashing: members at places on a ring, the same for all dispatchers with the same members. */
+/** A consistent hash ring. All dispatchers with the same members compute the same ring. */
 final class HashRing<T> {
     private final TreeMap<Long, T> nodes = new TreeMap<>();
 
-    /** Puts a member on the ring at {@code copies} places, or takes it off. */
+    /** Adds a member to the ring at {@code virtualNodes} positions, or removes it. */
     void setMembership(String name, T member, int virtualNodes, boolean isMember) {
         long position = hash(name);
         for (int node = 0; node < virtualNodes; node++) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The first {@code count} different members that follow the key. */
+    /** Returns the first {@code count} distinct members that follow the key's position. */
     List<T> successors(String key, int count) {
         long position = hash(key);
         List<T> found = new ArrayList<>(count);
--- a/src/main/java/nettlewick/decision/InFlightAttempts.java
+++ b/src/main/java/nettlewick/decision/InFlightAttempts.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The attempts in flight at one endpoint, the slots they take, and the slots that peers have in flight there. */
+/** The attempts in flight at one endpoint, the slots they occupy, and the slots that peers' requests occupy. */
 final class InFlightAttempts {
     private static final int HISTORY_TICKS = 16;
 
@@ -12,7 +12,7 @@
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
     private double slots;
     private double peerSlots;
-    /** Slots known to be in use at the last ticks, each at its tick's number modulo the length. */
+    /** Ring buffer of the slots known to be in use at recent ticks, indexed by tick number modulo its length. */
     private final double[] slotHistory = new double[HISTORY_TICKS];
 
     void add(Attempt attempt) {
@@ -25,13 +25,13 @@
         release(attempt);
     }
 
-    /** Gives the slots of an attempt back, once, while its outcome is still to come. */
+    /** Releases the slots of an attempt whose outcome is still pending. Further calls have no effect. */
     void release(Attempt attempt) {
         slots -= attempt.isLost() ? 0 : attempt.request().arrival().slots();
         attempt.markLost();
     }
 
-    /** The attempts in the order of sending; a view that changes with them. */
+    /** A live, unmodifiable view of the attempts in the order of sending. */
     List<Attempt> attempts() {
         return attemptsView;
     }
@@ -40,12 +40,12 @@
         return attempts.isEmpty();
     }
 
-    /** Slots taken by attempts of this dispatcher that are not lost. */
+    /** Slots occupied by this dispatcher's attempts that are not lost. */
     double slots() {
         return slots;
     }
 
-    /** Slots that peers have in flight at the endpoint, by their latest messages. */
+    /** Slots that peers have in flight at the endpoint according to their latest messages. */
     double peerSlots() {
         return peerSlots;
     }
@@ -58,7 +58,7 @@
         peerSlots += change;
     }
 
-    /** Remembers the slots known to be in use at this tick. */
+    /** Records the slots known to be in use at this tick. */
     void recordTick(int tick) {
         slotHistory[tick % slotHistory.length] = slots + peerSlots;
     }
--- a/src/main/java/nettlewick/decision/KeyAffinity.java
+++ b/src/main/java/nettlewick/decision/KeyAffinity.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Keeps requests of one key at the few endpoints that follow the key on a hash ring, so that all dispatchers
- * use the same ones, and limits how many go elsewhere.
+ * Sends the requests of one key to the few endpoints that follow the key on a hash ring, so that all dispatchers
+ * prefer the same ones, and limits how many requests spill over to other endpoints.
  */
 final class KeyAffinity {
-    /** Endpoints of each ring that a key's requests are kept to while one of them has room. */
+    /** Number of endpoints on each ring that a key's requests are sent to while one of them has free capacity. */
     private static final int PREFERRED_ENDPOINTS = 2;
-    /** Requests that may go elsewhere, for each that went to its home endpoints. */
+    /** Requests that may spill over to other endpoints, per request for which a preferred one had free capacity. */
     private static final double SPILLOVER_PER_PREFERRED = 0.25;
 
     private static final double MAX_SPILLOVER_TOKENS = 2;
@@ -18,7 +18,7 @@
     private final CapacityEstimator capacity;
     private final EndpointEligibility eligibility;
     private double spilloverTokens;
-    /** Whether the last request with a key found room at its home endpoints. */
+    /** Whether a preferred endpoint had free capacity for the last request with a key. */
     private boolean hadPreferredCapacity;
 
     KeyAffinity(SchedulerClock clock, CapacityEstimator capacity, EndpointEligibility eligibility) {
@@ -27,12 +27,12 @@
         this.eligibility = eligibility;
     }
 
-    /** The endpoints of the request's key; it must have one. */
+    /** Returns the preferred endpoints for the request's key; the request must have one. */
     static List<Endpoint> preferredEndpoints(ScheduledRequest request, EndpointPool pool) {
         return pool.successors(request.arrival().key(), PREFERRED_ENDPOINTS);
     }
 
-    /** The first of the home endpoints with room, else the roomiest; no endpoint if none is eligible. */
+    /** Selects the first eligible preferred endpoint with free capacity, else the one with most spare slots. */
     EndpointSelection selectPreferred(ScheduledRequest request, EndpointPool pool) {
         Endpoint best = null;
         hadPreferredCapacity = false;
@@ -56,12 +56,12 @@
                 : endpoint.inFlight().slots() < 1;
     }
 
-    /** Whether a request may leave its home endpoints. */
+    /** Whether a request may be sent to an endpoint that is not among its preferred ones. */
     boolean maySpillOver() {
         return spilloverTokens >= 1;
     }
 
-    /** Counts a dispatch of a request with a key towards the limit. */
+    /** Counts a dispatch of a request with a key towards the spillover limit. */
     void recordDispatch() {
         spilloverTokens =
                 Math.min(spilloverTokens + (hadPreferredCapacity ? SPILLOVER_PER_PREFERRED : -1), MAX_SPILLOVER_TOKENS);
--- a/src/main/java/nettlewick/decision/LargestRequest.java
+++ b/src/main/java/nettlewick/decision/LargestRequest.java
@@ -2,7 +2,7 @@
 
 import nettlewick.decision.Event.Arrival;
 
-/** The most slots and memory that one request was seen to need here. */
+/** The most slots and the most memory that any one request to this dispatcher has needed. */
 final class LargestRequest {
     private double slots = 1;
     private double memory;
--- a/src/main/java/nettlewick/decision/LatencyEstimator.java
+++ b/src/main/java/nettlewick/decision/LatencyEstimator.java
@@ -1,10 +1,10 @@
 package nettlewick.decision;
 
-/** How long a request is expected to wait and run at an endpoint, against its latency objective. */
+/** Estimates how long a request would wait and run at an endpoint, and compares that with its latency objective. */
 final class LatencyEstimator {
-    /** Part of its latency objective that a request may be expected to wait. */
+    /** Fraction of its latency objective that a request may be expected to wait. */
     private static final double MAX_WAIT_SHARE = 0.5;
-    /** A request with a priority per slot above this multiple of the mean is still sent where others are not. */
+    /** A request counts as high-value if its priority per slot exceeds the mean by this factor. */
     private static final double HIGH_VALUE_FACTOR = 1.2;
 
     private final SchedulerClock clock;
@@ -20,7 +20,7 @@
         this.capacity = capacity;
     }
 
-    /** Whether the request would wait there past its latency objective, going by a fresh report. */
+    /** Whether a fresh report shows that waiting there would make the request miss its latency objective. */
     boolean wouldMissObjective(ScheduledRequest request, Endpoint endpoint) {
         double wait = expectedWait(request, endpoint);
         double slack = objective(request) - runTime(request, endpoint);
@@ -28,7 +28,7 @@
                 && wait > Math.max(MAX_WAIT_SHARE * request.requestClass().latencyObjective(), slack);
     }
 
-    /** By the queue ahead of it, and no less than an own request has waited there by now. */
+    /** The calibrated queue time, or the time that an own request has already waited there if that is longer. */
     private double expectedWait(ScheduledRequest request, Endpoint endpoint) {
         return Math.max(
                 queueTime(request, endpoint)
@@ -36,30 +36,30 @@
                 OutlierDetector.longestWait(endpoint, clock.now()));
     }
 
-    /** Nanoseconds that the queue ahead of the request takes, before calibration; it holds all classes. */
+    /** Time in nanoseconds, before calibration, to serve the queue ahead of the request, which holds all classes. */
     double queueTime(ScheduledRequest request, Endpoint endpoint) {
         return Math.max(0, -capacity.spareSlots(request, endpoint))
                 * statistics.meanRunTime()
                 / Math.max(1, pools.statsFor(endpoint).maxFreeSlots());
     }
 
-    /** Nanoseconds after arrival within which an answer keeps its full value. */
+    /** Time after arrival, in nanoseconds, within which an answer keeps its full value. */
     double objective(ScheduledRequest request) {
         return request.requestClass().latencyObjective()
                 + request.requestClass().objectiveStretch() * estimatedRunTime(request);
     }
 
-    /** Whether an answer now would come after the objective. */
+    /** Whether the latency objective has already been missed. */
     boolean isPastObjective(ScheduledRequest request) {
         return clock.now() > request.arrivedAt() + objective(request);
     }
 
-    /** Whether an attempt that starts now without waiting would meet the objective. */
+    /** Whether an attempt that started now without waiting would meet the objective. */
     boolean canStillMeetObjective(ScheduledRequest request) {
         return clock.now() + estimatedRunTime(request) <= request.arrivedAt() + objective(request);
     }
 
-    /** Whether the request runs too long there to meet its objective even without waiting. */
+    /** Whether the request would run too long there to meet its objective even without waiting. */
     boolean isTooSlowFor(ScheduledRequest request, Endpoint endpoint) {
         return runTime(request, endpoint) > objective(request);
     }
@@ -69,7 +69,7 @@
         return request.priorityPerSlot() > HIGH_VALUE_FACTOR * statistics.meanPriorityPerSlot();
     }
 
-    /** Nanoseconds that it would run there, by its hint and by how that endpoint and its kind run against hints. */
+    /** Expected run time there in nanoseconds: the cost hint scaled by the slowdown of the endpoint and its kind. */
     private double runTime(ScheduledRequest request, Endpoint endpoint) {
         return estimatedRunTime(request)
                 * (request.hasCostHint() ? OutlierDetector.expectedSlowdown(endpoint, pools.statsFor(endpoint)) : 1);
--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -11,20 +11,21 @@
 import nettlewick.decision.AggregationMessage.Kind;
 
 /**
- * Sums what all dispatchers of a large tier have in flight at each endpoint (docs/neighbours.md). Each endpoint
- * has an owner among the dispatchers. A dispatcher reports to the owner the slots that it has in flight there,
- * when that changes and again while there are any, and which endpoints it watches; the owner reports to each
- * watcher what the others have in flight. Every dispatcher is holder, watcher and owner at once. All reports expire.
+ * Sums the slots that all dispatchers of a large tier have in flight at each endpoint (docs/neighbours.md). Each
+ * endpoint is owned by one of the dispatchers. Every dispatcher reports the slots that it has in flight at an endpoint
+ * to the endpoint's owner, both on change and periodically while there are any, and subscribes to the endpoints that
+ * it watches. The owner sends each watcher the sum of the other dispatchers' slots. Every dispatcher is reporter,
+ * watcher and owner at once. All reports, subscriptions and sums expire.
  */
 final class LoadAggregator {
-    /** Tiers of this many dispatchers or fewer gossip with every peer instead. */
+    /** Tiers of this many dispatchers or fewer use gossip among all peers instead. */
     static final int MAX_DIRECT_GOSSIP_DISPATCHERS = 16;
 
     private static final long SECOND_NANOS = 1_000_000_000;
     private static final long REPORT_REFRESH_NANOS = SECOND_NANOS / 2;
     private static final long SUM_TTL_NANOS = SECOND_NANOS;
     private static final long WATCH_REFRESH_NANOS = SECOND_NANOS;
-    /** Slots below which a difference is rounding. */
+    /** Slot differences below this are rounding errors. */
     private static final double ROUNDING_SLOTS = 1e-9;
 
     private record ReportedSlots(int slots, long reportedAt) {}
@@ -32,37 +33,37 @@
     private final int rank;
     private final int tierSize;
     private final PeerFaultCounters faults;
-    /** As a holder: what was last reported to the owner, and when. */
+    /** As a reporter: what was last reported to each endpoint's owner, and when. */
     private final Map<Endpoint, ReportedSlots> reportedToOwner = new HashMap<>();
 
     private long watchesSentAt = SchedulerClock.NEVER;
-    /** As a watcher: when the sum of each endpoint came. */
+    /** As a watcher: when the sum of each endpoint was received. */
     private final Map<Endpoint, Long> sumReceivedAt = new HashMap<>();
 
     private final Map<Character, AggregatedLoad> ownedLoads = new HashMap<>();
     private Map<Character, Endpoint> endpointsByIdHash = Map.of();
     private boolean isRefreshDue;
 
-    /** The part of the dispatcher {@code rank} in a tier of {@code size}. */
+    /** Creates the aggregator of dispatcher {@code rank} in a tier of {@code tierSize} dispatchers. */
     LoadAggregator(int rank, int tierSize, PeerFaultCounters faults) {
         this.rank = rank;
         this.tierSize = tierSize;
         this.faults = faults;
     }
 
-    /** The rank that owns the endpoint of this mark: the same at every dispatcher of the tier. */
+    /** Returns the rank that owns the endpoint with this id hash, the same at every dispatcher of the tier. */
     static int ownerOf(char idHash, int tierSize) {
         return Math.floorMod(idHash * 0x9E3779B1 >>> 7, tierSize);
     }
 
-    /** Replaces the endpoints by marks; those that share a mark are in no entry. */
+    /** Replaces the endpoints by id hash; endpoints whose hashes collide are left out. */
     void replaceEndpoints(Map<Character, Endpoint> byIdHash) {
         endpointsByIdHash = byIdHash;
     }
 
     /**
-     * Takes a peer's datagram over; false if it is no {@link AggregationMessage}. Sums for endpoints that the
-     * list does not name are counted and passed over; an owner needs no list.
+     * Processes a peer's datagram; returns false if it is no {@link AggregationMessage}. Sums for endpoints that are
+     * not on the list are counted and ignored. An owner accepts reports for endpoints that are not on its own list.
      */
     boolean receive(int from, byte[] data, long now) {
         if (!AggregationMessage.isAggregationMessage(data)) {
@@ -100,7 +101,7 @@
         }
     }
 
-    /** Forgets what is too old: sums as a watcher, holdings and watches as an owner. */
+    /** Drops what has expired: received sums as a watcher, reports and subscriptions as an owner. */
     void expire(long now) {
         for (Iterator<Map.Entry<Endpoint, Long>> iterator =
                         sumReceivedAt.entrySet().iterator();
@@ -117,8 +118,8 @@
     }
 
     /**
-     * The datagrams to send now, by rank: holdings that changed or are due again, watches that are due, sums
-     * that changed or are due again. What this dispatcher owns itself is taken in at once.
+     * Returns the datagrams to send now, by recipient's rank: reports and sums that have changed or are due for a
+     * refresh, and subscriptions that are due. Entries for endpoints that this dispatcher owns are applied at once.
      *
      * @param all     every endpoint this dispatcher knows
      * @param watched the endpoints of its probe pool
@@ -159,7 +160,7 @@
         addForOwner(Kind.IN_FLIGHT, endpoint, slots, now, outbox);
     }
 
-    /** An entry for the owner, which may be this dispatcher. */
+    /** Queues an entry for the endpoint's owner, or applies it if this dispatcher is the owner. */
     private void addForOwner(Kind kind, Endpoint endpoint, int slots, long now, Outbox outbox) {
         Entry entry = new Entry(LoadGossipMessage.idHash(endpoint.id()), slots);
         int owner = ownerOf(entry.idHash(), tierSize);
@@ -170,7 +171,7 @@
         }
     }
 
-    /** A sum for a watcher, which may be this dispatcher. */
+    /** Queues a sum for a watcher, or applies it if this dispatcher is the watcher. */
     private void addSum(int watcher, char idHash, int slotsOfOthers, long now, Outbox outbox) {
         if (watcher == rank) {
             applySum(idHash, slotsOfOthers, now);
@@ -179,7 +180,7 @@
         }
     }
 
-    /** Entries to send, by rank and kind, in the order in which each first came up. */
+    /** Entries to send, by rank and kind in order of first insertion. */
     private static final class Outbox {
         private final Map<Integer, Map<Kind, List<Entry>>> byRank = new LinkedHashMap<>();
 
--- a/src/main/java/nettlewick/decision/LoadGossipMessage.java
+++ b/src/main/java/nettlewick/decision/LoadGossipMessage.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The datagrams in which a dispatcher reports the slots that it has in flight at each endpoint. An endpoint goes
- * by sixteen bits of its id's hash: its place in a list would mean another endpoint at a peer whose list differs.
+ * Codec for the datagrams in which a dispatcher reports the slots that it has in flight at each endpoint. Endpoints
+ * are identified by a 16-bit hash of their id: a list index would mean another endpoint at a peer whose list differs.
  */
 final class LoadGossipMessage {
     private static final byte MAGIC = (byte) 0xD3;
@@ -18,10 +18,10 @@
     private static final int HEADER_BYTES = 4;
     private static final int SEQUENCE_OFFSET = 3;
     private static final int ENTRY_BYTES = 3;
-    /** The longest datagram that may be sent. */
+    /** Largest datagram that may be sent. */
     private static final int MAX_MESSAGE_BYTES = 256;
 
-    /** Slots below which a difference is rounding. */
+    /** Slot differences below this are rounding errors. */
     private static final double ROUNDING_SLOTS = 1e-9;
 
     private static final int MAX_SLOTS = 255;
@@ -30,24 +30,24 @@
     private static final int ENTRIES_PER_MESSAGE = (MAX_MESSAGE_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 
     /**
-     * A datagram as it came.
+     * A decoded datagram.
      *
-     * @param part     which of the sender's datagrams this is, from 0
-     * @param parts    how many there are
-     * @param number   the number of the sending, modulo 256: a lower one than the last is late
-     * @param unlisted entries that name no endpoint of this dispatcher's list
+     * @param part     index of this datagram among those of the same report, from 0
+     * @param parts    number of datagrams of the report
+     * @param sequence sequence number of the report, modulo 256; a lower one than the last is late
+     * @param unlisted number of entries whose id hash matches no endpoint of this dispatcher's list
      */
     record Received(int part, int parts, int sequence, Map<Endpoint, Integer> slotsInFlight, int unlisted) {}
 
     private LoadGossipMessage() {}
 
-    /** Sixteen bits that stand for an id, the same in every process. */
+    /** Returns the 16-bit hash that identifies an endpoint id, the same in every process. */
     static char idHash(String id) {
         int hash = id.hashCode() * 0x9e3779b9;
         return (char) (hash >>> 16 ^ hash);
     }
 
-    /** The endpoints by their marks; those that share a mark are in no entry. */
+    /** Returns the endpoints by id hash; endpoints whose hashes collide are left out. */
     static Map<Character, Endpoint> indexByIdHash(List<Endpoint> endpoints) {
         Map<Character, Endpoint> byIdHash = new HashMap<>();
         Set<Character> collisions = new HashSet<>();
@@ -61,8 +61,8 @@
     }
 
     /**
-     * The datagrams for those of the endpoints with slots in flight, in their order; what would need more than
-     * fifteen datagrams is left out from the end.
+     * Encodes the endpoints with slots in flight, in the given order. Endpoints at the end that would need more than
+     * fifteen datagrams are left out.
      */
     static List<byte[]> encode(List<Endpoint> endpoints) {
         List<Endpoint> busy = endpoints.stream()
@@ -84,19 +84,19 @@
         return messages;
     }
 
-    /** Whether these datagrams report that nothing is in flight. */
+    /** Whether these datagrams report no slots in flight. */
     static boolean isEmptyReport(List<byte[]> messages) {
         return messages.size() == 1 && messages.get(0).length == HEADER_BYTES;
     }
 
-    /** A copy of the datagram with the number of its sending. */
+    /** Returns a copy of the datagram with the sequence number set. */
     static byte[] withSequence(byte[] message, int sequence) {
         byte[] copy = message.clone();
         copy[SEQUENCE_OFFSET] = (byte) sequence;
         return copy;
     }
 
-    /** Whether these bytes have the form of load gossip that this version reads. */
+    /** Whether the bytes are load gossip of a version and length that this version can decode. */
     static boolean isLoadGossip(byte[] data) {
         return data.length >= HEADER_BYTES
                 && data.length <= MAX_MESSAGE_BYTES
@@ -105,7 +105,7 @@
                 && (data.length - HEADER_BYTES) % ENTRY_BYTES == 0;
     }
 
-    /** The datagram's content, null if it is damaged; entries for endpoints without a mark here are only counted. */
+    /** Decodes a datagram; null if it is damaged. Entries whose id hash is unknown here are only counted. */
     static Received decode(byte[] data, Map<Character, Endpoint> byIdHash) {
         int parts = (data[2] & BYTE_MASK) >> 4;
         int part = data[2] & 0x0F;
--- a/src/main/java/nettlewick/decision/LoadGossiper.java
+++ b/src/main/java/nettlewick/decision/LoadGossiper.java
@@ -9,10 +9,10 @@
 
 /** Tracks the slots that peers report in flight at each endpoint, and decides when to send this dispatcher's own. */
 final class LoadGossiper {
-    /** Age to which gossip is believed; it is sent at least twice as often while there is anything in flight. */
+    /** Age at which gossip expires. While slots are in flight, it is sent at least twice as often. */
     private static final long TTL_NANOS = 1_000_000_000;
 
-    /** One of the datagrams that together report the load of a dispatcher. */
+    /** Identifies one of the datagrams that together report the load of a dispatcher. */
     private record PartKey(int rank, int part) {}
 
     private record ReceivedLoad(Map<Endpoint, Integer> slots, long receivedAt, int sequence) {}
@@ -25,7 +25,7 @@
     private long lastSentAt = SchedulerClock.NEVER;
     private int nextSequence;
 
-    /** Counts in {@code faults} what it ignores. */
+    /** Creates an instance that counts ignored messages and entries in {@code faults}. */
     LoadGossiper(PeerFaultCounters faults) {
         this.faults = faults;
     }
@@ -36,15 +36,15 @@
         byIdHash = LoadGossipMessage.indexByIdHash(sortedById);
     }
 
-    /** The ready endpoints by their marks; those that share a mark are in no entry. */
+    /** Returns the ready endpoints by id hash; endpoints whose hashes collide are left out. */
     Map<Character, Endpoint> endpointsByIdHash() {
         return byIdHash;
     }
 
     /**
-     * Takes a peer's datagram over; false if it is no load gossip. A message with a lower number than the last
-     * one of that peer has been overtaken and is counted, unless the last one is old: a peer that restarts
-     * counts from 0 again.
+     * Processes a peer's datagram; returns false if it is no load gossip. A message with a lower sequence number than
+     * the last one of that peer arrived out of order and is only counted as late. The check is skipped if the last
+     * message is old, since a restarted peer starts from sequence number 0 again.
      */
     boolean receive(int rank, byte[] data, long now) {
         if (!LoadGossipMessage.isLoadGossip(data)) {
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The datagrams to send now. None if nothing has changed and the last ones are recent or reported nothing
-     * in flight: peers forget by themselves what is not sent again.
+     * Returns the datagrams to send now. There are none if the load is unchanged and the last report is either recent
+     * or empty, because reports that are not refreshed expire at peers.
      */
     List<byte[]> dueMessages(long now) {
         List<byte[]> messages = LoadGossipMessage.encode(sortedById);
@@ -94,7 +94,7 @@
                 .toList();
     }
 
-    /** Drops the loads of peers that have been silent since. */
+    /** Drops the loads received from peers that have not refreshed them in time. */
     void expire(long now) {
         received.values().removeIf(load -> now - load.receivedAt() > TTL_NANOS && subtract(load));
     }
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -5,13 +5,13 @@
 import nettlewick.decision.SchedulerSettings.Idempotency;
 
 /**
- * Outlier detection: ejects endpoints for how they end what is sent to them, lets them back in step by step,
- * and recognises attempts that are lost or late.
+ * Outlier detection: ejects endpoints according to the results of attempts, readmits them with trial
+ * requests, and recognises attempts that are lost or overdue.
  */
 final class OutlierDetector {
-    /** First time for which a failing endpoint is ejected. */
+    /** Duration of the first ejection of a failing endpoint. */
     private static final long BASE_EJECTION_NANOS = 500_000_000;
-    /** Connections that must fail in a row before the endpoint is taken for the cause. */
+    /** Least number of consecutive connection failures that are attributed to the endpoint. */
     private static final int MIN_CONSECUTIVE_FAILURES = 2;
 
     private static final double FALSE_POSITIVE_PROBABILITY = 0.005;
@@ -19,35 +19,35 @@
     private static final double MAX_CONNECTION_FAILURE_RATE = 0.5;
     private static final int CONNECTION_FAILURE_RATE_SAMPLES = 100;
     private static final int CONNECTION_FAILURE_RATE_INITIAL_SAMPLES = 50;
-    /** A process that refuses connections does so at once; an endpoint that is cut off takes longer than this. */
+    /** A process that refuses connections does so within this time; an unreachable endpoint takes longer. */
     private static final long MAX_CONNECTION_REFUSAL_NANOS = 100_000_000;
-    /** Part of the ready endpoints that may be ejected at once: beyond it the fault is elsewhere. */
+    /** Largest share of the ready endpoints ejected at once; if more are failing, the cause is not the endpoints. */
     private static final double MAX_EJECTED_SHARE = 0.5;
 
-    /** More than sends can change their order by on the way. */
+    /** Longest time between two sends that may arrive in reverse order. */
     private static final long MAX_REORDERING_NANOS = 250_000_000;
-    /** Progress messages that may fail to come before an attempt counts as lost. */
+    /** Progress messages that an attempt may miss before it counts as lost. */
     private static final int MISSED_PROGRESS_LIMIT = 2;
-    /** A report that came this long after a send shows the endpoint after it. */
+    /** A report that arrives later than this after a send reflects the endpoint's state after that send. */
     private static final long REPORT_SETTLING_NANOS = 1_500_000_000;
-    /** Nineteen in twenty requests sent to a free slot start within this. */
+    /** 95% of the requests sent to a free slot start within this time. */
     private static final long START_TIMEOUT_NANOS = 150_000_000;
-    /** The weight, in samples, of a kind's slowdown against the endpoint's own. */
+    /** The weight of a kind's slowdown against the endpoint's own, in samples. */
     private static final double PRIOR_SAMPLES = 3;
-    /** Expected run times of silence, summed over its attempts, after which an endpoint counts as silent. */
+    /** An endpoint counts as silent after this many expected run times without a response, summed over its attempts. */
     private static final double MAX_SILENT_RUN_TIMES = 5;
 
     private final Supplier<List<Endpoint>> readyEndpoints;
-    /** Share of connections that break, over the whole fleet. */
+    /** Share of connections that fail, over all endpoints. */
     private final RunningMean connectionFailureRate =
             new RunningMean(CONNECTION_FAILURE_RATE_SAMPLES, CONNECTION_FAILURE_RATE_INITIAL_SAMPLES);
 
-    /** A detector for the fleet whose ready endpoints {@code ready} returns. */
+    /** Creates a detector for the endpoints that {@code readyEndpoints} returns. */
     OutlierDetector(Supplier<List<Endpoint>> readyEndpoints) {
         this.readyEndpoints = readyEndpoints;
     }
 
-    /** Takes over how an attempt, or a probe that failed, ended at this endpoint. */
+    /** Records the result of an attempt, or of a failed probe, at this endpoint. */
     void recordResult(Endpoint endpoint, AttemptResult result, long latencyNanos, long now) {
         switch (result) {
             case SERVED -> {
@@ -59,14 +59,14 @@
                 endpoint.health().recordResponse(now);
                 endpoint.capacity().recordOverload(now);
             }
-            // An endpoint that answers every request with an error at once always shows room.
+            // An endpoint that answers every request with an error at once always appears to have free capacity.
             case ERROR, TIMEOUT -> eject(endpoint, now);
             case UNREACHABLE, BROKEN -> recordConnectionFailure(endpoint, result, latencyNanos, now);
             default -> {}
         }
     }
 
-    /** Connections also break on the way, at endpoints that are well. */
+    /** A single failure does not eject, because network faults also break connections to healthy endpoints. */
     private void recordConnectionFailure(Endpoint endpoint, AttemptResult result, long latencyNanos, long now) {
         connectionFailureRate.add(1);
         boolean isConnectTimeout = result == AttemptResult.UNREACHABLE && latencyNanos > MAX_CONNECTION_REFUSAL_NANOS;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Failures in a row that chance alone hardly brings, at the share of connections that break now. */
+    /** The number of consecutive failures that is improbable by chance at the current connection failure rate. */
     private double consecutiveFailureLimit() {
         double failureRate = Math.min(
                 MAX_CONNECTION_FAILURE_RATE, Math.max(MIN_CONNECTION_FAILURE_RATE, connectionFailureRate.value()));
@@ -83,7 +83,7 @@
                 MIN_CONSECUTIVE_FAILURES, Math.ceil(Math.log(FALSE_POSITIVE_PROBABILITY) / Math.log(failureRate)));
     }
 
-    /** Ejects the endpoint for a time, unless it or too much of the fleet is ejected already. */
+    /** Ejects the endpoint temporarily, unless it is ejected already or too many endpoints are. */
     void eject(Endpoint endpoint, long now) {
         long ejectedCount = readyEndpoints.get().stream()
                 .filter(e -> e.health().isEjected(now))
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Records that an attempt shows progress; {@code isStart} if the request has just started. */
+    /** Records progress of an attempt; {@code isStart} if its request has just started running. */
     static void recordProgress(Attempt attempt, boolean isStart, long now) {
         attempt.recordProgress(isStart, now);
         if (isStart) {
@@ -104,10 +104,10 @@
     }
 
     /**
-     * Whether an attempt is lost though its endpoint is well, as when one connection falls silent. Endpoints
-     * start what waits in order: an attempt that a later one has overtaken, or that has not started while
-     * nothing waits, never came or is dead. One that runs shows progress every {@code progressNanos}, unless
-     * that is 0.
+     * Whether an attempt is lost although its endpoint is healthy, as when one connection stalls. Endpoints start
+     * queued requests in order, so an attempt that a later one has overtaken, or that has not started while the queue
+     * is empty, never arrived or has died. A running attempt reports progress every {@code progressNanos}, unless that
+     * is 0.
      */
     static boolean isLost(Attempt attempt, long now, long progressNanos) {
         if (attempt.hasStarted()) {
@@ -124,7 +124,7 @@
         return attempt.sawFreeCapacity() && !attempt.hasStarted() && now - attempt.sentAt() > START_TIMEOUT_NANOS;
     }
 
-    /** Whether an endpoint has been silent too long, in expected run times summed over its attempts. */
+    /** Whether an endpoint has sent no response for too long, relative to its attempts' expected run times. */
     static boolean isSilent(Endpoint endpoint, RequestStatistics statistics, long now) {
         double silentRunTimes = 0;
         for (Attempt attempt : endpoint.inFlight().attempts()) {
@@ -139,7 +139,7 @@
         return silentRunTimes > MAX_SILENT_RUN_TIMES;
     }
 
-    /** Records, for an attempt that was served, how long it ran against its hint. */
+    /** Records the ratio of run time to cost hint of an attempt that was served. */
     static void recordRunTime(Attempt attempt, EndpointKindStats stats, long now) {
         long hint = attempt.request().arrival().costHintNanos();
         if (attempt.hasStarted() && hint > 0 && now > attempt.startedAt()) {
@@ -149,21 +149,21 @@
         }
     }
 
-    /** How many times its hint a request is expected to run there. */
+    /** The expected ratio of run time to cost hint at the endpoint. */
     static double expectedSlowdown(Endpoint endpoint, EndpointKindStats stats) {
         RunningMean own = endpoint.health().slowdown();
         return Math.exp(
                 (own.count() * own.value() + PRIOR_SAMPLES * stats.slowdown().value()) / (own.count() + PRIOR_SAMPLES));
     }
 
-    /** Whether an attempt may be waiting at its endpoint, unless reports state the queue. */
+    /** Whether an attempt may be queued at its endpoint; false if the endpoint's reports include the queue. */
     private static boolean mayBeQueued(Attempt attempt) {
         return !attempt.hasStarted()
                 && !attempt.isLost()
                 && !attempt.endpoint().capacity().reportsQueue();
     }
 
-    /** How long the own request that waits there longest has waited, in nanoseconds; 0 if none waits. */
+    /** The longest time in nanoseconds that an own request has been queued there; 0 if none is queued. */
     static long longestWait(Endpoint endpoint, long now) {
         long longest = 0;
         for (Attempt attempt : endpoint.inFlight().attempts()) {
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Slots of own requests that wait there; 0 if none has waited for longer than a start takes. Where reports
-     * state no queue, slots may be free while a first request that fits none of them holds up all others.
+     * Slots of own requests queued there; 0 if none has been queued for longer than the start timeout. If reports do
+     * not include the queue, slots may be free although the first queued request does not fit and blocks all others.
      */
     static double blockedSlots(Endpoint endpoint, long now) {
         double slots = 0;
@@ -187,7 +187,10 @@
         return isBlocked ? slots : 0;
     }
 
-    /** Whether the request may go there: after its ejection an endpoint is tried with one harmless request first. */
+    /**
+     * Whether the request may be sent to the endpoint. After an ejection, it receives one idempotent or keyed request
+     * at a time until it is confirmed healthy.
+     */
     static boolean mayReceive(Endpoint endpoint, ScheduledRequest request, long now) {
         boolean isTrial = endpoint.inFlight().isEmpty() && request.idempotency() != Idempotency.NON_IDEMPOTENT;
         return !endpoint.health().isEjected(now) && (!endpoint.health().isUnconfirmed() || isTrial);
--- a/src/main/java/nettlewick/decision/PeerLoadExchange.java
+++ b/src/main/java/nettlewick/decision/PeerLoadExchange.java
@@ -5,15 +5,15 @@
 import nettlewick.decision.Action.SendToPeer;
 
 /**
- * Reports to peers what this dispatcher has in flight at each endpoint and takes their reports in: by gossip in a
- * small tier, by owners' sums ({@link LoadAggregator}) in a larger one.
+ * Exchanges with peers the slots that each dispatcher has in flight at each endpoint: by gossip among all
+ * ({@link LoadGossiper}) in a small tier, by aggregation ({@link LoadAggregator}) in a larger one.
  */
 final class PeerLoadExchange {
     private final SchedulerContext context;
     private final SchedulerClock clock;
     private final ActionBatch actions;
     private final LoadGossiper gossip;
-    /** Null in a tier small enough for gossip between all. */
+    /** Null in a tier small enough for gossip among all dispatchers. */
     private final LoadAggregator aggregator;
 
     private final int[] gossipRanks;
@@ -31,12 +31,12 @@
         gossipRanks = ProbePoolNeighbors.neighborsOf(settings.rank(), size, size);
     }
 
-    /** Whether loads are summed at owners in place of gossip. */
+    /** Whether loads are aggregated by owners instead of gossiped. */
     boolean isAggregated() {
         return aggregator != null;
     }
 
-    /** Peers name endpoints by marks; these are the ones that discovery lists as ready. */
+    /** Replaces the endpoints that id hashes in messages refer to: those that discovery lists as ready. */
     void replaceEndpoints(Collection<Endpoint> discoveredReady) {
         gossip.replaceEndpoints(discoveredReady);
         if (aggregator != null) {
@@ -44,18 +44,18 @@
         }
     }
 
-    /** Takes a peer's message over; false if it is none about loads. */
+    /** Processes a peer's message; returns false if it is not about loads. */
     boolean receive(int rank, byte[] data) {
         return gossip.receive(rank, data, clock.now())
                 || aggregator != null && aggregator.receive(rank, data, clock.now());
     }
 
-    /** Drops gossip that is too old. */
+    /** Drops gossip that has expired. */
     void expireGossip() {
         gossip.expire(clock.now());
     }
 
-    /** On each tick: drops sums that are too old, or sends the gossip that is due. */
+    /** On each tick, expires aggregated loads, or sends the gossip that is due. */
     void tick() {
         if (aggregator != null) {
             aggregator.expire(clock.now());
@@ -71,7 +71,7 @@
         }
     }
 
-    /** At the end of each batch: sends holdings and sums that have changed or are due. */
+    /** At the end of each batch, sends the aggregation messages that are due. */
     void flush(Collection<Endpoint> all, List<Endpoint> probed) {
         if (aggregator != null && context.hasPeers()) {
             aggregator
--- a/src/main/java/nettlewick/decision/ProbePool.java
+++ b/src/main/java/nettlewick/decision/ProbePool.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import nettlewick.decision.Action.Probe;
 
-/** Draws the endpoints that this dispatcher probes, and probes them at a bounded rate. */
+/** Selects the endpoints that this dispatcher probes, and probes them at a bounded rate. */
 final class ProbePool {
-    /** Endpoints of the own zone in a pool: at least this many. */
+    /** Least number of endpoints of the own zone in a pool. */
     static final int MIN_SIZE = 8;
 
-    /** The least where loads are aggregated: fewer endpoints are as good there, and cost fewer messages. */
+    /** Lower minimum with load aggregation, where fewer endpoints suffice and cost fewer messages. */
     private static final int MIN_SIZE_AGGREGATED = 5;
 
     private static final int MAX_SIZE = 24;
-    /** Pool size as a multiple of this dispatcher's part of the endpoints. */
+    /** Pool size as a multiple of this dispatcher's share of the endpoints. */
     private static final double SIZE_PER_SHARE = 1.5;
     /** Pool size as a multiple of the endpoints that its own traffic keeps busy. */
     private static final double SIZE_PER_BUSY_ENDPOINT = 2.5;
@@ -21,7 +21,7 @@
     private static final double PROBES_PER_ARRIVAL = 3;
     private static final double PROBES_PER_TICK =
             (double) SchedulerTimings.TICK_NANOS / SchedulerTimings.SHARE_INTERVAL_NANOS;
-    /** A report younger than this is not renewed. */
+    /** An endpoint whose last report is younger than this is not probed. */
     private static final long MIN_REPORT_AGE_NANOS = SchedulerTimings.SHARE_INTERVAL_NANOS / 4;
 
     private final SchedulerSettings settings;
@@ -43,7 +43,10 @@
         minSize = isLoadAggregated ? MIN_SIZE_AGGREGATED : MIN_SIZE;
     }
 
-    /** Draws all pools anew, after an endpoint update and in each interval, since sizes follow the traffic. */
+    /**
+     * Reselects the probed endpoints of all pools. Called when the list changes and in each share interval, since pool
+     * sizes follow the traffic.
+     */
     void reselect() {
         pools.all().forEach(this::reselect);
         probed = pools.all().stream()
@@ -52,7 +55,7 @@
                 .toList();
     }
 
-    /** A stretch of the own zone, and two thirds as many of the other zones; more where the own zone is small. */
+    /** Selects endpoints of the own zone, and two thirds as many of other zones, or more if the own zone is small. */
     private void reselect(EndpointPool pool) {
         int size = size(pool);
         List<Endpoint> selected = new ArrayList<>();
@@ -73,7 +76,7 @@
         return (int) Math.ceil(Math.min(MAX_SIZE, wanted));
     }
 
-    /** Each dispatcher begins at a place of its own, so that pools differ and dispatchers don't herd. */
+    /** Adds consecutive endpoints from a start that depends on the rank, so that dispatchers probe different ones. */
     private void addConsecutive(List<Endpoint> from, int size, List<Endpoint> to) {
         int start = (int) (ProbePoolNeighbors.ringPosition(settings.rank()) * from.size());
         for (int i = 0; i < Math.min(size, from.size()); i++) {
@@ -81,17 +84,17 @@
         }
     }
 
-    /** The endpoints of all pools, each once. */
+    /** The distinct probed endpoints of all pools. */
     List<Endpoint> probed() {
         return probed;
     }
 
-    /** An arrival pays for further probes. */
+    /** Adds probe tokens for an arrival. */
     void recordArrival() {
         tokens += PROBES_PER_ARRIVAL;
     }
 
-    /** On each tick: probes endpoints in turn whose last report is no longer young. */
+    /** On each tick, probes in turn the endpoints whose last report is old enough, as tokens permit. */
     void probeDue() {
         if (!settings.limits().probes() || probed.isEmpty()) {
             return;
@@ -113,7 +116,7 @@
                 && clock.now() - endpoint.capacity().reportedAt() >= minAgeNanos;
     }
 
-    /** Probes the endpoints whose report is more than half an interval old; true if there is one. */
+    /** Probes the endpoints whose report is older than half a share interval; returns whether there are any. */
     boolean probeStale(List<Endpoint> endpoints) {
         boolean isAnyStale = false;
         for (Endpoint endpoint : endpoints) {
--- a/src/main/java/nettlewick/decision/RequestStatistics.java
+++ b/src/main/java/nettlewick/decision/RequestStatistics.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-/** Means over the requests of this dispatcher: cost, run time, and priority per slot. */
+/** Running means over this dispatcher's requests: cost, run time, latency and priority per slot. */
 final class RequestStatistics {
     private final RunningMean cost = new RunningMean();
     private final RunningMean priorityPerSlot = new RunningMean();
@@ -21,7 +21,7 @@
         largest.include(request.arrival());
     }
 
-    /** Records how long a request ran, whatever its class. */
+    /** Records the run time of a request of any class. */
     void recordRunTime(long nanos) {
         runTime.add(nanos);
     }
@@ -45,7 +45,7 @@
         return runTime.value();
     }
 
-    /** Mean latency without waiting of the request's class, in nanoseconds; 0 before the first. */
+    /** Mean latency of the request's class without waiting, in nanoseconds; 0 before the first sample. */
     double meanLatency(ScheduledRequest request) {
         return latencyByClass[request.classIndex()].value();
     }
--- a/src/main/java/nettlewick/decision/RunningMean.java
+++ b/src/main/java/nettlewick/decision/RunningMean.java
@@ -1,6 +1,6 @@
 package nettlewick.decision;
 
-/** A mean over all samples at first, and an exponentially weighted one once the sample limit is reached. */
+/** An arithmetic mean that turns into an exponentially weighted one once the sample limit is reached. */
 final class RunningMean {
     private static final int DEFAULT_MAX_SAMPLES = 50;
 
@@ -16,7 +16,7 @@
         this(maxSamples, 0);
     }
 
-    /** A mean that starts as if {@code initialSamples} zeros had been seen. */
+    /** Creates a mean that starts as if {@code initialSamples} zeros had been added. */
     RunningMean(int maxSamples, int initialSamples) {
         this.maxSamples = maxSamples;
         count = initialSamples;
@@ -32,12 +32,12 @@
         return value;
     }
 
-    /** The samples that the mean stands for, at most the limit. */
+    /** The number of samples that the mean represents, at most the limit. */
     double count() {
         return count;
     }
 
-    /** Gives the samples so far no weight against the next one. */
+    /** Gives the previous samples no weight, so that the next one replaces the mean. */
     void forgetSamples() {
         count = 0;
     }
--- a/src/main/java/nettlewick/decision/ServiceRates.java
+++ b/src/main/java/nettlewick/decision/ServiceRates.java
@@ -1,8 +1,8 @@
 package nettlewick.decision;
 
-/** Work accepted, lost and served by this dispatcher, as rates in slots, smoothed over share intervals. */
+/** Rates, in slots, of the work that this dispatcher accepts, loses and serves, smoothed over share intervals. */
 final class ServiceRates {
-    /** Requests over which rates are measured where fewer than half of them come in an interval. */
+    /** Requests over which rates are smoothed if fewer than half as many arrive in an interval. */
     private static final double MEASURED_REQUESTS = 20;
 
     private static final double MAX_GAIN = 0.5;
@@ -24,7 +24,7 @@
         accepted += slotSeconds;
     }
 
-    /** Takes back what was accepted and got no answer. */
+    /** Records work that was accepted and got no answer. */
     void recordLost(double slotSeconds) {
         lost += slotSeconds;
     }
@@ -33,7 +33,7 @@
         served += slotSeconds;
     }
 
-    /** Smooths the rates over the interval that ends now; with few requests, over more intervals. */
+    /** Updates the smoothed rates with the interval that ends now; with few requests, smoothing is stronger. */
     void closeInterval(double seconds) {
         double gain = Math.min(MAX_GAIN, Math.max(MIN_GAIN, arrivals / MEASURED_REQUESTS));
         arrivals = 0;
@@ -45,12 +45,12 @@
         served = 0;
     }
 
-    /** Rate of what was accepted and not lost. */
+    /** Rate of work that was accepted and not lost. */
     double netAcceptedRate() {
         return netAcceptedRate;
     }
 
-    /** Rate of all that was accepted. */
+    /** Rate of all accepted work, including what was lost. */
     double grossAcceptedRate() {
         return grossAcceptedRate;
     }
--- a/src/main/java/nettlewick/decision/SlowStartBudget.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -2,17 +2,17 @@
 
 import nettlewick.decision.SchedulerSettings.Rules;
 
-/** How much an endpoint that has just started is sent, so that all dispatchers together don't overload it. */
+/** Limits the work sent to an endpoint in slow start, so that all dispatchers together don't overload it. */
 final class SlowStartBudget {
-    /** Part of a warming endpoint's allowed load that all dispatchers together aim at. */
+    /** Share of a warming endpoint's permitted load that all dispatchers together aim for. */
     private static final double TARGET_LOAD_SHARE = 0.4;
 
-    /** Part of its slots that a warm endpoint is taken to be busy with, until its load is measured. */
+    /** Utilization assumed for a warm endpoint until its load has been measured. */
     private static final double ASSUMED_UTILIZATION = 0.5;
-    /** Intervals until which that is the least: in the first ones requests arrive, but hardly any end. */
+    /** Intervals during which that is the minimum: in the first ones requests arrive, but hardly any complete. */
     private static final int MIN_MEASUREMENTS = 4;
 
-    /** Slot-seconds owed where no request has been seen yet. */
+    /** Lower limit of {@link #maxInitialDebt}, in slot-seconds; applies while no request cost is known. */
     private static final double MIN_INITIAL_DEBT = 0.1;
 
     private final Rules rules;
@@ -23,7 +23,7 @@
         this.fleetSize = fleetSize;
     }
 
-    /** Slot-seconds that an endpoint first seen owes at most before its first request. */
+    /** Largest debt, in slot-seconds, that must accrue before a newly listed endpoint is sent its first request. */
     static double maxInitialDebt(double meanCost) {
         return Math.max(meanCost, MIN_INITIAL_DEBT);
     }
@@ -34,8 +34,8 @@
     }
 
     /**
-     * What a warm endpoint carries for this dispatcher. A dispatcher that has just started has measured
-     * nothing; during a release of the endpoints it would leave the new ones alone and overload the others.
+     * The rate that a warm endpoint serves for this dispatcher. A dispatcher that has just started has no measurements
+     * and would otherwise, during a rolling update of the endpoints, avoid the new ones and overload the others.
      */
     private double expectedRate(EndpointKindStats stats) {
         double assumed = ASSUMED_UTILIZATION * Math.max(1, stats.maxFreeSlots()) / fleetSize;
@@ -45,8 +45,9 @@
     }
 
     /**
-     * Whether one more request may go there. Each dispatcher sends its own part of what warm endpoints of the
-     * kind carry, ramped by age; {@code maxCredit} slot-seconds bound what piles up into a burst.
+     * Whether one more request may be sent to the endpoint. Each dispatcher sends it the rate that it sends to warm
+     * endpoints of the kind, scaled by a ramp over the endpoint's age. Unused credit accumulates up to
+     * {@code maxCredit} slot-seconds, which bounds bursts.
      */
     boolean admits(Endpoint endpoint, EndpointKindStats stats, double maxCredit, long now) {
         if (!isWarmingUp(endpoint, now)) {
--- a/src/main/java/nettlewick/decision/WaitCalibration.java
+++ b/src/main/java/nettlewick/decision/WaitCalibration.java
@@ -1,8 +1,8 @@
 package nettlewick.decision;
 
-/** Corrects predicted waits by how long requests waited where a wait had been predicted. */
+/** Corrects predicted waits by the ratio of observed to predicted waits. */
 final class WaitCalibration {
-    /** The weight, in samples, of taking predictions as they are. */
+    /** The weight of an uncorrected prediction, in samples. */
     private static final double PRIOR_SAMPLES = 5;
 
     private static final double MAX_FACTOR = 8;
@@ -15,7 +15,7 @@
         waited.add(waitedNanos);
     }
 
-    /** What a prediction is to be multiplied by. */
+    /** The factor by which to multiply a prediction. */
     double factor() {
         double samples = predicted.count();
         double factor = samples == 0 ? 1 : waited.value() / Math.max(predicted.value(), 1);
--- a/src/test/java/nettlewick/decision/AggregationMessageTest.java
+++ b/src/test/java/nettlewick/decision/AggregationMessageTest.java
@@ -10,7 +10,7 @@
 import nettlewick.decision.AggregationMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The encoding of holdings, watches and sums. */
+/** Encoding and decoding of aggregation messages. */
 class AggregationMessageTest {
     @Test
     void entriesOfEachKindAreReadAsTheyWereWritten() {
--- a/src/test/java/nettlewick/decision/EndpointCapacityTest.java
+++ b/src/test/java/nettlewick/decision/EndpointCapacityTest.java
@@ -7,43 +7,46 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Reports of different sites in slots. */
+/** Conversion of the load values that different sites report to slots. */
 class EndpointCapacityTest {
-    private static final double NONE = Double.NaN;
+    private static final double NOT_REPORTED = Double.NaN;
     private final EndpointCapacity capacity = new EndpointCapacity();
 
-    private void report(double free, double waiting, double inHand, double busyShare, EndpointKindStats kind) {
+    private void report(double free, double queued, double outstanding, double busyShare, EndpointKindStats stats) {
         capacity.applyReport(
-                new EndpointLoad(free, NONE, waiting, inHand, busyShare), SECOND, kind, new LargestRequest());
+                new EndpointLoad(free, NOT_REPORTED, queued, outstanding, busyShare),
+                SECOND,
+                stats,
+                new LargestRequest());
     }
 
     @Test
     void freeSlotsComeFromWhicheverValueIsReported() {
-        EndpointKindStats kind = new EndpointKindStats();
-        report(3, NONE, NONE, NONE, kind);
+        EndpointKindStats stats = new EndpointKindStats();
+        report(3, NOT_REPORTED, NOT_REPORTED, NOT_REPORTED, stats);
         assertEquals(3, capacity.freeSlots());
-        report(NONE, 2, NONE, NONE, kind);
+        report(NOT_REPORTED, 2, NOT_REPORTED, NOT_REPORTED, stats);
         assertEquals(0, capacity.freeSlots());
         assertEquals(2, capacity.queuedSlots());
-        report(NONE, NONE, NONE, 0.5, kind);
+        report(NOT_REPORTED, NOT_REPORTED, NOT_REPORTED, 0.5, stats);
         assertEquals(2, capacity.freeSlots());
-        report(NONE, NONE, 3, NONE, kind);
+        report(NOT_REPORTED, NOT_REPORTED, 3, NOT_REPORTED, stats);
         assertEquals(0.25, capacity.freeSlots());
     }
 
     @Test
-    void withoutAReportedQueueWhatIsHeldBeyondTheSlotsWaits() {
-        EndpointKindStats kind = new EndpointKindStats();
-        report(2, NONE, 2, NONE, kind);
-        assertEquals(4, kind.maxFreeSlots());
-        report(0, NONE, 7, NONE, kind);
+    void withoutAReportedQueueRequestsBeyondTheSlotsCountAsQueued() {
+        EndpointKindStats stats = new EndpointKindStats();
+        report(2, NOT_REPORTED, 2, NOT_REPORTED, stats);
+        assertEquals(4, stats.maxFreeSlots());
+        report(0, NOT_REPORTED, 7, NOT_REPORTED, stats);
         assertEquals(3, capacity.queuedSlots());
         assertFalse(capacity.reportsQueue());
     }
 
     @Test
     void aReportIsFreshForOneInterval() {
-        report(1, NONE, NONE, NONE, new EndpointKindStats());
+        report(1, NOT_REPORTED, NOT_REPORTED, NOT_REPORTED, new EndpointKindStats());
         assertTrue(capacity.isFresh(2 * SECOND));
         assertFalse(capacity.isFresh(2 * SECOND + 1));
         capacity.reset();
--- a/src/test/java/nettlewick/decision/EndpointHealthTest.java
+++ b/src/test/java/nettlewick/decision/EndpointHealthTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Ejections that grow, and their end. */
+/** Growing ejection times, and how ejections end. */
 class EndpointHealthTest {
     @Test
-    void ejectionsDoubleUpToEightfoldUntilASignOfLife() {
+    void ejectionsDoubleUpToEightfoldUntilConfirmedHealthy() {
         EndpointHealth health = new EndpointHealth();
         long now = 0;
         for (int factor : new int[] {1, 2, 4, 8, 8}) {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRestartForgetsFaults() {
+    void aResetClearsEjectionAndFailures() {
         EndpointHealth health = new EndpointHealth();
         health.countConnectionFailure();
         health.eject(10, 0);
--- a/src/test/java/nettlewick/decision/EndpointPoolsTest.java
+++ b/src/test/java/nettlewick/decision/EndpointPoolsTest.java
@@ -10,7 +10,7 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints by kind, and those that are dedicated to tenants. */
+/** Endpoint pools by kind and by tenant. */
 class EndpointPoolsTest {
     private static Endpoint endpoint(String id, int kind) {
         Endpoint endpoint = new Endpoint(id);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void endpointsAreSortedByKindAndExclusiveOnesLeaveTheCommonPools() {
+    void endpointsAreGroupedByKindAndExclusiveOnesLeaveTheSharedPools() {
         EndpointPools pools = new EndpointPools(2);
         List<Endpoint> all = List.of(endpoint("w0", 0), endpoint("w1", 1), endpoint("w2", 1));
         pools.rebuild(all);
--- a/src/test/java/nettlewick/decision/EndpointRegistryTest.java
+++ b/src/test/java/nettlewick/decision/EndpointRegistryTest.java
@@ -17,7 +17,7 @@
 import nettlewick.decision.Event.Timer;
 import org.junit.jupiter.api.Test;
 
-/** What the module sees of the list while operators disable and enable endpoints. */
+/** The effective endpoint list while operators disable and re-enable endpoints. */
 class EndpointRegistryTest {
     private final EndpointRegistry registry = new EndpointRegistry();
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aDisabledEndpointDrainsWhateverTheListSays() {
+    void aDisabledEndpointDrainsWhateverStateTheListGives() {
         assertEquals(
                 List.of(),
                 registry.apply(new EndpointAdminChange("w", true, SECOND)).entries());
@@ -48,7 +48,7 @@
                         .state());
     }
 
-    /** Guards against a full load for an endpoint that was restarted while it was disabled. */
+    /** Guards against sending full load to an endpoint that was restarted while it was disabled. */
     @Test
     void aReenabledEndpointWarmsUp() {
         registry.apply(new EndpointAdminChange("w", true, SECOND));
@@ -61,11 +61,11 @@
                 effectiveEntry(EndpointState.DRAINING, 0).state());
     }
 
-    /** Guards against one that stays unused after its return while others have more room. */
+    /** Guards against a re-enabled endpoint staying unused while others have more free capacity. */
     @Test
-    void aReenabledEndpointGetsTheNextIdempotentRequest() {
-        Dispatcher module = Dispatcher.create(Samples.settings(0, 1, true), 1);
-        module.handle(
+    void aReenabledEndpointReceivesTheNextIdempotentRequest() {
+        Dispatcher dispatcher = Dispatcher.create(Samples.settings(0, 1, true), 1);
+        dispatcher.handle(
                 1,
                 List.of(
                         Samples.endpoints(4),
@@ -73,7 +73,7 @@
                         Samples.probeAnswer("w2", 9, 0),
                         new EndpointAdminChange("w1", true, 1),
                         Samples.arrival("a", "read", "red")));
-        List<Action> actions = module.handle(
+        List<Action> actions = dispatcher.handle(
                 SECOND,
                 List.of(
                         new EndpointAdminChange("w1", false, SECOND),
@@ -88,23 +88,26 @@
                         .toList());
     }
 
-    /** Guards against loads of one endpoint taken for another's where dispatchers have disabled different ones. */
+    /**
+     * Guards against mistaking the load of one endpoint for another's when different endpoints are disabled at
+     * different dispatchers.
+     */
     @Test
-    void gossipNamesTheSameEndpointsWhicheverAreDisabled() {
+    void gossipIdentifiesEndpointsIndependentlyOfDisabledOnes() {
         List<String> messages = new ArrayList<>();
-        for (int out = 0; out < 2; out++) {
-            Dispatcher module = Dispatcher.create(Samples.settings(0, 2, true), 1);
-            module.handle(
+        for (int disabled = 0; disabled < 2; disabled++) {
+            Dispatcher dispatcher = Dispatcher.create(Samples.settings(0, 2, true), 1);
+            dispatcher.handle(
                     1,
                     List.of(
                             Samples.endpoints(4),
-                            new EndpointAdminChange("w" + out, true, 1),
+                            new EndpointAdminChange("w" + disabled, true, 1),
                             Samples.probeAnswer("w2", 9, 0),
-                            Samples.probeAnswer("w" + (1 - out), 0, 9),
+                            Samples.probeAnswer("w" + (1 - disabled), 0, 9),
                             Samples.probeAnswer("w3", 0, 9),
                             Samples.arrival("a", "read", "red")));
             messages.add(
-                    Samples.actionsOfType(SendToPeer.class, module.handle(SECOND / 10, List.of(new Timer("beat"))))
+                    Samples.actionsOfType(SendToPeer.class, dispatcher.handle(SECOND / 10, List.of(new Timer("beat"))))
                             .stream()
                             .map(SendToPeer::data)
                             .filter(LoadGossipMessage::isLoadGossip)
@@ -113,17 +116,18 @@
                             .toString());
         }
         assertEquals(messages.get(0), messages.get(1));
-        char mark = LoadGossipMessage.idHash("w2");
+        char idHash = LoadGossipMessage.idHash("w2");
         assertTrue(
-                messages.get(0).contains(", " + (byte) (mark >> 8) + ", " + (byte) mark + ", 1]"), messages.toString());
+                messages.get(0).contains(", " + (byte) (idHash >> 8) + ", " + (byte) idHash + ", 1]"),
+                messages.toString());
     }
 
     @Test
-    void aDisabledEndpointGetsNoRequestAndNoProbe() {
-        Dispatcher module = Dispatcher.create(Samples.settings(0, 1, true), 1);
-        module.handle(1, List.of(Samples.endpoints(2), new EndpointAdminChange("w0", true, 1)));
+    void aDisabledEndpointReceivesNoRequestAndNoProbe() {
+        Dispatcher dispatcher = Dispatcher.create(Samples.settings(0, 1, true), 1);
+        dispatcher.handle(1, List.of(Samples.endpoints(2), new EndpointAdminChange("w0", true, 1)));
         for (int i = 0; i < 40; i++) {
-            List<Action> actions = module.handle(
+            List<Action> actions = dispatcher.handle(
                     1 + i * SECOND / 10,
                     List.of(
                             new Timer("beat"),
@@ -136,8 +140,8 @@
                                     || a instanceof Probe p && p.endpoint().equals("w0")),
                     actions.toString());
             Samples.actionsOfType(Dispatch.class, actions)
-                    .forEach(d -> module.handle(1, List.of(Samples.outcome(d, 0, AttemptResult.SERVED))));
+                    .forEach(d -> dispatcher.handle(1, List.of(Samples.outcome(d, 0, AttemptResult.SERVED))));
         }
-        assertEquals(new EndpointCounts(2, 1), module.endpointCounts());
+        assertEquals(new EndpointCounts(2, 1), dispatcher.endpointCounts());
     }
 }
--- a/src/test/java/nettlewick/decision/EndpointSelectorTest.java
+++ b/src/test/java/nettlewick/decision/EndpointSelectorTest.java
@@ -18,20 +18,20 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoint a request goes to. */
+/** Selection of the endpoint for a request. */
 class EndpointSelectorTest extends SchedulerFixture {
     @Test
-    void ownRequestsInFlightCountAgainstAnEndpointsRoom() {
+    void ownRequestsInFlightReduceAnEndpointsFreeCapacity() {
         at(1, Samples.endpoints(8));
         answers(3, 0, 8);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 4; i++) {
             used.add(send("read").endpointId());
         }
-        assertTrue(used.size() >= 3, "four requests all go to " + used);
+        assertTrue(used.size() >= 3, "four requests were all sent to " + used);
     }
 
-    /** Guards against a dispatcher that started into a release and leaves all endpoints that warm up alone. */
+    /** Guards against a dispatcher that starts during a rolling update and avoids all endpoints in slow start. */
     @Test
     void aDispatcherThatHasJustStartedUsesWarmingEndpointsToo() {
         at(
@@ -83,29 +83,30 @@
     }
 
     @Test
-    void aRequestWithAKeyProbesItsHomeEndpointsAndStaysThere() {
+    void aRequestWithAKeyProbesAndUsesItsPreferredEndpoints() {
         at(1, Samples.endpoints(8));
         Arrival keyed = new Arrival("k0", "read", "red", 5 * Samples.SECOND, 1, 0, 0, "album", false);
         List<Action> first = at(2, keyed);
-        List<Probe> asked = Samples.actionsOfType(Probe.class, first);
-        assertFalse(asked.isEmpty());
+        List<Probe> probes = Samples.actionsOfType(Probe.class, first);
+        assertFalse(probes.isEmpty());
         assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, first));
-        asked.forEach(p -> at(3, Samples.probeAnswer(p.endpoint(), 2, 0)));
+        probes.forEach(p -> at(3, Samples.probeAnswer(p.endpoint(), 2, 0)));
         Dispatch sent = Samples.actionsOfType(Dispatch.class, at(2 + 13 * Samples.MS, new Timer("hold")))
                 .get(0);
-        RequestScheduler other = new RequestScheduler(Samples.settings(2, 3, true), 99);
-        other.handle(1, List.of(Samples.endpoints(8)));
-        other.handle(2, List.of(keyed));
-        asked.forEach(p -> other.handle(3, List.of(Samples.probeAnswer(p.endpoint(), 2, 0))));
+        RequestScheduler otherDispatcher = new RequestScheduler(Samples.settings(2, 3, true), 99);
+        otherDispatcher.handle(1, List.of(Samples.endpoints(8)));
+        otherDispatcher.handle(2, List.of(keyed));
+        probes.forEach(p -> otherDispatcher.handle(3, List.of(Samples.probeAnswer(p.endpoint(), 2, 0))));
         assertEquals(
                 sent.endpointId(),
-                Samples.actionsOfType(Dispatch.class, other.handle(2 + 13 * Samples.MS, List.of(new Timer("hold"))))
+                Samples.actionsOfType(
+                                Dispatch.class, otherDispatcher.handle(2 + 13 * Samples.MS, List.of(new Timer("hold"))))
                         .get(0)
                         .endpointId());
     }
 
     @Test
-    void aNewEndpointGetsNoBurst() {
+    void aNewEndpointReceivesNoBurst() {
         at(1, Samples.endpoints(8));
         answers(2, 0, 8);
         at(2, new EndpointList(false, List.of(Samples.entry("fresh", EndpointState.READY, 2, "north", 9))));
@@ -116,7 +117,7 @@
     }
 
     @Test
-    void aDrainingOrMissingEndpointGetsNothing() {
+    void aDrainingOrUnlistedEndpointReceivesNoRequest() {
         at(1, Samples.endpoints(2));
         at(2, new EndpointList(false, List.of(Samples.entry("w0", EndpointState.DRAINING, 0, "north", 0))));
         assertEquals("w1", send("read").endpointId());
@@ -129,7 +130,7 @@
 
     @Test
     void theLastSlotOfAKindIsReservedForMoreValuableRequestsBoundToIt() {
-        SchedulerSettings s = Samples.settings(0, 3, true);
+        SchedulerSettings defaults = Samples.settings(0, 3, true);
         RequestClass any = Samples.requestClass("any", Idempotency.IDEMPOTENT, Scope.ALL, 2);
         RequestClass bound = new RequestClass(
                 "bound",
@@ -144,37 +145,41 @@
                 false,
                 1,
                 0);
-        RequestScheduler two = new RequestScheduler(
+        RequestScheduler schedulerWithKinds = new RequestScheduler(
                 new SchedulerSettings(
                         0,
                         3,
-                        s.zone(),
+                        defaults.zone(),
                         List.of(any, bound),
-                        s.tenants(),
+                        defaults.tenants(),
                         List.of("box", "rare"),
                         false,
                         false,
-                        s.loadReporting(),
+                        defaults.loadReporting(),
                         0,
-                        s.limits(),
-                        s.rules()),
+                        defaults.limits(),
+                        defaults.rules()),
                 5);
-        two.handle(
+        schedulerWithKinds.handle(
                 1,
                 List.of(new EndpointList(
                         true,
                         List.of(
                                 Samples.entry("w0", EndpointState.READY, 0, "north", 0),
                                 new EndpointEntry("w1", EndpointState.READY, 0, 0, "rare", "north", 1)))));
-        two.handle(2, List.of(Samples.probeAnswer("w0", 1, 0), Samples.probeAnswer("w1", 1.5, 0)));
+        schedulerWithKinds.handle(2, List.of(Samples.probeAnswer("w0", 1, 0), Samples.probeAnswer("w1", 1.5, 0)));
         assertEquals(
                 "w0",
-                Samples.actionsOfType(Dispatch.class, two.handle(3, List.of(Samples.arrival("a", "any", "red"))))
+                Samples.actionsOfType(
+                                Dispatch.class,
+                                schedulerWithKinds.handle(3, List.of(Samples.arrival("a", "any", "red"))))
                         .get(0)
                         .endpointId());
         assertEquals(
                 "w1",
-                Samples.actionsOfType(Dispatch.class, two.handle(3, List.of(Samples.arrival("b", "bound", "red"))))
+                Samples.actionsOfType(
+                                Dispatch.class,
+                                schedulerWithKinds.handle(3, List.of(Samples.arrival("b", "bound", "red"))))
                         .get(0)
                         .endpointId());
     }
--- a/src/test/java/nettlewick/decision/HashRingTest.java
+++ b/src/test/java/nettlewick/decision/HashRingTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Members on a hash ring. */
+/** Membership and successors on a consistent hash ring. */
 class HashRingTest {
     private static HashRing<String> ring(int members) {
         HashRing<String> ring = new HashRing<>();
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void successorsAreDistinctAndBoundedByTheMembers() {
+    void successorsAreDistinctAndAtMostAsManyAsMembers() {
         assertEquals(2, ring(5).successors("key", 2).stream().distinct().count());
         assertEquals(1, ring(1).successors("key", 2).size());
         assertEquals(List.of(), ring(0).successors("key", 2));
@@ -33,8 +33,8 @@
         }
         ring.setMembership("w3", "w3", 20, false);
         before.forEach((key, member) -> {
-            String now = ring.successors(key, 1).get(0);
-            assertEquals(!member.equals("w3"), now.equals(member), key);
+            String successor = ring.successors(key, 1).get(0);
+            assertEquals(!member.equals("w3"), successor.equals(member), key);
         });
     }
 }
--- a/src/test/java/nettlewick/decision/InFlightAttemptsTest.java
+++ b/src/test/java/nettlewick/decision/InFlightAttemptsTest.java
@@ -8,7 +8,7 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Slots in flight at an endpoint. */
+/** Accounting of the slots in flight at an endpoint. */
 class InFlightAttemptsTest {
     @Test
     void aReleasedAttemptStaysInFlightWithoutSlots() {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void slotsOfLaterTicksDoNotHideThoseOfEarlierOnes() {
+    void laterTicksDoNotOverwriteRecentHistory() {
         InFlightAttempts inFlight = new InFlightAttempts();
         for (int tick = 1; tick <= 20; tick++) {
             inFlight.setPeerSlots(tick);
--- a/src/test/java/nettlewick/decision/LargeFleetTest.java
+++ b/src/test/java/nettlewick/decision/LargeFleetTest.java
@@ -9,42 +9,42 @@
 import nettlewick.decision.Event.PeerMessageReceived;
 import org.junit.jupiter.api.Test;
 
-/** What works for one dispatcher, or for few, and fails where there are many. */
+/** Properties that hold with few dispatchers and could fail with many. */
 class LargeFleetTest {
     private static final long SECOND = Samples.SECOND;
 
     /**
-     * Guards against a pool that is made for the mean dispatcher: one with many times the mean traffic fills it by
-     * itself and queues there, while most of the fleet is idle.
+     * Guards against a probe pool sized for the mean dispatcher: a dispatcher with many times the mean traffic fills
+     * its pool alone and queues requests there, while most endpoints are idle.
      */
     @Test
     void aBusyDispatcherSpreadsOverMoreOfTheFleetThanAnIdleOne() {
         SimulatedFleet fleet = new SimulatedFleet(14, 60, 3);
-        fleet.traffic(0, 80, SECOND / 2, 0, 12 * SECOND);
+        fleet.addTraffic(0, 80, SECOND / 2, 0, 12 * SECOND);
         fleet.run(4 * SECOND);
-        int before = fleet.sent + fleet.rejected;
-        int bad = fleet.sentToFullEndpoint + fleet.rejected;
+        int requestsBefore = fleet.sent + fleet.rejected;
+        int misplacedBefore = fleet.sentToFullEndpoint + fleet.rejected;
         fleet.run(12 * SECOND);
-        double share =
-                (double) (fleet.sentToFullEndpoint + fleet.rejected - bad) / (fleet.sent + fleet.rejected - before);
+        double share = (double) (fleet.sentToFullEndpoint + fleet.rejected - misplacedBefore)
+                / (fleet.sent + fleet.rejected - requestsBefore);
         assertTrue(
                 share < 0.1,
                 share + " of the requests were rejected or sent to a full endpoint; 80 of 120 slots are free");
     }
 
-    /** Datagrams that a dispatcher sends each second while every one of them has two or three requests a second. */
+    /** Returns the datagrams per second of a dispatcher while every dispatcher gets 2.5 requests a second. */
     private static double datagramsPerDispatcher(int dispatchers, int endpoints) {
         SimulatedFleet fleet = new SimulatedFleet(dispatchers, endpoints, 5);
         for (int rank = 0; rank < dispatchers; rank++) {
-            fleet.traffic(rank, 2.5, SECOND / 4, 2 * SECOND, 6 * SECOND);
+            fleet.addTraffic(rank, 2.5, SECOND / 4, 2 * SECOND, 6 * SECOND);
         }
         fleet.run(2 * SECOND);
-        long before = fleet.datagrams;
+        long datagramsBefore = fleet.datagrams;
         fleet.run(6 * SECOND);
-        return (fleet.datagrams - before) / 4.0 / dispatchers;
+        return (fleet.datagrams - datagramsBefore) / 4.0 / dispatchers;
     }
 
-    /** Guards against gossip between all dispatchers: their bytes grew with the square of the tier. */
+    /** Guards against gossip among all dispatchers, whose traffic grows with the square of their number. */
     @Test
     void datagramsOfOneDispatcherDoNotGrowWithTheTier() {
         double small = datagramsPerDispatcher(20, 40);
@@ -53,55 +53,58 @@
     }
 
     /**
-     * Guards against a large tier that knows only what few peers hold: reports are a second old, requests a quarter,
-     * and endpoints fill without each dispatcher's knowledge. With gossip to four neighbors 0.32 of the requests found
-     * their endpoint full here, with gossip to all 0.10.
+     * Guards against a large tier in which a dispatcher knows the load of few peers only. Load reports are up to a
+     * second old while requests run for a quarter of a second, so endpoints fill up unnoticed. In this scenario, 0.32
+     * of the requests found their endpoint full with gossip to four neighbors, and 0.10 with gossip to all.
      */
     @Test
     void loadOfAllDispatchersIsKnownInALargeTier() {
         SimulatedFleet fleet = new SimulatedFleet(98, 64, 11);
         double rate = 0.5 * SimulatedFleet.SLOTS * 64 / 0.25 / 98;
         for (int rank = 0; rank < 98; rank++) {
-            fleet.traffic(rank, rate, SECOND / 4, 2 * SECOND, 10 * SECOND);
+            fleet.addTraffic(rank, rate, SECOND / 4, 2 * SECOND, 10 * SECOND);
         }
         fleet.run(4 * SECOND);
-        int sent = fleet.sent;
-        int full = fleet.sentToFullEndpoint;
+        int sentBefore = fleet.sent;
+        int fullBefore = fleet.sentToFullEndpoint;
         fleet.run(10 * SECOND);
-        double share = (double) (fleet.sentToFullEndpoint - full) / (fleet.sent - sent);
+        double share = (double) (fleet.sentToFullEndpoint - fullBefore) / (fleet.sent - sentBefore);
         assertTrue(share < 0.06, share + " of the requests found their endpoint full");
     }
 
-    /** Neighbors are mutual, the ring leaves no dispatcher out, and in small tiers all are neighbors. */
+    /** Neighborship is mutual, covers every dispatcher, and includes all dispatchers of a small tier. */
     @Test
     void neighborsAreFewSymmetricAndNearestByRingPosition() {
-        int size = 1000;
-        int reach = ProbePoolNeighbors.NEIGHBORS_PER_SIDE;
-        int[] told = new int[size];
-        for (int each = 0; each < size; each++) {
+        int tierSize = 1000;
+        int perSide = ProbePoolNeighbors.NEIGHBORS_PER_SIDE;
+        int[] neighborCounts = new int[tierSize];
+        for (int each = 0; each < tierSize; each++) {
             int rank = each;
-            int[] near = ProbePoolNeighbors.neighborsOf(rank, size, reach);
+            int[] neighbors = ProbePoolNeighbors.neighborsOf(rank, tierSize, perSide);
             assertEquals(
-                    2 * reach,
-                    java.util.Arrays.stream(near)
+                    2 * perSide,
+                    java.util.Arrays.stream(neighbors)
                             .distinct()
                             .filter(r -> r != rank)
                             .count());
-            for (int other : near) {
-                told[other]++;
-                assertTrue(java.util.Arrays.stream(ProbePoolNeighbors.neighborsOf(other, size, reach))
+            for (int other : neighbors) {
+                neighborCounts[other]++;
+                assertTrue(java.util.Arrays.stream(ProbePoolNeighbors.neighborsOf(other, tierSize, perSide))
                         .anyMatch(r -> r == rank));
-                double apart = Math.abs(ProbePoolNeighbors.ringPosition(other) - ProbePoolNeighbors.ringPosition(rank));
-                assertTrue(Math.min(apart, 1 - apart) < 3.0 * reach / size, rank + " and " + other + " lie apart");
+                double distance =
+                        Math.abs(ProbePoolNeighbors.ringPosition(other) - ProbePoolNeighbors.ringPosition(rank));
+                assertTrue(
+                        Math.min(distance, 1 - distance) < 3.0 * perSide / tierSize,
+                        rank + " and " + other + " are not adjacent");
             }
         }
-        assertTrue(java.util.Arrays.stream(told).allMatch(n -> n == 2 * reach));
-        assertEquals(4, ProbePoolNeighbors.neighborsOf(2, 5, reach).length);
+        assertTrue(java.util.Arrays.stream(neighborCounts).allMatch(n -> n == 2 * perSide));
+        assertEquals(4, ProbePoolNeighbors.neighborsOf(2, 5, perSide).length);
     }
 
-    /** Guards against belief in reports alone as soon as one of many peers is silent: here the third never speaks. */
+    /** Guards against ignoring all gossip when one peer sends none: here the third dispatcher is silent. */
     @Test
-    void gossipOfOnePeerCountsThoughAnotherIsSilent() {
+    void gossipOfOnePeerCountsWhileAnotherIsSilent() {
         RequestScheduler scheduler = new RequestScheduler(Samples.settings(0, 3, true), 1);
         scheduler.handle(
                 1,
--- a/src/test/java/nettlewick/decision/ProbePoolTest.java
+++ b/src/test/java/nettlewick/decision/ProbePoolTest.java
@@ -10,7 +10,7 @@
 import nettlewick.decision.Action.Probe;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are probed, and how often. */
+/** Selection of the probed endpoints and the rate of probes. */
 class ProbePoolTest {
     private final SchedulerContext context = SchedulerContext.create(Samples.settings(0, 1, true), 1);
     private final EndpointPools pools = new EndpointPools(1);
@@ -40,7 +40,7 @@
         assertEquals(2, probe());
         assertEquals(2, probe());
         assertEquals(2, probe());
-        assertEquals(0, probe(), "all are pending");
+        assertEquals(0, probe(), "all probes are pending");
     }
 
     @Test
@@ -52,6 +52,6 @@
         assertFalse(probePool.probeStale(List.of(endpoint)));
         context.clock().advanceTo(500 * MS + 1);
         assertTrue(probePool.probeStale(List.of(endpoint)));
-        assertFalse(probePool.probeStale(List.of(endpoint)), "the answer is pending");
+        assertFalse(probePool.probeStale(List.of(endpoint)), "a probe is pending");
     }
 }
--- a/src/test/java/nettlewick/decision/QueuelessSiteTest.java
+++ b/src/test/java/nettlewick/decision/QueuelessSiteTest.java
@@ -25,17 +25,29 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a site shows that reports no queue, counts memory, runs requests of seconds and stops nothing that is
- * cancelled: the module goes by its settings and by what attempts show, not by another site's figures.
+ * Decisions at a site whose reports include memory but no queue, whose requests run for seconds, and which doesn't stop
+ * cancelled requests. The module must rely on its settings and on observed attempts, not on assumptions that hold at
+ * another site.
  */
 class QueuelessSiteTest {
-    private static final double NONE = Double.NaN;
+    private static final double NOT_REPORTED = Double.NaN;
     private long now = SECOND;
 
     private static RequestClass requestClass(
-            String name, Idempotency repeat, long objective, double stretch, double priority) {
+            String name, Idempotency idempotency, long objective, double objectiveStretch, double priority) {
         return new RequestClass(
-                name, repeat, Scope.ZONE, 30 * SECOND, objective, stretch, 25 * SECOND, priority, 0, false, -1, 0);
+                name,
+                idempotency,
+                Scope.ZONE,
+                30 * SECOND,
+                objective,
+                objectiveStretch,
+                25 * SECOND,
+                priority,
+                0,
+                false,
+                -1,
+                0);
     }
 
     private final RequestScheduler scheduler = new RequestScheduler(
@@ -58,7 +70,7 @@
                     new Rules(5 * MS, 10 * SECOND, 9 * SECOND, 0.3, 250 * MS, SECOND, 3)),
             7);
 
-    private List<Action> at(long time, Event... events) {
+    private List<Action> handle(long time, Event... events) {
         now = time;
         return scheduler.handle(now, List.of(events));
     }
@@ -68,64 +80,72 @@
     }
 
     private static ProbeAnswer report(String endpoint, double free, double memory) {
-        return new ProbeAnswer(endpoint, AttemptResult.SERVED, MS, new EndpointLoad(free, memory, NONE, NONE, 0.5));
+        return new ProbeAnswer(
+                endpoint, AttemptResult.SERVED, MS, new EndpointLoad(free, memory, NOT_REPORTED, NOT_REPORTED, 0.5));
     }
 
-    private String sentTo(List<Action> actions) {
-        List<Dispatch> sent = Samples.actionsOfType(Dispatch.class, actions);
-        return sent.isEmpty() ? null : sent.get(0).endpointId();
+    private String dispatchedEndpoint(List<Action> actions) {
+        List<Dispatch> dispatches = Samples.actionsOfType(Dispatch.class, actions);
+        return dispatches.isEmpty() ? null : dispatches.get(0).endpointId();
     }
 
-    private void list(String... zones) {
+    private void listEndpoints(String... zones) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < zones.length; i++) {
             entries.add(Samples.entry("w" + i, EndpointState.READY, 0, zones[i], i));
         }
-        at(now, new EndpointList(true, entries));
+        handle(now, new EndpointList(true, entries));
     }
 
-    /** A request that runs at {@code endpoint} and ends after {@code run}; the clock goes on by as much. */
+    /** Runs a request at {@code endpoint} that ends after {@code run}, and advances the clock by that time. */
     private void runRequest(String id, String requestClass, String endpoint, long hint, long run) {
-        List<Action> actions = at(now, report(endpoint, 4, 4), request(id, requestClass, hint, 1, 0.5));
-        assertEquals(endpoint, sentTo(actions));
-        at(now + MS, new Progress(id, 0, endpoint, 0));
-        at(now + run, new Outcome(id, 0, endpoint, AttemptResult.SERVED, run + MS, true, null));
+        List<Action> actions = handle(now, report(endpoint, 4, 4), request(id, requestClass, hint, 1, 0.5));
+        assertEquals(endpoint, dispatchedEndpoint(actions));
+        handle(now + MS, new Progress(id, 0, endpoint, 0));
+        handle(now + run, new Outcome(id, 0, endpoint, AttemptResult.SERVED, run + MS, true, null));
     }
 
-    /** Guards against an endpoint taken for free while its first waiting request does not fit in memory. */
+    /** Guards against taking an endpoint for free while its first queued request does not fit in memory. */
     @Test
-    void anEndpointWhoseFirstQueuedRequestDoesNotFitIsNotTakenForFree() {
-        list("north", "north");
+    void anEndpointWhoseFirstQueuedRequestDoesNotFitHasNoFreeCapacity() {
+        listEndpoints("north", "north");
         assertEquals(
-                "w0", sentTo(at(now, report("w0", 4, 4), report("w1", 0, 4), request("a", "heavy", 3 * SECOND, 1, 3))));
-        at(now + MS, new Progress("a", 0, "w0", 0));
+                "w0",
+                dispatchedEndpoint(
+                        handle(now, report("w0", 4, 4), report("w1", 0, 4), request("a", "heavy", 3 * SECOND, 1, 3))));
+        handle(now + MS, new Progress("a", 0, "w0", 0));
         assertEquals(
-                "w0", sentTo(at(now, report("w0", 3, 4), report("w1", 0, 4), request("b", "heavy", 3 * SECOND, 1, 3))));
+                "w0",
+                dispatchedEndpoint(
+                        handle(now, report("w0", 3, 4), report("w1", 0, 4), request("b", "heavy", 3 * SECOND, 1, 3))));
         for (int i = 0; i < 5; i++) {
-            at(now + 100 * MS, report("w0", 3, 1), report("w1", 1.2, 4), new Timer("beat"));
+            handle(now + 100 * MS, report("w0", 3, 1), report("w1", 1.2, 4), new Timer("beat"));
         }
-        assertEquals("w1", sentTo(at(now, request("c", "heavy", 3 * SECOND, 1, 0.5))), "a third would wait behind b");
+        assertEquals(
+                "w1",
+                dispatchedEndpoint(handle(now, request("c", "heavy", 3 * SECOND, 1, 0.5))),
+                "c would be queued behind b at w0");
     }
 
-    /** Guards against the wait behind heavy requests being counted as if they were light ones. */
+    /** Guards against estimating the wait behind heavy requests by the run time of light ones. */
     @Test
     void aLightRequestBehindHeavyOnesIsRejectedAtOnce() {
-        list("north");
+        listEndpoints("north");
         for (int i = 0; i < 6; i++) {
             runRequest("h" + i, "heavy", "w0", 4 * SECOND, 4 * SECOND);
         }
         runRequest("l", "light", "w0", 200 * MS, 200 * MS);
         for (int i = 0; i < 7; i++) {
-            at(now, report("w0", Math.max(0, 4 - i), 4), request("q" + i, "transfer", 4 * SECOND, 1, 0.1));
+            handle(now, report("w0", Math.max(0, 4 - i), 4), request("q" + i, "transfer", 4 * SECOND, 1, 0.1));
         }
-        List<Action> actions = at(now, report("w0", 0, 4), request("late", "light", 200 * MS, 1, 0.1));
+        List<Action> actions = handle(now, report("w0", 0, 4), request("late", "light", 200 * MS, 1, 0.1));
         assertEquals(1, Samples.actionsOfType(Reject.class, actions).size(), actions.toString());
     }
 
-    /** Guards against a near endpoint that is slowed taking what another zone's would do in time. */
+    /** Guards against sending a request to a slowed endpoint of the own zone if another zone would answer in time. */
     @Test
     void aRequestThatWouldBeLateInItsZoneGoesToAnother() {
-        list("north", "south");
+        listEndpoints("north", "south");
         for (int i = 0; i < 6; i++) {
             runRequest("f" + i, "heavy", "w1", SECOND, SECOND);
         }
@@ -134,19 +154,19 @@
             runRequest("s" + i, "heavy", "w0", SECOND, 5 * SECOND);
         }
         List<Action> actions =
-                at(now, report("w0", 4, 4), report("w1", 4, 4), request("t", "transfer", 4 * SECOND, 1, 0.1));
-        assertEquals("w1", sentTo(actions));
+                handle(now, report("w0", 4, 4), report("w1", 4, 4), request("t", "transfer", 4 * SECOND, 1, 0.1));
+        assertEquals("w1", dispatchedEndpoint(actions));
     }
 
-    /** A heavy tail in one class: a request of 23 times its hint that shows progress is neither lost nor a fault. */
+    /** A request that runs 23 times its cost hint but shows progress is neither lost nor the fault of its endpoint. */
     @Test
-    void aRequestOfManyTimesItsHintIsNeitherLostNorAFault() {
-        list("north", "north");
-        at(now, report("w0", 4, 4), report("w1", 0, 4));
-        assertEquals("w0", sentTo(at(now, request("tail", "heavy", SECOND, 1, 0.1))));
-        at(now + MS, new Progress("tail", 0, "w0", 0));
+    void aRequestRunningManyTimesItsHintIsNeitherLostNorAFault() {
+        listEndpoints("north", "north");
+        handle(now, report("w0", 4, 4), report("w1", 0, 4));
+        assertEquals("w0", dispatchedEndpoint(handle(now, request("tail", "heavy", SECOND, 1, 0.1))));
+        handle(now + MS, new Progress("tail", 0, "w0", 0));
         for (int second = 1; second <= 22; second++) {
-            List<Action> actions = at(
+            List<Action> actions = handle(
                     now + SECOND,
                     report("w0", 3, 3.5),
                     report("w1", 0, 4),
@@ -156,50 +176,52 @@
             assertEquals(List.of(), Samples.actionsOfType(Dispatch.class, actions));
         }
         assertEquals(0, scheduler.endpointCounts().ejected());
-        at(now + SECOND, new Outcome("tail", 0, "w0", AttemptResult.SERVED, 23 * SECOND, true, null));
+        handle(now + SECOND, new Outcome("tail", 0, "w0", AttemptResult.SERVED, 23 * SECOND, true, null));
         assertEquals(
-                "w0", sentTo(at(now, report("w0", 4, 4), request("next", "transfer", SECOND, 1, 0.1))), "room is room");
+                "w0",
+                dispatchedEndpoint(handle(now, report("w0", 4, 4), request("next", "transfer", SECOND, 1, 0.1))),
+                "the endpoint with free capacity is used");
     }
 
-    /** A dependency slows every endpoint at once: none is ejected, and where there is room nothing is rejected. */
+    /** A dependency that slows all endpoints at once leads to no ejections, and to no rejections at free capacity. */
     @Test
     void aSlowdownOfAllEndpointsEjectsNone() {
-        list("north", "north", "south");
+        listEndpoints("north", "north", "south");
         int rejected = 0;
         for (int round = 0; round < 20; round++) {
             for (int i = 0; i < 3; i++) {
                 String id = round + "-" + i;
-                List<Action> actions = at(
+                List<Action> actions = handle(
                         now + 10 * MS,
                         report("w0", 4, 4),
                         report("w1", 4, 4),
                         report("w2", 4, 4),
                         request(id, i == 0 ? "light" : i == 1 ? "dues" : "transfer", 1500 * MS, 1, 0.1));
                 rejected += Samples.actionsOfType(Reject.class, actions).size();
-                String endpoint = sentTo(actions);
-                at(now + MS, new Progress(id, 0, endpoint, 0));
+                String endpoint = dispatchedEndpoint(actions);
+                handle(now + MS, new Progress(id, 0, endpoint, 0));
                 for (int second = 1; second <= 3; second++) {
-                    at(now + SECOND, new Progress(id, 0, endpoint, second / 3.5), new Timer("beat"));
+                    handle(now + SECOND, new Progress(id, 0, endpoint, second / 3.5), new Timer("beat"));
                 }
-                at(now + 450 * MS, new Outcome(id, 0, endpoint, AttemptResult.SERVED, 3451 * MS, true, null));
+                handle(now + 450 * MS, new Outcome(id, 0, endpoint, AttemptResult.SERVED, 3451 * MS, true, null));
             }
         }
-        assertEquals(0, rejected, "2.3 times as slow, with room everywhere");
+        assertEquals(0, rejected, "all endpoints run 2.3 times as long as hinted and have free capacity");
         assertEquals(0, scheduler.endpointCounts().ejected());
     }
 
-    /** Guards against waits predicted too short, time after time, at what reports do not show. */
+    /** Guards against repeatedly predicting waits that are too short because reports do not include the queue. */
     @Test
-    void aPredictedWaitIsCorrectedByWaitsSeen() {
-        WaitCalibration waits = new WaitCalibration();
-        assertEquals(1, waits.factor());
+    void predictedWaitsAreCorrectedByObservedWaits() {
+        WaitCalibration calibration = new WaitCalibration();
+        assertEquals(1, calibration.factor());
         for (int i = 0; i < 40; i++) {
-            waits.add(500 * MS, 1500 * MS);
+            calibration.add(500 * MS, 1500 * MS);
         }
-        assertEquals(3, waits.factor(), 0.3);
+        assertEquals(3, calibration.factor(), 0.3);
         for (int i = 0; i < 300; i++) {
-            waits.add(500 * MS, 250 * MS);
+            calibration.add(500 * MS, 250 * MS);
         }
-        assertEquals(0.5, waits.factor(), 0.1);
+        assertEquals(0.5, calibration.factor(), 0.1);
     }
 }
--- a/src/test/java/nettlewick/decision/RunningMeanTest.java
+++ b/src/test/java/nettlewick/decision/RunningMeanTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A mean that forgets slowly. */
+/** Weights of the samples in a running mean. */
 class RunningMeanTest {
     @Test
     void allSamplesCountAlikeUntilTheLimit() {
--- a/src/test/java/nettlewick/decision/Samples.java
+++ b/src/test/java/nettlewick/decision/Samples.java
@@ -15,25 +15,26 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import nettlewick.decision.SchedulerSettings.Tenant;
 
-/** Settings and events that the tests share. */
+/** Settings, events and other test data shared by the tests. */
 final class Samples {
     static final long MS = 1_000_000;
     static final long SECOND = 1000 * MS;
 
     private Samples() {}
 
-    static RequestClass requestClass(String name, Idempotency repeat, Scope scope, double priority) {
-        return new RequestClass(name, repeat, scope, 4 * SECOND, 200 * MS, 2, 5 * SECOND, priority, 0, false, -1, 0);
+    static RequestClass requestClass(String name, Idempotency idempotency, Scope scope, double priority) {
+        return new RequestClass(
+                name, idempotency, scope, 4 * SECOND, 200 * MS, 2, 5 * SECOND, priority, 0, false, -1, 0);
     }
 
-    static Limits limits(boolean all) {
-        return new Limits(4, all, all, all, all, all, 2 * SECOND);
+    static Limits limits(boolean allowAll) {
+        return new Limits(4, allowAll, allowAll, allowAll, allowAll, allowAll, 2 * SECOND);
     }
 
-    static SchedulerSettings settings(int rank, int fleet, boolean allowed) {
+    static SchedulerSettings settings(int rank, int fleetSize, boolean allowAll) {
         return new SchedulerSettings(
                 rank,
-                fleet,
+                fleetSize,
                 "north",
                 List.of(
                         requestClass("read", Idempotency.IDEMPOTENT, Scope.ALL, 2),
@@ -46,7 +47,7 @@
                 false,
                 LoadReporting.ON_PROBE,
                 0,
-                limits(allowed),
+                limits(allowAll),
                 new Rules(5 * MS, 10 * SECOND, 8 * SECOND, 0.25, 250 * MS, 2 * SECOND, 3));
     }
 
@@ -54,7 +55,7 @@
         return new EndpointEntry(id, state, startedAt, cell, "box", zone, 1);
     }
 
-    /** {@code count} warm endpoints, half of them in each zone, two to a cell. */
+    /** Returns a list of {@code count} warm endpoints, half of them in each zone, two per cell. */
     static EndpointList endpoints(int count) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -72,20 +73,20 @@
         return new ScheduledRequest(arrival("a", requestClass, "red"), settings, 0, null, 0);
     }
 
-    static Outcome outcome(Dispatch sent, int attempt, AttemptResult result) {
+    static Outcome outcome(Dispatch dispatch, int attempt, AttemptResult result) {
         return new Outcome(
-                sent.id(), attempt, sent.endpointId(), result, 50 * MS, result == AttemptResult.SERVED, null);
+                dispatch.id(), attempt, dispatch.endpointId(), result, 50 * MS, result == AttemptResult.SERVED, null);
     }
 
-    static ProbeAnswer probeAnswer(String endpoint, double free, double waiting) {
+    static ProbeAnswer probeAnswer(String endpoint, double freeSlots, double queued) {
         return new ProbeAnswer(
                 endpoint,
                 AttemptResult.SERVED,
                 MS,
-                new EndpointLoad(free, Double.NaN, waiting, Double.NaN, Double.NaN));
+                new EndpointLoad(freeSlots, Double.NaN, queued, Double.NaN, Double.NaN));
     }
 
-    /** Leaves one attempt in flight there that takes so many slots, or none for 0. */
+    /** Replaces the attempts in flight at the endpoint by one that occupies {@code slots}, or by none for 0. */
     static void setSlotsInFlight(Endpoint endpoint, double slots) {
         List.copyOf(endpoint.inFlight().attempts()).forEach(endpoint.inFlight()::remove);
         if (slots > 0) {
--- a/src/test/java/nettlewick/decision/ServiceRatesTest.java
+++ b/src/test/java/nettlewick/decision/ServiceRatesTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Rates over intervals of many and of few requests. */
+/** Smoothing of rates over intervals with many and with few requests. */
 class ServiceRatesTest {
     @Test
     void ratesMoveHalfWayWithManyRequestsAndATenthWithFew() {
@@ -25,6 +25,6 @@
                 List.of(3.0, 5.0, 1.0), List.of(many.netAcceptedRate(), many.grossAcceptedRate(), many.servedRate()));
         assertEquals(0.6, few.netAcceptedRate(), 1e-9);
         many.closeInterval(1);
-        assertEquals(4.5, many.grossAcceptedRate(), 1e-9, "an interval starts from nothing");
+        assertEquals(4.5, many.grossAcceptedRate(), 1e-9, "each interval counts from zero");
     }
 }
--- a/src/test/java/nettlewick/decision/SimulatedFleet.java
+++ b/src/test/java/nettlewick/decision/SimulatedFleet.java
@@ -25,19 +25,20 @@
 import nettlewick.decision.Event.Timer;
 
 /**
- * Many module instances before one fleet of endpoints of two slots, in virtual time, by a script and a seed. It is no
- * model of a site: nothing fails by itself, all endpoints are alike, and reports are as old as they may be.
+ * Simulates many dispatchers in front of one fleet of endpoints with two slots each, in virtual time, from given
+ * traffic and a seed. It does not model a real site: nothing fails, all endpoints are alike, and load reports are as
+ * old as permitted.
  */
 final class SimulatedFleet {
     static final int SLOTS = 2;
     private static final String[] ZONES = {"north", "south", "east", "west"};
-    private static final long HOP = 4 * Samples.MS;
-    private static final long REPORT = 500 * Samples.MS;
+    private static final long NETWORK_DELAY_NANOS = 4 * Samples.MS;
+    private static final long REPORT_INTERVAL_NANOS = 500 * Samples.MS;
 
-    /** An endpoint: what runs, what waits, and the load it last reported. */
+    /** An endpoint with its running and queued requests and its last load report. */
     final class SimulatedEndpoint {
         final EndpointEntry entry;
-        final Deque<Runnable> waiting = new ArrayDeque<>();
+        final Deque<Runnable> queued = new ArrayDeque<>();
         int running;
         private EndpointLoad report;
         private long reportAt = SchedulerClock.NEVER;
@@ -47,23 +48,23 @@
         }
 
         EndpointLoad load() {
-            if (now - reportAt >= REPORT) {
+            if (now - reportAt >= REPORT_INTERVAL_NANOS) {
                 reportAt = now;
                 report = new EndpointLoad(
-                        SLOTS - running, Double.NaN, waiting.size(), running + waiting.size(), Double.NaN);
+                        SLOTS - running, Double.NaN, queued.size(), running + queued.size(), Double.NaN);
             }
             return report;
         }
 
-        void take(long work, Runnable begun, Runnable done) {
+        void accept(long runTime, Runnable onStart, Runnable onEnd) {
             Runnable start = () -> {
                 running++;
-                begun.run();
-                at(now + work, () -> {
+                onStart.run();
+                schedule(now + runTime, () -> {
                     running--;
-                    done.run();
-                    if (!waiting.isEmpty()) {
-                        waiting.poll().run();
+                    onEnd.run();
+                    if (!queued.isEmpty()) {
+                        queued.poll().run();
                     }
                 });
             };
@@ -71,21 +72,21 @@
                 start.run();
             } else {
                 sentToFullEndpoint++;
-                waiting.add(start);
+                queued.add(start);
             }
         }
     }
 
-    private record Due(long at, long number, Runnable task) {}
+    private record ScheduledTask(long at, long sequence, Runnable task) {}
 
     final Map<String, SimulatedEndpoint> endpoints = new LinkedHashMap<>();
     final List<RequestScheduler> instances = new ArrayList<>();
-    final Map<String, Long> work = new HashMap<>();
+    final Map<String, Long> runTimes = new HashMap<>();
     private final Map<String, Integer> attempts = new HashMap<>();
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
+    private final PriorityQueue<ScheduledTask> events = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.sequence(), b.sequence()));
     private final SplittableRandom random;
-    private long numbers;
+    private long nextSequence;
     long now = 1;
     int sent;
     int sentToFullEndpoint;
@@ -93,11 +94,11 @@
     int probes;
     long datagrams;
     long bytes;
-    long longest;
-    /** Datagrams and bytes sent, by what they are for. */
+    long longestDatagram;
+    /** Number of datagrams and bytes sent, by kind of message. */
     final Map<String, long[]> byKind = new TreeMap<>();
-    /** Nanoseconds that the module took, of all instances together. */
-    long cpu;
+    /** Time spent in the decision module by all instances together. */
+    long cpuNanos;
 
     SimulatedFleet(int dispatchers, int endpointCount, long seed) {
         random = new SplittableRandom(seed);
@@ -109,21 +110,21 @@
                             new EndpointEntry(id, EndpointState.READY, 0, i / 2, "box", ZONES[i % ZONES.length], 1)));
         }
         for (int rank = 0; rank < dispatchers; rank++) {
-            SchedulerSettings s = Samples.settings(rank, dispatchers, true);
+            SchedulerSettings defaults = Samples.settings(rank, dispatchers, true);
             instances.add(new RequestScheduler(
                     new SchedulerSettings(
                             rank,
                             dispatchers,
                             ZONES[rank % ZONES.length],
-                            s.classes(),
-                            s.tenants(),
-                            s.kinds(),
-                            s.listsOnRequest(),
-                            s.hasFixedSizes(),
-                            s.loadReporting(),
-                            s.progressIntervalNanos(),
-                            s.limits(),
-                            s.rules()),
+                            defaults.classes(),
+                            defaults.tenants(),
+                            defaults.kinds(),
+                            defaults.listsOnRequest(),
+                            defaults.hasFixedSizes(),
+                            defaults.loadReporting(),
+                            defaults.progressIntervalNanos(),
+                            defaults.limits(),
+                            defaults.rules()),
                     seed + rank));
         }
         for (int rank = 0; rank < dispatchers; rank++) {
@@ -134,93 +135,95 @@
         }
     }
 
-    /** Events that have not come yet, with what they hold, are dropped: what remains is the instances' state. */
-    void forgetEvents() {
-        queue.clear();
-        work.clear();
+    /** Drops pending events and their data, so that only the instances' state remains in memory. */
+    void dropPendingEvents() {
+        events.clear();
+        runTimes.clear();
         attempts.clear();
     }
 
-    private void at(long time, Runnable task) {
-        queue.add(new Due(time, numbers++, task));
+    private void schedule(long time, Runnable task) {
+        events.add(new ScheduledTask(time, nextSequence++, task));
     }
 
     void run(long until) {
-        while (!queue.isEmpty() && queue.peek().at() <= until) {
-            Due due = queue.poll();
-            now = due.at();
-            due.task().run();
+        while (!events.isEmpty() && events.peek().at() <= until) {
+            ScheduledTask task = events.poll();
+            now = task.at();
+            task.task().run();
         }
         now = until;
     }
 
-    /** Requests of that work arrive at this instance at that rate, almost evenly. */
-    void traffic(int rank, double perSecond, long each, long from, long until) {
-        long time = from;
-        while (time < until) {
-            time += (long) (Samples.SECOND / perSecond * (0.5 + random.nextDouble()));
-            String id = "j" + rank + "-" + numbers;
-            work.put(id, each);
-            at(time, () -> handle(rank, new Arrival(id, "read", "red", 5 * Samples.SECOND, 1, 0, each, null, false)));
+    /** Schedules arrivals of requests with the given run time at an instance, at roughly even intervals. */
+    void addTraffic(int rank, double requestsPerSecond, long runTime, long start, long end) {
+        long time = start;
+        while (time < end) {
+            time += (long) (Samples.SECOND / requestsPerSecond * (0.5 + random.nextDouble()));
+            String id = "j" + rank + "-" + nextSequence;
+            runTimes.put(id, runTime);
+            schedule(
+                    time,
+                    () -> handle(rank, new Arrival(id, "read", "red", 5 * Samples.SECOND, 1, 0, runTime, null, false)));
         }
     }
 
     private void handle(int rank, Event event) {
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         List<Action> actions = instances.get(rank).handle(now, List.of(event));
-        cpu += System.nanoTime() - began;
-        actions.forEach(action -> carryOut(rank, action));
+        cpuNanos += System.nanoTime() - startedAt;
+        actions.forEach(action -> execute(rank, action));
     }
 
-    private void carryOut(int rank, Action action) {
+    private void execute(int rank, Action action) {
         if (action instanceof Dispatch d) {
             int number = attempts.merge(d.id(), 1, Integer::sum) - 1;
             long sentAt = now;
             sent++;
-            at(
-                    now + HOP,
+            schedule(
+                    now + NETWORK_DELAY_NANOS,
                     () -> endpoints
                             .get(d.endpointId())
-                            .take(
-                                    work.get(d.id()),
-                                    () -> later(rank, new Progress(d.id(), number, d.endpointId(), 0)),
-                                    () -> later(
+                            .accept(
+                                    runTimes.get(d.id()),
+                                    () -> handleAfterDelay(rank, new Progress(d.id(), number, d.endpointId(), 0)),
+                                    () -> handleAfterDelay(
                                             rank,
                                             new Outcome(
                                                     d.id(),
                                                     number,
                                                     d.endpointId(),
                                                     AttemptResult.SERVED,
-                                                    now + HOP - sentAt,
+                                                    now + NETWORK_DELAY_NANOS - sentAt,
                                                     true,
                                                     null))));
         } else if (action instanceof Probe p) {
             probes++;
-            at(
-                    now + HOP,
-                    () -> later(
+            schedule(
+                    now + NETWORK_DELAY_NANOS,
+                    () -> handleAfterDelay(
                             rank,
                             new ProbeAnswer(
                                     p.endpoint(),
                                     AttemptResult.SERVED,
-                                    2 * HOP,
+                                    2 * NETWORK_DELAY_NANOS,
                                     endpoints.get(p.endpoint()).load())));
         } else if (action instanceof SendToPeer t) {
             datagrams++;
             bytes += t.data().length;
-            longest = Math.max(longest, t.data().length);
-            long[] kind = byKind.computeIfAbsent(kind(t.data()), k -> new long[2]);
+            longestDatagram = Math.max(longestDatagram, t.data().length);
+            long[] kind = byKind.computeIfAbsent(messageKind(t.data()), k -> new long[2]);
             kind[0]++;
             kind[1] += t.data().length;
-            at(now + HOP, () -> handle(t.rank(), new PeerMessageReceived(rank, t.data())));
+            schedule(now + NETWORK_DELAY_NANOS, () -> handle(t.rank(), new PeerMessageReceived(rank, t.data())));
         } else if (action instanceof SetTimer t) {
-            at(now + t.delayNanos(), () -> handle(rank, new Timer(t.name())));
+            schedule(now + t.delayNanos(), () -> handle(rank, new Timer(t.name())));
         } else if (action instanceof Reject) {
             rejected++;
         }
     }
 
-    private static String kind(byte[] data) {
+    private static String messageKind(byte[] data) {
         PeerMessage message = PeerMessage.decode(data);
         return message != null
                 ? message.type().name().toLowerCase(Locale.ROOT)
@@ -229,7 +232,7 @@
                         : "message";
     }
 
-    private void later(int rank, Event event) {
-        at(now + HOP, () -> handle(rank, event));
+    private void handleAfterDelay(int rank, Event event) {
+        schedule(now + NETWORK_DELAY_NANOS, () -> handle(rank, event));
     }
 }
--- a/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
+++ b/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
@@ -9,18 +9,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What all dispatchers together send to an endpoint that has just started, each by its own budget alone. */
+/** Load that all dispatchers together send to an endpoint in slow start, each limited only by its own budget. */
 class SlowStartBudgetTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final long STEP = SECOND / 100;
+    private static final long STEP_NANOS = SECOND / 100;
 
     /**
-     * Each dispatcher sends whenever it may, as if it had no other endpoint. In any window of {@code fall} seconds an
-     * endpoint may get N + 2 root N + 2 requests of mean work, and N + 3 root N + 3 where N is under 30, N being what
-     * its slots can do while warming up, times the factor. Each dispatcher restarts at some moment and has then
-     * forgotten what it sent, as in a rolling restart.
+     * Each dispatcher sends whenever its budget permits, as if there were no other endpoint. In any window, the
+     * endpoint may receive N + 2 sqrt(N) + 2 requests of mean cost, or N + 3 sqrt(N) + 3 if N is below 30, where N is
+     * the number that its slots can serve during slow start times the overload factor. Each dispatcher restarts once at
+     * a random time and loses its state, as in a rolling restart.
      *
-     * @param uneven how much of the fleet's work the busiest dispatcher has, times the mean
+     * @param slowStart     duration of slow start, in seconds
+     * @param startShare    share of its capacity that the endpoint has at its start
+     * @param factor        overload factor of the rules
+     * @param window        overload window, in seconds
+     * @param mean          mean cost of a request, in slot-seconds
+     * @param busiestFactor load of the busiest dispatcher as a multiple of the mean
      */
     @ParameterizedTest
     @CsvSource({
@@ -42,46 +47,47 @@
     void allDispatchersTogetherDoNotOverloadAWarmingEndpoint(
             int dispatchers,
             int slots,
-            double cold,
-            double coldShare,
+            double slowStart,
+            double startShare,
             double factor,
-            double fall,
+            double window,
             double mean,
-            double uneven) {
-        Rules rules = new Rules(0, 0, (long) (cold * SECOND), coldShare, 0, (long) (fall * SECOND), factor);
+            double busiestFactor) {
+        Rules rules = new Rules(0, 0, (long) (slowStart * SECOND), startShare, 0, (long) (window * SECOND), factor);
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             long start = SECOND;
-            List<Endpoint> views = new ArrayList<>();
-            List<EndpointKindStats> kinds = new ArrayList<>();
-            List<Long> toldAt = new ArrayList<>();
+            List<Endpoint> endpoints = new ArrayList<>();
+            List<EndpointKindStats> stats = new ArrayList<>();
+            List<Long> listedAt = new ArrayList<>();
             List<Long> restartAt = new ArrayList<>();
             for (int d = 0; d < dispatchers; d++) {
                 Endpoint endpoint = new Endpoint("w");
                 endpoint.update(new EndpointEntry("w", EndpointState.READY, start, 0, "std", "a", 1), 0, true);
                 endpoint.slowStartCredit().reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), start);
-                views.add(endpoint);
-                // All slots of a warm peer are in work: the first has its multiple, the others share the rest.
-                double carriedRate = d == 0
-                        ? slots * Math.min(1, uneven / dispatchers)
-                        : slots * (1 - Math.min(1, uneven / dispatchers)) / Math.max(1, dispatchers - 1);
-                kinds.add(new EndpointKindStats(slots, carriedRate, random.nextInt(2) * 100));
-                toldAt.add(start + random.nextLong(SECOND));
+                endpoints.add(endpoint);
+                // All slots of a warm endpoint are busy: the first dispatcher has its multiple, the others share the
+                // rest.
+                double servedRate = d == 0
+                        ? slots * Math.min(1, busiestFactor / dispatchers)
+                        : slots * (1 - Math.min(1, busiestFactor / dispatchers)) / Math.max(1, dispatchers - 1);
+                stats.add(new EndpointKindStats(slots, servedRate, random.nextInt(2) * 100));
+                listedAt.add(start + random.nextLong(SECOND));
                 restartAt.add(start + SECOND + random.nextLong(rules.slowStartNanos()));
             }
-            SlowStartBudget rule = new SlowStartBudget(rules, dispatchers);
+            SlowStartBudget budget = new SlowStartBudget(rules, dispatchers);
             List<Long> sends = new ArrayList<>();
-            for (long now = start; now < start + rules.slowStartNanos(); now += STEP) {
+            for (long now = start; now < start + rules.slowStartNanos(); now += STEP_NANOS) {
                 for (int d = 0; d < dispatchers; d++) {
-                    Endpoint endpoint = views.get(d);
-                    if (restartAt.get(d) >= now && restartAt.get(d) < now + STEP) {
+                    Endpoint endpoint = endpoints.get(d);
+                    if (restartAt.get(d) >= now && restartAt.get(d) < now + STEP_NANOS) {
                         endpoint.slowStartCredit()
                                 .reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), now);
-                        EndpointKindStats before = kinds.get(d);
-                        kinds.set(d, new EndpointKindStats(before.maxFreeSlots(), before.servedRatePerEndpoint(), 0));
+                        EndpointKindStats before = stats.get(d);
+                        stats.set(d, new EndpointKindStats(before.maxFreeSlots(), before.servedRatePerEndpoint(), 0));
                     }
-                    if (now >= toldAt.get(d) && rule.admits(endpoint, kinds.get(d), mean, now)) {
-                        // Work is drawn with a spread of about a factor of two; half the mean counts at least.
+                    if (now >= listedAt.get(d) && budget.admits(endpoint, stats.get(d), mean, now)) {
+                        // Costs are random within a factor of about two; at least half the mean cost is charged.
                         double cost = mean * Math.exp(0.7 * random.nextDouble() - 0.35);
                         endpoint.slowStartCredit().spend(Math.max(cost, mean / 2));
                         sends.add(now);
@@ -90,11 +96,11 @@
                 long from = now - rules.overloadWindowNanos();
                 sends.removeIf(at -> at <= from);
                 double age = (double) (now - start) / rules.slowStartNanos();
-                double n = factor * (coldShare + (1 - coldShare) * age) * slots * fall / mean;
-                double most = n + (n < 30 ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2);
+                double expected = factor * (startShare + (1 - startShare) * age) * slots * window / mean;
+                double limit = expected + (expected < 30 ? 3 * Math.sqrt(expected) + 3 : 2 * Math.sqrt(expected) + 2);
                 assertTrue(
-                        sends.size() <= most,
-                        sends.size() + " of " + most + " after " + (now - start) / 1e9 + " s, seed " + seed);
+                        sends.size() <= limit,
+                        sends.size() + " of " + limit + " after " + (now - start) / 1e9 + " s, seed " + seed);
             }
         }
     }
