--- a/src/main/java/nettlewick/decision/AggregatedLoad.java
+++ b/src/main/java/nettlewick/decision/AggregatedLoad.java
@@ -30,7 +30,7 @@
     /** Receives the sums that are to be sent. */
     interface SumConsumer {
         /** Called once for each watcher to which a sum is due. */
-        void accept(int rank, int slotsOfOthers);
+        void accept(int rank, int peerSlots);
     }
 
     private final Map<Integer, ReportedSlots> reportsByRank = new HashMap<>();
@@ -84,13 +84,13 @@
     /** A higher sum is sent at once; otherwise watchers would overload an endpoint that is already full. */
     private void notify(int rank, Watcher watcher, int total, long now, SumConsumer consumer) {
         ReportedSlots own = reportsByRank.get(rank);
-        int others = Math.min(AggregationMessage.MAX_SLOTS, total - (own == null ? 0 : own.slots()));
-        if (others < watcher.lastSum && now - watcher.lastSumAt < DECREASE_DELAY_NANOS) {
+        int peerSlots = Math.min(AggregationMessage.MAX_SLOTS, total - (own == null ? 0 : own.slots()));
+        if (peerSlots < watcher.lastSum && now - watcher.lastSumAt < DECREASE_DELAY_NANOS) {
             hasChanged = true;
-        } else if (others != watcher.lastSum || others > 0 && now - watcher.lastSumAt >= SUM_REFRESH_NANOS) {
-            watcher.lastSum = others;
+        } else if (peerSlots != watcher.lastSum || peerSlots > 0 && now - watcher.lastSumAt >= SUM_REFRESH_NANOS) {
+            watcher.lastSum = peerSlots;
             watcher.lastSumAt = now;
-            consumer.accept(rank, others);
+            consumer.accept(rank, peerSlots);
         }
     }
 }
--- a/src/main/java/nettlewick/decision/CapacityEstimator.java
+++ b/src/main/java/nettlewick/decision/CapacityEstimator.java
@@ -5,7 +5,7 @@
 
 /** Estimates an endpoint's free slots from its load reports, own requests in flight and peers' load messages. */
 final class CapacityEstimator {
-    /** A load report may be this much older than the answer it came with, so it misses requests sent since then. */
+    /** A load report may be this much older than its answer and does not include own requests sent in that time. */
     private static final long REPORT_LAG_NANOS = SchedulerTimings.SHARE_INTERVAL_NANOS / 2;
 
     private static final int REPORT_LAG_TICKS = (int) (REPORT_LAG_NANOS / SchedulerTimings.TICK_NANOS);
@@ -85,7 +85,7 @@
                         > request.requestClass().priorityWeight();
     }
 
-    /** Whether the endpoint reported overload so recently that a slot has hardly become free since. */
+    /** Whether the endpoint reported overload so recently that hardly any slot can have become free since. */
     boolean wasRecentlyOverloaded(ScheduledRequest request, Endpoint endpoint) {
         return clock.now() - endpoint.capacity().overloadedAt()
                 < (long) Math.max(MIN_OVERLOAD_NANOS, statistics.meanLatency(request) / 4);
--- a/src/main/java/nettlewick/decision/LatencyEstimator.java
+++ b/src/main/java/nettlewick/decision/LatencyEstimator.java
@@ -4,7 +4,10 @@
 final class LatencyEstimator {
     /** Fraction of its latency objective that a request may be expected to wait. */
     private static final double MAX_WAIT_SHARE = 0.5;
-    /** A request counts as high-value if its priority per slot exceeds the mean by this factor. */
+    /**
+     * A request counts as high-value if its priority per slot exceeds the mean by this factor. Such requests are still
+     * sent in cases in which others are not.
+     */
     private static final double HIGH_VALUE_FACTOR = 1.2;
 
     private final SchedulerClock clock;
--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -83,7 +83,7 @@
     }
 
     private void recordAsOwner(Kind kind, Entry entry, int from, long now) {
-        AggregatedLoad load = ownedLoads.computeIfAbsent(entry.idHash(), m -> new AggregatedLoad());
+        AggregatedLoad load = ownedLoads.computeIfAbsent(entry.idHash(), hash -> new AggregatedLoad());
         if (kind == Kind.WATCH) {
             load.recordWatch(from, now);
         } else {
@@ -91,12 +91,12 @@
         }
     }
 
-    private void applySum(char idHash, int slotsOfOthers, long now) {
+    private void applySum(char idHash, int peerSlots, long now) {
         Endpoint endpoint = endpointsByIdHash.get(idHash);
         if (endpoint == null) {
             faults.countUnlisted(1);
         } else {
-            endpoint.inFlight().setPeerSlots(slotsOfOthers);
+            endpoint.inFlight().setPeerSlots(peerSlots);
             sumReceivedAt.put(endpoint, now);
         }
     }
@@ -133,11 +133,12 @@
         }
         if (now - watchesSentAt >= WATCH_REFRESH_NANOS) {
             watchesSentAt = now;
-            watched.forEach(endpoint -> addForOwner(Kind.WATCH, endpoint, 0, now, outbox));
+            watched.forEach(endpoint -> sendToOwner(Kind.WATCH, endpoint, 0, now, outbox));
         }
         ownedLoads.forEach((idHash, load) -> {
             if (load.hasChanged() || isRefreshDue) {
-                load.notifyWatchers(now, (watcher, others) -> addSum(watcher, idHash, others, now, outbox));
+                load.notifyWatchers(
+                        now, (watcher, peerSlots) -> sendToWatcher(watcher, idHash, peerSlots, now, outbox));
             }
         });
         isRefreshDue = false;
@@ -157,11 +158,11 @@
         } else {
             reportedToOwner.put(endpoint, new ReportedSlots(slots, now));
         }
-        addForOwner(Kind.IN_FLIGHT, endpoint, slots, now, outbox);
+        sendToOwner(Kind.IN_FLIGHT, endpoint, slots, now, outbox);
     }
 
     /** Queues an entry for the endpoint's owner, or applies it if this dispatcher is the owner. */
-    private void addForOwner(Kind kind, Endpoint endpoint, int slots, long now, Outbox outbox) {
+    private void sendToOwner(Kind kind, Endpoint endpoint, int slots, long now, Outbox outbox) {
         Entry entry = new Entry(LoadGossipMessage.idHash(endpoint.id()), slots);
         int owner = ownerOf(entry.idHash(), tierSize);
         if (owner == rank) {
@@ -172,11 +173,11 @@
     }
 
     /** Queues a sum for a watcher, or applies it if this dispatcher is the watcher. */
-    private void addSum(int watcher, char idHash, int slotsOfOthers, long now, Outbox outbox) {
+    private void sendToWatcher(int watcher, char idHash, int peerSlots, long now, Outbox outbox) {
         if (watcher == rank) {
-            applySum(idHash, slotsOfOthers, now);
+            applySum(idHash, peerSlots, now);
         } else {
-            outbox.add(watcher, Kind.SUM, new Entry(idHash, slotsOfOthers));
+            outbox.add(watcher, Kind.SUM, new Entry(idHash, peerSlots));
         }
     }
 
--- a/src/main/java/nettlewick/decision/LoadGossiper.java
+++ b/src/main/java/nettlewick/decision/LoadGossiper.java
@@ -99,10 +99,10 @@
         received.values().removeIf(load -> now - load.receivedAt() > TTL_NANOS && subtract(load));
     }
 
-    private static boolean subtract(ReceivedLoad previous) {
-        if (previous != null) {
-            previous.slots().forEach((endpoint, slots) -> endpoint.inFlight().addPeerSlots(-slots));
+    private static boolean subtract(ReceivedLoad load) {
+        if (load != null) {
+            load.slots().forEach((endpoint, slots) -> endpoint.inFlight().addPeerSlots(-slots));
         }
-        return previous != null;
+        return load != null;
     }
 }
--- a/src/main/java/nettlewick/decision/OutlierDetector.java
+++ b/src/main/java/nettlewick/decision/OutlierDetector.java
@@ -5,13 +5,13 @@
 import nettlewick.decision.SchedulerSettings.Idempotency;
 
 /**
- * Outlier detection: ejects endpoints according to the results of attempts, readmits them with trial
- * requests, and recognises attempts that are lost or overdue.
+ * Outlier detection: ejects endpoints according to the results of attempts, readmits them with trial requests, and
+ * recognises attempts that are lost or overdue.
  */
 final class OutlierDetector {
     /** Duration of the first ejection of a failing endpoint. */
     private static final long BASE_EJECTION_NANOS = 500_000_000;
-    /** Least number of consecutive connection failures that are attributed to the endpoint. */
+    /** Minimum number of consecutive connection failures that are attributed to the endpoint. */
     private static final int MIN_CONSECUTIVE_FAILURES = 2;
 
     private static final double FALSE_POSITIVE_PROBABILITY = 0.005;
--- a/src/main/java/nettlewick/decision/ProbePool.java
+++ b/src/main/java/nettlewick/decision/ProbePool.java
@@ -6,7 +6,7 @@
 
 /** Selects the endpoints that this dispatcher probes, and probes them at a bounded rate. */
 final class ProbePool {
-    /** Least number of endpoints of the own zone in a pool. */
+    /** Minimum number of endpoints of the own zone in a pool. */
     static final int MIN_SIZE = 8;
 
     /** Lower minimum with load aggregation, where fewer endpoints suffice and cost fewer messages. */
--- a/src/main/java/nettlewick/decision/SlowStartBudget.java
+++ b/src/main/java/nettlewick/decision/SlowStartBudget.java
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Whether one more request may be sent to the endpoint. Each dispatcher sends it the rate that it sends to warm
-     * endpoints of the kind, scaled by a ramp over the endpoint's age. Unused credit accumulates up to
-     * {@code maxCredit} slot-seconds, which bounds bursts.
+     * Whether one more request may be sent to the endpoint. Each dispatcher limits itself to the rate that warm
+     * endpoints of the kind serve for it, scaled by the target load and by a ramp over the endpoint's age. Unused
+     * credit accumulates up to {@code maxCredit} slot-seconds, which bounds bursts.
      */
     boolean admits(Endpoint endpoint, EndpointKindStats stats, double maxCredit, long now) {
         if (!isWarmingUp(endpoint, now)) {
--- a/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
+++ b/src/test/java/nettlewick/decision/SlowStartBudgetTest.java
@@ -66,8 +66,7 @@
                 endpoint.update(new EndpointEntry("w", EndpointState.READY, start, 0, "std", "a", 1), 0, true);
                 endpoint.slowStartCredit().reset(-random.nextDouble() * SlowStartBudget.maxInitialDebt(mean), start);
                 endpoints.add(endpoint);
-                // All slots of a warm endpoint are busy: the first dispatcher has its multiple, the others share the
-                // rest.
+                // All slots of a warm endpoint are busy: the first dispatcher has its multiple, others share the rest.
                 double servedRate = d == 0
                         ? slots * Math.min(1, busiestFactor / dispatchers)
                         : slots * (1 - Math.min(1, busiestFactor / dispatchers)) / Math.max(1, dispatchers - 1);
