--- a/src/main/java/nettlewick/decision/LoadAggregator.java
+++ b/src/main/java/nettlewick/decision/LoadAggregator.java
@@ -11,58 +11,59 @@
 import nettlewick.decision.AggregationMessage.Kind;
 
 /**
- * Sums what all dispatchers of a large tier have in flight at each endpoint (docs/neighbours.md). Each endpoint
- * has an owner among the dispatchers. A dispatcher reports to the owner the slots that it has in flight there,
- * when that changes and again while there are any, and which endpoints it watches; the owner reports to each
- * watcher what the others have in flight. Every dispatcher is holder, watcher and owner at once. All reports expire.
+ * Sums the slots that all dispatchers of a large tier have in flight at each endpoint (docs/neighbours.md). Each
+ * endpoint is owned by one of the dispatchers. Every dispatcher reports the slots that it has in flight at an endpoint
+ * to the endpoint's owner, both on change and periodically while there are any, and subscribes to the endpoints that
+ * it watches. The owner sends each watcher the sum of the other dispatchers' slots. Every dispatcher is reporter,
+ * watcher and owner at once. All reports, subscriptions and sums expire.
  */
 final class LoadAggregator {
-    /** Tiers of this many dispatchers or fewer gossip with every peer instead. */
+    /** Tiers of this many dispatchers or fewer use gossip among all peers instead. */
     static final int MAX_DIRECT_GOSSIP_DISPATCHERS = 16;
 
     private static final long SECOND_NANOS = 1_000_000_000;
-    private static final long HOLDING_REFRESH_NANOS = SECOND_NANOS / 2;
+    private static final long REPORT_REFRESH_NANOS = SECOND_NANOS / 2;
     private static final long SUM_TTL_NANOS = SECOND_NANOS;
     private static final long WATCH_REFRESH_NANOS = SECOND_NANOS;
-    /** Slots below which a difference is rounding. */
+    /** Slot differences below this are rounding errors. */
     private static final double ROUNDING_SLOTS = 1e-9;
 
-    private record Holding(int slots, long reportedAt) {}
+    private record ReportedSlots(int slots, long reportedAt) {}
 
     private final int rank;
-    private final int size;
+    private final int tierSize;
     private final PeerFaultCounters faults;
-    /** As a holder: what was last reported to the owner, and when. */
-    private final Map<Endpoint, Holding> reportedHoldings = new HashMap<>();
+    /** As a reporter: what was last reported to each endpoint's owner, and when. */
+    private final Map<Endpoint, ReportedSlots> reportedToOwner = new HashMap<>();
 
-    private long subscribedAt = SchedulerClock.NEVER;
-    /** As a watcher: when the sum of each endpoint came. */
+    private long watchesSentAt = SchedulerClock.NEVER;
+    /** As a watcher: when the sum of each endpoint was received. */
     private final Map<Endpoint, Long> sumReceivedAt = new HashMap<>();
 
-    private final Map<Character, OwnedEndpoint> ownedEndpoints = new HashMap<>();
-    private Map<Character, Endpoint> endpointsByMark = Map.of();
+    private final Map<Character, AggregatedLoad> ownedLoads = new HashMap<>();
+    private Map<Character, Endpoint> endpointsByIdHash = Map.of();
     private boolean isRefreshDue;
 
-    /** The part of the dispatcher {@code rank} in a tier of {@code size}. */
-    LoadAggregator(int rank, int size, PeerFaultCounters faults) {
+    /** Creates the aggregator of dispatcher {@code rank} in a tier of {@code tierSize} dispatchers. */
+    LoadAggregator(int rank, int tierSize, PeerFaultCounters faults) {
         this.rank = rank;
-        this.size = size;
+        this.tierSize = tierSize;
         this.faults = faults;
     }
 
-    /** The rank that owns the endpoint of this mark: the same at every dispatcher of the tier. */
-    static int ownerOf(char mark, int size) {
-        return Math.floorMod(mark * 0x9E3779B1 >>> 7, size);
+    /** Returns the rank that owns the endpoint with this id hash, the same at every dispatcher of the tier. */
+    static int ownerOf(char idHash, int tierSize) {
+        return Math.floorMod(idHash * 0x9E3779B1 >>> 7, tierSize);
     }
 
-    /** Replaces the endpoints by marks; those that share a mark are in no entry. */
-    void replaceEndpoints(Map<Character, Endpoint> byMark) {
-        endpointsByMark = byMark;
+    /** Replaces the endpoints by id hash; endpoints whose hashes collide are left out. */
+    void replaceEndpoints(Map<Character, Endpoint> byIdHash) {
+        endpointsByIdHash = byIdHash;
     }
 
     /**
-     * Takes a peer's datagram over; false if it is no {@link AggregationMessage}. Sums for endpoints that the
-     * list does not name are counted and passed over; an owner needs no list.
+     * Processes a peer's datagram; returns false if it is no {@link AggregationMessage}. Sums for endpoints that are
+     * not on the list are counted and ignored. An owner accepts reports for endpoints that are not on its own list.
      */
     boolean receive(int from, byte[] data, long now) {
         if (!AggregationMessage.isAggregationMessage(data)) {
@@ -70,10 +71,10 @@
         }
         Kind kind = AggregationMessage.kindOf(data);
         for (Entry entry : AggregationMessage.decode(data)) {
-            if (ownerOf(entry.mark(), size) != (kind == Kind.SUM ? from : rank)) {
+            if (ownerOf(entry.idHash(), tierSize) != (kind == Kind.SUM ? from : rank)) {
                 faults.countDamaged();
             } else if (kind == Kind.SUM) {
-                applySum(entry.mark(), entry.slots(), now);
+                applySum(entry.idHash(), entry.slots(), now);
             } else {
                 recordAsOwner(kind, entry, from, now);
             }
@@ -82,85 +83,88 @@
     }
 
     private void recordAsOwner(Kind kind, Entry entry, int from, long now) {
-        OwnedEndpoint owned = ownedEndpoints.computeIfAbsent(entry.mark(), m -> new OwnedEndpoint());
+        AggregatedLoad load = ownedLoads.computeIfAbsent(entry.idHash(), hash -> new AggregatedLoad());
         if (kind == Kind.WATCH) {
-            owned.recordWatch(from, now);
+            load.recordWatch(from, now);
         } else {
-            owned.recordHolding(from, entry.slots(), now);
+            load.recordInFlight(from, entry.slots(), now);
         }
     }
 
-    private void applySum(char mark, int slotsOfOthers, long now) {
-        Endpoint endpoint = endpointsByMark.get(mark);
+    private void applySum(char idHash, int peerSlots, long now) {
+        Endpoint endpoint = endpointsByIdHash.get(idHash);
         if (endpoint == null) {
             faults.countUnlisted(1);
         } else {
-            endpoint.inFlight().setPeerSlots(slotsOfOthers);
+            endpoint.inFlight().setPeerSlots(peerSlots);
             sumReceivedAt.put(endpoint, now);
         }
     }
 
-    /** Forgets what is too old: sums as a watcher, holdings and watches as an owner. */
+    /** Drops what has expired: received sums as a watcher, reports and subscriptions as an owner. */
     void expire(long now) {
-        for (Iterator<Map.Entry<Endpoint, Long>> i = sumReceivedAt.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<Endpoint, Long> received = i.next();
+        for (Iterator<Map.Entry<Endpoint, Long>> iterator =
+                        sumReceivedAt.entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<Endpoint, Long> received = iterator.next();
             if (now - received.getValue() > SUM_TTL_NANOS) {
                 received.getKey().inFlight().setPeerSlots(0);
-                i.remove();
+                iterator.remove();
             }
         }
-        ownedEndpoints.values().forEach(owned -> owned.expire(now));
-        ownedEndpoints.values().removeIf(OwnedEndpoint::isUnused);
+        ownedLoads.values().forEach(load -> load.expire(now));
+        ownedLoads.values().removeIf(AggregatedLoad::isUnused);
         isRefreshDue = true;
     }
 
     /**
-     * The datagrams to send now, by rank: holdings that changed or are due again, watches that are due, sums
-     * that changed or are due again. What this dispatcher owns itself is taken in at once.
+     * Returns the datagrams to send now, by recipient's rank: reports and sums that have changed or are due for a
+     * refresh, and subscriptions that are due. Entries for endpoints that this dispatcher owns are applied at once.
      *
      * @param all     every endpoint this dispatcher knows
      * @param watched the endpoints of its probe pool
      */
-    Map<Integer, List<byte[]>> drainMessages(long now, Collection<Endpoint> all, List<Endpoint> watched) {
+    Map<Integer, List<byte[]>> dueMessages(long now, Collection<Endpoint> all, List<Endpoint> watched) {
         Outbox outbox = new Outbox();
         for (Endpoint endpoint : all) {
-            if (endpoint.inFlight().slots() > 0 || !reportedHoldings.isEmpty()) {
-                reportHolding(endpoint, now, outbox);
+            if (endpoint.inFlight().slots() > 0 || !reportedToOwner.isEmpty()) {
+                reportInFlight(endpoint, now, outbox);
             }
         }
-        if (now - subscribedAt >= WATCH_REFRESH_NANOS) {
-            subscribedAt = now;
-            watched.forEach(endpoint -> addForOwner(Kind.WATCH, endpoint, 0, now, outbox));
+        if (now - watchesSentAt >= WATCH_REFRESH_NANOS) {
+            watchesSentAt = now;
+            watched.forEach(endpoint -> sendToOwner(Kind.WATCH, endpoint, 0, now, outbox));
         }
-        ownedEndpoints.forEach((mark, owned) -> {
-            if (owned.hasChanged() || isRefreshDue) {
-                owned.notifyWatchers(now, (watcher, others) -> addSum(watcher, mark, others, now, outbox));
+        ownedLoads.forEach((idHash, load) -> {
+            if (load.hasChanged() || isRefreshDue) {
+                load.notifyWatchers(
+                        now, (watcher, peerSlots) -> sendToWatcher(watcher, idHash, peerSlots, now, outbox));
             }
         });
         isRefreshDue = false;
         return outbox.datagrams();
     }
 
-    private void reportHolding(Endpoint endpoint, long now, Outbox outbox) {
+    private void reportInFlight(Endpoint endpoint, long now, Outbox outbox) {
         int slots = (int) Math.min(
                 AggregationMessage.MAX_SLOTS, Math.ceil(endpoint.inFlight().slots() - ROUNDING_SLOTS));
-        Holding last = reportedHoldings.get(endpoint);
-        boolean isSame = slots == (last == null ? 0 : last.slots());
-        if (isSame && (slots == 0 || now - last.reportedAt() < HOLDING_REFRESH_NANOS)) {
+        ReportedSlots lastReport = reportedToOwner.get(endpoint);
+        boolean isUnchanged = slots == (lastReport == null ? 0 : lastReport.slots());
+        if (isUnchanged && (slots == 0 || now - lastReport.reportedAt() < REPORT_REFRESH_NANOS)) {
             return;
         }
         if (slots == 0) {
-            reportedHoldings.remove(endpoint);
+            reportedToOwner.remove(endpoint);
         } else {
-            reportedHoldings.put(endpoint, new Holding(slots, now));
+            reportedToOwner.put(endpoint, new ReportedSlots(slots, now));
         }
-        addForOwner(Kind.HOLD, endpoint, slots, now, outbox);
+        sendToOwner(Kind.IN_FLIGHT, endpoint, slots, now, outbox);
     }
 
-    /** An entry for the owner, which may be this dispatcher. */
-    private void addForOwner(Kind kind, Endpoint endpoint, int slots, long now, Outbox outbox) {
-        Entry entry = new Entry(LoadGossip.markOf(endpoint.id()), slots);
-        int owner = ownerOf(entry.mark(), size);
+    /** Queues an entry for the endpoint's owner, or applies it if this dispatcher is the owner. */
+    private void sendToOwner(Kind kind, Endpoint endpoint, int slots, long now, Outbox outbox) {
+        Entry entry = new Entry(LoadGossipMessage.idHash(endpoint.id()), slots);
+        int owner = ownerOf(entry.idHash(), tierSize);
         if (owner == rank) {
             recordAsOwner(kind, entry, rank, now);
         } else {
@@ -168,16 +172,16 @@
         }
     }
 
-    /** A sum for a watcher, which may be this dispatcher. */
-    private void addSum(int watcher, char mark, int slotsOfOthers, long now, Outbox outbox) {
+    /** Queues a sum for a watcher, or applies it if this dispatcher is the watcher. */
+    private void sendToWatcher(int watcher, char idHash, int peerSlots, long now, Outbox outbox) {
         if (watcher == rank) {
-            applySum(mark, slotsOfOthers, now);
+            applySum(idHash, peerSlots, now);
         } else {
-            outbox.add(watcher, Kind.SUM, new Entry(mark, slotsOfOthers));
+            outbox.add(watcher, Kind.SUM, new Entry(idHash, peerSlots));
         }
     }
 
-    /** Entries to send, by rank and kind, in the order in which each first came up. */
+    /** Entries to send, by rank and kind in order of first insertion. */
     private static final class Outbox {
         private final Map<Integer, Map<Kind, List<Entry>>> byRank = new LinkedHashMap<>();
 
--- a/src/main/java/nettlewick/decision/PeerMessageRouter.java
+++ b/src/main/java/nettlewick/decision/PeerMessageRouter.java
@@ -18,7 +18,9 @@
     /** Handles a datagram. Any host can send datagrams to the peer port, so the rank is checked. */
     void receive(int rank, byte[] data) {
         PeerMessage message = PeerMessage.decode(data);
-        if (message == null && !LoadGossip.isLoadGossip(data) && !AggregationMessage.isAggregationMessage(data)) {
+        if (message == null
+                && !LoadGossipMessage.isLoadGossip(data)
+                && !AggregationMessage.isAggregationMessage(data)) {
             faults.countDamaged();
             return;
         }
--- a/src/test/java/nettlewick/decision/EndpointHealthTest.java
+++ b/src/test/java/nettlewick/decision/EndpointHealthTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Ejections that grow, and their end. */
+/** Growing ejection times, and how ejections end. */
 class EndpointHealthTest {
     @Test
-    void ejectionsDoubleUpToEightfoldUntilASignOfLife() {
+    void ejectionsDoubleUpToEightfoldUntilConfirmedHealthy() {
         EndpointHealth health = new EndpointHealth();
         long now = 0;
         for (int factor : new int[] {1, 2, 4, 8, 8}) {
@@ -18,21 +18,21 @@
             now += 10 * factor;
             assertFalse(health.isEjected(now));
         }
-        assertTrue(health.isUnproven());
-        health.recordSignOfLife(now);
-        assertFalse(health.isUnproven());
+        assertTrue(health.isUnconfirmed());
+        health.confirmHealthy(now);
+        assertFalse(health.isUnconfirmed());
         health.eject(10, now);
         health.endEjection(now + 1);
         assertFalse(health.isEjected(now + 1));
     }
 
     @Test
-    void aRestartForgetsFaults() {
+    void aResetClearsEjectionAndFailures() {
         EndpointHealth health = new EndpointHealth();
         health.countConnectionFailure();
         health.eject(10, 0);
         health.reset();
-        assertFalse(health.isEjected(1) || health.isUnproven());
+        assertFalse(health.isEjected(1) || health.isUnconfirmed());
         assertEquals(1, health.countConnectionFailure());
     }
 }
