--- a/src/test/java/nettlewick/cli/PrintedGoldenTest.java
+++ b/src/test/java/nettlewick/cli/PrintedGoldenTest.java
@@ -18,8 +18,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import nettlewick.golden.Fixture;
 import nettlewick.golden.GoldenFile;
+import nettlewick.golden.GoldenFolder;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -69,7 +69,7 @@
     }
 
     private Path copy() throws Exception {
-        Fixture.copy("ledger/store", dir.resolve("store"));
+        GoldenFolder.copy("ledger/store", dir.resolve("store"));
         Files.copy(GoldenFile.recorded("ledger/archive/2024-10.archive"), dir.resolve("2024-10"));
         return Files.writeString(
                 dir.resolve("conf"),
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -1,8 +1,8 @@
 package nettlewick.golden;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
-import static nettlewick.golden.WireText.ask;
 import static nettlewick.golden.WireText.entry;
+import static nettlewick.golden.WireText.exchange;
 import static nettlewick.net.DispatcherOnStubPlatform.job;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 
@@ -49,7 +49,7 @@
 
     private static String answers(int port, String bytes) {
         try {
-            return ask(port, bytes);
+            return exchange(port, bytes);
         } catch (IOException e) {
             return "broken: " + e;
         }
@@ -66,7 +66,7 @@
     private static String all(int port, Map<String, String> requests) throws IOException {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, String> request : requests.entrySet()) {
-            text.append(entry(request.getKey(), ask(port, request.getValue())));
+            text.append(entry(request.getKey(), exchange(port, request.getValue())));
         }
         return text.toString();
     }
@@ -87,21 +87,22 @@
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
-        text.append(entry("rejected", ask(port, post("d", "mark-submit", ""))));
+        text.append(entry("rejected", exchange(port, post("d", "mark-submit", ""))));
         world.instead = request -> request.connection().close();
-        text.append(entry("failed", ask(port, post("e", "mark-submit", ""))));
+        text.append(entry("failed", exchange(port, post("e", "mark-submit", ""))));
         world.instead = request -> request.response().setStatusCode(500).end();
-        text.append(entry("an error of the runner", ask(port, post("f", "mark-submit", ""))));
+        text.append(entry("an error of the runner", exchange(port, post("f", "mark-submit", ""))));
         world.instead = request -> {};
         text.append(entry(
                 "past its deadline",
-                ask(port, post("g", "mark-submit", "").replace("X-Deadline: 4", "X-Deadline: 0.4"))));
+                exchange(port, post("g", "mark-submit", "").replace("X-Deadline: 4", "X-Deadline: 0.4"))));
         text.append(entry(
-                "no time at all", ask(port, post("h", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0"))));
-        ask(node.adminPort(), call("POST", "/-/drain"));
-        text.append(entry("health while draining", ask(port, HEALTH)));
+                "no time at all",
+                exchange(port, post("h", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0"))));
+        exchange(node.adminPort(), call("POST", "/-/drain"));
+        text.append(entry("health while draining", exchange(port, HEALTH)));
         world.instead = null;
-        text.append(entry("served while draining", ask(port, post("i", "step-view", ""))));
+        text.append(entry("served while draining", exchange(port, post("i", "step-view", ""))));
         assertMatches("wire/client-answers.txt", text.toString());
     }
 
@@ -185,7 +186,7 @@
                 "a body that is too long",
                 "POST /-/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 4097\r\n\r\n" + "x".repeat(4097));
         assertMatches("wire/operators.txt", all(port, calls));
-        String figures = ask(port, call("GET", "/-/metrics"));
+        String figures = exchange(port, call("GET", "/-/metrics"));
         int body = figures.indexOf("\r\n\r\n") + 4;
         String names = Arrays.stream(
                         figures.substring(body).replace("[end]", "").split("\n"))
--- a/src/test/java/nettlewick/golden/Fixture.java
+++ b/src/test/java/nettlewick/golden/GoldenFolder.java
@@ -8,11 +8,11 @@
 import java.util.stream.Stream;
 
 /** Folders of stored data under {@code src/test/resources/golden}, each spool file without its long end of zeros. */
-public final class Fixture {
+public final class GoldenFolder {
     /** Zeros that stay at the end of a file that was made longer than what was written to it. */
     private static final int ZEROS_KEPT = 64;
 
-    private Fixture() {}
+    private GoldenFolder() {}
 
     /** Copies a recorded folder, so that a test may write to it. */
     public static void copy(String name, Path to) throws IOException {
--- a/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
@@ -103,7 +103,7 @@
                             + "Content-Length: 1\r\n\r\n1");
             StringBuilder text = new StringBuilder();
             for (String job : jobs) {
-                String answer = WireText.ask(port, job);
+                String answer = WireText.exchange(port, job);
                 assertEquals("200", answer.substring(9, 12), answer);
                 int attempt = 0;
                 for (RecordingServer runner : List.of(one, two)) {
@@ -126,7 +126,7 @@
 
     private static boolean healthy(int port) {
         try {
-            return WireText.ask(port, HEALTH).startsWith("HTTP/1.1 200");
+            return WireText.exchange(port, HEALTH).startsWith("HTTP/1.1 200");
         } catch (IOException e) {
             return false;
         }
@@ -137,7 +137,7 @@
         Set<String> kinds = new TreeSet<>();
         runner.requests.stream()
                 .filter(r -> r.startsWith("GET "))
-                .map(WireText::normalised)
+                .map(WireText::normalize)
                 .forEach(kinds::add);
         return kinds;
     }
--- a/src/test/java/nettlewick/golden/WireText.java
+++ b/src/test/java/nettlewick/golden/WireText.java
@@ -17,7 +17,7 @@
     private WireText() {}
 
     /** Escapes control characters and all that is not ASCII; a line of the text ends where one of the bytes does. */
-    public static String visible(String bytes) {
+    public static String escape(String bytes) {
         StringBuilder text = new StringBuilder();
         for (char c : bytes.toCharArray()) {
             switch (c) {
@@ -32,7 +32,7 @@
     }
 
     /** Ports of loopback and the figures of times, which differ from run to run, made the same. */
-    public static String normalised(String bytes) {
+    public static String normalize(String bytes) {
         return bytes.replaceAll("127\\.0\\.0\\.1:\\d+", "127.0.0.1:PORT")
                 .replaceAll("(?i)(x-deadline: )\\d+\\.\\d{3}\r", "$1#.###\r")
                 .replaceAll("(?i)(retry-after: )\\d+\\.\\d{3}\r", "$1#.###\r")
@@ -40,7 +40,7 @@
     }
 
     /** Sends bytes on a new connection and reads one answer; says whether the connection ends with it. */
-    public static String ask(int port, String bytes) throws IOException {
+    public static String exchange(int port, String bytes) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(PATIENCE);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
@@ -76,6 +76,6 @@
 
     /** An exchange with a title, for a recorded file. */
     public static String entry(String title, String bytes) {
-        return "== " + title + "\n" + visible(normalised(bytes));
+        return "== " + title + "\n" + escape(normalize(bytes));
     }
 }
--- a/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import nettlewick.golden.Fixture;
+import nettlewick.golden.GoldenFolder;
 import nettlewick.lease.LeaseMessage.Kind;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -38,13 +38,13 @@
             voter.handle(ask(Kind.PREPARE, "blue", Ballot.of(9, 2, 4), 0), 0);
             store.save(voter.unsavedRecords());
             store.markVoting(42, 0);
-            Fixture.record(made, FOLDER, "-shm");
+            GoldenFolder.record(made, FOLDER, "-shm");
         }
     }
 
     @Test
     void storedPromisesAndAcceptedStatesReadAsRecorded() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (VoterStore store = VoterStore.open(dir)) {
             StringBuilder text = new StringBuilder();
             Map<String, LeaseRecord> known = store.load(42, 0);
--- a/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
+++ b/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
@@ -13,8 +13,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import nettlewick.core.UsageRecorder.Ending;
-import nettlewick.golden.Fixture;
 import nettlewick.golden.GoldenFile;
+import nettlewick.golden.GoldenFolder;
 import nettlewick.ledger.Entry.Kind;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -56,7 +56,7 @@
                         List.of(Spool.ended(intent(third, 1), DECEMBER + 50, true)
                                 .in(TERMS)));
                 // Both are open: what a killed process leaves, with the newest entry in the write-ahead log.
-                Fixture.record(made, FOLDER, "-shm");
+                GoldenFolder.record(made, FOLDER, "-shm");
             }
         }
     }
@@ -320,7 +320,7 @@
 
     @Test
     void theStoreReadsAsItDid() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (Store store = Store.read(dir)) {
             assertMatches("ledger/read.txt", state(store) + entries(store));
         }
@@ -328,7 +328,7 @@
 
     @Test
     void theSpoolOfTheKilledProcessIsRecoveredAsItWas() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
             Recovery.Report report = Recovery.run(store, DECEMBER + DAY, TERMS);
             String text = "answered " + report.answered() + " in doubt " + report.doubts() + " damage "
@@ -348,7 +348,7 @@
 
     @Test
     void theArchiveComesBackAndBatchesAreMadeAsTheyWere() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
             List<Entry> back = Archive.read(
                     GoldenFile.recorded(ARCHIVE), store.archive("2024-10").get(1));
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -1,8 +1,8 @@
 package nettlewick.sse;
 
 import static nettlewick.golden.GoldenFile.assertMatches;
-import static nettlewick.golden.WireText.ask;
 import static nettlewick.golden.WireText.entry;
+import static nettlewick.golden.WireText.exchange;
 import static nettlewick.net.DispatcherOnStubPlatform.job;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -55,44 +55,45 @@
         start("heartbeat 600s");
         StringBuilder text = new StringBuilder();
         world.runTime = 60;
-        text.append(entry("a job to its result", ask(port, post("a b+c", "step-view"))));
-        text.append(entry("the same job again", ask(port, post("a b+c", "step-view"))));
-        text.append(entry("its stream by its address", ask(port, get("/events/a%20b+c"))));
-        text.append(entry("its stream from event 2 on", ask(port, get("/events/a%20b+c", "Last-Event-ID: 2"))));
-        text.append(entry("its stream, all seen", ask(port, get("/events/a%20b+c", "Last-Event-ID: 3"))));
+        text.append(entry("a job to its result", exchange(port, post("a b+c", "step-view"))));
+        text.append(entry("the same job again", exchange(port, post("a b+c", "step-view"))));
+        text.append(entry("its stream by its address", exchange(port, get("/events/a%20b+c"))));
+        text.append(entry("its stream from event 2 on", exchange(port, get("/events/a%20b+c", "Last-Event-ID: 2"))));
+        text.append(entry("its stream, all seen", exchange(port, get("/events/a%20b+c", "Last-Event-ID: 3"))));
         text.append(entry(
-                "an unreadable number of the event last seen", ask(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
-        text.append(entry("last on its connection", ask(port, post("d", "mark-submit", "Connection: close"))));
-        text.append(entry("begun in an earlier life", ask(port, post("e", "mark-submit", "Last-Event-ID: 7"))));
+                "an unreadable number of the event last seen",
+                exchange(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
+        text.append(entry("last on its connection", exchange(port, post("d", "mark-submit", "Connection: close"))));
+        text.append(entry("begun in an earlier life", exchange(port, post("e", "mark-submit", "Last-Event-ID: 7"))));
         world.instead = request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
-        text.append(entry("a result with quotes and other letters", ask(port, post("f", "mark-submit"))));
+        text.append(entry("a result with quotes and other letters", exchange(port, post("f", "mark-submit"))));
         world.instead = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
-        text.append(entry("unavailable", ask(port, post("g", "mark-submit"))));
+        text.append(entry("unavailable", exchange(port, post("g", "mark-submit"))));
         world.instead = request -> request.connection().close();
-        text.append(entry("failed", ask(port, post("h", "mark-submit"))));
+        text.append(entry("failed", exchange(port, post("h", "mark-submit"))));
         assertMatches("wire/streams.txt", text.toString());
     }
 
     @Test
     void errors() throws Exception {
         start("heartbeat 600s", "max-readers 1");
-        ask(port, post("a", "step-view"));
+        exchange(port, post("a", "step-view"));
         StringBuilder text = new StringBuilder();
-        text.append(entry("another job under this id", ask(port, post("a", "save-run"))));
-        text.append(entry("no such path", ask(port, get("/_health"))));
-        text.append(entry("a job by GET", ask(port, get("/api"))));
-        text.append(entry("a stream by POST", ask(port, get("/events/a").replace("GET", "POST"))));
-        text.append(entry("no such stream", ask(port, get("/events/z"))));
-        text.append(entry("an id that is not percent-encoded", ask(port, get("/events/%zz"))));
-        text.append(entry("an unknown class", ask(port, post("b", "no-class"))));
+        text.append(entry("another job under this id", exchange(port, post("a", "save-run"))));
+        text.append(entry("no such path", exchange(port, get("/_health"))));
+        text.append(entry("a job by GET", exchange(port, get("/api"))));
+        text.append(entry("a stream by POST", exchange(port, get("/events/a").replace("GET", "POST"))));
+        text.append(entry("no such stream", exchange(port, get("/events/z"))));
+        text.append(entry("an id that is not percent-encoded", exchange(port, get("/events/%zz"))));
+        text.append(entry("an unknown class", exchange(port, post("b", "no-class"))));
         world.instead = request -> {};
         try (Socket open = new Socket("127.0.0.1", port)) {
             open.getOutputStream().write(post("c", "mark-submit").getBytes(StandardCharsets.US_ASCII));
             until(() -> world.seen.size() == 2);
-            text.append(entry("too many streams", ask(port, post("d", "step-view"))));
+            text.append(entry("too many streams", exchange(port, post("d", "step-view"))));
         }
         assertMatches("wire/stream-errors.txt", text.toString());
     }
@@ -101,7 +102,7 @@
     void heartbeats() throws Exception {
         start("heartbeat 20ms", "retry 2500ms");
         world.runTime = 400;
-        String got = ask(port, post("a", "step-view"));
+        String got = exchange(port, post("a", "step-view"));
         assertTrue(got.contains(HEARTBEAT_CHUNK), got);
         assertMatches("wire/stream-heartbeats.txt", entry("heartbeats left out", got.replace(HEARTBEAT_CHUNK, "")));
     }
--- a/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
+++ b/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
@@ -4,7 +4,7 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import nettlewick.golden.Fixture;
+import nettlewick.golden.GoldenFolder;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -61,7 +61,7 @@
                             new WaitStore.Ended("one", "SUCCEEDED", null, 7),
                             new WaitStore.Ended("three", "FAILED", "the deadline passed", 8)),
                     NOW + 3);
-            Fixture.record(made, FOLDER, "-shm");
+            GoldenFolder.record(made, FOLDER, "-shm");
         }
     }
 
@@ -104,7 +104,7 @@
 
     @Test
     void theJobsReadAsTheyDidAndGoOnFromThere() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (WaitStore store = WaitStore.open(dir, name -> {})) {
             String text = jobs(store);
             store.release(List.of("four"), NOW + 10);
