--- a/src/main/java/nettlewick/admin/AdminFrontend.java
+++ b/src/main/java/nettlewick/admin/AdminFrontend.java
@@ -32,7 +32,7 @@
     public static final int MAX_CONNECTIONS = DescriptorBudget.MAX_ADMIN_CONNECTIONS;
 
     /** From connecting to the close. */
-    private static final long CALL_TIMEOUT_MILLIS = 4500;
+    private static final long CONNECTION_TIMEOUT_MILLIS = 4500;
 
     private static final int MAX_HEADER_BYTES = 4096;
     private static final int MAX_BODY_BYTES = 4096;
@@ -77,7 +77,7 @@
                 .setAcceptBacklog(ACCEPT_BACKLOG));
         server.exceptionHandler(e -> {});
         server.connectionHandler(this::accept);
-        server.requestHandler(this::read);
+        server.requestHandler(this::receive);
         return server.listen(address).map(HttpServer::actualPort);
     }
 
@@ -89,7 +89,7 @@
             oldest.close();
         }
         connections.add(connection);
-        long timer = vertx.setTimer(CALL_TIMEOUT_MILLIS, id -> connection.close());
+        long timer = vertx.setTimer(CONNECTION_TIMEOUT_MILLIS, id -> connection.close());
         connection.closeHandler(v -> {
             vertx.cancelTimer(timer);
             connections.remove(connection);
@@ -97,13 +97,13 @@
     }
 
     /** Waits for the end of the request: an incomplete one must change nothing. */
-    private void read(HttpServerRequest request) {
+    private void receive(HttpServerRequest request) {
         int[] length = new int[1];
         request.exceptionHandler(e -> {});
-        request.handler(part -> length[0] += part.length());
+        request.handler(chunk -> length[0] += chunk.length());
         request.endHandler(v -> {
             if (length[0] > MAX_BODY_BYTES) {
-                answer(request, STATUS_CONTENT_TOO_LARGE, "a call needs no body\n");
+                respond(request, STATUS_CONTENT_TOO_LARGE, "a call needs no body\n");
             } else {
                 route(request);
             }
@@ -116,10 +116,10 @@
         boolean isEndpointPath = endpointPath.matches();
         HttpMethod expected = expectedMethod(path, isEndpointPath);
         if (expected == null) {
-            answer(request, STATUS_NOT_FOUND, "no such call\n");
+            respond(request, STATUS_NOT_FOUND, "no such call\n");
         } else if (!expected.equals(request.method())) {
             request.response().putHeader("Allow", expected.name());
-            answer(request, STATUS_METHOD_NOT_ALLOWED, "this call comes by " + expected + "\n");
+            respond(request, STATUS_METHOD_NOT_ALLOWED, "this call comes by " + expected + "\n");
         } else if (isEndpointPath) {
             setEndpointDisabled(
                     request, endpointPath.group(1), endpointPath.group(2).equals("disable"));
@@ -139,11 +139,14 @@
 
     private void execute(HttpServerRequest request, String path) {
         switch (path) {
-            case "/-/ready" -> answerYesOr(request, operations.isReady(), STATUS_UNAVAILABLE, "takes no clients\n");
-            case "/-/drain" -> answerYesOr(request, operations.startDraining(), STATUS_CONFLICT, "starts or ends\n");
-            case "/-/resume" -> answerYesOr(request, operations.stopDraining(), STATUS_CONFLICT, "ends\n");
+            case "/-/ready" -> respondYesOr(request, operations.isReady(), STATUS_UNAVAILABLE, "takes no clients\n");
+            case "/-/drain" -> respondYesOr(request, operations.startDraining(), STATUS_CONFLICT, "starts or ends\n");
+            case "/-/resume" -> respondYesOr(request, operations.stopDraining(), STATUS_CONFLICT, "ends\n");
             default ->
-                answer(request, STATUS_OK, MetricsText.format(operations.metrics(), operations.additionalMetrics()));
+                respond(
+                        request,
+                        STATUS_OK,
+                        MetricsFormatter.format(operations.metrics(), operations.additionalMetrics()));
         }
     }
 
@@ -153,28 +156,29 @@
             // URLDecoder reads form data, where a plus sign stands for a space.
             id = URLDecoder.decode(encodedId.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            answer(request, STATUS_BAD_REQUEST, "the id is not percent-encoded\n");
+            respond(request, STATUS_BAD_REQUEST, "the id is not percent-encoded\n");
             return;
         }
         operations
                 .setEndpointDisabled(id, isDisabled)
-                .onComplete(result -> eventLoop.runOnContext(v -> answerDisabled(request, result)));
+                .onComplete(result -> eventLoop.runOnContext(v -> respondDisabled(request, result)));
     }
 
-    private static void answerDisabled(HttpServerRequest request, AsyncResult<Boolean> isKnown) {
+    private static void respondDisabled(HttpServerRequest request, AsyncResult<Boolean> isKnown) {
         if (isKnown.failed()) {
             String reason = isKnown.cause().getMessage();
-            answer(request, STATUS_INTERNAL_ERROR, "cannot be stored: " + reason + "\n");
+            respond(request, STATUS_INTERNAL_ERROR, "cannot be stored: " + reason + "\n");
         } else {
-            answerYesOr(request, isKnown.result(), STATUS_NOT_FOUND, "no such sim runner\n");
+            respondYesOr(request, isKnown.result(), STATUS_NOT_FOUND, "no such sim runner\n");
         }
     }
 
-    private static void answerYesOr(HttpServerRequest request, boolean yes, int otherStatus, String otherText) {
-        answer(request, yes ? STATUS_OK : otherStatus, yes ? "yes\n" : otherText);
+    private static void respondYesOr(
+            HttpServerRequest request, boolean isSuccessful, int errorStatus, String errorText) {
+        respond(request, isSuccessful ? STATUS_OK : errorStatus, isSuccessful ? "yes\n" : errorText);
     }
 
-    private static void answer(HttpServerRequest request, int status, String text) {
+    private static void respond(HttpServerRequest request, int status, String text) {
         HttpServerResponse response = request.response();
         if (!response.ended() && !response.closed()) {
             response.putHeader("Connection", "close")
--- a/src/main/java/nettlewick/admin/MetricsText.java
+++ b/src/main/java/nettlewick/admin/MetricsFormatter.java
@@ -6,14 +6,14 @@
 import nettlewick.core.Metrics.RequestEnd;
 
 /** Formats metrics as operators read them: one {@code name=value} a line. The names are fixed. */
-final class MetricsText {
+final class MetricsFormatter {
     private static final String PREFIX = "router.";
 
-    private MetricsText() {}
+    private MetricsFormatter() {}
 
     static String format(Metrics.Snapshot metrics, Map<String, Number> additional) {
         StringBuilder text = new StringBuilder();
-        metrics.endsByClass().forEach((requestClass, counts) -> appendEnds(text, requestClass, counts));
+        metrics.endsByClass().forEach((requestClass, counts) -> appendOutcomes(text, requestClass, counts));
         appendLine(text, "relayed", metrics.forwardedAttempts());
         appendLine(text, "open_requests", metrics.inFlightRequests());
         appendLine(text, "registry_entries", metrics.listedEndpoints());
@@ -23,7 +23,7 @@
         return text.toString();
     }
 
-    private static void appendEnds(StringBuilder text, String requestClass, List<Long> counts) {
+    private static void appendOutcomes(StringBuilder text, String requestClass, List<Long> counts) {
         for (RequestEnd end : RequestEnd.values()) {
             appendLine(text, "operations." + requestClass + '.' + end.metricName(), counts.get(end.ordinal()));
         }
--- a/src/main/java/nettlewick/cli/Command.java
+++ b/src/main/java/nettlewick/cli/Command.java
@@ -6,7 +6,7 @@
      * Does the work.
      *
      * @return the exit code
-     * @throws UsageException to end with one line on standard error and another exit code
+     * @throws CommandException to end with one line on standard error and another exit code
      */
     int run();
 }
--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -32,10 +32,10 @@
     @Parameter(names = "--seconds", description = "End after this many seconds; 0: at Ctrl-C")
     private int seconds;
 
-    private static final int ENDPOINTS = 4;
-    private static final int RUN_MILLIS = 400;
+    private static final int ENDPOINT_COUNT = 4;
+    private static final int EXECUTION_MILLIS = 400;
     /** With the ledger's folder to fill in. */
-    private static final String SETTINGS = """
+    private static final String SETTINGS_TEMPLATE = """
             log {
                 level warning
             }
@@ -60,18 +60,19 @@
             return 0;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return Main.FAILED;
-        } catch (UsageException e) {
+            return Main.EXIT_FAILURE;
+        } catch (CommandException e) {
             throw e;
         } catch (Exception e) {
-            throw new UsageException(Main.FAILED, "the demonstration cannot start: " + e);
+            throw new CommandException(Main.EXIT_FAILURE, "the demonstration cannot start: " + e);
         }
     }
 
     private static void start() throws Exception {
         Path folder = Files.createTempDirectory("nettlewick-demo");
-        Path file = Files.writeString(folder.resolve("nettlewick.conf"), SETTINGS.formatted(folder.resolve("ledger")));
-        Settings settings = SettingsCommand.read(file.toString());
+        Path settingsFile = Files.writeString(
+                folder.resolve("nettlewick.conf"), SETTINGS_TEMPLATE.formatted(folder.resolve("ledger")));
+        Settings settings = SettingsCommand.read(settingsFile.toString());
         LogSetup.apply(settings.block("log"));
         StubPlatform platform = startPlatform();
         PlatformConfig config = config(platform);
@@ -88,13 +89,13 @@
         StubPlatform.get(server.start());
         Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
         Runtime.getRuntime().addShutdownHook(shutdown);
-        printUsage(server.ports(), server.adminPort(), file);
+        printUsage(server.ports(), server.adminPort(), settingsFile);
     }
 
     private static StubPlatform startPlatform() throws Exception {
         StubPlatform platform = new StubPlatform();
-        platform.runTime = RUN_MILLIS;
-        for (int i = 1; i <= ENDPOINTS; i++) {
+        platform.runTime = EXECUTION_MILLIS;
+        for (int i = 1; i <= ENDPOINT_COUNT; i++) {
             platform.addRunner("runner-" + i);
         }
         return platform;
@@ -106,22 +107,24 @@
         return PlatformConfig.parse(new Gson().toJson(fields), Map.of());
     }
 
-    private static void printUsage(List<Integer> ports, int admin, Path file) {
+    private static void printUsage(List<Integer> ports, int adminPort, Path settingsFile) {
         String jar = Path.of(DemoCommand.class
                         .getProtectionDomain()
                         .getCodeSource()
                         .getLocation()
                         .getPath())
                 .toString();
-        String head = "-H 'X-Class: step-view' -H 'X-Tenant: red' -H 'X-Deadline: 4' -d '{}'";
-        System.out.printf("""
+        String curlOptions = "-H 'X-Class: step-view' -H 'X-Tenant: red' -H 'X-Deadline: 4' -d '{}'";
+        System.out.printf(
+                """
                 discovery, %d endpoints and a dispatcher are up; Ctrl-C ends them
 
                 a request:    curl -s -H "X-Request-Id: $RANDOM$RANDOM" %s http://127.0.0.1:%d/api
                 a stream:     curl -sN -H "X-Request-Id: $RANDOM$RANDOM" %s http://127.0.0.1:%d/api
                 metrics:      curl -s http://127.0.0.1:%d/-/metrics
                 a statement:  java -jar %s ledger statement --settings %s
-                """, ENDPOINTS, head, ports.get(0), head, ports.get(1), admin, jar, file);
+                """,
+                ENDPOINT_COUNT, curlOptions, ports.get(0), curlOptions, ports.get(1), adminPort, jar, settingsFile);
         System.out.flush();
     }
 
--- a/src/main/java/nettlewick/cli/FleetTestCommand.java
+++ b/src/main/java/nettlewick/cli/FleetTestCommand.java
@@ -30,18 +30,18 @@
     private int seedCount = 1;
 
     /** The actions, and of how many words each consists. */
-    private static final Map<String, Integer> WORD_COUNTS = Map.of("check", 2, "run", 2, "compare", 3, "soak", 1);
+    private static final Map<String, Integer> ARGUMENT_COUNTS = Map.of("check", 2, "run", 2, "compare", 3, "soak", 1);
 
     private static final String ERASE_TO_END_OF_LINE = "\u001b[K";
 
     @Override
     public int run() {
         String action = arguments.get(0);
-        boolean compares = action.equals("compare");
-        Integer wordCount = WORD_COUNTS.get(action);
-        if (wordCount == null || arguments.size() != wordCount) {
-            throw new UsageException(
-                    Main.USAGE_ERROR,
+        boolean isComparison = action.equals("compare");
+        Integer argumentCount = ARGUMENT_COUNTS.get(action);
+        if (argumentCount == null || arguments.size() != argumentCount) {
+            throw new CommandException(
+                    Main.EXIT_USAGE_ERROR,
                     "fleet-test: expected check FILE, run FILE, compare FOLDER FOLDER or soak, got "
                             + String.join(" ", arguments));
         }
@@ -50,10 +50,10 @@
                 return Soak.run(firstSeed, seedCount, Path.of(outputFolder), System.out::println)
                                 .isEmpty()
                         ? 0
-                        : Main.FAILED;
+                        : Main.EXIT_FAILURE;
             }
             Path first = Path.of(arguments.get(1));
-            if (compares) {
+            if (isComparison) {
                 Lab.compare(first, Path.of(arguments.get(2)), System.out);
                 return 0;
             }
@@ -61,16 +61,18 @@
                 System.out.println(Lab.check(first));
                 return 0;
             }
-            return Lab.run(first, Path.of(outputFolder), this::printProgress, this::printFigure) ? 0 : Main.FAILED;
+            return Lab.run(first, Path.of(outputFolder), this::printProgress, this::printFigure)
+                    ? 0
+                    : Main.EXIT_FAILURE;
         } catch (InvalidSettingsException | InvalidPathException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
-            throw new UsageException(Main.FAILED, "fleet-test: " + e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, "fleet-test: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         } catch (Exception e) {
-            throw new UsageException(Main.FAILED, "fleet-test: " + e);
+            throw new CommandException(Main.EXIT_FAILURE, "fleet-test: " + e);
         }
     }
 
--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -26,13 +26,13 @@
     private List<String> arguments = new ArrayList<>();
 
     @Parameter(names = "--settings", description = "The settings file that serve has", required = true)
-    private String file;
+    private String settingsFile;
 
     @Parameter(names = "--json", description = "Answer with one JSON object")
     private boolean json;
 
     @Parameter(names = "--by", description = "Who asks: for close and correct")
-    private String by = "";
+    private String requester = "";
 
     @Parameter(names = "--reason", description = "Why: for correct")
     private String reason = "";
@@ -42,17 +42,17 @@
 
     @Override
     public int run() {
-        Block block = SettingsCommand.read(file)
+        Block block = SettingsCommand.read(settingsFile)
                 .block("ledger")
-                .orElseThrow(() -> new UsageException(Main.USAGE_ERROR, file + ": has no block ledger"));
+                .orElseThrow(() -> new CommandException(Main.EXIT_USAGE_ERROR, settingsFile + ": has no block ledger"));
         LedgerAdmin admin = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
         try {
             return run(admin);
         } catch (LedgerAdmin.Refused e) {
-            throw new UsageException(e.misuse() ? Main.USAGE_ERROR : Main.FAILED, e.getMessage());
+            throw new CommandException(e.misuse() ? Main.EXIT_USAGE_ERROR : Main.EXIT_FAILURE, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         }
     }
 
@@ -67,37 +67,37 @@
             case "verify" -> verify(admin);
             case "archive" -> archive(admin);
             case "restore" -> restore(admin);
-            default -> throw new UsageException(Main.USAGE_ERROR, "ledger: no such call: " + arguments.get(0));
+            default -> throw new CommandException(Main.EXIT_USAGE_ERROR, "ledger: no such call: " + arguments.get(0));
         };
     }
 
     private int archive(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
         String period = requiredArgument(1, 3, "PERIOD FILE");
         Path archive = Path.of(requiredArgument(2, 3, "PERIOD FILE"));
-        return printMoved("archived", period, admin.archive(period, archive));
+        return printTransfer("archived", period, admin.archive(period, archive));
     }
 
     private int restore(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
         String period = requiredArgument(1, 3, "PERIOD [FILE]");
         String archive = optionalArgument(2, 3);
-        return printMoved("restored", period, admin.restore(period, archive == null ? null : Path.of(archive)));
+        return printTransfer("restored", period, admin.restore(period, archive == null ? null : Path.of(archive)));
     }
 
     private String optionalArgument(int index, int maxArguments) {
         if (arguments.size() > maxArguments) {
-            throw new UsageException(
-                    Main.USAGE_ERROR,
+            throw new CommandException(
+                    Main.EXIT_USAGE_ERROR,
                     "ledger " + arguments.get(0) + ": too many words: " + String.join(" ", arguments));
         }
         return arguments.size() > index ? arguments.get(index) : null;
     }
 
-    private String requiredArgument(int index, int maxArguments, String form) {
-        String word = optionalArgument(index, maxArguments);
-        if (word == null) {
-            throw new UsageException(Main.USAGE_ERROR, "ledger " + arguments.get(0) + ": needs " + form);
+    private String requiredArgument(int index, int maxArguments, String syntax) {
+        String argument = optionalArgument(index, maxArguments);
+        if (argument == null) {
+            throw new CommandException(Main.EXIT_USAGE_ERROR, "ledger " + arguments.get(0) + ": needs " + syntax);
         }
-        return word;
+        return argument;
     }
 
     private void print(Object object, String text) {
@@ -107,43 +107,49 @@
 
     private int statement(LedgerAdmin admin, String period) throws LedgerAdmin.Refused {
         List<Statement> statements =
-                admin.statements(period).stream().map(this::forTenant).toList();
-        String text = statements.stream().map(StatementText::of).collect(Collectors.joining());
+                admin.statements(period).stream().map(this::filterByTenant).toList();
+        String text = statements.stream().map(StatementFormatter::format).collect(Collectors.joining());
         print(Map.of("statements", statements), text.isEmpty() ? "nothing is entered yet\n" : text);
         return 0;
     }
 
-    private Statement forTenant(Statement s) {
+    private Statement filterByTenant(Statement statement) {
         return tenant == null
-                ? s
+                ? statement
                 : new Statement(
-                        s.period(),
-                        s.closed(),
-                        s.open(),
-                        s.rows().stream().filter(r -> r.member().equals(tenant)).toList(),
-                        s.late().stream().filter(l -> l.member().equals(tenant)).toList(),
-                        s.gaps(),
-                        s.voided());
+                        statement.period(),
+                        statement.closed(),
+                        statement.open(),
+                        statement.rows().stream()
+                                .filter(row -> row.member().equals(tenant))
+                                .toList(),
+                        statement.late().stream()
+                                .filter(late -> late.member().equals(tenant))
+                                .toList(),
+                        statement.gaps(),
+                        statement.voided());
     }
 
     private int close(LedgerAdmin admin, String period) throws LedgerAdmin.Refused, InterruptedException {
-        admin.close(period, by.isBlank() ? System.getProperty("user.name") : by);
+        admin.close(period, requester.isBlank() ? System.getProperty("user.name") : requester);
         print(Map.of("closed", period), "period " + period + " is closed\n");
         return 0;
     }
 
     private int correct(LedgerAdmin admin, String entry, String value)
             throws LedgerAdmin.Refused, InterruptedException {
-        long work;
+        long slotMicros;
         try {
-            work = StatementText.parseMillis(value);
+            slotMicros = StatementFormatter.parseMillis(value);
         } catch (ArithmeticException | NumberFormatException e) {
-            throw new UsageException(
-                    Main.USAGE_ERROR,
+            throw new CommandException(
+                    Main.EXIT_USAGE_ERROR,
                     "the new value is " + value + ", but has to be slot-milliseconds with three decimals at most");
         }
-        String ref = admin.correct(entry, work, by, reason).toString();
-        print(Map.of("correction", ref, "target", entry), "correction " + ref + " of " + entry + " is entered\n");
+        String correction = admin.correct(entry, slotMicros, requester, reason).toString();
+        print(
+                Map.of("correction", correction, "target", entry),
+                "correction " + correction + " of " + entry + " is entered\n");
         return 0;
     }
 
@@ -151,43 +157,48 @@
         Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("export", "batches", "entries", "tries", "fault");
         boolean[] failed = new boolean[1];
-        admin.export(name).forEach((export, r) -> {
-            results.put(export, r);
-            table.addRow(export, r.batches(), r.entries(), r.tries(), r.fault() == null ? "none" : r.fault());
-            failed[0] |= r.fault() != null;
+        admin.export(name).forEach((export, result) -> {
+            results.put(export, result);
+            table.addRow(
+                    export,
+                    result.batches(),
+                    result.entries(),
+                    result.tries(),
+                    result.fault() == null ? "none" : result.fault());
+            failed[0] |= result.fault() != null;
         });
         print(results, table.toString());
-        return failed[0] ? Main.FAILED : 0;
+        return failed[0] ? Main.EXIT_FAILURE : 0;
     }
 
     private int reconcile(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
         Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("peer", "entries", "origins", "forks", "faults");
         boolean[] failed = new boolean[1];
-        admin.reconcile().forEach((peer, r) -> {
-            results.put(peer, r);
+        admin.reconcile().forEach((peer, result) -> {
+            results.put(peer, result);
             table.addRow(
                     peer,
-                    r.entries(),
-                    r.origins(),
-                    r.forks().isEmpty() ? "none" : String.join("; ", r.forks()),
-                    r.faults().isEmpty() ? "none" : String.join("; ", r.faults()));
-            failed[0] |= !r.forks().isEmpty() || !r.faults().isEmpty();
+                    result.entries(),
+                    result.origins(),
+                    result.forks().isEmpty() ? "none" : String.join("; ", result.forks()),
+                    result.faults().isEmpty() ? "none" : String.join("; ", result.faults()));
+            failed[0] |= !result.forks().isEmpty() || !result.faults().isEmpty();
         });
         print(results, table.toString());
-        return failed[0] ? Main.FAILED : 0;
+        return failed[0] ? Main.EXIT_FAILURE : 0;
     }
 
     private int verify(LedgerAdmin admin) throws LedgerAdmin.Refused {
         List<String> faults = admin.verify();
         print(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults) + "\n");
-        return faults.isEmpty() ? 0 : Main.FAILED;
+        return faults.isEmpty() ? 0 : Main.EXIT_FAILURE;
     }
 
-    private int printMoved(String what, String period, long entries) {
+    private int printTransfer(String action, String period, long entries) {
         print(
-                Map.of(what, period, "entries", entries),
-                "period " + period + " is " + what + ": " + entries + " entries\n");
+                Map.of(action, period, "entries", entries),
+                "period " + period + " is " + action + ": " + entries + " entries\n");
         return 0;
     }
 }
--- a/src/main/java/nettlewick/cli/Main.java
+++ b/src/main/java/nettlewick/cli/Main.java
@@ -8,9 +8,9 @@
 /** Entry point of the jar: picks the sub-command and turns its errors into one line and an exit code. */
 public final class Main {
     /** Exit code if the requested work failed. */
-    static final int FAILED = 1;
+    static final int EXIT_FAILURE = 1;
     /** Exit code if the command line or a configuration is invalid. */
-    static final int USAGE_ERROR = 2;
+    static final int EXIT_USAGE_ERROR = 2;
 
     /** The option {@code --help}, before or after the name of a sub-command. */
     private static final class Help {
@@ -32,17 +32,17 @@
     /** Runs a sub-command and returns its exit code. */
     static int run(String... args) {
         Help help = new Help();
-        JCommander parser = parser(args.length == 0 ? "" : args[0], help);
+        JCommander parser = createParser(args.length == 0 ? "" : args[0], help);
         try {
             parser.parse(args);
         } catch (ParameterException e) {
             System.err.println("nettlewick: " + e.getMessage());
-            return USAGE_ERROR;
+            return EXIT_USAGE_ERROR;
         }
         String name = parser.getParsedCommand();
         if (name == null) {
             parser.usage();
-            return help.requested ? 0 : USAGE_ERROR;
+            return help.requested ? 0 : EXIT_USAGE_ERROR;
         }
         if (help.requested) {
             parser.getUsageFormatter().usage(name);
@@ -51,25 +51,25 @@
         Command command = (Command) parser.getCommands().get(name).getObjects().get(0);
         try {
             return command.run();
-        } catch (UsageException e) {
+        } catch (CommandException e) {
             System.err.println("nettlewick: " + e.getMessage());
             return e.exitCode();
         }
     }
 
     /** A parser for the named sub-command alone, so that no class of another one is loaded; for all if none matches. */
-    private static JCommander parser(String name, Help help) {
+    private static JCommander createParser(String name, Help help) {
         JCommander.Builder builder =
                 JCommander.newBuilder().programName("nettlewick").addObject(help);
-        for (SubCommand subCommand : matching(name)) {
+        for (SubCommand subCommand : matchingSubCommands(name)) {
             builder.addCommand(subCommand.mainName(), List.of(subCommand.create(), help), subCommand.aliases());
         }
         return builder.build();
     }
 
-    private static List<SubCommand> matching(String name) {
+    private static List<SubCommand> matchingSubCommands(String name) {
         for (SubCommand subCommand : SubCommand.values()) {
-            if (subCommand.answersTo(name)) {
+            if (subCommand.hasName(name)) {
                 return List.of(subCommand);
             }
         }
--- a/src/main/java/nettlewick/cli/OptionalFeatures.java
+++ b/src/main/java/nettlewick/cli/OptionalFeatures.java
@@ -16,7 +16,7 @@
     /**
      * Starts what must run before the first request.
      *
-     * @throws UsageException if the settings contradict the platform's configuration
+     * @throws CommandException if the settings contradict the platform's configuration
      */
     default void start(PlatformConfig config, Clock clock) throws IOException {}
 
--- a/src/main/java/nettlewick/cli/ReloadSignal.java
+++ b/src/main/java/nettlewick/cli/ReloadSignal.java
@@ -8,22 +8,23 @@
  * until a handler is there. Left to the JVM, the signal would end the process.
  */
 final class ReloadSignal {
-    private static final Semaphore PENDING = new Semaphore(0);
+    private static final Semaphore PENDING_RELOADS = new Semaphore(0);
 
     private ReloadSignal() {}
 
     /** Starts to catch the signal. By reflection, since the compiler warns of the class's name. */
     static void install() {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object release = Proxy.newProxyInstance(
-                    handler.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
-                        PENDING.release();
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handler = Proxy.newProxyInstance(
+                    handlerClass.getClassLoader(), new Class<?>[] {handlerClass}, (proxy, method, arguments) -> {
+                        PENDING_RELOADS.release();
                         return null;
                     });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), release);
+            signalClass
+                    .getMethod("handle", signalClass, handlerClass)
+                    .invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), handler);
         } catch (ReflectiveOperationException e) {
             System.err.println("nettlewick: SIGHUP cannot be caught here: " + e);
         }
@@ -34,8 +35,8 @@
         Thread thread = new Thread(
                 () -> {
                     while (true) {
-                        PENDING.acquireUninterruptibly();
-                        PENDING.drainPermits();
+                        PENDING_RELOADS.acquireUninterruptibly();
+                        PENDING_RELOADS.drainPermits();
                         reload.run();
                     }
                 },
--- a/src/main/java/nettlewick/cli/ReplayCommand.java
+++ b/src/main/java/nettlewick/cli/ReplayCommand.java
@@ -26,29 +26,29 @@
         try {
             capture = Capture.read(Path.of(file));
         } catch (IOException | IllegalArgumentException e) {
-            throw new UsageException(Main.FAILED, file + ": " + e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, file + ": " + e.getMessage());
         }
-        Promise<CaptureReplayer> frontend = Promise.promise();
+        Promise<CaptureReplayer> replayerPromise = Promise.promise();
         try {
             DispatcherServer server =
                     new DispatcherServer(PlatformConfig.load(System.getenv()), Clock.system(), base -> {
                         CaptureReplayer replayer = new CaptureReplayer(base, capture);
-                        frontend.complete(replayer);
+                        replayerPromise.complete(replayer);
                         return replayer;
                     });
             Future<CaptureReplayer.Summary> summary =
-                    server.start().compose(v -> frontend.future()).compose(CaptureReplayer::whenDone);
+                    server.start().compose(v -> replayerPromise.future()).compose(CaptureReplayer::whenDone);
             System.out.println(summary.toCompletionStage().toCompletableFuture().get());
             server.close();
             return 0;
         } catch (JsonFields.InvalidFieldException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         } catch (ExecutionException e) {
-            throw new UsageException(
-                    Main.FAILED, "cannot replay: " + e.getCause().getMessage());
+            throw new CommandException(
+                    Main.EXIT_FAILURE, "cannot replay: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         }
     }
 }
--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -32,7 +32,7 @@
     private String settingsFile;
 
     @Parameter(names = "--capture", description = "File that the served traffic is written to, as pcap")
-    private String capture;
+    private String captureFile;
 
     @Parameter(names = "--capture-mb", description = "Maximum size of that file in megabytes")
     private int captureMegabytes = 16;
@@ -56,14 +56,14 @@
         Clock clock = Clock.system(clockAheadMillis);
         try {
             config = PlatformConfig.load(System.getenv());
-            TrafficListener listener = capture == null ? TrafficListener.NONE : captureWriter(clock);
+            TrafficListener listener = captureFile == null ? TrafficListener.NONE : openCapture(clock);
             frontends.add(base -> new PlatformFrontend(base, listener));
             features.addFrontends(frontends);
             features.start(config, clock);
         } catch (JsonFields.InvalidFieldException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
-            throw new UsageException(Main.FAILED, "cannot start: " + e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, "cannot start: " + e.getMessage());
         }
         DispatcherServer server = new DispatcherServer(
                         config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Factory[]::new))
@@ -85,7 +85,7 @@
             server.start().toCompletionStage().toCompletableFuture().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("nettlewick: cannot listen: " + e.getMessage());
-            Runtime.getRuntime().halt(Main.FAILED);
+            Runtime.getRuntime().halt(Main.EXIT_FAILURE);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -118,12 +118,13 @@
         }
     }
 
-    private TrafficListener captureWriter(Clock clock) {
+    private TrafficListener openCapture(Clock clock) {
         try {
             return new CaptureWriter(
-                    Files.newOutputStream(Path.of(capture)), clock, captureMegabytes * BYTES_PER_MEGABYTE);
+                    Files.newOutputStream(Path.of(captureFile)), clock, captureMegabytes * BYTES_PER_MEGABYTE);
         } catch (IOException | IllegalArgumentException e) {
-            throw new UsageException(Main.FAILED, "--capture " + capture + " cannot be written: " + e.getMessage());
+            throw new CommandException(
+                    Main.EXIT_FAILURE, "--capture " + captureFile + " cannot be written: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -25,8 +25,8 @@
             return 0;
         }
         if (!List.of("check", "show").contains(action) || arguments.size() != 2) {
-            throw new UsageException(
-                    Main.USAGE_ERROR,
+            throw new CommandException(
+                    Main.EXIT_USAGE_ERROR,
                     "settings: expected check FILE, show FILE or reference, got " + String.join(" ", arguments));
         }
         Settings settings = read(arguments.get(1));
@@ -47,13 +47,13 @@
     /**
      * Reads and checks a file.
      *
-     * @throws UsageException if it cannot be read or is invalid
+     * @throws CommandException if it cannot be read or is invalid
      */
     static Settings read(String file) {
         try {
             return requireValid(Settings.read(Path.of(file)));
         } catch (InvalidSettingsException | InvalidPathException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/SettingsFileFeatures.java
+++ b/src/main/java/nettlewick/cli/SettingsFileFeatures.java
@@ -27,21 +27,21 @@
     private static final ComponentLogger LOG = ComponentLogger.of("node");
 
     private final String file;
-    private final Settings initial;
+    private final Settings initialSettings;
     private LedgerService ledger;
     private LeaseService leaseService;
     private TenantPoolsService tenantPools;
 
     SettingsFileFeatures(String file) {
         this.file = file;
-        initial = SettingsCommand.read(file);
-        LogSetup.apply(initial.block("log"));
+        initialSettings = SettingsCommand.read(file);
+        LogSetup.apply(initialSettings.block("log"));
     }
 
     @Override
     public void start(PlatformConfig config, Clock clock) throws IOException {
         LedgerSettings settings =
-                initial.block("ledger").map(LedgerSettings::of).orElse(null);
+                initialSettings.block("ledger").map(LedgerSettings::of).orElse(null);
         if (settings != null) {
             ledger = new LedgerService(config.name(), settings, clock, config.seed());
             ledger.start();
@@ -49,30 +49,34 @@
         try {
             startLeases(config, clock);
         } catch (InvalidSettingsException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         }
     }
 
     private void startLeases(PlatformConfig config, Clock clock) throws IOException {
-        if (initial.block("duty").isPresent()) {
+        if (initialSettings.block("duty").isPresent()) {
             Map<String, LeaseTask> leaseTasks = Map.of();
-            if (initial.block("pools").isPresent()) {
-                tenantPools =
-                        new TenantPoolsService(initial.block("pools").get(), config.settings(), clock, config.seed());
+            if (initialSettings.block("pools").isPresent()) {
+                tenantPools = new TenantPoolsService(
+                        initialSettings.block("pools").get(), config.settings(), clock, config.seed());
                 leaseTasks = tenantPools.leaseTasks();
             }
-            leaseService =
-                    LeaseService.start(LeaseSettings.of(initial.block("duty").get()), leaseTasks);
-        } else if (initial.block("pools").isPresent()) {
-            throw initial.block("pools").get().invalidValue("member", "beside a block `duty`: its holders decide");
+            leaseService = LeaseService.start(
+                    LeaseSettings.of(initialSettings.block("duty").get()), leaseTasks);
+        } else if (initialSettings.block("pools").isPresent()) {
+            throw initialSettings
+                    .block("pools")
+                    .get()
+                    .invalidValue("member", "beside a block `duty`: its holders decide");
         }
     }
 
     @Override
     public void addFrontends(List<Frontend.Factory> frontends) {
-        initial.block("edge")
+        initialSettings
+                .block("edge")
                 .map(EventStreamConfig::of)
-                .ifPresent(edge -> frontends.add(base -> new EventStreamFrontend(base, edge)));
+                .ifPresent(config -> frontends.add(base -> new EventStreamFrontend(base, config)));
     }
 
     @Override
@@ -87,20 +91,20 @@
 
     @Override
     public Runnable prepareReload() {
-        Settings next = SettingsCommand.requireValid(Settings.read(Path.of(file)));
+        Settings newSettings = SettingsCommand.requireValid(Settings.read(Path.of(file)));
         Runnable applyPools = tenantPools == null
                 ? () -> {}
-                : next.block("pools").map(tenantPools::prepareReload).orElse(() -> {});
+                : newSettings.block("pools").map(tenantPools::prepareReload).orElse(() -> {});
         return () -> {
-            LogSetup.apply(next.block("log"));
+            LogSetup.apply(newSettings.block("log"));
             if (ledger != null) {
-                next.block("ledger").map(LedgerSettings::of).ifPresent(ledger::reload);
+                newSettings.block("ledger").map(LedgerSettings::of).ifPresent(ledger::reload);
             }
             applyPools.run();
-            List<String> unchanged = initial.keywordsThatNeedARestart(next);
+            List<String> needRestart = initialSettings.keywordsThatNeedARestart(newSettings);
             LOG.info(
                     "settings-reread",
-                    "settings reread" + (unchanged.isEmpty() ? "" : "; only a restart changes " + unchanged));
+                    "settings reread" + (needRestart.isEmpty() ? "" : "; only a restart changes " + needRestart));
         };
     }
 
--- a/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
+++ b/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
@@ -14,9 +14,9 @@
             new SimulatorAdapter().serve(System.in, System.out);
             return 0;
         } catch (MalformedMessageException e) {
-            throw new UsageException(Main.FAILED, e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, e.getMessage());
         } catch (IOException e) {
-            throw new UsageException(Main.FAILED, "cannot read or write the wire: " + e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, "cannot read or write the wire: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/StatementText.java
+++ b/src/main/java/nettlewick/cli/StatementFormatter.java
@@ -4,11 +4,11 @@
 import nettlewick.ledger.Statement;
 
 /** The tables of a ledger statement, for people. Stateless. */
-final class StatementText {
+final class StatementFormatter {
     private static final BigDecimal MICROS_PER_MILLI = BigDecimal.valueOf(1000);
     private static final int MILLIS_DECIMALS = 3;
 
-    private StatementText() {}
+    private StatementFormatter() {}
 
     /** Formats slot time in milliseconds with three decimals. */
     static String formatMillis(long micros) {
@@ -30,19 +30,19 @@
     }
 
     /** The statement of one period, with an empty line after it. */
-    static String of(Statement statement) {
+    static String format(Statement statement) {
         StringBuilder text = new StringBuilder();
         text.append("period ").append(statement.period());
         if (statement.closed()) {
             text.append(", closed\n");
         } else {
-            String open = statement.open().isEmpty() ? "nobody" : String.join(", ", statement.open());
-            text.append(", open at ").append(open).append('\n');
+            String openDispatchers = statement.open().isEmpty() ? "nobody" : String.join(", ", statement.open());
+            text.append(", open at ").append(openDispatchers).append('\n');
         }
-        text.append(usage(statement));
-        appendUnlessEmpty(text, lateEntries(statement));
-        appendUnlessEmpty(text, gaps(statement));
-        appendUnlessEmpty(text, voidedCorrections(statement));
+        text.append(usageTable(statement));
+        appendUnlessEmpty(text, lateEntryTable(statement));
+        appendUnlessEmpty(text, gapTable(statement));
+        appendUnlessEmpty(text, voidedCorrectionTable(statement));
         return text.append("billed in all: ")
                 .append(formatMillis(statement.billed()))
                 .append(" slot-ms\n\n")
@@ -55,7 +55,7 @@
         }
     }
 
-    private static TextTable usage(Statement statement) {
+    private static TextTable usageTable(Statement statement) {
         TextTable table = new TextTable(
                 "member",
                 "class",
@@ -70,38 +70,39 @@
                 "repeats");
         statement
                 .rows()
-                .forEach(r -> table.addRow(
-                        r.member(),
-                        r.jobClass(),
-                        r.served(),
-                        r.refused(),
-                        r.failed(),
-                        r.left(),
-                        formatMillis(r.billed()),
-                        formatMillis(r.estimated()),
-                        formatMillis(r.spare()),
-                        r.doubts(),
-                        r.repeats()));
+                .forEach(row -> table.addRow(
+                        row.member(),
+                        row.jobClass(),
+                        row.served(),
+                        row.refused(),
+                        row.failed(),
+                        row.left(),
+                        formatMillis(row.billed()),
+                        formatMillis(row.estimated()),
+                        formatMillis(row.spare()),
+                        row.doubts(),
+                        row.repeats()));
         return table;
     }
 
-    private static TextTable lateEntries(Statement statement) {
+    private static TextTable lateEntryTable(Statement statement) {
         TextTable table = new TextTable("found after the close of", "member", "class", "entries", "slot-ms");
         statement
                 .late()
-                .forEach(l -> table.addRow(l.closed(), l.member(), l.jobClass(), l.entries(), formatMillis(l.work())));
+                .forEach(late -> table.addRow(
+                        late.closed(), late.member(), late.jobClass(), late.entries(), formatMillis(late.work())));
         return table;
     }
 
-    private static TextTable gaps(Statement statement) {
+    private static TextTable gapTable(Statement statement) {
         TextTable table = new TextTable("gap", "from", "to", "jobs not entered");
-        statement.gaps().forEach(g -> table.addRow(g.ref(), g.from(), g.to(), g.jobs()));
+        statement.gaps().forEach(gap -> table.addRow(gap.ref(), gap.from(), gap.to(), gap.jobs()));
         return table;
     }
 
-    private static TextTable voidedCorrections(Statement statement) {
+    private static TextTable voidedCorrectionTable(Statement statement) {
         TextTable table = new TextTable("correction", "of", "does not count, since");
-        statement.voided().forEach(v -> table.addRow(v.ref(), v.target(), v.why()));
+        statement.voided().forEach(correction -> table.addRow(correction.ref(), correction.target(), correction.why()));
         return table;
     }
 }
--- a/src/main/java/nettlewick/cli/SubCommand.java
+++ b/src/main/java/nettlewick/cli/SubCommand.java
@@ -30,7 +30,7 @@
         return aliases.clone();
     }
 
-    boolean answersTo(String name) {
+    boolean hasName(String name) {
         return mainName.equals(name) || Arrays.asList(aliases).contains(name);
     }
 
--- a/src/main/java/nettlewick/cli/TextTable.java
+++ b/src/main/java/nettlewick/cli/TextTable.java
@@ -7,8 +7,8 @@
 final class TextTable {
     private final List<List<String>> rows = new ArrayList<>();
 
-    TextTable(String... heads) {
-        rows.add(List.of(heads));
+    TextTable(String... headers) {
+        rows.add(List.of(headers));
     }
 
     void addRow(Object... cells) {
--- a/src/main/java/nettlewick/cli/WarmUpCommand.java
+++ b/src/main/java/nettlewick/cli/WarmUpCommand.java
@@ -32,7 +32,7 @@
             server.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return 0;
         } catch (Exception e) {
-            throw new UsageException(Main.FAILED, "cannot warm up: " + e);
+            throw new CommandException(Main.EXIT_FAILURE, "cannot warm up: " + e);
         }
     }
 }
--- a/src/main/java/nettlewick/cli/package-info.java
+++ b/src/main/java/nettlewick/cli/package-info.java
@@ -3,7 +3,7 @@
  * options and starts what the other packages provide.
  *
  * <p>Depends on all other packages; none depends on this one. Commands run on the main thread. Errors become one line
- * on standard error and an exit code, see {@link nettlewick.cli.UsageException}. What commands print, and their exit
+ * on standard error and an exit code, see {@link nettlewick.cli.CommandException}. What commands print, and their exit
  * codes, is read by scripts.
  */
 package nettlewick.cli;
