--- a/src/test/java/nettlewick/ArchitectureTest.java
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -35,7 +35,7 @@
     private static final Path DECISION_SOURCES = Path.of("src/main/java/nettlewick/decision");
 
     /** Files of the decision module that hold messages, records or collections and decide nothing. */
-    private static final Set<String> DECIDES_NOTHING = Set.of(
+    private static final Set<String> FILES_WITHOUT_POLICY = Set.of(
             "Action.java",
             "ActionBatch.java",
             "AggregationMessage.java",
@@ -71,7 +71,7 @@
             "SlowStartCredit.java");
 
     @ArchTest
-    static final ArchRule DECISION_NEEDS_THE_JDK_ALONE = classes()
+    static final ArchRule DECISION_DEPENDS_ONLY_ON_THE_JDK = classes()
             .that()
             .resideInAPackage(DECISION)
             .should()
@@ -107,7 +107,7 @@
             .belongToAnyOf(Clock.class, Instant.class);
 
     @ArchTest
-    static final ArchRule DECISION_DRAWS_FROM_ITS_SEED_ALONE = noClasses()
+    static final ArchRule DECISION_USES_ONLY_SEEDED_RANDOM_NUMBERS = noClasses()
             .that()
             .resideInAPackage(DECISION)
             .should()
@@ -119,7 +119,7 @@
             .callConstructor(SplittableRandom.class);
 
     @ArchTest
-    static final ArchRule DEPENDENCIES_POINT_DOWN = layeredArchitecture()
+    static final ArchRule DEPENDENCIES_FOLLOW_THE_LAYERS = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("cli")
             .definedBy("nettlewick.cli..")
@@ -144,20 +144,20 @@
 
     /** Each file of the module either decides and is named under {@code policy}, or is listed above. */
     @Test
-    void everyFileThatDecidesIsNamedAsPolicy() throws IOException {
+    void everyPolicyFileIsListedInTheSettings() throws IOException {
         Matcher policy =
                 Pattern.compile("(?m)^policy = \\[(.*)]$").matcher(Files.readString(Path.of("deploy/balancer.toml")));
         assertTrue(policy.find());
-        Set<String> named =
+        Set<String> listed =
                 new TreeSet<>(List.of(policy.group(1).replace("\"", "").split(", *")));
-        Set<String> deciding;
+        Set<String> policyFiles;
         try (Stream<Path> files = Files.list(DECISION_SOURCES)) {
-            deciding = files.filter(
-                            file -> !DECIDES_NOTHING.contains(file.getFileName().toString()))
+            policyFiles = files.filter(file ->
+                            !FILES_WITHOUT_POLICY.contains(file.getFileName().toString()))
                     .filter(file -> !file.endsWith("package-info.java"))
                     .map(Path::toString)
                     .collect(Collectors.toCollection(TreeSet::new));
         }
-        assertEquals(deciding, named);
+        assertEquals(policyFiles, listed);
     }
 }
--- a/src/test/java/nettlewick/ConcurrentCallers.java
+++ b/src/test/java/nettlewick/ConcurrentCallers.java
@@ -23,8 +23,8 @@
                 pending.add(executor.submit(task));
             }
             List<T> results = new ArrayList<>();
-            for (Future<List<T>> one : pending) {
-                results.addAll(one.get());
+            for (Future<List<T>> future : pending) {
+                results.addAll(future.get());
             }
             return results;
         } finally {
--- a/src/test/java/nettlewick/KnownRedExtension.java
+++ b/src/test/java/nettlewick/KnownRedExtension.java
@@ -24,7 +24,7 @@
     public void handleTestExecutionException(ExtensionContext context, Throwable failure) throws Throwable {
         String test = context.getRequiredTestClass().getSimpleName() + "."
                 + context.getRequiredTestMethod().getName();
-        Optional<String> entry = Files.exists(LIST) ? entryOf(test, read()) : Optional.empty();
+        Optional<String> entry = Files.exists(LIST) ? findEntry(test, read()) : Optional.empty();
         if (entry.isEmpty()) {
             throw failure;
         }
@@ -33,7 +33,7 @@
     }
 
     /** The line of the list that begins with this test's name. */
-    static Optional<String> entryOf(String test, String list) {
+    static Optional<String> findEntry(String test, String list) {
         Pattern entry = Pattern.compile("^" + Pattern.quote(test) + "(?!\\w).*");
         return list.lines().filter(line -> entry.matcher(line).matches()).findFirst();
     }
--- a/src/test/java/nettlewick/KnownRedExtensionTest.java
+++ b/src/test/java/nettlewick/KnownRedExtensionTest.java
@@ -10,12 +10,12 @@
     private static final String LIST = "# heading\nFooTest.failsUnderLoad | seen once | issue 1\n";
 
     @Test
-    void aListedTestIsFoundByItsWholeNameAlone() {
+    void onlyTheFullNameMatchesAnEntry() {
         assertEquals(
                 Optional.of("FooTest.failsUnderLoad | seen once | issue 1"),
-                KnownRedExtension.entryOf("FooTest.failsUnderLoad", LIST));
-        assertEquals(Optional.empty(), KnownRedExtension.entryOf("FooTest.fails", LIST));
-        assertEquals(Optional.empty(), KnownRedExtension.entryOf("FooTest.failsUnderLoadToo", LIST));
-        assertEquals(Optional.empty(), KnownRedExtension.entryOf("OtherFooTest.failsUnderLoad", LIST));
+                KnownRedExtension.findEntry("FooTest.failsUnderLoad", LIST));
+        assertEquals(Optional.empty(), KnownRedExtension.findEntry("FooTest.fails", LIST));
+        assertEquals(Optional.empty(), KnownRedExtension.findEntry("FooTest.failsUnderLoadToo", LIST));
+        assertEquals(Optional.empty(), KnownRedExtension.findEntry("OtherFooTest.failsUnderLoad", LIST));
     }
 }
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -19,8 +19,8 @@
 class LayoutTest {
     private static final Path MAIN = Path.of("src/main/java/nettlewick");
 
-    /** The files over {@link #MOST} lines that are not split yet. This list may only grow shorter. */
-    private static final Set<String> LONG = Set.of(
+    /** The files over {@link #MAX_LINES} lines that are not split yet. This list may only grow shorter. */
+    private static final Set<String> OVERLONG_FILES = Set.of(
             "ledger/Store.java",
             "ledger/Ledger.java",
             "ledger/Spool.java",
@@ -28,24 +28,25 @@
             "ledger/UsageBook.java",
             "fleettest/ScenarioRun.java");
 
-    private static final int MOST = 400;
+    private static final int MAX_LINES = 400;
 
     @Test
-    void filesAreShort() throws IOException {
-        Set<String> over = new TreeSet<>();
+    void sourceFilesStayWithinTheLineLimit() throws IOException {
+        Set<String> overLimit = new TreeSet<>();
         try (Stream<Path> files = Files.walk(MAIN)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
-                if (Files.readAllLines(file).size() > MOST) {
-                    over.add(MAIN.relativize(file).toString());
+                if (Files.readAllLines(file).size() > MAX_LINES) {
+                    overLimit.add(MAIN.relativize(file).toString());
                 }
             }
         }
-        assertEquals(new TreeSet<>(LONG), over, "a file that has been split leaves the list, none joins it");
+        assertEquals(
+                new TreeSet<>(OVERLONG_FILES), overLimit, "a file that has been split leaves the list, none joins it");
     }
 
     /** Names that belong to a site stand in its settings alone: nothing is fitted to one deployment. */
     @Test
-    void noNameOfASiteStandsInTheProgram() throws IOException {
+    void sourcesAndSharedSettingsContainNoSiteNames() throws IOException {
         Set<String> names = new TreeSet<>();
         try (Stream<Path> sites = Files.walk(Path.of("deploy/sites"))) {
             for (Path site : sites.filter(f -> f.toString().endsWith(".toml")).toList()) {
@@ -58,12 +59,12 @@
             }
         }
         assertTrue(names.size() > 20, names.toString());
-        List<Path> program =
+        List<Path> checkedFiles =
                 new ArrayList<>(List.of(Path.of("deploy/balancer.toml"), Path.of("deploy/nettlewick.conf")));
         try (Stream<Path> files = Files.walk(MAIN)) {
-            files.filter(Files::isRegularFile).forEach(program::add);
+            files.filter(Files::isRegularFile).forEach(checkedFiles::add);
         }
-        for (Path file : program) {
+        for (Path file : checkedFiles) {
             String text = Files.readString(file);
             for (String name : names) {
                 assertTrue(!text.contains(name), file + " names " + name);
--- a/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -35,65 +35,66 @@
  */
 @Timeout(90)
 class AlternativeSettingsProcessTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     @TempDir
     private Path dir;
 
-    private DispatcherOnStubPlatform world;
+    private DispatcherOnStubPlatform platform;
     private final List<Process> processes = new ArrayList<>();
     private final Map<String, String> statuses = new ConcurrentHashMap<>();
 
     @BeforeEach
-    void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        world.runTime = 20;
+    void startPlatform() throws Exception {
+        platform = new DispatcherOnStubPlatform();
+        platform.runTime = 20;
     }
 
     @AfterEach
-    void close() {
+    void stopAll() {
         processes.forEach(Process::destroyForcibly);
-        world.close();
+        platform.close();
     }
 
     private static int freePort() throws IOException {
         return ReservedPorts.reserve();
     }
 
-    private static Map<String, Object> jobClass(String name, String repeat) {
+    private static Map<String, Object> requestClass(String name, String repeat) {
         return Map.of(
                 "name",
                 name,
                 "repeat",
                 repeat,
                 "aim",
-                SECOND,
+                SECOND_NANOS,
                 "deadline",
-                25 * SECOND,
+                25 * SECOND_NANOS,
                 "worth",
                 1,
                 "window",
-                30 * SECOND,
+                30 * SECOND_NANOS,
                 "dedup_scope",
                 "zone");
     }
 
     /** Settings of a site whose endpoint list is polled and whose requests run long, for one of several dispatchers. */
-    private Map<String, Object> config(int rank, int of, int port) {
-        Map<String, Object> config = world.config();
+    private Map<String, Object> config(int rank, int fleetSize, int port) {
+        Map<String, Object> config = platform.config();
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         settings.put("rank", rank);
-        settings.put("fleet_size", of);
+        settings.put("fleet_size", fleetSize);
         settings.put("membership_mode", "on_request");
-        settings.put("family_info", Map.of("progress", SECOND, "tells_start", true));
-        settings.put("classes", List.of(jobClass("step-view", "retryable"), jobClass("mark-submit", "fragile")));
+        settings.put("family_info", Map.of("progress", SECOND_NANOS, "tells_start", true));
+        settings.put(
+                "classes", List.of(requestClass("step-view", "retryable"), requestClass("mark-submit", "fragile")));
         Map<String, Object> ceilings = new HashMap<>((Map<String, Object>) settings.get("ceilings"));
         ceilings.put("second_copies", false);
         settings.put("ceilings", ceilings);
         Map<String, Object> rules = new HashMap<>((Map<String, Object>) settings.get("rules"));
-        rules.put("ask_within", 10 * SECOND);
-        rules.put("drain_grace", SECOND / 4);
+        rules.put("ask_within", 10 * SECOND_NANOS);
+        rules.put("drain_grace", SECOND_NANOS / 4);
         settings.put("rules", rules);
         config.put("name", "n" + rank);
         config.put("listen", "127.0.0.1:" + port);
@@ -102,10 +103,10 @@
 
     private Process start(Map<String, Object> config, Map<String, String> environment) throws IOException {
         Path file = Files.writeString(Files.createTempFile(dir, "config", ".json"), new Gson().toJson(config));
-        Map<String, String> all = new LinkedHashMap<>(environment);
-        all.put("ROUTER_CONFIG", file.toString());
-        all.put("JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir);
-        Process process = ChildProcess.start(dir.resolve("log"), all, "serve");
+        Map<String, String> allVariables = new LinkedHashMap<>(environment);
+        allVariables.put("ROUTER_CONFIG", file.toString());
+        allVariables.put("JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir);
+        Process process = ChildProcess.start(dir.resolve("log"), allVariables, "serve");
         processes.add(process);
         return process;
     }
@@ -120,23 +121,28 @@
         }
     }
 
-    private static String status(String got) {
-        return got.startsWith("HTTP/1.1 ") ? got.substring(9, 12) : "broken";
+    private static String status(String response) {
+        return response.startsWith("HTTP/1.1 ") ? response.substring(9, 12) : "broken";
     }
 
-    private static String answer(int port, String path) {
+    private static String get(int port, String path) {
         return exchange(port, "GET " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     }
 
-    private static boolean yes(int port, String path) {
-        return status(answer(port, path)).equals("200");
+    private static boolean isOk(int port, String path) {
+        return status(get(port, path)).equals("200");
     }
 
-    private String job(int port, String id, String jobClass, int millis) {
+    private String sendRequest(int port, String id, String requestClass, int millis) {
         String status = status(exchange(
                 port,
                 DispatcherOnStubPlatform.job(
-                                "/api", id, jobClass, "" + millis, "Connection: close", "X-Cost-Hint: " + 1000 * millis)
+                                "/api",
+                                id,
+                                requestClass,
+                                "" + millis,
+                                "Connection: close",
+                                "X-Cost-Hint: " + 1000 * millis)
                         .toString()
                         .replace("X-Deadline: 4\r", "X-Deadline: 24\r")));
         statuses.put(id, status);
@@ -147,23 +153,23 @@
         return statuses.values().stream().filter(status::equals).count();
     }
 
-    private void nothingRanTwice() {
-        world.runs.forEach((id, runs) -> assertTrue(!id.contains("mark") || runs.get() <= 1, id + " ran " + runs));
+    private void assertNoNonIdempotentRequestRanTwice() {
+        platform.runs.forEach((id, runs) -> assertTrue(!id.contains("mark") || runs.get() <= 1, id + " ran " + runs));
     }
 
     /** Requests that run for seconds survive the end of the old process. */
     @Test
-    void aHotRestartLosesNoRequestThatWaitingSaves() throws Exception {
+    void aHotRestartLosesNoRequestThatARetrySaves() throws Exception {
         for (int i = 0; i < 4; i++) {
-            world.addRunner("s-" + i);
+            platform.addRunner("s-" + i);
         }
         int port = freePort();
         int admin = freePort();
-        Process old = start(config(0, 1, port), Map.of());
-        DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
+        Process predecessor = start(config(0, 1, port), Map.of());
+        DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
         List<CompletableFuture<Void>> clients = new ArrayList<>();
-        AtomicInteger asked = new AtomicInteger();
-        Process heir = start(config(0, 1, port), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admin));
+        AtomicInteger finishedRequests = new AtomicInteger();
+        Process successor = start(config(0, 1, port), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admin));
         // One job after another from eight clients: what is refused comes again, under a new id, as clients do.
         for (int c = 0; c < 8; c++) {
             int client = c;
@@ -173,22 +179,22 @@
                     int millis = 1500 + random.nextInt(3200);
                     String status = "503";
                     for (int tries = 0; tries < 4 && status.equals("503"); tries++) {
-                        status = job(port, "mark-" + client + "-" + j + "-" + tries, "mark-submit", millis);
+                        status = sendRequest(port, "mark-" + client + "-" + j + "-" + tries, "mark-submit", millis);
                     }
-                    asked.incrementAndGet();
+                    finishedRequests.incrementAndGet();
                 }
             }));
         }
-        DispatcherOnStubPlatform.until(() -> yes(admin, "/-/ready"));
-        old.destroy();
-        if (!old.waitFor(3700, TimeUnit.MILLISECONDS)) {
-            old.destroyForcibly();
+        DispatcherOnStubPlatform.until(() -> isOk(admin, "/-/ready"));
+        predecessor.destroy();
+        if (!predecessor.waitFor(3700, TimeUnit.MILLISECONDS)) {
+            predecessor.destroyForcibly();
         }
         CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(60, TimeUnit.SECONDS);
-        assertTrue(heir.isAlive());
+        assertTrue(successor.isAlive());
         assertEquals(0, count("broken") + count("502"), () -> statuses + "\n" + log());
-        assertEquals(asked.get(), count("200"), () -> statuses + "\n" + log());
-        nothingRanTwice();
+        assertEquals(finishedRequests.get(), count("200"), () -> statuses + "\n" + log());
+        assertNoNonIdempotentRequestRanTwice();
     }
 
     private String log() {
@@ -204,56 +210,56 @@
     void repeatedRestartsWithOnlyTheLastEndpointListKeepServing() throws Exception {
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            world.addRunner("s-" + i);
+            platform.addRunner("s-" + i);
             hosts.add("s-" + i);
         }
         int[] ports = new int[7];
-        Process[] tier = new Process[7];
+        Process[] dispatchers = new Process[7];
         for (int d = 0; d < 7; d++) {
             ports[d] = freePort();
-            tier[d] = start(config(d, 7, ports[d]), Map.of());
+            dispatchers[d] = start(config(d, 7, ports[d]), Map.of());
         }
         for (int port : ports) {
-            DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
+            DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
         }
         // From now on discovery takes calls and says nothing.
-        world.discoveryInstead = request -> {};
-        world.breakWatches();
+        platform.discoveryInstead = request -> {};
+        platform.breakWatches();
         Random random = new Random(29);
         List<Integer> order = new ArrayList<>(IntStream.range(0, 7).boxed().toList());
         java.util.Collections.shuffle(order, random);
-        AtomicInteger number = new AtomicInteger();
+        AtomicInteger requestCount = new AtomicInteger();
         for (int round = 0; round < 3; round++) {
-            List<Integer> victims = order.subList(2 * round, 2 * round + 2);
+            List<Integer> killedNow = order.subList(2 * round, 2 * round + 2);
             List<CompletableFuture<Void>> clients = new ArrayList<>();
             for (int d = 0; d < 7; d++) {
                 int port = ports[d];
-                boolean killed = victims.contains(d);
+                boolean isKilled = killedNow.contains(d);
                 for (int c = 0; c < 6; c++) {
-                    String id = (c % 2 == 0 ? "mark-" : "view-") + number.incrementAndGet();
+                    String id = (c % 2 == 0 ? "mark-" : "view-") + requestCount.incrementAndGet();
                     clients.add(CompletableFuture.runAsync(() -> {
-                        String status = job(port, id, id.startsWith("mark") ? "mark-submit" : "step-view", 300);
-                        assertTrue(killed || !status.equals("broken"), id + " at a living one: " + status);
+                        String status = sendRequest(port, id, id.startsWith("mark") ? "mark-submit" : "step-view", 300);
+                        assertTrue(isKilled || !status.equals("broken"), id + " at a living one: " + status);
                     }));
                 }
             }
-            DispatcherOnStubPlatform.until(() -> world.runs.size() >= 4);
-            for (int d : victims) {
-                tier[d].destroyForcibly().waitFor();
+            DispatcherOnStubPlatform.until(() -> platform.runs.size() >= 4);
+            for (int d : killedNow) {
+                dispatchers[d].destroyForcibly().waitFor();
             }
-            for (int d : victims) {
+            for (int d : killedNow) {
                 Map<String, Object> config = config(d, 7, ports[d]);
-                config.put("known", world.known());
-                tier[d] = start(config, Map.of());
+                config.put("known", platform.known());
+                dispatchers[d] = start(config, Map.of());
             }
             CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(40, TimeUnit.SECONDS);
-            for (int d : victims) {
+            for (int d : killedNow) {
                 int port = ports[d];
-                DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
-                assertEquals("200", job(port, "mark-back-" + round + "-" + d, "mark-submit", 10));
+                DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+                assertEquals("200", sendRequest(port, "mark-back-" + round + "-" + d, "mark-submit", 10));
             }
         }
-        nothingRanTwice();
+        assertNoNonIdempotentRequestRanTwice();
         assertEquals(0, count("502"));
     }
 
@@ -261,7 +267,7 @@
     @Test
     void aHungEndpointGetsFewRequestsAndNoNonIdempotentOneIsRetried() throws Exception {
         for (int i = 0; i < 5; i++) {
-            world.addRunner("s-" + i);
+            platform.addRunner("s-" + i);
         }
         int[] ports = new int[3];
         for (int d = 0; d < 3; d++) {
@@ -269,86 +275,89 @@
             start(config(d, 3, ports[d]), Map.of());
         }
         for (int port : ports) {
-            DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
-            assertEquals("200", job(port, "view-first-" + port, "step-view", 10));
+            DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+            assertEquals("200", sendRequest(port, "view-first-" + port, "step-view", 10));
         }
-        world.hung.add("s-2");
+        platform.hung.add("s-2");
         List<CompletableFuture<Void>> clients = new ArrayList<>();
-        AtomicInteger safe = new AtomicInteger();
+        AtomicInteger servedIdempotent = new AtomicInteger();
         for (int c = 0; c < 6; c++) {
             int client = c;
             clients.add(CompletableFuture.runAsync(() -> {
                 for (int j = 0; j < 40; j++) {
                     String id = "view-" + client + "-" + j;
-                    if (job(ports[client % 3], id, "step-view", 60).equals("200")) {
-                        safe.incrementAndGet();
+                    if (sendRequest(ports[client % 3], id, "step-view", 60).equals("200")) {
+                        servedIdempotent.incrementAndGet();
                     }
                     if (j % 10 == 0) {
-                        CompletableFuture.runAsync(() -> job(ports[client % 3], "mark-" + id, "mark-submit", 60));
+                        CompletableFuture.runAsync(
+                                () -> sendRequest(ports[client % 3], "mark-" + id, "mark-submit", 60));
                     }
                 }
             }));
         }
         CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(60, TimeUnit.SECONDS);
-        List<String> swallowed =
-                world.seen.stream().filter(s -> s.startsWith("s-2 ")).toList();
-        assertTrue(swallowed.size() <= 45, swallowed.size() + " of 264 jobs went to the hung runner");
-        assertEquals(240, safe.get(), "each safe job was answered, with no deadline waited for");
-        for (String line : swallowed) {
+        List<String> sentToHung =
+                platform.seen.stream().filter(s -> s.startsWith("s-2 ")).toList();
+        assertTrue(sentToHung.size() <= 45, sentToHung.size() + " of 264 jobs went to the hung runner");
+        assertEquals(240, servedIdempotent.get(), "each safe job was answered, with no deadline waited for");
+        for (String line : sentToHung) {
             String id = line.split(" ")[3];
-            long sent =
-                    world.seen.stream().filter(s -> s.contains(" " + id + " ")).count();
-            assertTrue(!id.startsWith("mark") || sent == 1, id + " was sent " + sent + " times");
+            long attempts = platform.seen.stream()
+                    .filter(s -> s.contains(" " + id + " "))
+                    .count();
+            assertTrue(!id.startsWith("mark") || attempts == 1, id + " was sent " + attempts + " times");
         }
-        nothingRanTwice();
+        assertNoNonIdempotentRequestRanTwice();
     }
 
     /** The endpoint list comes late, is rejected and is cut off while endpoints drain. */
     @Test
     void aFailedEndpointListPollIsRetriedAndDrainingEndpointsAreRemembered() throws Exception {
         for (int i = 0; i < 4; i++) {
-            world.addRunner("s-" + i);
+            platform.addRunner("s-" + i);
         }
         int[] ports = new int[4];
         int[] admins = new int[4];
-        AtomicInteger calls = new AtomicInteger();
+        AtomicInteger discoveryCalls = new AtomicInteger();
         for (int d = 0; d < 4; d++) {
             ports[d] = freePort();
             admins[d] = freePort();
             start(config(d, 4, ports[d]), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admins[d]));
         }
         for (int port : ports) {
-            DispatcherOnStubPlatform.until(() -> yes(port, "/_health"));
-            assertEquals("200", job(port, "view-first-" + port, "step-view", 10));
+            DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+            assertEquals("200", sendRequest(port, "view-first-" + port, "step-view", 10));
         }
         // Refused, cut off or never answered by turns; every call counts.
-        world.discoveryInstead = request -> fail(request, calls.incrementAndGet());
-        world.breakWatches();
-        int[] before = {world.watches.size()};
+        platform.discoveryInstead = request -> failDiscoveryCall(request, discoveryCalls.incrementAndGet());
+        platform.breakWatches();
+        int[] watchesBefore = {platform.watches.size()};
         for (int j = 0; j < 60; j++) {
-            assertEquals("200", job(ports[j % 4], "view-blind-" + j, "step-view", 20), "the last list stands");
+            assertEquals("200", sendRequest(ports[j % 4], "view-blind-" + j, "step-view", 20), "the last list stands");
         }
-        int asked = calls.get();
-        assertTrue(asked <= 4 * 16, asked + " calls while some " + before[0] + " were there");
-        world.discoveryInstead = null;
-        int known = world.watches.size();
-        DispatcherOnStubPlatform.until(() -> world.watches.size() >= known + 4);
-        world.tell("s-1", "Terminating");
+        int failedCalls = discoveryCalls.get();
+        assertTrue(failedCalls <= 4 * 16, failedCalls + " calls while some " + watchesBefore[0] + " were there");
+        platform.discoveryInstead = null;
+        int watchesAfterFailure = platform.watches.size();
+        DispatcherOnStubPlatform.until(() -> platform.watches.size() >= watchesAfterFailure + 4);
+        platform.tell("s-1", "Terminating");
         // Told and taken in, by each one's own figures: from then on the count has to be none.
         for (int admin : admins) {
-            DispatcherOnStubPlatform.until(() -> answer(admin, "/-/metrics").contains("out_of_rotation=1"));
+            DispatcherOnStubPlatform.until(() -> get(admin, "/-/metrics").contains("out_of_rotation=1"));
         }
-        int told = world.seen.size();
+        int attemptsBeforeDraining = platform.seen.size();
         for (int j = 0; j < 60; j++) {
-            job(ports[j % 4], "view-after-" + j, "step-view", 5);
+            sendRequest(ports[j % 4], "view-after-" + j, "step-view", 5);
         }
-        List<String> late = world.seen.subList(told, world.seen.size()).stream()
-                .filter(s -> s.startsWith("s-1 "))
-                .toList();
-        assertEquals(List.of(), late, "nothing new where it drains");
+        List<String> attemptsWhileDraining =
+                platform.seen.subList(attemptsBeforeDraining, platform.seen.size()).stream()
+                        .filter(s -> s.startsWith("s-1 "))
+                        .toList();
+        assertEquals(List.of(), attemptsWhileDraining, "nothing new where it drains");
     }
 
-    private static void fail(HttpServerRequest request, int call) {
+    private static void failDiscoveryCall(HttpServerRequest request, int call) {
         switch (call % 3) {
             case 0 -> request.response().setStatusCode(503).end();
             case 1 -> request.connection().close();
--- a/src/test/java/nettlewick/cli/ChildProcess.java
+++ b/src/test/java/nettlewick/cli/ChildProcess.java
@@ -14,8 +14,8 @@
     private ChildProcess() {}
 
     /** Starts a sub-command; its output is appended to the file. */
-    public static Process start(Path log, Map<String, String> environment, String... words) throws IOException {
-        List<String> line = new ArrayList<>(List.of(
+    public static Process start(Path log, Map<String, String> environment, String... arguments) throws IOException {
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
@@ -23,8 +23,8 @@
                 "-cp",
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 "nettlewick.cli.Main"));
-        line.addAll(List.of(words));
-        ProcessBuilder builder = new ProcessBuilder(line)
+        command.addAll(List.of(arguments));
+        ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(environment);
--- a/src/test/java/nettlewick/cli/CommandOutputGoldenTest.java
+++ b/src/test/java/nettlewick/cli/CommandOutputGoldenTest.java
@@ -27,39 +27,39 @@
  * Compares what the commands print with what an earlier build printed: the reference of the settings, the settings in
  * force, and the tables and JSON of the ledger's commands over the ledger that an earlier build wrote.
  */
-class PrintedGoldenTest {
+class CommandOutputGoldenTest {
     /** The lives of the recorded ledger are Unix seconds of 2024; the commands' own are those of the running clock. */
-    private static final String NEW_LIFE = "north/(?!172|173)[0-9]{10}";
+    private static final String NEW_INCARNATION = "north/(?!172|173)[0-9]{10}";
 
     @TempDir
     private Path dir;
 
-    private String printed(int code, String... words) {
+    private String runAndCapture(int code, String... arguments) {
         PrintStream before = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(code, Main.run(words), String.join(" ", words));
+            assertEquals(code, Main.run(arguments), String.join(" ", arguments));
         } finally {
             System.setOut(before);
         }
         return out.toString(StandardCharsets.UTF_8)
                 .replace(dir.toString(), "DIR")
-                .replaceAll(NEW_LIFE, "north/NEW");
+                .replaceAll(NEW_INCARNATION, "north/NEW");
     }
 
     @Test
     void theSettingsReferenceIsAsRecorded() {
-        assertMatches("settings/reference.txt", printed(0, "settings", "reference"));
+        assertMatches("settings/reference.txt", runAndCapture(0, "settings", "reference"));
     }
 
     @Test
     void theSettingsInForceAreAsRecorded() {
-        assertMatches("settings/show.txt", printed(0, "settings", "show", "deploy/nettlewick.conf"));
+        assertMatches("settings/show.txt", runAndCapture(0, "settings", "show", "deploy/nettlewick.conf"));
     }
 
     /** One line of JSON; where the outermost object has several members, their order says nothing and is sorted. */
-    private static String ordered(String json) {
+    private static String sortMembers(String json) {
         JsonObject object = JsonParser.parseString(json).getAsJsonObject();
         if (object.size() == 1) {
             return json;
@@ -68,7 +68,7 @@
         return gson.toJson(new TreeMap<>(object.asMap())) + "\n";
     }
 
-    private Path copy() throws Exception {
+    private Path copyLedger() throws Exception {
         GoldenFolder.copy("ledger/store", dir.resolve("store"));
         Files.copy(GoldenFile.recorded("ledger/archive/2024-10.archive"), dir.resolve("2024-10"));
         return Files.writeString(
@@ -78,49 +78,53 @@
     }
 
     /** What a call of the ledger prints as JSON, and before it the table where the call changes nothing. */
-    private String call(Path conf, int code, String... call) {
-        List<String> words = new ArrayList<>(List.of("ledger"));
-        words.addAll(List.of(call));
-        words.addAll(List.of("--settings", conf.toString()));
-        String text = String.join(" ", call).replace(dir.toString(), "DIR") + ", code " + code + "\n";
-        if (call[0].equals("statement") || call[0].equals("verify")) {
-            text += printed(code, words.toArray(new String[0]));
+    private String runLedger(Path settingsFile, int code, String... action) {
+        List<String> arguments = new ArrayList<>(List.of("ledger"));
+        arguments.addAll(List.of(action));
+        arguments.addAll(List.of("--settings", settingsFile.toString()));
+        String text = String.join(" ", action).replace(dir.toString(), "DIR") + ", code " + code + "\n";
+        if (action[0].equals("statement") || action[0].equals("verify")) {
+            text += runAndCapture(code, arguments.toArray(new String[0]));
         }
-        words.add("--json");
-        return text + ordered(printed(code, words.toArray(new String[0])));
+        arguments.add("--json");
+        return text + sortMembers(runAndCapture(code, arguments.toArray(new String[0])));
     }
 
     @Test
     void ledgerTablesAndJsonAreAsRecorded() throws Exception {
-        Path conf = copy();
-        String text = call(conf, 0, "statement");
-        text += call(conf, 1, "verify");
-        text += call(conf, 0, "restore", "2024-10", dir.resolve("2024-10").toString());
-        text += call(conf, 0, "statement", "2024-10");
-        text += call(conf, 0, "statement", "--member", "red");
-        text += call(conf, 0, "close", "2024-11", "--by", "op");
-        text += call(conf, 0, "correct", "north/1733356800/1", "0.25", "--by", "op", "--reason", "a reason");
-        text += call(conf, 0, "export");
-        text += call(conf, 0, "statement");
+        Path settingsFile = copyLedger();
+        String text = runLedger(settingsFile, 0, "statement");
+        text += runLedger(settingsFile, 1, "verify");
+        text += runLedger(
+                settingsFile, 0, "restore", "2024-10", dir.resolve("2024-10").toString());
+        text += runLedger(settingsFile, 0, "statement", "2024-10");
+        text += runLedger(settingsFile, 0, "statement", "--member", "red");
+        text += runLedger(settingsFile, 0, "close", "2024-11", "--by", "op");
+        text += runLedger(
+                settingsFile, 0, "correct", "north/1733356800/1", "0.25", "--by", "op", "--reason", "a reason");
+        text += runLedger(settingsFile, 0, "export");
+        text += runLedger(settingsFile, 0, "statement");
         assertMatches("ledger/printed.txt", text);
     }
 
     /** A period is archived only where all dispatchers have closed it: the other one's entries are taken out. */
     @Test
     void archivingAPeriodPrintsAsRecorded() throws Exception {
-        Path conf = copy();
+        Path settingsFile = copyLedger();
         try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve("store/ledger.db"));
                 Statement s = c.createStatement()) {
             s.execute("DELETE FROM entry WHERE origin IN (SELECT id FROM origin WHERE dispatcher <> 'north')");
             s.execute("DELETE FROM origin WHERE dispatcher <> 'north'");
             s.execute("DELETE FROM cut WHERE export = 'web'");
         }
-        String text = call(conf, 0, "verify");
-        text += call(conf, 0, "restore", "2024-10", dir.resolve("2024-10").toString());
-        text += call(conf, 0, "close", "2024-11", "--by", "op");
-        text += call(conf, 0, "export", "files");
-        text += call(conf, 0, "archive", "2024-10", dir.resolve("again").toString());
-        text += call(conf, 0, "statement");
+        String text = runLedger(settingsFile, 0, "verify");
+        text += runLedger(
+                settingsFile, 0, "restore", "2024-10", dir.resolve("2024-10").toString());
+        text += runLedger(settingsFile, 0, "close", "2024-11", "--by", "op");
+        text += runLedger(settingsFile, 0, "export", "files");
+        text += runLedger(
+                settingsFile, 0, "archive", "2024-10", dir.resolve("again").toString());
+        text += runLedger(settingsFile, 0, "statement");
         assertMatches("ledger/archived.txt", text);
     }
 }
--- a/src/test/java/nettlewick/cli/DatagramRelay.java
+++ b/src/test/java/nettlewick/cli/DatagramRelay.java
@@ -16,7 +16,7 @@
 /** Forwards datagrams between dispatchers, and loses, duplicates, delays or blocks them. */
 final class DatagramRelay implements AutoCloseable {
     private static final int MAX_DELAY_MILLIS = 20;
-    private final DatagramSocket[] ends;
+    private final DatagramSocket[] sockets;
     private final int[] targets;
     private final SplittableRandom random;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(r -> {
@@ -28,15 +28,15 @@
     private final AtomicInteger duplicated = new AtomicInteger();
     private volatile double lossProbability;
     private volatile double duplicationProbability;
-    private volatile int muted = -1;
-    private volatile Set<Integer> partitioned = Set.of();
+    private volatile int blockedSender = -1;
+    private volatile Set<Integer> isolated = Set.of();
 
     DatagramRelay(int[] targets, long seed) throws IOException {
         this.targets = targets.clone();
         random = new SplittableRandom(seed);
-        ends = new DatagramSocket[targets.length];
-        for (int n = 0; n < ends.length; n++) {
-            ends[n] = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+        sockets = new DatagramSocket[targets.length];
+        for (int n = 0; n < sockets.length; n++) {
+            sockets[n] = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
             int to = n;
             Thread t = new Thread(() -> forwardLoop(to), "relay-" + n);
             t.setDaemon(true);
@@ -45,22 +45,22 @@
     }
 
     int[] ports() {
-        return Arrays.stream(ends).mapToInt(DatagramSocket::getLocalPort).toArray();
+        return Arrays.stream(sockets).mapToInt(DatagramSocket::getLocalPort).toArray();
     }
 
-    void setFaults(double lossPart, double doublePart) {
-        lossProbability = lossPart;
-        duplicationProbability = doublePart;
+    void setFaults(double loss, double duplication) {
+        lossProbability = loss;
+        duplicationProbability = duplication;
     }
 
     /** Blocks all datagrams from one dispatcher, but none to it; -1 blocks none. */
-    void mute(int number) {
-        muted = number;
+    void blockSender(int number) {
+        blockedSender = number;
     }
 
     /** Blocks all datagrams between these dispatchers and the others; an empty set ends the partition. */
-    void partition(Set<Integer> some) {
-        partitioned = some;
+    void partition(Set<Integer> group) {
+        isolated = group;
     }
 
     private int sender(int port) {
@@ -81,19 +81,19 @@
     }
 
     private void forwardLoop(int to) {
-        byte[] room = new byte[8192];
-        while (!ends[to].isClosed()) {
-            DatagramPacket packet = new DatagramPacket(room, room.length);
+        byte[] buffer = new byte[8192];
+        while (!sockets[to].isClosed()) {
+            DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
             try {
-                ends[to].receive(packet);
+                sockets[to].receive(packet);
             } catch (IOException e) {
                 return;
             }
             byte[] data = Arrays.copyOf(packet.getData(), packet.getLength());
             synchronized (random) {
                 int from = sender(packet.getPort());
-                boolean cut = from == muted || partitioned.contains(from) != partitioned.contains(to);
-                if (cut || random.nextDouble() < lossProbability) {
+                boolean isBlocked = from == blockedSender || isolated.contains(from) != isolated.contains(to);
+                if (isBlocked || random.nextDouble() < lossProbability) {
                     lost.incrementAndGet();
                     continue;
                 }
@@ -106,25 +106,25 @@
         }
     }
 
-    private void send(int to, byte[] data, int late) {
+    private void send(int to, byte[] data, int delayMillis) {
         timer.schedule(
                 () -> {
                     try {
-                        ends[to].send(
+                        sockets[to].send(
                                 new DatagramPacket(data, data.length, new InetSocketAddress("127.0.0.1", targets[to])));
                     } catch (IOException e) {
                         lost.incrementAndGet();
                     }
                 },
-                late,
+                delayMillis,
                 TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void close() {
         timer.shutdownNow();
-        for (DatagramSocket end : ends) {
-            end.close();
+        for (DatagramSocket socket : sockets) {
+            socket.close();
         }
     }
 }
--- a/src/test/java/nettlewick/cli/EndpointListProcessTest.java
+++ b/src/test/java/nettlewick/cli/EndpointListProcessTest.java
@@ -24,23 +24,23 @@
 /** Real dispatcher processes with a discovery that falls silent and sends indented JSON, and with other names. */
 @Timeout(120)
 class EndpointListProcessTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     @TempDir
     private Path dir;
 
-    private StubPlatform world;
+    private StubPlatform platform;
     private final List<Process> processes = new ArrayList<>();
 
     @BeforeEach
-    void open() throws Exception {
-        world = new StubPlatform();
+    void startPlatform() throws Exception {
+        platform = new StubPlatform();
     }
 
     @AfterEach
-    void close() {
+    void stopAll() {
         processes.forEach(Process::destroyForcibly);
-        world.close();
+        platform.close();
     }
 
     private int start(Map<String, Object> config) throws Exception {
@@ -53,13 +53,13 @@
         ChildProcess.awaitCondition(
                 process,
                 log,
-                () -> answers(port, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 "));
+                () -> responseContains(port, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 "));
         return port;
     }
 
-    private static boolean answers(int port, String request, String wanted) {
+    private static boolean responseContains(int port, String request, String expected) {
         try {
-            return send(port, request).contains(wanted);
+            return send(port, request).contains(expected);
         } catch (IOException e) {
             return false;
         }
@@ -81,45 +81,45 @@
     /** A list may span several lines, and a watch that stays open but silent is replaced. */
     @Test
     void dispatchersNoticeASilentDiscoveryAndStopUsingADrainingEndpoint() throws Exception {
-        world.indented = true;
-        world.addRunner("s-old");
+        platform.indented = true;
+        platform.addRunner("s-old");
         int[] ports = new int[3];
         for (int n = 0; n < ports.length; n++) {
-            ports[n] = start(world.config());
+            ports[n] = start(platform.config());
             assertTrue(
                     send(ports[n], request("a" + n, "step-view", "red", "5")).contains(" 200 "),
                     "an indented list is read");
         }
-        int watches = world.watches.size();
-        world.silence();
-        world.addRunner("s-new");
-        world.tell("s-old", "Terminating");
-        StubPlatform.until(() -> world.watches.size() >= watches + ports.length);
+        int watches = platform.watches.size();
+        platform.silence();
+        platform.addRunner("s-new");
+        platform.tell("s-old", "Terminating");
+        StubPlatform.until(() -> platform.watches.size() >= watches + ports.length);
         StubPlatform.until(() -> {
             // The missed update has arrived once a request goes to the new endpoint.
             for (int port : ports) {
                 String id = "p" + System.nanoTime();
-                if (!answers(port, request(id, "step-view", "red", "5"), " 200 ")
-                        || world.seen.stream().noneMatch(s -> s.startsWith("s-new ") && s.contains(id))) {
+                if (!responseContains(port, request(id, "step-view", "red", "5"), " 200 ")
+                        || platform.seen.stream().noneMatch(s -> s.startsWith("s-new ") && s.contains(id))) {
                     return false;
                 }
             }
             return true;
         });
-        int before = world.seen.size();
+        int before = platform.seen.size();
         for (int i = 0; i < 30; i++) {
             assertTrue(send(ports[i % ports.length], request("b" + i, "step-view", "red", "5"))
                     .contains(" 200 "));
         }
         assertTrue(
-                world.seen.subList(before, world.seen.size()).stream().noneMatch(s -> s.startsWith("s-old ")),
+                platform.seen.subList(before, platform.seen.size()).stream().noneMatch(s -> s.startsWith("s-old ")),
                 "the old endpoint drains");
     }
 
     /** A class behaves as its settings say, whatever its name: one tenant, no zone, a deadline of 300 ms. */
     @Test
     void classesBehaveAsTheSettingsSayWhateverTheirNames() throws Exception {
-        Map<String, Object> config = world.config();
+        Map<String, Object> config = platform.config();
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         settings.remove("zone");
@@ -131,12 +131,12 @@
                         requestClass("step-view", "fragile"),
                         requestClass("mark-submit", "retryable"),
                         requestClass("zurzir", "dedup")));
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         int port = start(config);
-        Map<String, Integer> failures = new HashMap<>(Map.of("u", 1, "r", 1));
-        world.instead = request -> {
+        Map<String, Integer> failuresLeft = new HashMap<>(Map.of("u", 1, "r", 1));
+        platform.instead = request -> {
             String id = request.getHeader("X-Request-Id");
-            if (failures.merge(id, -1, Integer::sum) >= 0) {
+            if (failuresLeft.merge(id, -1, Integer::sum) >= 0) {
                 request.connection().close();
             } else {
                 request.response()
@@ -144,17 +144,17 @@
                                 + "\"}\n");
             }
         };
-        String unsafe = send(port, request("u", "step-view", "gilda-do-bairro", "0.3"));
-        assertTrue(!unsafe.contains("r-u") && !unsafe.contains(" 503 "), "it may have run: " + unsafe);
-        assertEquals(1, runs("u"), "non-idempotent here, whatever the name means elsewhere");
+        String response = send(port, request("u", "step-view", "gilda-do-bairro", "0.3"));
+        assertTrue(!response.contains("r-u") && !response.contains(" 503 "), "it may have run: " + response);
+        assertEquals(1, attempts("u"), "non-idempotent here, whatever the name means elsewhere");
         send(port, request("r", "mark-submit", "gilda-do-bairro", "5"));
-        assertTrue(runs("r") <= 6, "within the cap on attempts");
-        world.instead = null;
+        assertTrue(attempts("r") <= 6, "within the cap on attempts");
+        platform.instead = null;
         assertTrue(send(port, request("z", "zurzir", "gilda-do-bairro", "5")).contains("r-z"));
     }
 
-    private long runs(String id) {
-        return world.seen.stream().filter(s -> s.contains(" " + id + " ")).count();
+    private long attempts(String id) {
+        return platform.seen.stream().filter(s -> s.contains(" " + id + " ")).count();
     }
 
     private static Map<String, Object> requestClass(String name, String repeat) {
@@ -164,13 +164,13 @@
                 "repeat",
                 repeat,
                 "aim",
-                SECOND / 5,
+                SECOND_NANOS / 5,
                 "deadline",
-                3 * SECOND / 10,
+                3 * SECOND_NANOS / 10,
                 "worth",
                 1,
                 "window",
-                SECOND,
+                SECOND_NANOS,
                 "dedup_scope",
                 "all");
     }
--- a/src/test/java/nettlewick/cli/FleetTestCommandTest.java
+++ b/src/test/java/nettlewick/cli/FleetTestCommandTest.java
@@ -16,7 +16,7 @@
 /** The command {@code fleet-test} as a process, under its older name. */
 @Timeout(60)
 class FleetTestCommandTest {
-    private static final String WORLD = """
+    private static final String SCENARIO = """
             world {
                 dispatchers 3
                 runners 2
@@ -31,13 +31,13 @@
     @TempDir
     private Path dir;
 
-    private Process fleetTest(String what, String text) throws Exception {
-        Path file = Files.writeString(dir.resolve("scenario.conf"), text);
+    private Process fleetTest(String action, String scenario) throws Exception {
+        Path file = Files.writeString(dir.resolve("scenario.conf"), scenario);
         return ChildProcess.start(
                 dir.resolve("log"),
                 Map.of("LC_ALL", "C"),
                 "lab",
-                what,
+                action,
                 file.toString(),
                 "--out",
                 dir.resolve("out").toString());
@@ -45,7 +45,7 @@
 
     @Test
     void aBadScenarioPrintsOneLineAndStartsNothing() throws Exception {
-        Process process = fleetTest("run", WORLD + "steps {\n at 1s pause s1 for 2s\n}\n");
+        Process process = fleetTest("run", SCENARIO + "steps {\n at 1s pause s1 for 2s\n}\n");
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
         List<String> lines = Files.readAllLines(dir.resolve("log"));
@@ -57,12 +57,12 @@
     /** Ending a fleet test must end the processes that it started. */
     @Test
     void anInterruptedFleetTestLeavesNoProcess() throws Exception {
-        Process process = fleetTest("run", WORLD);
+        Process process = fleetTest("run", SCENARIO);
         ChildProcess.awaitCondition(
                 process, dir.resolve("log"), () -> process.descendants().count() >= 3);
-        List<ProcessHandle> fleet = process.descendants().toList();
+        List<ProcessHandle> startedProcesses = process.descendants().toList();
         process.destroy();
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
-        StubPlatform.until(() -> fleet.stream().noneMatch(ProcessHandle::isAlive));
+        StubPlatform.until(() -> startedProcesses.stream().noneMatch(ProcessHandle::isAlive));
     }
 }
--- a/src/test/java/nettlewick/cli/LeaseProcessTest.java
+++ b/src/test/java/nettlewick/cli/LeaseProcessTest.java
@@ -26,7 +26,7 @@
 /** Five real dispatcher processes, three of them voters, keep one lease through kills, pauses and partitions. */
 @Timeout(180)
 class LeaseProcessTest {
-    private static final int SIZE = 5;
+    private static final int DISPATCHERS = 5;
     private static final int VOTERS = 3;
     private static final Pattern HELD =
             Pattern.compile("\"event\":\"duty-held\".*\"fence\":\"?(\\d+).*\"term\":\"?(\\d+)");
@@ -34,32 +34,36 @@
     @TempDir
     private Path dir;
 
-    private final Process[] processes = new Process[SIZE];
-    private final List<Path> logs = new ArrayList<>();
-    private final Path[] log = new Path[SIZE];
-    private final int[] ports = new int[SIZE];
-    private boolean folders;
+    private final Process[] processes = new Process[DISPATCHERS];
+    private final List<Path> allLogs = new ArrayList<>();
+    private final Path[] currentLogs = new Path[DISPATCHERS];
+    private final int[] ports = new int[DISPATCHERS];
+    private boolean persistentVoters;
     /** The dispatcher that is configured with a different list of voters; -1 if none. */
-    private int differing = -1;
+    private int misconfigured = -1;
     /** The port at which the others reach each dispatcher: its own, or a relay's. */
-    private final int[] reachablePorts = new int[SIZE];
+    private final int[] reachablePorts = new int[DISPATCHERS];
 
     private void start(int number, Map<String, Object> config) throws IOException {
-        StringBuilder all = new StringBuilder(
+        StringBuilder settingsText = new StringBuilder(
                 "log {\nform json\n}\nduty {\nlisten 127.0.0.1:" + ports[number] + "\nnumber " + number + "\nvoters "
-                        + (number == differing ? SIZE : VOTERS) + "\n"
+                        + (number == misconfigured ? DISPATCHERS : VOTERS) + "\n"
                         + "lease 1s\nkey \"" + dir.resolve("key") + "\"\nname pool-red\n"
-                        + (folders ? "folder \"" + dir.resolve("voter" + number) + "\"\n" : ""));
+                        + (persistentVoters ? "folder \"" + dir.resolve("voter" + number) + "\"\n" : ""));
         for (int port : reachablePorts) {
-            all.append("dispatcher 127.0.0.1:").append(port).append('\n');
+            settingsText.append("dispatcher 127.0.0.1:").append(port).append('\n');
         }
-        Path settings = Files.writeString(dir.resolve("settings" + number), all + "}\n");
-        Path file = Files.writeString(dir.resolve("config" + number), new Gson().toJson(config));
-        log[number] = dir.resolve("log" + logs.size());
-        Files.createFile(log[number]);
-        logs.add(log[number]);
+        Path settingsFile = Files.writeString(dir.resolve("settings" + number), settingsText + "}\n");
+        Path configFile = Files.writeString(dir.resolve("config" + number), new Gson().toJson(config));
+        currentLogs[number] = dir.resolve("log" + allLogs.size());
+        Files.createFile(currentLogs[number]);
+        allLogs.add(currentLogs[number]);
         processes[number] = ChildProcess.start(
-                log[number], Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
+                currentLogs[number],
+                Map.of("ROUTER_CONFIG", configFile.toString()),
+                "serve",
+                "--settings",
+                settingsFile.toString());
     }
 
     private static boolean hasLogged(Path log, String event) {
@@ -81,13 +85,13 @@
     }
 
     /** The fence of each term of the lease that a log reports as held. */
-    private static Map<Long, Long> held(Path log) {
+    private static Map<Long, Long> fencesByTerm(Path log) {
         try {
             Map<Long, Long> fences = new TreeMap<>();
             for (String line : Files.readAllLines(log)) {
-                Matcher m = HELD.matcher(line);
-                if (m.find()) {
-                    fences.put(Long.parseLong(m.group(2)), Long.parseLong(m.group(1)));
+                Matcher matcher = HELD.matcher(line);
+                if (matcher.find()) {
+                    fences.put(Long.parseLong(matcher.group(2)), Long.parseLong(matcher.group(1)));
                 }
             }
             return fences;
@@ -100,11 +104,13 @@
     private int awaitHolder(long term, int excluded) throws InterruptedException {
         int[] found = {-1};
         StubPlatform.until(() -> {
-            long newest = term - 1;
-            for (int n = 0; n < SIZE; n++) {
-                for (long t : n == excluded ? List.<Long>of() : held(log[n]).keySet()) {
-                    found[0] = t > newest ? n : found[0];
-                    newest = Math.max(newest, t);
+            long newestTerm = term - 1;
+            for (int n = 0; n < DISPATCHERS; n++) {
+                for (long t : n == excluded
+                        ? List.<Long>of()
+                        : fencesByTerm(currentLogs[n]).keySet()) {
+                    found[0] = t > newestTerm ? n : found[0];
+                    newestTerm = Math.max(newestTerm, t);
                 }
             }
             return found[0] >= 0;
@@ -115,7 +121,7 @@
     @Test
     void aLeaseSurvivesAKillAPauseAndAGracefulShutdown() throws Exception {
         reservePorts();
-        System.arraycopy(ports, 0, reachablePorts, 0, SIZE);
+        System.arraycopy(ports, 0, reachablePorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
             platform.addRunner("s-1");
             startAll(platform);
@@ -128,36 +134,37 @@
             processes[third].waitFor();
             awaitHolder(4, third);
         }
-        checkTerms(4);
+        assertFencesGrow(4);
     }
 
     /** One dispatcher's settings name five voters, the others' three: it neither votes nor holds the lease. */
     @Test
     void aDispatcherWithAnotherVoterListHoldsNothingAndHindersNobody() throws Exception {
-        differing = SIZE - 1;
+        misconfigured = DISPATCHERS - 1;
         reservePorts();
-        System.arraycopy(ports, 0, reachablePorts, 0, SIZE);
+        System.arraycopy(ports, 0, reachablePorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
             platform.addRunner("s-1");
             startAll(platform);
             int first = awaitHolder(1, -1);
-            StubPlatform.until(() -> hasLogged(log[differing], "other-list") && hasLogged(log[first], "other-list"));
+            StubPlatform.until(() ->
+                    hasLogged(currentLogs[misconfigured], "other-list") && hasLogged(currentLogs[first], "other-list"));
             processes[first].destroyForcibly().waitFor();
             int second = awaitHolder(2, first);
             restart(platform, first);
             pauseUntilReplaced(second, 3);
         }
-        assertEquals(0, count(log[differing], "duty-held"));
-        assertEquals(0, count(log[differing], "votes"));
-        checkTerms(3);
+        assertEquals(0, count(currentLogs[misconfigured], "duty-held"));
+        assertEquals(0, count(currentLogs[misconfigured], "votes"));
+        assertFencesGrow(3);
     }
 
     /** With persistent voters a fleet that is killed at once continues with later terms and higher fences. */
     @Test
     void aFleetThatLosesPowerContinuesFromStoredTerms() throws Exception {
-        folders = true;
+        persistentVoters = true;
         reservePorts();
-        System.arraycopy(ports, 0, reachablePorts, 0, SIZE);
+        System.arraycopy(ports, 0, reachablePorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
             platform.addRunner("s-1");
             startAll(platform);
@@ -170,7 +177,7 @@
             startAll(platform);
             awaitHolder(3, -1);
         }
-        checkTerms(3);
+        assertFencesGrow(3);
     }
 
     /** Partitions, lost, duplicated and reordered datagrams, and every voter restarted once without memory. */
@@ -179,43 +186,44 @@
         reservePorts();
         try (DatagramRelay relay = new DatagramRelay(ports, 11);
                 StubPlatform platform = new StubPlatform()) {
-            System.arraycopy(relay.ports(), 0, reachablePorts, 0, SIZE);
+            System.arraycopy(relay.ports(), 0, reachablePorts, 0, DISPATCHERS);
             platform.addRunner("s-1");
             relay.setFaults(0.3, 0.1);
             startAll(platform);
             int first = awaitHolder(1, -1);
-            relay.mute(first);
+            relay.blockSender(first);
             awaitHolder(2, first);
-            StubPlatform.until(() -> hasLogged(log[first], "duty-lost"));
-            relay.mute(-1);
+            StubPlatform.until(() -> hasLogged(currentLogs[first], "duty-lost"));
+            relay.blockSender(-1);
             relay.setFaults(0.1, 0.1);
             for (int voter = 0; voter < VOTERS; voter++) {
                 processes[voter].destroyForcibly().waitFor();
                 restart(platform, voter);
             }
-            long before = terms().lastKey();
-            int last = awaitHolder(before, -1);
+            long newestTerm = allFencesByTerm().lastKey();
+            int isolatedHolder = awaitHolder(newestTerm, -1);
             // The holder's side has two of five dispatchers and one of three voters, whoever holds the lease.
-            relay.partition(Set.of(last, last < VOTERS ? 4 : 0));
-            int next = awaitHolder(before + 1, last);
+            relay.partition(Set.of(isolatedHolder, isolatedHolder < VOTERS ? 4 : 0));
+            int newHolder = awaitHolder(newestTerm + 1, isolatedHolder);
             // It may have lost the lease before the partition, to a lost datagram.
-            StubPlatform.until(() -> count(log[last], "duty-lost") >= count(log[last], "duty-held"));
+            StubPlatform.until(() ->
+                    count(currentLogs[isolatedHolder], "duty-lost") >= count(currentLogs[isolatedHolder], "duty-held"));
             relay.partition(Set.of());
-            processes[next].destroyForcibly().waitFor();
-            awaitHolder(before + 2, next);
+            processes[newHolder].destroyForcibly().waitFor();
+            awaitHolder(newestTerm + 2, newHolder);
             assertTrue(relay.lostCount() > 0 && relay.duplicatedCount() > 0, "the relay lost and duplicated datagrams");
         }
-        checkTerms(3);
+        assertFencesGrow(3);
     }
 
     private void reservePorts() throws IOException {
         Files.write(dir.resolve("key"), new byte[32]);
-        List<DatagramSocket> asked = new ArrayList<>();
-        for (int n = 0; n < SIZE; n++) {
-            asked.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
-            ports[n] = asked.get(n).getLocalPort();
+        List<DatagramSocket> sockets = new ArrayList<>();
+        for (int n = 0; n < DISPATCHERS; n++) {
+            sockets.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
+            ports[n] = sockets.get(n).getLocalPort();
         }
-        asked.forEach(DatagramSocket::close);
+        sockets.forEach(DatagramSocket::close);
     }
 
     private static Map<String, Object> config(StubPlatform platform, int number) {
@@ -225,11 +233,11 @@
     }
 
     /** Pauses a holder until another one holds the lease for the given term, and returns that one's number. */
-    private int pauseUntilReplaced(int stopped, long term) throws Exception {
-        signal(stopped, "-STOP");
-        int next = awaitHolder(term, stopped);
-        signal(stopped, "-CONT");
-        StubPlatform.until(() -> hasLogged(log[stopped], "duty-lost"));
+    private int pauseUntilReplaced(int paused, long term) throws Exception {
+        signal(paused, "-STOP");
+        int next = awaitHolder(term, paused);
+        signal(paused, "-CONT");
+        StubPlatform.until(() -> hasLogged(currentLogs[paused], "duty-lost"));
         return next;
     }
 
@@ -237,33 +245,34 @@
     private void restart(StubPlatform platform, int number) throws Exception {
         start(number, config(platform, number));
         if (number < VOTERS) {
-            StubPlatform.until(() -> hasLogged(log[number], "votes"));
+            StubPlatform.until(() -> hasLogged(currentLogs[number], "votes"));
         }
     }
 
     /** Starts all and waits until all voters vote: one that has not heard from the others yet counts as failed. */
     private void startAll(StubPlatform platform) throws Exception {
-        for (int n = 0; n < SIZE; n++) {
+        for (int n = 0; n < DISPATCHERS; n++) {
             start(n, config(platform, n));
         }
         for (int voter = 0; voter < VOTERS; voter++) {
-            Path its = log[voter];
-            StubPlatform.until(() -> hasLogged(its, "votes"));
+            Path voterLog = currentLogs[voter];
+            StubPlatform.until(() -> hasLogged(voterLog, "votes"));
         }
     }
 
     /** The fence of each term over all logs; fails if a term was held twice. */
-    private TreeMap<Long, Long> terms() {
+    private TreeMap<Long, Long> allFencesByTerm() {
         TreeMap<Long, Long> fences = new TreeMap<>();
-        for (Path one : logs) {
-            held(one).forEach((term, fence) -> assertEquals(null, fences.put(term, fence), "two held term " + term));
+        for (Path processLog : allLogs) {
+            fencesByTerm(processLog)
+                    .forEach((term, fence) -> assertEquals(null, fences.put(term, fence), "two held term " + term));
         }
         return fences;
     }
 
-    private void checkTerms(int least) {
-        TreeMap<Long, Long> fences = terms();
-        assertTrue(fences.size() >= least, "terms " + fences.keySet());
+    private void assertFencesGrow(int minTerms) {
+        TreeMap<Long, Long> fences = allFencesByTerm();
+        assertTrue(fences.size() >= minTerms, "terms " + fences.keySet());
         assertEquals(
                 new ArrayList<>(fences.values()),
                 fences.values().stream().sorted().distinct().toList(),
@@ -277,7 +286,7 @@
     }
 
     @AfterEach
-    void end() {
+    void killProcesses() {
         for (Process p : processes) {
             if (p != null) {
                 p.destroyForcibly();
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -47,27 +47,27 @@
         return ReservedPorts.reserve();
     }
 
-    private Path conf(String name, String more) throws IOException {
+    private Path writeSettings(String name, String options) throws IOException {
         return Files.writeString(
-                dir.resolve(name), "ledger {\nstore \"" + dir.resolve("store") + "\"\n" + more + "\n}\n");
+                dir.resolve(name), "ledger {\nstore \"" + dir.resolve("store") + "\"\n" + options + "\n}\n");
     }
 
     /** Sends a request; whether its response is complete, whatever it says, or null if the connection broke. */
-    private static Boolean ask(int port, String id) {
+    private static Boolean sendRequest(int port, String id) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream()
                     .write(DispatcherOnStubPlatform.job("/api", id, "step-view", "{}", "Connection: close")
                             .getBytes());
             InputStream in = socket.getInputStream();
-            String got = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
-            int head = got.indexOf("\r\n\r\n");
-            int at = got.toLowerCase().indexOf("content-length: ");
-            if (head < 0 || at < 0) {
+            String response = new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
+            int headEnd = response.indexOf("\r\n\r\n");
+            int lengthHeader = response.toLowerCase().indexOf("content-length: ");
+            if (headEnd < 0 || lengthHeader < 0) {
                 return false;
             }
-            int length = Integer.parseInt(
-                    got.substring(at + 16, got.indexOf("\r\n", at)).strip());
-            return got.length() - head - 4 == length;
+            int length = Integer.parseInt(response.substring(lengthHeader + 16, response.indexOf("\r\n", lengthHeader))
+                    .strip());
+            return response.length() - headEnd - 4 == length;
         } catch (IOException e) {
             return null;
         }
@@ -77,56 +77,56 @@
     void aKilledDispatcherHasEachAnswerRecordedOrMarkedInDoubt() throws Exception {
         Random random = new Random(412);
         Set<String> answered = ConcurrentHashMap.newKeySet();
-        Set<String> asked = ConcurrentHashMap.newKeySet();
-        Path sync = conf("sync.conf", "mode sync");
-        Path batch = conf("batch.conf", "mode batch 20ms");
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.runTime = 4;
+        Set<String> sent = ConcurrentHashMap.newKeySet();
+        Path sync = writeSettings("sync.conf", "mode sync");
+        Path batch = writeSettings("batch.conf", "mode batch 20ms");
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
+            platform.runTime = 4;
             for (int i = 0; i < 4; i++) {
-                world.addRunner("s-" + i);
+                platform.addRunner("s-" + i);
             }
             for (int kill = 0; kill < KILLS; kill++) {
                 int port = freePort();
-                Process child = startDispatcher(world, port, kill % 2 == 0 ? sync : batch);
-                sendUntilKilled(child, port, "k" + kill + "-", random, asked, answered);
+                Process child = startDispatcher(platform, port, kill % 2 == 0 ? sync : batch);
+                sendUntilKilled(child, port, "k" + kill + "-", random, sent, answered);
             }
         }
         // Any command that writes records what the last incarnation left.
         LedgerSettings settings =
                 LedgerSettings.of(Settings.read(batch).block("ledger").orElseThrow());
-        assertEachAnswerOnce(StoreProbe.recover(settings), asked, answered);
+        assertEachAnswerOnce(StoreProbe.recover(settings), sent, answered);
     }
 
-    private Process startDispatcher(DispatcherOnStubPlatform world, int port, Path settings) throws Exception {
-        Map<String, Object> config = world.config();
+    private Process startDispatcher(DispatcherOnStubPlatform platform, int port, Path settings) throws Exception {
+        Map<String, Object> config = platform.config();
         config.put("listen", "127.0.0.1:" + port);
         Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
         Path log = dir.resolve("log");
         Process child = ChildProcess.start(
                 log, Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
-        DispatcherOnStubPlatform.until(() -> !child.isAlive() || healthy(port));
+        DispatcherOnStubPlatform.until(() -> !child.isAlive() || isHealthy(port));
         assertTrue(child.isAlive(), "it started: " + Files.readString(log));
         return child;
     }
 
     /** Sends requests from several clients; after a random number of answers the process is killed. */
     private static void sendUntilKilled(
-            Process child, int port, String prefix, Random random, Set<String> asked, Set<String> answered)
+            Process child, int port, String prefix, Random random, Set<String> sent, Set<String> answered)
             throws Exception {
-        AtomicInteger left = new AtomicInteger(1 + random.nextInt(120));
-        int spin = random.nextInt(40_000);
+        AtomicInteger exchangesUntilKill = new AtomicInteger(1 + random.nextInt(120));
+        int spinsBeforeKill = random.nextInt(40_000);
         AtomicInteger number = new AtomicInteger();
         List<Thread> clients = new ArrayList<>();
         for (int c = 0; c < CLIENTS; c++) {
             Thread client = new Thread(() -> {
                 while (child.isAlive()) {
                     String id = prefix + number.incrementAndGet();
-                    asked.add(id);
-                    if (Boolean.TRUE.equals(ask(port, id))) {
+                    sent.add(id);
+                    if (Boolean.TRUE.equals(sendRequest(port, id))) {
                         answered.add(id);
                     }
-                    if (left.decrementAndGet() == 0) {
-                        for (int i = 0; i < spin; i++) {
+                    if (exchangesUntilKill.decrementAndGet() == 0) {
+                        for (int i = 0; i < spinsBeforeKill; i++) {
                             Thread.onSpinWait();
                         }
                         child.destroyForcibly();
@@ -142,32 +142,36 @@
         child.waitFor();
     }
 
-    private static void assertEachAnswerOnce(StoreProbe.Seen seen, Set<String> asked, Set<String> answered)
+    private static void assertEachAnswerOnce(StoreProbe.Seen ledger, Set<String> sent, Set<String> answered)
             throws Exception {
-        Map<String, Integer> times = new HashMap<>();
-        seen.entered().forEach(id -> times.merge(id, 1, Integer::sum));
-        seen.doubts().forEach(id -> times.merge(id, 1, Integer::sum));
+        Map<String, Integer> occurrences = new HashMap<>();
+        ledger.entered().forEach(id -> occurrences.merge(id, 1, Integer::sum));
+        ledger.doubts().forEach(id -> occurrences.merge(id, 1, Integer::sum));
         List<String> missing =
-                answered.stream().filter(id -> !times.containsKey(id)).toList();
+                answered.stream().filter(id -> !occurrences.containsKey(id)).toList();
         assertEquals(List.of(), missing, "answered and neither recorded nor in doubt");
         assertEquals(
                 List.of(),
-                times.entrySet().stream().filter(e -> e.getValue() > 1).toList(),
+                occurrences.entrySet().stream().filter(e -> e.getValue() > 1).toList(),
                 "recorded twice");
-        assertTrue(asked.containsAll(times.keySet()), "invented");
+        assertTrue(sent.containsAll(occurrences.keySet()), "invented");
         // Recorded but not answered: in flight when the process was killed, at most one per client.
-        long more = times.keySet().stream().filter(id -> !answered.contains(id)).count();
-        assertTrue(more <= (long) KILLS * CLIENTS, more + " recorded or in doubt and not seen answered");
+        long recordedOnly = occurrences.keySet().stream()
+                .filter(id -> !answered.contains(id))
+                .count();
+        assertTrue(
+                recordedOnly <= (long) KILLS * CLIENTS, recordedOnly + " recorded or in doubt and not seen answered");
         assertEquals(
-                answered.size() + more, seen.entered().size() + seen.doubts().size());
+                answered.size() + recordedOnly,
+                ledger.entered().size() + ledger.doubts().size());
         assertTrue(answered.size() > KILLS * 20, answered.size() + " answered");
-        assertEquals(List.of(), seen.verify());
+        assertEquals(List.of(), ledger.verify());
     }
 
-    private static boolean healthy(int port) {
+    private static boolean isHealthy(int port) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            String call = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-            socket.getOutputStream().write(call.getBytes());
+            String request = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+            socket.getOutputStream().write(request.getBytes());
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII).contains(" 200 ");
         } catch (IOException e) {
             return false;
@@ -180,7 +184,7 @@
         Random random = new Random(77);
         Path out = dir.resolve("out");
         ConcurrentLinkedQueue<Process> current = new ConcurrentLinkedQueue<>();
-        AtomicInteger left = new AtomicInteger();
+        AtomicInteger batchesUntilKill = new AtomicInteger();
         Receiver.Fate[] fates = {
             Receiver.Fate.TAKEN,
             Receiver.Fate.TAKEN,
@@ -189,15 +193,15 @@
             Receiver.Fate.RESET_AFTER
         };
         try (Receiver receiver = new Receiver()) {
-            Path conf = conf(
+            Path settingsFile = writeSettings(
                     "export.conf",
                     "export r {\nurl http://127.0.0.1:" + receiver.port()
                             + "/\nmost 9\n"
                             + "retry 1ms 5ms\nattempts 50\n}\nexport f {\nfolder \"" + out + "\"\nmost 9\n}");
-            LedgerSettings settings =
-                    LedgerSettings.of(Settings.read(conf).block("ledger").orElseThrow());
+            LedgerSettings settings = LedgerSettings.of(
+                    Settings.read(settingsFile).block("ledger").orElseThrow());
             receiver.script(batch -> {
-                if (left.decrementAndGet() == 0) {
+                if (batchesUntilKill.decrementAndGet() == 0) {
                     // Half of the kills come before the batch is taken, half after.
                     boolean before = random.nextBoolean();
                     current.forEach(Process::destroyForcibly);
@@ -205,29 +209,30 @@
                 }
                 return fates[random.nextInt(fates.length)];
             });
-            int killed = 0;
-            long[] total = new long[2];
+            int kills = 0;
+            long[] expectedTotals = new long[2];
             Path log = dir.resolve("log");
-            for (int round = 0; killed < 40; round++) {
-                StoreProbe.fill(settings, random, 10 + random.nextInt(40), total);
-                left.set(1 + random.nextInt(7));
-                Process child = ChildProcess.start(log, Map.of(), "ledger", "export", "--settings", conf.toString());
+            for (int round = 0; kills < 40; round++) {
+                StoreProbe.fill(settings, random, 10 + random.nextInt(40), expectedTotals);
+                batchesUntilKill.set(1 + random.nextInt(7));
+                Process child =
+                        ChildProcess.start(log, Map.of(), "ledger", "export", "--settings", settingsFile.toString());
                 current.add(child);
                 assertTrue(child.waitFor(60, TimeUnit.SECONDS), "it ends");
                 current.clear();
-                killed += child.exitValue() == 0 ? 0 : 1;
+                kills += child.exitValue() == 0 ? 0 : 1;
                 assertTrue(round < 200, "kills do not come: " + Files.readString(log));
             }
-            left.set(Integer.MAX_VALUE);
-            assertEquals(0, Main.run("ledger", "export", "--settings", conf.toString(), "--json"));
+            batchesUntilKill.set(Integer.MAX_VALUE);
+            assertEquals(0, Main.run("ledger", "export", "--settings", settingsFile.toString(), "--json"));
             assertNull(receiver.conflict());
-            List<Long> wanted = List.of(total[0], total[1]);
+            List<Long> expected = List.of(expectedTotals[0], expectedTotals[1]);
             assertEquals(
-                    wanted,
+                    expected,
                     StoreProbe.totals(receiver.taken().values().stream()
                             .map(b -> b.getBytes())
                             .toList()));
-            assertEquals(wanted, StoreProbe.totals(StoreProbe.files(out)));
+            assertEquals(expected, StoreProbe.totals(StoreProbe.files(out)));
         }
     }
 }
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -28,7 +28,7 @@
 
 /** The command line: errors are one line and an exit code. */
 class MainTest {
-    private static String run(int code, String... args) {
+    private static String runAndCaptureError(int code, String... args) {
         PrintStream before = System.err;
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         System.setErr(new PrintStream(err));
@@ -37,23 +37,23 @@
         } finally {
             System.setErr(before);
         }
-        String said = err.toString();
-        assertTrue(said.startsWith("nettlewick: ") && said.indexOf('\n') == said.length() - 1, said);
-        return said;
+        String printed = err.toString();
+        assertTrue(printed.startsWith("nettlewick: ") && printed.indexOf('\n') == printed.length() - 1, printed);
+        return printed;
     }
 
     @Test
     void aUsageErrorPrintsOneLineAndExitsWithTwo() {
-        run(2, "nope");
-        run(2, "serve", "--nope");
-        run(2, "replay");
+        runAndCaptureError(2, "nope");
+        runAndCaptureError(2, "serve", "--nope");
+        runAndCaptureError(2, "replay");
     }
 
     @Test
     void anInvalidCaptureFilePrintsOneLineAndExitsWithOne(@TempDir Path dir) throws Exception {
-        Path odd = Files.writeString(dir.resolve("odd"), "x\ny\nz and more than four bytes of it");
-        assertTrue(run(1, "replay", odd.toString()).contains("not a capture file"));
-        run(1, "replay", dir.resolve("none").toString());
+        Path invalidFile = Files.writeString(dir.resolve("odd"), "x\ny\nz and more than four bytes of it");
+        assertTrue(runAndCaptureError(1, "replay", invalidFile.toString()).contains("not a capture file"));
+        runAndCaptureError(1, "replay", dir.resolve("none").toString());
     }
 
     /**
@@ -64,16 +64,16 @@
     void aHangupSignalBeforeTheHandlerIsInstalledIsNotLost() throws Exception {
         ReloadSignal.install();
         Class<?> signal = Class.forName("sun.misc.Signal");
-        Object hup = signal.getConstructor(String.class).newInstance("HUP");
-        signal.getMethod("raise", signal).invoke(null, hup);
-        Semaphore reread = new Semaphore(0);
-        ReloadSignal.onSignal(reread::release);
-        reread.acquire();
-        signal.getMethod("raise", signal).invoke(null, hup);
-        reread.acquire();
+        Object hangup = signal.getConstructor(String.class).newInstance("HUP");
+        signal.getMethod("raise", signal).invoke(null, hangup);
+        Semaphore reloads = new Semaphore(0);
+        ReloadSignal.onSignal(reloads::release);
+        reloads.acquire();
+        signal.getMethod("raise", signal).invoke(null, hangup);
+        reloads.acquire();
     }
 
-    private static String out(int code, String... args) {
+    private static String runAndCaptureOutput(int code, String... args) {
         PrintStream before = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out));
@@ -87,20 +87,22 @@
 
     @Test
     void helpPrintsTheUsageAndExitsWithZero() {
-        assertTrue(out(0, "--help").contains("serve"));
-        String serve = out(0, "serve", "--help");
+        assertTrue(runAndCaptureOutput(0, "--help").contains("serve"));
+        String serve = runAndCaptureOutput(0, "serve", "--help");
         assertTrue(serve.contains("--settings") && !serve.contains("replay"), serve);
-        assertTrue(out(0, "replay", "--help").contains("Usage: replay"), "required arguments may be missing");
+        assertTrue(
+                runAndCaptureOutput(0, "replay", "--help").contains("Usage: replay"),
+                "required arguments may be missing");
     }
 
     /** Deploy files and scripts use the older names. */
     @ParameterizedTest
     @CsvSource({"simulator-adapter, drill", "fleet-test, lab", "warm-up, warm"})
-    void aCommandAnswersToItsNameAndItsAlias(String name, String alias) {
-        String usage = out(0, name, "--help");
+    void aCommandIsFoundByItsNameAndItsAlias(String name, String alias) {
+        String usage = runAndCaptureOutput(0, name, "--help");
         assertTrue(usage.contains("Usage: " + name), usage);
-        assertEquals(usage, out(0, alias, "--help"));
-        assertEquals(run(2, name, "--nope"), run(2, alias, "--nope"));
+        assertEquals(usage, runAndCaptureOutput(0, alias, "--help"));
+        assertEquals(runAndCaptureError(2, name, "--nope"), runAndCaptureError(2, alias, "--nope"));
     }
 
     @Test
@@ -109,17 +111,17 @@
                 dir.resolve("scenario.conf"),
                 "world {\ndispatchers 3\nrunners 2\n}\n"
                         + "load {\nrate 5\nlength 10m\nclass step-view 100% 50ms 500ms\n}\n");
-        String checked = out(0, "fleet-test", "check", scenario.toString());
+        String checked = runAndCaptureOutput(0, "fleet-test", "check", scenario.toString());
         assertFalse(checked.isBlank());
-        assertEquals(checked, out(0, "lab", "check", scenario.toString()));
-        assertEquals(run(2, "fleet-test", "nope"), run(2, "lab", "nope"));
+        assertEquals(checked, runAndCaptureOutput(0, "lab", "check", scenario.toString()));
+        assertEquals(runAndCaptureError(2, "fleet-test", "nope"), runAndCaptureError(2, "lab", "nope"));
     }
 
     @Test
     @Timeout(60)
     void warmingUpEndsWithZeroUnderBothNames() {
-        assertEquals("", out(0, "warm-up"));
-        assertEquals("", out(0, "warm"));
+        assertEquals("", runAndCaptureOutput(0, "warm-up"));
+        assertEquals("", runAndCaptureOutput(0, "warm"));
     }
 
     @Test
@@ -127,8 +129,8 @@
         InputStream before = System.in;
         try {
             System.setIn(InputStream.nullInputStream());
-            assertEquals("", out(0, "simulator-adapter"));
-            assertEquals("", out(0, "drill"));
+            assertEquals("", runAndCaptureOutput(0, "simulator-adapter"));
+            assertEquals("", runAndCaptureOutput(0, "drill"));
         } finally {
             System.setIn(before);
         }
@@ -136,14 +138,17 @@
 
     @Test
     void settingsAreCheckedAndShown(@TempDir Path dir) throws Exception {
-        Path good = Files.writeString(dir.resolve("good"), "log {\nlevel error\n}\n");
-        Path bad = Files.writeString(dir.resolve("bad"), "ledger {\nstore /x\nterm a from 2026-02-01 to 2026-01-01\n}");
-        assertTrue(out(0, "settings", "check", good.toString()).contains("in order"));
-        assertTrue(out(0, "settings", "show", good.toString()).contains("level error"));
-        assertTrue(run(2, "settings", "check", bad.toString()).contains("bad:3: term is"));
-        assertTrue(run(2, "serve", "--settings", bad.toString()).contains("bad:3: term is"));
-        run(2, "settings", "check");
-        run(2, "settings", "check", dir.resolve("none").toString());
+        Path valid = Files.writeString(dir.resolve("good"), "log {\nlevel error\n}\n");
+        Path invalid =
+                Files.writeString(dir.resolve("bad"), "ledger {\nstore /x\nterm a from 2026-02-01 to 2026-01-01\n}");
+        assertTrue(runAndCaptureOutput(0, "settings", "check", valid.toString()).contains("in order"));
+        assertTrue(runAndCaptureOutput(0, "settings", "show", valid.toString()).contains("level error"));
+        assertTrue(
+                runAndCaptureError(2, "settings", "check", invalid.toString()).contains("bad:3: term is"));
+        assertTrue(
+                runAndCaptureError(2, "serve", "--settings", invalid.toString()).contains("bad:3: term is"));
+        runAndCaptureError(2, "settings", "check");
+        runAndCaptureError(2, "settings", "check", dir.resolve("none").toString());
     }
 
     /** A file is read and checked as a whole before any of it is applied. */
@@ -166,35 +171,47 @@
     }
 
     @Test
-    void ledgerCommandsAnswerWithTablesJsonAndExitCodes(@TempDir Path dir) throws Exception {
-        Path conf = Files.writeString(
+    void ledgerCommandsPrintTablesAndJsonAndSetExitCodes(@TempDir Path dir) throws Exception {
+        Path settingsFile = Files.writeString(
                 dir.resolve("c"),
                 "ledger {\nstore \"" + dir.resolve("s")
                         + "\"\nexport f {\n"
                         + "folder \"" + dir.resolve("out") + "\"\n}\n}\n");
-        String[] s = {"--settings", conf.toString()};
-        assertTrue(run(1, "ledger", "verify", s[0], s[1]).contains("no ledger in"));
+        String[] option = {"--settings", settingsFile.toString()};
+        assertTrue(
+                runAndCaptureError(1, "ledger", "verify", option[0], option[1]).contains("no ledger in"));
         StoreProbe.fill(
-                LedgerSettings.of(Settings.read(conf).block("ledger").get()), new java.util.Random(1), 3, new long[2]);
-        assertTrue(out(0, "ledger", "statement", s[0], s[1]).contains("period 2026-11, open at a"));
-        JsonObject all = JsonParser.parseString(out(0, "ledger", "statement", "2026-11", "--json", s[0], s[1]))
+                LedgerSettings.of(Settings.read(settingsFile).block("ledger").get()),
+                new java.util.Random(1),
+                3,
+                new long[2]);
+        assertTrue(runAndCaptureOutput(0, "ledger", "statement", option[0], option[1])
+                .contains("period 2026-11, open at a"));
+        JsonObject json = JsonParser.parseString(
+                        runAndCaptureOutput(0, "ledger", "statement", "2026-11", "--json", option[0], option[1]))
                 .getAsJsonObject();
         assertEquals(
                 "2026-11",
-                all.getAsJsonArray("statements")
+                json.getAsJsonArray("statements")
                         .get(0)
                         .getAsJsonObject()
                         .get("period")
                         .getAsString());
-        assertTrue(out(0, "ledger", "verify", s[0], s[1]).contains("all chains are whole"));
-        assertTrue(out(0, "ledger", "export", "--json", s[0], s[1]).contains("\"entries\":3"));
-        assertTrue(run(2, "ledger", "close", "2999-01", s[0], s[1]).contains("ends at"));
-        assertTrue(run(2, "ledger", "close", "never", s[0], s[1]).contains("no period is called never"));
-        assertTrue(run(2, "ledger", "correct", "a/1/1", "x", s[0], s[1]).contains("slot-milliseconds"));
-        assertTrue(run(2, "ledger", "correct", "a/1/1", "5", "--by", "me", "--reason", "r", s[0], s[1])
+        assertTrue(
+                runAndCaptureOutput(0, "ledger", "verify", option[0], option[1]).contains("all chains are whole"));
+        assertTrue(runAndCaptureOutput(0, "ledger", "export", "--json", option[0], option[1])
+                .contains("\"entries\":3"));
+        assertTrue(runAndCaptureError(2, "ledger", "close", "2999-01", option[0], option[1])
+                .contains("ends at"));
+        assertTrue(runAndCaptureError(2, "ledger", "close", "never", option[0], option[1])
+                .contains("no period is called never"));
+        assertTrue(runAndCaptureError(2, "ledger", "correct", "a/1/1", "x", option[0], option[1])
+                .contains("slot-milliseconds"));
+        assertTrue(runAndCaptureError(
+                        2, "ledger", "correct", "a/1/1", "5", "--by", "me", "--reason", "r", option[0], option[1])
                 .contains("no entry a/1/1"));
-        run(2, "ledger", "nonsense", s[0], s[1]);
-        run(2, "ledger", "reconcile", s[0], s[1]);
-        run(2, "ledger", "statement");
+        runAndCaptureError(2, "ledger", "nonsense", option[0], option[1]);
+        runAndCaptureError(2, "ledger", "reconcile", option[0], option[1]);
+        runAndCaptureError(2, "ledger", "statement");
     }
 }
--- a/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -44,28 +44,28 @@
     private static final int CLIENTS = 9;
     private static final int PIPELINED = 3;
     /** One request in this many on a new connection may be answered by a close. */
-    private static final int MAX_BROKEN_RATIO = 200;
+    private static final int MIN_CONNECTIONS_PER_FAILURE = 200;
 
     @TempDir
     private Path dir;
 
     private final int[] ports = new int[DISPATCHERS];
     private final Process[] dispatchers = new Process[DISPATCHERS];
-    private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
     private final Map<String, AtomicInteger> statuses = new ConcurrentHashMap<>();
-    private final AtomicInteger numbers = new AtomicInteger();
-    private final AtomicInteger newOnes = new AtomicInteger();
-    private final AtomicInteger newBroken = new AtomicInteger();
+    private final AtomicInteger requestCount = new AtomicInteger();
+    private final AtomicInteger newConnections = new AtomicInteger();
+    private final AtomicInteger failedNewConnections = new AtomicInteger();
     private volatile boolean stopped;
 
-    private record Answer(String status, String head) {
-        boolean last() {
+    private record Response(String status, String head) {
+        boolean closesConnection() {
             return head.toLowerCase(Locale.ROOT).contains("\nconnection: close");
         }
     }
 
     /** The next response, or null if the connection ended before its first byte. */
-    private static Answer read(InputStream in) throws IOException {
+    private static Response read(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
@@ -76,7 +76,7 @@
         }
         Matcher length = Pattern.compile("(?i)content-length: (\\d+)").matcher(head);
         in.readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
-        return new Answer(head.substring(9, 12), head.toString());
+        return new Response(head.substring(9, 12), head.toString());
     }
 
     private byte[] request(String id, String... headers) {
@@ -85,15 +85,15 @@
         return bytes.toString().replace("X-Deadline: 4\r", "X-Deadline: 0.9\r").getBytes(StandardCharsets.US_ASCII);
     }
 
-    private String id(int client) {
-        return (client % 2 == 0 ? "mark-" : "view-") + numbers.incrementAndGet();
+    private String nextId(int client) {
+        return (client % 2 == 0 ? "mark-" : "view-") + requestCount.incrementAndGet();
     }
 
-    private void record(Answer answer, String id) {
-        statuses.computeIfAbsent(answer.status(), s -> new AtomicInteger()).incrementAndGet();
-        if (!answer.status().equals("200")
-                && !(answer.status().equals("503") && answer.head().contains("Retry-After"))) {
-            broken.add(id + " got " + answer.head());
+    private void record(Response response, String id) {
+        statuses.computeIfAbsent(response.status(), s -> new AtomicInteger()).incrementAndGet();
+        if (!response.status().equals("200")
+                && !(response.status().equals("503") && response.head().contains("Retry-After"))) {
+            failures.add(id + " got " + response.head());
         }
     }
 
@@ -105,31 +105,31 @@
     }
 
     /** Sends that many requests at once on one connection and reads their responses, as long as it stays open. */
-    private void useOneConnection(int client, int at, int together) {
-        try (Socket socket = connect(at)) {
+    private void useOneConnection(int client, int dispatcher, int batchSize) {
+        try (Socket socket = connect(dispatcher)) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (boolean last = false; !last && !stopped; ) {
-                ByteArrayOutputStream all = new ByteArrayOutputStream();
+            for (boolean isClosing = false; !isClosing && !stopped; ) {
+                ByteArrayOutputStream batch = new ByteArrayOutputStream();
                 List<String> ids = new ArrayList<>();
-                for (int i = 0; i < together; i++) {
-                    ids.add(id(client));
-                    all.write(request(ids.get(i)));
+                for (int i = 0; i < batchSize; i++) {
+                    ids.add(nextId(client));
+                    batch.write(request(ids.get(i)));
                 }
-                socket.getOutputStream().write(all.toByteArray());
+                socket.getOutputStream().write(batch.toByteArray());
                 for (String id : ids) {
-                    Answer answer = null;
+                    Response response = null;
                     try {
-                        answer = read(in);
+                        response = read(in);
                     } catch (IOException e) {
-                        broken.add(id + " of " + ids + " at n" + at + ": " + e);
+                        failures.add(id + " of " + ids + " at n" + dispatcher + ": " + e);
                         return;
                     }
-                    if (answer == null) {
-                        broken.add(id + " of " + ids + " at n" + at + ": closed, no answer");
+                    if (response == null) {
+                        failures.add(id + " of " + ids + " at n" + dispatcher + ": closed, no answer");
                         return;
                     }
-                    record(answer, id);
-                    last = answer.last();
+                    record(response, id);
+                    isClosing = response.closesConnection();
                 }
             }
         } catch (IOException e) {
@@ -138,20 +138,20 @@
         }
     }
 
-    private void useNewConnection(int client, int at) {
-        String id = id(client);
-        try (Socket socket = connect(at)) {
-            newOnes.incrementAndGet();
+    private void useNewConnection(int client, int dispatcher) {
+        String id = nextId(client);
+        try (Socket socket = connect(dispatcher)) {
+            newConnections.incrementAndGet();
             try {
                 socket.getOutputStream().write(request(id, "Connection: close"));
-                Answer answer = read(new BufferedInputStream(socket.getInputStream()));
-                if (answer == null) {
-                    newBroken.incrementAndGet();
+                Response response = read(new BufferedInputStream(socket.getInputStream()));
+                if (response == null) {
+                    failedNewConnections.incrementAndGet();
                 } else {
-                    record(answer, id);
+                    record(response, id);
                 }
             } catch (IOException e) {
-                newBroken.incrementAndGet();
+                failedNewConnections.incrementAndGet();
             }
         } catch (IOException e) {
             pause();
@@ -166,15 +166,15 @@
         }
     }
 
-    private void start(DispatcherOnStubPlatform world, int number) throws IOException {
-        Map<String, Object> config = world.config();
+    private void start(DispatcherOnStubPlatform platform, int number) throws IOException {
+        Map<String, Object> config = platform.config();
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         settings.put("rank", number);
         settings.put("fleet_size", DISPATCHERS);
         List<Map<String, Object>> classes = new ArrayList<>();
-        for (Object one : (List<?>) settings.get("classes")) {
-            Map<String, Object> changed = new HashMap<>((Map<String, Object>) one);
+        for (Object requestClass : (List<?>) settings.get("classes")) {
+            Map<String, Object> changed = new HashMap<>((Map<String, Object>) requestClass);
             changed.put("deadline", 1_000_000_000L);
             classes.add(changed);
         }
@@ -188,13 +188,13 @@
                 "serve");
     }
 
-    private boolean healthy(int number) {
+    private boolean isHealthy(int number) {
         try (Socket socket = connect(number)) {
             socket.getOutputStream()
                     .write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            Answer answer = read(socket.getInputStream());
-            return answer != null && answer.status().equals("200");
+            Response response = read(socket.getInputStream());
+            return response != null && response.status().equals("200");
         } catch (IOException e) {
             return false;
         }
@@ -207,27 +207,27 @@
                 ports[n] = socket.getLocalPort();
             }
         }
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
             for (int r = 0; r < 4; r++) {
-                world.addRunner("s-" + r);
+                platform.addRunner("s-" + r);
             }
             for (int n = 0; n < DISPATCHERS; n++) {
-                start(world, n);
+                start(platform, n);
             }
             for (int n = 0; n < DISPATCHERS; n++) {
-                int one = n;
-                ChildProcess.awaitCondition(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
+                int dispatcher = n;
+                ChildProcess.awaitCondition(dispatchers[n], dir.resolve("log" + n), () -> isHealthy(dispatcher));
             }
             List<Thread> clients = new ArrayList<>();
             for (int c = 0; c < CLIENTS; c++) {
                 int client = c;
                 Thread t = new Thread(
                         () -> {
-                            for (int at = client / 3; !stopped; at++) {
+                            for (int turn = client / 3; !stopped; turn++) {
                                 switch (client % 3) {
-                                    case 0 -> useOneConnection(client, at % DISPATCHERS, 1);
-                                    case 1 -> useOneConnection(client, at % DISPATCHERS, PIPELINED);
-                                    default -> useNewConnection(client, at % DISPATCHERS);
+                                    case 0 -> useOneConnection(client, turn % DISPATCHERS, 1);
+                                    case 1 -> useOneConnection(client, turn % DISPATCHERS, PIPELINED);
+                                    default -> useNewConnection(client, turn % DISPATCHERS);
                                 }
                             }
                         },
@@ -236,30 +236,30 @@
                 clients.add(t);
             }
             for (int n = 0; n < DISPATCHERS; n++) {
-                int one = n;
-                int before = numbers.get();
-                DispatcherOnStubPlatform.until(() -> numbers.get() > before + 200);
+                int dispatcher = n;
+                int before = requestCount.get();
+                DispatcherOnStubPlatform.until(() -> requestCount.get() > before + 200);
                 dispatchers[n].destroy();
                 assertTrue(dispatchers[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not ended");
-                start(world, n);
-                ChildProcess.awaitCondition(dispatchers[n], dir.resolve("log" + n), () -> healthy(one));
+                start(platform, n);
+                ChildProcess.awaitCondition(dispatchers[n], dir.resolve("log" + n), () -> isHealthy(dispatcher));
             }
             stopped = true;
             for (Thread t : clients) {
                 t.join();
             }
-            assertEquals(List.of(), List.copyOf(broken), statuses::toString);
+            assertEquals(List.of(), List.copyOf(failures), statuses::toString);
             assertTrue(
-                    newBroken.get() <= newOnes.get() / MAX_BROKEN_RATIO,
-                    newBroken + " of " + newOnes + " on new connections");
+                    failedNewConnections.get() <= newConnections.get() / MIN_CONNECTIONS_PER_FAILURE,
+                    failedNewConnections + " of " + newConnections + " on new connections");
             assertTrue(statuses.get("200").get() > 300, statuses::toString);
-            world.runs.forEach(
+            platform.runs.forEach(
                     (id, runs) -> assertTrue(!id.startsWith("mark") || runs.get() <= 1, id + " ran " + runs));
         }
     }
 
     @AfterEach
-    void end() {
+    void stopAll() {
         stopped = true;
         for (Process p : dispatchers) {
             if (p != null) {
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -27,7 +27,7 @@
     private Process dispatcher;
 
     @AfterEach
-    void end() {
+    void killDispatcher() {
         if (dispatcher != null) {
             dispatcher.destroyForcibly();
         }
@@ -41,7 +41,7 @@
                         .waitFor());
     }
 
-    private static boolean healthy(int port) {
+    private static boolean isHealthy(int port) {
         try (RawClient client = new RawClient(port)) {
             return client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
                             .read()
@@ -54,33 +54,35 @@
 
     /** Neither a reload nor a second SIGTERM may cut a graceful shutdown short. */
     @Test
-    void aGracefulShutdownAnswersAllRequestsThoughSignalsCross() throws Exception {
+    void repeatedSignalsDoNotCutAGracefulShutdownShort() throws Exception {
         int port = ReservedPorts.reserve();
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1");
-            Map<String, Object> config = world.config();
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
+            platform.addRunner("s-1");
+            Map<String, Object> config = platform.config();
             config.put("listen", "127.0.0.1:" + port);
             Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
             dispatcher = ChildProcess.start(
                     dir.resolve("log"),
                     Map.of("ROUTER_CONFIG", file.toString(), "JAVA_TOOL_OPTIONS", "-Djava.io.tmpdir=" + dir),
                     "serve");
-            ChildProcess.awaitCondition(dispatcher, dir.resolve("log"), () -> healthy(port));
-            try (RawClient working = new RawClient(port);
-                    RawClient kept = new RawClient(port)) {
+            ChildProcess.awaitCondition(dispatcher, dir.resolve("log"), () -> isHealthy(port));
+            try (RawClient busy = new RawClient(port);
+                    RawClient keepAlive = new RawClient(port)) {
                 assertEquals(
                         "r-k1",
-                        kept.send(DispatcherOnStubPlatform.job("/api", "k1", "step-view", "10"))
+                        keepAlive
+                                .send(DispatcherOnStubPlatform.job("/api", "k1", "step-view", "10"))
                                 .read()
                                 .body());
-                working.send(DispatcherOnStubPlatform.job("/api", "w", "mark-submit", "1200"));
-                DispatcherOnStubPlatform.until(() -> world.seen.size() == 2);
+                busy.send(DispatcherOnStubPlatform.job("/api", "w", "mark-submit", "1200"));
+                DispatcherOnStubPlatform.until(() -> platform.seen.size() == 2);
                 for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
                     signal(signal);
                 }
                 assertEquals(
                         "r-k2",
-                        kept.send(DispatcherOnStubPlatform.job("/api", "k2", "step-view", "10"))
+                        keepAlive
+                                .send(DispatcherOnStubPlatform.job("/api", "k2", "step-view", "10"))
                                 .read()
                                 .body());
                 try (RawClient late = new RawClient(port)) {
@@ -90,12 +92,12 @@
                                     .read()
                                     .body());
                 }
-                assertEquals("r-w", working.read().body());
-                assertNull(kept.read(), "closed, not reset");
+                assertEquals("r-w", busy.read().body());
+                assertNull(keepAlive.read(), "closed, not reset");
             }
             assertTrue(dispatcher.waitFor(15, TimeUnit.SECONDS), "it has not ended");
             assertEquals(0, dispatcher.exitValue());
-            world.runs.forEach((id, runs) -> assertEquals(1, runs.get(), id));
+            platform.runs.forEach((id, runs) -> assertEquals(1, runs.get(), id));
         }
     }
 }
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -22,32 +22,33 @@
 @Timeout(60)
 class ClientWireGoldenTest {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-    private DispatcherOnStubPlatform world;
-    private DispatcherServer node;
+    private DispatcherOnStubPlatform platform;
+    private DispatcherServer dispatcher;
 
     @BeforeEach
-    void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
+    void startPlatform() throws Exception {
+        platform = new DispatcherOnStubPlatform();
     }
 
     @AfterEach
-    void close() {
-        world.close();
+    void closePlatform() {
+        platform.close();
     }
 
-    private int start() throws Exception {
-        world.addRunner("s-1");
-        Map<String, Object> config = world.config();
+    private int startDispatcher() throws Exception {
+        platform.addRunner("s-1");
+        Map<String, Object> config = platform.config();
         config.put("admin_addr", "127.0.0.1:0");
-        node = world.start(config);
-        int port = node.ports().get(0);
-        until(() -> answers(port, HEALTH).startsWith("HTTP/1.1 200")
-                && node.adminPort() > 0
-                && answers(node.adminPort(), call("GET", "/-/ready")).startsWith("HTTP/1.1 200"));
+        dispatcher = platform.start(config);
+        int port = dispatcher.ports().get(0);
+        until(() -> tryExchange(port, HEALTH).startsWith("HTTP/1.1 200")
+                && dispatcher.adminPort() > 0
+                && tryExchange(dispatcher.adminPort(), adminRequest("GET", "/-/ready"))
+                        .startsWith("HTTP/1.1 200"));
         return port;
     }
 
-    private static String answers(int port, String bytes) {
+    private static String tryExchange(int port, String bytes) {
         try {
             return exchange(port, bytes);
         } catch (IOException e) {
@@ -55,15 +56,15 @@
         }
     }
 
-    private static String call(String method, String path) {
+    private static String adminRequest(String method, String path) {
         return method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     }
 
-    private static String post(String id, String jobClass, String body, String... headers) {
-        return job("/api", id, jobClass, body, headers).toString();
+    private static String apiRequest(String id, String requestClass, String body, String... headers) {
+        return job("/api", id, requestClass, body, headers).toString();
     }
 
-    private static String all(int port, Map<String, String> requests) throws IOException {
+    private static String exchangeAll(int port, Map<String, String> requests) throws IOException {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, String> request : requests.entrySet()) {
             text.append(entry(request.getKey(), exchange(port, request.getValue())));
@@ -72,96 +73,98 @@
     }
 
     @Test
-    void answersToRequestsInOrder() throws Exception {
-        int port = start();
+    void responsesToValidRequestsAreAsRecorded() throws Exception {
+        int port = startDispatcher();
         Map<String, String> requests = new LinkedHashMap<>();
         requests.put("health", HEALTH);
         requests.put("health by HEAD", HEALTH.replace("GET", "HEAD"));
         requests.put("health by POST", HEALTH.replace("GET", "POST"));
         requests.put("health, last on its connection", HEALTH.replace("x\r\n", "x\r\nConnection: close\r\n"));
-        requests.put("served", post("a", "step-view", "{}"));
-        requests.put("served, last on its connection", post("b", "mark-submit", "{}", "Connection: close"));
-        requests.put("served over HTTP/1.0", post("c", "step-view", "{}").replace("HTTP/1.1", "HTTP/1.0"));
-        StringBuilder text = new StringBuilder(all(port, requests));
-        world.instead = request -> request.response()
+        requests.put("served", apiRequest("a", "step-view", "{}"));
+        requests.put("served, last on its connection", apiRequest("b", "mark-submit", "{}", "Connection: close"));
+        requests.put("served over HTTP/1.0", apiRequest("c", "step-view", "{}").replace("HTTP/1.1", "HTTP/1.0"));
+        StringBuilder text = new StringBuilder(exchangeAll(port, requests));
+        platform.instead = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
-        text.append(entry("rejected", exchange(port, post("d", "mark-submit", ""))));
-        world.instead = request -> request.connection().close();
-        text.append(entry("failed", exchange(port, post("e", "mark-submit", ""))));
-        world.instead = request -> request.response().setStatusCode(500).end();
-        text.append(entry("an error of the runner", exchange(port, post("f", "mark-submit", ""))));
-        world.instead = request -> {};
+        text.append(entry("rejected", exchange(port, apiRequest("d", "mark-submit", ""))));
+        platform.instead = request -> request.connection().close();
+        text.append(entry("failed", exchange(port, apiRequest("e", "mark-submit", ""))));
+        platform.instead = request -> request.response().setStatusCode(500).end();
+        text.append(entry("an error of the runner", exchange(port, apiRequest("f", "mark-submit", ""))));
+        platform.instead = request -> {};
         text.append(entry(
                 "past its deadline",
-                exchange(port, post("g", "mark-submit", "").replace("X-Deadline: 4", "X-Deadline: 0.4"))));
+                exchange(port, apiRequest("g", "mark-submit", "").replace("X-Deadline: 4", "X-Deadline: 0.4"))));
         text.append(entry(
                 "no time at all",
-                exchange(port, post("h", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0"))));
-        exchange(node.adminPort(), call("POST", "/-/drain"));
+                exchange(port, apiRequest("h", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0"))));
+        exchange(dispatcher.adminPort(), adminRequest("POST", "/-/drain"));
         text.append(entry("health while draining", exchange(port, HEALTH)));
-        world.instead = null;
-        text.append(entry("served while draining", exchange(port, post("i", "step-view", ""))));
+        platform.instead = null;
+        text.append(entry("served while draining", exchange(port, apiRequest("i", "step-view", ""))));
         assertMatches("wire/client-answers.txt", text.toString());
     }
 
     @Test
-    void answersWithoutAList() throws Exception {
-        Map<String, Object> config = world.config();
+    void responsesWithoutAnEndpointListAreAsRecorded() throws Exception {
+        Map<String, Object> config = platform.config();
         config.put("discovery", "127.0.0.1:1");
-        int port = world.start(config).ports().get(0);
+        int port = platform.start(config).ports().get(0);
         Map<String, String> requests = new LinkedHashMap<>();
         requests.put("health", HEALTH);
-        requests.put("a job", post("a", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0.5"));
-        assertMatches("wire/client-without-list.txt", all(port, requests));
+        requests.put("a job", apiRequest("a", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0.5"));
+        assertMatches("wire/client-without-list.txt", exchangeAll(port, requests));
     }
 
     @Test
-    void answersToBadRequests() throws Exception {
-        int port = start();
-        String good = post("1", "step-view", "");
-        Map<String, String> bad = new LinkedHashMap<>();
-        bad.put("nonsense", "NONSENSE\r\n\r\n");
-        bad.put("another path", good.replace("/api", "/other"));
-        bad.put("a path that only begins alike", good.replace("/api", "/apiary"));
-        bad.put("a job by GET", call("GET", "/api"));
-        bad.put("too long a body", post("1", "step-view", "x".repeat(64 * 1024 + 1)));
-        bad.put("an unknown class", good.replace("step-view", "no-class"));
+    void responsesToInvalidRequestsAreAsRecorded() throws Exception {
+        int port = startDispatcher();
+        String validRequest = apiRequest("1", "step-view", "");
+        Map<String, String> invalidRequests = new LinkedHashMap<>();
+        invalidRequests.put("nonsense", "NONSENSE\r\n\r\n");
+        invalidRequests.put("another path", validRequest.replace("/api", "/other"));
+        invalidRequests.put("a path that only begins alike", validRequest.replace("/api", "/apiary"));
+        invalidRequests.put("a job by GET", adminRequest("GET", "/api"));
+        invalidRequests.put("too long a body", apiRequest("1", "step-view", "x".repeat(64 * 1024 + 1)));
+        invalidRequests.put("an unknown class", validRequest.replace("step-view", "no-class"));
         for (String header : new String[] {"X-Request-Id", "X-Class", "X-Deadline"}) {
-            bad.put("without " + header, good.replaceAll(header + ": [^\r]*\r\n", ""));
-            bad.put("twice " + header, post("1", "step-view", "", header + ": 2"));
-            bad.put("blank " + header, good.replaceAll(header + ": [^\r]*\r\n", header + ": \r\n"));
+            invalidRequests.put("without " + header, validRequest.replaceAll(header + ": [^\r]*\r\n", ""));
+            invalidRequests.put("twice " + header, apiRequest("1", "step-view", "", header + ": 2"));
+            invalidRequests.put("blank " + header, validRequest.replaceAll(header + ": [^\r]*\r\n", header + ": \r\n"));
         }
         for (String number : new String[] {"5d", "-1", "1e3", "3601", "0x1"}) {
-            bad.put("deadline " + number, good.replace("X-Deadline: 4", "X-Deadline: " + number));
-            bad.put("hint " + number, post("1", "step-view", "", "X-Cost-Hint: " + number + "z"));
+            invalidRequests.put("deadline " + number, validRequest.replace("X-Deadline: 4", "X-Deadline: " + number));
+            invalidRequests.put("hint " + number, apiRequest("1", "step-view", "", "X-Cost-Hint: " + number + "z"));
         }
-        bad.put("too long an id", good.replace("Id: 1", "Id: " + "i".repeat(257)));
-        bad.put("an id that is not ASCII", good.replace("Id: 1", "Id: \u00e9"));
-        bad.put("a key that is not ASCII", post("1", "step-view", "", "Idempotency-Key: \u00e9"));
-        bad.put("a blank key", post("1", "step-view", "", "Idempotency-Key: "));
-        bad.put("memory below 0", post("1", "step-view", "", "X-Extras: mem=-1"));
-        bad.put("a path that is not ASCII", good.replace("/api", "/api/\u00e9"));
-        bad.put("another version", good.replace("HTTP/1.1", "HTTP/2.0"));
-        bad.put("two lengths", post("1", "step-view", "", "Content-Length: 0"));
-        bad.put("a length that is no number", good.replace("Length: 0", "Length: +0"));
-        bad.put("a length beyond all numbers", good.replace("Length: 0", "Length: 9999999999999999999999"));
-        bad.put("length and chunks", post("1", "step-view", "", "Transfer-Encoding: chunked"));
-        bad.put("an unknown coding", good.replace("Content-Length: 0", "Transfer-Encoding: gzip"));
-        bad.put("a bad chunk", good.replace("Content-Length: 0", "Transfer-Encoding: chunked") + "zz\r\n");
-        bad.put("a header name with a blank", post("1", "step-view", "", "X-Odd : 2"));
-        bad.put("a control character", post("1", "step-view", "", "X-Odd: a\u0001b"));
-        bad.put("too long a head", post("1", "step-view", "", "X-Odd: " + "x".repeat(70_000)));
-        bad.put("too long a line", good.replace("/api", "/api/" + "x".repeat(70_000)));
-        assertMatches("wire/client-errors.txt", all(port, bad));
+        invalidRequests.put("too long an id", validRequest.replace("Id: 1", "Id: " + "i".repeat(257)));
+        invalidRequests.put("an id that is not ASCII", validRequest.replace("Id: 1", "Id: \u00e9"));
+        invalidRequests.put("a key that is not ASCII", apiRequest("1", "step-view", "", "Idempotency-Key: \u00e9"));
+        invalidRequests.put("a blank key", apiRequest("1", "step-view", "", "Idempotency-Key: "));
+        invalidRequests.put("memory below 0", apiRequest("1", "step-view", "", "X-Extras: mem=-1"));
+        invalidRequests.put("a path that is not ASCII", validRequest.replace("/api", "/api/\u00e9"));
+        invalidRequests.put("another version", validRequest.replace("HTTP/1.1", "HTTP/2.0"));
+        invalidRequests.put("two lengths", apiRequest("1", "step-view", "", "Content-Length: 0"));
+        invalidRequests.put("a length that is no number", validRequest.replace("Length: 0", "Length: +0"));
+        invalidRequests.put(
+                "a length beyond all numbers", validRequest.replace("Length: 0", "Length: 9999999999999999999999"));
+        invalidRequests.put("length and chunks", apiRequest("1", "step-view", "", "Transfer-Encoding: chunked"));
+        invalidRequests.put("an unknown coding", validRequest.replace("Content-Length: 0", "Transfer-Encoding: gzip"));
+        invalidRequests.put(
+                "a bad chunk", validRequest.replace("Content-Length: 0", "Transfer-Encoding: chunked") + "zz\r\n");
+        invalidRequests.put("a header name with a blank", apiRequest("1", "step-view", "", "X-Odd : 2"));
+        invalidRequests.put("a control character", apiRequest("1", "step-view", "", "X-Odd: a\u0001b"));
+        invalidRequests.put("too long a head", apiRequest("1", "step-view", "", "X-Odd: " + "x".repeat(70_000)));
+        invalidRequests.put("too long a line", validRequest.replace("/api", "/api/" + "x".repeat(70_000)));
+        assertMatches("wire/client-errors.txt", exchangeAll(port, invalidRequests));
     }
 
     @Test
-    void answersToOperators() throws Exception {
-        start();
-        int port = node.adminPort();
-        Map<String, String> calls = new LinkedHashMap<>();
+    void responsesToAdminRequestsAreAsRecorded() throws Exception {
+        startDispatcher();
+        int port = dispatcher.adminPort();
+        Map<String, String> adminRequests = new LinkedHashMap<>();
         for (String line : new String[] {
             "GET /-/ready",
             "POST /-/ready",
@@ -180,20 +183,20 @@
             "POST /-/resume",
             "GET /-/resume"
         }) {
-            calls.put(line, call(line.split(" ")[0], line.split(" ")[1]));
+            adminRequests.put(line, adminRequest(line.split(" ")[0], line.split(" ")[1]));
         }
-        calls.put(
+        adminRequests.put(
                 "a body that is too long",
                 "POST /-/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 4097\r\n\r\n" + "x".repeat(4097));
-        assertMatches("wire/operators.txt", all(port, calls));
-        String figures = exchange(port, call("GET", "/-/metrics"));
-        int body = figures.indexOf("\r\n\r\n") + 4;
+        assertMatches("wire/operators.txt", exchangeAll(port, adminRequests));
+        String metrics = exchange(port, adminRequest("GET", "/-/metrics"));
+        int bodyStart = metrics.indexOf("\r\n\r\n") + 4;
         String names = Arrays.stream(
-                        figures.substring(body).replace("[end]", "").split("\n"))
+                        metrics.substring(bodyStart).replace("[end]", "").split("\n"))
                 .map(line -> line.replaceFirst("=.*", ""))
                 .sorted()
                 .collect(Collectors.joining("\n", "", "\n"));
-        String head = figures.substring(0, body).replaceAll("(?i)(content-length: )\\d+", "$1#");
+        String head = metrics.substring(0, bodyStart).replaceAll("(?i)(content-length: )\\d+", "$1#");
         assertMatches("wire/figure-names.txt", entry("head", head) + "== names\n" + names);
     }
 }
--- a/src/test/java/nettlewick/golden/GoldenFolder.java
+++ b/src/test/java/nettlewick/golden/GoldenFolder.java
@@ -15,33 +15,34 @@
     private GoldenFolder() {}
 
     /** Copies a recorded folder, so that a test may write to it. */
-    public static void copy(String name, Path to) throws IOException {
-        Files.createDirectories(to);
+    public static void copy(String name, Path target) throws IOException {
+        Files.createDirectories(target);
         for (Path file : files(GoldenFile.recorded(name))) {
-            Files.copy(file, to.resolve(file.getFileName()));
+            Files.copy(file, target.resolve(file.getFileName()));
         }
     }
 
     /** Records a folder as its files stand, whoever still holds them; those whose name has this end are left out. */
-    public static void record(Path from, String name, String leftOut) throws IOException {
-        Path to = GoldenFile.recorded(name);
-        Files.createDirectories(to);
-        for (Path old : files(to)) {
+    public static void record(Path source, String name, String excludedSuffix) throws IOException {
+        Path target = GoldenFile.recorded(name);
+        Files.createDirectories(target);
+        for (Path old : files(target)) {
             Files.delete(old);
         }
-        for (Path file : files(from)) {
-            if (!file.toString().endsWith(leftOut)) {
-                byte[] kept = spool(file) ? shortened(Files.readAllBytes(file)) : Files.readAllBytes(file);
-                Files.write(to.resolve(file.getFileName()), kept);
+        for (Path file : files(source)) {
+            if (!file.toString().endsWith(excludedSuffix)) {
+                byte[] content =
+                        isSpoolFile(file) ? trimTrailingZeros(Files.readAllBytes(file)) : Files.readAllBytes(file);
+                Files.write(target.resolve(file.getFileName()), content);
             }
         }
     }
 
-    private static boolean spool(Path file) {
+    private static boolean isSpoolFile(Path file) {
         return file.getFileName().toString().startsWith("spool-");
     }
 
-    private static byte[] shortened(byte[] bytes) {
+    private static byte[] trimTrailingZeros(byte[] bytes) {
         int used = bytes.length;
         while (used > 0 && bytes[used - 1] == 0) {
             used--;
--- a/src/test/java/nettlewick/golden/RecordingServer.java
+++ b/src/test/java/nettlewick/golden/RecordingServer.java
@@ -17,10 +17,10 @@
 final class RecordingServer implements AutoCloseable {
     /** What to answer; the socket may be closed in place of an answer. */
     interface Script {
-        void take(String request, Socket socket) throws IOException;
+        void respond(String request, Socket socket) throws IOException;
     }
 
-    private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)");
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)");
 
     /** Requests in the order in which they came whole, a character for each byte. */
     final List<String> requests = new CopyOnWriteArrayList<>();
@@ -31,14 +31,14 @@
 
     RecordingServer(Script script) throws IOException {
         this.script = script;
-        background(this::accept);
+        startDaemon(this::accept);
     }
 
     int port() {
         return listener.getLocalPort();
     }
 
-    private static void background(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "recording-server");
         thread.setDaemon(true);
         thread.start();
@@ -49,7 +49,7 @@
             while (true) {
                 Socket socket = listener.accept();
                 accepted.add(socket);
-                background(() -> read(socket));
+                startDaemon(() -> read(socket));
             }
         } catch (IOException e) {
             // The test is over.
@@ -68,13 +68,13 @@
                     }
                     request.append((char) b);
                 }
-                Matcher length = LENGTH.matcher(request);
+                Matcher length = CONTENT_LENGTH.matcher(request);
                 if (length.find()) {
                     request.append(
                             new String(in.readNBytes(Integer.parseInt(length.group(1))), StandardCharsets.ISO_8859_1));
                 }
                 requests.add(request.toString());
-                script.take(request.toString(), socket);
+                script.respond(request.toString(), socket);
             }
         } catch (IOException e) {
             // The other side has gone.
--- a/src/test/java/nettlewick/golden/WireText.java
+++ b/src/test/java/nettlewick/golden/WireText.java
@@ -11,8 +11,8 @@
 
 /** Bytes of a socket as a text in which every byte can be seen, and answers read from sockets to their end. */
 public final class WireText {
-    private static final int PATIENCE = 15_000;
-    private static final Pattern LENGTH = Pattern.compile("\r\ncontent-length: *(\\d+)");
+    private static final int READ_TIMEOUT_MILLIS = 15_000;
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("\r\ncontent-length: *(\\d+)");
 
     private WireText() {}
 
@@ -42,35 +42,36 @@
     /** Sends bytes on a new connection and reads one answer; says whether the connection ends with it. */
     public static String exchange(int port, String bytes) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout(PATIENCE);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            StringBuilder got = new StringBuilder();
-            while (got.indexOf("\r\n\r\n") < 0) {
+            StringBuilder response = new StringBuilder();
+            while (response.indexOf("\r\n\r\n") < 0) {
                 int b = in.read();
                 if (b < 0) {
-                    return got + "[end]";
+                    return response + "[end]";
                 }
-                got.append((char) b);
+                response.append((char) b);
             }
-            String head = got.toString().toLowerCase(Locale.ROOT);
-            Matcher length = LENGTH.matcher(head);
+            String head = response.toString().toLowerCase(Locale.ROOT);
+            Matcher length = CONTENT_LENGTH.matcher(head);
             if (length.find() && !bytes.startsWith("HEAD ")) {
-                got.append(new String(in.readNBytes(Integer.parseInt(length.group(1))), StandardCharsets.ISO_8859_1));
+                response.append(
+                        new String(in.readNBytes(Integer.parseInt(length.group(1))), StandardCharsets.ISO_8859_1));
             }
             while (head.contains("transfer-encoding: chunked")
-                    && !got.toString().endsWith("\r\n0\r\n\r\n")) {
+                    && !response.toString().endsWith("\r\n0\r\n\r\n")) {
                 int b = in.read();
                 if (b < 0) {
-                    return got + "[cut off]";
+                    return response + "[cut off]";
                 }
-                got.append((char) b);
+                response.append((char) b);
             }
             if (head.contains("connection: close")) {
-                got.append(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1))
+                response.append(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1))
                         .append("[end]");
             }
-            return got.toString();
+            return response.toString();
         }
     }
 
