--- a/src/test/java/nettlewick/ArchitectureTest.java
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -28,13 +28,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What each package may depend on, and what keeps the decision module pure. */
+/** Dependency rules between packages; the decision module must not use I/O, clocks or unseeded randomness. */
 @AnalyzeClasses(packages = "nettlewick", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String DECISION = "nettlewick.decision..";
     private static final Path DECISION_SOURCES = Path.of("src/main/java/nettlewick/decision");
 
-    /** Files of the decision module that hold messages, records or collections and decide nothing. */
+    /** Files of the decision module that hold messages, records or collections and make no decisions. */
     private static final Set<String> FILES_WITHOUT_POLICY = Set.of(
             "Action.java",
             "ActionBatch.java",
@@ -142,7 +142,7 @@
             .whereLayer("decision")
             .mayOnlyBeAccessedByLayers("cli", "fronts", "net", "core");
 
-    /** Each file of the module either decides and is named under {@code policy}, or is listed above. */
+    /** Each file of the decision module is either listed under {@code policy} in balancer.toml or listed above. */
     @Test
     void everyPolicyFileIsListedInTheSettings() throws IOException {
         Matcher policy =
--- a/src/test/java/nettlewick/ConcurrentCallers.java
+++ b/src/test/java/nettlewick/ConcurrentCallers.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** Runs one task on more threads than there are cores, so that each is preempted between any two of its steps. */
+/** Runs a task on more threads than there are cores, so that threads are preempted at any point of it. */
 public final class ConcurrentCallers {
     private static final int THREADS_PER_CORE = 4;
 
     private ConcurrentCallers() {}
 
-    /** Runs the task once on each thread and returns all results together. */
+    /** Runs the task once on each thread and returns the concatenated results. */
     public static <T> List<T> runOnEach(Callable<List<T>> task) throws Exception {
         int threads = THREADS_PER_CORE * Runtime.getRuntime().availableProcessors();
         ExecutorService executor = Executors.newFixedThreadPool(threads);
--- a/src/test/java/nettlewick/KnownRedExtension.java
+++ b/src/test/java/nettlewick/KnownRedExtension.java
@@ -11,11 +11,11 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Lets the build pass over failures of the tests that {@code KNOWN-RED.txt} names, and prints each of them.
+ * Tolerates failures of the tests that are listed in {@code KNOWN-RED.txt}, and prints each of them.
  *
  * <p>The tests still run: one that passes counts as passed, and one that fails is reported as aborted, with its failure
- * as the cause. A test is named as {@code Class.method} at the beginning of a line. Registered for every test by
- * {@code META-INF/services}.
+ * as the cause. An entry starts with {@code Class.method} at the beginning of a line. The extension is registered for
+ * every test through {@code META-INF/services}.
  */
 public final class KnownRedExtension implements TestExecutionExceptionHandler {
     private static final Path LIST = Path.of("KNOWN-RED.txt");
@@ -32,7 +32,7 @@
         throw new TestAbortedException("known red: " + entry.get(), failure);
     }
 
-    /** The line of the list that begins with this test's name. */
+    /** Finds the line of the list that begins with this test's full name. */
     static Optional<String> findEntry(String test, String list) {
         Pattern entry = Pattern.compile("^" + Pattern.quote(test) + "(?!\\w).*");
         return list.lines().filter(line -> entry.matcher(line).matches()).findFirst();
--- a/src/test/java/nettlewick/KnownRedExtensionTest.java
+++ b/src/test/java/nettlewick/KnownRedExtensionTest.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** How an entry of the list is matched with a test. */
+/** How tests are matched with entries of the list. */
 class KnownRedExtensionTest {
     private static final String LIST = "# heading\nFooTest.failsUnderLoad | seen once | issue 1\n";
 
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -15,11 +15,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Files stay short, and nothing in the program is fitted to one site. */
+/** Source files stay within the line limit and contain nothing specific to one site. */
 class LayoutTest {
     private static final Path MAIN = Path.of("src/main/java/nettlewick");
 
-    /** The files over {@link #MAX_LINES} lines that are not split yet. This list may only grow shorter. */
+    /** Files that still exceed {@link #MAX_LINES} lines. Entries may only be removed. */
     private static final Set<String> OVERLONG_FILES = Set.of(
             "ledger/Store.java",
             "ledger/Ledger.java",
@@ -40,11 +40,10 @@
                 }
             }
         }
-        assertEquals(
-                new TreeSet<>(OVERLONG_FILES), overLimit, "a file that has been split leaves the list, none joins it");
+        assertEquals(new TreeSet<>(OVERLONG_FILES), overLimit, "remove files that were split from the list; add none");
     }
 
-    /** Names that belong to a site stand in its settings alone: nothing is fitted to one deployment. */
+    /** Site names appear only in the settings of that site, so that the program does not depend on one deployment. */
     @Test
     void sourcesAndSharedSettingsContainNoSiteNames() throws IOException {
         Set<String> names = new TreeSet<>();
@@ -67,7 +66,7 @@
         for (Path file : checkedFiles) {
             String text = Files.readString(file);
             for (String name : names) {
-                assertTrue(!text.contains(name), file + " names " + name);
+                assertTrue(!text.contains(name), file + " contains the site name " + name);
             }
         }
     }
--- a/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several real processes as on a site whose jobs run for seconds, whose list is asked for and whose runners
- * hang: against stand-ins on loopback, by counts and rules.
+ * Several real dispatcher processes with the settings of a site where requests run for seconds, the endpoint list is
+ * polled, and endpoints hang. Discovery and the endpoints are stubs on loopback.
  */
 @Timeout(90)
 class AlternativeSettingsProcessTest {
@@ -78,7 +78,7 @@
                 "zone");
     }
 
-    /** Settings of a site whose endpoint list is polled and whose requests run long, for one of several dispatchers. */
+    /** The configuration of one of several dispatchers, with a polled endpoint list and long-running requests. */
     private Map<String, Object> config(int rank, int fleetSize, int port) {
         Map<String, Object> config = platform.config();
         @SuppressWarnings("unchecked")
@@ -111,7 +111,7 @@
         return process;
     }
 
-    /** The response on a new connection; empty if it broke. */
+    /** The response on a new connection; empty if the connection failed. */
     private static String exchange(int port, String bytes) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
@@ -157,7 +157,7 @@
         platform.runs.forEach((id, runs) -> assertTrue(!id.contains("mark") || runs.get() <= 1, id + " ran " + runs));
     }
 
-    /** Requests that run for seconds survive the end of the old process. */
+    /** Requests that run for seconds are not lost when the old process ends. */
     @Test
     void aHotRestartLosesNoRequestThatARetrySaves() throws Exception {
         for (int i = 0; i < 4; i++) {
@@ -170,7 +170,7 @@
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         AtomicInteger finishedRequests = new AtomicInteger();
         Process successor = start(config(0, 1, port), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admin));
-        // One job after another from eight clients: what is refused comes again, under a new id, as clients do.
+        // Eight clients send requests one after another, and retry a rejected one under a new id, as real clients do.
         for (int c = 0; c < 8; c++) {
             int client = c;
             clients.add(CompletableFuture.runAsync(() -> {
@@ -222,7 +222,7 @@
         for (int port : ports) {
             DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
         }
-        // From now on discovery takes calls and says nothing.
+        // From now on discovery accepts requests and never responds.
         platform.discoveryInstead = request -> {};
         platform.breakWatches();
         Random random = new Random(29);
@@ -239,7 +239,9 @@
                     String id = (c % 2 == 0 ? "mark-" : "view-") + requestCount.incrementAndGet();
                     clients.add(CompletableFuture.runAsync(() -> {
                         String status = sendRequest(port, id, id.startsWith("mark") ? "mark-submit" : "step-view", 300);
-                        assertTrue(isKilled || !status.equals("broken"), id + " at a living one: " + status);
+                        assertTrue(
+                                isKilled || !status.equals("broken"),
+                                id + " at a dispatcher that was not killed: " + status);
                     }));
                 }
             }
@@ -263,7 +265,10 @@
         assertEquals(0, count("502"));
     }
 
-    /** An endpoint that accepts requests and answers none is found by missing starts and progress and by probes. */
+    /**
+     * An endpoint that accepts requests and never responds is found by missing start and progress reports and by
+     * probes.
+     */
     @Test
     void aHungEndpointGetsFewRequestsAndNoNonIdempotentOneIsRetried() throws Exception {
         for (int i = 0; i < 5; i++) {
@@ -299,8 +304,8 @@
         CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(60, TimeUnit.SECONDS);
         List<String> sentToHung =
                 platform.seen.stream().filter(s -> s.startsWith("s-2 ")).toList();
-        assertTrue(sentToHung.size() <= 45, sentToHung.size() + " of 264 jobs went to the hung runner");
-        assertEquals(240, servedIdempotent.get(), "each safe job was answered, with no deadline waited for");
+        assertTrue(sentToHung.size() <= 45, sentToHung.size() + " of 264 requests went to the hung endpoint");
+        assertEquals(240, servedIdempotent.get(), "every idempotent request is served before its deadline");
         for (String line : sentToHung) {
             String id = line.split(" ")[3];
             long attempts = platform.seen.stream()
@@ -311,7 +316,7 @@
         assertNoNonIdempotentRequestRanTwice();
     }
 
-    /** The endpoint list comes late, is rejected and is cut off while endpoints drain. */
+    /** Polls of the endpoint list time out, are rejected or lose their connection while an endpoint starts draining. */
     @Test
     void aFailedEndpointListPollIsRetriedAndDrainingEndpointsAreRemembered() throws Exception {
         for (int i = 0; i < 4; i++) {
@@ -329,20 +334,23 @@
             DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
             assertEquals("200", sendRequest(port, "view-first-" + port, "step-view", 10));
         }
-        // Refused, cut off or never answered by turns; every call counts.
+        // Polls are rejected, disconnected and left unanswered in turn; each is counted.
         platform.discoveryInstead = request -> failDiscoveryCall(request, discoveryCalls.incrementAndGet());
         platform.breakWatches();
         int[] watchesBefore = {platform.watches.size()};
         for (int j = 0; j < 60; j++) {
-            assertEquals("200", sendRequest(ports[j % 4], "view-blind-" + j, "step-view", 20), "the last list stands");
+            assertEquals(
+                    "200",
+                    sendRequest(ports[j % 4], "view-blind-" + j, "step-view", 20),
+                    "the last endpoint list stays in use");
         }
         int failedCalls = discoveryCalls.get();
-        assertTrue(failedCalls <= 4 * 16, failedCalls + " calls while some " + watchesBefore[0] + " were there");
+        assertTrue(failedCalls <= 4 * 16, failedCalls + " failed polls, after " + watchesBefore[0] + " earlier ones");
         platform.discoveryInstead = null;
         int watchesAfterFailure = platform.watches.size();
         DispatcherOnStubPlatform.until(() -> platform.watches.size() >= watchesAfterFailure + 4);
         platform.tell("s-1", "Terminating");
-        // Told and taken in, by each one's own figures: from then on the count has to be none.
+        // Each dispatcher has applied the update according to its metrics; from now on s-1 must get no request.
         for (int admin : admins) {
             DispatcherOnStubPlatform.until(() -> get(admin, "/-/metrics").contains("out_of_rotation=1"));
         }
@@ -354,7 +362,7 @@
                 platform.seen.subList(attemptsBeforeDraining, platform.seen.size()).stream()
                         .filter(s -> s.startsWith("s-1 "))
                         .toList();
-        assertEquals(List.of(), attemptsWhileDraining, "nothing new where it drains");
+        assertEquals(List.of(), attemptsWhileDraining, "a draining endpoint gets no new requests");
     }
 
     private static void failDiscoveryCall(HttpServerRequest request, int call) {
--- a/src/test/java/nettlewick/cli/ChildProcess.java
+++ b/src/test/java/nettlewick/cli/ChildProcess.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Starts the program as a child process, so that it can be killed. */
+/** Runs the program in child processes, which a test can kill. */
 public final class ChildProcess {
     private ChildProcess() {}
 
-    /** Starts a sub-command; its output is appended to the file. */
+    /** Starts a sub-command; its output is appended to the log file. */
     public static Process start(Path log, Map<String, String> environment, String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -31,11 +31,12 @@
         return builder.start();
     }
 
-    /** Waits for a condition that the process brings about; fails with its log if it ends before. */
+    /** Waits for a condition; fails with the log of the process if it ends before the condition holds. */
     public static void awaitCondition(Process child, Path log, BooleanSupplier condition) throws Exception {
         while (!condition.getAsBoolean()) {
             if (!child.isAlive()) {
-                throw new AssertionError("the process ended with " + child.exitValue() + ": " + Files.readString(log));
+                throw new AssertionError(
+                        "the process exited with code " + child.exitValue() + ": " + Files.readString(log));
             }
             TimeUnit.MILLISECONDS.sleep(5);
         }
--- a/src/test/java/nettlewick/cli/CommandOutputGoldenTest.java
+++ b/src/test/java/nettlewick/cli/CommandOutputGoldenTest.java
@@ -24,11 +24,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Compares what the commands print with what an earlier build printed: the reference of the settings, the settings in
- * force, and the tables and JSON of the ledger's commands over the ledger that an earlier build wrote.
+ * Compares the output of commands with recorded output: the settings reference, the settings in force, and the tables
+ * and JSON of the ledger commands for a ledger that an earlier build wrote.
  */
 class CommandOutputGoldenTest {
-    /** The lives of the recorded ledger are Unix seconds of 2024; the commands' own are those of the running clock. */
+    /** Matches incarnations of the commands themselves; those of the recorded ledger are Unix seconds of 2024. */
     private static final String NEW_INCARNATION = "north/(?!172|173)[0-9]{10}";
 
     @TempDir
@@ -58,7 +58,7 @@
         assertMatches("settings/show.txt", runAndCapture(0, "settings", "show", "deploy/nettlewick.conf"));
     }
 
-    /** One line of JSON; where the outermost object has several members, their order says nothing and is sorted. */
+    /** Sorts the members of the outermost JSON object, since their order is not defined. */
     private static String sortMembers(String json) {
         JsonObject object = JsonParser.parseString(json).getAsJsonObject();
         if (object.size() == 1) {
@@ -77,7 +77,7 @@
                         + "\"\n}\n}\n");
     }
 
-    /** What a call of the ledger prints as JSON, and before it the table where the call changes nothing. */
+    /** The JSON output of a ledger command, preceded by its text output if the command changes nothing. */
     private String runLedger(Path settingsFile, int code, String... action) {
         List<String> arguments = new ArrayList<>(List.of("ledger"));
         arguments.addAll(List.of(action));
@@ -107,7 +107,9 @@
         assertMatches("ledger/printed.txt", text);
     }
 
-    /** A period is archived only where all dispatchers have closed it: the other one's entries are taken out. */
+    /**
+     * Only a period that all dispatchers have closed can be archived, so the other dispatcher's entries are deleted.
+     */
     @Test
     void archivingAPeriodPrintsAsRecorded() throws Exception {
         Path settingsFile = copyLedger();
--- a/src/test/java/nettlewick/cli/DatagramRelay.java
+++ b/src/test/java/nettlewick/cli/DatagramRelay.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Forwards datagrams between dispatchers, and loses, duplicates, delays or blocks them. */
+/** Forwards datagrams between dispatchers, and drops, duplicates, delays or blocks them. */
 final class DatagramRelay implements AutoCloseable {
     private static final int MAX_DELAY_MILLIS = 20;
     private final DatagramSocket[] sockets;
--- a/src/test/java/nettlewick/cli/EndpointListProcessTest.java
+++ b/src/test/java/nettlewick/cli/EndpointListProcessTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real dispatcher processes with a discovery that falls silent and sends indented JSON, and with other names. */
+/** Real dispatcher processes with a discovery that stops responding or sends indented JSON, and with unusual names. */
 @Timeout(120)
 class EndpointListProcessTest {
     private static final long SECOND_NANOS = 1_000_000_000L;
@@ -78,7 +78,7 @@
                 + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     }
 
-    /** A list may span several lines, and a watch that stays open but silent is replaced. */
+    /** An endpoint list may span several lines, and a watch that stays open without updates is replaced. */
     @Test
     void dispatchersNoticeASilentDiscoveryAndStopUsingADrainingEndpoint() throws Exception {
         platform.indented = true;
@@ -88,7 +88,7 @@
             ports[n] = start(platform.config());
             assertTrue(
                     send(ports[n], request("a" + n, "step-view", "red", "5")).contains(" 200 "),
-                    "an indented list is read");
+                    "an indented endpoint list is parsed");
         }
         int watches = platform.watches.size();
         platform.silence();
@@ -113,10 +113,10 @@
         }
         assertTrue(
                 platform.seen.subList(before, platform.seen.size()).stream().noneMatch(s -> s.startsWith("s-old ")),
-                "the old endpoint drains");
+                "the draining endpoint gets no new requests");
     }
 
-    /** A class behaves as its settings say, whatever its name: one tenant, no zone, a deadline of 300 ms. */
+    /** Request classes follow their settings whatever their names; one tenant, no zone, a deadline of 300 ms. */
     @Test
     void classesBehaveAsTheSettingsSayWhateverTheirNames() throws Exception {
         Map<String, Object> config = platform.config();
@@ -145,10 +145,12 @@
             }
         };
         String response = send(port, request("u", "step-view", "gilda-do-bairro", "0.3"));
-        assertTrue(!response.contains("r-u") && !response.contains(" 503 "), "it may have run: " + response);
-        assertEquals(1, attempts("u"), "non-idempotent here, whatever the name means elsewhere");
+        assertTrue(
+                !response.contains("r-u") && !response.contains(" 503 "),
+                "not retried, since it may have run: " + response);
+        assertEquals(1, attempts("u"), "non-idempotent by its settings, although elsewhere this class is idempotent");
         send(port, request("r", "mark-submit", "gilda-do-bairro", "5"));
-        assertTrue(attempts("r") <= 6, "within the cap on attempts");
+        assertTrue(attempts("r") <= 6, "at most the maximum number of attempts");
         platform.instead = null;
         assertTrue(send(port, request("z", "zurzir", "gilda-do-bairro", "5")).contains("r-z"));
     }
--- a/src/test/java/nettlewick/cli/FleetTestCommandTest.java
+++ b/src/test/java/nettlewick/cli/FleetTestCommandTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command {@code fleet-test} as a process, under its older name. */
+/** Runs {@code fleet-test} in a process, under its alias {@code lab}. */
 @Timeout(60)
 class FleetTestCommandTest {
     private static final String SCENARIO = """
@@ -54,7 +54,7 @@
         assertTrue(Files.notExists(dir.resolve("out")));
     }
 
-    /** Ending a fleet test must end the processes that it started. */
+    /** Terminating a fleet test must terminate the processes that it started. */
     @Test
     void anInterruptedFleetTestLeavesNoProcess() throws Exception {
         Process process = fleetTest("run", SCENARIO);
--- a/src/test/java/nettlewick/cli/LeaseProcessTest.java
+++ b/src/test/java/nettlewick/cli/LeaseProcessTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five real dispatcher processes, three of them voters, keep one lease through kills, pauses and partitions. */
+/** Five real dispatcher processes, three of them voters, maintain one lease through kills, pauses and partitions. */
 @Timeout(180)
 class LeaseProcessTest {
     private static final int DISPATCHERS = 5;
@@ -39,9 +39,9 @@
     private final Path[] currentLogs = new Path[DISPATCHERS];
     private final int[] ports = new int[DISPATCHERS];
     private boolean persistentVoters;
-    /** The dispatcher that is configured with a different list of voters; -1 if none. */
+    /** The dispatcher that is configured with a different voter list; -1 if none. */
     private int misconfigured = -1;
-    /** The port at which the others reach each dispatcher: its own, or a relay's. */
+    /** The port at which the others reach each dispatcher: its own or that of a relay. */
     private final int[] reachablePorts = new int[DISPATCHERS];
 
     private void start(int number, Map<String, Object> config) throws IOException {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** The fence of each term of the lease that a log reports as held. */
+    /** The fence of each lease term that was held according to a log. */
     private static Map<Long, Long> fencesByTerm(Path log) {
         try {
             Map<Long, Long> fences = new TreeMap<>();
@@ -137,7 +137,7 @@
         assertFencesGrow(4);
     }
 
-    /** One dispatcher's settings name five voters, the others' three: it neither votes nor holds the lease. */
+    /** A dispatcher configured with five voters, while the others have three, neither votes nor holds the lease. */
     @Test
     void aDispatcherWithAnotherVoterListHoldsNothingAndHindersNobody() throws Exception {
         misconfigured = DISPATCHERS - 1;
@@ -159,7 +159,7 @@
         assertFencesGrow(3);
     }
 
-    /** With persistent voters a fleet that is killed at once continues with later terms and higher fences. */
+    /** With persistent voters, a fleet that is killed at once restarts with later terms and higher fences. */
     @Test
     void aFleetThatLosesPowerContinuesFromStoredTerms() throws Exception {
         persistentVoters = true;
@@ -180,7 +180,7 @@
         assertFencesGrow(3);
     }
 
-    /** Partitions, lost, duplicated and reordered datagrams, and every voter restarted once without memory. */
+    /** Partitions, lost, duplicated and reordered datagrams, and a restart of every voter without memory. */
     @Test
     void aLeaseSurvivesPartitionsAndVotersWithoutMemory() throws Exception {
         reservePorts();
@@ -202,10 +202,10 @@
             }
             long newestTerm = allFencesByTerm().lastKey();
             int isolatedHolder = awaitHolder(newestTerm, -1);
-            // The holder's side has two of five dispatchers and one of three voters, whoever holds the lease.
+            // Whoever holds the lease, its side has two of five dispatchers and one of three voters.
             relay.partition(Set.of(isolatedHolder, isolatedHolder < VOTERS ? 4 : 0));
             int newHolder = awaitHolder(newestTerm + 1, isolatedHolder);
-            // It may have lost the lease before the partition, to a lost datagram.
+            // A lost datagram may have cost it the lease before the partition.
             StubPlatform.until(() ->
                     count(currentLogs[isolatedHolder], "duty-lost") >= count(currentLogs[isolatedHolder], "duty-held"));
             relay.partition(Set.of());
@@ -232,7 +232,7 @@
         return config;
     }
 
-    /** Pauses a holder until another one holds the lease for the given term, and returns that one's number. */
+    /** Pauses the holder until another dispatcher holds the lease for the given term, and returns its number. */
     private int pauseUntilReplaced(int paused, long term) throws Exception {
         signal(paused, "-STOP");
         int next = awaitHolder(term, paused);
@@ -241,7 +241,7 @@
         return next;
     }
 
-    /** Restarts a dispatcher without memory, and waits until it votes again if it is a voter. */
+    /** Restarts a dispatcher without memory; if it is a voter, waits until it votes again. */
     private void restart(StubPlatform platform, int number) throws Exception {
         start(number, config(platform, number));
         if (number < VOTERS) {
@@ -249,7 +249,10 @@
         }
     }
 
-    /** Starts all and waits until all voters vote: one that has not heard from the others yet counts as failed. */
+    /**
+     * Starts all dispatchers and waits until all voters vote; a voter that has not heard from the others counts as
+     * failed.
+     */
     private void startAll(StubPlatform platform) throws Exception {
         for (int n = 0; n < DISPATCHERS; n++) {
             start(n, config(platform, n));
@@ -260,12 +263,13 @@
         }
     }
 
-    /** The fence of each term over all logs; fails if a term was held twice. */
+    /** The fence of each term in all logs; fails if a term was held twice. */
     private TreeMap<Long, Long> allFencesByTerm() {
         TreeMap<Long, Long> fences = new TreeMap<>();
         for (Path processLog : allLogs) {
             fencesByTerm(processLog)
-                    .forEach((term, fence) -> assertEquals(null, fences.put(term, fence), "two held term " + term));
+                    .forEach((term, fence) ->
+                            assertEquals(null, fences.put(term, fence), "two dispatchers held term " + term));
         }
         return fences;
     }
@@ -276,7 +280,7 @@
         assertEquals(
                 new ArrayList<>(fences.values()),
                 fences.values().stream().sorted().distinct().toList(),
-                "fences grow");
+                "fences increase from term to term");
     }
 
     private void signal(int number, String signal) throws Exception {
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real processes, killed at random: no answered request is missing from the ledger, and none is recorded or delivered
- * twice.
+ * Real processes are killed at random times: no answered request may be missing from the ledger, and none may be
+ * recorded or delivered twice.
  */
 @Timeout(300)
 class LedgerKillProcessTest {
@@ -52,7 +52,7 @@
                 dir.resolve(name), "ledger {\nstore \"" + dir.resolve("store") + "\"\n" + options + "\n}\n");
     }
 
-    /** Sends a request; whether its response is complete, whatever it says, or null if the connection broke. */
+    /** Sends a request; returns whether the response, of any status, is complete, or null if the connection failed. */
     private static Boolean sendRequest(int port, String id) {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.getOutputStream()
@@ -91,7 +91,7 @@
                 sendUntilKilled(child, port, "k" + kill + "-", random, sent, answered);
             }
         }
-        // Any command that writes records what the last incarnation left.
+        // Any command that writes to the ledger also records what the last incarnation left in its spool.
         LedgerSettings settings =
                 LedgerSettings.of(Settings.read(batch).block("ledger").orElseThrow());
         assertEachAnswerOnce(StoreProbe.recover(settings), sent, answered);
@@ -105,11 +105,11 @@
         Process child = ChildProcess.start(
                 log, Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
         DispatcherOnStubPlatform.until(() -> !child.isAlive() || isHealthy(port));
-        assertTrue(child.isAlive(), "it started: " + Files.readString(log));
+        assertTrue(child.isAlive(), "the dispatcher started: " + Files.readString(log));
         return child;
     }
 
-    /** Sends requests from several clients; after a random number of answers the process is killed. */
+    /** Sends requests from several clients; after a random number of exchanges the process is killed. */
     private static void sendUntilKilled(
             Process child, int port, String prefix, Random random, Set<String> sent, Set<String> answered)
             throws Exception {
@@ -149,18 +149,17 @@
         ledger.doubts().forEach(id -> occurrences.merge(id, 1, Integer::sum));
         List<String> missing =
                 answered.stream().filter(id -> !occurrences.containsKey(id)).toList();
-        assertEquals(List.of(), missing, "answered and neither recorded nor in doubt");
+        assertEquals(List.of(), missing, "answered, but neither recorded nor in doubt");
         assertEquals(
                 List.of(),
                 occurrences.entrySet().stream().filter(e -> e.getValue() > 1).toList(),
                 "recorded twice");
-        assertTrue(sent.containsAll(occurrences.keySet()), "invented");
+        assertTrue(sent.containsAll(occurrences.keySet()), "recorded requests that were never sent");
         // Recorded but not answered: in flight when the process was killed, at most one per client.
         long recordedOnly = occurrences.keySet().stream()
                 .filter(id -> !answered.contains(id))
                 .count();
-        assertTrue(
-                recordedOnly <= (long) KILLS * CLIENTS, recordedOnly + " recorded or in doubt and not seen answered");
+        assertTrue(recordedOnly <= (long) KILLS * CLIENTS, recordedOnly + " recorded or in doubt without a response");
         assertEquals(
                 answered.size() + recordedOnly,
                 ledger.entered().size() + ledger.doubts().size());
@@ -178,7 +177,7 @@
         }
     }
 
-    /** The exporter is killed around each of its calls, and the receiver fails as well. */
+    /** The exporter is killed before or after the receiver takes a batch, and the receiver fails at random as well. */
     @Test
     void aKilledExporterDeliversEachEntryOnce() throws Exception {
         Random random = new Random(77);
@@ -218,10 +217,10 @@
                 Process child =
                         ChildProcess.start(log, Map.of(), "ledger", "export", "--settings", settingsFile.toString());
                 current.add(child);
-                assertTrue(child.waitFor(60, TimeUnit.SECONDS), "it ends");
+                assertTrue(child.waitFor(60, TimeUnit.SECONDS), "the exporter exits");
                 current.clear();
                 kills += child.exitValue() == 0 ? 0 : 1;
-                assertTrue(round < 200, "kills do not come: " + Files.readString(log));
+                assertTrue(round < 200, "too few kills: " + Files.readString(log));
             }
             batchesUntilKill.set(Integer.MAX_VALUE);
             assertEquals(0, Main.run("ledger", "export", "--settings", settingsFile.toString(), "--json"));
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.slf4j.LoggerFactory;
 
-/** The command line: errors are one line and an exit code. */
+/** The command line: an error prints one line and sets the exit code. */
 class MainTest {
     private static String runAndCaptureError(int code, String... args) {
         PrintStream before = System.err;
@@ -57,11 +57,11 @@
     }
 
     /**
-     * The JVM itself would end on SIGHUP; a signal before the handler is installed is kept.
+     * By default SIGHUP ends the JVM. A signal received before the reload action is registered must not be lost.
      */
     @Test
     @Timeout(20)
-    void aHangupSignalBeforeTheHandlerIsInstalledIsNotLost() throws Exception {
+    void aHangupSignalBeforeTheReloadActionIsRegisteredIsNotLost() throws Exception {
         ReloadSignal.install();
         Class<?> signal = Class.forName("sun.misc.Signal");
         Object hangup = signal.getConstructor(String.class).newInstance("HUP");
@@ -95,7 +95,7 @@
                 "required arguments may be missing");
     }
 
-    /** Deploy files and scripts use the older names. */
+    /** Deploy files and scripts use the aliases. */
     @ParameterizedTest
     @CsvSource({"simulator-adapter, drill", "fleet-test, lab", "warm-up, warm"})
     void aCommandIsFoundByItsNameAndItsAlias(String name, String alias) {
@@ -151,7 +151,7 @@
         runAndCaptureError(2, "settings", "check", dir.resolve("none").toString());
     }
 
-    /** A file is read and checked as a whole before any of it is applied. */
+    /** A settings file is read and checked completely before any of it is applied. */
     @Test
     void reloadedSettingsApplyAsAWholeOrNotAtAll(@TempDir Path dir) throws Exception {
         Path file = Files.writeString(dir.resolve("c"), "log {\nlevel error\n}\n");
--- a/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -34,8 +34,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A rolling restart of three real dispatcher processes by SIGTERM, under clients that reuse connections, that pipeline
- * requests, and that open a connection for each request.
+ * A rolling restart of three real dispatcher processes by SIGTERM. Some clients reuse connections, some pipeline
+ * requests, and some open a connection for each request.
  */
 @Tag("fleet")
 @Timeout(120)
@@ -43,7 +43,7 @@
     private static final int DISPATCHERS = 3;
     private static final int CLIENTS = 9;
     private static final int PIPELINED = 3;
-    /** One request in this many on a new connection may be answered by a close. */
+    /** At most one in this many new connections may be closed without a response. */
     private static final int MIN_CONNECTIONS_PER_FAILURE = 200;
 
     @TempDir
@@ -104,7 +104,7 @@
         return socket;
     }
 
-    /** Sends that many requests at once on one connection and reads their responses, as long as it stays open. */
+    /** Sends batches of pipelined requests on one connection and reads their responses, as long as it stays open. */
     private void useOneConnection(int client, int dispatcher, int batchSize) {
         try (Socket socket = connect(dispatcher)) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
@@ -125,7 +125,8 @@
                         return;
                     }
                     if (response == null) {
-                        failures.add(id + " of " + ids + " at n" + dispatcher + ": closed, no answer");
+                        failures.add(
+                                id + " of " + ids + " at n" + dispatcher + ": connection closed without a response");
                         return;
                     }
                     record(response, id);
@@ -133,7 +134,7 @@
                 }
             }
         } catch (IOException e) {
-            // The dispatcher is down, or the connection ended before anything was sent.
+            // The dispatcher is down, or the connection was closed before anything was sent.
             pause();
         }
     }
@@ -240,7 +241,7 @@
                 int before = requestCount.get();
                 DispatcherOnStubPlatform.until(() -> requestCount.get() > before + 200);
                 dispatchers[n].destroy();
-                assertTrue(dispatchers[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not ended");
+                assertTrue(dispatchers[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not exited");
                 start(platform, n);
                 ChildProcess.awaitCondition(dispatchers[n], dir.resolve("log" + n), () -> isHealthy(dispatcher));
             }
@@ -251,7 +252,7 @@
             assertEquals(List.of(), List.copyOf(failures), statuses::toString);
             assertTrue(
                     failedNewConnections.get() <= newConnections.get() / MIN_CONNECTIONS_PER_FAILURE,
-                    failedNewConnections + " of " + newConnections + " on new connections");
+                    failedNewConnections + " of " + newConnections + " new connections failed");
             assertTrue(statuses.get("200").get() > 300, statuses::toString);
             platform.runs.forEach(
                     (id, runs) -> assertTrue(!id.startsWith("mark") || runs.get() <= 1, id + " ran " + runs));
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real dispatcher process that receives several signals while requests are in flight. */
+/** A real dispatcher process receives several signals while requests are in flight. */
 @Timeout(60)
 class SignalsProcessTest {
     @TempDir
@@ -93,9 +93,9 @@
                                     .body());
                 }
                 assertEquals("r-w", busy.read().body());
-                assertNull(keepAlive.read(), "closed, not reset");
+                assertNull(keepAlive.read(), "the connection is closed, not reset");
             }
-            assertTrue(dispatcher.waitFor(15, TimeUnit.SECONDS), "it has not ended");
+            assertTrue(dispatcher.waitFor(15, TimeUnit.SECONDS), "the dispatcher has not exited");
             assertEquals(0, dispatcher.exitValue());
             platform.runs.forEach((id, runs) -> assertEquals(1, runs.get(), id));
         }
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The bytes of a dispatcher's answers to clients and to operators, on loopback. */
+/** Compares a dispatcher's responses to clients and operators, byte by byte, with recorded ones. */
 @Timeout(60)
 class ClientWireGoldenTest {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
--- a/src/test/java/nettlewick/golden/GoldenFile.java
+++ b/src/test/java/nettlewick/golden/GoldenFile.java
@@ -8,10 +8,10 @@
 import java.util.HexFormat;
 
 /**
- * Compares what the program produces with a text recorded earlier under {@code src/test/resources/golden}.
+ * Compares output of the program with text recorded under {@code src/test/resources/golden}.
  *
- * <p>The recorded files hold formats that must not change: bytes on the wire, stored data, printed JSON. They are
- * written only when the system property {@code golden.record} is {@code true}; a missing file is a failure.
+ * <p>The recorded files hold formats that must not change: wire bytes, stored data and printed JSON. They are written
+ * only if the system property {@code golden.record} is {@code true}; a missing file is a failure.
  */
 public final class GoldenFile {
     private static final Path FOLDER = Path.of("src/test/resources/golden");
@@ -19,7 +19,7 @@
 
     private GoldenFile() {}
 
-    /** Fails unless {@code actual} equals the recorded text to the last character. */
+    /** Fails unless {@code actual} equals the recorded text exactly. */
     public static void assertMatches(String name, String actual) {
         Path file = FOLDER.resolve(name);
         try {
@@ -33,12 +33,12 @@
         }
     }
 
-    /** A recorded file or folder, for tests that read stored data of an earlier build. */
+    /** The path of a recorded file or folder, for tests that read data stored by an earlier build. */
     public static Path recorded(String name) {
         return FOLDER.resolve(name);
     }
 
-    /** Bytes as hexadecimal digits, {@value #BYTES_PER_LINE} bytes to a line. */
+    /** Formats bytes as hexadecimal digits, {@value #BYTES_PER_LINE} bytes per line. */
     public static String hex(byte[] bytes) {
         StringBuilder text = new StringBuilder();
         for (int start = 0; start < bytes.length; start += BYTES_PER_LINE) {
--- a/src/test/java/nettlewick/golden/GoldenFolder.java
+++ b/src/test/java/nettlewick/golden/GoldenFolder.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Folders of stored data under {@code src/test/resources/golden}, each spool file without its long end of zeros. */
+/** Folders of stored data under {@code src/test/resources/golden}. Trailing zeros of spool files are truncated. */
 public final class GoldenFolder {
-    /** Zeros that stay at the end of a file that was made longer than what was written to it. */
+    /** The maximum number of trailing zeros kept in a preallocated file. */
     private static final int ZEROS_KEPT = 64;
 
     private GoldenFolder() {}
 
-    /** Copies a recorded folder, so that a test may write to it. */
+    /** Copies a recorded folder, so that a test can write to the copy. */
     public static void copy(String name, Path target) throws IOException {
         Files.createDirectories(target);
         for (Path file : files(GoldenFile.recorded(name))) {
@@ -22,7 +22,9 @@
         }
     }
 
-    /** Records a folder as its files stand, whoever still holds them; those whose name has this end are left out. */
+    /**
+     * Records the current files of a folder, even if a process has them open, except those with the excluded suffix.
+     */
     public static void record(Path source, String name, String excludedSuffix) throws IOException {
         Path target = GoldenFile.recorded(name);
         Files.createDirectories(target);
--- a/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The bytes that a dispatcher on loopback writes to sim runners and to discovery. */
+/** Compares the bytes that a dispatcher sends to endpoints and to discovery with recorded ones. */
 @Timeout(60)
 class OutgoingWireGoldenTest {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -47,7 +47,7 @@
         }
     }
 
-    private static String request(
+    private static String http(
             String method, String uri, String id, String requestClass, String body, String... headers) {
         return method + " " + uri + " HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Class: "
                 + requestClass + "\r\nX-Deadline: 4\r\n"
@@ -72,17 +72,17 @@
                 RecordingServer two = new RecordingServer((r, s) -> respondAsEndpoint(r, s, rejections))) {
             platform.addRunner("s-1", one.port());
             platform.addRunner("s-2", two.port());
-            // A second copy would go out wherever the machine is slow.
+            // On a slow machine, hedged requests would add attempts that are not in the recording.
             Map<String, Object> config = platform.config();
             putSetting(config, "ceilings", "second_copies", false);
             int port = platform.start(config).ports().get(0);
             until(() -> distinctProbes(one).size() + distinctProbes(two).size() > 0 && isHealthy(port));
             List<String> requests = List.of(
-                    request("POST", "/api", "plain", "step-view", ""),
-                    request("POST", "/api/x%2Fy?a=1&&b=%7e+", "00Ab body", "step-view", "{\"x\": \"\u00c3\u00a9\"}"),
-                    request("POST", "/api", "keyed", "save-run", "{}", "Idempotency-Key: K-1"),
-                    request("POST", "/api", "fragile", "mark-submit", "{}", "X-Tenant: red"),
-                    request(
+                    http("POST", "/api", "plain", "step-view", ""),
+                    http("POST", "/api/x%2Fy?a=1&&b=%7e+", "00Ab body", "step-view", "{\"x\": \"\u00c3\u00a9\"}"),
+                    http("POST", "/api", "keyed", "save-run", "{}", "Idempotency-Key: K-1"),
+                    http("POST", "/api", "fragile", "mark-submit", "{}", "X-Tenant: red"),
+                    http(
                             "POST",
                             "/api",
                             "hints",
@@ -96,15 +96,8 @@
                             "X-Other: kept?",
                             "Content-Type: application/json",
                             "User-Agent: golden"),
-                    request(
-                            "POST",
-                            "/api",
-                            "keyed hints",
-                            "save-run",
-                            "{}",
-                            "Idempotency-Key: K 2",
-                            "X-Extras: memory=3"),
-                    request("POST", "/api", "again", "step-view", "{\"n\":1}", "Idempotency-Key: K-3"),
+                    http("POST", "/api", "keyed hints", "save-run", "{}", "Idempotency-Key: K 2", "X-Extras: memory=3"),
+                    http("POST", "/api", "again", "step-view", "{\"n\":1}", "Idempotency-Key: K-3"),
                     "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: chunked\r\nX-Class: step-view\r\nX-Deadline: 4\r\n"
                             + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
                     "POST /api HTTP/1.0\r\nX-Request-Id: old\r\nX-Class: step-view\r\nX-Deadline: 4\r\n"
@@ -140,7 +133,7 @@
         }
     }
 
-    /** The probes as they came, each kind once. */
+    /** The received load probes without duplicates. */
     private static Set<String> distinctProbes(RecordingServer endpoint) {
         Set<String> distinct = new TreeSet<>();
         endpoint.requests.stream()
--- a/src/test/java/nettlewick/golden/RecordingServer.java
+++ b/src/test/java/nettlewick/golden/RecordingServer.java
@@ -13,16 +13,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** An HTTP server on a plain socket, which keeps the bytes of every request and answers what a script says. */
+/** An HTTP server on a plain socket that records the bytes of every request and responds according to a script. */
 final class RecordingServer implements AutoCloseable {
-    /** What to answer; the socket may be closed in place of an answer. */
+    /** Responds to a request; it may close the socket instead. */
     interface Script {
         void respond(String request, Socket socket) throws IOException;
     }
 
     private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)");
 
-    /** Requests in the order in which they came whole, a character for each byte. */
+    /** Requests in order of completion, decoded as one character per byte. */
     final List<String> requests = new CopyOnWriteArrayList<>();
 
     private final List<Socket> accepted = new CopyOnWriteArrayList<>();
@@ -52,7 +52,7 @@
                 startDaemon(() -> read(socket));
             }
         } catch (IOException e) {
-            // The test is over.
+            // The listener was closed at the end of the test.
         }
     }
 
@@ -77,7 +77,7 @@
                 script.respond(request.toString(), socket);
             }
         } catch (IOException e) {
-            // The other side has gone.
+            // The dispatcher closed the connection.
         }
     }
 
--- a/src/test/java/nettlewick/golden/WireText.java
+++ b/src/test/java/nettlewick/golden/WireText.java
@@ -9,14 +9,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Bytes of a socket as a text in which every byte can be seen, and answers read from sockets to their end. */
+/** Formats bytes of a connection as printable text, and exchanges requests for complete responses. */
 public final class WireText {
     private static final int READ_TIMEOUT_MILLIS = 15_000;
     private static final Pattern CONTENT_LENGTH = Pattern.compile("\r\ncontent-length: *(\\d+)");
 
     private WireText() {}
 
-    /** Escapes control characters and all that is not ASCII; a line of the text ends where one of the bytes does. */
+    /** Escapes control and non-ASCII characters; a line feed is escaped and followed by a line break. */
     public static String escape(String bytes) {
         StringBuilder text = new StringBuilder();
         for (char c : bytes.toCharArray()) {
@@ -31,7 +31,7 @@
                 .toString();
     }
 
-    /** Ports of loopback and the figures of times, which differ from run to run, made the same. */
+    /** Replaces loopback ports and durations, which differ between runs, by placeholders. */
     public static String normalize(String bytes) {
         return bytes.replaceAll("127\\.0\\.0\\.1:\\d+", "127.0.0.1:PORT")
                 .replaceAll("(?i)(x-deadline: )\\d+\\.\\d{3}\r", "$1#.###\r")
@@ -39,7 +39,7 @@
                 .replaceAll("(\"retry_after\":)\\d+\\.\\d+", "$1#.#");
     }
 
-    /** Sends bytes on a new connection and reads one answer; says whether the connection ends with it. */
+    /** Sends bytes on a new connection and reads one response; appends {@code [end]} if the connection was closed. */
     public static String exchange(int port, String bytes) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(READ_TIMEOUT_MILLIS);
@@ -75,7 +75,7 @@
         }
     }
 
-    /** An exchange with a title, for a recorded file. */
+    /** Formats a message under a title, for a recorded file. */
     public static String entry(String title, String bytes) {
         return "== " + title + "\n" + escape(normalize(bytes));
     }
