--- a/src/test/java/nettlewick/ArchitectureTest.java
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -123,7 +123,7 @@
             .consideringOnlyDependenciesInLayers()
             .layer("cli")
             .definedBy("nettlewick.cli..")
-            .layer("fronts")
+            .layer("frontends")
             .definedBy("nettlewick.admin..", "nettlewick.sse..", "nettlewick.pcap..")
             .layer("net")
             .definedBy("nettlewick.net..")
@@ -133,14 +133,14 @@
             .definedBy(DECISION)
             .whereLayer("cli")
             .mayNotBeAccessedByAnyLayer()
-            .whereLayer("fronts")
+            .whereLayer("frontends")
             .mayOnlyBeAccessedByLayers("cli")
             .whereLayer("net")
-            .mayOnlyBeAccessedByLayers("cli", "fronts")
+            .mayOnlyBeAccessedByLayers("cli", "frontends")
             .whereLayer("core")
-            .mayOnlyBeAccessedByLayers("cli", "fronts", "net")
+            .mayOnlyBeAccessedByLayers("cli", "frontends", "net")
             .whereLayer("decision")
-            .mayOnlyBeAccessedByLayers("cli", "fronts", "net", "core");
+            .mayOnlyBeAccessedByLayers("cli", "frontends", "net", "core");
 
     /** Each file of the decision module is either listed under {@code policy} in balancer.toml or listed above. */
     @Test
--- a/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -159,7 +159,7 @@
 
     /** Requests that run for seconds are not lost when the old process ends. */
     @Test
-    void aHotRestartLosesNoRequestThatARetrySaves() throws Exception {
+    void aHotRestartLosesNoRequest() throws Exception {
         for (int i = 0; i < 4; i++) {
             platform.addRunner("s-" + i);
         }
--- a/src/test/java/nettlewick/cli/CommandOutputGoldenTest.java
+++ b/src/test/java/nettlewick/cli/CommandOutputGoldenTest.java
@@ -34,16 +34,16 @@
     @TempDir
     private Path dir;
 
-    private String runAndCapture(int code, String... arguments) {
-        PrintStream before = System.out;
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
+    private String runAndCapture(int exitCode, String... arguments) {
+        PrintStream originalOutput = System.out;
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(captured, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(code, Main.run(arguments), String.join(" ", arguments));
+            assertEquals(exitCode, Main.run(arguments), String.join(" ", arguments));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOutput);
         }
-        return out.toString(StandardCharsets.UTF_8)
+        return captured.toString(StandardCharsets.UTF_8)
                 .replace(dir.toString(), "DIR")
                 .replaceAll(NEW_INCARNATION, "north/NEW");
     }
@@ -78,16 +78,16 @@
     }
 
     /** The JSON output of a ledger command, preceded by its text output if the command changes nothing. */
-    private String runLedger(Path settingsFile, int code, String... action) {
+    private String runLedger(Path settingsFile, int exitCode, String... action) {
         List<String> arguments = new ArrayList<>(List.of("ledger"));
         arguments.addAll(List.of(action));
         arguments.addAll(List.of("--settings", settingsFile.toString()));
-        String text = String.join(" ", action).replace(dir.toString(), "DIR") + ", code " + code + "\n";
+        String text = String.join(" ", action).replace(dir.toString(), "DIR") + ", code " + exitCode + "\n";
         if (action[0].equals("statement") || action[0].equals("verify")) {
-            text += runAndCapture(code, arguments.toArray(new String[0]));
+            text += runAndCapture(exitCode, arguments.toArray(new String[0]));
         }
         arguments.add("--json");
-        return text + sortMembers(runAndCapture(code, arguments.toArray(new String[0])));
+        return text + sortMembers(runAndCapture(exitCode, arguments.toArray(new String[0])));
     }
 
     @Test
--- a/src/test/java/nettlewick/cli/EndpointListProcessTest.java
+++ b/src/test/java/nettlewick/cli/EndpointListProcessTest.java
@@ -90,11 +90,11 @@
                     send(ports[n], request("a" + n, "step-view", "red", "5")).contains(" 200 "),
                     "an indented endpoint list is parsed");
         }
-        int watches = platform.watches.size();
+        int watchesBefore = platform.watches.size();
         platform.silence();
         platform.addRunner("s-new");
         platform.tell("s-old", "Terminating");
-        StubPlatform.until(() -> platform.watches.size() >= watches + ports.length);
+        StubPlatform.until(() -> platform.watches.size() >= watchesBefore + ports.length);
         StubPlatform.until(() -> {
             // The missed update has arrived once a request goes to the new endpoint.
             for (int port : ports) {
@@ -106,13 +106,14 @@
             }
             return true;
         });
-        int before = platform.seen.size();
+        int attemptsBefore = platform.seen.size();
         for (int i = 0; i < 30; i++) {
             assertTrue(send(ports[i % ports.length], request("b" + i, "step-view", "red", "5"))
                     .contains(" 200 "));
         }
         assertTrue(
-                platform.seen.subList(before, platform.seen.size()).stream().noneMatch(s -> s.startsWith("s-old ")),
+                platform.seen.subList(attemptsBefore, platform.seen.size()).stream()
+                        .noneMatch(s -> s.startsWith("s-old ")),
                 "the draining endpoint gets no new requests");
     }
 
--- a/src/test/java/nettlewick/cli/LeaseProcessTest.java
+++ b/src/test/java/nettlewick/cli/LeaseProcessTest.java
@@ -42,7 +42,7 @@
     /** The dispatcher that is configured with a different voter list; -1 if none. */
     private int misconfigured = -1;
     /** The port at which the others reach each dispatcher: its own or that of a relay. */
-    private final int[] reachablePorts = new int[DISPATCHERS];
+    private final int[] advertisedPorts = new int[DISPATCHERS];
 
     private void start(int number, Map<String, Object> config) throws IOException {
         StringBuilder settingsText = new StringBuilder(
@@ -50,7 +50,7 @@
                         + (number == misconfigured ? DISPATCHERS : VOTERS) + "\n"
                         + "lease 1s\nkey \"" + dir.resolve("key") + "\"\nname pool-red\n"
                         + (persistentVoters ? "folder \"" + dir.resolve("voter" + number) + "\"\n" : ""));
-        for (int port : reachablePorts) {
+        for (int port : advertisedPorts) {
             settingsText.append("dispatcher 127.0.0.1:").append(port).append('\n');
         }
         Path settingsFile = Files.writeString(dir.resolve("settings" + number), settingsText + "}\n");
@@ -121,7 +121,7 @@
     @Test
     void aLeaseSurvivesAKillAPauseAndAGracefulShutdown() throws Exception {
         reservePorts();
-        System.arraycopy(ports, 0, reachablePorts, 0, DISPATCHERS);
+        System.arraycopy(ports, 0, advertisedPorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
             platform.addRunner("s-1");
             startAll(platform);
@@ -142,7 +142,7 @@
     void aDispatcherWithAnotherVoterListHoldsNothingAndHindersNobody() throws Exception {
         misconfigured = DISPATCHERS - 1;
         reservePorts();
-        System.arraycopy(ports, 0, reachablePorts, 0, DISPATCHERS);
+        System.arraycopy(ports, 0, advertisedPorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
             platform.addRunner("s-1");
             startAll(platform);
@@ -164,7 +164,7 @@
     void aFleetThatLosesPowerContinuesFromStoredTerms() throws Exception {
         persistentVoters = true;
         reservePorts();
-        System.arraycopy(ports, 0, reachablePorts, 0, DISPATCHERS);
+        System.arraycopy(ports, 0, advertisedPorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
             platform.addRunner("s-1");
             startAll(platform);
@@ -186,7 +186,7 @@
         reservePorts();
         try (DatagramRelay relay = new DatagramRelay(ports, 11);
                 StubPlatform platform = new StubPlatform()) {
-            System.arraycopy(relay.ports(), 0, reachablePorts, 0, DISPATCHERS);
+            System.arraycopy(relay.ports(), 0, advertisedPorts, 0, DISPATCHERS);
             platform.addRunner("s-1");
             relay.setFaults(0.3, 0.1);
             startAll(platform);
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -28,16 +28,16 @@
 
 /** The command line: an error prints one line and sets the exit code. */
 class MainTest {
-    private static String runAndCaptureError(int code, String... args) {
-        PrintStream before = System.err;
-        ByteArrayOutputStream err = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(err));
+    private static String runAndCaptureError(int exitCode, String... args) {
+        PrintStream originalError = System.err;
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
+        System.setErr(new PrintStream(captured));
         try {
-            assertEquals(code, Main.run(args));
+            assertEquals(exitCode, Main.run(args));
         } finally {
-            System.setErr(before);
+            System.setErr(originalError);
         }
-        String printed = err.toString();
+        String printed = captured.toString();
         assertTrue(printed.startsWith("nettlewick: ") && printed.indexOf('\n') == printed.length() - 1, printed);
         return printed;
     }
@@ -73,16 +73,16 @@
         reloads.acquire();
     }
 
-    private static String runAndCaptureOutput(int code, String... args) {
-        PrintStream before = System.out;
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(out));
+    private static String runAndCaptureOutput(int exitCode, String... args) {
+        PrintStream originalOutput = System.out;
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(captured));
         try {
-            assertEquals(code, Main.run(args));
+            assertEquals(exitCode, Main.run(args));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOutput);
         }
-        return out.toString();
+        return captured.toString();
     }
 
     @Test
@@ -126,13 +126,13 @@
 
     @Test
     void theSimulatorAdapterEndsWithItsInputUnderBothNames() {
-        InputStream before = System.in;
+        InputStream originalInput = System.in;
         try {
             System.setIn(InputStream.nullInputStream());
             assertEquals("", runAndCaptureOutput(0, "simulator-adapter"));
             assertEquals("", runAndCaptureOutput(0, "drill"));
         } finally {
-            System.setIn(before);
+            System.setIn(originalInput);
         }
     }
 
--- a/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -238,8 +238,8 @@
             }
             for (int n = 0; n < DISPATCHERS; n++) {
                 int dispatcher = n;
-                int before = requestCount.get();
-                DispatcherOnStubPlatform.until(() -> requestCount.get() > before + 200);
+                int sentBefore = requestCount.get();
+                DispatcherOnStubPlatform.until(() -> requestCount.get() > sentBefore + 200);
                 dispatchers[n].destroy();
                 assertTrue(dispatchers[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not exited");
                 start(platform, n);
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -85,10 +85,11 @@
                                 .send(DispatcherOnStubPlatform.job("/api", "k2", "step-view", "10"))
                                 .read()
                                 .body());
-                try (RawClient late = new RawClient(port)) {
+                try (RawClient newClient = new RawClient(port)) {
                     assertEquals(
                             "r-l",
-                            late.send(DispatcherOnStubPlatform.job("/api", "l", "mark-submit", "10"))
+                            newClient
+                                    .send(DispatcherOnStubPlatform.job("/api", "l", "mark-submit", "10"))
                                     .read()
                                     .body());
                 }
--- a/src/test/java/nettlewick/golden/GoldenFolder.java
+++ b/src/test/java/nettlewick/golden/GoldenFolder.java
@@ -45,11 +45,11 @@
     }
 
     private static byte[] trimTrailingZeros(byte[] bytes) {
-        int used = bytes.length;
-        while (used > 0 && bytes[used - 1] == 0) {
-            used--;
+        int contentLength = bytes.length;
+        while (contentLength > 0 && bytes[contentLength - 1] == 0) {
+            contentLength--;
         }
-        return Arrays.copyOf(bytes, Math.min(bytes.length, used + ZEROS_KEPT));
+        return Arrays.copyOf(bytes, Math.min(bytes.length, contentLength + ZEROS_KEPT));
     }
 
     private static List<Path> files(Path folder) throws IOException {
--- a/src/test/java/nettlewick/golden/RecordingServer.java
+++ b/src/test/java/nettlewick/golden/RecordingServer.java
@@ -25,7 +25,7 @@
     /** Requests in order of completion, decoded as one character per byte. */
     final List<String> requests = new CopyOnWriteArrayList<>();
 
-    private final List<Socket> accepted = new CopyOnWriteArrayList<>();
+    private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     private final Script script;
 
@@ -48,15 +48,15 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                accepted.add(socket);
-                startDaemon(() -> read(socket));
+                connections.add(socket);
+                startDaemon(() -> readRequests(socket));
             }
         } catch (IOException e) {
             // The listener was closed at the end of the test.
         }
     }
 
-    private void read(Socket socket) {
+    private void readRequests(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             while (true) {
@@ -90,7 +90,7 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket socket : accepted) {
+        for (Socket socket : connections) {
             socket.close();
         }
     }
