--- a/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
+++ b/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
@@ -5,7 +5,7 @@
 import nettlewick.simulator.MalformedMessageException;
 import nettlewick.simulator.SimulatorAdapter;
 
-/** Serves the platform's simulator on standard input and output. */
+/** Connects to the platform's simulator through standard input and output. */
 @Parameters(commandDescription = "Serve the simulator's wire on standard input and output")
 final class SimulatorAdapterCommand implements Command {
     @Override
@@ -14,9 +14,9 @@
             new SimulatorAdapter().serve(System.in, System.out);
             return 0;
         } catch (MalformedMessageException e) {
-            throw new UsageException(Main.FAILED, e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, e.getMessage());
         } catch (IOException e) {
-            throw new UsageException(Main.FAILED, "cannot read or write the wire: " + e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, "simulator connection failed: " + e.getMessage());
         }
     }
 }
--- a/src/test/java/nettlewick/ArchitectureTest.java
+++ b/src/test/java/nettlewick/ArchitectureTest.java
@@ -28,14 +28,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What each package may depend on, and what keeps the decision module pure. */
+/** Dependency rules between packages; the decision module must not use I/O, clocks or unseeded randomness. */
 @AnalyzeClasses(packages = "nettlewick", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String DECISION = "nettlewick.decision..";
     private static final Path DECISION_SOURCES = Path.of("src/main/java/nettlewick/decision");
 
-    /** Files of the decision module that hold messages, records or collections and decide nothing. */
-    private static final Set<String> DECIDES_NOTHING = Set.of(
+    /** Files of the decision module that hold messages, records or collections and make no decisions. */
+    private static final Set<String> FILES_WITHOUT_POLICY = Set.of(
             "Action.java",
             "ActionBatch.java",
             "AggregationMessage.java",
@@ -71,7 +71,7 @@
             "SlowStartCredit.java");
 
     @ArchTest
-    static final ArchRule DECISION_NEEDS_THE_JDK_ALONE = classes()
+    static final ArchRule DECISION_DEPENDS_ONLY_ON_THE_JDK = classes()
             .that()
             .resideInAPackage(DECISION)
             .should()
@@ -107,7 +107,7 @@
             .belongToAnyOf(Clock.class, Instant.class);
 
     @ArchTest
-    static final ArchRule DECISION_DRAWS_FROM_ITS_SEED_ALONE = noClasses()
+    static final ArchRule DECISION_USES_ONLY_SEEDED_RANDOM_NUMBERS = noClasses()
             .that()
             .resideInAPackage(DECISION)
             .should()
@@ -119,11 +119,11 @@
             .callConstructor(SplittableRandom.class);
 
     @ArchTest
-    static final ArchRule DEPENDENCIES_POINT_DOWN = layeredArchitecture()
+    static final ArchRule DEPENDENCIES_FOLLOW_THE_LAYERS = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("cli")
             .definedBy("nettlewick.cli..")
-            .layer("fronts")
+            .layer("frontends")
             .definedBy("nettlewick.admin..", "nettlewick.sse..", "nettlewick.pcap..")
             .layer("net")
             .definedBy("nettlewick.net..")
@@ -133,31 +133,31 @@
             .definedBy(DECISION)
             .whereLayer("cli")
             .mayNotBeAccessedByAnyLayer()
-            .whereLayer("fronts")
+            .whereLayer("frontends")
             .mayOnlyBeAccessedByLayers("cli")
             .whereLayer("net")
-            .mayOnlyBeAccessedByLayers("cli", "fronts")
+            .mayOnlyBeAccessedByLayers("cli", "frontends")
             .whereLayer("core")
-            .mayOnlyBeAccessedByLayers("cli", "fronts", "net")
+            .mayOnlyBeAccessedByLayers("cli", "frontends", "net")
             .whereLayer("decision")
-            .mayOnlyBeAccessedByLayers("cli", "fronts", "net", "core");
+            .mayOnlyBeAccessedByLayers("cli", "frontends", "net", "core");
 
-    /** Each file of the module either decides and is named under {@code policy}, or is listed above. */
+    /** Each file of the decision module is either listed under {@code policy} in balancer.toml or listed above. */
     @Test
-    void everyFileThatDecidesIsNamedAsPolicy() throws IOException {
+    void everyPolicyFileIsListedInTheSettings() throws IOException {
         Matcher policy =
                 Pattern.compile("(?m)^policy = \\[(.*)]$").matcher(Files.readString(Path.of("deploy/balancer.toml")));
         assertTrue(policy.find());
-        Set<String> named =
+        Set<String> listed =
                 new TreeSet<>(List.of(policy.group(1).replace("\"", "").split(", *")));
-        Set<String> deciding;
+        Set<String> policyFiles;
         try (Stream<Path> files = Files.list(DECISION_SOURCES)) {
-            deciding = files.filter(
-                            file -> !DECIDES_NOTHING.contains(file.getFileName().toString()))
+            policyFiles = files.filter(file ->
+                            !FILES_WITHOUT_POLICY.contains(file.getFileName().toString()))
                     .filter(file -> !file.endsWith("package-info.java"))
                     .map(Path::toString)
                     .collect(Collectors.toCollection(TreeSet::new));
         }
-        assertEquals(deciding, named);
+        assertEquals(policyFiles, listed);
     }
 }
