--- a/src/main/java/nettlewick/cli/FleetTestCommand.java
+++ b/src/main/java/nettlewick/cli/FleetTestCommand.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import nettlewick.fleettest.Lab;
+import nettlewick.fleettest.FleetTest;
 import nettlewick.fleettest.Soak;
 import nettlewick.settings.InvalidSettingsException;
 
@@ -54,14 +54,14 @@
             }
             Path first = Path.of(arguments.get(1));
             if (isComparison) {
-                Lab.compare(first, Path.of(arguments.get(2)), System.out);
+                FleetTest.compare(first, Path.of(arguments.get(2)), System.out);
                 return 0;
             }
             if (action.equals("check")) {
-                System.out.println(Lab.check(first));
+                System.out.println(FleetTest.check(first));
                 return 0;
             }
-            return Lab.run(first, Path.of(outputFolder), this::printProgress, this::printFigure)
+            return FleetTest.run(first, Path.of(outputFolder), this::printProgress, this::printFigure)
                     ? 0
                     : Main.EXIT_FAILURE;
         } catch (InvalidSettingsException | InvalidPathException e) {
--- a/src/main/java/nettlewick/fleettest/DatagramRelay.java
+++ b/src/main/java/nettlewick/fleettest/DatagramRelay.java
@@ -23,42 +23,43 @@
  * address in its list of peers. A few threads share the receivers.
  */
 final class DatagramRelay implements AutoCloseable {
-    private static final int BUFFER = 8192;
-    private static final int LONGEST = 256;
+    private static final int BUFFER_BYTES = 8192;
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
     /** A datagram that is on its way. */
-    private record Late(double due, int from, int to, byte[] data) {}
+    private record DelayedDatagram(double due, int from, int to, byte[] data) {}
 
-    private final List<DatagramChannel> ends = new ArrayList<>();
+    private final List<DatagramChannel> sockets = new ArrayList<>();
     private final List<InetSocketAddress> dispatchers;
-    private final Map<SocketAddress, Integer> senders = new HashMap<>();
-    private final LinkFaults links;
+    private final Map<SocketAddress, Integer> senderNumbers = new HashMap<>();
+    private final LinkFaults linkFaults;
     private final DoubleSupplier clock;
-    private final AtomicLongArray sent;
-    private final AtomicLongArray bytes;
-    private final AtomicLongArray tooLong = new AtomicLongArray(1);
+    private final AtomicLongArray sentCounts;
+    private final AtomicLongArray byteCounts;
+    private final AtomicLongArray oversized = new AtomicLongArray(1);
     private final List<Shard> shards = new ArrayList<>();
     private volatile boolean open = true;
 
     /** @param dispatchers where each listens for its peers; @param net where the others reach them instead */
-    DatagramRelay(List<InetSocketAddress> dispatchers, String net, LinkFaults links, DoubleSupplier clock, int threads)
+    DatagramRelay(
+            List<InetSocketAddress> dispatchers, String net, LinkFaults linkFaults, DoubleSupplier clock, int threads)
             throws IOException {
         this.dispatchers = dispatchers;
-        this.links = links;
+        this.linkFaults = linkFaults;
         this.clock = clock;
-        sent = new AtomicLongArray(dispatchers.size());
-        bytes = new AtomicLongArray(dispatchers.size());
+        sentCounts = new AtomicLongArray(dispatchers.size());
+        byteCounts = new AtomicLongArray(dispatchers.size());
         for (int i = 0; i < dispatchers.size(); i++) {
-            DatagramChannel end = DatagramChannel.open();
-            end.bind(new InetSocketAddress(Fleet.address(net, i), 0));
-            end.configureBlocking(false);
-            ends.add(end);
-            senders.put(dispatchers.get(i), i);
+            DatagramChannel socket = DatagramChannel.open();
+            socket.bind(new InetSocketAddress(Fleet.address(net, i), 0));
+            socket.configureBlocking(false);
+            sockets.add(socket);
+            senderNumbers.put(dispatchers.get(i), i);
         }
         for (int t = 0; t < threads; t++) {
             Shard shard = new Shard();
-            for (int i = t; i < ends.size(); i += threads) {
-                ends.get(i).register(shard.selector, SelectionKey.OP_READ, i);
+            for (int i = t; i < sockets.size(); i += threads) {
+                sockets.get(i).register(shard.selector, SelectionKey.OP_READ, i);
             }
             shards.add(shard);
             shard.start();
@@ -67,24 +68,24 @@
 
     /** The list of peers that every dispatcher is given. */
     List<InetSocketAddress> addresses() throws IOException {
-        List<InetSocketAddress> all = new ArrayList<>();
-        for (DatagramChannel end : ends) {
-            all.add((InetSocketAddress) end.getLocalAddress());
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (DatagramChannel socket : sockets) {
+            addresses.add((InetSocketAddress) socket.getLocalAddress());
         }
-        return all;
+        return addresses;
     }
 
-    long sent() {
-        return sum(sent);
+    long sentCounts() {
+        return sum(sentCounts);
     }
 
-    long bytes() {
-        return sum(bytes);
+    long byteCounts() {
+        return sum(byteCounts);
     }
 
     /** Datagrams over 256 bytes: on the platform each would void a run. */
-    long tooLong() {
-        return tooLong.get(0);
+    long oversized() {
+        return oversized.get(0);
     }
 
     private static long sum(AtomicLongArray array) {
@@ -97,21 +98,22 @@
 
     /** Sends what no dispatcher wrote, as if a peer had: random bytes behind the heads of real messages. */
     void garble(int to, SplittableRandom random) throws IOException {
-        byte[] data = new byte[1 + random.nextInt(LONGEST)];
+        byte[] data = new byte[1 + random.nextInt(MAX_DATAGRAM_BYTES)];
         random.nextBytes(data);
         if (data.length > 2 && random.nextBoolean()) {
             data[0] = (byte) (0xD2 + random.nextInt(5));
             data[1] = (byte) (1 + random.nextInt(3));
             data[2] = (byte) random.nextInt(4);
         }
-        ends.get(random.nextInt(ends.size())).send(ByteBuffer.wrap(data), dispatchers.get(to));
+        sockets.get(random.nextInt(sockets.size())).send(ByteBuffer.wrap(data), dispatchers.get(to));
     }
 
     /** One thread with its receivers. */
     private final class Shard extends Thread {
         private final Selector selector = Selector.open();
-        private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER);
-        private final PriorityQueue<Late> late = new PriorityQueue<>(Comparator.comparingDouble(Late::due));
+        private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+        private final PriorityQueue<DelayedDatagram> delayed =
+                new PriorityQueue<>(Comparator.comparingDouble(DelayedDatagram::due));
 
         Shard() throws IOException {
             super("datagram-relay");
@@ -122,7 +124,7 @@
         public void run() {
             try {
                 while (open) {
-                    double wait = late.isEmpty() ? 100 : late.peek().due() - clock.getAsDouble();
+                    double wait = delayed.isEmpty() ? 100 : delayed.peek().due() - clock.getAsDouble();
                     if (wait < 1) {
                         selector.selectNow();
                     } else {
@@ -132,9 +134,9 @@
                         receive((DatagramChannel) key.channel(), (int) key.attachment());
                     }
                     selector.selectedKeys().clear();
-                    while (!late.isEmpty() && late.peek().due() <= clock.getAsDouble()) {
-                        Late l = late.poll();
-                        pass(l.from(), l.to(), ByteBuffer.wrap(l.data()));
+                    while (!delayed.isEmpty() && delayed.peek().due() <= clock.getAsDouble()) {
+                        DelayedDatagram datagram = delayed.poll();
+                        forward(datagram.from(), datagram.to(), ByteBuffer.wrap(datagram.data()));
                     }
                 }
             } catch (IOException e) {
@@ -144,34 +146,36 @@
             }
         }
 
-        private void receive(DatagramChannel end, int to) throws IOException {
-            for (SocketAddress from = end.receive(buffer.clear()); from != null; from = end.receive(buffer.clear())) {
-                Integer sender = senders.get(from);
+        private void receive(DatagramChannel socket, int to) throws IOException {
+            for (SocketAddress from = socket.receive(buffer.clear());
+                    from != null;
+                    from = socket.receive(buffer.clear())) {
+                Integer sender = senderNumbers.get(from);
                 if (sender == null) {
                     continue;
                 }
                 buffer.flip();
-                long number = sent.getAndIncrement(sender);
-                bytes.addAndGet(sender, buffer.remaining());
-                if (buffer.remaining() > LONGEST) {
-                    tooLong.incrementAndGet(0);
+                long number = sentCounts.getAndIncrement(sender);
+                byteCounts.addAndGet(sender, buffer.remaining());
+                if (buffer.remaining() > MAX_DATAGRAM_BYTES) {
+                    oversized.incrementAndGet(0);
                 }
                 double now = clock.getAsDouble();
-                for (double delay : links.fate(sender, to, number, now)) {
+                for (double delay : linkFaults.copyDelays(sender, to, number, now)) {
                     if (delay <= 0) {
-                        pass(sender, to, buffer.duplicate());
+                        forward(sender, to, buffer.duplicate());
                     } else {
                         byte[] data = new byte[buffer.remaining()];
                         buffer.duplicate().get(data);
-                        late.add(new Late(now + delay, sender, to, data));
+                        delayed.add(new DelayedDatagram(now + delay, sender, to, data));
                     }
                 }
             }
         }
 
-        private void pass(int from, int to, ByteBuffer data) {
+        private void forward(int from, int to, ByteBuffer data) {
             try {
-                ends.get(from).send(data, dispatchers.get(to));
+                sockets.get(from).send(data, dispatchers.get(to));
             } catch (IOException e) {
                 // its receiver is dead: lost, as such datagrams are
             }
@@ -192,8 +196,8 @@
             }
             s.selector.close();
         }
-        for (DatagramChannel end : ends) {
-            end.close();
+        for (DatagramChannel socket : sockets) {
+            socket.close();
         }
     }
 }
--- a/src/main/java/nettlewick/fleettest/MigrationAudit.java
+++ b/src/main/java/nettlewick/fleettest/DispatcherLogs.java
@@ -21,62 +21,62 @@
  * What the processes' logs tell of duties and pools, held against where members' jobs went: nobody at a pool
  * that it had been told of as another's, no member outside its own, no term of a duty held twice.
  */
-final class MigrationAudit {
+final class DispatcherLogs {
     /** What a process said at a time of the lab's clock. */
-    record Line(double at, int dispatcher, int life, JsonObject said) {
+    record Line(double at, int dispatcher, int incarnation, JsonObject json) {
         String event() {
-            return said.get("event").getAsString();
+            return json.get("event").getAsString();
         }
 
         String field(String name) {
-            return said.has(name) ? said.get(name).getAsString() : "";
+            return json.has(name) ? json.get(name).getAsString() : "";
         }
     }
 
     /** A pool as a dispatcher follows it. */
-    private record Pool(String member, boolean shut, boolean confined, Set<String> runners) {}
+    private record FollowedPool(String tenant, boolean isExclusive, boolean isConfined, Set<String> endpoints) {}
 
-    private static final String FOLLOWED = "pools-followed";
+    private static final String POOLS_FOLLOWED = "pools-followed";
     private final List<Line> lines;
 
-    MigrationAudit(List<Line> lines) {
+    DispatcherLogs(List<Line> lines) {
         this.lines = lines;
     }
 
     /** @param wall the Unix time of the lab clock's beginning */
-    static MigrationAudit read(Path folder, double wall) throws IOException {
-        return read(folder, wall, "");
+    static DispatcherLogs read(Path folder, double beganAtUnixMillis) throws IOException {
+        return read(folder, beganAtUnixMillis, "");
     }
 
     /** Of lines with that word alone: all that hundreds of processes have said takes seconds to read. */
-    static MigrationAudit read(Path folder, double wall, String word) throws IOException {
+    static DispatcherLogs read(Path folder, double beganAtUnixMillis, String word) throws IOException {
         List<Line> lines = new ArrayList<>();
         try (Stream<Path> logs = Files.list(folder)) {
             for (Path process : logs.filter(p -> p.getFileName().toString().matches("n\\d+-\\d+"))
                     .toList()) {
                 String[] name = process.getFileName().toString().substring(1).split("-");
                 for (String text : Files.readAllLines(process.resolve("log"))) {
-                    JsonObject said = text.contains(word) ? parse(text) : null;
-                    if (said != null) {
+                    JsonObject json = text.contains(word) ? parse(text) : null;
+                    if (json != null) {
                         lines.add(new Line(
-                                Instant.parse(said.get("time").getAsString()).toEpochMilli() - wall,
+                                Instant.parse(json.get("time").getAsString()).toEpochMilli() - beganAtUnixMillis,
                                 Integer.parseInt(name[0]),
                                 Integer.parseInt(name[1]),
-                                said));
+                                json));
                     }
                 }
             }
         }
         lines.sort((a, b) -> Double.compare(a.at(), b.at()));
-        return new MigrationAudit(lines);
+        return new DispatcherLogs(lines);
     }
 
     /** Lines that are cut off by a kill are none. */
     private static JsonObject parse(String text) {
         try {
-            JsonObject said =
+            JsonObject json =
                     text.startsWith("{") ? JsonParser.parseString(text).getAsJsonObject() : null;
-            return said != null && said.has("event") && said.has("time") ? said : null;
+            return json != null && json.has("event") && json.has("time") ? json : null;
         } catch (JsonParseException | IllegalStateException e) {
             return null;
         }
@@ -86,20 +86,20 @@
         return lines.stream().filter(l -> events.contains(l.event())).toList();
     }
 
-    List<Line> all(String event) {
+    List<Line> eventLines(String event) {
         return lines.stream().filter(l -> l.event().equals(event)).toList();
     }
 
     long count(String event) {
-        return all(event).size();
+        return eventLines(event).size();
     }
 
     /** Who holds a member's duty, by the latest term that was told; -1: nobody yet. */
-    int holder(String member) {
+    int leaseHolder(String tenant) {
         long term = -1;
         int holder = -1;
-        for (Line l : all("duty-held")) {
-            if (l.field("duty").equals("pool-" + member) && Long.parseLong(l.field("term")) > term) {
+        for (Line l : eventLines("duty-held")) {
+            if (l.field("duty").equals("pool-" + tenant) && Long.parseLong(l.field("term")) > term) {
                 term = Long.parseLong(l.field("term"));
                 holder = l.dispatcher();
             }
@@ -108,36 +108,36 @@
     }
 
     /** When a member's duty was held next after that time; NaN: never. */
-    private double heldAfter(String duty, double at) {
-        return all("duty-held").stream()
-                .filter(l -> l.field("duty").equals(duty) && l.at() > at)
+    private double nextHeldAt(String task, double at) {
+        return eventLines("duty-held").stream()
+                .filter(l -> l.field("duty").equals(task) && l.at() > at)
                 .mapToDouble(Line::at)
                 .findFirst()
                 .orElse(Double.NaN);
     }
 
     /** The longest time, in milliseconds, from a planned end's word to the next holder's. */
-    double plannedHandover() {
-        return all("duty-handed-on").stream()
-                .mapToDouble(l -> heldAfter(l.field("duty"), l.at()) - l.at())
+    double longestPlannedHandoverMillis() {
+        return eventLines("duty-handed-on").stream()
+                .mapToDouble(l -> nextHeldAt(l.field("duty"), l.at()) - l.at())
                 .filter(t -> !Double.isNaN(t))
                 .max()
                 .orElse(Double.NaN);
     }
 
     /** The same from such steps against a holder, by the times given. */
-    double handover(String member, List<Double> steps) {
-        return steps.stream()
-                .mapToDouble(at -> heldAfter("pool-" + member, at) - at)
+    double longestHandoverMillis(String tenant, List<Double> stepTimes) {
+        return stepTimes.stream()
+                .mapToDouble(at -> nextHeldAt("pool-" + tenant, at) - at)
                 .filter(t -> !Double.isNaN(t))
                 .max()
                 .orElse(Double.NaN);
     }
 
     /** From that time until a member's move began; NaN: it did not. */
-    double found(String member, double at) {
-        return all("pool-reserve").stream()
-                .filter(l -> l.field("member").equals(member) && l.at() > at)
+    double millisToDetection(String tenant, double at) {
+        return eventLines("pool-reserve").stream()
+                .filter(l -> l.field("member").equals(tenant) && l.at() > at)
                 .mapToDouble(l -> l.at() - at)
                 .findFirst()
                 .orElse(Double.NaN);
@@ -150,31 +150,39 @@
      * @param margin between a dispatcher's choice and the attempt's arrival at the runner
      * @param serves whether a runner serves at the end
      */
-    void check(InvariantChecker audit, List<Double> losses, double margin, Predicate<String> serves) {
-        terms(audit, losses);
-        Map<Integer, List<Line>> followed = new HashMap<>();
+    void check(
+            InvariantChecker checker,
+            List<Double> fleetKills,
+            double choiceToArrivalMillis,
+            Predicate<String> isServing) {
+        checkTerms(checker, fleetKills);
+        Map<Integer, List<Line>> linesByDispatcher = new HashMap<>();
         lines.stream()
-                .filter(l -> l.event().equals(FOLLOWED) || l.event().equals("listens"))
-                .forEach(l -> followed.computeIfAbsent(l.dispatcher(), d -> new ArrayList<>())
+                .filter(l -> l.event().equals(POOLS_FOLLOWED) || l.event().equals("listens"))
+                .forEach(l -> linesByDispatcher
+                        .computeIfAbsent(l.dispatcher(), d -> new ArrayList<>())
                         .add(l));
-        for (InvariantChecker.Arrival a : audit.arrivals()) {
-            for (Pool pool : inForce(followed.getOrDefault(a.dispatcher(), List.of()), a, margin)) {
-                boolean own = pool.member().equals(a.member());
-                if (!own && pool.shut() && pool.runners().contains(a.runner())) {
-                    audit.broken(
+        for (InvariantChecker.Arrival arrival : checker.arrivals()) {
+            for (FollowedPool pool : poolsInForce(
+                    linesByDispatcher.getOrDefault(arrival.dispatcher(), List.of()), arrival, choiceToArrivalMillis)) {
+                boolean isOwn = pool.tenant().equals(arrival.tenant());
+                if (!isOwn && pool.isExclusive() && pool.endpoints().contains(arrival.endpoint())) {
+                    checker.addViolation(
                             "foreign pool",
-                            a.id(),
-                            a.at(),
-                            a.member() + " from n" + a.dispatcher() + " at " + a.runner() + " of " + pool);
-                } else if (own
-                        && pool.confined()
-                        && !pool.runners().contains(a.runner())
-                        && pool.runners().stream().anyMatch(serves)) {
-                    audit.broken(
+                            arrival.requestId(),
+                            arrival.at(),
+                            arrival.tenant() + " from n" + arrival.dispatcher() + " at " + arrival.endpoint() + " of "
+                                    + pool);
+                } else if (isOwn
+                        && pool.isConfined()
+                        && !pool.endpoints().contains(arrival.endpoint())
+                        && pool.endpoints().stream().anyMatch(isServing)) {
+                    checker.addViolation(
                             "own pool",
-                            a.id(),
-                            a.at(),
-                            a.member() + " from n" + a.dispatcher() + " at " + a.runner() + " outside " + pool);
+                            arrival.requestId(),
+                            arrival.at(),
+                            arrival.tenant() + " from n" + arrival.dispatcher() + " at " + arrival.endpoint()
+                                    + " outside " + pool);
                 }
             }
         }
@@ -185,44 +193,50 @@
      * by
      * nothing until it has heard.
      */
-    private static List<Pool> inForce(List<Line> followed, InvariantChecker.Arrival a, double margin) {
-        Line before = null;
-        for (Line l : followed) {
-            if (l.at() > a.at()) {
+    private static List<FollowedPool> poolsInForce(
+            List<Line> lines, InvariantChecker.Arrival arrival, double choiceToArrivalMillis) {
+        Line latest = null;
+        for (Line l : lines) {
+            if (l.at() > arrival.at()) {
                 break;
             }
-            if (l.at() > a.at() - margin) {
+            if (l.at() > arrival.at() - choiceToArrivalMillis) {
                 return List.of();
             }
-            before = l;
+            latest = l;
         }
-        return before == null || !before.event().equals(FOLLOWED) ? List.of() : pools(before.field("follows"));
+        return latest == null || !latest.event().equals(POOLS_FOLLOWED)
+                ? List.of()
+                : parsePools(latest.field("follows"));
     }
 
     /** {@code red:1:0:s1,s2;blue:1:1:s3}: member, whether it is shut and confined, runners. */
-    private static List<Pool> pools(String text) {
-        List<Pool> pools = new ArrayList<>();
-        for (String one : text.isEmpty() ? new String[0] : text.split(";")) {
-            String[] part = one.split(":", -1);
-            pools.add(new Pool(
-                    part[0], part[1].equals("1"), part[2].equals("1"), new HashSet<>(List.of(part[3].split(",")))));
+    private static List<FollowedPool> parsePools(String text) {
+        List<FollowedPool> pools = new ArrayList<>();
+        for (String entry : text.isEmpty() ? new String[0] : text.split(";")) {
+            String[] fields = entry.split(":", -1);
+            pools.add(new FollowedPool(
+                    fields[0],
+                    fields[1].equals("1"),
+                    fields[2].equals("1"),
+                    new HashSet<>(List.of(fields[3].split(",")))));
         }
         return pools;
     }
 
     /** Danger: a tier that has lost all memory at once counts anew; what it did before is another matter. */
-    private void terms(InvariantChecker audit, List<Double> losses) {
+    private void checkTerms(InvariantChecker checker, List<Double> fleetKills) {
         double from = Double.NEGATIVE_INFINITY;
-        for (double loss : losses) {
-            terms(audit, from, loss);
-            from = loss;
+        for (double fleetKill : fleetKills) {
+            checkTerms(checker, from, fleetKill);
+            from = fleetKill;
         }
-        terms(audit, from, Double.POSITIVE_INFINITY);
+        checkTerms(checker, from, Double.POSITIVE_INFINITY);
     }
 
-    private void terms(InvariantChecker audit, double from, double to) {
+    private void checkTerms(InvariantChecker checker, double from, double to) {
         Map<String, TreeMap<Long, Long>> fences = new HashMap<>();
-        for (Line l : all("duty-held").stream()
+        for (Line l : eventLines("duty-held").stream()
                 .filter(l -> l.at() >= from && l.at() < to)
                 .toList()) {
             Long term = Long.parseLong(l.field("term"));
@@ -230,15 +244,16 @@
             Long other = fences.computeIfAbsent(l.field("duty"), d -> new TreeMap<>())
                     .put(term, fence);
             if (other != null && !other.equals(fence)) {
-                audit.broken(
+                checker.addViolation(
                         "two holders", l.field("duty"), l.at(), "term " + term + " under " + other + " and " + fence);
             }
         }
-        fences.forEach((duty, terms) -> {
+        fences.forEach((task, terms) -> {
             long last = -1;
             for (Map.Entry<Long, Long> e : terms.entrySet()) {
                 if (e.getValue() <= last) {
-                    audit.broken("fences", duty, 0, "term " + e.getKey() + " under " + e.getValue() + " after " + last);
+                    checker.addViolation(
+                            "fences", task, 0, "term " + e.getKey() + " under " + e.getValue() + " after " + last);
                 }
                 last = e.getValue();
             }
--- a/src/main/java/nettlewick/fleettest/Fleet.java
+++ b/src/main/java/nettlewick/fleettest/Fleet.java
@@ -23,10 +23,10 @@
  */
 final class Fleet implements AutoCloseable {
     /** Each process has an address of its own in this net. */
-    private static final String NET = net(0);
+    private static final String DISPATCHER_NET = net(0);
 
-    private static final int PER_BYTE = 250;
-    private static final List<String> FLAGS = List.of(
+    private static final int ADDRESSES_PER_BYTE = 250;
+    private static final List<String> JVM_FLAGS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-Xms8m",
@@ -38,36 +38,36 @@
             "-XX:-UsePerfData",
             // Many processes that each see little: what they run seldom is compiled soon all the same.
             "-XX:CompileThresholdScaling=0.1");
-    private static final double TICKS = 10;
+    private static final double MILLIS_PER_CLOCK_TICK = 10;
 
     /** One process of the fleet, alive or not. */
     static final class DispatcherProcess {
         final int number;
-        final InetSocketAddress listen;
-        final InetSocketAddress peer;
-        final InetSocketAddress admin;
-        final InetSocketAddress duty;
+        final InetSocketAddress listenAddress;
+        final InetSocketAddress peerAddress;
+        final InetSocketAddress adminAddress;
+        final InetSocketAddress leaseAddress;
         volatile Process process;
         volatile boolean ready;
         volatile boolean paused;
         /** Whether its end was the lab's doing. */
-        volatile boolean killed;
+        volatile boolean endedByTest;
         /** CPU of its processes that have ended, in milliseconds. */
-        double cpuBefore;
+        double earlierCpuMillis;
 
-        int lives;
+        int incarnations;
 
         DispatcherProcess(
                 int number,
-                InetSocketAddress listen,
-                InetSocketAddress peer,
-                InetSocketAddress admin,
-                InetSocketAddress duty) {
-            this.duty = duty;
+                InetSocketAddress listenAddress,
+                InetSocketAddress peerAddress,
+                InetSocketAddress adminAddress,
+                InetSocketAddress leaseAddress) {
+            this.leaseAddress = leaseAddress;
             this.number = number;
-            this.listen = listen;
-            this.peer = peer;
-            this.admin = admin;
+            this.listenAddress = listenAddress;
+            this.peerAddress = peerAddress;
+            this.adminAddress = adminAddress;
         }
 
         boolean alive() {
@@ -77,7 +77,7 @@
 
         /** Whether it has ended by itself. */
         boolean crashed() {
-            return process != null && !killed && !process.isAlive();
+            return process != null && !endedByTest && !process.isAlive();
         }
     }
 
@@ -94,10 +94,10 @@
     private final Path folder;
     private final List<String> command;
     private final IntFunction<Map<String, Object>> config;
-    private final IntFunction<String> more;
-    private final IntToLongFunction ahead;
-    final List<DispatcherProcess> members = new ArrayList<>();
-    private final Thread hook = new Thread(this::end, "lab-end");
+    private final IntFunction<String> settingsText;
+    private final IntToLongFunction clockAheadMillis;
+    final List<DispatcherProcess> dispatchers = new ArrayList<>();
+    private final Thread shutdownHook = new Thread(this::end, "lab-end");
 
     /**
      * @param config the configuration of each process, as it is when that starts
@@ -108,147 +108,149 @@
             int size,
             Path folder,
             IntFunction<Map<String, Object>> config,
-            IntFunction<String> more,
-            IntToLongFunction ahead,
+            IntFunction<String> settingsText,
+            IntToLongFunction clockAheadMillis,
             ProcessListener listener)
             throws IOException {
         this.listener = listener;
-        this.ahead = ahead;
-        this.more = more;
+        this.clockAheadMillis = clockAheadMillis;
+        this.settingsText = settingsText;
         this.folder = Files.createDirectories(folder);
         this.config = config;
         command = command();
         // Each process has an address of its own, so all may use the same ports; reserved ones, since a process that is
         // dead for a while must find them free again.
-        int listen = ReservedPorts.reserve();
-        int peer = ReservedPorts.reserve();
-        int admin = ReservedPorts.reserve();
-        int duty = ReservedPorts.reserve();
+        int listenPort = ReservedPorts.reserve();
+        int peerPort = ReservedPorts.reserve();
+        int adminPort = ReservedPorts.reserve();
+        int leasePort = ReservedPorts.reserve();
         for (int i = 0; i < size; i++) {
-            InetAddress own = address(NET, i);
-            members.add(new DispatcherProcess(
+            InetAddress own = address(DISPATCHER_NET, i);
+            dispatchers.add(new DispatcherProcess(
                     i,
-                    new InetSocketAddress(own, listen),
-                    new InetSocketAddress(own, peer),
-                    new InetSocketAddress(own, admin),
-                    new InetSocketAddress(own, duty)));
+                    new InetSocketAddress(own, listenPort),
+                    new InetSocketAddress(own, peerPort),
+                    new InetSocketAddress(own, adminPort),
+                    new InetSocketAddress(own, leasePort)));
         }
-        Runtime.getRuntime().addShutdownHook(hook);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /** One of a lab's four nets. Danger: two labs at once in one net take ports that the other asked for. */
-    static String net(int which) {
-        return "127." + (16 + 4 * (ProcessHandle.current().pid() % 56) + which) + ".";
+    static String net(int index) {
+        return "127." + (16 + 4 * (ProcessHandle.current().pid() % 56) + index) + ".";
     }
 
     /** The address of a number in a net such as {@code 127.41.}: no two share one. */
     static InetAddress address(String net, int number) throws IOException {
-        return InetAddress.getByName(net + number / PER_BYTE + "." + (number % PER_BYTE + 1));
+        return InetAddress.getByName(net + number / ADDRESSES_PER_BYTE + "." + (number % ADDRESSES_PER_BYTE + 1));
     }
 
     /** The jar that this runs from, or its classes where there is none yet. */
     private static List<String> command() {
-        List<String> line = new ArrayList<>(
+        List<String> commandLine = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        line.addAll(FLAGS);
+        commandLine.addAll(JVM_FLAGS);
         Path source = Path.of(
                 Fleet.class.getProtectionDomain().getCodeSource().getLocation().getPath());
         if (Files.isRegularFile(source)) {
             Path archive = source.resolveSibling("nettlewick.jsa");
             if (Files.isRegularFile(archive)) {
-                line.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off", "-Xlog:cds+dynamic=off"));
+                commandLine.addAll(
+                        List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off", "-Xlog:cds+dynamic=off"));
             }
-            line.addAll(List.of("-jar", source.toString()));
+            commandLine.addAll(List.of("-jar", source.toString()));
         } else {
-            line.addAll(List.of(
+            commandLine.addAll(List.of(
                     "-cp",
                     System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                     "nettlewick.cli.Main"));
         }
-        line.add("serve");
-        return line;
+        commandLine.add("serve");
+        return commandLine;
     }
 
     /** Starts a process for this member, unless it has one. */
     synchronized void start(int number) throws IOException {
-        DispatcherProcess m = members.get(number);
-        if (m.alive()) {
+        DispatcherProcess dispatcher = dispatchers.get(number);
+        if (dispatcher.alive()) {
             return;
         }
-        Path own = Files.createDirectories(folder.resolve("n" + number + "-" + m.lives++));
-        Path file = Files.writeString(own.resolve("config.json"), new Gson().toJson(config.apply(number)));
-        List<String> line = new ArrayList<>(command);
-        line.add(1, "-Djava.io.tmpdir=" + own);
-        if (ahead.applyAsLong(number) != 0) {
-            line.addAll(List.of("--clock-ahead", Long.toString(ahead.applyAsLong(number))));
+        Path directory = Files.createDirectories(folder.resolve("n" + number + "-" + dispatcher.incarnations++));
+        Path file = Files.writeString(directory.resolve("config.json"), new Gson().toJson(config.apply(number)));
+        List<String> commandLine = new ArrayList<>(command);
+        commandLine.add(1, "-Djava.io.tmpdir=" + directory);
+        if (clockAheadMillis.applyAsLong(number) != 0) {
+            commandLine.addAll(List.of("--clock-ahead", Long.toString(clockAheadMillis.applyAsLong(number))));
         }
-        String settings = more.apply(number);
+        String settings = settingsText.apply(number);
         if (settings != null) {
-            line.addAll(List.of(
+            commandLine.addAll(List.of(
                     "--settings",
-                    Files.writeString(own.resolve("settings"), settings).toString()));
+                    Files.writeString(directory.resolve("settings"), settings).toString()));
         }
-        ProcessBuilder builder = new ProcessBuilder(line)
+        ProcessBuilder builder = new ProcessBuilder(commandLine)
                 .redirectErrorStream(true)
-                .redirectOutput(own.resolve("log").toFile());
+                .redirectOutput(directory.resolve("log").toFile());
         builder.environment().put("ROUTER_CONFIG", file.toString());
-        m.ready = false;
-        m.paused = false;
-        m.killed = false;
+        dispatcher.ready = false;
+        dispatcher.paused = false;
+        dispatcher.endedByTest = false;
         Process started = builder.start();
-        m.process = started;
+        dispatcher.process = started;
         started.onExit().thenAccept(ended -> listener.exited(number, ended.exitValue()));
     }
 
     /** Ends a process at once, as a power loss would. */
     void kill(int number) {
-        DispatcherProcess m = members.get(number);
-        if (m.alive()) {
-            m.cpuBefore += cpu(m.process);
-            m.killed = true;
+        DispatcherProcess dispatcher = dispatchers.get(number);
+        if (dispatcher.alive()) {
+            dispatcher.earlierCpuMillis += cpuMillis(dispatcher.process);
+            dispatcher.endedByTest = true;
             listener.killed(number);
-            m.process.destroyForcibly();
+            dispatcher.process.destroyForcibly();
         }
     }
 
     /** A planned end, by SIGTERM. */
     void end(int number) {
-        DispatcherProcess m = members.get(number);
-        if (m.alive()) {
-            m.killed = true;
-            m.process.destroy();
+        DispatcherProcess dispatcher = dispatchers.get(number);
+        if (dispatcher.alive()) {
+            dispatcher.endedByTest = true;
+            dispatcher.process.destroy();
         }
     }
 
     /** The clients' front finds that a process is dead. */
-    void noticed(int number) {
-        DispatcherProcess m = members.get(number);
-        m.ready &= m.alive();
+    void deathNoticed(int number) {
+        DispatcherProcess dispatcher = dispatchers.get(number);
+        dispatcher.ready &= dispatcher.alive();
     }
 
     /** Stops a process where it is, or lets it go on: what it believes grows old meanwhile. */
     void pause(int number, boolean stop) throws IOException, InterruptedException {
-        DispatcherProcess m = members.get(number);
-        if (m.alive()) {
-            m.paused = stop;
-            new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", Long.toString(m.process.pid()))
+        DispatcherProcess dispatcher = dispatchers.get(number);
+        if (dispatcher.alive()) {
+            dispatcher.paused = stop;
+            new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", Long.toString(dispatcher.process.pid()))
                     .start()
                     .waitFor();
         }
     }
 
     /** CPU that all processes have used together, in milliseconds. */
-    double cpu() {
-        return members.stream()
-                .mapToDouble(m -> m.cpuBefore + (m.alive() ? cpu(m.process) : 0))
+    double cpuMillis() {
+        return dispatchers.stream()
+                .mapToDouble(dispatcher ->
+                        dispatcher.earlierCpuMillis + (dispatcher.alive() ? cpuMillis(dispatcher.process) : 0))
                 .sum();
     }
 
-    private static double cpu(Process process) {
+    private static double cpuMillis(Process process) {
         try {
             String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * TICKS;
+            return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * MILLIS_PER_CLOCK_TICK;
         } catch (IOException | NumberFormatException e) {
             return 0;
         }
@@ -256,11 +258,11 @@
 
     /** Memory of a process, what it shares with others by its part, in megabytes; 0 where not told. */
     double megabytes(int number) {
-        DispatcherProcess m = members.get(number);
-        if (!m.alive()) {
+        DispatcherProcess dispatcher = dispatchers.get(number);
+        if (!dispatcher.alive()) {
             return 0;
         }
-        try (Stream<String> lines = Files.lines(Path.of("/proc/" + m.process.pid() + "/smaps_rollup"))) {
+        try (Stream<String> lines = Files.lines(Path.of("/proc/" + dispatcher.process.pid() + "/smaps_rollup"))) {
             return lines.filter(l -> l.startsWith("Pss:"))
                             .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D+", "")))
                             .sum()
@@ -271,10 +273,10 @@
     }
 
     private void end() {
-        for (DispatcherProcess m : members) {
-            Process p = m.process;
-            if (p != null) {
-                p.destroyForcibly();
+        for (DispatcherProcess dispatcher : dispatchers) {
+            Process process = dispatcher.process;
+            if (process != null) {
+                process.destroyForcibly();
             }
         }
     }
@@ -282,55 +284,55 @@
     @Override
     public void close() {
         end();
-        for (DispatcherProcess m : members) {
+        for (DispatcherProcess dispatcher : dispatchers) {
             try {
-                if (m.process != null) {
-                    m.process.waitFor(10, TimeUnit.SECONDS);
+                if (dispatcher.process != null) {
+                    dispatcher.process.waitFor(10, TimeUnit.SECONDS);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
         try {
-            Runtime.getRuntime().removeShutdownHook(hook);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             // the lab is being ended: the hook runs already
         }
     }
 
     /** The platform's configuration of a dispatcher in this world, but for its addresses. */
-    static Map<String, Object> settings(Scenario scenario, int rank) {
-        Scenario.World w = scenario.world();
+    static Map<String, Object> platformSettings(Scenario scenario, int rank) {
+        Scenario.FleetSettings fleet = scenario.fleet();
         List<Map<String, Object>> classes = new ArrayList<>();
-        for (Scenario.JobClass c : scenario.load().classes()) {
+        for (Scenario.RequestClass requestClass : scenario.load().classes()) {
             classes.add(Map.of(
                     "name",
-                    c.name(),
+                    requestClass.name(),
                     "repeat",
-                    c.repeat(),
+                    requestClass.repeat(),
                     "aim",
-                    nanos(c.aim()),
+                    nanos(requestClass.latencyObjective()),
                     "deadline",
-                    nanos(c.deadline()),
+                    nanos(requestClass.deadline()),
                     "worth",
                     1,
                     "window",
-                    nanos(scenario.load().window()),
+                    nanos(scenario.load().dedupWindowMillis()),
                     "dedup_scope",
                     "zone"));
         }
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("rank", rank);
-        settings.put("fleet_size", w.dispatchers());
-        settings.put("zone", w.zone(rank));
-        settings.put("zones", w.zones());
+        settings.put("fleet_size", fleet.dispatchers());
+        settings.put("zone", fleet.zone(rank));
+        settings.put("zones", fleet.zones());
         settings.put("models", List.of("std"));
-        settings.put("membership_mode", w.asked() ? "on_request" : "pushed");
+        settings.put("membership_mode", fleet.polls() ? "on_request" : "pushed");
         settings.put("classes", classes);
         settings.put(
                 "tenants",
-                scenario.load().members().stream()
-                        .map(m -> Map.of("name", m.name(), "fraction", m.share()))
+                scenario.load().tenants().stream()
+                        .map(m -> Map.of("name", m.name(), "fraction", m.quota()))
                         .toList());
         settings.put("report", Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0", "x1")));
         settings.put("family_info", Map.of("progress", nanos(EndpointServer.PROGRESS), "tells_start", true));
@@ -338,11 +340,11 @@
                 "ceilings",
                 Map.of(
                         "attempts_cap",
-                        ScenarioRun.ATTEMPTS,
+                        ScenarioRun.MAX_ATTEMPTS,
                         "cancel",
-                        w.runner().cancel(),
+                        fleet.endpoint().cancel(),
                         "peers",
-                        w.peers(),
+                        fleet.gossips(),
                         "probes",
                         true,
                         "retry_after",
@@ -359,15 +361,15 @@
                 "rules",
                 Map.of(
                         "cold",
-                        nanos(w.runner().cold()),
+                        nanos(fleet.endpoint().cold()),
                         "cold_share",
-                        w.runner().share(),
+                        fleet.endpoint().share(),
                         "overload_factor",
-                        w.runner().factor(),
+                        fleet.endpoint().factor(),
                         "drain_grace",
-                        nanos(w.grace()),
+                        nanos(fleet.drainGraceMillis()),
                         "fall",
-                        nanos(w.runner().fall()),
+                        nanos(fleet.endpoint().fall()),
                         "answer_slack",
                         nanos(20),
                         "ask_within",
--- a/src/main/java/nettlewick/fleettest/IdleCrowd.java
+++ b/src/main/java/nettlewick/fleettest/IdleConnections.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Clients that connect and send nothing, so that they fill the descriptors of dispatchers. Safe for any thread. */
-final class IdleCrowd implements AutoCloseable {
+final class IdleConnections implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     private final List<Socket> sockets = new ArrayList<>();
     private boolean closed;
 
     /** Connects that many clients to each address, in the background. */
-    void gather(List<InetSocketAddress> addresses, int clientsOfEach) {
+    void open(List<InetSocketAddress> addresses, int connectionsPerAddress) {
         CompletableFuture.runAsync(() -> addresses.forEach(address -> {
-            for (int i = 0; i < clientsOfEach; i++) {
+            for (int i = 0; i < connectionsPerAddress; i++) {
                 connect(address);
             }
         }));
@@ -27,13 +27,13 @@
         Socket socket = new Socket();
         try {
             socket.connect(address, CONNECT_TIMEOUT_MILLIS);
-            keep(socket);
+            register(socket);
         } catch (IOException e) {
             // It takes no more connections, as it may.
         }
     }
 
-    private synchronized void keep(Socket socket) throws IOException {
+    private synchronized void register(Socket socket) throws IOException {
         if (closed) {
             socket.close();
         } else {
--- a/src/main/java/nettlewick/fleettest/InvariantChecker.java
+++ b/src/main/java/nettlewick/fleettest/InvariantChecker.java
@@ -13,161 +13,163 @@
  */
 final class InvariantChecker {
     /** Past the deadline, for an answer that this machine is slow to bring. */
-    static final double SPARE = 1000;
+    static final double ANSWER_TOLERANCE_MILLIS = 1000;
     /** Between a send and its arrival, on a busy machine and a delayed link. */
-    static final double WAY = 250;
+    static final double TRANSIT_TOLERANCE_MILLIS = 250;
     /** How far from a broken request a process's start or end is still told beside it. */
-    private static final double EVENT_WINDOW = 5000;
+    private static final double EVENT_WINDOW_MILLIS = 5000;
 
     /** A job as a client asks for it: one of its tries, with the id that goes with it. */
-    private static final class Job {
+    private static final class SentRequest {
         final String key;
-        final Scenario.JobClass jobClass;
+        final Scenario.RequestClass requestClass;
         final int dispatcher;
-        final double askedAt;
-        final String member;
+        final double sentAt;
+        final String tenant;
         final List<String> history = new ArrayList<>(6);
-        int sends;
+        int attempts;
         int runs;
         boolean answered;
 
-        Job(String key, Scenario.JobClass jobClass, int dispatcher, double askedAt, String member) {
-            this.member = member;
+        SentRequest(String key, Scenario.RequestClass requestClass, int dispatcher, double sentAt, String tenant) {
+            this.tenant = tenant;
             this.key = key;
-            this.jobClass = jobClass;
+            this.requestClass = requestClass;
             this.dispatcher = dispatcher;
-            this.askedAt = askedAt;
+            this.sentAt = sentAt;
         }
     }
 
     /** All runs of one key: where and when the first send arrived. */
-    private record First(double at, String zone) {}
+    private record FirstAttempt(double at, String zone) {}
 
-    private record BreakSpan(int dispatcher, double from, double to) {}
+    private record ViolationSpan(int dispatcher, double from, double to) {}
 
     private record ProcessEvent(int dispatcher, double at, String what) {}
 
-    private record Excuse(int dispatcher, double from, double to, boolean drainsOnly) {}
+    private record Exemption(int dispatcher, double from, double to, boolean drainsOnly) {}
 
     private final Scenario scenario;
-    private final int attemptsMost;
-    private final Map<String, Job> jobs = new HashMap<>();
-    private final Map<String, First> firsts = new HashMap<>();
+    private final int maxAttempts;
+    private final Map<String, SentRequest> requests = new HashMap<>();
+    private final Map<String, FirstAttempt> firstAttempts = new HashMap<>();
     private final Map<String, Integer> runsOfKey = new HashMap<>();
-    private final Map<String, Double> drainTold = new HashMap<>();
-    private final List<Excuse> excuses = new ArrayList<>();
+    private final Map<String, Double> drainToldAt = new HashMap<>();
+    private final List<Exemption> exemptions = new ArrayList<>();
     /** Dispatchers that were sent SIGKILL and have not been seen to end, and when. */
     private final Map<Integer, Double> killedAt = new HashMap<>();
 
-    private final List<String> breaks = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     /** Whose request each break is, and from when to when it was under way; in the order of the breaks. */
-    private final List<BreakSpan> spans = new ArrayList<>();
+    private final List<ViolationSpan> violationSpans = new ArrayList<>();
 
     private final List<ProcessEvent> processEvents = new ArrayList<>();
     private final Map<String, Integer> counts = new TreeMap<>();
 
-    private double countFrom;
+    private double measureFrom;
     /** Where members' jobs went, where there are pools. */
     private final List<Arrival> arrivals = new ArrayList<>();
 
     /** An attempt of a member's at a runner. */
-    record Arrival(double at, int dispatcher, String member, String runner, String id) {}
+    record Arrival(double at, int dispatcher, String tenant, String endpoint, String requestId) {}
 
-    InvariantChecker(Scenario scenario, int attemptsMost) {
+    InvariantChecker(Scenario scenario, int maxAttempts) {
         this.scenario = scenario;
-        this.attemptsMost = attemptsMost;
+        this.maxAttempts = maxAttempts;
     }
 
     /** What happens earlier breaks rules as well, but is no figure. */
-    synchronized void countFrom(double at) {
-        countFrom = at;
+    synchronized void measureFrom(double at) {
+        measureFrom = at;
     }
 
     /** A client sends a request; {@code key} is the same for all tries of one job. */
-    synchronized void asked(
-            String id, String key, Scenario.JobClass jobClass, int dispatcher, double now, String member) {
-        Job job = new Job(key, jobClass, dispatcher, now, member);
-        job.history.add(at(now) + " asked n" + dispatcher + " " + jobClass.name());
-        jobs.put(id, job);
+    synchronized void requestSent(
+            String id, String key, Scenario.RequestClass requestClass, int dispatcher, double now, String tenant) {
+        SentRequest request = new SentRequest(key, requestClass, dispatcher, now, tenant);
+        request.history.add(timeText(now) + " asked n" + dispatcher + " " + requestClass.name());
+        requests.put(id, request);
     }
 
     /** An attempt has come whole to a runner. */
-    synchronized void arrived(String id, EndpointModel runner, EndpointModel.Taken taken, double now) {
-        add("attempts", now);
-        Job job = jobs.get(id);
-        if (job == null) {
-            broken("invented", id, now, List.of("no client sent this id"));
+    synchronized void arrived(String id, EndpointModel endpoint, EndpointModel.Taken taken, double now) {
+        increment("attempts", now);
+        SentRequest request = requests.get(id);
+        if (request == null) {
+            addViolation("invented", id, now, List.of("no client sent this id"));
             return;
         }
-        job.history.add(at(now) + " at " + runner.name + " " + taken);
-        if (scenario.duty() != null) {
-            arrivals.add(new Arrival(now, job.dispatcher, job.member, runner.name, id));
+        request.history.add(timeText(now) + " at " + endpoint.name + " " + taken);
+        if (scenario.tenantPools() != null) {
+            arrivals.add(new Arrival(now, request.dispatcher, request.tenant, endpoint.name, id));
         }
-        if (++job.sends > attemptsMost) {
-            broken("attempts", id, now, job.history);
+        if (++request.attempts > maxAttempts) {
+            addViolation("attempts", id, now, request.history);
         }
-        Double told = drainTold.get(job.dispatcher + " " + runner.name);
-        if (told != null
+        Double toldAt = drainToldAt.get(request.dispatcher + " " + endpoint.name);
+        if (toldAt != null
                 && now
-                        > told
-                                + scenario.world().grace()
-                                + WAY
-                                + scenario.links().delay()
-                && !excused(job.dispatcher, told, now, true)) {
-            broken("drain", id, now, job.history);
+                        > toldAt
+                                + scenario.fleet().drainGraceMillis()
+                                + TRANSIT_TOLERANCE_MILLIS
+                                + scenario.links().delayMillis()
+                && !isExempt(request.dispatcher, toldAt, now, true)) {
+            addViolation("drain", id, now, request.history);
         }
         if (taken == EndpointModel.Taken.FULL) {
-            add("sent_to_full", now);
+            increment("sent_to_full", now);
         }
         // What was turned away never ran: it binds no later send.
-        if (job.jobClass.keyed() && (taken == EndpointModel.Taken.RUNS || taken == EndpointModel.Taken.WAITS)) {
-            First first = firsts.putIfAbsent(job.key, new First(now, runner.zone));
-            if (first != null
-                    && (now - first.at() > scenario.load().window() + WAY
-                            || !first.zone().equals(runner.zone))) {
-                broken("repeat", id, now, job.history);
+        if (request.requestClass.isKeyed()
+                && (taken == EndpointModel.Taken.RUNS || taken == EndpointModel.Taken.WAITS)) {
+            FirstAttempt firstAttempt = firstAttempts.putIfAbsent(request.key, new FirstAttempt(now, endpoint.zone));
+            if (firstAttempt != null
+                    && (now - firstAttempt.at() > scenario.load().dedupWindowMillis() + TRANSIT_TOLERANCE_MILLIS
+                            || !firstAttempt.zone().equals(endpoint.zone))) {
+                addViolation("repeat", id, now, request.history);
             }
         }
     }
 
     /** A job begins to run. */
-    synchronized void ran(String id, EndpointModel runner, double now) {
-        Job job = jobs.get(id);
-        if (job == null) {
+    synchronized void started(String id, EndpointModel endpoint, double now) {
+        SentRequest request = requests.get(id);
+        if (request == null) {
             return;
         }
-        job.history.add(at(now) + " runs at " + runner.name);
-        job.runs++;
-        int runs = runsOfKey.merge(job.key, 1, Integer::sum);
-        if (job.jobClass.unsafe() && runs > 1) {
-            broken("twice", id, now, job.history);
+        request.history.add(timeText(now) + " runs at " + endpoint.name);
+        request.runs++;
+        int runCount = runsOfKey.merge(request.key, 1, Integer::sum);
+        if (request.requestClass.isNonIdempotent() && runCount > 1) {
+            addViolation("twice", id, now, request.history);
         }
-        if (runs > 1) {
-            add("run_again", now);
+        if (runCount > 1) {
+            increment("run_again", now);
         }
     }
 
     /** What the client got: a status, or 0 where its connection broke or its patience ended, and why. */
     synchronized void answered(String id, int status, String why, double now) {
-        Job job = jobs.get(id);
-        job.answered = true;
-        job.history.add(at(now) + " answer " + status + " " + why);
-        double late = now - job.askedAt - job.jobClass.deadline();
-        if ((status == 0 || late > SPARE) && !excused(job.dispatcher, job.askedAt, now, false)) {
-            broken("one answer", id, now, job.history);
+        SentRequest request = requests.get(id);
+        request.answered = true;
+        request.history.add(timeText(now) + " answer " + status + " " + why);
+        double latenessMillis = now - request.sentAt - request.requestClass.deadline();
+        if ((status == 0 || latenessMillis > ANSWER_TOLERANCE_MILLIS)
+                && !isExempt(request.dispatcher, request.sentAt, now, false)) {
+            addViolation("one answer", id, now, request.history);
         }
         if (status == 0) {
-            add("broken_off", now);
+            increment("broken_off", now);
         }
     }
 
     /** A runner fell over while cold. */
-    synchronized void fell(String runner, double now) {
-        broken(
+    synchronized void endpointCollapsed(String endpoint, double now) {
+        addViolation(
                 "cold",
-                runner,
+                endpoint,
                 now,
-                List.of("offered more than " + scenario.world().runner().factor() + " times what it could"));
+                List.of("offered more than " + scenario.fleet().endpoint().factor() + " times what it could"));
     }
 
     /** Something happened to a dispatcher's process. */
@@ -176,41 +178,41 @@
     }
 
     /** Adds to each break what happened to its dispatcher's process, and what the machine held up, at that time. */
-    synchronized void explainBreaks(HoldUps holdUps) {
-        for (int i = 0; i < breaks.size(); i++) {
-            BreakSpan span = spans.get(i);
+    synchronized void explainViolations(StallMonitor stallMonitor) {
+        for (int i = 0; i < violations.size(); i++) {
+            ViolationSpan span = violationSpans.get(i);
             if (span.dispatcher() >= 0) {
-                List<String> beside = new ArrayList<>(eventsNear(span));
-                beside.addAll(holdUps.between(span.from(), span.to(), span.dispatcher()));
-                breaks.set(i, breaks.get(i) + beside);
+                List<String> context = new ArrayList<>(eventsNear(span));
+                context.addAll(stallMonitor.overlapping(span.from(), span.to(), span.dispatcher()));
+                violations.set(i, violations.get(i) + context);
             }
         }
     }
 
-    private List<String> eventsNear(BreakSpan span) {
+    private List<String> eventsNear(ViolationSpan span) {
         return processEvents.stream()
                 .filter(e -> e.dispatcher() == span.dispatcher()
-                        && e.at() >= span.from() - EVENT_WINDOW
-                        && e.at() <= span.to() + EVENT_WINDOW)
-                .map(e -> at(e.at()) + " n" + e.dispatcher() + " " + e.what())
+                        && e.at() >= span.from() - EVENT_WINDOW_MILLIS
+                        && e.at() <= span.to() + EVENT_WINDOW_MILLIS)
+                .map(e -> timeText(e.at()) + " n" + e.dispatcher() + " " + e.what())
                 .toList();
     }
 
     /** Discovery has written to a dispatcher that a runner drains. */
-    synchronized void toldDrain(int dispatcher, String runner, double now) {
-        drainTold.putIfAbsent(dispatcher + " " + runner, now);
+    synchronized void drainTold(int dispatcher, String endpoint, double now) {
+        drainToldAt.putIfAbsent(dispatcher + " " + endpoint, now);
     }
 
-    synchronized void startedAnew(String runner) {
-        drainTold.keySet().removeIf(k -> k.endsWith(" " + runner));
+    synchronized void endpointRestarted(String endpoint) {
+        drainToldAt.keySet().removeIf(k -> k.endsWith(" " + endpoint));
     }
 
     /**
      * From then to then this dispatcher could not do as the rules want: dead or paused, or, where
      * {@code drainsOnly}, cut off from discovery.
      */
-    synchronized void excuse(int dispatcher, double from, double to, boolean drainsOnly) {
-        excuses.add(new Excuse(dispatcher, from, to, drainsOnly));
+    synchronized void exempt(int dispatcher, double from, double to, boolean drainsOnly) {
+        exemptions.add(new Exemption(dispatcher, from, to, drainsOnly));
     }
 
     /** A dispatcher was sent SIGKILL: it is excused from now until its death is observed, whenever that is. */
@@ -222,31 +224,31 @@
     synchronized void ended(int dispatcher, double now, double notice) {
         Double from = killedAt.remove(dispatcher);
         if (from != null) {
-            excuse(dispatcher, from, now + notice, false);
+            exempt(dispatcher, from, now + notice, false);
         }
     }
 
     private boolean isBeingKilled(int dispatcher, double to) {
         Double from = killedAt.get(dispatcher);
-        return from != null && from <= to + WAY;
+        return from != null && from <= to + TRANSIT_TOLERANCE_MILLIS;
     }
 
-    private boolean excused(int dispatcher, double from, double to, boolean drain) {
+    private boolean isExempt(int dispatcher, double from, double to, boolean isDrain) {
         return isBeingKilled(dispatcher, to)
-                || excuses.stream()
+                || exemptions.stream()
                         .anyMatch(e -> e.dispatcher() == dispatcher
-                                && (drain || !e.drainsOnly())
-                                && e.from() <= to + WAY
-                                && e.to() >= from - WAY);
+                                && (isDrain || !e.drainsOnly())
+                                && e.from() <= to + TRANSIT_TOLERANCE_MILLIS
+                                && e.to() >= from - TRANSIT_TOLERANCE_MILLIS);
     }
 
     /** After the end: what was asked long enough ago and has no answer. */
-    synchronized void close(double now) {
-        jobs.forEach((id, job) -> {
-            if (!job.answered
-                    && now - job.askedAt > job.jobClass.deadline() + SPARE
-                    && !excused(job.dispatcher, job.askedAt, now, false)) {
-                broken("one answer", id, now, job.history);
+    synchronized void checkUnanswered(double now) {
+        requests.forEach((id, request) -> {
+            if (!request.answered
+                    && now - request.sentAt > request.requestClass.deadline() + ANSWER_TOLERANCE_MILLIS
+                    && !isExempt(request.dispatcher, request.sentAt, now, false)) {
+                addViolation("one answer", id, now, request.history);
             }
         });
     }
@@ -256,35 +258,38 @@
     }
 
     /** A rule that others look after was broken. */
-    synchronized void broken(String rule, String job, double now, String what) {
-        broken(rule, job, now, List.of(what));
+    synchronized void addViolation(String rule, String subject, double now, String what) {
+        addViolation(rule, subject, now, List.of(what));
     }
 
-    private void broken(String rule, String job, double now, List<String> history) {
-        breaks.add(at(now) + " " + job + ": " + rule + " (" + String.join("; ", history) + ")");
-        Job broken = jobs.get(job);
-        spans.add(broken == null ? new BreakSpan(-1, now, now) : new BreakSpan(broken.dispatcher, broken.askedAt, now));
-        add(rule, now);
-        if (jobs.containsKey(job)) {
-            add(rule + " " + jobs.get(job).member, now);
+    private void addViolation(String rule, String subject, double now, List<String> history) {
+        violations.add(timeText(now) + " " + subject + ": " + rule + " (" + String.join("; ", history) + ")");
+        SentRequest request = requests.get(subject);
+        violationSpans.add(
+                request == null
+                        ? new ViolationSpan(-1, now, now)
+                        : new ViolationSpan(request.dispatcher, request.sentAt, now));
+        increment(rule, now);
+        if (requests.containsKey(subject)) {
+            increment(rule + " " + requests.get(subject).tenant, now);
         }
     }
 
-    private static String at(double now) {
+    private static String timeText(double now) {
         return (long) now + " ms";
     }
 
-    private void add(String what, double now) {
-        if (now >= countFrom) {
-            counts.merge(what, 1, Integer::sum);
+    private void increment(String name, double now) {
+        if (now >= measureFrom) {
+            counts.merge(name, 1, Integer::sum);
         }
     }
 
-    synchronized int count(String what) {
-        return counts.getOrDefault(what, 0);
+    synchronized int count(String name) {
+        return counts.getOrDefault(name, 0);
     }
 
-    synchronized List<String> breaks() {
-        return List.copyOf(breaks);
+    synchronized List<String> violations() {
+        return List.copyOf(violations);
     }
 }
--- a/src/main/java/nettlewick/fleettest/LinkFaults.java
+++ b/src/main/java/nettlewick/fleettest/LinkFaults.java
@@ -13,28 +13,28 @@
  */
 final class LinkFaults {
     /** How a connection is treated from now on. */
-    enum Way {
+    enum ConnectionState {
         OPEN,
         STALLED,
         REFUSED,
         RESET,
-        TRICKLES
+        TRICKLING
     }
 
-    private record Cut(BitSet from, BitSet to, double until) {
-        boolean cuts(int a, int b, double now) {
+    private record Partition(BitSet from, BitSet to, double until) {
+        boolean covers(int a, int b, double now) {
             return now < until && from.get(a) && to.get(b);
         }
     }
 
-    private record Spell(BitSet whom, Way way, double until) {}
+    private record ServerFault(BitSet servers, ConnectionState state, double until) {}
 
-    private record Loss(double part, double until) {}
+    private record Loss(double fraction, double until) {}
 
     private final Scenario.LinkSettings settings;
     private final long seed;
-    private final List<Cut> cuts = new CopyOnWriteArrayList<>();
-    private final List<Spell> spells = new CopyOnWriteArrayList<>();
+    private final List<Partition> partitions = new CopyOnWriteArrayList<>();
+    private final List<ServerFault> serverFaults = new CopyOnWriteArrayList<>();
     private volatile Loss loss = new Loss(0, 0);
 
     LinkFaults(Scenario.LinkSettings settings, long seed) {
@@ -43,59 +43,60 @@
     }
 
     /** Cuts the way from these to those; both ways where {@code both}. */
-    void cut(BitSet from, BitSet to, boolean both, double until) {
-        cuts.add(new Cut(from, to, until));
-        if (both) {
-            cuts.add(new Cut(to, from, until));
+    void cut(BitSet from, BitSet to, boolean bothWays, double until) {
+        partitions.add(new Partition(from, to, until));
+        if (bothWays) {
+            partitions.add(new Partition(to, from, until));
         }
     }
 
     /** Connections to these are treated so. */
-    void treat(BitSet whom, Way way, double until) {
-        spells.add(new Spell(whom, way, until));
+    void addServerFault(BitSet servers, ConnectionState state, double until) {
+        serverFaults.add(new ServerFault(servers, state, until));
     }
 
-    void lose(double part, double until) {
-        loss = new Loss(part, until);
+    void setLoss(double fraction, double until) {
+        loss = new Loss(fraction, until);
     }
 
     boolean cut(int from, int to, double now) {
-        return cuts.stream().anyMatch(c -> c.cuts(from, to, now));
+        return partitions.stream().anyMatch(c -> c.covers(from, to, now));
     }
 
     /** How bytes from one to the other go now, on a connection that {@code server} accepted. */
-    Way way(int from, int to, int server, double now) {
+    ConnectionState connectionState(int from, int to, int server, double now) {
         if (cut(from, to, now)) {
-            return Way.STALLED;
+            return ConnectionState.STALLED;
         }
-        Way way = Way.OPEN;
-        for (Spell s : spells) {
-            if (now < s.until() && s.whom().get(server)) {
-                way = s.way();
+        ConnectionState state = ConnectionState.OPEN;
+        for (ServerFault fault : serverFaults) {
+            if (now < fault.until() && fault.servers().get(server)) {
+                state = fault.state();
             }
         }
-        return way;
+        return state;
     }
 
     double delay() {
-        return settings.delay();
+        return settings.delayMillis();
     }
 
     /** After how many milliseconds each copy of a datagram arrives; empty where it is lost. */
-    List<Double> fate(int from, int to, long number, double now) {
+    List<Double> copyDelays(int from, int to, long number, double now) {
         if (cut(from, to, now)) {
             return List.of();
         }
-        double part = Math.max(settings.loss(), now < loss.until() ? loss.part() : 0);
-        if (part == 0 && settings.duplicates() == 0 && settings.jitter() == 0) {
-            return List.of(settings.delay());
+        double lossFraction = Math.max(settings.lossFraction(), now < loss.until() ? loss.fraction() : 0);
+        if (lossFraction == 0 && settings.duplicateFraction() == 0 && settings.jitterMillis() == 0) {
+            return List.of(settings.delayMillis());
         }
         SplittableRandom random = new SplittableRandom(
                 seed * 0x9E3779B97F4A7C15L + from * 0x1000003L + to * 0x5BD1E995L + number * 0xC2B2AE3D27D4EB4FL);
-        int copies = random.nextDouble() < part ? 0 : random.nextDouble() < settings.duplicates() ? 2 : 1;
+        int copies =
+                random.nextDouble() < lossFraction ? 0 : random.nextDouble() < settings.duplicateFraction() ? 2 : 1;
         List<Double> delays = new ArrayList<>(copies);
         for (int i = 0; i < copies; i++) {
-            delays.add(settings.delay() + random.nextDouble() * settings.jitter());
+            delays.add(settings.delayMillis() + random.nextDouble() * settings.jitterMillis());
         }
         return delays;
     }
--- a/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
+++ b/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
@@ -14,82 +14,83 @@
  */
 final class LoadBalanceStats {
     /** Milliseconds between two samples. */
-    static final double EACH = 50;
+    static final double SAMPLE_INTERVAL_MILLIS = 50;
 
-    private static final double THOUSAND = 1000;
-    private static final int LOAD_MOST = 1_000_000;
+    private static final double PER_MILLE = 1000;
+    private static final int MAX_LOAD_PER_MILLE = 1_000_000;
     /** A herd is more than twice the fair arrivals, and at least so many. */
-    private static final int HERD_LEAST = 3;
+    private static final int MIN_HERD_ARRIVALS = 3;
 
     /** One sample: the load of each runner at a time; NaN where it is down. */
     record Sample(double at, double[] loads) {}
 
-    private final List<EndpointModel> runners;
+    private final List<EndpointModel> endpoints;
     private final double meanWork;
     private final List<Sample> samples = new ArrayList<>();
     private final Map<EndpointModel, double[]> arrivals = new LinkedHashMap<>();
-    private final Map<EndpointModel, Integer> counts = new LinkedHashMap<>();
+    private final Map<EndpointModel, Integer> arrivalCounts = new LinkedHashMap<>();
     /** Load of each runner at each sample, in thousandths of its slots. */
-    private final Histogram loads = new Histogram(LOAD_MOST, 3);
+    private final Histogram loads = new Histogram(MAX_LOAD_PER_MILLE, 3);
 
-    private boolean refused;
-    private long runnerSamples;
-    private long idle;
-    private double cvSum;
-    private long cvCount;
+    private boolean rejected;
+    private long endpointSamples;
+    private long idleSamples;
+    private double variationSum;
+    private long variationCount;
 
     /** @param runners may grow while this is used; @param meanWork of a job, in slot milliseconds */
-    LoadBalanceStats(List<EndpointModel> runners, double meanWork) {
-        this.runners = runners;
+    LoadBalanceStats(List<EndpointModel> endpoints, double meanWork) {
+        this.endpoints = endpoints;
         this.meanWork = meanWork;
     }
 
     /** An attempt has come to a runner. */
-    synchronized void arrived(EndpointModel runner, double now) {
-        int n = counts.merge(runner, 1, Integer::sum);
-        double[] times = arrivals.getOrDefault(runner, new double[64]);
-        if (n > times.length) {
-            times = Arrays.copyOf(times, 2 * n);
+    synchronized void arrived(EndpointModel endpoint, double now) {
+        int count = arrivalCounts.merge(endpoint, 1, Integer::sum);
+        double[] times = arrivals.getOrDefault(endpoint, new double[64]);
+        if (count > times.length) {
+            times = Arrays.copyOf(times, 2 * count);
         }
-        times[n - 1] = now;
-        arrivals.put(runner, times);
+        times[count - 1] = now;
+        arrivals.put(endpoint, times);
     }
 
     /** Something was turned away, by a runner or by a dispatcher. */
-    synchronized void refused() {
-        refused = true;
+    synchronized void rejected() {
+        rejected = true;
     }
 
     /** Looks at all runners. */
     synchronized void sample(double now) {
-        boolean waits = refused;
-        refused = false;
+        boolean hasWaiting = rejected;
+        rejected = false;
         List<EndpointModel> serving =
-                runners.stream().filter(EndpointModel::serves).toList();
-        double[] all = new double[runners.size()];
+                endpoints.stream().filter(EndpointModel::serves).toList();
+        double[] allLoads = new double[endpoints.size()];
         double sum = 0;
         double squares = 0;
-        for (int i = 0; i < all.length; i++) {
-            EndpointModel r = runners.get(i);
-            all[i] = r.up() ? r.load() : Double.NaN;
+        for (int i = 0; i < allLoads.length; i++) {
+            EndpointModel endpoint = endpoints.get(i);
+            allLoads[i] = endpoint.up() ? endpoint.load() : Double.NaN;
         }
-        for (EndpointModel r : serving) {
+        for (EndpointModel endpoint : serving) {
             // By speed: one that is twice as fast carries twice the jobs in the same time.
-            double load = r.load();
-            waits |= r.waiting() > 0;
+            double load = endpoint.load();
+            hasWaiting |= endpoint.waiting() > 0;
             sum += load;
             squares += load * load;
-            loads.recordValue(Math.min(LOAD_MOST, Math.round(load * THOUSAND)));
+            loads.recordValue(Math.min(MAX_LOAD_PER_MILLE, Math.round(load * PER_MILLE)));
         }
-        samples.add(new Sample(now, all));
-        runnerSamples += serving.size();
-        if (waits) {
-            idle += serving.stream().filter(r -> r.load() == 0).count();
+        samples.add(new Sample(now, allLoads));
+        endpointSamples += serving.size();
+        if (hasWaiting) {
+            idleSamples +=
+                    serving.stream().filter(endpoint -> endpoint.load() == 0).count();
         }
         if (sum > 0) {
             double mean = sum / serving.size();
-            cvSum += Math.sqrt(Math.max(0, squares / serving.size() - mean * mean)) / mean;
-            cvCount++;
+            variationSum += Math.sqrt(Math.max(0, squares / serving.size() - mean * mean)) / mean;
+            variationCount++;
         }
     }
 
@@ -102,40 +103,42 @@
     }
 
     /** Windows of a runner's own service time in which it got more than twice its fair arrivals. */
-    synchronized int herds() {
-        double total = counts.values().stream().mapToInt(n -> n).sum();
-        double capacity = runners.stream().mapToDouble(r -> r.slots * r.speed).sum();
+    synchronized int countHerds() {
+        double total = arrivalCounts.values().stream().mapToInt(count -> count).sum();
+        double capacity = endpoints.stream()
+                .mapToDouble(endpoint -> endpoint.slots * endpoint.speed)
+                .sum();
         double from = Double.MAX_VALUE;
         double to = 0;
-        for (Map.Entry<EndpointModel, double[]> e : arrivals.entrySet()) {
-            from = Math.min(from, e.getValue()[0]);
-            to = Math.max(to, e.getValue()[counts.get(e.getKey()) - 1]);
+        for (Map.Entry<EndpointModel, double[]> entry : arrivals.entrySet()) {
+            from = Math.min(from, entry.getValue()[0]);
+            to = Math.max(to, entry.getValue()[arrivalCounts.get(entry.getKey()) - 1]);
         }
-        int herds = 0;
-        for (Map.Entry<EndpointModel, double[]> e : arrivals.entrySet()) {
-            EndpointModel r = e.getKey();
-            double window = meanWork / r.speed;
-            double fair = total * r.slots * r.speed / capacity * window / Math.max(1, to - from);
-            int n = counts.get(r);
-            for (int i = 0; i < n; ) {
+        int herdCount = 0;
+        for (Map.Entry<EndpointModel, double[]> entry : arrivals.entrySet()) {
+            EndpointModel endpoint = entry.getKey();
+            double window = meanWork / endpoint.speed;
+            double fair = total * endpoint.slots * endpoint.speed / capacity * window / Math.max(1, to - from);
+            int count = arrivalCounts.get(endpoint);
+            for (int i = 0; i < count; ) {
                 int first = i;
-                while (i < n && e.getValue()[i] < e.getValue()[first] + window) {
+                while (i < count && entry.getValue()[i] < entry.getValue()[first] + window) {
                     i++;
                 }
-                herds += i - first >= HERD_LEAST && i - first > 2 * fair ? 1 : 0;
+                herdCount += i - first >= MIN_HERD_ARRIVALS && i - first > 2 * fair ? 1 : 0;
             }
         }
-        return herds;
+        return herdCount;
     }
 
     /** The measures, by the names that the page explains. */
     synchronized Map<String, Double> figures() {
-        Map<String, Double> f = new LinkedHashMap<>();
-        f.put("load_cv", cvCount == 0 ? 0 : cvSum / cvCount);
-        f.put("load_p99", loads.getValueAtPercentile(99) / THOUSAND);
-        f.put("load_worst", loads.getMaxValue() / THOUSAND);
-        f.put("idle_while_waiting", runnerSamples == 0 ? 0 : idle / (double) runnerSamples);
-        f.put("herds", (double) herds());
-        return f;
+        Map<String, Double> figures = new LinkedHashMap<>();
+        figures.put("load_cv", variationCount == 0 ? 0 : variationSum / variationCount);
+        figures.put("load_p99", loads.getValueAtPercentile(99) / PER_MILLE);
+        figures.put("load_worst", loads.getMaxValue() / PER_MILLE);
+        figures.put("idle_while_waiting", endpointSamples == 0 ? 0 : idleSamples / (double) endpointSamples);
+        figures.put("herds", (double) countHerds());
+        return figures;
     }
 }
--- a/src/main/java/nettlewick/fleettest/RequestTrace.java
+++ b/src/main/java/nettlewick/fleettest/RequestTrace.java
@@ -15,104 +15,117 @@
      * @param choice in [0, 1): draws the dispatcher among those of its zone
      * @param member whose it is
      */
-    record Arrival(
-            int number, double at, Scenario.JobClass jobClass, double work, int zone, double choice, String member) {}
+    record PlannedRequest(
+            int number,
+            double at,
+            Scenario.RequestClass requestClass,
+            double workMillis,
+            int zone,
+            double choice,
+            String tenant) {}
 
     private RequestTrace() {}
 
-    static List<Arrival> of(Scenario scenario) {
-        SplittableRandom random = new SplittableRandom(scenario.world().seed());
-        Scenario.Load load = scenario.load();
-        double parts =
-                load.classes().stream().mapToDouble(Scenario.JobClass::part).sum();
-        List<Arrival> all = new ArrayList<>();
-        double at = -load.warm();
-        double asks = load.members().stream().mapToDouble(Scenario.Member::asks).sum();
-        double floods = load.members().stream()
-                        .mapToDouble(m -> m.asks()
+    static List<PlannedRequest> draw(Scenario scenario) {
+        SplittableRandom random = new SplittableRandom(scenario.fleet().seed());
+        Scenario.LoadSettings load = scenario.load();
+        double fractionSum = load.classes().stream()
+                .mapToDouble(Scenario.RequestClass::fraction)
+                .sum();
+        List<PlannedRequest> requests = new ArrayList<>();
+        double at = -load.warmUpMillis();
+        double tenantFractionSum = load.tenants().stream()
+                .mapToDouble(Scenario.Tenant::requestFraction)
+                .sum();
+        double floodFactor = load.tenants().stream()
+                        .mapToDouble(m -> m.requestFraction()
                                 * scenario.steps().stream()
-                                        .filter(s -> floods(s, m))
-                                        .mapToDouble(Scenario.Step::figure)
+                                        .filter(s -> isFloodOf(s, m))
+                                        .mapToDouble(Scenario.Step::value)
                                         .reduce(1, Math::max))
                         .sum()
-                / asks;
+                / tenantFractionSum;
         while (true) {
             // Thinned from the highest rate, so that steps change it without a seam.
-            double most = load.rate()
+            double maxRate = load.rate()
                     * scenario.steps().stream()
                             .filter(s -> s.verb().equals("rate"))
-                            .mapToDouble(Scenario.Step::figure)
+                            .mapToDouble(Scenario.Step::value)
                             .reduce(1, Math::max)
                     / 1000
-                    * floods;
-            at -= Math.log(1 - random.nextDouble()) / most;
-            if (at >= load.length()) {
-                return all;
+                    * floodFactor;
+            at -= Math.log(1 - random.nextDouble()) / maxRate;
+            if (at >= load.lengthMillis()) {
+                return requests;
             }
             double draw = random.nextDouble();
-            Scenario.JobClass jobClass = pick(load.classes(), random.nextDouble() * parts);
-            double work =
-                    Math.max(1, -Math.log(1 - random.nextDouble()) * jobClass.mean() * 0.5 + jobClass.mean() * 0.5);
-            int zone = random.nextInt(scenario.world().zones().size());
+            Scenario.RequestClass requestClass = pick(load.classes(), random.nextDouble() * fractionSum);
+            double workMillis = Math.max(
+                    1,
+                    -Math.log(1 - random.nextDouble()) * requestClass.meanWorkMillis() * 0.5
+                            + requestClass.meanWorkMillis() * 0.5);
+            int zone = random.nextInt(scenario.fleet().zones().size());
             double choice = random.nextDouble();
-            double[] weights = new double[load.members().size()];
-            double whole = 0;
+            double[] weights = new double[load.tenants().size()];
+            double weightSum = 0;
             for (int m = 0; m < weights.length; m++) {
-                weights[m] = weight(scenario, load.members().get(m), at) / asks;
-                whole += weights[m];
+                weights[m] = tenantWeight(scenario, load.tenants().get(m), at) / tenantFractionSum;
+                weightSum += weights[m];
             }
-            if (draw * most * 1000 < rate(scenario, at) * whole) {
+            if (draw * maxRate * 1000 < rateAt(scenario, at) * weightSum) {
                 // One member needs no draw: earlier scenarios keep their jobs.
-                double left = weights.length == 1 ? 0 : random.nextDouble() * whole;
-                int member = 0;
-                for (; member < weights.length - 1 && left >= weights[member]; member++) {
-                    left -= weights[member];
+                double remaining = weights.length == 1 ? 0 : random.nextDouble() * weightSum;
+                int tenantIndex = 0;
+                for (; tenantIndex < weights.length - 1 && remaining >= weights[tenantIndex]; tenantIndex++) {
+                    remaining -= weights[tenantIndex];
                 }
-                all.add(new Arrival(
-                        all.size(),
+                requests.add(new PlannedRequest(
+                        requests.size(),
                         at,
-                        jobClass,
-                        work,
+                        requestClass,
+                        workMillis,
                         zone,
                         choice,
-                        load.members().get(member).name()));
+                        load.tenants().get(tenantIndex).name()));
             }
         }
     }
 
-    private static boolean floods(Scenario.Step s, Scenario.Member m) {
-        return s.verb().equals("flood") && s.first().name().equals(m.name());
+    private static boolean isFloodOf(Scenario.Step step, Scenario.Tenant tenant) {
+        return step.verb().equals("flood") && step.target().name().equals(tenant.name());
     }
 
     /** What a member asks for at a time, against all that all ask for in peace. */
-    private static double weight(Scenario scenario, Scenario.Member m, double at) {
-        double weight = m.asks();
-        for (Scenario.Step s : scenario.steps()) {
-            weight *= floods(s, m) && at >= s.at() && at < s.at() + s.span() ? s.figure() : 1;
+    private static double tenantWeight(Scenario scenario, Scenario.Tenant tenant, double at) {
+        double weight = tenant.requestFraction();
+        for (Scenario.Step step : scenario.steps()) {
+            weight *= isFloodOf(step, tenant) && at >= step.at() && at < step.at() + step.durationMillis()
+                    ? step.value()
+                    : 1;
         }
         return weight;
     }
 
-    private static double rate(Scenario scenario, double at) {
+    private static double rateAt(Scenario scenario, double at) {
         double rate = scenario.load().rate();
         if (at < 0) {
             // It grows: the first requests of a process cost many times what the later ones do.
-            return rate * (1 + at / scenario.load().warm());
+            return rate * (1 + at / scenario.load().warmUpMillis());
         }
-        for (Scenario.Step s : scenario.steps()) {
-            if (s.verb().equals("rate") && at >= s.at() && at < s.at() + s.span()) {
-                rate *= s.figure();
+        for (Scenario.Step step : scenario.steps()) {
+            if (step.verb().equals("rate") && at >= step.at() && at < step.at() + step.durationMillis()) {
+                rate *= step.value();
             }
         }
         return rate;
     }
 
-    private static Scenario.JobClass pick(List<Scenario.JobClass> classes, double draw) {
-        double left = draw;
-        for (Scenario.JobClass c : classes) {
-            left -= c.part();
-            if (left < 0) {
-                return c;
+    private static Scenario.RequestClass pick(List<Scenario.RequestClass> classes, double draw) {
+        double remaining = draw;
+        for (Scenario.RequestClass requestClass : classes) {
+            remaining -= requestClass.fraction();
+            if (remaining < 0) {
+                return requestClass;
             }
         }
         return classes.get(classes.size() - 1);
--- a/src/main/java/nettlewick/fleettest/Results.java
+++ b/src/main/java/nettlewick/fleettest/Results.java
@@ -25,13 +25,13 @@
 
 /** What a run leaves in its folder, and two such folders side by side. */
 final class Results {
-    private static final String FIGURES = "figures.csv";
-    private static final int WIDTH = 1200;
-    private static final int HEIGHT = 600;
-    private static final double SECOND = 1000;
+    private static final String FIGURES_FILE = "figures.csv";
+    private static final int WIDTH_PIXELS = 1200;
+    private static final int HEIGHT_PIXELS = 600;
+    private static final double SECOND_MILLIS = 1000;
 
     /** What the fleet had done by the end of a second. */
-    record Second(double at, int ready, int asked, int inTime, int late, int refusals, int open) {}
+    record Second(double at, int ready, int sent, int inTime, int late, int rejections, int openRequests) {}
 
     private Results() {}
 
@@ -39,39 +39,39 @@
     static String write(
             Path folder,
             Map<String, Double> figures,
-            List<String> breaks,
-            LoadBalanceStats spread,
+            List<String> violations,
+            LoadBalanceStats loadStats,
             Histogram latency,
             List<Second> seconds)
             throws IOException {
         Files.createDirectories(folder);
-        try (CSVPrinter csv = csv(folder.resolve(FIGURES))) {
+        try (CSVPrinter csv = csv(folder.resolve(FIGURES_FILE))) {
             csv.printRecord("name", "value");
             for (Map.Entry<String, Double> f : figures.entrySet()) {
-                csv.printRecord(f.getKey(), plain(f.getValue()));
+                csv.printRecord(f.getKey(), formatNumber(f.getValue()));
             }
         }
         try (CSVPrinter csv = csv(folder.resolve("seconds.csv"))) {
             csv.printRecord("at_ms", "ready", "asked", "in_time", "late", "refusals", "open");
             for (Second s : seconds) {
-                csv.printRecord(s.at(), s.ready(), s.asked(), s.inTime(), s.late(), s.refusals(), s.open());
+                csv.printRecord(s.at(), s.ready(), s.sent(), s.inTime(), s.late(), s.rejections(), s.openRequests());
             }
         }
         try (CSVPrinter csv = csv(folder.resolve("loads.csv"))) {
             csv.printRecord("at_ms", "load of each runner over its slots");
-            for (LoadBalanceStats.Sample s : spread.samples()) {
+            for (LoadBalanceStats.Sample s : loadStats.samples()) {
                 csv.print(Math.round(s.at()));
                 for (double load : s.loads()) {
-                    csv.print(plain(load));
+                    csv.print(formatNumber(load));
                 }
                 csv.println();
             }
         }
-        Files.write(folder.resolve("breaks.txt"), breaks);
-        histogram(folder.resolve("latency.hlog"), latency);
-        histogram(folder.resolve("loads.hlog"), spread.loads());
+        Files.write(folder.resolve("breaks.txt"), violations);
+        writeHistogram(folder.resolve("latency.hlog"), latency);
+        writeHistogram(folder.resolve("loads.hlog"), loadStats.loads());
         try {
-            charts(folder, spread, seconds);
+            drawCharts(folder, loadStats, seconds);
             return null;
         } catch (IOException | RuntimeException | LinkageError | InternalError e) {
             return "no charts, this machine cannot draw text: " + e;
@@ -84,7 +84,7 @@
                 CSVFormat.DEFAULT.builder().setRecordSeparator('\n').get());
     }
 
-    private static void histogram(Path file, Histogram h) throws IOException {
+    private static void writeHistogram(Path file, Histogram h) throws IOException {
         try (PrintStream out = new PrintStream(Files.newOutputStream(file))) {
             HistogramLogWriter log = new HistogramLogWriter(out);
             log.outputLogFormatVersion();
@@ -93,36 +93,36 @@
         }
     }
 
-    private static void charts(Path folder, LoadBalanceStats spread, List<Second> seconds) throws IOException {
+    private static void drawCharts(Path folder, LoadBalanceStats loadStats, List<Second> seconds) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYSeriesCollection loads = new XYSeriesCollection();
-        List<LoadBalanceStats.Sample> samples = spread.samples();
+        List<LoadBalanceStats.Sample> samples = loadStats.samples();
         int runners = samples.stream().mapToInt(s -> s.loads().length).max().orElse(0);
         for (int r = 0; r < runners; r++) {
             XYSeries line = new XYSeries("s" + r);
             for (LoadBalanceStats.Sample s : samples) {
-                line.add(s.at() / SECOND, r < s.loads().length ? s.loads()[r] : Double.NaN);
+                line.add(s.at() / SECOND_MILLIS, r < s.loads().length ? s.loads()[r] : Double.NaN);
             }
             loads.addSeries(line);
         }
         draw(folder.resolve("load.png"), "Load of each sim runner", "jobs in hand over slots", loads, false);
         Map<String, XYSeries> rates = new LinkedHashMap<>();
-        Second before = new Second(0, 0, 0, 0, 0, 0, 0);
+        Second previous = new Second(0, 0, 0, 0, 0, 0, 0);
         for (Second s : seconds) {
-            double span = Math.max(1, s.at() - before.at()) / SECOND;
-            rate(rates, "asked", s.at(), (s.asked() - before.asked()) / span);
-            rate(rates, "in time", s.at(), (s.inTime() - before.inTime()) / span);
-            rate(rates, "late", s.at(), (s.late() - before.late()) / span);
-            rate(rates, "refusals", s.at(), (s.refusals() - before.refusals()) / span);
-            before = s;
+            double span = Math.max(1, s.at() - previous.at()) / SECOND_MILLIS;
+            addRate(rates, "asked", s.at(), (s.sent() - previous.sent()) / span);
+            addRate(rates, "in time", s.at(), (s.inTime() - previous.inTime()) / span);
+            addRate(rates, "late", s.at(), (s.late() - previous.late()) / span);
+            addRate(rates, "refusals", s.at(), (s.rejections() - previous.rejections()) / span);
+            previous = s;
         }
         XYSeriesCollection answers = new XYSeriesCollection();
         rates.values().forEach(answers::addSeries);
         draw(folder.resolve("answers.png"), "Answers", "a second", answers, true);
     }
 
-    private static void rate(Map<String, XYSeries> rates, String name, double at, double value) {
-        rates.computeIfAbsent(name, XYSeries::new).add(at / SECOND, value);
+    private static void addRate(Map<String, XYSeries> rates, String name, double at, double value) {
+        rates.computeIfAbsent(name, XYSeries::new).add(at / SECOND_MILLIS, value);
     }
 
     private static void draw(Path file, String title, String axis, XYSeriesCollection data, boolean legend)
@@ -132,11 +132,11 @@
             chart.removeLegend();
         }
         chart.getXYPlot().setBackgroundPaint(Color.WHITE);
-        ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT);
+        ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH_PIXELS, HEIGHT_PIXELS);
     }
 
     /** A number as a person writes it. */
-    static String plain(double value) {
+    static String formatNumber(double value) {
         return Double.isNaN(value)
                 ? ""
                 : value == Math.rint(value) && Math.abs(value) < 1e12
@@ -147,7 +147,7 @@
     /** The figures of a run's folder. */
     static Map<String, Double> read(Path folder) throws IOException {
         Map<String, Double> figures = new LinkedHashMap<>();
-        try (Reader in = Files.newBufferedReader(folder.resolve(FIGURES))) {
+        try (Reader in = Files.newBufferedReader(folder.resolve(FIGURES_FILE))) {
             for (CSVRecord row : CSVFormat.DEFAULT
                     .builder()
                     .setHeader()
@@ -174,8 +174,8 @@
             out.append(String.format(
                     "%-24s %14s %14s %10s%n",
                     name,
-                    plain(x),
-                    plain(y),
+                    formatNumber(x),
+                    formatNumber(y),
                     x == 0 || Double.isNaN(x) || Double.isNaN(y)
                             ? ""
                             : String.format(java.util.Locale.ROOT, "%.2f", y / x)));
@@ -183,12 +183,12 @@
     }
 
     /** For a folder that a person gave: whether a run is in it. */
-    static boolean holds(Path folder) {
-        return Files.isRegularFile(folder.resolve(FIGURES));
+    static boolean containsRun(Path folder) {
+        return Files.isRegularFile(folder.resolve(FIGURES_FILE));
     }
 
     /** Copies a text beside the figures. */
-    static void keep(Path folder, String name, String text) throws IOException {
+    static void writeText(Path folder, String name, String text) throws IOException {
         Files.createDirectories(folder);
         try (Writer out = Files.newBufferedWriter(folder.resolve(name))) {
             out.write(text);
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -16,9 +16,10 @@
  * A scenario, read from a file in the form of the settings and checked: world, load, links and timed steps.
  * Times in milliseconds. The page {@code docs/lab.md} tells of each keyword.
  */
-record Scenario(World world, Load load, LinkSettings links, List<Step> steps, Duty duty) {
+record Scenario(
+        FleetSettings fleet, LoadSettings load, LinkSettings links, List<Step> steps, TenantPoolSettings tenantPools) {
     /** So many runners of one speed; 1 is the speed that a job's work is counted at. */
-    record Kind(int count, double speed) {}
+    record EndpointGroup(int count, double speed) {}
 
     /**
      * @param peers  whether dispatchers tell one another what they hold
@@ -26,21 +27,21 @@
      * @param clocks by how much those of dispatchers such as n3 are ahead, in milliseconds
      * @param notice how long the clients' front goes on sending to a dispatcher that has died
      */
-    record World(
+    record FleetSettings(
             long seed,
             int dispatchers,
-            List<Kind> kinds,
+            List<EndpointGroup> endpointGroups,
             List<String> zones,
-            EndpointModel.Kind runner,
-            boolean peers,
-            boolean known,
-            boolean asked,
-            double calls,
-            double grace,
-            double notice,
-            Map<String, Double> clocks) {
-        int runners() {
-            return kinds.stream().mapToInt(Kind::count).sum();
+            EndpointModel.Kind endpoint,
+            boolean gossips,
+            boolean keepsEndpointList,
+            boolean polls,
+            double discoveryCallMillis,
+            double drainGraceMillis,
+            double deathNoticeMillis,
+            Map<String, Double> clockOffsets) {
+        int endpoints() {
+            return endpointGroups.stream().mapToInt(EndpointGroup::count).sum();
         }
 
         String zone(int number) {
@@ -49,7 +50,7 @@
 
         double speed(int runner) {
             int left = runner;
-            for (Kind kind : kinds) {
+            for (EndpointGroup kind : endpointGroups) {
                 if (left < kind.count()) {
                     return kind.speed();
                 }
@@ -60,22 +61,25 @@
 
         /** Slots at the speed of 1 of all runners together. */
         double capacity() {
-            return kinds.stream().mapToDouble(k -> k.count() * k.speed()).sum() * runner.slots();
+            return endpointGroups.stream()
+                            .mapToDouble(k -> k.count() * k.speed())
+                            .sum()
+                    * endpoint.slots();
         }
     }
 
     /** A class of jobs; {@code part}: of all jobs, {@code mean}: of a job's work in slot milliseconds. */
-    record JobClass(String name, double part, double mean, double aim, double deadline) {
-        boolean unsafe() {
+    record RequestClass(String name, double fraction, double meanWorkMillis, double latencyObjective, double deadline) {
+        boolean isNonIdempotent() {
             return name.equals("mark-submit") || name.equals("transfer");
         }
 
-        boolean keyed() {
+        boolean isKeyed() {
             return name.equals("save-run");
         }
 
         String repeat() {
-            return unsafe() ? "fragile" : keyed() ? "dedup" : "retryable";
+            return isNonIdempotent() ? "fragile" : isKeyed() ? "dedup" : "retryable";
         }
     }
 
@@ -85,24 +89,27 @@
      * @param uneven how many times the others' traffic the first dispatcher of each zone gets
      * @param tries  how often a client asks in all
      */
-    record Load(
+    record LoadSettings(
             double rate,
-            double length,
-            double warm,
-            double uneven,
-            int tries,
-            boolean honour,
-            double window,
-            List<JobClass> classes,
-            List<Member> members) {
-        double meanWork() {
-            double parts = classes.stream().mapToDouble(JobClass::part).sum();
-            return classes.stream().mapToDouble(c -> c.part() * c.mean()).sum() / parts;
+            double lengthMillis,
+            double warmUpMillis,
+            double skew,
+            int maxSends,
+            boolean honoursRetryAfter,
+            double dedupWindowMillis,
+            List<RequestClass> classes,
+            List<Tenant> tenants) {
+        double meanWorkMillis() {
+            double parts = classes.stream().mapToDouble(RequestClass::fraction).sum();
+            return classes.stream()
+                            .mapToDouble(c -> c.fraction() * c.meanWorkMillis())
+                            .sum()
+                    / parts;
         }
     }
 
     /** A member; {@code share}: of the service, {@code asks}: of all jobs. */
-    record Member(String name, double share, double asks) {}
+    record Tenant(String name, double quota, double requestFraction) {}
 
     /**
      * What makes members' pools go; null where there is no block `pools`.
@@ -111,9 +118,15 @@
      * @param turns when the month turns after the lab's beginning; NaN: clocks are the machine's
      * @param pools the block, as each process gets it
      */
-    record Duty(int voters, double lease, double comes, double turns, Block pools) {}
+    record TenantPoolSettings(
+            int voters, double leaseMillis, double endpointStartMillis, double monthTurnsAfterMillis, Block block) {}
 
-    record LinkSettings(double loss, double duplicates, double delay, double jitter, boolean relayed) {}
+    record LinkSettings(
+            double lossFraction,
+            double duplicateFraction,
+            double delayMillis,
+            double jitterMillis,
+            boolean isTcpRelayed) {}
 
     /**
      * Something that happens at a time after the load began.
@@ -122,75 +135,84 @@
      * @param figure its number: a part, a factor, a count, or a time in which it happens
      * @param span   for how long; infinite where it stays
      */
-    record Step(double at, String verb, ScenarioTarget first, ScenarioTarget second, double figure, double span) {}
+    record Step(
+            double at,
+            String verb,
+            ScenarioTarget target,
+            ScenarioTarget otherTarget,
+            double value,
+            double durationMillis) {}
 
     /** Reads and checks a file; throws {@link InvalidSettingsException} with one line for the first fault. */
     static Scenario read(Path file) {
-        return of(Settings.read(file, ScenarioTable.ROOT), file.toString());
+        return build(Settings.read(file, ScenarioSchema.ROOT), file.toString());
     }
 
     /** Checks a text as if it stood in a file of that name. */
     static Scenario parse(String name, String text) {
-        return of(Settings.parse(name, text, ScenarioTable.ROOT), name);
+        return build(Settings.parse(name, text, ScenarioSchema.ROOT), name);
     }
 
-    private static Scenario of(Settings all, String file) {
-        Block w = all.block("world").orElseThrow(() -> missing(file, "world"));
-        Block l = all.block("load").orElseThrow(() -> missing(file, "load"));
-        List<Kind> kinds = w.all("runners").stream()
-                .map(v -> new Kind(
-                        ((Long) v.argument(0)).intValue(), v.arguments().size() > 1 ? v.argument(2) : 1.0))
+    private static Scenario build(Settings settings, String file) {
+        Block fleetBlock = settings.block("world").orElseThrow(() -> missingBlock(file, "world"));
+        Block loadBlock = settings.block("load").orElseThrow(() -> missingBlock(file, "load"));
+        List<EndpointGroup> endpointGroups = fleetBlock.all("runners").stream()
+                .map(value -> new EndpointGroup(
+                        ((Long) value.argument(0)).intValue(), value.arguments().size() > 1 ? value.argument(2) : 1.0))
                 .toList();
-        if (kinds.isEmpty()) {
-            throw w.invalidValue("runners", "set: so many sim runners");
+        if (endpointGroups.isEmpty()) {
+            throw fleetBlock.invalidValue("runners", "set: so many sim runners");
         }
-        List<String> zones =
-                w.all("zone").stream().map(v -> (String) v.argument(0)).toList();
-        Map<String, Double> clocks = new HashMap<>();
-        w.all("clock")
-                .forEach(v -> clocks.put(
-                        v.<ScenarioTarget>argument(0).name(),
-                        v.argument(1).equals("ahead") ? v.<Double>argument(2) : -v.<Double>argument(2)));
-        World world = new World(
-                w.wholeNumber("seed"),
-                (int) w.wholeNumber("dispatchers"),
-                kinds,
+        List<String> zones = fleetBlock.all("zone").stream()
+                .map(value -> (String) value.argument(0))
+                .toList();
+        Map<String, Double> clockOffsets = new HashMap<>();
+        fleetBlock
+                .all("clock")
+                .forEach(value -> clockOffsets.put(
+                        value.<ScenarioTarget>argument(0).name(),
+                        value.argument(1).equals("ahead") ? value.<Double>argument(2) : -value.<Double>argument(2)));
+        FleetSettings fleet = new FleetSettings(
+                fleetBlock.wholeNumber("seed"),
+                (int) fleetBlock.wholeNumber("dispatchers"),
+                endpointGroups,
                 zones.isEmpty() ? List.of("a") : zones,
                 new EndpointModel.Kind(
-                        (int) w.wholeNumber("slots"),
-                        (int) w.wholeNumber("queue"),
-                        w.durationMillis("cold"),
-                        w.get("cold-share"),
-                        w.get("overload"),
-                        w.durationMillis("fall"),
-                        w.durationMillis("report-age"),
-                        w.flag("cancel")),
-                w.flag("peers"),
-                w.flag("known"),
-                w.text("discovery").equals("asked"),
-                w.durationMillis("calls"),
-                w.durationMillis("grace"),
-                w.durationMillis("notice"),
-                clocks);
-        List<JobClass> classes = new ArrayList<>();
-        for (Block.Value v : l.all("class")) {
-            double aim = v.argument(3);
-            classes.add(new JobClass(v.argument(0), v.argument(1), v.argument(2), aim, Math.max(4000, 4 * aim)));
+                        (int) fleetBlock.wholeNumber("slots"),
+                        (int) fleetBlock.wholeNumber("queue"),
+                        fleetBlock.durationMillis("cold"),
+                        fleetBlock.get("cold-share"),
+                        fleetBlock.get("overload"),
+                        fleetBlock.durationMillis("fall"),
+                        fleetBlock.durationMillis("report-age"),
+                        fleetBlock.flag("cancel")),
+                fleetBlock.flag("peers"),
+                fleetBlock.flag("known"),
+                fleetBlock.text("discovery").equals("asked"),
+                fleetBlock.durationMillis("calls"),
+                fleetBlock.durationMillis("grace"),
+                fleetBlock.durationMillis("notice"),
+                clockOffsets);
+        List<RequestClass> classes = new ArrayList<>();
+        for (Block.Value value : loadBlock.all("class")) {
+            double aim = value.argument(3);
+            classes.add(new RequestClass(
+                    value.argument(0), value.argument(1), value.argument(2), aim, Math.max(4000, 4 * aim)));
         }
         if (classes.isEmpty()) {
-            throw l.invalidValue("class", "set: a name, a part, a time of work and an aim");
+            throw loadBlock.invalidValue("class", "set: a name, a part, a time of work and an aim");
         }
-        Load load = new Load(
-                l.get("rate"),
-                l.durationMillis("length"),
-                l.durationMillis("warm"),
-                l.get("uneven"),
-                (int) l.wholeNumber("tries"),
-                l.flag("honour"),
-                l.durationMillis("window"),
+        LoadSettings load = new LoadSettings(
+                loadBlock.get("rate"),
+                loadBlock.durationMillis("length"),
+                loadBlock.durationMillis("warm"),
+                loadBlock.get("uneven"),
+                (int) loadBlock.wholeNumber("tries"),
+                loadBlock.flag("honour"),
+                loadBlock.durationMillis("window"),
                 List.copyOf(classes),
-                members(l));
-        LinkSettings links = all.block("links")
+                parseTenants(loadBlock));
+        LinkSettings links = settings.block("links")
                 .map(b -> new LinkSettings(
                         b.get("loss"),
                         b.get("duplicates"),
@@ -199,143 +221,153 @@
                         b.text("tcp").equals("relayed")))
                 .orElse(new LinkSettings(0, 0, 0, 0, true));
         List<Step> steps = new ArrayList<>();
-        for (Block.Value v : all.block("steps").map(b -> b.all("at")).orElse(List.of())) {
-            Step step = step(v);
-            check(v, step, world, links, load);
+        for (Block.Value value : settings.block("steps").map(b -> b.all("at")).orElse(List.of())) {
+            Step step = parseStep(value);
+            checkStep(value, step, fleet, links, load);
             steps.add(step);
         }
         steps.sort(Comparator.comparingDouble(Step::at));
-        Duty duty = all.block("pools")
-                .map(pools -> all.block("duty")
-                        .map(b -> new Duty(
+        TenantPoolSettings tenantPools = settings.block("pools")
+                .map(pools -> settings.block("duty")
+                        .map(b -> new TenantPoolSettings(
                                 (int) b.wholeNumber("voters"),
                                 b.durationMillis("lease"),
                                 b.durationMillis("comes"),
                                 b.has("month-turns") ? b.durationMillis("month-turns") : Double.NaN,
                                 pools))
-                        .orElse(new Duty(3, 1000, 1000, Double.NaN, pools)))
+                        .orElse(new TenantPoolSettings(3, 1000, 1000, Double.NaN, pools)))
                 .orElse(null);
-        return new Scenario(world, load, links, List.copyOf(steps), duty);
+        return new Scenario(fleet, load, links, List.copyOf(steps), tenantPools);
     }
 
-    private static List<Member> members(Block load) {
-        List<Member> members = new ArrayList<>();
-        for (Block.Value v : load.all("member")) {
-            members.add(
-                    new Member(v.argument(0), v.argument(1), v.arguments().size() > 2 ? v.argument(3) : v.argument(1)));
+    private static List<Tenant> parseTenants(Block load) {
+        List<Tenant> tenants = new ArrayList<>();
+        for (Block.Value value : load.all("member")) {
+            tenants.add(new Tenant(
+                    value.argument(0),
+                    value.argument(1),
+                    value.arguments().size() > 2 ? value.argument(3) : value.argument(1)));
         }
-        return members.isEmpty() ? List.of(new Member("red", 1, 1)) : List.copyOf(members);
+        return tenants.isEmpty() ? List.of(new Tenant("red", 1, 1)) : List.copyOf(tenants);
     }
 
-    private static InvalidSettingsException missing(String file, String block) {
+    private static InvalidSettingsException missingBlock(String file, String block) {
         return new InvalidSettingsException(
                 new nettlewick.settings.SourceLocation(file, 1), "there is no block " + block);
     }
 
     /** What stands in a line's words: the whom, then figures after their literal words. */
-    private static Step step(Block.Value v) {
-        List<String> words = v.words();
+    private static Step parseStep(Block.Value value) {
+        List<String> words = value.words();
         String verb = words.get(1);
         // A flood's member, and a provider's fate, are words of their own.
-        boolean named = verb.equals("flood") || verb.equals("provider");
-        ScenarioTarget first = named ? new ScenarioTarget(words.get(2), 1) : null;
-        ScenarioTarget second = null;
+        boolean hasNamedTarget = verb.equals("flood") || verb.equals("provider");
+        ScenarioTarget target = hasNamedTarget ? new ScenarioTarget(words.get(2), 1) : null;
+        ScenarioTarget otherTarget = null;
         double figure = Double.NaN;
-        double span = Double.POSITIVE_INFINITY;
-        for (int i = named ? 3 : 2; i < words.size(); i++) {
-            Object part = v.arguments().get(i);
-            String before = words.get(i - 1);
-            if (part instanceof ScenarioTarget p && first == null) {
-                first = new ScenarioTarget(p.name(), Double.isNaN(figure) ? 1 : figure);
+        double durationMillis = Double.POSITIVE_INFINITY;
+        for (int i = hasNamedTarget ? 3 : 2; i < words.size(); i++) {
+            Object part = value.arguments().get(i);
+            String precedingWord = words.get(i - 1);
+            if (part instanceof ScenarioTarget p && target == null) {
+                target = new ScenarioTarget(p.name(), Double.isNaN(figure) ? 1 : figure);
                 figure = Double.NaN;
             } else if (part instanceof ScenarioTarget p) {
-                second = p;
-            } else if (part instanceof Double d && before.equals("for")) {
-                span = d;
+                otherTarget = p;
+            } else if (part instanceof Double d && precedingWord.equals("for")) {
+                durationMillis = d;
             } else if (part instanceof Number n) {
                 figure = n.doubleValue();
             }
         }
-        return new Step(v.argument(0), verb, first, second, figure, span);
+        return new Step(value.argument(0), verb, target, otherTarget, figure, durationMillis);
     }
 
     /** Danger: a step that means nobody would pass as one that did no harm. */
-    private static void check(Block.Value v, Step step, World world, LinkSettings links, Load load) {
+    private static void checkStep(
+            Block.Value value, Step step, FleetSettings fleet, LinkSettings links, LoadSettings load) {
         if (step.verb().equals("provider")) {
             return;
         }
         if (step.verb().equals("flood")) {
-            if (load.members().stream()
-                    .noneMatch(m -> m.name().equals(step.first().name()))) {
+            if (load.tenants().stream()
+                    .noneMatch(m -> m.name().equals(step.target().name()))) {
                 throw InvalidSettingsException.invalidValue(
-                        v.location(), "at", step.first().name(), "a member of the load");
+                        value.location(), "at", step.target().name(), "a member of the load");
             }
             return;
         }
-        for (ScenarioTarget p : Arrays.asList(step.first(), step.second())) {
-            if (p != null
-                    && !p.group()
-                    && !world.zones().contains(p.name())
-                    && (p.single('n') < 0 || p.single('n') >= world.dispatchers())
-                    && p.single('s') < 0) {
+        for (ScenarioTarget target : Arrays.asList(step.target(), step.otherTarget())) {
+            if (target != null
+                    && !target.isGroup()
+                    && !fleet.zones().contains(target.name())
+                    && (target.number('n') < 0 || target.number('n') >= fleet.dispatchers())
+                    && target.number('s') < 0) {
                 throw InvalidSettingsException.invalidValue(
-                        v.location(),
+                        value.location(),
                         "at",
-                        p.name(),
-                        "one of the " + world.dispatchers()
+                        target.name(),
+                        "one of the " + fleet.dispatchers()
                                 + " dispatchers, a sim runner, a zone, discovery, dispatchers, runners or all");
             }
         }
-        boolean relay = List.of("refuse", "stall", "reset", "trickle").contains(step.verb());
-        if (relay && !links.relayed()) {
+        boolean needsRelay = List.of("refuse", "stall", "reset", "trickle").contains(step.verb());
+        if (needsRelay && !links.isTcpRelayed()) {
             throw InvalidSettingsException.invalidValue(
-                    v.location(),
+                    value.location(),
                     "at",
-                    String.join(" ", v.words()),
+                    String.join(" ", value.words()),
                     "without " + step.verb() + " where the links say tcp direct");
         }
-        List<String> own = List.of("pause", "garble");
-        boolean runner = step.first() != null && step.first().single('s') >= 0;
-        if (own.contains(step.verb()) && (runner || step.first().name().equals("runners"))) {
+        List<String> dispatcherVerbs = List.of("pause", "garble");
+        boolean isEndpoint = step.target() != null && step.target().number('s') >= 0;
+        if (dispatcherVerbs.contains(step.verb())
+                && (isEndpoint || step.target().name().equals("runners"))) {
             throw InvalidSettingsException.invalidValue(
-                    v.location(), "at", step.first().name(), "dispatchers: only they are " + "processes");
+                    value.location(), "at", step.target().name(), "dispatchers: only they are " + "processes");
         }
     }
 
     /** The same without members' pools, or without what this member does beyond its part. */
-    Scenario without(boolean pools, String flooding) {
+    Scenario without(boolean removePools, String floodingTenant) {
         return new Scenario(
-                world,
+                fleet,
                 load,
                 links,
                 steps.stream()
                         .filter(s ->
-                                !s.verb().equals("flood") || !s.first().name().equals(flooding))
-                        .filter(s -> !pools || s.first() == null || s.first().holder() == null)
+                                !s.verb().equals("flood") || !s.target().name().equals(floodingTenant))
+                        .filter(s ->
+                                !removePools || s.target() == null || s.target().holderTenant() == null)
                         .toList(),
-                pools ? null : duty);
+                removePools ? null : tenantPools);
     }
 
     /** The same with other figures of the world, for runs side by side. */
-    Scenario with(boolean peers, double loss) {
-        World w = world;
+    Scenario with(boolean gossips, double lossFraction) {
+        FleetSettings w = fleet;
         return new Scenario(
-                new World(
+                new FleetSettings(
                         w.seed,
                         w.dispatchers,
-                        w.kinds,
+                        w.endpointGroups,
                         w.zones,
-                        w.runner,
-                        peers,
-                        w.known,
-                        w.asked,
-                        w.calls,
-                        w.grace,
-                        w.notice,
-                        w.clocks),
+                        w.endpoint,
+                        gossips,
+                        w.keepsEndpointList,
+                        w.polls,
+                        w.discoveryCallMillis,
+                        w.drainGraceMillis,
+                        w.deathNoticeMillis,
+                        w.clockOffsets),
                 load,
-                new LinkSettings(loss, links.duplicates, links.delay, links.jitter, links.relayed),
+                new LinkSettings(
+                        lossFraction,
+                        links.duplicateFraction,
+                        links.delayMillis,
+                        links.jitterMillis,
+                        links.isTcpRelayed),
                 steps,
-                duty);
+                tenantPools);
     }
 }
--- a/src/main/java/nettlewick/fleettest/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -28,105 +28,109 @@
 
 /** One run of a scenario: builds the world, starts the fleet, asks, does the steps, and counts. */
 final class ScenarioRun implements AutoCloseable, EndpointServer.Watch {
-    private static final String RUNNERS_NET = Fleet.net(2);
+    private static final String ENDPOINT_NET = Fleet.net(2);
     /** Most sends of one request. */
-    static final int ATTEMPTS = 6;
+    static final int MAX_ATTEMPTS = 6;
     /** Pairs of dispatcher and runner up to which each has a listener of its own. */
-    private static final int PAIRS = 4096;
+    private static final int MAX_SEPARATE_RELAYS = 4096;
 
-    private static final int RUNNERS_MOST = 20_000;
-    private static final int START_SECONDS = 300;
-    private static final double LIMIT_LATE = 20;
-    private static final double SECOND = 1000;
+    private static final int MAX_ENDPOINTS = 20_000;
+    private static final int START_TIMEOUT_SECONDS = 300;
+    private static final double MAX_LATENESS_MILLIS = 20;
+    private static final double SECOND_MILLIS = 1000;
 
     private final Scenario scenario;
-    private final Scenario.World world;
+    private final Scenario.FleetSettings fleetSettings;
     final Vertx vertx;
-    private final HttpClient health;
-    private final long began = System.nanoTime();
+    private final HttpClient healthClient;
+    private final long beganNanos = System.nanoTime();
     /** When the load that counts begins, by the lab's clock. */
-    private volatile double loadAt = Double.POSITIVE_INFINITY;
-
-    final LinkFaults links;
-    final InvariantChecker audit;
-    private final LoadBalanceStats spread;
-    final List<EndpointModel> models = new CopyOnWriteArrayList<>();
-    final List<EndpointServer> runners = new ArrayList<>();
-    private final TcpRelay tcp;
-    private final Map<String, InetSocketAddress> dials = new java.util.concurrent.ConcurrentHashMap<>();
+    private volatile double loadBeginsAt = Double.POSITIVE_INFINITY;
+
+    final LinkFaults linkFaults;
+    final InvariantChecker checker;
+    private final LoadBalanceStats loadStats;
+    final List<EndpointModel> endpointModels = new CopyOnWriteArrayList<>();
+    final List<EndpointServer> endpoints = new ArrayList<>();
+    private final TcpRelay tcpRelay;
+    private final Map<String, InetSocketAddress> endpointAddresses = new java.util.concurrent.ConcurrentHashMap<>();
     final DiscoveryServer discovery;
-    private final Map<Integer, InetSocketAddress> discoveries = new LinkedHashMap<>();
+    private final Map<Integer, InetSocketAddress> discoveryAddresses = new LinkedHashMap<>();
     final Fleet fleet;
-    final DatagramRelay datagrams;
-    private final List<String> peers;
-    final Clients clients;
-    final Steps steps;
+    final DatagramRelay datagramRelay;
+    private final List<String> peerAddresses;
+    final LoadGenerator loadGenerator;
+    final StepExecutor stepExecutor;
     /** Null where no member has a pool. */
-    final Duties duties;
+    final TenantPoolEnvironment tenantPools;
 
     private final Path folder;
     /** Unix time at the lab clock's beginning. */
-    final double wall = System.currentTimeMillis();
+    final double beganAtUnixMillis = System.currentTimeMillis();
 
-    private final Map<EndpointServer, Integer> places = new java.util.concurrent.ConcurrentHashMap<>();
+    private final Map<EndpointServer, Integer> endpointNumbers = new java.util.concurrent.ConcurrentHashMap<>();
     /** Set from outside: what the run was for has happened. */
-    volatile boolean enough;
+    volatile boolean stopRequested;
 
-    private final HoldUps holdUps;
-    private final Histogram lateness = new Histogram(60_000, 3);
+    private final StallMonitor stallMonitor;
+    private final Histogram generatorLateness = new Histogram(60_000, 3);
     private final Map<String, Double> figures = new LinkedHashMap<>();
-    private final List<Results.Second> seconds = new ArrayList<>();
+    private final List<Results.Second> secondSummaries = new ArrayList<>();
 
     ScenarioRun(Scenario scenario, Path folder) throws Exception {
         this.scenario = scenario;
-        world = scenario.world();
+        fleetSettings = scenario.fleet();
         vertx = Vertx.vertx(new VertxOptions()
                 .setEventLoopPoolSize(Math.max(4, Runtime.getRuntime().availableProcessors() / 2))
                 .setFileSystemOptions(
                         new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
-        health = vertx.createHttpClient(
+        healthClient = vertx.createHttpClient(
                 new HttpClientOptions().setConnectTimeout(500).setKeepAlive(false),
                 new PoolOptions().setHttp1MaxSize(4));
-        links = new LinkFaults(scenario.links(), world.seed());
-        audit = new InvariantChecker(scenario, ATTEMPTS);
-        spread = new LoadBalanceStats(models, scenario.load().meanWork());
-        tcp = scenario.links().relayed() ? new TcpRelay(vertx, links, this::now) : null;
+        linkFaults = new LinkFaults(scenario.links(), fleetSettings.seed());
+        checker = new InvariantChecker(scenario, MAX_ATTEMPTS);
+        loadStats = new LoadBalanceStats(endpointModels, scenario.load().meanWorkMillis());
+        tcpRelay = scenario.links().isTcpRelayed() ? new TcpRelay(vertx, linkFaults, this::now) : null;
         discovery = new DiscoveryServer(
                 vertx,
-                world.dispatchers(),
-                world.calls(),
-                audit::toldDrain,
+                fleetSettings.dispatchers(),
+                fleetSettings.discoveryCallMillis(),
+                checker::drainTold,
                 this::now,
-                (d, r) -> dials.get(dial(d, places.get(r))));
-        for (int r = 0; r < world.runners(); r++) {
-            discovery.change(add(Double.NEGATIVE_INFINITY), "Ready");
+                (dispatcher, r) -> endpointAddresses.get(addressKey(dispatcher, endpointNumbers.get(r))));
+        for (int r = 0; r < fleetSettings.endpoints(); r++) {
+            discovery.change(addEndpoint(Double.NEGATIVE_INFINITY), "Ready");
         }
         this.folder = folder;
-        duties = scenario.duty() == null ? null : new Duties(this, scenario, folder);
+        tenantPools = scenario.tenantPools() == null ? null : new TenantPoolEnvironment(this, scenario, folder);
         fleet = new Fleet(
-                world.dispatchers(),
+                fleetSettings.dispatchers(),
                 folder,
-                this::config,
-                d -> duties == null ? null : duties.settings(d),
-                d -> (duties == null ? 0 : duties.ahead())
-                        + world.clocks().getOrDefault("n" + d, 0.0).longValue(),
+                this::dispatcherConfig,
+                dispatcher -> tenantPools == null ? null : tenantPools.settings(dispatcher),
+                dispatcher -> (tenantPools == null ? 0 : tenantPools.clockAheadMillis())
+                        + fleetSettings
+                                .clockOffsets()
+                                .getOrDefault("n" + dispatcher, 0.0)
+                                .longValue(),
                 new ProcessEvents());
-        holdUps = new HoldUps(this::now, fleet);
-        for (int d = 0; d < world.dispatchers(); d++) {
-            InetSocketAddress direct = discovery.listen(d);
-            discoveries.put(d, reach(d, discoveryNumber(), direct));
+        stallMonitor = new StallMonitor(this::now, fleet);
+        for (int dispatcher = 0; dispatcher < fleetSettings.dispatchers(); dispatcher++) {
+            InetSocketAddress direct = discovery.listen(dispatcher);
+            discoveryAddresses.put(dispatcher, relayedAddress(dispatcher, discoveryParty(), direct));
         }
-        datagrams = new DatagramRelay(
-                fleet.members.stream().map(m -> m.peer).toList(),
+        datagramRelay = new DatagramRelay(
+                fleet.dispatchers.stream().map(member -> member.peerAddress).toList(),
                 Fleet.net(1),
-                links,
+                linkFaults,
                 this::now,
-                Math.max(1, Math.min(3, world.dispatchers() / 50)));
-        peers = datagrams.addresses().stream().map(ScenarioRun::text).toList();
-        clients = new Clients(scenario, fleet, vertx, audit, spread, this::now);
-        steps = new Steps(this, world);
-        if (duties != null) {
-            duties.open();
+                Math.max(1, Math.min(3, fleetSettings.dispatchers() / 50)));
+        peerAddresses =
+                datagramRelay.addresses().stream().map(ScenarioRun::addressText).toList();
+        loadGenerator = new LoadGenerator(scenario, fleet, vertx, checker, loadStats, this::now);
+        stepExecutor = new StepExecutor(this, fleetSettings);
+        if (tenantPools != null) {
+            tenantPools.open();
         }
     }
 
@@ -134,317 +138,348 @@
     private final class ProcessEvents implements Fleet.ProcessListener {
         @Override
         public void killed(int number) {
-            audit.processEvent(number, now(), "SIGKILL sent");
-            audit.killed(number, now());
+            checker.processEvent(number, now(), "SIGKILL sent");
+            checker.killed(number, now());
         }
 
         @Override
         public void exited(int number, int exitCode) {
-            audit.processEvent(number, now(), "exited with code " + exitCode);
-            audit.ended(number, now(), world.notice());
+            checker.processEvent(number, now(), "exited with code " + exitCode);
+            checker.ended(number, now(), fleetSettings.deathNoticeMillis());
         }
     }
 
     /** The lab's clock: milliseconds since the lab began. Danger: many keep its times, so it never jumps. */
     double now() {
-        return (System.nanoTime() - began) / 1e6;
+        return (System.nanoTime() - beganNanos) / 1e6;
     }
 
     /** Milliseconds since the load began that counts; below 0 before. */
-    private double load() {
-        return now() - loadAt;
+    private double millisSinceLoadBegan() {
+        return now() - loadBeginsAt;
     }
 
-    static String text(InetSocketAddress address) {
+    static String addressText(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    int number(int runner) {
-        return world.dispatchers() + runner;
+    int endpointParty(int endpoint) {
+        return fleetSettings.dispatchers() + endpoint;
     }
 
-    int discoveryNumber() {
-        return world.dispatchers() + RUNNERS_MOST;
+    int discoveryParty() {
+        return fleetSettings.dispatchers() + MAX_ENDPOINTS;
     }
 
-    int providerNumber() {
-        return discoveryNumber() + 1;
+    int providerParty() {
+        return discoveryParty() + 1;
     }
 
     /** Where a dispatcher reaches a party that is there for all. */
-    InetSocketAddress reach(int dispatcher, int party, InetSocketAddress direct) throws Exception {
-        return tcp == null ? direct : tcp.open(dispatcher, party, direct);
+    InetSocketAddress relayedAddress(int dispatcher, int party, InetSocketAddress direct) throws Exception {
+        return tcpRelay == null ? direct : tcpRelay.open(dispatcher, party, direct);
     }
 
     /** Who holds a member's duty, by what the processes have said. */
-    int holder(String member) throws IOException {
-        return MigrationAudit.read(folder, wall, "duty-held").holder(member);
+    int leaseHolder(String member) throws IOException {
+        return DispatcherLogs.read(folder, beganAtUnixMillis, "duty-held").leaseHolder(member);
     }
 
     /** The dispatchers that share a listener go by the first of them. */
-    private int group(int dispatcher) {
-        return world.dispatchers() * world.runners() <= PAIRS
+    private int relayGroup(int dispatcher) {
+        return fleetSettings.dispatchers() * fleetSettings.endpoints() <= MAX_SEPARATE_RELAYS
                 ? dispatcher
-                : dispatcher % world.zones().size();
+                : dispatcher % fleetSettings.zones().size();
     }
 
-    private String dial(int dispatcher, int runner) {
-        return (tcp == null ? "" : group(dispatcher) + " ") + runner;
+    private String addressKey(int dispatcher, int endpoint) {
+        return (tcpRelay == null ? "" : relayGroup(dispatcher) + " ") + endpoint;
     }
 
-    EndpointServer add(double born) throws Exception {
-        return add(born, "s" + runners.size());
+    EndpointServer addEndpoint(double bornAt) throws Exception {
+        return addEndpoint(bornAt, "s" + endpoints.size());
     }
 
-    EndpointServer add(double born, String name) throws Exception {
-        int r = runners.size();
-        EndpointModel model = new EndpointModel(name, world.zone(r), world.speed(r), world.runner(), born);
+    EndpointServer addEndpoint(double bornAt, String name) throws Exception {
+        int number = endpoints.size();
+        EndpointModel model = new EndpointModel(
+                name, fleetSettings.zone(number), fleetSettings.speed(number), fleetSettings.endpoint(), bornAt);
         EndpointServer server =
-                new EndpointServer(Fleet.address(RUNNERS_NET, r).getHostAddress(), model, vertx, this, this::now);
+                new EndpointServer(Fleet.address(ENDPOINT_NET, number).getHostAddress(), model, vertx, this, this::now);
         InetSocketAddress direct = server.listen();
-        for (int d = 0; d < world.dispatchers(); d++) {
-            String key = dial(d, r);
-            if (!dials.containsKey(key)) {
-                dials.put(key, tcp == null ? direct : tcp.open(group(d), number(r), direct));
+        for (int dispatcher = 0; dispatcher < fleetSettings.dispatchers(); dispatcher++) {
+            String key = addressKey(dispatcher, number);
+            if (!endpointAddresses.containsKey(key)) {
+                endpointAddresses.put(
+                        key,
+                        tcpRelay == null
+                                ? direct
+                                : tcpRelay.open(relayGroup(dispatcher), endpointParty(number), direct));
             }
         }
-        places.put(server, r);
-        runners.add(server);
-        models.add(model);
+        endpointNumbers.put(server, number);
+        endpoints.add(server);
+        endpointModels.add(model);
         return server;
     }
 
-    private Map<String, Object> config(int number) {
-        Fleet.DispatcherProcess m = fleet.members.get(number);
+    private Map<String, Object> dispatcherConfig(int number) {
+        Fleet.DispatcherProcess process = fleet.dispatchers.get(number);
         Map<String, Object> config = new LinkedHashMap<>();
         config.put("name", "n" + number);
-        config.put("listen", text(m.listen));
-        config.put("admin_addr", text(m.admin));
-        config.put("discovery", text(discoveries.get(number)));
+        config.put("listen", addressText(process.listenAddress));
+        config.put("admin_addr", addressText(process.adminAddress));
+        config.put("discovery", addressText(discoveryAddresses.get(number)));
         config.put(
                 "seed",
-                String.format("%016x", new SplittableRandom(world.seed() + 1000L * number + m.lives).nextLong()));
-        config.put("peer_listen", text(m.peer));
-        config.put("peers", peers);
-        if (m.lives > 1 && world.known()) {
+                String.format(
+                        "%016x",
+                        new SplittableRandom(fleetSettings.seed() + 1000L * number + process.incarnations).nextLong()));
+        config.put("peer_listen", addressText(process.peerAddress));
+        config.put("peers", peerAddresses);
+        if (process.incarnations > 1 && fleetSettings.keepsEndpointList()) {
             config.put("known", new Gson().fromJson(new Gson().toJson(discovery.known(number)), Map.class));
         }
-        config.put("settings", Fleet.settings(scenario, number));
+        config.put("settings", Fleet.platformSettings(scenario, number));
         return config;
     }
 
     /** Starts all processes, a few at a time, until each says that it is ready. */
-    Map<String, Double> start(Consumer<String> progress) throws Exception {
-        double from = now();
+    Map<String, Double> startFleet(Consumer<String> progress) throws Exception {
+        double beganAt = now();
         int next = 0;
-        int most = Runtime.getRuntime().availableProcessors() + 2;
-        while (fleet.members.stream().anyMatch(m -> !m.ready)) {
-            long starting =
-                    fleet.members.stream().filter(m -> m.lives > 0 && !m.ready).count();
-            for (; next < fleet.members.size() && starting < most; next++, starting++) {
+        int maxStarting = Runtime.getRuntime().availableProcessors() + 2;
+        while (fleet.dispatchers.stream().anyMatch(m -> !m.ready)) {
+            long starting = fleet.dispatchers.stream()
+                    .filter(m -> m.incarnations > 0 && !m.ready)
+                    .count();
+            for (; next < fleet.dispatchers.size() && starting < maxStarting; next++, starting++) {
                 fleet.start(next);
             }
-            look();
-            for (Fleet.DispatcherProcess m : fleet.members.subList(0, next)) {
+            checkHealth();
+            for (Fleet.DispatcherProcess m : fleet.dispatchers.subList(0, next)) {
                 if (!m.alive()) {
                     throw new IOException("n" + m.number + " ended with code " + m.process.exitValue()
                             + "; its log is in the folder");
                 }
             }
-            if (now() - from > START_SECONDS * SECOND) {
-                throw new IOException("not all are ready after " + START_SECONDS + " s");
+            if (now() - beganAt > START_TIMEOUT_SECONDS * SECOND_MILLIS) {
+                throw new IOException("not all are ready after " + START_TIMEOUT_SECONDS + " s");
             }
             TimeUnit.MILLISECONDS.sleep(50);
-            progress.accept(ready() + " of " + fleet.members.size() + " ready");
+            progress.accept(countReady() + " of " + fleet.dispatchers.size() + " ready");
         }
-        figures.put("processes", (double) fleet.members.size());
-        figures.put("ready_s", (now() - from) / SECOND);
-        figures.put("start_cpu_s", fleet.cpu() / SECOND / fleet.members.size());
-        int some = Math.min(8, fleet.members.size());
+        figures.put("processes", (double) fleet.dispatchers.size());
+        figures.put("ready_s", (now() - beganAt) / SECOND_MILLIS);
+        figures.put("start_cpu_s", fleet.cpuMillis() / SECOND_MILLIS / fleet.dispatchers.size());
+        int sampleSize = Math.min(8, fleet.dispatchers.size());
         figures.put(
                 "megabytes",
-                IntStream.range(0, some).mapToDouble(fleet::megabytes).sum() / some);
+                IntStream.range(0, sampleSize).mapToDouble(fleet::megabytes).sum() / sampleSize);
         return figures;
     }
 
     /** What the fleet costs with no request at all, over that many milliseconds. */
-    void idle(double millis) throws InterruptedException {
-        double from = now();
-        double cpu = fleet.cpu();
-        long sent = datagrams.sent();
+    void measureIdle(double millis) throws InterruptedException {
+        double beganAt = now();
+        double cpuBefore = fleet.cpuMillis();
+        long sentBefore = datagramRelay.sentCounts();
         TimeUnit.MILLISECONDS.sleep((long) millis);
-        double took = now() - from;
-        figures.put("idle_cores_per_100", (fleet.cpu() - cpu) / took / fleet.members.size() * 100);
-        figures.put("idle_datagrams_per_s", (datagrams.sent() - sent) / took * SECOND / fleet.members.size());
+        double elapsedMillis = now() - beganAt;
+        figures.put(
+                "idle_cores_per_100", (fleet.cpuMillis() - cpuBefore) / elapsedMillis / fleet.dispatchers.size() * 100);
+        figures.put(
+                "idle_datagrams_per_s",
+                (datagramRelay.sentCounts() - sentBefore) / elapsedMillis * SECOND_MILLIS / fleet.dispatchers.size());
     }
 
-    private long ready() {
-        return fleet.members.stream().filter(m -> m.ready).count();
+    private long countReady() {
+        return fleet.dispatchers.stream().filter(m -> m.ready).count();
     }
 
     /** Asks those that are not known to be ready, and forgets those that have been dead for a while. */
-    private void look() {
-        for (Fleet.DispatcherProcess m : fleet.members) {
-            if (m.alive() && !m.ready && !m.paused) {
-                Process asked = m.process;
-                health.request(HttpMethod.GET, m.listen.getPort(), m.listen.getHostString(), "/_health")
+    private void checkHealth() {
+        for (Fleet.DispatcherProcess process : fleet.dispatchers) {
+            if (process.alive() && !process.ready && !process.paused) {
+                Process checkedProcess = process.process;
+                healthClient
+                        .request(
+                                HttpMethod.GET,
+                                process.listenAddress.getPort(),
+                                process.listenAddress.getHostString(),
+                                "/_health")
                         .compose(r -> r.send())
-                        .onSuccess(r -> m.ready = r.statusCode() == 200 && m.process == asked);
+                        .onSuccess(r -> process.ready = r.statusCode() == 200 && process.process == checkedProcess);
             }
         }
     }
 
     /** Asks and does the steps; done once every job has its end. */
     Map<String, Double> run(Consumer<String> progress) throws Exception {
-        List<RequestTrace.Arrival> trace = RequestTrace.of(scenario);
-        loadAt = now() + scenario.load().warm();
-        audit.countFrom(loadAt);
-        clients.countFrom(loadAt);
-        scenario.steps().forEach(s -> steps.plan(loadAt + s.at(), s));
-        for (double t = 0; t < scenario.load().length(); t += LoadBalanceStats.EACH) {
-            double sampled = t;
-            steps.plan(loadAt + t, () -> spread.sample(sampled));
+        List<RequestTrace.PlannedRequest> trace = RequestTrace.draw(scenario);
+        loadBeginsAt = now() + scenario.load().warmUpMillis();
+        checker.measureFrom(loadBeginsAt);
+        loadGenerator.measureFrom(loadBeginsAt);
+        scenario.steps().forEach(s -> stepExecutor.schedule(loadBeginsAt + s.at(), s));
+        for (double at = 0; at < scenario.load().lengthMillis(); at += LoadBalanceStats.SAMPLE_INTERVAL_MILLIS) {
+            double sampledAt = at;
+            stepExecutor.schedule(loadBeginsAt + at, () -> loadStats.sample(sampledAt));
         }
-        double cpu = 0;
-        long sent = 0;
-        long bytes = 0;
-        boolean counts = false;
+        double cpuBefore = 0;
+        long sentBefore = 0;
+        long bytesBefore = 0;
+        boolean isMeasuring = false;
         int next = 0;
-        double told = -scenario.load().warm();
-        double until = scenario.load().length();
-        double longest = scenario.load().classes().stream()
-                .mapToDouble(Scenario.JobClass::deadline)
+        double reportedAt = -scenario.load().warmUpMillis();
+        double endsAt = scenario.load().lengthMillis();
+        double longestDeadline = scenario.load().classes().stream()
+                .mapToDouble(Scenario.RequestClass::deadline)
                 .max()
                 .orElse(0);
-        while (!enough
-                && (load() < until
-                        || !steps.done()
-                        || clients.open.get() > 0 && load() < until + longest + 2 * InvariantChecker.SPARE)) {
-            while (next < trace.size() && trace.get(next).at() <= load()) {
-                RequestTrace.Arrival a = trace.get(next++);
-                if (a.at() >= 0) {
-                    lateness.recordValue((long) Math.min(60_000, load() - a.at()));
+        while (!stopRequested
+                && (millisSinceLoadBegan() < endsAt
+                        || !stepExecutor.isDone()
+                        || loadGenerator.openRequests.get() > 0
+                                && millisSinceLoadBegan()
+                                        < endsAt + longestDeadline + 2 * InvariantChecker.ANSWER_TOLERANCE_MILLIS)) {
+            while (next < trace.size() && trace.get(next).at() <= millisSinceLoadBegan()) {
+                RequestTrace.PlannedRequest request = trace.get(next++);
+                if (request.at() >= 0) {
+                    generatorLateness.recordValue((long) Math.min(60_000, millisSinceLoadBegan() - request.at()));
                 }
-                clients.ask(a, loadAt + a.at());
+                loadGenerator.sendAt(request, loadBeginsAt + request.at());
             }
-            if (!counts && load() >= 0) {
-                counts = true;
-                cpu = fleet.cpu();
-                sent = datagrams.sent();
-                bytes = datagrams.bytes();
+            if (!isMeasuring && millisSinceLoadBegan() >= 0) {
+                isMeasuring = true;
+                cpuBefore = fleet.cpuMillis();
+                sentBefore = datagramRelay.sentCounts();
+                bytesBefore = datagramRelay.byteCounts();
             }
             double stepsBegan = now();
-            steps.doDue();
-            holdUps.recordPause("the steps", stepsBegan, now());
-            if (load() - told >= SECOND) {
-                told += SECOND;
-                look();
-                Map<String, Integer> ends = clients.ends();
-                seconds.add(new Results.Second(
-                        load(),
-                        (int) ready(),
+            stepExecutor.runDue();
+            stallMonitor.recordStall("the steps", stepsBegan, now());
+            if (millisSinceLoadBegan() - reportedAt >= SECOND_MILLIS) {
+                reportedAt += SECOND_MILLIS;
+                checkHealth();
+                Map<String, Integer> outcomes = loadGenerator.outcomes();
+                secondSummaries.add(new Results.Second(
+                        millisSinceLoadBegan(),
+                        (int) countReady(),
                         next,
-                        ends.getOrDefault("in_time", 0),
-                        ends.getOrDefault("late", 0),
-                        clients.refusals.get(),
-                        clients.open.get()));
+                        outcomes.getOrDefault("in_time", 0),
+                        outcomes.getOrDefault("late", 0),
+                        loadGenerator.rejections.get(),
+                        loadGenerator.openRequests.get()));
                 progress.accept(String.format(
                         "%.0f s: %d ready, %d asked, %d served, %d refusals, %d open, " + "%d breaks",
-                        load() / SECOND,
-                        ready(),
+                        millisSinceLoadBegan() / SECOND_MILLIS,
+                        countReady(),
                         next,
-                        clients.served.get(),
-                        clients.refusals.get(),
-                        clients.open.get(),
-                        audit.breaks().size()));
-                double took = load();
-                if (counts && took < until) {
-                    figures.put("cores", (fleet.cpu() - cpu) / took);
-                    figures.put("datagrams_per_s", (datagrams.sent() - sent) / took * SECOND / fleet.members.size());
+                        loadGenerator.served.get(),
+                        loadGenerator.rejections.get(),
+                        loadGenerator.openRequests.get(),
+                        checker.violations().size()));
+                double elapsedMillis = millisSinceLoadBegan();
+                if (isMeasuring && elapsedMillis < endsAt) {
+                    figures.put("cores", (fleet.cpuMillis() - cpuBefore) / elapsedMillis);
+                    figures.put(
+                            "datagrams_per_s",
+                            (datagramRelay.sentCounts() - sentBefore)
+                                    / elapsedMillis
+                                    * SECOND_MILLIS
+                                    / fleet.dispatchers.size());
                     figures.put(
-                            "datagram_bytes_per_s", (datagrams.bytes() - bytes) / took * SECOND / fleet.members.size());
+                            "datagram_bytes_per_s",
+                            (datagramRelay.byteCounts() - bytesBefore)
+                                    / elapsedMillis
+                                    * SECOND_MILLIS
+                                    / fleet.dispatchers.size());
                 }
             }
             TimeUnit.MICROSECONDS.sleep(500);
         }
-        audit.close(now());
-        holdUps.close();
-        audit.explainBreaks(holdUps);
-        if (duties != null) {
-            figures.putAll(duties.close(MigrationAudit.read(folder, wall), clients.ends(), audit, loadAt));
+        checker.checkUnanswered(now());
+        stallMonitor.close();
+        checker.explainViolations(stallMonitor);
+        if (tenantPools != null) {
+            figures.putAll(tenantPools.close(
+                    DispatcherLogs.read(folder, beganAtUnixMillis), loadGenerator.outcomes(), checker, loadBeginsAt));
         }
-        return count((int) trace.stream().filter(a -> a.at() >= 0).count());
+        return collectFigures(
+                (int) trace.stream().filter(request -> request.at() >= 0).count());
     }
 
-    private Map<String, Double> count(int asked) {
-        figures.put("jobs", (double) asked);
-        for (String end : List.of("in_time", "late", "unserved", "failed", "broken_off", "unanswered")) {
-            figures.put(end, (double) clients.ends().getOrDefault(end, 0));
+    private Map<String, Double> collectFigures(int requestCount) {
+        figures.put("jobs", (double) requestCount);
+        for (String outcome : List.of("in_time", "late", "unserved", "failed", "broken_off", "unanswered")) {
+            figures.put(outcome, (double) loadGenerator.outcomes().getOrDefault(outcome, 0));
         }
-        for (Scenario.Member m : scenario.load().members()) {
-            if (scenario.load().members().size() > 1) {
+        for (Scenario.Tenant tenant : scenario.load().tenants()) {
+            if (scenario.load().tenants().size() > 1) {
                 figures.put(
-                        "asked_" + m.name(),
-                        clients.ends().entrySet().stream()
-                                .filter(e -> e.getKey().endsWith(" " + m.name()))
+                        "asked_" + tenant.name(),
+                        loadGenerator.outcomes().entrySet().stream()
+                                .filter(e -> e.getKey().endsWith(" " + tenant.name()))
                                 .mapToDouble(Map.Entry::getValue)
                                 .sum());
-                figures.put("in_time_" + m.name(), (double) clients.ends().getOrDefault("in_time " + m.name(), 0));
+                figures.put("in_time_" + tenant.name(), (double)
+                        loadGenerator.outcomes().getOrDefault("in_time " + tenant.name(), 0));
             }
         }
-        figures.put("refusals", (double) clients.refusals.get());
-        figures.put("attempts", (double) audit.count("attempts"));
-        figures.put("sent_to_full", audit.count("sent_to_full") / Math.max(1.0, audit.count("attempts")));
-        figures.put("run_again", (double) audit.count("run_again"));
-        figures.putAll(spread.figures());
-        figures.put("latency_p50", (double) clients.latency.getValueAtPercentile(50));
-        figures.put("latency_p99", (double) clients.latency.getValueAtPercentile(99));
+        figures.put("refusals", (double) loadGenerator.rejections.get());
+        figures.put("attempts", (double) checker.count("attempts"));
+        figures.put("sent_to_full", checker.count("sent_to_full") / Math.max(1.0, checker.count("attempts")));
+        figures.put("run_again", (double) checker.count("run_again"));
+        figures.putAll(loadStats.figures());
+        figures.put("latency_p50", (double) loadGenerator.latency.getValueAtPercentile(50));
+        figures.put("latency_p99", (double) loadGenerator.latency.getValueAtPercentile(99));
         figures.put("discovery_calls", (double) discovery.calls.get());
-        figures.put("too_long", (double) datagrams.tooLong());
-        figures.put("crashed", (double)
-                fleet.members.stream().filter(Fleet.DispatcherProcess::crashed).count());
-        figures.put("rules_broken", (double) audit.breaks().size());
-        figures.put("generator_late_p99", (double) lateness.getValueAtPercentile(99));
-        figures.put("longest_hold_up", holdUps.longestOwnMillis());
-        figures.put("limited_by_machine", lateness.getValueAtPercentile(99) > LIMIT_LATE ? 1.0 : 0.0);
+        figures.put("too_long", (double) datagramRelay.oversized());
+        figures.put("crashed", (double) fleet.dispatchers.stream()
+                .filter(Fleet.DispatcherProcess::crashed)
+                .count());
+        figures.put("rules_broken", (double) checker.violations().size());
+        figures.put("generator_late_p99", (double) generatorLateness.getValueAtPercentile(99));
+        figures.put("longest_hold_up", stallMonitor.longestOwnStallMillis());
+        figures.put("limited_by_machine", generatorLateness.getValueAtPercentile(99) > MAX_LATENESS_MILLIS ? 1.0 : 0.0);
         return figures;
     }
 
     @Override
     public void arrived(String id, EndpointModel runner, EndpointModel.Taken how, double now) {
-        if (now >= loadAt) {
-            spread.arrived(runner, now);
+        if (now >= loadBeginsAt) {
+            loadStats.arrived(runner, now);
         }
-        audit.arrived(id, runner, how, now);
+        checker.arrived(id, runner, how, now);
         if (how == EndpointModel.Taken.FULL || how == EndpointModel.Taken.DRAINS) {
-            spread.refused();
+            loadStats.rejected();
         }
     }
 
     @Override
     public void ran(String id, EndpointModel runner, double now) {
-        audit.ran(id, runner, now);
+        checker.started(id, runner, now);
     }
 
     @Override
     public void fell(EndpointModel runner, double now) {
-        audit.fell(runner.name, now);
+        checker.endpointCollapsed(runner.name, now);
     }
 
-    InvariantChecker audit() {
-        return audit;
+    InvariantChecker checker() {
+        return checker;
     }
 
-    LoadBalanceStats spread() {
-        return spread;
+    LoadBalanceStats loadStats() {
+        return loadStats;
     }
 
-    List<Results.Second> seconds() {
-        return seconds;
+    List<Results.Second> secondSummaries() {
+        return secondSummaries;
     }
 
     Histogram latency() {
-        return clients.latency;
+        return loadGenerator.latency;
     }
 
     @Override
@@ -454,9 +489,9 @@
             StubPlatform.get(vertx.close());
         } finally {
             fleet.close();
-            datagrams.close();
-            if (duties != null) {
-                duties.close();
+            datagramRelay.close();
+            if (tenantPools != null) {
+                tenantPools.close();
             }
         }
     }
--- a/src/main/java/nettlewick/fleettest/ScenarioTarget.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioTarget.java
@@ -11,7 +11,7 @@
  *
  * @param part the part of them that is meant, from 0 to 1, drawn from the scenario's seed
  */
-record ScenarioTarget(String name, double part) {
+record ScenarioTarget(String name, double fraction) {
     private static final List<String> GROUPS = List.of("discovery", "provider", "dispatchers", "runners", "all");
     private static final String HOLDER = "holder-";
 
@@ -23,16 +23,16 @@
     }
 
     /** The number in {@code n3} or {@code s7}; -1 where this names no single one of that kind. */
-    int single(char kind) {
+    int number(char kind) {
         return name.matches(kind + "\\d{1,5}") ? Integer.parseInt(name.substring(1)) : -1;
     }
 
     /** The member in {@code holder-red}: whoever holds its duty then; else null. */
-    String holder() {
+    String holderTenant() {
         return name.startsWith(HOLDER) ? name.substring(HOLDER.length()) : null;
     }
 
-    boolean group() {
-        return GROUPS.contains(name) || holder() != null;
+    boolean isGroup() {
+        return GROUPS.contains(name) || holderTenant() != null;
     }
 }
--- a/src/main/java/nettlewick/fleettest/Soak.java
+++ b/src/main/java/nettlewick/fleettest/Soak.java
@@ -12,7 +12,7 @@
 
 /** Plays soaks of rolling restarts, seed by seed, and tells a verdict for each. */
 public final class Soak {
-    private static final int MAX_BREAKS_SHOWN = 12;
+    private static final int MAX_VIOLATIONS_SHOWN = 12;
 
     private Soak() {}
 
@@ -37,15 +37,15 @@
 
     private static boolean run(long seed, Path folder, Consumer<String> out) throws Exception {
         SoakPlan plan = SoakPlan.draw(seed);
-        out.accept("seed " + seed + "\n" + plan.table());
+        out.accept("seed " + seed + "\n" + plan.describe());
         try (SoakRun run = new SoakRun(plan, folder)) {
-            SoakRun.Verdict verdict = run.play();
+            SoakRun.Verdict verdict = run.run();
             out.accept("seed " + seed + ": " + verdict.text());
-            verdict.breaks().stream().limit(MAX_BREAKS_SHOWN).forEach(b -> out.accept("  " + b));
-            if (verdict.breaks().isEmpty()) {
+            verdict.violations().stream().limit(MAX_VIOLATIONS_SHOWN).forEach(b -> out.accept("  " + b));
+            if (verdict.violations().isEmpty()) {
                 deleteQuietly(folder);
             }
-            return verdict.breaks().isEmpty();
+            return verdict.violations().isEmpty();
         }
     }
 
--- a/src/main/java/nettlewick/fleettest/SoakClient.java
+++ b/src/main/java/nettlewick/fleettest/SoakClient.java
@@ -37,14 +37,14 @@
         Target pick(Random random);
     }
 
-    private static final Pattern LENGTH = Pattern.compile("(?i)content-length: *(\\d+)");
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)content-length: *(\\d+)");
     /** Where the status stands in a response's first line. */
-    private static final int STATUS_AT = "HTTP/1.1 ".length();
+    private static final int STATUS_OFFSET = "HTTP/1.1 ".length();
 
     private static final int MAX_PIPELINED = 4;
-    private static final double LEAVES = 0.3;
+    private static final double DISCONNECT_PROBABILITY = 0.3;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    private static final long RETRY_MILLIS = 20;
+    private static final long RECONNECT_MILLIS = 20;
     /** How much longer than an answer may take it is waited for, so that a late one is told from none. */
     private static final double EXTRA_WAIT_MILLIS = 1500;
 
@@ -82,7 +82,7 @@
             while (!stopped.getAsBoolean()) {
                 Target target = balancer.pick(random);
                 if (target == null || !useConnection(target)) {
-                    TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
+                    TimeUnit.MILLISECONDS.sleep(RECONNECT_MILLIS);
                 }
             }
         } catch (InterruptedException e) {
@@ -131,10 +131,10 @@
 
         /** Sends a request, or several at once, and reads what comes; false once the connection has ended. */
         boolean exchange() throws InterruptedException {
-            int together = plan.kind() == ClientKind.PIPELINING ? 1 + random.nextInt(MAX_PIPELINED) : 1;
+            int requestCount = plan.kind() == ClientKind.PIPELINING ? 1 + random.nextInt(MAX_PIPELINED) : 1;
             List<Entry> batch = new ArrayList<>();
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-            for (int i = 0; i < together; i++) {
+            for (int i = 0; i < requestCount; i++) {
                 Entry entry = new Entry(
                         "k" + number + "-" + requests++,
                         requestClass,
@@ -151,7 +151,7 @@
             }
             double now = clock.getAsDouble();
             batch.forEach(e -> e.sent(now));
-            if (plan.kind() == ClientKind.LEAVING && random.nextDouble() < LEAVES) {
+            if (plan.kind() == ClientKind.DISCONNECTING && random.nextDouble() < DISCONNECT_PROBABILITY) {
                 pause(plan.pauseMillis());
                 batch.forEach(e -> e.ended(End.LEFT, clock.getAsDouble()));
                 return false;
@@ -201,9 +201,9 @@
 
         /** Reads the answers of a batch in order; false once the connection has ended. */
         private boolean readAnswers(List<Entry> batch) {
-            boolean isLast = false;
+            boolean isClosing = false;
             for (int i = 0; i < batch.size(); i++) {
-                End end = isLast ? End.CLOSED : readAnswer(batch.get(i));
+                End end = isClosing ? End.CLOSED : readAnswer(batch.get(i));
                 if (end != End.ANSWERED) {
                     // The batch was written at once: where one of it was answered, the rest was read as well.
                     End rest = end == End.CLOSED && i > 0 ? End.CUT_OFF : end;
@@ -211,16 +211,19 @@
                     batch.subList(i, batch.size()).forEach(e -> e.ended(rest, now));
                     return false;
                 }
-                isLast = batch.get(i).head().toLowerCase(Locale.ROOT).contains("\nconnection: close");
+                isClosing = batch.get(i).head().toLowerCase(Locale.ROOT).contains("\nconnection: close");
             }
-            return !isLast;
+            return !isClosing;
         }
 
         /** Reads one answer, and notes it; else tells how the connection ended, or that none came in time. */
         private End readAnswer(Entry entry) {
             StringBuilder head = new StringBuilder();
             try {
-                double wait = entry.dueAt() + SoakChecks.LATE_MILLIS + EXTRA_WAIT_MILLIS - clock.getAsDouble();
+                double wait = entry.dueAt()
+                        + SoakChecks.LATE_ANSWER_TOLERANCE_MILLIS
+                        + EXTRA_WAIT_MILLIS
+                        - clock.getAsDouble();
                 socket.setSoTimeout((int) Math.max(1, wait));
                 while (head.indexOf("\r\n\r\n") < 0) {
                     int next = in.read();
@@ -229,14 +232,14 @@
                     }
                     head.append((char) next);
                 }
-                Matcher length = LENGTH.matcher(head);
+                Matcher length = CONTENT_LENGTH.matcher(head);
                 int bodyLength = length.find() ? Integer.parseInt(length.group(1)) : 0;
                 byte[] body = in.readNBytes(bodyLength);
                 if (body.length < bodyLength) {
                     return End.CUT_OFF;
                 }
                 entry.answered(
-                        Integer.parseInt(head.substring(STATUS_AT, STATUS_AT + 3)),
+                        Integer.parseInt(head.substring(STATUS_OFFSET, STATUS_OFFSET + 3)),
                         head.toString(),
                         new String(body, StandardCharsets.UTF_8),
                         clock.getAsDouble());
--- a/src/main/java/nettlewick/fleettest/SoakConfig.java
+++ b/src/main/java/nettlewick/fleettest/SoakConfig.java
@@ -17,11 +17,11 @@
     private static final double REPORT_AGE_MILLIS = 20;
     private static final double NEVER_FALLS = Double.MAX_VALUE;
     private static final double DEDUP_WINDOW_MILLIS = 1000;
-    private static final int SOCKETS = 256;
+    private static final int MAX_SOCKETS = 256;
     private static final int MEMORY_MEGABYTES = 192;
 
     /** What all endpoints are like: never cold. */
-    static final EndpointModel.Kind ENDPOINTS =
+    static final EndpointModel.Kind ENDPOINT_KIND =
             new EndpointModel.Kind(SLOTS, QUEUE, 0, 1, NEVER_FALLS, 1000, REPORT_AGE_MILLIS, true);
 
     private final SoakPlan plan;
@@ -33,17 +33,17 @@
     }
 
     private static Scenario scenario(SoakPlan plan) {
-        List<Scenario.JobClass> classes = plan.classes().stream()
-                .map(c -> new Scenario.JobClass(
+        List<Scenario.RequestClass> classes = plan.classes().stream()
+                .map(c -> new Scenario.RequestClass(
                         c.name(), 1, c.meanWorkMillis(), c.deadlineMillis() / 2, c.deadlineMillis()))
                 .toList();
-        EndpointModel.Kind told = new EndpointModel.Kind(SLOTS, QUEUE, 0, 1, 1, 1, REPORT_AGE_MILLIS, true);
-        Scenario.World world = new Scenario.World(
+        EndpointModel.Kind assumedEndpoint = new EndpointModel.Kind(SLOTS, QUEUE, 0, 1, 1, 1, REPORT_AGE_MILLIS, true);
+        Scenario.FleetSettings fleet = new Scenario.FleetSettings(
                 plan.seed(),
                 plan.dispatchers(),
-                List.of(new Scenario.Kind(plan.runners(), 1)),
+                List.of(new Scenario.EndpointGroup(plan.endpoints(), 1)),
                 List.of(ZONE),
-                told,
+                assumedEndpoint,
                 false,
                 true,
                 false,
@@ -51,9 +51,9 @@
                 DRAIN_GRACE_MILLIS,
                 0,
                 Map.of());
-        Scenario.Load load = new Scenario.Load(
-                0, 0, 0, 1, 1, false, DEDUP_WINDOW_MILLIS, classes, List.of(new Scenario.Member("red", 1, 1)));
-        return new Scenario(world, load, new Scenario.LinkSettings(0, 0, 0, 0, false), List.of(), null);
+        Scenario.LoadSettings load = new Scenario.LoadSettings(
+                0, 0, 0, 1, 1, false, DEDUP_WINDOW_MILLIS, classes, List.of(new Scenario.Tenant("red", 1, 1)));
+        return new Scenario(fleet, load, new Scenario.LinkSettings(0, 0, 0, 0, false), List.of(), null);
     }
 
     /**
@@ -61,17 +61,19 @@
      *
      * @param known the list of endpoints that it had before; null for none
      */
-    Map<String, Object> of(Fleet.DispatcherProcess member, InetSocketAddress discovery, Map<String, Object> known) {
+    Map<String, Object> dispatcherConfig(
+            Fleet.DispatcherProcess dispatcher, InetSocketAddress discovery, Map<String, Object> knownEndpoints) {
         Map<String, Object> config = new LinkedHashMap<>();
-        config.put("name", "n" + member.number);
-        config.put("listen", ScenarioRun.text(member.listen));
-        config.put("discovery", ScenarioRun.text(discovery));
-        config.put("seed", String.format("%016x", plan.seed() * 1000 + member.number * 10L + member.lives));
-        config.put("limits", Map.of("cores", 1.0, "memory_mb", MEMORY_MEGABYTES, "sockets", SOCKETS));
-        if (known != null) {
-            config.put("known", new Gson().fromJson(new Gson().toJson(known), Map.class));
+        config.put("name", "n" + dispatcher.number);
+        config.put("listen", ScenarioRun.addressText(dispatcher.listenAddress));
+        config.put("discovery", ScenarioRun.addressText(discovery));
+        config.put(
+                "seed", String.format("%016x", plan.seed() * 1000 + dispatcher.number * 10L + dispatcher.incarnations));
+        config.put("limits", Map.of("cores", 1.0, "memory_mb", MEMORY_MEGABYTES, "sockets", MAX_SOCKETS));
+        if (knownEndpoints != null) {
+            config.put("known", new Gson().fromJson(new Gson().toJson(knownEndpoints), Map.class));
         }
-        config.put("settings", Fleet.settings(scenario, member.number));
+        config.put("settings", Fleet.platformSettings(scenario, dispatcher.number));
         return config;
     }
 }
--- a/src/main/java/nettlewick/fleettest/SoakJournal.java
+++ b/src/main/java/nettlewick/fleettest/SoakJournal.java
@@ -26,7 +26,7 @@
     }
 
     /** An attempt that came whole to an endpoint. */
-    record Arrival(String runner, EndpointModel.Taken taken, double at, double toldMillis) {}
+    record Arrival(String endpoint, EndpointModel.Taken taken, double at, double toldMillis) {}
 
     /** One request. Its client writes it, endpoints add to {@code arrivals} and {@code runs}. */
     static final class Entry {
@@ -213,7 +213,7 @@
             readyAt = now;
         }
 
-        void told(double now, double killAt) {
+        void terminated(double now, double killAt) {
             termAt = now;
             killDueAt = killAt;
         }
@@ -271,13 +271,13 @@
         }
     }
 
-    void drainTold(int dispatcher, String runner, double now) {
-        drainsTold.putIfAbsent(dispatcher + " " + runner, now);
+    void drainTold(int dispatcher, String endpoint, double now) {
+        drainsTold.putIfAbsent(dispatcher + " " + endpoint, now);
     }
 
     /** When that dispatcher was told that the endpoint drains; NaN if it was not. */
-    double drainToldAt(int dispatcher, String runner) {
-        return drainsTold.getOrDefault(dispatcher + " " + runner, Double.NaN);
+    double drainToldAt(int dispatcher, String endpoint) {
+        return drainsTold.getOrDefault(dispatcher + " " + endpoint, Double.NaN);
     }
 
     Incarnation started(int dispatcher, double now) {
--- a/src/main/java/nettlewick/fleettest/SoakPlan.java
+++ b/src/main/java/nettlewick/fleettest/SoakPlan.java
@@ -20,29 +20,29 @@
 record SoakPlan(
         long seed,
         int dispatchers,
-        int runners,
+        int endpoints,
         List<RequestClassPlan> classes,
         List<ClientPlan> clients,
         List<Restart> restarts,
-        List<Integer> hungRunners,
+        List<Integer> hungEndpoints,
         Span hang,
-        int drainedRunner,
+        int drainedEndpoint,
         double drainAt,
-        int crowd,
-        Span crowdSpan) {
+        int idleConnections,
+        Span idleConnectionsSpan) {
 
     /** How a client uses its connections. */
     enum ClientKind {
         /** One request after another on a connection that it keeps. */
-        KEPT,
+        KEEP_ALIVE,
         /** Several requests at once on a connection that it keeps. */
         PIPELINING,
         /** Rests for long between requests on one connection. */
-        RESTING,
+        IDLE_BETWEEN_REQUESTS,
         /** Pauses in the middle of each request. */
         SLOW,
         /** Closes its connection while its request is in flight, now and then. */
-        LEAVING,
+        DISCONNECTING,
         /** Opens a connection for each request. */
         NEW_CONNECTION
     }
@@ -81,39 +81,39 @@
     private static final double MAX_COUNTED_DEADLINE_MILLIS = 3000;
 
     private static final double KILL_MARGIN_MILLIS = 700;
-    private static final double WARM_MILLIS = 1500;
-    private static final int CROWD_CONNECTIONS = 150;
-    private static final int KINDS_OF_RUN = 3;
+    private static final double WARM_UP_MILLIS = 1500;
+    private static final int IDLE_CONNECTIONS = 150;
+    private static final int RUN_KINDS = 3;
 
     static SoakPlan draw(long seed) {
         Random random = new Random(seed);
         // Seeds that follow one another would begin alike.
         random.nextLong();
         int dispatchers = 3 + random.nextInt(3);
-        int runners = 4 + random.nextInt(3);
+        int endpoints = 4 + random.nextInt(3);
         List<RequestClassPlan> classes = drawClasses(random);
         List<ClientPlan> clients = drawClients(random, 10 + random.nextInt(9));
         List<Restart> restarts = drawRestarts(random, dispatchers);
         double lastTerm = restarts.get(restarts.size() - 1).termAt();
-        boolean hangsThroughout = seed % KINDS_OF_RUN == 1;
+        boolean hangsThroughout = seed % RUN_KINDS == 1;
         Span hang = hangsThroughout
-                ? new Span(WARM_MILLIS - 100, lastTerm + MAX_COUNTED_DEADLINE_MILLIS + KILL_MARGIN_MILLIS)
-                : spanOf(WARM_MILLIS + random.nextDouble() * lastTerm, 300 + random.nextDouble() * 1500);
-        List<Integer> order = shuffled(random, runners);
-        int hung = hangsThroughout ? 1 + random.nextInt(runners / 2) : 1;
+                ? new Span(WARM_UP_MILLIS - 100, lastTerm + MAX_COUNTED_DEADLINE_MILLIS + KILL_MARGIN_MILLIS)
+                : spanOf(WARM_UP_MILLIS + random.nextDouble() * lastTerm, 300 + random.nextDouble() * 1500);
+        List<Integer> endpointOrder = shuffled(random, endpoints);
+        int hungCount = hangsThroughout ? 1 + random.nextInt(endpoints / 2) : 1;
         return new SoakPlan(
                 seed,
                 dispatchers,
-                runners,
+                endpoints,
                 classes,
                 clients,
                 restarts,
-                order.subList(0, hung),
+                endpointOrder.subList(0, hungCount),
                 hang,
-                order.get(hung),
-                WARM_MILLIS + random.nextDouble() * lastTerm,
-                seed % KINDS_OF_RUN == 2 ? CROWD_CONNECTIONS : 0,
-                spanOf(WARM_MILLIS * random.nextDouble(), lastTerm / 2 + 500));
+                endpointOrder.get(hungCount),
+                WARM_UP_MILLIS + random.nextDouble() * lastTerm,
+                seed % RUN_KINDS == 2 ? IDLE_CONNECTIONS : 0,
+                spanOf(WARM_UP_MILLIS * random.nextDouble(), lastTerm / 2 + 500));
     }
 
     private static Span spanOf(double from, double length) {
@@ -129,18 +129,19 @@
     private static List<RequestClassPlan> drawClasses(Random random) {
         // In half of the runs all deadlines are short, so that the kill comes early.
         boolean isShort = random.nextBoolean();
-        double most = isShort ? 1000 : 3000;
+        double maxDeadline = isShort ? 1000 : 3000;
         List<RequestClassPlan> classes = new ArrayList<>();
         for (String name : List.of("step-view", "save-run", "mark-submit")) {
-            classes.add(
-                    new RequestClassPlan(name, 300 + random.nextDouble() * (most - 300), 3 + random.nextDouble() * 40));
+            classes.add(new RequestClassPlan(
+                    name, 300 + random.nextDouble() * (maxDeadline - 300), 3 + random.nextDouble() * 40));
         }
         if (!isShort) {
             int longest = random.nextInt(classes.size());
-            RequestClassPlan drawn = classes.get(longest);
+            RequestClassPlan requestClass = classes.get(longest);
             classes.set(
                     longest,
-                    new RequestClassPlan(drawn.name(), 3000 + random.nextDouble() * 1000, drawn.meanWorkMillis()));
+                    new RequestClassPlan(
+                            requestClass.name(), 3000 + random.nextDouble() * 1000, requestClass.meanWorkMillis()));
         }
         return classes;
     }
@@ -152,7 +153,7 @@
             // Each kind comes at least once.
             ClientKind kind = i < kinds.length ? kinds[i] : kinds[random.nextInt(kinds.length)];
             double pause = switch (kind) {
-                case RESTING -> 300 + random.nextDouble() * 2000;
+                case IDLE_BETWEEN_REQUESTS -> 300 + random.nextDouble() * 2000;
                 case SLOW -> 100 + random.nextDouble() * 800;
                 default -> 5 + random.nextDouble() * 60;
             };
@@ -163,7 +164,7 @@
 
     private static List<Restart> drawRestarts(Random random, int dispatchers) {
         List<Restart> restarts = new ArrayList<>();
-        double termAt = WARM_MILLIS;
+        double termAt = WARM_UP_MILLIS;
         for (int dispatcher : shuffled(random, dispatchers)) {
             List<Double> reloads = new ArrayList<>();
             int count = random.nextInt(4);
@@ -192,9 +193,9 @@
     }
 
     /** A table of all that is drawn, a line each. */
-    String table() {
+    String describe() {
         StringJoiner lines = new StringJoiner("\n  ", "  ", "");
-        lines.add("dispatchers " + dispatchers + ", runners " + runners + ", kill " + Math.round(killDelayMillis())
+        lines.add("dispatchers " + dispatchers + ", runners " + endpoints + ", kill " + Math.round(killDelayMillis())
                 + " ms after SIGTERM");
         classes.forEach(c -> lines.add(String.format(
                 "class %s: deadline %.0f ms, work %.0f ms", c.name(), c.deadlineMillis(), c.meanWorkMillis())));
@@ -203,12 +204,12 @@
         restarts.forEach(r -> lines.add(String.format(
                 "SIGTERM to n%d at %.0f ms, new connections for %.0f ms, SIGHUP at %s, again after %.0f ms",
                 r.dispatcher(), r.termAt(), r.acceptMillis(), r.reloads(), r.secondTermAfter())));
-        lines.add(String.format("runners %s hang from %.0f to %.0f ms", hungRunners, hang.from(), hang.to()));
-        lines.add(String.format("runner %d drains at %.0f ms", drainedRunner, drainAt));
-        if (crowd > 0) {
+        lines.add(String.format("runners %s hang from %.0f to %.0f ms", hungEndpoints, hang.from(), hang.to()));
+        lines.add(String.format("runner %d drains at %.0f ms", drainedEndpoint, drainAt));
+        if (idleConnections > 0) {
             lines.add(String.format(
                     "%d idle connections to each, discovery silent, from %.0f to %.0f ms",
-                    crowd, crowdSpan.from(), crowdSpan.to()));
+                    idleConnections, idleConnectionsSpan.from(), idleConnectionsSpan.to()));
         }
         return lines.toString();
     }
--- a/src/main/java/nettlewick/fleettest/SoakRun.java
+++ b/src/main/java/nettlewick/fleettest/SoakRun.java
@@ -33,27 +33,27 @@
 final class SoakRun implements AutoCloseable, EndpointServer.Watch {
     /** What a soak found. */
     record Verdict(
-            List<SoakChecks.Break> breaks,
+            List<SoakChecks.Violation> violations,
             int requests,
-            int crossings,
-            double maxHoldUpMillis,
-            double maxKillLateMillis) {
+            int requestsOnClosedConnections,
+            double maxStallMillis,
+            double maxKillDelayMillis) {
         /** One line that tells it. */
         String text() {
             return String.format(
                     "%s, %d requests, %d crossed the end of a resting connection, %d breaks;"
                             + " held up for %.0f ms at most, SIGKILL at most %.1f ms late",
-                    breaks.isEmpty() ? "rules kept" : "BROKEN",
+                    violations.isEmpty() ? "rules kept" : "BROKEN",
                     requests,
-                    crossings,
-                    breaks.size(),
-                    maxHoldUpMillis,
-                    maxKillLateMillis);
+                    requestsOnClosedConnections,
+                    violations.size(),
+                    maxStallMillis,
+                    maxKillDelayMillis);
         }
     }
 
     /** Something to do at a moment of the run's clock. */
-    private record Due(double at, int order, Action action) {}
+    private record ScheduledAction(double at, int order, Action action) {}
 
     /** A step of the run. */
     private interface Action {
@@ -61,19 +61,19 @@
     }
 
     private static final double START_TIMEOUT_MILLIS = 60_000;
-    private static final double TAIL_MILLIS = 1000;
+    private static final double TRAILING_LOAD_MILLIS = 1000;
     private static final long STEP_MICROS = 300;
     private static final long HEALTH_CHECK_MILLIS = 25;
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final SoakPlan plan;
-    private final SoakConfig config;
+    private final SoakConfig dispatcherConfig;
     private final Path folder;
     private final Vertx vertx = Vertx.vertx();
     private final long beganNanos = System.nanoTime();
     private final SoakJournal journal = new SoakJournal();
-    private final List<EndpointServer> runners = new ArrayList<>();
+    private final List<EndpointServer> endpoints = new ArrayList<>();
     private final Map<EndpointServer, InetSocketAddress> addresses = new ConcurrentHashMap<>();
     private final DiscoveryServer discovery;
     /** Two addresses of discovery for each dispatcher; a reload moves it from one to the other. */
@@ -81,57 +81,57 @@
 
     private final int[] discoveryInUse;
     private final Fleet fleet;
-    private final HoldUps holdUps;
+    private final StallMonitor stallMonitor;
     /** Dispatchers that the clients' load balancer connects to, with the process that serves there. */
-    private final Map<Integer, SoakClient.Target> balanced = new ConcurrentHashMap<>();
+    private final Map<Integer, SoakClient.Target> balancerTargets = new ConcurrentHashMap<>();
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingInt(Due::order));
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledAction::at).thenComparingInt(ScheduledAction::order));
     private final List<Thread> clients = new ArrayList<>();
-    private final IdleCrowd crowd = new IdleCrowd();
+    private final IdleConnections idleConnections = new IdleConnections();
     private double loadBeganAt;
     private int pendingRestarts;
     private volatile boolean stopped;
 
     SoakRun(SoakPlan plan, Path folder) throws Exception {
         this.plan = plan;
-        config = new SoakConfig(plan);
+        dispatcherConfig = new SoakConfig(plan);
         this.folder = folder;
         discoveryInUse = new int[plan.dispatchers()];
         discovery = new DiscoveryServer(
                 vertx, plan.dispatchers(), 0, journal::drainTold, this::now, (d, runner) -> addresses.get(runner));
-        for (int r = 0; r < plan.runners(); r++) {
+        for (int r = 0; r < plan.endpoints(); r++) {
             EndpointModel model =
-                    new EndpointModel("s" + r, SoakConfig.ZONE, 1, SoakConfig.ENDPOINTS, Double.NEGATIVE_INFINITY);
+                    new EndpointModel("s" + r, SoakConfig.ZONE, 1, SoakConfig.ENDPOINT_KIND, Double.NEGATIVE_INFINITY);
             EndpointServer runner = new EndpointServer("127.0.0.1", model, vertx, this, this::now);
             addresses.put(runner, runner.listen());
-            runners.add(runner);
+            endpoints.add(runner);
             discovery.change(runner, "Ready");
         }
         for (int d = 0; d < plan.dispatchers(); d++) {
             discoveryAddresses.add(List.of(discovery.listen(d), discovery.listen(d)));
         }
-        fleet = new Fleet(plan.dispatchers(), folder, this::config, d -> null, d -> 0, new ProcessEvents());
-        holdUps = new HoldUps(this::now, fleet);
+        fleet = new Fleet(plan.dispatchers(), folder, this::dispatcherConfig, d -> null, d -> 0, new ProcessEvents());
+        stallMonitor = new StallMonitor(this::now, fleet);
     }
 
     private double now() {
         return (System.nanoTime() - beganNanos) / NANOS_PER_MILLI;
     }
 
-    private Map<String, Object> config(int number) {
-        Fleet.DispatcherProcess member = fleet.members.get(number);
+    private Map<String, Object> dispatcherConfig(int number) {
+        Fleet.DispatcherProcess member = fleet.dispatchers.get(number);
         InetSocketAddress discoveryAddress = discoveryAddresses.get(number).get(discoveryInUse[number]);
-        Map<String, Object> known = member.lives > 1 ? discovery.known(number) : null;
-        return config.of(member, discoveryAddress, known);
+        Map<String, Object> known = member.incarnations > 1 ? discovery.known(number) : null;
+        return dispatcherConfig.dispatcherConfig(member, discoveryAddress, known);
     }
 
     /** Plays the plan and checks the journal. */
-    Verdict play() throws Exception {
+    Verdict run() throws Exception {
         for (int d = 0; d < plan.dispatchers(); d++) {
             start(d);
         }
-        runUntil(() -> balanced.size() == plan.dispatchers(), START_TIMEOUT_MILLIS);
+        runUntil(() -> balancerTargets.size() == plan.dispatchers(), START_TIMEOUT_MILLIS);
         loadBeganAt = now();
         schedulePlan();
         for (int c = 0; c < plan.clients().size(); c++) {
@@ -140,33 +140,38 @@
             thread.start();
             clients.add(thread);
         }
-        runUntil(() -> due.isEmpty() && pendingRestarts == 0, Double.POSITIVE_INFINITY);
+        runUntil(() -> scheduled.isEmpty() && pendingRestarts == 0, Double.POSITIVE_INFINITY);
         runUntil(this::areAllReadyOrOverdue, Double.POSITIVE_INFINITY);
-        plan(now() + TAIL_MILLIS, () -> stopped = true);
+        plan(now() + TRAILING_LOAD_MILLIS, () -> stopped = true);
         runUntil(() -> stopped, Double.POSITIVE_INFINITY);
         for (Thread client : clients) {
             client.join();
         }
-        holdUps.close();
+        stallMonitor.close();
         SoakChecks checks =
-                new SoakChecks(journal, plan, SoakConfig.DRAIN_GRACE_MILLIS, ScenarioRun.ATTEMPTS, loadBeganAt);
-        List<SoakChecks.Break> breaks = checks.run();
+                new SoakChecks(journal, plan, SoakConfig.DRAIN_GRACE_MILLIS, ScenarioRun.MAX_ATTEMPTS, loadBeganAt);
+        List<SoakChecks.Violation> breaks = checks.run();
         double killLate = journal.allIncarnations().stream()
                 .mapToDouble(p -> p.killedAt() - p.killDueAt())
                 .filter(late -> !Double.isNaN(late))
                 .max()
                 .orElse(0);
-        return new Verdict(breaks, journal.entries().size(), checks.crossings(), holdUps.longestOwnMillis(), killLate);
+        return new Verdict(
+                breaks,
+                journal.entries().size(),
+                checks.requestsOnClosedConnections(),
+                stallMonitor.longestOwnStallMillis(),
+                killLate);
     }
 
     private boolean areAllReadyOrOverdue() {
         return IntStream.range(0, plan.dispatchers())
                 .mapToObj(journal::latest)
-                .allMatch(p -> !Double.isNaN(p.readyAt()) || now() > p.startedAt() + SoakChecks.READY_MILLIS);
+                .allMatch(p -> !Double.isNaN(p.readyAt()) || now() > p.startedAt() + SoakChecks.READY_TIMEOUT_MILLIS);
     }
 
     private void plan(double at, Action action) {
-        due.add(new Due(at, due.size(), action));
+        scheduled.add(new ScheduledAction(at, scheduled.size(), action));
     }
 
     private void schedulePlan() {
@@ -180,16 +185,16 @@
         }
         plan(
                 loadBeganAt + plan.hang().from(),
-                () -> plan.hungRunners()
-                        .forEach(r -> runners.get(r).hungUntil =
+                () -> plan.hungEndpoints()
+                        .forEach(r -> endpoints.get(r).hungUntil =
                                 loadBeganAt + plan.hang().to()));
         plan(loadBeganAt + plan.drainAt(), () -> {
-            discovery.change(runners.get(plan.drainedRunner()), "Terminating");
-            runners.get(plan.drainedRunner()).model.drain();
+            discovery.change(endpoints.get(plan.drainedEndpoint()), "Terminating");
+            endpoints.get(plan.drainedEndpoint()).model.drain();
         });
-        if (plan.crowd() > 0) {
-            plan(loadBeganAt + plan.crowdSpan().from(), this::gather);
-            plan(loadBeganAt + plan.crowdSpan().to(), crowd::close);
+        if (plan.idleConnections() > 0) {
+            plan(loadBeganAt + plan.idleConnectionsSpan().from(), this::openIdleConnections);
+            plan(loadBeganAt + plan.idleConnectionsSpan().to(), idleConnections::close);
         }
     }
 
@@ -197,8 +202,8 @@
     private void runUntil(java.util.function.BooleanSupplier condition, double timeoutMillis) throws Exception {
         double until = now() + timeoutMillis;
         while (!condition.getAsBoolean()) {
-            while (!due.isEmpty() && due.peek().at() <= now()) {
-                due.poll().action().run();
+            while (!scheduled.isEmpty() && scheduled.peek().at() <= now()) {
+                scheduled.poll().action().run();
             }
             if (now() > until) {
                 throw new IOException("not ready in time: " + journal.allIncarnations());
@@ -215,7 +220,7 @@
 
     /** The load balancer takes a dispatcher in once its health check has succeeded. */
     private void awaitHealth(Incarnation incarnation) {
-        Fleet.DispatcherProcess member = fleet.members.get(incarnation.dispatcher());
+        Fleet.DispatcherProcess member = fleet.dispatchers.get(incarnation.dispatcher());
         try {
             while (!stopped && Double.isNaN(incarnation.exitedAt()) && !isHealthy(member)) {
                 TimeUnit.MILLISECONDS.sleep(HEALTH_CHECK_MILLIS);
@@ -226,15 +231,15 @@
         }
         if (!stopped && Double.isNaN(incarnation.termAt()) && Double.isNaN(incarnation.exitedAt())) {
             incarnation.ready(now());
-            balanced.put(
+            balancerTargets.put(
                     incarnation.dispatcher(),
-                    new SoakClient.Target(member.listen, incarnation.dispatcher(), incarnation.number()));
+                    new SoakClient.Target(member.listenAddress, incarnation.dispatcher(), incarnation.number()));
         }
     }
 
     private static boolean isHealthy(Fleet.DispatcherProcess member) {
         try (Socket socket = new Socket()) {
-            socket.connect(member.listen, CONNECT_TIMEOUT_MILLIS);
+            socket.connect(member.listenAddress, CONNECT_TIMEOUT_MILLIS);
             socket.setSoTimeout(CONNECT_TIMEOUT_MILLIS);
             socket.getOutputStream()
                     .write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
@@ -246,7 +251,7 @@
     }
 
     private SoakClient.Target pick(Random random) {
-        List<SoakClient.Target> all = List.copyOf(balanced.values());
+        List<SoakClient.Target> all = List.copyOf(balancerTargets.values());
         return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
     }
 
@@ -257,8 +262,8 @@
         double termAt = now();
         fleet.end(dispatcher);
         double killAt = termAt + plan.killDelayMillis();
-        incarnation.told(termAt, killAt);
-        plan(termAt + restart.acceptMillis(), () -> balanced.remove(dispatcher));
+        incarnation.terminated(termAt, killAt);
+        plan(termAt + restart.acceptMillis(), () -> balancerTargets.remove(dispatcher));
         plan(killAt, () -> kill(incarnation));
         awaitExit(incarnation);
     }
@@ -280,7 +285,7 @@
             if (Double.isNaN(incarnation.exitedAt())) {
                 awaitExit(incarnation);
             } else {
-                balanced.remove(incarnation.dispatcher());
+                balancerTargets.remove(incarnation.dispatcher());
                 start(incarnation.dispatcher());
                 pendingRestarts--;
             }
@@ -289,23 +294,26 @@
 
     /** Changes the configuration file, which moves discovery, and sends SIGHUP. */
     private void reload(int dispatcher) throws IOException {
-        Fleet.DispatcherProcess member = fleet.members.get(dispatcher);
+        Fleet.DispatcherProcess member = fleet.dispatchers.get(dispatcher);
         if (!member.alive() || !Double.isNaN(journal.latest(dispatcher).exitedAt())) {
             return;
         }
         discoveryInUse[dispatcher] = 1 - discoveryInUse[dispatcher];
-        Path file = folder.resolve("n" + dispatcher + "-" + (member.lives - 1)).resolve("config.json");
-        Path next = Files.writeString(file.resolveSibling("next.json"), new Gson().toJson(config(dispatcher)));
+        Path file = folder.resolve("n" + dispatcher + "-" + (member.incarnations - 1))
+                .resolve("config.json");
+        Path next =
+                Files.writeString(file.resolveSibling("next.json"), new Gson().toJson(dispatcherConfig(dispatcher)));
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         new ProcessBuilder("kill", "-HUP", Long.toString(member.process.pid())).start();
     }
 
     /** Idle clients connect to all dispatchers, and discovery falls silent. */
-    private void gather() {
-        discovery.silent(loadBeganAt + plan.crowdSpan().to());
-        List<InetSocketAddress> targets =
-                balanced.values().stream().map(SoakClient.Target::address).toList();
-        crowd.gather(targets, plan.crowd());
+    private void openIdleConnections() {
+        discovery.silent(loadBeganAt + plan.idleConnectionsSpan().to());
+        List<InetSocketAddress> targets = balancerTargets.values().stream()
+                .map(SoakClient.Target::address)
+                .toList();
+        idleConnections.open(targets, plan.idleConnections());
     }
 
     /** Notes when processes end. */
@@ -346,8 +354,8 @@
     @Override
     public void close() throws Exception {
         stopped = true;
-        holdUps.close();
-        crowd.close();
+        stallMonitor.close();
+        idleConnections.close();
         fleet.close();
         StubPlatform.get(vertx.close());
     }
