--- a/src/main/java/nettlewick/fleettest/HoldUps.java
+++ b/src/main/java/nettlewick/fleettest/StallMonitor.java
@@ -13,9 +13,9 @@
  * Measures how long the machine held up this process and each dispatcher, so that time lost here is not taken for a
  * dispatcher's. Samples on a thread of its own; times in milliseconds of the run's clock. Safe for any thread.
  */
-final class HoldUps implements AutoCloseable {
+final class StallMonitor implements AutoCloseable {
     /** A stretch of time in which something stood still that should not have. */
-    record HoldUp(String who, double from, double to) {
+    record Stall(String who, double from, double to) {
         private boolean overlaps(double begin, double end) {
             return from <= end && to >= begin;
         }
@@ -26,27 +26,27 @@
     }
 
     private static final long SAMPLE_MILLIS = 10;
-    private static final double MIN_HOLD_UP_MILLIS = 50;
+    private static final double MIN_STALL_MILLIS = 50;
     /** How often the dispatchers' waits for a core are read, and from which part of that time on one is told. */
     private static final double WAIT_SAMPLE_MILLIS = 500;
 
-    private static final double MIN_WAIT_PART = 0.2;
+    private static final double MIN_WAIT_FRACTION = 0.2;
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final DoubleSupplier clock;
     private final Fleet fleet;
-    private final List<HoldUp> holdUps = new ArrayList<>();
-    private final double[] waitedMillis;
+    private final List<Stall> stalls = new ArrayList<>();
+    private final double[] previousWaitMillis;
     private final long[] sampledPids;
     private final Thread sampler = new Thread(this::sample, "hold-ups");
     private double waitsSampledAt;
     private volatile boolean stopped;
 
-    HoldUps(DoubleSupplier clock, Fleet fleet) {
+    StallMonitor(DoubleSupplier clock, Fleet fleet) {
         this.clock = clock;
         this.fleet = fleet;
-        waitedMillis = new double[fleet.members.size()];
-        sampledPids = new long[fleet.members.size()];
+        previousWaitMillis = new double[fleet.dispatchers.size()];
+        sampledPids = new long[fleet.dispatchers.size()];
         sampler.setDaemon(true);
         sampler.start();
     }
@@ -57,7 +57,7 @@
             while (!stopped) {
                 TimeUnit.MILLISECONDS.sleep(SAMPLE_MILLIS);
                 double now = clock.getAsDouble();
-                recordPause("the test's own process", before, now);
+                recordStall("the test's own process", before, now);
                 if (now - waitsSampledAt >= WAIT_SAMPLE_MILLIS) {
                     sampleWaits(now);
                 }
@@ -69,42 +69,42 @@
     }
 
     /** Something that should go round all the time did so at these two moments, and not between them. */
-    synchronized void recordPause(String who, double before, double now) {
-        if (now - before > MIN_HOLD_UP_MILLIS) {
-            holdUps.add(new HoldUp(who, before, now));
+    synchronized void recordStall(String who, double before, double now) {
+        if (now - before > MIN_STALL_MILLIS) {
+            stalls.add(new Stall(who, before, now));
         }
     }
 
     private void sampleWaits(double now) {
         double elapsed = now - waitsSampledAt;
-        for (Fleet.DispatcherProcess member : fleet.members) {
-            Process process = member.process;
+        for (Fleet.DispatcherProcess dispatcher : fleet.dispatchers) {
+            Process process = dispatcher.process;
             if (process == null || !process.isAlive()) {
                 continue;
             }
             double waited = runQueueWaitMillis(process.pid());
-            boolean isSameProcess = sampledPids[member.number] == process.pid();
-            double wait = waited - waitedMillis[member.number];
-            if (isSameProcess && wait > MIN_WAIT_PART * elapsed) {
-                add(new HoldUp(
-                        String.format("n%d (threads waited %.0f ms for a core)", member.number, wait),
+            boolean isSameProcess = sampledPids[dispatcher.number] == process.pid();
+            double wait = waited - previousWaitMillis[dispatcher.number];
+            if (isSameProcess && wait > MIN_WAIT_FRACTION * elapsed) {
+                add(new Stall(
+                        String.format("n%d (threads waited %.0f ms for a core)", dispatcher.number, wait),
                         waitsSampledAt,
                         now));
             }
-            sampledPids[member.number] = process.pid();
-            waitedMillis[member.number] = waited;
+            sampledPids[dispatcher.number] = process.pid();
+            previousWaitMillis[dispatcher.number] = waited;
         }
         waitsSampledAt = now;
     }
 
-    private synchronized void add(HoldUp holdUp) {
-        holdUps.add(holdUp);
+    private synchronized void add(Stall stall) {
+        stalls.add(stall);
     }
 
     /** How long the threads of a process have waited for a core, together; 0 where that is not told. */
     private static double runQueueWaitMillis(long pid) {
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + pid + "/task"))) {
-            return threads.mapToDouble(HoldUps::threadWaitNanos).sum() / NANOS_PER_MILLI;
+            return threads.mapToDouble(StallMonitor::threadWaitNanos).sum() / NANOS_PER_MILLI;
         } catch (IOException e) {
             return 0;
         }
@@ -120,19 +120,19 @@
     }
 
     /** What stood still between two moments: this process, and that dispatcher. */
-    synchronized List<String> between(double from, double to, int dispatcher) {
-        return holdUps.stream()
-                .filter(holdUp -> holdUp.overlaps(from, to))
-                .filter(holdUp -> !holdUp.who().startsWith("n") || holdUp.who().startsWith("n" + dispatcher + " "))
-                .map(HoldUp::text)
+    synchronized List<String> overlapping(double from, double to, int dispatcher) {
+        return stalls.stream()
+                .filter(stall -> stall.overlaps(from, to))
+                .filter(stall -> !stall.who().startsWith("n") || stall.who().startsWith("n" + dispatcher + " "))
+                .map(Stall::text)
                 .toList();
     }
 
     /** The longest time in which this process stood still, in milliseconds. */
-    synchronized double longestOwnMillis() {
-        return holdUps.stream()
-                .filter(holdUp -> !holdUp.who().startsWith("n"))
-                .mapToDouble(holdUp -> holdUp.to() - holdUp.from())
+    synchronized double longestOwnStallMillis() {
+        return stalls.stream()
+                .filter(stall -> !stall.who().startsWith("n"))
+                .mapToDouble(stall -> stall.to() - stall.from())
                 .max()
                 .orElse(0);
     }
--- a/src/main/java/nettlewick/fleettest/TcpRelay.java
+++ b/src/main/java/nettlewick/fleettest/TcpRelay.java
@@ -19,11 +19,11 @@
  * on later, as the network would; what is refused is closed at once.
  */
 final class TcpRelay {
-    private static final long LOOK = 5;
+    private static final long POLL_MILLIS = 5;
     /** How often a connection on which nothing moves is looked at. */
-    private static final long SWEEP = 100;
+    private static final long IDLE_POLL_MILLIS = 100;
 
-    private static final int TRICKLE = 8;
+    private static final int TRICKLE_BYTES = 8;
 
     private final Vertx vertx;
     private final NetClient client;
@@ -51,33 +51,33 @@
         return new InetSocketAddress("127.0.0.1", listener.actualPort());
     }
 
-    private void accept(NetSocket front, int group, int server, InetSocketAddress target) {
-        LinkFaults.Way way = links.way(group, server, server, clock.getAsDouble());
-        if (way == LinkFaults.Way.REFUSED || way == LinkFaults.Way.RESET) {
-            front.close();
+    private void accept(NetSocket downstream, int group, int server, InetSocketAddress target) {
+        LinkFaults.ConnectionState state = links.connectionState(group, server, server, clock.getAsDouble());
+        if (state == LinkFaults.ConnectionState.REFUSED || state == LinkFaults.ConnectionState.RESET) {
+            downstream.close();
             return;
         }
-        front.exceptionHandler(e -> {});
-        front.pause();
+        downstream.exceptionHandler(e -> {});
+        downstream.pause();
         client.connect(target.getPort(), target.getHostString())
-                .onFailure(e -> front.close())
-                .onSuccess(back -> {
-                    back.exceptionHandler(e -> {});
-                    Pipe there = new Pipe(front, back, group, server, server);
-                    Pipe here = new Pipe(back, front, server, group, server);
-                    long timer = vertx.setPeriodic(SWEEP, id -> {
-                        there.flow();
-                        here.flow();
+                .onFailure(e -> downstream.close())
+                .onSuccess(upstream -> {
+                    upstream.exceptionHandler(e -> {});
+                    Pipe toServer = new Pipe(downstream, upstream, group, server, server);
+                    Pipe toClient = new Pipe(upstream, downstream, server, group, server);
+                    long timer = vertx.setPeriodic(IDLE_POLL_MILLIS, id -> {
+                        toServer.deliver();
+                        toClient.deliver();
                     });
-                    front.closeHandler(v -> {
+                    downstream.closeHandler(v -> {
                         vertx.cancelTimer(timer);
-                        there.end();
+                        toServer.end();
                     });
-                    back.closeHandler(v -> {
+                    upstream.closeHandler(v -> {
                         vertx.cancelTimer(timer);
-                        here.end();
+                        toClient.end();
                     });
-                    front.resume();
+                    downstream.resume();
                 });
     }
 
@@ -88,9 +88,9 @@
         private final int sender;
         private final int receiver;
         private final int server;
-        private final Deque<Buffer> held = new ArrayDeque<>();
-        private final Deque<Double> due = new ArrayDeque<>();
-        private boolean ticking;
+        private final Deque<Buffer> buffers = new ArrayDeque<>();
+        private final Deque<Double> deliveryTimes = new ArrayDeque<>();
+        private boolean isScheduled;
 
         Pipe(NetSocket from, NetSocket to, int sender, int receiver, int server) {
             this.from = from;
@@ -99,63 +99,65 @@
             this.receiver = receiver;
             this.server = server;
             from.handler(bytes -> {
-                held.add(bytes);
-                due.add(clock.getAsDouble() + links.delay());
-                flow();
-                tick();
+                buffers.add(bytes);
+                deliveryTimes.add(clock.getAsDouble() + links.delay());
+                deliver();
+                schedulePoll();
             });
         }
 
         /** Looks again soon, as long as something is held. */
-        private void tick() {
-            if (!held.isEmpty() && !ticking) {
-                ticking = true;
-                vertx.setTimer(LOOK, id -> {
-                    ticking = false;
-                    flow();
-                    tick();
+        private void schedulePoll() {
+            if (!buffers.isEmpty() && !isScheduled) {
+                isScheduled = true;
+                vertx.setTimer(POLL_MILLIS, id -> {
+                    isScheduled = false;
+                    deliver();
+                    schedulePoll();
                 });
             }
         }
 
         /** Passes on what may pass now. */
-        void flow() {
+        void deliver() {
             double now = clock.getAsDouble();
-            LinkFaults.Way way = links.way(sender, receiver, server, now);
-            if (way == LinkFaults.Way.RESET) {
+            LinkFaults.ConnectionState state = links.connectionState(sender, receiver, server, now);
+            if (state == LinkFaults.ConnectionState.RESET) {
                 from.close();
                 to.close();
-            } else if (way == LinkFaults.Way.TRICKLES && !held.isEmpty()) {
-                Buffer first = held.poll();
-                int some = Math.min(TRICKLE, first.length());
-                to.write(first.getBuffer(0, some));
-                if (some < first.length()) {
-                    held.addFirst(first.getBuffer(some, first.length()));
+            } else if (state == LinkFaults.ConnectionState.TRICKLING && !buffers.isEmpty()) {
+                Buffer first = buffers.poll();
+                int length = Math.min(TRICKLE_BYTES, first.length());
+                to.write(first.getBuffer(0, length));
+                if (length < first.length()) {
+                    buffers.addFirst(first.getBuffer(length, first.length()));
                 } else {
-                    due.poll();
+                    deliveryTimes.poll();
                 }
-            } else if (way == LinkFaults.Way.OPEN || way == LinkFaults.Way.REFUSED) {
-                while (!held.isEmpty() && due.peek() <= now) {
-                    to.write(held.poll());
-                    due.poll();
+            } else if (state == LinkFaults.ConnectionState.OPEN || state == LinkFaults.ConnectionState.REFUSED) {
+                while (!buffers.isEmpty() && deliveryTimes.peek() <= now) {
+                    to.write(buffers.poll());
+                    deliveryTimes.poll();
                 }
             }
         }
 
         /** The sender has gone: what it wrote arrives, unless the way is shut. */
         void end() {
-            List<Buffer> rest = new ArrayList<>(held);
-            held.clear();
-            if (links.way(sender, receiver, server, clock.getAsDouble()) != LinkFaults.Way.STALLED) {
-                rest.forEach(to::write);
+            List<Buffer> undelivered = new ArrayList<>(buffers);
+            buffers.clear();
+            if (links.connectionState(sender, receiver, server, clock.getAsDouble())
+                    != LinkFaults.ConnectionState.STALLED) {
+                undelivered.forEach(to::write);
                 to.close();
             } else {
                 // A cut hides the end, too: the other side learns of it when the way is open again.
                 long[] timer = new long[1];
-                timer[0] = vertx.setPeriodic(LOOK, id -> {
-                    if (links.way(sender, receiver, server, clock.getAsDouble()) != LinkFaults.Way.STALLED) {
+                timer[0] = vertx.setPeriodic(POLL_MILLIS, id -> {
+                    if (links.connectionState(sender, receiver, server, clock.getAsDouble())
+                            != LinkFaults.ConnectionState.STALLED) {
                         vertx.cancelTimer(timer[0]);
-                        rest.forEach(to::write);
+                        undelivered.forEach(to::write);
                         to.close();
                     }
                 });
--- /dev/null
+++ b/src/main/java/nettlewick/fleettest/TenantPoolEnvironment.java
@@ -0,0 +1,231 @@
+package nettlewick.fleettest;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.YearMonth;
+import java.time.ZoneOffset;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import nettlewick.settings.Block;
+import nettlewick.stubs.EndpointServer;
+import nettlewick.stubs.ProviderModel;
+import nettlewick.stubs.ProviderServer;
+
+/**
+ * What a scenario with members' pools needs beside the rest: ways between the duties' sockets, and a
+ * provider.
+ */
+final class TenantPoolEnvironment implements AutoCloseable {
+    private static final String NET = Fleet.net(3);
+    private static final int KEY_BYTES = 32;
+    /** A runner that is ended has this long for its work. */
+    private static final double REMOVAL_DELAY_MILLIS = 5000;
+
+    private static final double SECOND_MILLIS = 1000;
+    /** Between a choice and its arrival, in a process that has just started, on a busy machine. */
+    private static final double CHOICE_TO_ARRIVAL_MILLIS = 1000;
+
+    /** What was still within the means when the mark was reached has come by then. */
+    private static final double CAP_SETTLE_MILLIS = 5000;
+
+    private final ScenarioRun run;
+    private final Scenario scenario;
+    private final Path folder;
+    /** By how many milliseconds all clocks are ahead, so that the month turns when it is to. */
+    private final long clockAheadMillis;
+
+    private DatagramRelay relay;
+    private List<InetSocketAddress> relayAddresses;
+    private final Map<Integer, InetSocketAddress> providerAddresses = new HashMap<>();
+    private final Map<String, EndpointServer> addedEndpoints = new HashMap<>();
+    ProviderModel model;
+    ProviderServer provider;
+
+    TenantPoolEnvironment(ScenarioRun run, Scenario scenario, Path folder) throws IOException {
+        this.run = run;
+        this.scenario = scenario;
+        this.folder = Files.createDirectories(folder);
+        double monthTurnsAfter = scenario.tenantPools().monthTurnsAfterMillis();
+        long nextMonthMillis = YearMonth.now(ZoneOffset.UTC)
+                .plusMonths(1)
+                .atDay(1)
+                .atStartOfDay(ZoneOffset.UTC)
+                .toInstant()
+                .toEpochMilli();
+        clockAheadMillis = Double.isNaN(monthTurnsAfter)
+                ? 0
+                : nextMonthMillis - System.currentTimeMillis() - (long) monthTurnsAfter;
+        Files.write(folder.resolve("duty.key"), new byte[KEY_BYTES]);
+    }
+
+    /** Once the fleet's addresses are known, and before it starts. */
+    void open() throws Exception {
+        List<InetSocketAddress> sockets =
+                run.fleet.dispatchers.stream().map(m -> m.leaseAddress).toList();
+        relay = new DatagramRelay(sockets, NET, run.linkFaults, run::now, 1);
+        relayAddresses = relay.addresses();
+        Block pools = scenario.tenantPools().block();
+        Map<String, ProviderModel.Cap> caps = new HashMap<>();
+        for (Block.Value value : pools.all("member")) {
+            if (value.arguments().size() > 1) {
+                caps.put(value.argument(0), new ProviderModel.Cap(value.argument(2), pools.get("near")));
+            }
+        }
+        Block.Value price = pools.first("price").orElse(null);
+        if (price == null) {
+            return;
+        }
+        model = new ProviderModel(
+                price.argument(1),
+                price.<Double>argument(3).longValue(),
+                scenario.fleet().zones(),
+                caps);
+        long startMillis = (long) scenario.tenantPools().endpointStartMillis();
+        provider = new ProviderServer(
+                run.vertx,
+                model,
+                () -> System.currentTimeMillis() + clockAheadMillis,
+                startMillis,
+                new ProviderServer.Hands() {
+                    @Override
+                    public void start(ProviderModel.Runner runner) {
+                        run.stepExecutor.post(
+                                () -> addedEndpoints.put(runner.name(), run.addEndpoint(run.now(), runner.name())));
+                        run.stepExecutor.post(() -> run.discovery.change(addedEndpoints.get(runner.name()), "Ready"));
+                    }
+
+                    @Override
+                    public void end(ProviderModel.Runner runner) {
+                        run.stepExecutor.post(() -> TenantPoolEnvironment.this.end(addedEndpoints.get(runner.name())));
+                    }
+                });
+        InetSocketAddress direct = provider.listen();
+        for (int dispatcher = 0; dispatcher < scenario.fleet().dispatchers(); dispatcher++) {
+            providerAddresses.put(dispatcher, run.relayedAddress(dispatcher, run.providerParty(), direct));
+        }
+    }
+
+    private void end(EndpointServer endpoint) {
+        run.discovery.change(endpoint, "Terminating");
+        endpoint.model.drain();
+        run.stepExecutor.schedule(run.now() + REMOVAL_DELAY_MILLIS, () -> {
+            endpoint.kill();
+            run.discovery.change(endpoint, "Gone");
+        });
+    }
+
+    void setProviderFate(String name, double until) {
+        provider.fate(ProviderServer.Fate.valueOf(name.toUpperCase(Locale.ROOT)));
+        run.stepExecutor.schedule(until, () -> provider.fate(ProviderServer.Fate.GOOD));
+    }
+
+    long clockAheadMillis() {
+        return clockAheadMillis;
+    }
+
+    /** Our own settings of one process. */
+    String settings(int number) {
+        StringBuilder text = new StringBuilder("log {\nform json\nrepeats 1000\n}\nduty {\nlisten "
+                + ScenarioRun.addressText(run.fleet.dispatchers.get(number).leaseAddress) + "\nnumber " + number
+                + "\nvoters "
+                + scenario.tenantPools().voters() + "\nlease "
+                + (long) scenario.tenantPools().leaseMillis() + "ms\nkey \""
+                + folder.resolve("duty.key") + "\"\n");
+        relayAddresses.forEach(a ->
+                text.append("dispatcher ").append(ScenarioRun.addressText(a)).append('\n'));
+        text.append("}\npools {\n").append(scenario.tenantPools().block().toLines());
+        if (provider != null) {
+            text.append("provider http://")
+                    .append(ScenarioRun.addressText(providerAddresses.get(number)))
+                    .append('\n');
+        }
+        return text.append("}\n").toString();
+    }
+
+    /** What became of members' pools, and to the audit whether all went by them. */
+    Map<String, Double> close(
+            DispatcherLogs logs, Map<String, Integer> outcomes, InvariantChecker checker, double loadAt) {
+        List<Double> fleetKills = scenario.steps().stream()
+                .filter(s -> s.verb().equals("kill")
+                        && s.target().fraction() == 1
+                        && List.of("dispatchers", "all").contains(s.target().name()))
+                .map(s -> loadAt + s.at())
+                .toList();
+        logs.check(
+                checker,
+                fleetKills,
+                CHOICE_TO_ARRIVAL_MILLIS + scenario.links().delayMillis(),
+                name -> run.endpointModels.stream().anyMatch(tenant -> tenant.name.equals(name) && tenant.serves()));
+        Map<String, Double> figures = new LinkedHashMap<>();
+        figures.put("moves", (double) logs.count("pool-open"));
+        figures.put("returns", (double) logs.count("pool-none"));
+        figures.put("holdings", (double) logs.count("duty-held"));
+        figures.put("heard", (double) logs.count("hears-all"));
+        figures.put("near_caps", (double) logs.count("near-cap"));
+        figures.put("duty_bytes_per_s", relay.byteCounts() / run.now() * SECOND_MILLIS / run.fleet.dispatchers.size());
+        for (Scenario.Tenant tenant : scenario.load().tenants()) {
+            for (String outcome : List.of("late", "unserved", "failed")) {
+                figures.put(outcome + "_" + tenant.name(), (double)
+                        outcomes.getOrDefault(outcome + " " + tenant.name(), 0));
+            }
+        }
+        figures.put("handover_ms_planned", logs.longestPlannedHandoverMillis());
+        for (String verb : List.of("kill", "pause")) {
+            double longest = scenario.steps().stream()
+                    .filter(s -> s.verb().equals(verb) && s.target().holderTenant() != null)
+                    .mapToDouble(s -> logs.longestHandoverMillis(s.target().holderTenant(), List.of(loadAt + s.at())))
+                    .filter(t -> !Double.isNaN(t))
+                    .max()
+                    .orElse(Double.NaN);
+            figures.put(
+                    "handover_leases_" + (verb.equals("kill") ? "killed" : "paused"),
+                    longest / scenario.tenantPools().leaseMillis());
+        }
+        scenario.steps().stream()
+                .filter(s -> s.verb().equals("flood"))
+                .forEach(s -> figures.put(
+                        "found_s_" + s.target().name(),
+                        logs.millisToDetection(s.target().name(), loadAt + s.at()) / SECOND_MILLIS));
+        figures.put("two_holders", (double) checker.count("two holders"));
+        figures.put(
+                "moved_jobs_lost",
+                logs.eventLines("pool-reserve").stream()
+                        .map(line -> line.field("member"))
+                        .distinct()
+                        .mapToDouble(member -> checker.count("one answer " + member))
+                        .sum());
+        if (model != null) {
+            model.counts().forEach((name, count) -> figures.put(name, (double) count));
+            figures.put("stale_acts_accepted", (double) countStaleActs());
+            figures.put("cap_overrun_cents", model.overrun());
+            figures.put("adds_after_near", (double) model.breaks().size());
+            figures.put("adds_unspent_refused", (double) logs.eventLines("near-cap").stream()
+                    .mapToInt(line -> model.unspent(
+                            line.field("member"),
+                            (long) (run.beganAtUnixMillis + line.at() + CAP_SETTLE_MILLIS) + clockAheadMillis))
+                    .sum());
+            model.breaks().forEach(violation -> checker.addViolation("near mark", "provider", run.now(), violation));
+        }
+        return figures;
+    }
+
+    /** Acts under a fence below that of one before. */
+    private long countStaleActs() {
+        Map<String, Long> highest = new HashMap<>();
+        return model.acts().stream()
+                .filter(a -> highest.merge(a.member(), a.fence(), Math::max) > a.fence())
+                .count();
+    }
+
+    @Override
+    public void close() throws IOException {
+        if (relay != null) {
+            relay.close();
+        }
+    }
+}
--- a/src/test/java/nettlewick/fleettest/Baselines.java
+++ b/src/test/java/nettlewick/fleettest/Baselines.java
@@ -15,7 +15,7 @@
  */
 final class Baselines {
     /** How a runner is chosen. */
-    enum Choice {
+    enum Policy {
         /** Each alike. */
         RANDOM,
         /** The better of two drawn, by what its dispatcher itself has there. */
@@ -24,128 +24,129 @@
         BEST
     }
 
-    private record Due(double at, long number, Runnable what) {}
+    private record ScheduledAction(double at, long number, Runnable action) {}
 
     private static final int ATTEMPTS = 6;
 
     private final Scenario scenario;
-    private final Choice choice;
-    private final List<EndpointModel> runners = new ArrayList<>();
-    private final Map<String, int[]> own = new LinkedHashMap<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
+    private final Policy policy;
+    private final List<EndpointModel> endpoints = new ArrayList<>();
+    private final Map<String, int[]> inFlight = new LinkedHashMap<>();
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>(
             (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
     private final SplittableRandom random;
-    private final LoadBalanceStats spread;
-    private final Map<String, Integer> at = new LinkedHashMap<>();
-    private long numbers;
+    private final LoadBalanceStats loadStats;
+    private final Map<String, Integer> dispatcherOf = new LinkedHashMap<>();
+    private long scheduledCount;
     private double now;
     private int attempts;
-    private int full;
-    private int refused;
+    private int rejectedAttempts;
+    private int rejectedRequests;
 
-    private Baselines(Scenario scenario, Choice choice) {
+    private Baselines(Scenario scenario, Policy choice) {
         this.scenario = scenario;
-        this.choice = choice;
-        random = new SplittableRandom(scenario.world().seed() ^ choice.ordinal());
-        for (int r = 0; r < scenario.world().runners(); r++) {
-            runners.add(new EndpointModel(
+        this.policy = choice;
+        random = new SplittableRandom(scenario.fleet().seed() ^ choice.ordinal());
+        for (int r = 0; r < scenario.fleet().endpoints(); r++) {
+            endpoints.add(new EndpointModel(
                     "s" + r,
-                    scenario.world().zone(r),
-                    scenario.world().speed(r),
-                    scenario.world().runner(),
+                    scenario.fleet().zone(r),
+                    scenario.fleet().speed(r),
+                    scenario.fleet().endpoint(),
                     Double.NEGATIVE_INFINITY));
         }
-        spread = new LoadBalanceStats(runners, scenario.load().meanWork());
+        loadStats = new LoadBalanceStats(endpoints, scenario.load().meanWorkMillis());
     }
 
     /** Plays the scenario's load; the figures by name, with {@code sent_to_full} as a part of attempts. */
-    static Map<String, Double> play(Scenario scenario, Choice choice) {
+    static Map<String, Double> play(Scenario scenario, Policy choice) {
         return new Baselines(scenario, choice).play();
     }
 
     private Map<String, Double> play() {
-        for (RequestTrace.Arrival a : RequestTrace.of(scenario)) {
-            plan(a.at(), () -> send(a, 0));
+        for (RequestTrace.PlannedRequest a : RequestTrace.draw(scenario)) {
+            schedule(a.at(), () -> send(a, 0));
         }
-        for (double t = 0; t < scenario.load().length(); t += LoadBalanceStats.EACH) {
+        for (double t = 0; t < scenario.load().lengthMillis(); t += LoadBalanceStats.SAMPLE_INTERVAL_MILLIS) {
             double sampled = t;
-            plan(t, () -> spread.sample(sampled));
+            schedule(t, () -> loadStats.sample(sampled));
         }
-        while (!due.isEmpty()) {
-            Due next = due.poll();
+        while (!scheduled.isEmpty()) {
+            ScheduledAction next = scheduled.poll();
             now = next.at();
-            next.what().run();
+            next.action().run();
         }
-        Map<String, Double> figures = spread.figures();
-        figures.put("sent_to_full", full / Math.max(1.0, attempts));
-        figures.put("refused", (double) refused);
+        Map<String, Double> figures = loadStats.figures();
+        figures.put("sent_to_full", rejectedAttempts / Math.max(1.0, attempts));
+        figures.put("refused", (double) rejectedRequests);
         return figures;
     }
 
-    private void plan(double when, Runnable what) {
-        due.add(new Due(when, numbers++, what));
+    private void schedule(double when, Runnable what) {
+        scheduled.add(new ScheduledAction(when, scheduledCount++, what));
     }
 
-    private void send(RequestTrace.Arrival a, int tried) {
-        int dispatcher = (int) (a.choice() * scenario.world().dispatchers());
-        int r = pick(dispatcher);
-        EndpointModel runner = runners.get(r);
-        String id = a.number() + "." + tried;
+    private void send(RequestTrace.PlannedRequest request, int previousAttempts) {
+        int dispatcher = (int) (request.choice() * scenario.fleet().dispatchers());
+        int endpoint = pick(dispatcher);
+        EndpointModel model = endpoints.get(endpoint);
+        String id = request.number() + "." + previousAttempts;
         List<EndpointModel.Begun> begun = new ArrayList<>();
         if (now >= 0) {
             attempts++;
-            spread.arrived(runner, now);
+            loadStats.arrived(model, now);
         }
-        EndpointModel.Taken taken = runner.offer(id, a.work(), now, begun);
+        EndpointModel.Taken taken = model.offer(id, request.workMillis(), now, begun);
         if (taken == EndpointModel.Taken.FULL) {
-            full += now >= 0 ? 1 : 0;
-            spread.refused();
-            if (tried + 1 < ATTEMPTS) {
-                send(a, tried + 1);
+            rejectedAttempts += now >= 0 ? 1 : 0;
+            loadStats.rejected();
+            if (previousAttempts + 1 < ATTEMPTS) {
+                send(request, previousAttempts + 1);
             } else {
-                refused += now >= 0 ? 1 : 0;
+                rejectedRequests += now >= 0 ? 1 : 0;
             }
             return;
         }
-        own(r)[dispatcher]++;
-        at.put(id, dispatcher);
-        begun.forEach(b -> begins(r, b));
+        inFlight(endpoint)[dispatcher]++;
+        dispatcherOf.put(id, dispatcher);
+        begun.forEach(b -> scheduleEnd(endpoint, b));
     }
 
-    private void begins(int r, EndpointModel.Begun b) {
-        plan(now + b.millis(), () -> {
-            own(r)[at.remove(b.id())]--;
+    private void scheduleEnd(int endpoint, EndpointModel.Begun begun) {
+        schedule(now + begun.millis(), () -> {
+            inFlight(endpoint)[dispatcherOf.remove(begun.id())]--;
             List<EndpointModel.Begun> more = new ArrayList<>();
-            runners.get(r).end(b.id(), now, more);
-            more.forEach(m -> begins(r, m));
+            endpoints.get(endpoint).end(begun.id(), now, more);
+            more.forEach(m -> scheduleEnd(endpoint, m));
         });
     }
 
-    private int[] own(int runner) {
-        return own.computeIfAbsent("s" + runner, s -> new int[scenario.world().dispatchers()]);
+    private int[] inFlight(int endpoint) {
+        return inFlight.computeIfAbsent(
+                "s" + endpoint, s -> new int[scenario.fleet().dispatchers()]);
     }
 
     private int pick(int dispatcher) {
-        int first = random.nextInt(runners.size());
-        if (choice == Choice.RANDOM) {
+        int first = random.nextInt(endpoints.size());
+        if (policy == Policy.RANDOM) {
             return first;
         }
-        if (choice == Choice.TWO) {
-            int second = random.nextInt(runners.size());
-            return own(second)[dispatcher] < own(first)[dispatcher] ? second : first;
+        if (policy == Policy.TWO) {
+            int second = random.nextInt(endpoints.size());
+            return inFlight(second)[dispatcher] < inFlight(first)[dispatcher] ? second : first;
         }
         int best = first;
-        for (int i = 0; i < runners.size(); i++) {
-            int r = (first + i) % runners.size();
-            if (weight(r) < weight(best)) {
+        for (int i = 0; i < endpoints.size(); i++) {
+            int r = (first + i) % endpoints.size();
+            if (relativeLoad(r) < relativeLoad(best)) {
                 best = r;
             }
         }
         return best;
     }
 
-    private double weight(int r) {
-        EndpointModel m = runners.get(r);
+    private double relativeLoad(int endpoint) {
+        EndpointModel m = endpoints.get(endpoint);
         return (m.busy() + m.waiting() + 1) / (m.slots * m.speed);
     }
 }
--- a/src/test/java/nettlewick/fleettest/RunnerModelTest.java
+++ b/src/test/java/nettlewick/fleettest/EndpointModelTest.java
@@ -11,54 +11,54 @@
 import nettlewick.stubs.EndpointModel;
 import org.junit.jupiter.api.Test;
 
-class RunnerModelTest {
+class EndpointModelTest {
     private static final EndpointModel.Kind KIND = Scenario.parse(
-                    "x.conf", ScenarioTest.text("").replace("seed 5", "slots 2\nqueue 3\ncold 1s\nfall 200ms"))
-            .world()
-            .runner();
+                    "x.conf", ScenarioTest.scenarioText("").replace("seed 5", "slots 2\nqueue 3\ncold 1s\nfall 200ms"))
+            .fleet()
+            .endpoint();
 
-    private static EndpointModel runner(double bornAt) {
+    private static EndpointModel endpoint(double bornAt) {
         return new EndpointModel("s0", "a", 1, KIND, bornAt);
     }
 
     /** Nothing that was taken is lost, and no more runs than there are slots, whatever comes and goes. */
     @Test
-    void jobsAreConserved() {
+    void requestsAreConserved() {
         SplittableRandom random = new SplittableRandom(4);
-        EndpointModel r = runner(Double.NEGATIVE_INFINITY);
-        List<String> inHand = new ArrayList<>();
-        int begunOf = 0;
-        int takenOf = 0;
+        EndpointModel endpoint = endpoint(Double.NEGATIVE_INFINITY);
+        List<String> accepted = new ArrayList<>();
+        int startedCount = 0;
+        int acceptedCount = 0;
         for (int i = 0; i < 5000; i++) {
             List<EndpointModel.Begun> begun = new ArrayList<>();
             if (random.nextInt(3) > 0) {
-                EndpointModel.Taken how = r.offer("j" + i, 10, i, begun);
-                assertEquals(inHand.size() >= 5, how == EndpointModel.Taken.FULL);
+                EndpointModel.Taken how = endpoint.offer("j" + i, 10, i, begun);
+                assertEquals(accepted.size() >= 5, how == EndpointModel.Taken.FULL);
                 if (how != EndpointModel.Taken.FULL) {
-                    inHand.add("j" + i);
-                    takenOf++;
+                    accepted.add("j" + i);
+                    acceptedCount++;
                 }
-            } else if (!inHand.isEmpty()) {
-                r.end(inHand.remove(random.nextInt(inHand.size())), i, begun);
+            } else if (!accepted.isEmpty()) {
+                endpoint.end(accepted.remove(random.nextInt(accepted.size())), i, begun);
             }
-            begunOf += begun.size();
-            assertEquals(Math.min(2, inHand.size()), r.busy());
-            assertEquals(inHand.size(), r.busy() + r.waiting());
-            assertTrue(begunOf <= takenOf);
+            startedCount += begun.size();
+            assertEquals(Math.min(2, accepted.size()), endpoint.busy());
+            assertEquals(accepted.size(), endpoint.busy() + endpoint.waiting());
+            assertTrue(startedCount <= acceptedCount);
         }
     }
 
     @Test
-    void aColdRunnerThatIsPushedFallsAndAWarmOneDoesNot() {
-        EndpointModel cold = runner(0);
-        EndpointModel warm = runner(-2000);
+    void anOverloadedEndpointCollapsesDuringSlowStartOnly() {
+        EndpointModel cold = endpoint(0);
+        EndpointModel warm = endpoint(-2000);
         for (int i = 0; i < 20; i++) {
             cold.offer("j" + i, 100, 10 + i, new ArrayList<>());
             warm.offer("j" + i, 100, 10 + i, new ArrayList<>());
         }
         assertTrue(cold.fallen());
         assertFalse(warm.fallen());
-        EndpointModel spared = runner(0);
+        EndpointModel spared = endpoint(0);
         for (int i = 0; i < 20; i++) {
             spared.offer("j" + i, 20, 100 * i, new ArrayList<>());
         }
@@ -67,7 +67,7 @@
 
     /** The same play twice is the same; and the better a choice knows, the evener its load. */
     @Test
-    void baselinesDifferInTheChoiceAlone() {
+    void baselinesDifferOnlyInTheSelectionPolicy() {
         Scenario s = Scenario.parse("x.conf", """
                 world {
                     dispatchers 30
@@ -80,10 +80,10 @@
                     class step-view 100% 400ms 1s
                 }
                 """);
-        Map<String, Double> random = Baselines.play(s, Baselines.Choice.RANDOM);
-        Map<String, Double> two = Baselines.play(s, Baselines.Choice.TWO);
-        Map<String, Double> best = Baselines.play(s, Baselines.Choice.BEST);
-        assertEquals(random, Baselines.play(s, Baselines.Choice.RANDOM));
+        Map<String, Double> random = Baselines.play(s, Baselines.Policy.RANDOM);
+        Map<String, Double> two = Baselines.play(s, Baselines.Policy.TWO);
+        Map<String, Double> best = Baselines.play(s, Baselines.Policy.BEST);
+        assertEquals(random, Baselines.play(s, Baselines.Policy.RANDOM));
         assertTrue(best.get("load_cv") < 0.6 * random.get("load_cv"), best + " " + random);
         assertTrue(two.get("sent_to_full") < random.get("sent_to_full"), two + " " + random);
         assertEquals(0, best.get("sent_to_full"));
--- a/src/test/java/nettlewick/fleettest/LabProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/FleetFaultsProcessTest.java
@@ -13,11 +13,11 @@
 /** Twelve real dispatchers with faults between them: every rule on every job, and counts with room. */
 @Tag("fleet")
 @Timeout(120)
-class LabProcessTest {
+class FleetFaultsProcessTest {
     @TempDir
     private Path dir;
 
-    private Map<String, Double> play(String more, String steps) throws Exception {
+    private Map<String, Double> runScenario(String linksBlock, String steps) throws Exception {
         Scenario scenario = Scenario.parse("test", """
                 world {
                     seed 11
@@ -38,13 +38,18 @@
                     class save-run 20% 150ms 1s
                     class mark-submit 30% 100ms 1s
                 }
-                """ + more + "steps {\n" + steps + "}\n");
-        try (ScenarioRun play = new ScenarioRun(scenario, dir)) {
-            play.start(line -> {});
-            Map<String, Double> figures = play.run(line -> {});
+                """ + linksBlock + "steps {\n" + steps + "}\n");
+        try (ScenarioRun run = new ScenarioRun(scenario, dir)) {
+            run.startFleet(line -> {});
+            Map<String, Double> figures = run.run(line -> {});
             Results.write(
-                    dir.resolve("out"), figures, play.audit().breaks(), play.spread(), play.latency(), play.seconds());
-            assertEquals("", String.join("\n", play.audit().breaks()));
+                    dir.resolve("out"),
+                    figures,
+                    run.checker().violations(),
+                    run.loadStats(),
+                    run.latency(),
+                    run.secondSummaries());
+            assertEquals("", String.join("\n", run.checker().violations()));
             assertEquals(0, figures.get("crashed"));
             assertEquals(0, figures.get("too_long"));
             assertEquals(
@@ -60,18 +65,19 @@
         }
     }
 
-    private static void most(Map<String, Double> figures, String name, double part) {
-        assertTrue(figures.get(name) <= part * figures.get("jobs"), name + " of " + figures);
+    private static void assertAtMost(Map<String, Double> figures, String name, double maxFraction) {
+        assertTrue(figures.get(name) <= maxFraction * figures.get("jobs"), name + " of " + figures);
     }
 
     /** Counted without regard to time: a slow machine answers late. */
-    private static void served(Map<String, Double> figures, double part) {
-        assertTrue(figures.get("in_time") + figures.get("late") >= part * figures.get("jobs"), figures::toString);
+    private static void assertServed(Map<String, Double> figures, double minFraction) {
+        assertTrue(
+                figures.get("in_time") + figures.get("late") >= minFraction * figures.get("jobs"), figures::toString);
     }
 
     @Test
-    void datagramsThatAreLostDoubledLateAndHostile() throws Exception {
-        Map<String, Double> f = play("""
+    void lostDuplicatedDelayedAndMalformedDatagrams() throws Exception {
+        Map<String, Double> f = runScenario("""
                 links {
                     loss 20%
                     duplicates 20%
@@ -82,25 +88,25 @@
                 at 2s garble dispatchers for 2s
                 at 4s loss 50% for 3s
                 """);
-        most(f, "unserved", 0.05);
-        most(f, "failed", 0);
+        assertAtMost(f, "unserved", 0.05);
+        assertAtMost(f, "failed", 0);
     }
 
     @Test
-    void halvesThatCannotHearOneAnotherAndOwnersThatDieOrSleep() throws Exception {
-        Map<String, Double> f = play("", """
+    void partitionedZonesWithKilledAndPausedDispatchers() throws Exception {
+        Map<String, Double> f = runScenario("", """
                 at 1s cut zone a from b for 4s
                 at 2s pause n3 for 2s
                 at 2s kill 25% of dispatchers
                 at 4s start all in random order over 1s
                 at 5s mute n5 to dispatchers for 2s
                 """);
-        served(f, 0.5);
+        assertServed(f, 0.5);
     }
 
     @Test
-    void runnersThatComeGoAndLie() throws Exception {
-        Map<String, Double> f = play("", """
+    void changingAndFaultyEndpoints() throws Exception {
+        Map<String, Double> f = runScenario("", """
                 at 1s lists apart 2s
                 at 1s add 5 runners
                 at 2s drain s1
@@ -112,6 +118,6 @@
                 at 5s reset s4 for 500ms
                 at 6s trickle s5 for 1s
                 """);
-        served(f, 0.5);
+        assertServed(f, 0.5);
     }
 }
--- a/src/test/java/nettlewick/fleettest/MeasureDuties.java
+++ b/src/test/java/nettlewick/fleettest/MeasureDuties.java
@@ -15,13 +15,13 @@
  */
 final class MeasureDuties {
     private static final double SLOTS = 2;
-    private static final double MEAN = 0.1;
+    private static final double MEAN_WORK_SECONDS = 0.1;
     /** Of all slots that work in peace takes. */
-    private static final double PART = 0.5;
+    private static final double UTILIZATION = 0.5;
 
-    private static final double SHARE = 0.1;
-    private static final double FLOOD = 25;
-    private static final double LOSS = 0.2;
+    private static final double NOISY_TENANT_FRACTION = 0.1;
+    private static final double FLOOD_FACTOR = 25;
+    private static final double LOSS_FRACTION = 0.2;
 
     private MeasureDuties() {}
 
@@ -29,16 +29,17 @@
     public static void main(String[] args) throws Exception {
         int dispatchers = arg(args, 0, 100);
         int runners = arg(args, 1, 20);
-        int members = arg(args, 2, 30);
+        int tenants = arg(args, 2, 30);
         int seconds = arg(args, 3, 50);
         StringBuilder load = new StringBuilder();
         StringBuilder pools = new StringBuilder("member red cap 2000 most 4\n");
-        load.append("member red ").append((int) (100 * SHARE)).append("%\n");
-        for (int m = 1; m < members; m++) {
-            load.append(String.format(Locale.ROOT, "member m%d %.4f%%%n", m, 100 * (1 - SHARE) / (members - 1)));
-            pools.append("member m").append(m).append('\n');
+        load.append("member red ").append((int) (100 * NOISY_TENANT_FRACTION)).append("%\n");
+        for (int tenant = 1; tenant < tenants; tenant++) {
+            load.append(String.format(
+                    Locale.ROOT, "member m%d %.4f%%%n", tenant, 100 * (1 - NOISY_TENANT_FRACTION) / (tenants - 1)));
+            pools.append("member m").append(tenant).append('\n');
         }
-        Scenario ours = scenario(
+        Scenario withPools = scenario(
                 dispatchers,
                 runners,
                 seconds,
@@ -52,9 +53,9 @@
                     at 24s end holder-red
                     at 28s start dispatchers
                     at 30s loss 20%% for 5s
-                """, (int) FLOOD, seconds - 6));
+                """, (int) FLOOD_FACTOR, seconds - 6));
         // Runners added: wishes kept by the provider until a newer holder's was done, a cap soon reached.
-        Scenario acts = scenario(
+        Scenario provisioning = scenario(
                 dispatchers, runners, 30, load, pools.toString().replace("cap 2000 most 4", "cap 10 most 6"), """
                     at 100ms provider keeps for 16s
                     at 500ms flood red by 20 for 28s
@@ -63,11 +64,11 @@
                     at 17s provider loses for 4s
                 """);
         Path folder = Files.createTempDirectory("measure-duties");
-        Map<String, Double> all = new LinkedHashMap<>(play(ours, folder.resolve("ours")));
-        Map<String, Double> money = play(acts, folder.resolve("acts"));
-        Map<String, Double> today = play(ours.without(true, null), folder.resolve("today"));
-        Map<String, Double> alone = play(ours.without(true, "red"), folder.resolve("alone"));
-        all.keySet().removeIf(name -> name.matches("(asked|in_time|late|unserved|failed)_m\\d+"));
+        Map<String, Double> figures = new LinkedHashMap<>(play(withPools, folder.resolve("ours")));
+        Map<String, Double> provisioningFigures = play(provisioning, folder.resolve("acts"));
+        Map<String, Double> withoutPools = play(withPools.without(true, null), folder.resolve("today"));
+        Map<String, Double> withoutFlood = play(withPools.without(true, "red"), folder.resolve("alone"));
+        figures.keySet().removeIf(name -> name.matches("(asked|in_time|late|unserved|failed)_m\\d+"));
         for (String name : List.of(
                 "acts",
                 "stale_acts_tried",
@@ -77,15 +78,15 @@
                 "adds_unspent_refused",
                 "provider_added",
                 "near_caps")) {
-            all.put(name, money.get(name));
+            figures.put(name, provisioningFigures.get(name));
         }
         for (String name : List.of("two_holders", "moved_jobs_lost", "rules_broken", "crashed")) {
-            all.merge(name, money.get(name), Double::sum);
+            figures.merge(name, provisioningFigures.get(name), Double::sum);
         }
-        all.put("unheld_share_20_percent_loss", SimulatedLeaseTier.unheldShare(100, 5, LOSS, 120_000, 1));
-        figures(all, today, alone);
+        figures.put("unheld_share_20_percent_loss", SimulatedLeaseTier.unheldShare(100, 5, LOSS_FRACTION, 120_000, 1));
+        figures(figures, withoutPools, withoutFlood);
         System.err.println("runs are in " + folder);
-        all.forEach((name, value) -> System.out.println(name + "=" + Results.plain(value)));
+        figures.forEach((name, value) -> System.out.println(name + "=" + Results.formatNumber(value)));
     }
 
     private static Scenario scenario(
@@ -134,7 +135,7 @@
                 """,
                         dispatchers,
                         runners,
-                        runners * SLOTS / MEAN * PART,
+                        runners * SLOTS / MEAN_WORK_SECONDS * UTILIZATION,
                         seconds,
                         load,
                         pools,
@@ -145,9 +146,9 @@
         all.put("noisy_found_s", all.remove("found_s_red"));
         all.put("noisy_in_time", all.get("in_time_red") / all.get("asked_red"));
         all.put("noisy_in_time_today", today.get("in_time_red") / today.get("asked_red"));
-        all.put("victims_in_time", victims(all));
-        all.put("victims_in_time_today", victims(today));
-        all.put("victims_in_time_alone", victims(alone));
+        all.put("victims_in_time", victimsInTime(all));
+        all.put("victims_in_time_today", victimsInTime(today));
+        all.put("victims_in_time_alone", victimsInTime(alone));
         // An hour of two-second windows, by three seeds.
         int moves = 0;
         for (int seed = 0; seed < 3; seed++) {
@@ -163,13 +164,13 @@
         return args.length > at ? Integer.parseInt(args[at]) : otherwise;
     }
 
-    private static double victims(Map<String, Double> figures) {
+    private static double victimsInTime(Map<String, Double> figures) {
         return (figures.get("in_time") - figures.get("in_time_red")) / (figures.get("jobs") - figures.get("asked_red"));
     }
 
     private static Map<String, Double> play(Scenario scenario, Path folder) throws Exception {
         Map<String, Double> figures = new LinkedHashMap<>();
-        Lab.run(scenario, folder, line -> System.err.print("\r" + line + "\u001b[K"), line -> {
+        FleetTest.run(scenario, folder, line -> System.err.print("\r" + line + "\u001b[K"), line -> {
             int at = line.indexOf('=');
             if (at > 0 && !line.contains(" ")) {
                 String value = line.substring(at + 1);
--- a/src/test/java/nettlewick/fleettest/MeasureSpread.java
+++ b/src/test/java/nettlewick/fleettest/MeasureSpread.java
@@ -13,9 +13,9 @@
 public final class MeasureSpread {
     private static final int SLOTS = 4;
     /** Seconds of work of a mean job, and the part of all slots that is in use. */
-    private static final double MEAN = 3.5;
+    private static final double MEAN_WORK_SECONDS = 3.5;
 
-    private static final double PART = 0.6;
+    private static final double UTILIZATION = 0.6;
 
     private MeasureSpread() {}
 
@@ -24,8 +24,7 @@
         int dispatchers = args.length > 0 ? Integer.parseInt(args[0]) : 100;
         int runners = args.length > 1 ? Integer.parseInt(args[1]) : 200;
         int seconds = args.length > 2 ? Integer.parseInt(args[2]) : 15;
-        Scenario base = Scenario.parse(
-                "measure-spread", """
+        Scenario base = Scenario.parse("measure-spread", """
                 world {
                     seed 20261201
                     dispatchers %d
@@ -50,24 +49,25 @@
                     jitter 3ms
                     tcp direct
                 }
-                """.formatted(dispatchers, runners, runners * SLOTS / MEAN * PART, seconds));
-        Map<String, Double> all = new LinkedHashMap<>();
+                """.formatted(
+                        dispatchers, runners, runners * SLOTS / MEAN_WORK_SECONDS * UTILIZATION, seconds));
+        Map<String, Double> figures = new LinkedHashMap<>();
         Path folder = Files.createTempDirectory("measure-spread");
-        play(base.with(true, 0), folder.resolve("ours"), "", all);
-        play(base.with(true, 0.2), folder.resolve("loss"), "_loss", all);
-        play(base.with(false, 0), folder.resolve("alone"), "_alone", all);
-        for (Baselines.Choice choice : Baselines.Choice.values()) {
+        play(base.with(true, 0), folder.resolve("ours"), "", figures);
+        play(base.with(true, 0.2), folder.resolve("loss"), "_loss", figures);
+        play(base.with(false, 0), folder.resolve("alone"), "_alone", figures);
+        for (Baselines.Policy choice : Baselines.Policy.values()) {
             Baselines.play(base, choice)
                     .forEach((name, value) ->
-                            all.put(name + "_" + choice.name().toLowerCase(java.util.Locale.ROOT), value));
+                            figures.put(name + "_" + choice.name().toLowerCase(java.util.Locale.ROOT), value));
         }
         System.err.println("runs are in " + folder);
-        all.forEach((name, value) -> System.out.println(name + "=" + Results.plain(value)));
+        figures.forEach((name, value) -> System.out.println(name + "=" + Results.formatNumber(value)));
     }
 
-    private static void play(Scenario scenario, Path folder, String end, Map<String, Double> all) throws Exception {
+    private static void play(Scenario scenario, Path folder, String suffix, Map<String, Double> all) throws Exception {
         Map<String, Double> figures = new LinkedHashMap<>();
-        Lab.run(scenario, folder, line -> System.err.print("\r" + line + "\u001b[K"), line -> {
+        FleetTest.run(scenario, folder, line -> System.err.print("\r" + line + "\u001b[K"), line -> {
             int at = line.indexOf('=');
             if (at > 0 && !line.contains(" ")) {
                 figures.put(line.substring(0, at), Double.valueOf(line.substring(at + 1)));
@@ -76,7 +76,7 @@
             }
         });
         System.err.println();
-        for (String name : end.isEmpty()
+        for (String name : suffix.isEmpty()
                 ? List.copyOf(figures.keySet())
                 : List.of(
                         "sent_to_full",
@@ -90,7 +90,7 @@
                         "datagram_bytes_per_s",
                         "cores",
                         "limited_by_machine")) {
-            all.put(name + end, figures.get(name));
+            all.put(name + suffix, figures.get(name));
         }
     }
 }
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -24,61 +24,64 @@
     @TempDir
     private Path dir;
 
-    private int seconds = 18;
-    private int rate = 90;
+    private int loadSeconds = 18;
+    private int requestsPerSecond = 90;
     /** Steps of red's move at which whoever holds its duty is killed. */
-    private List<String> watched = List.of();
+    private List<String> killAtEvents = List.of();
     /** Whom the last dispatcher blames all the time; null: it is an honest one. */
-    private String blamed;
+    private String accusedTenant;
 
-    private Map<String, Double> play(String world, String links, String members, String duty, String steps)
+    private Map<String, Double> runScenario(
+            String fleetLines, String linkLines, String poolLines, String leaseLines, String stepLines)
             throws Exception {
         Scenario scenario = Scenario.parse(
                 "test",
-                "world {\nseed 11\ndispatchers 12\nrunners " + (rate == 45 ? 6 : 10) + "\nzone a\nzone b\n"
-                        + "slots 2\nqueue 6\n" + world + "}\nload {\nrate " + rate + "\nlength " + seconds
+                "world {\nseed 11\ndispatchers 12\nrunners " + (requestsPerSecond == 45 ? 6 : 10) + "\nzone a\nzone b\n"
+                        + "slots 2\nqueue 6\n" + fleetLines + "}\nload {\nrate " + requestsPerSecond + "\nlength "
+                        + loadSeconds
                         + "s\nwarm 4s\ntries 2\n"
                         + "member red 20%\nmember blue 40%\nmember green 40%\nclass step-view 60% 100ms 1s\n"
-                        + "class save-run 20% 100ms 1s\nclass mark-submit 20% 100ms 1s\n}\nlinks {\n" + links
+                        + "class save-run 20% 100ms 1s\nclass mark-submit 20% 100ms 1s\n}\nlinks {\n" + linkLines
                         + "}\nduty {\n"
-                        + "voters 5\nlease 800ms\ncomes 500ms\n" + duty + "}\npools {\n" + members + "reserve 60%\n"
+                        + "voters 5\nlease 800ms\ncomes 500ms\n" + leaseLines + "}\npools {\n" + poolLines
+                        + "reserve 60%\n"
                         + "window 700ms\nsettle 300ms\nclear 700ms\ncome 3s\nstay 3s\nprice std 100 least 1m\nreach 10s\n"
-                        + "timeout 1s\n}\nsteps {\n" + steps + "}\n");
-        try (ScenarioRun play = new ScenarioRun(scenario, dir);
-                HostileDispatcher hostile = blamed == null ? null : hostile(play)) {
-            play.start(line -> {});
-            if (steps.contains("provider keeps")) {
+                        + "timeout 1s\n}\nsteps {\n" + stepLines + "}\n");
+        try (ScenarioRun run = new ScenarioRun(scenario, dir);
+                HostileDispatcher hostile = accusedTenant == null ? null : hostile(run)) {
+            run.startFleet(line -> {});
+            if (stepLines.contains("provider keeps")) {
                 // Before any load: even the first wish for a runner waits.
-                play.duties.provider.fate(ProviderServer.Fate.KEEPS);
+                run.tenantPools.provider.fate(ProviderServer.Fate.KEEPS);
             }
-            if (!watched.isEmpty()) {
-                Thread watcher = new Thread(() -> watch(play), "watcher");
+            if (!killAtEvents.isEmpty()) {
+                Thread watcher = new Thread(() -> killHolderAtEvents(run), "watcher");
                 watcher.setDaemon(true);
                 watcher.start();
             }
-            Map<String, Double> figures = play.run(line -> {});
-            assertEquals("", String.join("\n", play.audit().breaks()));
+            Map<String, Double> figures = run.run(line -> {});
+            assertEquals("", String.join("\n", run.checker().violations()));
             assertEquals(0, figures.get("crashed"), figures::toString);
             return figures;
         }
     }
 
-    private HostileDispatcher hostile(ScenarioRun play) throws Exception {
-        int last = play.fleet.members.size() - 1;
-        Path settings = java.nio.file.Files.writeString(dir.resolve("hostile.conf"), play.duties.settings(last));
+    private HostileDispatcher hostile(ScenarioRun run) throws Exception {
+        int last = run.fleet.dispatchers.size() - 1;
+        Path settings = java.nio.file.Files.writeString(dir.resolve("hostile.conf"), run.tenantPools.settings(last));
         return new HostileDispatcher(
                 settings,
-                "pool-" + blamed,
-                play.fleet.members.stream().map(m -> m.duty).toList(),
-                SimulatedDispatchers.falseAccusations(blamed, 10));
+                "pool-" + accusedTenant,
+                run.fleet.dispatchers.stream().map(m -> m.leaseAddress).toList(),
+                SimulatedDispatchers.falseAccusations(accusedTenant, 10));
     }
 
-    private static final String CAPPED = "member red cap 1000 most 2\nmember blue\nmember green\n";
+    private static final String CAPPED_POOLS = "member red cap 1000 most 2\nmember blue\nmember green\n";
     /** By the operators' will, so that each step comes whatever else the machine does. */
-    private static final String KEPT = CAPPED + "keep red pool\n";
+    private static final String PINNED_POOLS = CAPPED_POOLS + "keep red pool\n";
 
-    private static void least(Map<String, Double> figures, String name, double least) {
-        assertTrue(figures.get(name) >= least, name + " of " + figures);
+    private static void assertAtLeast(Map<String, Double> figures, String name, double min) {
+        assertTrue(figures.get(name) >= min, name + " of " + figures);
     }
 
     /**
@@ -86,8 +89,8 @@
      * ended; a runner of the pool crashes. What is added is added once.
      */
     @Test
-    void theHolderDiesInEveryPlace() throws Exception {
-        Map<String, Double> f = play("", "", KEPT, "", """
+    void theLeaseHolderFailsAtEveryStage() throws Exception {
+        Map<String, Double> f = runScenario("", "", PINNED_POOLS, "", """
                 at 100ms provider keeps for 8s
                 at 500ms flood red by 8 for 17s
                 at 3s pause holder-red for 2s
@@ -102,19 +105,19 @@
                 at 14s start dispatchers
                 """);
         assertEquals(2, f.get("provider_added"), f::toString);
-        least(f, "stale_acts_tried", 1);
+        assertAtLeast(f, "stale_acts_tried", 1);
         assertEquals(0, f.get("stale_acts_accepted"), f::toString);
-        least(f, "holdings", 3 + 5);
-        least(f, "moves", 1);
+        assertAtLeast(f, "holdings", 3 + 5);
+        assertAtLeast(f, "moves", 1);
     }
 
     /** A third of the duties' datagrams lost, halves that cannot hear one another, requests kept by the network. */
     @Test
-    void theTierIsCutWhileAMoveIsUnderWay() throws Exception {
-        Map<String, Double> f = play(
+    void aPartitionDuringAMigration() throws Exception {
+        Map<String, Double> f = runScenario(
                 "clock n1 ahead 1h\nclock n2 behind 1h\nclock n7 ahead 3m\n",
                 "loss 30%\nduplicates 20%\njitter 30ms\n",
-                KEPT,
+                PINNED_POOLS,
                 "",
                 """
                 at 100ms provider loses for 4s
@@ -132,13 +135,13 @@
                 at 16s start dispatchers
                 """);
         assertEquals(2, f.get("provider_added"), f::toString);
-        least(f, "moves", 1);
+        assertAtLeast(f, "moves", 1);
     }
 
     /** All lose their memory at once; and a cap that is nearly reached, in a month that turns while the holder is cut off. */
     @Test
-    void aTierThatHasForgottenAllStaysUnderTheCap() throws Exception {
-        Map<String, Double> f = play(
+    void aFleetThatLosesAllStateStaysUnderTheCap() throws Exception {
+        Map<String, Double> f = runScenario(
                 "",
                 "",
                 "member red cap 6 most 6\nmember blue\nmember green\nkeep red pool\n",
@@ -151,8 +154,8 @@
                 at 8s start dispatchers
                 at 12s cut holder-red from provider for 4s
                 """);
-        least(f, "near_caps", 1);
-        least(f, "provider_added", 1);
+        assertAtLeast(f, "near_caps", 1);
+        assertAtLeast(f, "provider_added", 1);
         assertTrue(f.get("provider_added") <= 5, "what two months pay for: " + f);
     }
 
@@ -161,25 +164,25 @@
      * the time, with garbled words and words that come twice among them: nobody is moved.
      */
     @Test
-    void nobodyIsMovedForWhatIsNotItsDoing() throws Exception {
-        blamed = "blue";
-        Map<String, Double> f = play("", "", CAPPED, "", """
+    void noTenantIsMovedForLoadItDidNotCause() throws Exception {
+        accusedTenant = "blue";
+        Map<String, Double> f = runScenario("", "", CAPPED_POOLS, "", """
                 at 100ms kill n11
                 at 2s slow runners by 5 for 5s
                 at 8s rate by 3 for 4s
                 at 9s kill holder-blue
                 at 13s flood blue by 1.2 for 4s
                 """);
-        least(f, "heard", 2);
+        assertAtLeast(f, "heard", 2);
         assertEquals(0, f.get("moves"), f::toString);
         assertEquals(0, f.get("provider_added"), f::toString);
     }
 
     /** Two at once are in pools that share no runner. Whose work is noisy is no verdict of a busy machine's. */
     @Test
-    void twoMembersInPoolsShareNoRunner() throws Exception {
-        seconds = 11;
-        Map<String, Double> f = play(
+    void twoTenantPoolsShareNoEndpoint() throws Exception {
+        loadSeconds = 11;
+        Map<String, Double> f = runScenario(
                 "",
                 "",
                 "member red cap 1000 most 1\nmember blue\nmember green\nkeep green common\n"
@@ -195,8 +198,8 @@
                 at 6s kill s1
                 at 9s start s1
                 """);
-        least(f, "moves", 2);
-        least(f, "stale_acts_tried", 1);
+        assertAtLeast(f, "moves", 2);
+        assertAtLeast(f, "stale_acts_tried", 1);
         assertEquals(0, f.get("stale_acts_accepted"), f::toString);
         assertEquals(1, f.get("provider_added"), f::toString);
     }
@@ -206,41 +209,42 @@
      * killed at the first sight of each step. However long it takes: the run ends when it has happened.
      */
     @Test
-    void aNoisyMemberIsFoundAndMovedThoughItsHolderDiesAtEachStep() throws Exception {
-        seconds = 100;
-        rate = 45;
-        watched = List.of("pool-reserve", "pool-clear", "pool-open", "pool-close");
-        Map<String, Double> f = play("", "", "member red\nmember blue\nmember green\n", "", """
+    void aNoisyTenantIsMovedThoughTheLeaseHolderDiesAtEachStep() throws Exception {
+        loadSeconds = 100;
+        requestsPerSecond = 45;
+        killAtEvents = List.of("pool-reserve", "pool-clear", "pool-open", "pool-close");
+        Map<String, Double> f = runScenario("", "", "member red\nmember blue\nmember green\n", "", """
                 at 3s flood red by 14 for 97s
                 """);
-        least(f, "moves", 1);
-        least(f, "returns", 1);
-        least(f, "holdings", 3 + 4);
+        assertAtLeast(f, "moves", 1);
+        assertAtLeast(f, "returns", 1);
+        assertAtLeast(f, "holdings", 3 + 4);
     }
 
     /**
      * Kills the dispatcher that first says each of these of red, and starts it again. Red asks for nothing more once it is
      * in a pool, and the run ends once it is back.
      */
-    private void watch(ScenarioRun play) {
+    private void killHolderAtEvents(ScenarioRun run) {
         java.util.Set<String> seen = new java.util.HashSet<>();
         try {
-            while (!play.enough) {
-                MigrationAudit moves = MigrationAudit.read(dir, play.wall);
-                for (MigrationAudit.Line l : moves.lines(watched)) {
-                    if (l.field("member").equals("red") && seen.add(l.event())) {
-                        Fleet.DispatcherProcess holder = play.fleet.members.get(l.dispatcher());
-                        play.steps.post(() -> {
-                            play.audit.excuse(holder.number, play.now(), play.now() + 1000, false);
-                            play.fleet.kill(holder.number);
-                            play.steps.plan(play.now() + 1000, () -> play.fleet.start(holder.number));
+            while (!run.stopRequested) {
+                DispatcherLogs logs = DispatcherLogs.read(dir, run.beganAtUnixMillis);
+                for (DispatcherLogs.Line line : logs.lines(killAtEvents)) {
+                    if (line.field("member").equals("red") && seen.add(line.event())) {
+                        Fleet.DispatcherProcess holder = run.fleet.dispatchers.get(line.dispatcher());
+                        run.stepExecutor.post(() -> {
+                            run.checker.exempt(holder.number, run.now(), run.now() + 1000, false);
+                            run.fleet.kill(holder.number);
+                            run.stepExecutor.schedule(run.now() + 1000, () -> run.fleet.start(holder.number));
                         });
                     }
                 }
-                if (moves.count("pool-open") > 0 && seen.size() == watched.size() - 1) {
-                    play.clients.asks = a -> !a.member().equals("red");
+                if (logs.count("pool-open") > 0 && seen.size() == killAtEvents.size() - 1) {
+                    run.loadGenerator.requestFilter =
+                            request -> !request.tenant().equals("red");
                 }
-                play.enough = moves.count("pool-none") > 0 && seen.size() == watched.size();
+                run.stopRequested = logs.count("pool-none") > 0 && seen.size() == killAtEvents.size();
                 java.util.concurrent.TimeUnit.MILLISECONDS.sleep(100);
             }
         } catch (java.io.IOException | InterruptedException e) {
--- a/src/test/java/nettlewick/fleettest/ScenarioTest.java
+++ b/src/test/java/nettlewick/fleettest/ScenarioTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ScenarioTest {
-    static String text(String steps) {
+    static String scenarioText(String steps) {
         return """
                 world {
                     seed 5
@@ -32,8 +32,8 @@
     }
 
     @Test
-    void whatTheStepsSayIsWhatIsDone() {
-        Scenario s = Scenario.parse("x.conf", text("""
+    void stepsAreParsedAndSortedByTime() {
+        Scenario s = Scenario.parse("x.conf", scenarioText("""
                 at 10s start all in random order over 3s
                 at 5s cut zone a from b for 6s
                 at 8s kill 70% of dispatchers
@@ -53,10 +53,10 @@
                 new Scenario.Step(
                         5000, "cut", new ScenarioTarget("a", 1), new ScenarioTarget("b", 1), Double.NaN, 6000),
                 s.steps().get(4));
-        assertEquals(new ScenarioTarget("dispatchers", 0.7), s.steps().get(5).first());
-        assertEquals(3000, s.steps().get(7).figure());
-        assertEquals(5, s.world().runners());
-        assertEquals(0.5, s.world().speed(4));
+        assertEquals(new ScenarioTarget("dispatchers", 0.7), s.steps().get(5).target());
+        assertEquals(3000, s.steps().get(7).value());
+        assertEquals(5, s.fleet().endpoints());
+        assertEquals(0.5, s.fleet().speed(4));
     }
 
     @ParameterizedTest
@@ -71,28 +71,28 @@
                 "at 1s expolde n1 | written as",
                 "af 1s kill n1 | the nearest is at"
             })
-    void aBadStepIsOneLineWithItsPlace(String step, String wanted) {
+    void anInvalidStepIsReportedInOneLineWithItsLocation(String step, String wanted) {
         InvalidSettingsException bad =
-                assertThrows(InvalidSettingsException.class, () -> Scenario.parse("x.conf", text(step)));
+                assertThrows(InvalidSettingsException.class, () -> Scenario.parse("x.conf", scenarioText(step)));
         assertTrue(bad.getMessage().startsWith("x.conf:16"), bad.getMessage());
         assertTrue(bad.getMessage().contains(wanted), bad.getMessage());
         assertEquals(1, bad.getMessage().lines().count());
     }
 
     @Test
-    void faultsOfTheRelayWantTheRelay() {
+    void relayFaultsRequireRelayedConnections() {
         InvalidSettingsException bad = assertThrows(
                 InvalidSettingsException.class,
-                () -> Scenario.parse("x.conf", text("at 1s reset s1 for 1s") + "links {\n tcp direct\n}\n"));
+                () -> Scenario.parse("x.conf", scenarioText("at 1s reset s1 for 1s") + "links {\n tcp direct\n}\n"));
         assertTrue(bad.getMessage().contains("tcp direct"), bad.getMessage());
     }
 
     /** Guards against bursts that only shift the arrivals. */
     @Test
-    void theRateIsAsTheStepsSay() {
-        Scenario s = Scenario.parse("x.conf", text("at 4s rate by 3 for 2s"));
-        List<RequestTrace.Arrival> trace = RequestTrace.of(s);
-        assertEquals(trace, RequestTrace.of(s));
+    void rateStepsScaleTheNumberOfRequests() {
+        Scenario s = Scenario.parse("x.conf", scenarioText("at 4s rate by 3 for 2s"));
+        List<RequestTrace.PlannedRequest> trace = RequestTrace.draw(s);
+        assertEquals(trace, RequestTrace.draw(s));
         long burst = trace.stream().filter(a -> a.at() >= 4000 && a.at() < 6000).count();
         assertTrue(Math.abs(burst - 240) < 60, burst + " of 240");
         assertTrue(Math.abs(trace.size() - burst - 240) < 60, trace.size() - burst + " of 240");
--- a/src/test/java/nettlewick/fleettest/SoakChecksTest.java
+++ b/src/test/java/nettlewick/fleettest/SoakChecksTest.java
@@ -29,181 +29,185 @@
         process.ready(100);
     }
 
-    private Entry sent(SoakPlan.RequestClassPlan requestClass, boolean isFirstOnConnection) {
+    private Entry sendRequest(SoakPlan.RequestClassPlan requestClass, boolean isFirstOnConnection) {
         Entry entry = journal.begin(new Entry("a", requestClass, 0, 0, "n0/0", isFirstOnConnection));
         entry.sent(SENT_AT);
         return entry;
     }
 
-    private Entry sent() {
-        return sent(idempotent, false);
+    private Entry sendRequest() {
+        return sendRequest(idempotent, false);
     }
 
-    private static void arrives(Entry entry, double at) {
+    private static void addArrival(Entry entry, double at) {
         entry.arrived(new Arrival("s0", Taken.RUNS, at, entry.dueAt() - at));
     }
 
-    private static void rejected(Entry entry, String header) {
+    private static void reject(Entry entry, String header) {
         entry.answered(503, "HTTP/1.1 503 Service Unavailable\r\n" + header + "\r\n\r\n", "", SENT_AT + 10);
     }
 
-    private List<String> broken() {
+    private List<String> violatedRules() {
         return new SoakChecks(journal, plan, GRACE_MILLIS, MAX_ATTEMPTS, 0)
-                .run().stream().map(SoakChecks.Break::rule).toList();
+                .run().stream().map(SoakChecks.Violation::rule).toList();
     }
 
-    private void finds(String rule) {
-        assertEquals(List.of(rule), broken());
+    private void assertViolation(String rule) {
+        assertEquals(List.of(rule), violatedRules());
     }
 
     @Test
     void aServedRequestKeepsAllRules() {
-        Entry entry = sent();
-        arrives(entry, SENT_AT + 5);
+        Entry entry = sendRequest();
+        addArrival(entry, SENT_AT + 5);
         entry.ran(SENT_AT + 5);
         entry.answered(200, "HTTP/1.1 200 OK\r\n\r\n", "r-a", SENT_AT + 20);
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), violatedRules());
     }
 
     @Test
     void aRequestWithoutAnAnswer() {
-        sent().ended(End.NONE, SENT_AT + 3000);
-        finds("no answer");
+        sendRequest().ended(End.NONE, SENT_AT + 3000);
+        assertViolation("no answer");
     }
 
     @Test
     void anAnswerThatIsLate() {
-        Entry entry = sent();
-        entry.answered(502, "HTTP/1.1 502 Bad Gateway\r\n\r\n", "", entry.dueAt() + SoakChecks.LATE_MILLIS + 1);
-        finds("a late answer");
+        Entry entry = sendRequest();
+        entry.answered(
+                502,
+                "HTTP/1.1 502 Bad Gateway\r\n\r\n",
+                "",
+                entry.dueAt() + SoakChecks.LATE_ANSWER_TOLERANCE_MILLIS + 1);
+        assertViolation("a late answer");
     }
 
     @Test
     void anAnswerThatIsCutOff() {
-        sent().ended(End.CUT_OFF, SENT_AT + 5);
-        finds("an answer that is cut off");
+        sendRequest().ended(End.CUT_OFF, SENT_AT + 5);
+        assertViolation("an answer that is cut off");
     }
 
     @Test
     void aNewConnectionThatEndsUnanswered() {
-        sent(idempotent, true).ended(End.CLOSED, SENT_AT + 5);
-        finds("lost on a new connection");
+        sendRequest(idempotent, true).ended(End.CLOSED, SENT_AT + 5);
+        assertViolation("lost on a new connection");
     }
 
     @Test
-    void aRestingConnectionMayEndUnderARequestThatIsNotRead() {
-        sent().ended(End.CLOSED, SENT_AT + 5);
-        assertEquals(List.of(), broken());
+    void anIdleConnectionMayCloseBeforeARequestIsRead() {
+        sendRequest().ended(End.CLOSED, SENT_AT + 5);
+        assertEquals(List.of(), violatedRules());
     }
 
     @Test
-    void aRestingConnectionThatEndsUnderARequestThatWasForwarded() {
-        Entry entry = sent();
-        arrives(entry, SENT_AT + 2);
+    void aConnectionClosedAfterItsRequestWasForwarded() {
+        Entry entry = sendRequest();
+        addArrival(entry, SENT_AT + 2);
         entry.ended(End.CLOSED, SENT_AT + 5);
-        finds("lost, though it was read");
+        assertViolation("lost, though it was read");
     }
 
     @Test
-    void aKillExcusesOnlyWhatCameSoonAfterTheSignal() {
-        process.told(SENT_AT - SoakChecks.EXCUSED_AFTER_TERM_MILLIS, SENT_AT + 50);
+    void aKillExemptsOnlyRequestsSentSoonAfterSigterm() {
+        process.terminated(SENT_AT - SoakChecks.EXCUSED_AFTER_TERM_MILLIS, SENT_AT + 50);
         process.killed(SENT_AT + 50);
         process.exited(SENT_AT + 51, 137);
-        sent(idempotent, true).ended(End.CLOSED, SENT_AT + 51);
-        assertEquals(List.of(), broken());
-        process.told(SENT_AT - SoakChecks.EXCUSED_AFTER_TERM_MILLIS - 1, SENT_AT + 50);
-        finds("lost on a new connection");
+        sendRequest(idempotent, true).ended(End.CLOSED, SENT_AT + 51);
+        assertEquals(List.of(), violatedRules());
+        process.terminated(SENT_AT - SoakChecks.EXCUSED_AFTER_TERM_MILLIS - 1, SENT_AT + 50);
+        assertViolation("lost on a new connection");
     }
 
     @Test
-    void aResultThatNoEndpointGave() {
-        sent().answered(200, "HTTP/1.1 200 OK\r\n\r\n", "r-b", SENT_AT + 20);
-        finds("a result that no endpoint gave for it");
+    void aResultThatNoEndpointReturned() {
+        sendRequest().answered(200, "HTTP/1.1 200 OK\r\n\r\n", "r-b", SENT_AT + 20);
+        assertViolation("a result that no endpoint gave for it");
     }
 
     @Test
-    void aRejectionWithoutAdvice() {
-        rejected(sent(), "Content-Length: 0");
-        finds("a rejection without advice");
+    void aRejectionWithoutRetryAfter() {
+        reject(sendRequest(), "Content-Length: 0");
+        assertViolation("a rejection without advice");
     }
 
     @Test
-    void aRejectionOfWhatMayRun() {
-        Entry entry = sent(nonIdempotent, false);
-        arrives(entry, SENT_AT + 2);
-        rejected(entry, "Retry-After: 0.200");
-        finds("rejected though it may run");
+    void aRejectionOfARequestThatMayRun() {
+        Entry entry = sendRequest(nonIdempotent, false);
+        addArrival(entry, SENT_AT + 2);
+        reject(entry, "Retry-After: 0.200");
+        assertViolation("rejected though it may run");
     }
 
     @Test
     void aNonIdempotentRequestThatRunsTwice() {
-        Entry entry = sent(nonIdempotent, false);
+        Entry entry = sendRequest(nonIdempotent, false);
         entry.ran(SENT_AT + 1);
         entry.ran(SENT_AT + 2);
         entry.answered(200, "HTTP/1.1 200 OK\r\n\r\n", "r-a", SENT_AT + 20);
-        finds("a non-idempotent request ran twice");
+        assertViolation("a non-idempotent request ran twice");
     }
 
     @Test
     void moreAttemptsThanTheCap() {
-        Entry entry = sent();
+        Entry entry = sendRequest();
         for (int i = 0; i <= MAX_ATTEMPTS; i++) {
-            arrives(entry, SENT_AT + i);
+            addArrival(entry, SENT_AT + i);
         }
         entry.answered(502, "HTTP/1.1 502 Bad Gateway\r\n\r\n", "", SENT_AT + 20);
-        finds("more attempts than the cap");
+        assertViolation("more attempts than the cap");
     }
 
     @Test
     void anAttemptAfterTheAnswer() {
-        Entry entry = sent();
+        Entry entry = sendRequest();
         entry.answered(502, "HTTP/1.1 502 Bad Gateway\r\n\r\n", "", SENT_AT + 20);
-        arrives(entry, SENT_AT + 21 + SoakChecks.AFTER_END_MILLIS);
-        finds("forwarded after its end");
+        addArrival(entry, SENT_AT + 21 + SoakChecks.ATTEMPT_AFTER_END_TOLERANCE_MILLIS);
+        assertViolation("forwarded after its end");
     }
 
     @Test
     void anAttemptAfterTheClientLeft() {
-        Entry entry = sent();
+        Entry entry = sendRequest();
         entry.ended(End.LEFT, SENT_AT + 20);
-        arrives(entry, SENT_AT + 21 + SoakChecks.AFTER_END_MILLIS);
-        finds("forwarded after its client left");
+        addArrival(entry, SENT_AT + 21 + SoakChecks.ATTEMPT_AFTER_END_TOLERANCE_MILLIS);
+        assertViolation("forwarded after its client left");
     }
 
     @Test
-    void anEndpointThatIsToldTooMuch() {
-        Entry entry = sent();
+    void anEndpointThatIsGivenTooMuchTime() {
+        Entry entry = sendRequest();
         entry.arrived(new Arrival("s0", Taken.RUNS, SENT_AT + 300, 1000));
         entry.ended(End.LEFT, SENT_AT + 300);
-        finds("an endpoint is told more time than is left");
+        assertViolation("an endpoint is told more time than is left");
     }
 
     @Test
     void anAttemptAtADrainingEndpoint() {
         journal.drainTold(0, "s0", 0);
-        Entry entry = sent();
-        arrives(entry, SENT_AT);
+        Entry entry = sendRequest();
+        addArrival(entry, SENT_AT);
         entry.ended(End.LEFT, SENT_AT);
-        finds("sent to a draining endpoint");
+        assertViolation("sent to a draining endpoint");
     }
 
     @Test
-    void aProcessThatEndsByItself() {
+    void aProcessThatCrashes() {
         process.exited(200, 1);
-        finds("a process ended by itself");
+        assertViolation("a process ended by itself");
     }
 
     @Test
     void aProcessThatIsReadyTooLate() {
-        process.ready(SoakChecks.READY_MILLIS + 1);
-        finds("not ready in time");
+        process.ready(SoakChecks.READY_TIMEOUT_MILLIS + 1);
+        assertViolation("not ready in time");
     }
 
     @Test
-    void aKillThatComesTooEarlyIsTheSoaksFault() {
-        process.told(200, 1000);
+    void anEarlyKillIsReportedAsTheSoaksFault() {
+        process.terminated(200, 1000);
         process.killed(999);
         process.exited(1000, 137);
-        finds("SIGKILL not sent on time, by the soak");
+        assertViolation("SIGKILL not sent on time, by the soak");
     }
 }
--- a/src/test/java/nettlewick/fleettest/SoakProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/SoakProcessTest.java
@@ -20,7 +20,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void rollingRestartsKeepAllRules(long seed) throws Exception {
+    void rollingRestartsViolateNoRule(long seed) throws Exception {
         List<String> lines = new ArrayList<>();
         assertEquals(List.of(), Soak.run(seed, 1, dir, lines::add), () -> String.join("\n", lines));
     }
