--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -86,7 +86,7 @@
                         config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
                 .withUsageRecorder(ledger.books())
                 .withAdminServer(AdminFrontend::new);
-        StubPlatform.get(server.start());
+        StubPlatform.awaitResult(server.start());
         Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
         Runtime.getRuntime().addShutdownHook(shutdown);
         printUsage(server.ports(), server.adminPort(), settingsFile);
@@ -94,9 +94,9 @@
 
     private static StubPlatform startPlatform() throws Exception {
         StubPlatform platform = new StubPlatform();
-        platform.runTime = EXECUTION_MILLIS;
+        platform.executionMillis = EXECUTION_MILLIS;
         for (int i = 1; i <= ENDPOINT_COUNT; i++) {
-            platform.addRunner("runner-" + i);
+            platform.addEndpoint("runner-" + i);
         }
         return platform;
     }
@@ -130,7 +130,7 @@
 
     private static void shutDown(DispatcherServer server, LedgerService ledger, StubPlatform platform, Path folder) {
         try {
-            StubPlatform.get(server.close());
+            StubPlatform.awaitResult(server.close());
             ledger.close();
             platform.close();
             try (Stream<Path> files = Files.walk(folder)) {
--- a/src/main/java/nettlewick/fleettest/Duties.java
+++ b/src/main/java/nettlewick/fleettest/Duties.java
@@ -68,10 +68,10 @@
         relay = new DatagramRelay(sockets, NET, play.links, play::now, 1);
         reached = relay.addresses();
         Block pools = scenario.duty().pools();
-        Map<String, ProviderModel.Cap> caps = new HashMap<>();
+        Map<String, ProviderModel.MonthlyCap> caps = new HashMap<>();
         for (Block.Value v : pools.all("member")) {
             if (v.arguments().size() > 1) {
-                caps.put(v.argument(0), new ProviderModel.Cap(v.argument(2), pools.get("near")));
+                caps.put(v.argument(0), new ProviderModel.MonthlyCap(v.argument(2), pools.get("near")));
             }
         }
         Block.Value price = pools.first("price").orElse(null);
@@ -85,15 +85,19 @@
                 caps);
         long comes = (long) scenario.duty().comes();
         provider = new ProviderServer(
-                play.vertx, model, () -> System.currentTimeMillis() + ahead, comes, new ProviderServer.Hands() {
+                play.vertx,
+                model,
+                () -> System.currentTimeMillis() + ahead,
+                comes,
+                new ProviderServer.InstanceLauncher() {
                     @Override
-                    public void start(ProviderModel.Runner r) {
+                    public void start(ProviderModel.Instance r) {
                         play.steps.post(() -> added.put(r.name(), play.add(play.now(), r.name())));
-                        play.steps.post(() -> play.discovery.change(added.get(r.name()), "Ready"));
+                        play.steps.post(() -> play.discovery.announceHealth(added.get(r.name()), "Ready"));
                     }
 
                     @Override
-                    public void end(ProviderModel.Runner r) {
+                    public void stop(ProviderModel.Instance r) {
                         play.steps.post(() -> Duties.this.end(added.get(r.name())));
                     }
                 });
@@ -104,17 +108,17 @@
     }
 
     private void end(EndpointServer runner) {
-        play.discovery.change(runner, "Terminating");
+        play.discovery.announceHealth(runner, "Terminating");
         runner.model.drain();
         play.steps.plan(play.now() + ENDS, () -> {
             runner.kill();
-            play.discovery.change(runner, "Gone");
+            play.discovery.announceHealth(runner, "Gone");
         });
     }
 
     void fate(String name, double until) {
-        provider.fate(ProviderServer.Fate.valueOf(name.toUpperCase(Locale.ROOT)));
-        play.steps.plan(until, () -> provider.fate(ProviderServer.Fate.GOOD));
+        provider.setBehavior(ProviderServer.Behavior.valueOf(name.toUpperCase(Locale.ROOT)));
+        play.steps.plan(until, () -> provider.setBehavior(ProviderServer.Behavior.GOOD));
     }
 
     long ahead() {
@@ -150,7 +154,7 @@
                 audit,
                 losses,
                 MARGIN + scenario.links().delay(),
-                name -> play.models.stream().anyMatch(m -> m.name.equals(name) && m.serves()));
+                name -> play.models.stream().anyMatch(m -> m.name.equals(name) && m.acceptsRequests()));
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("moves", (double) moves.count("pool-open"));
         figures.put("returns", (double) moves.count("pool-none"));
@@ -190,12 +194,13 @@
         if (model != null) {
             model.counts().forEach((name, count) -> figures.put(name, (double) count));
             figures.put("stale_acts_accepted", (double) back());
-            figures.put("cap_overrun_cents", model.overrun());
-            figures.put("adds_after_near", (double) model.breaks().size());
+            figures.put("cap_overrun_cents", model.maxOverrunCents());
+            figures.put("adds_after_near", (double) model.violations().size());
             figures.put("adds_unspent_refused", (double) moves.all("near-cap").stream()
-                    .mapToInt(l -> model.unspent(l.field("member"), (long) (play.wall + l.at() + SETTLES) + ahead))
+                    .mapToInt(l ->
+                            model.affordableInstances(l.field("member"), (long) (play.wall + l.at() + SETTLES) + ahead))
                     .sum());
-            model.breaks().forEach(b -> audit.broken("near mark", "provider", play.now(), b));
+            model.violations().forEach(b -> audit.broken("near mark", "provider", play.now(), b));
         }
         return figures;
     }
@@ -203,8 +208,8 @@
     /** Acts under a fence below that of one before. */
     private long back() {
         Map<String, Long> highest = new HashMap<>();
-        return model.acts().stream()
-                .filter(a -> highest.merge(a.member(), a.fence(), Math::max) > a.fence())
+        return model.appliedResizes().stream()
+                .filter(a -> highest.merge(a.tenant(), a.fence(), Math::max) > a.fence())
                 .count();
     }
 
--- a/src/main/java/nettlewick/fleettest/Fleet.java
+++ b/src/main/java/nettlewick/fleettest/Fleet.java
@@ -333,14 +333,15 @@
                         .map(m -> Map.of("name", m.name(), "fraction", m.share()))
                         .toList());
         settings.put("report", Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0", "x1")));
-        settings.put("family_info", Map.of("progress", nanos(EndpointServer.PROGRESS), "tells_start", true));
+        settings.put(
+                "family_info", Map.of("progress", nanos(EndpointServer.PROGRESS_INTERVAL_MILLIS), "tells_start", true));
         settings.put(
                 "ceilings",
                 Map.of(
                         "attempts_cap",
                         ScenarioRun.ATTEMPTS,
                         "cancel",
-                        w.runner().cancel(),
+                        w.runner().cancelsOnDisconnect(),
                         "peers",
                         w.peers(),
                         "probes",
@@ -359,15 +360,15 @@
                 "rules",
                 Map.of(
                         "cold",
-                        nanos(w.runner().cold()),
+                        nanos(w.runner().slowStartMillis()),
                         "cold_share",
-                        w.runner().share(),
+                        w.runner().initialSpeedFraction(),
                         "overload_factor",
-                        w.runner().factor(),
+                        w.runner().overloadFactor(),
                         "drain_grace",
                         nanos(w.grace()),
                         "fall",
-                        nanos(w.runner().fall()),
+                        nanos(w.runner().overloadMillis()),
                         "answer_slack",
                         nanos(20),
                         "ask_within",
--- a/src/main/java/nettlewick/fleettest/InvariantChecker.java
+++ b/src/main/java/nettlewick/fleettest/InvariantChecker.java
@@ -92,7 +92,7 @@
     }
 
     /** An attempt has come whole to a runner. */
-    synchronized void arrived(String id, EndpointModel runner, EndpointModel.Taken taken, double now) {
+    synchronized void arrived(String id, EndpointModel runner, EndpointModel.Admission taken, double now) {
         add("attempts", now);
         Job job = jobs.get(id);
         if (job == null) {
@@ -116,11 +116,11 @@
                 && !excused(job.dispatcher, told, now, true)) {
             broken("drain", id, now, job.history);
         }
-        if (taken == EndpointModel.Taken.FULL) {
+        if (taken == EndpointModel.Admission.FULL) {
             add("sent_to_full", now);
         }
         // What was turned away never ran: it binds no later send.
-        if (job.jobClass.keyed() && (taken == EndpointModel.Taken.RUNS || taken == EndpointModel.Taken.WAITS)) {
+        if (job.jobClass.keyed() && (taken == EndpointModel.Admission.RUNS || taken == EndpointModel.Admission.WAITS)) {
             First first = firsts.putIfAbsent(job.key, new First(now, runner.zone));
             if (first != null
                     && (now - first.at() > scenario.load().window() + WAY
@@ -167,7 +167,7 @@
                 "cold",
                 runner,
                 now,
-                List.of("offered more than " + scenario.world().runner().factor() + " times what it could"));
+                List.of("offered more than " + scenario.world().runner().overloadFactor() + " times what it could"));
     }
 
     /** Something happened to a dispatcher's process. */
--- a/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
+++ b/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
@@ -65,18 +65,18 @@
         boolean waits = refused;
         refused = false;
         List<EndpointModel> serving =
-                runners.stream().filter(EndpointModel::serves).toList();
+                runners.stream().filter(EndpointModel::acceptsRequests).toList();
         double[] all = new double[runners.size()];
         double sum = 0;
         double squares = 0;
         for (int i = 0; i < all.length; i++) {
             EndpointModel r = runners.get(i);
-            all[i] = r.up() ? r.load() : Double.NaN;
+            all[i] = r.isUp() ? r.load() : Double.NaN;
         }
         for (EndpointModel r : serving) {
             // By speed: one that is twice as fast carries twice the jobs in the same time.
             double load = r.load();
-            waits |= r.waiting() > 0;
+            waits |= r.queuedCount() > 0;
             sum += load;
             squares += load * load;
             loads.recordValue(Math.min(LOAD_MOST, Math.round(load * THOUSAND)));
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -31,7 +31,7 @@
             int dispatchers,
             List<Kind> kinds,
             List<String> zones,
-            EndpointModel.Kind runner,
+            EndpointModel.Config runner,
             boolean peers,
             boolean known,
             boolean asked,
@@ -156,7 +156,7 @@
                 (int) w.wholeNumber("dispatchers"),
                 kinds,
                 zones.isEmpty() ? List.of("a") : zones,
-                new EndpointModel.Kind(
+                new EndpointModel.Config(
                         (int) w.wholeNumber("slots"),
                         (int) w.wholeNumber("queue"),
                         w.durationMillis("cold"),
--- a/src/main/java/nettlewick/fleettest/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -27,7 +27,7 @@
 import org.HdrHistogram.Histogram;
 
 /** One run of a scenario: builds the world, starts the fleet, asks, does the steps, and counts. */
-final class ScenarioRun implements AutoCloseable, EndpointServer.Watch {
+final class ScenarioRun implements AutoCloseable, EndpointServer.Listener {
     private static final String RUNNERS_NET = Fleet.net(2);
     /** Most sends of one request. */
     static final int ATTEMPTS = 6;
@@ -99,7 +99,7 @@
                 this::now,
                 (d, r) -> dials.get(dial(d, places.get(r))));
         for (int r = 0; r < world.runners(); r++) {
-            discovery.change(add(Double.NEGATIVE_INFINITY), "Ready");
+            discovery.announceHealth(add(Double.NEGATIVE_INFINITY), "Ready");
         }
         this.folder = folder;
         duties = scenario.duty() == null ? null : new Duties(this, scenario, folder);
@@ -227,7 +227,7 @@
         config.put("peer_listen", text(m.peer));
         config.put("peers", peers);
         if (m.lives > 1 && world.known()) {
-            config.put("known", new Gson().fromJson(new Gson().toJson(discovery.known(number)), Map.class));
+            config.put("known", new Gson().fromJson(new Gson().toJson(discovery.lastSentList(number)), Map.class));
         }
         config.put("settings", Fleet.settings(scenario, number));
         return config;
@@ -399,7 +399,7 @@
         figures.putAll(spread.figures());
         figures.put("latency_p50", (double) clients.latency.getValueAtPercentile(50));
         figures.put("latency_p99", (double) clients.latency.getValueAtPercentile(99));
-        figures.put("discovery_calls", (double) discovery.calls.get());
+        figures.put("discovery_calls", (double) discovery.callCount.get());
         figures.put("too_long", (double) datagrams.tooLong());
         figures.put("crashed", (double)
                 fleet.members.stream().filter(Fleet.DispatcherProcess::crashed).count());
@@ -411,23 +411,23 @@
     }
 
     @Override
-    public void arrived(String id, EndpointModel runner, EndpointModel.Taken how, double now) {
+    public void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now) {
         if (now >= loadAt) {
             spread.arrived(runner, now);
         }
         audit.arrived(id, runner, how, now);
-        if (how == EndpointModel.Taken.FULL || how == EndpointModel.Taken.DRAINS) {
+        if (how == EndpointModel.Admission.FULL || how == EndpointModel.Admission.DRAINS) {
             spread.refused();
         }
     }
 
     @Override
-    public void ran(String id, EndpointModel runner, double now) {
+    public void executionStarted(String id, EndpointModel runner, double now) {
         audit.ran(id, runner, now);
     }
 
     @Override
-    public void fell(EndpointModel runner, double now) {
+    public void endpointOverloaded(EndpointModel runner, double now) {
         audit.fell(runner.name, now);
     }
 
@@ -451,7 +451,7 @@
     public void close() throws Exception {
         try {
             // First: connections that processes reset as they end would each be logged.
-            StubPlatform.get(vertx.close());
+            StubPlatform.awaitResult(vertx.close());
         } finally {
             fleet.close();
             datagrams.close();
--- a/src/main/java/nettlewick/fleettest/ScenarioTable.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioTable.java
@@ -51,7 +51,7 @@
         forms.add(List.of(SPAN, word("lists"), word("apart"), SPAN));
         forms.add(List.of(
                 SPAN, word("flood"), ValueType.identifier("MEMBER"), word("by"), number(0, 1000), word("for"), SPAN));
-        for (ProviderServer.Fate fate : ProviderServer.Fate.values()) {
+        for (ProviderServer.Behavior fate : ProviderServer.Behavior.values()) {
             forms.add(List.of(SPAN, word("provider"), word(fate.name().toLowerCase(Locale.ROOT)), word("for"), SPAN));
         }
         return new Keyword("at", forms, null, true, false, false, "Something that happens.");
--- a/src/main/java/nettlewick/fleettest/SoakChecks.java
+++ b/src/main/java/nettlewick/fleettest/SoakChecks.java
@@ -8,7 +8,7 @@
 import nettlewick.fleettest.SoakJournal.End;
 import nettlewick.fleettest.SoakJournal.Entry;
 import nettlewick.fleettest.SoakJournal.Incarnation;
-import nettlewick.stubs.EndpointModel.Taken;
+import nettlewick.stubs.EndpointModel.Admission;
 
 /** Holds a soak's journal against the rules of the protocol page, from the clients' side alone. Pure. */
 final class SoakChecks {
@@ -145,7 +145,7 @@
         if (isRejected
                 && !entry.requestClass().isIdempotent()
                 && !entry.requestClass().isKeyed()) {
-            Predicate<Arrival> mayRun = a -> a.taken() != Taken.FULL && a.taken() != Taken.DRAINS;
+            Predicate<Arrival> mayRun = a -> a.taken() != Admission.FULL && a.taken() != Admission.DRAINS;
             if (entry.arrivals().stream().anyMatch(mayRun)) {
                 add("rejected though it may run", entry);
             }
--- a/src/main/java/nettlewick/fleettest/SoakConfig.java
+++ b/src/main/java/nettlewick/fleettest/SoakConfig.java
@@ -21,8 +21,8 @@
     private static final int MEMORY_MEGABYTES = 192;
 
     /** What all endpoints are like: never cold. */
-    static final EndpointModel.Kind ENDPOINTS =
-            new EndpointModel.Kind(SLOTS, QUEUE, 0, 1, NEVER_FALLS, 1000, REPORT_AGE_MILLIS, true);
+    static final EndpointModel.Config ENDPOINTS =
+            new EndpointModel.Config(SLOTS, QUEUE, 0, 1, NEVER_FALLS, 1000, REPORT_AGE_MILLIS, true);
 
     private final SoakPlan plan;
     private final Scenario scenario;
@@ -37,7 +37,7 @@
                 .map(c -> new Scenario.JobClass(
                         c.name(), 1, c.meanWorkMillis(), c.deadlineMillis() / 2, c.deadlineMillis()))
                 .toList();
-        EndpointModel.Kind told = new EndpointModel.Kind(SLOTS, QUEUE, 0, 1, 1, 1, REPORT_AGE_MILLIS, true);
+        EndpointModel.Config told = new EndpointModel.Config(SLOTS, QUEUE, 0, 1, 1, 1, REPORT_AGE_MILLIS, true);
         Scenario.World world = new Scenario.World(
                 plan.seed(),
                 plan.dispatchers(),
--- a/src/main/java/nettlewick/fleettest/SoakJournal.java
+++ b/src/main/java/nettlewick/fleettest/SoakJournal.java
@@ -26,7 +26,7 @@
     }
 
     /** An attempt that came whole to an endpoint. */
-    record Arrival(String runner, EndpointModel.Taken taken, double at, double toldMillis) {}
+    record Arrival(String runner, EndpointModel.Admission taken, double at, double toldMillis) {}
 
     /** One request. Its client writes it, endpoints add to {@code arrivals} and {@code runs}. */
     static final class Entry {
--- a/src/main/java/nettlewick/fleettest/SoakRun.java
+++ b/src/main/java/nettlewick/fleettest/SoakRun.java
@@ -30,7 +30,7 @@
  * One soak: a small fleet of real processes under clients of all kinds, each process restarted by SIGTERM with SIGKILL at
  * the earliest time that the protocol allows. Belongs to one thread, which sends all signals.
  */
-final class SoakRun implements AutoCloseable, EndpointServer.Watch {
+final class SoakRun implements AutoCloseable, EndpointServer.Listener {
     /** What a soak found. */
     record Verdict(
             List<SoakChecks.Break> breaks,
@@ -106,7 +106,7 @@
             EndpointServer runner = new EndpointServer("127.0.0.1", model, vertx, this, this::now);
             addresses.put(runner, runner.listen());
             runners.add(runner);
-            discovery.change(runner, "Ready");
+            discovery.announceHealth(runner, "Ready");
         }
         for (int d = 0; d < plan.dispatchers(); d++) {
             discoveryAddresses.add(List.of(discovery.listen(d), discovery.listen(d)));
@@ -122,7 +122,7 @@
     private Map<String, Object> config(int number) {
         Fleet.DispatcherProcess member = fleet.members.get(number);
         InetSocketAddress discoveryAddress = discoveryAddresses.get(number).get(discoveryInUse[number]);
-        Map<String, Object> known = member.lives > 1 ? discovery.known(number) : null;
+        Map<String, Object> known = member.lives > 1 ? discovery.lastSentList(number) : null;
         return config.of(member, discoveryAddress, known);
     }
 
@@ -184,7 +184,7 @@
                         .forEach(r -> runners.get(r).hungUntil =
                                 loadBeganAt + plan.hang().to()));
         plan(loadBeganAt + plan.drainAt(), () -> {
-            discovery.change(runners.get(plan.drainedRunner()), "Terminating");
+            discovery.announceHealth(runners.get(plan.drainedRunner()), "Terminating");
             runners.get(plan.drainedRunner()).model.drain();
         });
         if (plan.crowd() > 0) {
@@ -302,7 +302,7 @@
 
     /** Idle clients connect to all dispatchers, and discovery falls silent. */
     private void gather() {
-        discovery.silent(loadBeganAt + plan.crowdSpan().to());
+        discovery.muteUntil(loadBeganAt + plan.crowdSpan().to());
         List<InetSocketAddress> targets =
                 balanced.values().stream().map(SoakClient.Target::address).toList();
         crowd.gather(targets, plan.crowd());
@@ -324,22 +324,23 @@
     }
 
     @Override
-    public void told(String id, EndpointModel runner, EndpointModel.Taken how, double seconds, double now) {
+    public void deadlineReceived(
+            String id, EndpointModel runner, EndpointModel.Admission how, double seconds, double now) {
         journal.arrived(id, new Arrival(runner.name, how, now, seconds * 1000));
     }
 
     @Override
-    public void arrived(String id, EndpointModel runner, EndpointModel.Taken how, double now) {
+    public void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now) {
         // The journal has it with the time that was told.
     }
 
     @Override
-    public void ran(String id, EndpointModel runner, double now) {
+    public void executionStarted(String id, EndpointModel runner, double now) {
         journal.ran(id, now);
     }
 
     @Override
-    public void fell(EndpointModel runner, double now) {
+    public void endpointOverloaded(EndpointModel runner, double now) {
         throw new IllegalStateException("an endpoint that is never cold fell over");
     }
 
@@ -349,6 +350,6 @@
         holdUps.close();
         crowd.close();
         fleet.close();
-        StubPlatform.get(vertx.close());
+        StubPlatform.awaitResult(vertx.close());
     }
 }
--- a/src/main/java/nettlewick/fleettest/Steps.java
+++ b/src/main/java/nettlewick/fleettest/Steps.java
@@ -162,7 +162,7 @@
             case "pause" -> pause(s, until);
             case "drain" -> {
                 for (int r : runners(s.first())) {
-                    play.discovery.change(play.runners.get(r), "Terminating");
+                    play.discovery.announceHealth(play.runners.get(r), "Terminating");
                     play.runners.get(r).model.drain();
                 }
             }
@@ -171,14 +171,14 @@
                 for (int i = 0; i < s.figure(); i++) {
                     added.add(play.add(play.now()));
                 }
-                added.forEach(r -> play.discovery.change(r, "Ready"));
+                added.forEach(r -> play.discovery.announceHealth(r, "Ready"));
             }
             case "hang" -> runners(s.first()).forEach(r -> play.runners.get(r).hungUntil = until);
-            case "empty" -> runners(s.first()).forEach(r -> play.runners.get(r).emptyUntil = until);
+            case "empty" -> runners(s.first()).forEach(r -> play.runners.get(r).reportsIdleUntil = until);
             case "slow" -> {
                 for (int r : runners(s.first())) {
-                    play.models.get(r).slow(s.figure());
-                    plan(until, () -> play.models.get(r).slow(1));
+                    play.models.get(r).setSlowdown(s.figure());
+                    plan(until, () -> play.models.get(r).setSlowdown(1));
                 }
             }
             case "cut", "mute" -> {
@@ -199,10 +199,10 @@
                         },
                         until);
             case "provider" -> play.duties.fate(s.first().name(), until);
-            case "silent" -> play.discovery.silent(until);
+            case "silent" -> play.discovery.muteUntil(until);
             case "lists" ->
                 IntStream.range(0, world.dispatchers())
-                        .forEach(d -> play.discovery.apart(d, random.nextDouble() * s.figure()));
+                        .forEach(d -> play.discovery.setDelay(d, random.nextDouble() * s.figure()));
             case "loss" -> play.links.lose(s.figure(), until);
             case "garble" -> garble(s.first(), until);
             default -> {}
@@ -226,7 +226,7 @@
             plan(play.now() + random.nextDouble() * over, () -> {
                 play.audit.startedAnew(play.models.get(r).name);
                 play.runners.get(r).start();
-                play.discovery.change(play.runners.get(r), "Ready");
+                play.discovery.announceHealth(play.runners.get(r), "Ready");
             });
         }
     }
--- a/src/main/java/nettlewick/fleettest/TcpRelay.java
+++ b/src/main/java/nettlewick/fleettest/TcpRelay.java
@@ -47,7 +47,7 @@
     InetSocketAddress open(int group, int server, InetSocketAddress target) throws Exception {
         NetServer listener = vertx.createNetServer();
         listener.connectHandler(socket -> accept(socket, group, server, target));
-        StubPlatform.get(listener.listen(0, "127.0.0.1"));
+        StubPlatform.awaitResult(listener.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", listener.actualPort());
     }
 
--- a/src/main/java/nettlewick/stubs/Receiver.java
+++ b/src/main/java/nettlewick/stubs/BatchReceiver.java
@@ -14,9 +14,9 @@
  * once.
  * A script may have it fail before, or after, it has taken one.
  */
-public final class Receiver implements AutoCloseable {
+public final class BatchReceiver implements AutoCloseable {
     /** What becomes of a call. */
-    public enum Fate {
+    public enum Behavior {
         TAKEN,
         REFUSED_BEFORE,
         ERROR_AFTER,
@@ -29,13 +29,13 @@
     private final Vertx vertx = Vertx.vertx();
     private final HttpServer server;
     private final Map<String, String> sums = new ConcurrentHashMap<>();
-    private final Map<String, Buffer> taken = new ConcurrentHashMap<>();
-    private volatile Function<String, Fate> script = batch -> Fate.TAKEN;
-    private volatile String conflict;
+    private final Map<String, Buffer> receivedBatches = new ConcurrentHashMap<>();
+    private volatile Function<String, Behavior> responder = batch -> Behavior.TAKEN;
+    private volatile String conflictingBatch;
 
-    public Receiver() throws Exception {
+    public BatchReceiver() throws Exception {
         server = vertx.createHttpServer().requestHandler(this::serve);
-        StubPlatform.get(server.listen(0, "127.0.0.1"));
+        StubPlatform.awaitResult(server.listen(0, "127.0.0.1"));
     }
 
     public int port() {
@@ -43,18 +43,18 @@
     }
 
     /** Decides on each call by its batch's name; called on the event loop. */
-    public void script(Function<String, Fate> next) {
-        script = next;
+    public void setResponder(Function<String, Behavior> next) {
+        responder = next;
     }
 
     /** All batches that were taken, by {@code dispatcher/export/number}. */
-    public Map<String, Buffer> taken() {
-        return taken;
+    public Map<String, Buffer> receivedBatches() {
+        return receivedBatches;
     }
 
     /** A number that came with two contents; null if none did. */
-    public String conflict() {
-        return conflict;
+    public String conflictingBatch() {
+        return conflictingBatch;
     }
 
     private void serve(HttpServerRequest request) {
@@ -64,21 +64,21 @@
         String sum = request.getHeader("X-Batch-Sum");
         request.exceptionHandler(e -> {});
         request.body().onSuccess(body -> {
-            Fate fate = script.apply(batch);
-            if (fate == Fate.REFUSED_BEFORE) {
+            Behavior fate = responder.apply(batch);
+            if (fate == Behavior.REFUSED_BEFORE) {
                 request.response().setStatusCode(503).end("later");
                 return;
             }
-            if (fate == Fate.SILENT_BEFORE) {
+            if (fate == Behavior.SILENT_BEFORE) {
                 return;
             }
             String before = sums.putIfAbsent(batch, sum);
             if (before != null && !before.equals(sum)) {
-                conflict = batch;
+                conflictingBatch = batch;
                 request.response().setStatusCode(409).end("another content under this number");
                 return;
             }
-            taken.put(batch, body);
+            receivedBatches.put(batch, body);
             switch (fate) {
                 case ERROR_AFTER -> request.response().setStatusCode(500).end("broke after it was taken");
                 case RESET_AFTER -> request.connection().close();
@@ -93,6 +93,6 @@
 
     @Override
     public void close() throws Exception {
-        StubPlatform.get(vertx.close());
+        StubPlatform.awaitResult(vertx.close());
     }
 }
--- a/src/main/java/nettlewick/stubs/DiscoveryServer.java
+++ b/src/main/java/nettlewick/stubs/DiscoveryServer.java
@@ -25,9 +25,9 @@
 
     private final Vertx vertx;
     private final double callTime;
-    private final Told drains;
+    private final DrainListener drains;
     private final DoubleSupplier clock;
-    private final Dial dial;
+    private final AddressResolver dial;
     /** What has changed, from number 1 on. */
     private final List<Entry> changes = new ArrayList<>();
 
@@ -38,20 +38,26 @@
     private final double[] lag;
     private volatile double silentUntil;
     private double servedAt;
-    public final AtomicInteger calls = new AtomicInteger();
+    public final AtomicInteger callCount = new AtomicInteger();
 
     /** Hears that a dispatcher has been told of a draining runner. */
-    public interface Told {
-        void drains(int dispatcher, String runner, double now);
+    public interface DrainListener {
+        void drainAnnounced(int dispatcher, String runner, double now);
     }
 
     /** Where a dispatcher reaches a runner. */
-    public interface Dial {
-        InetSocketAddress of(int dispatcher, EndpointServer runner);
+    public interface AddressResolver {
+        InetSocketAddress addressFor(int dispatcher, EndpointServer runner);
     }
 
     /** @param calls how long it takes over one call, one after another; 0: no time */
-    public DiscoveryServer(Vertx vertx, int dispatchers, double calls, Told drains, DoubleSupplier clock, Dial dial) {
+    public DiscoveryServer(
+            Vertx vertx,
+            int dispatchers,
+            double calls,
+            DrainListener drains,
+            DoubleSupplier clock,
+            AddressResolver dial) {
         this.vertx = vertx;
         callTime = calls;
         this.drains = drains;
@@ -65,22 +71,22 @@
     public InetSocketAddress listen(int dispatcher) throws Exception {
         HttpServer server = vertx.createHttpServer();
         server.requestHandler(request -> called(dispatcher, request));
-        StubPlatform.get(server.listen(0, "127.0.0.1"));
+        StubPlatform.awaitResult(server.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", server.actualPort());
     }
 
     /** Each dispatcher is told so much later than the change, from now on. */
-    public synchronized void apart(int dispatcher, double millis) {
+    public synchronized void setDelay(int dispatcher, double millis) {
         lag[dispatcher] = millis;
     }
 
-    public void silent(double until) {
+    public void muteUntil(double until) {
         silentUntil = until;
     }
 
     /** A call for the whole list with a watch; where calls take time, each waits for those before it. */
     private void called(int dispatcher, HttpServerRequest request) {
-        calls.incrementAndGet();
+        callCount.incrementAndGet();
         double now = clock.getAsDouble();
         if (now < silentUntil) {
             return;
@@ -112,8 +118,8 @@
     }
 
     /** Tells all of a change, each after its own lag. */
-    public synchronized void change(EndpointServer runner, String health) {
-        double born = runner.model.bornAt();
+    public synchronized void announceHealth(EndpointServer runner, String health) {
+        double born = runner.model.startedAt();
         changes.add(new Entry(
                 runner,
                 health,
@@ -147,7 +153,7 @@
     private synchronized void note(int dispatcher) {
         for (Entry e : latest(0, told[dispatcher]).values()) {
             if (e.health().equals("Terminating")) {
-                drains.drains(dispatcher, e.runner().model.name, clock.getAsDouble());
+                drains.drainAnnounced(dispatcher, e.runner().model.name, clock.getAsDouble());
             }
         }
     }
@@ -170,7 +176,7 @@
             if (whole && e.health().equals("Gone")) {
                 continue;
             }
-            InetSocketAddress to = dial.of(dispatcher, e.runner());
+            InetSocketAddress to = dial.addressFor(dispatcher, e.runner());
             hosts.add(Map.of(
                     "host",
                     e.runner().model.name,
@@ -197,7 +203,7 @@
     }
 
     /** The list that a dispatcher last had, as it is given to one that starts again. */
-    public synchronized Map<String, Object> known(int dispatcher) {
+    public synchronized Map<String, Object> lastSentList(int dispatcher) {
         return list(dispatcher, true, 0);
     }
 
--- a/src/main/java/nettlewick/stubs/EndpointModel.java
+++ b/src/main/java/nettlewick/stubs/EndpointModel.java
@@ -23,18 +23,18 @@
      * @param reportAge how old its load report may be
      * @param cancel    whether it stops a job whose caller has closed the connection
      */
-    public record Kind(
+    public record Config(
             int slots,
-            int queue,
-            double cold,
-            double share,
-            double factor,
-            double fall,
-            double reportAge,
-            boolean cancel) {}
+            int queueCapacity,
+            double slowStartMillis,
+            double initialSpeedFraction,
+            double overloadFactor,
+            double overloadMillis,
+            double maxReportAgeMillis,
+            boolean cancelsOnDisconnect) {}
 
     /** What becomes of a job that comes. */
-    public enum Taken {
+    public enum Admission {
         RUNS,
         WAITS,
         FULL,
@@ -42,7 +42,7 @@
     }
 
     /** A job that begins to run, and for how long. */
-    public record Begun(String id, double millis) {}
+    public record StartedRequest(String id, double millis) {}
 
     private record Waiting(String id, double work) {}
 
@@ -52,58 +52,58 @@
     public final String zone;
     public final int slots;
     public final double speed;
-    final Kind kind;
+    final Config config;
     private final Set<String> running = new HashSet<>();
     private final Deque<Waiting> queue = new ArrayDeque<>();
     private final Deque<Offered> offered = new ArrayDeque<>();
     private double offeredWork;
-    private double bornAt;
+    private double startedAt;
     /** A step's factor: the runner is so many times slower. */
     private double slowed = 1;
 
     private boolean draining;
-    private boolean up = true;
-    private boolean fallen;
+    private boolean isUp = true;
+    private boolean isOverloaded;
 
     /** @param bornAt when it started; negative infinity for one that is warm */
-    public EndpointModel(String name, String zone, double speed, Kind kind, double bornAt) {
+    public EndpointModel(String name, String zone, double speed, Config kind, double bornAt) {
         this.name = name;
         this.zone = zone;
         this.speed = speed;
-        this.kind = kind;
-        this.bornAt = bornAt;
+        this.config = kind;
+        this.startedAt = bornAt;
         slots = kind.slots();
     }
 
     /** Takes a job of that much work; {@code begun} gets those that begin to run. */
-    public synchronized Taken offer(String id, double work, double now, List<Begun> begun) {
+    public synchronized Admission offer(String id, double work, double now, List<StartedRequest> begun) {
         weigh(work, now);
         if (draining) {
-            return Taken.DRAINS;
+            return Admission.DRAINS;
         }
         if (running.size() < slots) {
             begin(new Waiting(id, work), now, begun);
-            return Taken.RUNS;
+            return Admission.RUNS;
         }
-        if (queue.size() < kind.queue()) {
+        if (queue.size() < config.queueCapacity()) {
             queue.add(new Waiting(id, work));
-            return Taken.WAITS;
+            return Admission.WAITS;
         }
-        return Taken.FULL;
+        return Admission.FULL;
     }
 
-    private void begin(Waiting job, double now, List<Begun> begun) {
+    private void begin(Waiting job, double now, List<StartedRequest> begun) {
         running.add(job.id());
-        begun.add(new Begun(job.id(), job.work() / speedAt(now)));
+        begun.add(new StartedRequest(job.id(), job.work() / speedAt(now)));
     }
 
     /** A job has ended or is called off; a slot that comes free is filled from the queue. */
-    public synchronized void end(String id, double now, List<Begun> begun) {
+    public synchronized void finish(String id, double now, List<StartedRequest> begun) {
         if (!running.remove(id)) {
             queue.removeIf(w -> w.id().equals(id));
             return;
         }
-        if (up && !queue.isEmpty()) {
+        if (isUp && !queue.isEmpty()) {
             begin(queue.poll(), now, begun);
         }
     }
@@ -112,31 +112,32 @@
     private void weigh(double work, double now) {
         offered.add(new Offered(now, work));
         offeredWork += work;
-        while (offered.peek().at() < now - kind.fall()) {
+        while (offered.peek().at() < now - config.overloadMillis()) {
             offeredWork -= offered.poll().work();
         }
-        double cap = kind.factor() * slots * speedAt(now) * kind.fall();
+        double cap = config.overloadFactor() * slots * speedAt(now) * config.overloadMillis();
         // A little room for chance, as one job of four times the mean may be.
-        if (cold(now) && offeredWork > cap + 4 * offeredWork / offered.size()) {
-            fallen = true;
+        if (inSlowStart(now) && offeredWork > cap + 4 * offeredWork / offered.size()) {
+            isOverloaded = true;
         }
     }
 
     private double speedAt(double now) {
-        double age = now - bornAt;
-        double warm = kind.cold() <= 0 || age >= kind.cold()
+        double age = now - startedAt;
+        double warm = config.slowStartMillis() <= 0 || age >= config.slowStartMillis()
                 ? 1
-                : kind.share() + (1 - kind.share()) * Math.max(0, age) / kind.cold();
+                : config.initialSpeedFraction()
+                        + (1 - config.initialSpeedFraction()) * Math.max(0, age) / config.slowStartMillis();
         return speed * warm / slowed;
     }
 
-    public synchronized boolean cold(double now) {
-        return now - bornAt < kind.cold();
+    public synchronized boolean inSlowStart(double now) {
+        return now - startedAt < config.slowStartMillis();
     }
 
     /** The process dies; what ran or waited is lost, and comes back as a list of ids. */
-    public synchronized List<String> die() {
-        up = false;
+    public synchronized List<String> crash() {
+        isUp = false;
         List<String> lost = new ArrayList<>(running);
         queue.forEach(w -> lost.add(w.id()));
         running.clear();
@@ -146,10 +147,10 @@
 
     /** Starts again, cold. */
     public synchronized void start(double now) {
-        up = true;
-        fallen = false;
+        isUp = true;
+        isOverloaded = false;
         draining = false;
-        bornAt = now;
+        startedAt = now;
         offered.clear();
         offeredWork = 0;
     }
@@ -158,28 +159,28 @@
         draining = true;
     }
 
-    public synchronized void slow(double factor) {
+    public synchronized void setSlowdown(double factor) {
         slowed = factor;
     }
 
-    public synchronized boolean up() {
-        return up;
+    public synchronized boolean isUp() {
+        return isUp;
     }
 
     /** Whether it takes jobs at all. */
-    public synchronized boolean serves() {
-        return up && !draining && !fallen;
+    public synchronized boolean acceptsRequests() {
+        return isUp && !draining && !isOverloaded;
     }
 
-    public synchronized boolean fallen() {
-        return fallen;
+    public synchronized boolean isOverloaded() {
+        return isOverloaded;
     }
 
-    public synchronized int busy() {
+    public synchronized int runningCount() {
         return running.size();
     }
 
-    public synchronized int waiting() {
+    public synchronized int queuedCount() {
         return queue.size();
     }
 
@@ -188,7 +189,7 @@
         return (running.size() + queue.size()) / (double) slots;
     }
 
-    public double bornAt() {
-        return bornAt;
+    public double startedAt() {
+        return startedAt;
     }
 }
--- a/src/main/java/nettlewick/stubs/EndpointServer.java
+++ b/src/main/java/nettlewick/stubs/EndpointServer.java
@@ -18,9 +18,9 @@
 /** A sim runner on a socket, by the protocol page: the model behind it decides, the audit sees every job. */
 public final class EndpointServer {
     /** Hears of what happens at a runner; called from its event loop. */
-    public interface Watch {
+    public interface Listener {
         /** An attempt has come whole. */
-        void arrived(String id, EndpointModel runner, EndpointModel.Taken how, double now);
+        void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now);
 
         /**
          * An attempt has come whole, with the seconds that it was told.
@@ -28,13 +28,14 @@
          * @param how null where it is swallowed
          * @param now the earliest time at which it may have come, where this process was late to read it
          */
-        default void told(String id, EndpointModel runner, EndpointModel.Taken how, double seconds, double now) {}
+        default void deadlineReceived(
+                String id, EndpointModel runner, EndpointModel.Admission how, double seconds, double now) {}
 
         /** A job begins to run. */
-        void ran(String id, EndpointModel runner, double now);
+        void executionStarted(String id, EndpointModel runner, double now);
 
         /** It was pushed over while cold, and is down. */
-        void fell(EndpointModel runner, double now);
+        void endpointOverloaded(EndpointModel runner, double now);
     }
 
     /** A job that was taken: where its lines go, and its timer once it runs. */
@@ -51,12 +52,12 @@
     private record Report(double at, String text) {}
 
     /** Milliseconds between two words of a job that runs. */
-    public static final double PROGRESS = 1000;
+    public static final double PROGRESS_INTERVAL_MILLIS = 1000;
 
     public final EndpointModel model;
     private final String host;
     private final Vertx vertx;
-    private final Watch watch;
+    private final Listener watch;
     private final DoubleSupplier clock;
     private final Map<String, Taken> taken = new ConcurrentHashMap<>();
     private final Set<HttpConnection> connections = ConcurrentHashMap.newKeySet();
@@ -65,14 +66,14 @@
     /** Until when it swallows what comes, and until when its reports say that it is empty. */
     public volatile double hungUntil;
 
-    public volatile double emptyUntil;
+    public volatile double reportsIdleUntil;
     private volatile Report report = new Report(Double.NEGATIVE_INFINITY, "");
     private boolean fell;
     /** Made on the event loop that reads the first request; all connections of a server share it. */
     private ReadTimes readTimes;
 
     /** @param host the loopback address that it listens at, its own; @param clock milliseconds */
-    public EndpointServer(String host, EndpointModel model, Vertx vertx, Watch watch, DoubleSupplier clock) {
+    public EndpointServer(String host, EndpointModel model, Vertx vertx, Listener watch, DoubleSupplier clock) {
         this.host = host;
         this.model = model;
         this.vertx = vertx;
@@ -91,20 +92,20 @@
         server.exceptionHandler(e -> {});
         server.requestHandler(this::serve);
         if (address == null) {
-            StubPlatform.get(server.listen(0, host));
+            StubPlatform.awaitResult(server.listen(0, host));
             address = new InetSocketAddress(host, server.actualPort());
         } else {
-            StubPlatform.get(server.listen(address.getPort(), address.getHostString()));
+            StubPlatform.awaitResult(server.listen(address.getPort(), address.getHostString()));
         }
         return address;
     }
 
     /** The process dies: connections are reset, what ran is lost. */
     public void kill() {
-        if (!model.up()) {
+        if (!model.isUp()) {
             return;
         }
-        for (String id : model.die()) {
+        for (String id : model.crash()) {
             Taken t = taken.remove(id);
             if (t != null) {
                 vertx.cancelTimer(t.timer);
@@ -116,7 +117,7 @@
 
     /** Starts again, cold. */
     public void start() throws Exception {
-        if (!model.up()) {
+        if (!model.isUp()) {
             model.start(clock.getAsDouble());
             fell = false;
             listen();
@@ -149,15 +150,15 @@
     }
 
     private String report(double now) {
-        if (now < emptyUntil) {
+        if (now < reportsIdleUntil) {
             return "depth=0,concurrent=0,x0=" + model.slots + ",x1=" + model.slots;
         }
-        if (now - report.at() >= model.kind.reportAge()) {
-            int free = Math.max(0, model.slots - model.busy());
+        if (now - report.at() >= model.config.maxReportAgeMillis()) {
+            int free = Math.max(0, model.slots - model.runningCount());
             report = new Report(
                     now,
-                    "depth=" + model.waiting() + ",concurrent=" + (model.busy() + model.waiting()) + ",x0=" + free
-                            + ",x1=" + free);
+                    "depth=" + model.queuedCount() + ",concurrent=" + (model.runningCount() + model.queuedCount())
+                            + ",x0=" + free + ",x1=" + free);
         }
         return report.text();
     }
@@ -167,24 +168,24 @@
         String id = request.getHeader("X-Request-Id");
         HttpServerResponse response = request.response();
         response.exceptionHandler(e -> {});
-        if (now < hungUntil || !model.up()) {
+        if (now < hungUntil || !model.isUp()) {
             tell(request, null, readAt);
             return;
         }
-        List<EndpointModel.Begun> begun = new ArrayList<>();
+        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
         String own = id + "@" + System.nanoTime();
         // Danger: a job that begins at once needs its entry before its timer is set.
         taken.put(own, new Taken(response));
-        EndpointModel.Taken how = model.offer(own, work, now, begun);
-        watch.arrived(id, model, how, now);
+        EndpointModel.Admission how = model.offer(own, work, now, begun);
+        watch.attemptArrived(id, model, how, now);
         tell(request, how, readAt);
-        if (model.fallen() && !fell) {
+        if (model.isOverloaded() && !fell) {
             fell = true;
-            watch.fell(model, now);
+            watch.endpointOverloaded(model, now);
             kill();
             return;
         }
-        if (how == EndpointModel.Taken.FULL || how == EndpointModel.Taken.DRAINS) {
+        if (how == EndpointModel.Admission.FULL || how == EndpointModel.Admission.DRAINS) {
             taken.remove(own);
             response.setStatusCode(503).putHeader("X-Not-Run", "1").end();
             return;
@@ -194,9 +195,9 @@
         begun.forEach(this::begin);
     }
 
-    private void tell(HttpServerRequest request, EndpointModel.Taken how, double readAt) {
+    private void tell(HttpServerRequest request, EndpointModel.Admission how, double readAt) {
         String deadline = request.getHeader("X-Deadline");
-        watch.told(
+        watch.deadlineReceived(
                 request.getHeader("X-Request-Id"),
                 model,
                 how,
@@ -208,20 +209,20 @@
         return own.substring(0, own.lastIndexOf('@'));
     }
 
-    private void begin(EndpointModel.Begun b) {
+    private void begin(EndpointModel.StartedRequest b) {
         Taken t = taken.get(b.id());
         if (t == null) {
             return;
         }
         String id = plain(b.id());
-        watch.ran(id, model, clock.getAsDouble());
+        watch.executionStarted(id, model, clock.getAsDouble());
         write(t, id, "started\"}", false);
         proceed(b.id(), t, 0, Math.max(1, b.millis()));
     }
 
     /** Tells of progress each second, as the settings say, and ends the job when its time is over. */
     private void proceed(String own, Taken t, double done, double millis) {
-        double next = Math.min(PROGRESS, millis - done);
+        double next = Math.min(PROGRESS_INTERVAL_MILLIS, millis - done);
         t.timer = vertx.setTimer(Math.max(1, Math.round(next)), timer -> {
             if (done + next >= millis) {
                 finish(own, t);
@@ -246,14 +247,14 @@
     }
 
     private void next(String own) {
-        List<EndpointModel.Begun> begun = new ArrayList<>();
-        model.end(own, clock.getAsDouble(), begun);
+        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
+        model.finish(own, clock.getAsDouble(), begun);
         begun.forEach(this::begin);
     }
 
     /** Whoever waited for this job has closed the connection. */
     private void gone(String own) {
-        Taken t = model.kind.cancel() ? taken.remove(own) : null;
+        Taken t = model.config.cancelsOnDisconnect() ? taken.remove(own) : null;
         if (t != null) {
             vertx.cancelTimer(t.timer);
             next(own);
--- a/src/main/java/nettlewick/stubs/ProviderModel.java
+++ b/src/main/java/nettlewick/stubs/ProviderModel.java
@@ -18,18 +18,18 @@
     private static final double HOUR = 3_600_000;
 
     /** What a member may spend in a month, in hundredths, and the part of it past which nothing is added. */
-    public record Cap(long cents, double near) {}
+    public record MonthlyCap(long cents, double nearFraction) {}
 
     /** A runner; {@code until} 0: it runs. */
-    public record Runner(String name, String member, String kind, String zone, long since, long until) {}
+    public record Instance(String name, String tenant, String kind, String zone, long startedAt, long endedAt) {}
 
     /** A wish that was done, in the order in which they were. */
-    public record Act(String member, long fence) {}
+    public record AppliedResize(String tenant, long fence) {}
 
     /** What becomes of a wish. */
-    public enum Way {
-        DONE,
-        STALE,
+    public enum ResizeResult {
+        APPLIED,
+        VERSION_CONFLICT,
         FENCED
     }
 
@@ -37,18 +37,18 @@
         int size;
         int version = 1;
         long fence;
-        final List<Runner> runners = new ArrayList<>();
+        final List<Instance> runners = new ArrayList<>();
         final Map<String, Integer> keys = new LinkedHashMap<>();
     }
 
-    private final long cents;
-    private final long least;
+    private final long centsPerHour;
+    private final long minBilledMillis;
     private final List<String> zones;
     private final Map<String, Pool> pools = new LinkedHashMap<>();
-    private final Map<String, Cap> caps;
-    private final List<String> breaks = new ArrayList<>();
-    private final List<Act> acts = new ArrayList<>();
-    private double overrun;
+    private final Map<String, MonthlyCap> caps;
+    private final List<String> violations = new ArrayList<>();
+    private final List<AppliedResize> appliedResizes = new ArrayList<>();
+    private double maxOverrunCents;
     private int started;
     private int added;
     private int staleFences;
@@ -56,9 +56,9 @@
     private int repeated;
 
     /** @param cents an hour's price; @param least time that is billed at least */
-    public ProviderModel(long cents, long least, List<String> zones, Map<String, Cap> caps) {
-        this.cents = cents;
-        this.least = least;
+    public ProviderModel(long cents, long least, List<String> zones, Map<String, MonthlyCap> caps) {
+        this.centsPerHour = cents;
+        this.minBilledMillis = least;
         this.zones = List.copyOf(zones);
         this.caps = Map.copyOf(caps);
     }
@@ -71,23 +71,23 @@
      * So many are to run from now on; a key that has come before changes nothing, one that comes too late
      * neither.
      */
-    public synchronized Way want(
+    public synchronized ResizeResult resize(
             String member, int size, String key, int version, long fence, long notAfter, long now) {
         Pool pool = pool(member);
         if (fence < pool.fence) {
             staleFences++;
-            return Way.FENCED;
+            return ResizeResult.FENCED;
         }
         pool.fence = fence;
         if (pool.keys.containsKey(key)) {
             repeated++;
-            return Way.DONE;
+            return ResizeResult.APPLIED;
         }
         if (version != pool.version || now > notAfter) {
             staleVersions++;
-            return Way.STALE;
+            return ResizeResult.VERSION_CONFLICT;
         }
-        acts.add(new Act(member, fence));
+        appliedResizes.add(new AppliedResize(member, fence));
         pool.keys.put(key, size);
         pool.version++;
         if (size > pool.size) {
@@ -95,23 +95,24 @@
             check(member, pool, size, now);
         }
         pool.size = size;
-        for (int i = pool.runners.size() - 1; i >= 0 && running(member).size() > size; i--) {
-            Runner r = pool.runners.get(i);
-            if (r.until() == 0) {
-                pool.runners.set(i, new Runner(r.name(), member, r.kind(), r.zone(), r.since(), now));
+        for (int i = pool.runners.size() - 1; i >= 0 && runningInstances(member).size() > size; i--) {
+            Instance r = pool.runners.get(i);
+            if (r.endedAt() == 0) {
+                pool.runners.set(i, new Instance(r.name(), member, r.kind(), r.zone(), r.startedAt(), now));
             }
         }
-        return Way.DONE;
+        return ResizeResult.APPLIED;
     }
 
     /** The rule that it keeps an eye on: an addition's cost, with what is owed, stays under the mark. */
     private void check(String member, Pool pool, int size, long now) {
-        Cap cap = caps.getOrDefault(member, new Cap(0, 0));
+        MonthlyCap cap = caps.getOrDefault(member, new MonthlyCap(0, 0));
         double owed = pool.runners.stream().mapToDouble(r -> cost(r, now)).sum()
-                + (size - running(member).size()) * least * cents / HOUR;
-        overrun = Math.max(overrun, owed - cap.cents());
-        if (owed > cap.cents() * cap.near()) {
-            breaks.add("added for " + member + " up to " + size + " with " + (long) owed + " owed of " + cap.cents());
+                + (size - runningInstances(member).size()) * minBilledMillis * centsPerHour / HOUR;
+        maxOverrunCents = Math.max(maxOverrunCents, owed - cap.cents());
+        if (owed > cap.cents() * cap.nearFraction()) {
+            violations.add(
+                    "added for " + member + " up to " + size + " with " + (long) owed + " owed of " + cap.cents());
         }
     }
 
@@ -119,54 +120,54 @@
      * How many more runners of the least time the member's mark would have paid for at that moment, by what
      * had been started by then.
      */
-    public synchronized int unspent(String member, long at) {
-        Cap cap = caps.getOrDefault(member, new Cap(0, 0));
-        double left = cap.cents() * cap.near();
-        for (Runner r : pool(member).runners) {
-            long until = r.until() == 0 ? at : Math.min(at, r.until());
-            Runner then = new Runner(r.name(), member, r.kind(), r.zone(), r.since(), until);
-            left -= r.since() > at ? 0 : cost(then, at);
+    public synchronized int affordableInstances(String member, long at) {
+        MonthlyCap cap = caps.getOrDefault(member, new MonthlyCap(0, 0));
+        double left = cap.cents() * cap.nearFraction();
+        for (Instance r : pool(member).runners) {
+            long until = r.endedAt() == 0 ? at : Math.min(at, r.endedAt());
+            Instance then = new Instance(r.name(), member, r.kind(), r.zone(), r.startedAt(), until);
+            left -= r.startedAt() > at ? 0 : cost(then, at);
         }
-        return (int) Math.max(0, left * HOUR / (least * cents));
+        return (int) Math.max(0, left * HOUR / (minBilledMillis * centsPerHour));
     }
 
     /** Hundredths by which an addition went beyond its member's cap; 0: none did. */
-    public synchronized double overrun() {
-        return overrun;
+    public synchronized double maxOverrunCents() {
+        return maxOverrunCents;
     }
 
-    public synchronized List<Act> acts() {
-        return List.copyOf(acts);
+    public synchronized List<AppliedResize> appliedResizes() {
+        return List.copyOf(appliedResizes);
     }
 
     /** What a runner costs of this month, at its least time, if it ends now. */
-    private double cost(Runner r, long now) {
+    private double cost(Instance r, long now) {
         long month = YearMonth.from(Instant.ofEpochMilli(now).atOffset(ZoneOffset.UTC))
                 .atDay(1)
                 .atStartOfDay(ZoneOffset.UTC)
                 .toInstant()
                 .toEpochMilli();
-        long until = Math.max(r.until() == 0 ? now : r.until(), r.since() + least);
-        return Math.max(0, until - Math.max(r.since(), month)) * cents / HOUR;
+        long until = Math.max(r.endedAt() == 0 ? now : r.endedAt(), r.startedAt() + minBilledMillis);
+        return Math.max(0, until - Math.max(r.startedAt(), month)) * centsPerHour / HOUR;
     }
 
     /** Starts one runner that is wanted and does not run yet; null where none is. */
-    public synchronized Runner start(String member, String kind, long now) {
+    public synchronized Instance start(String member, String kind, long now) {
         Pool pool = pool(member);
-        if (running(member).size() >= pool.size) {
+        if (runningInstances(member).size() >= pool.size) {
             return null;
         }
-        Runner r = new Runner("x" + started, member, kind, zones.get(started % zones.size()), now, 0);
+        Instance r = new Instance("x" + started, member, kind, zones.get(started % zones.size()), now, 0);
         started++;
         pool.runners.add(r);
         return r;
     }
 
-    public synchronized List<Runner> running(String member) {
-        return pool(member).runners.stream().filter(r -> r.until() == 0).toList();
+    public synchronized List<Instance> runningInstances(String member) {
+        return pool(member).runners.stream().filter(r -> r.endedAt() == 0).toList();
     }
 
-    public synchronized List<Runner> all(String member) {
+    public synchronized List<Instance> allInstances(String member) {
         return List.copyOf(pool(member).runners);
     }
 
@@ -183,20 +184,20 @@
     }
 
     /** Hundredths by now, each at its least. */
-    public synchronized double spent(String member, long now) {
+    public synchronized double spentCents(String member, long now) {
         return pool(member).runners.stream().mapToDouble(r -> cost(r, now)).sum();
     }
 
-    public long cents() {
-        return cents;
+    public long centsPerHour() {
+        return centsPerHour;
     }
 
-    public long least() {
-        return least;
+    public long minBilledMillis() {
+        return minBilledMillis;
     }
 
-    public synchronized List<String> breaks() {
-        return List.copyOf(breaks);
+    public synchronized List<String> violations() {
+        return List.copyOf(violations);
     }
 
     /**
@@ -208,7 +209,7 @@
                 "provider_added",
                 added,
                 "acts",
-                acts.size(),
+                appliedResizes.size(),
                 "stale_acts_tried",
                 staleFences,
                 "stale_versions",
--- a/src/main/java/nettlewick/stubs/ProviderServer.java
+++ b/src/main/java/nettlewick/stubs/ProviderServer.java
@@ -22,12 +22,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongSupplier;
-import nettlewick.stubs.ProviderModel.Runner;
+import nettlewick.stubs.ProviderModel.Instance;
 
 /** The provider on a socket, by docs/pools.md: slow where it is told so, and with faults. */
 public final class ProviderServer {
     /** What becomes of calls. */
-    public enum Fate {
+    public enum Behavior {
         /** Answered. */
         GOOD,
         /** Not even heard. */
@@ -47,29 +47,29 @@
     }
 
     /** Starts and ends the runners themselves. */
-    public interface Hands {
-        void start(Runner runner) throws Exception;
+    public interface InstanceLauncher {
+        void start(Instance runner) throws Exception;
 
-        void end(Runner runner) throws Exception;
+        void stop(Instance runner) throws Exception;
     }
 
     private final Vertx vertx;
     private final ProviderModel model;
     private final LongSupplier clock;
-    private final Hands hands;
+    private final InstanceLauncher hands;
     private final long comes;
     private final Map<String, String> before = new HashMap<>();
     private final Set<String> ended = ConcurrentHashMap.newKeySet();
-    private volatile Fate fate = Fate.GOOD;
+    private volatile Behavior behavior = Behavior.GOOD;
     /** What waits, by its fence. */
     private final TreeMap<Long, List<Runnable>> kept = new TreeMap<>();
 
-    public final AtomicInteger calls = new AtomicInteger();
-    public final AtomicInteger answersLost = new AtomicInteger();
+    public final AtomicInteger callCount = new AtomicInteger();
+    public final AtomicInteger lostResponseCount = new AtomicInteger();
     private HttpServer server;
 
     /** @param clock milliseconds of Unix time; @param comes how long a runner takes to start */
-    public ProviderServer(Vertx vertx, ProviderModel model, LongSupplier clock, long comes, Hands hands) {
+    public ProviderServer(Vertx vertx, ProviderModel model, LongSupplier clock, long comes, InstanceLauncher hands) {
         this.vertx = vertx;
         this.model = model;
         this.clock = clock;
@@ -79,13 +79,13 @@
 
     public InetSocketAddress listen() throws Exception {
         server = vertx.createHttpServer().requestHandler(this::serve);
-        StubPlatform.get(server.listen(0, "127.0.0.1"));
+        StubPlatform.awaitResult(server.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", server.actualPort());
     }
 
-    public void fate(Fate next) {
-        fate = next;
-        if (next != Fate.KEEPS) {
+    public void setBehavior(Behavior next) {
+        behavior = next;
+        if (next != Behavior.KEEPS) {
             release(Long.MAX_VALUE);
         }
     }
@@ -112,12 +112,12 @@
     }
 
     private void serve(HttpServerRequest request) {
-        calls.incrementAndGet();
+        callCount.incrementAndGet();
         request.exceptionHandler(e -> {});
         request.response().exceptionHandler(e -> {});
         String member = request.path().replaceFirst(".*/pools/", "");
         request.body().onSuccess(body -> {
-            switch (fate) {
+            switch (behavior) {
                 case DOWN -> request.connection().close();
                 case BUSY ->
                     request.response()
@@ -129,13 +129,15 @@
                     if (request.method() == HttpMethod.PUT) {
                         JsonObject wish =
                                 JsonParser.parseString(body.toString()).getAsJsonObject();
-                        if (fate == Fate.KEEPS) {
+                        if (behavior == Behavior.KEEPS) {
                             keep(Long.parseLong(request.getHeader("X-Fence")), () -> put(request, member, wish));
                         } else {
                             put(request, member, wish);
                         }
                     } else {
-                        tell(request, fate == Fate.STALE ? before.getOrDefault(member, list(member)) : list(member));
+                        tell(
+                                request,
+                                behavior == Behavior.STALE ? before.getOrDefault(member, list(member)) : list(member));
                     }
                 }
             }
@@ -145,7 +147,7 @@
     private void put(HttpServerRequest request, String member, JsonObject wish) {
         String old = list(member);
         int version = Integer.parseInt(request.getHeader("If-Match").replace("\"", ""));
-        ProviderModel.Way way = model.want(
+        ProviderModel.ResizeResult way = model.resize(
                 member,
                 wish.get("size").getAsInt(),
                 request.getHeader("Idempotency-Key"),
@@ -153,9 +155,9 @@
                 Long.parseLong(request.getHeader("X-Fence")),
                 Long.parseLong(request.getHeader("X-Not-After")),
                 clock.getAsLong());
-        if (way == ProviderModel.Way.FENCED) {
+        if (way == ProviderModel.ResizeResult.FENCED) {
             request.response().setStatusCode(409).end("{\"fence\":" + model.fence(member) + "}");
-        } else if (way == ProviderModel.Way.STALE) {
+        } else if (way == ProviderModel.ResizeResult.VERSION_CONFLICT) {
             request.response().setStatusCode(412).end();
         } else {
             before.put(member, old);
@@ -166,15 +168,16 @@
 
     /** Has all started that is wanted, each after its time, and ends what is not. */
     private void carryOut(String member, String kind) {
-        for (Runner r : model.all(member)) {
-            if (r.until() > 0 && ended.add(r.name())) {
-                hand(() -> hands.end(r));
+        for (Instance r : model.allInstances(member)) {
+            if (r.endedAt() > 0 && ended.add(r.name())) {
+                hand(() -> hands.stop(r));
             }
         }
-        int coming = model.size(member) - model.running(member).size() - (fate == Fate.PARTIAL ? 1 : 0);
+        int coming =
+                model.size(member) - model.runningInstances(member).size() - (behavior == Behavior.PARTIAL ? 1 : 0);
         for (int i = 0; i < coming; i++) {
             vertx.setTimer(Math.max(1, comes + comes * i / 4), t -> {
-                Runner r = model.start(member, kind, clock.getAsLong());
+                Instance r = model.start(member, kind, clock.getAsLong());
                 if (r != null) {
                     hand(() -> hands.start(r));
                 }
@@ -194,8 +197,8 @@
     }
 
     private void tell(HttpServerRequest request, String list) {
-        if (fate == Fate.LOSES) {
-            answersLost.incrementAndGet();
+        if (behavior == Behavior.LOSES) {
+            lostResponseCount.incrementAndGet();
             request.connection().close();
             return;
         }
@@ -212,7 +215,7 @@
 
     private String list(String member) {
         List<Map<String, Object>> runners = new ArrayList<>();
-        for (Runner r : model.all(member)) {
+        for (Instance r : model.allInstances(member)) {
             runners.add(Map.of(
                     "name",
                     r.name(),
@@ -221,13 +224,13 @@
                     "zone",
                     r.zone(),
                     "since_ms",
-                    r.since(),
+                    r.startedAt(),
                     "until_ms",
-                    r.until(),
+                    r.endedAt(),
                     "cents_per_hour",
-                    model.cents(),
+                    model.centsPerHour(),
                     "least_ms",
-                    model.least()));
+                    model.minBilledMillis()));
         }
         Map<String, Object> pool = new LinkedHashMap<>();
         pool.put("size", model.size(member));
--- a/src/main/java/nettlewick/stubs/StubPlatform.java
+++ b/src/main/java/nettlewick/stubs/StubPlatform.java
@@ -26,24 +26,24 @@
 public class StubPlatform implements AutoCloseable {
     public final Vertx vertx = Vertx.vertx();
     /** How often each request id began to run, at any runner. */
-    public final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
+    public final Map<String, AtomicInteger> executionCounts = new ConcurrentHashMap<>();
 
-    public final List<String> seen = new CopyOnWriteArrayList<>();
-    public final List<String> watches = new CopyOnWriteArrayList<>();
+    public final List<String> receivedRequests = new CopyOnWriteArrayList<>();
+    public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
     /** Milliseconds that a job runs. */
-    public volatile int runTime = 30;
+    public volatile int executionMillis = 30;
     /** What a runner does with a job in place of running it; null to run it. */
-    public volatile Consumer<HttpServerRequest> instead;
+    public volatile Consumer<HttpServerRequest> requestOverride;
     /** Runners that take jobs and probes and answer none. */
-    public final Set<String> hung = ConcurrentHashMap.newKeySet();
+    public final Set<String> hungEndpoints = ConcurrentHashMap.newKeySet();
     /** What discovery does with a watch in place of answering it; null to answer. */
-    public volatile Consumer<HttpServerRequest> discoveryInstead;
+    public volatile Consumer<HttpServerRequest> discoveryOverride;
     /** Whether runners reset a connection at its second request, once that has come whole. */
-    public volatile boolean resetKept;
+    public volatile boolean resetReusedConnections;
     /** Whether lists come indented, over several lines. */
-    public volatile boolean indented;
+    public volatile boolean prettyPrintLists;
 
-    public final AtomicInteger resets = new AtomicInteger();
+    public final AtomicInteger resetCount = new AtomicInteger();
     private final Set<HttpConnection> used = ConcurrentHashMap.newKeySet();
     private final Map<String, String> hosts = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new ConcurrentHashMap<>();
@@ -54,23 +54,23 @@
 
     public StubPlatform() throws Exception {
         discovery = vertx.createHttpServer().requestHandler(this::watch);
-        get(discovery.listen(0, "127.0.0.1"));
+        awaitResult(discovery.listen(0, "127.0.0.1"));
     }
 
-    public static <T> T get(Future<T> future) throws Exception {
+    public static <T> T awaitResult(Future<T> future) throws Exception {
         return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
     /** Waits for what has to come; the test's own time limit ends a wait in vain. */
-    public static void until(BooleanSupplier condition) throws InterruptedException {
+    public static void waitUntil(BooleanSupplier condition) throws InterruptedException {
         while (!condition.getAsBoolean()) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
     private synchronized void watch(HttpServerRequest request) {
-        watches.add(request.uri());
-        Consumer<HttpServerRequest> other = discoveryInstead;
+        discoveryRequests.add(request.uri());
+        Consumer<HttpServerRequest> other = discoveryOverride;
         if (other != null) {
             other.accept(request);
             return;
@@ -81,7 +81,7 @@
 
     private String list(boolean whole, Iterable<String> entries) {
         String line = oneLine(whole, entries);
-        return indented
+        return prettyPrintLists
                 ? new com.google.gson.GsonBuilder()
                                 .setPrettyPrinting()
                                 .create()
@@ -95,25 +95,25 @@
     }
 
     /** Starts a sim runner, and has discovery tell of it. */
-    public void addRunner(String name) throws Exception {
+    public void addEndpoint(String name) throws Exception {
         HttpServer server = vertx.createHttpServer().requestHandler(request -> serve(name, request));
-        get(server.listen(0, "127.0.0.1"));
+        awaitResult(server.listen(0, "127.0.0.1"));
         servers.put(name, server);
-        addRunner(name, server.actualPort());
+        addEndpoint(name, server.actualPort());
     }
 
     /** Has discovery tell of a runner at this port, whatever is there. */
-    public void addRunner(String name, int port) {
+    public void addEndpoint(String name, int port) {
         ports.put(name, port);
-        tell(name, "Ready");
+        announceHealth(name, "Ready");
     }
 
-    public void tell(String name, String health) {
-        tell(name, health, 0);
+    public void announceHealth(String name, String health) {
+        announceHealth(name, health, 0);
     }
 
     /** Has discovery tell of a runner that last started then, in Unix milliseconds; 0: long ago. */
-    public synchronized void tell(String name, String health, long started) {
+    public synchronized void announceHealth(String name, String health, long started) {
         String entry = "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + ports.get(name)
                 + "\",\"site\":\"a\",\"class\":\"std\",\"block\":0,\"health\":\"" + health
                 + "\",\"share\":1.0,\"born_ms\":" + started + "}";
@@ -124,40 +124,40 @@
     }
 
     /** Discovery drops the runner from its list; only a whole list shows it. */
-    public synchronized void forget(String name) {
+    public synchronized void removeFromDiscovery(String name) {
         seq++;
         hosts.remove(name);
     }
 
     /** The process dies: its connections are reset and new ones refused. Discovery does not know yet. */
     public void kill(String name) throws Exception {
-        get(servers.get(name).close());
+        awaitResult(servers.get(name).close());
     }
 
     /** Discovery has lost its count: its next change has the first number again. Watches stay open. */
-    public synchronized void startVersionsAnew() {
+    public synchronized void resetVersions() {
         seq = 0;
     }
 
     /** All watches break. */
-    public synchronized void breakWatches() {
+    public synchronized void resetWatches() {
         watchers.forEach(HttpServerResponse::reset);
         watchers.clear();
     }
 
     /** All open watches say no more, and stay open; those opened from now on do. */
-    public synchronized void silence() {
+    public synchronized void muteOpenWatches() {
         watchers.clear();
     }
 
     private void serve(String name, HttpServerRequest request) {
-        if (resetKept && !used.add(request.connection())) {
-            resets.incrementAndGet();
+        if (resetReusedConnections && !used.add(request.connection())) {
+            resetCount.incrementAndGet();
             request.connection().close();
             return;
         }
         if (request.method() == HttpMethod.GET) {
-            if (hung.contains(name)) {
+            if (hungEndpoints.contains(name)) {
                 return;
             }
             request.response().end("depth=0,concurrent=0,x0=4,x1=4");
@@ -165,17 +165,17 @@
         }
         request.body().onSuccess(body -> {
             String id = request.getHeader("X-Request-Id");
-            seen.add(name + " " + request.method() + " " + request.uri() + " " + id + " "
+            receivedRequests.add(name + " " + request.method() + " " + request.uri() + " " + id + " "
                     + request.getHeader("Idempotency-Key") + " " + body);
-            Consumer<HttpServerRequest> other = instead;
+            Consumer<HttpServerRequest> other = requestOverride;
             if (other != null) {
                 other.accept(request);
                 return;
             }
-            if (hung.contains(name)) {
+            if (hungEndpoints.contains(name)) {
                 return;
             }
-            runs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
+            executionCounts.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
             int time = timeOf(body.toString());
             HttpServerResponse response = request.response().setChunked(true);
             response.exceptionHandler(e -> {});
@@ -195,7 +195,7 @@
 
     /** A body that is a number is the time that the job runs for, in milliseconds. */
     private int timeOf(String body) {
-        return body.matches("[0-9]{1,6}") ? Integer.parseInt(body) : runTime;
+        return body.matches("[0-9]{1,6}") ? Integer.parseInt(body) : executionMillis;
     }
 
     private void after(int millis, Runnable task) {
@@ -290,19 +290,19 @@
     }
 
     /** The list as it is, in discovery's form: what a dispatcher may have known before it started. */
-    public synchronized Object known() {
+    public synchronized Object currentEndpointList() {
         return new com.google.gson.Gson().fromJson(list(true, hosts.values()), Map.class);
     }
 
     /** Whether any runner was told of. */
-    protected synchronized boolean hasRunners() {
+    protected synchronized boolean hasEndpoints() {
         return !hosts.isEmpty();
     }
 
     @Override
     public void close() {
         try {
-            get(vertx.close());
+            awaitResult(vertx.close());
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
+++ b/src/test/java/nettlewick/cli/AlternativeSettingsProcessTest.java
@@ -47,7 +47,7 @@
     @BeforeEach
     void startPlatform() throws Exception {
         platform = new DispatcherOnStubPlatform();
-        platform.runTime = 20;
+        platform.executionMillis = 20;
     }
 
     @AfterEach
@@ -154,19 +154,20 @@
     }
 
     private void assertNoNonIdempotentRequestRanTwice() {
-        platform.runs.forEach((id, runs) -> assertTrue(!id.contains("mark") || runs.get() <= 1, id + " ran " + runs));
+        platform.executionCounts.forEach(
+                (id, runs) -> assertTrue(!id.contains("mark") || runs.get() <= 1, id + " ran " + runs));
     }
 
     /** Requests that run for seconds are not lost when the old process ends. */
     @Test
     void aHotRestartLosesNoRequest() throws Exception {
         for (int i = 0; i < 4; i++) {
-            platform.addRunner("s-" + i);
+            platform.addEndpoint("s-" + i);
         }
         int port = freePort();
         int admin = freePort();
         Process predecessor = start(config(0, 1, port), Map.of());
-        DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+        DispatcherOnStubPlatform.waitUntil(() -> isOk(port, "/_health"));
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         AtomicInteger finishedRequests = new AtomicInteger();
         Process successor = start(config(0, 1, port), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admin));
@@ -185,7 +186,7 @@
                 }
             }));
         }
-        DispatcherOnStubPlatform.until(() -> isOk(admin, "/-/ready"));
+        DispatcherOnStubPlatform.waitUntil(() -> isOk(admin, "/-/ready"));
         predecessor.destroy();
         if (!predecessor.waitFor(3700, TimeUnit.MILLISECONDS)) {
             predecessor.destroyForcibly();
@@ -210,7 +211,7 @@
     void repeatedRestartsWithOnlyTheLastEndpointListKeepServing() throws Exception {
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            platform.addRunner("s-" + i);
+            platform.addEndpoint("s-" + i);
             hosts.add("s-" + i);
         }
         int[] ports = new int[7];
@@ -220,11 +221,11 @@
             dispatchers[d] = start(config(d, 7, ports[d]), Map.of());
         }
         for (int port : ports) {
-            DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+            DispatcherOnStubPlatform.waitUntil(() -> isOk(port, "/_health"));
         }
         // From now on discovery accepts requests and never responds.
-        platform.discoveryInstead = request -> {};
-        platform.breakWatches();
+        platform.discoveryOverride = request -> {};
+        platform.resetWatches();
         Random random = new Random(29);
         List<Integer> order = new ArrayList<>(IntStream.range(0, 7).boxed().toList());
         java.util.Collections.shuffle(order, random);
@@ -245,19 +246,19 @@
                     }));
                 }
             }
-            DispatcherOnStubPlatform.until(() -> platform.runs.size() >= 4);
+            DispatcherOnStubPlatform.waitUntil(() -> platform.executionCounts.size() >= 4);
             for (int d : killedNow) {
                 dispatchers[d].destroyForcibly().waitFor();
             }
             for (int d : killedNow) {
                 Map<String, Object> config = config(d, 7, ports[d]);
-                config.put("known", platform.known());
+                config.put("known", platform.currentEndpointList());
                 dispatchers[d] = start(config, Map.of());
             }
             CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(40, TimeUnit.SECONDS);
             for (int d : killedNow) {
                 int port = ports[d];
-                DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+                DispatcherOnStubPlatform.waitUntil(() -> isOk(port, "/_health"));
                 assertEquals("200", sendRequest(port, "mark-back-" + round + "-" + d, "mark-submit", 10));
             }
         }
@@ -272,7 +273,7 @@
     @Test
     void aHungEndpointGetsFewRequestsAndNoNonIdempotentOneIsRetried() throws Exception {
         for (int i = 0; i < 5; i++) {
-            platform.addRunner("s-" + i);
+            platform.addEndpoint("s-" + i);
         }
         int[] ports = new int[3];
         for (int d = 0; d < 3; d++) {
@@ -280,10 +281,10 @@
             start(config(d, 3, ports[d]), Map.of());
         }
         for (int port : ports) {
-            DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+            DispatcherOnStubPlatform.waitUntil(() -> isOk(port, "/_health"));
             assertEquals("200", sendRequest(port, "view-first-" + port, "step-view", 10));
         }
-        platform.hung.add("s-2");
+        platform.hungEndpoints.add("s-2");
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         AtomicInteger servedIdempotent = new AtomicInteger();
         for (int c = 0; c < 6; c++) {
@@ -302,13 +303,14 @@
             }));
         }
         CompletableFuture.allOf(clients.toArray(CompletableFuture[]::new)).get(60, TimeUnit.SECONDS);
-        List<String> sentToHung =
-                platform.seen.stream().filter(s -> s.startsWith("s-2 ")).toList();
+        List<String> sentToHung = platform.receivedRequests.stream()
+                .filter(s -> s.startsWith("s-2 "))
+                .toList();
         assertTrue(sentToHung.size() <= 45, sentToHung.size() + " of 264 requests went to the hung endpoint");
         assertEquals(240, servedIdempotent.get(), "every idempotent request is served before its deadline");
         for (String line : sentToHung) {
             String id = line.split(" ")[3];
-            long attempts = platform.seen.stream()
+            long attempts = platform.receivedRequests.stream()
                     .filter(s -> s.contains(" " + id + " "))
                     .count();
             assertTrue(!id.startsWith("mark") || attempts == 1, id + " was sent " + attempts + " times");
@@ -320,7 +322,7 @@
     @Test
     void aFailedEndpointListPollIsRetriedAndDrainingEndpointsAreRemembered() throws Exception {
         for (int i = 0; i < 4; i++) {
-            platform.addRunner("s-" + i);
+            platform.addEndpoint("s-" + i);
         }
         int[] ports = new int[4];
         int[] admins = new int[4];
@@ -331,13 +333,13 @@
             start(config(d, 4, ports[d]), Map.of("ROUTER_ADMIN_ADDR", "127.0.0.1:" + admins[d]));
         }
         for (int port : ports) {
-            DispatcherOnStubPlatform.until(() -> isOk(port, "/_health"));
+            DispatcherOnStubPlatform.waitUntil(() -> isOk(port, "/_health"));
             assertEquals("200", sendRequest(port, "view-first-" + port, "step-view", 10));
         }
         // Polls are rejected, disconnected and left unanswered in turn; each is counted.
-        platform.discoveryInstead = request -> failDiscoveryCall(request, discoveryCalls.incrementAndGet());
-        platform.breakWatches();
-        int[] watchesBefore = {platform.watches.size()};
+        platform.discoveryOverride = request -> failDiscoveryCall(request, discoveryCalls.incrementAndGet());
+        platform.resetWatches();
+        int[] watchesBefore = {platform.discoveryRequests.size()};
         for (int j = 0; j < 60; j++) {
             assertEquals(
                     "200",
@@ -346,20 +348,20 @@
         }
         int failedCalls = discoveryCalls.get();
         assertTrue(failedCalls <= 4 * 16, failedCalls + " failed polls, after " + watchesBefore[0] + " earlier ones");
-        platform.discoveryInstead = null;
-        int watchesAfterFailure = platform.watches.size();
-        DispatcherOnStubPlatform.until(() -> platform.watches.size() >= watchesAfterFailure + 4);
-        platform.tell("s-1", "Terminating");
+        platform.discoveryOverride = null;
+        int watchesAfterFailure = platform.discoveryRequests.size();
+        DispatcherOnStubPlatform.waitUntil(() -> platform.discoveryRequests.size() >= watchesAfterFailure + 4);
+        platform.announceHealth("s-1", "Terminating");
         // Each dispatcher has applied the update according to its metrics; from now on s-1 must get no request.
         for (int admin : admins) {
-            DispatcherOnStubPlatform.until(() -> get(admin, "/-/metrics").contains("out_of_rotation=1"));
+            DispatcherOnStubPlatform.waitUntil(() -> get(admin, "/-/metrics").contains("out_of_rotation=1"));
         }
-        int attemptsBeforeDraining = platform.seen.size();
+        int attemptsBeforeDraining = platform.receivedRequests.size();
         for (int j = 0; j < 60; j++) {
             sendRequest(ports[j % 4], "view-after-" + j, "step-view", 5);
         }
         List<String> attemptsWhileDraining =
-                platform.seen.subList(attemptsBeforeDraining, platform.seen.size()).stream()
+                platform.receivedRequests.subList(attemptsBeforeDraining, platform.receivedRequests.size()).stream()
                         .filter(s -> s.startsWith("s-1 "))
                         .toList();
         assertEquals(List.of(), attemptsWhileDraining, "a draining endpoint gets no new requests");
--- a/src/test/java/nettlewick/cli/EndpointListProcessTest.java
+++ b/src/test/java/nettlewick/cli/EndpointListProcessTest.java
@@ -81,8 +81,8 @@
     /** An endpoint list may span several lines, and a watch that stays open without updates is replaced. */
     @Test
     void dispatchersNoticeASilentDiscoveryAndStopUsingADrainingEndpoint() throws Exception {
-        platform.indented = true;
-        platform.addRunner("s-old");
+        platform.prettyPrintLists = true;
+        platform.addEndpoint("s-old");
         int[] ports = new int[3];
         for (int n = 0; n < ports.length; n++) {
             ports[n] = start(platform.config());
@@ -90,29 +90,30 @@
                     send(ports[n], request("a" + n, "step-view", "red", "5")).contains(" 200 "),
                     "an indented endpoint list is parsed");
         }
-        int watchesBefore = platform.watches.size();
-        platform.silence();
-        platform.addRunner("s-new");
-        platform.tell("s-old", "Terminating");
-        StubPlatform.until(() -> platform.watches.size() >= watchesBefore + ports.length);
-        StubPlatform.until(() -> {
+        int watchesBefore = platform.discoveryRequests.size();
+        platform.muteOpenWatches();
+        platform.addEndpoint("s-new");
+        platform.announceHealth("s-old", "Terminating");
+        StubPlatform.waitUntil(() -> platform.discoveryRequests.size() >= watchesBefore + ports.length);
+        StubPlatform.waitUntil(() -> {
             // The missed update has arrived once a request goes to the new endpoint.
             for (int port : ports) {
                 String id = "p" + System.nanoTime();
                 if (!responseContains(port, request(id, "step-view", "red", "5"), " 200 ")
-                        || platform.seen.stream().noneMatch(s -> s.startsWith("s-new ") && s.contains(id))) {
+                        || platform.receivedRequests.stream()
+                                .noneMatch(s -> s.startsWith("s-new ") && s.contains(id))) {
                     return false;
                 }
             }
             return true;
         });
-        int attemptsBefore = platform.seen.size();
+        int attemptsBefore = platform.receivedRequests.size();
         for (int i = 0; i < 30; i++) {
             assertTrue(send(ports[i % ports.length], request("b" + i, "step-view", "red", "5"))
                     .contains(" 200 "));
         }
         assertTrue(
-                platform.seen.subList(attemptsBefore, platform.seen.size()).stream()
+                platform.receivedRequests.subList(attemptsBefore, platform.receivedRequests.size()).stream()
                         .noneMatch(s -> s.startsWith("s-old ")),
                 "the draining endpoint gets no new requests");
     }
@@ -132,10 +133,10 @@
                         requestClass("step-view", "fragile"),
                         requestClass("mark-submit", "retryable"),
                         requestClass("zurzir", "dedup")));
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         int port = start(config);
         Map<String, Integer> failuresLeft = new HashMap<>(Map.of("u", 1, "r", 1));
-        platform.instead = request -> {
+        platform.requestOverride = request -> {
             String id = request.getHeader("X-Request-Id");
             if (failuresLeft.merge(id, -1, Integer::sum) >= 0) {
                 request.connection().close();
@@ -152,12 +153,14 @@
         assertEquals(1, attempts("u"), "non-idempotent by its settings, although elsewhere this class is idempotent");
         send(port, request("r", "mark-submit", "gilda-do-bairro", "5"));
         assertTrue(attempts("r") <= 6, "at most the maximum number of attempts");
-        platform.instead = null;
+        platform.requestOverride = null;
         assertTrue(send(port, request("z", "zurzir", "gilda-do-bairro", "5")).contains("r-z"));
     }
 
     private long attempts(String id) {
-        return platform.seen.stream().filter(s -> s.contains(" " + id + " ")).count();
+        return platform.receivedRequests.stream()
+                .filter(s -> s.contains(" " + id + " "))
+                .count();
     }
 
     private static Map<String, Object> requestClass(String name, String repeat) {
--- a/src/test/java/nettlewick/cli/FleetTestCommandTest.java
+++ b/src/test/java/nettlewick/cli/FleetTestCommandTest.java
@@ -63,6 +63,6 @@
         List<ProcessHandle> startedProcesses = process.descendants().toList();
         process.destroy();
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
-        StubPlatform.until(() -> startedProcesses.stream().noneMatch(ProcessHandle::isAlive));
+        StubPlatform.waitUntil(() -> startedProcesses.stream().noneMatch(ProcessHandle::isAlive));
     }
 }
--- a/src/test/java/nettlewick/cli/LeaseProcessTest.java
+++ b/src/test/java/nettlewick/cli/LeaseProcessTest.java
@@ -103,7 +103,7 @@
     /** Waits until a process holds the lease for the given term or a later one, and returns its number. */
     private int awaitHolder(long term, int excluded) throws InterruptedException {
         int[] found = {-1};
-        StubPlatform.until(() -> {
+        StubPlatform.waitUntil(() -> {
             long newestTerm = term - 1;
             for (int n = 0; n < DISPATCHERS; n++) {
                 for (long t : n == excluded
@@ -123,7 +123,7 @@
         reservePorts();
         System.arraycopy(ports, 0, advertisedPorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
-            platform.addRunner("s-1");
+            platform.addEndpoint("s-1");
             startAll(platform);
             int first = awaitHolder(1, -1);
             processes[first].destroyForcibly().waitFor();
@@ -144,10 +144,10 @@
         reservePorts();
         System.arraycopy(ports, 0, advertisedPorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
-            platform.addRunner("s-1");
+            platform.addEndpoint("s-1");
             startAll(platform);
             int first = awaitHolder(1, -1);
-            StubPlatform.until(() ->
+            StubPlatform.waitUntil(() ->
                     hasLogged(currentLogs[misconfigured], "other-list") && hasLogged(currentLogs[first], "other-list"));
             processes[first].destroyForcibly().waitFor();
             int second = awaitHolder(2, first);
@@ -166,7 +166,7 @@
         reservePorts();
         System.arraycopy(ports, 0, advertisedPorts, 0, DISPATCHERS);
         try (StubPlatform platform = new StubPlatform()) {
-            platform.addRunner("s-1");
+            platform.addEndpoint("s-1");
             startAll(platform);
             int first = awaitHolder(1, -1);
             processes[first].destroyForcibly().waitFor();
@@ -187,13 +187,13 @@
         try (DatagramRelay relay = new DatagramRelay(ports, 11);
                 StubPlatform platform = new StubPlatform()) {
             System.arraycopy(relay.ports(), 0, advertisedPorts, 0, DISPATCHERS);
-            platform.addRunner("s-1");
+            platform.addEndpoint("s-1");
             relay.setFaults(0.3, 0.1);
             startAll(platform);
             int first = awaitHolder(1, -1);
             relay.blockSender(first);
             awaitHolder(2, first);
-            StubPlatform.until(() -> hasLogged(currentLogs[first], "duty-lost"));
+            StubPlatform.waitUntil(() -> hasLogged(currentLogs[first], "duty-lost"));
             relay.blockSender(-1);
             relay.setFaults(0.1, 0.1);
             for (int voter = 0; voter < VOTERS; voter++) {
@@ -206,7 +206,7 @@
             relay.partition(Set.of(isolatedHolder, isolatedHolder < VOTERS ? 4 : 0));
             int newHolder = awaitHolder(newestTerm + 1, isolatedHolder);
             // A lost datagram may have cost it the lease before the partition.
-            StubPlatform.until(() ->
+            StubPlatform.waitUntil(() ->
                     count(currentLogs[isolatedHolder], "duty-lost") >= count(currentLogs[isolatedHolder], "duty-held"));
             relay.partition(Set.of());
             processes[newHolder].destroyForcibly().waitFor();
@@ -237,7 +237,7 @@
         signal(paused, "-STOP");
         int next = awaitHolder(term, paused);
         signal(paused, "-CONT");
-        StubPlatform.until(() -> hasLogged(currentLogs[paused], "duty-lost"));
+        StubPlatform.waitUntil(() -> hasLogged(currentLogs[paused], "duty-lost"));
         return next;
     }
 
@@ -245,7 +245,7 @@
     private void restart(StubPlatform platform, int number) throws Exception {
         start(number, config(platform, number));
         if (number < VOTERS) {
-            StubPlatform.until(() -> hasLogged(currentLogs[number], "votes"));
+            StubPlatform.waitUntil(() -> hasLogged(currentLogs[number], "votes"));
         }
     }
 
@@ -259,7 +259,7 @@
         }
         for (int voter = 0; voter < VOTERS; voter++) {
             Path voterLog = currentLogs[voter];
-            StubPlatform.until(() -> hasLogged(voterLog, "votes"));
+            StubPlatform.waitUntil(() -> hasLogged(voterLog, "votes"));
         }
     }
 
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -25,7 +25,7 @@
 import nettlewick.ledger.StoreProbe;
 import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.settings.Settings;
-import nettlewick.stubs.Receiver;
+import nettlewick.stubs.BatchReceiver;
 import nettlewick.stubs.ReservedPorts;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -81,9 +81,9 @@
         Path sync = writeSettings("sync.conf", "mode sync");
         Path batch = writeSettings("batch.conf", "mode batch 20ms");
         try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
-            platform.runTime = 4;
+            platform.executionMillis = 4;
             for (int i = 0; i < 4; i++) {
-                platform.addRunner("s-" + i);
+                platform.addEndpoint("s-" + i);
             }
             for (int kill = 0; kill < KILLS; kill++) {
                 int port = freePort();
@@ -104,7 +104,7 @@
         Path log = dir.resolve("log");
         Process child = ChildProcess.start(
                 log, Map.of("ROUTER_CONFIG", file.toString()), "serve", "--settings", settings.toString());
-        DispatcherOnStubPlatform.until(() -> !child.isAlive() || isHealthy(port));
+        DispatcherOnStubPlatform.waitUntil(() -> !child.isAlive() || isHealthy(port));
         assertTrue(child.isAlive(), "the dispatcher started: " + Files.readString(log));
         return child;
     }
@@ -184,14 +184,14 @@
         Path out = dir.resolve("out");
         ConcurrentLinkedQueue<Process> current = new ConcurrentLinkedQueue<>();
         AtomicInteger batchesUntilKill = new AtomicInteger();
-        Receiver.Fate[] fates = {
-            Receiver.Fate.TAKEN,
-            Receiver.Fate.TAKEN,
-            Receiver.Fate.REFUSED_BEFORE,
-            Receiver.Fate.ERROR_AFTER,
-            Receiver.Fate.RESET_AFTER
+        BatchReceiver.Behavior[] fates = {
+            BatchReceiver.Behavior.TAKEN,
+            BatchReceiver.Behavior.TAKEN,
+            BatchReceiver.Behavior.REFUSED_BEFORE,
+            BatchReceiver.Behavior.ERROR_AFTER,
+            BatchReceiver.Behavior.RESET_AFTER
         };
-        try (Receiver receiver = new Receiver()) {
+        try (BatchReceiver receiver = new BatchReceiver()) {
             Path settingsFile = writeSettings(
                     "export.conf",
                     "export r {\nurl http://127.0.0.1:" + receiver.port()
@@ -199,12 +199,12 @@
                             + "retry 1ms 5ms\nattempts 50\n}\nexport f {\nfolder \"" + out + "\"\nmost 9\n}");
             LedgerSettings settings = LedgerSettings.of(
                     Settings.read(settingsFile).block("ledger").orElseThrow());
-            receiver.script(batch -> {
+            receiver.setResponder(batch -> {
                 if (batchesUntilKill.decrementAndGet() == 0) {
                     // Half of the kills come before the batch is taken, half after.
                     boolean before = random.nextBoolean();
                     current.forEach(Process::destroyForcibly);
-                    return before ? Receiver.Fate.SILENT_BEFORE : Receiver.Fate.SILENT_AFTER;
+                    return before ? BatchReceiver.Behavior.SILENT_BEFORE : BatchReceiver.Behavior.SILENT_AFTER;
                 }
                 return fates[random.nextInt(fates.length)];
             });
@@ -224,11 +224,11 @@
             }
             batchesUntilKill.set(Integer.MAX_VALUE);
             assertEquals(0, Main.run("ledger", "export", "--settings", settingsFile.toString(), "--json"));
-            assertNull(receiver.conflict());
+            assertNull(receiver.conflictingBatch());
             List<Long> expected = List.of(expectedTotals[0], expectedTotals[1]);
             assertEquals(
                     expected,
-                    StoreProbe.totals(receiver.taken().values().stream()
+                    StoreProbe.totals(receiver.receivedBatches().values().stream()
                             .map(b -> b.getBytes())
                             .toList()));
             assertEquals(expected, StoreProbe.totals(StoreProbe.files(out)));
--- a/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
+++ b/src/test/java/nettlewick/cli/RollingRestartProcessTest.java
@@ -210,7 +210,7 @@
         }
         try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
             for (int r = 0; r < 4; r++) {
-                platform.addRunner("s-" + r);
+                platform.addEndpoint("s-" + r);
             }
             for (int n = 0; n < DISPATCHERS; n++) {
                 start(platform, n);
@@ -239,7 +239,7 @@
             for (int n = 0; n < DISPATCHERS; n++) {
                 int dispatcher = n;
                 int sentBefore = requestCount.get();
-                DispatcherOnStubPlatform.until(() -> requestCount.get() > sentBefore + 200);
+                DispatcherOnStubPlatform.waitUntil(() -> requestCount.get() > sentBefore + 200);
                 dispatchers[n].destroy();
                 assertTrue(dispatchers[n].waitFor(20, TimeUnit.SECONDS), "n" + n + " has not exited");
                 start(platform, n);
@@ -254,7 +254,7 @@
                     failedNewConnections.get() <= newConnections.get() / MIN_CONNECTIONS_PER_FAILURE,
                     failedNewConnections + " of " + newConnections + " new connections failed");
             assertTrue(statuses.get("200").get() > 300, statuses::toString);
-            platform.runs.forEach(
+            platform.executionCounts.forEach(
                     (id, runs) -> assertTrue(!id.startsWith("mark") || runs.get() <= 1, id + " ran " + runs));
         }
     }
--- a/src/test/java/nettlewick/cli/SignalsProcessTest.java
+++ b/src/test/java/nettlewick/cli/SignalsProcessTest.java
@@ -57,7 +57,7 @@
     void repeatedSignalsDoNotCutAGracefulShutdownShort() throws Exception {
         int port = ReservedPorts.reserve();
         try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
-            platform.addRunner("s-1");
+            platform.addEndpoint("s-1");
             Map<String, Object> config = platform.config();
             config.put("listen", "127.0.0.1:" + port);
             Path file = Files.writeString(dir.resolve("config"), new Gson().toJson(config));
@@ -75,7 +75,7 @@
                                 .read()
                                 .body());
                 busy.send(DispatcherOnStubPlatform.requestBytes("/api", "w", "mark-submit", "1200"));
-                DispatcherOnStubPlatform.until(() -> platform.seen.size() == 2);
+                DispatcherOnStubPlatform.waitUntil(() -> platform.receivedRequests.size() == 2);
                 for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
                     signal(signal);
                 }
@@ -98,7 +98,7 @@
             }
             assertTrue(dispatcher.waitFor(15, TimeUnit.SECONDS), "the dispatcher has not exited");
             assertEquals(0, dispatcher.exitValue());
-            platform.runs.forEach((id, runs) -> assertEquals(1, runs.get(), id));
+            platform.executionCounts.forEach((id, runs) -> assertEquals(1, runs.get(), id));
         }
     }
 }
--- a/src/test/java/nettlewick/fleettest/AuditTest.java
+++ b/src/test/java/nettlewick/fleettest/AuditTest.java
@@ -26,7 +26,7 @@
     }
 
     private void send(String id, EndpointModel to, double now) {
-        audit.arrived(id, to, EndpointModel.Taken.RUNS, now);
+        audit.arrived(id, to, EndpointModel.Admission.RUNS, now);
         audit.ran(id, to, now);
     }
 
@@ -58,7 +58,7 @@
     @Test
     void aKeyedJobThatWasTurnedAwayMayGoAnywhere() {
         audit.asked("k-1", "k", keyed, 0, 0, "red");
-        audit.arrived("k-1", a, EndpointModel.Taken.DRAINS, 10);
+        audit.arrived("k-1", a, EndpointModel.Admission.DRAINS, 10);
         send("k-1", b, 20);
         assertEquals(List.of(), audit.breaks());
     }
@@ -70,7 +70,8 @@
         send("k-1", a, 10 + scenario.load().window());
         assertEquals(List.of(), audit.breaks());
         audit.asked("k-2", "k", keyed, 0, 0, "red");
-        audit.arrived("k-2", a, EndpointModel.Taken.RUNS, 11 + scenario.load().window() + InvariantChecker.WAY);
+        audit.arrived(
+                "k-2", a, EndpointModel.Admission.RUNS, 11 + scenario.load().window() + InvariantChecker.WAY);
         finds("repeat");
     }
 
--- a/src/test/java/nettlewick/fleettest/Baselines.java
+++ b/src/test/java/nettlewick/fleettest/Baselines.java
@@ -91,13 +91,13 @@
         int r = pick(dispatcher);
         EndpointModel runner = runners.get(r);
         String id = a.number() + "." + tried;
-        List<EndpointModel.Begun> begun = new ArrayList<>();
+        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
         if (now >= 0) {
             attempts++;
             spread.arrived(runner, now);
         }
-        EndpointModel.Taken taken = runner.offer(id, a.work(), now, begun);
-        if (taken == EndpointModel.Taken.FULL) {
+        EndpointModel.Admission taken = runner.offer(id, a.work(), now, begun);
+        if (taken == EndpointModel.Admission.FULL) {
             full += now >= 0 ? 1 : 0;
             spread.refused();
             if (tried + 1 < ATTEMPTS) {
@@ -112,11 +112,11 @@
         begun.forEach(b -> begins(r, b));
     }
 
-    private void begins(int r, EndpointModel.Begun b) {
+    private void begins(int r, EndpointModel.StartedRequest b) {
         plan(now + b.millis(), () -> {
             own(r)[at.remove(b.id())]--;
-            List<EndpointModel.Begun> more = new ArrayList<>();
-            runners.get(r).end(b.id(), now, more);
+            List<EndpointModel.StartedRequest> more = new ArrayList<>();
+            runners.get(r).finish(b.id(), now, more);
             more.forEach(m -> begins(r, m));
         });
     }
@@ -146,6 +146,6 @@
 
     private double weight(int r) {
         EndpointModel m = runners.get(r);
-        return (m.busy() + m.waiting() + 1) / (m.slots * m.speed);
+        return (m.runningCount() + m.queuedCount() + 1) / (m.slots * m.speed);
     }
 }
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -49,7 +49,7 @@
             play.start(line -> {});
             if (steps.contains("provider keeps")) {
                 // Before any load: even the first wish for a runner waits.
-                play.duties.provider.fate(ProviderServer.Fate.KEEPS);
+                play.duties.provider.setBehavior(ProviderServer.Behavior.KEEPS);
             }
             if (!watched.isEmpty()) {
                 Thread watcher = new Thread(() -> watch(play), "watcher");
--- a/src/test/java/nettlewick/fleettest/RunnerModelTest.java
+++ b/src/test/java/nettlewick/fleettest/RunnerModelTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class RunnerModelTest {
-    private static final EndpointModel.Kind KIND = Scenario.parse(
+    private static final EndpointModel.Config KIND = Scenario.parse(
                     "x.conf", ScenarioTest.text("").replace("seed 5", "slots 2\nqueue 3\ncold 1s\nfall 200ms"))
             .world()
             .runner();
@@ -30,20 +30,20 @@
         int begunOf = 0;
         int takenOf = 0;
         for (int i = 0; i < 5000; i++) {
-            List<EndpointModel.Begun> begun = new ArrayList<>();
+            List<EndpointModel.StartedRequest> begun = new ArrayList<>();
             if (random.nextInt(3) > 0) {
-                EndpointModel.Taken how = r.offer("j" + i, 10, i, begun);
-                assertEquals(inHand.size() >= 5, how == EndpointModel.Taken.FULL);
-                if (how != EndpointModel.Taken.FULL) {
+                EndpointModel.Admission how = r.offer("j" + i, 10, i, begun);
+                assertEquals(inHand.size() >= 5, how == EndpointModel.Admission.FULL);
+                if (how != EndpointModel.Admission.FULL) {
                     inHand.add("j" + i);
                     takenOf++;
                 }
             } else if (!inHand.isEmpty()) {
-                r.end(inHand.remove(random.nextInt(inHand.size())), i, begun);
+                r.finish(inHand.remove(random.nextInt(inHand.size())), i, begun);
             }
             begunOf += begun.size();
-            assertEquals(Math.min(2, inHand.size()), r.busy());
-            assertEquals(inHand.size(), r.busy() + r.waiting());
+            assertEquals(Math.min(2, inHand.size()), r.runningCount());
+            assertEquals(inHand.size(), r.runningCount() + r.queuedCount());
             assertTrue(begunOf <= takenOf);
         }
     }
@@ -56,13 +56,13 @@
             cold.offer("j" + i, 100, 10 + i, new ArrayList<>());
             warm.offer("j" + i, 100, 10 + i, new ArrayList<>());
         }
-        assertTrue(cold.fallen());
-        assertFalse(warm.fallen());
+        assertTrue(cold.isOverloaded());
+        assertFalse(warm.isOverloaded());
         EndpointModel spared = runner(0);
         for (int i = 0; i < 20; i++) {
             spared.offer("j" + i, 20, 100 * i, new ArrayList<>());
         }
-        assertFalse(spared.fallen(), "a fifth of its capacity");
+        assertFalse(spared.isOverloaded(), "a fifth of its capacity");
     }
 
     /** The same play twice is the same; and the better a choice knows, the evener its load. */
--- a/src/test/java/nettlewick/fleettest/SoakChecksTest.java
+++ b/src/test/java/nettlewick/fleettest/SoakChecksTest.java
@@ -7,7 +7,7 @@
 import nettlewick.fleettest.SoakJournal.End;
 import nettlewick.fleettest.SoakJournal.Entry;
 import nettlewick.fleettest.SoakJournal.Incarnation;
-import nettlewick.stubs.EndpointModel.Taken;
+import nettlewick.stubs.EndpointModel.Admission;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -40,7 +40,7 @@
     }
 
     private static void arrives(Entry entry, double at) {
-        entry.arrived(new Arrival("s0", Taken.RUNS, at, entry.dueAt() - at));
+        entry.arrived(new Arrival("s0", Admission.RUNS, at, entry.dueAt() - at));
     }
 
     private static void rejected(Entry entry, String header) {
@@ -173,7 +173,7 @@
     @Test
     void anEndpointThatIsToldTooMuch() {
         Entry entry = sent();
-        entry.arrived(new Arrival("s0", Taken.RUNS, SENT_AT + 300, 1000));
+        entry.arrived(new Arrival("s0", Admission.RUNS, SENT_AT + 300, 1000));
         entry.ended(End.LEFT, SENT_AT + 300);
         finds("an endpoint is told more time than is left");
     }
--- a/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/ClientWireGoldenTest.java
@@ -4,7 +4,7 @@
 import static nettlewick.golden.WireText.entry;
 import static nettlewick.golden.WireText.exchange;
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 
 import java.io.IOException;
 import java.util.Arrays;
@@ -36,12 +36,12 @@
     }
 
     private int startDispatcher() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         Map<String, Object> config = platform.config();
         config.put("admin_addr", "127.0.0.1:0");
         dispatcher = platform.start(config);
         int port = dispatcher.ports().get(0);
-        until(() -> tryExchange(port, HEALTH).startsWith("HTTP/1.1 200")
+        waitUntil(() -> tryExchange(port, HEALTH).startsWith("HTTP/1.1 200")
                 && dispatcher.adminPort() > 0
                 && tryExchange(dispatcher.adminPort(), adminRequest("GET", "/-/ready"))
                         .startsWith("HTTP/1.1 200"));
@@ -84,16 +84,17 @@
         requests.put("served, last on its connection", apiRequest("b", "mark-submit", "{}", "Connection: close"));
         requests.put("served over HTTP/1.0", apiRequest("c", "step-view", "{}").replace("HTTP/1.1", "HTTP/1.0"));
         StringBuilder text = new StringBuilder(exchangeAll(port, requests));
-        platform.instead = request -> request.response()
+        platform.requestOverride = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
         text.append(entry("rejected", exchange(port, apiRequest("d", "mark-submit", ""))));
-        platform.instead = request -> request.connection().close();
+        platform.requestOverride = request -> request.connection().close();
         text.append(entry("failed", exchange(port, apiRequest("e", "mark-submit", ""))));
-        platform.instead = request -> request.response().setStatusCode(500).end();
+        platform.requestOverride =
+                request -> request.response().setStatusCode(500).end();
         text.append(entry("an error of the runner", exchange(port, apiRequest("f", "mark-submit", ""))));
-        platform.instead = request -> {};
+        platform.requestOverride = request -> {};
         text.append(entry(
                 "past its deadline",
                 exchange(port, apiRequest("g", "mark-submit", "").replace("X-Deadline: 4", "X-Deadline: 0.4"))));
@@ -102,7 +103,7 @@
                 exchange(port, apiRequest("h", "step-view", "").replace("X-Deadline: 4", "X-Deadline: 0"))));
         exchange(dispatcher.adminPort(), adminRequest("POST", "/-/drain"));
         text.append(entry("health while draining", exchange(port, HEALTH)));
-        platform.instead = null;
+        platform.requestOverride = null;
         text.append(entry("served while draining", exchange(port, apiRequest("i", "step-view", ""))));
         assertMatches("wire/client-answers.txt", text.toString());
     }
--- a/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
+++ b/src/test/java/nettlewick/golden/OutgoingWireGoldenTest.java
@@ -2,7 +2,7 @@
 
 import static nettlewick.golden.GoldenFile.assertMatches;
 import static nettlewick.golden.WireText.entry;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.google.gson.Gson;
@@ -70,13 +70,13 @@
         try (platform;
                 RecordingServer one = new RecordingServer((r, s) -> respondAsEndpoint(r, s, rejections));
                 RecordingServer two = new RecordingServer((r, s) -> respondAsEndpoint(r, s, rejections))) {
-            platform.addRunner("s-1", one.port());
-            platform.addRunner("s-2", two.port());
+            platform.addEndpoint("s-1", one.port());
+            platform.addEndpoint("s-2", two.port());
             // On a slow machine, hedged requests would add attempts that are not in the recording.
             Map<String, Object> config = platform.config();
             putSetting(config, "ceilings", "second_copies", false);
             int port = platform.start(config).ports().get(0);
-            until(() -> distinctProbes(one).size() + distinctProbes(two).size() > 0 && isHealthy(port));
+            waitUntil(() -> distinctProbes(one).size() + distinctProbes(two).size() > 0 && isHealthy(port));
             List<String> requests = List.of(
                     http("POST", "/api", "plain", "step-view", ""),
                     http("POST", "/api/x%2Fy?a=1&&b=%7e+", "00Ab body", "step-view", "{\"x\": \"\u00c3\u00a9\"}"),
@@ -173,7 +173,7 @@
                     config.put("known", new Gson().fromJson("{\"seq\":7,\"whole\":true,\"hosts\":[]}", Map.class));
                 }
                 platform.start(config);
-                until(() -> discovery.requests.size() >= 3);
+                waitUntil(() -> discovery.requests.size() >= 3);
                 for (int call = 0; call < 3; call++) {
                     text.append(entry(
                             (hasKnownList ? "list known before, call " : "nothing known, call ") + (call + 1),
--- a/src/test/java/nettlewick/ledger/ExportTest.java
+++ b/src/test/java/nettlewick/ledger/ExportTest.java
@@ -22,7 +22,7 @@
 import java.util.stream.Stream;
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.sqlite.StoreException;
-import nettlewick.stubs.Receiver;
+import nettlewick.stubs.BatchReceiver;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVRecord;
@@ -230,12 +230,12 @@
     void aReceiverThatFailsInEveryWayGetsEachEntryOnce() throws Exception {
         Random random = new Random(8);
         long[] work = new long[2];
-        try (Receiver receiver = new Receiver();
+        try (BatchReceiver receiver = new BatchReceiver();
                 Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
-            Receiver.Fate[] fates = Receiver.Fate.values();
-            Set<Receiver.Fate> met = new HashSet<>();
-            receiver.script(batch -> {
-                Receiver.Fate fate = fates[random.nextInt(fates.length)];
+            BatchReceiver.Behavior[] fates = BatchReceiver.Behavior.values();
+            Set<BatchReceiver.Behavior> met = new HashSet<>();
+            receiver.setResponder(batch -> {
+                BatchReceiver.Behavior fate = fates[random.nextInt(fates.length)];
                 met.add(fate);
                 return fate;
             });
@@ -252,10 +252,10 @@
             assertNull(report.fault());
             assertEquals(200, report.entries());
             assertTrue(report.tries() > report.batches() && met.size() == fates.length, met.toString());
-            assertNull(receiver.conflict());
+            assertNull(receiver.conflictingBatch());
             assertEquals(
                     List.of(work[1], work[0]),
-                    totals(receiver.taken().values().stream()
+                    totals(receiver.receivedBatches().values().stream()
                             .map(b -> b.getBytes())
                             .toList()));
         }
@@ -263,7 +263,7 @@
 
     @Test
     void aReceiverThatSaysNoForGoodIsToldOfAtOnceAndOneThatIsGoneAfterItsTries() throws Exception {
-        try (Receiver receiver = new Receiver();
+        try (BatchReceiver receiver = new BatchReceiver();
                 Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
             store.append(store.begin(NOW), drafts(new Random(1), 3, new long[2]));
             ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 5, 500);
@@ -280,7 +280,7 @@
                 assertTrue(pauses.get(i) >= bound / 2 && pauses.get(i) <= bound, pauses.toString());
             }
             // The same number was given to somebody else's content before.
-            receiver.script(batch -> Receiver.Fate.TAKEN);
+            receiver.setResponder(batch -> BatchReceiver.Behavior.TAKEN);
             new HttpTarget(s.url(), 500, FaultInjection.NONE)
                     .deliver(new Target.Parcel("a", "x", 1, true, 1, new byte[] {1}, "another"));
             report = new Exporter(
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -1,6 +1,6 @@
 package nettlewick.ledger;
 
-import static nettlewick.stubs.StubPlatform.until;
+import static nettlewick.stubs.StubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -97,10 +97,10 @@
         ledger.await();
         Set<String> left = new HashSet<>();
         answer(ledger, "held", left);
-        until(() -> forced.get() > 0);
+        waitUntil(() -> forced.get() > 0);
         assertFalse(left.contains("held"));
         slow.countDown();
-        until(() -> left.contains("held"));
+        waitUntil(() -> left.contains("held"));
     }
 
     private static void await(CountDownLatch latch) {
@@ -134,7 +134,7 @@
         overdue.forEach(Runnable::run);
         assertEquals(10, left.size());
         slow.countDown();
-        until(() -> has(ledger, "entries", 10) && has(ledger, "queue", 0));
+        waitUntil(() -> has(ledger, "entries", 10) && has(ledger, "queue", 0));
         assertEquals(10, entries().size());
         overdue.forEach(Runnable::run);
         assertEquals(10, left.size());
@@ -155,13 +155,13 @@
         for (int i = 0; i < 50; i++) {
             answer(ledger, "j" + i, left);
         }
-        until(() -> left.size() == 50);
+        waitUntil(() -> left.size() == 50);
         assertTrue(
                 has(ledger, "queue", 20) && has(ledger, "gap", 30),
                 ledger.metrics().toString());
-        until(() -> has(ledger, "trouble", 1));
+        waitUntil(() -> has(ledger, "trouble", 1));
         full.set(false);
-        until(() -> has(ledger, "queue", 0) && has(ledger, "trouble", 0));
+        waitUntil(() -> has(ledger, "queue", 0) && has(ledger, "trouble", 0));
         List<Entry> all = entries();
         assertEquals(20, all.stream().filter(e -> e.kind() == Kind.JOB).count());
         assertEquals(
@@ -187,11 +187,11 @@
         for (int i = 0; i < 100; i++) {
             answer(ledger, "j" + i, left);
         }
-        until(() -> left.size() == 100 && has(ledger, "entries", 100));
+        waitUntil(() -> left.size() == 100 && has(ledger, "entries", 100));
         assertTrue(has(ledger, "unsynced", 100), "each left without being on the disk: " + ledger.metrics());
         bad.set(false);
         answer(ledger, "last", left);
-        until(() -> has(ledger, "entries", 101));
+        waitUntil(() -> has(ledger, "entries", 101));
         assertEquals(101, entries().stream().map(Entry::request).distinct().count());
     }
 
@@ -201,7 +201,7 @@
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
         Set<String> left = new HashSet<>();
         answer(ledger, "j", left);
-        until(() -> has(ledger, "entries", 1));
+        waitUntil(() -> has(ledger, "entries", 1));
         try (var files = Files.list(dir)) {
             assertTrue(files.anyMatch(f -> f.getFileName().toString().contains(".damaged-")));
         }
@@ -216,7 +216,7 @@
             r.onDelivered();
             r.onAbandoned();
         });
-        until(() -> has(ledger, "entries", 3));
+        waitUntil(() -> has(ledger, "entries", 3));
         assertEquals(
                 Map.of("before", Ending.LEFT, "after", Ending.LEFT, "both", Ending.SERVED),
                 entries().stream().collect(java.util.stream.Collectors.toMap(Entry::request, Entry::end)));
@@ -236,13 +236,13 @@
                 }
             });
         }
-        until(() -> receipts.size() == 3);
+        waitUntil(() -> receipts.size() == 3);
         receipts.get(0).onDelivered();
         clock.advanceTo(DECEMBER);
         receipts.get(1).onDelivered();
         clock.advanceTo(DECEMBER + 40 * 8.64e7);
         receipts.get(2).onDelivered();
-        until(() -> has(ledger, "entries", 3));
+        waitUntil(() -> has(ledger, "entries", 3));
         LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
         assertEquals(
                 List.of("2026-11", "2026-12", "2027-01"),
@@ -260,11 +260,11 @@
                 await(commit);
             }
         });
-        until(() -> ledger.origin() != null);
+        waitUntil(() -> ledger.origin() != null);
         hold.set(true);
         Set<String> left = new HashSet<>();
         answer(ledger, "early", left);
-        until(() -> left.contains("early"));
+        waitUntil(() -> left.contains("early"));
         clock.advanceTo(DECEMBER + 5);
         LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
         LedgerAdmin.Refused soon = assertThrows(LedgerAdmin.Refused.class, () -> desk.close("2026-12", "op"));
@@ -278,7 +278,7 @@
         });
         closer.start();
         try (Store store = Store.read(dir)) {
-            until(() -> marked(store) == DECEMBER);
+            waitUntil(() -> marked(store) == DECEMBER);
             assertNull(closing(), "held until the entry is durable");
         }
         hold.set(false);
@@ -309,7 +309,7 @@
     void aPeriodThatEndedWhileNobodyRanIsClosedFromWhatWasLeft() throws Exception {
         Clock clock = Clock.stoppedAt(DECEMBER - 5);
         Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
-        until(() -> ledger.origin() != null);
+        waitUntil(() -> ledger.origin() != null);
         answer(ledger, "j", new HashSet<>());
         ledger.close();
         LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), Clock.stoppedAt(DECEMBER + 1));
@@ -337,9 +337,9 @@
         for (int i = 0; i < 2000; i++) {
             answer(i % 2 == 0 ? old : heir, "j" + i, left);
         }
-        until(() -> left.size() == 2000);
+        waitUntil(() -> left.size() == 2000);
         old.close();
-        until(() -> has(old, "entries", 1000) && has(heir, "entries", 1000));
+        waitUntil(() -> has(old, "entries", 1000) && has(heir, "entries", 1000));
         heir.close();
         assertEquals(2000, entries().stream().map(Entry::request).distinct().count());
         assertEquals(2, entries().stream().map(e -> e.ref().origin()).distinct().count());
@@ -371,7 +371,7 @@
         for (int i = 0; i < 20; i++) {
             answer(ledger, "j" + i, new HashSet<>());
         }
-        until(() -> has(ledger, "entries", 20));
+        waitUntil(() -> has(ledger, "entries", 20));
         ledger.close();
         LedgerAdmin desk = new LedgerAdmin(s, Clock.stoppedAt(DECEMBER + 1));
         Path file = dir.resolve("archive/2026-11.gz");
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -240,7 +240,7 @@
                     one,
                     new MessageSeal(key),
                     Clock.system());
-            int port = DispatcherOnStubPlatform.get(front.listen());
+            int port = DispatcherOnStubPlatform.awaitResult(front.listen());
             PeerClient client = new PeerClient(
                     vertx,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -255,7 +255,7 @@
             say("reconcile_share", (double) client.bytes() / ledger, "%.7f");
             front.close();
         }
-        DispatcherOnStubPlatform.get(vertx.close());
+        DispatcherOnStubPlatform.awaitResult(vertx.close());
         began = System.nanoTime();
         UsageBook book = new UsageBook(new Terms(java.time.ZoneOffset.UTC, List.of()), 15_000);
         try (Store store = Store.read(one)) {
@@ -289,9 +289,9 @@
 
     private void answers() throws Exception {
         try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.runTime = 6;
+            world.executionMillis = 6;
             for (int i = 0; i < RUNNERS; i++) {
-                world.addRunner("s-" + i);
+                world.addEndpoint("s-" + i);
             }
             Map<String, Side> sides = new java.util.LinkedHashMap<>();
             for (String mode : List.of("off", "batch", "sync")) {
@@ -361,7 +361,7 @@
                 side.process.destroyForcibly();
                 side.process.waitFor();
             }
-            DispatcherOnStubPlatform.get(vertx.close());
+            DispatcherOnStubPlatform.awaitResult(vertx.close());
         }
     }
 
--- a/src/test/java/nettlewick/ledger/PeerClientTest.java
+++ b/src/test/java/nettlewick/ledger/PeerClientTest.java
@@ -33,7 +33,7 @@
 
     @AfterEach
     void close() throws Exception {
-        StubPlatform.get(vertx.close());
+        StubPlatform.awaitResult(vertx.close());
     }
 
     private int listen() throws Exception {
@@ -45,7 +45,7 @@
                                 PeerFront.SEAL,
                                 seal.answer(request.getHeader(PeerFront.NONCE), STATUS_SAME, new byte[0]))
                         .end());
-        return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
+        return StubPlatform.awaitResult(server.listen(0, "127.0.0.1")).actualPort();
     }
 
     private List<String> callRepeatedly(int port) {
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -55,7 +55,7 @@
         for (AutoCloseable one : open) {
             one.close();
         }
-        StubPlatform.get(vertx.close());
+        StubPlatform.awaitResult(vertx.close());
     }
 
     private static PeerSettings settings(String... admit) {
@@ -88,7 +88,7 @@
     private int serve(Store store) throws Exception {
         PeerFront front = new PeerFront(settings("127.0.0.0/8"), store.folder(), new MessageSeal(KEY), clock);
         open.add(0, front);
-        return StubPlatform.get(front.listen());
+        return StubPlatform.awaitResult(front.listen());
     }
 
     private PeerClient client(int port, double timeout) {
@@ -181,7 +181,7 @@
                     .putHeader(PeerFront.SEAL, seal.answer(r.getHeader(PeerFront.NONCE), 200, body.getBytes()))
                     .end(body);
         });
-        return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
+        return StubPlatform.awaitResult(server.listen(0, "127.0.0.1")).actualPort();
     }
 
     private static Buffer heads(ChainOrigin origin, long number, byte[] hash) {
@@ -239,7 +239,7 @@
     void aPeerWithoutTheKeyIsNotBelievedAndASlowOneIsGivenUp() throws Exception {
         Store a = store("a");
         HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
-        int silent = StubPlatform.get(mute.listen(0, "127.0.0.1")).actualPort();
+        int silent = StubPlatform.awaitResult(mute.listen(0, "127.0.0.1")).actualPort();
         double before = clock.nowMillis();
         assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).round());
         assertTrue(clock.nowMillis() - before < 5000);
@@ -254,11 +254,11 @@
                 }
             });
         });
-        int slow = StubPlatform.get(trickle.listen(0, "127.0.0.1")).actualPort();
+        int slow = StubPlatform.awaitResult(trickle.listen(0, "127.0.0.1")).actualPort();
         assertThrows(IOException.class, () -> new Reconciler(a, client(slow, 60), 7).round());
         HttpServer plain =
                 vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
-        int unsealed = StubPlatform.get(plain.listen(0, "127.0.0.1")).actualPort();
+        int unsealed = StubPlatform.awaitResult(plain.listen(0, "127.0.0.1")).actualPort();
         assertTrue(assertThrows(IOException.class, () -> round(a, unsealed))
                 .getMessage()
                 .contains("seal"));
@@ -303,7 +303,7 @@
         Store a = store("a");
         PeerFront closed = new PeerFront(settings("10.0.0.0/8", "::1"), a.folder(), new MessageSeal(KEY), clock);
         open.add(0, closed);
-        int port = StubPlatform.get(closed.listen());
+        int port = StubPlatform.awaitResult(closed.listen());
         HttpClient http = HttpClient.newHttpClient();
         assertEquals(
                 403,
@@ -387,15 +387,15 @@
         }
         LedgerService thief = new LedgerService("d9", services.get(0).books().settings(), clock, 7);
         assertTrue(assertThrows(IOException.class, thief::start).getMessage().contains("the ledger of d0, not of"));
-        StubPlatform.until(() -> count("d2") == 90 && count("d1") == 60);
-        StubPlatform.until(() -> services.stream()
+        StubPlatform.waitUntil(() -> count("d2") == 90 && count("d1") == 60);
+        StubPlatform.waitUntil(() -> services.stream()
                 .allMatch(s -> s.books()
                                 .metrics()
                                 .getOrDefault("ledger.export.x.lag", -1L)
                                 .longValue()
                         == 0));
         // The lag is as of an export's last round, and entries may have come since.
-        StubPlatform.until(() -> exported("x2") >= 30);
+        StubPlatform.waitUntil(() -> exported("x2") >= 30);
         assertEquals(30L, exported("x2"), "only its own");
     }
 
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/ServedTest.java
@@ -1,7 +1,7 @@
 package nettlewick.ledger;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.stubs.StubPlatform.until;
+import static nettlewick.stubs.StubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -42,8 +42,8 @@
     @BeforeEach
     void open() throws Exception {
         world = new DispatcherOnStubPlatform();
-        world.addRunner("s-1");
-        world.addRunner("s-2");
+        world.addEndpoint("s-1");
+        world.addEndpoint("s-2");
         ledger = new Ledger(
                 "n0",
                 new LedgerSettings(
@@ -82,7 +82,7 @@
     }
 
     private Map<String, Entry> entries(int count) throws Exception {
-        until(() -> ledger.metrics().get("ledger.entries").longValue() == count);
+        waitUntil(() -> ledger.metrics().get("ledger.entries").longValue() == count);
         Map<String, Entry> all = new java.util.HashMap<>();
         try (Store store = Store.read(dir)) {
             store.each(e -> all.put(e.request(), e));
@@ -93,11 +93,11 @@
 
     @Test
     void eachAnswerOnBothFrontsIsAnEntryWithItsWork() throws Exception {
-        world.runTime = 60;
+        world.executionMillis = 60;
         assertTrue(send(ports.get(0), asked("a", "save-run", "Idempotency-Key: K-1"))
                 .contains("r-a"));
         assertTrue(send(ports.get(1), asked("b", "step-view")).contains("r-b"));
-        world.instead = request -> request.connection().close();
+        world.requestOverride = request -> request.connection().close();
         assertTrue(send(ports.get(0), asked("c", "mark-submit")).contains(" 502 "));
         Map<String, Entry> all = entries(3);
         Entry a = all.get("a");
@@ -117,14 +117,14 @@
     /** A client that leaves while its job runs, and one that leaves as its answer comes. */
     @Test
     void aClientThatLeavesIsCountedAndNotBilled() throws Exception {
-        world.runTime = 80;
+        world.executionMillis = 80;
         int jobs = 40;
         for (int i = 0; i < jobs; i++) {
             try (Socket socket = new Socket("127.0.0.1", ports.get(0))) {
                 socket.setSoLinger(true, 0);
                 socket.getOutputStream().write(asked("l" + i, "step-view").getBytes());
                 int until = i;
-                until(() -> world.runs.containsKey("l" + until));
+                waitUntil(() -> world.executionCounts.containsKey("l" + until));
                 if (i % 2 == 0) {
                     // Until the answer is on its way, or nearly.
                     socket.getInputStream().read();
--- a/src/test/java/nettlewick/net/AdminOperationsTest.java
+++ b/src/test/java/nettlewick/net/AdminOperationsTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -35,7 +35,7 @@
     @BeforeEach
     void open() throws Exception {
         platform = new DispatcherOnStubPlatform();
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         config = platform.config();
         config.put("admin_addr", "127.0.0.1:0");
     }
@@ -47,7 +47,7 @@
 
     private int start() throws Exception {
         DispatcherServer dispatcher = platform.start(config);
-        until(() -> dispatcher.adminPort() > 0 && call("GET", "/-/ready").startsWith("200"));
+        waitUntil(() -> dispatcher.adminPort() > 0 && call("GET", "/-/ready").startsWith("200"));
         return dispatcher.ports().get(0);
     }
 
@@ -75,17 +75,17 @@
         exchange(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
         exchange(port, requestBytes("/api", "a", "step-view", "", "Connection: close"));
         exchange(port, requestBytes("/api", "b", "no-class", "", "Connection: close"));
-        platform.instead = request -> request.response()
+        platform.requestOverride = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
         exchange(port, requestBytes("/api", "c", "mark-submit", "", "Connection: close"));
-        platform.instead = request -> {};
+        platform.requestOverride = request -> {};
         Socket pendingClient = new Socket("127.0.0.1", port);
         pendingClient
                 .getOutputStream()
                 .write(requestBytes("/api", "d", "save-run", "").getBytes());
-        until(() -> call("GET", "/-/metrics").contains("router.open_requests=1\n")
+        waitUntil(() -> call("GET", "/-/metrics").contains("router.open_requests=1\n")
                 && call("GET", "/-/metrics").contains("router.relayed=3\n"));
         String metrics = call("GET", "/-/metrics");
         for (String line : List.of(
@@ -98,7 +98,7 @@
             assertTrue(metrics.contains("router." + line + "\n"), line + " in " + metrics);
         }
         pendingClient.close();
-        until(() -> call("GET", "/-/metrics").contains("router.open_requests=0\n"));
+        waitUntil(() -> call("GET", "/-/metrics").contains("router.open_requests=0\n"));
     }
 
     @Test
@@ -129,7 +129,7 @@
     @Test
     void drainSendsClientsAwayAndResumeAcceptsThemAgain() throws Exception {
         int port = start();
-        platform.runTime = 1500;
+        platform.executionMillis = 1500;
         try (Socket idle = new Socket("127.0.0.1", port);
                 Socket busy = new Socket("127.0.0.1", port)) {
             idle.getOutputStream()
@@ -139,7 +139,7 @@
             assertTrue(idle.getInputStream().read() >= 0);
             busy.getOutputStream()
                     .write(requestBytes("/api", "before", "step-view", "").getBytes());
-            until(() -> !platform.seen.isEmpty());
+            waitUntil(() -> !platform.receivedRequests.isEmpty());
             assertTrue(call("POST", "/-/drain").startsWith("200"));
             assertTrue(call("POST", "/-/drain").startsWith("200"));
             assertTrue(exchange(port, HEALTH).startsWith("HTTP/1.1 503"));
@@ -149,7 +149,7 @@
             String response = new String(busy.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(response.contains("r-before") && response.toLowerCase().contains("connection: close"), response);
         }
-        platform.runTime = 10;
+        platform.executionMillis = 10;
         assertTrue(exchange(port, requestBytes("/api", "late", "step-view", "")).contains("r-late"));
         assertTrue(call("POST", "/-/resume").startsWith("200"));
         assertTrue(exchange(port, HEALTH).startsWith("HTTP/1.1 200"));
@@ -160,26 +160,28 @@
     /** Guards against requests to an endpoint under repair because discovery reports it as ready. */
     @Test
     void disabledEndpointGetsNothingUntilItIsEnabled() throws Exception {
-        platform.addRunner("s-2");
+        platform.addEndpoint("s-2");
         int port = start();
         assertTrue(call("POST", "/-/sim-runners/s-9/disable").startsWith("404"));
         assertTrue(call("GET", "/-/sim-runners/s-1/disable").startsWith("405"));
         for (int i = 0; i < 2; i++) {
             assertTrue(call("POST", "/-/sim-runners/s-1/disable").startsWith("200"));
         }
-        platform.tell("s-1", "Ready");
-        until(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=1\n"));
+        platform.announceHealth("s-1", "Ready");
+        waitUntil(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=1\n"));
         for (int i = 0; i < 20; i++) {
             assertTrue(exchange(port, requestBytes("/api", "b" + i, "step-view", "", "Connection: close"))
                     .contains("r-b"));
         }
-        assertTrue(platform.seen.stream().noneMatch(line -> line.startsWith("s-1 ")), platform.seen.toString());
+        assertTrue(
+                platform.receivedRequests.stream().noneMatch(line -> line.startsWith("s-1 ")),
+                platform.receivedRequests.toString());
         assertTrue(call("POST", "/-/sim-runners/s-1/enable").startsWith("200"));
-        until(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=0\n"));
+        waitUntil(() -> call("GET", "/-/metrics").contains("router.out_of_rotation=0\n"));
         assertTrue(call("POST", "/-/sim-runners/s-2/disable").startsWith("200"));
-        until(() -> {
+        waitUntil(() -> {
             exchange(port, requestBytes("/api", "c" + System.nanoTime(), "step-view", "", "Connection: close"));
-            return platform.seen.stream().anyMatch(line -> line.startsWith("s-1 "));
+            return platform.receivedRequests.stream().anyMatch(line -> line.startsWith("s-1 "));
         });
     }
 
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -21,12 +21,12 @@
     /** Guards against rejecting a forwarded request because of the garbage that follows it. */
     @Test
     void answersTheRequestInFlightBeforeRejectingGarbageBehindIt() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
             client.send(requestBytes("/api", "a", "mark-submit", ""));
-            until(() -> held.size() == 1);
+            waitUntil(() -> held.size() == 1);
             client.send(GARBAGE);
             awaitEventLoop(port);
             finish(held.get(0));
@@ -34,18 +34,18 @@
             assertEquals(400, client.read().status());
             assertNull(client.read());
         }
-        assertEquals(1, platform.seen.size());
+        assertEquals(1, platform.receivedRequests.size());
     }
 
     /** Guards against complete requests that get no response because more are pipelined than may wait. */
     @Test
     void answersEachOfTooManyPipelinedRequests() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
             client.send(requestBytes("/api", "a", "step-view", ""));
-            until(() -> held.size() == 1);
+            waitUntil(() -> held.size() == 1);
             Buffer more = Buffer.buffer();
             for (int i = 0; i < 5; i++) {
                 more.appendBuffer(requestBytes("/api", "more-" + i, "step-view", ""));
@@ -59,18 +59,18 @@
             }
             assertEquals(List.of(200, 429, 429, 429, 429, 429), statuses);
         }
-        assertEquals(1, platform.seen.size(), "no rejected request is forwarded");
+        assertEquals(1, platform.receivedRequests.size(), "no rejected request is forwarded");
     }
 
     /** Guards against a flood of bytes behind the request in flight that hides the close of its client. */
     @Test
     void noticesThatAClientLeavesBehindAFloodOfBytes() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         RawClient client = new RawClient(port);
         client.send(requestBytes("/api", "a", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 40"));
-        until(() -> held.size() == 1);
+        waitUntil(() -> held.size() == 1);
         // More than the kernel buffers for a connection that is not read: the close comes after all of it.
         CompletableFuture<Void> flood = CompletableFuture.runAsync(() -> {
             try {
@@ -81,7 +81,7 @@
             }
         });
         flood.get();
-        until(() -> !platform.dispatcher().frontends().get(0).hasConnections());
+        waitUntil(() -> !platform.dispatcher().frontends().get(0).hasConnections());
     }
 
     /**
@@ -90,7 +90,7 @@
      */
     @Test
     void lastResponseIsNotLostToUnreadBytes() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         List<HttpServerRequest> held = holdRequests();
         double start = System.currentTimeMillis();
         Clock clock = Clock.stoppedAt(start);
@@ -100,7 +100,7 @@
             client.send(requestBytes("/api", "a", "mark-submit", "", "Connection: close")
                     .toString()
                     .replace("X-Deadline: 4", "X-Deadline: 0.5"));
-            until(() -> held.size() == 1);
+            waitUntil(() -> held.size() == 1);
             BlockedEventLoop loop = new BlockedEventLoop(dispatcher);
             client.send("\r\nbytes that nobody asked for");
             // The coordinator ends the request at its deadline; the response waits for the blocked event loop, and the
@@ -119,7 +119,7 @@
             awaitEventLoop(port);
             client.send("and more: a connection that was closed would be reset by now");
         }
-        DispatcherOnStubPlatform.get(dispatcher.close());
+        DispatcherOnStubPlatform.awaitResult(dispatcher.close());
     }
 
     /**
@@ -128,7 +128,7 @@
      */
     @Test
     void neverAcceptsARequestThatCrossesTheCloseOfAnIdleConnection() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         int port = start();
         try (RawClient client = new RawClient(port)) {
             assertNull(client.read(), "a connection without a request is closed");
@@ -155,13 +155,13 @@
             client.send(requestBytes("/api", "c", "step-view", "1"));
             shutdown.get();
         }
-        assertEquals(1, platform.seen.size());
+        assertEquals(1, platform.receivedRequests.size());
     }
 
     /** Guards against resetting connections in the accept queue when the listener closes. */
     @Test
     void answersConnectionsInTheAcceptQueueBeforeShutdown() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         int port = start();
         DispatcherServer dispatcher = platform.dispatcher();
         try (RawClient first = new RawClient(port)) {
--- a/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 
 import com.google.gson.Gson;
 import io.vertx.core.http.HttpServerRequest;
@@ -52,7 +52,7 @@
     int start() throws Exception {
         DispatcherServer dispatcher = platform.start(config);
         int port = dispatcher.ports().get(0);
-        until(() -> isHealthy(port));
+        waitUntil(() -> isHealthy(port));
         return port;
     }
 
@@ -60,8 +60,8 @@
     DispatcherServer start(Clock clock) throws Exception {
         DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.parse(new Gson().toJson(config), Map.of()), clock, PlatformFrontend::new);
-        DispatcherOnStubPlatform.get(dispatcher.start());
-        until(() -> isHealthy(dispatcher.ports().get(0)));
+        DispatcherOnStubPlatform.awaitResult(dispatcher.start());
+        waitUntil(() -> isHealthy(dispatcher.ports().get(0)));
         return dispatcher;
     }
 
@@ -91,7 +91,7 @@
     /** Makes the endpoints hold each request until the test finishes it. */
     List<HttpServerRequest> holdRequests() {
         List<HttpServerRequest> held = new java.util.concurrent.CopyOnWriteArrayList<>();
-        platform.instead = held::add;
+        platform.requestOverride = held::add;
         return held;
     }
 
--- a/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
+++ b/src/test/java/nettlewick/net/DispatcherOnStubPlatform.java
@@ -38,9 +38,9 @@
                         factories.toArray(Frontend.Factory[]::new))
                 .withUsageRecorder(usageRecorder)
                 .withAdminServer(AdminFrontend::new);
-        get(dispatcher.start());
-        if (hasRunners()) {
-            until(dispatcher::hasEndpointList);
+        awaitResult(dispatcher.start());
+        if (hasEndpoints()) {
+            waitUntil(dispatcher::hasEndpointList);
         }
         return dispatcher;
     }
@@ -60,7 +60,7 @@
     public void close() {
         try {
             if (dispatcher != null) {
-                get(dispatcher.close());
+                awaitResult(dispatcher.close());
             }
         } catch (Exception e) {
             throw new IllegalStateException(e);
--- a/src/test/java/nettlewick/net/DispatcherServerTest.java
+++ b/src/test/java/nettlewick/net/DispatcherServerTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -51,10 +51,10 @@
     /** Starts a dispatcher with these endpoints and waits until it is healthy. */
     private int startHealthy(String... endpoints) throws Exception {
         for (String endpoint : endpoints) {
-            platform.addRunner(endpoint);
+            platform.addEndpoint(endpoint);
         }
         int port = platform.start().ports().get(0);
-        until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
+        waitUntil(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
         return port;
     }
 
@@ -93,7 +93,7 @@
         String response = send(port, requestBytes(uri, "00Ab", "save-run", "{\"x\": 1}", "Idempotency-Key: K-1"));
         assertTrue(response.startsWith("HTTP/1.1 200"), response);
         assertTrue(response.endsWith("\r\n\r\nr-00Ab"), response);
-        assertEquals(List.of("s-1 POST " + uri + " 00Ab K-1 {\"x\": 1}"), platform.seen);
+        assertEquals(List.of("s-1 POST " + uri + " 00Ab K-1 {\"x\": 1}"), platform.receivedRequests);
     }
 
     @Test
@@ -117,7 +117,7 @@
         }
         assertEquals(List.of("400", "413", "404", "405", "400", "400", "400", "400", "400"), statuses);
         assertTrue(send(port, requestBytes("/api", "ok", "step-view", "")).contains("r-ok"));
-        assertEquals(1, platform.seen.size());
+        assertEquals(1, platform.receivedRequests.size());
     }
 
     /**
@@ -126,11 +126,11 @@
      */
     @Test
     void idleClientsAreEvictedBeforeSocketsRunOut() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         Map<String, Object> config = platform.config();
         config.put("limits", Map.of("sockets", 90));
         int port = platform.start(config).ports().get(0);
-        until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
+        waitUntil(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
         List<Socket> idleClients = new ArrayList<>();
         try (Socket activeClient = new Socket("127.0.0.1", port)) {
             for (int i = 0; i < 120; i++) {
@@ -164,11 +164,20 @@
     @Test
     void retriesOnlyWhatIsIdempotentOnceItMayHaveRun() throws Exception {
         int port = startHealthy("s-1", "s-2", "s-3");
-        platform.instead = request -> request.connection().close();
+        platform.requestOverride = request -> request.connection().close();
         assertTrue(send(port, requestBytes("/api", "m", "mark-submit", "")).contains(" 502 "));
-        assertEquals(1, platform.seen.stream().filter(s -> s.contains(" m ")).count());
+        assertEquals(
+                1,
+                platform.receivedRequests.stream()
+                        .filter(s -> s.contains(" m "))
+                        .count());
         send(port, requestBytes("/api", "v", "step-view", ""));
-        assertTrue(platform.seen.stream().filter(s -> s.contains(" v ")).count() > 1, platform.seen.toString());
+        assertTrue(
+                platform.receivedRequests.stream()
+                                .filter(s -> s.contains(" v "))
+                                .count()
+                        > 1,
+                platform.receivedRequests.toString());
     }
 
     /**
@@ -177,9 +186,9 @@
      */
     @Test
     void usesNewConnectionsWhileIdleOnesBreak() throws Exception {
-        platform.resetKept = true;
+        platform.resetReusedConnections = true;
         int port = startHealthy("s-1", "s-2");
-        until(() -> platform.resets.get() > 3);
+        waitUntil(() -> platform.resetCount.get() > 3);
         for (int i = 0; i < 20; i++) {
             assertTrue(send(port, requestBytes("/api", "m" + i, "mark-submit", "{}"))
                     .endsWith("r-m" + i));
@@ -189,49 +198,54 @@
     @Test
     void requestThatNeverRanIsRetriedElsewhere() throws Exception {
         int port = startHealthy("s-1", "s-2", "s-3");
-        platform.instead = request -> {
-            platform.instead = null;
+        platform.requestOverride = request -> {
+            platform.requestOverride = null;
             request.response().setStatusCode(503).putHeader("X-Not-Run", "1").end();
         };
         assertTrue(send(port, requestBytes("/api", "m", "mark-submit", "")).contains("r-m"));
-        assertEquals(2, platform.seen.size());
+        assertEquals(2, platform.receivedRequests.size());
     }
 
     @Test
     void drainingEndpointGetsNothingNewAndABrokenWatchResumes() throws Exception {
         int port = startHealthy("s-1");
-        platform.breakWatches();
-        until(() -> platform.watches.size() == 2);
-        assertTrue(platform.watches.get(1).endsWith("after=2"), platform.watches.toString());
-        platform.addRunner("s-2");
-        platform.tell("s-1", "Terminating");
-        until(() -> send(port, requestBytes("/api", "a" + System.nanoTime(), "step-view", ""))
+        platform.resetWatches();
+        waitUntil(() -> platform.discoveryRequests.size() == 2);
+        assertTrue(platform.discoveryRequests.get(1).endsWith("after=2"), platform.discoveryRequests.toString());
+        platform.addEndpoint("s-2");
+        platform.announceHealth("s-1", "Terminating");
+        waitUntil(() -> send(port, requestBytes("/api", "a" + System.nanoTime(), "step-view", ""))
                         .contains(" 200 ")
-                && platform.seen.get(platform.seen.size() - 1).startsWith("s-2"));
-        int before = platform.seen.size();
+                && platform.receivedRequests
+                        .get(platform.receivedRequests.size() - 1)
+                        .startsWith("s-2"));
+        int before = platform.receivedRequests.size();
         for (int i = 0; i < 5; i++) {
             send(port, requestBytes("/api", "b" + i, "step-view", ""));
         }
-        assertTrue(platform.seen.subList(before, before + 5).stream().allMatch(s -> s.startsWith("s-2")));
+        assertTrue(
+                platform.receivedRequests.subList(before, before + 5).stream().allMatch(s -> s.startsWith("s-2")));
     }
 
     @Test
     void completeListReplacesTheKnownOne() throws Exception {
         int port = startHealthy("s-1", "s-2");
-        platform.forget("s-1");
-        platform.breakWatches();
-        until(() -> platform.watches.size() == 2);
-        platform.tell("s-2", "Ready");
-        until(() -> send(port, requestBytes("/api", "a" + System.nanoTime(), "step-view", ""))
+        platform.removeFromDiscovery("s-1");
+        platform.resetWatches();
+        waitUntil(() -> platform.discoveryRequests.size() == 2);
+        platform.announceHealth("s-2", "Ready");
+        waitUntil(() -> send(port, requestBytes("/api", "a" + System.nanoTime(), "step-view", ""))
                         .contains(" 200 ")
-                && platform.seen.get(platform.seen.size() - 1).startsWith("s-2"));
-        int before = platform.seen.size();
+                && platform.receivedRequests
+                        .get(platform.receivedRequests.size() - 1)
+                        .startsWith("s-2"));
+        int before = platform.receivedRequests.size();
         for (int i = 0; i < 8; i++) {
             send(port, requestBytes("/api", "b" + i, "step-view", ""));
         }
         assertEquals(
                 8,
-                platform.seen.stream()
+                platform.receivedRequests.stream()
                         .skip(before)
                         .filter(s -> s.startsWith("s-2"))
                         .count());
@@ -250,7 +264,7 @@
             for (int i = 0; i < 2; i++) {
                 queuedConnections.add(new Socket("127.0.0.1", unresponsive.getLocalPort()));
             }
-            platform.addRunner("s-0", unresponsive.getLocalPort());
+            platform.addEndpoint("s-0", unresponsive.getLocalPort());
             int port = startHealthy("s-1");
             for (int i = 0; i < 12; i++) {
                 double before = System.nanoTime();
@@ -258,7 +272,7 @@
                         .contains("r-m" + i));
                 assertTrue(System.nanoTime() - before < 1.5e9, "the connect timeout of 200 ms applies");
             }
-            assertEquals(12, platform.seen.size());
+            assertEquals(12, platform.receivedRequests.size());
         } finally {
             for (Socket s : queuedConnections) {
                 s.close();
@@ -268,23 +282,23 @@
 
     @Test
     void gracefulShutdownAnswersAllAcceptedRequests() throws Exception {
-        platform.addRunner("s-1");
-        platform.runTime = 1200;
+        platform.addEndpoint("s-1");
+        platform.executionMillis = 1200;
         DispatcherServer dispatcher = platform.start();
         int port = dispatcher.ports().get(0);
-        until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
+        waitUntil(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
         CompletableFuture<String> inFlight =
                 CompletableFuture.supplyAsync(() -> send(port, requestBytes("/api", "t", "mark-submit", "")));
-        until(() -> platform.seen.size() == 1);
+        waitUntil(() -> platform.receivedRequests.size() == 1);
         try (Socket idle = new Socket("127.0.0.1", port);
                 Socket open = new Socket("127.0.0.1", port)) {
             CompletableFuture<Void> shutdown = CompletableFuture.runAsync(dispatcher::shutDown);
-            until(() -> send(port, HEALTH).contains(" 503 "));
+            waitUntil(() -> send(port, HEALTH).contains(" 503 "));
             String late = send(port, requestBytes("/api", "late", "step-view", ""));
             assertTrue(late.endsWith("r-late"), "still accepting: " + late);
             // Closing open connections at once would interrupt service for clients that have no other server.
-            until(() -> send(port, HEALTH).startsWith("broken"));
-            platform.runTime = 20;
+            waitUntil(() -> send(port, HEALTH).startsWith("broken"));
+            platform.executionMillis = 20;
             open.getOutputStream()
                     .write(requestBytes("/api", "kept", "step-view", "").getBytes());
             byte[] response = new byte[4096];
@@ -315,17 +329,17 @@
                     List.of("name"),
                     PlatformConfig.parse(originalConfig, Map.of()).restartOnlyChanges(moved));
             dispatcher.reload(moved);
-            until(() -> dispatcher.discovery().port() == 1);
+            waitUntil(() -> dispatcher.discovery().port() == 1);
             assertTrue(
                     send(port, requestBytes("/api", "a", "step-view", "")).endsWith("r-a"),
                     "served from the current list");
-            otherPlatform.addRunner("s-2");
+            otherPlatform.addEndpoint("s-2");
             dispatcher.reload(PlatformConfig.parse(new Gson().toJson(otherPlatform.config()), Map.of()));
-            until(() -> otherPlatform.watches.size() == 1);
-            assertEquals("/catalog/members?watch=1", otherPlatform.watches.get(0));
-            until(() -> send(port, requestBytes("/api", "b" + System.nanoTime(), "step-view", ""))
+            waitUntil(() -> otherPlatform.discoveryRequests.size() == 1);
+            assertEquals("/catalog/members?watch=1", otherPlatform.discoveryRequests.get(0));
+            waitUntil(() -> send(port, requestBytes("/api", "b" + System.nanoTime(), "step-view", ""))
                             .contains(" 200 ")
-                    && otherPlatform.seen.size() > 0);
+                    && otherPlatform.receivedRequests.size() > 0);
         }
     }
 
@@ -349,10 +363,10 @@
 
     @Test
     void oneInvalidEntryDoesNotAffectTheOthers() throws Exception {
-        platform.addRunner("s-1");
-        platform.tell("s-0", "Odd");
+        platform.addEndpoint("s-1");
+        platform.announceHealth("s-0", "Odd");
         int port = platform.start().ports().get(0);
-        until(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
+        waitUntil(() -> send(port, HEALTH).startsWith("HTTP/1.1 200"));
         assertTrue(send(port, requestBytes("/api", "a", "step-view", "")).endsWith("r-a"));
     }
 
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,12 +19,12 @@
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
             try (RawClient client = new RawClient(port)) {
                 long sentAt = System.nanoTime();
                 client.send(requestBytes("/api", "late", "step-view", ""));
-                until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+                waitUntil(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
                 endpoint.startAccepting();
                 long[] receivedAt = new long[1];
                 endpoint.script = (request, socket) -> {
@@ -42,7 +42,7 @@
     void countsTimeSpentBehindAPipelinedRequest() throws Exception {
         setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
             CountDownLatch release = new CountDownLatch(1);
             long[] receivedAt = new long[1];
@@ -58,8 +58,8 @@
                 client.send(
                         requestBytes("/api", "first", "step-view", ""),
                         requestBytes("/api", "second", "step-view", ""));
-                until(() -> endpoint.received.size() == 1);
-                until(() -> System.nanoTime() - sentAt > 600_000_000L);
+                waitUntil(() -> endpoint.received.size() == 1);
+                waitUntil(() -> System.nanoTime() - sentAt > 600_000_000L);
                 release.countDown();
                 assertEquals("r-first", client.read().body());
                 assertEquals("r-second", client.read().body());
@@ -73,7 +73,7 @@
     void countsTimeSpentUnreadInTheSocket() throws Exception {
         setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
             long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
@@ -84,7 +84,7 @@
                 BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
                 long sentAt = System.nanoTime();
                 client.send(requestBytes("/api", "unread", "step-view", ""));
-                until(() -> System.nanoTime() - sentAt > 500_000_000L);
+                waitUntil(() -> System.nanoTime() - sentAt > 500_000_000L);
                 loop.release();
                 assertEquals("r-unread", client.read().body());
                 assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(0));
@@ -100,7 +100,7 @@
     void countsTimeSpentInTheAcceptQueue() throws Exception {
         setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
             long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
@@ -116,7 +116,7 @@
             try (RawClient client = new RawClient(port)) {
                 long sentAt = System.nanoTime();
                 client.send(requestBytes("/api", "new", "step-view", ""));
-                until(() -> System.nanoTime() - sentAt > 500_000_000L);
+                waitUntil(() -> System.nanoTime() - sentAt > 500_000_000L);
                 acceptorReleased.countDown();
                 loop.release();
                 assertEquals("r-new", client.read().body());
--- a/src/test/java/nettlewick/net/FragmentedMessagesTest.java
+++ b/src/test/java/nettlewick/net/FragmentedMessagesTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.get;
+import static nettlewick.net.DispatcherOnStubPlatform.awaitResult;
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -33,7 +33,7 @@
 
     @AfterEach
     void close() throws Exception {
-        get(vertx.close());
+        awaitResult(vertx.close());
     }
 
     private static Buffer chunk(String line) {
@@ -75,9 +75,9 @@
                 }
             }));
         });
-        get(endpoint.listen(0, "127.0.0.1"));
+        awaitResult(endpoint.listen(0, "127.0.0.1"));
         try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
-            platform.addRunner("s-1", endpoint.actualPort());
+            platform.addEndpoint("s-1", endpoint.actualPort());
             int port = platform.start().ports().get(0);
             for (; cut.get() < response.length(); cut.incrementAndGet()) {
                 try (Socket client = new Socket("127.0.0.1", port)) {
@@ -122,7 +122,7 @@
                         return false;
                     }
                 });
-        int port = get(adminFrontend.listen());
+        int port = awaitResult(adminFrontend.listen());
         byte[] call = "POST /-/sim-runners/s-%C3%A9/disable HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"
                 .getBytes(StandardCharsets.US_ASCII);
         for (int cut = 1; cut < call.length; cut++) {
@@ -136,6 +136,6 @@
             assertEquals(cut, calls.size());
         }
         assertEquals(List.of("s-étrue"), calls.stream().distinct().toList());
-        get(adminFrontend.close());
+        awaitResult(adminFrontend.close());
     }
 }
--- a/src/test/java/nettlewick/net/HotRestartTest.java
+++ b/src/test/java/nettlewick/net/HotRestartTest.java
@@ -1,8 +1,8 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.get;
+import static nettlewick.net.DispatcherOnStubPlatform.awaitResult;
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -77,8 +77,8 @@
     @Test
     void successorTakesOverWithoutRejectingARequest(@TempDir Path dir) throws Exception {
         try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
-            platform.addRunner("s-1");
-            platform.runTime = 2;
+            platform.addEndpoint("s-1");
+            platform.executionMillis = 2;
             int port = freePort();
             Map<String, Object> configFields = platform.config();
             configFields.put("listen", "127.0.0.1:" + port);
@@ -87,15 +87,15 @@
             PlatformConfig config = PlatformConfig.parse(new Gson().toJson(configFields), Map.of());
             DispatcherServer predecessor =
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 1), PlatformFrontend::new);
-            get(predecessor.start());
-            until(predecessor::hasEndpointList);
+            awaitResult(predecessor.start());
+            waitUntil(predecessor::hasEndpointList);
             Socket keptConnection = new Socket("127.0.0.1", port);
             assertTrue(exchange(keptConnection, "before").contains("200"));
             DispatcherServer successor =
                     new DispatcherServer(config, Clock.system(), new HotRestart(dir, "n0", 2), PlatformFrontend::new);
-            get(successor.start());
+            awaitResult(successor.start());
             CompletableFuture<Void> shutdown = CompletableFuture.runAsync(predecessor::shutDown);
-            until(() -> predecessor.serviceState().isDrainingOrStopping());
+            waitUntil(() -> predecessor.serviceState().isDrainingOrStopping());
             int requests = 0;
             // The open connection is served by the predecessor while it lives, and then closed.
             String lastResponse = exchange(keptConnection, "kept");
@@ -106,8 +106,8 @@
                     assertTrue(exchange(newConnection, "j" + requests++).startsWith("HTTP/1.1 200"));
                 }
             }
-            until(() -> successor.peerSocket().isBound());
-            get(predecessor.close());
+            waitUntil(() -> successor.peerSocket().isBound());
+            awaitResult(predecessor.close());
             try (Socket socket = new Socket("127.0.0.1", port)) {
                 socket.getOutputStream()
                         .write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
@@ -115,7 +115,7 @@
                 assertTrue(new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                         .startsWith("HTTP/1.1 200"));
             }
-            get(successor.close());
+            awaitResult(successor.close());
         }
     }
 }
--- a/src/test/java/nettlewick/net/IdleClientFloodTest.java
+++ b/src/test/java/nettlewick/net/IdleClientFloodTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -34,7 +34,7 @@
         platform = new DispatcherOnStubPlatform();
         config = platform.config();
         config.put("limits", Map.of("cores", 0.5, "memory_mb", 144, "sockets", SOCKETS));
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
     }
 
     @AfterEach
@@ -66,18 +66,18 @@
     void reachesDiscoveryAndEndpointsDespiteIdleClients() throws Exception {
         DispatcherServer dispatcher = platform.start(config);
         int port = dispatcher.ports().get(0);
-        until(() -> isServed(port, "first" + System.nanoTime()));
-        platform.discoveryInstead = request -> request.connection().close();
-        platform.breakWatches();
+        waitUntil(() -> isServed(port, "first" + System.nanoTime()));
+        platform.discoveryOverride = request -> request.connection().close();
+        platform.resetWatches();
         connectIdleClients(port);
-        until(() -> isServed(port, "crowded" + System.nanoTime()));
+        waitUntil(() -> isServed(port, "crowded" + System.nanoTime()));
         // Discovery is back and lists another endpoint: it is called, and the endpoint is reached, while the idle
         // clients stay.
-        platform.addRunner("s-2");
-        platform.tell("s-1", "Terminating");
-        platform.discoveryInstead = null;
-        until(() -> isServed(port, "back" + System.nanoTime())
-                && platform.seen.stream().anyMatch(s -> s.startsWith("s-2 ")));
+        platform.addEndpoint("s-2");
+        platform.announceHealth("s-1", "Terminating");
+        platform.discoveryOverride = null;
+        waitUntil(() -> isServed(port, "back" + System.nanoTime())
+                && platform.receivedRequests.stream().anyMatch(s -> s.startsWith("s-2 ")));
         assertTrue(dispatcher.hasEndpointList());
     }
 
@@ -88,11 +88,11 @@
     @Test
     void restartedDispatcherIsReadyWithoutDiscovery() throws Exception {
         ConcurrentLinkedQueue<HttpServerRequest> unansweredWatches = new ConcurrentLinkedQueue<>();
-        platform.discoveryInstead = unansweredWatches::add;
-        config.put("known", platform.known());
+        platform.discoveryOverride = unansweredWatches::add;
+        config.put("known", platform.currentEndpointList());
         DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.parse(new Gson().toJson(config), Map.of()), Clock.system(), PlatformFrontend::new);
-        DispatcherOnStubPlatform.get(dispatcher.start());
+        DispatcherOnStubPlatform.awaitResult(dispatcher.start());
         int port = dispatcher.ports().get(0);
         connectIdleClients(port);
         try (RawClient client = new RawClient(port)) {
@@ -103,6 +103,6 @@
                             .status());
         }
         assertTrue(isServed(port, "known"));
-        DispatcherOnStubPlatform.get(dispatcher.close());
+        DispatcherOnStubPlatform.awaitResult(dispatcher.close());
     }
 }
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -22,15 +22,15 @@
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
             RawClient departedClient = new RawClient(port);
             departedClient.send(requestBytes("/api", "gone", "mark-submit", ""));
-            until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+            waitUntil(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
             departedClient.close();
-            until(() -> !platform.dispatcher().frontends().get(0).hasConnections());
+            waitUntil(() -> !platform.dispatcher().frontends().get(0).hasConnections());
             endpoint.startAccepting();
-            until(() -> endpoint.accepted.size() == 1);
+            waitUntil(() -> endpoint.accepted.size() == 1);
             awaitEventLoop(port);
             try (RawClient remainingClient = new RawClient(port)) {
                 assertEquals(
@@ -51,15 +51,15 @@
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
             RawClient departedClient = new RawClient(port);
             departedClient.send(requestBytes("/api", "gone", "mark-submit", ""));
-            until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+            waitUntil(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
             BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
             // While the loop is blocked, the endpoint accepts the connection, and then the client leaves.
             endpoint.startAccepting();
-            until(() -> endpoint.accepted.size() == 1);
+            waitUntil(() -> endpoint.accepted.size() == 1);
             departedClient.close();
             loop.release();
             awaitEventLoop(port);
@@ -88,14 +88,15 @@
                     DispatcherOnStubPlatform ownPlatform = new DispatcherOnStubPlatform()) {
                 Map<String, Object> ownConfig = ownPlatform.config();
                 ownConfig.put("settings", config.get("settings"));
-                ownPlatform.addRunner("s-1", endpoint.port());
+                ownPlatform.addEndpoint("s-1", endpoint.port());
                 int port = ownPlatform.start(ownConfig).ports().get(0);
-                until(() -> isHealthy(port));
+                waitUntil(() -> isHealthy(port));
                 try (RawClient client = new RawClient(port)) {
                     client.send(requestBytes("/api", "a", "mark-submit", ""));
-                    until(() -> ownPlatform.dispatcher().endpointPools().pendingConnects() == 1);
-                    ownPlatform.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
-                    until(() -> ownPlatform.dispatcher().endpointPools().updatesOf("s-1") == 2);
+                    waitUntil(() -> ownPlatform.dispatcher().endpointPools().pendingConnects() == 1);
+                    ownPlatform.announceHealth(
+                            "s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
+                    waitUntil(() -> ownPlatform.dispatcher().endpointPools().updatesOf("s-1") == 2);
                     endpoint.startAccepting();
                     assertEquals(503, client.read().status());
                     assertEquals(List.of(), endpoint.receivedIds());
@@ -120,7 +121,7 @@
         settings.put("classes", classes);
         try (RawEndpoint first = new RawEndpoint().startAccepting();
                 RawEndpoint second = new RawEndpoint().fillAcceptQueue()) {
-            platform.addRunner("s-1", first.port());
+            platform.addEndpoint("s-1", first.port());
             int port = start();
             CountDownLatch secondListed = new CountDownLatch(1);
             first.script = (request, socket) -> {
@@ -132,12 +133,12 @@
                 client.send(requestBytes("/api", "k", "save-run", "", "Idempotency-Key: K")
                         .toString()
                         .replace("X-Deadline: 4", "X-Deadline: 12"));
-                until(() -> first.received.size() == 1);
-                platform.addRunner("s-2", second.port());
-                until(() -> platform.dispatcher().endpointPools().updatesOf("s-2") == 1);
+                waitUntil(() -> first.received.size() == 1);
+                platform.addEndpoint("s-2", second.port());
+                waitUntil(() -> platform.dispatcher().endpointPools().updatesOf("s-2") == 1);
                 secondListed.countDown();
-                until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
-                until(() -> System.nanoTime() - sentAt > 1_600_000_000L);
+                waitUntil(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+                waitUntil(() -> System.nanoTime() - sentAt > 1_600_000_000L);
                 second.startAccepting();
                 assertEquals(502, client.read().status(), "it may have run and can no longer be retried");
                 assertEquals(List.of(), second.receivedIds());
--- a/src/test/java/nettlewick/net/MalformedResponseTest.java
+++ b/src/test/java/nettlewick/net/MalformedResponseTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -132,7 +132,7 @@
     void open() throws Exception {
         platform = new DispatcherOnStubPlatform();
         endpoint = new RawEndpoint().startAccepting();
-        platform.addRunner("s-1", endpoint.port());
+        platform.addEndpoint("s-1", endpoint.port());
         Map<String, Object> config = platform.config();
         @SuppressWarnings("unchecked")
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
@@ -141,7 +141,7 @@
         limits.put("probes", false);
         settings.put("ceilings", limits);
         port = platform.start(config).ports().get(0);
-        until(() -> {
+        waitUntil(() -> {
             try (RawClient client = new RawClient(port)) {
                 return client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
                                 .read()
@@ -197,12 +197,12 @@
         departedClient.send(requestWithShortDeadline("first")
                 + requestWithShortDeadline("second")
                 + requestWithShortDeadline("third"));
-        until(() -> endpoint.received.size() == 1);
+        waitUntil(() -> endpoint.received.size() == 1);
         departedClient.close();
-        until(() -> !platform.dispatcher().frontends().get(0).hasConnections());
+        waitUntil(() -> !platform.dispatcher().frontends().get(0).hasConnections());
         endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
         try (RawClient remainingClient = new RawClient(port)) {
-            until(() -> {
+            waitUntil(() -> {
                 try {
                     return remainingClient
                                     .send(requestBytes("/api", "x" + System.nanoTime(), "step-view", ""))
--- a/src/test/java/nettlewick/net/MismatchedResponseTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -17,7 +17,7 @@
     void lineForAnotherRequestFailsTheAttempt() throws Exception {
         setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
             endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.servedResponse("another"));
             try (RawClient client = new RawClient(port)) {
@@ -37,7 +37,7 @@
     void ignoresASecondResponseOnAnIdleConnection() throws Exception {
         setCeiling("probes", false);
         try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
-            platform.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             DispatcherServer dispatcher = start(Clock.stoppedAt(System.currentTimeMillis()));
             int port = dispatcher.ports().get(0);
             Promise<Void> sendDuplicate = Promise.promise();
@@ -77,20 +77,20 @@
             assertNotEquals(
                     endpoint.received.get(0).connection(),
                     endpoint.received.get(1).connection());
-            DispatcherOnStubPlatform.get(dispatcher.close());
+            DispatcherOnStubPlatform.awaitResult(dispatcher.close());
         }
     }
 
     /** Guards against ignoring all changes after discovery has restarted its version numbers. */
     @Test
     void requestsTheCompleteListWhenVersionsRestart() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         int port = start();
-        platform.startVersionsAnew();
-        platform.tell("s-1", "Terminating");
-        until(() -> platform.watches.size() >= 2);
-        assertEquals("/catalog/members?watch=1", platform.watches.get(1));
-        until(() -> {
+        platform.resetVersions();
+        platform.announceHealth("s-1", "Terminating");
+        waitUntil(() -> platform.discoveryRequests.size() >= 2);
+        assertEquals("/catalog/members?watch=1", platform.discoveryRequests.get(1));
+        waitUntil(() -> {
             try (RawClient client = new RawClient(port)) {
                 return client.send(requestBytes("/api", "x" + System.nanoTime(), "mark-submit", "1"))
                                 .read()
--- a/src/test/java/nettlewick/net/StartupTest.java
+++ b/src/test/java/nettlewick/net/StartupTest.java
@@ -21,10 +21,10 @@
 
     @BeforeEach
     void configure() throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         port = ReservedPorts.reserve();
         config.put("listen", "127.0.0.1:" + port);
-        config.put("known", platform.known());
+        config.put("known", platform.currentEndpointList());
     }
 
     private CompletableFuture<Void> startInBackground(Frontend.Factory... additionalFactories) {
--- a/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/nettlewick/net/discovery/DiscoveryWatchTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net.discovery;
 
-import static nettlewick.stubs.StubPlatform.get;
-import static nettlewick.stubs.StubPlatform.until;
+import static nettlewick.stubs.StubPlatform.awaitResult;
+import static nettlewick.stubs.StubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.vertx.core.Vertx;
@@ -26,7 +26,7 @@
 
     @AfterEach
     void close() throws Exception {
-        get(vertx.close());
+        awaitResult(vertx.close());
     }
 
     private static Buffer chunk(String line) {
@@ -51,7 +51,7 @@
             socket.exceptionHandler(e -> {});
             socket.handler(request -> write(socket, response, cut.incrementAndGet()));
         });
-        get(discovery.listen(0, "127.0.0.1"));
+        awaitResult(discovery.listen(0, "127.0.0.1"));
         SocketAddress address = SocketAddress.inetSocketAddress(discovery.actualPort(), "127.0.0.1");
         List<String> receivedIds = new CopyOnWriteArrayList<>();
         for (int i = 1; i < response.length(); i++) {
@@ -64,7 +64,7 @@
                             receivedIds.add(snapshot.endpoints().get(0).entry().id()));
             watch.start(null);
             int expectedCount = i;
-            until(() -> receivedIds.size() >= expectedCount);
+            waitUntil(() -> receivedIds.size() >= expectedCount);
             watch.stop();
         }
         assertEquals(List.of("s-é✓"), receivedIds.stream().distinct().toList());
--- a/src/test/java/nettlewick/net/peer/PeerSocketTest.java
+++ b/src/test/java/nettlewick/net/peer/PeerSocketTest.java
@@ -40,7 +40,8 @@
             PeerSocket socket = new PeerSocket(vertx, PlatformConfig.parse(new Gson().toJson(config), Map.of()));
             socket.send(1, new byte[4]);
             BlockingQueue<String> receivedMessages = new LinkedBlockingQueue<>();
-            DispatcherOnStubPlatform.get(socket.listen((rank, data) -> receivedMessages.add(rank + " " + data.length)));
+            DispatcherOnStubPlatform.awaitResult(
+                    socket.listen((rank, data) -> receivedMessages.add(rank + " " + data.length)));
             unknownSender.send(new DatagramPacket(new byte[7], 7, loopback, ownPort));
             peer.send(new DatagramPacket(new byte[257], 257, loopback, ownPort));
             peer.send(new DatagramPacket(new byte[256], 256, loopback, ownPort));
@@ -57,7 +58,7 @@
             peer.receive(received);
             assertEquals(5, received.getLength());
         } finally {
-            DispatcherOnStubPlatform.get(vertx.close());
+            DispatcherOnStubPlatform.awaitResult(vertx.close());
         }
     }
 }
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -200,7 +200,7 @@
     void servedTrafficIsWrittenReadAndReplayed() throws Exception {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1");
+            world.addEndpoint("s-1");
             CaptureWriter writer = new CaptureWriter(file, Clock.system(), 1 << 20);
             int port = world.start(base -> new PlatformFrontend(base, writer))
                     .ports()
@@ -208,7 +208,7 @@
             var client = world.vertx.createHttpClient(new HttpClientOptions().setDefaultPort(port));
             for (String id : List.of("a", "b")) {
                 String body = "x".repeat(3000) + id;
-                DispatcherOnStubPlatform.get(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
+                DispatcherOnStubPlatform.awaitResult(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
                         .compose(r -> r.putHeader("X-Request-Id", id)
                                 .putHeader("X-Class", "save-run")
                                 .putHeader("X-Deadline", "4")
@@ -220,7 +220,7 @@
         assertEquals(List.of("/api/a", "/api/b"), uris(c));
         assertEquals("x".repeat(3000) + "b", c.requests().get(1).body().toString());
         try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1");
+            world.addEndpoint("s-1");
             AtomicReference<CaptureReplayer> front = new AtomicReference<>();
             world.start(base -> {
                 front.set(new CaptureReplayer(base, c));
@@ -228,8 +228,8 @@
             });
             assertEquals(
                     new CaptureReplayer.Summary(2, 2, 0, 0, 0, 0),
-                    DispatcherOnStubPlatform.get(front.get().whenDone()));
-            assertEquals(2, world.seen.size());
+                    DispatcherOnStubPlatform.awaitResult(front.get().whenDone()));
+            assertEquals(2, world.receivedRequests.size());
         }
     }
 
