--- a/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
@@ -1,6 +1,6 @@
 package nettlewick.sse;
 
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -47,7 +47,7 @@
 
     private void start(String more, String... runners) throws Exception {
         for (String runner : runners) {
-            world.addRunner(runner);
+            world.addEndpoint(runner);
         }
         EventStreamConfig edge = EventStreamConfig.of(
                 Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n" + more + "\n}")
@@ -76,7 +76,7 @@
 
     @Test
     void aRequestIsReportedFromItsStartToOneResult() throws Exception {
-        world.runTime = 100;
+        world.executionMillis = 100;
         start("", "s-1");
         EventStreamClient w = streamClient("j", "step-view").post(client);
         awaitEnd(w);
@@ -86,7 +86,7 @@
                         new EventStreamClient.ReceivedEvent(2, "progress", "{\"share\":0.5}"),
                         new EventStreamClient.ReceivedEvent(3, "result", "{\"result\":\"r-j\"}")),
                 w.events);
-        DispatcherOnStubPlatform.until(() -> metrics.snapshot().inFlightRequests() == 0);
+        DispatcherOnStubPlatform.waitUntil(() -> metrics.snapshot().inFlightRequests() == 0);
         assertEquals(List.of(1L, 0L, 0L), metrics.snapshot().endsByClass().get("step-view"));
         assertTrue(w.rawText.startsWith("retry: 1000\n\n"), w.rawText);
         assertTrue(w.rawText.contains("\n:\n\n"), "a heartbeat: " + w.rawText);
@@ -94,10 +94,10 @@
 
     @Test
     void aRepeatedNonIdempotentRequestAttachesAndRunsOnce() throws Exception {
-        world.runTime = 200;
+        world.executionMillis = 200;
         start("", "s-1");
         EventStreamClient w = streamClient("m", "mark-submit").post(client);
-        until(() -> w.events.size() == 1);
+        waitUntil(() -> w.events.size() == 1);
         w.reconnect(client);
         awaitEnd(w);
         assertEquals(1, w.finalEventCount());
@@ -107,7 +107,7 @@
         EventStreamClient late = streamClient("m", "mark-submit").post(client);
         awaitEnd(late);
         assertEquals("{\"result\":\"r-m\"}", late.lastEvent().data());
-        assertEquals(1, world.runs.get("m").get());
+        assertEquals(1, world.executionCounts.get("m").get());
         EventStreamClient thief = streamClient("m", "step-view").post(client);
         awaitEnd(thief);
         assertEquals(409, thief.status);
@@ -137,21 +137,21 @@
         awaitEnd(lived);
         assertEquals("failed", lived.lastEvent().name());
         assertEquals(8, lived.lastEvent().id());
-        assertNull(world.runs.get("p"));
+        assertNull(world.executionCounts.get("p"));
         awaitEnd(streamClient("q", "mark-submit").post(client));
         EventStreamClient again = streamClient("q", "mark-submit").post(client);
         awaitEnd(again);
         assertEquals("failed", again.lastEvent().name());
-        assertEquals(1, world.runs.get("q").get());
+        assertEquals(1, world.executionCounts.get("q").get());
     }
 
     @Test
     void aRequestWithoutSubscribersIsAbandonedAfterItsGracePeriod() throws Exception {
-        world.runTime = 600;
+        world.executionMillis = 600;
         start("grace 50ms", "s-1");
         EventStreamClient back = streamClient("b", "step-view").post(client);
         EventStreamClient gone = streamClient("d", "step-view").post(client);
-        until(() -> back.events.size() == 1 && gone.events.size() == 1);
+        waitUntil(() -> back.events.size() == 1 && gone.events.size() == 1);
         back.reconnect(client);
         gone.disconnect();
         awaitEnd(back);
@@ -159,7 +159,7 @@
         EventStreamClient late = streamClient("d", "step-view").get(client);
         awaitEnd(late);
         assertEquals("{\"reason\":\"its client went away\"}", late.lastEvent().data());
-        assertEquals(1, world.runs.get("d").get());
+        assertEquals(1, world.executionCounts.get("d").get());
     }
 
     /** The events kept for a client that does not read are bounded, and it gets the final one complete in the end. */
@@ -167,7 +167,7 @@
     void aSlowSubscriberLosesProgressButNotTheFinalEvent() throws Exception {
         String big = "x".repeat(60_000);
         start("", "s-1");
-        world.instead = request -> {
+        world.requestOverride = request -> {
             request.response().setChunked(true);
             for (int i = 0; i < 20_000; i++) {
                 request.response().write("{\"state\":\"running\",\"share\":0.25}\n");
@@ -208,17 +208,17 @@
         List<String> alive = new ArrayList<>(List.of("s-0", "s-1", "s-2", "s-3"));
         String[] classes = {"mark-submit", "step-view", "save-run"};
         for (int step = 0; step < 160; step++) {
-            world.runTime = 10 + random.nextInt(80);
+            world.executionMillis = 10 + random.nextInt(80);
             all.add(streamClient("r" + step, classes[random.nextInt(3)]).post(client));
             if (step % 20 == 10) {
                 String fresh = "s-" + (4 + step);
-                world.addRunner(fresh);
+                world.addEndpoint(fresh);
                 alive.add(fresh);
                 String victim = alive.remove(random.nextInt(alive.size() - 1));
                 if (random.nextBoolean()) {
                     world.kill(victim);
                 } else {
-                    world.tell(victim, "Terminating");
+                    world.announceHealth(victim, "Terminating");
                 }
             }
             EventStreamClient some = all.get(random.nextInt(all.size()));
@@ -227,7 +227,7 @@
             }
             TimeUnit.MILLISECONDS.sleep(random.nextInt(12));
             // A slow machine is given fewer requests a second, not more at once than the endpoints have room for.
-            until(() -> all.stream().filter(w -> w.finalEventCount() == 0).count() < MAX_UNFINISHED);
+            waitUntil(() -> all.stream().filter(w -> w.finalEventCount() == 0).count() < MAX_UNFINISHED);
         }
         for (EventStreamClient w : all) {
             awaitEnd(w);
@@ -240,7 +240,9 @@
                             .get());
         }
         for (int i = 0; i < all.size(); i++) {
-            int runs = world.runs.containsKey("r" + i) ? world.runs.get("r" + i).get() : 0;
+            int runs = world.executionCounts.containsKey("r" + i)
+                    ? world.executionCounts.get("r" + i).get()
+                    : 0;
             assertTrue(runs <= 1 || !all.get(i).requestClass().equals("mark-submit"), "r" + i + " ran " + runs);
         }
         assertTrue(
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -4,7 +4,7 @@
 import static nettlewick.golden.WireText.entry;
 import static nettlewick.golden.WireText.exchange;
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.Socket;
@@ -34,7 +34,7 @@
     }
 
     private void start(String... settings) throws Exception {
-        world.addRunner("s-1");
+        world.addEndpoint("s-1");
         EventStreamConfig edge = EventStreamConfig.of(
                 Settings.parse("test", "edge {\nlisten 127.0.0.1:0\n" + String.join("\n", settings) + "\n}")
                         .block("edge")
@@ -54,7 +54,7 @@
     void wholeStreams() throws Exception {
         start("heartbeat 600s");
         StringBuilder text = new StringBuilder();
-        world.runTime = 60;
+        world.executionMillis = 60;
         text.append(entry("a job to its result", exchange(port, post("a b+c", "step-view"))));
         text.append(entry("the same job again", exchange(port, post("a b+c", "step-view"))));
         text.append(entry("its stream by its address", exchange(port, get("/events/a%20b+c"))));
@@ -65,14 +65,15 @@
                 exchange(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
         text.append(entry("last on its connection", exchange(port, post("d", "mark-submit", "Connection: close"))));
         text.append(entry("begun in an earlier life", exchange(port, post("e", "mark-submit", "Last-Event-ID: 7"))));
-        world.instead = request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
+        world.requestOverride =
+                request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
         text.append(entry("a result with quotes and other letters", exchange(port, post("f", "mark-submit"))));
-        world.instead = request -> request.response()
+        world.requestOverride = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
         text.append(entry("unavailable", exchange(port, post("g", "mark-submit"))));
-        world.instead = request -> request.connection().close();
+        world.requestOverride = request -> request.connection().close();
         text.append(entry("failed", exchange(port, post("h", "mark-submit"))));
         assertMatches("wire/streams.txt", text.toString());
     }
@@ -89,10 +90,10 @@
         text.append(entry("no such stream", exchange(port, get("/events/z"))));
         text.append(entry("an id that is not percent-encoded", exchange(port, get("/events/%zz"))));
         text.append(entry("an unknown class", exchange(port, post("b", "no-class"))));
-        world.instead = request -> {};
+        world.requestOverride = request -> {};
         try (Socket open = new Socket("127.0.0.1", port)) {
             open.getOutputStream().write(post("c", "mark-submit").getBytes(StandardCharsets.US_ASCII));
-            until(() -> world.seen.size() == 2);
+            waitUntil(() -> world.receivedRequests.size() == 2);
             text.append(entry("too many streams", exchange(port, post("d", "step-view"))));
         }
         assertMatches("wire/stream-errors.txt", text.toString());
@@ -101,7 +102,7 @@
     @Test
     void heartbeats() throws Exception {
         start("heartbeat 20ms", "retry 2500ms");
-        world.runTime = 400;
+        world.executionMillis = 400;
         String got = exchange(port, post("a", "step-view"));
         assertTrue(got.contains(HEARTBEAT_CHUNK), got);
         assertMatches("wire/stream-heartbeats.txt", entry("heartbeats left out", got.replace(HEARTBEAT_CHUNK, "")));
--- a/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
+++ b/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
@@ -32,7 +32,7 @@
 
     @AfterEach
     void close() throws Exception {
-        StubPlatform.get(vertx.close());
+        StubPlatform.awaitResult(vertx.close());
     }
 
     private URI listen() throws Exception {
@@ -41,7 +41,7 @@
                         .setStatusCode(STATUS_PRECONDITION_FAILED)
                         .end());
         return URI.create("http://127.0.0.1:"
-                + StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort());
+                + StubPlatform.awaitResult(server.listen(0, "127.0.0.1")).actualPort());
     }
 
     private static List<ProviderAnswer> callRepeatedly(URI url) throws Exception {
--- a/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
@@ -188,9 +188,9 @@
             for (int i = 0; i < STEPS; i++) {
                 simulation.step();
             }
-            assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
+            assertEquals(List.of(), simulation.provider.violations(), "walk " + walk);
             simulation.runWithoutFaults();
-            assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
+            assertEquals(List.of(), simulation.provider.violations(), "walk " + walk);
             assertTrue(simulation.isSettled(), "walk " + walk);
             resizes += simulation.resizeRequests;
             stale += simulation.provider.counts().get("stale_acts_tried");
@@ -207,7 +207,7 @@
             ScaleOutSimulation simulation = new ScaleOutSimulation(walk, bug);
             for (int i = 0; i < STEPS; i++) {
                 simulation.step();
-                if (!simulation.provider.breaks().isEmpty()) {
+                if (!simulation.provider.violations().isEmpty()) {
                     return;
                 }
             }
--- a/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
@@ -55,7 +55,8 @@
             List.of("a"),
             Map.of(
                     "red",
-                    new ProviderModel.Cap(SETTINGS.cap().cents(), SETTINGS.cap().nearFraction())));
+                    new ProviderModel.MonthlyCap(
+                            SETTINGS.cap().cents(), SETTINGS.cap().nearFraction())));
     private final List<PendingMessage> inTransit = new ArrayList<>();
     private long wallMillis = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
     private double nowMillis;
@@ -164,7 +165,7 @@
         resizeRequests++;
         inTransit.add(() -> {
             int version = bug == Bug.VERSION_NOT_CHECKED ? provider.version("red") : Integer.parseInt(report.etag());
-            ProviderModel.Way way = provider.want(
+            ProviderModel.ResizeResult way = provider.resize(
                     "red",
                     request.size(),
                     request.idempotencyKey(),
@@ -172,7 +173,7 @@
                     leaseHolder.fence,
                     bug == Bug.LATE_RESIZE_ACCEPTED ? Long.MAX_VALUE : resize.notAfterMillis(),
                     wallMillis + providerClockOffsetMillis);
-            if (way == ProviderModel.Way.DONE) {
+            if (way == ProviderModel.ResizeResult.APPLIED) {
                 sendReport(leaseHolder, currentReport(), asked);
             } else {
                 inTransit.add(() -> {
@@ -184,13 +185,13 @@
     }
 
     private ProviderReport currentReport() {
-        List<InstanceCharge> charges = provider.all("red").stream()
+        List<InstanceCharge> charges = provider.allInstances("red").stream()
                 .map(instance -> new InstanceCharge(
                         instance.name(),
                         instance.kind(),
                         instance.zone(),
-                        instance.since(),
-                        instance.until(),
+                        instance.startedAt(),
+                        instance.endedAt(),
                         CENTS_PER_HOUR,
                         MIN_BILLED_MILLIS))
                 .toList();
