--- a/src/main/java/nettlewick/fleettest/DatagramRelay.java
+++ b/src/main/java/nettlewick/fleettest/DatagramRelay.java
@@ -34,8 +34,8 @@
     private final Map<SocketAddress, Integer> senderNumbers = new HashMap<>();
     private final LinkFaults linkFaults;
     private final DoubleSupplier clock;
-    private final AtomicLongArray sentCounts;
-    private final AtomicLongArray byteCounts;
+    private final AtomicLongArray sent;
+    private final AtomicLongArray bytes;
     private final AtomicLongArray oversized = new AtomicLongArray(1);
     private final List<Shard> shards = new ArrayList<>();
     private volatile boolean open = true;
@@ -47,8 +47,8 @@
         this.dispatchers = dispatchers;
         this.linkFaults = linkFaults;
         this.clock = clock;
-        sentCounts = new AtomicLongArray(dispatchers.size());
-        byteCounts = new AtomicLongArray(dispatchers.size());
+        sent = new AtomicLongArray(dispatchers.size());
+        bytes = new AtomicLongArray(dispatchers.size());
         for (int i = 0; i < dispatchers.size(); i++) {
             DatagramChannel socket = DatagramChannel.open();
             socket.bind(new InetSocketAddress(Fleet.address(net, i), 0));
@@ -75,12 +75,12 @@
         return addresses;
     }
 
-    long sentCounts() {
-        return sum(sentCounts);
+    long sent() {
+        return sum(sent);
     }
 
-    long byteCounts() {
-        return sum(byteCounts);
+    long bytes() {
+        return sum(bytes);
     }
 
     /** Datagrams over 256 bytes: on the platform each would void a run. */
@@ -155,8 +155,8 @@
                     continue;
                 }
                 buffer.flip();
-                long number = sentCounts.getAndIncrement(sender);
-                byteCounts.addAndGet(sender, buffer.remaining());
+                long number = sent.getAndIncrement(sender);
+                bytes.addAndGet(sender, buffer.remaining());
                 if (buffer.remaining() > MAX_DATAGRAM_BYTES) {
                     oversized.incrementAndGet(0);
                 }
--- a/src/main/java/nettlewick/fleettest/Fleet.java
+++ b/src/main/java/nettlewick/fleettest/Fleet.java
@@ -335,14 +335,15 @@
                         .map(m -> Map.of("name", m.name(), "fraction", m.quota()))
                         .toList());
         settings.put("report", Map.of("source", "on_probe", "names", List.of("depth", "concurrent", "x0", "x1")));
-        settings.put("family_info", Map.of("progress", nanos(EndpointServer.PROGRESS), "tells_start", true));
+        settings.put(
+                "family_info", Map.of("progress", nanos(EndpointServer.PROGRESS_INTERVAL_MILLIS), "tells_start", true));
         settings.put(
                 "ceilings",
                 Map.of(
                         "attempts_cap",
                         ScenarioRun.MAX_ATTEMPTS,
                         "cancel",
-                        fleet.endpoint().cancel(),
+                        fleet.endpoint().cancelsOnDisconnect(),
                         "peers",
                         fleet.gossips(),
                         "probes",
@@ -361,15 +362,15 @@
                 "rules",
                 Map.of(
                         "cold",
-                        nanos(fleet.endpoint().cold()),
+                        nanos(fleet.endpoint().slowStartMillis()),
                         "cold_share",
-                        fleet.endpoint().share(),
+                        fleet.endpoint().initialSpeedFraction(),
                         "overload_factor",
-                        fleet.endpoint().factor(),
+                        fleet.endpoint().overloadFactor(),
                         "drain_grace",
                         nanos(fleet.drainGraceMillis()),
                         "fall",
-                        nanos(fleet.endpoint().fall()),
+                        nanos(fleet.endpoint().overloadMillis()),
                         "answer_slack",
                         nanos(20),
                         "ask_within",
--- a/src/main/java/nettlewick/fleettest/InvariantChecker.java
+++ b/src/main/java/nettlewick/fleettest/InvariantChecker.java
@@ -92,7 +92,7 @@
     }
 
     /** An attempt has come whole to a runner. */
-    synchronized void arrived(String id, EndpointModel endpoint, EndpointModel.Taken taken, double now) {
+    synchronized void arrived(String id, EndpointModel endpoint, EndpointModel.Admission taken, double now) {
         increment("attempts", now);
         SentRequest request = requests.get(id);
         if (request == null) {
@@ -116,12 +116,12 @@
                 && !isExempt(request.dispatcher, toldAt, now, true)) {
             addViolation("drain", id, now, request.history);
         }
-        if (taken == EndpointModel.Taken.FULL) {
+        if (taken == EndpointModel.Admission.FULL) {
             increment("sent_to_full", now);
         }
         // What was turned away never ran: it binds no later send.
         if (request.requestClass.isKeyed()
-                && (taken == EndpointModel.Taken.RUNS || taken == EndpointModel.Taken.WAITS)) {
+                && (taken == EndpointModel.Admission.RUNS || taken == EndpointModel.Admission.WAITS)) {
             FirstAttempt firstAttempt = firstAttempts.putIfAbsent(request.key, new FirstAttempt(now, endpoint.zone));
             if (firstAttempt != null
                     && (now - firstAttempt.at() > scenario.load().dedupWindowMillis() + TRANSIT_TOLERANCE_MILLIS
@@ -169,7 +169,7 @@
                 "cold",
                 endpoint,
                 now,
-                List.of("offered more than " + scenario.fleet().endpoint().factor() + " times what it could"));
+                List.of("offered more than " + scenario.fleet().endpoint().overloadFactor() + " times what it could"));
     }
 
     /** Something happened to a dispatcher's process. */
--- a/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
+++ b/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
@@ -65,18 +65,18 @@
         boolean hasWaiting = rejected;
         rejected = false;
         List<EndpointModel> serving =
-                endpoints.stream().filter(EndpointModel::serves).toList();
+                endpoints.stream().filter(EndpointModel::acceptsRequests).toList();
         double[] allLoads = new double[endpoints.size()];
         double sum = 0;
         double squares = 0;
         for (int i = 0; i < allLoads.length; i++) {
             EndpointModel endpoint = endpoints.get(i);
-            allLoads[i] = endpoint.up() ? endpoint.load() : Double.NaN;
+            allLoads[i] = endpoint.isUp() ? endpoint.load() : Double.NaN;
         }
         for (EndpointModel endpoint : serving) {
             // By speed: one that is twice as fast carries twice the jobs in the same time.
             double load = endpoint.load();
-            hasWaiting |= endpoint.waiting() > 0;
+            hasWaiting |= endpoint.queuedCount() > 0;
             sum += load;
             squares += load * load;
             loads.recordValue(Math.min(MAX_LOAD_PER_MILLE, Math.round(load * PER_MILLE)));
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -32,7 +32,7 @@
             int dispatchers,
             List<EndpointGroup> endpointGroups,
             List<String> zones,
-            EndpointModel.Kind endpoint,
+            EndpointModel.Config endpoint,
             boolean gossips,
             boolean keepsEndpointList,
             boolean polls,
@@ -177,7 +177,7 @@
                 (int) fleetBlock.wholeNumber("dispatchers"),
                 endpointGroups,
                 zones.isEmpty() ? List.of("a") : zones,
-                new EndpointModel.Kind(
+                new EndpointModel.Config(
                         (int) fleetBlock.wholeNumber("slots"),
                         (int) fleetBlock.wholeNumber("queue"),
                         fleetBlock.durationMillis("cold"),
--- a/src/main/java/nettlewick/fleettest/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -27,7 +27,7 @@
 import org.HdrHistogram.Histogram;
 
 /** One run of a scenario: builds the world, starts the fleet, asks, does the steps, and counts. */
-final class ScenarioRun implements AutoCloseable, EndpointServer.Watch {
+final class ScenarioRun implements AutoCloseable, EndpointServer.Listener {
     private static final String ENDPOINT_NET = Fleet.net(2);
     /** Most sends of one request. */
     static final int MAX_ATTEMPTS = 6;
@@ -99,7 +99,7 @@
                 this::now,
                 (dispatcher, r) -> endpointAddresses.get(addressKey(dispatcher, endpointNumbers.get(r))));
         for (int r = 0; r < fleetSettings.endpoints(); r++) {
-            discovery.change(addEndpoint(Double.NEGATIVE_INFINITY), "Ready");
+            discovery.announceHealth(addEndpoint(Double.NEGATIVE_INFINITY), "Ready");
         }
         this.folder = folder;
         tenantPools = scenario.tenantPools() == null ? null : new TenantPoolEnvironment(this, scenario, folder);
@@ -238,7 +238,7 @@
         config.put("peer_listen", addressText(process.peerAddress));
         config.put("peers", peerAddresses);
         if (process.incarnations > 1 && fleetSettings.keepsEndpointList()) {
-            config.put("known", new Gson().fromJson(new Gson().toJson(discovery.known(number)), Map.class));
+            config.put("known", new Gson().fromJson(new Gson().toJson(discovery.lastSentList(number)), Map.class));
         }
         config.put("settings", Fleet.platformSettings(scenario, number));
         return config;
@@ -283,14 +283,14 @@
     void measureIdle(double millis) throws InterruptedException {
         double beganAt = now();
         double cpuBefore = fleet.cpuMillis();
-        long sentBefore = datagramRelay.sentCounts();
+        long sentBefore = datagramRelay.sent();
         TimeUnit.MILLISECONDS.sleep((long) millis);
         double elapsedMillis = now() - beganAt;
         figures.put(
                 "idle_cores_per_100", (fleet.cpuMillis() - cpuBefore) / elapsedMillis / fleet.dispatchers.size() * 100);
         figures.put(
                 "idle_datagrams_per_s",
-                (datagramRelay.sentCounts() - sentBefore) / elapsedMillis * SECOND_MILLIS / fleet.dispatchers.size());
+                (datagramRelay.sent() - sentBefore) / elapsedMillis * SECOND_MILLIS / fleet.dispatchers.size());
     }
 
     private long countReady() {
@@ -352,8 +352,8 @@
             if (!isMeasuring && millisSinceLoadBegan() >= 0) {
                 isMeasuring = true;
                 cpuBefore = fleet.cpuMillis();
-                sentBefore = datagramRelay.sentCounts();
-                bytesBefore = datagramRelay.byteCounts();
+                sentBefore = datagramRelay.sent();
+                bytesBefore = datagramRelay.bytes();
             }
             double stepsBegan = now();
             stepExecutor.runDue();
@@ -384,13 +384,13 @@
                     figures.put("cores", (fleet.cpuMillis() - cpuBefore) / elapsedMillis);
                     figures.put(
                             "datagrams_per_s",
-                            (datagramRelay.sentCounts() - sentBefore)
+                            (datagramRelay.sent() - sentBefore)
                                     / elapsedMillis
                                     * SECOND_MILLIS
                                     / fleet.dispatchers.size());
                     figures.put(
                             "datagram_bytes_per_s",
-                            (datagramRelay.byteCounts() - bytesBefore)
+                            (datagramRelay.bytes() - bytesBefore)
                                     / elapsedMillis
                                     * SECOND_MILLIS
                                     / fleet.dispatchers.size());
@@ -433,7 +433,7 @@
         figures.putAll(loadStats.figures());
         figures.put("latency_p50", (double) loadGenerator.latency.getValueAtPercentile(50));
         figures.put("latency_p99", (double) loadGenerator.latency.getValueAtPercentile(99));
-        figures.put("discovery_calls", (double) discovery.calls.get());
+        figures.put("discovery_calls", (double) discovery.callCount.get());
         figures.put("too_long", (double) datagramRelay.oversized());
         figures.put("crashed", (double) fleet.dispatchers.stream()
                 .filter(Fleet.DispatcherProcess::crashed)
@@ -446,23 +446,23 @@
     }
 
     @Override
-    public void arrived(String id, EndpointModel runner, EndpointModel.Taken how, double now) {
+    public void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now) {
         if (now >= loadBeginsAt) {
             loadStats.arrived(runner, now);
         }
         checker.arrived(id, runner, how, now);
-        if (how == EndpointModel.Taken.FULL || how == EndpointModel.Taken.DRAINS) {
+        if (how == EndpointModel.Admission.FULL || how == EndpointModel.Admission.DRAINS) {
             loadStats.rejected();
         }
     }
 
     @Override
-    public void ran(String id, EndpointModel runner, double now) {
+    public void executionStarted(String id, EndpointModel runner, double now) {
         checker.started(id, runner, now);
     }
 
     @Override
-    public void fell(EndpointModel runner, double now) {
+    public void endpointOverloaded(EndpointModel runner, double now) {
         checker.endpointCollapsed(runner.name, now);
     }
 
@@ -486,7 +486,7 @@
     public void close() throws Exception {
         try {
             // First: connections that processes reset as they end would each be logged.
-            StubPlatform.get(vertx.close());
+            StubPlatform.awaitResult(vertx.close());
         } finally {
             fleet.close();
             datagramRelay.close();
--- a/src/main/java/nettlewick/fleettest/ScenarioSchema.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioSchema.java
@@ -58,7 +58,7 @@
                 number(0, 1000),
                 literal("for"),
                 DURATION));
-        for (ProviderServer.Fate fate : ProviderServer.Fate.values()) {
+        for (ProviderServer.Behavior fate : ProviderServer.Behavior.values()) {
             forms.add(List.of(
                     DURATION,
                     literal("provider"),
--- a/src/main/java/nettlewick/fleettest/SoakConfig.java
+++ b/src/main/java/nettlewick/fleettest/SoakConfig.java
@@ -21,8 +21,8 @@
     private static final int MEMORY_MEGABYTES = 192;
 
     /** What all endpoints are like: never cold. */
-    static final EndpointModel.Kind ENDPOINT_KIND =
-            new EndpointModel.Kind(SLOTS, QUEUE, 0, 1, NEVER_FALLS, 1000, REPORT_AGE_MILLIS, true);
+    static final EndpointModel.Config ENDPOINT_KIND =
+            new EndpointModel.Config(SLOTS, QUEUE, 0, 1, NEVER_FALLS, 1000, REPORT_AGE_MILLIS, true);
 
     private final SoakPlan plan;
     private final Scenario scenario;
@@ -37,7 +37,8 @@
                 .map(c -> new Scenario.RequestClass(
                         c.name(), 1, c.meanWorkMillis(), c.deadlineMillis() / 2, c.deadlineMillis()))
                 .toList();
-        EndpointModel.Kind assumedEndpoint = new EndpointModel.Kind(SLOTS, QUEUE, 0, 1, 1, 1, REPORT_AGE_MILLIS, true);
+        EndpointModel.Config assumedEndpoint =
+                new EndpointModel.Config(SLOTS, QUEUE, 0, 1, 1, 1, REPORT_AGE_MILLIS, true);
         Scenario.FleetSettings fleet = new Scenario.FleetSettings(
                 plan.seed(),
                 plan.dispatchers(),
--- a/src/main/java/nettlewick/fleettest/StepExecutor.java
+++ b/src/main/java/nettlewick/fleettest/StepExecutor.java
@@ -162,7 +162,7 @@
             case "pause" -> pause(step, until);
             case "drain" -> {
                 for (int endpoint : endpoints(step.target())) {
-                    run.discovery.change(run.endpoints.get(endpoint), "Terminating");
+                    run.discovery.announceHealth(run.endpoints.get(endpoint), "Terminating");
                     run.endpoints.get(endpoint).model.drain();
                 }
             }
@@ -171,15 +171,15 @@
                 for (int i = 0; i < step.value(); i++) {
                     addedEndpoints.add(run.addEndpoint(run.now()));
                 }
-                addedEndpoints.forEach(endpoint -> run.discovery.change(endpoint, "Ready"));
+                addedEndpoints.forEach(endpoint -> run.discovery.announceHealth(endpoint, "Ready"));
             }
             case "hang" -> endpoints(step.target()).forEach(endpoint -> run.endpoints.get(endpoint).hungUntil = until);
             case "empty" ->
-                endpoints(step.target()).forEach(endpoint -> run.endpoints.get(endpoint).emptyUntil = until);
+                endpoints(step.target()).forEach(endpoint -> run.endpoints.get(endpoint).reportsIdleUntil = until);
             case "slow" -> {
                 for (int endpoint : endpoints(step.target())) {
-                    run.endpointModels.get(endpoint).slow(step.value());
-                    schedule(until, () -> run.endpointModels.get(endpoint).slow(1));
+                    run.endpointModels.get(endpoint).setSlowdown(step.value());
+                    schedule(until, () -> run.endpointModels.get(endpoint).setSlowdown(1));
                 }
             }
             case "cut", "mute" -> {
@@ -202,10 +202,10 @@
                         },
                         until);
             case "provider" -> run.tenantPools.setProviderFate(step.target().name(), until);
-            case "silent" -> run.discovery.silent(until);
+            case "silent" -> run.discovery.muteUntil(until);
             case "lists" ->
                 IntStream.range(0, fleetSettings.dispatchers())
-                        .forEach(dispatcher -> run.discovery.apart(dispatcher, random.nextDouble() * step.value()));
+                        .forEach(dispatcher -> run.discovery.setDelay(dispatcher, random.nextDouble() * step.value()));
             case "loss" -> run.linkFaults.setLoss(step.value(), until);
             case "garble" -> garble(step.target(), until);
             default -> {}
@@ -229,7 +229,7 @@
             schedule(run.now() + random.nextDouble() * spreadMillis, () -> {
                 run.checker.endpointRestarted(run.endpointModels.get(endpoint).name);
                 run.endpoints.get(endpoint).start();
-                run.discovery.change(run.endpoints.get(endpoint), "Ready");
+                run.discovery.announceHealth(run.endpoints.get(endpoint), "Ready");
             });
         }
     }
--- a/src/main/java/nettlewick/fleettest/TenantPoolEnvironment.java
+++ b/src/main/java/nettlewick/fleettest/TenantPoolEnvironment.java
@@ -70,10 +70,10 @@
         relay = new DatagramRelay(sockets, NET, run.linkFaults, run::now, 1);
         relayAddresses = relay.addresses();
         Block pools = scenario.tenantPools().block();
-        Map<String, ProviderModel.Cap> caps = new HashMap<>();
+        Map<String, ProviderModel.MonthlyCap> caps = new HashMap<>();
         for (Block.Value value : pools.all("member")) {
             if (value.arguments().size() > 1) {
-                caps.put(value.argument(0), new ProviderModel.Cap(value.argument(2), pools.get("near")));
+                caps.put(value.argument(0), new ProviderModel.MonthlyCap(value.argument(2), pools.get("near")));
             }
         }
         Block.Value price = pools.first("price").orElse(null);
@@ -91,16 +91,17 @@
                 model,
                 () -> System.currentTimeMillis() + clockAheadMillis,
                 startMillis,
-                new ProviderServer.Hands() {
+                new ProviderServer.InstanceLauncher() {
                     @Override
-                    public void start(ProviderModel.Runner runner) {
+                    public void start(ProviderModel.Instance runner) {
                         run.stepExecutor.post(
                                 () -> addedEndpoints.put(runner.name(), run.addEndpoint(run.now(), runner.name())));
-                        run.stepExecutor.post(() -> run.discovery.change(addedEndpoints.get(runner.name()), "Ready"));
+                        run.stepExecutor.post(
+                                () -> run.discovery.announceHealth(addedEndpoints.get(runner.name()), "Ready"));
                     }
 
                     @Override
-                    public void end(ProviderModel.Runner runner) {
+                    public void stop(ProviderModel.Instance runner) {
                         run.stepExecutor.post(() -> TenantPoolEnvironment.this.end(addedEndpoints.get(runner.name())));
                     }
                 });
@@ -111,17 +112,17 @@
     }
 
     private void end(EndpointServer endpoint) {
-        run.discovery.change(endpoint, "Terminating");
+        run.discovery.announceHealth(endpoint, "Terminating");
         endpoint.model.drain();
         run.stepExecutor.schedule(run.now() + REMOVAL_DELAY_MILLIS, () -> {
             endpoint.kill();
-            run.discovery.change(endpoint, "Gone");
+            run.discovery.announceHealth(endpoint, "Gone");
         });
     }
 
     void setProviderFate(String name, double until) {
-        provider.fate(ProviderServer.Fate.valueOf(name.toUpperCase(Locale.ROOT)));
-        run.stepExecutor.schedule(until, () -> provider.fate(ProviderServer.Fate.GOOD));
+        provider.setBehavior(ProviderServer.Behavior.valueOf(name.toUpperCase(Locale.ROOT)));
+        run.stepExecutor.schedule(until, () -> provider.setBehavior(ProviderServer.Behavior.GOOD));
     }
 
     long clockAheadMillis() {
@@ -160,14 +161,15 @@
                 checker,
                 fleetKills,
                 CHOICE_TO_ARRIVAL_MILLIS + scenario.links().delayMillis(),
-                name -> run.endpointModels.stream().anyMatch(tenant -> tenant.name.equals(name) && tenant.serves()));
+                name -> run.endpointModels.stream()
+                        .anyMatch(endpoint -> endpoint.name.equals(name) && endpoint.acceptsRequests()));
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("moves", (double) logs.count("pool-open"));
         figures.put("returns", (double) logs.count("pool-none"));
         figures.put("holdings", (double) logs.count("duty-held"));
         figures.put("heard", (double) logs.count("hears-all"));
         figures.put("near_caps", (double) logs.count("near-cap"));
-        figures.put("duty_bytes_per_s", relay.byteCounts() / run.now() * SECOND_MILLIS / run.fleet.dispatchers.size());
+        figures.put("duty_bytes_per_s", relay.bytes() / run.now() * SECOND_MILLIS / run.fleet.dispatchers.size());
         for (Scenario.Tenant tenant : scenario.load().tenants()) {
             for (String outcome : List.of("late", "unserved", "failed")) {
                 figures.put(outcome + "_" + tenant.name(), (double)
@@ -202,14 +204,15 @@
         if (model != null) {
             model.counts().forEach((name, count) -> figures.put(name, (double) count));
             figures.put("stale_acts_accepted", (double) countStaleActs());
-            figures.put("cap_overrun_cents", model.overrun());
-            figures.put("adds_after_near", (double) model.breaks().size());
+            figures.put("cap_overrun_cents", model.maxOverrunCents());
+            figures.put("adds_after_near", (double) model.violations().size());
             figures.put("adds_unspent_refused", (double) logs.eventLines("near-cap").stream()
-                    .mapToInt(line -> model.unspent(
+                    .mapToInt(line -> model.affordableInstances(
                             line.field("member"),
                             (long) (run.beganAtUnixMillis + line.at() + CAP_SETTLE_MILLIS) + clockAheadMillis))
                     .sum());
-            model.breaks().forEach(violation -> checker.addViolation("near mark", "provider", run.now(), violation));
+            model.violations()
+                    .forEach(violation -> checker.addViolation("near mark", "provider", run.now(), violation));
         }
         return figures;
     }
@@ -217,8 +220,8 @@
     /** Acts under a fence below that of one before. */
     private long countStaleActs() {
         Map<String, Long> highest = new HashMap<>();
-        return model.acts().stream()
-                .filter(a -> highest.merge(a.member(), a.fence(), Math::max) > a.fence())
+        return model.appliedResizes().stream()
+                .filter(a -> highest.merge(a.tenant(), a.fence(), Math::max) > a.fence())
                 .count();
     }
 
--- a/src/test/java/nettlewick/fleettest/Baselines.java
+++ b/src/test/java/nettlewick/fleettest/Baselines.java
@@ -91,13 +91,13 @@
         int endpoint = pick(dispatcher);
         EndpointModel model = endpoints.get(endpoint);
         String id = request.number() + "." + previousAttempts;
-        List<EndpointModel.Begun> begun = new ArrayList<>();
+        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
         if (now >= 0) {
             attempts++;
             loadStats.arrived(model, now);
         }
-        EndpointModel.Taken taken = model.offer(id, request.workMillis(), now, begun);
-        if (taken == EndpointModel.Taken.FULL) {
+        EndpointModel.Admission taken = model.offer(id, request.workMillis(), now, begun);
+        if (taken == EndpointModel.Admission.FULL) {
             rejectedAttempts += now >= 0 ? 1 : 0;
             loadStats.rejected();
             if (previousAttempts + 1 < ATTEMPTS) {
@@ -112,11 +112,11 @@
         begun.forEach(b -> scheduleEnd(endpoint, b));
     }
 
-    private void scheduleEnd(int endpoint, EndpointModel.Begun begun) {
+    private void scheduleEnd(int endpoint, EndpointModel.StartedRequest begun) {
         schedule(now + begun.millis(), () -> {
             inFlight(endpoint)[dispatcherOf.remove(begun.id())]--;
-            List<EndpointModel.Begun> more = new ArrayList<>();
-            endpoints.get(endpoint).end(begun.id(), now, more);
+            List<EndpointModel.StartedRequest> more = new ArrayList<>();
+            endpoints.get(endpoint).finish(begun.id(), now, more);
             more.forEach(m -> scheduleEnd(endpoint, m));
         });
     }
@@ -147,6 +147,6 @@
 
     private double relativeLoad(int endpoint) {
         EndpointModel m = endpoints.get(endpoint);
-        return (m.busy() + m.waiting() + 1) / (m.slots * m.speed);
+        return (m.runningCount() + m.queuedCount() + 1) / (m.slots * m.speed);
     }
 }
--- a/src/test/java/nettlewick/fleettest/EndpointModelTest.java
+++ b/src/test/java/nettlewick/fleettest/EndpointModelTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointModelTest {
-    private static final EndpointModel.Kind KIND = Scenario.parse(
+    private static final EndpointModel.Config KIND = Scenario.parse(
                     "x.conf", ScenarioTest.scenarioText("").replace("seed 5", "slots 2\nqueue 3\ncold 1s\nfall 200ms"))
             .fleet()
             .endpoint();
@@ -30,20 +30,20 @@
         int startedCount = 0;
         int acceptedCount = 0;
         for (int i = 0; i < 5000; i++) {
-            List<EndpointModel.Begun> begun = new ArrayList<>();
+            List<EndpointModel.StartedRequest> begun = new ArrayList<>();
             if (random.nextInt(3) > 0) {
-                EndpointModel.Taken how = endpoint.offer("j" + i, 10, i, begun);
-                assertEquals(accepted.size() >= 5, how == EndpointModel.Taken.FULL);
-                if (how != EndpointModel.Taken.FULL) {
+                EndpointModel.Admission how = endpoint.offer("j" + i, 10, i, begun);
+                assertEquals(accepted.size() >= 5, how == EndpointModel.Admission.FULL);
+                if (how != EndpointModel.Admission.FULL) {
                     accepted.add("j" + i);
                     acceptedCount++;
                 }
             } else if (!accepted.isEmpty()) {
-                endpoint.end(accepted.remove(random.nextInt(accepted.size())), i, begun);
+                endpoint.finish(accepted.remove(random.nextInt(accepted.size())), i, begun);
             }
             startedCount += begun.size();
-            assertEquals(Math.min(2, accepted.size()), endpoint.busy());
-            assertEquals(accepted.size(), endpoint.busy() + endpoint.waiting());
+            assertEquals(Math.min(2, accepted.size()), endpoint.runningCount());
+            assertEquals(accepted.size(), endpoint.runningCount() + endpoint.queuedCount());
             assertTrue(startedCount <= acceptedCount);
         }
     }
@@ -56,13 +56,13 @@
             cold.offer("j" + i, 100, 10 + i, new ArrayList<>());
             warm.offer("j" + i, 100, 10 + i, new ArrayList<>());
         }
-        assertTrue(cold.fallen());
-        assertFalse(warm.fallen());
+        assertTrue(cold.isOverloaded());
+        assertFalse(warm.isOverloaded());
         EndpointModel spared = endpoint(0);
         for (int i = 0; i < 20; i++) {
             spared.offer("j" + i, 20, 100 * i, new ArrayList<>());
         }
-        assertFalse(spared.fallen(), "a fifth of its capacity");
+        assertFalse(spared.isOverloaded(), "a fifth of its capacity");
     }
 
     /** The same play twice is the same; and the better a choice knows, the evener its load. */
--- a/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
+++ b/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
@@ -26,7 +26,7 @@
     }
 
     private void deliver(String id, EndpointModel to, double now) {
-        checker.arrived(id, to, EndpointModel.Taken.RUNS, now);
+        checker.arrived(id, to, EndpointModel.Admission.RUNS, now);
         checker.started(id, to, now);
     }
 
@@ -58,7 +58,7 @@
     @Test
     void aRejectedKeyedRequestMayGoToAnyZone() {
         checker.requestSent("k-1", "k", keyed, 0, 0, "red");
-        checker.arrived("k-1", endpointA, EndpointModel.Taken.DRAINS, 10);
+        checker.arrived("k-1", endpointA, EndpointModel.Admission.DRAINS, 10);
         deliver("k-1", endpointB, 20);
         assertEquals(List.of(), checker.violations());
     }
@@ -73,7 +73,7 @@
         checker.arrived(
                 "k-2",
                 endpointA,
-                EndpointModel.Taken.RUNS,
+                EndpointModel.Admission.RUNS,
                 11 + scenario.load().dedupWindowMillis() + InvariantChecker.TRANSIT_TOLERANCE_MILLIS);
         assertViolation("repeat");
     }
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -52,7 +52,7 @@
             run.startFleet(line -> {});
             if (stepLines.contains("provider keeps")) {
                 // Before any load: even the first wish for a runner waits.
-                run.tenantPools.provider.fate(ProviderServer.Fate.KEEPS);
+                run.tenantPools.provider.setBehavior(ProviderServer.Behavior.KEEPS);
             }
             if (!killAtEvents.isEmpty()) {
                 Thread watcher = new Thread(() -> killHolderAtEvents(run), "watcher");
