--- a/src/main/java/nettlewick/fleettest/DatagramRelay.java
+++ b/src/main/java/nettlewick/fleettest/DatagramRelay.java
@@ -18,15 +18,15 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Carries the dispatchers' datagrams. Each dispatcher has one socket here: to it the others send what is for
- * that one, and from it what that one sends arrives at the others, so that each knows the sender by the
- * address in its list of peers. A few threads share the receivers.
+ * Relays the datagrams between dispatchers. Each dispatcher has one socket here: the others send to it what is meant
+ * for that dispatcher, and what that dispatcher sends is delivered from it, so that receivers recognize the sender by
+ * the address in their list of peers. A few threads share the sockets.
  */
 final class DatagramRelay implements AutoCloseable {
     private static final int BUFFER_BYTES = 8192;
     private static final int MAX_DATAGRAM_BYTES = 256;
 
-    /** A datagram that is on its way. */
+    /** A datagram to be delivered later. */
     private record DelayedDatagram(double due, int from, int to, byte[] data) {}
 
     private final List<DatagramChannel> sockets = new ArrayList<>();
@@ -40,7 +40,10 @@
     private final List<Shard> shards = new ArrayList<>();
     private volatile boolean open = true;
 
-    /** @param dispatchers where each listens for its peers; @param net where the others reach them instead */
+    /**
+     * @param dispatchers the address where each dispatcher receives datagrams of its peers
+     * @param net the address prefix of the sockets through which peers reach them instead
+     */
     DatagramRelay(
             List<InetSocketAddress> dispatchers, String net, LinkFaults linkFaults, DoubleSupplier clock, int threads)
             throws IOException {
@@ -66,7 +69,7 @@
         }
     }
 
-    /** The list of peers that every dispatcher is given. */
+    /** Returns the addresses that every dispatcher is given as its list of peers. */
     List<InetSocketAddress> addresses() throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (DatagramChannel socket : sockets) {
@@ -83,7 +86,7 @@
         return sum(bytes);
     }
 
-    /** Datagrams over 256 bytes: on the platform each would void a run. */
+    /** Returns the number of datagrams over 256 bytes, each of which would invalidate a run on the platform. */
     long oversized() {
         return oversized.get(0);
     }
@@ -96,7 +99,7 @@
         return sum;
     }
 
-    /** Sends what no dispatcher wrote, as if a peer had: random bytes behind the heads of real messages. */
+    /** Sends a malformed datagram as if from a peer: random bytes, some behind the header of a real message. */
     void garble(int to, SplittableRandom random) throws IOException {
         byte[] data = new byte[1 + random.nextInt(MAX_DATAGRAM_BYTES)];
         random.nextBytes(data);
@@ -108,7 +111,7 @@
         sockets.get(random.nextInt(sockets.size())).send(ByteBuffer.wrap(data), dispatchers.get(to));
     }
 
-    /** One thread with its receivers. */
+    /** A thread and the sockets that it serves. */
     private final class Shard extends Thread {
         private final Selector selector = Selector.open();
         private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
@@ -177,7 +180,7 @@
             try {
                 sockets.get(from).send(data, dispatchers.get(to));
             } catch (IOException e) {
-                // its receiver is dead: lost, as such datagrams are
+                // The receiver is not running, so the datagram is lost.
             }
         }
     }
--- a/src/main/java/nettlewick/fleettest/DispatcherLogs.java
+++ b/src/main/java/nettlewick/fleettest/DispatcherLogs.java
@@ -18,11 +18,12 @@
 import java.util.stream.Stream;
 
 /**
- * What the processes' logs tell of duties and pools, held against where members' jobs went: nobody at a pool
- * that it had been told of as another's, no member outside its own, no term of a duty held twice.
+ * The dispatchers' logs, checked against the endpoints that received tenants' attempts. An attempt must not reach an
+ * endpoint that its dispatcher knew to be dedicated to another tenant, a confined tenant must stay in its own pool,
+ * and no term of a lease may have two holders.
  */
 final class DispatcherLogs {
-    /** What a process said at a time of the lab's clock. */
+    /** A log line with its time in milliseconds of the test's clock. */
     record Line(double at, int dispatcher, int incarnation, JsonObject json) {
         String event() {
             return json.get("event").getAsString();
@@ -33,7 +34,7 @@
         }
     }
 
-    /** A pool as a dispatcher follows it. */
+    /** A tenant pool as a dispatcher applies it. */
     private record FollowedPool(String tenant, boolean isExclusive, boolean isConfined, Set<String> endpoints) {}
 
     private static final String POOLS_FOLLOWED = "pools-followed";
@@ -43,12 +44,12 @@
         this.lines = lines;
     }
 
-    /** @param wall the Unix time of the lab clock's beginning */
+    /** @param beganAtUnixMillis the Unix time at which the test's clock began */
     static DispatcherLogs read(Path folder, double beganAtUnixMillis) throws IOException {
         return read(folder, beganAtUnixMillis, "");
     }
 
-    /** Of lines with that word alone: all that hundreds of processes have said takes seconds to read. */
+    /** Reads only lines that contain a word, because parsing all logs of hundreds of processes takes seconds. */
     static DispatcherLogs read(Path folder, double beganAtUnixMillis, String word) throws IOException {
         List<Line> lines = new ArrayList<>();
         try (Stream<Path> logs = Files.list(folder)) {
@@ -71,7 +72,7 @@
         return new DispatcherLogs(lines);
     }
 
-    /** Lines that are cut off by a kill are none. */
+    /** Returns null for a line that was cut off by a kill. */
     private static JsonObject parse(String text) {
         try {
             JsonObject json =
@@ -94,7 +95,7 @@
         return eventLines(event).size();
     }
 
-    /** Who holds a member's duty, by the latest term that was told; -1: nobody yet. */
+    /** Returns the holder of a tenant's lease task by the highest logged term; -1 if there is none yet. */
     int leaseHolder(String tenant) {
         long term = -1;
         int holder = -1;
@@ -107,7 +108,7 @@
         return holder;
     }
 
-    /** When a member's duty was held next after that time; NaN: never. */
+    /** Returns when a lease task was next held after a time; NaN if never. */
     private double nextHeldAt(String task, double at) {
         return eventLines("duty-held").stream()
                 .filter(l -> l.field("duty").equals(task) && l.at() > at)
@@ -116,7 +117,7 @@
                 .orElse(Double.NaN);
     }
 
-    /** The longest time, in milliseconds, from a planned end's word to the next holder's. */
+    /** Returns the longest time in milliseconds from a planned handover to the next holder. */
     double longestPlannedHandoverMillis() {
         return eventLines("duty-handed-on").stream()
                 .mapToDouble(l -> nextHeldAt(l.field("duty"), l.at()) - l.at())
@@ -125,7 +126,7 @@
                 .orElse(Double.NaN);
     }
 
-    /** The same from such steps against a holder, by the times given. */
+    /** Returns the longest time in milliseconds from steps against a holder to the next holder. */
     double longestHandoverMillis(String tenant, List<Double> stepTimes) {
         return stepTimes.stream()
                 .mapToDouble(at -> nextHeldAt("pool-" + tenant, at) - at)
@@ -134,7 +135,7 @@
                 .orElse(Double.NaN);
     }
 
-    /** From that time until a member's move began; NaN: it did not. */
+    /** Returns the milliseconds from a time until a tenant's migration began; NaN if it did not. */
     double millisToDetection(String tenant, double at) {
         return eventLines("pool-reserve").stream()
                 .filter(l -> l.field("member").equals(tenant) && l.at() > at)
@@ -144,11 +145,12 @@
     }
 
     /**
-     * All that was broken, to the audit.
+     * Reports all violations to the checker.
      *
-     * @param losses when all dispatchers lost their memory at once
-     * @param margin between a dispatcher's choice and the attempt's arrival at the runner
-     * @param serves whether a runner serves at the end
+     * @param fleetKills when all dispatchers lost their state at once
+     * @param choiceToArrivalMillis longest time between a dispatcher's choice and the attempt's arrival at the
+     *     endpoint
+     * @param isServing whether an endpoint serves at the end of the run
      */
     void check(
             InvariantChecker checker,
@@ -189,9 +191,8 @@
     }
 
     /**
-     * What a dispatcher went by all the time in which it can have sent this; one that has just started goes
-     * by
-     * nothing until it has heard.
+     * Returns the pools that a dispatcher applied during all the time in which it can have sent an attempt. A
+     * dispatcher that has just started applies none until it has received them.
      */
     private static List<FollowedPool> poolsInForce(
             List<Line> lines, InvariantChecker.Arrival arrival, double choiceToArrivalMillis) {
@@ -210,7 +211,10 @@
                 : parsePools(latest.field("follows"));
     }
 
-    /** {@code red:1:0:s1,s2;blue:1:1:s3}: member, whether it is shut and confined, runners. */
+    /**
+     * Parses {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether the pool is exclusive, whether the tenant is confined
+     * to it, endpoints.
+     */
     private static List<FollowedPool> parsePools(String text) {
         List<FollowedPool> pools = new ArrayList<>();
         for (String entry : text.isEmpty() ? new String[0] : text.split(";")) {
@@ -224,7 +228,10 @@
         return pools;
     }
 
-    /** Danger: a tier that has lost all memory at once counts anew; what it did before is another matter. */
+    /**
+     * Checks terms separately between kills of the whole fleet, because a fleet that has lost all state numbers terms
+     * anew.
+     */
     private void checkTerms(InvariantChecker checker, List<Double> fleetKills) {
         double from = Double.NEGATIVE_INFINITY;
         for (double fleetKill : fleetKills) {
--- a/src/main/java/nettlewick/fleettest/Fleet.java
+++ b/src/main/java/nettlewick/fleettest/Fleet.java
@@ -18,11 +18,11 @@
 import nettlewick.stubs.ReservedPorts;
 
 /**
- * The real processes: each a {@code serve} of the built jar with an address, a configuration and a log of
- * its own. Ended by their own handles, also when the lab is interrupted.
+ * The dispatcher processes: each is a {@code serve} of the built jar with its own address, configuration and log.
+ * They are ended by their process handles, also when the fleet test is interrupted.
  */
 final class Fleet implements AutoCloseable {
-    /** Each process has an address of its own in this net. */
+    /** The address prefix in which each process has its own address. */
     private static final String DISPATCHER_NET = net(0);
 
     private static final int ADDRESSES_PER_BYTE = 250;
@@ -36,11 +36,11 @@
             "-XX:MaxDirectMemorySize=16m",
             "-Xss256k",
             "-XX:-UsePerfData",
-            // Many processes that each see little: what they run seldom is compiled soon all the same.
+            // Each of the many processes handles few requests, so methods are compiled after fewer calls.
             "-XX:CompileThresholdScaling=0.1");
     private static final double MILLIS_PER_CLOCK_TICK = 10;
 
-    /** One process of the fleet, alive or not. */
+    /** A dispatcher and its current process, if any. */
     static final class DispatcherProcess {
         final int number;
         final InetSocketAddress listenAddress;
@@ -50,9 +50,9 @@
         volatile Process process;
         volatile boolean ready;
         volatile boolean paused;
-        /** Whether its end was the lab's doing. */
+        /** Whether the test itself ended the process. */
         volatile boolean endedByTest;
-        /** CPU of its processes that have ended, in milliseconds. */
+        /** CPU time of its processes that have ended, in milliseconds. */
         double earlierCpuMillis;
 
         int incarnations;
@@ -75,18 +75,18 @@
             return p != null && p.isAlive();
         }
 
-        /** Whether it has ended by itself. */
+        /** Returns whether the process ended without being told to. */
         boolean crashed() {
             return process != null && !endedByTest && !process.isAlive();
         }
     }
 
-    /** Is told of what becomes of the processes; called by any thread. */
+    /** Receives events of the processes, on any thread. */
     interface ProcessListener {
-        /** A process was sent SIGKILL by this class. */
+        /** This class sent SIGKILL to a process. */
         void killed(int number);
 
-        /** A process has ended, by itself or not. */
+        /** A process has ended, for whatever reason. */
         void exited(int number, int exitCode);
     }
 
@@ -100,9 +100,9 @@
     private final Thread shutdownHook = new Thread(this::end, "lab-end");
 
     /**
-     * @param config the configuration of each process, as it is when that starts
-     * @param more   settings of our own; null: none
-     * @param ahead  by how many milliseconds a process's clock is ahead
+     * @param config the platform's configuration of a process, read whenever that starts
+     * @param settingsText the operator's settings of a process; null for none
+     * @param clockAheadMillis by how many milliseconds a process's clock is ahead
      */
     Fleet(
             int size,
@@ -118,8 +118,8 @@
         this.folder = Files.createDirectories(folder);
         this.config = config;
         command = command();
-        // Each process has an address of its own, so all may use the same ports; reserved ones, since a process that is
-        // dead for a while must find them free again.
+        // Each process has its own address, so all may use the same ports. The ports are reserved because a process
+        // that is down for a while must find them free again.
         int listenPort = ReservedPorts.reserve();
         int peerPort = ReservedPorts.reserve();
         int adminPort = ReservedPorts.reserve();
@@ -136,17 +136,20 @@
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** One of a lab's four nets. Danger: two labs at once in one net take ports that the other asked for. */
+    /**
+     * Returns one of the four address prefixes of a fleet test. They depend on the process id, because two fleet
+     * tests in the same network would take each other's reserved ports.
+     */
     static String net(int index) {
         return "127." + (16 + 4 * (ProcessHandle.current().pid() % 56) + index) + ".";
     }
 
-    /** The address of a number in a net such as {@code 127.41.}: no two share one. */
+    /** Returns the address of a number in a network such as {@code 127.41.}; no two numbers share one. */
     static InetAddress address(String net, int number) throws IOException {
         return InetAddress.getByName(net + number / ADDRESSES_PER_BYTE + "." + (number % ADDRESSES_PER_BYTE + 1));
     }
 
-    /** The jar that this runs from, or its classes where there is none yet. */
+    /** Returns the command for the jar that this runs from, or for its classes where there is no jar yet. */
     private static List<String> command() {
         List<String> commandLine = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
@@ -170,7 +173,7 @@
         return commandLine;
     }
 
-    /** Starts a process for this member, unless it has one. */
+    /** Starts a process for a dispatcher unless it has one. */
     synchronized void start(int number) throws IOException {
         DispatcherProcess dispatcher = dispatchers.get(number);
         if (dispatcher.alive()) {
@@ -201,7 +204,7 @@
         started.onExit().thenAccept(ended -> listener.exited(number, ended.exitValue()));
     }
 
-    /** Ends a process at once, as a power loss would. */
+    /** Sends SIGKILL, which ends a process as a power loss would. */
     void kill(int number) {
         DispatcherProcess dispatcher = dispatchers.get(number);
         if (dispatcher.alive()) {
@@ -212,7 +215,7 @@
         }
     }
 
-    /** A planned end, by SIGTERM. */
+    /** Sends SIGTERM for a graceful shutdown. */
     void end(int number) {
         DispatcherProcess dispatcher = dispatchers.get(number);
         if (dispatcher.alive()) {
@@ -221,13 +224,13 @@
         }
     }
 
-    /** The clients' front finds that a process is dead. */
+    /** The clients' load balancer notices that a process is down. */
     void deathNoticed(int number) {
         DispatcherProcess dispatcher = dispatchers.get(number);
         dispatcher.ready &= dispatcher.alive();
     }
 
-    /** Stops a process where it is, or lets it go on: what it believes grows old meanwhile. */
+    /** Suspends a process with SIGSTOP, or resumes it; meanwhile its state becomes stale. */
     void pause(int number, boolean stop) throws IOException, InterruptedException {
         DispatcherProcess dispatcher = dispatchers.get(number);
         if (dispatcher.alive()) {
@@ -238,7 +241,7 @@
         }
     }
 
-    /** CPU that all processes have used together, in milliseconds. */
+    /** Returns the CPU time that all processes have used together, in milliseconds. */
     double cpuMillis() {
         return dispatchers.stream()
                 .mapToDouble(dispatcher ->
@@ -256,7 +259,7 @@
         }
     }
 
-    /** Memory of a process, what it shares with others by its part, in megabytes; 0 where not told. */
+    /** Returns the proportional set size of a process in megabytes; 0 if it cannot be read. */
     double megabytes(int number) {
         DispatcherProcess dispatcher = dispatchers.get(number);
         if (!dispatcher.alive()) {
@@ -296,11 +299,11 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // the lab is being ended: the hook runs already
+            // The JVM is shutting down and the hook is running already.
         }
     }
 
-    /** The platform's configuration of a dispatcher in this world, but for its addresses. */
+    /** Returns the platform's settings of a dispatcher, without its addresses. */
     static Map<String, Object> platformSettings(Scenario scenario, int rank) {
         Scenario.FleetSettings fleet = scenario.fleet();
         List<Map<String, Object>> classes = new ArrayList<>();
--- a/src/main/java/nettlewick/fleettest/FleetTest.java
+++ b/src/main/java/nettlewick/fleettest/FleetTest.java
@@ -7,13 +7,17 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What the command line offers of the lab. */
+/** Entry points of the fleet test for the command line. */
 public final class FleetTest {
     private static final double IDLE_MILLIS = 3000;
 
     private FleetTest() {}
 
-    /** Checks a scenario file. @throws BadSettings with one line for the first fault */
+    /**
+     * Checks a scenario file.
+     *
+     * @throws nettlewick.settings.InvalidSettingsException with one line for the first fault
+     */
     public static String check(Path file) {
         Scenario scenario = Scenario.read(file);
         return file + " is in order: " + scenario.fleet().dispatchers() + " dispatchers, "
@@ -21,12 +25,12 @@
     }
 
     /**
-     * Plays a scenario and writes its folder.
+     * Runs a scenario and writes its result folder.
      *
-     * @param line gets a line of progress now and then
-     * @param out  gets the figures, {@code name=value}, and the broken rules
-     * @return whether no rule was broken and no process ended by itself
-     * @throws BadSettings where the file is not in order
+     * @param progress receives a line of progress now and then
+     * @param out receives the figures, {@code name=value}, and the violations
+     * @return whether no rule was violated and no process crashed
+     * @throws nettlewick.settings.InvalidSettingsException if the scenario is invalid
      */
     public static boolean run(Path file, Path folder, Consumer<String> progress, Consumer<String> out)
             throws Exception {
@@ -61,7 +65,11 @@
         }
     }
 
-    /** Writes two runs side by side. @throws IOException where one of them is no folder of a run */
+    /**
+     * Writes the figures of two runs side by side.
+     *
+     * @throws IOException if one of the folders does not contain a run
+     */
     public static void compare(Path a, Path b, Appendable out) throws IOException {
         for (Path folder : List.of(a, b)) {
             if (!Results.containsRun(folder)) {
--- a/src/main/java/nettlewick/fleettest/IdleConnections.java
+++ b/src/main/java/nettlewick/fleettest/IdleConnections.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Clients that connect and send nothing, so that they fill the descriptors of dispatchers. Safe for any thread. */
+/** Clients that connect and send nothing, to exhaust the dispatchers' file descriptors. Safe for any thread. */
 final class IdleConnections implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     private final List<Socket> sockets = new ArrayList<>();
     private boolean closed;
 
-    /** Connects that many clients to each address, in the background. */
+    /** Opens a number of connections to each address, in the background. */
     void open(List<InetSocketAddress> addresses, int connectionsPerAddress) {
         CompletableFuture.runAsync(() -> addresses.forEach(address -> {
             for (int i = 0; i < connectionsPerAddress; i++) {
@@ -29,7 +29,7 @@
             socket.connect(address, CONNECT_TIMEOUT_MILLIS);
             register(socket);
         } catch (IOException e) {
-            // It takes no more connections, as it may.
+            // A dispatcher may refuse further connections.
         }
     }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /** All of them leave. */
+    /** Closes all connections. */
     @Override
     public synchronized void close() throws IOException {
         closed = true;
--- a/src/main/java/nettlewick/fleettest/InvariantChecker.java
+++ b/src/main/java/nettlewick/fleettest/InvariantChecker.java
@@ -8,18 +8,18 @@
 import nettlewick.stubs.EndpointModel;
 
 /**
- * The rules, checked on every job as it runs. A break names the rule, the job and the time, with all that
- * happened to the job. Pure; called from several threads; times in milliseconds of the lab's clock.
+ * Checks the invariants on every request of a run. A violation names the rule, the request and the time, with the
+ * request's history. Performs no I/O; safe for any thread; times in milliseconds of the test's clock.
  */
 final class InvariantChecker {
-    /** Past the deadline, for an answer that this machine is slow to bring. */
+    /** How long after its deadline an answer may arrive, because the test machine may be slow to deliver it. */
     static final double ANSWER_TOLERANCE_MILLIS = 1000;
-    /** Between a send and its arrival, on a busy machine and a delayed link. */
+    /** Longest time between a send and its arrival, on a busy machine and a delayed link. */
     static final double TRANSIT_TOLERANCE_MILLIS = 250;
-    /** How far from a broken request a process's start or end is still told beside it. */
+    /** Process events within this time of a violation are reported with it. */
     private static final double EVENT_WINDOW_MILLIS = 5000;
 
-    /** A job as a client asks for it: one of its tries, with the id that goes with it. */
+    /** A request as a client sent it: one of the client's sends, with its request id. */
     private static final class SentRequest {
         final String key;
         final Scenario.RequestClass requestClass;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** All runs of one key: where and when the first send arrived. */
+    /** Time and zone of the first accepted attempt of an idempotency key. */
     private record FirstAttempt(double at, String zone) {}
 
     private record ViolationSpan(int dispatcher, double from, double to) {}
@@ -56,21 +56,21 @@
     private final Map<String, Integer> runsOfKey = new HashMap<>();
     private final Map<String, Double> drainToldAt = new HashMap<>();
     private final List<Exemption> exemptions = new ArrayList<>();
-    /** Dispatchers that were sent SIGKILL and have not been seen to end, and when. */
+    /** When SIGKILL was sent to dispatchers whose exit has not been observed yet. */
     private final Map<Integer, Double> killedAt = new HashMap<>();
 
     private final List<String> violations = new ArrayList<>();
-    /** Whose request each break is, and from when to when it was under way; in the order of the breaks. */
+    /** The dispatcher and time span of the request of each violation, in the order of {@link #violations}. */
     private final List<ViolationSpan> violationSpans = new ArrayList<>();
 
     private final List<ProcessEvent> processEvents = new ArrayList<>();
     private final Map<String, Integer> counts = new TreeMap<>();
 
     private double measureFrom;
-    /** Where members' jobs went, where there are pools. */
+    /** All attempts, if the scenario has tenant pools. */
     private final List<Arrival> arrivals = new ArrayList<>();
 
-    /** An attempt of a member's at a runner. */
+    /** An attempt of a tenant's request at an endpoint. */
     record Arrival(double at, int dispatcher, String tenant, String endpoint, String requestId) {}
 
     InvariantChecker(Scenario scenario, int maxAttempts) {
@@ -78,12 +78,12 @@
         this.maxAttempts = maxAttempts;
     }
 
-    /** What happens earlier breaks rules as well, but is no figure. */
+    /** Sets the time before which violations are reported but not counted in the figures. */
     synchronized void measureFrom(double at) {
         measureFrom = at;
     }
 
-    /** A client sends a request; {@code key} is the same for all tries of one job. */
+    /** A client sends a request; {@code key} is the same for all its sends. */
     synchronized void requestSent(
             String id, String key, Scenario.RequestClass requestClass, int dispatcher, double now, String tenant) {
         SentRequest request = new SentRequest(key, requestClass, dispatcher, now, tenant);
@@ -91,7 +91,7 @@
         requests.put(id, request);
     }
 
-    /** An attempt has come whole to a runner. */
+    /** An endpoint has received an attempt completely. */
     synchronized void arrived(String id, EndpointModel endpoint, EndpointModel.Admission taken, double now) {
         increment("attempts", now);
         SentRequest request = requests.get(id);
@@ -119,7 +119,7 @@
         if (taken == EndpointModel.Admission.FULL) {
             increment("sent_to_full", now);
         }
-        // What was turned away never ran: it binds no later send.
+        // A rejected attempt did not run and does not restrict later ones.
         if (request.requestClass.isKeyed()
                 && (taken == EndpointModel.Admission.RUNS || taken == EndpointModel.Admission.WAITS)) {
             FirstAttempt firstAttempt = firstAttempts.putIfAbsent(request.key, new FirstAttempt(now, endpoint.zone));
@@ -131,7 +131,7 @@
         }
     }
 
-    /** A job begins to run. */
+    /** An endpoint begins to run a request. */
     synchronized void started(String id, EndpointModel endpoint, double now) {
         SentRequest request = requests.get(id);
         if (request == null) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** What the client got: a status, or 0 where its connection broke or its patience ended, and why. */
+    /** The client received a status, or 0 with the reason if the connection broke or the client timed out. */
     synchronized void answered(String id, int status, String why, double now) {
         SentRequest request = requests.get(id);
         request.answered = true;
@@ -163,7 +163,7 @@
         }
     }
 
-    /** A runner fell over while cold. */
+    /** An endpoint collapsed under overload during slow start. */
     synchronized void endpointCollapsed(String endpoint, double now) {
         addViolation(
                 "cold",
@@ -172,12 +172,12 @@
                 List.of("offered more than " + scenario.fleet().endpoint().overloadFactor() + " times what it could"));
     }
 
-    /** Something happened to a dispatcher's process. */
+    /** A dispatcher's process changed its state. */
     synchronized void processEvent(int dispatcher, double now, String what) {
         processEvents.add(new ProcessEvent(dispatcher, now, what));
     }
 
-    /** Adds to each break what happened to its dispatcher's process, and what the machine held up, at that time. */
+    /** Adds to each violation the process events of its dispatcher and the stalls of the machine around that time. */
     synchronized void explainViolations(StallMonitor stallMonitor) {
         for (int i = 0; i < violations.size(); i++) {
             ViolationSpan span = violationSpans.get(i);
@@ -198,7 +198,7 @@
                 .toList();
     }
 
-    /** Discovery has written to a dispatcher that a runner drains. */
+    /** Discovery has sent a dispatcher the draining state of an endpoint. */
     synchronized void drainTold(int dispatcher, String endpoint, double now) {
         drainToldAt.putIfAbsent(dispatcher + " " + endpoint, now);
     }
@@ -208,19 +208,19 @@
     }
 
     /**
-     * From then to then this dispatcher could not do as the rules want: dead or paused, or, where
-     * {@code drainsOnly}, cut off from discovery.
+     * Exempts a dispatcher that is down or paused between two times, or, if {@code drainsOnly}, only from the rule on
+     * draining because it is cut off from discovery.
      */
     synchronized void exempt(int dispatcher, double from, double to, boolean drainsOnly) {
         exemptions.add(new Exemption(dispatcher, from, to, drainsOnly));
     }
 
-    /** A dispatcher was sent SIGKILL: it is excused from now until its death is observed, whenever that is. */
+    /** A dispatcher was sent SIGKILL; it is exempt from now until its exit is observed, whenever that is. */
     synchronized void killed(int dispatcher, double now) {
         killedAt.putIfAbsent(dispatcher, now);
     }
 
-    /** A dispatcher's process has ended; one that was killed stays excused for {@code notice} milliseconds. */
+    /** A dispatcher's process has ended; if it was killed it stays exempt for {@code notice} milliseconds. */
     synchronized void ended(int dispatcher, double now, double notice) {
         Double from = killedAt.remove(dispatcher);
         if (from != null) {
@@ -242,7 +242,7 @@
                                 && e.to() >= from - TRANSIT_TOLERANCE_MILLIS);
     }
 
-    /** After the end: what was asked long enough ago and has no answer. */
+    /** Reports requests that are past their deadline and have no answer. */
     synchronized void checkUnanswered(double now) {
         requests.forEach((id, request) -> {
             if (!request.answered
@@ -257,7 +257,7 @@
         return List.copyOf(arrivals);
     }
 
-    /** A rule that others look after was broken. */
+    /** Records a violation of a rule that is checked elsewhere. */
     synchronized void addViolation(String rule, String subject, double now, String what) {
         addViolation(rule, subject, now, List.of(what));
     }
--- a/src/main/java/nettlewick/fleettest/LinkFaults.java
+++ b/src/main/java/nettlewick/fleettest/LinkFaults.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What the links between all parties do at a time: dispatchers go by their number, runners by their number
- * past the dispatchers, discovery by the last. The fate of each datagram is drawn from the seed, its sender,
- * its receiver and its number alone. Pure; steps change it while relays read it.
+ * State of the links between all parties at a time. Dispatchers are identified by their number, endpoints by numbers
+ * after the dispatchers', discovery and the provider by the last ones. Loss and delay of a datagram depend only on
+ * the seed, its sender, its receiver and its number. Performs no I/O; steps change it while relays read it.
  */
 final class LinkFaults {
-    /** How a connection is treated from now on. */
+    /** How a relay treats a connection. */
     enum ConnectionState {
         OPEN,
         STALLED,
@@ -42,7 +42,7 @@
         this.seed = seed;
     }
 
-    /** Cuts the way from these to those; both ways where {@code both}. */
+    /** Cuts the links from one set of parties to another, in both directions if {@code bothWays}. */
     void cut(BitSet from, BitSet to, boolean bothWays, double until) {
         partitions.add(new Partition(from, to, until));
         if (bothWays) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Connections to these are treated so. */
+    /** Applies a state to all connections to some servers. */
     void addServerFault(BitSet servers, ConnectionState state, double until) {
         serverFaults.add(new ServerFault(servers, state, until));
     }
@@ -63,7 +63,7 @@
         return partitions.stream().anyMatch(c -> c.covers(from, to, now));
     }
 
-    /** How bytes from one to the other go now, on a connection that {@code server} accepted. */
+    /** Returns the current state of one direction of a connection that {@code server} accepted. */
     ConnectionState connectionState(int from, int to, int server, double now) {
         if (cut(from, to, now)) {
             return ConnectionState.STALLED;
@@ -81,7 +81,7 @@
         return settings.delayMillis();
     }
 
-    /** After how many milliseconds each copy of a datagram arrives; empty where it is lost. */
+    /** Returns the delay in milliseconds of each copy of a datagram; empty if it is lost. */
     List<Double> copyDelays(int from, int to, long number, double now) {
         if (cut(from, to, now)) {
             return List.of();
--- a/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
+++ b/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
@@ -9,19 +9,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How evenly work lies on the runners, from samples of them all and from the times at which attempts came.
- * Pure; one thread samples, others tell of arrivals.
+ * Measures how evenly the load is spread over the endpoints, from samples of their load and from the arrival times of
+ * attempts. Performs no I/O; one thread samples, others report arrivals.
  */
 final class LoadBalanceStats {
-    /** Milliseconds between two samples. */
     static final double SAMPLE_INTERVAL_MILLIS = 50;
 
     private static final double PER_MILLE = 1000;
     private static final int MAX_LOAD_PER_MILLE = 1_000_000;
-    /** A herd is more than twice the fair arrivals, and at least so many. */
+    /** A herd is more than twice the fair number of arrivals in a window, and at least this many. */
     private static final int MIN_HERD_ARRIVALS = 3;
 
-    /** One sample: the load of each runner at a time; NaN where it is down. */
+    /** The load of each endpoint at a time; NaN if it is down. */
     record Sample(double at, double[] loads) {}
 
     private final List<EndpointModel> endpoints;
@@ -29,7 +28,7 @@
     private final List<Sample> samples = new ArrayList<>();
     private final Map<EndpointModel, double[]> arrivals = new LinkedHashMap<>();
     private final Map<EndpointModel, Integer> arrivalCounts = new LinkedHashMap<>();
-    /** Load of each runner at each sample, in thousandths of its slots. */
+    /** Load of each endpoint at each sample, in thousandths of its slots. */
     private final Histogram loads = new Histogram(MAX_LOAD_PER_MILLE, 3);
 
     private boolean rejected;
@@ -38,13 +37,16 @@
     private double variationSum;
     private long variationCount;
 
-    /** @param runners may grow while this is used; @param meanWork of a job, in slot milliseconds */
+    /**
+     * @param endpoints may grow while this object is used
+     * @param meanWork mean work of a request, in slot milliseconds
+     */
     LoadBalanceStats(List<EndpointModel> endpoints, double meanWork) {
         this.endpoints = endpoints;
         this.meanWork = meanWork;
     }
 
-    /** An attempt has come to a runner. */
+    /** Records an attempt that arrived at an endpoint. */
     synchronized void arrived(EndpointModel endpoint, double now) {
         int count = arrivalCounts.merge(endpoint, 1, Integer::sum);
         double[] times = arrivals.getOrDefault(endpoint, new double[64]);
@@ -55,12 +57,12 @@
         arrivals.put(endpoint, times);
     }
 
-    /** Something was turned away, by a runner or by a dispatcher. */
+    /** Records a rejection by an endpoint or a dispatcher. */
     synchronized void rejected() {
         rejected = true;
     }
 
-    /** Looks at all runners. */
+    /** Samples the load of all endpoints. */
     synchronized void sample(double now) {
         boolean hasWaiting = rejected;
         rejected = false;
@@ -74,7 +76,8 @@
             allLoads[i] = endpoint.isUp() ? endpoint.load() : Double.NaN;
         }
         for (EndpointModel endpoint : serving) {
-            // By speed: one that is twice as fast carries twice the jobs in the same time.
+            // Loads are comparable across speeds: an endpoint of twice the speed serves twice the requests in the
+            // same time.
             double load = endpoint.load();
             hasWaiting |= endpoint.queuedCount() > 0;
             sum += load;
@@ -102,7 +105,10 @@
         return loads;
     }
 
-    /** Windows of a runner's own service time in which it got more than twice its fair arrivals. */
+    /**
+     * Returns the number of windows, each as long as the mean service time of its endpoint, in which that endpoint
+     * received more than twice its fair number of arrivals.
+     */
     synchronized int countHerds() {
         double total = arrivalCounts.values().stream().mapToInt(count -> count).sum();
         double capacity = endpoints.stream()
@@ -131,7 +137,7 @@
         return herdCount;
     }
 
-    /** The measures, by the names that the page explains. */
+    /** Returns the figures by their documented names. */
     synchronized Map<String, Double> figures() {
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("load_cv", variationCount == 0 ? 0 : variationSum / variationCount);
--- a/src/main/java/nettlewick/fleettest/LoadGenerator.java
+++ b/src/main/java/nettlewick/fleettest/LoadGenerator.java
@@ -23,8 +23,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * LoadGenerator of all zones: each job is asked for when it was meant to be, whatever became of those before, and
- * its time counts from then.
+ * Simulates the clients of all zones. Each request is sent at its planned time, regardless of earlier ones, and its
+ * latency counts from that time.
  */
 final class LoadGenerator {
     private static final int MAX_CONNECTIONS_PER_HOST = 400;
@@ -34,7 +34,7 @@
     private static final int STATUS_TOO_MANY = 429;
     private static final double MAX_LATENCY_MILLIS = 3_600_000;
 
-    /** A job on its way: its tries have ids of their own and one key. */
+    /** A request without an outcome yet. Each send has its own request id; all share one idempotency key. */
     private static final class OpenRequest {
         final RequestTrace.PlannedRequest planned;
         final double scheduledAt;
@@ -60,7 +60,7 @@
     private final Map<String, Integer> outcomes = new TreeMap<>();
     final Histogram latency = new ConcurrentHistogram((long) MAX_LATENCY_MILLIS, 3);
     private volatile double measureFrom;
-    /** Which jobs are asked for at all. */
+    /** Selects the planned requests that are sent at all. */
     volatile Predicate<RequestTrace.PlannedRequest> requestFilter = a -> true;
 
     final AtomicInteger openRequests = new AtomicInteger();
@@ -88,12 +88,12 @@
                 new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_HOST).setEventLoopSize(EVENT_LOOPS));
     }
 
-    /** Jobs that are meant to be asked for earlier are no figures. */
+    /** Sets the time before which planned requests do not count in the figures. */
     void measureFrom(double at) {
         measureFrom = at;
     }
 
-    /** A client asks now for what it meant to ask for at {@code meant}. */
+    /** Sends a request that was planned for {@code scheduledAt}. */
     void sendAt(RequestTrace.PlannedRequest planned, double scheduledAt) {
         if (!requestFilter.test(planned)) {
             return;
@@ -119,7 +119,7 @@
                             .setHost(dispatcher.listenAddress.getHostString())
                             .setPort(dispatcher.listenAddress.getPort()))
                     .onFailure(e -> {
-                        // Nobody was there: that was no try.
+                        // No connection was established, so this does not count as a send.
                         request.sends--;
                         vertx.setTimer(50, t -> sendNow(request));
                     })
@@ -127,7 +127,9 @@
         }
     }
 
-    /** One of the zone's dispatchers that the front takes for alive. */
+    /**
+     * Picks one of the zone's dispatchers that the clients' load balancer considers available; null if there is none.
+     */
     private Fleet.DispatcherProcess pick(OpenRequest request) {
         List<Fleet.DispatcherProcess> candidates = new ArrayList<>();
         int zones = scenario.fleet().zones().size();
@@ -241,7 +243,10 @@
         openRequests.decrementAndGet();
     }
 
-    /** How jobs have ended: in_time, late, unserved, failed, broken_off, unanswered; of all and by member. */
+    /**
+     * Returns the number of requests by outcome (in_time, late, unserved, failed, broken_off, unanswered), in total
+     * and by tenant.
+     */
     Map<String, Integer> outcomes() {
         synchronized (outcomes) {
             return new TreeMap<>(outcomes);
--- a/src/main/java/nettlewick/fleettest/RequestTrace.java
+++ b/src/main/java/nettlewick/fleettest/RequestTrace.java
@@ -5,15 +5,15 @@
 import java.util.SplittableRandom;
 
 /**
- * The jobs of a run in the order in which clients mean to ask, drawn from the scenario's seed: a Poisson
- * stream whose rate the steps change. Pure.
+ * The planned requests of a run in order of time, drawn from the scenario's seed: a Poisson process whose rate the
+ * steps change. Performs no I/O.
  */
 final class RequestTrace {
     /**
-     * @param at     when it is meant to be asked, in milliseconds after the load began; below 0 to warm up
-     * @param work   slot milliseconds at the speed of 1
-     * @param choice in [0, 1): draws the dispatcher among those of its zone
-     * @param member whose it is
+     * @param at planned time in milliseconds after the load began; below 0 during warm-up
+     * @param workMillis slot milliseconds at the speed of 1
+     * @param choice in [0, 1); selects the dispatcher in the zone
+     * @param tenant the tenant that sends the request
      */
     record PlannedRequest(
             int number,
@@ -46,7 +46,7 @@
                         .sum()
                 / tenantFractionSum;
         while (true) {
-            // Thinned from the highest rate, so that steps change it without a seam.
+            // Thins a Poisson process of the highest rate, so that steps change the rate without discontinuities.
             double maxRate = load.rate()
                     * scenario.steps().stream()
                             .filter(s -> s.verb().equals("rate"))
@@ -73,7 +73,7 @@
                 weightSum += weights[m];
             }
             if (draw * maxRate * 1000 < rateAt(scenario, at) * weightSum) {
-                // One member needs no draw: earlier scenarios keep their jobs.
+                // A single tenant takes no random draw, so that scenarios without tenants keep their requests.
                 double remaining = weights.length == 1 ? 0 : random.nextDouble() * weightSum;
                 int tenantIndex = 0;
                 for (; tenantIndex < weights.length - 1 && remaining >= weights[tenantIndex]; tenantIndex++) {
@@ -95,7 +95,7 @@
         return step.verb().equals("flood") && step.target().name().equals(tenant.name());
     }
 
-    /** What a member asks for at a time, against all that all ask for in peace. */
+    /** Returns a tenant's request rate at a time, relative to the total rate without floods. */
     private static double tenantWeight(Scenario scenario, Scenario.Tenant tenant, double at) {
         double weight = tenant.requestFraction();
         for (Scenario.Step step : scenario.steps()) {
@@ -109,7 +109,8 @@
     private static double rateAt(Scenario scenario, double at) {
         double rate = scenario.load().rate();
         if (at < 0) {
-            // It grows: the first requests of a process cost many times what the later ones do.
+            // The rate grows linearly during warm-up, because the first requests of a process cost many times what
+            // later ones do.
             return rate * (1 + at / scenario.load().warmUpMillis());
         }
         for (Scenario.Step step : scenario.steps()) {
--- a/src/main/java/nettlewick/fleettest/Results.java
+++ b/src/main/java/nettlewick/fleettest/Results.java
@@ -23,19 +23,23 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** What a run leaves in its folder, and two such folders side by side. */
+/** Writes, reads and compares the result folders of runs. */
 final class Results {
     private static final String FIGURES_FILE = "figures.csv";
     private static final int WIDTH_PIXELS = 1200;
     private static final int HEIGHT_PIXELS = 600;
     private static final double SECOND_MILLIS = 1000;
 
-    /** What the fleet had done by the end of a second. */
+    /** Cumulative counts at the end of a second. */
     record Second(double at, int ready, int sent, int inTime, int late, int rejections, int openRequests) {}
 
     private Results() {}
 
-    /** Writes all files; what could not be drawn comes back as a line, else null. */
+    /**
+     * Writes all files of a run.
+     *
+     * @return why the charts could not be drawn; null if they were
+     */
     static String write(
             Path folder,
             Map<String, Double> figures,
@@ -135,7 +139,7 @@
         ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH_PIXELS, HEIGHT_PIXELS);
     }
 
-    /** A number as a person writes it. */
+    /** Formats a figure without needless decimals; empty for NaN. */
     static String formatNumber(double value) {
         return Double.isNaN(value)
                 ? ""
@@ -144,7 +148,7 @@
                         : String.format(java.util.Locale.ROOT, "%.4f", value);
     }
 
-    /** The figures of a run's folder. */
+    /** Reads the figures of a result folder. */
     static Map<String, Double> read(Path folder) throws IOException {
         Map<String, Double> figures = new LinkedHashMap<>();
         try (Reader in = Files.newBufferedReader(folder.resolve(FIGURES_FILE))) {
@@ -160,7 +164,7 @@
         return figures;
     }
 
-    /** Two runs side by side, one figure a line. */
+    /** Writes the figures of two runs side by side, one figure per line. */
     static void compare(Path a, Path b, Appendable out) throws IOException {
         Map<String, Double> first = read(a);
         Map<String, Double> second = read(b);
@@ -182,12 +186,12 @@
         }
     }
 
-    /** For a folder that a person gave: whether a run is in it. */
+    /** Returns whether a folder contains the results of a run. */
     static boolean containsRun(Path folder) {
         return Files.isRegularFile(folder.resolve(FIGURES_FILE));
     }
 
-    /** Copies a text beside the figures. */
+    /** Writes a text file into a result folder. */
     static void writeText(Path folder, String name, String text) throws IOException {
         Files.createDirectories(folder);
         try (Writer out = Files.newBufferedWriter(folder.resolve(name))) {
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -13,19 +13,23 @@
 import nettlewick.stubs.EndpointModel;
 
 /**
- * A scenario, read from a file in the form of the settings and checked: world, load, links and timed steps.
- * Times in milliseconds. The page {@code docs/lab.md} tells of each keyword.
+ * A validated scenario in the syntax of the settings file: fleet, load, links, timed steps and tenant pools. Times
+ * are in milliseconds. {@code docs/lab.md} documents each keyword.
  */
 record Scenario(
         FleetSettings fleet, LoadSettings load, LinkSettings links, List<Step> steps, TenantPoolSettings tenantPools) {
-    /** So many runners of one speed; 1 is the speed that a job's work is counted at. */
+    /** A number of endpoints of one speed; the work of requests is given for the speed of 1. */
     record EndpointGroup(int count, double speed) {}
 
     /**
-     * @param peers  whether dispatchers tell one another what they hold
-     * @param calls  how long discovery takes over one call, one after another; 0: no time
-     * @param clocks by how much those of dispatchers such as n3 are ahead, in milliseconds
-     * @param notice how long the clients' front goes on sending to a dispatcher that has died
+     * Settings of dispatchers, endpoints and discovery.
+     *
+     * @param gossips whether dispatchers exchange their load
+     * @param keepsEndpointList whether a restarted dispatcher is given the endpoint list that it had last
+     * @param polls whether dispatchers poll discovery instead of receiving pushed lists
+     * @param discoveryCallMillis how long discovery takes for each call, one after another; 0 for no time
+     * @param deathNoticeMillis how long the clients' load balancer goes on sending to a dispatcher that is down
+     * @param clockOffsets by how many milliseconds the clocks of dispatchers such as n3 are ahead
      */
     record FleetSettings(
             long seed,
@@ -59,7 +63,7 @@
             return 1;
         }
 
-        /** Slots at the speed of 1 of all runners together. */
+        /** Returns the slots of all endpoints together, weighted by speed. */
         double capacity() {
             return endpointGroups.stream()
                             .mapToDouble(k -> k.count() * k.speed())
@@ -68,7 +72,9 @@
         }
     }
 
-    /** A class of jobs; {@code part}: of all jobs, {@code mean}: of a job's work in slot milliseconds. */
+    /**
+     * A request class; {@code fraction} is its part of all requests, {@code meanWorkMillis} is in slot milliseconds.
+     */
     record RequestClass(String name, double fraction, double meanWorkMillis, double latencyObjective, double deadline) {
         boolean isNonIdempotent() {
             return name.equals("mark-submit") || name.equals("transfer");
@@ -84,10 +90,13 @@
     }
 
     /**
-     * @param rate   jobs a second of all clients together
-     * @param warm   for how long the same load goes before it, which no figure counts
-     * @param uneven how many times the others' traffic the first dispatcher of each zone gets
-     * @param tries  how often a client asks in all
+     * Settings of the clients' load.
+     *
+     * @param rate requests per second of all clients together
+     * @param warmUpMillis how long a growing load precedes it, which is not counted in the figures
+     * @param skew traffic of the first dispatcher of each zone relative to the others
+     * @param maxSends how often a client sends a request in total
+     * @param honoursRetryAfter whether clients wait for the time in Retry-After
      */
     record LoadSettings(
             double rate,
@@ -108,15 +117,15 @@
         }
     }
 
-    /** A member; {@code share}: of the service, {@code asks}: of all jobs. */
+    /** A tenant with its quota and its fraction of all requests. */
     record Tenant(String name, double quota, double requestFraction) {}
 
     /**
-     * What makes members' pools go; null where there is no block `pools`.
+     * Settings of lease tasks and tenant pools; absent if the scenario has no block {@code pools}.
      *
-     * @param comes how long the provider takes to start a runner
-     * @param turns when the month turns after the lab's beginning; NaN: clocks are the machine's
-     * @param pools the block, as each process gets it
+     * @param endpointStartMillis how long the provider takes to start an endpoint
+     * @param monthTurnsAfterMillis when the month turns after the start of the test; NaN to use the machine's clock
+     * @param block the block {@code pools} as each process receives it
      */
     record TenantPoolSettings(
             int voters, double leaseMillis, double endpointStartMillis, double monthTurnsAfterMillis, Block block) {}
@@ -129,11 +138,11 @@
             boolean isTcpRelayed) {}
 
     /**
-     * Something that happens at a time after the load began.
+     * An event at a time after the load began.
      *
-     * @param verb   what; the words between are left out
-     * @param figure its number: a part, a factor, a count, or a time in which it happens
-     * @param span   for how long; infinite where it stays
+     * @param verb the action, without the literal words between its arguments
+     * @param value its number: a fraction, a factor, a count, or a time over which it happens
+     * @param durationMillis how long it lasts; infinite if it is permanent
      */
     record Step(
             double at,
@@ -143,12 +152,12 @@
             double value,
             double durationMillis) {}
 
-    /** Reads and checks a file; throws {@link InvalidSettingsException} with one line for the first fault. */
+    /** Reads and validates a file; throws {@link InvalidSettingsException} with one line for the first fault. */
     static Scenario read(Path file) {
         return build(Settings.read(file, ScenarioSchema.ROOT), file.toString());
     }
 
-    /** Checks a text as if it stood in a file of that name. */
+    /** Validates a text as if it were the content of a file of that name. */
     static Scenario parse(String name, String text) {
         return build(Settings.parse(name, text, ScenarioSchema.ROOT), name);
     }
@@ -256,11 +265,11 @@
                 new nettlewick.settings.SourceLocation(file, 1), "there is no block " + block);
     }
 
-    /** What stands in a line's words: the whom, then figures after their literal words. */
+    /** Parses the words of a line: the target, then numbers after their literal words. */
     private static Step parseStep(Block.Value value) {
         List<String> words = value.words();
         String verb = words.get(1);
-        // A flood's member, and a provider's fate, are words of their own.
+        // The tenant of a flood and the fate of a provider are plain words.
         boolean hasNamedTarget = verb.equals("flood") || verb.equals("provider");
         ScenarioTarget target = hasNamedTarget ? new ScenarioTarget(words.get(2), 1) : null;
         ScenarioTarget otherTarget = null;
@@ -283,7 +292,7 @@
         return new Step(value.argument(0), verb, target, otherTarget, figure, durationMillis);
     }
 
-    /** Danger: a step that means nobody would pass as one that did no harm. */
+    /** Rejects a step without a valid target, which would otherwise seem to do no harm. */
     private static void checkStep(
             Block.Value value, Step step, FleetSettings fleet, LinkSettings links, LoadSettings load) {
         if (step.verb().equals("provider")) {
@@ -328,7 +337,7 @@
         }
     }
 
-    /** The same without members' pools, or without what this member does beyond its part. */
+    /** Returns this scenario without tenant pools, or without the floods of a tenant. */
     Scenario without(boolean removePools, String floodingTenant) {
         return new Scenario(
                 fleet,
@@ -343,7 +352,7 @@
                 removePools ? null : tenantPools);
     }
 
-    /** The same with other figures of the world, for runs side by side. */
+    /** Returns this scenario with another gossip setting and datagram loss, for comparison. */
     Scenario with(boolean gossips, double lossFraction) {
         FleetSettings w = fleet;
         return new Scenario(
--- a/src/main/java/nettlewick/fleettest/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -26,12 +26,15 @@
 import nettlewick.stubs.StubPlatform;
 import org.HdrHistogram.Histogram;
 
-/** One run of a scenario: builds the world, starts the fleet, asks, does the steps, and counts. */
+/**
+ * One run of a scenario: sets up stubs, relays and the fleet, generates the load, executes the steps, and collects
+ * figures.
+ */
 final class ScenarioRun implements AutoCloseable, EndpointServer.Listener {
     private static final String ENDPOINT_NET = Fleet.net(2);
-    /** Most sends of one request. */
+    /** Cap on the attempts of one request. */
     static final int MAX_ATTEMPTS = 6;
-    /** Pairs of dispatcher and runner up to which each has a listener of its own. */
+    /** Up to this many pairs of dispatcher and endpoint, each pair has its own relay listener. */
     private static final int MAX_SEPARATE_RELAYS = 4096;
 
     private static final int MAX_ENDPOINTS = 20_000;
@@ -44,7 +47,7 @@
     final Vertx vertx;
     private final HttpClient healthClient;
     private final long beganNanos = System.nanoTime();
-    /** When the load that counts begins, by the lab's clock. */
+    /** When the measured load begins, by the test's clock. */
     private volatile double loadBeginsAt = Double.POSITIVE_INFINITY;
 
     final LinkFaults linkFaults;
@@ -61,15 +64,15 @@
     private final List<String> peerAddresses;
     final LoadGenerator loadGenerator;
     final StepExecutor stepExecutor;
-    /** Null where no member has a pool. */
+    /** Null if the scenario has no tenant pools. */
     final TenantPoolEnvironment tenantPools;
 
     private final Path folder;
-    /** Unix time at the lab clock's beginning. */
+    /** Unix time in milliseconds at which the test's clock began. */
     final double beganAtUnixMillis = System.currentTimeMillis();
 
     private final Map<EndpointServer, Integer> endpointNumbers = new java.util.concurrent.ConcurrentHashMap<>();
-    /** Set from outside: what the run was for has happened. */
+    /** Set by a test to end the run early. */
     volatile boolean stopRequested;
 
     private final StallMonitor stallMonitor;
@@ -134,7 +137,7 @@
         }
     }
 
-    /** Keeps what becomes of the processes beside the requests. */
+    /** Reports process events to the checker. */
     private final class ProcessEvents implements Fleet.ProcessListener {
         @Override
         public void killed(int number) {
@@ -149,12 +152,12 @@
         }
     }
 
-    /** The lab's clock: milliseconds since the lab began. Danger: many keep its times, so it never jumps. */
+    /** Returns the milliseconds since the test began. Monotonic, because its readings are stored and compared. */
     double now() {
         return (System.nanoTime() - beganNanos) / 1e6;
     }
 
-    /** Milliseconds since the load began that counts; below 0 before. */
+    /** Returns the milliseconds since the measured load began; negative before. */
     private double millisSinceLoadBegan() {
         return now() - loadBeginsAt;
     }
@@ -175,17 +178,17 @@
         return discoveryParty() + 1;
     }
 
-    /** Where a dispatcher reaches a party that is there for all. */
+    /** Returns the address at which a dispatcher reaches a server that all dispatchers share. */
     InetSocketAddress relayedAddress(int dispatcher, int party, InetSocketAddress direct) throws Exception {
         return tcpRelay == null ? direct : tcpRelay.open(dispatcher, party, direct);
     }
 
-    /** Who holds a member's duty, by what the processes have said. */
+    /** Returns the dispatcher that holds a tenant's lease task, according to the logs. */
     int leaseHolder(String member) throws IOException {
         return DispatcherLogs.read(folder, beganAtUnixMillis, "duty-held").leaseHolder(member);
     }
 
-    /** The dispatchers that share a listener go by the first of them. */
+    /** Returns the first dispatcher of the group that shares a relay listener. */
     private int relayGroup(int dispatcher) {
         return fleetSettings.dispatchers() * fleetSettings.endpoints() <= MAX_SEPARATE_RELAYS
                 ? dispatcher
@@ -244,7 +247,7 @@
         return config;
     }
 
-    /** Starts all processes, a few at a time, until each says that it is ready. */
+    /** Starts all processes, a few at a time, and waits until each is ready. */
     Map<String, Double> startFleet(Consumer<String> progress) throws Exception {
         double beganAt = now();
         int next = 0;
@@ -279,7 +282,7 @@
         return figures;
     }
 
-    /** What the fleet costs with no request at all, over that many milliseconds. */
+    /** Measures the cost of the fleet without any requests, over some milliseconds. */
     void measureIdle(double millis) throws InterruptedException {
         double beganAt = now();
         double cpuBefore = fleet.cpuMillis();
@@ -297,7 +300,7 @@
         return fleet.dispatchers.stream().filter(m -> m.ready).count();
     }
 
-    /** Asks those that are not known to be ready, and forgets those that have been dead for a while. */
+    /** Sends a health check to each running process that is not known to be ready. */
     private void checkHealth() {
         for (Fleet.DispatcherProcess process : fleet.dispatchers) {
             if (process.alive() && !process.ready && !process.paused) {
@@ -314,7 +317,7 @@
         }
     }
 
-    /** Asks and does the steps; done once every job has its end. */
+    /** Generates the load and executes the steps until every request has an outcome. */
     Map<String, Double> run(Consumer<String> progress) throws Exception {
         List<RequestTrace.PlannedRequest> trace = RequestTrace.draw(scenario);
         loadBeginsAt = now() + scenario.load().warmUpMillis();
@@ -485,7 +488,7 @@
     @Override
     public void close() throws Exception {
         try {
-            // First: connections that processes reset as they end would each be logged.
+            // Closed first; otherwise each connection that an ending process resets would be logged.
             StubPlatform.awaitResult(vertx.close());
         } finally {
             fleet.close();
--- a/src/main/java/nettlewick/fleettest/ScenarioSchema.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioSchema.java
@@ -9,7 +9,7 @@
 import nettlewick.settings.ValueType;
 import nettlewick.stubs.ProviderServer;
 
-/** The keywords of a scenario; {@code docs/lab.md} tells of each. */
+/** The keywords of a scenario, documented in {@code docs/lab.md}. */
 final class ScenarioSchema {
     private static final double MINUTE_MILLIS = 60_000;
     private static final double HOUR_MILLIS = 60 * MINUTE_MILLIS;
@@ -30,7 +30,7 @@
         return ValueType.literal(word);
     }
 
-    /** The forms of all steps: a verb, whom, and what follows. */
+    /** Returns the forms of all steps: a verb, its target, and further arguments. */
     private static Keyword stepKeyword() {
         List<List<ValueType<?>>> forms = new ArrayList<>();
         List<ValueType<?>> duration = List.of(literal("for"), DURATION);
@@ -211,7 +211,7 @@
     private static final Section STEPS =
             new Section("steps", null, false, "What happens when.", List.of(stepKeyword()), List.of());
 
-    /** The file itself. */
+    /** The top level of a scenario file. */
     static final Section ROOT = new Section(
             "the scenario",
             null,
--- a/src/main/java/nettlewick/fleettest/ScenarioTarget.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioTarget.java
@@ -4,12 +4,11 @@
 import nettlewick.settings.ValueType;
 
 /**
- * Whom a step of a scenario means: {@code n3} (a dispatcher), {@code s7} (a sim runner), {@code discovery},
- * {@code provider}, {@code dispatchers}, {@code runners}, {@code all} (both), {@code holder-red} (whoever
- * holds
- * that member's duty), or the name of a zone.
+ * The target of a scenario step: {@code n3} (a dispatcher), {@code s7} (an endpoint), {@code discovery}, {@code
+ * provider}, {@code dispatchers}, {@code runners}, {@code all} (dispatchers and endpoints), {@code holder-red} (the
+ * holder of that tenant's lease task), or the name of a zone.
  *
- * @param part the part of them that is meant, from 0 to 1, drawn from the scenario's seed
+ * @param fraction the part of the group that is affected, from 0 to 1, selected with the scenario's seed
  */
 record ScenarioTarget(String name, double fraction) {
     private static final List<String> GROUPS = List.of("discovery", "provider", "dispatchers", "runners", "all");
@@ -22,12 +21,12 @@
                 word -> word.matches("[A-Za-z][A-Za-z0-9_-]{0,40}") ? new ScenarioTarget(word, 1) : null);
     }
 
-    /** The number in {@code n3} or {@code s7}; -1 where this names no single one of that kind. */
+    /** Returns the number in {@code n3} or {@code s7}; -1 if this is not a single party of that kind. */
     int number(char kind) {
         return name.matches(kind + "\\d{1,5}") ? Integer.parseInt(name.substring(1)) : -1;
     }
 
-    /** The member in {@code holder-red}: whoever holds its duty then; else null. */
+    /** Returns the tenant in {@code holder-red}; else null. */
     String holderTenant() {
         return name.startsWith(HOLDER) ? name.substring(HOLDER.length()) : null;
     }
--- a/src/main/java/nettlewick/fleettest/Soak.java
+++ b/src/main/java/nettlewick/fleettest/Soak.java
@@ -10,19 +10,19 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** Plays soaks of rolling restarts, seed by seed, and tells a verdict for each. */
+/** Runs soak tests of rolling restarts, one per seed, and reports a verdict for each. */
 public final class Soak {
     private static final int MAX_VIOLATIONS_SHOWN = 12;
 
     private Soak() {}
 
     /**
-     * Plays one soak for each seed.
+     * Runs one soak for each seed.
      *
-     * @param from   the first seed
-     * @param folder gets a folder for each seed that broke a rule, with the logs of all processes
-     * @param out    gets the table of what was drawn, the verdict, and the broken rules
-     * @return the seeds that broke a rule
+     * @param from the first seed
+     * @param folder receives a folder with the logs of all processes for each seed that violated a rule
+     * @param out receives the drawn plan, the verdict, and the violations
+     * @return the seeds that violated a rule
      */
     public static List<Long> run(long from, int seeds, Path folder, Consumer<String> out) throws Exception {
         List<Long> broken = new ArrayList<>();
@@ -55,7 +55,7 @@
                 Files.deleteIfExists(file);
             }
         } catch (IOException | UncheckedIOException e) {
-            // Processes that are still ending write there; the next seed has a folder of its own.
+            // Processes that are still ending write to the folder; the next seed has its own.
         }
     }
 }
--- a/src/main/java/nettlewick/fleettest/SoakChecks.java
+++ b/src/main/java/nettlewick/fleettest/SoakChecks.java
@@ -10,9 +10,11 @@
 import nettlewick.fleettest.SoakJournal.Incarnation;
 import nettlewick.stubs.EndpointModel.Admission;
 
-/** Holds a soak's journal against the rules of the protocol page, from the clients' side alone. Pure. */
+/**
+ * Checks a soak's journal against the rules of the protocol page, as clients and endpoints saw them. Performs no I/O.
+ */
 final class SoakChecks {
-    /** A rule that a request or a process broke. */
+    /** A rule that a request or a process violated. */
     record Violation(String rule, Entry request, Incarnation process) {
         @Override
         public String toString() {
@@ -20,19 +22,19 @@
         }
     }
 
-    /** How far past its time an answer may come. */
+    /** How long after its deadline an answer may arrive. */
     static final double LATE_ANSWER_TOLERANCE_MILLIS = 500;
-    /** How long after a request's end, or its client's, an attempt may still begin. */
+    /** How long after its answer, or after its client disconnected, a request may still be forwarded. */
     static final double ATTEMPT_AFTER_END_TOLERANCE_MILLIS = 100;
-    /** How much more time than is left an endpoint may be told. */
+    /** By how much the deadline that an endpoint is given may exceed the remaining time. */
     static final double TOLD_TIME_TOLERANCE_MILLIS = 150;
-    /** What SIGKILL finds unanswered is lost if it came later than this after SIGTERM. */
+    /** SIGKILL may leave requests unanswered that were sent up to this time after SIGTERM; later ones count as lost. */
     static final double EXCUSED_AFTER_TERM_MILLIS = 700;
-    /** How long a process may take to be ready. */
+
     static final double READY_TIMEOUT_MILLIS = 10_000;
-    /** How late SIGKILL may be sent; this is the soak's own doing. */
+    /** How late the soak itself may send SIGKILL. */
     static final double MAX_KILL_DELAY_MILLIS = 50;
-    /** By how much all time limits on sockets are longer. */
+    /** Added to all time limits that are observed through sockets. */
     private static final double SOCKET_TOLERANCE_MILLIS = 50;
 
     private static final int STATUS_OK = 200;
@@ -56,7 +58,7 @@
         this.loadBeganAt = loadBeganAt;
     }
 
-    /** All that was broken. */
+    /** Returns all violations. */
     List<Violation> run() {
         journal.entries().forEach(this::check);
         journal.allIncarnations().forEach(this::check);
@@ -65,7 +67,10 @@
         return violations;
     }
 
-    /** Requests that crossed the end of a resting connection, which their clients send anew. */
+    /**
+     * Returns the number of requests that were sent while their idle connection was being closed; clients resend
+     * them.
+     */
     int requestsOnClosedConnections() {
         return requestsOnClosedConnections;
     }
@@ -101,12 +106,15 @@
                 }
             }
             default -> {
-                // Its client left, or it was never sent whole: no answer is due.
+                // No answer is due: the client disconnected, or the request was not sent completely.
             }
         }
     }
 
-    /** A connection may end between requests, and what crosses that end is sent anew; all else is lost. */
+    /**
+     * An idle connection may be closed while a request is being sent, which clients resend; any other request without
+     * an answer is lost.
+     */
     private void checkClosed(Entry entry) {
         boolean wasForwarded = !entry.arrivals().isEmpty();
         if (isExcusedByKill(entry)) {
@@ -119,7 +127,7 @@
         }
     }
 
-    /** Where idle clients fill the descriptors, new connections may be shut unread. */
+    /** While idle clients exhaust the descriptors, new connections may be closed unread. */
     private boolean isDuringIdleConnections(Entry entry) {
         return plan.idleConnections() > 0 && plan.idleConnectionsSpan().contains(entry.sentAt() - loadBeganAt);
     }
--- a/src/main/java/nettlewick/fleettest/SoakClient.java
+++ b/src/main/java/nettlewick/fleettest/SoakClient.java
@@ -24,28 +24,28 @@
 import nettlewick.fleettest.SoakPlan.RequestClassPlan;
 
 /**
- * One client of a soak, on a thread of its own. It uses its connection for as long as that stays open, and notes in the
- * journal when each request was written and how it ended.
+ * One client of a soak, on its own thread. It uses its connection until that closes, and records in the journal when
+ * each request was written and how it ended.
  */
 final class SoakClient implements Runnable {
-    /** Where a new connection goes. */
+    /** The process that a new connection goes to. */
     record Target(InetSocketAddress address, int dispatcher, int incarnation) {}
 
-    /** Deals out connections among the dispatchers that take clients. */
+    /** Distributes connections among the available dispatchers. */
     interface Balancer {
-        /** One of them, drawn with {@code random}; null while there is none. */
+        /** Returns a dispatcher drawn with {@code random}; null if none is available. */
         Target pick(Random random);
     }
 
     private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)content-length: *(\\d+)");
-    /** Where the status stands in a response's first line. */
+    /** Position of the status code in a response. */
     private static final int STATUS_OFFSET = "HTTP/1.1 ".length();
 
     private static final int MAX_PIPELINED = 4;
     private static final double DISCONNECT_PROBABILITY = 0.3;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
     private static final long RECONNECT_MILLIS = 20;
-    /** How much longer than an answer may take it is waited for, so that a late one is told from none. */
+    /** Added to the time that an answer may take, so that a late answer is told from a missing one. */
     private static final double EXTRA_WAIT_MILLIS = 1500;
 
     private final int number;
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Uses one connection until it ends; false if there was none. */
+    /** Uses one connection until it closes; returns false if it could not be opened. */
     private boolean useConnection(Target target) throws InterruptedException {
         try (Socket socket = new Socket()) {
             socket.connect(target.address(), CONNECT_TIMEOUT_MILLIS);
@@ -105,7 +105,7 @@
             }
             return true;
         } catch (IOException e) {
-            // Nobody listens there: no request was sent.
+            // The connection was refused; no request was sent.
             return false;
         }
     }
@@ -114,7 +114,7 @@
         TimeUnit.MICROSECONDS.sleep((long) (1000 * meanMillis * 2 * random.nextDouble()));
     }
 
-    /** One connection and what is sent on it. */
+    /** One connection and its requests. */
     private final class Connection {
         private final Socket socket;
         private final InputStream in;
@@ -129,7 +129,10 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        /** Sends a request, or several at once, and reads what comes; false once the connection has ended. */
+        /**
+         * Sends a request, or several pipelined ones, and reads the answers; returns false once the connection has
+         * closed.
+         */
         boolean exchange() throws InterruptedException {
             int requestCount = plan.kind() == ClientKind.PIPELINING ? 1 + random.nextInt(MAX_PIPELINED) : 1;
             List<Entry> batch = new ArrayList<>();
@@ -184,7 +187,10 @@
             return head.toString().getBytes(StandardCharsets.US_ASCII);
         }
 
-        /** Writes all bytes, a slow client with a pause in the middle; false if the connection has ended before. */
+        /**
+         * Writes all bytes, with a pause in the middle for a slow client; returns false if the connection closed
+         * before.
+         */
         private boolean write(byte[] bytes) throws InterruptedException {
             int first = plan.kind() == ClientKind.SLOW ? 1 + random.nextInt(bytes.length - 1) : 0;
             try {
@@ -199,13 +205,14 @@
             }
         }
 
-        /** Reads the answers of a batch in order; false once the connection has ended. */
+        /** Reads the answers of a batch in order; returns false once the connection has closed. */
         private boolean readAnswers(List<Entry> batch) {
             boolean isClosing = false;
             for (int i = 0; i < batch.size(); i++) {
                 End end = isClosing ? End.CLOSED : readAnswer(batch.get(i));
                 if (end != End.ANSWERED) {
-                    // The batch was written at once: where one of it was answered, the rest was read as well.
+                    // The batch was written at once: if one of its requests was answered, the others were read as
+                    // well.
                     End rest = end == End.CLOSED && i > 0 ? End.CUT_OFF : end;
                     double now = clock.getAsDouble();
                     batch.subList(i, batch.size()).forEach(e -> e.ended(rest, now));
@@ -216,7 +223,7 @@
             return !isClosing;
         }
 
-        /** Reads one answer, and notes it; else tells how the connection ended, or that none came in time. */
+        /** Reads and records one answer, or returns how the connection ended or that no answer came in time. */
         private End readAnswer(Entry entry) {
             StringBuilder head = new StringBuilder();
             try {
--- a/src/main/java/nettlewick/fleettest/SoakConfig.java
+++ b/src/main/java/nettlewick/fleettest/SoakConfig.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import nettlewick.stubs.EndpointModel;
 
-/** The configurations of a soak's dispatchers. */
+/** Builds the configurations of a soak's dispatchers. */
 final class SoakConfig {
     static final String ZONE = "a";
     static final double DRAIN_GRACE_MILLIS = 500;
@@ -20,7 +20,7 @@
     private static final int MAX_SOCKETS = 256;
     private static final int MEMORY_MEGABYTES = 192;
 
-    /** What all endpoints are like: never cold. */
+    /** The configuration of all endpoints, without slow start. */
     static final EndpointModel.Config ENDPOINT_KIND =
             new EndpointModel.Config(SLOTS, QUEUE, 0, 1, NEVER_FALLS, 1000, REPORT_AGE_MILLIS, true);
 
@@ -58,9 +58,9 @@
     }
 
     /**
-     * The configuration of a dispatcher as it is now.
+     * Returns the current configuration of a dispatcher.
      *
-     * @param known the list of endpoints that it had before; null for none
+     * @param knownEndpoints the endpoint list that it had before; null for none
      */
     Map<String, Object> dispatcherConfig(
             Fleet.DispatcherProcess dispatcher, InetSocketAddress discovery, Map<String, Object> knownEndpoints) {
--- a/src/main/java/nettlewick/fleettest/SoakJournal.java
+++ b/src/main/java/nettlewick/fleettest/SoakJournal.java
@@ -8,27 +8,30 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import nettlewick.stubs.EndpointModel;
 
-/** What clients, endpoints and signals did in a soak, as they saw it. Safe for any thread; times in milliseconds. */
+/**
+ * Records what clients, endpoints and signals did in a soak, as they observed it. Safe for any thread; times in
+ * milliseconds.
+ */
 final class SoakJournal {
     /** How a request ended for its client. */
     enum End {
-        /** No end yet, or none in the time in which its client waited. */
+        /** No end yet, or none while the client waited. */
         NONE,
         ANSWERED,
-        /** The connection ended without a byte of an answer. */
+        /** The connection closed before any byte of an answer. */
         CLOSED,
-        /** The connection ended in the middle of an answer. */
+        /** The connection closed in the middle of an answer. */
         CUT_OFF,
         /** The client closed its connection before an answer came. */
         LEFT,
-        /** The connection ended before the request was written whole. */
+        /** The connection closed before the request was written completely. */
         UNSENT
     }
 
-    /** An attempt that came whole to an endpoint. */
+    /** An attempt that an endpoint received completely, with the remaining time that it was given. */
     record Arrival(String endpoint, EndpointModel.Admission taken, double at, double toldMillis) {}
 
-    /** One request. Its client writes it, endpoints add to {@code arrivals} and {@code runs}. */
+    /** One request. Its client writes it; endpoints add to {@code arrivals} and {@code runs}. */
     static final class Entry {
         private final String id;
         private final SoakPlan.RequestClassPlan requestClass;
@@ -88,7 +91,7 @@
             return runs;
         }
 
-        /** When its last byte was written; NaN if it was not. */
+        /** Returns when its last byte was written; NaN if it was not. */
         double sentAt() {
             return sentAt;
         }
@@ -159,7 +162,10 @@
         }
     }
 
-    /** One process of a dispatcher: when it was started, ready, told to end, killed, and gone; NaN for never. */
+    /**
+     * One process of a dispatcher and the times at which it was started, became ready, received SIGTERM and SIGKILL,
+     * and exited; NaN for events that did not happen.
+     */
     static final class Incarnation {
         private final int dispatcher;
         private final int number;
@@ -237,7 +243,7 @@
 
     private final Map<String, Entry> entries = new ConcurrentHashMap<>();
     private final Map<Integer, List<Incarnation>> incarnations = new ConcurrentHashMap<>();
-    /** When discovery had told a dispatcher of a drain, by the dispatcher's number and the endpoint's name. */
+    /** When discovery sent the draining state of an endpoint, by the dispatcher's number and the endpoint's name. */
     private final Map<String, Double> drainsTold = new ConcurrentHashMap<>();
 
     private final Collection<String> unknownIds = new ConcurrentLinkedQueue<>();
@@ -275,7 +281,7 @@
         drainsTold.putIfAbsent(dispatcher + " " + endpoint, now);
     }
 
-    /** When that dispatcher was told that the endpoint drains; NaN if it was not. */
+    /** Returns when a dispatcher was sent the draining state of an endpoint; NaN if it was not. */
     double drainToldAt(int dispatcher, String endpoint) {
         return drainsTold.getOrDefault(dispatcher + " " + endpoint, Double.NaN);
     }
@@ -289,7 +295,7 @@
         }
     }
 
-    /** The latest process of a dispatcher. */
+    /** Returns the latest process of a dispatcher. */
     Incarnation latest(int dispatcher) {
         List<Incarnation> all = incarnations.get(dispatcher);
         synchronized (all) {
--- a/src/main/java/nettlewick/fleettest/SoakPlan.java
+++ b/src/main/java/nettlewick/fleettest/SoakPlan.java
@@ -9,13 +9,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Everything that one soak of rolling restarts draws from its seed. Times are in milliseconds; moments count from the
- * beginning of the load. Pure.
+ * Everything that one soak of rolling restarts draws from its seed. Times are in milliseconds; points in time count
+ * from the beginning of the load. Performs no I/O.
  *
- * @param restarts         the planned restarts, by the time of their SIGTERM
- * @param hungRunners      endpoints that take requests and answer none during {@code hang}
- * @param drainedRunner    an endpoint that begins to drain at {@code drainAt}
- * @param crowd            idle connections to each dispatcher while discovery is silent; 0 for none
+ * @param restarts the planned restarts, in order of their SIGTERM
+ * @param hungEndpoints endpoints that accept requests but answer none during {@code hang}
+ * @param drainedEndpoint an endpoint that begins to drain at {@code drainAt}
+ * @param idleConnections idle connections to each dispatcher while discovery is silent; 0 for none
  */
 record SoakPlan(
         long seed,
@@ -33,21 +33,21 @@
 
     /** How a client uses its connections. */
     enum ClientKind {
-        /** One request after another on a connection that it keeps. */
+        /** Sends one request after another on a persistent connection. */
         KEEP_ALIVE,
-        /** Several requests at once on a connection that it keeps. */
+        /** Sends several requests at once on a persistent connection. */
         PIPELINING,
-        /** Rests for long between requests on one connection. */
+        /** Stays idle for long between requests on one connection. */
         IDLE_BETWEEN_REQUESTS,
         /** Pauses in the middle of each request. */
         SLOW,
-        /** Closes its connection while its request is in flight, now and then. */
+        /** Sometimes closes its connection while its request is in flight. */
         DISCONNECTING,
         /** Opens a connection for each request. */
         NEW_CONNECTION
     }
 
-    /** A class of requests and the mean time that its requests run. */
+    /** A request class with its deadline and the mean time that its requests run. */
     record RequestClassPlan(String name, double deadlineMillis, double meanWorkMillis) {
         boolean isIdempotent() {
             return name.equals("step-view");
@@ -58,10 +58,10 @@
         }
     }
 
-    /** A client; {@code pauseMillis} is its mean pause, where it pauses. */
+    /** A client; {@code pauseMillis} is its mean pause, if it pauses. */
     record ClientPlan(ClientKind kind, int requestClass, double pauseMillis) {}
 
-    /** A stretch of time. */
+    /** A time interval, including both ends. */
     record Span(double from, double to) {
         boolean contains(double time) {
             return time >= from && time <= to;
@@ -71,9 +71,9 @@
     /**
      * A planned restart of one dispatcher.
      *
-     * @param acceptMillis   how long after SIGTERM new connections keep coming
-     * @param reloads        when SIGHUP comes, after SIGTERM or, below 0, before it
-     * @param secondTermAfter how long after SIGTERM another one comes; NaN for none
+     * @param acceptMillis how long after SIGTERM new connections still arrive
+     * @param reloads when SIGHUP is sent, relative to SIGTERM; negative for before it
+     * @param secondTermAfter how long after SIGTERM another one is sent; NaN for none
      */
     record Restart(int dispatcher, double termAt, double acceptMillis, List<Double> reloads, double secondTermAfter) {}
 
@@ -87,7 +87,7 @@
 
     static SoakPlan draw(long seed) {
         Random random = new Random(seed);
-        // Seeds that follow one another would begin alike.
+        // Discards the first draw, which is similar for consecutive seeds.
         random.nextLong();
         int dispatchers = 3 + random.nextInt(3);
         int endpoints = 4 + random.nextInt(3);
@@ -127,7 +127,7 @@
     }
 
     private static List<RequestClassPlan> drawClasses(Random random) {
-        // In half of the runs all deadlines are short, so that the kill comes early.
+        // In half of the runs all deadlines are short, so that SIGKILL follows SIGTERM sooner.
         boolean isShort = random.nextBoolean();
         double maxDeadline = isShort ? 1000 : 3000;
         List<RequestClassPlan> classes = new ArrayList<>();
@@ -150,7 +150,7 @@
         List<ClientPlan> clients = new ArrayList<>();
         ClientKind[] kinds = ClientKind.values();
         for (int i = 0; i < count; i++) {
-            // Each kind comes at least once.
+            // The first clients cover each kind.
             ClientKind kind = i < kinds.length ? kinds[i] : kinds[random.nextInt(kinds.length)];
             double pause = switch (kind) {
                 case IDLE_BETWEEN_REQUESTS -> 300 + random.nextDouble() * 2000;
@@ -183,7 +183,7 @@
         return restarts;
     }
 
-    /** The shortest time from SIGTERM to SIGKILL. */
+    /** Returns the shortest time from SIGTERM to SIGKILL. */
     double killDelayMillis() {
         double longest = classes.stream()
                 .mapToDouble(RequestClassPlan::deadlineMillis)
@@ -192,7 +192,7 @@
         return Math.min(longest, MAX_COUNTED_DEADLINE_MILLIS) + KILL_MARGIN_MILLIS;
     }
 
-    /** A table of all that is drawn, a line each. */
+    /** Describes the plan in one line per item. */
     String describe() {
         StringJoiner lines = new StringJoiner("\n  ", "  ", "");
         lines.add("dispatchers " + dispatchers + ", runners " + endpoints + ", kill " + Math.round(killDelayMillis())
--- a/src/main/java/nettlewick/fleettest/SoakRun.java
+++ b/src/main/java/nettlewick/fleettest/SoakRun.java
@@ -27,18 +27,18 @@
 import nettlewick.stubs.StubPlatform;
 
 /**
- * One soak: a small fleet of real processes under clients of all kinds, each process restarted by SIGTERM with SIGKILL at
- * the earliest time that the protocol allows. Belongs to one thread, which sends all signals.
+ * One soak: a small fleet of real processes under clients of all kinds. Each process is restarted by SIGTERM, with
+ * SIGKILL at the earliest time that the protocol allows. Confined to one thread, which sends all signals.
  */
 final class SoakRun implements AutoCloseable, EndpointServer.Listener {
-    /** What a soak found. */
+    /** The result of a soak. */
     record Verdict(
             List<SoakChecks.Violation> violations,
             int requests,
             int requestsOnClosedConnections,
             double maxStallMillis,
             double maxKillDelayMillis) {
-        /** One line that tells it. */
+        /** Returns the verdict in one line. */
         String text() {
             return String.format(
                     "%s, %d requests, %d crossed the end of a resting connection, %d breaks;"
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Something to do at a moment of the run's clock. */
+    /** An action at a time of the run's clock. */
     private record ScheduledAction(double at, int order, Action action) {}
 
     /** A step of the run. */
@@ -76,13 +76,13 @@
     private final List<EndpointServer> endpoints = new ArrayList<>();
     private final Map<EndpointServer, InetSocketAddress> addresses = new ConcurrentHashMap<>();
     private final DiscoveryServer discovery;
-    /** Two addresses of discovery for each dispatcher; a reload moves it from one to the other. */
+    /** Two addresses of discovery for each dispatcher; a reload switches between them. */
     private final List<List<InetSocketAddress>> discoveryAddresses = new ArrayList<>();
 
     private final int[] discoveryInUse;
     private final Fleet fleet;
     private final StallMonitor stallMonitor;
-    /** Dispatchers that the clients' load balancer connects to, with the process that serves there. */
+    /** The dispatchers that the clients' load balancer connects to, with the process that serves there. */
     private final Map<Integer, SoakClient.Target> balancerTargets = new ConcurrentHashMap<>();
 
     private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>(
@@ -126,7 +126,7 @@
         return dispatcherConfig.dispatcherConfig(member, discoveryAddress, known);
     }
 
-    /** Plays the plan and checks the journal. */
+    /** Runs the plan and checks the journal. */
     Verdict run() throws Exception {
         for (int d = 0; d < plan.dispatchers(); d++) {
             start(d);
@@ -198,7 +198,7 @@
         }
     }
 
-    /** Does what is due, again and again, until the condition holds. */
+    /** Executes scheduled actions until the condition holds. */
     private void runUntil(java.util.function.BooleanSupplier condition, double timeoutMillis) throws Exception {
         double until = now() + timeoutMillis;
         while (!condition.getAsBoolean()) {
@@ -218,7 +218,7 @@
         CompletableFuture.runAsync(() -> awaitHealth(incarnation));
     }
 
-    /** The load balancer takes a dispatcher in once its health check has succeeded. */
+    /** Adds a dispatcher to the load balancer once its health check has succeeded. */
     private void awaitHealth(Incarnation incarnation) {
         Fleet.DispatcherProcess member = fleet.dispatchers.get(incarnation.dispatcher());
         try {
@@ -279,7 +279,7 @@
         }
     }
 
-    /** Starts the next process at the same address as soon as this one has ended. */
+    /** Starts the next process at the same address as soon as this one has exited. */
     private void awaitExit(Incarnation incarnation) {
         plan(now() + 1, () -> {
             if (Double.isNaN(incarnation.exitedAt())) {
@@ -292,7 +292,7 @@
         });
     }
 
-    /** Changes the configuration file, which moves discovery, and sends SIGHUP. */
+    /** Replaces the configuration file, which switches the address of discovery, and sends SIGHUP. */
     private void reload(int dispatcher) throws IOException {
         Fleet.DispatcherProcess member = fleet.dispatchers.get(dispatcher);
         if (!member.alive() || !Double.isNaN(journal.latest(dispatcher).exitedAt())) {
@@ -307,7 +307,7 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(member.process.pid())).start();
     }
 
-    /** Idle clients connect to all dispatchers, and discovery falls silent. */
+    /** Opens idle connections to all dispatchers and makes discovery silent. */
     private void openIdleConnections() {
         discovery.muteUntil(loadBeganAt + plan.idleConnectionsSpan().to());
         List<InetSocketAddress> targets = balancerTargets.values().stream()
@@ -316,11 +316,11 @@
         idleConnections.open(targets, plan.idleConnections());
     }
 
-    /** Notes when processes end. */
+    /** Records when processes end. */
     private final class ProcessEvents implements Fleet.ProcessListener {
         @Override
         public void killed(int number) {
-            // The journal has it from the step that kills.
+            // Recorded in the journal by {@link #kill}.
         }
 
         @Override
@@ -339,7 +339,7 @@
 
     @Override
     public void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now) {
-        // The journal has it with the time that was told.
+        // Recorded in the journal together with the time that the endpoint was given.
     }
 
     @Override
--- a/src/main/java/nettlewick/fleettest/StallMonitor.java
+++ b/src/main/java/nettlewick/fleettest/StallMonitor.java
@@ -10,11 +10,11 @@
 import java.util.stream.Stream;
 
 /**
- * Measures how long the machine held up this process and each dispatcher, so that time lost here is not taken for a
- * dispatcher's. Samples on a thread of its own; times in milliseconds of the run's clock. Safe for any thread.
+ * Measures how long the machine stalled this process and each dispatcher, so that such delays are not attributed to a
+ * dispatcher. Samples on its own thread; times in milliseconds of the run's clock. Safe for any thread.
  */
 final class StallMonitor implements AutoCloseable {
-    /** A stretch of time in which something stood still that should not have. */
+    /** A time in which a process or loop was not scheduled. */
     record Stall(String who, double from, double to) {
         private boolean overlaps(double begin, double end) {
             return from <= end && to >= begin;
@@ -27,7 +27,7 @@
 
     private static final long SAMPLE_MILLIS = 10;
     private static final double MIN_STALL_MILLIS = 50;
-    /** How often the dispatchers' waits for a core are read, and from which part of that time on one is told. */
+    /** How often the dispatchers' run queue waits are sampled. */
     private static final double WAIT_SAMPLE_MILLIS = 500;
 
     private static final double MIN_WAIT_FRACTION = 0.2;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Something that should go round all the time did so at these two moments, and not between them. */
+    /** Records a stall if too much time passed between two iterations of a loop. */
     synchronized void recordStall(String who, double before, double now) {
         if (now - before > MIN_STALL_MILLIS) {
             stalls.add(new Stall(who, before, now));
@@ -101,7 +101,7 @@
         stalls.add(stall);
     }
 
-    /** How long the threads of a process have waited for a core, together; 0 where that is not told. */
+    /** Returns how long the threads of a process have waited for a core, in total; 0 if that cannot be read. */
     private static double runQueueWaitMillis(long pid) {
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + pid + "/task"))) {
             return threads.mapToDouble(StallMonitor::threadWaitNanos).sum() / NANOS_PER_MILLI;
@@ -119,7 +119,7 @@
         }
     }
 
-    /** What stood still between two moments: this process, and that dispatcher. */
+    /** Describes the stalls of this process and of one dispatcher between two times. */
     synchronized List<String> overlapping(double from, double to, int dispatcher) {
         return stalls.stream()
                 .filter(stall -> stall.overlaps(from, to))
@@ -128,7 +128,7 @@
                 .toList();
     }
 
-    /** The longest time in which this process stood still, in milliseconds. */
+    /** Returns the longest stall of this process, in milliseconds. */
     synchronized double longestOwnStallMillis() {
         return stalls.stream()
                 .filter(stall -> !stall.who().startsWith("n"))
--- a/src/main/java/nettlewick/fleettest/StepExecutor.java
+++ b/src/main/java/nettlewick/fleettest/StepExecutor.java
@@ -18,9 +18,9 @@
 import java.util.stream.Stream;
 import nettlewick.stubs.EndpointServer;
 
-/** The steps of a run: what is due when, whom a party names, and what each verb does to the world. */
+/** Schedules and executes the steps of a run, and resolves their targets. */
 final class StepExecutor {
-    /** What is done when its time has come. */
+    /** An action to run at its scheduled time. */
     interface Action {
         void run() throws Exception;
     }
@@ -34,7 +34,7 @@
     private final Random random;
     private int scheduledCount;
     private int holderLookups;
-    /** Who held which member's duty when that was looked for last. */
+    /** The holder of each tenant's lease task at the latest lookup. */
     private final Map<String, Integer> leaseHolders = new ConcurrentHashMap<>();
 
     private final Queue<Action> posted = new ConcurrentLinkedQueue<>();
@@ -49,7 +49,10 @@
         scheduled.add(new ScheduledAction(at, scheduledCount++, action));
     }
 
-    /** Danger: a look through the logs for a holder, done here, would keep the clients waiting. */
+    /**
+     * Schedules a step. Lease holders are looked up in the logs on another thread, because reading them here would
+     * delay the load generator.
+     */
     void schedule(double at, Scenario.Step step) {
         List<ScenarioTarget> holderTargets = Stream.of(step.target(), step.otherTarget())
                 .filter(p -> p != null && p.holderTenant() != null)
@@ -60,7 +63,7 @@
                         ? () -> execute(step)
                         : () -> {
                             holderLookups++;
-                            // Danger: a look that fails must end the run with its reason, not keep it waiting.
+                            // A failed lookup ends the run with its cause; otherwise the run would wait forever.
                             CompletableFuture.runAsync(() -> findHolders(holderTargets))
                                     .whenComplete((v, failed) -> post(() -> {
                                         holderLookups--;
@@ -82,7 +85,7 @@
         }
     }
 
-    /** Does this at the next turn; any thread. */
+    /** Runs an action in the next {@link #runDue}; callable from any thread. */
     void post(Action task) {
         posted.add(task);
     }
@@ -91,7 +94,7 @@
         return scheduled.isEmpty() && holderLookups == 0;
     }
 
-    /** All that is due by now, in order. */
+    /** Runs all actions that are due, in order. */
     void runDue() throws Exception {
         for (Action task = posted.poll(); task != null; task = posted.poll()) {
             task.run();
@@ -134,7 +137,7 @@
         return all;
     }
 
-    /** All parties by their numbers at the links. */
+    /** Returns a target's parties by their numbers in {@link LinkFaults}. */
     private BitSet parties(ScenarioTarget target) throws IOException {
         BitSet set = new BitSet();
         dispatchers(target).forEach(set::set);
@@ -240,7 +243,7 @@
             run.fleet.pause(dispatcher, true);
             schedule(until, () -> {
                 run.fleet.pause(dispatcher, false);
-                // On a busy machine it goes on later than it was meant to.
+                // On a busy machine the process resumes later than scheduled.
                 run.checker.exempt(dispatcher, until, run.now() + 2 * InvariantChecker.ANSWER_TOLERANCE_MILLIS, false);
             });
         }
--- a/src/main/java/nettlewick/fleettest/TcpRelay.java
+++ b/src/main/java/nettlewick/fleettest/TcpRelay.java
@@ -14,13 +14,13 @@
 import nettlewick.stubs.StubPlatform;
 
 /**
- * Carries the dispatchers' connections to runners and discovery: a listener for each server and group of
- * dispatchers, so that a cut between two parties finds the right bytes. What is stalled is kept and passed
- * on later, as the network would; what is refused is closed at once.
+ * Relays the dispatchers' connections to endpoints and discovery. Each server has a listener for each group of
+ * dispatchers, so that a partition between two parties affects the right connections. Data on a stalled connection is
+ * buffered and delivered later, as a network would; refused connections are closed at once.
  */
 final class TcpRelay {
     private static final long POLL_MILLIS = 5;
-    /** How often a connection on which nothing moves is looked at. */
+    /** How often an inactive connection is polled. */
     private static final long IDLE_POLL_MILLIS = 100;
 
     private static final int TRICKLE_BYTES = 8;
@@ -40,9 +40,9 @@
     /**
      * Listens for one group of dispatchers on behalf of one server.
      *
-     * @param group  a dispatcher of the group, by its number
-     * @param server by its number among all parties
-     * @return the address to dial
+     * @param group the number of a dispatcher of the group
+     * @param server its number among all parties
+     * @return the address to connect to
      */
     InetSocketAddress open(int group, int server, InetSocketAddress target) throws Exception {
         NetServer listener = vertx.createNetServer();
@@ -106,7 +106,7 @@
             });
         }
 
-        /** Looks again soon, as long as something is held. */
+        /** Schedules another delivery while data is buffered. */
         private void schedulePoll() {
             if (!buffers.isEmpty() && !isScheduled) {
                 isScheduled = true;
@@ -118,7 +118,7 @@
             }
         }
 
-        /** Passes on what may pass now. */
+        /** Delivers the data that may be delivered now. */
         void deliver() {
             double now = clock.getAsDouble();
             LinkFaults.ConnectionState state = links.connectionState(sender, receiver, server, now);
@@ -142,7 +142,7 @@
             }
         }
 
-        /** The sender has gone: what it wrote arrives, unless the way is shut. */
+        /** The sender has closed: its remaining data is delivered unless the link is stalled. */
         void end() {
             List<Buffer> undelivered = new ArrayList<>(buffers);
             buffers.clear();
@@ -151,7 +151,7 @@
                 undelivered.forEach(to::write);
                 to.close();
             } else {
-                // A cut hides the end, too: the other side learns of it when the way is open again.
+                // A partition also hides the close: the other side learns of it when the link is open again.
                 long[] timer = new long[1];
                 timer[0] = vertx.setPeriodic(POLL_MILLIS, id -> {
                     if (links.connectionState(sender, receiver, server, clock.getAsDouble())
--- a/src/main/java/nettlewick/fleettest/TenantPoolEnvironment.java
+++ b/src/main/java/nettlewick/fleettest/TenantPoolEnvironment.java
@@ -16,27 +16,27 @@
 import nettlewick.stubs.ProviderModel;
 import nettlewick.stubs.ProviderServer;
 
-/**
- * What a scenario with members' pools needs beside the rest: ways between the duties' sockets, and a
- * provider.
- */
+/** The additional parts of a scenario with tenant pools: a relay between the sockets of lease tasks, and a provider. */
 final class TenantPoolEnvironment implements AutoCloseable {
     private static final String NET = Fleet.net(3);
     private static final int KEY_BYTES = 32;
-    /** A runner that is ended has this long for its work. */
+    /** How long a removed endpoint may finish its requests. */
     private static final double REMOVAL_DELAY_MILLIS = 5000;
 
     private static final double SECOND_MILLIS = 1000;
-    /** Between a choice and its arrival, in a process that has just started, on a busy machine. */
+    /**
+     * Longest time between a dispatcher's choice and the attempt's arrival, in a process that has just started on a
+     * busy machine.
+     */
     private static final double CHOICE_TO_ARRIVAL_MILLIS = 1000;
 
-    /** What was still within the means when the mark was reached has come by then. */
+    /** Endpoints that the budget still allowed when the cap was nearly reached have been added after this time. */
     private static final double CAP_SETTLE_MILLIS = 5000;
 
     private final ScenarioRun run;
     private final Scenario scenario;
     private final Path folder;
-    /** By how many milliseconds all clocks are ahead, so that the month turns when it is to. */
+    /** How far all clocks are ahead, so that the month turns at the configured time. */
     private final long clockAheadMillis;
 
     private DatagramRelay relay;
@@ -63,7 +63,7 @@
         Files.write(folder.resolve("duty.key"), new byte[KEY_BYTES]);
     }
 
-    /** Once the fleet's addresses are known, and before it starts. */
+    /** Opens relay and provider, once the fleet's addresses are known and before it starts. */
     void open() throws Exception {
         List<InetSocketAddress> sockets =
                 run.fleet.dispatchers.stream().map(m -> m.leaseAddress).toList();
@@ -129,7 +129,7 @@
         return clockAheadMillis;
     }
 
-    /** Our own settings of one process. */
+    /** Returns the operator's settings of one process. */
     String settings(int number) {
         StringBuilder text = new StringBuilder("log {\nform json\nrepeats 1000\n}\nduty {\nlisten "
                 + ScenarioRun.addressText(run.fleet.dispatchers.get(number).leaseAddress) + "\nnumber " + number
@@ -148,7 +148,7 @@
         return text.append("}\n").toString();
     }
 
-    /** What became of members' pools, and to the audit whether all went by them. */
+    /** Returns the figures on tenant pools, and reports violations to the checker. */
     Map<String, Double> close(
             DispatcherLogs logs, Map<String, Integer> outcomes, InvariantChecker checker, double loadAt) {
         List<Double> fleetKills = scenario.steps().stream()
@@ -217,7 +217,7 @@
         return figures;
     }
 
-    /** Acts under a fence below that of one before. */
+    /** Counts actions whose fence is lower than that of an earlier action. */
     private long countStaleActs() {
         Map<String, Long> highest = new HashMap<>();
         return model.appliedResizes().stream()
--- a/src/test/java/nettlewick/fleettest/Baselines.java
+++ b/src/test/java/nettlewick/fleettest/Baselines.java
@@ -9,18 +9,18 @@
 import nettlewick.stubs.EndpointModel;
 
 /**
- * The same arrivals on the same runners in virtual time, with other choices: what the real fleet's figures
- * are held against. Nothing fails here, messages cost nothing, and a job that finds its runner full is sent
- * on at once, as often as a dispatcher may. Pure.
+ * Plays the same requests against the same endpoints in virtual time with other selection policies, as a reference
+ * for the figures of a real fleet. There are no faults, messages cost nothing, and a request that finds its endpoint
+ * full is sent to another one at once, up to the cap on attempts. Performs no I/O.
  */
 final class Baselines {
-    /** How a runner is chosen. */
+    /** How an endpoint is selected. */
     enum Policy {
-        /** Each alike. */
+        /** Uniformly at random. */
         RANDOM,
-        /** The better of two drawn, by what its dispatcher itself has there. */
+        /** The one of two random endpoints with fewer requests in flight from the same dispatcher. */
         TWO,
-        /** The one with the least in hand, by the true state of all. */
+        /** The least loaded endpoint by the true state of all. */
         BEST
     }
 
@@ -58,7 +58,7 @@
         loadStats = new LoadBalanceStats(endpoints, scenario.load().meanWorkMillis());
     }
 
-    /** Plays the scenario's load; the figures by name, with {@code sent_to_full} as a part of attempts. */
+    /** Plays the scenario's load; returns the figures by name, with {@code sent_to_full} as a fraction of attempts. */
     static Map<String, Double> play(Scenario scenario, Policy choice) {
         return new Baselines(scenario, choice).play();
     }
--- a/src/test/java/nettlewick/fleettest/EndpointModelTest.java
+++ b/src/test/java/nettlewick/fleettest/EndpointModelTest.java
@@ -21,7 +21,7 @@
         return new EndpointModel("s0", "a", 1, KIND, bornAt);
     }
 
-    /** Nothing that was taken is lost, and no more runs than there are slots, whatever comes and goes. */
+    /** No accepted request is lost, and at most as many run as there are slots. */
     @Test
     void requestsAreConserved() {
         SplittableRandom random = new SplittableRandom(4);
@@ -65,7 +65,7 @@
         assertFalse(spared.isOverloaded(), "a fifth of its capacity");
     }
 
-    /** The same play twice is the same; and the better a choice knows, the evener its load. */
+    /** Baselines are deterministic, and a policy with better information balances the load better. */
     @Test
     void baselinesDifferOnlyInTheSelectionPolicy() {
         Scenario s = Scenario.parse("x.conf", """
--- a/src/test/java/nettlewick/fleettest/FleetFaultsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/FleetFaultsProcessTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Twelve real dispatchers with faults between them: every rule on every job, and counts with room. */
+/**
+ * Twelve dispatcher processes with faults between them: no invariant is violated, and figures stay within wide
+ * limits.
+ */
 @Tag("fleet")
 @Timeout(120)
 class FleetFaultsProcessTest {
@@ -69,7 +72,7 @@
         assertTrue(figures.get(name) <= maxFraction * figures.get("jobs"), name + " of " + figures);
     }
 
-    /** Counted without regard to time: a slow machine answers late. */
+    /** Counts late answers as well, because a slow machine answers late. */
     private static void assertServed(Map<String, Double> figures, double minFraction) {
         assertTrue(
                 figures.get("in_time") + figures.get("late") >= minFraction * figures.get("jobs"), figures::toString);
--- a/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
+++ b/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is broken by hand once: an audit that never finds anything would prove nothing. */
+/** Violates each rule once, since a checker that never reports anything would prove nothing. */
 class InvariantCheckerTest {
     private final Scenario scenario = Scenario.parse("x.conf", ScenarioTest.scenarioText(""));
     private final Scenario.RequestClass nonIdempotent = new Scenario.RequestClass("mark-submit", 1, 40, 400, 4000);
@@ -54,7 +54,7 @@
         assertViolation("repeat");
     }
 
-    /** Guards against a break that is none: a send that was turned away has never run. */
+    /** A rejected attempt has not run and must not be reported as a violation by a later one. */
     @Test
     void aRejectedKeyedRequestMayGoToAnyZone() {
         checker.requestSent("k-1", "k", keyed, 0, 0, "red");
@@ -127,7 +127,7 @@
         assertViolation("invented");
     }
 
-    /** Guards against a break that is none: on a busy machine a process dies long after its signal was sent. */
+    /** On a busy machine a process exits long after its signal was sent, which is not a violation. */
     @Test
     void aKilledDispatcherIsExemptUntilItsExitIsObservedAndNoticed() {
         checker.killed(0, 1000);
@@ -142,7 +142,7 @@
         assertViolation("one answer");
     }
 
-    /** Guards against a death that nobody ordered and that a check passes over. */
+    /** A process that exits without a signal must not be exempt. */
     @Test
     void aCrashedDispatcherIsNotExempt() {
         checker.requestSent("k-1", "k", idempotent, 0, 4000, "red");
--- a/src/test/java/nettlewick/fleettest/MeasureDuties.java
+++ b/src/test/java/nettlewick/fleettest/MeasureDuties.java
@@ -10,13 +10,13 @@
 import nettlewick.lease.SimulatedLeaseTier;
 
 /**
- * Members' pools by many processes and members, against the program with them off and against a load without the
- * noisy one, in one run; the last lines are name=value. Wants all cores.
+ * Measures tenant pools with many processes and tenants, against the same fleet with pools switched off and against a
+ * load without the noisy tenant. The last lines are name=value. Needs all cores.
  */
 final class MeasureDuties {
     private static final double SLOTS = 2;
     private static final double MEAN_WORK_SECONDS = 0.1;
-    /** Of all slots that work in peace takes. */
+    /** Fraction of all slots that the load without floods uses. */
     private static final double UTILIZATION = 0.5;
 
     private static final double NOISY_TENANT_FRACTION = 0.1;
@@ -25,7 +25,7 @@
 
     private MeasureDuties() {}
 
-    /** @param args dispatchers, runners, members, seconds of load; none: 100, 20, 30 and 50 */
+    /** @param args dispatchers, endpoints, tenants, seconds of load; by default 100, 20, 30 and 50 */
     public static void main(String[] args) throws Exception {
         int dispatchers = arg(args, 0, 100);
         int runners = arg(args, 1, 20);
@@ -54,7 +54,8 @@
                     at 28s start dispatchers
                     at 30s loss 20%% for 5s
                 """, (int) FLOOD_FACTOR, seconds - 6));
-        // Runners added: wishes kept by the provider until a newer holder's was done, a cap soon reached.
+        // Provisioning of endpoints: the provider holds back requests until those of a newer lease holder are done,
+        // and a cap is soon reached.
         Scenario provisioning = scenario(
                 dispatchers, runners, 30, load, pools.toString().replace("cap 2000 most 4", "cap 10 most 6"), """
                     at 100ms provider keeps for 16s
@@ -149,7 +150,7 @@
         all.put("victims_in_time", victimsInTime(all));
         all.put("victims_in_time_today", victimsInTime(today));
         all.put("victims_in_time_alone", victimsInTime(alone));
-        // An hour of two-second windows, by three seeds.
+        // An hour of two-second windows for each of three seeds.
         int moves = 0;
         for (int seed = 0; seed < 3; seed++) {
             moves += SimulatedDispatchers.countFalseDetections(100, 1800, seed);
--- a/src/test/java/nettlewick/fleettest/MeasureSpread.java
+++ b/src/test/java/nettlewick/fleettest/MeasureSpread.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 
 /**
- * How evenly hundreds of real processes spread load, with and without lost datagrams, against the same
- * program without messages and against other choices in virtual time. Last lines are name=value.
+ * Measures how evenly hundreds of dispatcher processes spread load, with and without lost datagrams, against the same
+ * program without gossip and against other selection policies in virtual time. The last lines are name=value.
  */
 public final class MeasureSpread {
     private static final int SLOTS = 4;
-    /** Seconds of work of a mean job, and the part of all slots that is in use. */
+    /** Mean work of a request in seconds; {@link #UTILIZATION} is the fraction of all slots in use. */
     private static final double MEAN_WORK_SECONDS = 3.5;
 
     private static final double UTILIZATION = 0.6;
 
     private MeasureSpread() {}
 
-    /** @param args dispatchers, runners, seconds of load; none: 100, 200 and 15 */
+    /** @param args dispatchers, endpoints, seconds of load; by default 100, 200 and 15 */
     public static void main(String[] args) throws Exception {
         int dispatchers = args.length > 0 ? Integer.parseInt(args[0]) : 100;
         int runners = args.length > 1 ? Integer.parseInt(args[1]) : 200;
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Twelve real dispatchers that look after members' pools, with faults between them, the voters, the provider and
- * the runners. Every arrival is held against what its dispatcher had been told, every addition against the cap.
+ * Twelve dispatcher processes that manage tenant pools, with faults between them, the voters, the provider and the
+ * endpoints. Every attempt is checked against the pools that its dispatcher knew, every addition against the cap.
  */
 @Tag("fleet")
 @Timeout(150)
@@ -26,9 +26,9 @@
 
     private int loadSeconds = 18;
     private int requestsPerSecond = 90;
-    /** Steps of red's move at which whoever holds its duty is killed. */
+    /** Log events of red's migration at which the lease holder is killed. */
     private List<String> killAtEvents = List.of();
-    /** Whom the last dispatcher blames all the time; null: it is an honest one. */
+    /** The tenant that the last dispatcher falsely accuses all the time; null if it is honest. */
     private String accusedTenant;
 
     private Map<String, Double> runScenario(
@@ -51,7 +51,7 @@
                 HostileDispatcher hostile = accusedTenant == null ? null : hostile(run)) {
             run.startFleet(line -> {});
             if (stepLines.contains("provider keeps")) {
-                // Before any load: even the first wish for a runner waits.
+                // Set before any load, so that the first request for an endpoint is held back as well.
                 run.tenantPools.provider.setBehavior(ProviderServer.Behavior.KEEPS);
             }
             if (!killAtEvents.isEmpty()) {
@@ -77,7 +77,7 @@
     }
 
     private static final String CAPPED_POOLS = "member red cap 1000 most 2\nmember blue\nmember green\n";
-    /** By the operators' will, so that each step comes whatever else the machine does. */
+    /** Pinned by the operator, so that the migration takes place even on a busy machine. */
     private static final String PINNED_POOLS = CAPPED_POOLS + "keep red pool\n";
 
     private static void assertAtLeast(Map<String, Double> figures, String name, double min) {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * The holder is stopped between request and answer for longer than its lease, then killed, stopped again, killed and
-     * ended; a runner of the pool crashes. What is added is added once.
+     * The lease holder is paused between request and answer for longer than its lease, killed, paused again, killed
+     * and shut down, and an endpoint of the pool crashes. Each endpoint must be added only once.
      */
     @Test
     void theLeaseHolderFailsAtEveryStage() throws Exception {
@@ -111,7 +111,7 @@
         assertAtLeast(f, "moves", 1);
     }
 
-    /** A third of the duties' datagrams lost, halves that cannot hear one another, requests kept by the network. */
+    /** 30% of the lease tasks' datagrams are lost, zones are partitioned, and requests to the provider are lost. */
     @Test
     void aPartitionDuringAMigration() throws Exception {
         Map<String, Double> f = runScenario(
@@ -138,7 +138,10 @@
         assertAtLeast(f, "moves", 1);
     }
 
-    /** All lose their memory at once; and a cap that is nearly reached, in a month that turns while the holder is cut off. */
+    /**
+     * All dispatchers lose their state at once. Then a cap is nearly reached while the month turns and the lease
+     * holder is partitioned from the provider.
+     */
     @Test
     void aFleetThatLosesAllStateStaysUnderTheCap() throws Exception {
         Map<String, Double> f = runScenario(
@@ -160,8 +163,8 @@
     }
 
     /**
-     * All runners slow down, a member that is within its share bursts, and one dispatcher that has the key blames it all
-     * the time, with garbled words and words that come twice among them: nobody is moved.
+     * All endpoints slow down, a tenant within its quota bursts, and one dispatcher that has the key accuses it all
+     * the time, with malformed and repeated messages among them: no tenant may be moved.
      */
     @Test
     void noTenantIsMovedForLoadItDidNotCause() throws Exception {
@@ -178,7 +181,10 @@
         assertEquals(0, f.get("provider_added"), f::toString);
     }
 
-    /** Two at once are in pools that share no runner. Whose work is noisy is no verdict of a busy machine's. */
+    /**
+     * Two tenants in pools at the same time share no endpoint. Pools are pinned, because contention cannot be judged
+     * reliably on a busy machine.
+     */
     @Test
     void twoTenantPoolsShareNoEndpoint() throws Exception {
         loadSeconds = 11;
@@ -205,8 +211,9 @@
     }
 
     /**
-     * One that floods is found by what twelve dispatchers see of it, moved, and brought back; whoever holds the duty is
-     * killed at the first sight of each step. However long it takes: the run ends when it has happened.
+     * A flooding tenant is detected from the usage reports of twelve dispatchers, moved to a pool, and returned,
+     * while the lease holder is killed at the first log line of each step. The run ends once all of it has happened,
+     * however long that takes.
      */
     @Test
     void aNoisyTenantIsMovedThoughTheLeaseHolderDiesAtEachStep() throws Exception {
@@ -222,8 +229,8 @@
     }
 
     /**
-     * Kills the dispatcher that first says each of these of red, and starts it again. Red asks for nothing more once it is
-     * in a pool, and the run ends once it is back.
+     * Kills and restarts the dispatcher that first logs each of the events for red. Red sends no more requests once
+     * it is in a pool, and the run ends once it has returned.
      */
     private void killHolderAtEvents(ScenarioRun run) {
         java.util.Set<String> seen = new java.util.HashSet<>();
@@ -248,7 +255,7 @@
                 java.util.concurrent.TimeUnit.MILLISECONDS.sleep(100);
             }
         } catch (java.io.IOException | InterruptedException e) {
-            // the folder goes with its test
+            // The test has ended and its folder was deleted.
         }
     }
 }
--- a/src/test/java/nettlewick/fleettest/ScenarioTest.java
+++ b/src/test/java/nettlewick/fleettest/ScenarioTest.java
@@ -87,7 +87,7 @@
         assertTrue(bad.getMessage().contains("tcp direct"), bad.getMessage());
     }
 
-    /** Guards against bursts that only shift the arrivals. */
+    /** A burst must add requests instead of only shifting their arrival times. */
     @Test
     void rateStepsScaleTheNumberOfRequests() {
         Scenario s = Scenario.parse("x.conf", scenarioText("at 4s rate by 3 for 2s"));
--- a/src/test/java/nettlewick/fleettest/SoakChecksTest.java
+++ b/src/test/java/nettlewick/fleettest/SoakChecksTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each rule of the soak is broken by hand once, and each allowance is used. */
+/** Violates each rule of the soak once, and uses each tolerance. */
 class SoakChecksTest {
     private static final double GRACE_MILLIS = 500;
     private static final int MAX_ATTEMPTS = 2;
--- a/src/test/java/nettlewick/fleettest/SoakProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/SoakProcessTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A few seeds of the soak: one with endpoints that hang through the whole shutdown, one with a crowd, one with neither. */
+/**
+ * Three seeds of the soak: one with endpoints that hang through the whole shutdown, one with idle connections, and
+ * one with neither.
+ */
 @Tag("fleet")
 @Timeout(90)
 class SoakProcessTest {
