--- a/src/main/java/nettlewick/fleettest/DatagramRelay.java
+++ b/src/main/java/nettlewick/fleettest/DatagramRelay.java
@@ -144,7 +144,7 @@
                 }
             } catch (IOException e) {
                 if (open) {
-                    System.err.println("nettlewick lab: datagrams are no longer carried: " + e);
+                    System.err.println("nettlewick fleet-test: the datagram relay stopped: " + e);
                 }
             }
         }
--- a/src/main/java/nettlewick/fleettest/DispatcherLogs.java
+++ b/src/main/java/nettlewick/fleettest/DispatcherLogs.java
@@ -252,7 +252,10 @@
                     .put(term, fence);
             if (other != null && !other.equals(fence)) {
                 checker.addViolation(
-                        "two holders", l.field("duty"), l.at(), "term " + term + " under " + other + " and " + fence);
+                        "two holders",
+                        l.field("duty"),
+                        l.at(),
+                        "term " + term + " has fences " + other + " and " + fence);
             }
         }
         fences.forEach((task, terms) -> {
@@ -260,7 +263,10 @@
             for (Map.Entry<Long, Long> e : terms.entrySet()) {
                 if (e.getValue() <= last) {
                     checker.addViolation(
-                            "fences", task, 0, "term " + e.getKey() + " under " + e.getValue() + " after " + last);
+                            "fences",
+                            task,
+                            0,
+                            "term " + e.getKey() + " has fence " + e.getValue() + " after fence " + last);
                 }
                 last = e.getValue();
             }
--- a/src/main/java/nettlewick/fleettest/FleetTest.java
+++ b/src/main/java/nettlewick/fleettest/FleetTest.java
@@ -20,8 +20,9 @@
      */
     public static String check(Path file) {
         Scenario scenario = Scenario.read(file);
-        return file + " is in order: " + scenario.fleet().dispatchers() + " dispatchers, "
-                + scenario.fleet().endpoints() + " runners, " + scenario.steps().size() + " steps";
+        return file + " is valid: " + scenario.fleet().dispatchers() + " dispatchers, "
+                + scenario.fleet().endpoints() + " endpoints, "
+                + scenario.steps().size() + " steps";
     }
 
     /**
@@ -59,7 +60,8 @@
             violations.forEach(out);
             figures.forEach((name, value) -> out.accept(name + "=" + Results.formatNumber(value)));
             if (figures.get("limited_by_machine") > 0) {
-                progress.accept("the lab itself was late: these figures are of this machine, not of the fleet");
+                progress.accept(
+                        "the load generator was late: the figures are limited by this machine, not by the fleet");
             }
             return violations.isEmpty() && figures.get("crashed") == 0;
         }
@@ -73,7 +75,7 @@
     public static void compare(Path a, Path b, Appendable out) throws IOException {
         for (Path folder : List.of(a, b)) {
             if (!Results.containsRun(folder)) {
-                throw new IOException(folder + " holds no run");
+                throw new IOException(folder + " contains no results of a run");
             }
         }
         Results.compare(a, b, out);
--- a/src/main/java/nettlewick/fleettest/InvariantChecker.java
+++ b/src/main/java/nettlewick/fleettest/InvariantChecker.java
@@ -87,7 +87,7 @@
     synchronized void requestSent(
             String id, String key, Scenario.RequestClass requestClass, int dispatcher, double now, String tenant) {
         SentRequest request = new SentRequest(key, requestClass, dispatcher, now, tenant);
-        request.history.add(timeText(now) + " asked n" + dispatcher + " " + requestClass.name());
+        request.history.add(timeText(now) + " sent to n" + dispatcher + " " + requestClass.name());
         requests.put(id, request);
     }
 
@@ -96,7 +96,7 @@
         increment("attempts", now);
         SentRequest request = requests.get(id);
         if (request == null) {
-            addViolation("invented", id, now, List.of("no client sent this id"));
+            addViolation("invented", id, now, List.of("no client sent a request with this id"));
             return;
         }
         request.history.add(timeText(now) + " at " + endpoint.name + " " + taken);
@@ -169,7 +169,7 @@
                 "cold",
                 endpoint,
                 now,
-                List.of("offered more than " + scenario.fleet().endpoint().overloadFactor() + " times what it could"));
+                List.of("offered more than " + scenario.fleet().endpoint().overloadFactor() + " times its capacity"));
     }
 
     /** A dispatcher's process changed its state. */
--- a/src/main/java/nettlewick/fleettest/Results.java
+++ b/src/main/java/nettlewick/fleettest/Results.java
@@ -78,7 +78,7 @@
             drawCharts(folder, loadStats, seconds);
             return null;
         } catch (IOException | RuntimeException | LinkageError | InternalError e) {
-            return "no charts, this machine cannot draw text: " + e;
+            return "charts were not drawn, this machine cannot render text: " + e;
         }
     }
 
@@ -109,7 +109,7 @@
             }
             loads.addSeries(line);
         }
-        draw(folder.resolve("load.png"), "Load of each sim runner", "jobs in hand over slots", loads, false);
+        draw(folder.resolve("load.png"), "Load of each endpoint", "requests in flight per slot", loads, false);
         Map<String, XYSeries> rates = new LinkedHashMap<>();
         Second previous = new Second(0, 0, 0, 0, 0, 0, 0);
         for (Second s : seconds) {
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -170,7 +170,7 @@
                         ((Long) value.argument(0)).intValue(), value.arguments().size() > 1 ? value.argument(2) : 1.0))
                 .toList();
         if (endpointGroups.isEmpty()) {
-            throw fleetBlock.invalidValue("runners", "set: so many sim runners");
+            throw fleetBlock.invalidValue("runners", "set: a number of endpoints");
         }
         List<String> zones = fleetBlock.all("zone").stream()
                 .map(value -> (String) value.argument(0))
@@ -209,7 +209,8 @@
                     value.argument(0), value.argument(1), value.argument(2), aim, Math.max(4000, 4 * aim)));
         }
         if (classes.isEmpty()) {
-            throw loadBlock.invalidValue("class", "set: a name, a part, a time of work and an aim");
+            throw loadBlock.invalidValue(
+                    "class", "set: name, percentage of all requests, mean work and latency objective");
         }
         LoadSettings load = new LoadSettings(
                 loadBlock.get("rate"),
@@ -261,8 +262,7 @@
     }
 
     private static InvalidSettingsException missingBlock(String file, String block) {
-        return new InvalidSettingsException(
-                new nettlewick.settings.SourceLocation(file, 1), "there is no block " + block);
+        return new InvalidSettingsException(new nettlewick.settings.SourceLocation(file, 1), "missing block " + block);
     }
 
     /** Parses the words of a line: the target, then numbers after their literal words. */
@@ -326,7 +326,7 @@
                     value.location(),
                     "at",
                     String.join(" ", value.words()),
-                    "without " + step.verb() + " where the links say tcp direct");
+                    "without " + step.verb() + ", which needs relayed connections, while links has tcp direct");
         }
         List<String> dispatcherVerbs = List.of("pause", "garble");
         boolean isEndpoint = step.target() != null && step.target().number('s') >= 0;
--- a/src/main/java/nettlewick/fleettest/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -262,12 +262,12 @@
             checkHealth();
             for (Fleet.DispatcherProcess m : fleet.dispatchers.subList(0, next)) {
                 if (!m.alive()) {
-                    throw new IOException("n" + m.number + " ended with code " + m.process.exitValue()
-                            + "; its log is in the folder");
+                    throw new IOException("n" + m.number + " exited before it was ready, with code "
+                            + m.process.exitValue() + "; see its log in the result folder");
                 }
             }
             if (now() - beganAt > START_TIMEOUT_SECONDS * SECOND_MILLIS) {
-                throw new IOException("not all are ready after " + START_TIMEOUT_SECONDS + " s");
+                throw new IOException("the fleet was not ready after " + START_TIMEOUT_SECONDS + " s");
             }
             TimeUnit.MILLISECONDS.sleep(50);
             progress.accept(countReady() + " of " + fleet.dispatchers.size() + " ready");
@@ -360,7 +360,7 @@
             }
             double stepsBegan = now();
             stepExecutor.runDue();
-            stallMonitor.recordStall("the steps", stepsBegan, now());
+            stallMonitor.recordStall("the execution of steps", stepsBegan, now());
             if (millisSinceLoadBegan() - reportedAt >= SECOND_MILLIS) {
                 reportedAt += SECOND_MILLIS;
                 checkHealth();
@@ -374,7 +374,7 @@
                         loadGenerator.rejections.get(),
                         loadGenerator.openRequests.get()));
                 progress.accept(String.format(
-                        "%.0f s: %d ready, %d asked, %d served, %d refusals, %d open, " + "%d breaks",
+                        "%.0f s: %d ready, %d sent, %d served, %d rejections, %d open, " + "%d violations",
                         millisSinceLoadBegan() / SECOND_MILLIS,
                         countReady(),
                         next,
--- a/src/main/java/nettlewick/fleettest/ScenarioSchema.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioSchema.java
@@ -66,7 +66,7 @@
                     literal("for"),
                     DURATION));
         }
-        return new Keyword("at", forms, null, true, false, false, "Something that happens.");
+        return new Keyword("at", forms, null, true, false, false, "An event at a time after the load begins.");
     }
 
     private static void addTargetForms(List<List<ValueType<?>>> forms, String verb, List<ValueType<?>> rest) {
@@ -90,47 +90,80 @@
             "world",
             null,
             false,
-            "Processes and runners.",
+            "Dispatchers, endpoints and discovery.",
             List.of(
                     Keyword.withDefault(
-                            "seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Of all that is drawn."),
-                    Keyword.required("dispatchers", ValueType.wholeNumber(1, MAX_DISPATCHERS), "Real processes."),
-                    repeatable("runners", "So many sim runners.", ValueType.wholeNumber(1, 10_000))
+                            "seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Seed of all random draws."),
+                    Keyword.required(
+                            "dispatchers",
+                            ValueType.wholeNumber(1, MAX_DISPATCHERS),
+                            "Number of dispatcher processes."),
+                    repeatable(
+                                    "runners",
+                                    "Number of endpoints, optionally of another speed.",
+                                    ValueType.wholeNumber(1, 10_000))
                             .withAlternativeForm(ValueType.wholeNumber(1, 10_000), literal("speed"), number(0.01, 100)),
                     repeatable(
                             "zone",
-                            "Dispatchers and runners are dealt to the zones in turn.",
+                            "A zone. Dispatchers and endpoints are assigned to the zones in turn.",
                             ValueType.identifier("NAME")),
-                    Keyword.withDefault("slots", ValueType.wholeNumber(1, 1000), "4", "Jobs a runner runs at once."),
-                    Keyword.withDefault("queue", ValueType.wholeNumber(0, 10_000), "8", "Jobs that wait at a runner."),
-                    Keyword.withDefault("peers", ValueType.flag(), "yes", "Whether dispatchers tell one another."),
                     Keyword.withDefault(
-                            "known", ValueType.flag(), "yes", "Whether a process that starts again has its last list."),
-                    Keyword.withDefault("discovery", ValueType.choice("pushed", "asked"), "pushed", "How lists come."),
+                            "slots",
+                            ValueType.wholeNumber(1, 1000),
+                            "4",
+                            "Requests that an endpoint runs concurrently."),
+                    Keyword.withDefault(
+                            "queue", ValueType.wholeNumber(0, 10_000), "8", "Requests that an endpoint queues."),
+                    Keyword.withDefault("peers", ValueType.flag(), "yes", "Whether dispatchers exchange their load."),
+                    Keyword.withDefault(
+                            "known",
+                            ValueType.flag(),
+                            "yes",
+                            "Whether a restarted dispatcher is given its last endpoint list."),
+                    Keyword.withDefault(
+                            "discovery",
+                            ValueType.choice("pushed", "asked"),
+                            "pushed",
+                            "Whether endpoint lists are pushed or polled."),
+                    Keyword.withDefault(
+                            "calls",
+                            ValueType.duration(0, MINUTE_MILLIS),
+                            "0s",
+                            "Time that discovery takes for each call."),
                     Keyword.withDefault(
-                            "calls", ValueType.duration(0, MINUTE_MILLIS), "0s", "Time of discovery for each call."),
-                    Keyword.withDefault("cold", ValueType.duration(0, HOUR_MILLIS), "0s", "How long a runner is cold."),
+                            "cold", ValueType.duration(0, HOUR_MILLIS), "0s", "Duration of slow start of an endpoint."),
                     Keyword.withDefault(
-                            "cold-share", ValueType.percent(), "32%", "Speed of a runner that has just started."),
+                            "cold-share", ValueType.percent(), "32%", "Speed of an endpoint that has just started."),
                     Keyword.withDefault(
-                            "overload", number(1, 100), "3", "Times its capacity that push a cold runner over."),
-                    Keyword.withDefault("fall", ValueType.duration(1, MINUTE_MILLIS), "1s", "For how long."),
+                            "overload",
+                            number(1, 100),
+                            "3",
+                            "Factor of its capacity at which an endpoint in slow start collapses."),
+                    Keyword.withDefault(
+                            "fall",
+                            ValueType.duration(1, MINUTE_MILLIS),
+                            "1s",
+                            "How long overload must last until an endpoint in slow start collapses."),
                     Keyword.withDefault(
                             "report-age",
                             ValueType.duration(0, MINUTE_MILLIS),
                             "500ms",
-                            "How old a load report may be."),
+                            "Maximum age of a load report."),
                     Keyword.withDefault(
-                            "grace", ValueType.duration(1, MINUTE_MILLIS), "3s", "For sends to a draining runner."),
+                            "grace",
+                            ValueType.duration(1, MINUTE_MILLIS),
+                            "3s",
+                            "Time in which a draining endpoint may still receive attempts."),
                     Keyword.withDefault(
                             "notice",
                             ValueType.duration(0, MINUTE_MILLIS),
                             "1s",
-                            "Until the front leaves a dead one out."),
-                    Keyword.withDefault("cancel", ValueType.flag(), "yes", "Whether runners stop what is called off."),
+                            "Time until the clients' load balancer excludes a dispatcher that is down."),
+                    Keyword.withDefault(
+                            "cancel", ValueType.flag(), "yes", "Whether endpoints stop cancelled requests."),
                     repeatable(
                             "clock",
-                            "A dispatcher whose clock is off.",
+                            "Clock offset of a dispatcher.",
                             ScenarioTarget.type(),
                             ValueType.choice("ahead", "behind"),
                             DURATION)),
@@ -140,29 +173,39 @@
             "load",
             null,
             false,
-            "What clients ask.",
+            "The load that clients generate.",
             List.of(
-                    Keyword.required("rate", number(0.1, 100_000), "Jobs a second."),
-                    Keyword.withDefault("length", ValueType.duration(100, HOUR_MILLIS), "10s", "For how long."),
+                    Keyword.required("rate", number(0.1, 100_000), "Requests per second."),
+                    Keyword.withDefault(
+                            "length", ValueType.duration(100, HOUR_MILLIS), "10s", "Duration of the measured load."),
                     Keyword.withDefault(
                             "warm",
                             ValueType.duration(0, HOUR_MILLIS),
                             "0s",
-                            "Growing load before that; no figure counts it."),
-                    Keyword.withDefault("uneven", number(1, 100), "1", "Traffic of each zone's first dispatcher."),
-                    Keyword.withDefault("tries", ValueType.wholeNumber(1, 20), "3", "How often a client asks in all."),
-                    Keyword.withDefault("honour", ValueType.flag(), "yes", "Whether clients heed when to come back."),
-                    Keyword.withDefault("window", ValueType.duration(1, HOUR_MILLIS), "5s", "Window of keyed classes."),
+                            "Warm-up with growing load, not counted in the figures."),
+                    Keyword.withDefault(
+                            "uneven",
+                            number(1, 100),
+                            "1",
+                            "Traffic of each zone's first dispatcher relative to the others."),
+                    Keyword.withDefault(
+                            "tries", ValueType.wholeNumber(1, 20), "3", "Total sends of a request by its client."),
+                    Keyword.withDefault("honour", ValueType.flag(), "yes", "Whether clients honour Retry-After."),
+                    Keyword.withDefault(
+                            "window",
+                            ValueType.duration(1, HOUR_MILLIS),
+                            "5s",
+                            "Deduplication window of keyed classes."),
                     repeatable(
                             "class",
-                            "Name, part of all jobs, mean work, and within what an answer is wanted.",
+                            "Name, percentage of all requests, mean work, and latency objective.",
                             ValueType.identifier("NAME"),
                             ValueType.percent(),
                             ValueType.duration(1, HOUR_MILLIS),
                             ValueType.duration(1, HOUR_MILLIS)),
                     repeatable(
                                     "member",
-                                    "Name and share, and the part of all jobs that it asks for, if that differs.",
+                                    "A tenant: name, quota, and percentage of all requests if that differs.",
                                     ValueType.identifier("NAME"),
                                     ValueType.percent())
                             .withAlternativeForm(
@@ -176,40 +219,53 @@
             "links",
             null,
             false,
-            "Between the processes.",
+            "Links between the processes.",
             List.of(
-                    Keyword.withDefault("loss", ValueType.percent(), "0%", "Of datagrams."),
-                    Keyword.withDefault("duplicates", ValueType.percent(), "0%", "Of datagrams."),
-                    Keyword.withDefault("delay", ValueType.duration(0, MINUTE_MILLIS), "0s", "Of datagrams and bytes."),
+                    Keyword.withDefault("loss", ValueType.percent(), "0%", "Fraction of datagrams that are lost."),
+                    Keyword.withDefault(
+                            "duplicates", ValueType.percent(), "0%", "Fraction of datagrams that are duplicated."),
+                    Keyword.withDefault(
+                            "delay",
+                            ValueType.duration(0, MINUTE_MILLIS),
+                            "0s",
+                            "Delay of datagrams and of data on connections."),
                     Keyword.withDefault(
                             "jitter",
                             ValueType.duration(0, MINUTE_MILLIS),
                             "0s",
-                            "Up to so much more; datagrams overtake."),
+                            "Maximum additional delay of a datagram; datagrams are reordered."),
                     Keyword.withDefault(
-                            "tcp", ValueType.choice("relayed", "direct"), "relayed", "Way to runners and discovery.")),
+                            "tcp",
+                            ValueType.choice("relayed", "direct"),
+                            "relayed",
+                            "Whether connections to endpoints and discovery are relayed.")),
             List.of());
 
     private static final Section LEASE_TASKS = new Section(
             "duty",
             null,
             false,
-            "Duties between the processes.",
+            "Lease tasks of the dispatchers.",
             List.of(
                     Keyword.withDefault(
-                            "voters", ValueType.wholeNumber(1, 9), "3", "So many of the first dispatchers grant."),
-                    Keyword.withDefault(
-                            "lease", ValueType.duration(100, MINUTE_MILLIS), "1s", "How long a grant lasts."),
-                    Keyword.optional("month-turns", DURATION, "So long after the lab's beginning, by all clocks."),
+                            "voters",
+                            ValueType.wholeNumber(1, 9),
+                            "3",
+                            "Number of voters, which are the first dispatchers."),
+                    Keyword.withDefault("lease", ValueType.duration(100, MINUTE_MILLIS), "1s", "Duration of a lease."),
+                    Keyword.optional(
+                            "month-turns",
+                            DURATION,
+                            "When the month turns after the start of the test, by all clocks."),
                     Keyword.withDefault(
                             "comes",
                             ValueType.duration(0, HOUR_MILLIS),
                             "1s",
-                            "How long the provider takes to start a runner.")),
+                            "Time that the provider takes to start an endpoint.")),
             List.of());
 
     private static final Section STEPS =
-            new Section("steps", null, false, "What happens when.", List.of(stepKeyword()), List.of());
+            new Section("steps", null, false, "Timed steps.", List.of(stepKeyword()), List.of());
 
     /** The top level of a scenario file. */
     static final Section ROOT = new Section(
--- a/src/main/java/nettlewick/fleettest/Soak.java
+++ b/src/main/java/nettlewick/fleettest/Soak.java
@@ -31,7 +31,7 @@
                 broken.add(seed);
             }
         }
-        out.accept(seeds + " seeds from " + from + ", broken: " + broken);
+        out.accept(seeds + " seeds from " + from + ", seeds with violations: " + broken);
         return broken;
     }
 
--- a/src/main/java/nettlewick/fleettest/SoakChecks.java
+++ b/src/main/java/nettlewick/fleettest/SoakChecks.java
@@ -63,7 +63,7 @@
         journal.entries().forEach(this::check);
         journal.allIncarnations().forEach(this::check);
         journal.unknownIds()
-                .forEach(id -> violations.add(new Violation("an id that no client sent: " + id, null, null)));
+                .forEach(id -> violations.add(new Violation("a request id that no client sent: " + id, null, null)));
         return violations;
     }
 
@@ -98,7 +98,7 @@
                     addViolation("a late answer", entry);
                 }
             }
-            case CUT_OFF -> addViolation("an answer that is cut off", entry);
+            case CUT_OFF -> addViolation("a truncated answer", entry);
             case CLOSED -> checkClosed(entry);
             case NONE -> {
                 if (!Double.isNaN(entry.sentAt()) && !isExcusedByKill(entry)) {
@@ -123,7 +123,7 @@
         if (!wasForwarded && (!entry.isFirstOnConnection() || isDuringIdleConnections(entry))) {
             requestsOnClosedConnections++;
         } else {
-            addViolation(wasForwarded ? "lost, though it was read" : "lost on a new connection", entry);
+            addViolation(wasForwarded ? "lost after it was forwarded" : "lost on a new connection", entry);
         }
     }
 
@@ -146,17 +146,17 @@
         boolean isRejected = entry.status() == STATUS_TOO_MANY || entry.status() == STATUS_UNAVAILABLE;
         if (entry.status() == STATUS_OK
                 && (!entry.body().equals("r-" + entry.id()) || entry.runs().isEmpty())) {
-            addViolation("a result that no endpoint gave for it", entry);
+            addViolation("a result that no endpoint returned", entry);
         }
         if (isRejected && !RETRY_AFTER.matcher(entry.head()).find()) {
-            addViolation("a rejection without advice", entry);
+            addViolation("a rejection without Retry-After", entry);
         }
         if (isRejected
                 && !entry.requestClass().isIdempotent()
                 && !entry.requestClass().isKeyed()) {
             Predicate<Arrival> mayRun = a -> a.taken() != Admission.FULL && a.taken() != Admission.DRAINS;
             if (entry.arrivals().stream().anyMatch(mayRun)) {
-                addViolation("rejected though it may run", entry);
+                addViolation("rejected though it may have run", entry);
             }
         }
     }
@@ -166,15 +166,18 @@
         for (Arrival arrival : entry.arrivals()) {
             if (hasEnd && arrival.at() > entry.endedAt() + ATTEMPT_AFTER_END_TOLERANCE_MILLIS) {
                 addViolation(
-                        entry.end() == End.LEFT ? "forwarded after its client left" : "forwarded after its end", entry);
+                        entry.end() == End.LEFT
+                                ? "forwarded after its client disconnected"
+                                : "forwarded after its answer",
+                        entry);
             }
             if (arrival.toldMillis()
                     > entry.dueAt() - arrival.at() + TOLD_TIME_TOLERANCE_MILLIS + SOCKET_TOLERANCE_MILLIS) {
-                addViolation("an endpoint is told more time than is left", entry);
+                addViolation("an endpoint was given more time than is left", entry);
             }
             double toldAt = journal.drainToldAt(entry.dispatcher(), arrival.endpoint());
             if (arrival.at() > toldAt + drainGraceMillis + SOCKET_TOLERANCE_MILLIS) {
-                addViolation("sent to a draining endpoint", entry);
+                addViolation("forwarded to a draining endpoint", entry);
             }
         }
     }
@@ -182,15 +185,15 @@
     private void check(Incarnation process) {
         boolean hasEnded = !Double.isNaN(process.exitedAt());
         if (hasEnded && Double.isNaN(process.termAt())) {
-            violations.add(new Violation("a process ended by itself", null, process));
+            violations.add(new Violation("a process exited without a signal", null, process));
         }
         boolean isReadyInTime = process.readyAt() <= process.startedAt() + READY_TIMEOUT_MILLIS;
         if (!isReadyInTime && Double.isNaN(process.termAt())) {
-            violations.add(new Violation("not ready in time", null, process));
+            violations.add(new Violation("a process was not ready in time", null, process));
         }
         double killLate = process.killedAt() - process.killDueAt();
         if (killLate < 0 || killLate > MAX_KILL_DELAY_MILLIS) {
-            violations.add(new Violation("SIGKILL not sent on time, by the soak", null, process));
+            violations.add(new Violation("the soak did not send SIGKILL on time", null, process));
         }
     }
 }
--- a/src/main/java/nettlewick/fleettest/SoakPlan.java
+++ b/src/main/java/nettlewick/fleettest/SoakPlan.java
@@ -195,7 +195,7 @@
     /** Describes the plan in one line per item. */
     String describe() {
         StringJoiner lines = new StringJoiner("\n  ", "  ", "");
-        lines.add("dispatchers " + dispatchers + ", runners " + endpoints + ", kill " + Math.round(killDelayMillis())
+        lines.add("dispatchers " + dispatchers + ", endpoints " + endpoints + ", kill " + Math.round(killDelayMillis())
                 + " ms after SIGTERM");
         classes.forEach(c -> lines.add(String.format(
                 "class %s: deadline %.0f ms, work %.0f ms", c.name(), c.deadlineMillis(), c.meanWorkMillis())));
@@ -204,8 +204,8 @@
         restarts.forEach(r -> lines.add(String.format(
                 "SIGTERM to n%d at %.0f ms, new connections for %.0f ms, SIGHUP at %s, again after %.0f ms",
                 r.dispatcher(), r.termAt(), r.acceptMillis(), r.reloads(), r.secondTermAfter())));
-        lines.add(String.format("runners %s hang from %.0f to %.0f ms", hungEndpoints, hang.from(), hang.to()));
-        lines.add(String.format("runner %d drains at %.0f ms", drainedEndpoint, drainAt));
+        lines.add(String.format("endpoints %s hang from %.0f to %.0f ms", hungEndpoints, hang.from(), hang.to()));
+        lines.add(String.format("endpoint %d drains at %.0f ms", drainedEndpoint, drainAt));
         if (idleConnections > 0) {
             lines.add(String.format(
                     "%d idle connections to each, discovery silent, from %.0f to %.0f ms",
--- a/src/main/java/nettlewick/fleettest/SoakRun.java
+++ b/src/main/java/nettlewick/fleettest/SoakRun.java
@@ -41,8 +41,8 @@
         /** Returns the verdict in one line. */
         String text() {
             return String.format(
-                    "%s, %d requests, %d crossed the end of a resting connection, %d breaks;"
-                            + " held up for %.0f ms at most, SIGKILL at most %.1f ms late",
+                    "%s, %d requests, %d sent on an idle connection that was closing, %d violations;"
+                            + " stalled for at most %.0f ms, SIGKILL at most %.1f ms late",
                     violations.isEmpty() ? "rules kept" : "BROKEN",
                     requests,
                     requestsOnClosedConnections,
@@ -206,7 +206,7 @@
                 scheduled.poll().action().run();
             }
             if (now() > until) {
-                throw new IOException("not ready in time: " + journal.allIncarnations());
+                throw new IOException("not all dispatchers were ready in time: " + journal.allIncarnations());
             }
             TimeUnit.MICROSECONDS.sleep(STEP_MICROS);
         }
@@ -349,7 +349,7 @@
 
     @Override
     public void endpointOverloaded(EndpointModel runner, double now) {
-        throw new IllegalStateException("an endpoint that is never cold fell over");
+        throw new IllegalStateException("an endpoint without slow start collapsed");
     }
 
     @Override
--- a/src/test/java/nettlewick/fleettest/SoakChecksTest.java
+++ b/src/test/java/nettlewick/fleettest/SoakChecksTest.java
@@ -85,7 +85,7 @@
     @Test
     void anAnswerThatIsCutOff() {
         sendRequest().ended(End.CUT_OFF, SENT_AT + 5);
-        assertViolation("an answer that is cut off");
+        assertViolation("a truncated answer");
     }
 
     @Test
@@ -105,7 +105,7 @@
         Entry entry = sendRequest();
         addArrival(entry, SENT_AT + 2);
         entry.ended(End.CLOSED, SENT_AT + 5);
-        assertViolation("lost, though it was read");
+        assertViolation("lost after it was forwarded");
     }
 
     @Test
@@ -122,13 +122,13 @@
     @Test
     void aResultThatNoEndpointReturned() {
         sendRequest().answered(200, "HTTP/1.1 200 OK\r\n\r\n", "r-b", SENT_AT + 20);
-        assertViolation("a result that no endpoint gave for it");
+        assertViolation("a result that no endpoint returned");
     }
 
     @Test
     void aRejectionWithoutRetryAfter() {
         reject(sendRequest(), "Content-Length: 0");
-        assertViolation("a rejection without advice");
+        assertViolation("a rejection without Retry-After");
     }
 
     @Test
@@ -136,7 +136,7 @@
         Entry entry = sendRequest(nonIdempotent, false);
         addArrival(entry, SENT_AT + 2);
         reject(entry, "Retry-After: 0.200");
-        assertViolation("rejected though it may run");
+        assertViolation("rejected though it may have run");
     }
 
     @Test
@@ -163,7 +163,7 @@
         Entry entry = sendRequest();
         entry.answered(502, "HTTP/1.1 502 Bad Gateway\r\n\r\n", "", SENT_AT + 20);
         addArrival(entry, SENT_AT + 21 + SoakChecks.ATTEMPT_AFTER_END_TOLERANCE_MILLIS);
-        assertViolation("forwarded after its end");
+        assertViolation("forwarded after its answer");
     }
 
     @Test
@@ -171,7 +171,7 @@
         Entry entry = sendRequest();
         entry.ended(End.LEFT, SENT_AT + 20);
         addArrival(entry, SENT_AT + 21 + SoakChecks.ATTEMPT_AFTER_END_TOLERANCE_MILLIS);
-        assertViolation("forwarded after its client left");
+        assertViolation("forwarded after its client disconnected");
     }
 
     @Test
@@ -179,7 +179,7 @@
         Entry entry = sendRequest();
         entry.arrived(new Arrival("s0", Admission.RUNS, SENT_AT + 300, 1000));
         entry.ended(End.LEFT, SENT_AT + 300);
-        assertViolation("an endpoint is told more time than is left");
+        assertViolation("an endpoint was given more time than is left");
     }
 
     @Test
@@ -188,19 +188,19 @@
         Entry entry = sendRequest();
         addArrival(entry, SENT_AT);
         entry.ended(End.LEFT, SENT_AT);
-        assertViolation("sent to a draining endpoint");
+        assertViolation("forwarded to a draining endpoint");
     }
 
     @Test
     void aProcessThatCrashes() {
         process.exited(200, 1);
-        assertViolation("a process ended by itself");
+        assertViolation("a process exited without a signal");
     }
 
     @Test
     void aProcessThatIsReadyTooLate() {
         process.ready(SoakChecks.READY_TIMEOUT_MILLIS + 1);
-        assertViolation("not ready in time");
+        assertViolation("a process was not ready in time");
     }
 
     @Test
@@ -208,6 +208,6 @@
         process.terminated(200, 1000);
         process.killed(999);
         process.exited(1000, 137);
-        assertViolation("SIGKILL not sent on time, by the soak");
+        assertViolation("the soak did not send SIGKILL on time");
     }
 }
