--- a/src/main/java/nettlewick/fleettest/DatagramRelay.java
+++ b/src/main/java/nettlewick/fleettest/DatagramRelay.java
@@ -100,7 +100,7 @@
     }
 
     /** Sends a malformed datagram as if from a peer: random bytes, some behind the header of a real message. */
-    void garble(int to, SplittableRandom random) throws IOException {
+    void sendMalformed(int to, SplittableRandom random) throws IOException {
         byte[] data = new byte[1 + random.nextInt(MAX_DATAGRAM_BYTES)];
         random.nextBytes(data);
         if (data.length > 2 && random.nextBoolean()) {
--- a/src/main/java/nettlewick/fleettest/Fleet.java
+++ b/src/main/java/nettlewick/fleettest/Fleet.java
@@ -23,7 +23,7 @@
  */
 final class Fleet implements AutoCloseable {
     /** The address prefix in which each process has its own address. */
-    private static final String DISPATCHER_NET = net(0);
+    private static final String DISPATCHER_NET = addressPrefix(0);
 
     private static final int ADDRESSES_PER_BYTE = 250;
     private static final List<String> JVM_FLAGS = List.of(
@@ -55,7 +55,7 @@
         /** CPU time of its processes that have ended, in milliseconds. */
         double earlierCpuMillis;
 
-        int incarnations;
+        int incarnationCount;
 
         DispatcherProcess(
                 int number,
@@ -97,7 +97,7 @@
     private final IntFunction<String> settingsText;
     private final IntToLongFunction clockAheadMillis;
     final List<DispatcherProcess> dispatchers = new ArrayList<>();
-    private final Thread shutdownHook = new Thread(this::end, "lab-end");
+    private final Thread shutdownHook = new Thread(this::killAll, "lab-end");
 
     /**
      * @param config the platform's configuration of a process, read whenever that starts
@@ -140,13 +140,13 @@
      * Returns one of the four address prefixes of a fleet test. They depend on the process id, because two fleet
      * tests in the same network would take each other's reserved ports.
      */
-    static String net(int index) {
+    static String addressPrefix(int index) {
         return "127." + (16 + 4 * (ProcessHandle.current().pid() % 56) + index) + ".";
     }
 
     /** Returns the address of a number in a network such as {@code 127.41.}; no two numbers share one. */
-    static InetAddress address(String net, int number) throws IOException {
-        return InetAddress.getByName(net + number / ADDRESSES_PER_BYTE + "." + (number % ADDRESSES_PER_BYTE + 1));
+    static InetAddress address(String prefix, int number) throws IOException {
+        return InetAddress.getByName(prefix + number / ADDRESSES_PER_BYTE + "." + (number % ADDRESSES_PER_BYTE + 1));
     }
 
     /** Returns the command for the jar that this runs from, or for its classes where there is no jar yet. */
@@ -179,7 +179,7 @@
         if (dispatcher.alive()) {
             return;
         }
-        Path directory = Files.createDirectories(folder.resolve("n" + number + "-" + dispatcher.incarnations++));
+        Path directory = Files.createDirectories(folder.resolve("n" + number + "-" + dispatcher.incarnationCount++));
         Path file = Files.writeString(directory.resolve("config.json"), new Gson().toJson(config.apply(number)));
         List<String> commandLine = new ArrayList<>(command);
         commandLine.add(1, "-Djava.io.tmpdir=" + directory);
@@ -216,7 +216,7 @@
     }
 
     /** Sends SIGTERM for a graceful shutdown. */
-    void end(int number) {
+    void terminate(int number) {
         DispatcherProcess dispatcher = dispatchers.get(number);
         if (dispatcher.alive()) {
             dispatcher.endedByTest = true;
@@ -225,7 +225,7 @@
     }
 
     /** The clients' load balancer notices that a process is down. */
-    void deathNoticed(int number) {
+    void markDown(int number) {
         DispatcherProcess dispatcher = dispatchers.get(number);
         dispatcher.ready &= dispatcher.alive();
     }
@@ -275,7 +275,7 @@
         }
     }
 
-    private void end() {
+    private void killAll() {
         for (DispatcherProcess dispatcher : dispatchers) {
             Process process = dispatcher.process;
             if (process != null) {
@@ -286,7 +286,7 @@
 
     @Override
     public void close() {
-        end();
+        killAll();
         for (DispatcherProcess dispatcher : dispatchers) {
             try {
                 if (dispatcher.process != null) {
@@ -312,11 +312,11 @@
                     "name",
                     requestClass.name(),
                     "repeat",
-                    requestClass.repeat(),
+                    requestClass.idempotency(),
                     "aim",
-                    nanos(requestClass.latencyObjective()),
+                    nanos(requestClass.latencyObjectiveMillis()),
                     "deadline",
-                    nanos(requestClass.deadline()),
+                    nanos(requestClass.deadlineMillis()),
                     "worth",
                     1,
                     "window",
--- a/src/main/java/nettlewick/fleettest/InvariantChecker.java
+++ b/src/main/java/nettlewick/fleettest/InvariantChecker.java
@@ -54,7 +54,7 @@
     private final Map<String, SentRequest> requests = new HashMap<>();
     private final Map<String, FirstAttempt> firstAttempts = new HashMap<>();
     private final Map<String, Integer> runsOfKey = new HashMap<>();
-    private final Map<String, Double> drainToldAt = new HashMap<>();
+    private final Map<String, Double> drainSentAt = new HashMap<>();
     private final List<Exemption> exemptions = new ArrayList<>();
     /** When SIGKILL was sent to dispatchers whose exit has not been observed yet. */
     private final Map<Integer, Double> killedAt = new HashMap<>();
@@ -92,21 +92,21 @@
     }
 
     /** An endpoint has received an attempt completely. */
-    synchronized void arrived(String id, EndpointModel endpoint, EndpointModel.Admission taken, double now) {
+    synchronized void attemptArrived(String id, EndpointModel endpoint, EndpointModel.Admission admission, double now) {
         increment("attempts", now);
         SentRequest request = requests.get(id);
         if (request == null) {
             addViolation("invented", id, now, List.of("no client sent a request with this id"));
             return;
         }
-        request.history.add(timeText(now) + " at " + endpoint.name + " " + taken);
+        request.history.add(timeText(now) + " at " + endpoint.name + " " + admission);
         if (scenario.tenantPools() != null) {
             arrivals.add(new Arrival(now, request.dispatcher, request.tenant, endpoint.name, id));
         }
         if (++request.attempts > maxAttempts) {
             addViolation("attempts", id, now, request.history);
         }
-        Double toldAt = drainToldAt.get(request.dispatcher + " " + endpoint.name);
+        Double toldAt = drainSentAt.get(request.dispatcher + " " + endpoint.name);
         if (toldAt != null
                 && now
                         > toldAt
@@ -116,12 +116,12 @@
                 && !isExempt(request.dispatcher, toldAt, now, true)) {
             addViolation("drain", id, now, request.history);
         }
-        if (taken == EndpointModel.Admission.FULL) {
+        if (admission == EndpointModel.Admission.FULL) {
             increment("sent_to_full", now);
         }
         // A rejected attempt did not run and does not restrict later ones.
         if (request.requestClass.isKeyed()
-                && (taken == EndpointModel.Admission.RUNS || taken == EndpointModel.Admission.WAITS)) {
+                && (admission == EndpointModel.Admission.RUNS || admission == EndpointModel.Admission.WAITS)) {
             FirstAttempt firstAttempt = firstAttempts.putIfAbsent(request.key, new FirstAttempt(now, endpoint.zone));
             if (firstAttempt != null
                     && (now - firstAttempt.at() > scenario.load().dedupWindowMillis() + TRANSIT_TOLERANCE_MILLIS
@@ -132,7 +132,7 @@
     }
 
     /** An endpoint begins to run a request. */
-    synchronized void started(String id, EndpointModel endpoint, double now) {
+    synchronized void executionStarted(String id, EndpointModel endpoint, double now) {
         SentRequest request = requests.get(id);
         if (request == null) {
             return;
@@ -153,7 +153,7 @@
         SentRequest request = requests.get(id);
         request.answered = true;
         request.history.add(timeText(now) + " answer " + status + " " + why);
-        double latenessMillis = now - request.sentAt - request.requestClass.deadline();
+        double latenessMillis = now - request.sentAt - request.requestClass.deadlineMillis();
         if ((status == 0 || latenessMillis > ANSWER_TOLERANCE_MILLIS)
                 && !isExempt(request.dispatcher, request.sentAt, now, false)) {
             addViolation("one answer", id, now, request.history);
@@ -164,7 +164,7 @@
     }
 
     /** An endpoint collapsed under overload during slow start. */
-    synchronized void endpointCollapsed(String endpoint, double now) {
+    synchronized void endpointOverloaded(String endpoint, double now) {
         addViolation(
                 "cold",
                 endpoint,
@@ -199,12 +199,12 @@
     }
 
     /** Discovery has sent a dispatcher the draining state of an endpoint. */
-    synchronized void drainTold(int dispatcher, String endpoint, double now) {
-        drainToldAt.putIfAbsent(dispatcher + " " + endpoint, now);
+    synchronized void drainSent(int dispatcher, String endpoint, double now) {
+        drainSentAt.putIfAbsent(dispatcher + " " + endpoint, now);
     }
 
     synchronized void endpointRestarted(String endpoint) {
-        drainToldAt.keySet().removeIf(k -> k.endsWith(" " + endpoint));
+        drainSentAt.keySet().removeIf(k -> k.endsWith(" " + endpoint));
     }
 
     /**
@@ -246,7 +246,7 @@
     synchronized void checkUnanswered(double now) {
         requests.forEach((id, request) -> {
             if (!request.answered
-                    && now - request.sentAt > request.requestClass.deadline() + ANSWER_TOLERANCE_MILLIS
+                    && now - request.sentAt > request.requestClass.deadlineMillis() + ANSWER_TOLERANCE_MILLIS
                     && !isExempt(request.dispatcher, request.sentAt, now, false)) {
                 addViolation("one answer", id, now, request.history);
             }
--- a/src/main/java/nettlewick/fleettest/LinkFaults.java
+++ b/src/main/java/nettlewick/fleettest/LinkFaults.java
@@ -59,13 +59,13 @@
         loss = new Loss(fraction, until);
     }
 
-    boolean cut(int from, int to, double now) {
+    boolean isCut(int from, int to, double now) {
         return partitions.stream().anyMatch(c -> c.covers(from, to, now));
     }
 
     /** Returns the current state of one direction of a connection that {@code server} accepted. */
     ConnectionState connectionState(int from, int to, int server, double now) {
-        if (cut(from, to, now)) {
+        if (isCut(from, to, now)) {
             return ConnectionState.STALLED;
         }
         ConnectionState state = ConnectionState.OPEN;
@@ -77,13 +77,13 @@
         return state;
     }
 
-    double delay() {
+    double delayMillis() {
         return settings.delayMillis();
     }
 
     /** Returns the delay in milliseconds of each copy of a datagram; empty if it is lost. */
     List<Double> copyDelays(int from, int to, long number, double now) {
-        if (cut(from, to, now)) {
+        if (isCut(from, to, now)) {
             return List.of();
         }
         double lossFraction = Math.max(settings.lossFraction(), now < loss.until() ? loss.fraction() : 0);
--- a/src/main/java/nettlewick/fleettest/LoadGenerator.java
+++ b/src/main/java/nettlewick/fleettest/LoadGenerator.java
@@ -105,8 +105,8 @@
     private void sendNow(OpenRequest request) {
         double now = clock.getAsDouble();
         double remainingMillis =
-                request.scheduledAt + request.planned.requestClass().deadline() - now;
-        Fleet.DispatcherProcess dispatcher = pick(request);
+                request.scheduledAt + request.planned.requestClass().deadlineMillis() - now;
+        Fleet.DispatcherProcess dispatcher = pickDispatcher(request);
         if (remainingMillis <= 0) {
             finish(request, "unserved");
         } else if (dispatcher == null) {
@@ -130,7 +130,7 @@
     /**
      * Picks one of the zone's dispatchers that the clients' load balancer considers available; null if there is none.
      */
-    private Fleet.DispatcherProcess pick(OpenRequest request) {
+    private Fleet.DispatcherProcess pickDispatcher(OpenRequest request) {
         List<Fleet.DispatcherProcess> candidates = new ArrayList<>();
         int zones = scenario.fleet().zones().size();
         for (Fleet.DispatcherProcess process : fleet.dispatchers) {
@@ -207,8 +207,8 @@
                 latency.recordValue((long) Math.min(MAX_LATENCY_MILLIS, latencyMillis));
             }
             served.incrementAndGet();
-            finish(request, latencyMillis <= requestClass.latencyObjective() ? "in_time" : "late");
-        } else if (isRejected || status == 0 && requestClass.repeat().equals("retryable")) {
+            finish(request, latencyMillis <= requestClass.latencyObjectiveMillis() ? "in_time" : "late");
+        } else if (isRejected || status == 0 && requestClass.idempotency().equals("retryable")) {
             if (isRejected && request.scheduledAt >= measureFrom) {
                 rejections.incrementAndGet();
                 loadStats.rejected();
--- a/src/main/java/nettlewick/fleettest/Results.java
+++ b/src/main/java/nettlewick/fleettest/Results.java
@@ -101,8 +101,9 @@
         System.setProperty("java.awt.headless", "true");
         XYSeriesCollection loads = new XYSeriesCollection();
         List<LoadBalanceStats.Sample> samples = loadStats.samples();
-        int runners = samples.stream().mapToInt(s -> s.loads().length).max().orElse(0);
-        for (int r = 0; r < runners; r++) {
+        int endpointCount =
+                samples.stream().mapToInt(s -> s.loads().length).max().orElse(0);
+        for (int r = 0; r < endpointCount; r++) {
             XYSeries line = new XYSeries("s" + r);
             for (LoadBalanceStats.Sample s : samples) {
                 line.add(s.at() / SECOND_MILLIS, r < s.loads().length ? s.loads()[r] : Double.NaN);
--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -52,13 +52,13 @@
             return zones.get(number % zones.size());
         }
 
-        double speed(int runner) {
-            int left = runner;
+        double speed(int endpoint) {
+            int remaining = endpoint;
             for (EndpointGroup kind : endpointGroups) {
-                if (left < kind.count()) {
+                if (remaining < kind.count()) {
                     return kind.speed();
                 }
-                left -= kind.count();
+                remaining -= kind.count();
             }
             return 1;
         }
@@ -75,7 +75,8 @@
     /**
      * A request class; {@code fraction} is its part of all requests, {@code meanWorkMillis} is in slot milliseconds.
      */
-    record RequestClass(String name, double fraction, double meanWorkMillis, double latencyObjective, double deadline) {
+    record RequestClass(
+            String name, double fraction, double meanWorkMillis, double latencyObjectiveMillis, double deadlineMillis) {
         boolean isNonIdempotent() {
             return name.equals("mark-submit") || name.equals("transfer");
         }
@@ -84,7 +85,7 @@
             return name.equals("save-run");
         }
 
-        String repeat() {
+        String idempotency() {
             return isNonIdempotent() ? "fragile" : isKeyed() ? "dedup" : "retryable";
         }
     }
@@ -204,9 +205,13 @@
                 clockOffsets);
         List<RequestClass> classes = new ArrayList<>();
         for (Block.Value value : loadBlock.all("class")) {
-            double aim = value.argument(3);
+            double latencyObjective = value.argument(3);
             classes.add(new RequestClass(
-                    value.argument(0), value.argument(1), value.argument(2), aim, Math.max(4000, 4 * aim)));
+                    value.argument(0),
+                    value.argument(1),
+                    value.argument(2),
+                    latencyObjective,
+                    Math.max(4000, 4 * latencyObjective)));
         }
         if (classes.isEmpty()) {
             throw loadBlock.invalidValue(
@@ -276,16 +281,16 @@
         double figure = Double.NaN;
         double durationMillis = Double.POSITIVE_INFINITY;
         for (int i = hasNamedTarget ? 3 : 2; i < words.size(); i++) {
-            Object part = value.arguments().get(i);
+            Object argument = value.arguments().get(i);
             String precedingWord = words.get(i - 1);
-            if (part instanceof ScenarioTarget p && target == null) {
+            if (argument instanceof ScenarioTarget p && target == null) {
                 target = new ScenarioTarget(p.name(), Double.isNaN(figure) ? 1 : figure);
                 figure = Double.NaN;
-            } else if (part instanceof ScenarioTarget p) {
+            } else if (argument instanceof ScenarioTarget p) {
                 otherTarget = p;
-            } else if (part instanceof Double d && precedingWord.equals("for")) {
+            } else if (argument instanceof Double d && precedingWord.equals("for")) {
                 durationMillis = d;
-            } else if (part instanceof Number n) {
+            } else if (argument instanceof Number n) {
                 figure = n.doubleValue();
             }
         }
--- a/src/main/java/nettlewick/fleettest/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -31,7 +31,7 @@
  * figures.
  */
 final class ScenarioRun implements AutoCloseable, EndpointServer.Listener {
-    private static final String ENDPOINT_NET = Fleet.net(2);
+    private static final String ENDPOINT_NET = Fleet.addressPrefix(2);
     /** Cap on the attempts of one request. */
     static final int MAX_ATTEMPTS = 6;
     /** Up to this many pairs of dispatcher and endpoint, each pair has its own relay listener. */
@@ -98,7 +98,7 @@
                 vertx,
                 fleetSettings.dispatchers(),
                 fleetSettings.discoveryCallMillis(),
-                checker::drainTold,
+                checker::drainSent,
                 this::now,
                 (dispatcher, r) -> endpointAddresses.get(addressKey(dispatcher, endpointNumbers.get(r))));
         for (int r = 0; r < fleetSettings.endpoints(); r++) {
@@ -123,8 +123,8 @@
             discoveryAddresses.put(dispatcher, relayedAddress(dispatcher, discoveryParty(), direct));
         }
         datagramRelay = new DatagramRelay(
-                fleet.dispatchers.stream().map(member -> member.peerAddress).toList(),
-                Fleet.net(1),
+                fleet.dispatchers.stream().map(process -> process.peerAddress).toList(),
+                Fleet.addressPrefix(1),
                 linkFaults,
                 this::now,
                 Math.max(1, Math.min(3, fleetSettings.dispatchers() / 50)));
@@ -184,8 +184,8 @@
     }
 
     /** Returns the dispatcher that holds a tenant's lease task, according to the logs. */
-    int leaseHolder(String member) throws IOException {
-        return DispatcherLogs.read(folder, beganAtUnixMillis, "duty-held").leaseHolder(member);
+    int leaseHolder(String tenant) throws IOException {
+        return DispatcherLogs.read(folder, beganAtUnixMillis, "duty-held").leaseHolder(tenant);
     }
 
     /** Returns the first dispatcher of the group that shares a relay listener. */
@@ -237,10 +237,11 @@
                 "seed",
                 String.format(
                         "%016x",
-                        new SplittableRandom(fleetSettings.seed() + 1000L * number + process.incarnations).nextLong()));
+                        new SplittableRandom(fleetSettings.seed() + 1000L * number + process.incarnationCount)
+                                .nextLong()));
         config.put("peer_listen", addressText(process.peerAddress));
         config.put("peers", peerAddresses);
-        if (process.incarnations > 1 && fleetSettings.keepsEndpointList()) {
+        if (process.incarnationCount > 1 && fleetSettings.keepsEndpointList()) {
             config.put("known", new Gson().fromJson(new Gson().toJson(discovery.lastSentList(number)), Map.class));
         }
         config.put("settings", Fleet.platformSettings(scenario, number));
@@ -252,18 +253,18 @@
         double beganAt = now();
         int next = 0;
         int maxStarting = Runtime.getRuntime().availableProcessors() + 2;
-        while (fleet.dispatchers.stream().anyMatch(m -> !m.ready)) {
+        while (fleet.dispatchers.stream().anyMatch(process -> !process.ready)) {
             long starting = fleet.dispatchers.stream()
-                    .filter(m -> m.incarnations > 0 && !m.ready)
+                    .filter(process -> process.incarnationCount > 0 && !process.ready)
                     .count();
             for (; next < fleet.dispatchers.size() && starting < maxStarting; next++, starting++) {
                 fleet.start(next);
             }
             checkHealth();
-            for (Fleet.DispatcherProcess m : fleet.dispatchers.subList(0, next)) {
-                if (!m.alive()) {
-                    throw new IOException("n" + m.number + " exited before it was ready, with code "
-                            + m.process.exitValue() + "; see its log in the result folder");
+            for (Fleet.DispatcherProcess process : fleet.dispatchers.subList(0, next)) {
+                if (!process.alive()) {
+                    throw new IOException("n" + process.number + " exited before it was ready, with code "
+                            + process.process.exitValue() + "; see its log in the result folder");
                 }
             }
             if (now() - beganAt > START_TIMEOUT_SECONDS * SECOND_MILLIS) {
@@ -297,7 +298,7 @@
     }
 
     private long countReady() {
-        return fleet.dispatchers.stream().filter(m -> m.ready).count();
+        return fleet.dispatchers.stream().filter(process -> process.ready).count();
     }
 
     /** Sends a health check to each running process that is not known to be ready. */
@@ -336,7 +337,7 @@
         double reportedAt = -scenario.load().warmUpMillis();
         double endsAt = scenario.load().lengthMillis();
         double longestDeadline = scenario.load().classes().stream()
-                .mapToDouble(Scenario.RequestClass::deadline)
+                .mapToDouble(Scenario.RequestClass::deadlineMillis)
                 .max()
                 .orElse(0);
         while (!stopRequested
@@ -449,24 +450,24 @@
     }
 
     @Override
-    public void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now) {
+    public void attemptArrived(String id, EndpointModel endpoint, EndpointModel.Admission admission, double now) {
         if (now >= loadBeginsAt) {
-            loadStats.arrived(runner, now);
+            loadStats.arrived(endpoint, now);
         }
-        checker.arrived(id, runner, how, now);
-        if (how == EndpointModel.Admission.FULL || how == EndpointModel.Admission.DRAINS) {
+        checker.attemptArrived(id, endpoint, admission, now);
+        if (admission == EndpointModel.Admission.FULL || admission == EndpointModel.Admission.DRAINS) {
             loadStats.rejected();
         }
     }
 
     @Override
-    public void executionStarted(String id, EndpointModel runner, double now) {
-        checker.started(id, runner, now);
+    public void executionStarted(String id, EndpointModel endpoint, double now) {
+        checker.executionStarted(id, endpoint, now);
     }
 
     @Override
-    public void endpointOverloaded(EndpointModel runner, double now) {
-        checker.endpointCollapsed(runner.name, now);
+    public void endpointOverloaded(EndpointModel endpoint, double now) {
+        checker.endpointOverloaded(endpoint.name, now);
     }
 
     InvariantChecker checker() {
--- a/src/main/java/nettlewick/fleettest/Soak.java
+++ b/src/main/java/nettlewick/fleettest/Soak.java
@@ -25,14 +25,14 @@
      * @return the seeds that violated a rule
      */
     public static List<Long> run(long from, int seeds, Path folder, Consumer<String> out) throws Exception {
-        List<Long> broken = new ArrayList<>();
+        List<Long> violatingSeeds = new ArrayList<>();
         for (long seed = from; seed < from + seeds; seed++) {
             if (!run(seed, Files.createDirectories(folder.resolve("seed-" + seed)), out)) {
-                broken.add(seed);
+                violatingSeeds.add(seed);
             }
         }
-        out.accept(seeds + " seeds from " + from + ", seeds with violations: " + broken);
-        return broken;
+        out.accept(seeds + " seeds from " + from + ", seeds with violations: " + violatingSeeds);
+        return violatingSeeds;
     }
 
     private static boolean run(long seed, Path folder, Consumer<String> out) throws Exception {
@@ -41,7 +41,9 @@
         try (SoakRun run = new SoakRun(plan, folder)) {
             SoakRun.Verdict verdict = run.run();
             out.accept("seed " + seed + ": " + verdict.text());
-            verdict.violations().stream().limit(MAX_VIOLATIONS_SHOWN).forEach(b -> out.accept("  " + b));
+            verdict.violations().stream()
+                    .limit(MAX_VIOLATIONS_SHOWN)
+                    .forEach(violation -> out.accept("  " + violation));
             if (verdict.violations().isEmpty()) {
                 deleteQuietly(folder);
             }
--- a/src/main/java/nettlewick/fleettest/SoakChecks.java
+++ b/src/main/java/nettlewick/fleettest/SoakChecks.java
@@ -29,7 +29,7 @@
     /** By how much the deadline that an endpoint is given may exceed the remaining time. */
     static final double TOLD_TIME_TOLERANCE_MILLIS = 150;
     /** SIGKILL may leave requests unanswered that were sent up to this time after SIGTERM; later ones count as lost. */
-    static final double EXCUSED_AFTER_TERM_MILLIS = 700;
+    static final double EXEMPT_AFTER_TERM_MILLIS = 700;
 
     static final double READY_TIMEOUT_MILLIS = 10_000;
     /** How late the soak itself may send SIGKILL. */
@@ -77,7 +77,7 @@
 
     private void check(Entry entry) {
         checkEnd(entry);
-        checkForm(entry);
+        checkAnswer(entry);
         checkArrivals(entry);
         if (entry.requestClass().name().equals("mark-submit") && entry.runs().size() > 1) {
             addViolation("a non-idempotent request ran twice", entry);
@@ -101,7 +101,7 @@
             case CUT_OFF -> addViolation("a truncated answer", entry);
             case CLOSED -> checkClosed(entry);
             case NONE -> {
-                if (!Double.isNaN(entry.sentAt()) && !isExcusedByKill(entry)) {
+                if (!Double.isNaN(entry.sentAt()) && !isExemptByKill(entry)) {
                     addViolation("no answer", entry);
                 }
             }
@@ -117,7 +117,7 @@
      */
     private void checkClosed(Entry entry) {
         boolean wasForwarded = !entry.arrivals().isEmpty();
-        if (isExcusedByKill(entry)) {
+        if (isExemptByKill(entry)) {
             return;
         }
         if (!wasForwarded && (!entry.isFirstOnConnection() || isDuringIdleConnections(entry))) {
@@ -132,14 +132,14 @@
         return plan.idleConnections() > 0 && plan.idleConnectionsSpan().contains(entry.sentAt() - loadBeganAt);
     }
 
-    private boolean isExcusedByKill(Entry entry) {
+    private boolean isExemptByKill(Entry entry) {
         Incarnation process = journal.incarnation(entry.dispatcher(), entry.incarnation());
         return !Double.isNaN(process.killedAt())
-                && entry.sentAt() <= process.termAt() + EXCUSED_AFTER_TERM_MILLIS
+                && entry.sentAt() <= process.termAt() + EXEMPT_AFTER_TERM_MILLIS
                 && process.killedAt() <= entry.dueAt() + LATE_ANSWER_TOLERANCE_MILLIS;
     }
 
-    private void checkForm(Entry entry) {
+    private void checkAnswer(Entry entry) {
         if (entry.end() != End.ANSWERED) {
             return;
         }
@@ -154,7 +154,7 @@
         if (isRejected
                 && !entry.requestClass().isIdempotent()
                 && !entry.requestClass().isKeyed()) {
-            Predicate<Arrival> mayRun = a -> a.taken() != Admission.FULL && a.taken() != Admission.DRAINS;
+            Predicate<Arrival> mayRun = a -> a.admission() != Admission.FULL && a.admission() != Admission.DRAINS;
             if (entry.arrivals().stream().anyMatch(mayRun)) {
                 addViolation("rejected though it may have run", entry);
             }
@@ -162,16 +162,16 @@
     }
 
     private void checkArrivals(Entry entry) {
-        boolean hasEnd = entry.end() == End.ANSWERED || entry.end() == End.LEFT;
+        boolean hasEnd = entry.end() == End.ANSWERED || entry.end() == End.DISCONNECTED;
         for (Arrival arrival : entry.arrivals()) {
             if (hasEnd && arrival.at() > entry.endedAt() + ATTEMPT_AFTER_END_TOLERANCE_MILLIS) {
                 addViolation(
-                        entry.end() == End.LEFT
+                        entry.end() == End.DISCONNECTED
                                 ? "forwarded after its client disconnected"
                                 : "forwarded after its answer",
                         entry);
             }
-            if (arrival.toldMillis()
+            if (arrival.remainingMillis()
                     > entry.dueAt() - arrival.at() + TOLD_TIME_TOLERANCE_MILLIS + SOCKET_TOLERANCE_MILLIS) {
                 addViolation("an endpoint was given more time than is left", entry);
             }
--- a/src/main/java/nettlewick/fleettest/SoakClient.java
+++ b/src/main/java/nettlewick/fleettest/SoakClient.java
@@ -156,7 +156,7 @@
             batch.forEach(e -> e.sent(now));
             if (plan.kind() == ClientKind.DISCONNECTING && random.nextDouble() < DISCONNECT_PROBABILITY) {
                 pause(plan.pauseMillis());
-                batch.forEach(e -> e.ended(End.LEFT, clock.getAsDouble()));
+                batch.forEach(e -> e.ended(End.DISCONNECTED, clock.getAsDouble()));
                 return false;
             }
             boolean isOpen = readAnswers(batch);
--- a/src/main/java/nettlewick/fleettest/SoakConfig.java
+++ b/src/main/java/nettlewick/fleettest/SoakConfig.java
@@ -69,7 +69,8 @@
         config.put("listen", ScenarioRun.addressText(dispatcher.listenAddress));
         config.put("discovery", ScenarioRun.addressText(discovery));
         config.put(
-                "seed", String.format("%016x", plan.seed() * 1000 + dispatcher.number * 10L + dispatcher.incarnations));
+                "seed",
+                String.format("%016x", plan.seed() * 1000 + dispatcher.number * 10L + dispatcher.incarnationCount));
         config.put("limits", Map.of("cores", 1.0, "memory_mb", MEMORY_MEGABYTES, "sockets", MAX_SOCKETS));
         if (knownEndpoints != null) {
             config.put("known", new Gson().fromJson(new Gson().toJson(knownEndpoints), Map.class));
--- a/src/main/java/nettlewick/fleettest/SoakJournal.java
+++ b/src/main/java/nettlewick/fleettest/SoakJournal.java
@@ -23,13 +23,13 @@
         /** The connection closed in the middle of an answer. */
         CUT_OFF,
         /** The client closed its connection before an answer came. */
-        LEFT,
+        DISCONNECTED,
         /** The connection closed before the request was written completely. */
         UNSENT
     }
 
     /** An attempt that an endpoint received completely, with the remaining time that it was given. */
-    record Arrival(String endpoint, EndpointModel.Admission taken, double at, double toldMillis) {}
+    record Arrival(String endpoint, EndpointModel.Admission admission, double at, double remainingMillis) {}
 
     /** One request. Its client writes it; endpoints add to {@code arrivals} and {@code runs}. */
     static final class Entry {
--- a/src/main/java/nettlewick/fleettest/SoakRun.java
+++ b/src/main/java/nettlewick/fleettest/SoakRun.java
@@ -68,7 +68,7 @@
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final SoakPlan plan;
-    private final SoakConfig dispatcherConfig;
+    private final SoakConfig soakConfig;
     private final Path folder;
     private final Vertx vertx = Vertx.vertx();
     private final long beganNanos = System.nanoTime();
@@ -95,18 +95,18 @@
 
     SoakRun(SoakPlan plan, Path folder) throws Exception {
         this.plan = plan;
-        dispatcherConfig = new SoakConfig(plan);
+        soakConfig = new SoakConfig(plan);
         this.folder = folder;
         discoveryInUse = new int[plan.dispatchers()];
         discovery = new DiscoveryServer(
-                vertx, plan.dispatchers(), 0, journal::drainTold, this::now, (d, runner) -> addresses.get(runner));
+                vertx, plan.dispatchers(), 0, journal::drainTold, this::now, (d, endpoint) -> addresses.get(endpoint));
         for (int r = 0; r < plan.endpoints(); r++) {
             EndpointModel model =
                     new EndpointModel("s" + r, SoakConfig.ZONE, 1, SoakConfig.ENDPOINT_KIND, Double.NEGATIVE_INFINITY);
-            EndpointServer runner = new EndpointServer("127.0.0.1", model, vertx, this, this::now);
-            addresses.put(runner, runner.listen());
-            endpoints.add(runner);
-            discovery.announceHealth(runner, "Ready");
+            EndpointServer endpoint = new EndpointServer("127.0.0.1", model, vertx, this, this::now);
+            addresses.put(endpoint, endpoint.listen());
+            endpoints.add(endpoint);
+            discovery.announceHealth(endpoint, "Ready");
         }
         for (int d = 0; d < plan.dispatchers(); d++) {
             discoveryAddresses.add(List.of(discovery.listen(d), discovery.listen(d)));
@@ -120,10 +120,10 @@
     }
 
     private Map<String, Object> dispatcherConfig(int number) {
-        Fleet.DispatcherProcess member = fleet.dispatchers.get(number);
+        Fleet.DispatcherProcess dispatcher = fleet.dispatchers.get(number);
         InetSocketAddress discoveryAddress = discoveryAddresses.get(number).get(discoveryInUse[number]);
-        Map<String, Object> known = member.incarnations > 1 ? discovery.lastSentList(number) : null;
-        return dispatcherConfig.dispatcherConfig(member, discoveryAddress, known);
+        Map<String, Object> known = dispatcher.incarnationCount > 1 ? discovery.lastSentList(number) : null;
+        return soakConfig.dispatcherConfig(dispatcher, discoveryAddress, known);
     }
 
     /** Runs the plan and checks the journal. */
@@ -150,14 +150,14 @@
         stallMonitor.close();
         SoakChecks checks =
                 new SoakChecks(journal, plan, SoakConfig.DRAIN_GRACE_MILLIS, ScenarioRun.MAX_ATTEMPTS, loadBeganAt);
-        List<SoakChecks.Violation> breaks = checks.run();
+        List<SoakChecks.Violation> violations = checks.run();
         double killLate = journal.allIncarnations().stream()
                 .mapToDouble(p -> p.killedAt() - p.killDueAt())
                 .filter(late -> !Double.isNaN(late))
                 .max()
                 .orElse(0);
         return new Verdict(
-                breaks,
+                violations,
                 journal.entries().size(),
                 checks.requestsOnClosedConnections(),
                 stallMonitor.longestOwnStallMillis(),
@@ -220,9 +220,9 @@
 
     /** Adds a dispatcher to the load balancer once its health check has succeeded. */
     private void awaitHealth(Incarnation incarnation) {
-        Fleet.DispatcherProcess member = fleet.dispatchers.get(incarnation.dispatcher());
+        Fleet.DispatcherProcess dispatcher = fleet.dispatchers.get(incarnation.dispatcher());
         try {
-            while (!stopped && Double.isNaN(incarnation.exitedAt()) && !isHealthy(member)) {
+            while (!stopped && Double.isNaN(incarnation.exitedAt()) && !isHealthy(dispatcher)) {
                 TimeUnit.MILLISECONDS.sleep(HEALTH_CHECK_MILLIS);
             }
         } catch (InterruptedException e) {
@@ -233,13 +233,13 @@
             incarnation.ready(now());
             balancerTargets.put(
                     incarnation.dispatcher(),
-                    new SoakClient.Target(member.listenAddress, incarnation.dispatcher(), incarnation.number()));
+                    new SoakClient.Target(dispatcher.listenAddress, incarnation.dispatcher(), incarnation.number()));
         }
     }
 
-    private static boolean isHealthy(Fleet.DispatcherProcess member) {
+    private static boolean isHealthy(Fleet.DispatcherProcess dispatcher) {
         try (Socket socket = new Socket()) {
-            socket.connect(member.listenAddress, CONNECT_TIMEOUT_MILLIS);
+            socket.connect(dispatcher.listenAddress, CONNECT_TIMEOUT_MILLIS);
             socket.setSoTimeout(CONNECT_TIMEOUT_MILLIS);
             socket.getOutputStream()
                     .write("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
@@ -260,7 +260,7 @@
         Incarnation incarnation = journal.latest(dispatcher);
         pendingRestarts++;
         double termAt = now();
-        fleet.end(dispatcher);
+        fleet.terminate(dispatcher);
         double killAt = termAt + plan.killDelayMillis();
         incarnation.terminated(termAt, killAt);
         plan(termAt + restart.acceptMillis(), () -> balancerTargets.remove(dispatcher));
@@ -269,7 +269,7 @@
     }
 
     private void terminateAgain(SoakPlan.Restart restart) {
-        fleet.end(restart.dispatcher());
+        fleet.terminate(restart.dispatcher());
     }
 
     private void kill(Incarnation incarnation) {
@@ -294,17 +294,17 @@
 
     /** Replaces the configuration file, which switches the address of discovery, and sends SIGHUP. */
     private void reload(int dispatcher) throws IOException {
-        Fleet.DispatcherProcess member = fleet.dispatchers.get(dispatcher);
-        if (!member.alive() || !Double.isNaN(journal.latest(dispatcher).exitedAt())) {
+        Fleet.DispatcherProcess process = fleet.dispatchers.get(dispatcher);
+        if (!process.alive() || !Double.isNaN(journal.latest(dispatcher).exitedAt())) {
             return;
         }
         discoveryInUse[dispatcher] = 1 - discoveryInUse[dispatcher];
-        Path file = folder.resolve("n" + dispatcher + "-" + (member.incarnations - 1))
+        Path file = folder.resolve("n" + dispatcher + "-" + (process.incarnationCount - 1))
                 .resolve("config.json");
         Path next =
                 Files.writeString(file.resolveSibling("next.json"), new Gson().toJson(dispatcherConfig(dispatcher)));
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-        new ProcessBuilder("kill", "-HUP", Long.toString(member.process.pid())).start();
+        new ProcessBuilder("kill", "-HUP", Long.toString(process.process.pid())).start();
     }
 
     /** Opens idle connections to all dispatchers and makes discovery silent. */
@@ -338,17 +338,17 @@
     }
 
     @Override
-    public void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now) {
+    public void attemptArrived(String id, EndpointModel endpoint, EndpointModel.Admission admission, double now) {
         // Recorded in the journal together with the time that the endpoint was given.
     }
 
     @Override
-    public void executionStarted(String id, EndpointModel runner, double now) {
+    public void executionStarted(String id, EndpointModel endpoint, double now) {
         journal.ran(id, now);
     }
 
     @Override
-    public void endpointOverloaded(EndpointModel runner, double now) {
+    public void endpointOverloaded(EndpointModel endpoint, double now) {
         throw new IllegalStateException("an endpoint without slow start collapsed");
     }
 
--- a/src/main/java/nettlewick/fleettest/StallMonitor.java
+++ b/src/main/java/nettlewick/fleettest/StallMonitor.java
@@ -15,13 +15,13 @@
  */
 final class StallMonitor implements AutoCloseable {
     /** A time in which a process or loop was not scheduled. */
-    record Stall(String who, double from, double to) {
+    record Stall(String subject, double from, double to) {
         private boolean overlaps(double begin, double end) {
             return from <= end && to >= begin;
         }
 
         private String text() {
-            return String.format("%s held up from %.0f to %.0f ms", who, from, to);
+            return String.format("%s held up from %.0f to %.0f ms", subject, from, to);
         }
     }
 
@@ -69,9 +69,9 @@
     }
 
     /** Records a stall if too much time passed between two iterations of a loop. */
-    synchronized void recordStall(String who, double before, double now) {
+    synchronized void recordStall(String subject, double before, double now) {
         if (now - before > MIN_STALL_MILLIS) {
-            stalls.add(new Stall(who, before, now));
+            stalls.add(new Stall(subject, before, now));
         }
     }
 
@@ -123,7 +123,8 @@
     synchronized List<String> overlapping(double from, double to, int dispatcher) {
         return stalls.stream()
                 .filter(stall -> stall.overlaps(from, to))
-                .filter(stall -> !stall.who().startsWith("n") || stall.who().startsWith("n" + dispatcher + " "))
+                .filter(stall ->
+                        !stall.subject().startsWith("n") || stall.subject().startsWith("n" + dispatcher + " "))
                 .map(Stall::text)
                 .toList();
     }
@@ -131,7 +132,7 @@
     /** Returns the longest stall of this process, in milliseconds. */
     synchronized double longestOwnStallMillis() {
         return stalls.stream()
-                .filter(stall -> !stall.who().startsWith("n"))
+                .filter(stall -> !stall.subject().startsWith("n"))
                 .mapToDouble(stall -> stall.to() - stall.from())
                 .max()
                 .orElse(0);
--- a/src/main/java/nettlewick/fleettest/StepExecutor.java
+++ b/src/main/java/nettlewick/fleettest/StepExecutor.java
@@ -157,8 +157,8 @@
             case "kill" -> kill(step.target());
             case "end" -> {
                 for (int dispatcher : dispatchers(step.target())) {
-                    run.fleet.end(dispatcher);
-                    schedule(run.now() + fleetSettings.deathNoticeMillis(), () -> run.fleet.deathNoticed(dispatcher));
+                    run.fleet.terminate(dispatcher);
+                    schedule(run.now() + fleetSettings.deathNoticeMillis(), () -> run.fleet.markDown(dispatcher));
                 }
             }
             case "start" -> start(step);
@@ -204,13 +204,13 @@
                             default -> LinkFaults.ConnectionState.TRICKLING;
                         },
                         until);
-            case "provider" -> run.tenantPools.setProviderFate(step.target().name(), until);
+            case "provider" -> run.tenantPools.setProviderBehavior(step.target().name(), until);
             case "silent" -> run.discovery.muteUntil(until);
             case "lists" ->
                 IntStream.range(0, fleetSettings.dispatchers())
                         .forEach(dispatcher -> run.discovery.setDelay(dispatcher, random.nextDouble() * step.value()));
             case "loss" -> run.linkFaults.setLoss(step.value(), until);
-            case "garble" -> garble(step.target(), until);
+            case "garble" -> sendMalformed(step.target(), until);
             default -> {}
         }
     }
@@ -218,7 +218,7 @@
     private void kill(ScenarioTarget target) throws IOException {
         for (int dispatcher : dispatchers(target)) {
             run.fleet.kill(dispatcher);
-            schedule(run.now() + fleetSettings.deathNoticeMillis(), () -> run.fleet.deathNoticed(dispatcher));
+            schedule(run.now() + fleetSettings.deathNoticeMillis(), () -> run.fleet.markDown(dispatcher));
         }
         endpoints(target).forEach(r -> run.endpoints.get(r).kill());
     }
@@ -249,15 +249,15 @@
         }
     }
 
-    private void garble(ScenarioTarget target, double until) throws IOException {
+    private void sendMalformed(ScenarioTarget target, double until) throws IOException {
         SplittableRandom bytes = new SplittableRandom(random.nextLong());
         for (int dispatcher : dispatchers(target)) {
             for (int i = 0; i < 20; i++) {
-                run.datagramRelay.garble(dispatcher, bytes);
+                run.datagramRelay.sendMalformed(dispatcher, bytes);
             }
         }
         if (run.now() + LoadBalanceStats.SAMPLE_INTERVAL_MILLIS < until) {
-            schedule(run.now() + LoadBalanceStats.SAMPLE_INTERVAL_MILLIS, () -> garble(target, until));
+            schedule(run.now() + LoadBalanceStats.SAMPLE_INTERVAL_MILLIS, () -> sendMalformed(target, until));
         }
     }
 }
--- a/src/main/java/nettlewick/fleettest/TcpRelay.java
+++ b/src/main/java/nettlewick/fleettest/TcpRelay.java
@@ -100,7 +100,7 @@
             this.server = server;
             from.handler(bytes -> {
                 buffers.add(bytes);
-                deliveryTimes.add(clock.getAsDouble() + links.delay());
+                deliveryTimes.add(clock.getAsDouble() + links.delayMillis());
                 deliver();
                 schedulePoll();
             });
--- a/src/main/java/nettlewick/fleettest/TenantPoolEnvironment.java
+++ b/src/main/java/nettlewick/fleettest/TenantPoolEnvironment.java
@@ -18,7 +18,7 @@
 
 /** The additional parts of a scenario with tenant pools: a relay between the sockets of lease tasks, and a provider. */
 final class TenantPoolEnvironment implements AutoCloseable {
-    private static final String NET = Fleet.net(3);
+    private static final String NET = Fleet.addressPrefix(3);
     private static final int KEY_BYTES = 32;
     /** How long a removed endpoint may finish its requests. */
     private static final double REMOVAL_DELAY_MILLIS = 5000;
@@ -43,7 +43,7 @@
     private List<InetSocketAddress> relayAddresses;
     private final Map<Integer, InetSocketAddress> providerAddresses = new HashMap<>();
     private final Map<String, EndpointServer> addedEndpoints = new HashMap<>();
-    ProviderModel model;
+    ProviderModel providerModel;
     ProviderServer provider;
 
     TenantPoolEnvironment(ScenarioRun run, Scenario scenario, Path folder) throws IOException {
@@ -80,7 +80,7 @@
         if (price == null) {
             return;
         }
-        model = new ProviderModel(
+        providerModel = new ProviderModel(
                 price.argument(1),
                 price.<Double>argument(3).longValue(),
                 scenario.fleet().zones(),
@@ -88,21 +88,22 @@
         long startMillis = (long) scenario.tenantPools().endpointStartMillis();
         provider = new ProviderServer(
                 run.vertx,
-                model,
+                providerModel,
                 () -> System.currentTimeMillis() + clockAheadMillis,
                 startMillis,
                 new ProviderServer.InstanceLauncher() {
                     @Override
-                    public void start(ProviderModel.Instance runner) {
+                    public void start(ProviderModel.Instance instance) {
                         run.stepExecutor.post(
-                                () -> addedEndpoints.put(runner.name(), run.addEndpoint(run.now(), runner.name())));
+                                () -> addedEndpoints.put(instance.name(), run.addEndpoint(run.now(), instance.name())));
                         run.stepExecutor.post(
-                                () -> run.discovery.announceHealth(addedEndpoints.get(runner.name()), "Ready"));
+                                () -> run.discovery.announceHealth(addedEndpoints.get(instance.name()), "Ready"));
                     }
 
                     @Override
-                    public void stop(ProviderModel.Instance runner) {
-                        run.stepExecutor.post(() -> TenantPoolEnvironment.this.end(addedEndpoints.get(runner.name())));
+                    public void stop(ProviderModel.Instance instance) {
+                        run.stepExecutor.post(
+                                () -> TenantPoolEnvironment.this.removeEndpoint(addedEndpoints.get(instance.name())));
                     }
                 });
         InetSocketAddress direct = provider.listen();
@@ -111,7 +112,7 @@
         }
     }
 
-    private void end(EndpointServer endpoint) {
+    private void removeEndpoint(EndpointServer endpoint) {
         run.discovery.announceHealth(endpoint, "Terminating");
         endpoint.model.drain();
         run.stepExecutor.schedule(run.now() + REMOVAL_DELAY_MILLIS, () -> {
@@ -120,7 +121,7 @@
         });
     }
 
-    void setProviderFate(String name, double until) {
+    void setProviderBehavior(String name, double until) {
         provider.setBehavior(ProviderServer.Behavior.valueOf(name.toUpperCase(Locale.ROOT)));
         run.stepExecutor.schedule(until, () -> provider.setBehavior(ProviderServer.Behavior.GOOD));
     }
@@ -150,12 +151,12 @@
 
     /** Returns the figures on tenant pools, and reports violations to the checker. */
     Map<String, Double> close(
-            DispatcherLogs logs, Map<String, Integer> outcomes, InvariantChecker checker, double loadAt) {
+            DispatcherLogs logs, Map<String, Integer> outcomes, InvariantChecker checker, double loadBeginsAt) {
         List<Double> fleetKills = scenario.steps().stream()
                 .filter(s -> s.verb().equals("kill")
                         && s.target().fraction() == 1
                         && List.of("dispatchers", "all").contains(s.target().name()))
-                .map(s -> loadAt + s.at())
+                .map(s -> loadBeginsAt + s.at())
                 .toList();
         logs.check(
                 checker,
@@ -180,7 +181,8 @@
         for (String verb : List.of("kill", "pause")) {
             double longest = scenario.steps().stream()
                     .filter(s -> s.verb().equals(verb) && s.target().holderTenant() != null)
-                    .mapToDouble(s -> logs.longestHandoverMillis(s.target().holderTenant(), List.of(loadAt + s.at())))
+                    .mapToDouble(
+                            s -> logs.longestHandoverMillis(s.target().holderTenant(), List.of(loadBeginsAt + s.at())))
                     .filter(t -> !Double.isNaN(t))
                     .max()
                     .orElse(Double.NaN);
@@ -192,7 +194,7 @@
                 .filter(s -> s.verb().equals("flood"))
                 .forEach(s -> figures.put(
                         "found_s_" + s.target().name(),
-                        logs.millisToDetection(s.target().name(), loadAt + s.at()) / SECOND_MILLIS));
+                        logs.millisToDetection(s.target().name(), loadBeginsAt + s.at()) / SECOND_MILLIS));
         figures.put("two_holders", (double) checker.count("two holders"));
         figures.put(
                 "moved_jobs_lost",
@@ -201,17 +203,18 @@
                         .distinct()
                         .mapToDouble(member -> checker.count("one answer " + member))
                         .sum());
-        if (model != null) {
-            model.counts().forEach((name, count) -> figures.put(name, (double) count));
+        if (providerModel != null) {
+            providerModel.counts().forEach((name, count) -> figures.put(name, (double) count));
             figures.put("stale_acts_accepted", (double) countStaleActs());
-            figures.put("cap_overrun_cents", model.maxOverrunCents());
-            figures.put("adds_after_near", (double) model.violations().size());
+            figures.put("cap_overrun_cents", providerModel.maxOverrunCents());
+            figures.put("adds_after_near", (double) providerModel.violations().size());
             figures.put("adds_unspent_refused", (double) logs.eventLines("near-cap").stream()
-                    .mapToInt(line -> model.affordableInstances(
+                    .mapToInt(line -> providerModel.affordableInstances(
                             line.field("member"),
                             (long) (run.beganAtUnixMillis + line.at() + CAP_SETTLE_MILLIS) + clockAheadMillis))
                     .sum());
-            model.violations()
+            providerModel
+                    .violations()
                     .forEach(violation -> checker.addViolation("near mark", "provider", run.now(), violation));
         }
         return figures;
@@ -220,7 +223,7 @@
     /** Counts actions whose fence is lower than that of an earlier action. */
     private long countStaleActs() {
         Map<String, Long> highest = new HashMap<>();
-        return model.appliedResizes().stream()
+        return providerModel.appliedResizes().stream()
                 .filter(a -> highest.merge(a.tenant(), a.fence(), Math::max) > a.fence())
                 .count();
     }
--- a/src/test/java/nettlewick/fleettest/Baselines.java
+++ b/src/test/java/nettlewick/fleettest/Baselines.java
@@ -43,10 +43,10 @@
     private int rejectedAttempts;
     private int rejectedRequests;
 
-    private Baselines(Scenario scenario, Policy choice) {
+    private Baselines(Scenario scenario, Policy policy) {
         this.scenario = scenario;
-        this.policy = choice;
-        random = new SplittableRandom(scenario.fleet().seed() ^ choice.ordinal());
+        this.policy = policy;
+        random = new SplittableRandom(scenario.fleet().seed() ^ policy.ordinal());
         for (int r = 0; r < scenario.fleet().endpoints(); r++) {
             endpoints.add(new EndpointModel(
                     "s" + r,
@@ -59,8 +59,8 @@
     }
 
     /** Plays the scenario's load; returns the figures by name, with {@code sent_to_full} as a fraction of attempts. */
-    static Map<String, Double> play(Scenario scenario, Policy choice) {
-        return new Baselines(scenario, choice).play();
+    static Map<String, Double> play(Scenario scenario, Policy policy) {
+        return new Baselines(scenario, policy).play();
     }
 
     private Map<String, Double> play() {
@@ -96,8 +96,8 @@
             attempts++;
             loadStats.arrived(model, now);
         }
-        EndpointModel.Admission taken = model.offer(id, request.workMillis(), now, begun);
-        if (taken == EndpointModel.Admission.FULL) {
+        EndpointModel.Admission admission = model.offer(id, request.workMillis(), now, begun);
+        if (admission == EndpointModel.Admission.FULL) {
             rejectedAttempts += now >= 0 ? 1 : 0;
             loadStats.rejected();
             if (previousAttempts + 1 < ATTEMPTS) {
--- a/src/test/java/nettlewick/fleettest/EndpointModelTest.java
+++ b/src/test/java/nettlewick/fleettest/EndpointModelTest.java
@@ -32,9 +32,9 @@
         for (int i = 0; i < 5000; i++) {
             List<EndpointModel.StartedRequest> begun = new ArrayList<>();
             if (random.nextInt(3) > 0) {
-                EndpointModel.Admission how = endpoint.offer("j" + i, 10, i, begun);
-                assertEquals(accepted.size() >= 5, how == EndpointModel.Admission.FULL);
-                if (how != EndpointModel.Admission.FULL) {
+                EndpointModel.Admission admission = endpoint.offer("j" + i, 10, i, begun);
+                assertEquals(accepted.size() >= 5, admission == EndpointModel.Admission.FULL);
+                if (admission != EndpointModel.Admission.FULL) {
                     accepted.add("j" + i);
                     acceptedCount++;
                 }
@@ -50,25 +50,25 @@
 
     @Test
     void anOverloadedEndpointCollapsesDuringSlowStartOnly() {
-        EndpointModel cold = endpoint(0);
-        EndpointModel warm = endpoint(-2000);
+        EndpointModel starting = endpoint(0);
+        EndpointModel warmedUp = endpoint(-2000);
         for (int i = 0; i < 20; i++) {
-            cold.offer("j" + i, 100, 10 + i, new ArrayList<>());
-            warm.offer("j" + i, 100, 10 + i, new ArrayList<>());
+            starting.offer("j" + i, 100, 10 + i, new ArrayList<>());
+            warmedUp.offer("j" + i, 100, 10 + i, new ArrayList<>());
         }
-        assertTrue(cold.isOverloaded());
-        assertFalse(warm.isOverloaded());
-        EndpointModel spared = endpoint(0);
+        assertTrue(starting.isOverloaded());
+        assertFalse(warmedUp.isOverloaded());
+        EndpointModel lightlyLoaded = endpoint(0);
         for (int i = 0; i < 20; i++) {
-            spared.offer("j" + i, 20, 100 * i, new ArrayList<>());
+            lightlyLoaded.offer("j" + i, 20, 100 * i, new ArrayList<>());
         }
-        assertFalse(spared.isOverloaded(), "a fifth of its capacity");
+        assertFalse(lightlyLoaded.isOverloaded(), "a fifth of its capacity");
     }
 
     /** Baselines are deterministic, and a policy with better information balances the load better. */
     @Test
     void baselinesDifferOnlyInTheSelectionPolicy() {
-        Scenario s = Scenario.parse("x.conf", """
+        Scenario scenario = Scenario.parse("x.conf", """
                 world {
                     dispatchers 30
                     runners 20
@@ -80,10 +80,10 @@
                     class step-view 100% 400ms 1s
                 }
                 """);
-        Map<String, Double> random = Baselines.play(s, Baselines.Policy.RANDOM);
-        Map<String, Double> two = Baselines.play(s, Baselines.Policy.TWO);
-        Map<String, Double> best = Baselines.play(s, Baselines.Policy.BEST);
-        assertEquals(random, Baselines.play(s, Baselines.Policy.RANDOM));
+        Map<String, Double> random = Baselines.play(scenario, Baselines.Policy.RANDOM);
+        Map<String, Double> two = Baselines.play(scenario, Baselines.Policy.TWO);
+        Map<String, Double> best = Baselines.play(scenario, Baselines.Policy.BEST);
+        assertEquals(random, Baselines.play(scenario, Baselines.Policy.RANDOM));
         assertTrue(best.get("load_cv") < 0.6 * random.get("load_cv"), best + " " + random);
         assertTrue(two.get("sent_to_full") < random.get("sent_to_full"), two + " " + random);
         assertEquals(0, best.get("sent_to_full"));
--- a/src/test/java/nettlewick/fleettest/FleetFaultsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/FleetFaultsProcessTest.java
@@ -80,7 +80,7 @@
 
     @Test
     void lostDuplicatedDelayedAndMalformedDatagrams() throws Exception {
-        Map<String, Double> f = runScenario("""
+        Map<String, Double> figures = runScenario("""
                 links {
                     loss 20%
                     duplicates 20%
@@ -91,25 +91,25 @@
                 at 2s garble dispatchers for 2s
                 at 4s loss 50% for 3s
                 """);
-        assertAtMost(f, "unserved", 0.05);
-        assertAtMost(f, "failed", 0);
+        assertAtMost(figures, "unserved", 0.05);
+        assertAtMost(figures, "failed", 0);
     }
 
     @Test
     void partitionedZonesWithKilledAndPausedDispatchers() throws Exception {
-        Map<String, Double> f = runScenario("", """
+        Map<String, Double> figures = runScenario("", """
                 at 1s cut zone a from b for 4s
                 at 2s pause n3 for 2s
                 at 2s kill 25% of dispatchers
                 at 4s start all in random order over 1s
                 at 5s mute n5 to dispatchers for 2s
                 """);
-        assertServed(f, 0.5);
+        assertServed(figures, 0.5);
     }
 
     @Test
     void changingAndFaultyEndpoints() throws Exception {
-        Map<String, Double> f = runScenario("", """
+        Map<String, Double> figures = runScenario("", """
                 at 1s lists apart 2s
                 at 1s add 5 runners
                 at 2s drain s1
@@ -121,6 +121,6 @@
                 at 5s reset s4 for 500ms
                 at 6s trickle s5 for 1s
                 """);
-        assertServed(f, 0.5);
+        assertServed(figures, 0.5);
     }
 }
--- a/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
+++ b/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
@@ -26,8 +26,8 @@
     }
 
     private void deliver(String id, EndpointModel to, double now) {
-        checker.arrived(id, to, EndpointModel.Admission.RUNS, now);
-        checker.started(id, to, now);
+        checker.attemptArrived(id, to, EndpointModel.Admission.RUNS, now);
+        checker.executionStarted(id, to, now);
     }
 
     private void assertViolation(String rule) {
@@ -58,7 +58,7 @@
     @Test
     void aRejectedKeyedRequestMayGoToAnyZone() {
         checker.requestSent("k-1", "k", keyed, 0, 0, "red");
-        checker.arrived("k-1", endpointA, EndpointModel.Admission.DRAINS, 10);
+        checker.attemptArrived("k-1", endpointA, EndpointModel.Admission.DRAINS, 10);
         deliver("k-1", endpointB, 20);
         assertEquals(List.of(), checker.violations());
     }
@@ -70,7 +70,7 @@
         deliver("k-1", endpointA, 10 + scenario.load().dedupWindowMillis());
         assertEquals(List.of(), checker.violations());
         checker.requestSent("k-2", "k", keyed, 0, 0, "red");
-        checker.arrived(
+        checker.attemptArrived(
                 "k-2",
                 endpointA,
                 EndpointModel.Admission.RUNS,
@@ -89,7 +89,7 @@
 
     @Test
     void anAttemptAtAKnownDrainingEndpoint() {
-        checker.drainTold(0, "s0", 100);
+        checker.drainSent(0, "s0", 100);
         checker.requestSent("k-1", "k", idempotent, 0, 4000, "red");
         checker.requestSent("k-2", "k2", idempotent, 1, 4000, "red");
         deliver("k-2", endpointA, 4000);
--- a/src/test/java/nettlewick/fleettest/MeasureSpread.java
+++ b/src/test/java/nettlewick/fleettest/MeasureSpread.java
@@ -56,10 +56,10 @@
         play(base.with(true, 0), folder.resolve("ours"), "", figures);
         play(base.with(true, 0.2), folder.resolve("loss"), "_loss", figures);
         play(base.with(false, 0), folder.resolve("alone"), "_alone", figures);
-        for (Baselines.Policy choice : Baselines.Policy.values()) {
-            Baselines.play(base, choice)
+        for (Baselines.Policy policy : Baselines.Policy.values()) {
+            Baselines.play(base, policy)
                     .forEach((name, value) ->
-                            figures.put(name + "_" + choice.name().toLowerCase(java.util.Locale.ROOT), value));
+                            figures.put(name + "_" + policy.name().toLowerCase(java.util.Locale.ROOT), value));
         }
         System.err.println("runs are in " + folder);
         figures.forEach((name, value) -> System.out.println(name + "=" + Results.formatNumber(value)));
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -48,7 +48,7 @@
                         + "window 700ms\nsettle 300ms\nclear 700ms\ncome 3s\nstay 3s\nprice std 100 least 1m\nreach 10s\n"
                         + "timeout 1s\n}\nsteps {\n" + stepLines + "}\n");
         try (ScenarioRun run = new ScenarioRun(scenario, dir);
-                HostileDispatcher hostile = accusedTenant == null ? null : hostile(run)) {
+                HostileDispatcher hostile = accusedTenant == null ? null : startHostileDispatcher(run)) {
             run.startFleet(line -> {});
             if (stepLines.contains("provider keeps")) {
                 // Set before any load, so that the first request for an endpoint is held back as well.
@@ -66,7 +66,7 @@
         }
     }
 
-    private HostileDispatcher hostile(ScenarioRun run) throws Exception {
+    private HostileDispatcher startHostileDispatcher(ScenarioRun run) throws Exception {
         int last = run.fleet.dispatchers.size() - 1;
         Path settings = java.nio.file.Files.writeString(dir.resolve("hostile.conf"), run.tenantPools.settings(last));
         return new HostileDispatcher(
@@ -90,7 +90,7 @@
      */
     @Test
     void theLeaseHolderFailsAtEveryStage() throws Exception {
-        Map<String, Double> f = runScenario("", "", PINNED_POOLS, "", """
+        Map<String, Double> figures = runScenario("", "", PINNED_POOLS, "", """
                 at 100ms provider keeps for 8s
                 at 500ms flood red by 8 for 17s
                 at 3s pause holder-red for 2s
@@ -104,17 +104,17 @@
                 at 13s end holder-red
                 at 14s start dispatchers
                 """);
-        assertEquals(2, f.get("provider_added"), f::toString);
-        assertAtLeast(f, "stale_acts_tried", 1);
-        assertEquals(0, f.get("stale_acts_accepted"), f::toString);
-        assertAtLeast(f, "holdings", 3 + 5);
-        assertAtLeast(f, "moves", 1);
+        assertEquals(2, figures.get("provider_added"), figures::toString);
+        assertAtLeast(figures, "stale_acts_tried", 1);
+        assertEquals(0, figures.get("stale_acts_accepted"), figures::toString);
+        assertAtLeast(figures, "holdings", 3 + 5);
+        assertAtLeast(figures, "moves", 1);
     }
 
     /** 30% of the lease tasks' datagrams are lost, zones are partitioned, and requests to the provider are lost. */
     @Test
     void aPartitionDuringAMigration() throws Exception {
-        Map<String, Double> f = runScenario(
+        Map<String, Double> figures = runScenario(
                 "clock n1 ahead 1h\nclock n2 behind 1h\nclock n7 ahead 3m\n",
                 "loss 30%\nduplicates 20%\njitter 30ms\n",
                 PINNED_POOLS,
@@ -134,8 +134,8 @@
                 at 15s kill n2
                 at 16s start dispatchers
                 """);
-        assertEquals(2, f.get("provider_added"), f::toString);
-        assertAtLeast(f, "moves", 1);
+        assertEquals(2, figures.get("provider_added"), figures::toString);
+        assertAtLeast(figures, "moves", 1);
     }
 
     /**
@@ -144,7 +144,7 @@
      */
     @Test
     void aFleetThatLosesAllStateStaysUnderTheCap() throws Exception {
-        Map<String, Double> f = runScenario(
+        Map<String, Double> figures = runScenario(
                 "",
                 "",
                 "member red cap 6 most 6\nmember blue\nmember green\nkeep red pool\n",
@@ -157,9 +157,9 @@
                 at 8s start dispatchers
                 at 12s cut holder-red from provider for 4s
                 """);
-        assertAtLeast(f, "near_caps", 1);
-        assertAtLeast(f, "provider_added", 1);
-        assertTrue(f.get("provider_added") <= 5, "what two months pay for: " + f);
+        assertAtLeast(figures, "near_caps", 1);
+        assertAtLeast(figures, "provider_added", 1);
+        assertTrue(figures.get("provider_added") <= 5, "what two months pay for: " + figures);
     }
 
     /**
@@ -169,16 +169,16 @@
     @Test
     void noTenantIsMovedForLoadItDidNotCause() throws Exception {
         accusedTenant = "blue";
-        Map<String, Double> f = runScenario("", "", CAPPED_POOLS, "", """
+        Map<String, Double> figures = runScenario("", "", CAPPED_POOLS, "", """
                 at 100ms kill n11
                 at 2s slow runners by 5 for 5s
                 at 8s rate by 3 for 4s
                 at 9s kill holder-blue
                 at 13s flood blue by 1.2 for 4s
                 """);
-        assertAtLeast(f, "heard", 2);
-        assertEquals(0, f.get("moves"), f::toString);
-        assertEquals(0, f.get("provider_added"), f::toString);
+        assertAtLeast(figures, "heard", 2);
+        assertEquals(0, figures.get("moves"), figures::toString);
+        assertEquals(0, figures.get("provider_added"), figures::toString);
     }
 
     /**
@@ -188,7 +188,7 @@
     @Test
     void twoTenantPoolsShareNoEndpoint() throws Exception {
         loadSeconds = 11;
-        Map<String, Double> f = runScenario(
+        Map<String, Double> figures = runScenario(
                 "",
                 "",
                 "member red cap 1000 most 1\nmember blue\nmember green\nkeep green common\n"
@@ -204,10 +204,10 @@
                 at 6s kill s1
                 at 9s start s1
                 """);
-        assertAtLeast(f, "moves", 2);
-        assertAtLeast(f, "stale_acts_tried", 1);
-        assertEquals(0, f.get("stale_acts_accepted"), f::toString);
-        assertEquals(1, f.get("provider_added"), f::toString);
+        assertAtLeast(figures, "moves", 2);
+        assertAtLeast(figures, "stale_acts_tried", 1);
+        assertEquals(0, figures.get("stale_acts_accepted"), figures::toString);
+        assertEquals(1, figures.get("provider_added"), figures::toString);
     }
 
     /**
@@ -220,12 +220,12 @@
         loadSeconds = 100;
         requestsPerSecond = 45;
         killAtEvents = List.of("pool-reserve", "pool-clear", "pool-open", "pool-close");
-        Map<String, Double> f = runScenario("", "", "member red\nmember blue\nmember green\n", "", """
+        Map<String, Double> figures = runScenario("", "", "member red\nmember blue\nmember green\n", "", """
                 at 3s flood red by 14 for 97s
                 """);
-        assertAtLeast(f, "moves", 1);
-        assertAtLeast(f, "returns", 1);
-        assertAtLeast(f, "holdings", 3 + 4);
+        assertAtLeast(figures, "moves", 1);
+        assertAtLeast(figures, "returns", 1);
+        assertAtLeast(figures, "holdings", 3 + 4);
     }
 
     /**
--- a/src/test/java/nettlewick/fleettest/ScenarioTest.java
+++ b/src/test/java/nettlewick/fleettest/ScenarioTest.java
@@ -33,7 +33,7 @@
 
     @Test
     void stepsAreParsedAndSortedByTime() {
-        Scenario s = Scenario.parse("x.conf", scenarioText("""
+        Scenario scenario = Scenario.parse("x.conf", scenarioText("""
                 at 10s start all in random order over 3s
                 at 5s cut zone a from b for 6s
                 at 8s kill 70% of dispatchers
@@ -45,18 +45,19 @@
                 """));
         assertEquals(
                 List.of("slow", "add", "loss", "lists", "cut", "kill", "pause", "start"),
-                s.steps().stream().map(Scenario.Step::verb).toList());
+                scenario.steps().stream().map(Scenario.Step::verb).toList());
         assertEquals(
                 new Scenario.Step(1000, "slow", new ScenarioTarget("s4", 1), null, 2.5, 500),
-                s.steps().get(0));
+                scenario.steps().get(0));
         assertEquals(
                 new Scenario.Step(
                         5000, "cut", new ScenarioTarget("a", 1), new ScenarioTarget("b", 1), Double.NaN, 6000),
-                s.steps().get(4));
-        assertEquals(new ScenarioTarget("dispatchers", 0.7), s.steps().get(5).target());
-        assertEquals(3000, s.steps().get(7).value());
-        assertEquals(5, s.fleet().endpoints());
-        assertEquals(0.5, s.fleet().speed(4));
+                scenario.steps().get(4));
+        assertEquals(
+                new ScenarioTarget("dispatchers", 0.7), scenario.steps().get(5).target());
+        assertEquals(3000, scenario.steps().get(7).value());
+        assertEquals(5, scenario.fleet().endpoints());
+        assertEquals(0.5, scenario.fleet().speed(4));
     }
 
     @ParameterizedTest
@@ -71,28 +72,28 @@
                 "at 1s expolde n1 | written as",
                 "af 1s kill n1 | the nearest is at"
             })
-    void anInvalidStepIsReportedInOneLineWithItsLocation(String step, String wanted) {
-        InvalidSettingsException bad =
+    void anInvalidStepIsReportedInOneLineWithItsLocation(String step, String expectedMessage) {
+        InvalidSettingsException exception =
                 assertThrows(InvalidSettingsException.class, () -> Scenario.parse("x.conf", scenarioText(step)));
-        assertTrue(bad.getMessage().startsWith("x.conf:16"), bad.getMessage());
-        assertTrue(bad.getMessage().contains(wanted), bad.getMessage());
-        assertEquals(1, bad.getMessage().lines().count());
+        assertTrue(exception.getMessage().startsWith("x.conf:16"), exception.getMessage());
+        assertTrue(exception.getMessage().contains(expectedMessage), exception.getMessage());
+        assertEquals(1, exception.getMessage().lines().count());
     }
 
     @Test
     void relayFaultsRequireRelayedConnections() {
-        InvalidSettingsException bad = assertThrows(
+        InvalidSettingsException exception = assertThrows(
                 InvalidSettingsException.class,
                 () -> Scenario.parse("x.conf", scenarioText("at 1s reset s1 for 1s") + "links {\n tcp direct\n}\n"));
-        assertTrue(bad.getMessage().contains("tcp direct"), bad.getMessage());
+        assertTrue(exception.getMessage().contains("tcp direct"), exception.getMessage());
     }
 
     /** A burst must add requests instead of only shifting their arrival times. */
     @Test
     void rateStepsScaleTheNumberOfRequests() {
-        Scenario s = Scenario.parse("x.conf", scenarioText("at 4s rate by 3 for 2s"));
-        List<RequestTrace.PlannedRequest> trace = RequestTrace.draw(s);
-        assertEquals(trace, RequestTrace.draw(s));
+        Scenario scenario = Scenario.parse("x.conf", scenarioText("at 4s rate by 3 for 2s"));
+        List<RequestTrace.PlannedRequest> trace = RequestTrace.draw(scenario);
+        assertEquals(trace, RequestTrace.draw(scenario));
         long burst = trace.stream().filter(a -> a.at() >= 4000 && a.at() < 6000).count();
         assertTrue(Math.abs(burst - 240) < 60, burst + " of 240");
         assertTrue(Math.abs(trace.size() - burst - 240) < 60, trace.size() - burst + " of 240");
--- a/src/test/java/nettlewick/fleettest/SoakChecksTest.java
+++ b/src/test/java/nettlewick/fleettest/SoakChecksTest.java
@@ -110,12 +110,12 @@
 
     @Test
     void aKillExemptsOnlyRequestsSentSoonAfterSigterm() {
-        process.terminated(SENT_AT - SoakChecks.EXCUSED_AFTER_TERM_MILLIS, SENT_AT + 50);
+        process.terminated(SENT_AT - SoakChecks.EXEMPT_AFTER_TERM_MILLIS, SENT_AT + 50);
         process.killed(SENT_AT + 50);
         process.exited(SENT_AT + 51, 137);
         sendRequest(idempotent, true).ended(End.CLOSED, SENT_AT + 51);
         assertEquals(List.of(), violatedRules());
-        process.terminated(SENT_AT - SoakChecks.EXCUSED_AFTER_TERM_MILLIS - 1, SENT_AT + 50);
+        process.terminated(SENT_AT - SoakChecks.EXEMPT_AFTER_TERM_MILLIS - 1, SENT_AT + 50);
         assertViolation("lost on a new connection");
     }
 
@@ -169,7 +169,7 @@
     @Test
     void anAttemptAfterTheClientLeft() {
         Entry entry = sendRequest();
-        entry.ended(End.LEFT, SENT_AT + 20);
+        entry.ended(End.DISCONNECTED, SENT_AT + 20);
         addArrival(entry, SENT_AT + 21 + SoakChecks.ATTEMPT_AFTER_END_TOLERANCE_MILLIS);
         assertViolation("forwarded after its client disconnected");
     }
@@ -178,7 +178,7 @@
     void anEndpointThatIsGivenTooMuchTime() {
         Entry entry = sendRequest();
         entry.arrived(new Arrival("s0", Admission.RUNS, SENT_AT + 300, 1000));
-        entry.ended(End.LEFT, SENT_AT + 300);
+        entry.ended(End.DISCONNECTED, SENT_AT + 300);
         assertViolation("an endpoint was given more time than is left");
     }
 
@@ -187,7 +187,7 @@
         journal.drainTold(0, "s0", 0);
         Entry entry = sendRequest();
         addArrival(entry, SENT_AT);
-        entry.ended(End.LEFT, SENT_AT);
+        entry.ended(End.DISCONNECTED, SENT_AT);
         assertViolation("forwarded to a draining endpoint");
     }
 
