--- a/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
+++ b/src/main/java/nettlewick/fleettest/LoadBalanceStats.java
@@ -24,7 +24,7 @@
     record Sample(double at, double[] loads) {}
 
     private final List<EndpointModel> endpoints;
-    private final double meanWork;
+    private final double meanWorkMillis;
     private final List<Sample> samples = new ArrayList<>();
     private final Map<EndpointModel, double[]> arrivals = new LinkedHashMap<>();
     private final Map<EndpointModel, Integer> arrivalCounts = new LinkedHashMap<>();
@@ -41,9 +41,9 @@
      * @param endpoints may grow while this object is used
      * @param meanWork mean work of a request, in slot milliseconds
      */
-    LoadBalanceStats(List<EndpointModel> endpoints, double meanWork) {
+    LoadBalanceStats(List<EndpointModel> endpoints, double meanWorkMillis) {
         this.endpoints = endpoints;
-        this.meanWork = meanWork;
+        this.meanWorkMillis = meanWorkMillis;
     }
 
     /** Records an attempt that arrived at an endpoint. */
@@ -123,7 +123,7 @@
         int herdCount = 0;
         for (Map.Entry<EndpointModel, double[]> entry : arrivals.entrySet()) {
             EndpointModel endpoint = entry.getKey();
-            double window = meanWork / endpoint.speed;
+            double window = meanWorkMillis / endpoint.speed;
             double fair = total * endpoint.slots * endpoint.speed / capacity * window / Math.max(1, to - from);
             int count = arrivalCounts.get(endpoint);
             for (int i = 0; i < count; ) {
--- a/src/main/java/nettlewick/fleettest/LoadGenerator.java
+++ b/src/main/java/nettlewick/fleettest/LoadGenerator.java
@@ -94,7 +94,7 @@
     }
 
     /** Sends a request that was planned for {@code scheduledAt}. */
-    void sendAt(RequestTrace.PlannedRequest planned, double scheduledAt) {
+    void submit(RequestTrace.PlannedRequest planned, double scheduledAt) {
         if (!requestFilter.test(planned)) {
             return;
         }
--- a/src/main/java/nettlewick/fleettest/ScenarioRun.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioRun.java
@@ -351,7 +351,7 @@
                 if (request.at() >= 0) {
                     generatorLateness.recordValue((long) Math.min(60_000, millisSinceLoadBegan() - request.at()));
                 }
-                loadGenerator.sendAt(request, loadBeginsAt + request.at());
+                loadGenerator.submit(request, loadBeginsAt + request.at());
             }
             if (!isMeasuring && millisSinceLoadBegan() >= 0) {
                 isMeasuring = true;
--- a/src/main/java/nettlewick/fleettest/ScenarioSchema.java
+++ b/src/main/java/nettlewick/fleettest/ScenarioSchema.java
@@ -13,7 +13,7 @@
 final class ScenarioSchema {
     private static final double MINUTE_MILLIS = 60_000;
     private static final double HOUR_MILLIS = 60 * MINUTE_MILLIS;
-    private static final int MAX_DISPATCHERS = 400;
+    private static final int MAX_COUNT = 400;
 
     private static final ValueType<?> DURATION = ValueType.duration(0, HOUR_MILLIS);
 
@@ -46,7 +46,7 @@
         addTargetForms(forms, "slow", List.of(literal("by"), number(1, 1000), literal("for"), DURATION));
         addTargetForms(forms, "cut", List.of(literal("from"), ScenarioTarget.type(), literal("for"), DURATION));
         addTargetForms(forms, "mute", List.of(literal("to"), ScenarioTarget.type(), literal("for"), DURATION));
-        forms.add(List.of(DURATION, literal("add"), ValueType.wholeNumber(1, MAX_DISPATCHERS), literal("runners")));
+        forms.add(List.of(DURATION, literal("add"), ValueType.wholeNumber(1, MAX_COUNT), literal("runners")));
         forms.add(List.of(DURATION, literal("loss"), ValueType.percent(), literal("for"), DURATION));
         forms.add(List.of(DURATION, literal("rate"), literal("by"), number(0, 1000), literal("for"), DURATION));
         forms.add(List.of(DURATION, literal("lists"), literal("apart"), DURATION));
@@ -95,9 +95,7 @@
                     Keyword.withDefault(
                             "seed", ValueType.wholeNumber(0, Long.MAX_VALUE / 2), "1", "Seed of all random draws."),
                     Keyword.required(
-                            "dispatchers",
-                            ValueType.wholeNumber(1, MAX_DISPATCHERS),
-                            "Number of dispatcher processes."),
+                            "dispatchers", ValueType.wholeNumber(1, MAX_COUNT), "Number of dispatcher processes."),
                     repeatable(
                                     "runners",
                                     "Number of endpoints, optionally of another speed.",
--- a/src/main/java/nettlewick/fleettest/SoakConfig.java
+++ b/src/main/java/nettlewick/fleettest/SoakConfig.java
@@ -15,14 +15,14 @@
     private static final int SLOTS = 8;
     private static final int QUEUE = 8;
     private static final double REPORT_AGE_MILLIS = 20;
-    private static final double NEVER_FALLS = Double.MAX_VALUE;
+    private static final double NO_OVERLOAD_FACTOR = Double.MAX_VALUE;
     private static final double DEDUP_WINDOW_MILLIS = 1000;
     private static final int MAX_SOCKETS = 256;
     private static final int MEMORY_MEGABYTES = 192;
 
     /** The configuration of all endpoints, without slow start. */
-    static final EndpointModel.Config ENDPOINT_KIND =
-            new EndpointModel.Config(SLOTS, QUEUE, 0, 1, NEVER_FALLS, 1000, REPORT_AGE_MILLIS, true);
+    static final EndpointModel.Config ENDPOINT_CONFIG =
+            new EndpointModel.Config(SLOTS, QUEUE, 0, 1, NO_OVERLOAD_FACTOR, 1000, REPORT_AGE_MILLIS, true);
 
     private final SoakPlan plan;
     private final Scenario scenario;
--- a/src/main/java/nettlewick/fleettest/SoakRun.java
+++ b/src/main/java/nettlewick/fleettest/SoakRun.java
@@ -101,8 +101,8 @@
         discovery = new DiscoveryServer(
                 vertx, plan.dispatchers(), 0, journal::drainTold, this::now, (d, endpoint) -> addresses.get(endpoint));
         for (int r = 0; r < plan.endpoints(); r++) {
-            EndpointModel model =
-                    new EndpointModel("s" + r, SoakConfig.ZONE, 1, SoakConfig.ENDPOINT_KIND, Double.NEGATIVE_INFINITY);
+            EndpointModel model = new EndpointModel(
+                    "s" + r, SoakConfig.ZONE, 1, SoakConfig.ENDPOINT_CONFIG, Double.NEGATIVE_INFINITY);
             EndpointServer endpoint = new EndpointServer("127.0.0.1", model, vertx, this, this::now);
             addresses.put(endpoint, endpoint.listen());
             endpoints.add(endpoint);
@@ -333,8 +333,8 @@
 
     @Override
     public void deadlineReceived(
-            String id, EndpointModel runner, EndpointModel.Admission how, double seconds, double now) {
-        journal.arrived(id, new Arrival(runner.name, how, now, seconds * 1000));
+            String id, EndpointModel endpoint, EndpointModel.Admission admission, double seconds, double now) {
+        journal.arrived(id, new Arrival(endpoint.name, admission, now, seconds * 1000));
     }
 
     @Override
--- a/src/main/java/nettlewick/fleettest/StallMonitor.java
+++ b/src/main/java/nettlewick/fleettest/StallMonitor.java
@@ -27,7 +27,10 @@
 
     private static final long SAMPLE_MILLIS = 10;
     private static final double MIN_STALL_MILLIS = 50;
-    /** How often the dispatchers' run queue waits are sampled. */
+    /**
+     * How often the dispatchers' run queue waits are sampled; a wait of {@link #MIN_WAIT_FRACTION} of that time is a
+     * stall.
+     */
     private static final double WAIT_SAMPLE_MILLIS = 500;
 
     private static final double MIN_WAIT_FRACTION = 0.2;
--- a/src/test/java/nettlewick/fleettest/EndpointModelTest.java
+++ b/src/test/java/nettlewick/fleettest/EndpointModelTest.java
@@ -30,18 +30,18 @@
         int startedCount = 0;
         int acceptedCount = 0;
         for (int i = 0; i < 5000; i++) {
-            List<EndpointModel.StartedRequest> begun = new ArrayList<>();
+            List<EndpointModel.StartedRequest> started = new ArrayList<>();
             if (random.nextInt(3) > 0) {
-                EndpointModel.Admission admission = endpoint.offer("j" + i, 10, i, begun);
+                EndpointModel.Admission admission = endpoint.offer("j" + i, 10, i, started);
                 assertEquals(accepted.size() >= 5, admission == EndpointModel.Admission.FULL);
                 if (admission != EndpointModel.Admission.FULL) {
                     accepted.add("j" + i);
                     acceptedCount++;
                 }
             } else if (!accepted.isEmpty()) {
-                endpoint.finish(accepted.remove(random.nextInt(accepted.size())), i, begun);
+                endpoint.finish(accepted.remove(random.nextInt(accepted.size())), i, started);
             }
-            startedCount += begun.size();
+            startedCount += started.size();
             assertEquals(Math.min(2, accepted.size()), endpoint.runningCount());
             assertEquals(accepted.size(), endpoint.runningCount() + endpoint.queuedCount());
             assertTrue(startedCount <= acceptedCount);
@@ -62,7 +62,7 @@
         for (int i = 0; i < 20; i++) {
             lightlyLoaded.offer("j" + i, 20, 100 * i, new ArrayList<>());
         }
-        assertFalse(lightlyLoaded.isOverloaded(), "a fifth of its capacity");
+        assertFalse(lightlyLoaded.isOverloaded(), "load of a fifth of its capacity");
     }
 
     /** Baselines are deterministic, and a policy with better information balances the load better. */
--- a/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
+++ b/src/test/java/nettlewick/fleettest/InvariantCheckerTest.java
@@ -43,7 +43,7 @@
         checker.requestSent("k-2", "k", nonIdempotent, 1, 20, "red");
         deliver("k-2", endpointB, 30);
         assertViolation("twice");
-        assertTrue(checker.violations().get(0).startsWith("30 ms k-2"), "time and job");
+        assertTrue(checker.violations().get(0).startsWith("30 ms k-2"), "time and request");
     }
 
     @Test
--- a/src/test/java/nettlewick/fleettest/LinkFaultsTest.java
+++ b/src/test/java/nettlewick/fleettest/LinkFaultsTest.java
@@ -38,7 +38,7 @@
             }
         }
         assertTrue(Math.abs(copies[0] - 2000) < 200, copies[0] + " lost");
-        assertTrue(Math.abs(copies[2] - 800) < 150, copies[2] + " twice");
+        assertTrue(Math.abs(copies[2] - 800) < 150, copies[2] + " duplicated");
     }
 
     @Test
--- a/src/test/java/nettlewick/fleettest/MeasureDuties.java
+++ b/src/test/java/nettlewick/fleettest/MeasureDuties.java
@@ -28,7 +28,7 @@
     /** @param args dispatchers, endpoints, tenants, seconds of load; by default 100, 20, 30 and 50 */
     public static void main(String[] args) throws Exception {
         int dispatchers = arg(args, 0, 100);
-        int runners = arg(args, 1, 20);
+        int endpoints = arg(args, 1, 20);
         int tenants = arg(args, 2, 30);
         int seconds = arg(args, 3, 50);
         StringBuilder load = new StringBuilder();
@@ -41,7 +41,7 @@
         }
         Scenario withPools = scenario(
                 dispatchers,
-                runners,
+                endpoints,
                 seconds,
                 load,
                 pools.toString(),
@@ -57,7 +57,7 @@
         // Provisioning of endpoints: the provider holds back requests until those of a newer lease holder are done,
         // and a cap is soon reached.
         Scenario provisioning = scenario(
-                dispatchers, runners, 30, load, pools.toString().replace("cap 2000 most 4", "cap 10 most 6"), """
+                dispatchers, endpoints, 30, load, pools.toString().replace("cap 2000 most 4", "cap 10 most 6"), """
                     at 100ms provider keeps for 16s
                     at 500ms flood red by 20 for 28s
                     at 10s kill holder-red
@@ -86,12 +86,12 @@
         }
         figures.put("unheld_share_20_percent_loss", SimulatedLeaseTier.unheldShare(100, 5, LOSS_FRACTION, 120_000, 1));
         figures(figures, withoutPools, withoutFlood);
-        System.err.println("runs are in " + folder);
+        System.err.println("results are in " + folder);
         figures.forEach((name, value) -> System.out.println(name + "=" + Results.formatNumber(value)));
     }
 
     private static Scenario scenario(
-            int dispatchers, int runners, int seconds, CharSequence load, String pools, String steps) {
+            int dispatchers, int endpoints, int seconds, CharSequence load, String pools, String steps) {
         return Scenario.parse(
                 "measure-duties",
                 String.format(
@@ -135,8 +135,8 @@
                 %s}
                 """,
                         dispatchers,
-                        runners,
-                        runners * SLOTS / MEAN_WORK_SECONDS * UTILIZATION,
+                        endpoints,
+                        endpoints * SLOTS / MEAN_WORK_SECONDS * UTILIZATION,
                         seconds,
                         load,
                         pools,
--- a/src/test/java/nettlewick/fleettest/MeasureSpread.java
+++ b/src/test/java/nettlewick/fleettest/MeasureSpread.java
@@ -22,7 +22,7 @@
     /** @param args dispatchers, endpoints, seconds of load; by default 100, 200 and 15 */
     public static void main(String[] args) throws Exception {
         int dispatchers = args.length > 0 ? Integer.parseInt(args[0]) : 100;
-        int runners = args.length > 1 ? Integer.parseInt(args[1]) : 200;
+        int endpoints = args.length > 1 ? Integer.parseInt(args[1]) : 200;
         int seconds = args.length > 2 ? Integer.parseInt(args[2]) : 15;
         Scenario base = Scenario.parse("measure-spread", """
                 world {
@@ -50,7 +50,7 @@
                     tcp direct
                 }
                 """.formatted(
-                        dispatchers, runners, runners * SLOTS / MEAN_WORK_SECONDS * UTILIZATION, seconds));
+                        dispatchers, endpoints, endpoints * SLOTS / MEAN_WORK_SECONDS * UTILIZATION, seconds));
         Map<String, Double> figures = new LinkedHashMap<>();
         Path folder = Files.createTempDirectory("measure-spread");
         play(base.with(true, 0), folder.resolve("ours"), "", figures);
@@ -61,7 +61,7 @@
                     .forEach((name, value) ->
                             figures.put(name + "_" + policy.name().toLowerCase(java.util.Locale.ROOT), value));
         }
-        System.err.println("runs are in " + folder);
+        System.err.println("results are in " + folder);
         figures.forEach((name, value) -> System.out.println(name + "=" + Results.formatNumber(value)));
     }
 
