--- a/src/main/java/nettlewick/tenantpools/SpendingCap.java
+++ b/src/main/java/nettlewick/tenantpools/SpendingCap.java
@@ -17,9 +17,9 @@
      * @param nearFraction the fraction of the cap past which nothing is added
      * @param zone         the time zone whose months count
      */
-    public record MonthlyCap(long cents, double nearFraction, ZoneId zone) {
-        long nearMarkCents() {
-            return (long) Math.floor(cents * nearFraction);
+    public record MonthlyCap(long cents, double nearCapFraction, ZoneId zone) {
+        long nearCapCents() {
+            return (long) Math.floor(cents * nearCapFraction);
         }
     }
 
@@ -77,7 +77,7 @@
             int wanted,
             long minCostCents,
             long pendingCents) {
-        long availableCents = cap.nearMarkCents()
+        long availableCents = cap.nearCapCents()
                 - spentCents(charges, nowMillis)
                 - committedCents(charges, nowMillis, reactionMillis)
                 - pendingCents;
--- a/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
+++ b/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
@@ -144,7 +144,7 @@
     void oneDispatchersReportsAreNotEnough() {
         startFleet();
         runUncontendedWindows();
-        Supplier<byte[]> accusations = SimulatedDispatchers.falseAccusations("red", ENDPOINTS);
+        Supplier<byte[]> accusations = SimulatedDispatchers.falseReports("red", ENDPOINTS);
         for (int w = 0; w < MAX_WINDOWS; w++) {
             fleet.evidence.recordReport(DISPATCHERS, 1, accusations.get());
             assertFalse(runWindow(load(1, 1, 0.02, 1)).causesContention());
--- a/src/test/java/nettlewick/contention/SimulatedDispatchers.java
+++ b/src/test/java/nettlewick/contention/SimulatedDispatchers.java
@@ -114,7 +114,7 @@
     }
 
     /** Encoded reports of a dispatcher that falsely blames a tenant for all harm, each worse than the one before. */
-    public static Supplier<byte[]> falseAccusations(String tenant, int endpoints) {
+    public static Supplier<byte[]> falseReports(String tenant, int endpoints) {
         DispatcherUsage accuser = new DispatcherUsage();
         return () -> {
             accuser.totalWork += 1_000_000;
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -70,7 +70,7 @@
                 settings,
                 "pool-" + blamed,
                 play.fleet.members.stream().map(m -> m.duty).toList(),
-                SimulatedDispatchers.falseAccusations(blamed, 10));
+                SimulatedDispatchers.falseReports(blamed, 10));
     }
 
     private static final String CAPPED = "member red cap 1000 most 2\nmember blue\nmember green\n";
--- a/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
@@ -55,7 +55,7 @@
             List.of("a"),
             Map.of(
                     "red",
-                    new ProviderModel.Cap(SETTINGS.cap().cents(), SETTINGS.cap().nearFraction())));
+                    new ProviderModel.Cap(SETTINGS.cap().cents(), SETTINGS.cap().nearCapFraction())));
     private final List<PendingMessage> inTransit = new ArrayList<>();
     private long wallMillis = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
     private double nowMillis;
