--- a/src/main/java/nettlewick/net/client/ClientConnection.java
+++ b/src/main/java/nettlewick/net/client/ClientConnection.java
@@ -30,7 +30,7 @@
 /**
  * One client connection. Only complete, well-formed requests reach the server, one at a time; everything else
  * is rejected here, before anything is allocated for it, and what was read before it gets a response first.
- * Ends the connection by a lingering close. Lives on the event loop; its states are those of {@link
+ * Ends the connection by a lingering close. Runs on the event loop; its states are those of {@link
  * ClientConnectionState}.
  */
 final class ClientConnection extends ChannelDuplexHandler {
@@ -42,8 +42,8 @@
     private static final FramingValidator.Rejection PRECEDES_REJECTED =
             new FramingValidator.Rejection(429, "what came behind it is refused");
     /**
-     * Bytes read after a rejection, so that a reset does not destroy its response; beyond this the client's
-     * sending stalls.
+     * Bytes read and discarded after a rejection, so that a reset does not destroy its response. Beyond this nothing is
+     * read, and the client cannot send any more.
      */
     private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
@@ -55,7 +55,7 @@
     /** The earliest time at which the bytes read now may have arrived, in milliseconds. */
     private final DoubleSupplier receivedAt;
 
-    private final boolean advisesRetry;
+    private final boolean sendsRetryAfter;
     private final ClientConnectionState state;
     private final PipelinedRequests requests;
     private ChannelHandlerContext context;
@@ -64,7 +64,7 @@
     private FramingValidator.Rejection rejection;
 
     private double arrivedAt;
-    private boolean workRequest;
+    private boolean isPostRequest;
     private boolean resultSent;
     private boolean closeAfterResponse;
     /** Whether the client itself asked for the connection to be closed. */
@@ -78,11 +78,11 @@
      * Creates the handler of a new connection.
      *
      * @param receivedAt the earliest time at which the bytes read now may have arrived
-     * @param advisesRetry whether clients that are rejected here are told when to try again
+     * @param sendsRetryAfter whether rejections tell clients when to try again
      */
-    ClientConnection(Clock clock, DoubleSupplier receivedAt, RequestByteBudget budget, boolean advisesRetry) {
+    ClientConnection(Clock clock, DoubleSupplier receivedAt, RequestByteBudget budget, boolean sendsRetryAfter) {
         this.clock = clock;
-        this.advisesRetry = advisesRetry;
+        this.sendsRetryAfter = sendsRetryAfter;
         this.receivedAt = receivedAt;
         requests = new PipelinedRequests(budget);
         state = new ClientConnectionState(clock.nowMillis());
@@ -93,8 +93,8 @@
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext added) {
-        context = added;
+    public void handlerAdded(ChannelHandlerContext ctx) {
+        context = ctx;
     }
 
     /** Called for any bytes that arrive. */
@@ -103,27 +103,27 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object read) {
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
             if (rejection != null || !state.takesRequests()) {
-                discard(read);
+                discard(message);
                 return;
             }
-            if (read instanceof HttpRequest request) {
+            if (message instanceof HttpRequest request) {
                 beginRequest(request);
             }
-            if (read instanceof HttpContent content && requests.isReading()) {
+            if (message instanceof HttpContent content && requests.isReading()) {
                 addContent(content);
             }
         } finally {
-            ReferenceCountUtil.release(read);
+            ReferenceCountUtil.release(message);
         }
     }
 
-    private void discard(Object read) {
-        discardedBytes += read instanceof ByteBuf bytes
+    private void discard(Object message) {
+        discardedBytes += message instanceof ByteBuf bytes
                 ? bytes.readableBytes()
-                : read instanceof ByteBufHolder holder ? holder.content().readableBytes() : 0;
+                : message instanceof ByteBufHolder holder ? holder.content().readableBytes() : 0;
         if (discardedBytes > MAX_DISCARDED_BYTES) {
             // Reading on without limit would take event-loop time from other clients. While a request is in
             // flight, {@link #closeIfOverdue} reads on in portions, since a connection that is not read never
@@ -192,18 +192,18 @@
             arrivedAt = next.arrivedAt();
             clientAskedToClose =
                     next.head().headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
-            workRequest = HttpMethod.POST.equals(next.head().method());
+            isPostRequest = HttpMethod.POST.equals(next.head().method());
             context.fireChannelRead(next.head());
             context.fireChannelRead(new DefaultLastHttpContent(next.body()));
         }
     }
 
     @Override
-    public void write(ChannelHandlerContext ctx, Object written, ChannelPromise promise) {
-        if (written instanceof HttpResponse response) {
+    public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+        if (message instanceof HttpResponse response) {
             beginResponse(response);
         }
-        boolean last = written instanceof LastHttpContent;
+        boolean last = message instanceof LastHttpContent;
         boolean ends = last && closeAfterResponse;
         ChannelPromise done = ends ? promise.unvoid() : promise;
         if (ends) {
@@ -211,14 +211,14 @@
             state.beginClosing(clock.nowMillis());
             done.addListener(f -> shutDownOutput());
         }
-        ctx.write(written, done);
+        ctx.write(message, done);
         if (last && !ends) {
             responseWritten(ctx);
         }
     }
 
     private void beginResponse(HttpResponse response) {
-        resultSent = workRequest && response.status().code() == HttpResponseStatus.OK.code();
+        resultSent = isPostRequest && response.status().code() == HttpResponseStatus.OK.code();
         closeAfterResponse = response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
         boolean more = !requests.isEmpty() || rejection != null;
         if (closeAfterResponse && !clientAskedToClose && more) {
@@ -262,8 +262,8 @@
     }
 
     private void writeRejection() {
-        String text = PRECEDES_REJECTED.response(false, advisesRetry).repeat(requests.waiting())
-                + rejection.response(true, advisesRetry);
+        String text = PRECEDES_REJECTED.response(false, sendsRetryAfter).repeat(requests.waiting())
+                + rejection.response(true, sendsRetryAfter);
         state.beginClosing(clock.nowMillis());
         requests.clear();
         // Written at the first handler, past the server's own responses.
@@ -369,7 +369,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A broken client connection is not worth a log line.
+        // Broken client connections are not logged.
         ctx.close();
     }
 }
--- a/src/main/java/nettlewick/net/client/PlatformFrontend.java
+++ b/src/main/java/nettlewick/net/client/PlatformFrontend.java
@@ -16,7 +16,7 @@
 import nettlewick.core.UsageRecorder;
 
 /**
- * Serves the platform's clients: each HTTP request is one request to schedule, with one response. Lives on
+ * Serves the platform's clients: each HTTP request is one request to schedule, with one response. Runs on
  * the event loop.
  */
 public final class PlatformFrontend extends HttpFrontend {
@@ -26,22 +26,22 @@
     private final Clock clock;
     private final RequestCoordinator coordinator;
     private final RequestReader reader;
-    private final BooleanSupplier hasEndpointList;
+    private final BooleanSupplier canServe;
     private final TrafficListener trafficListener;
 
-    /** Creates a frontend whose traffic nobody observes. */
+    /** Creates a frontend without a traffic listener. */
     public PlatformFrontend(Environment environment) {
         this(environment, TrafficListener.NONE);
     }
 
-    /** Creates a frontend that shows its traffic to a listener. */
+    /** Creates a frontend that reports its traffic to a listener. */
     public PlatformFrontend(Environment environment, TrafficListener trafficListener) {
         super(environment, environment.config().listen(), -1);
         this.trafficListener = trafficListener;
         eventLoop = environment.eventLoop();
         clock = environment.clock();
         coordinator = environment.coordinator();
-        hasEndpointList = environment.hasEndpointList();
+        canServe = environment.canServe();
         reader = new RequestReader(environment.config());
     }
 
@@ -69,8 +69,7 @@
         if (!HttpMethod.GET.equals(request.method()) && !HttpMethod.HEAD.equals(request.method())) {
             request.response().putHeader("Allow", "GET, HEAD");
             RequestReader.reject(request, 405, "health is asked for by GET");
-        } else if (hasEndpointList.getAsBoolean()
-                && environment().serviceState().isHealthy()) {
+        } else if (canServe.getAsBoolean() && environment().serviceState().isHealthy()) {
             request.response().end();
         } else {
             RequestReader.reject(
@@ -83,7 +82,7 @@
     private void submit(HttpServerRequest http, RequestReader.ParsedRequest parsed) {
         HttpServerResponse response = http.response();
         trafficListener.requestReceived(http, parsed.forwarded().body());
-        Metrics.RequestTracker ticket = coordinator.metrics().trackRequest(parsed.requestClass());
+        Metrics.RequestTracker tracker = coordinator.metrics().trackRequest(parsed.requestClass());
         Request request = parsed.toRequest(new Request.Caller() {
             @Override
             public boolean isPresent() {
@@ -91,13 +90,13 @@
             }
 
             @Override
-            public void setDeliveryCallback(UsageRecorder.DeliveryCallback receipt) {
-                eventLoop.runOnContext(v -> ticket.setDeliveryCallback(receipt));
+            public void setDeliveryCallback(UsageRecorder.DeliveryCallback callback) {
+                eventLoop.runOnContext(v -> tracker.setDeliveryCallback(callback));
             }
 
             @Override
             public void onServed(byte[] result) {
-                eventLoop.runOnContext(v -> respond(http, 200, Buffer.buffer(result), ticket));
+                eventLoop.runOnContext(v -> respond(http, 200, Buffer.buffer(result), tracker));
             }
 
             @Override
@@ -106,17 +105,17 @@
                     if (retryAfter > 0 && !response.closed()) {
                         response.putHeader("Retry-After", formatSeconds(retryAfter));
                     }
-                    respond(http, 503, Buffer.buffer("unavailable\n"), ticket);
+                    respond(http, 503, Buffer.buffer("unavailable\n"), tracker);
                 });
             }
 
             @Override
             public void onFailed(String reason) {
-                eventLoop.runOnContext(v -> respond(http, 502, Buffer.buffer(reason + "\n"), ticket));
+                eventLoop.runOnContext(v -> respond(http, 502, Buffer.buffer(reason + "\n"), tracker));
             }
         });
         response.closeHandler(v -> {
-            ticket.markAbandoned();
+            tracker.markAbandoned();
             coordinator.abandon(request);
         });
         coordinator.submit(request);
@@ -126,7 +125,7 @@
         return String.format(Locale.ROOT, "%.3f", millis / 1000);
     }
 
-    private void respond(HttpServerRequest http, int status, Buffer body, Metrics.RequestTracker ticket) {
+    private void respond(HttpServerRequest http, int status, Buffer body, Metrics.RequestTracker tracker) {
         HttpServerResponse response = http.response();
         if (response.ended() || response.closed()) {
             return;
@@ -139,6 +138,6 @@
         Metrics.RequestEnd end = status == HttpResponseStatus.OK.code()
                 ? Metrics.RequestEnd.SERVED
                 : status == SERVICE_UNAVAILABLE ? Metrics.RequestEnd.REJECTED : Metrics.RequestEnd.FAILED;
-        response.end(body).onSuccess(v -> ticket.markAnswered(end)).onFailure(e -> ticket.markAbandoned());
+        response.end(body).onSuccess(v -> tracker.markAnswered(end)).onFailure(e -> tracker.markAbandoned());
     }
 }
--- a/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
+++ b/src/main/java/nettlewick/net/endpoint/EndpointConnections.java
@@ -8,11 +8,11 @@
 import nettlewick.net.discovery.EndpointListSnapshot;
 
 /**
- * An endpoint and the connections to it. Connecting and sending are separate steps, so that a request that
- * never reached the endpoint is known as such. Lives on the event loop.
+ * An endpoint and the connections to it. Connecting and sending are separate steps, so that a request that never
+ * reached the endpoint can be told from one that may have run. Runs on the event loop.
  */
 final class EndpointConnections {
-    /** Idle connections are closed after this fraction of the time at which the endpoint's machine closes them. */
+    /** Idle connections are closed after this fraction of the endpoint's own idle timeout. */
     private static final double IDLE_TIMEOUT_FACTOR = 0.6;
 
     private static final double MAX_RESET_WAIT_MILLIS = 20;
@@ -36,7 +36,7 @@
             if (!closed) {
                 closed = true;
                 openConnections--;
-                pools.addOpenConnections(-1);
+                pools.changeOpenConnections(-1);
                 idle.remove(this);
             }
             OutboundRequest carried = request;
@@ -195,7 +195,7 @@
 
     private void connect(OutboundRequest request) {
         openConnections++;
-        pools.addOpenConnections(1);
+        pools.changeOpenConnections(1);
         pools.changePendingConnects(1);
         double connectStartedAt = pools.now();
         double expectedIncarnation = incarnation;
@@ -208,7 +208,7 @@
             pools.changePendingConnects(-1);
             if (result.failed()) {
                 openConnections--;
-                pools.addOpenConnections(-1);
+                pools.changeOpenConnections(-1);
                 request.connectionLost();
                 return;
             }
--- a/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
+++ b/src/test/java/nettlewick/net/ConnectionRaceTestBase.java
@@ -1,6 +1,5 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 
 import com.google.gson.Gson;
@@ -16,26 +15,32 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A dispatcher among stand-ins, for tests that force requests, answers, ends and signals to cross, on real sockets. */
+/**
+ * A dispatcher on the stub platform, for tests that force races between requests, responses, closes and signals on real
+ * sockets.
+ */
 @Timeout(30)
 abstract class ConnectionRaceTestBase {
     static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     static final String GARBAGE = "no request at all\r\n\r\n";
-    DispatcherOnStubPlatform world;
+    DispatcherOnStubPlatform platform;
     Map<String, Object> config;
 
     @BeforeEach
     final void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        config = world.config();
+        platform = new DispatcherOnStubPlatform();
+        config = platform.config();
     }
 
     @AfterEach
     final void close() {
-        world.close();
+        platform.close();
     }
 
-    /** Sets one of the settings' limits; connections come up as late as a test wants, probes stay out of the way. */
+    /**
+     * Sets one of the limits in the settings; tests use it to turn probes off and to let connections be established
+     * late.
+     */
     @SuppressWarnings("unchecked")
     void setCeiling(String name, Object value) {
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
@@ -45,13 +50,13 @@
     }
 
     int start() throws Exception {
-        DispatcherServer dispatcher = world.start(config);
+        DispatcherServer dispatcher = platform.start(config);
         int port = dispatcher.ports().get(0);
         until(() -> isHealthy(port));
         return port;
     }
 
-    /** Starts a dispatcher whose time is the test's; the test closes it. */
+    /** Starts a dispatcher with the test's clock; the test closes it. */
     DispatcherServer start(Clock clock) throws Exception {
         DispatcherServer dispatcher = new DispatcherServer(
                 PlatformConfig.parse(new Gson().toJson(config), Map.of()), clock, PlatformFrontend::new);
@@ -68,7 +73,7 @@
         }
     }
 
-    /** The event loop has been round: whatever was in its sockets before this call has been handled. */
+    /** Waits until the event loop has handled everything that was in its sockets before this call. */
     static void awaitEventLoop(int port) throws Exception {
         try (RawClient client = new RawClient(port)) {
             for (int i = 0; i < 3; i++) {
@@ -83,16 +88,16 @@
         }
     }
 
-    /** A runner that holds each job until the test lets it go. */
+    /** Makes the endpoints hold each request until the test finishes it. */
     List<HttpServerRequest> holdRequests() {
         List<HttpServerRequest> held = new java.util.concurrent.CopyOnWriteArrayList<>();
-        world.instead = held::add;
+        platform.instead = held::add;
         return held;
     }
 
-    static void finish(HttpServerRequest job) {
-        String id = job.getHeader("X-Request-Id");
-        job.response()
+    static void finish(HttpServerRequest request) {
+        String id = request.getHeader("X-Request-Id");
+        request.response()
                 .setChunked(true)
                 .end("{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
     }
@@ -105,17 +110,17 @@
         }
     }
 
-    /** The event loop of a dispatcher, made to stand still. */
+    /** Blocks the event loop of a dispatcher until it is released. */
     static final class BlockedEventLoop {
         private final CountDownLatch release = new CountDownLatch(1);
 
         BlockedEventLoop(DispatcherServer dispatcher) throws InterruptedException {
-            CountDownLatch stands = new CountDownLatch(1);
+            CountDownLatch blocked = new CountDownLatch(1);
             dispatcher.eventLoop().runOnContext(v -> {
-                stands.countDown();
+                blocked.countDown();
                 await(release);
             });
-            stands.await();
+            blocked.await();
         }
 
         void release() {
--- a/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
+++ b/src/test/java/nettlewick/net/ForwardedDeadlineTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,118 +9,128 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The time told to a runner is at most what its client has left, wherever the request has waited. */
+/**
+ * The deadline forwarded to an endpoint is at most the time that the client has left, wherever the request has waited.
+ */
 class ForwardedDeadlineTest extends ConnectionRaceTestBase {
-    /** The time told to a runner is what the client has left when the request is written, not when it was chosen. */
+    /** The forwarded deadline is computed when the request is written, not when its endpoint is chosen. */
     @Test
     void computesTheDeadlineOnceConnected() throws Exception {
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", endpoint.port());
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
-                client.send(job("/api", "late", "step-view", ""));
-                until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-                endpoint.open();
-                long[] came = new long[1];
+                long sentAt = System.nanoTime();
+                client.send(requestBytes("/api", "late", "step-view", ""));
+                until(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+                endpoint.startAccepting();
+                long[] receivedAt = new long[1];
                 endpoint.script = (request, socket) -> {
-                    came[0] = System.nanoTime();
-                    RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                    receivedAt[0] = System.nanoTime();
+                    RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
                 };
                 assertEquals("r-late", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(0));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(0));
             }
         }
     }
 
-    /** Guards against a request that waited behind another and is told as if it had only now been sent. */
+    /** Guards against a full deadline for a request that has waited behind another on its connection. */
     @Test
     void countsTimeSpentBehindAPipelinedRequest() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
             CountDownLatch release = new CountDownLatch(1);
-            long[] came = new long[1];
+            long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
                 if (request.id().equals("first")) {
                     await(release);
                 }
-                came[0] = System.nanoTime();
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                receivedAt[0] = System.nanoTime();
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
             };
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
-                client.send(job("/api", "first", "step-view", ""), job("/api", "second", "step-view", ""));
-                until(() -> endpoint.seen.size() == 1);
-                until(() -> System.nanoTime() - sent > 600_000_000L);
+                long sentAt = System.nanoTime();
+                client.send(
+                        requestBytes("/api", "first", "step-view", ""),
+                        requestBytes("/api", "second", "step-view", ""));
+                until(() -> endpoint.received.size() == 1);
+                until(() -> System.nanoTime() - sentAt > 600_000_000L);
                 release.countDown();
                 assertEquals("r-first", client.read().body());
                 assertEquals("r-second", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(1));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(1));
             }
         }
     }
 
-    /** Guards against time that a request waits unread in its socket while the event loop is held up. */
+    /** Guards against ignoring the time that a request is unread in its socket during a stall of the event loop. */
     @Test
     void countsTimeSpentUnreadInTheSocket() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
-            long[] came = new long[1];
+            long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
-                came[0] = System.nanoTime();
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                receivedAt[0] = System.nanoTime();
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
             };
             try (RawClient client = new RawClient(port)) {
-                BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
-                long sent = System.nanoTime();
-                client.send(job("/api", "unread", "step-view", ""));
-                until(() -> System.nanoTime() - sent > 500_000_000L);
+                BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
+                long sentAt = System.nanoTime();
+                client.send(requestBytes("/api", "unread", "step-view", ""));
+                until(() -> System.nanoTime() - sentAt > 500_000_000L);
                 loop.release();
                 assertEquals("r-unread", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(0));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(0));
             }
         }
     }
 
-    /** Guards against time that a request waits with its new connection, while the whole process stands still. */
+    /**
+     * Guards against ignoring the time that a request and its new connection wait in the accept queue while the whole
+     * process is stalled.
+     */
     @Test
     void countsTimeSpentInTheAcceptQueue() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addRunner("s-1", endpoint.port());
             int port = start();
-            long[] came = new long[1];
+            long[] receivedAt = new long[1];
             endpoint.script = (request, socket) -> {
-                came[0] = System.nanoTime();
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                receivedAt[0] = System.nanoTime();
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
             };
             CountDownLatch acceptorReleased = new CountDownLatch(1);
-            ((VertxInternal) world.dispatcher().vertx())
+            ((VertxInternal) platform.dispatcher().vertx())
                     .acceptorEventLoopGroup()
                     .next()
                     .execute(() -> await(acceptorReleased));
-            BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
+            BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
-                client.send(job("/api", "new", "step-view", ""));
-                until(() -> System.nanoTime() - sent > 500_000_000L);
+                long sentAt = System.nanoTime();
+                client.send(requestBytes("/api", "new", "step-view", ""));
+                until(() -> System.nanoTime() - sentAt > 500_000_000L);
                 acceptorReleased.countDown();
                 loop.release();
                 assertEquals("r-new", client.read().body());
-                assertForwardedDeadline(4, sent, came[0], endpoint.seen.get(0));
+                assertForwardedDeadline(4, sentAt, receivedAt[0], endpoint.received.get(0));
             }
         }
     }
 
-    private static void assertForwardedDeadline(double whole, long sent, long came, RawEndpoint.Seen seen) {
-        double forwarded = Double.parseDouble(seen.header("x-deadline"));
-        double left = whole - (came - sent) / 1e9;
-        assertTrue(forwarded <= left + 0.15, "told " + forwarded + " s with " + left + " s left");
+    private static void assertForwardedDeadline(
+            double deadlineSeconds, long sentAt, long receivedAt, RawEndpoint.ReceivedRequest request) {
+        double forwardedSeconds = Double.parseDouble(request.header("x-deadline"));
+        double remainingSeconds = deadlineSeconds - (receivedAt - sentAt) / 1e9;
+        assertTrue(
+                forwardedSeconds <= remainingSeconds + 0.15,
+                "forwarded " + forwardedSeconds + " s with " + remainingSeconds + " s left");
     }
 }
--- a/src/test/java/nettlewick/net/StartupTest.java
+++ b/src/test/java/nettlewick/net/StartupTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.vertx.core.Future;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send to a dispatcher from the moment on at which its port accepts connections. */
+/** Clients that send requests as soon as the port of a dispatcher accepts connections. */
 class StartupTest extends ConnectionRaceTestBase {
     private static final long SLOW_CREATION_MILLIS = 1500;
     private static final long SLOW_LISTEN_MILLIS = 500;
@@ -21,16 +21,16 @@
 
     @BeforeEach
     void configure() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         port = ReservedPorts.reserve();
         config.put("listen", "127.0.0.1:" + port);
-        config.put("known", world.known());
+        config.put("known", platform.known());
     }
 
-    private CompletableFuture<Void> startInBackground(Frontend.Factory... more) {
+    private CompletableFuture<Void> startInBackground(Frontend.Factory... additionalFactories) {
         return CompletableFuture.runAsync(() -> {
             try {
-                world.start(config, more);
+                platform.start(config, additionalFactories);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Guards against connections that are accepted while the process cannot serve them yet. */
+    /** Guards against accepting connections before the process can serve them. */
     @Test
     void isReadyAsSoonAsItListens() throws Exception {
         CompletableFuture<Void> started = startInBackground();
@@ -60,25 +60,25 @@
         started.get();
     }
 
-    /** Guards against a request whose time is counted from before the port was open. */
+    /** Guards against counting the time of a request from before the port was open. */
     @Test
-    void timeOfRequestsCountsFromTheOpeningOfThePort() throws Exception {
+    void requestTimeCountsFromListening() throws Exception {
         CompletableFuture<Void> started = startInBackground(SlowFrontend::new);
         try (RawClient client = connectOnceItListens(started)) {
-            String request = job("/api", "early", "step-view", "10").toString();
+            String request = requestBytes("/api", "early", "step-view", "10").toString();
             client.send(request.replace("X-Deadline: 4\r", "X-Deadline: 1.5\r"));
             assertEquals(200, client.read().status());
         }
         started.get();
     }
 
-    /** Holds the event loop up while it is created, and once more when the frontends before it listen. */
+    /** Blocks the event loop when it is created, and again while the frontends start to listen. */
     private static final class SlowFrontend implements Frontend {
         SlowFrontend(Environment environment) {
-            holdUp(SLOW_CREATION_MILLIS);
+            block(SLOW_CREATION_MILLIS);
         }
 
-        private static void holdUp(long millis) {
+        private static void block(long millis) {
             try {
                 TimeUnit.MILLISECONDS.sleep(millis);
             } catch (InterruptedException e) {
@@ -88,7 +88,7 @@
 
         @Override
         public Future<Integer> listen() {
-            holdUp(SLOW_LISTEN_MILLIS);
+            block(SLOW_LISTEN_MILLIS);
             return Future.succeededFuture(0);
         }
 
