--- a/src/main/java/nettlewick/contention/ContentionEvidence.java
+++ b/src/main/java/nettlewick/contention/ContentionEvidence.java
@@ -88,7 +88,7 @@
     }
 
     /** Whether any dispatcher has sent an unsolicited report since the last call. */
-    public boolean takeUnsolicited() {
+    public boolean consumeUnsolicited() {
         boolean any = unsolicitedReports > 0;
         unsolicitedReports = 0;
         return any;
@@ -121,16 +121,17 @@
      */
     private boolean causesContention(
             List<Map<Integer, UsageReport>> windows, Set<Integer> isolatedTenants, Set<Integer> isolatedEndpoints) {
-        if (!isShownWithout(NO_DISPATCHER, windows, isolatedTenants, isolatedEndpoints)) {
+        if (!isConclusiveWithout(NO_DISPATCHER, windows, isolatedTenants, isolatedEndpoints)) {
             return false;
         }
         Set<Integer> dispatchers = new HashSet<>();
         windows.forEach(window -> dispatchers.addAll(window.keySet()));
         return dispatchers.size() > 1
-                && dispatchers.stream().allMatch(d -> isShownWithout(d, windows, isolatedTenants, isolatedEndpoints));
+                && dispatchers.stream()
+                        .allMatch(d -> isConclusiveWithout(d, windows, isolatedTenants, isolatedEndpoints));
     }
 
-    private boolean isShownWithout(
+    private boolean isConclusiveWithout(
             int excludedDispatcher,
             List<Map<Integer, UsageReport>> windows,
             Set<Integer> isolatedTenants,
--- a/src/main/java/nettlewick/contention/HarmAnalysis.java
+++ b/src/main/java/nettlewick/contention/HarmAnalysis.java
@@ -55,43 +55,45 @@
      */
     static boolean isAttributable(
             UsageReport usage, UncontendedBaseline baseline, double quota, Set<Integer> isolatedEndpoints) {
-        long attemptsBeside = 0;
-        long harmedBeside = 0;
-        long attemptsElsewhere = 0;
-        long harmedElsewhere = 0;
+        long exposedAttempts = 0;
+        long exposedHarmed = 0;
+        long unexposedAttempts = 0;
+        long unexposedHarmed = 0;
         for (Map.Entry<Integer, UsageReport.EndpointUsage> entry :
                 usage.endpoints().entrySet()) {
             UsageReport.EndpointUsage endpoint =
                     isolatedEndpoints.contains(entry.getKey()) ? UsageReport.EndpointUsage.NONE : entry.getValue();
             if (endpoint.totalWork() > 0 && endpoint.tenantWork() > quota * endpoint.totalWork()) {
-                attemptsBeside += endpoint.otherAttempts();
-                harmedBeside += endpoint.harmedAttempts();
+                exposedAttempts += endpoint.otherAttempts();
+                exposedHarmed += endpoint.harmedAttempts();
             } else {
-                attemptsElsewhere += endpoint.otherAttempts();
-                harmedElsewhere += endpoint.harmedAttempts();
+                unexposedAttempts += endpoint.otherAttempts();
+                unexposedHarmed += endpoint.harmedAttempts();
             }
         }
-        Sample beside = new Sample(attemptsBeside, harmedBeside);
-        Sample control = attemptsElsewhere < MIN_ATTEMPTS
+        Sample exposed = new Sample(exposedAttempts, exposedHarmed);
+        Sample control = unexposedAttempts < MIN_ATTEMPTS
                 ? new Sample(baseline.otherAttempts(), baseline.harmedAttempts())
-                : new Sample(attemptsElsewhere, harmedElsewhere);
-        return isClearlyHigher(beside, control) && isSignificant(beside, control);
+                : new Sample(unexposedAttempts, unexposedHarmed);
+        return isClearlyHigher(exposed, control) && isSignificant(exposed, control);
     }
 
-    private static boolean isClearlyHigher(Sample beside, Sample control) {
-        return beside.attempts() >= MIN_ATTEMPTS
+    private static boolean isClearlyHigher(Sample exposed, Sample control) {
+        return exposed.attempts() >= MIN_ATTEMPTS
                 && control.attempts() >= MIN_ATTEMPTS
-                && beside.harmed() >= MIN_HARMED_FRACTION * beside.attempts()
-                && beside.harmedFraction() >= MIN_HARM_RATIO * control.harmed() / control.attempts();
+                && exposed.harmed() >= MIN_HARMED_FRACTION * exposed.attempts()
+                && exposed.harmedFraction() >= MIN_HARM_RATIO * control.harmed() / control.attempts();
     }
 
     /** Fisher's exact test, one-sided: the probability of this much harm beside the tenant if it made no difference. */
-    private static boolean isSignificant(Sample beside, Sample control) {
-        int besideCount = beside.attemptCount();
-        int besideHarmed = beside.harmedCount();
+    private static boolean isSignificant(Sample exposed, Sample control) {
+        int exposedCount = exposed.attemptCount();
+        int exposedHarmed = exposed.harmedCount();
         return HypergeometricDistribution.of(
-                                control.attemptCount() + besideCount, control.harmedCount() + besideHarmed, besideCount)
-                        .survivalProbability(besideHarmed - 1)
+                                control.attemptCount() + exposedCount,
+                                control.harmedCount() + exposedHarmed,
+                                exposedCount)
+                        .survivalProbability(exposedHarmed - 1)
                 < SIGNIFICANCE_LEVEL;
     }
 }
--- a/src/main/java/nettlewick/contention/PoolMigration.java
+++ b/src/main/java/nettlewick/contention/PoolMigration.java
@@ -97,25 +97,25 @@
                 fleet.reservedByOthers(),
                 settings.quota(),
                 settings.maxPoolFraction());
-        double inStepMillis = nowMillis - stepStartedAt;
+        double millisInStep = nowMillis - stepStartedAt;
         return switch (current.step()) {
             case SHARED ->
                 shouldMigrate(policy) && !pool.isEmpty()
                         ? current.withEndpoints(pool).withStep(Step.RESERVING)
                         : decayReturns(current, nowMillis);
             case RESERVING -> {
-                boolean endpointsArrived = fleet.scaleOutComplete() || inStepMillis >= settings.scaleOutTimeoutMillis();
-                boolean settled = inStepMillis >= settings.settleMillis();
-                yield advance(current, pool, settled && endpointsArrived ? Step.DRAINING : Step.RESERVING);
+                boolean scaleOutFinished = fleet.scaleOutComplete() || millisInStep >= settings.scaleOutTimeoutMillis();
+                boolean settled = millisInStep >= settings.settleMillis();
+                yield advance(current, pool, settled && scaleOutFinished ? Step.DRAINING : Step.RESERVING);
             }
             case DRAINING ->
-                advance(current, pool, inStepMillis >= settings.drainMillis() ? Step.DEDICATED : Step.DRAINING);
+                advance(current, pool, millisInStep >= settings.drainMillis() ? Step.DEDICATED : Step.DRAINING);
             case DEDICATED -> {
                 boolean stays = shouldStay(policy, current, settings, nowMillis) && !pool.isEmpty();
                 yield advance(current, pool, stays ? Step.DEDICATED : Step.RETURNING);
             }
             case RETURNING ->
-                inStepMillis >= settings.drainMillis()
+                millisInStep >= settings.drainMillis()
                         ? new MigrationState(Step.SHARED, List.of(), current.recentReturns() + 1)
                         : current;
         };
--- a/src/main/java/nettlewick/contention/PoolReservation.java
+++ b/src/main/java/nettlewick/contention/PoolReservation.java
@@ -55,7 +55,7 @@
                 .toList();
         List<ReadyEndpoint> free = shared.stream()
                 .filter(endpoint -> !reservedByOthers.contains(endpoint.name()))
-                .sorted(preference(tenant, current))
+                .sorted(selectionOrder(tenant, current))
                 .toList();
         Map<String, List<ReadyEndpoint>> groups = new TreeMap<>();
         free.forEach(
@@ -71,7 +71,7 @@
     }
 
     /** Members of the current pool first, the others in the tenant's rendezvous order. */
-    private static Comparator<ReadyEndpoint> preference(String tenant, List<String> current) {
+    private static Comparator<ReadyEndpoint> selectionOrder(String tenant, List<String> current) {
         Set<String> currentNames = new HashSet<>(current);
         return Comparator.comparing((ReadyEndpoint endpoint) -> !currentNames.contains(endpoint.name()))
                 .thenComparingLong(endpoint -> rendezvousWeight(tenant, endpoint.name()))
@@ -84,12 +84,13 @@
         int wanted = Math.min(size, total);
         Map<String, Integer> counts = new LinkedHashMap<>();
         groups.forEach((group, members) -> counts.put(group, total == 0 ? 0 : wanted * members.size() / total));
-        int left = wanted - counts.values().stream().mapToInt(count -> count).sum();
+        int remaining =
+                wanted - counts.values().stream().mapToInt(count -> count).sum();
         List<String> byRemainder = groups.keySet().stream()
                 .sorted(Comparator.comparingInt(
                         (String group) -> -(wanted * groups.get(group).size() % Math.max(1, total))))
                 .toList();
-        for (int i = 0; i < left; i++) {
+        for (int i = 0; i < remaining; i++) {
             counts.merge(byRemainder.get(i), 1, Integer::sum);
         }
         return counts;
--- a/src/main/java/nettlewick/contention/UncontendedBaseline.java
+++ b/src/main/java/nettlewick/contention/UncontendedBaseline.java
@@ -10,7 +10,7 @@
  * @param hintedMillis   what the cost hints said
  */
 public record UncontendedBaseline(double otherAttempts, double harmedAttempts, double runMillis, double hintedMillis) {
-    /** Nothing was observed. */
+    /** No observations. */
     static final UncontendedBaseline NONE = new UncontendedBaseline(0, 0, 0, 0);
 
     private static final double DECAY_PER_WINDOW = 0.97;
--- a/src/main/java/nettlewick/contention/UsageCounters.java
+++ b/src/main/java/nettlewick/contention/UsageCounters.java
@@ -50,11 +50,11 @@
     /** One endpoint's totals by tenant. */
     private static final class EndpointTotals {
         private final Map<String, AttemptTotals> byTenant = new HashMap<>();
-        private long lastEvent;
+        private long lastAttemptSequence;
     }
 
     /** The mean run time of a class, which stands in for a missing cost hint; 1 ms until one is known. */
-    private static final class MeanRun {
+    private static final class MeanRunTime {
         private static final double DEFAULT_MILLIS = 1;
         private double sumMillis;
         private double count;
@@ -67,8 +67,8 @@
     private final Map<String, Double> latencyObjectivesMillis;
     private final Map<String, EndpointTotals> endpoints = new HashMap<>();
     private final Map<String, TenantTotals> tenants = new HashMap<>();
-    private final Map<String, MeanRun> meanRunByClass = new HashMap<>();
-    private long events;
+    private final Map<String, MeanRunTime> meanRunTimeByClass = new HashMap<>();
+    private long attemptSequence;
 
     /** Creates counters at zero for requests of these classes. */
     public UsageCounters(List<RequestClass> classes) {
@@ -90,8 +90,8 @@
         if (!request.isRetry()) {
             double millis = request.costHintMillis() > 0
                     ? request.costHintMillis()
-                    : meanRunByClass
-                            .getOrDefault(request.requestClass(), new MeanRun())
+                    : meanRunTimeByClass
+                            .getOrDefault(request.requestClass(), new MeanRunTime())
                             .millis();
             totalsOf(request.tenant()).requestedWork += request.slots() * millis;
         }
@@ -104,12 +104,12 @@
     @Override
     public synchronized void onAttemptEnded(Attempt attempt, AttemptResult result) {
         Request request = attempt.request();
-        EndpointTotals endpoint = touch(attempt.endpoint());
+        EndpointTotals endpoint = recordAttemptOn(attempt.endpoint());
         AttemptTotals totals =
                 endpoint.byTenant.computeIfAbsent(String.valueOf(request.tenant()), t -> new AttemptTotals());
         totals.busyMillis += attempt.ranMillis() * request.slots();
         if (result == AttemptResult.SERVED && hasStarted(attempt)) {
-            recordRun(request, attempt.ranMillis());
+            recordRunTime(request, attempt.ranMillis());
         }
         boolean harmed = isHarmed(attempt, result);
         if (harmed || result == AttemptResult.SERVED) {
@@ -118,19 +118,19 @@
         }
     }
 
-    private EndpointTotals touch(String name) {
+    private EndpointTotals recordAttemptOn(String name) {
         EndpointTotals endpoint = endpoints.computeIfAbsent(name, e -> new EndpointTotals());
-        endpoint.lastEvent = ++events;
+        endpoint.lastAttemptSequence = ++attemptSequence;
         if (endpoints.size() > MAX_TRACKED_ENDPOINTS) {
-            endpoints.remove(
-                    Collections.min(endpoints.entrySet(), Comparator.comparingLong(e -> e.getValue().lastEvent))
-                            .getKey());
+            endpoints.remove(Collections.min(
+                            endpoints.entrySet(), Comparator.comparingLong(e -> e.getValue().lastAttemptSequence))
+                    .getKey());
         }
         return endpoint;
     }
 
-    private void recordRun(Request request, double runMillis) {
-        MeanRun mean = meanRunByClass.computeIfAbsent(request.requestClass(), c -> new MeanRun());
+    private void recordRunTime(Request request, double runMillis) {
+        MeanRunTime mean = meanRunTimeByClass.computeIfAbsent(request.requestClass(), c -> new MeanRunTime());
         mean.sumMillis += runMillis;
         mean.count++;
         if (request.costHintMillis() > 0) {
@@ -176,7 +176,7 @@
         work.computeIfAbsent(nameHash(tenant), t -> Math.round(totalsOf(tenant).requestedWork));
         Map<Integer, EndpointUsage> usage = new LinkedHashMap<>();
         endpoints.entrySet().stream()
-                .sorted(Comparator.comparingLong(e -> -e.getValue().lastEvent))
+                .sorted(Comparator.comparingLong(e -> -e.getValue().lastAttemptSequence))
                 .limit(maxEndpoints)
                 .forEach(e -> usage.put(nameHash(e.getKey()), usageOf(e.getValue(), tenant)));
         double totalWork =
--- a/src/main/java/nettlewick/contention/UsageReport.java
+++ b/src/main/java/nettlewick/contention/UsageReport.java
@@ -34,7 +34,7 @@
      * @param harmedAttempts those of them that were rejected, timed out or started late
      */
     public record EndpointUsage(long tenantWork, long totalWork, long otherAttempts, long harmedAttempts) {
-        /** Nothing was counted. */
+        /** All counts are zero. */
         static final EndpointUsage NONE = new EndpointUsage(0, 0, 0, 0);
 
         private EndpointUsage combine(EndpointUsage other, LongBinaryOperator operator) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Nothing was counted. */
+    /** All counts are zero. */
     static final UsageReport EMPTY = new UsageReport(0, Map.of(), 0, 0, Map.of(), UncontendedBaseline.NONE, false);
 
     private UsageReport combine(
--- a/src/main/java/nettlewick/contention/UsageReporter.java
+++ b/src/main/java/nettlewick/contention/UsageReporter.java
@@ -19,7 +19,7 @@
     private static final int MIN_CONSECUTIVE_WINDOWS = 2;
 
     /** What was reported on one tenant. */
-    private static final class TenantReporting {
+    private static final class TenantReportState {
         /** Counts at the end of the last window; null before the first. */
         private UsageReport lastCounts;
 
@@ -38,7 +38,7 @@
     private final UsageCounters counters;
     private final Map<String, Double> quotas;
     private final Map<Integer, Double> quotaByTenantHash = new HashMap<>();
-    private final Map<String, TenantReporting> reportingByTenant = new HashMap<>();
+    private final Map<String, TenantReportState> reportStateByTenant = new HashMap<>();
 
     /**
      * Creates a reporter that has sent nothing yet.
@@ -62,60 +62,62 @@
     public List<byte[]> reportsToSend(
             String tenant,
             long fence,
-            boolean holderListens,
+            boolean holderRequestsReports,
             double windowMillis,
             double nowMillis,
-            Supplier<Set<String>> isolated) {
-        TenantReporting reporting = reportingByTenant.computeIfAbsent(tenant, t -> new TenantReporting());
-        if (reporting.lastCounts == null || nowMillis >= reporting.windowEndsAt) {
-            reporting.windowEndsAt = nowMillis + windowMillis;
-            closeWindow(reporting, tenant, isolated.get());
+            Supplier<Set<String>> isolatedTenants) {
+        TenantReportState reportState = reportStateByTenant.computeIfAbsent(tenant, t -> new TenantReportState());
+        if (reportState.lastCounts == null || nowMillis >= reportState.windowEndsAt) {
+            reportState.windowEndsAt = nowMillis + windowMillis;
+            closeWindow(reportState, tenant, isolatedTenants.get());
         }
-        if (!holderListens && !reporting.unsolicited) {
+        if (!holderRequestsReports && !reportState.unsolicited) {
             return List.of();
         }
         List<byte[]> reports = new ArrayList<>();
-        int missing = fence == reporting.lastFence ? reporting.unsentWindows : ContentionEvidence.WINDOWS;
+        int missingWindows = fence == reportState.lastFence ? reportState.unsentWindows : ContentionEvidence.WINDOWS;
         int age = 0;
-        for (byte[] recent : reporting.recentReports) {
-            if (++age <= missing) {
+        for (byte[] recent : reportState.recentReports) {
+            if (++age <= missingWindows) {
                 reports.add(UsageReportCodec.withAge(recent, age));
             }
         }
-        reports.add(encodedReport(reporting, tenant));
-        reporting.lastFence = fence;
-        reporting.unsentWindows = 0;
+        reports.add(encodedReport(reportState, tenant));
+        reportState.lastFence = fence;
+        reportState.unsentWindows = 0;
         return reports;
     }
 
-    private void closeWindow(TenantReporting reporting, String tenant, Set<String> isolated) {
+    private void closeWindow(TenantReportState reportState, String tenant, Set<String> isolatedTenants) {
         UsageReport counts = counters.fullReport(tenant);
-        UsageReport window = reporting.lastCounts == null ? UsageReport.EMPTY : counts.minus(reporting.lastCounts);
-        evaluateWindow(reporting, window, tenant, isolated);
-        reporting.lastCounts = counts;
-        reporting.recentReports.addFirst(encodedReport(reporting, tenant));
-        if (reporting.recentReports.size() > ContentionEvidence.WINDOWS) {
-            reporting.recentReports.removeLast();
+        UsageReport window = reportState.lastCounts == null ? UsageReport.EMPTY : counts.minus(reportState.lastCounts);
+        evaluateWindow(reportState, window, tenant, isolatedTenants);
+        reportState.lastCounts = counts;
+        reportState.recentReports.addFirst(encodedReport(reportState, tenant));
+        if (reportState.recentReports.size() > ContentionEvidence.WINDOWS) {
+            reportState.recentReports.removeLast();
         }
-        reporting.unsentWindows = Math.min(ContentionEvidence.WINDOWS, reporting.unsentWindows + 1);
+        reportState.unsentWindows = Math.min(ContentionEvidence.WINDOWS, reportState.unsentWindows + 1);
     }
 
-    private byte[] encodedReport(TenantReporting reporting, String tenant) {
-        return UsageReportCodec.encode(counters.report(tenant).withBaseline(reporting.baseline, reporting.unsolicited));
+    private byte[] encodedReport(TenantReportState reportState, String tenant) {
+        return UsageReportCodec.encode(
+                counters.report(tenant).withBaseline(reportState.baseline, reportState.unsolicited));
     }
 
-    private void evaluateWindow(TenantReporting reporting, UsageReport window, String tenant, Set<String> isolated) {
+    private void evaluateWindow(
+            TenantReportState reportState, UsageReport window, String tenant, Set<String> isolatedTenants) {
         double quota = quotas.get(tenant);
         int tenantHash = UsageCounters.nameHash(tenant);
         Set<Integer> isolatedHashes =
-                isolated.stream().map(UsageCounters::nameHash).collect(Collectors.toSet());
-        reporting.baseline = reporting.baseline.withWindow(window, tenantHash, quota);
+                isolatedTenants.stream().map(UsageCounters::nameHash).collect(Collectors.toSet());
+        reportState.baseline = reportState.baseline.withWindow(window, tenantHash, quota);
         UsageReport.EndpointUsage usage = window.acrossEndpoints();
         // A dispatcher sees so few requests in a window that any small tenant may be over its quota by chance.
         boolean responsible = TenantDemand.isOverQuota(window, tenantHash, quota)
                 && TenantDemand.causesMostExcess(window, tenantHash, quotaByTenantHash, isolatedHashes);
-        reporting.consecutiveOverQuota = responsible ? reporting.consecutiveOverQuota + 1 : 0;
-        reporting.unsolicited = reporting.consecutiveOverQuota >= MIN_CONSECUTIVE_WINDOWS
+        reportState.consecutiveOverQuota = responsible ? reportState.consecutiveOverQuota + 1 : 0;
+        reportState.unsolicited = reportState.consecutiveOverQuota >= MIN_CONSECUTIVE_WINDOWS
                 && usage.harmedAttempts() > 0
                 && usage.harmedAttempts() >= HarmAnalysis.MIN_HARMED_FRACTION * usage.otherAttempts();
     }
--- a/src/main/java/nettlewick/tenantpools/ContentionMonitor.java
+++ b/src/main/java/nettlewick/tenantpools/ContentionMonitor.java
@@ -14,12 +14,12 @@
     /** Demand counts as gone only after this many windows with less. */
     private static final int DEMAND_WINDOWS = 10;
     /** How many windows all dispatchers are listened to after an unsolicited report. */
-    private static final int LISTENING_WINDOWS = 10;
+    private static final int REPORT_REQUEST_WINDOWS = 10;
 
     private final ContentionEvidence evidence;
     private final ArrayDeque<Double> recentDemand = new ArrayDeque<>();
     private double windowEndsAt;
-    private int listeningWindowsLeft;
+    private int remainingRequestWindows;
 
     ContentionMonitor(String tenant, Map<String, Double> quotas, double windowEndsAt) {
         evidence = new ContentionEvidence(tenant, quotas);
@@ -37,28 +37,28 @@
      *
      * @return whether listening has started
      */
-    boolean listenIfUnsolicited() {
-        if (!evidence.takeUnsolicited()) {
+    boolean requestReportsIfUnsolicited() {
+        if (!evidence.consumeUnsolicited()) {
             return false;
         }
-        boolean started = listeningWindowsLeft == 0;
-        listeningWindowsLeft = LISTENING_WINDOWS;
+        boolean started = remainingRequestWindows == 0;
+        remainingRequestWindows = REPORT_REQUEST_WINDOWS;
         return started;
     }
 
-    boolean isListening() {
-        return listeningWindowsLeft > 0;
+    boolean requestsReports() {
+        return remainingRequestWindows > 0;
     }
 
     /** The verdict if the window is over, else null. */
     ContentionEvidence.Finding closeWindowIfDue(
-            double nowMillis, double windowMillis, Supplier<Map<String, Set<String>>> isolated) {
+            double nowMillis, double windowMillis, Supplier<Map<String, Set<String>>> isolatedTenants) {
         if (nowMillis < windowEndsAt) {
             return null;
         }
         windowEndsAt = nowMillis + windowMillis;
-        ContentionEvidence.Finding finding = evidence.closeWindow(isolated.get());
-        listeningWindowsLeft = Math.max(0, listeningWindowsLeft - 1);
+        ContentionEvidence.Finding finding = evidence.closeWindow(isolatedTenants.get());
+        remainingRequestWindows = Math.max(0, remainingRequestWindows - 1);
         recentDemand.add(finding.demandFraction());
         if (recentDemand.size() > DEMAND_WINDOWS) {
             recentDemand.remove();
--- a/src/main/java/nettlewick/tenantpools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -21,7 +21,7 @@
  * to the lease thread, except for endpoint updates, which come from the core's thread.
  */
 final class PoolAssignments implements RequestListener {
-    private record KnownPool(PoolState state, double heardAtMillis) {
+    private record KnownPool(PoolState state, double updatedAtMillis) {
         private MigrationState migration() {
             return state.migration();
         }
@@ -60,7 +60,8 @@
     /** The ready endpoints by name, each with the tenant that it was added for. */
     Map<String, ReadyEndpoint> readyEndpoints() {
         Map<String, String> addedFor = new HashMap<>();
-        pools.forEach((tenant, known) -> known.state().addedEndpoints().forEach(name -> addedFor.put(name, tenant)));
+        pools.forEach(
+                (tenant, knownPool) -> knownPool.state().addedEndpoints().forEach(name -> addedFor.put(name, tenant)));
         Map<String, ReadyEndpoint> endpoints = new HashMap<>();
         readyEntries.forEach((name, entry) -> endpoints.put(
                 name,
@@ -74,12 +75,12 @@
      *
      * @param own names of endpoints that the tenant holds itself
      */
-    Set<String> endpointsReservedByOthers(String tenant, List<String> own) {
+    Set<String> endpointsReservedByOthers(String tenant, List<String> ownEndpoints) {
         Set<String> reserved = new HashSet<>();
-        pools.forEach((other, known) -> {
-            if (!other.equals(tenant) && known.migration().step() != Step.SHARED) {
-                known.migration().endpoints().stream()
-                        .filter(name -> other.compareTo(tenant) < 0 || !own.contains(name))
+        pools.forEach((other, knownPool) -> {
+            if (!other.equals(tenant) && knownPool.migration().step() != Step.SHARED) {
+                knownPool.migration().endpoints().stream()
+                        .filter(name -> other.compareTo(tenant) < 0 || !ownEndpoints.contains(name))
                         .forEach(reserved::add);
             }
         });
@@ -87,11 +88,11 @@
     }
 
     /** Other tenants that are confined to dedicated endpoints, with the names of those. */
-    Map<String, Set<String>> isolatedTenants(String excluded) {
+    Map<String, Set<String>> isolatedTenants(String excludedTenant) {
         Map<String, Set<String>> isolated = new HashMap<>();
-        pools.forEach((tenant, known) -> {
-            if (known.migration().step() == Step.DEDICATED && !tenant.equals(excluded)) {
-                isolated.put(tenant, Set.copyOf(known.migration().endpoints()));
+        pools.forEach((tenant, knownPool) -> {
+            if (knownPool.migration().step() == Step.DEDICATED && !tenant.equals(excludedTenant)) {
+                isolated.put(tenant, Set.copyOf(knownPool.migration().endpoints()));
             }
         });
         return isolated;
@@ -100,11 +101,11 @@
     /** The assignments that the scheduler must follow now. */
     List<PoolAssignment> currentAssignments(double nowMillis) {
         List<PoolAssignment> current = new ArrayList<>();
-        pools.forEach((tenant, known) -> {
-            Step step = known.migration().step();
+        pools.forEach((tenant, knownPool) -> {
+            Step step = knownPool.migration().step();
             if (step.excludesOtherTenants()) {
-                boolean fresh = nowMillis - known.heardAtMillis() < staleAfterMillis;
-                Set<String> endpoints = Set.copyOf(known.migration().endpoints());
+                boolean fresh = nowMillis - knownPool.updatedAtMillis() < staleAfterMillis;
+                Set<String> endpoints = Set.copyOf(knownPool.migration().endpoints());
                 current.add(new PoolAssignment(tenant, endpoints, fresh, step == Step.DEDICATED));
             }
         });
--- a/src/main/java/nettlewick/tenantpools/PoolState.java
+++ b/src/main/java/nettlewick/tenantpools/PoolState.java
@@ -41,12 +41,12 @@
             return new Budget(newMonth, pendingResize, nearCapMonth);
         }
 
-        Budget withPendingResize(ResizeRequest next) {
-            return new Budget(month, next, nearCapMonth);
+        Budget withPendingResize(ResizeRequest newPendingResize) {
+            return new Budget(month, newPendingResize, nearCapMonth);
         }
 
-        Budget withNearCapMonth(String reached) {
-            return new Budget(month, pendingResize, reached);
+        Budget withNearCapMonth(String newNearCapMonth) {
+            return new Budget(month, pendingResize, newNearCapMonth);
         }
     }
 
@@ -80,12 +80,12 @@
         return migration != null && migration.step() != null && budget != null && addedEndpoints != null;
     }
 
-    PoolState withMigration(MigrationState next) {
-        return new PoolState(term, next, addedEndpoints, budget);
+    PoolState withMigration(MigrationState newMigration) {
+        return new PoolState(term, newMigration, addedEndpoints, budget);
     }
 
-    PoolState withBudget(Budget next) {
-        return new PoolState(term, migration, addedEndpoints, next);
+    PoolState withBudget(Budget newBudget) {
+        return new PoolState(term, migration, addedEndpoints, newBudget);
     }
 
     PoolState withAddedEndpoints(List<String> names) {
--- a/src/main/java/nettlewick/tenantpools/ProviderClient.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderClient.java
@@ -126,8 +126,9 @@
                         .get("fence")
                         .getAsLong());
             case STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE -> {
-                String after = response.getHeader("Retry-After");
-                yield new ProviderAnswer.RetryLater(after == null ? 0 : MILLIS_PER_SECOND * Double.parseDouble(after));
+                String retryAfter = response.getHeader("Retry-After");
+                yield new ProviderAnswer.RetryLater(
+                        retryAfter == null ? 0 : MILLIS_PER_SECOND * Double.parseDouble(retryAfter));
             }
             default -> new ProviderAnswer.NoAnswer();
         };
--- a/src/main/java/nettlewick/tenantpools/ProviderReport.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderReport.java
@@ -27,15 +27,15 @@
      * @throws RuntimeException if the body or the ETag is missing or malformed
      */
     static ProviderReport parse(String body, String etag, long providerTimeMillis, double requestedAtMillis) {
-        JsonObject pool = JsonParser.parseString(body).getAsJsonObject();
+        JsonObject root = JsonParser.parseString(body).getAsJsonObject();
         List<InstanceCharge> charges = new ArrayList<>();
-        for (JsonElement element : pool.getAsJsonArray("runners")) {
+        for (JsonElement element : root.getAsJsonArray("runners")) {
             charges.add(parseCharge(element.getAsJsonObject()));
         }
         if (etag == null) {
             throw new IllegalArgumentException("ETag is missing");
         }
-        return new ProviderReport(pool.get("size").getAsInt(), etag, charges, providerTimeMillis, requestedAtMillis);
+        return new ProviderReport(root.get("size").getAsInt(), etag, charges, providerTimeMillis, requestedAtMillis);
     }
 
     private static InstanceCharge parseCharge(JsonObject instance) {
--- a/src/main/java/nettlewick/tenantpools/ScaleOutController.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutController.java
@@ -39,11 +39,11 @@
 
     private boolean requestInFlight;
     private double nextRequestAt;
-    private int failures;
-    private boolean complete;
+    private int consecutiveFailures;
+    private boolean scaleOutComplete;
     private ScaleOutPolicy policy;
     private ScaleOutPolicy.ScaleOutSettings policySettings;
-    private long nextKey;
+    private long nextKeyNumber;
     /** Null while the lease is not held here. */
     private volatile BudgetStatus budgetStatus;
 
@@ -65,8 +65,8 @@
         report = null;
         requestInFlight = false;
         nextRequestAt = nowMillis;
-        failures = 0;
-        complete = false;
+        consecutiveFailures = 0;
+        scaleOutComplete = false;
     }
 
     void stopHolding() {
@@ -76,7 +76,7 @@
 
     /** Whether all endpoints that were requested run and are ready. */
     boolean isComplete() {
-        return complete;
+        return scaleOutComplete;
     }
 
     /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
@@ -92,7 +92,11 @@
      * @return the state to store, or the same one
      */
     PoolState evaluate(
-            PoolState state, PoolSettings.TenantSettings settings, int desired, Set<String> ready, double nowMillis) {
+            PoolState state,
+            PoolSettings.TenantSettings settings,
+            int desiredSize,
+            Set<String> readyNames,
+            double nowMillis) {
         List<String> names = runningNames(state);
         if (!names.equals(state.addedEndpoints())) {
             return state.withAddedEndpoints(names);
@@ -101,13 +105,13 @@
             policySettings = settings.scaleOut();
             policy = new ScaleOutPolicy(policySettings);
         }
-        String key = PoolSettings.leaseName(tenant) + "-" + Long.toHexString(fence) + "-" + nextKey;
+        String key = PoolSettings.leaseName(tenant) + "-" + Long.toHexString(fence) + "-" + nextKeyNumber;
         ScaleOutDecision decision =
-                policy.decide(state.budget(), report, desired, nowMillis, (long) clock.nowMillis(), key);
+                policy.decide(state.budget(), report, desiredSize, nowMillis, (long) clock.nowMillis(), key);
         budgetStatus = policy.budgetStatus();
-        complete = decision instanceof ScaleOutDecision.Nothing && allRun(ready);
-        if (decision instanceof ScaleOutDecision.Store store) {
-            nextKey++;
+        scaleOutComplete = decision instanceof ScaleOutDecision.NoAction && allInstancesReady(readyNames);
+        if (decision instanceof ScaleOutDecision.StoreBudget store) {
+            nextKeyNumber++;
             warnIfNearCap(state.budget(), store.budget());
             return state.withBudget(store.budget());
         }
@@ -126,10 +130,10 @@
                         .toList();
     }
 
-    private boolean allRun(Set<String> ready) {
+    private boolean allInstancesReady(Set<String> readyNames) {
         return report != null
                 && report.runningCharges().size() >= report.desiredSize()
-                && report.runningCharges().stream().allMatch(charge -> ready.contains(charge.name()));
+                && report.runningCharges().stream().allMatch(charge -> readyNames.contains(charge.name()));
     }
 
     private void warnIfNearCap(Budget before, Budget after) {
@@ -141,7 +145,7 @@
                 "near-cap",
                 "tenant " + tenant + " is near its spending cap: spent " + status.spentCents() + ", committed "
                         + status.committedCents() + " of " + status.capCents() + "; nothing is added before "
-                        + status.resumesIn(),
+                        + status.resumesInMonth(),
                 "member",
                 tenant,
                 "spent",
@@ -190,7 +194,7 @@
     private void handleAnswer(ProviderAnswer answer, double nowMillis) {
         requestInFlight = false;
         if (answer instanceof ProviderAnswer.Reported reported) {
-            takeReport(reported.report(), nowMillis);
+            acceptReport(reported.report(), nowMillis);
             return;
         }
         double delayMillis = answer instanceof ProviderAnswer.RetryLater later ? later.delayMillis() : 0;
@@ -198,7 +202,7 @@
         if (answer instanceof ProviderAnswer.VersionConflict) {
             report = null;
         } else if (answer instanceof ProviderAnswer.Fenced fenced) {
-            giveWay(fenced.highestFence());
+            yieldLease(fenced.highestFence());
         } else {
             LOG.info(
                     "provider-fails",
@@ -210,8 +214,8 @@
         }
     }
 
-    private void takeReport(ProviderReport newReport, double nowMillis) {
-        failures = 0;
+    private void acceptReport(ProviderReport newReport, double nowMillis) {
+        consecutiveFailures = 0;
         nextRequestAt = nowMillis;
         if (report == null || newReport.requestedAtMillis() >= report.requestedAtMillis()) {
             report = newReport;
@@ -220,12 +224,13 @@
 
     /** Drawn from the whole interval: all holders would otherwise return at once to a provider that was down. */
     private double backoffMillis() {
-        double bound =
-                Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(MAX_DOUBLINGS, failures++)));
-        return bound * random.nextDouble();
+        double maxDelayMillis = Math.min(
+                MAX_BACKOFF_MILLIS,
+                INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(MAX_DOUBLINGS, consecutiveFailures++)));
+        return maxDelayMillis * random.nextDouble();
     }
 
-    private void giveWay(long highestFence) {
+    private void yieldLease(long highestFence) {
         LOG.warning(
                 "outdone",
                 "the provider has seen a higher fence for tenant " + tenant,
--- a/src/main/java/nettlewick/tenantpools/ScaleOutDecision.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutDecision.java
@@ -6,13 +6,13 @@
 /** What a lease holder does next about a tenant's added endpoints. */
 sealed interface ScaleOutDecision {
     /** There is nothing to do. */
-    record Nothing() implements ScaleOutDecision {}
+    record NoAction() implements ScaleOutDecision {}
 
     /** The provider must be asked for a new report. */
     record FetchReport() implements ScaleOutDecision {}
 
     /** A new budget must be stored in the lease's state before anything else. */
-    record Store(Budget budget) implements ScaleOutDecision {}
+    record StoreBudget(Budget budget) implements ScaleOutDecision {}
 
     /**
      * The pending resize must be sent to the provider.
--- a/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
@@ -41,7 +41,7 @@
      *
      * @param resumesIn the month in which endpoints can be added again once the cap is near
      */
-    record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesIn) {}
+    record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesInMonth) {}
 
     /**
      * The moment of a decision.
@@ -51,8 +51,12 @@
      * @param monthDisputed     whether the provider's clock shows another month
      * @param affordable        how many more endpoints the budget allows
      */
-    private record Account(
-            SpendingCap spending, long providerNowMillis, YearMonth month, boolean monthDisputed, int affordable) {}
+    private record BudgetSnapshot(
+            SpendingCap spending,
+            long providerNowMillis,
+            YearMonth month,
+            boolean monthMismatch,
+            int affordableCount) {}
 
     private final ZoneId zone;
     private final ScaleOutSettings settings;
@@ -80,7 +84,7 @@
     ScaleOutDecision decide(
             Budget budget,
             ProviderReport report,
-            int desired,
+            int desiredSize,
             double nowMillis,
             long wallMillis,
             String idempotencyKey) {
@@ -88,18 +92,18 @@
             return new ScaleOutDecision.FetchReport();
         }
         if (isOutdated(report, nowMillis)) {
-            boolean idle = desired <= 0 && budget.pendingResize() == null && report.desiredSize() == 0;
-            return idle ? new ScaleOutDecision.Nothing() : new ScaleOutDecision.FetchReport();
+            boolean idle = desiredSize <= 0 && budget.pendingResize() == null && report.desiredSize() == 0;
+            return idle ? new ScaleOutDecision.NoAction() : new ScaleOutDecision.FetchReport();
         }
         long providerNowMillis = report.providerNowMillis(nowMillis);
         YearMonth month = budgetMonth(budget, Math.min(providerNowMillis, wallMillis));
         if (!month.toString().equals(budget.month())) {
-            return new ScaleOutDecision.Store(budget.withMonth(month.toString()));
+            return new ScaleOutDecision.StoreBudget(budget.withMonth(month.toString()));
         }
-        Account account = account(report, providerNowMillis, month);
+        BudgetSnapshot snapshot = budgetSnapshot(report, providerNowMillis, month);
         return budget.pendingResize() == null
-                ? startResize(budget, report, account, desired, idempotencyKey)
-                : continueResize(budget, report, account);
+                ? startResize(budget, report, snapshot, desiredSize, idempotencyKey)
+                : continueResize(budget, report, snapshot);
     }
 
     private static boolean isOutdated(ProviderReport report, double nowMillis) {
@@ -108,7 +112,7 @@
                 > (starting ? MAX_REPORT_AGE_WHILE_STARTING_MILLIS : MAX_REPORT_AGE_MILLIS);
     }
 
-    private Account account(ProviderReport report, long providerNowMillis, YearMonth month) {
+    private BudgetSnapshot budgetSnapshot(ProviderReport report, long providerNowMillis, YearMonth month) {
         SpendingCap spending = new SpendingCap(settings.cap(), month);
         budgetStatus = new BudgetStatus(
                 spending.spentCents(report.charges(), providerNowMillis),
@@ -116,10 +120,10 @@
                 settings.cap().cents(),
                 month.plusMonths(1));
         // Otherwise costs of one month could be paid from the budget of another.
-        boolean monthDisputed = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
-        long starting =
+        boolean monthMismatch = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
+        long startingCount =
                 Math.max(0, report.desiredSize() - report.runningCharges().size());
-        int affordable = monthDisputed
+        int affordableCount = monthMismatch
                 ? 0
                 : spending.affordableCount(
                         report.charges(),
@@ -127,52 +131,56 @@
                         settings.reactionMillis(),
                         UNLIMITED,
                         settings.minCostCents(),
-                        starting * settings.minCostCents());
-        return new Account(spending, providerNowMillis, month, monthDisputed, affordable);
+                        startingCount * settings.minCostCents());
+        return new BudgetSnapshot(spending, providerNowMillis, month, monthMismatch, affordableCount);
     }
 
     /**
      * Sends the pending resize unless it is done or has become too expensive since. A request of it that is still in
      * transit takes effect within its time limit or not at all.
      */
-    private ScaleOutDecision continueResize(Budget budget, ProviderReport report, Account account) {
+    private ScaleOutDecision continueResize(Budget budget, ProviderReport report, BudgetSnapshot snapshot) {
         ResizeRequest pending = budget.pendingResize();
-        int more = pending.size() - report.desiredSize();
-        return more == 0 || more > account.affordable()
-                ? new ScaleOutDecision.Store(budget.withPendingResize(null))
-                : new ScaleOutDecision.Resize(pending, account.providerNowMillis() + settings.reactionMillis());
+        int sizeChange = pending.size() - report.desiredSize();
+        return sizeChange == 0 || sizeChange > snapshot.affordableCount()
+                ? new ScaleOutDecision.StoreBudget(budget.withPendingResize(null))
+                : new ScaleOutDecision.Resize(pending, snapshot.providerNowMillis() + settings.reactionMillis());
     }
 
     private ScaleOutDecision startResize(
-            Budget budget, ProviderReport report, Account account, int desired, String idempotencyKey) {
-        int size = report.desiredSize();
-        int target = targetSize(report, account, desired);
-        if (target <= size) {
-            int fewer = (int) Math.min(
-                    size - target, countPastMinBilledTime(report.runningCharges(), account.providerNowMillis()));
-            return fewer <= 0
-                    ? new ScaleOutDecision.Nothing()
-                    : storeResize(budget, new ResizeRequest(idempotencyKey, size - fewer, 0));
+            Budget budget, ProviderReport report, BudgetSnapshot snapshot, int desiredSize, String idempotencyKey) {
+        int currentSize = report.desiredSize();
+        int targetSize = targetSize(report, snapshot, desiredSize);
+        if (targetSize <= currentSize) {
+            int releaseCount = (int) Math.min(
+                    currentSize - targetSize,
+                    countPastMinBilledTime(report.runningCharges(), snapshot.providerNowMillis()));
+            return releaseCount <= 0
+                    ? new ScaleOutDecision.NoAction()
+                    : storeResize(budget, new ResizeRequest(idempotencyKey, currentSize - releaseCount, 0));
         }
-        int more = Math.min(target - size, account.affordable());
-        String month = account.month().toString();
-        if (!account.monthDisputed() && more < target - size && !month.equals(budget.nearCapMonth())) {
-            return new ScaleOutDecision.Store(budget.withNearCapMonth(month));
+        int addCount = Math.min(targetSize - currentSize, snapshot.affordableCount());
+        String month = snapshot.month().toString();
+        if (!snapshot.monthMismatch() && addCount < targetSize - currentSize && !month.equals(budget.nearCapMonth())) {
+            return new ScaleOutDecision.StoreBudget(budget.withNearCapMonth(month));
         }
-        return more <= 0
-                ? new ScaleOutDecision.Nothing()
-                : storeResize(budget, new ResizeRequest(idempotencyKey, size + more, more * settings.minCostCents()));
+        return addCount <= 0
+                ? new ScaleOutDecision.NoAction()
+                : storeResize(
+                        budget,
+                        new ResizeRequest(idempotencyKey, currentSize + addCount, addCount * settings.minCostCents()));
     }
 
-    private int targetSize(ProviderReport report, Account account, int desired) {
-        if (settings.releaseAtCap() && account.spending().isCapReached(report.charges(), account.providerNowMillis())) {
+    private int targetSize(ProviderReport report, BudgetSnapshot snapshot, int desiredSize) {
+        if (settings.releaseAtCap()
+                && snapshot.spending().isCapReached(report.charges(), snapshot.providerNowMillis())) {
             return 0;
         }
-        return desired < 0 ? report.desiredSize() : desired;
+        return desiredSize < 0 ? report.desiredSize() : desiredSize;
     }
 
     private static ScaleOutDecision storeResize(Budget budget, ResizeRequest resize) {
-        return new ScaleOutDecision.Store(budget.withPendingResize(resize));
+        return new ScaleOutDecision.StoreBudget(budget.withPendingResize(resize));
     }
 
     /**
--- a/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -34,11 +34,11 @@
     private final ScaleOutController scaleOut;
     private final DoubleConsumer onChange;
     /** Whether the holder, here or elsewhere, wants reports from all dispatchers. */
-    private boolean holderListens;
+    private boolean holderRequestsReports;
 
     // The rest describes the time in which the lease is held here.
     private long fence = NO_FENCE;
-    private boolean announced;
+    private boolean acquisitionLogged;
     private long lastVersion;
     private double nextEvaluationAt;
     private ContentionMonitor monitor;
@@ -66,8 +66,8 @@
     }
 
     @Override
-    public void start(LeaseControl desk) {
-        scaleOut.attach(desk);
+    public void start(LeaseControl control) {
+        scaleOut.attach(control);
     }
 
     @Override
@@ -82,8 +82,8 @@
         }
         lastVersion = lease.version();
         nextEvaluationAt = lease.nowMillis() + MIN_EVALUATION_INTERVAL_MILLIS;
-        if (!announced) {
-            announced = true;
+        if (!acquisitionLogged) {
+            acquisitionLogged = true;
             LeaseTask.logHeld(PoolSettings.leaseName(tenant), lease, state.term());
         }
         migrating = state.migration().step() != Step.SHARED;
@@ -98,7 +98,7 @@
 
     private void startHolding(HeldLease lease) {
         fence = lease.fence();
-        announced = false;
+        acquisitionLogged = false;
         lastVersion = -1;
         monitor = new ContentionMonitor(
                 tenant,
@@ -110,21 +110,26 @@
 
     /** The next state, or the same object if nothing changes. */
     private PoolState nextState(PoolState state, double nowMillis) {
-        PoolSettings.TenantSettings own = tenantSettings();
-        Map<String, ReadyEndpoint> ready = assignments.readyEndpoints();
+        PoolSettings.TenantSettings tenantSettings = tenantSettings();
+        Map<String, ReadyEndpoint> readyEndpoints = assignments.readyEndpoints();
         PoolMigration.FleetView fleet = new PoolMigration.FleetView(
-                ready,
+                readyEndpoints,
                 assignments.endpointsReservedByOthers(tenant, state.migration().endpoints()),
-                own.scaleOut() == null || scaleOut.isComplete());
+                tenantSettings.scaleOut() == null || scaleOut.isComplete());
         MigrationState next = migration.nextState(
-                state.migration(), own.policy(), settings.get().migrationSettings(tenant), fleet, nowMillis);
+                state.migration(), tenantSettings.policy(), settings.get().migrationSettings(tenant), fleet, nowMillis);
         if (!next.equals(state.migration())) {
             logStep(next);
             return state.withMigration(next);
         }
-        return own.scaleOut() == null
+        return tenantSettings.scaleOut() == null
                 ? state
-                : scaleOut.evaluate(state, own, desiredEndpoints(state.migration(), ready), ready.keySet(), nowMillis);
+                : scaleOut.evaluate(
+                        state,
+                        tenantSettings,
+                        desiredAddedCount(state.migration(), readyEndpoints),
+                        readyEndpoints.keySet(),
+                        nowMillis);
     }
 
     private void logStep(MigrationState next) {
@@ -141,7 +146,7 @@
     }
 
     /** How many added endpoints match the demand beyond the tenant's quota; negative while the demand is unknown. */
-    private int desiredEndpoints(MigrationState state, Map<String, ReadyEndpoint> ready) {
+    private int desiredAddedCount(MigrationState state, Map<String, ReadyEndpoint> readyEndpoints) {
         if (state.step() == Step.SHARED || state.step() == Step.RETURNING) {
             return 0;
         }
@@ -149,11 +154,12 @@
         if (demandFraction < 0) {
             return -1;
         }
-        long shared = ready.values().stream()
+        long sharedCount = readyEndpoints.values().stream()
                 .filter(endpoint -> endpoint.addedForTenant() == null)
                 .count();
         double excessFraction = demandFraction - settings.get().quotas().get(tenant);
-        return (int) Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(excessFraction * shared)));
+        return (int)
+                Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(excessFraction * sharedCount)));
     }
 
     @Override
@@ -163,8 +169,8 @@
     }
 
     @Override
-    public void onStoredState(long holderFence, long version, byte[] state, boolean listens, double nowMillis) {
-        holderListens = listens;
+    public void onStoredState(long holderFence, long version, byte[] state, boolean requestsReports, double nowMillis) {
+        holderRequestsReports = requestsReports;
         assignments.recordState(tenant, PoolState.decode(state), nowMillis);
         onChange.accept(nowMillis);
     }
@@ -178,7 +184,7 @@
             LOG.warning(
                     "word-passed-over", "a usage report on tenant " + tenant + " cannot be read", "from", dispatcher);
         }
-        if (monitor.listenIfUnsolicited()) {
+        if (monitor.requestReportsIfUnsolicited()) {
             LOG.info(
                     "hears-all",
                     "listens to all dispatchers on tenant " + tenant,
@@ -195,7 +201,7 @@
         return reporter.reportsToSend(
                 tenant,
                 holderFence,
-                holderListens,
+                holderRequestsReports,
                 settings.get().windowMillis(),
                 nowMillis,
                 () -> assignments.isolatedTenants(tenant).keySet());
@@ -203,7 +209,7 @@
 
     @Override
     public boolean requestsReports() {
-        return fence >= 0 && (migrating || monitor.isListening());
+        return fence >= 0 && (migrating || monitor.requestsReports());
     }
 
     @Override
--- a/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
@@ -29,23 +29,23 @@
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
 
     private volatile PoolSettings settings;
-    private final SchedulerSettings platform;
+    private final SchedulerSettings schedulerSettings;
     private final UsageCounters counters;
     private final PoolAssignments assignments;
     private final ProviderClient provider;
     private final Map<String, TenantPoolTask> tasks = new LinkedHashMap<>();
     private volatile RequestCoordinator coordinator;
-    private List<PoolAssignment> lastAssigned = List.of();
+    private List<PoolAssignment> lastAssignments = List.of();
 
     /**
      * Checks the settings and creates one lease task for each tenant that they name.
      *
      * @throws nettlewick.settings.InvalidSettingsException if the block contradicts itself or the platform's settings
      */
-    public TenantPoolsService(Block block, SchedulerSettings platform, Clock clock, long seed) {
-        this.platform = platform;
-        settings = PoolSettings.of(block, platform.tenants());
-        counters = new UsageCounters(platform.classes());
+    public TenantPoolsService(Block block, SchedulerSettings schedulerSettings, Clock clock, long seed) {
+        this.schedulerSettings = schedulerSettings;
+        settings = PoolSettings.of(block, schedulerSettings.tenants());
+        counters = new UsageCounters(schedulerSettings.classes());
         assignments = new PoolAssignments(settings.staleAfterMillis());
         provider = settings.providerUrl() == null
                 ? null
@@ -81,7 +81,7 @@
      * @throws nettlewick.settings.InvalidSettingsException if it is invalid; the current settings stay in force
      */
     public Runnable prepareReload(Block block) {
-        PoolSettings next = PoolSettings.of(block, platform.tenants());
+        PoolSettings next = PoolSettings.of(block, schedulerSettings.tenants());
         return () -> {
             if (next.tenants().keySet().equals(tasks.keySet())) {
                 settings = next;
@@ -96,11 +96,11 @@
     /** Hands changed assignments to the core. Called on the lease thread. */
     private void publishAssignments(double nowMillis) {
         List<PoolAssignment> next = assignments.currentAssignments(nowMillis);
-        RequestCoordinator to = coordinator;
-        if (to != null && !next.equals(lastAssigned)) {
-            lastAssigned = next;
+        RequestCoordinator currentCoordinator = coordinator;
+        if (currentCoordinator != null && !next.equals(lastAssignments)) {
+            lastAssignments = next;
             LOG.info("pools-followed", "tenants with dedicated endpoints: " + next.size(), "follows", describe(next));
-            to.assignPools(next);
+            currentCoordinator.assignPools(next);
         }
     }
 
@@ -108,11 +108,12 @@
      * {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether it excludes others, whether it is confined, endpoints. The
      * fleet test parses this form.
      */
-    private static String describe(List<PoolAssignment> all) {
-        return all.stream()
-                .map(a -> a.tenant() + ":" + (a.isExclusive() ? 1 : 0) + ":" + (a.isConfined() ? 1 : 0)
+    private static String describe(List<PoolAssignment> assignments) {
+        return assignments.stream()
+                .map(assignment -> assignment.tenant() + ":" + (assignment.isExclusive() ? 1 : 0) + ":"
+                        + (assignment.isConfined() ? 1 : 0)
                         + ":"
-                        + a.endpoints().stream().sorted().collect(Collectors.joining(",")))
+                        + assignment.endpoints().stream().sorted().collect(Collectors.joining(",")))
                 .collect(Collectors.joining(";"));
     }
 
@@ -138,16 +139,16 @@
 
     @Override
     public Map<String, Number> metrics() {
-        Map<String, Number> figures = new TreeMap<>();
+        Map<String, Number> metrics = new TreeMap<>();
         tasks.forEach((name, task) -> {
             ScaleOutPolicy.BudgetStatus budget = task.budgetStatus();
             if (budget != null) {
-                figures.put("pools." + name + ".spent_cents", budget.spentCents());
-                figures.put("pools." + name + ".committed_cents", budget.committedCents());
-                figures.put("pools." + name + ".cap_cents", budget.capCents());
+                metrics.put("pools." + name + ".spent_cents", budget.spentCents());
+                metrics.put("pools." + name + ".committed_cents", budget.committedCents());
+                metrics.put("pools." + name + ".cap_cents", budget.capCents());
             }
         });
-        return figures;
+        return metrics;
     }
 
     @Override
--- a/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
+++ b/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
@@ -63,8 +63,8 @@
     void aFloodThatHarmsOthersIsDetectedWithinEightWindows() {
         startFleet();
         runUncontendedWindows();
-        int after = windowsUntilDetected(load(6, 1, 0.3, 1.1));
-        assertTrue(after >= 4 && after <= 8, "detected after " + after);
+        int windows = windowsUntilDetected(load(6, 1, 0.3, 1.1));
+        assertTrue(windows >= 4 && windows <= 8, "detected after " + windows);
     }
 
     @Test
@@ -72,8 +72,8 @@
         startFleet();
         fleet.lossProbability = 0.3;
         runUncontendedWindows();
-        int after = windowsUntilDetected(load(6, 1, 0.3, 1.1));
-        assertTrue(after >= 4 && after <= 12, "detected after " + after);
+        int windows = windowsUntilDetected(load(6, 1, 0.3, 1.1));
+        assertTrue(windows >= 4 && windows <= 12, "detected after " + windows);
     }
 
     @Test
@@ -107,17 +107,17 @@
     void manySmallTenantsTogetherAreNotBlamed() {
         quotas.clear();
         Map<String, Double> requests = new LinkedHashMap<>();
-        for (int m = 0; m < 10; m++) {
-            quotas.put(m == 0 ? "red" : "small-" + m, 0.04);
-            requests.put(m == 0 ? "red" : "small-" + m, 1.5);
+        for (int i = 0; i < 10; i++) {
+            quotas.put(i == 0 ? "red" : "small-" + i, 0.04);
+            requests.put(i == 0 ? "red" : "small-" + i, 1.5);
         }
         quotas.put("green", 0.6);
         requests.put("green", 5.0);
         startFleet();
-        Map<String, Double> calm = new LinkedHashMap<>(requests);
-        calm.replaceAll((m, j) -> m.equals("green") ? 6 : 0.3);
+        Map<String, Double> withinQuotas = new LinkedHashMap<>(requests);
+        withinQuotas.replaceAll((tenant, mean) -> tenant.equals("green") ? 6 : 0.3);
         for (int w = 0; w < 10; w++) {
-            runWindow(new Load(calm, 0.01, 1));
+            runWindow(new Load(withinQuotas, 0.01, 1));
         }
         assertEquals(-1, windowsUntilDetected(new Load(requests, 0.3, 1)));
     }
@@ -127,14 +127,14 @@
     void theSecondTenantIsDetectedOnceTheLargerIsIsolated() {
         startFleet();
         runUncontendedWindows();
-        Load both = new Load(Map.of("red", 5.0, "blue", 7.0, "green", 2.0), 0.3, 1.1);
-        assertEquals(-1, windowsUntilDetected(both));
+        Load bothFlood = new Load(Map.of("red", 5.0, "blue", 7.0, "green", 2.0), 0.3, 1.1);
+        assertEquals(-1, windowsUntilDetected(bothFlood));
         fleet.isolated = Map.of("blue", Set.of("s9"));
-        assertTrue(windowsUntilDetected(both) > 0);
+        assertTrue(windowsUntilDetected(bothFlood) > 0);
     }
 
     @Test
-    void theVictimIsNotBlamed() {
+    void aTenantHarmedByAnotherIsNotBlamed() {
         startFleet();
         runUncontendedWindows();
         assertEquals(-1, windowsUntilDetected(new Load(Map.of("red", 1.0, "blue", 8.0, "green", 2.0), 0.3, 1)));
@@ -144,9 +144,9 @@
     void oneDispatchersReportsAreNotEnough() {
         startFleet();
         runUncontendedWindows();
-        Supplier<byte[]> accusations = SimulatedDispatchers.falseReports("red", ENDPOINTS);
+        Supplier<byte[]> falseReports = SimulatedDispatchers.falseReports("red", ENDPOINTS);
         for (int w = 0; w < MAX_WINDOWS; w++) {
-            fleet.evidence.recordReport(DISPATCHERS, 1, accusations.get());
+            fleet.evidence.recordReport(DISPATCHERS, 1, falseReports.get());
             assertFalse(runWindow(load(1, 1, 0.02, 1)).causesContention());
         }
     }
@@ -154,17 +154,18 @@
     /** The holder is replaced in each window of a flood: dispatchers repeat the last windows to each new one. */
     @Test
     void evidenceSurvivesALeaseHolderChangeInEachWindow() {
-        for (double lost : new double[] {0, 0.3}) {
+        for (double lossProbability : new double[] {0, 0.3}) {
             startFleet();
-            fleet.lossProbability = lost;
+            fleet.lossProbability = lossProbability;
             runUncontendedWindows();
             Load flood = load(6, 1, 0.3, 1.1);
-            int after = -1;
-            for (int w = 1; w <= MAX_WINDOWS && after < 0; w++) {
-                after = runWindow(flood).causesContention() ? w : -1;
+            int windows = -1;
+            for (int w = 1; w <= MAX_WINDOWS && windows < 0; w++) {
+                windows = runWindow(flood).causesContention() ? w : -1;
                 fleet.replaceHolder(true);
             }
-            assertTrue(after >= 4 && after <= 10, "detected after " + after + " with " + lost + " lost");
+            assertTrue(
+                    windows >= 4 && windows <= 10, "detected after " + windows + " with " + lossProbability + " lost");
         }
     }
 
@@ -193,10 +194,10 @@
             for (int d = 0; d < DISPATCHERS; d++) {
                 int dispatcher = d;
                 for (int age = 1; age <= ContentionEvidence.WINDOWS; age++) {
-                    byte[] old = UsageReportCodec.withAge(
+                    byte[] earlierReport = UsageReportCodec.withAge(
                             fleet.dispatchers.get(d).recentReports.get(age - 1), age);
-                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, old));
-                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, old));
+                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, earlierReport));
+                    deliveries.add(() -> fleet.evidence.recordReport(dispatcher, 1, earlierReport));
                 }
             }
             Collections.shuffle(deliveries, random);
@@ -216,7 +217,7 @@
                     UsageCounters.nameHash("s0"), new UsageReport.EndpointUsage(900_000, 1_000_000, 10_000, 9000));
         }
         runUncontendedWindows();
-        fleet.dispatchers.replaceAll(s -> new SimulatedDispatchers.DispatcherUsage());
+        fleet.dispatchers.replaceAll(previous -> new SimulatedDispatchers.DispatcherUsage());
         for (int d = 0; d < DISPATCHERS; d++) {
             assertTrue(fleet.evidence.recordReport(
                     d, 2, UsageReportCodec.encode(fleet.dispatchers.get(d).report(0.25))));
@@ -233,8 +234,8 @@
     void reportsSurviveEncodingAndDecoding(@ForAll("reports") UsageReport report) {
         byte[] bytes = UsageReportCodec.encode(report);
         assertEquals(report, UsageReportCodec.decode(bytes));
-        byte[] cut = Arrays.copyOf(bytes, bytes.length - 1);
-        assertNull(UsageReportCodec.decode(cut));
+        byte[] truncated = Arrays.copyOf(bytes, bytes.length - 1);
+        assertNull(UsageReportCodec.decode(truncated));
     }
 
     @Provide
@@ -243,13 +244,16 @@
                 .between(0, Long.MAX_VALUE / 2)
                 .list()
                 .ofSize(4)
-                .map(n -> new UsageReport(
-                        n.get(0),
-                        Map.of(7, n.get(1)),
-                        n.get(2),
-                        n.get(3),
-                        Map.of(9, new UsageReport.EndpointUsage(n.get(0) / 2, n.get(0), n.get(1), n.get(1) / 3)),
-                        new UncontendedBaseline(n.get(2), n.get(2) / 2, n.get(3), n.get(0)),
-                        n.get(1) % 2 == 0));
+                .map(counts -> new UsageReport(
+                        counts.get(0),
+                        Map.of(7, counts.get(1)),
+                        counts.get(2),
+                        counts.get(3),
+                        Map.of(
+                                9,
+                                new UsageReport.EndpointUsage(
+                                        counts.get(0) / 2, counts.get(0), counts.get(1), counts.get(1) / 3)),
+                        new UncontendedBaseline(counts.get(2), counts.get(2) / 2, counts.get(3), counts.get(0)),
+                        counts.get(1) % 2 == 0));
     }
 }
--- a/src/test/java/nettlewick/contention/PoolMigrationTest.java
+++ b/src/test/java/nettlewick/contention/PoolMigrationTest.java
@@ -31,12 +31,12 @@
     private MigrationState state = MigrationState.NOT_MIGRATED;
     private double nowMillis;
 
-    private static Map<String, ReadyEndpoint> fleet(int size) {
-        Map<String, ReadyEndpoint> fleet = new HashMap<>();
+    private static Map<String, ReadyEndpoint> endpoints(int size) {
+        Map<String, ReadyEndpoint> endpoints = new HashMap<>();
         for (int i = 0; i < size; i++) {
-            fleet.put("s" + i, new ReadyEndpoint("s" + i, i % 4 == 0 ? "b" : "a", "std", null));
+            endpoints.put("s" + i, new ReadyEndpoint("s" + i, i % 4 == 0 ? "b" : "a", "std", null));
         }
-        return fleet;
+        return endpoints;
     }
 
     /** Advances the time with a finding every half second; the steps that were entered. */
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void aContendingTenantIsMovedStepByStepAndReturns() {
-        ready.putAll(fleet(8));
+    void aContendingTenantIsMigratedStepByStepAndReturns() {
+        ready.putAll(endpoints(8));
         assertEquals(List.of(), run(5000, UNCONTENDED, true));
         assertEquals(List.of(Step.RESERVING, Step.DRAINING, Step.DEDICATED), run(5000, CONTENDING, true));
         assertEquals(2, state.endpoints().size(), "a quarter of eight");
@@ -72,7 +72,7 @@
 
     @Test
     void eachReturnDoublesTheNextMinimumStay() {
-        ready.putAll(fleet(8));
+        ready.putAll(endpoints(8));
         for (int stay = 10_000; stay <= 80_000; stay *= 2) {
             run(6000, CONTENDING, true);
             assertEquals(Step.DEDICATED, state.step());
@@ -82,15 +82,15 @@
     }
 
     @Test
-    void addedEndpointsAreAwaitedUntilATimeout() {
-        ready.putAll(fleet(8));
+    void migrationWaitsForAddedEndpointsUntilATimeout() {
+        ready.putAll(endpoints(8));
         assertEquals(List.of(Step.RESERVING), run(4000, CONTENDING, false));
         assertEquals(List.of(Step.DRAINING, Step.DEDICATED), run(6000, CONTENDING, false));
     }
 
     @Test
     void aNewLeaseHolderContinuesFromTheStoredStep() {
-        ready.putAll(fleet(8));
+        ready.putAll(endpoints(8));
         run(2000, CONTENDING, true);
         Step stored = state.step();
         assertEquals(Step.DRAINING, stored);
@@ -100,7 +100,7 @@
 
     @Test
     void aLostEndpointIsReplacedAndAnEmptyListKeepsThePool() {
-        ready.putAll(fleet(8));
+        ready.putAll(endpoints(8));
         run(6000, CONTENDING, true);
         List<String> before = state.endpoints();
         ready.remove(before.get(0));
@@ -109,7 +109,7 @@
         assertTrue(
                 state.endpoints().contains(before.get(1)) && !state.endpoints().contains(before.get(0)));
         ready.clear();
-        MigrationState kept = state;
+        MigrationState previous = state;
         migration.recordFinding(CONTENDING, nowMillis);
         MigrationState next = migration.nextState(
                 state,
@@ -117,45 +117,45 @@
                 SETTINGS,
                 new PoolMigration.FleetView(ready, Set.of(), true),
                 nowMillis);
-        assertEquals(kept.endpoints(), next.endpoints());
+        assertEquals(previous.endpoints(), next.endpoints());
     }
 
     @Test
-    void operatorsCanForceOrForbidAPool() {
-        ready.putAll(fleet(8));
-        PoolMigration.FleetView view = new PoolMigration.FleetView(ready, Set.of(), true);
+    void operatorsCanForceOrForbidDedicatedEndpoints() {
+        ready.putAll(endpoints(8));
+        PoolMigration.FleetView fleetView = new PoolMigration.FleetView(ready, Set.of(), true);
         migration.recordFinding(CONTENDING, 0);
         assertSame(
                 MigrationState.NOT_MIGRATED,
-                migration.nextState(MigrationState.NOT_MIGRATED, OperatorPolicy.ALWAYS_SHARED, SETTINGS, view, 0));
+                migration.nextState(MigrationState.NOT_MIGRATED, OperatorPolicy.ALWAYS_SHARED, SETTINGS, fleetView, 0));
         migration.recordFinding(UNCONTENDED, 0);
         assertEquals(
                 Step.RESERVING,
                 migration
-                        .nextState(MigrationState.NOT_MIGRATED, OperatorPolicy.ALWAYS_DEDICATED, SETTINGS, view, 0)
+                        .nextState(MigrationState.NOT_MIGRATED, OperatorPolicy.ALWAYS_DEDICATED, SETTINGS, fleetView, 0)
                         .step());
-        MigrationState open = new MigrationState(Step.DEDICATED, List.of("s1", "s2"), 0);
+        MigrationState dedicated = new MigrationState(Step.DEDICATED, List.of("s1", "s2"), 0);
         assertEquals(
                 Step.RETURNING,
                 migration
-                        .nextState(open, OperatorPolicy.ALWAYS_SHARED, SETTINGS, view, 0)
+                        .nextState(dedicated, OperatorPolicy.ALWAYS_SHARED, SETTINGS, fleetView, 0)
                         .step());
     }
 
     @Property(tries = 300)
-    void poolsHonorQuotaZonesAndTheMaximumFraction(
+    void poolsRespectQuotaZonesAndMaximumFraction(
             @ForAll @IntRange(min = 1, max = 60) int size,
             @ForAll @IntRange(min = 1, max = 90) int percent,
             @ForAll @IntRange(min = 0, max = 20) int reservedCount) {
-        Map<String, ReadyEndpoint> fleet = fleet(size);
-        fleet.put("x", new ReadyEndpoint("x", "a", "std", "red"));
-        fleet.put("y", new ReadyEndpoint("y", "a", "std", "blue"));
+        Map<String, ReadyEndpoint> endpoints = endpoints(size);
+        endpoints.put("x", new ReadyEndpoint("x", "a", "std", "red"));
+        endpoints.put("y", new ReadyEndpoint("y", "a", "std", "blue"));
         Set<String> reservedByOthers = new HashSet<>();
         for (int i = 0; i < Math.min(reservedCount, size); i++) {
             reservedByOthers.add("s" + i);
         }
         List<String> pool =
-                PoolReservation.selectEndpoints("red", fleet, List.of(), reservedByOthers, percent / 100.0, 0.5);
+                PoolReservation.selectEndpoints("red", endpoints, List.of(), reservedByOthers, percent / 100.0, 0.5);
         assertTrue(pool.contains("x") && !pool.contains("y"));
         assertTrue(pool.stream().noneMatch(reservedByOthers::contains));
         int shared = pool.size() - 1;
@@ -164,13 +164,16 @@
                 shared + " beside " + reservedByOthers.size());
         assertTrue(shared <= Math.max(1, Math.round(percent / 100.0 * size)));
         if (reservedByOthers.isEmpty() && shared > 0) {
-            long inZoneB =
-                    pool.stream().filter(r -> fleet.get(r).zone().equals("b")).count();
-            long all = fleet.values().stream().filter(r -> r.zone().equals("b")).count();
-            assertTrue(Math.abs(inZoneB - shared * all / (double) size) < 1, inZoneB + " of " + shared);
+            long inZoneB = pool.stream()
+                    .filter(name -> endpoints.get(name).zone().equals("b"))
+                    .count();
+            long allInZoneB = endpoints.values().stream()
+                    .filter(endpoint -> endpoint.zone().equals("b"))
+                    .count();
+            assertTrue(Math.abs(inZoneB - shared * allInZoneB / (double) size) < 1, inZoneB + " of " + shared);
         }
-        List<String> again =
-                PoolReservation.selectEndpoints("red", fleet, pool, reservedByOthers, percent / 100.0, 0.5);
-        assertEquals(new HashSet<>(pool), new HashSet<>(again), "a second selection keeps the pool");
+        List<String> reselected =
+                PoolReservation.selectEndpoints("red", endpoints, pool, reservedByOthers, percent / 100.0, 0.5);
+        assertEquals(new HashSet<>(pool), new HashSet<>(reselected), "a second selection keeps the pool");
     }
 }
--- a/src/test/java/nettlewick/contention/SimulatedDispatchers.java
+++ b/src/test/java/nettlewick/contention/SimulatedDispatchers.java
@@ -73,17 +73,17 @@
         for (int d = 0; d < dispatchers.size(); d++) {
             DispatcherUsage usage = dispatchers.get(d);
             load.requestsPerWindow().forEach((tenant, mean) -> {
-                for (int left = (int) (mean + random.nextDouble()); left > 0; left--) {
+                for (int remaining = (int) (mean + random.nextDouble()); remaining > 0; remaining--) {
                     boolean red = tenant.equals("red");
                     usage.totalWork += WORK_MILLIS;
                     usage.workByTenant.merge(UsageCounters.nameHash(tenant), WORK_MILLIS, Long::sum);
                     usage.runMillis += red ? 0 : (long) (WORK_MILLIS * load.slowdown());
                     usage.hintedMillis += red ? 0 : WORK_MILLIS;
-                    boolean harm = !red && random.nextDouble() < load.harmedFraction();
+                    boolean harmed = !red && random.nextDouble() < load.harmedFraction();
                     usage.endpoints.merge(
                             UsageCounters.nameHash("s" + random.nextInt(ENDPOINTS)),
                             new UsageReport.EndpointUsage(
-                                    red ? WORK_MILLIS : 0, WORK_MILLIS, red ? 0 : 1, harm ? 1 : 0),
+                                    red ? WORK_MILLIS : 0, WORK_MILLIS, red ? 0 : 1, harmed ? 1 : 0),
                             UsageReport.EndpointUsage::plus);
                 }
             });
@@ -101,9 +101,9 @@
      *
      * @param past whether dispatchers send the reports of earlier windows to it
      */
-    void replaceHolder(boolean past) {
+    void replaceHolder(boolean resendReports) {
         evidence = new ContentionEvidence("red", quotas);
-        for (int d = 0; d < dispatchers.size() && past; d++) {
+        for (int d = 0; d < dispatchers.size() && resendReports; d++) {
             List<byte[]> reports = dispatchers.get(d).recentReports;
             for (int age = Math.min(ContentionEvidence.WINDOWS, reports.size()); age > 0; age--) {
                 if (random.nextDouble() >= lossProbability) {
@@ -115,17 +115,17 @@
 
     /** Encoded reports of a dispatcher that falsely blames a tenant for all harm, each worse than the one before. */
     public static Supplier<byte[]> falseReports(String tenant, int endpoints) {
-        DispatcherUsage accuser = new DispatcherUsage();
+        DispatcherUsage reporter = new DispatcherUsage();
         return () -> {
-            accuser.totalWork += 1_000_000;
-            accuser.workByTenant.merge(UsageCounters.nameHash(tenant), 1_000_000L, Long::sum);
+            reporter.totalWork += 1_000_000;
+            reporter.workByTenant.merge(UsageCounters.nameHash(tenant), 1_000_000L, Long::sum);
             for (int r = 0; r < endpoints; r++) {
-                accuser.endpoints.merge(
+                reporter.endpoints.merge(
                         UsageCounters.nameHash("s" + r),
                         new UsageReport.EndpointUsage(100_000, 100_000, 1000, 900),
                         UsageReport.EndpointUsage::plus);
             }
-            return UsageReportCodec.encode(accuser.report(0.25).withBaseline(UncontendedBaseline.NONE, true));
+            return UsageReportCodec.encode(reporter.report(0.25).withBaseline(UncontendedBaseline.NONE, true));
         };
     }
 
@@ -135,28 +135,28 @@
      */
     public static int countFalseDetections(int dispatchers, int windows, long seed) {
         Map<String, Double> quotas = Map.of("red", 0.25, "blue", 0.25, "green", 0.5);
-        SimulatedDispatchers tier = new SimulatedDispatchers(dispatchers, quotas, seed);
+        SimulatedDispatchers fleet = new SimulatedDispatchers(dispatchers, quotas, seed);
         SplittableRandom random = new SplittableRandom(seed + 1);
-        int moves = 0;
+        int detections = 0;
         Load load = null;
         for (int w = 0; w < windows; w++) {
             if (w % 8 == 0) {
-                double volume = 0.5 + 3 * random.nextDouble();
+                double requestRate = 0.5 + 3 * random.nextDouble();
                 boolean slow = random.nextInt(4) == 0;
                 double harmed = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0.01;
                 load = new Load(
                         Map.of(
                                 "red",
-                                volume * (0.2 + 0.8 * random.nextDouble()),
+                                requestRate * (0.2 + 0.8 * random.nextDouble()),
                                 "blue",
-                                volume * (1 + 2 * (random.nextInt(4) == 0 ? random.nextDouble() : 0)),
+                                requestRate * (1 + 2 * (random.nextInt(4) == 0 ? random.nextDouble() : 0)),
                                 "green",
-                                2 * volume),
+                                2 * requestRate),
                         harmed,
                         slow ? 3 : 1);
             }
-            moves += tier.runWindow(load).causesContention() ? 1 : 0;
+            detections += fleet.runWindow(load).causesContention() ? 1 : 0;
         }
-        return moves;
+        return detections;
     }
 }
--- a/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
+++ b/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
@@ -15,14 +15,20 @@
 class UsageReportGoldenTest {
     @Test
     void aReportHasTheRecordedBytes() {
-        Map<Integer, Long> asked = new LinkedHashMap<>();
-        asked.put(17, 1_000_000_007L);
-        asked.put(-5, 3L);
-        Map<Integer, UsageReport.EndpointUsage> at = new LinkedHashMap<>();
-        at.put(0x1234_5678, new UsageReport.EndpointUsage(1, 20, 300, 40));
-        at.put(-1, new UsageReport.EndpointUsage(0, 7, 0, 0));
+        Map<Integer, Long> workByTenant = new LinkedHashMap<>();
+        workByTenant.put(17, 1_000_000_007L);
+        workByTenant.put(-5, 3L);
+        Map<Integer, UsageReport.EndpointUsage> endpoints = new LinkedHashMap<>();
+        endpoints.put(0x1234_5678, new UsageReport.EndpointUsage(1, 20, 300, 40));
+        endpoints.put(-1, new UsageReport.EndpointUsage(0, 7, 0, 0));
         UsageReport report = new UsageReport(
-                123_456_789_012L, asked, 77, 88, at, new UncontendedBaseline(0.5, 0.25, 12.75, 13.5), true);
+                123_456_789_012L,
+                workByTenant,
+                77,
+                88,
+                endpoints,
+                new UncontendedBaseline(0.5, 0.25, 12.75, 13.5),
+                true);
         byte[] bytes = UsageReportCodec.encode(report);
         assertEquals(report, UsageReportCodec.decode(bytes));
         assertMatches(
@@ -42,9 +48,9 @@
         for (String tenant : List.of("red", "green", "école")) {
             for (double quota : new double[] {0.05, 0.2, 0.4}) {
                 text.append(tenant).append(' ').append(quota).append(' ');
-                List<String> before = List.of("s3", "s8");
+                List<String> currentPool = List.of("s3", "s8");
                 Set<String> reserved = Set.of("s1", "s2");
-                text.append(PoolReservation.selectEndpoints(tenant, ready, before, reserved, quota, 0.5))
+                text.append(PoolReservation.selectEndpoints(tenant, ready, currentPool, reserved, quota, 0.5))
                         .append('\n');
             }
         }
--- a/src/test/java/nettlewick/contention/UsageReporterTest.java
+++ b/src/test/java/nettlewick/contention/UsageReporterTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void withoutHarmReportsAreSentOnlyToAListeningHolder() {
+    void withoutHarmReportsAreSentOnlyOnRequest() {
         recordRequests("red", 2, false);
         recordRequests("blue", 8, false);
         assertEquals(
@@ -49,8 +49,8 @@
                 "over its quota, but nobody is harmed");
     }
 
-    private List<Integer> ages(long fence, boolean listens, double now) {
-        return reporter.reportsToSend("red", fence, listens, WINDOW_MILLIS, now, Set::of).stream()
+    private List<Integer> reportAges(long fence, boolean holderRequestsReports, double nowMillis) {
+        return reporter.reportsToSend("red", fence, holderRequestsReports, WINDOW_MILLIS, nowMillis, Set::of).stream()
                 .map(UsageReportCodec::ageWindows)
                 .toList();
     }
@@ -59,15 +59,15 @@
     void aNewHolderGetsTheLastWindowsExactlyOnce() {
         for (int w = 0; w < 10; w++) {
             recordRequests("red", 1, false);
-            assertEquals(List.of(), ages(1, false, w * WINDOW_MILLIS));
+            assertEquals(List.of(), reportAges(1, false, w * WINDOW_MILLIS));
         }
-        assertEquals(List.of(1, 2, 3, 4, 5, 6, 0), ages(1, true, 9 * WINDOW_MILLIS + 1));
-        assertEquals(List.of(0), ages(1, true, 9 * WINDOW_MILLIS + 500));
-        assertEquals(List.of(1, 2, 3, 4, 5, 6, 0), ages(2, true, 9 * WINDOW_MILLIS + 600), "a new holder");
-        assertEquals(List.of(1, 0), ages(2, true, 10 * WINDOW_MILLIS));
-        assertEquals(List.of(), ages(2, false, 11 * WINDOW_MILLIS));
-        assertEquals(List.of(), ages(2, false, 12 * WINDOW_MILLIS));
-        assertEquals(List.of(1, 2, 0), ages(2, true, 12 * WINDOW_MILLIS + 1), "the same holder listens again");
+        assertEquals(List.of(1, 2, 3, 4, 5, 6, 0), reportAges(1, true, 9 * WINDOW_MILLIS + 1));
+        assertEquals(List.of(0), reportAges(1, true, 9 * WINDOW_MILLIS + 500));
+        assertEquals(List.of(1, 2, 3, 4, 5, 6, 0), reportAges(2, true, 9 * WINDOW_MILLIS + 600), "a new holder");
+        assertEquals(List.of(1, 0), reportAges(2, true, 10 * WINDOW_MILLIS));
+        assertEquals(List.of(), reportAges(2, false, 11 * WINDOW_MILLIS));
+        assertEquals(List.of(), reportAges(2, false, 12 * WINDOW_MILLIS));
+        assertEquals(List.of(1, 2, 0), reportAges(2, true, 12 * WINDOW_MILLIS + 1), "the same holder listens again");
         assertEquals(
                 10 * 50,
                 UsageReportCodec.decode(
@@ -87,7 +87,7 @@
             recordHarm();
             reported.add(!reporter.reportsToSend("green", 1, false, WINDOW_MILLIS, w * WINDOW_MILLIS, Set::of)
                     .isEmpty());
-            assertEquals(List.of(), ages(1, false, w * WINDOW_MILLIS), "red is slightly over its quota as well");
+            assertEquals(List.of(), reportAges(1, false, w * WINDOW_MILLIS), "red is slightly over its quota as well");
         }
         assertEquals(
                 List.of(false, false, true, true),
@@ -111,8 +111,8 @@
 
     private void recordHarm() {
         for (int i = 0; i < 3; i++) {
-            Request r = new Request("h" + i, "c", "blue", null, 1e6, 1, 0, 50, true, null, null);
-            counters.onAttemptEnded(TestAttempts.create(r, "s1"), AttemptResult.OVERLOADED);
+            Request request = new Request("h" + i, "c", "blue", null, 1e6, 1, 0, 50, true, null, null);
+            counters.onAttemptEnded(TestAttempts.create(request, "s1"), AttemptResult.OVERLOADED);
         }
     }
 
--- a/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
+++ b/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
@@ -14,13 +14,14 @@
     void eachStepHasTheRecordedJson() {
         StringBuilder text = new StringBuilder();
         for (MigrationState.Step step : MigrationState.Step.values()) {
-            PoolState.ResizeRequest intent =
+            PoolState.ResizeRequest pendingResize =
                     step.ordinal() % 2 == 0 ? null : new PoolState.ResizeRequest("key-7", 3, 1250);
             PoolState state = new PoolState(
                     4,
                     new MigrationState(step, List.of("s1", "x0"), 2),
                     List.of("x0"),
-                    new PoolState.Budget("2026-12", intent, step == MigrationState.Step.DEDICATED ? "2026-12" : ""));
+                    new PoolState.Budget(
+                            "2026-12", pendingResize, step == MigrationState.Step.DEDICATED ? "2026-12" : ""));
             text.append(new String(state.encode(), StandardCharsets.UTF_8)).append('\n');
             assertEquals(state, PoolState.decode(state.encode()));
         }
--- a/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
+++ b/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
@@ -26,16 +26,16 @@
     private Vertx vertx;
 
     @BeforeEach
-    void open() {
+    void createVertx() {
         vertx = Vertx.vertx();
     }
 
     @AfterEach
-    void close() throws Exception {
+    void closeVertx() throws Exception {
         StubPlatform.get(vertx.close());
     }
 
-    private URI listen() throws Exception {
+    private URI startProvider() throws Exception {
         HttpServer server = vertx.createHttpServer()
                 .requestHandler(request -> request.response()
                         .setStatusCode(STATUS_PRECONDITION_FAILED)
@@ -58,11 +58,11 @@
 
     /** Guards against an answer that is taken for none, since its body was asked for after its end. */
     @Test
-    void everyAnswerIsReadHoweverLateTheCallerIsScheduled() throws Exception {
-        URI url = listen();
-        List<ProviderAnswer> unread = ConcurrentCallers.runOnEach(() -> callRepeatedly(url)).stream()
+    void everyAnswerIsReadEvenIfTheCallerIsScheduledLate() throws Exception {
+        URI url = startProvider();
+        List<ProviderAnswer> unexpected = ConcurrentCallers.runOnEach(() -> callRepeatedly(url)).stream()
                 .filter(answer -> !(answer instanceof ProviderAnswer.VersionConflict))
                 .toList();
-        assertEquals(List.of(), unread);
+        assertEquals(List.of(), unexpected);
     }
 }
--- a/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
@@ -25,98 +25,124 @@
 
 /** What instances cost, what the budget still allows, and when the provider is asked for which size. */
 class ScaleOutPolicyTest {
-    private static final long HOUR = 3_600_000;
-    private static final ScaleOutDecision NOTHING = new ScaleOutDecision.Nothing();
+    private static final long HOUR_MILLIS = 3_600_000;
+    private static final ScaleOutDecision NO_ACTION = new ScaleOutDecision.NoAction();
     /** A local clock that is past every month. */
-    private static final long WALL = Long.MAX_VALUE;
+    private static final long WALL_MILLIS = Long.MAX_VALUE;
 
-    private static final long NOON = Instant.parse("2026-12-10T12:00:00Z").toEpochMilli();
+    private static final long NOON_MILLIS =
+            Instant.parse("2026-12-10T12:00:00Z").toEpochMilli();
 
-    private static InstanceCharge charge(long since, long until) {
-        return new InstanceCharge("x", "std", "a", since, until, 100, HOUR / 2);
+    private static InstanceCharge charge(long startedAtMillis, long endedAtMillis) {
+        return new InstanceCharge("x", "std", "a", startedAtMillis, endedAtMillis, 100, HOUR_MILLIS / 2);
     }
 
     @Test
     void timeIsBilledInItsMonthAndForAtLeastTheMinimum() {
         SpendingCap.MonthlyCap cap = new SpendingCap.MonthlyCap(10_000, 0.95, ZoneOffset.UTC);
-        long turn = Instant.parse("2026-12-01T00:00:00Z").toEpochMilli();
-        List<InstanceCharge> over = List.of(charge(turn - 3 * HOUR, turn + 2 * HOUR));
-        assertEquals(300, new SpendingCap(cap, YearMonth.of(2026, 11)).spentCents(over, NOON));
-        assertEquals(200, new SpendingCap(cap, YearMonth.of(2026, 12)).spentCents(over, NOON));
-        SpendingCap now = new SpendingCap(cap, YearMonth.of(2026, 12));
-        assertEquals(1, now.spentCents(List.of(charge(NOON - 1000, 0)), NOON), "a second is a hundredth");
-        assertEquals(50, now.spentCents(List.of(charge(NOON - HOUR, NOON - HOUR + 1)), NOON), "its least time");
-        assertEquals(100, now.committedCents(List.of(charge(NOON, 0)), NOON, HOUR), "until someone can act");
-        assertEquals(50, now.committedCents(List.of(charge(NOON, 0)), NOON, 0), "its least time");
-        assertEquals(0, now.committedCents(List.of(charge(NOON - 2 * HOUR, NOON - HOUR)), NOON, HOUR));
+        long monthStartMillis = Instant.parse("2026-12-01T00:00:00Z").toEpochMilli();
+        List<InstanceCharge> spanning =
+                List.of(charge(monthStartMillis - 3 * HOUR_MILLIS, monthStartMillis + 2 * HOUR_MILLIS));
+        assertEquals(300, new SpendingCap(cap, YearMonth.of(2026, 11)).spentCents(spanning, NOON_MILLIS));
+        assertEquals(200, new SpendingCap(cap, YearMonth.of(2026, 12)).spentCents(spanning, NOON_MILLIS));
+        SpendingCap december = new SpendingCap(cap, YearMonth.of(2026, 12));
+        assertEquals(
+                1, december.spentCents(List.of(charge(NOON_MILLIS - 1000, 0)), NOON_MILLIS), "a second is a hundredth");
+        assertEquals(
+                50,
+                december.spentCents(
+                        List.of(charge(NOON_MILLIS - HOUR_MILLIS, NOON_MILLIS - HOUR_MILLIS + 1)), NOON_MILLIS),
+                "its least time");
+        assertEquals(
+                100,
+                december.committedCents(List.of(charge(NOON_MILLIS, 0)), NOON_MILLIS, HOUR_MILLIS),
+                "until someone can act");
+        assertEquals(50, december.committedCents(List.of(charge(NOON_MILLIS, 0)), NOON_MILLIS, 0), "its least time");
+        assertEquals(
+                0,
+                december.committedCents(
+                        List.of(charge(NOON_MILLIS - 2 * HOUR_MILLIS, NOON_MILLIS - HOUR_MILLIS)),
+                        NOON_MILLIS,
+                        HOUR_MILLIS));
     }
 
     @Test
     void monthsBeginInTheConfiguredTimeZone() {
         ZoneId mauritius = ZoneId.of("Indian/Mauritius");
-        long late = Instant.parse("2026-11-30T21:00:00Z").toEpochMilli();
-        assertEquals(YearMonth.of(2026, 12), SpendingCap.monthOf(late, mauritius));
-        assertEquals(YearMonth.of(2026, 11), SpendingCap.monthOf(late, ZoneOffset.UTC));
+        long millis = Instant.parse("2026-11-30T21:00:00Z").toEpochMilli();
+        assertEquals(YearMonth.of(2026, 12), SpendingCap.monthOf(millis, mauritius));
+        assertEquals(YearMonth.of(2026, 11), SpendingCap.monthOf(millis, ZoneOffset.UTC));
     }
 
     /** Whatever runs: more is affordable only if everything owed with it stays below the near mark. */
     @Property(tries = 500)
-    void affordableEndpointsKeepSpendingBelowTheNearMark(
+    void affordableEndpointsKeepSpendingBelowTheNearCap(
             @ForAll @IntRange(min = 0, max = 12) int running,
-            @ForAll @LongRange(min = 0, max = 20 * HOUR) long age,
+            @ForAll @LongRange(min = 0, max = 20 * HOUR_MILLIS) long ageMillis,
             @ForAll @IntRange(min = 0, max = 5000) int capCents,
             @ForAll @IntRange(min = 1, max = 50) int wanted) {
         SpendingCap.MonthlyCap cap = new SpendingCap.MonthlyCap(capCents, 0.95, ZoneOffset.UTC);
         List<InstanceCharge> charges = new ArrayList<>();
         for (int i = 0; i < running; i++) {
-            charges.add(charge(NOON - age * (i + 1) / (running + 1), i % 3 == 0 ? NOON - age * i / (running + 1) : 0));
+            charges.add(charge(
+                    NOON_MILLIS - ageMillis * (i + 1) / (running + 1),
+                    i % 3 == 0 ? NOON_MILLIS - ageMillis * i / (running + 1) : 0));
         }
         SpendingCap spending = new SpendingCap(cap, YearMonth.of(2026, 12));
-        int more = spending.affordableCount(charges, NOON, HOUR, wanted, 100, 0);
-        long owed = spending.spentCents(charges, NOON) + spending.committedCents(charges, NOON, HOUR) + more * 100L;
-        assertTrue(more == 0 || owed < capCents * 0.95, owed + " of " + capCents);
-        assertTrue(more == wanted || owed + 100 >= Math.floor(capCents * 0.95), "one more would have been affordable");
+        int affordable = spending.affordableCount(charges, NOON_MILLIS, HOUR_MILLIS, wanted, 100, 0);
+        long totalCents = spending.spentCents(charges, NOON_MILLIS)
+                + spending.committedCents(charges, NOON_MILLIS, HOUR_MILLIS)
+                + affordable * 100L;
+        assertTrue(affordable == 0 || totalCents < capCents * 0.95, totalCents + " of " + capCents);
+        assertTrue(
+                affordable == wanted || totalCents + 100 >= Math.floor(capCents * 0.95),
+                "one more would have been affordable");
     }
 
-    private static Budget stored(ScaleOutDecision decision) {
-        return assertInstanceOf(ScaleOutDecision.Store.class, decision).budget();
+    private static Budget storedBudget(ScaleOutDecision decision) {
+        return assertInstanceOf(ScaleOutDecision.StoreBudget.class, decision).budget();
     }
 
-    private static ResizeRequest sent(ScaleOutDecision decision) {
+    private static ResizeRequest sentRequest(ScaleOutDecision decision) {
         return assertInstanceOf(ScaleOutDecision.Resize.class, decision).request();
     }
 
-    private static ProviderReport report(int size, long date, double at, InstanceCharge... charges) {
-        return new ProviderReport(size, "7", List.of(charges), date, at);
+    private static ProviderReport report(
+            int size, long providerTimeMillis, double requestedAtMillis, InstanceCharge... charges) {
+        return new ProviderReport(size, "7", List.of(charges), providerTimeMillis, requestedAtMillis);
     }
 
     @Test
     void aResizeIsStoredBeforeItIsRequestedAndClearedByTheReport() {
         ScaleOutPolicy policy = new ScaleOutPolicy(ScaleOutSimulation.SETTINGS);
         Budget budget = new Budget("2026-12", null, "");
-        assertInstanceOf(ScaleOutDecision.FetchReport.class, policy.decide(budget, null, 2, 0, WALL, "k"));
-        ProviderReport empty = report(0, NOON, 0);
-        Budget resizing = stored(policy.decide(budget, empty, 2, 0, WALL, "k"));
+        assertInstanceOf(ScaleOutDecision.FetchReport.class, policy.decide(budget, null, 2, 0, WALL_MILLIS, "k"));
+        ProviderReport empty = report(0, NOON_MILLIS, 0);
+        Budget resizing = storedBudget(policy.decide(budget, empty, 2, 0, WALL_MILLIS, "k"));
         assertEquals(2, resizing.pendingResize().size());
-        assertEquals("k", sent(policy.decide(resizing, empty, 2, 0, WALL, "l")).idempotencyKey());
+        assertEquals(
+                "k",
+                sentRequest(policy.decide(resizing, empty, 2, 0, WALL_MILLIS, "l"))
+                        .idempotencyKey());
         // Another holder sends the stored resize under the same key, whatever size it wants itself.
         assertEquals(
                 "k",
-                sent(new ScaleOutPolicy(ScaleOutSimulation.SETTINGS).decide(resizing, empty, 5, 0, WALL, "other"))
+                sentRequest(new ScaleOutPolicy(ScaleOutSimulation.SETTINGS)
+                                .decide(resizing, empty, 5, 0, WALL_MILLIS, "other"))
                         .idempotencyKey());
-        assertNull(stored(policy.decide(resizing, report(2, NOON, 0), 2, 0, WALL, "l"))
+        assertNull(storedBudget(policy.decide(resizing, report(2, NOON_MILLIS, 0), 2, 0, WALL_MILLIS, "l"))
                 .pendingResize());
     }
 
     @Test
-    void nothingIsAddedPastTheNearMarkAndItIsRecordedOnceAMonth() {
+    void nothingIsAddedPastTheNearCapAndItIsRecordedOnceAMonth() {
         ScaleOutPolicy policy = new ScaleOutPolicy(ScaleOutSimulation.SETTINGS);
         Budget budget = new Budget("2026-12", null, "");
         // Each costs 100 for its first minute and 950 may be spent: nine are affordable, the tenth is not.
-        ProviderReport empty = report(0, NOON, 0);
-        Budget near = stored(policy.decide(budget, empty, 20, 0, WALL, "k"));
-        assertEquals("2026-12", near.nearCapMonth());
-        Budget resizing = stored(policy.decide(near, empty, 20, 0, WALL, "k"));
+        ProviderReport empty = report(0, NOON_MILLIS, 0);
+        Budget nearCap = storedBudget(policy.decide(budget, empty, 20, 0, WALL_MILLIS, "k"));
+        assertEquals("2026-12", nearCap.nearCapMonth());
+        Budget resizing = storedBudget(policy.decide(nearCap, empty, 20, 0, WALL_MILLIS, "k"));
         assertEquals(9, resizing.pendingResize().size());
         InstanceCharge[] charges = new InstanceCharge[9];
         Arrays.setAll(
@@ -125,27 +151,27 @@
                         "x" + i,
                         "std",
                         "a",
-                        NOON,
+                        NOON_MILLIS,
                         0,
                         ScaleOutSimulation.CENTS_PER_HOUR,
                         ScaleOutSimulation.MIN_BILLED_MILLIS));
-        assertEquals(NOTHING, policy.decide(near, report(9, NOON, 0, charges), 20, 0, WALL, "k"));
-        assertEquals(NOTHING, policy.decide(near, report(9, NOON, 0, charges), -1, 0, WALL, "k"));
+        assertEquals(NO_ACTION, policy.decide(nearCap, report(9, NOON_MILLIS, 0, charges), 20, 0, WALL_MILLIS, "k"));
+        assertEquals(NO_ACTION, policy.decide(nearCap, report(9, NOON_MILLIS, 0, charges), -1, 0, WALL_MILLIS, "k"));
     }
 
     @Test
     void aMonthNeverRepeatsAndOpensOnlyItsOwnBudget() {
         ScaleOutPolicy policy = new ScaleOutPolicy(ScaleOutSimulation.SETTINGS);
-        long nextMonth = Instant.parse("2027-01-01T00:00:01Z").toEpochMilli();
-        Budget next =
-                stored(policy.decide(new Budget("2026-12", null, "2026-12"), report(0, nextMonth, 0), 1, 0, WALL, "k"));
-        assertEquals("2027-01", next.month());
-        assertEquals(NOTHING, policy.decide(next, report(0, NOON, 0), 1, 0, WALL, "k"), "set back");
-        assertNotNull(stored(policy.decide(next, report(0, nextMonth, 0), 1, 0, WALL, "k"))
+        long nextMonthMillis = Instant.parse("2027-01-01T00:00:01Z").toEpochMilli();
+        Budget january = storedBudget(policy.decide(
+                new Budget("2026-12", null, "2026-12"), report(0, nextMonthMillis, 0), 1, 0, WALL_MILLIS, "k"));
+        assertEquals("2027-01", january.month());
+        assertEquals(NO_ACTION, policy.decide(january, report(0, NOON_MILLIS, 0), 1, 0, WALL_MILLIS, "k"), "set back");
+        assertNotNull(storedBudget(policy.decide(january, report(0, nextMonthMillis, 0), 1, 0, WALL_MILLIS, "k"))
                 .pendingResize());
-        ScaleOutDecision ahead =
-                policy.decide(new Budget("2026-12", null, ""), report(0, nextMonth, 0), 1, 0, NOON, "k");
-        assertEquals(NOTHING, ahead, "the provider's clock alone opens no month");
+        ScaleOutDecision providerAhead =
+                policy.decide(new Budget("2026-12", null, ""), report(0, nextMonthMillis, 0), 1, 0, NOON_MILLIS, "k");
+        assertEquals(NO_ACTION, providerAhead, "the provider's clock alone opens no month");
     }
 
     @Test
@@ -156,47 +182,49 @@
                 ScaleOutSimulation.MIN_BILLED_MILLIS,
                 10_000,
                 true);
-        InstanceCharge old = new InstanceCharge(
+        InstanceCharge charge = new InstanceCharge(
                 "x",
                 "std",
                 "a",
-                NOON - HOUR,
+                NOON_MILLIS - HOUR_MILLIS,
                 0,
                 ScaleOutSimulation.CENTS_PER_HOUR,
                 ScaleOutSimulation.MIN_BILLED_MILLIS);
         Budget budget = new Budget("2026-12", null, "2026-12");
         assertEquals(
                 0,
-                stored(new ScaleOutPolicy(releasing).decide(budget, report(1, NOON, 0, old), 1, 0, WALL, "k"))
+                storedBudget(new ScaleOutPolicy(releasing)
+                                .decide(budget, report(1, NOON_MILLIS, 0, charge), 1, 0, WALL_MILLIS, "k"))
                         .pendingResize()
                         .size());
         assertEquals(
-                NOTHING,
+                NO_ACTION,
                 new ScaleOutPolicy(ScaleOutSimulation.SETTINGS)
-                        .decide(budget, report(1, NOON, 0, old), 1, 0, WALL, "k"));
+                        .decide(budget, report(1, NOON_MILLIS, 0, charge), 1, 0, WALL_MILLIS, "k"));
     }
 
     private static final int WALKS = Integer.getInteger("search.walks", 1500);
-    private static final int STEPS = 300;
+    private static final int STEPS_PER_WALK = 300;
 
     @Test
-    void nothingIsAddedPastTheMarkUnderFaultsAndAllSettlesAfterwards() {
-        int resizes = 0;
-        int stale = 0;
+    void nothingIsAddedPastTheNearCapUnderFaultsAndAllSettlesAfterwards() {
+        int resizeRequests = 0;
+        int staleRequests = 0;
         for (int walk = 0; walk < WALKS; walk++) {
             ScaleOutSimulation simulation = new ScaleOutSimulation(walk, ScaleOutSimulation.Bug.NONE);
-            for (int i = 0; i < STEPS; i++) {
+            for (int i = 0; i < STEPS_PER_WALK; i++) {
                 simulation.step();
             }
             assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
             simulation.runWithoutFaults();
             assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
             assertTrue(simulation.isSettled(), "walk " + walk);
-            resizes += simulation.resizeRequests;
-            stale += simulation.provider.counts().get("stale_acts_tried");
+            resizeRequests += simulation.resizeRequests;
+            staleRequests += simulation.provider.counts().get("stale_acts_tried");
         }
-        System.out.println("growth_walks=" + WALKS + " puts=" + resizes + " stale_acts_refused=" + stale);
-        assertTrue(stale > 0 && resizes > WALKS);
+        System.out.println(
+                "growth_walks=" + WALKS + " puts=" + resizeRequests + " stale_acts_refused=" + staleRequests);
+        assertTrue(staleRequests > 0 && resizeRequests > WALKS);
     }
 
     /** A search that misses a seeded bug would prove nothing. */
@@ -205,7 +233,7 @@
     void aSeededBugIsFound(ScaleOutSimulation.Bug bug) {
         for (int walk = 0; walk < 20 * WALKS; walk++) {
             ScaleOutSimulation simulation = new ScaleOutSimulation(walk, bug);
-            for (int i = 0; i < STEPS; i++) {
+            for (int i = 0; i < STEPS_PER_WALK; i++) {
                 simulation.step();
                 if (!simulation.provider.breaks().isEmpty()) {
                     return;
--- a/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
@@ -59,12 +59,12 @@
     private final List<PendingMessage> inTransit = new ArrayList<>();
     private long wallMillis = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
     private double nowMillis;
-    private Budget stored = Budget.NONE;
+    private Budget storedBudget = Budget.NONE;
     private long storedFence;
     private LeaseHolder holder;
-    private LeaseHolder paused;
+    private LeaseHolder pausedHolder;
     private long lastFence;
-    private int nextKey;
+    private int nextKeyNumber;
     private int desiredSize;
     int resizeRequests;
 
@@ -76,7 +76,7 @@
     }
 
     private void replaceHolder() {
-        paused = holder;
+        pausedHolder = holder;
         holder = new LeaseHolder();
         holder.fence = ++lastFence;
         holder.clockOffsetMillis = (random.nextInt(3) - (providerClockJumps ? 2 : 1)) * 3_600_000L;
@@ -100,8 +100,8 @@
             case 3 -> desiredSize = random.nextInt(9);
             case 4 -> provider.start("red", "std", wallMillis + providerClockOffsetMillis);
             case 5 -> {
-                if (paused != null) {
-                    runHolder(paused);
+                if (pausedHolder != null) {
+                    runHolder(pausedHolder);
                 }
             }
             case 6, 7, 8 -> deliverOne(random.nextInt(4));
@@ -127,31 +127,36 @@
 
     boolean isSettled() {
         ScaleOutDecision decision = holder.policy.decide(
-                stored, holder.report, provider.size("red"), nowMillis, wallMillis + holder.clockOffsetMillis, "end");
+                storedBudget,
+                holder.report,
+                provider.size("red"),
+                nowMillis,
+                wallMillis + holder.clockOffsetMillis,
+                "end");
         return holder.report != null
-                && stored.pendingResize() == null
-                && !(decision instanceof ScaleOutDecision.Store)
+                && storedBudget.pendingResize() == null
+                && !(decision instanceof ScaleOutDecision.StoreBudget)
                 && !(decision instanceof ScaleOutDecision.Resize);
     }
 
     private void runHolder(LeaseHolder leaseHolder) {
         ScaleOutDecision decision = leaseHolder.policy.decide(
-                stored,
+                storedBudget,
                 leaseHolder.report,
                 desiredSize,
                 nowMillis,
                 wallMillis + leaseHolder.clockOffsetMillis,
-                "k" + nextKey);
-        if (decision instanceof ScaleOutDecision.Store store) {
+                "k" + nextKeyNumber);
+        if (decision instanceof ScaleOutDecision.StoreBudget store) {
             if (leaseHolder.fence >= storedFence) {
-                nextKey++;
+                nextKeyNumber++;
                 storedFence = leaseHolder.fence;
-                stored = store.budget();
+                storedBudget = store.budget();
             }
         } else if (!leaseHolder.requestInFlight && decision instanceof ScaleOutDecision.FetchReport) {
             leaseHolder.requestInFlight = true;
-            double asked = nowMillis;
-            inTransit.add(() -> sendReport(leaseHolder, currentReport(), asked));
+            double requestedAtMillis = nowMillis;
+            inTransit.add(() -> sendReport(leaseHolder, currentReport(), requestedAtMillis));
         } else if (!leaseHolder.requestInFlight && decision instanceof ScaleOutDecision.Resize resize) {
             leaseHolder.requestInFlight = true;
             sendResize(leaseHolder, resize, leaseHolder.report);
@@ -160,11 +165,11 @@
 
     private void sendResize(LeaseHolder leaseHolder, ScaleOutDecision.Resize resize, ProviderReport report) {
         ResizeRequest request = resize.request();
-        double asked = nowMillis;
+        double requestedAtMillis = nowMillis;
         resizeRequests++;
         inTransit.add(() -> {
             int version = bug == Bug.VERSION_NOT_CHECKED ? provider.version("red") : Integer.parseInt(report.etag());
-            ProviderModel.Way way = provider.want(
+            ProviderModel.Way outcome = provider.want(
                     "red",
                     request.size(),
                     request.idempotencyKey(),
@@ -172,8 +177,8 @@
                     leaseHolder.fence,
                     bug == Bug.LATE_RESIZE_ACCEPTED ? Long.MAX_VALUE : resize.notAfterMillis(),
                     wallMillis + providerClockOffsetMillis);
-            if (way == ProviderModel.Way.DONE) {
-                sendReport(leaseHolder, currentReport(), asked);
+            if (outcome == ProviderModel.Way.DONE) {
+                sendReport(leaseHolder, currentReport(), requestedAtMillis);
             } else {
                 inTransit.add(() -> {
                     leaseHolder.requestInFlight = false;
@@ -205,18 +210,18 @@
                 nowMillis);
     }
 
-    private void sendReport(LeaseHolder leaseHolder, ProviderReport report, double asked) {
+    private void sendReport(LeaseHolder leaseHolder, ProviderReport report, double requestedAtMillis) {
         inTransit.add(() -> {
             leaseHolder.requestInFlight = false;
-            boolean fresh = bug == Bug.OLD_REPORT_TRUSTED;
-            ProviderReport taken = new ProviderReport(
+            boolean datedAtArrival = bug == Bug.OLD_REPORT_TRUSTED;
+            ProviderReport received = new ProviderReport(
                     report.desiredSize(),
                     report.etag(),
                     report.charges(),
                     report.providerTimeMillis(),
-                    fresh ? nowMillis : asked);
-            if (leaseHolder.report == null || taken.requestedAtMillis() >= leaseHolder.report.requestedAtMillis()) {
-                leaseHolder.report = taken;
+                    datedAtArrival ? nowMillis : requestedAtMillis);
+            if (leaseHolder.report == null || received.requestedAtMillis() >= leaseHolder.report.requestedAtMillis()) {
+                leaseHolder.report = received;
             }
         });
     }
