--- a/src/main/java/nettlewick/contention/ContentionEvidence.java
+++ b/src/main/java/nettlewick/contention/ContentionEvidence.java
@@ -9,22 +9,22 @@
 import java.util.Set;
 
 /**
- * Collects all dispatchers' reports on one tenant in windows and judges whether the tenant's load harms other tenants.
- * A lease holder creates one when it acquires the tenant's lease. Confined to one thread.
+ * Collects the usage reports of all dispatchers on one tenant by window and determines whether the tenant's load harms
+ * other tenants. A lease holder creates an instance when it acquires the tenant's lease. Confined to one thread.
  */
 public final class ContentionEvidence {
-    /** Windows that a verdict looks at. */
+    /** The number of most recent windows that a finding is based on. */
     static final int WINDOWS = 6;
-    /** How many of them must show the tenant over its quota. */
+    /** In how many of these windows the tenant must be over its quota. */
     private static final int MIN_OVER_QUOTA_WINDOWS = 4;
-    /** Stands for "leave no dispatcher out". */
+    /** Excludes no dispatcher. */
     private static final int NO_DISPATCHER = -1;
 
     /**
-     * The verdict at the end of a window.
+     * The result at the end of a window.
      *
-     * @param causesContention whether the tenant is to be migrated, judged by the last windows together
-     * @param overQuota        whether it asked for more than its quota in this window
+     * @param causesContention whether the tenant is to be migrated, according to the last windows taken together
+     * @param overQuota        whether it requested more than its quota in this window
      * @param demandFraction   its fraction of all work requested in this window
      */
     public record Finding(boolean causesContention, boolean overQuota, double demandFraction) {}
@@ -37,9 +37,9 @@
     private int unsolicitedReports;
 
     /**
-     * Creates the evidence on one tenant, without any report.
+     * Creates an instance for one tenant, without any reports.
      *
-     * @param quotas of all tenants, by name, as fractions; they add up to one at most
+     * @param quotas of all tenants as fractions, by tenant name; the sum is at most one
      */
     public ContentionEvidence(String tenant, Map<String, Double> quotas) {
         tenantHash = UsageCounters.nameHash(tenant);
@@ -48,9 +48,10 @@
     }
 
     /**
-     * Adds a dispatcher's report. It may describe an earlier window: dispatchers repeat recent windows to a new holder.
+     * Adds a dispatcher's report. It may describe an earlier window, because dispatchers resend recent windows to a new
+     * lease holder.
      *
-     * @return false if the data is no report of a known format, or too old; it is ignored then
+     * @return false if the data is not a report in a known format, or is too old; such data is ignored
      */
     public boolean recordReport(int dispatcher, long incarnation, byte[] data) {
         UsageReport report = UsageReportCodec.decode(data);
@@ -65,10 +66,10 @@
     }
 
     /**
-     * Closes the open window and judges the last ones.
+     * Closes the open window and evaluates the last windows.
      *
-     * @param isolated other tenants that are confined to dedicated endpoints, with those endpoints: what happens there
-     *                 harms nobody else and says nothing about the shared endpoints
+     * @param isolated other tenants that are confined to dedicated endpoints, with the names of these endpoints; load
+     *                 there harms no other tenant and is no evidence about the shared endpoints
      */
     public Finding closeWindow(Map<String, Set<String>> isolated) {
         Set<Integer> isolatedTenants = new HashSet<>();
@@ -94,7 +95,7 @@
         return any;
     }
 
-    /** For each of the last windows, oldest first, what each dispatcher counted in it. */
+    /** For each of the last windows, oldest first: what each dispatcher counted in it, by dispatcher. */
     private List<Map<Integer, UsageReport>> recentWindows() {
         List<Map<Integer, UsageReport>> windows = new ArrayList<>();
         for (int n = 0; n < WINDOWS; n++) {
@@ -116,8 +117,8 @@
     }
 
     /**
-     * The evidence must hold with any one dispatcher left out, so that one that reports falsely, or whose network is
-     * broken, cannot have a tenant migrated.
+     * The evidence must hold whichever single dispatcher is excluded, so that one dispatcher with wrong reports or a
+     * broken network cannot cause a migration.
      */
     private boolean causesContention(
             List<Map<Integer, UsageReport>> windows, Set<Integer> isolatedTenants, Set<Integer> isolatedEndpoints) {
--- a/src/main/java/nettlewick/contention/DispatcherHistory.java
+++ b/src/main/java/nettlewick/contention/DispatcherHistory.java
@@ -4,12 +4,12 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** The reports of one incarnation of a dispatcher: its cumulative counts at the end of each recent window. */
+/** Usage reports from one incarnation of a dispatcher: its cumulative counts at the end of each recent window. */
 final class DispatcherHistory {
     private long incarnation;
     private final TreeMap<Long, UsageReport> countsByWindow = new TreeMap<>();
 
-    /** Adds a report; one of a new incarnation discards all earlier ones, since counts start again from zero. */
+    /** Adds a report. One from a new incarnation discards all earlier reports, since its counts start from zero. */
     void record(long reportedIncarnation, long window, UsageReport report) {
         if (incarnation != reportedIncarnation) {
             incarnation = reportedIncarnation;
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Passes what was counted within each window to {@code consumer}. The first report known is a starting point only:
-     * what was counted before it belongs to no window.
+     * Passes the counts of each single window to {@code consumer}. The first known report serves as the starting point
+     * only: its counts cannot be assigned to a window.
      *
-     * @param firstWindow the oldest window of interest; reports that are not needed for it are discarded
+     * @param firstWindow the oldest window needed; reports too old to compute it are discarded
      */
     void forEachWindow(long firstWindow, BiConsumer<Long, UsageReport> consumer) {
         countsByWindow.headMap(firstWindow - 1).clear();
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The baseline of the latest report; none if nothing was reported. */
+    /** The baseline in the report on the latest window; {@link UncontendedBaseline#NONE} without reports. */
     UncontendedBaseline latestBaseline() {
         return countsByWindow.isEmpty()
                 ? UncontendedBaseline.NONE
--- a/src/main/java/nettlewick/contention/HarmAnalysis.java
+++ b/src/main/java/nettlewick/contention/HarmAnalysis.java
@@ -5,21 +5,23 @@
 import org.apache.commons.statistics.distribution.HypergeometricDistribution;
 
 /**
- * Whether other tenants' attempts are harmed more often where a tenant is busy than where, or when, it is not.
- * Stateless.
+ * Statistical tests of whether a tenant's load harms other tenants: their attempts on endpoints where the tenant
+ * exceeds its quota (exposed) are compared with attempts elsewhere or at other times (control). Stateless.
  */
 final class HarmAnalysis {
-    /** Attempts of other tenants that a comparison needs on each side. */
+    /** The minimum number of other tenants' attempts in each of the two samples compared. */
     private static final int MIN_ATTEMPTS = 20;
-    /** Harm below this fraction of attempts is normal. */
+    /** A smaller fraction of harmed attempts is normal. */
     static final double MIN_HARMED_FRACTION = 0.05;
-    /** How many times more often attempts must be harmed beside the tenant. */
+    /** The minimum ratio of the harmed fractions, exposed to control. */
     private static final double MIN_HARM_RATIO = 2;
 
     private static final double SIGNIFICANCE_LEVEL = 0.01;
-    /** Others' requests that run so many times longer against their hints than usual are slowed by another cause. */
+    /**
+     * If the ratio of run time to cost hint exceeds the baseline by this factor, something else slows requests down.
+     */
     private static final double SLOWDOWN_FACTOR = 1.5;
-    /** Keeps sums of two counts within an int. */
+    /** Keeps the sum of two counts within the range of an int. */
     private static final int MAX_COUNT = Integer.MAX_VALUE / 4;
 
     /** Attempts of other tenants, and how many of them were harmed. */
@@ -39,7 +41,10 @@
 
     private HarmAnalysis() {}
 
-    /** Whether all requests run much longer than their hints say, compared with the baseline. */
+    /**
+     * Whether other tenants' requests run much longer relative to their cost hints than in the baseline, for example
+     * because of a slow dependency.
+     */
     static boolean isSlowedByOtherCause(UsageReport usage, UncontendedBaseline baseline) {
         return baseline.hintedMillis() > 0
                 && usage.hintedMillis() > 0
@@ -48,8 +53,8 @@
     }
 
     /**
-     * Whether other tenants are harmed significantly more often on endpoints where the tenant exceeds its quota than
-     * on the rest, or, where the rest is too small a sample, than in the baseline.
+     * Whether other tenants are harmed significantly more often on endpoints where the tenant exceeds its quota than on
+     * the other endpoints. If there are too few attempts on the others, the baseline is used instead.
      *
      * @param isolatedEndpoints hashes of endpoints that are dedicated to other tenants
      */
@@ -85,7 +90,10 @@
                 && exposed.harmedFraction() >= MIN_HARM_RATIO * control.harmed() / control.attempts();
     }
 
-    /** Fisher's exact test, one-sided: the probability of this much harm beside the tenant if it made no difference. */
+    /**
+     * Fisher's exact test, one-sided: computes the probability of at least this many harmed attempts in the exposed
+     * sample if the tenant had no influence.
+     */
     private static boolean isSignificant(Sample exposed, Sample control) {
         int exposedCount = exposed.attemptCount();
         int exposedHarmed = exposed.harmedCount();
--- a/src/main/java/nettlewick/contention/MigrationState.java
+++ b/src/main/java/nettlewick/contention/MigrationState.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * How far a tenant's migration to dedicated endpoints has progressed. Stored as JSON in the state of the tenant's
- * lease, so the JSON names are fixed.
+ * The progress of a tenant's migration to dedicated endpoints. Stored as JSON in the state of the tenant's lease, so
+ * the JSON names must not change.
  *
  * @param step          the current step
  * @param endpoints     names of the tenant's dedicated endpoints: reserved shared ones and added ones
- * @param recentReturns how often the tenant has recently returned to the shared endpoints; each one doubles its next
+ * @param recentReturns how often the tenant has recently returned to the shared endpoints; each return doubles its next
  *                      minimum stay
  */
 public record MigrationState(
@@ -21,10 +21,10 @@
         /** The tenant uses the shared endpoints. */
         @SerializedName("NONE")
         SHARED("NONE"),
-        /** Endpoints are reserved, and every dispatcher learns of them. */
+        /** Endpoints are reserved, and the reservation is published to all dispatchers. */
         @SerializedName("RESERVE")
         RESERVING("RESERVE"),
-        /** Other tenants stay away while their requests in flight on the reserved endpoints finish. */
+        /** Other tenants no longer use the reserved endpoints; their requests in flight there finish. */
         @SerializedName("CLEAR")
         DRAINING("CLEAR"),
         /** The tenant is confined to its dedicated endpoints. */
@@ -45,13 +45,13 @@
             return wireName;
         }
 
-        /** Whether other tenants must stay away from the tenant's endpoints. */
+        /** Whether other tenants must not use the tenant's endpoints. */
         public boolean excludesOtherTenants() {
             return this == DRAINING || this == DEDICATED || this == RETURNING;
         }
     }
 
-    /** The state of a tenant that was never migrated. */
+    /** The state of a tenant that has never been migrated. */
     public static final MigrationState NOT_MIGRATED = new MigrationState(Step.SHARED, List.of(), 0);
 
     /** Copies the list. */
--- a/src/main/java/nettlewick/contention/PoolMigration.java
+++ b/src/main/java/nettlewick/contention/PoolMigration.java
@@ -7,20 +7,20 @@
 import nettlewick.contention.MigrationState.Step;
 
 /**
- * Decides each next step of a tenant's migration to dedicated endpoints and back. A lease holder creates one when it
- * acquires the tenant's lease; the time spent in a step counts from then on. Confined to one thread.
+ * The state machine of a tenant's migration to dedicated endpoints and back. A lease holder creates an instance when it
+ * acquires the tenant's lease; it measures the time spent in a step from then on. Confined to one thread.
  */
 public final class PoolMigration {
-    /** A tenant that stays on the shared endpoints has one of its recent returns forgotten after each such time. */
+    /** The count of recent returns drops by one each time the tenant has stayed on the shared endpoints this long. */
     private static final double RETURN_DECAY_MILLIS = 600_000;
 
     private static final int MAX_STAY_DOUBLINGS = 5;
 
-    /** What the operators' settings demand for a tenant. */
+    /** The operator's setting for a tenant. */
     public enum OperatorPolicy {
         /** Migrate it when it causes contention. */
         AUTOMATIC,
-        /** Keep it on dedicated endpoints, whatever it does. */
+        /** Always keep it on dedicated endpoints. */
         ALWAYS_DEDICATED,
         /** Never give it dedicated endpoints. */
         ALWAYS_SHARED
@@ -31,10 +31,11 @@
      *
      * @param quota                 the tenant's fraction of all endpoints
      * @param maxPoolFraction       the fraction of all endpoints that may be reserved by all tenants together
-     * @param settleMillis          how long a reservation is published before other tenants stay away
-     * @param scaleOutTimeoutMillis how long added endpoints are waited for
-     * @param drainMillis           how long requests in flight have to finish
-     * @param minStayMillis         how long the tenant must have kept to its quota before it returns
+     * @param settleMillis          how long a reservation is published before other tenants are excluded from its
+     *                              endpoints
+     * @param scaleOutTimeoutMillis how long to wait for added endpoints to become ready
+     * @param drainMillis           how much time requests in flight have to finish
+     * @param minStayMillis         how long the tenant must have stayed within its quota before it returns
      */
     public record MigrationSettings(
             double quota,
@@ -45,10 +46,10 @@
             double minStayMillis) {}
 
     /**
-     * What the lease holder knows of the fleet at a moment.
+     * The state of the fleet as known to the lease holder.
      *
      * @param readyEndpoints   by name
-     * @param reservedByOthers names of endpoints that other tenants hold
+     * @param reservedByOthers names of endpoints that are reserved for other tenants
      * @param scaleOutComplete whether all endpoints that were requested from the provider are ready
      */
     public record FleetView(
@@ -65,12 +66,12 @@
     private double lastOverQuotaAt = Double.NEGATIVE_INFINITY;
     private double returnsDecayedAt;
 
-    /** Creates the migration of a tenant; its state is handed in with each evaluation. */
+    /** Creates an instance for a tenant. The stored state is passed in with each evaluation. */
     public PoolMigration(String tenant) {
         this.tenant = tenant;
     }
 
-    /** Takes the verdict of the window that has just ended. */
+    /** Records the finding for the window that has just ended. */
     public void recordFinding(ContentionEvidence.Finding finding, double nowMillis) {
         causesContention = finding.causesContention();
         if (finding.overQuota()) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /** The next state; an equal one while nothing changes. */
+    /** The next state; equal to {@code current} if nothing changes. */
     public MigrationState nextState(
             MigrationState current,
             OperatorPolicy policy,
@@ -143,8 +144,8 @@
     }
 
     /**
-     * Takes over the step and the endpoints. An empty pool is not taken over: a momentarily incomplete endpoint list
-     * must not leave the tenant without endpoints.
+     * Applies the next step and the selected endpoints. An empty selection is ignored, since a temporarily incomplete
+     * endpoint list must not leave the tenant without endpoints.
      */
     private static MigrationState advance(MigrationState current, List<String> pool, Step nextStep) {
         Set<String> names = new HashSet<>(current.endpoints());
--- a/src/main/java/nettlewick/contention/PoolReservation.java
+++ b/src/main/java/nettlewick/contention/PoolReservation.java
@@ -11,18 +11,18 @@
 import nettlewick.lease.CandidateRanking;
 
 /**
- * Selects the endpoints that are reserved for a tenant: by rendezvous hashing, so that views that differ in one
- * endpoint yield pools that differ in one, with zones and kinds in proportion. Stateless.
+ * Selects the endpoints that are reserved for a tenant, with zones and kinds in proportion. Rendezvous hashing keeps
+ * the selection stable: endpoint lists that differ in one endpoint yield selections that differ in one. Stateless.
  */
 public final class PoolReservation {
     /**
-     * An endpoint that is ready.
+     * A ready endpoint.
      *
-     * @param addedForTenant the tenant that the provider runs it for; null for a shared endpoint
+     * @param addedForTenant the tenant for which the provider runs it; null for a shared endpoint
      */
     public record ReadyEndpoint(String name, String zone, String kind, String addedForTenant) {}
 
-    /** The names are part of a lease's state, whose size is limited. */
+    /** The names are stored in the lease's state, whose size is limited. */
     private static final int MAX_SHARED_ENDPOINTS = 150;
 
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -30,13 +30,13 @@
     private PoolReservation() {}
 
     /**
-     * The names of the tenant's endpoints: all that were added for it, and its quota of the shared ones.
+     * Returns the names of the tenant's endpoints: all that were added for it, and its quota of the shared ones.
      *
      * @param ready            all ready endpoints, by name
-     * @param current          the pool as it is; what is still ready stays in it
-     * @param reservedByOthers names of endpoints that other tenants hold
+     * @param current          names of the endpoints in the current pool; those that are still ready are preferred
+     * @param reservedByOthers names of endpoints that are reserved for other tenants
      * @param quota            the tenant's fraction of the shared endpoints
-     * @param maxPoolFraction  the fraction of the shared endpoints that all tenants may reserve together
+     * @param maxPoolFraction  the fraction of the shared endpoints that may be reserved by all tenants together
      */
     public static List<String> selectEndpoints(
             String tenant,
@@ -70,7 +70,7 @@
         return pool;
     }
 
-    /** Members of the current pool first, the others in the tenant's rendezvous order. */
+    /** Endpoints of the current pool first, then the others in the tenant's rendezvous order. */
     private static Comparator<ReadyEndpoint> selectionOrder(String tenant, List<String> current) {
         Set<String> currentNames = new HashSet<>(current);
         return Comparator.comparing((ReadyEndpoint endpoint) -> !currentNames.contains(endpoint.name()))
@@ -78,7 +78,7 @@
                 .thenComparing(ReadyEndpoint::name);
     }
 
-    /** How many of each group, in proportion to its size; largest remainders first. */
+    /** Distributes {@code size} endpoints over the groups in proportion to their sizes (largest remainder method). */
     private static Map<String, Integer> apportion(Map<String, List<ReadyEndpoint>> groups, int size) {
         int total = groups.values().stream().mapToInt(List::size).sum();
         int wanted = Math.min(size, total);
--- a/src/main/java/nettlewick/contention/TenantDemand.java
+++ b/src/main/java/nettlewick/contention/TenantDemand.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What part of all requested work a tenant asks for, compared with its quota. Stateless. */
+/** Compares the fraction of all requested work that a tenant requests with its quota. Stateless. */
 final class TenantDemand {
-    /** A tenant is over its quota if it asks for more than this multiple of it. */
+    /** A tenant is over its quota if its demand exceeds this multiple of the quota. */
     private static final double OVER_QUOTA_FACTOR = 1.25;
-    /** The least part of all demand beyond quotas that a tenant must cause to be held responsible. */
+    /** The minimum fraction of all demand beyond quotas that a tenant must cause to be held responsible for it. */
     private static final double MIN_EXCESS_FRACTION = 0.5;
 
     private TenantDemand() {}
@@ -26,8 +26,8 @@
     /**
      * Whether a tenant causes at least half of all demand beyond quotas.
      *
-     * @param quotas   by the hash of the tenant's name
-     * @param isolated hashes of tenants whose excess does not count, because they are confined to dedicated endpoints
+     * @param quotas   of all tenants, by the hash of the tenant's name
+     * @param isolated name hashes of tenants whose excess is ignored because they are confined to dedicated endpoints
      */
     static boolean causesMostExcess(
             UsageReport usage, int tenantHash, Map<Integer, Double> quotas, Set<Integer> isolated) {
--- a/src/main/java/nettlewick/contention/UncontendedBaseline.java
+++ b/src/main/java/nettlewick/contention/UncontendedBaseline.java
@@ -1,13 +1,13 @@
 package nettlewick.contention;
 
 /**
- * How other tenants' attempts fared on one dispatcher in windows in which a tenant kept to its quota. Older windows
- * count less.
+ * Counts of other tenants' attempts on one dispatcher in windows in which a tenant stayed within its quota. Older
+ * windows have exponentially decreasing weight.
  *
  * @param otherAttempts  attempts of all other tenants
- * @param harmedAttempts those of them that were harmed
- * @param runMillis      how long their requests ran, where a cost hint came with them
- * @param hintedMillis   what the cost hints said
+ * @param harmedAttempts the number of these that were harmed
+ * @param runMillis      the total run time of their requests that had a cost hint
+ * @param hintedMillis   the sum of these cost hints
  */
 public record UncontendedBaseline(double otherAttempts, double harmedAttempts, double runMillis, double hintedMillis) {
     /** No observations. */
@@ -15,7 +15,9 @@
 
     private static final double DECAY_PER_WINDOW = 0.97;
 
-    /** This baseline with one more window, or unchanged if the tenant was over its quota in it. */
+    /**
+     * Returns this baseline with one more window added, or unchanged if the tenant was over its quota in that window.
+     */
     UncontendedBaseline withWindow(UsageReport window, int tenantHash, double quota) {
         if (window.totalWork() <= 0 || TenantDemand.isOverQuota(window, tenantHash, quota)) {
             return this;
@@ -36,7 +38,7 @@
                 hintedMillis + other.hintedMillis);
     }
 
-    /** Whether the figures can have been counted: finite, not negative, no more harmed than there were. */
+    /** Whether the counts are plausible: finite, not negative, and no more harmed attempts than attempts. */
     boolean isValid() {
         return otherAttempts >= harmedAttempts
                 && harmedAttempts >= 0
--- a/src/main/java/nettlewick/contention/UsageCounters.java
+++ b/src/main/java/nettlewick/contention/UsageCounters.java
@@ -16,44 +16,44 @@
 import nettlewick.decision.SchedulerSettings.RequestClass;
 
 /**
- * Counts, on one dispatcher, what each tenant requests and how attempts fare on each endpoint, since the dispatcher's
- * incarnation began. Safe for any thread.
+ * Counts each tenant's requested work and the outcomes of attempts on each endpoint, on one dispatcher, since its
+ * incarnation began. Thread-safe.
  */
 public final class UsageCounters implements RequestListener {
-    /** An attempt that starts later than this fraction of its class's latency objective is harmed. */
+    /** An attempt that was queued for more than this fraction of its class's latency objective is harmed. */
     private static final double MAX_WAIT_FRACTION = 0.25;
-    /** Bounds the size of a report, which must fit a datagram. */
+    /** Limits the size of a report, which must fit into a datagram. */
     private static final int MAX_REPORTED_TENANTS = 16;
 
     private static final int MAX_REPORTED_ENDPOINTS = 32;
-    /** Endpoints come and go with every release; the ones idle longest are forgotten. */
+    /** Endpoints are replaced with every release; beyond this number, the least recently used one is dropped. */
     private static final int MAX_TRACKED_ENDPOINTS = 1024;
 
     private static final double NANOS_PER_MILLI = 1e6;
-    /** Stands for the latency objective of a class that the settings do not name. */
+    /** The latency objective of a class that is not in the settings. */
     private static final double NO_OBJECTIVE_MILLIS = 1e9;
 
-    /** What one tenant requested in all. */
+    /** Totals of one tenant over all endpoints. */
     private static final class TenantTotals {
         private double requestedWork;
         private double runMillis;
         private double hintedMillis;
     }
 
-    /** How one tenant's attempts fared on one endpoint. */
+    /** Totals of one tenant's attempts on one endpoint. */
     private static final class AttemptTotals {
         private double busyMillis;
         private long endedAttempts;
         private long harmedAttempts;
     }
 
-    /** One endpoint's totals by tenant. */
+    /** Totals of one endpoint, by tenant. */
     private static final class EndpointTotals {
         private final Map<String, AttemptTotals> byTenant = new HashMap<>();
         private long lastAttemptSequence;
     }
 
-    /** The mean run time of a class, which stands in for a missing cost hint; 1 ms until one is known. */
+    /** The mean run time of a request class, used in place of a missing cost hint; 1 ms until a run time is known. */
     private static final class MeanRunTime {
         private static final double DEFAULT_MILLIS = 1;
         private double sumMillis;
@@ -70,7 +70,7 @@
     private final Map<String, MeanRunTime> meanRunTimeByClass = new HashMap<>();
     private long attemptSequence;
 
-    /** Creates counters at zero for requests of these classes. */
+    /** Creates counters for requests of these classes. */
     public UsageCounters(List<RequestClass> classes) {
         latencyObjectivesMillis = classes.stream()
                 .collect(Collectors.toMap(
@@ -79,14 +79,14 @@
                         (first, second) -> first));
     }
 
-    /** Stands for the name of a tenant or endpoint in reports. */
+    /** The hash that identifies a tenant or an endpoint in reports. */
     static int nameHash(String name) {
         return String.valueOf(name).hashCode();
     }
 
     @Override
     public synchronized void onRequestAccepted(Request request) {
-        // A client's retry of a rejected request is no new demand.
+        // A client's retry of a rejected request does not add to the demand.
         if (!request.isRetry()) {
             double millis = request.costHintMillis() > 0
                     ? request.costHintMillis()
@@ -144,7 +144,7 @@
         return !Double.isNaN(attempt.queuedMillis());
     }
 
-    /** Rejected, lost before it started, or started late. */
+    /** Whether an attempt was rejected, timed out or was cancelled before it started, or started late. */
     private boolean isHarmed(Attempt attempt, AttemptResult result) {
         if (result == AttemptResult.OVERLOADED) {
             return true;
@@ -157,12 +157,12 @@
         return attempt.queuedMillis() > MAX_WAIT_FRACTION * objectiveMillis;
     }
 
-    /** A report as seen from a tenant, bounded so that it fits a datagram. */
+    /** The report on a tenant, limited to the size of a datagram. */
     UsageReport report(String tenant) {
         return report(tenant, MAX_REPORTED_TENANTS, MAX_REPORTED_ENDPOINTS);
     }
 
-    /** A report as seen from a tenant, with all tenants and endpoints. */
+    /** The report on a tenant with the counts of all tenants and endpoints. */
     UsageReport fullReport(String tenant) {
         return report(tenant, Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
--- a/src/main/java/nettlewick/contention/UsageReport.java
+++ b/src/main/java/nettlewick/contention/UsageReport.java
@@ -6,16 +6,17 @@
 import java.util.function.LongBinaryOperator;
 
 /**
- * What one dispatcher has counted since its incarnation began, as seen from one tenant. Counts only grow, so reports
- * may be lost, duplicated or reordered: of two, the larger is the newer.
+ * A dispatcher's cumulative counts since its incarnation began, related to one tenant. Counts never decrease, so
+ * reports may be lost, duplicated or reordered: of two reports, the one with the larger counts is newer.
  *
  * @param totalWork    work requested by all tenants, in slot milliseconds by cost hint
- * @param workByTenant the same by the hash of the tenant's name; only the largest tenants
- * @param runMillis    how long attempts of all other tenants ran, where a cost hint came with them
- * @param hintedMillis what those cost hints said
+ * @param workByTenant the same by the hash of the tenant's name; limited to the tenants with the most work
+ * @param runMillis    the total run time of all other tenants' attempts that had a cost hint
+ * @param hintedMillis the sum of these cost hints
  * @param endpoints    usage by the hash of the endpoint's name
- * @param baseline     how other tenants fared while the tenant kept to its quota; that of the newer report counts
- * @param unsolicited  whether the dispatcher reports without the lease holder having asked
+ * @param baseline     counts of windows in which the tenant stayed within its quota; when reports are combined, that of
+ *                     the newer one is kept
+ * @param unsolicited  whether the dispatcher sends it without a request from the lease holder
  */
 public record UsageReport(
         long totalWork,
@@ -26,12 +27,13 @@
         UncontendedBaseline baseline,
         boolean unsolicited) {
     /**
-     * What was counted on one endpoint.
+     * Counts for one endpoint.
      *
      * @param tenantWork     slot milliseconds used by the tenant
      * @param totalWork      slot milliseconds used by all tenants
      * @param otherAttempts  attempts of all other tenants that ended there
-     * @param harmedAttempts those of them that were rejected, timed out or started late
+     * @param harmedAttempts the number of these that were rejected, timed out or were cancelled before they started, or
+     *                       started late
      */
     public record EndpointUsage(long tenantWork, long totalWork, long otherAttempts, long harmedAttempts) {
         /** All counts are zero. */
@@ -80,12 +82,12 @@
                 newer.unsolicited);
     }
 
-    /** The larger of each count: the newer state where two reports of one incarnation overlap. */
+    /** Takes the larger of each count, which is the newer one if both reports are from the same incarnation. */
     UsageReport maximum(UsageReport other) {
         return combine(other, Math::max, EndpointUsage::maximum);
     }
 
-    /** What was counted since an earlier report; tenants and endpoints that are not in this one are left out. */
+    /** The counts since an earlier report; tenants and endpoints that are missing in this report are omitted. */
     UsageReport minus(UsageReport earlier) {
         UsageReport difference = combine(earlier, (mine, theirs) -> mine - theirs, EndpointUsage::minus);
         difference.workByTenant.keySet().retainAll(workByTenant.keySet());
@@ -101,7 +103,7 @@
         return new UsageReport(totalWork, workByTenant, runMillis, hintedMillis, endpoints, newBaseline, isUnsolicited);
     }
 
-    /** The sum over all endpoints. */
+    /** The sum of the counts of all endpoints. */
     EndpointUsage acrossEndpoints() {
         return endpoints.values().stream().reduce(EndpointUsage.NONE, EndpointUsage::plus);
     }
--- a/src/main/java/nettlewick/contention/UsageReportCodec.java
+++ b/src/main/java/nettlewick/contention/UsageReportCodec.java
@@ -7,8 +7,8 @@
 import nettlewick.contention.UsageReport.EndpointUsage;
 
 /**
- * The bytes of a usage report, big-endian: format version, unsolicited flag, age in windows, baseline, totals, work by
- * tenant, usage by endpoint. Other builds read them. Stateless.
+ * Encodes and decodes usage reports, big-endian: format version, unsolicited flag, age in windows, baseline, totals,
+ * work by tenant, usage by endpoint. Dispatchers of other builds read this format. Stateless.
  */
 final class UsageReportCodec {
     private static final byte FORMAT_VERSION = 3;
@@ -41,19 +41,19 @@
         return buffer.array();
     }
 
-    /** A copy of an encoded report, marked as describing a window that ended that many windows ago. */
+    /** Returns a copy of an encoded report that is marked as describing a window this many windows ago. */
     static byte[] withAge(byte[] encoded, int windows) {
         byte[] aged = encoded.clone();
         aged[AGE_OFFSET] = (byte) windows;
         return aged;
     }
 
-    /** How many windows ago a report that {@link #decode} accepts was current. */
+    /** How many windows ago the report was current. The data must be accepted by {@link #decode}. */
     static int ageWindows(byte[] encoded) {
         return encoded[AGE_OFFSET];
     }
 
-    /** Decodes a report; null if the format is unknown, the data is truncated, or the figures contradict each other. */
+    /** Decodes a report; null if the format is unknown, the data is truncated, or the counts are inconsistent. */
     static UsageReport decode(byte[] data) {
         try {
             ByteBuffer buffer = ByteBuffer.wrap(data);
@@ -61,7 +61,7 @@
                 return null;
             }
             boolean unsolicited = buffer.get() == 1;
-            // The age is read by ageWindows.
+            // Skips the age, which is read by ageWindows.
             buffer.get();
             UncontendedBaseline baseline = readBaseline(buffer);
             long totalWork = buffer.getLong();
@@ -119,7 +119,7 @@
 
     private static void require(boolean valid, String what) {
         if (!valid) {
-            throw new IllegalArgumentException("contradictory figures: " + what);
+            throw new IllegalArgumentException("inconsistent counts: " + what);
         }
     }
 }
--- a/src/main/java/nettlewick/contention/UsageReporter.java
+++ b/src/main/java/nettlewick/contention/UsageReporter.java
@@ -11,25 +11,26 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides when this dispatcher sends usage reports to the holder of a tenant's lease: whenever the holder listens, and
- * unsolicited when the tenant exceeds its quota here while other tenants are harmed. Confined to one thread.
+ * Decides when this dispatcher sends usage reports to the holder of a tenant's lease: while the holder requests
+ * reports, and unsolicited while the tenant exceeds its quota here and other tenants are harmed. Confined to one
+ * thread.
  */
 public final class UsageReporter {
-    /** A dispatcher reports unsolicited after this many consecutive windows over quota. */
+    /** Unsolicited reports are sent after this many consecutive windows over quota. */
     private static final int MIN_CONSECUTIVE_WINDOWS = 2;
 
-    /** What was reported on one tenant. */
+    /** The state of reporting on one tenant. */
     private static final class TenantReportState {
-        /** Counts at the end of the last window; null before the first. */
+        /** Counts at the end of the last window; null before the end of the first. */
         private UsageReport lastCounts;
 
         private double windowEndsAt;
         private UncontendedBaseline baseline = UncontendedBaseline.NONE;
         private boolean unsolicited;
         private int consecutiveOverQuota;
-        /** Encoded reports of the last windows, newest first. */
+        /** Encoded reports on the last windows, newest first. */
         private final Deque<byte[]> recentReports = new ArrayDeque<>();
-        /** The fence of the holder that was sent the last report. */
+        /** The fence of the lease holder that the last report was sent to. */
         private long lastFence = -1;
 
         private int unsentWindows;
@@ -41,9 +42,9 @@
     private final Map<String, TenantReportState> reportStateByTenant = new HashMap<>();
 
     /**
-     * Creates a reporter that has sent nothing yet.
+     * Creates a reporter.
      *
-     * @param quotas of all tenants, by name, as fractions
+     * @param quotas quotas of all tenants as fractions, by tenant name
      */
     public UsageReporter(UsageCounters counters, Map<String, Double> quotas) {
         this.counters = counters;
@@ -52,12 +53,13 @@
     }
 
     /**
-     * The encoded reports to send now, each in its own datagram: usually none or one. A holder that has not been sent
-     * the last windows gets those too, so that evidence survives a change of the holder.
+     * Returns the encoded reports to send now, each in its own datagram: usually none or one. Reports on recent windows
+     * that this holder has not been sent yet are included, so that evidence survives a change of the holder.
      *
-     * @param fence         the holder's fence
-     * @param holderListens whether the holder wants reports from all dispatchers
-     * @param isolated      other tenants that are confined to dedicated endpoints; asked at the end of a window only
+     * @param fence                 the holder's fence
+     * @param holderRequestsReports whether the holder requests reports from all dispatchers
+     * @param isolatedTenants       supplies the other tenants that are confined to dedicated endpoints; called only at
+     *                              the end of a window
      */
     public List<byte[]> reportsToSend(
             String tenant,
@@ -113,7 +115,7 @@
                 isolatedTenants.stream().map(UsageCounters::nameHash).collect(Collectors.toSet());
         reportState.baseline = reportState.baseline.withWindow(window, tenantHash, quota);
         UsageReport.EndpointUsage usage = window.acrossEndpoints();
-        // A dispatcher sees so few requests in a window that any small tenant may be over its quota by chance.
+        // One dispatcher sees so few requests in a window that a small tenant can exceed its quota by chance.
         boolean responsible = TenantDemand.isOverQuota(window, tenantHash, quota)
                 && TenantDemand.causesMostExcess(window, tenantHash, quotaByTenantHash, isolatedHashes);
         reportState.consecutiveOverQuota = responsible ? reportState.consecutiveOverQuota + 1 : 0;
--- a/src/main/java/nettlewick/tenantpools/ContentionMonitor.java
+++ b/src/main/java/nettlewick/tenantpools/ContentionMonitor.java
@@ -7,13 +7,14 @@
 import nettlewick.contention.ContentionEvidence;
 
 /**
- * What the holder of a tenant's lease has learnt from usage reports: evidence of contention, recent demand, and whether
- * it listens to all dispatchers. One for each time the lease is held. Confined to the lease thread.
+ * What the holder of a tenant's lease derives from usage reports: evidence of contention, recent demand, and whether it
+ * requests reports from all dispatchers. An instance is created each time the lease is acquired. Confined to the lease
+ * thread.
  */
 final class ContentionMonitor {
-    /** Demand counts as gone only after this many windows with less. */
+    /** The demand is the maximum over this many windows, so that it drops only after all of them were lower. */
     private static final int DEMAND_WINDOWS = 10;
-    /** How many windows all dispatchers are listened to after an unsolicited report. */
+    /** For how many windows reports are requested from all dispatchers after an unsolicited report. */
     private static final int REPORT_REQUEST_WINDOWS = 10;
 
     private final ContentionEvidence evidence;
@@ -26,16 +27,17 @@
         this.windowEndsAt = windowEndsAt;
     }
 
-    /** Adds a report; false if it cannot be read. */
+    /** Adds a report; returns false if it cannot be decoded. */
     boolean recordReport(int dispatcher, long incarnation, byte[] report) {
         return evidence.recordReport(dispatcher, incarnation, report);
     }
 
     /**
-     * Starts or extends listening if an unsolicited report has come. It takes effect at once, so that the other
-     * dispatchers' reports on the last windows arrive before the open one ends.
+     * Requests reports from all dispatchers, or continues to for longer, if an unsolicited report has arrived. This
+     * takes effect immediately, so that the other dispatchers' reports on the last windows arrive before the open
+     * window ends.
      *
-     * @return whether listening has started
+     * @return whether reports were not being requested before
      */
     boolean requestReportsIfUnsolicited() {
         if (!evidence.consumeUnsolicited()) {
@@ -50,7 +52,7 @@
         return remainingRequestWindows > 0;
     }
 
-    /** The verdict if the window is over, else null. */
+    /** Closes the window if it is over and returns the finding, otherwise returns null. */
     ContentionEvidence.Finding closeWindowIfDue(
             double nowMillis, double windowMillis, Supplier<Map<String, Set<String>>> isolatedTenants) {
         if (nowMillis < windowEndsAt) {
--- a/src/main/java/nettlewick/tenantpools/InstanceCharge.java
+++ b/src/main/java/nettlewick/tenantpools/InstanceCharge.java
@@ -1,12 +1,12 @@
 package nettlewick.tenantpools;
 
 /**
- * An endpoint instance that the provider runs or ran for a tenant, with what it is billed. Times are the provider's, in
- * milliseconds of Unix time.
+ * An endpoint instance that the provider runs or ran for a tenant, with its billing data. Times are on the provider's
+ * clock, in milliseconds of Unix time.
  *
- * @param endedAtMillis   when it ended; 0 while it runs
- * @param centsPerHour    the price of a running hour, in hundredths
- * @param minBilledMillis the least time that is billed
+ * @param endedAtMillis   when it ended; 0 if it is running
+ * @param centsPerHour    the price of one hour of run time, in cents
+ * @param minBilledMillis the minimum time that is billed
  */
 public record InstanceCharge(
         String name,
@@ -17,24 +17,26 @@
         long centsPerHour,
         long minBilledMillis) {
     private static final double MILLIS_PER_HOUR = 3_600_000;
-    /** Keeps floating-point error from rounding an exact amount up. */
+    /** Prevents a floating-point error from rounding an exact amount up to the next cent. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     boolean isRunning() {
         return endedAtMillis == 0;
     }
 
-    /** What a period costs, rounded up to a whole hundredth. */
+    /** The cost of a period, rounded up to a whole cent. */
     static long costCents(double millis, long centsPerHour) {
         return millis <= 0 ? 0 : (long) Math.ceil(millis * centsPerHour / MILLIS_PER_HOUR - ROUNDING_TOLERANCE);
     }
 
-    /** Until when it is billed if, should it still run, it ends at that time. */
+    /** The end of the billed period. A running instance is assumed to end at {@code end}. */
     long billedUntilMillis(long end) {
         return Math.max(isRunning() ? end : endedAtMillis, startedAtMillis + minBilledMillis);
     }
 
-    /** What it costs between two times if it ends at {@code end} at the latest. */
+    /**
+     * The cost of the part of the billed period between two times. A running instance is assumed to end at {@code end}.
+     */
     long costCents(long from, long to, long end) {
         return costCents(Math.min(to, billedUntilMillis(end)) - (double) Math.max(from, startedAtMillis), centsPerHour);
     }
--- a/src/main/java/nettlewick/tenantpools/PoolAssignments.java
+++ b/src/main/java/nettlewick/tenantpools/PoolAssignments.java
@@ -17,8 +17,8 @@
 import nettlewick.decision.PoolAssignment;
 
 /**
- * What this dispatcher knows of all tenants' pools, and the assignments that follow from it for the scheduler. Confined
- * to the lease thread, except for endpoint updates, which come from the core's thread.
+ * The states of all tenants' pools as known to this dispatcher, and the pool assignments for the scheduler that result
+ * from them. Confined to the lease thread, except for endpoint updates, which arrive on the core's thread.
  */
 final class PoolAssignments implements RequestListener {
     private record KnownPool(PoolState state, double updatedAtMillis) {
@@ -31,7 +31,7 @@
     private final Map<String, EndpointUpdate.Entry> readyEntries = new ConcurrentHashMap<>();
     private final Map<String, KnownPool> pools = new LinkedHashMap<>();
 
-    /** @param staleAfterMillis how long a pool excludes other tenants without news of it */
+    /** @param staleAfterMillis how long a pool excludes other tenants after its last update */
     PoolAssignments(double staleAfterMillis) {
         this.staleAfterMillis = staleAfterMillis;
     }
@@ -52,12 +52,12 @@
         }
     }
 
-    /** Takes the newest state of a tenant's pool, also if it has not changed. */
+    /** Records the newest state of a tenant's pool. An unchanged state counts as an update too. */
     void recordState(String tenant, PoolState state, double nowMillis) {
         pools.put(tenant, new KnownPool(state, nowMillis));
     }
 
-    /** The ready endpoints by name, each with the tenant that it was added for. */
+    /** The ready endpoints by name, each with the tenant for which it was added. */
     Map<String, ReadyEndpoint> readyEndpoints() {
         Map<String, String> addedFor = new HashMap<>();
         pools.forEach(
@@ -71,9 +71,10 @@
     }
 
     /**
-     * Names of endpoints that other tenants hold. Where two tenants hold the same one, the first by name keeps it.
+     * Names of endpoints that are reserved for other tenants. If two tenants have reserved the same endpoint, the
+     * tenant whose name sorts first keeps it.
      *
-     * @param own names of endpoints that the tenant holds itself
+     * @param ownEndpoints names of endpoints that are reserved for the tenant itself
      */
     Set<String> endpointsReservedByOthers(String tenant, List<String> ownEndpoints) {
         Set<String> reserved = new HashSet<>();
@@ -87,7 +88,10 @@
         return reserved;
     }
 
-    /** Other tenants that are confined to dedicated endpoints, with the names of those. */
+    /**
+     * Tenants other than {@code excludedTenant} that are confined to dedicated endpoints, with the names of these
+     * endpoints.
+     */
     Map<String, Set<String>> isolatedTenants(String excludedTenant) {
         Map<String, Set<String>> isolated = new HashMap<>();
         pools.forEach((tenant, knownPool) -> {
@@ -98,7 +102,7 @@
         return isolated;
     }
 
-    /** The assignments that the scheduler must follow now. */
+    /** The assignments that the scheduler must apply now. */
     List<PoolAssignment> currentAssignments(double nowMillis) {
         List<PoolAssignment> current = new ArrayList<>();
         pools.forEach((tenant, knownPool) -> {
--- a/src/main/java/nettlewick/tenantpools/PoolSettings.java
+++ b/src/main/java/nettlewick/tenantpools/PoolSettings.java
@@ -11,13 +11,13 @@
 import nettlewick.settings.Block;
 
 /**
- * The block {@code pools} of the settings file, checked. Its keywords are mapped to names here and nowhere else.
+ * The validated block {@code pools} of the settings file. Only this class knows the keywords of the block.
  *
- * @param tenants          settings of the tenants that have a lease, by name
- * @param quotas           of all tenants of the platform's configuration, by name, as fractions
- * @param providerUrl      null if no endpoint is ever added
- * @param windowMillis     length of a window of evidence
- * @param staleAfterMillis how long a pool excludes other tenants without news of it
+ * @param tenants          settings of the tenants that have a lease, by tenant name
+ * @param quotas           quotas of all tenants in the platform's configuration as fractions, by tenant name
+ * @param providerUrl      null if no endpoints are ever added
+ * @param windowMillis     the length of a window in which usage is evaluated
+ * @param staleAfterMillis how long a pool excludes other tenants after its last update
  * @see PoolMigration.MigrationSettings for the limits of a migration
  */
 record PoolSettings(
@@ -37,9 +37,9 @@
     /**
      * The settings of one tenant.
      *
-     * @param scaleOut          null if no endpoint is ever added for it
-     * @param endpointKind      the kind of endpoints that are added
-     * @param maxAddedEndpoints how many may be added at the same time
+     * @param scaleOut          null if no endpoints are ever added for it
+     * @param endpointKind      the kind of the endpoints to add
+     * @param maxAddedEndpoints the maximum number of added endpoints at any time
      */
     record TenantSettings(
             OperatorPolicy policy,
@@ -47,15 +47,15 @@
             String endpointKind,
             int maxAddedEndpoints) {}
 
-    /** The name of a tenant's lease. */
+    /** Returns the name of a tenant's lease. */
     static String leaseName(String tenant) {
         return LEASE_PREFIX + tenant;
     }
 
     /**
-     * Reads the block.
+     * Converts and validates the block.
      *
-     * @throws nettlewick.settings.InvalidSettingsException if its lines contradict each other or the tenants
+     * @throws nettlewick.settings.InvalidSettingsException if its lines are inconsistent or name unknown tenants
      */
     static PoolSettings of(Block block, List<Tenant> tenants) {
         Map<String, Double> quotas = new LinkedHashMap<>();
--- a/src/main/java/nettlewick/tenantpools/PoolState.java
+++ b/src/main/java/nettlewick/tenantpools/PoolState.java
@@ -8,13 +8,13 @@
 import nettlewick.contention.MigrationState;
 
 /**
- * The replicated state of a tenant's lease: one JSON object of a few hundred bytes. Other builds read it, so the JSON
- * names are fixed.
+ * The replicated state of a tenant's lease: one JSON object of a few hundred bytes. Dispatchers of other builds read
+ * it, so the JSON names must not change.
  *
- * @param term           how many times the lease has been acquired
- * @param migration      how far the tenant has been migrated
+ * @param term           the number of times that the lease has been acquired
+ * @param migration      the progress of the tenant's migration
  * @param addedEndpoints names of the endpoints that the provider runs for the tenant, as last reported
- * @param budget         what was requested from the provider and in which month
+ * @param budget         the resize requested from the provider, and the month whose budget it counts against
  */
 record PoolState(
         long term,
@@ -25,11 +25,11 @@
     static final PoolState INITIAL = new PoolState(0, MigrationState.NOT_MIGRATED, List.of(), Budget.NONE);
 
     /**
-     * What must outlive a lease holder so that the monthly cap holds.
+     * The data that must survive a change of the lease holder so that the monthly cap is not exceeded.
      *
      * @param month         the latest month that has begun, for example 2026-12; empty before the first
-     * @param pendingResize the resize being requested; null if none
-     * @param nearCapMonth  the month in which the near mark was reached; empty if none
+     * @param pendingResize the resize that is being requested; null if none
+     * @param nearCapMonth  the latest month in which the near-cap threshold was reached; empty if none
      */
     record Budget(
             String month,
@@ -51,11 +51,11 @@
     }
 
     /**
-     * A request that the provider run a number of endpoints. Stored before the provider is asked.
+     * A request to the provider to run a number of endpoints. Stored before it is sent.
      *
-     * @param idempotencyKey the provider applies requests with the same key once
+     * @param idempotencyKey the provider applies requests with the same key only once
      * @param size           the desired number of endpoints
-     * @param minCostCents   the least that the additional endpoints cost
+     * @param minCostCents   the minimum cost of the additional endpoints
      */
     record ResizeRequest(
             @SerializedName("key") String idempotencyKey,
--- a/src/main/java/nettlewick/tenantpools/ProviderAnswer.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderAnswer.java
@@ -1,27 +1,27 @@
 package nettlewick.tenantpools;
 
-/** How the provider answered a request. */
+/** The outcome of a request to the provider. */
 sealed interface ProviderAnswer {
     /** The request was carried out. */
     record Reported(ProviderReport report) implements ProviderAnswer {}
 
-    /** The instances have changed since the report that a resize was based on. */
+    /** The instances have changed since the report on which the resize was based. */
     record VersionConflict() implements ProviderAnswer {}
 
     /**
-     * Another lease holder has sent a request under a higher fence.
+     * The request was rejected because another lease holder has sent one with a higher fence.
      *
-     * @param highestFence the highest that the provider has seen
+     * @param highestFence the highest fence that the provider has seen
      */
     record Fenced(long highestFence) implements ProviderAnswer {}
 
     /**
-     * The provider is overloaded.
+     * The provider rejected the request because of overload.
      *
-     * @param delayMillis how long it asks to wait; 0 if it did not say
+     * @param delayMillis the delay it asks for; 0 if it did not state one
      */
     record RetryLater(double delayMillis) implements ProviderAnswer {}
 
-    /** There was no answer in time, or none that can be read. */
+    /** No response arrived in time, or it could not be parsed. */
     record NoAnswer() implements ProviderAnswer {}
 }
--- a/src/main/java/nettlewick/tenantpools/ProviderClient.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderClient.java
@@ -21,8 +21,8 @@
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * The HTTP client of the provider that runs added endpoints (docs/pools.md). Each request gets exactly one answer, on
- * any thread.
+ * HTTP client for the provider that runs added endpoints (docs/pools.md). The handler of each request is called exactly
+ * once, on any thread.
  */
 final class ProviderClient implements AutoCloseable {
     private static final int STATUS_OK = 200;
@@ -35,12 +35,13 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     /**
-     * Under which conditions the provider carries out a resize.
+     * The preconditions under which the provider carries out a resize.
      *
-     * @param etag           the version of the report that it is based on
-     * @param fence          that of the lease holder
-     * @param notAfterMillis on the provider's clock, in milliseconds of Unix time: a request that the network delays
-     *                       for minutes must not spend by an outdated calculation
+     * @param etag           the version of the report on which the resize is based
+     * @param fence          the fence of the lease holder
+     * @param notAfterMillis the latest time for carrying it out, on the provider's clock in milliseconds of Unix time;
+     *                       otherwise a request that the network delays for minutes would spend money based on an
+     *                       outdated calculation
      */
     record ResizeCondition(String etag, long fence, long notAfterMillis) {}
 
@@ -59,12 +60,12 @@
                 new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS));
     }
 
-    /** Asks which instances run and ran for a tenant. */
+    /** Fetches the current and recent instances of a tenant. */
     void fetchReport(String tenant, double nowMillis, Consumer<ProviderAnswer> handler) {
         send(HttpMethod.GET, tenant, request -> request.send(Buffer.buffer()), nowMillis, handler);
     }
 
-    /** Asks that a number of instances of a kind run for a tenant. */
+    /** Requests that a number of instances of a kind run for a tenant. */
     void resize(
             String tenant,
             ResizeRequest resize,
@@ -88,7 +89,7 @@
                 handler);
     }
 
-    /** Writes the headers and the body of a request. */
+    /** Sends the headers and the body of a request. */
     private interface RequestWriter {
         Future<HttpClientResponse> write(HttpClientRequest request);
     }
@@ -105,10 +106,11 @@
                         .setHost(url.getHost())
                         .setPort(url.getPort() < 0 ? DEFAULT_PORT : url.getPort())
                         .setURI(basePath.replaceAll("/+$", "") + "/pools/" + tenant))
-                // Composed on the response's event loop: the caller's thread may come too late for its end.
+                // The body is requested in a callback on the response's event loop: on the caller's thread it could be
+                // requested too late, after the end of the response.
                 .compose(request -> writer.write(request)
                         .compose(response -> response.body().map(body -> parse(response, body, nowMillis))));
-        // The client's own timeouts cover neither connecting nor reading the body.
+        // The HTTP client's own timeouts cover neither connecting nor reading the body.
         answer.timeout((long) timeoutMillis, TimeUnit.MILLISECONDS)
                 .otherwise(new ProviderAnswer.NoAnswer())
                 .onSuccess(handler::accept);
--- a/src/main/java/nettlewick/tenantpools/ProviderReport.java
+++ b/src/main/java/nettlewick/tenantpools/ProviderReport.java
@@ -7,22 +7,22 @@
 import java.util.List;
 
 /**
- * The provider's view of a tenant's instances.
+ * The provider's report on a tenant's instances.
  *
- * @param desiredSize        how many instances are to run
- * @param etag               the version of this view
- * @param charges            instances that run, or ran in this month or the last
- * @param providerTimeMillis the provider's clock when it answered, in milliseconds of Unix time, rounded down to a
+ * @param desiredSize        the number of instances that the provider is to run
+ * @param etag               the version of this report
+ * @param charges            instances that are running, or were running in the current or the previous month
+ * @param providerTimeMillis the provider's clock when it responded, in milliseconds of Unix time, rounded down to a
  *                           second
  * @param requestedAtMillis  when the request was sent, on the local monotonic clock
  */
 record ProviderReport(
         int desiredSize, String etag, List<InstanceCharge> charges, long providerTimeMillis, double requestedAtMillis) {
-    /** The provider's clock is known to a second only. */
+    /** The provider's clock is known only to the second. */
     private static final long CLOCK_RESOLUTION_MILLIS = 1000;
 
     /**
-     * Parses the body of an answer.
+     * Parses the body of a response.
      *
      * @throws RuntimeException if the body or the ETag is missing or malformed
      */
@@ -54,7 +54,7 @@
         return charge;
     }
 
-    /** The latest that the provider's clock may show now. */
+    /** The upper bound of the current time on the provider's clock. */
     long providerNowMillis(double nowMillis) {
         return providerTimeMillis + CLOCK_RESOLUTION_MILLIS + Math.round(nowMillis - requestedAtMillis);
     }
--- a/src/main/java/nettlewick/tenantpools/ScaleOutController.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutController.java
@@ -12,19 +12,19 @@
 import nettlewick.tenantpools.ScaleOutPolicy.BudgetStatus;
 
 /**
- * Carries out the scale-out decisions of a lease holder: asks the provider, one request at a time, and retries with
- * exponential backoff and jitter. Confined to the lease thread, except {@link #budgetStatus}.
+ * Carries out the scale-out decisions of a lease holder: sends requests to the provider, one at a time, and retries
+ * with exponential backoff and jitter. Confined to the lease thread, except {@link #budgetStatus}.
  */
 final class ScaleOutController {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
     private static final double INITIAL_BACKOFF_MILLIS = 100;
     private static final double MAX_BACKOFF_MILLIS = 10_000;
-    /** Keeps the power of two finite. */
+    /** Prevents overflow of the power of two. */
     private static final int MAX_DOUBLINGS = 30;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** No lease is held. */
+    /** The lease is not held. */
     private static final long NO_FENCE = -1;
 
     private final String tenant;
@@ -34,7 +34,7 @@
     private LeaseTask.LeaseControl leaseControl;
 
     private long fence = NO_FENCE;
-    /** The newest since the lease was acquired; null before the first. */
+    /** The newest report since the lease was acquired; null before the first. */
     private ProviderReport report;
 
     private boolean requestInFlight;
@@ -47,7 +47,7 @@
     /** Null while the lease is not held here. */
     private volatile BudgetStatus budgetStatus;
 
-    /** @param provider null if there is none; {@link #evaluate} must not be called then */
+    /** @param provider null if there is no provider; {@link #evaluate} must not be called then */
     ScaleOutController(String tenant, ProviderClient provider, Clock clock, long seed) {
         this.tenant = tenant;
         this.provider = provider;
@@ -59,7 +59,7 @@
         leaseControl = control;
     }
 
-    /** Starts without any report, under the fence of a newly acquired lease. */
+    /** Resets all state for a newly acquired lease. */
     void startHolding(long newFence, double nowMillis) {
         fence = newFence;
         report = null;
@@ -74,22 +74,22 @@
         budgetStatus = null;
     }
 
-    /** Whether all endpoints that were requested run and are ready. */
+    /** Whether all requested endpoints are running and ready. */
     boolean isComplete() {
         return scaleOutComplete;
     }
 
-    /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
+    /** The budget's state; null while the lease is not held here or no report has arrived. Thread-safe. */
     BudgetStatus budgetStatus() {
         return budgetStatus;
     }
 
     /**
-     * Takes one step towards the desired number of added endpoints.
+     * Performs the next action towards the desired number of added endpoints.
      *
-     * @param desired negative: as many as there are
-     * @param ready   names of all ready endpoints
-     * @return the state to store, or the same one
+     * @param desiredSize the desired number; negative to keep the current one
+     * @param readyNames  names of all ready endpoints
+     * @return the state to store; the same object if it has not changed
      */
     PoolState evaluate(
             PoolState state,
@@ -163,7 +163,7 @@
             ResizeRequest request = resize.request();
             LOG.info(
                     "asks-provider",
-                    "asks the provider for " + request.size() + " endpoints for tenant " + tenant,
+                    "requesting " + request.size() + " endpoints from the provider for tenant " + tenant,
                     "member",
                     tenant,
                     "size",
@@ -182,7 +182,10 @@
         }
     }
 
-    /** Hands an answer to the lease thread; one that belongs to an earlier holding is dropped. */
+    /**
+     * Returns a handler that passes an answer to the lease thread and drops it if the lease was lost or reacquired
+     * since the request.
+     */
     private Consumer<ProviderAnswer> answerHandler(long requestFence) {
         return answer -> leaseControl.execute(() -> {
             if (requestFence == fence) {
@@ -206,7 +209,7 @@
         } else {
             LOG.info(
                     "provider-fails",
-                    "the provider did not answer for tenant " + tenant,
+                    "request to the provider for tenant " + tenant + " failed",
                     "member",
                     tenant,
                     "answer",
@@ -222,7 +225,10 @@
         }
     }
 
-    /** Drawn from the whole interval: all holders would otherwise return at once to a provider that was down. */
+    /**
+     * A random delay between zero and the exponential bound (full jitter), so that the lease holders do not all retry
+     * at the same time after an outage of the provider.
+     */
     private double backoffMillis() {
         double maxDelayMillis = Math.min(
                 MAX_BACKOFF_MILLIS,
@@ -233,7 +239,7 @@
     private void yieldLease(long highestFence) {
         LOG.warning(
                 "outdone",
-                "the provider has seen a higher fence for tenant " + tenant,
+                "the provider rejected a request for tenant " + tenant + " because it has seen a higher fence",
                 "member",
                 tenant,
                 "fence",
--- a/src/main/java/nettlewick/tenantpools/ScaleOutDecision.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutDecision.java
@@ -3,21 +3,21 @@
 import nettlewick.tenantpools.PoolState.Budget;
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
-/** What a lease holder does next about a tenant's added endpoints. */
+/** The next action of a lease holder for a tenant's added endpoints. */
 sealed interface ScaleOutDecision {
-    /** There is nothing to do. */
+    /** No action is needed. */
     record NoAction() implements ScaleOutDecision {}
 
-    /** The provider must be asked for a new report. */
+    /** A new report must be fetched from the provider. */
     record FetchReport() implements ScaleOutDecision {}
 
-    /** A new budget must be stored in the lease's state before anything else. */
+    /** A new budget must be stored in the lease's state before any other action. */
     record StoreBudget(Budget budget) implements ScaleOutDecision {}
 
     /**
      * The pending resize must be sent to the provider.
      *
-     * @param notAfterMillis until when, on the provider's clock, the calculation behind it holds
+     * @param notAfterMillis the time on the provider's clock until which the underlying cost calculation is valid
      */
     record Resize(ResizeRequest request, long notAfterMillis) implements ScaleOutDecision {}
 }
--- a/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
@@ -7,22 +7,22 @@
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * Decides how many endpoints are added for a tenant within its spending cap (docs/pools.md): what to store or to ask of
- * the provider next, given its last report. Confined to one thread.
+ * Decides how many endpoints are added for a tenant within its spending cap (docs/pools.md): what to store, or to
+ * request from the provider, next, given its last report. Confined to one thread.
  */
 final class ScaleOutPolicy {
     private static final double MAX_REPORT_AGE_MILLIS = 5000;
     private static final double MAX_REPORT_AGE_WHILE_STARTING_MILLIS = 500;
-    /** As many as anyone may want, without overflow. */
+    /** No limit on the number of endpoints; less than the largest int, so that sums do not overflow. */
     private static final int UNLIMITED = Integer.MAX_VALUE / 2;
 
     /**
      * The limits of scaling out for a tenant.
      *
-     * @param centsPerHour    the price of one more endpoint
-     * @param minBilledMillis the least time that it is billed
-     * @param reactionMillis  the longest time until somebody can end an endpoint that is no longer wanted
-     * @param releaseAtCap    whether all added endpoints are released once the cap itself is reached
+     * @param centsPerHour    the price of one additional endpoint
+     * @param minBilledMillis the minimum time that is billed for it
+     * @param reactionMillis  the maximum time until an endpoint that is no longer wanted can be ended
+     * @param releaseAtCap    whether all added endpoints are released when the cap itself is reached
      */
     record ScaleOutSettings(
             SpendingCap.MonthlyCap cap,
@@ -30,7 +30,7 @@
             long minBilledMillis,
             long reactionMillis,
             boolean releaseAtCap) {
-        /** The least that one more endpoint costs. */
+        /** The minimum cost of one additional endpoint. */
         long minCostCents() {
             return InstanceCharge.costCents(Math.max(minBilledMillis, reactionMillis), centsPerHour);
         }
@@ -39,17 +39,17 @@
     /**
      * The state of a tenant's budget, for operators.
      *
-     * @param resumesIn the month in which endpoints can be added again once the cap is near
+     * @param resumesInMonth the month from which endpoints can be added again after the near-cap threshold is reached
      */
     record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesInMonth) {}
 
     /**
-     * The moment of a decision.
+     * The budget at the time of a decision.
      *
      * @param providerNowMillis the provider's clock, in milliseconds of Unix time
      * @param month             the month whose budget counts
-     * @param monthDisputed     whether the provider's clock shows another month
-     * @param affordable        how many more endpoints the budget allows
+     * @param monthMismatch     whether the provider's clock shows another month
+     * @param affordableCount   how many additional endpoints the budget allows
      */
     private record BudgetSnapshot(
             SpendingCap spending,
@@ -67,7 +67,7 @@
         zone = settings.cap().zone();
     }
 
-    /** As of the last report; null before the first. */
+    /** The budget's state according to the last report; null before the first. */
     BudgetStatus budgetStatus() {
         return budgetStatus;
     }
@@ -75,11 +75,11 @@
     /**
      * Decides the next action.
      *
-     * @param report         the newest one; null if there is none since the lease was acquired
-     * @param desired        how many endpoints should run; negative: as many as do
-     * @param nowMillis      on the monotonic clock
-     * @param wallMillis     on the local wall clock, in milliseconds of Unix time; it may be wrong
-     * @param idempotencyKey a new one, for a resize that this decision starts
+     * @param report         the newest report; null if none has arrived since the lease was acquired
+     * @param desiredSize    how many endpoints should run; negative to keep the current number
+     * @param nowMillis      the monotonic clock
+     * @param wallMillis     the local wall clock, in milliseconds of Unix time; it may be wrong
+     * @param idempotencyKey a new key, used if this decision starts a resize
      */
     ScaleOutDecision decide(
             Budget budget,
@@ -119,7 +119,8 @@
                 spending.committedCents(report.charges(), providerNowMillis, settings.reactionMillis()),
                 settings.cap().cents(),
                 month.plusMonths(1));
-        // Otherwise costs of one month could be paid from the budget of another.
+        // If the months differ, nothing is added: otherwise costs of one month could be charged to another month's
+        // budget.
         boolean monthMismatch = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
         long startingCount =
                 Math.max(0, report.desiredSize() - report.runningCharges().size());
@@ -136,8 +137,8 @@
     }
 
     /**
-     * Sends the pending resize unless it is done or has become too expensive since. A request of it that is still in
-     * transit takes effect within its time limit or not at all.
+     * Sends the pending resize unless it is complete or no longer affordable. An earlier request for it that is still
+     * in transit takes effect within its time limit or not at all.
      */
     private ScaleOutDecision continueResize(Budget budget, ProviderReport report, BudgetSnapshot snapshot) {
         ResizeRequest pending = budget.pendingResize();
@@ -184,8 +185,8 @@
     }
 
     /**
-     * A month begins only when both the provider's clock and the local one have reached it, and never again after a
-     * later one: a clock that jumps must not open a month's budget early or twice.
+     * A month's budget opens only when both the provider's clock and the local clock have reached the month, and never
+     * after a later month has opened. This prevents a clock jump from opening a month's budget early or twice.
      */
     private YearMonth budgetMonth(Budget budget, long earlierClockMillis) {
         YearMonth now = SpendingCap.monthOf(earlierClockMillis, zone);
@@ -194,7 +195,7 @@
                 : YearMonth.parse(budget.month());
     }
 
-    /** Instances whose minimum billed time is over: ending the others earlier saves nothing. */
+    /** The number of instances whose minimum billed time is over. Ending the others would save nothing yet. */
     private static long countPastMinBilledTime(List<InstanceCharge> running, long providerNowMillis) {
         return running.stream()
                 .filter(charge -> providerNowMillis >= charge.startedAtMillis() + charge.minBilledMillis())
--- a/src/main/java/nettlewick/tenantpools/SpendingCap.java
+++ b/src/main/java/nettlewick/tenantpools/SpendingCap.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * What a tenant has spent in a month and is committed to spend, compared with its monthly cap. All times are the
- * provider's, all amounts whole hundredths. Immutable.
+ * Computes what a tenant has spent and is committed to spend in a month, and what its monthly cap still allows. All
+ * times are on the provider's clock, in milliseconds of Unix time; all amounts are whole cents. Immutable.
  */
 public final class SpendingCap {
     /**
-     * What may be spent in a month.
+     * The limit on a month's spending.
      *
-     * @param cents        the cap; 0 if nothing may be added
-     * @param nearFraction the fraction of the cap past which nothing is added
-     * @param zone         the time zone whose months count
+     * @param cents           the cap; 0 if no endpoints may be added
+     * @param nearCapFraction the fraction of the cap beyond which no endpoints are added (the near-cap threshold)
+     * @param zone            the time zone in which months begin and end
      */
     public record MonthlyCap(long cents, double nearCapFraction, ZoneId zone) {
         long nearCapCents() {
@@ -27,7 +27,7 @@
     private final long startMillis;
     private final long endMillis;
 
-    /** Creates the account of a month. */
+    /** Creates an instance for one month. */
     public SpendingCap(MonthlyCap cap, YearMonth month) {
         this.cap = cap;
         startMillis = firstInstant(month, cap.zone());
@@ -42,7 +42,7 @@
         return YearMonth.from(Instant.ofEpochMilli(millis).atZone(zone));
     }
 
-    /** What has been billed for this month until now. */
+    /** The cost of this month until now. */
     long spentCents(List<InstanceCharge> charges, long nowMillis) {
         return charges.stream()
                 .mapToLong(
@@ -51,10 +51,10 @@
     }
 
     /**
-     * What is still to be billed for instances that run, or ended before their minimum billed time. Costs past the end
-     * of the month count too: otherwise its last hour would allow any number of instances.
+     * The future cost of running instances, and of those that ended before their minimum billed time. Costs past the
+     * end of the month are included; otherwise any number of instances could be added in its last hour.
      *
-     * @param reactionMillis the longest time until running instances can be ended
+     * @param reactionMillis the maximum time until running instances can be ended
      */
     long committedCents(List<InstanceCharge> charges, long nowMillis, long reactionMillis) {
         return charges.stream()
@@ -65,10 +65,10 @@
     }
 
     /**
-     * How many of the wanted instances can be added so that spending stays below the near mark.
+     * How many of the wanted instances can be added while spending stays below the near-cap threshold.
      *
-     * @param minCostCents the least that one more instance costs
-     * @param pendingCents what instances cost that are requested but do not run yet
+     * @param minCostCents the minimum cost of one additional instance
+     * @param pendingCents the cost of instances that are requested but not running yet
      */
     int affordableCount(
             List<InstanceCharge> charges,
--- a/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -15,13 +15,13 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * The lease task of one tenant. The holder judges contention, migrates the tenant and scales out; every other
- * dispatcher follows the stored state and reports what it sees. Confined to the lease thread, except {@link
+ * The lease task of one tenant. The lease holder evaluates contention, migrates the tenant and adds endpoints; every
+ * other dispatcher applies the stored state and reports usage. Confined to the lease thread, except {@link
  * #budgetStatus}.
  */
 final class TenantPoolTask implements LeaseTask {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
-    /** The holder evaluates the state at most this often, and after each new version. */
+    /** The minimum interval between evaluations by the holder, unless a new version has been stored. */
     private static final double MIN_EVALUATION_INTERVAL_MILLIS = 20;
 
     /** The lease is not held here. */
@@ -33,10 +33,10 @@
     private final UsageReporter reporter;
     private final ScaleOutController scaleOut;
     private final DoubleConsumer onChange;
-    /** Whether the holder, here or elsewhere, wants reports from all dispatchers. */
+    /** Whether the lease holder, here or elsewhere, requests reports from all dispatchers. */
     private boolean holderRequestsReports;
 
-    // The rest describes the time in which the lease is held here.
+    // The following fields are valid while the lease is held here.
     private long fence = NO_FENCE;
     private boolean acquisitionLogged;
     private long lastVersion;
@@ -45,7 +45,9 @@
     private PoolMigration migration;
     private boolean migrating;
 
-    /** @param onChange called with the time in milliseconds whenever state may have arrived or become stale */
+    /**
+     * @param onChange called with the current time in milliseconds whenever a state may have arrived or become stale
+     */
     TenantPoolTask(
             String tenant,
             Supplier<PoolSettings> settings,
@@ -108,7 +110,7 @@
         scaleOut.startHolding(fence, lease.nowMillis());
     }
 
-    /** The next state, or the same object if nothing changes. */
+    /** Returns the next state, or the same object if nothing changes. */
     private PoolState nextState(PoolState state, double nowMillis) {
         PoolSettings.TenantSettings tenantSettings = tenantSettings();
         Map<String, ReadyEndpoint> readyEndpoints = assignments.readyEndpoints();
@@ -136,7 +138,7 @@
         String step = next.step().wireName();
         LOG.info(
                 "pool-" + step.toLowerCase(Locale.ROOT),
-                "tenant " + tenant + ": " + step + " with endpoints " + next.endpoints(),
+                "tenant " + tenant + ": migration step " + step + " with endpoints " + next.endpoints(),
                 "member",
                 tenant,
                 "step",
@@ -145,7 +147,10 @@
                 fence);
     }
 
-    /** How many added endpoints match the demand beyond the tenant's quota; negative while the demand is unknown. */
+    /**
+     * The number of added endpoints that covers the demand beyond the tenant's quota; negative while the demand is
+     * unknown.
+     */
     private int desiredAddedCount(MigrationState state, Map<String, ReadyEndpoint> readyEndpoints) {
         if (state.step() == Step.SHARED || state.step() == Step.RETURNING) {
             return 0;
@@ -182,12 +187,15 @@
         }
         if (!monitor.recordReport(dispatcher, incarnation, report)) {
             LOG.warning(
-                    "word-passed-over", "a usage report on tenant " + tenant + " cannot be read", "from", dispatcher);
+                    "word-passed-over",
+                    "ignoring a usage report on tenant " + tenant + " that cannot be decoded",
+                    "from",
+                    dispatcher);
         }
         if (monitor.requestReportsIfUnsolicited()) {
             LOG.info(
                     "hears-all",
-                    "listens to all dispatchers on tenant " + tenant,
+                    "requesting usage reports on tenant " + tenant + " from all dispatchers",
                     "member",
                     tenant,
                     "from",
@@ -217,7 +225,7 @@
         return !requestsReports();
     }
 
-    /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
+    /** The budget's state; null while the lease is not held here or no report has arrived. Thread-safe. */
     ScaleOutPolicy.BudgetStatus budgetStatus() {
         return scaleOut.budgetStatus();
     }
--- a/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
@@ -21,8 +21,8 @@
 import nettlewick.settings.Block;
 
 /**
- * Connects the tenants' pools to the lease service, which runs their tasks, and to the core, which is given the
- * resulting assignments. Requests and endpoint updates arrive on the core's thread, everything else on the lease
+ * Connects the tenants' pools to the lease service, which runs their tasks, and to the core, which applies the
+ * resulting assignments. Requests and endpoint updates arrive on the core's thread, all other calls on the lease
  * thread.
  */
 public final class TenantPoolsService implements RequestListener, AutoCloseable {
@@ -38,9 +38,9 @@
     private List<PoolAssignment> lastAssignments = List.of();
 
     /**
-     * Checks the settings and creates one lease task for each tenant that they name.
+     * Validates the settings and creates one lease task for each tenant named in them.
      *
-     * @throws nettlewick.settings.InvalidSettingsException if the block contradicts itself or the platform's settings
+     * @throws nettlewick.settings.InvalidSettingsException if the block contradicts itself or the scheduler settings
      */
     public TenantPoolsService(Block block, SchedulerSettings schedulerSettings, Clock clock, long seed) {
         this.schedulerSettings = schedulerSettings;
@@ -66,7 +66,7 @@
                 this::publishAssignments);
     }
 
-    /** The tenants' lease tasks, by the name of the lease. */
+    /** The tenants' lease tasks, by lease name. */
     public Map<String, LeaseTask> leaseTasks() {
         Map<String, LeaseTask> leaseTasks = new LinkedHashMap<>();
         tasks.forEach((name, task) -> leaseTasks.put(PoolSettings.leaseName(name), task));
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Checks a new version of the block. Tenants cannot be added or removed without a restart, since each has a lease:
-     * a block that does is logged and not applied.
+     * Validates a new version of the block. Tenants cannot be added or removed without a restart, since each has a
+     * lease; a block that does so is not applied, and a warning is logged.
      *
-     * @return the step that applies it
+     * @return a task that applies it
      * @throws nettlewick.settings.InvalidSettingsException if it is invalid; the current settings stay in force
      */
     public Runnable prepareReload(Block block) {
@@ -88,25 +88,29 @@
             } else {
                 LOG.warning(
                         "members-stay",
-                        "adding or removing tenants of the block pools needs a restart; the old block stays in force");
+                        "tenants in block pools cannot be added or removed without a restart; keeping the old block");
             }
         };
     }
 
-    /** Hands changed assignments to the core. Called on the lease thread. */
+    /** Passes changed assignments to the core. Called on the lease thread. */
     private void publishAssignments(double nowMillis) {
         List<PoolAssignment> next = assignments.currentAssignments(nowMillis);
         RequestCoordinator currentCoordinator = coordinator;
         if (currentCoordinator != null && !next.equals(lastAssignments)) {
             lastAssignments = next;
-            LOG.info("pools-followed", "tenants with dedicated endpoints: " + next.size(), "follows", describe(next));
+            LOG.info(
+                    "pools-followed",
+                    "pool assignments changed; tenants with dedicated endpoints: " + next.size(),
+                    "follows",
+                    describe(next));
             currentCoordinator.assignPools(next);
         }
     }
 
     /**
-     * {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether it excludes others, whether it is confined, endpoints. The
-     * fleet test parses this form.
+     * Formats assignments as {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether it excludes others, whether it is
+     * confined to its endpoints, endpoint names. The fleet test parses this format.
      */
     private static String describe(List<PoolAssignment> assignments) {
         return assignments.stream()
--- a/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
+++ b/src/test/java/nettlewick/contention/ContentionEvidenceTest.java
@@ -22,7 +22,7 @@
 import nettlewick.contention.SimulatedDispatchers.Load;
 import org.junit.jupiter.api.Test;
 
-/** Whose load counts as contention, judged from twelve dispatchers that each see a few requests in a window. */
+/** Detection of contention from the reports of twelve dispatchers that each see a few requests in a window. */
 class ContentionEvidenceTest {
     private static final int DISPATCHERS = 12;
     private static final int ENDPOINTS = 8;
@@ -39,7 +39,7 @@
         return fleet.runWindow(load);
     }
 
-    /** After how many windows red is found to cause contention; -1 if never. */
+    /** The number of windows until tenant red is found to cause contention; -1 if it is not. */
     private int windowsUntilDetected(Load load) {
         for (int w = 1; w <= MAX_WINDOWS; w++) {
             if (runWindow(load).causesContention()) {
@@ -122,7 +122,7 @@
         assertEquals(-1, windowsUntilDetected(new Load(requests, 0.3, 1)));
     }
 
-    /** Of two flooding tenants the larger is migrated first; the other one is detected afterwards. */
+    /** Of two flooding tenants, the larger is detected first and the other one only after its migration. */
     @Test
     void theSecondTenantIsDetectedOnceTheLargerIsIsolated() {
         startFleet();
@@ -151,7 +151,9 @@
         }
     }
 
-    /** The holder is replaced in each window of a flood: dispatchers repeat the last windows to each new one. */
+    /**
+     * The lease holder is replaced in each window of a flood; dispatchers resend the last windows to each new holder.
+     */
     @Test
     void evidenceSurvivesALeaseHolderChangeInEachWindow() {
         for (double lossProbability : new double[] {0, 0.3}) {
@@ -165,7 +167,8 @@
                 fleet.replaceHolder(true);
             }
             assertTrue(
-                    windows >= 4 && windows <= 10, "detected after " + windows + " with " + lossProbability + " lost");
+                    windows >= 4 && windows <= 10,
+                    "detected after " + windows + " windows with loss probability " + lossProbability);
         }
     }
 
@@ -179,7 +182,7 @@
         }
     }
 
-    /** Reports of one incarnation may be late, duplicated and reordered. */
+    /** Reports of one incarnation may be delayed, duplicated and reordered. */
     @Test
     void earlierReportsMayArriveInAnyOrderAndTwice() {
         startFleet();
--- a/src/test/java/nettlewick/contention/PoolMigrationTest.java
+++ b/src/test/java/nettlewick/contention/PoolMigrationTest.java
@@ -19,7 +19,7 @@
 import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import org.junit.jupiter.api.Test;
 
-/** The steps of a migration, and which endpoints are selected for a pool. */
+/** The steps of a migration, and the selection of endpoints for a pool. */
 class PoolMigrationTest {
     private static final PoolMigration.MigrationSettings SETTINGS =
             new PoolMigration.MigrationSettings(0.25, 0.5, 1000, 5000, 2000, 10_000);
@@ -39,7 +39,7 @@
         return endpoints;
     }
 
-    /** Advances the time with a finding every half second; the steps that were entered. */
+    /** Advances the time, recording the finding every half second; returns the steps that were entered. */
     private List<Step> run(double millis, Finding finding, boolean scaleOutComplete) {
         List<Step> steps = new ArrayList<>();
         for (double end = nowMillis + millis; nowMillis < end; nowMillis += 500) {
@@ -63,7 +63,7 @@
         ready.putAll(endpoints(8));
         assertEquals(List.of(), run(5000, UNCONTENDED, true));
         assertEquals(List.of(Step.RESERVING, Step.DRAINING, Step.DEDICATED), run(5000, CONTENDING, true));
-        assertEquals(2, state.endpoints().size(), "a quarter of eight");
+        assertEquals(2, state.endpoints().size(), "a quarter of eight endpoints");
         assertEquals(List.of(), run(60_000, CONTENDING, true));
         assertEquals(List.of(Step.RETURNING, Step.SHARED), run(14_000, UNCONTENDED, true));
         assertEquals(List.of(), state.endpoints());
@@ -76,7 +76,7 @@
         for (int stay = 10_000; stay <= 80_000; stay *= 2) {
             run(6000, CONTENDING, true);
             assertEquals(Step.DEDICATED, state.step());
-            assertEquals(List.of(), run(stay - 3000, UNCONTENDED, true), "stays for " + stay);
+            assertEquals(List.of(), run(stay - 3000, UNCONTENDED, true), "minimum stay " + stay);
             assertEquals(List.of(Step.RETURNING, Step.SHARED), run(8000, UNCONTENDED, true));
         }
     }
@@ -161,7 +161,7 @@
         int shared = pool.size() - 1;
         assertTrue(
                 shared + reservedByOthers.size() <= size / 2 || shared == 0,
-                shared + " beside " + reservedByOthers.size());
+                shared + " shared endpoints, " + reservedByOthers.size() + " reserved by others");
         assertTrue(shared <= Math.max(1, Math.round(percent / 100.0 * size)));
         if (reservedByOthers.isEmpty() && shared > 0) {
             long inZoneB = pool.stream()
@@ -170,7 +170,9 @@
             long allInZoneB = endpoints.values().stream()
                     .filter(endpoint -> endpoint.zone().equals("b"))
                     .count();
-            assertTrue(Math.abs(inZoneB - shared * allInZoneB / (double) size) < 1, inZoneB + " of " + shared);
+            assertTrue(
+                    Math.abs(inZoneB - shared * allInZoneB / (double) size) < 1,
+                    inZoneB + " of " + shared + " in zone b");
         }
         List<String> reselected =
                 PoolReservation.selectEndpoints("red", endpoints, pool, reservedByOthers, percent / 100.0, 0.5);
--- a/src/test/java/nettlewick/contention/SimulatedDispatchers.java
+++ b/src/test/java/nettlewick/contention/SimulatedDispatchers.java
@@ -9,12 +9,12 @@
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
 
-/** Dispatchers in virtual time that each see a few requests in a window and report to the holder of red's lease. */
+/** Simulated dispatchers that each see a few requests in a window and report to the holder of tenant red's lease. */
 public final class SimulatedDispatchers {
     private static final int ENDPOINTS = 8;
     private static final long WORK_MILLIS = 50;
 
-    /** What one dispatcher has counted, as seen from red, since its incarnation began. */
+    /** The cumulative counts of one dispatcher with respect to tenant red, since its incarnation began. */
     static final class DispatcherUsage {
         long totalWork;
         long runMillis;
@@ -26,7 +26,7 @@
         /** The encoded report at the end of each window, newest first. */
         final List<byte[]> recentReports = new ArrayList<>();
 
-        /** The report at the end of a window. */
+        /** Creates the report at the end of a window. */
         UsageReport report(double quota) {
             UsageReport report = new UsageReport(
                     totalWork,
@@ -45,9 +45,9 @@
     /**
      * The load of one window.
      *
-     * @param requestsPerWindow mean requests of each tenant at each dispatcher
-     * @param harmedFraction    of other tenants' attempts
-     * @param slowdown          how many times longer than hinted requests run
+     * @param requestsPerWindow mean number of requests of each tenant on each dispatcher
+     * @param harmedFraction    the fraction of other tenants' attempts that are harmed
+     * @param slowdown          the ratio of run time to cost hint
      */
     public record Load(Map<String, Double> requestsPerWindow, double harmedFraction, double slowdown) {}
 
@@ -55,7 +55,7 @@
     final List<DispatcherUsage> dispatchers = new ArrayList<>();
     final Map<String, Double> quotas;
     ContentionEvidence evidence;
-    /** Tenants that are confined to dedicated endpoints, with those endpoints. */
+    /** Tenants that are confined to dedicated endpoints, with the names of these endpoints. */
     Map<String, Set<String>> isolated = Map.of();
     /** Probability that a report is lost. */
     double lossProbability;
@@ -97,9 +97,9 @@
     }
 
     /**
-     * Replaces the lease holder by one without any evidence.
+     * Replaces the lease holder with one that has no evidence.
      *
-     * @param past whether dispatchers send the reports of earlier windows to it
+     * @param resendReports whether dispatchers resend the reports on earlier windows to it
      */
     void replaceHolder(boolean resendReports) {
         evidence = new ContentionEvidence("red", quotas);
@@ -113,7 +113,9 @@
         }
     }
 
-    /** Encoded reports of a dispatcher that falsely blames a tenant for all harm, each worse than the one before. */
+    /**
+     * Supplies encoded reports of a dispatcher that falsely attributes all harm to a tenant, each with larger counts.
+     */
     public static Supplier<byte[]> falseReports(String tenant, int endpoints) {
         DispatcherUsage reporter = new DispatcherUsage();
         return () -> {
@@ -130,8 +132,8 @@
     }
 
     /**
-     * How often a tenant within its quota is found to cause contention during windows with bursts of all tenants,
-     * slow endpoints, a slow dependency, other tenants' floods and its own load up to its quota.
+     * Counts how often a tenant within its quota is wrongly found to cause contention, over windows with bursts of all
+     * tenants, slow endpoints, a slow dependency, floods of other tenants and its own load up to its quota.
      */
     public static int countFalseDetections(int dispatchers, int windows, long seed) {
         Map<String, Double> quotas = Map.of("red", 0.25, "blue", 0.25, "green", 0.5);
--- a/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
+++ b/src/test/java/nettlewick/contention/UsageReportGoldenTest.java
@@ -11,7 +11,10 @@
 import nettlewick.contention.PoolReservation.ReadyEndpoint;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of usage reports, and which endpoints a tenant's pool is made of: other builds must agree on both. */
+/**
+ * The encoding of usage reports and the selection of a tenant's endpoints: dispatchers of all builds must agree on
+ * both.
+ */
 class UsageReportGoldenTest {
     @Test
     void aReportHasTheRecordedBytes() {
--- a/src/test/java/nettlewick/contention/UsageReporterTest.java
+++ b/src/test/java/nettlewick/contention/UsageReporterTest.java
@@ -15,7 +15,7 @@
 import nettlewick.decision.SchedulerSettings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** When a dispatcher sends reports on a tenant. */
+/** When a dispatcher sends usage reports on a tenant. */
 class UsageReporterTest {
     private static final double WINDOW_MILLIS = 2000;
     private final UsageCounters counters = new UsageCounters(List.of(
@@ -40,13 +40,13 @@
                 2,
                 reporter.reportsToSend("red", 1, true, WINDOW_MILLIS, 100, Set::of)
                         .size(),
-                "one of them on the window that has ended");
+                "one of them is on the window that has ended");
         recordRequests("red", 100, false);
         assertEquals(
                 0,
                 reporter.reportsToSend("red", 1, false, WINDOW_MILLIS, 2500, Set::of)
                         .size(),
-                "over its quota, but nobody is harmed");
+                "over its quota, but no tenant is harmed");
     }
 
     private List<Integer> reportAges(long fence, boolean holderRequestsReports, double nowMillis) {
@@ -67,7 +67,10 @@
         assertEquals(List.of(1, 0), reportAges(2, true, 10 * WINDOW_MILLIS));
         assertEquals(List.of(), reportAges(2, false, 11 * WINDOW_MILLIS));
         assertEquals(List.of(), reportAges(2, false, 12 * WINDOW_MILLIS));
-        assertEquals(List.of(1, 2, 0), reportAges(2, true, 12 * WINDOW_MILLIS + 1), "the same holder listens again");
+        assertEquals(
+                List.of(1, 2, 0),
+                reportAges(2, true, 12 * WINDOW_MILLIS + 1),
+                "the same holder requests reports again");
         assertEquals(
                 10 * 50,
                 UsageReportCodec.decode(
@@ -76,7 +79,7 @@
                         .totalWork());
     }
 
-    /** A small tenant is not reported for a few requests while another tenant's flood harms others. */
+    /** A small tenant must not be reported for a few requests while another tenant's flood causes the harm. */
     @Test
     void theLargestExcessInTwoConsecutiveWindowsIsReportedUnsolicited() {
         List<Boolean> reported = new ArrayList<>();
@@ -92,7 +95,7 @@
         assertEquals(
                 List.of(false, false, true, true),
                 reported,
-                "counts from before the first evaluation belong to no window");
+                "counts before the first evaluation are not part of any window");
         // Once the flooding tenant is isolated, the next one is reported.
         List<Integer> afterIsolation = List.of();
         for (int w = 4; w < 6; w++) {
--- a/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
+++ b/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
@@ -8,7 +8,9 @@
 import nettlewick.contention.MigrationState;
 import org.junit.jupiter.api.Test;
 
-/** The JSON that a lease carries for a tenant's pool: other builds of the fleet and stored voters read it. */
+/**
+ * The JSON of a tenant's pool in the state of a lease: dispatchers of other builds read it, and voters have it stored.
+ */
 class PoolStateGoldenTest {
     @Test
     void eachStepHasTheRecordedJson() {
--- a/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
+++ b/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Calls of many threads to a provider that answers at once. */
+/** Requests from many threads to a provider that responds immediately. */
 @Timeout(60)
 class ProviderClientTest {
     private static final int CALLS_PER_CALLER = 200;
@@ -56,7 +56,9 @@
         return answers;
     }
 
-    /** Guards against an answer that is taken for none, since its body was asked for after its end. */
+    /**
+     * Guards against a response that counts as missing because its body was requested after the end of the response.
+     */
     @Test
     void everyAnswerIsReadEvenIfTheCallerIsScheduledLate() throws Exception {
         URI url = startProvider();
--- a/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What instances cost, what the budget still allows, and when the provider is asked for which size. */
+/** The cost of instances, the remaining budget, and the sizes requested from the provider. */
 class ScaleOutPolicyTest {
     private static final long HOUR_MILLIS = 3_600_000;
     private static final ScaleOutDecision NO_ACTION = new ScaleOutDecision.NoAction();
-    /** A local clock that is past every month. */
+    /** A local wall clock that is past every month. */
     private static final long WALL_MILLIS = Long.MAX_VALUE;
 
     private static final long NOON_MILLIS =
@@ -47,17 +47,22 @@
         assertEquals(200, new SpendingCap(cap, YearMonth.of(2026, 12)).spentCents(spanning, NOON_MILLIS));
         SpendingCap december = new SpendingCap(cap, YearMonth.of(2026, 12));
         assertEquals(
-                1, december.spentCents(List.of(charge(NOON_MILLIS - 1000, 0)), NOON_MILLIS), "a second is a hundredth");
+                1,
+                december.spentCents(List.of(charge(NOON_MILLIS - 1000, 0)), NOON_MILLIS),
+                "a second is rounded up to a cent");
         assertEquals(
                 50,
                 december.spentCents(
                         List.of(charge(NOON_MILLIS - HOUR_MILLIS, NOON_MILLIS - HOUR_MILLIS + 1)), NOON_MILLIS),
-                "its least time");
+                "the minimum billed time");
         assertEquals(
                 100,
                 december.committedCents(List.of(charge(NOON_MILLIS, 0)), NOON_MILLIS, HOUR_MILLIS),
-                "until someone can act");
-        assertEquals(50, december.committedCents(List.of(charge(NOON_MILLIS, 0)), NOON_MILLIS, 0), "its least time");
+                "billed until the reaction time is over");
+        assertEquals(
+                50,
+                december.committedCents(List.of(charge(NOON_MILLIS, 0)), NOON_MILLIS, 0),
+                "the minimum billed time");
         assertEquals(
                 0,
                 december.committedCents(
@@ -74,7 +79,7 @@
         assertEquals(YearMonth.of(2026, 11), SpendingCap.monthOf(millis, ZoneOffset.UTC));
     }
 
-    /** Whatever runs: more is affordable only if everything owed with it stays below the near mark. */
+    /** More instances are affordable only if all costs including theirs stay below the near-cap threshold. */
     @Property(tries = 500)
     void affordableEndpointsKeepSpendingBelowTheNearCap(
             @ForAll @IntRange(min = 0, max = 12) int running,
@@ -124,7 +129,7 @@
                 "k",
                 sentRequest(policy.decide(resizing, empty, 2, 0, WALL_MILLIS, "l"))
                         .idempotencyKey());
-        // Another holder sends the stored resize under the same key, whatever size it wants itself.
+        // Another holder sends the stored resize with the same key, even if it would request another size itself.
         assertEquals(
                 "k",
                 sentRequest(new ScaleOutPolicy(ScaleOutSimulation.SETTINGS)
@@ -138,7 +143,7 @@
     void nothingIsAddedPastTheNearCapAndItIsRecordedOnceAMonth() {
         ScaleOutPolicy policy = new ScaleOutPolicy(ScaleOutSimulation.SETTINGS);
         Budget budget = new Budget("2026-12", null, "");
-        // Each costs 100 for its first minute and 950 may be spent: nine are affordable, the tenth is not.
+        // Each costs 100 cents for its first minute and 950 cents may be spent: nine are affordable, the tenth is not.
         ProviderReport empty = report(0, NOON_MILLIS, 0);
         Budget nearCap = storedBudget(policy.decide(budget, empty, 20, 0, WALL_MILLIS, "k"));
         assertEquals("2026-12", nearCap.nearCapMonth());
@@ -166,12 +171,15 @@
         Budget january = storedBudget(policy.decide(
                 new Budget("2026-12", null, "2026-12"), report(0, nextMonthMillis, 0), 1, 0, WALL_MILLIS, "k"));
         assertEquals("2027-01", january.month());
-        assertEquals(NO_ACTION, policy.decide(january, report(0, NOON_MILLIS, 0), 1, 0, WALL_MILLIS, "k"), "set back");
+        assertEquals(
+                NO_ACTION,
+                policy.decide(january, report(0, NOON_MILLIS, 0), 1, 0, WALL_MILLIS, "k"),
+                "the provider's clock was set back");
         assertNotNull(storedBudget(policy.decide(january, report(0, nextMonthMillis, 0), 1, 0, WALL_MILLIS, "k"))
                 .pendingResize());
         ScaleOutDecision providerAhead =
                 policy.decide(new Budget("2026-12", null, ""), report(0, nextMonthMillis, 0), 1, 0, NOON_MILLIS, "k");
-        assertEquals(NO_ACTION, providerAhead, "the provider's clock alone opens no month");
+        assertEquals(NO_ACTION, providerAhead, "the provider's clock alone does not open a month");
     }
 
     @Test
@@ -227,7 +235,7 @@
         assertTrue(staleRequests > 0 && resizeRequests > WALKS);
     }
 
-    /** A search that misses a seeded bug would prove nothing. */
+    /** Shows that the random walks above are able to find faults: each seeded bug must be detected. */
     @ParameterizedTest
     @EnumSource(names = "NONE", mode = EnumSource.Mode.EXCLUDE)
     void aSeededBugIsFound(ScaleOutSimulation.Bug bug) {
--- a/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
@@ -11,12 +11,12 @@
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * Successive holders of one tenant's lease and a provider, in virtual time: messages are lost, duplicated and delayed,
- * a holder is replaced between storing and asking, a paused one still sends requests, months begin, clocks jump. The
- * stored state is one place that rejects fences below its own, as the lease service promises.
+ * Simulates successive holders of one tenant's lease and a provider in virtual time. Messages are lost, duplicated and
+ * delayed, holders are replaced between storing a resize and sending it, paused holders still send requests, months
+ * begin, and clocks jump. The stored state is a single copy that rejects lower fences, as the lease service guarantees.
  */
 final class ScaleOutSimulation {
-    /** Faults seeded on purpose. */
+    /** Intentional faults of the provider or the holder. */
     enum Bug {
         NONE,
         VERSION_NOT_CHECKED,
@@ -35,7 +35,7 @@
         ScaleOutPolicy policy = new ScaleOutPolicy(SETTINGS);
         ProviderReport report;
         boolean requestInFlight;
-        /** How far its wall clock is off. */
+        /** The error of its wall clock. */
         long clockOffsetMillis;
     }
 
@@ -87,7 +87,7 @@
         nowMillis += millis;
     }
 
-    /** One random event. */
+    /** Simulates one random event. */
     void step() {
         switch (random.nextInt(14)) {
             case 0 -> advanceClock(random.nextInt(8000));
@@ -107,7 +107,7 @@
             case 6, 7, 8 -> deliverOne(random.nextInt(4));
             case 9 -> {
                 if (providerClockJumps && random.nextInt(6) == 0) {
-                    // Set ahead, possibly into the next month, and back again.
+                    // The clock is set ahead, possibly into the next month, or back again.
                     providerClockOffsetMillis = random.nextInt(2) * 900_000L;
                 }
             }
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Runs on without faults: no message is lost and no holder replaced. */
+    /** Continues without faults: no message is lost and no holder is replaced. */
     void runWithoutFaults() {
         for (int i = 0; i < 400; i++) {
             advanceClock(50);
@@ -226,14 +226,14 @@
         });
     }
 
-    /** Delivers a random message, or, if there are faults, may lose or duplicate it. */
+    /** Delivers a random message in transit. If {@code faults} is positive, the message may be lost or duplicated. */
     private void deliverOne(int faults) {
         if (inTransit.isEmpty()) {
             return;
         }
         PendingMessage message = inTransit.remove(random.nextInt(inTransit.size()));
         if (faults > 0 && random.nextInt(8) == 0) {
-            // The message is lost: the sender's timeout expires.
+            // The message is lost, and the sender's timeout expires.
             holder.requestInFlight = false;
             return;
         }
