--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -10,17 +10,17 @@
 
 /** Submits the requests of a capture file to the core at their recorded intervals. Lives on the event loop. */
 public final class CaptureReplayer implements Frontend {
-    private static final long LIST_POLL_INTERVAL_MILLIS = 20;
+    private static final long ENDPOINT_LIST_POLL_INTERVAL_MILLIS = 20;
     /** After that many polls the replay starts without an endpoint list. */
-    private static final int MAX_LIST_POLLS = 500;
+    private static final int MAX_ENDPOINT_LIST_POLLS = 500;
 
     private static final int STATUS_NOT_FOUND = 404;
 
-    private final Environment base;
+    private final Environment environment;
     private final Capture capture;
     private final RequestReader requestReader;
-    private final Promise<Summary> done = Promise.promise();
-    private int unansweredCount;
+    private final Promise<Summary> summaryPromise = Promise.promise();
+    private int pendingCount;
     private int servedCount;
     private int rejectedCount;
     private int failedCount;
@@ -43,20 +43,20 @@
     }
 
     /** Creates a replayer; it starts with {@link #listen}. */
-    public CaptureReplayer(Environment base, Capture capture) {
-        this.base = base;
+    public CaptureReplayer(Environment environment, Capture capture) {
+        this.environment = environment;
         this.capture = capture;
-        requestReader = new RequestReader(base.config());
+        requestReader = new RequestReader(environment.config());
     }
 
     /** Completes when every request has its final answer. */
     public Future<Summary> whenDone() {
-        return done.future();
+        return summaryPromise.future();
     }
 
     @Override
     public Future<Integer> listen() {
-        startWhenListed(0);
+        startWhenEndpointListArrives(0);
         return Future.succeededFuture(0);
     }
 
@@ -70,29 +70,31 @@
         return Future.succeededFuture();
     }
 
-    private void startWhenListed(int polls) {
-        if (!base.canServe().getAsBoolean() && polls < MAX_LIST_POLLS) {
-            base.vertx().setTimer(LIST_POLL_INTERVAL_MILLIS, id -> startWhenListed(polls + 1));
+    private void startWhenEndpointListArrives(int polls) {
+        if (!environment.canServe().getAsBoolean() && polls < MAX_ENDPOINT_LIST_POLLS) {
+            environment
+                    .vertx()
+                    .setTimer(ENDPOINT_LIST_POLL_INTERVAL_MILLIS, id -> startWhenEndpointListArrives(polls + 1));
             return;
         }
         List<RecordedRequest> requests = capture.requests();
-        unansweredCount = requests.size();
-        completeIfAllAnswered();
+        pendingCount = requests.size();
+        completeIfNonePending();
         for (RecordedRequest recorded : requests) {
             double delayMillis = recorded.capturedAtMillis() - requests.get(0).capturedAtMillis();
-            base.vertx().setTimer(Math.max(1, Math.round(delayMillis)), id -> submitOrSkip(recorded));
+            environment.vertx().setTimer(Math.max(1, Math.round(delayMillis)), id -> submitOrSkip(recorded));
         }
     }
 
     private void submitOrSkip(RecordedRequest recorded) {
         try {
-            base.coordinator().submit(readDraft(recorded).toRequest(new CountingCaller()));
+            environment.coordinator().submit(parseRequest(recorded).toRequest(new CountingCaller()));
         } catch (RequestReader.InvalidRequestException e) {
-            countEnd(() -> skippedCount++);
+            countCompletion(() -> skippedCount++);
         }
     }
 
-    private RequestReader.ParsedRequest readDraft(RecordedRequest recorded)
+    private RequestReader.ParsedRequest parseRequest(RecordedRequest recorded)
             throws RequestReader.InvalidRequestException {
         String path = recorded.uri().split("\\?", 2)[0];
         if (!"POST".equals(recorded.method()) || !RequestReader.isRequestPath(path)) {
@@ -103,39 +105,39 @@
                 recorded.uri(),
                 recorded.headers(),
                 recorded.body(),
-                base.clock().nowMillis());
+                environment.clock().nowMillis());
     }
 
     /** Counts the final answer of one request. */
     private final class CountingCaller implements Request.Caller {
         @Override
         public void onServed(byte[] result) {
-            countEnd(() -> servedCount++);
+            countCompletion(() -> servedCount++);
         }
 
         @Override
         public void onRejected(double retryAfterMillis) {
-            countEnd(() -> rejectedCount++);
+            countCompletion(() -> rejectedCount++);
         }
 
         @Override
         public void onFailed(String reason) {
-            countEnd(() -> failedCount++);
+            countCompletion(() -> failedCount++);
         }
     }
 
-    private void countEnd(Runnable count) {
-        base.eventLoop().runOnContext(v -> {
-            count.run();
-            unansweredCount--;
-            completeIfAllAnswered();
+    private void countCompletion(Runnable incrementCounter) {
+        environment.eventLoop().runOnContext(v -> {
+            incrementCounter.run();
+            pendingCount--;
+            completeIfNonePending();
         });
     }
 
-    private void completeIfAllAnswered() {
-        if (unansweredCount == 0) {
+    private void completeIfNonePending() {
+        if (pendingCount == 0) {
             int sent = servedCount + rejectedCount + failedCount;
-            done.tryComplete(new Summary(
+            summaryPromise.tryComplete(new Summary(
                     sent, servedCount, rejectedCount, failedCount, skippedCount, capture.incompleteCount()));
         }
     }
--- a/src/main/java/nettlewick/pcap/HttpRequestExtractor.java
+++ b/src/main/java/nettlewick/pcap/HttpRequestExtractor.java
@@ -18,7 +18,7 @@
     private static final Pattern REQUEST_START =
             Pattern.compile("[A-Z]{3,10} \\S+ HTTP/1\\.[01]\\r\\n.*", Pattern.DOTALL);
 
-    private final Consumer<RecordedRequest> requests;
+    private final Consumer<RecordedRequest> requestConsumer;
     private final Runnable onIncomplete;
     /** Null until bytes begin with a request. */
     private EmbeddedChannel decoder;
@@ -31,8 +31,8 @@
      * @param requests     takes each complete request
      * @param onIncomplete called for each request that misses bytes or is malformed
      */
-    HttpRequestExtractor(Consumer<RecordedRequest> requests, Runnable onIncomplete) {
-        this.requests = requests;
+    HttpRequestExtractor(Consumer<RecordedRequest> requestConsumer, Runnable onIncomplete) {
+        this.requestConsumer = requestConsumer;
         this.onIncomplete = onIncomplete;
     }
 
@@ -46,13 +46,13 @@
             decoder = new EmbeddedChannel(new HttpRequestDecoder());
         }
         decoder.writeInbound(Unpooled.wrappedBuffer(bytes));
-        for (HttpObject part = decoder.readInbound(); part != null; part = decoder.readInbound()) {
-            if (part.decoderResult().isFailure()) {
+        for (HttpObject message = decoder.readInbound(); message != null; message = decoder.readInbound()) {
+            if (message.decoderResult().isFailure()) {
                 onIncomplete.run();
                 reset();
                 return;
             }
-            addPart(capturedAtMillis, part);
+            addMessage(capturedAtMillis, message);
         }
     }
 
@@ -62,36 +62,37 @@
                 .matches();
     }
 
-    private void addPart(double capturedAtMillis, HttpObject part) {
-        if (part instanceof HttpRequest request) {
+    private void addMessage(double capturedAtMillis, HttpObject message) {
+        if (message instanceof HttpRequest request) {
             head = request;
             body = Buffer.buffer();
         }
-        if (part instanceof HttpContent content) {
+        if (message instanceof HttpContent content) {
             byte[] bytes = new byte[content.content().readableBytes()];
             content.content().readBytes(bytes);
             content.release();
             body.appendBytes(bytes);
         }
-        if (part instanceof LastHttpContent && head != null) {
+        if (message instanceof LastHttpContent && head != null) {
             MultiMap headers = MultiMap.caseInsensitiveMultiMap();
             head.headers().forEach(h -> headers.add(h.getKey(), h.getValue()));
-            requests.accept(new RecordedRequest(capturedAtMillis, head.method().name(), head.uri(), headers, body));
+            requestConsumer.accept(
+                    new RecordedRequest(capturedAtMillis, head.method().name(), head.uri(), headers, body));
             head = null;
         }
     }
 
     @Override
     public void onGap() {
-        boolean isCutShort = head != null;
+        boolean isTruncated = head != null;
         if (decoder != null) {
             // When finished, the decoder reports a head that it has seen in part only.
             decoder.finish();
-            for (HttpObject part = decoder.readInbound(); part != null; part = decoder.readInbound()) {
-                isCutShort |= part.decoderResult().isFailure();
+            for (HttpObject message = decoder.readInbound(); message != null; message = decoder.readInbound()) {
+                isTruncated |= message.decoderResult().isFailure();
             }
         }
-        if (isCutShort) {
+        if (isTruncated) {
             onIncomplete.run();
         }
         reset();
--- a/src/main/java/nettlewick/pcap/RecordedConnection.java
+++ b/src/main/java/nettlewick/pcap/RecordedConnection.java
@@ -12,17 +12,17 @@
         SERVER
     }
 
-    private static final int SEGMENT_BYTES = 1400;
-    private static final int INITIAL_SEQUENCE = 1000;
+    private static final int MAX_SEGMENT_BYTES = 1400;
+    private static final int INITIAL_SEQUENCE_NUMBER = 1000;
     private static final byte[] NO_BYTES = {};
 
     /** What one side has sent so far. */
     private static final class Sender {
-        private final TcpPacketBuilder packets;
-        private int nextSequence = INITIAL_SEQUENCE;
+        private final TcpPacketBuilder packetBuilder;
+        private int nextSequenceNumber = INITIAL_SEQUENCE_NUMBER;
 
-        Sender(TcpPacketBuilder packets) {
-            this.packets = packets;
+        Sender(TcpPacketBuilder packetBuilder) {
+            this.packetBuilder = packetBuilder;
         }
     }
 
@@ -45,8 +45,8 @@
 
     /** Writes what that side sends, in as many segments as it takes. */
     void send(Side side, byte[] bytes) {
-        for (int offset = 0; offset < bytes.length; offset += SEGMENT_BYTES) {
-            int length = Math.min(SEGMENT_BYTES, bytes.length - offset);
+        for (int offset = 0; offset < bytes.length; offset += MAX_SEGMENT_BYTES) {
+            int length = Math.min(MAX_SEGMENT_BYTES, bytes.length - offset);
             boolean isLast = offset + length == bytes.length;
             int flags = TcpPacketBuilder.ACK | (isLast ? TcpPacketBuilder.PUSH : 0);
             write(side, flags, bytes, offset, length);
@@ -67,10 +67,11 @@
     private void write(Side side, int flags, byte[] bytes, int offset, int length) {
         Sender sender = side == Side.CLIENT ? client : server;
         Sender receiver = side == Side.CLIENT ? server : client;
-        int acknowledged = (flags & TcpPacketBuilder.ACK) != 0 ? receiver.nextSequence : 0;
-        byte[] packet = sender.packets.build(flags, sender.nextSequence, acknowledged, bytes, offset, length);
-        boolean countsOne = (flags & (TcpPacketBuilder.SYN | TcpPacketBuilder.FIN)) != 0;
-        sender.nextSequence += length + (countsOne ? 1 : 0);
+        int acknowledgmentNumber = (flags & TcpPacketBuilder.ACK) != 0 ? receiver.nextSequenceNumber : 0;
+        byte[] packet = sender.packetBuilder.build(
+                flags, sender.nextSequenceNumber, acknowledgmentNumber, bytes, offset, length);
+        boolean consumesSequenceNumber = (flags & (TcpPacketBuilder.SYN | TcpPacketBuilder.FIN)) != 0;
+        sender.nextSequenceNumber += length + (consumesSequenceNumber ? 1 : 0);
         file.writePacket(packet);
     }
 }
--- a/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
+++ b/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
@@ -18,15 +18,15 @@
         void onGap();
     }
 
-    private record Piece(double capturedAtMillis, byte[] bytes) {}
+    private record BufferedSegment(double capturedAtMillis, byte[] bytes) {}
 
     private final Sink sink;
     /** By offset in the stream. */
-    private final TreeMap<Long, Piece> outOfOrder = new TreeMap<>();
+    private final TreeMap<Long, BufferedSegment> outOfOrder = new TreeMap<>();
 
     private boolean started;
     /** The sequence number of the next byte to deliver. */
-    private int nextSequence;
+    private int nextSequenceNumber;
     /** The offset in the stream of the next byte to deliver. */
     private long nextOffset;
 
@@ -36,37 +36,37 @@
 
     /** Whether this segment opens a connection other than the one that this flow holds. */
     boolean isNewConnection(TcpSegment segment) {
-        return started && segment.syn() && segment.sequence() + 1 != nextSequence - (int) nextOffset;
+        return started && segment.syn() && segment.sequenceNumber() + 1 != nextSequenceNumber - (int) nextOffset;
     }
 
     void add(TcpSegment segment) {
-        int sequence = segment.syn() ? segment.sequence() + 1 : segment.sequence();
+        int sequenceNumber = segment.syn() ? segment.sequenceNumber() + 1 : segment.sequenceNumber();
         if (!started) {
             started = true;
-            nextSequence = sequence;
+            nextSequenceNumber = sequenceNumber;
         }
         if (segment.payload().length == 0) {
             return;
         }
         // A signed difference stays right where sequence numbers wrap round.
-        long offset = nextOffset + (sequence - nextSequence);
-        Piece known = outOfOrder.get(offset);
-        if (known == null || known.bytes().length < segment.payload().length) {
-            outOfOrder.put(offset, new Piece(segment.capturedAtMillis(), segment.payload()));
+        long offset = nextOffset + (sequenceNumber - nextSequenceNumber);
+        BufferedSegment buffered = outOfOrder.get(offset);
+        if (buffered == null || buffered.bytes().length < segment.payload().length) {
+            outOfOrder.put(offset, new BufferedSegment(segment.capturedAtMillis(), segment.payload()));
         }
         deliverInOrder();
     }
 
     private void deliverInOrder() {
         while (!outOfOrder.isEmpty() && outOfOrder.firstKey() <= nextOffset) {
-            Map.Entry<Long, Piece> first = outOfOrder.pollFirstEntry();
+            Map.Entry<Long, BufferedSegment> first = outOfOrder.pollFirstEntry();
             byte[] bytes = first.getValue().bytes();
-            long delivered = nextOffset - first.getKey();
-            if (delivered < bytes.length) {
-                byte[] fresh = Arrays.copyOfRange(bytes, (int) delivered, bytes.length);
-                nextOffset += fresh.length;
-                nextSequence += fresh.length;
-                sink.onBytes(first.getValue().capturedAtMillis(), fresh);
+            long deliveredBytes = nextOffset - first.getKey();
+            if (deliveredBytes < bytes.length) {
+                byte[] newBytes = Arrays.copyOfRange(bytes, (int) deliveredBytes, bytes.length);
+                nextOffset += newBytes.length;
+                nextSequenceNumber += newBytes.length;
+                sink.onBytes(first.getValue().capturedAtMillis(), newBytes);
             }
         }
     }
@@ -75,7 +75,7 @@
     void end() {
         while (!outOfOrder.isEmpty()) {
             sink.onGap();
-            nextSequence += (int) (outOfOrder.firstKey() - nextOffset);
+            nextSequenceNumber += (int) (outOfOrder.firstKey() - nextOffset);
             nextOffset = outOfOrder.firstKey();
             deliverInOrder();
         }
--- a/src/main/java/nettlewick/pcap/TcpPacketBuilder.java
+++ b/src/main/java/nettlewick/pcap/TcpPacketBuilder.java
@@ -31,21 +31,21 @@
     private static final short WINDOW_BYTES = (short) 65_535;
     private static final int CHECKSUM_MASK = 0xffff;
 
-    private final byte[] from;
-    private final byte[] to;
-    private final int fromPort;
-    private final int toPort;
-
-    TcpPacketBuilder(byte[] from, int fromPort, byte[] to, int toPort) {
-        this.from = from;
-        this.fromPort = fromPort;
-        this.to = to;
-        this.toPort = toPort;
+    private final byte[] sourceAddress;
+    private final byte[] destinationAddress;
+    private final int sourcePort;
+    private final int destinationPort;
+
+    TcpPacketBuilder(byte[] sourceAddress, int sourcePort, byte[] destinationAddress, int destinationPort) {
+        this.sourceAddress = sourceAddress;
+        this.sourcePort = sourcePort;
+        this.destinationAddress = destinationAddress;
+        this.destinationPort = destinationPort;
     }
 
     /** A packet that carries that range of the bytes. */
-    byte[] build(int flags, int sequence, int acknowledged, byte[] bytes, int offset, int length) {
-        boolean isIpv4 = from.length == IPV4_ADDRESS_BYTES;
+    byte[] build(int flags, int sequenceNumber, int acknowledgmentNumber, byte[] bytes, int offset, int length) {
+        boolean isIpv4 = sourceAddress.length == IPV4_ADDRESS_BYTES;
         int headerBytes = isIpv4 ? IPV4_HEADER_BYTES : IPV6_HEADER_BYTES;
         ByteBuffer packet = ByteBuffer.allocate(headerBytes + TCP_HEADER_BYTES + length);
         if (isIpv4) {
@@ -53,10 +53,10 @@
         } else {
             putIpv6Header(packet, length);
         }
-        packet.putShort((short) fromPort)
-                .putShort((short) toPort)
-                .putInt(sequence)
-                .putInt(acknowledged)
+        packet.putShort((short) sourcePort)
+                .putShort((short) destinationPort)
+                .putInt(sequenceNumber)
+                .putInt(acknowledgmentNumber)
                 .put(TCP_DATA_OFFSET)
                 .put((byte) flags)
                 .putShort(WINDOW_BYTES)
@@ -74,8 +74,8 @@
                 .put(HOP_LIMIT)
                 .put(PROTOCOL_TCP)
                 .putShort((short) 0)
-                .put(from)
-                .put(to);
+                .put(sourceAddress)
+                .put(destinationAddress);
         packet.putShort(IPV4_CHECKSUM_OFFSET, checksum(0, packet.array(), 0, IPV4_HEADER_BYTES));
     }
 
@@ -84,13 +84,13 @@
                 .putShort((short) (TCP_HEADER_BYTES + length))
                 .put(PROTOCOL_TCP)
                 .put(HOP_LIMIT)
-                .put(from)
-                .put(to);
+                .put(sourceAddress)
+                .put(destinationAddress);
     }
 
     /** The TCP checksum covers the addresses, the protocol and the length besides the segment itself. */
     private int pseudoHeaderSum(int length) {
-        return PROTOCOL_TCP + TCP_HEADER_BYTES + length + sumOfWords(from) + sumOfWords(to);
+        return PROTOCOL_TCP + TCP_HEADER_BYTES + length + sumOfWords(sourceAddress) + sumOfWords(destinationAddress);
     }
 
     private static int sumOfWords(byte[] address) {
@@ -105,8 +105,8 @@
     private static short checksum(int initialSum, byte[] bytes, int start, int end) {
         long sum = initialSum;
         for (int i = start; i < end; i += Short.BYTES) {
-            int low = i + 1 < end ? Byte.toUnsignedInt(bytes[i + 1]) : 0;
-            sum += Byte.toUnsignedInt(bytes[i]) << Byte.SIZE | low;
+            int lowByte = i + 1 < end ? Byte.toUnsignedInt(bytes[i + 1]) : 0;
+            sum += Byte.toUnsignedInt(bytes[i]) << Byte.SIZE | lowByte;
         }
         while (sum >> Short.SIZE != 0) {
             sum = (sum & CHECKSUM_MASK) + (sum >> Short.SIZE);
--- a/src/main/java/nettlewick/pcap/TcpSegment.java
+++ b/src/main/java/nettlewick/pcap/TcpSegment.java
@@ -7,4 +7,4 @@
  * @param flow             names both ends and the direction
  * @param sequence         the sequence number, unsigned
  */
-record TcpSegment(double capturedAtMillis, String flow, int sequence, boolean syn, boolean fin, byte[] payload) {}
+record TcpSegment(double capturedAtMillis, String flow, int sequenceNumber, boolean syn, boolean fin, byte[] payload) {}
--- a/src/main/java/nettlewick/pcap/TcpSegmentParser.java
+++ b/src/main/java/nettlewick/pcap/TcpSegmentParser.java
@@ -76,10 +76,10 @@
                 || packet.get(start + IPV4_PROTOCOL_OFFSET) != PROTOCOL_TCP) {
             return null;
         }
-        int source = start + IPV4_SOURCE_OFFSET;
-        String from = address(packet, source, IPV4_ADDRESS_BYTES);
-        String to = address(packet, source + IPV4_ADDRESS_BYTES, IPV4_ADDRESS_BYTES);
-        return parseTcp(capturedAtMillis, packet, start + headerBytes, end, from, to);
+        int addressesOffset = start + IPV4_SOURCE_OFFSET;
+        String sourceAddress = address(packet, addressesOffset, IPV4_ADDRESS_BYTES);
+        String destinationAddress = address(packet, addressesOffset + IPV4_ADDRESS_BYTES, IPV4_ADDRESS_BYTES);
+        return parseTcp(capturedAtMillis, packet, start + headerBytes, end, sourceAddress, destinationAddress);
     }
 
     private static TcpSegment parseIpv6(double capturedAtMillis, ByteBuffer packet) {
@@ -95,10 +95,10 @@
         if (nextHeader != PROTOCOL_TCP) {
             return null;
         }
-        int source = start + IPV6_SOURCE_OFFSET;
-        String from = address(packet, source, IPV6_ADDRESS_BYTES);
-        String to = address(packet, source + IPV6_ADDRESS_BYTES, IPV6_ADDRESS_BYTES);
-        return parseTcp(capturedAtMillis, packet, offset, end, from, to);
+        int addressesOffset = start + IPV6_SOURCE_OFFSET;
+        String sourceAddress = address(packet, addressesOffset, IPV6_ADDRESS_BYTES);
+        String destinationAddress = address(packet, addressesOffset + IPV6_ADDRESS_BYTES, IPV6_ADDRESS_BYTES);
+        return parseTcp(capturedAtMillis, packet, offset, end, sourceAddress, destinationAddress);
     }
 
     private static boolean isSkippableExtension(int header) {
@@ -106,7 +106,12 @@
     }
 
     private static TcpSegment parseTcp(
-            double capturedAtMillis, ByteBuffer packet, int start, int end, String from, String to) {
+            double capturedAtMillis,
+            ByteBuffer packet,
+            int start,
+            int end,
+            String sourceAddress,
+            String destinationAddress) {
         int headerBytes = (unsignedByte(packet, start + TCP_HEADER_LENGTH_OFFSET) >> 4) * WORD_BYTES;
         int flags = packet.get(start + TCP_FLAGS_OFFSET);
         if (headerBytes < TCP_MIN_HEADER_BYTES || start + headerBytes > end) {
@@ -116,7 +121,7 @@
         int destinationPort = unsignedShort(packet, start + Short.BYTES);
         return new TcpSegment(
                 capturedAtMillis,
-                from + ':' + sourcePort + '>' + to + ':' + destinationPort,
+                sourceAddress + ':' + sourcePort + '>' + destinationAddress + ':' + destinationPort,
                 packet.getInt(start + TCP_SEQUENCE_OFFSET),
                 (flags & TCP_SYN) != 0,
                 (flags & TCP_FIN) != 0,
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -39,40 +39,40 @@
     /** Builds a capture file packet by packet. */
     private static final class CaptureFileBuilder {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-        private final ByteOrder order;
+        private final ByteOrder byteOrder;
         private final boolean nanos;
-        private final int link;
+        private final int linkType;
 
-        CaptureFileBuilder(ByteOrder order, boolean nanos, int link) {
-            this.order = order;
+        CaptureFileBuilder(ByteOrder byteOrder, boolean nanos, int linkType) {
+            this.byteOrder = byteOrder;
             this.nanos = nanos;
-            this.link = link;
+            this.linkType = linkType;
             put(ByteBuffer.allocate(24)
-                    .order(order)
+                    .order(byteOrder)
                     .putInt(nanos ? 0xa1b23c4d : 0xa1b2c3d4)
                     .putShort((short) 2)
                     .putShort((short) 4)
                     .putInt(0)
                     .putInt(0)
                     .putInt(65535)
-                    .putInt(link));
+                    .putInt(linkType));
         }
 
-        private void put(ByteBuffer b) {
-            out.write(b.array(), 0, b.position());
+        private void put(ByteBuffer buffer) {
+            out.write(buffer.array(), 0, buffer.position());
         }
 
         /** Adds a segment from the client's port, captured at this millisecond. */
-        CaptureFileBuilder add(int millis, int port, int seq, int flags, String text) {
+        CaptureFileBuilder add(int millis, int port, int sequenceNumber, int flags, String text) {
             byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-            ByteBuffer p = ByteBuffer.allocate(100 + bytes.length);
-            if (link == 1) {
-                p.position(12);
-                p.putShort((short) 0x8100).putShort((short) 5).putShort((short) 0x0800);
-            } else if (link == 0) {
-                p.order(order).putInt(2).order(ByteOrder.BIG_ENDIAN);
+            ByteBuffer packet = ByteBuffer.allocate(100 + bytes.length);
+            if (linkType == 1) {
+                packet.position(12);
+                packet.putShort((short) 0x8100).putShort((short) 5).putShort((short) 0x0800);
+            } else if (linkType == 0) {
+                packet.order(byteOrder).putInt(2).order(ByteOrder.BIG_ENDIAN);
             }
-            p.putInt(0x45000000 | 40 + bytes.length)
+            packet.putInt(0x45000000 | 40 + bytes.length)
                     .putInt(0)
                     .put((byte) 64)
                     .put((byte) 6)
@@ -81,7 +81,7 @@
                     .putInt(0x7f000002)
                     .putShort((short) port)
                     .putShort((short) 80)
-                    .putInt(seq)
+                    .putInt(sequenceNumber)
                     .putInt(0)
                     .put((byte) 0x50)
                     .put((byte) flags)
@@ -89,12 +89,12 @@
                     .putInt(0)
                     .put(bytes);
             put(ByteBuffer.allocate(16)
-                    .order(order)
+                    .order(byteOrder)
                     .putInt(1000 + millis / 1000)
                     .putInt(millis % 1000 * (nanos ? 1_000_000 : 1000))
-                    .putInt(p.position())
-                    .putInt(p.position()));
-            put(p);
+                    .putInt(packet.position())
+                    .putInt(packet.position()));
+            put(packet);
             return this;
         }
 
@@ -107,24 +107,26 @@
         return Capture.read(new ByteArrayInputStream(file));
     }
 
-    private static List<String> uris(Capture c) {
-        return c.requests().stream().map(RecordedRequest::uri).toList();
+    private static List<String> uris(Capture capture) {
+        return capture.requests().stream().map(RecordedRequest::uri).toList();
     }
 
     @ParameterizedTest
     @CsvSource({"true,true,1", "true,false,0", "false,true,101", "false,false,1", "true,false,101", "false,true,0"})
-    void everyFileFormatIsRead(boolean big, boolean nanos, int link) throws IOException {
-        Capture c = read(new CaptureFileBuilder(big ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN, nanos, link)
-                .add(0, 9, 99, 2, "")
-                .add(10, 9, 100, 16, FIRST_REQUEST)
-                .add(1260, 9, 100 + FIRST_REQUEST.length(), 16, SECOND_REQUEST)
-                .bytes());
-        assertEquals(List.of("/api?n=1", "/api?n=2"), uris(c));
+    void everyFileFormatIsRead(boolean bigEndian, boolean nanos, int linkType) throws IOException {
+        Capture capture =
+                read(new CaptureFileBuilder(bigEndian ? ByteOrder.BIG_ENDIAN : ByteOrder.LITTLE_ENDIAN, nanos, linkType)
+                        .add(0, 9, 99, 2, "")
+                        .add(10, 9, 100, 16, FIRST_REQUEST)
+                        .add(1260, 9, 100 + FIRST_REQUEST.length(), 16, SECOND_REQUEST)
+                        .bytes());
+        assertEquals(List.of("/api?n=1", "/api?n=2"), uris(capture));
         assertEquals(
                 1250,
-                c.requests().get(1).capturedAtMillis() - c.requests().get(0).capturedAtMillis(),
+                capture.requests().get(1).capturedAtMillis()
+                        - capture.requests().get(0).capturedAtMillis(),
                 1e-3);
-        assertEquals("hello", c.requests().get(0).body().toString());
+        assertEquals("hello", capture.requests().get(0).body().toString());
     }
 
     /** Segments are repeated, overlap and come out of order, across the wrap of sequence numbers. */
@@ -133,23 +135,24 @@
     void segmentsAreReassembledInOrder(long seed) throws IOException {
         Random random = new Random(seed);
         String text = FIRST_REQUEST + SECOND_REQUEST;
-        int start = -60;
-        List<int[]> pieces = new ArrayList<>();
-        for (int at = 0; at < text.length(); at += 1 + random.nextInt(40)) {
-            pieces.add(new int[] {at, Math.min(text.length(), at + 40 + random.nextInt(30))});
+        int firstSequenceNumber = -60;
+        List<int[]> segments = new ArrayList<>();
+        for (int offset = 0; offset < text.length(); offset += 1 + random.nextInt(40)) {
+            segments.add(new int[] {offset, Math.min(text.length(), offset + 40 + random.nextInt(30))});
         }
-        List<int[]> shuffled = new ArrayList<>(pieces);
+        List<int[]> shuffled = new ArrayList<>(segments);
         Collections.shuffle(shuffled, random);
-        shuffled.addAll(pieces.subList(0, 3));
-        CaptureFileBuilder tape =
-                new CaptureFileBuilder(ByteOrder.LITTLE_ENDIAN, false, 101).add(0, 9, start - 1, 2, "");
-        shuffled.forEach(p -> tape.add(5, 9, start + p[0], 16, text.substring(p[0], p[1])));
-        assertEquals(List.of("/api?n=1", "/api?n=2"), uris(read(tape.bytes())));
+        shuffled.addAll(segments.subList(0, 3));
+        CaptureFileBuilder fileBuilder =
+                new CaptureFileBuilder(ByteOrder.LITTLE_ENDIAN, false, 101).add(0, 9, firstSequenceNumber - 1, 2, "");
+        shuffled.forEach(
+                range -> fileBuilder.add(5, 9, firstSequenceNumber + range[0], 16, text.substring(range[0], range[1])));
+        assertEquals(List.of("/api?n=1", "/api?n=2"), uris(read(fileBuilder.bytes())));
     }
 
     @Test
-    void aGapLosesOneRequestOnlyAndAReusedPortIsANewFlow() throws IOException {
-        Capture c = read(new CaptureFileBuilder(ByteOrder.LITTLE_ENDIAN, false, 101)
+    void aGapLosesOnlyOneRequestAndAReusedPortIsANewFlow() throws IOException {
+        Capture capture = read(new CaptureFileBuilder(ByteOrder.LITTLE_ENDIAN, false, 101)
                 .add(0, 9, 99, 2, "")
                 .add(1, 9, 100, 16, FIRST_REQUEST.substring(0, 30))
                 .add(2, 9, 100 + FIRST_REQUEST.length(), 16, SECOND_REQUEST)
@@ -158,36 +161,36 @@
                 .add(5, 8, 1, 16, "HTTP/1.1 200 OK\r\n\r\n")
                 .add(6, 7, 1, 16, "\u0000\u0001 not HTTP")
                 .bytes());
-        assertEquals(List.of("/api?n=2", "/api?n=3"), uris(c));
-        assertEquals(1, c.incompleteCount());
+        assertEquals(List.of("/api?n=2", "/api?n=3"), uris(capture));
+        assertEquals(1, capture.incompleteCount());
     }
 
     /** Truncated anywhere or damaged, a file is read without hanging: to its end, or up to an error of one line. */
     @Test
-    void aTruncatedFileIsReportedInOneLine() throws IOException {
+    void truncatedAndDamagedFilesAreReportedInOneLine() throws IOException {
         byte[] whole = new CaptureFileBuilder(ByteOrder.BIG_ENDIAN, true, 1)
                 .add(0, 9, 99, 2, "")
                 .add(1, 9, 100, 16, FIRST_REQUEST)
                 .bytes();
-        int refused = 0;
+        int rejectedCount = 0;
         for (int length = 0; length < whole.length; length++) {
-            byte[] cut = Arrays.copyOf(whole, length);
+            byte[] truncated = Arrays.copyOf(whole, length);
             try {
-                assertTrue(read(cut).requests().isEmpty());
+                assertTrue(read(truncated).requests().isEmpty());
             } catch (CaptureFormatException e) {
                 assertFalse(e.getMessage().isBlank() || e.getMessage().contains("\n"), e.getMessage());
-                refused++;
+                rejectedCount++;
             }
         }
-        assertEquals(whole.length - 2, refused, "complete only before the first packet and after it");
+        assertEquals(whole.length - 2, rejectedCount, "complete only before the first packet and after it");
         for (long seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
-            byte[] odd = whole.clone();
+            byte[] damaged = whole.clone();
             for (int i = 0; i < 3; i++) {
-                odd[random.nextInt(odd.length)] = (byte) random.nextInt();
+                damaged[random.nextInt(damaged.length)] = (byte) random.nextInt();
             }
             try {
-                read(odd);
+                read(damaged);
             } catch (CaptureFormatException e) {
                 assertFalse(e.getMessage().contains("\n"));
             }
@@ -199,37 +202,38 @@
     @Test
     void servedTrafficIsWrittenReadAndReplayed() throws Exception {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1");
+        try (DispatcherOnStubPlatform dispatcher = new DispatcherOnStubPlatform()) {
+            dispatcher.addRunner("s-1");
             CaptureWriter writer = new CaptureWriter(file, Clock.system(), 1 << 20);
-            int port = world.start(base -> new PlatformFrontend(base, writer))
+            int port = dispatcher
+                    .start(environment -> new PlatformFrontend(environment, writer))
                     .ports()
                     .get(1);
-            var client = world.vertx.createHttpClient(new HttpClientOptions().setDefaultPort(port));
+            var client = dispatcher.vertx.createHttpClient(new HttpClientOptions().setDefaultPort(port));
             for (String id : List.of("a", "b")) {
                 String body = "x".repeat(3000) + id;
                 DispatcherOnStubPlatform.get(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
-                        .compose(r -> r.putHeader("X-Request-Id", id)
+                        .compose(request -> request.putHeader("X-Request-Id", id)
                                 .putHeader("X-Class", "save-run")
                                 .putHeader("X-Deadline", "4")
                                 .send(body))
-                        .compose(r -> r.body()));
+                        .compose(response -> response.body()));
             }
         }
-        Capture c = read(file.toByteArray());
-        assertEquals(List.of("/api/a", "/api/b"), uris(c));
-        assertEquals("x".repeat(3000) + "b", c.requests().get(1).body().toString());
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.addRunner("s-1");
-            AtomicReference<CaptureReplayer> front = new AtomicReference<>();
-            world.start(base -> {
-                front.set(new CaptureReplayer(base, c));
-                return front.get();
+        Capture capture = read(file.toByteArray());
+        assertEquals(List.of("/api/a", "/api/b"), uris(capture));
+        assertEquals("x".repeat(3000) + "b", capture.requests().get(1).body().toString());
+        try (DispatcherOnStubPlatform dispatcher = new DispatcherOnStubPlatform()) {
+            dispatcher.addRunner("s-1");
+            AtomicReference<CaptureReplayer> replayer = new AtomicReference<>();
+            dispatcher.start(environment -> {
+                replayer.set(new CaptureReplayer(environment, capture));
+                return replayer.get();
             });
             assertEquals(
                     new CaptureReplayer.Summary(2, 2, 0, 0, 0, 0),
-                    DispatcherOnStubPlatform.get(front.get().whenDone()));
-            assertEquals(2, world.seen.size());
+                    DispatcherOnStubPlatform.get(replayer.get().whenDone()));
+            assertEquals(2, dispatcher.seen.size());
         }
     }
 
