--- a/src/main/java/nettlewick/pcap/Capture.java
+++ b/src/main/java/nettlewick/pcap/Capture.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The HTTP/1.1 requests in a capture file, in the order of their times. Not changed once read. */
+/** The HTTP/1.1 requests in a capture file, ordered by time. Immutable after reading. */
 public final class Capture {
-    /** A file is held in memory while it is put in order. */
+    /** The requests of a file are held in memory, so its size is limited. */
     private static final long MAX_FILE_BYTES = 64L << 20;
 
     private static final int MEBIBYTE_SHIFT = 20;
@@ -25,9 +25,9 @@
     private Capture() {}
 
     /**
-     * Reads a file.
+     * Reads a capture file.
      *
-     * @throws CaptureFormatException if it is no capture file that can be read, too large, or truncated
+     * @throws CaptureFormatException if the file is not a supported capture file, is too large, or is truncated
      */
     public static Capture read(Path file) throws IOException {
         if (!Files.isRegularFile(file)) {
@@ -45,7 +45,7 @@
         CaptureReader reader = new CaptureReader(in);
         LinkType linkType = LinkType.ofCode(reader.linkType());
         if (linkType == null) {
-            throw new CaptureFormatException("packets of link type " + reader.linkType() + " cannot be read");
+            throw new CaptureFormatException("link type " + reader.linkType() + " is not supported");
         }
         TcpSegmentParser parser = new TcpSegmentParser(linkType);
         Capture capture = new Capture();
@@ -64,7 +64,7 @@
         return Collections.unmodifiableList(requests);
     }
 
-    /** How many requests miss bytes or are malformed. */
+    /** The number of requests with missing bytes or malformed syntax. */
     int incompleteCount() {
         return incompleteCount;
     }
@@ -72,7 +72,7 @@
     private void addSegment(TcpSegment segment) {
         TcpFlowReassembler flow = flows.get(segment.flow());
         if (flow != null && flow.isNewConnection(segment)) {
-            // The client's port is used again.
+            // The client has reused its port for a new connection.
             flow.end();
             flow = null;
         }
--- a/src/main/java/nettlewick/pcap/CaptureFileWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureFileWriter.java
@@ -11,8 +11,8 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * Writes raw IP packets to a classic capture file, up to a maximal size; after that, or after an error, it drops them.
- * Event loop.
+ * Writes raw IP packets to a pcap file up to a maximum size. Packets beyond it, or after an I/O error, are dropped.
+ * Confined to the event loop.
  */
 final class CaptureFileWriter implements Closeable {
     private static final ComponentLogger LOG = ComponentLogger.of("capture");
@@ -31,12 +31,12 @@
     private long remainingBytes;
     private boolean stopped;
 
-    /** Writes the file's header at once. */
+    /** Writes the file header immediately. */
     CaptureFileWriter(OutputStream target, Clock clock, long maxBytes) throws IOException {
         out = new BufferedOutputStream(target, BUFFER_BYTES);
         this.clock = clock;
         remainingBytes = maxBytes - PcapGlobalHeader.SIZE;
-        // The library writes the magic number itself.
+        // The library writes the magic number.
         ByteBuffer header =
                 ByteBuffer.allocate(PcapGlobalHeader.SIZE - MAGIC_BYTES).order(ByteOrder.BIG_ENDIAN);
         header.putShort(VERSION_MAJOR)
@@ -49,7 +49,7 @@
         out.flush();
     }
 
-    /** Writes a packet as captured now. */
+    /** Writes a packet with the current time as its timestamp. */
     void writePacket(byte[] packet) {
         if (stopped) {
             return;
@@ -57,7 +57,7 @@
         remainingBytes -= packet.length + RECORD_HEADER_BYTES;
         if (remainingBytes < 0) {
             stopped = true;
-            LOG.warning("capture-full", "capture file is full; no more is written to it");
+            LOG.warning("capture-full", "capture file has reached its maximum size; further packets are dropped");
             return;
         }
         try {
@@ -66,7 +66,9 @@
             out.flush();
         } catch (IOException e) {
             stopped = true;
-            LOG.warning("capture-failed", "capture file cannot be written: " + e.getMessage());
+            LOG.warning(
+                    "capture-failed",
+                    "cannot write to the capture file; further packets are dropped: " + e.getMessage());
         }
     }
 
--- a/src/main/java/nettlewick/pcap/CaptureFormatException.java
+++ b/src/main/java/nettlewick/pcap/CaptureFormatException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A capture file cannot be read; the message says why in one line. */
+/** Thrown if a capture file is not supported or damaged. The message is a single line. */
 public final class CaptureFormatException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/nettlewick/pcap/CaptureReader.java
+++ b/src/main/java/nettlewick/pcap/CaptureReader.java
@@ -11,11 +11,11 @@
 import java.util.Arrays;
 
 /**
- * Reads the packets of a classic capture file, of either byte order and with micro- or nanoseconds. The library parses
- * the headers; lengths are checked here, since the library trusts them.
+ * Reads the packets of a pcap file in either byte order, with timestamps in microseconds or nanoseconds. The library
+ * parses the headers but does not validate lengths, so they are checked here.
  */
 final class CaptureReader {
-    /** Takes a packet. */
+    /** Receives the packets. */
     interface PacketHandler {
         void handle(double capturedAtMillis, byte[] packet);
     }
@@ -27,11 +27,11 @@
     private static final int MAGIC_NANOS_LITTLE_ENDIAN = 0x4d3cb2a1;
     private static final int MAGIC_PCAPNG = 0x0a0d0d0a;
     private static final int SUPPORTED_MAJOR_VERSION = 2;
-    /** The upper bits of the field describe check sequences. */
+    /** The upper bits of the field describe frame check sequences. */
     private static final int LINK_TYPE_MASK = 0xffff;
 
     private static final int BUFFER_BYTES = 1 << 16;
-    /** Larger packets are on no link: a record that claims one is damaged. */
+    /** No supported link carries larger packets, so a record with a greater length is damaged. */
     private static final long MAX_PACKET_BYTES = 256 * 1024;
 
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -46,12 +46,12 @@
         byte[] bytes = new byte[PcapGlobalHeader.SIZE];
         int readBytes = in.readNBytes(bytes, 0, bytes.length);
         if (readBytes < MAGIC_BYTES) {
-            throw new CaptureFormatException("not a capture file: it has only " + readBytes + " bytes");
+            throw new CaptureFormatException("not a capture file: only " + readBytes + " bytes long");
         }
         int magic = ByteBuffer.wrap(bytes).getInt();
         checkMagic(magic);
         if (readBytes < bytes.length) {
-            throw new CaptureFormatException("the file ends within its header");
+            throw new CaptureFormatException("truncated in the file header");
         }
         boolean isBigEndian = magic == MAGIC_MICROS_BIG_ENDIAN || magic == MAGIC_NANOS_BIG_ENDIAN;
         header = new PcapGlobalHeader(
@@ -59,7 +59,7 @@
                 Arrays.copyOfRange(bytes, MAGIC_BYTES, bytes.length),
                 magic == MAGIC_NANOS_BIG_ENDIAN || magic == MAGIC_NANOS_LITTLE_ENDIAN);
         if (header.getMajorVersion() != SUPPORTED_MAJOR_VERSION) {
-            throw new CaptureFormatException("version " + header.getMajorVersion() + " of the format is not known");
+            throw new CaptureFormatException("pcap format version " + header.getMajorVersion() + " is not supported");
         }
     }
 
@@ -69,12 +69,13 @@
                     MAGIC_MICROS_LITTLE_ENDIAN,
                     MAGIC_NANOS_BIG_ENDIAN,
                     MAGIC_NANOS_LITTLE_ENDIAN -> {
-                // A classic capture file.
+                // A supported pcap file.
             }
             case MAGIC_PCAPNG ->
-                throw new CaptureFormatException("a pcapng file, not a classic one: convert it with editcap -F pcap");
+                throw new CaptureFormatException(
+                        "pcapng files are not supported; convert the file with editcap -F pcap");
             default ->
-                throw new CaptureFormatException(String.format("not a capture file: it begins with %08x", magic));
+                throw new CaptureFormatException(String.format("not a capture file: unknown magic number %08x", magic));
         }
     }
 
@@ -83,7 +84,9 @@
         return header.getDataLinkType() & LINK_TYPE_MASK;
     }
 
-    /** Passes on each packet; one that the capture cut short is passed on as far as it goes. */
+    /**
+     * Passes each packet to the handler. Packets truncated by the capture are passed with the bytes that are present.
+     */
     void readPackets(PacketHandler handler) throws IOException {
         byte[] recordHeader = new byte[PcapRecordHeader.SIZE];
         for (long number = 1; ; number++) {
@@ -92,7 +95,7 @@
                 return;
             }
             if (readBytes < recordHeader.length) {
-                throw new CaptureFormatException("the file ends within the header of packet " + number);
+                throw new CaptureFormatException("truncated in the header of packet " + number);
             }
             PcapRecordHeader parsed =
                     new PcapRecordHeader(header.getByteOrder(), Buffers.wrap(recordHeader), header.timestampsInNs());
@@ -102,12 +105,12 @@
 
     private byte[] readPacket(long length, long number) throws IOException {
         if (length < 0 || length > MAX_PACKET_BYTES) {
-            throw new CaptureFormatException("packet " + number + " claims " + length + " bytes");
+            throw new CaptureFormatException("packet " + number + " has an invalid length of " + length + " bytes");
         }
         byte[] packet = in.readNBytes((int) length);
         if (packet.length < length) {
             throw new CaptureFormatException(
-                    "the file ends within packet " + number + ": " + packet.length + " of " + length + " bytes");
+                    "truncated in packet " + number + ": " + packet.length + " of " + length + " bytes");
         }
         return packet;
     }
--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -8,10 +8,10 @@
 import nettlewick.net.client.Frontend;
 import nettlewick.net.client.RequestReader;
 
-/** Submits the requests of a capture file to the core at their recorded intervals. Lives on the event loop. */
+/** Submits the requests of a capture file to the core at their recorded intervals. Confined to the event loop. */
 public final class CaptureReplayer implements Frontend {
     private static final long ENDPOINT_LIST_POLL_INTERVAL_MILLIS = 20;
-    /** After that many polls the replay starts without an endpoint list. */
+    /** After this many polls the replay starts without an endpoint list. */
     private static final int MAX_ENDPOINT_LIST_POLLS = 500;
 
     private static final int STATUS_NOT_FOUND = 404;
@@ -27,29 +27,29 @@
     private int skippedCount;
 
     /**
-     * How many of the requests ended how.
+     * The number of requests by outcome.
      *
-     * @param sent       submitted to the core
-     * @param skipped    left out, since they are no valid requests to the dispatcher
-     * @param incomplete left out, since the capture misses bytes of them or they are malformed
+     * @param sent       the number submitted to the core
+     * @param skipped    not submitted, because they are not valid requests to the dispatcher
+     * @param incomplete not submitted, because bytes are missing in the capture or they are malformed
      */
     public record Summary(int sent, int served, int rejected, int failed, int skipped, int incomplete) {
         @Override
         public String toString() {
-            return "replayed " + sent + " requests: " + served + " served, " + rejected + " unavailable, "
-                    + failed + " failed; left out " + skipped + " that are no jobs in order and "
-                    + incomplete + " incomplete";
+            return "replayed " + sent + " requests: " + served + " served, " + rejected + " rejected, "
+                    + failed + " failed; skipped " + skipped + " invalid and "
+                    + incomplete + " incomplete requests";
         }
     }
 
-    /** Creates a replayer; it starts with {@link #listen}. */
+    /** Creates a replayer. The replay starts with {@link #listen}. */
     public CaptureReplayer(Environment environment, Capture capture) {
         this.environment = environment;
         this.capture = capture;
         requestReader = new RequestReader(environment.config());
     }
 
-    /** Completes when every request has its final answer. */
+    /** Completes when all requests have received their final response. */
     public Future<Summary> whenDone() {
         return summaryPromise.future();
     }
@@ -98,7 +98,7 @@
             throws RequestReader.InvalidRequestException {
         String path = recorded.uri().split("\\?", 2)[0];
         if (!"POST".equals(recorded.method()) || !RequestReader.isRequestPath(path)) {
-            throw new RequestReader.InvalidRequestException(STATUS_NOT_FOUND, "not a job");
+            throw new RequestReader.InvalidRequestException(STATUS_NOT_FOUND, "not a request to the dispatcher");
         }
         return requestReader.parse(
                 HttpMethod.POST,
@@ -108,7 +108,7 @@
                 environment.clock().nowMillis());
     }
 
-    /** Counts the final answer of one request. */
+    /** Counts the final outcome of one request. */
     private final class CountingCaller implements Request.Caller {
         @Override
         public void onServed(byte[] result) {
--- a/src/main/java/nettlewick/pcap/CaptureWriter.java
+++ b/src/main/java/nettlewick/pcap/CaptureWriter.java
@@ -16,8 +16,9 @@
 import nettlewick.pcap.RecordedConnection.Side;
 
 /**
- * Writes the traffic that a frontend serves as a capture file of raw IP packets. The packets are synthesised from the
- * requests and answers, not taken off the wire, so that any reader of captures can follow them. Event loop.
+ * Writes the traffic of a frontend to a pcap file of raw IP packets. The packets are synthesized from the requests and
+ * responses rather than captured on the network, so that any pcap reader can process the file. Confined to the event
+ * loop.
  */
 public final class CaptureWriter implements TrafficListener, Closeable {
     private static final String LINE_END = "\r\n";
@@ -26,10 +27,10 @@
     private final Map<HttpConnection, RecordedConnection> connections = new IdentityHashMap<>();
 
     /**
-     * Writes the file's header at once.
+     * Writes the file header immediately.
      *
-     * @param target   closed with the writer
-     * @param maxBytes of the file; what comes later is dropped
+     * @param target   the output; closed together with the writer
+     * @param maxBytes the maximum size of the file; packets beyond it are dropped
      */
     public CaptureWriter(OutputStream target, Clock clock, long maxBytes) throws IOException {
         file = new CaptureFileWriter(target, clock, maxBytes);
--- a/src/main/java/nettlewick/pcap/HttpRequestExtractor.java
+++ b/src/main/java/nettlewick/pcap/HttpRequestExtractor.java
@@ -13,23 +13,23 @@
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 
-/** Extracts the HTTP/1.1 requests from the bytes of one flow; what follows a gap is skipped up to a request's start. */
+/** Extracts the HTTP/1.1 requests from the bytes of one flow. After a gap, bytes are skipped until a request starts. */
 final class HttpRequestExtractor implements TcpFlowReassembler.Sink {
     private static final Pattern REQUEST_START =
             Pattern.compile("[A-Z]{3,10} \\S+ HTTP/1\\.[01]\\r\\n.*", Pattern.DOTALL);
 
     private final Consumer<RecordedRequest> requestConsumer;
     private final Runnable onIncomplete;
-    /** Null until bytes begin with a request. */
+    /** Null until the start of a request has been found. */
     private EmbeddedChannel decoder;
-    /** The head of the request whose body is being read, or null. */
+    /** The head of the request whose body is being read; null if none. */
     private HttpRequest head;
 
     private Buffer body = Buffer.buffer();
 
     /**
-     * @param requests     takes each complete request
-     * @param onIncomplete called for each request that misses bytes or is malformed
+     * @param requestConsumer receives each complete request
+     * @param onIncomplete    called for each request that is malformed or lacks bytes
      */
     HttpRequestExtractor(Consumer<RecordedRequest> requestConsumer, Runnable onIncomplete) {
         this.requestConsumer = requestConsumer;
@@ -39,7 +39,7 @@
     @Override
     public void onBytes(double capturedAtMillis, byte[] bytes) {
         if (decoder == null) {
-            // Else it is the other direction, another protocol, or the rest of a request that started in a gap.
+            // Other bytes belong to the opposite direction, another protocol, or a request that started in a gap.
             if (!startsRequest(bytes)) {
                 return;
             }
@@ -86,7 +86,7 @@
     public void onGap() {
         boolean isTruncated = head != null;
         if (decoder != null) {
-            // When finished, the decoder reports a head that it has seen in part only.
+            // On finish, the decoder reports a partially received head as a failure.
             decoder.finish();
             for (HttpObject message = decoder.readInbound(); message != null; message = decoder.readInbound()) {
                 isTruncated |= message.decoderResult().isFailure();
--- a/src/main/java/nettlewick/pcap/LinkType.java
+++ b/src/main/java/nettlewick/pcap/LinkType.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** The link layers whose packets can be read, with their codes in capture files, and how to skip their headers. */
+/** The supported link layers, with their codes in capture files, and how to skip their headers. */
 enum LinkType {
     BSD_LOOPBACK(0),
     ETHERNET(1),
@@ -24,7 +24,7 @@
         this.codes = codes;
     }
 
-    /** The link type of that code; null if its packets cannot be read. */
+    /** Returns the link type with this code; null if it is not supported. */
     static LinkType ofCode(int code) {
         for (LinkType type : values()) {
             if (Arrays.stream(type.codes).anyMatch(c -> c == code)) {
@@ -34,14 +34,15 @@
         return null;
     }
 
-    /** Moves to the IP header of a packet; false if it carries none. */
+    /** Advances to the IP header of a packet; returns false if the packet has none. */
     boolean skipHeader(ByteBuffer packet) {
         switch (this) {
             case ETHERNET -> {
                 return skipEthernetHeader(packet);
             }
             case BSD_LOOPBACK, OPENBSD_LOOPBACK -> {
-                // The address family, in the byte order of the capturing host; the IP version says the same.
+                // Skips the address family, which is in the byte order of the capturing host. The IP header has the
+                // version too.
                 packet.getInt();
                 return true;
             }
--- a/src/main/java/nettlewick/pcap/RecordedConnection.java
+++ b/src/main/java/nettlewick/pcap/RecordedConnection.java
@@ -4,7 +4,10 @@
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 
-/** A connection as a capture file shows it: it opens, carries both sides' bytes in order, and closes. Event loop. */
+/**
+ * Writes a TCP connection to a capture file: the handshake, both sides' bytes in order, and the close. Confined to the
+ * event loop.
+ */
 final class RecordedConnection {
     /** The two ends of a connection. */
     enum Side {
@@ -16,7 +19,7 @@
     private static final int INITIAL_SEQUENCE_NUMBER = 1000;
     private static final byte[] NO_BYTES = {};
 
-    /** What one side has sent so far. */
+    /** One side of the connection as a sender. */
     private static final class Sender {
         private final TcpPacketBuilder packetBuilder;
         private int nextSequenceNumber = INITIAL_SEQUENCE_NUMBER;
@@ -30,7 +33,7 @@
     private final Sender client;
     private final Sender server;
 
-    /** Writes the handshake at once. */
+    /** Writes the handshake immediately. */
     RecordedConnection(CaptureFileWriter file, SocketAddress clientAddress, SocketAddress serverAddress)
             throws UnknownHostException {
         this.file = file;
@@ -43,7 +46,7 @@
         writeControl(Side.CLIENT, TcpPacketBuilder.ACK);
     }
 
-    /** Writes what that side sends, in as many segments as it takes. */
+    /** Writes bytes sent by one side, split into segments. */
     void send(Side side, byte[] bytes) {
         for (int offset = 0; offset < bytes.length; offset += MAX_SEGMENT_BYTES) {
             int length = Math.min(MAX_SEGMENT_BYTES, bytes.length - offset);
@@ -53,7 +56,7 @@
         }
     }
 
-    /** Writes the end of the connection. */
+    /** Writes the close of the connection. */
     void close() {
         writeControl(Side.CLIENT, TcpPacketBuilder.FIN | TcpPacketBuilder.ACK);
         writeControl(Side.SERVER, TcpPacketBuilder.FIN | TcpPacketBuilder.ACK);
--- a/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
+++ b/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
@@ -5,23 +5,23 @@
 import java.util.TreeMap;
 
 /**
- * Puts one direction of a TCP connection back in order: retransmissions are dropped, segments out of order wait for
- * those before them, and what the capture missed shows as a gap when the flow ends.
+ * Reassembles one direction of a TCP connection. Retransmissions are dropped, out-of-order segments are buffered until
+ * the preceding ones arrive, and bytes missing in the capture are reported as gaps when the flow ends.
  */
 final class TcpFlowReassembler {
-    /** Takes the bytes in order. */
+    /** Receives the bytes in order. */
     interface Sink {
-        /** The next bytes, and when the packet that held them was captured. */
+        /** Receives the next bytes, with the time at which their packet was captured. */
         void onBytes(double capturedAtMillis, byte[] bytes);
 
-        /** Bytes are missing here, or no more come. */
+        /** Called where bytes are missing, and at the end of the flow. */
         void onGap();
     }
 
     private record BufferedSegment(double capturedAtMillis, byte[] bytes) {}
 
     private final Sink sink;
-    /** By offset in the stream. */
+    /** Buffered segments by their offset in the stream. */
     private final TreeMap<Long, BufferedSegment> outOfOrder = new TreeMap<>();
 
     private boolean started;
@@ -34,7 +34,7 @@
         this.sink = sink;
     }
 
-    /** Whether this segment opens a connection other than the one that this flow holds. */
+    /** Whether a segment opens another connection than the one that this flow belongs to. */
     boolean isNewConnection(TcpSegment segment) {
         return started && segment.syn() && segment.sequenceNumber() + 1 != nextSequenceNumber - (int) nextOffset;
     }
@@ -48,7 +48,7 @@
         if (segment.payload().length == 0) {
             return;
         }
-        // A signed difference stays right where sequence numbers wrap round.
+        // The signed difference is correct even if the sequence numbers wrap around.
         long offset = nextOffset + (sequenceNumber - nextSequenceNumber);
         BufferedSegment buffered = outOfOrder.get(offset);
         if (buffered == null || buffered.bytes().length < segment.payload().length) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** No more segments come: what still waits lies behind gaps. */
+    /** Ends the flow. Segments that are still buffered lie behind gaps. */
     void end() {
         while (!outOfOrder.isEmpty()) {
             sink.onGap();
--- a/src/main/java/nettlewick/pcap/TcpPacketBuilder.java
+++ b/src/main/java/nettlewick/pcap/TcpPacketBuilder.java
@@ -14,7 +14,7 @@
 
     private static final int IPV4_ADDRESS_BYTES = 4;
     private static final int IPV4_HEADER_BYTES = 20;
-    /** Version 4 and a header of five words, before the total length. */
+    /** Version 4 and a header length of five words; the total length is added in the lower half. */
     private static final int IPV4_FIRST_WORD = 0x45000000;
 
     private static final int IPV4_DO_NOT_FRAGMENT = 0x4000;
@@ -25,7 +25,7 @@
 
     private static final int TCP_HEADER_BYTES = 20;
     private static final int TCP_CHECKSUM_OFFSET = 16;
-    /** The header's length, five words, in the upper half. */
+    /** A header length of five words, in the upper half of the byte. */
     private static final byte TCP_DATA_OFFSET = 0x50;
 
     private static final short WINDOW_BYTES = (short) 65_535;
@@ -43,7 +43,7 @@
         this.destinationPort = destinationPort;
     }
 
-    /** A packet that carries that range of the bytes. */
+    /** Builds a packet with this range of {@code bytes} as its payload. */
     byte[] build(int flags, int sequenceNumber, int acknowledgmentNumber, byte[] bytes, int offset, int length) {
         boolean isIpv4 = sourceAddress.length == IPV4_ADDRESS_BYTES;
         int headerBytes = isIpv4 ? IPV4_HEADER_BYTES : IPV6_HEADER_BYTES;
@@ -88,7 +88,10 @@
                 .put(destinationAddress);
     }
 
-    /** The TCP checksum covers the addresses, the protocol and the length besides the segment itself. */
+    /**
+     * The sum over the pseudo header, which the TCP checksum covers in addition to the segment: addresses, protocol and
+     * length.
+     */
     private int pseudoHeaderSum(int length) {
         return PROTOCOL_TCP + TCP_HEADER_BYTES + length + sumOfWords(sourceAddress) + sumOfWords(destinationAddress);
     }
@@ -101,7 +104,7 @@
         return sum;
     }
 
-    /** The Internet checksum of that range, added to what {@code initialSum} covers. */
+    /** Computes the Internet checksum of this range, starting from {@code initialSum}. */
     private static short checksum(int initialSum, byte[] bytes, int start, int end) {
         long sum = initialSum;
         for (int i = start; i < end; i += Short.BYTES) {
--- a/src/main/java/nettlewick/pcap/TcpSegment.java
+++ b/src/main/java/nettlewick/pcap/TcpSegment.java
@@ -1,10 +1,10 @@
 package nettlewick.pcap;
 
 /**
- * A TCP segment of a captured packet.
+ * The TCP segment in a captured packet.
  *
  * @param capturedAtMillis when the packet was captured
- * @param flow             names both ends and the direction
- * @param sequence         the sequence number, unsigned
+ * @param flow             identifies both endpoints and the direction
+ * @param sequenceNumber   as an unsigned 32-bit number
  */
 record TcpSegment(double capturedAtMillis, String flow, int sequenceNumber, boolean syn, boolean fin, byte[] payload) {}
--- a/src/main/java/nettlewick/pcap/TcpSegmentParser.java
+++ b/src/main/java/nettlewick/pcap/TcpSegmentParser.java
@@ -4,14 +4,14 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Finds the TCP segment in a captured packet. */
+/** Parses the TCP segment in a captured packet. */
 final class TcpSegmentParser {
     private static final int PROTOCOL_TCP = 6;
 
     private static final int IPV4_MIN_HEADER_BYTES = 20;
     private static final int IPV4_LENGTH_OFFSET = 2;
     private static final int IPV4_FRAGMENT_OFFSET = 6;
-    /** The flag for more fragments and the offset of this one. */
+    /** The more-fragments flag and the fragment offset. */
     private static final int IPV4_FRAGMENT_MASK = 0x3fff;
 
     private static final int IPV4_PROTOCOL_OFFSET = 9;
@@ -26,7 +26,7 @@
     private static final int IPV6_HOP_BY_HOP = 0;
     private static final int IPV6_ROUTING = 43;
     private static final int IPV6_DESTINATION = 60;
-    /** Extension headers count their length in this unit, without the first one. */
+    /** Extension headers give their length in this unit, not counting the first unit. */
     private static final int IPV6_EXTENSION_UNIT_BYTES = 8;
 
     private static final int TCP_MIN_HEADER_BYTES = 20;
@@ -44,13 +44,13 @@
         this.linkType = linkType;
     }
 
-    /** The segment in a packet; null if it holds none, or only part of a header. */
+    /** Returns the segment in a packet; null if the packet has none or a header is truncated. */
     TcpSegment parse(double capturedAtMillis, byte[] packet) {
         try {
             ByteBuffer buffer = ByteBuffer.wrap(packet);
             return linkType.skipHeader(buffer) ? parseIp(capturedAtMillis, buffer) : null;
         } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
-            // The lengths in a damaged packet may point anywhere.
+            // The lengths in a damaged packet may point outside of it.
             return null;
         }
     }
@@ -69,7 +69,7 @@
         int headerBytes = (packet.get(start) & 0x0f) * WORD_BYTES;
         int totalBytes = unsignedShort(packet, start + IPV4_LENGTH_OFFSET);
         boolean isFragment = (packet.getShort(start + IPV4_FRAGMENT_OFFSET) & IPV4_FRAGMENT_MASK) != 0;
-        // A sender that leaves the length to its network card writes 0.
+        // The total length is 0 if the sender offloads segmentation to its network card.
         int end = totalBytes == 0 ? packet.limit() : Math.min(packet.limit(), start + totalBytes);
         if (headerBytes < IPV4_MIN_HEADER_BYTES
                 || isFragment
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -28,7 +28,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Capture files are read in all formats, reassembled, reported in one line if damaged, replayed, and written. */
+/**
+ * Capture files are read in all supported formats, reassembled, replayed and written; damaged ones are reported in one
+ * line.
+ */
 @Timeout(30)
 class CaptureTest {
     private static final String FIRST_REQUEST = "POST /api?n=1 HTTP/1.1\r\nX-Request-Id: a\r\nX-Class: step-view\r\n"
@@ -62,7 +65,7 @@
             out.write(buffer.array(), 0, buffer.position());
         }
 
-        /** Adds a segment from the client's port, captured at this millisecond. */
+        /** Adds a segment from this client port, captured at this millisecond. */
         CaptureFileBuilder add(int millis, int port, int sequenceNumber, int flags, String text) {
             byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
             ByteBuffer packet = ByteBuffer.allocate(100 + bytes.length);
@@ -129,7 +132,7 @@
         assertEquals("hello", capture.requests().get(0).body().toString());
     }
 
-    /** Segments are repeated, overlap and come out of order, across the wrap of sequence numbers. */
+    /** Segments are repeated, overlap and arrive out of order, and the sequence numbers wrap around. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void segmentsAreReassembledInOrder(long seed) throws IOException {
@@ -165,7 +168,10 @@
         assertEquals(1, capture.incompleteCount());
     }
 
-    /** Truncated anywhere or damaged, a file is read without hanging: to its end, or up to an error of one line. */
+    /**
+     * A file that is truncated at any byte or damaged is read without hanging, either to its end or until a one-line
+     * error.
+     */
     @Test
     void truncatedAndDamagedFilesAreReportedInOneLine() throws IOException {
         byte[] whole = new CaptureFileBuilder(ByteOrder.BIG_ENDIAN, true, 1)
@@ -182,7 +188,7 @@
                 rejectedCount++;
             }
         }
-        assertEquals(whole.length - 2, rejectedCount, "complete only before the first packet and after it");
+        assertEquals(whole.length - 2, rejectedCount, "valid only if cut right before or right after the first packet");
         for (long seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             byte[] damaged = whole.clone();
@@ -198,7 +204,7 @@
         assertThrows(CaptureFormatException.class, () -> read("{\"no\":\"capture\"}          ".getBytes()));
     }
 
-    /** The reader reads what the writer wrote, and the replayer submits what was read. */
+    /** The reader reads the writer's file, and the replayer submits its requests. */
     @Test
     void servedTrafficIsWrittenReadAndReplayed() throws Exception {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
