--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -32,7 +32,7 @@
     private String settingsFile;
 
     @Parameter(names = "--capture", description = "File that the served traffic is written to, as pcap")
-    private String capture;
+    private String captureFile;
 
     @Parameter(names = "--capture-mb", description = "Maximum size of that file in megabytes")
     private int captureMegabytes = 16;
@@ -56,22 +56,22 @@
         Clock clock = Clock.system(clockAheadMillis);
         try {
             config = PlatformConfig.load(System.getenv());
-            TrafficListener listener = capture == null ? TrafficListener.NONE : captureWriter(clock);
+            TrafficListener listener = captureFile == null ? TrafficListener.NONE : openCapture(clock);
             frontends.add(base -> new PlatformFrontend(base, listener));
             features.addFrontends(frontends);
             features.start(config, clock);
         } catch (JsonFields.InvalidFieldException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         } catch (IOException e) {
-            throw new UsageException(Main.FAILED, "cannot start: " + e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, "cannot start: " + e.getMessage());
         }
         DispatcherServer server = new DispatcherServer(
                         config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Factory[]::new))
                 .withUsageRecorder(features.usageRecorder())
                 .withRequestListener(features.requestListener())
-                // No method reference: linking one would load the class where there are no operators.
+                // A lambda, because linking a method reference would load the class even without an admin address.
                 .withAdminServer((address, operations) -> new AdminFrontend(address, operations));
-        // By itself the JVM would end on SIGTERM with code 143 at once; requests in flight are answered first.
+        // By default the JVM exits at once on SIGTERM, with code 143; this hook first answers the requests in flight.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -85,14 +85,14 @@
             server.start().toCompletionStage().toCompletableFuture().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("nettlewick: cannot listen: " + e.getMessage());
-            Runtime.getRuntime().halt(Main.FAILED);
+            Runtime.getRuntime().halt(Main.EXIT_FAILURE);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         return 0;
     }
 
-    /** Hands over from and to other processes of the same dispatcher; null if that is not possible. */
+    /** Creates the hot restart between processes of this dispatcher; null if it is not available. */
     private static HotRestart hotRestart(PlatformConfig config, Clock clock) {
         try {
             return config.listen().port() == 0
@@ -102,28 +102,31 @@
                             config.name() + "-" + config.listen().port(),
                             (long) clock.nowMillis());
         } catch (UncheckedIOException e) {
-            LOG.warning("no-upgrade", "no upgrade beside a living process: " + e.getMessage());
+            LOG.warning("no-upgrade", "hot restart is not available: " + e.getMessage());
             return null;
         }
     }
 
-    /** Reads both files before either is applied: an invalid one leaves all in force as it is. */
+    /** Reads both files before applying either, so that an invalid file changes nothing. */
     private static void reload(DispatcherServer server, OptionalFeatures features) {
         try {
             PlatformConfig config = PlatformConfig.reload(System.getenv());
             features.prepareReload().run();
             server.reload(config);
         } catch (RuntimeException e) {
-            LOG.warning("old-configuration-stays", "the old configuration stays: " + e.getMessage());
+            LOG.warning(
+                    "old-configuration-stays",
+                    "reload failed; the current configuration stays in force: " + e.getMessage());
         }
     }
 
-    private TrafficListener captureWriter(Clock clock) {
+    private TrafficListener openCapture(Clock clock) {
         try {
             return new CaptureWriter(
-                    Files.newOutputStream(Path.of(capture)), clock, captureMegabytes * BYTES_PER_MEGABYTE);
+                    Files.newOutputStream(Path.of(captureFile)), clock, captureMegabytes * BYTES_PER_MEGABYTE);
         } catch (IOException | IllegalArgumentException e) {
-            throw new UsageException(Main.FAILED, "--capture " + capture + " cannot be written: " + e.getMessage());
+            throw new CommandException(
+                    Main.EXIT_FAILURE, "--capture: cannot write " + captureFile + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/decision/EndpointKindStats.java
+++ b/src/main/java/nettlewick/decision/EndpointKindStats.java
@@ -1,14 +1,14 @@
 package nettlewick.decision;
 
-/** What was measured at the endpoints of one kind: work served, slots, slowdown and waits. */
+/** Measurements over the endpoints of one kind: work served, slots, slowdown and waits. */
 final class EndpointKindStats {
     private static final int SLOWDOWN_SAMPLES = 100;
-    private static final double CARRIED_SMOOTHING = 4;
+    private static final double RATE_SMOOTHING_INTERVALS = 4;
 
     private double servedSlotSeconds;
-    private double carriedRate;
+    private double servedRatePerEndpoint;
     private int measurements;
-    private double mostFreeSlots;
+    private double maxFreeSlots;
     private final RunningMean slowdown = new RunningMean(SLOWDOWN_SAMPLES);
     private final WaitCalibration waitCalibration = new WaitCalibration();
 
@@ -16,10 +16,10 @@
         this(0, 0, 0);
     }
 
-    /** Statistics as {@code measurements} intervals have left them. */
-    EndpointKindStats(double mostFreeSlots, double carriedRate, int measurements) {
-        this.mostFreeSlots = mostFreeSlots;
-        this.carriedRate = carriedRate;
+    /** Creates statistics with the given state, as after {@code measurements} intervals. */
+    EndpointKindStats(double maxFreeSlots, double servedRatePerEndpoint, int measurements) {
+        this.maxFreeSlots = maxFreeSlots;
+        this.servedRatePerEndpoint = servedRatePerEndpoint;
         this.measurements = measurements;
     }
 
@@ -27,37 +27,37 @@
         servedSlotSeconds += slotSeconds;
     }
 
-    /** Ends an interval in which {@code warmEndpoints} were ready and past their slow start. */
+    /** Ends an interval in which {@code warmEndpoints} endpoints were ready and past their slow start. */
     void closeInterval(long warmEndpoints) {
         if (warmEndpoints > 0) {
             measurements++;
-            carriedRate +=
-                    (servedSlotSeconds * 1e9 / SchedulerTimings.SHARE_INTERVAL_NANOS / warmEndpoints - carriedRate)
-                            / CARRIED_SMOOTHING;
+            servedRatePerEndpoint += (servedSlotSeconds * 1e9 / SchedulerTimings.SHARE_INTERVAL_NANOS / warmEndpoints
+                            - servedRatePerEndpoint)
+                    / RATE_SMOOTHING_INTERVALS;
         }
         servedSlotSeconds = 0;
     }
 
-    /** Slots that a warm endpoint is busy with for this dispatcher. */
-    double carriedRate() {
-        return carriedRate;
+    /** Mean number of slots of a warm endpoint that are busy with this dispatcher's requests. */
+    double servedRatePerEndpoint() {
+        return servedRatePerEndpoint;
     }
 
-    /** How many intervals the carried rate was measured over. */
+    /** The number of intervals over which the served rate was measured. */
     int measurements() {
         return measurements;
     }
 
     void recordFreeSlots(double slots) {
-        mostFreeSlots = Math.max(mostFreeSlots, slots);
+        maxFreeSlots = Math.max(maxFreeSlots, slots);
     }
 
-    /** Most free slots that an endpoint of the kind was seen to have. */
-    double mostFreeSlots() {
-        return mostFreeSlots;
+    /** The most free slots observed at an endpoint of the kind. */
+    double maxFreeSlots() {
+        return maxFreeSlots;
     }
 
-    /** Logarithms of how much longer than hinted requests run on this kind. */
+    /** Mean logarithm of the ratio of run time to cost hint over requests of this kind of endpoint. */
     RunningMean slowdown() {
         return slowdown;
     }
--- a/src/test/java/nettlewick/cli/ChildProcess.java
+++ b/src/test/java/nettlewick/cli/ChildProcess.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Starts the program as a child process, so that it can be killed. */
+/** Runs the program in child processes, which a test can kill. */
 public final class ChildProcess {
     private ChildProcess() {}
 
-    /** Starts a sub-command; its output is appended to the file. */
-    public static Process start(Path log, Map<String, String> environment, String... words) throws IOException {
-        List<String> line = new ArrayList<>(List.of(
+    /** Starts a sub-command; its output is appended to the log file. */
+    public static Process start(Path log, Map<String, String> environment, String... arguments) throws IOException {
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
@@ -23,19 +23,20 @@
                 "-cp",
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 "nettlewick.cli.Main"));
-        line.addAll(List.of(words));
-        ProcessBuilder builder = new ProcessBuilder(line)
+        command.addAll(List.of(arguments));
+        ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         builder.environment().putAll(environment);
         return builder.start();
     }
 
-    /** Waits for a condition that the process brings about; fails with its log if it ends before. */
+    /** Waits for a condition; fails with the log of the process if it ends before the condition holds. */
     public static void awaitCondition(Process child, Path log, BooleanSupplier condition) throws Exception {
         while (!condition.getAsBoolean()) {
             if (!child.isAlive()) {
-                throw new AssertionError("the process ended with " + child.exitValue() + ": " + Files.readString(log));
+                throw new AssertionError(
+                        "the process exited with code " + child.exitValue() + ": " + Files.readString(log));
             }
             TimeUnit.MILLISECONDS.sleep(5);
         }
--- a/src/test/java/nettlewick/golden/RecordingServer.java
+++ b/src/test/java/nettlewick/golden/RecordingServer.java
@@ -13,32 +13,32 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** An HTTP server on a plain socket, which keeps the bytes of every request and answers what a script says. */
+/** An HTTP server on a plain socket that records the bytes of every request and responds according to a script. */
 final class RecordingServer implements AutoCloseable {
-    /** What to answer; the socket may be closed in place of an answer. */
+    /** Responds to a request; it may close the socket instead. */
     interface Script {
-        void take(String request, Socket socket) throws IOException;
+        void respond(String request, Socket socket) throws IOException;
     }
 
-    private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)");
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)");
 
-    /** Requests in the order in which they came whole, a character for each byte. */
+    /** Requests in order of completion, decoded as one character per byte. */
     final List<String> requests = new CopyOnWriteArrayList<>();
 
-    private final List<Socket> accepted = new CopyOnWriteArrayList<>();
+    private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     private final Script script;
 
     RecordingServer(Script script) throws IOException {
         this.script = script;
-        background(this::accept);
+        startDaemon(this::accept);
     }
 
     int port() {
         return listener.getLocalPort();
     }
 
-    private static void background(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "recording-server");
         thread.setDaemon(true);
         thread.start();
@@ -48,15 +48,15 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                accepted.add(socket);
-                background(() -> read(socket));
+                connections.add(socket);
+                startDaemon(() -> readRequests(socket));
             }
         } catch (IOException e) {
-            // The test is over.
+            // The listener was closed at the end of the test.
         }
     }
 
-    private void read(Socket socket) {
+    private void readRequests(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             while (true) {
@@ -68,16 +68,16 @@
                     }
                     request.append((char) b);
                 }
-                Matcher length = LENGTH.matcher(request);
+                Matcher length = CONTENT_LENGTH.matcher(request);
                 if (length.find()) {
                     request.append(
                             new String(in.readNBytes(Integer.parseInt(length.group(1))), StandardCharsets.ISO_8859_1));
                 }
                 requests.add(request.toString());
-                script.take(request.toString(), socket);
+                script.respond(request.toString(), socket);
             }
         } catch (IOException e) {
-            // The other side has gone.
+            // The dispatcher closed the connection.
         }
     }
 
@@ -90,7 +90,7 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket socket : accepted) {
+        for (Socket socket : connections) {
             socket.close();
         }
     }
--- a/src/test/java/nettlewick/pcap/CaptureTest.java
+++ b/src/test/java/nettlewick/pcap/CaptureTest.java
@@ -209,7 +209,7 @@
     void servedTrafficIsWrittenReadAndReplayed() throws Exception {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         try (DispatcherOnStubPlatform dispatcher = new DispatcherOnStubPlatform()) {
-            dispatcher.addRunner("s-1");
+            dispatcher.addEndpoint("s-1");
             CaptureWriter writer = new CaptureWriter(file, Clock.system(), 1 << 20);
             int port = dispatcher
                     .start(environment -> new PlatformFrontend(environment, writer))
@@ -218,7 +218,7 @@
             var client = dispatcher.vertx.createHttpClient(new HttpClientOptions().setDefaultPort(port));
             for (String id : List.of("a", "b")) {
                 String body = "x".repeat(3000) + id;
-                DispatcherOnStubPlatform.get(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
+                DispatcherOnStubPlatform.awaitResult(client.request(HttpMethod.POST, port, "127.0.0.1", "/api/" + id)
                         .compose(request -> request.putHeader("X-Request-Id", id)
                                 .putHeader("X-Class", "save-run")
                                 .putHeader("X-Deadline", "4")
@@ -230,7 +230,7 @@
         assertEquals(List.of("/api/a", "/api/b"), uris(capture));
         assertEquals("x".repeat(3000) + "b", capture.requests().get(1).body().toString());
         try (DispatcherOnStubPlatform dispatcher = new DispatcherOnStubPlatform()) {
-            dispatcher.addRunner("s-1");
+            dispatcher.addEndpoint("s-1");
             AtomicReference<CaptureReplayer> replayer = new AtomicReference<>();
             dispatcher.start(environment -> {
                 replayer.set(new CaptureReplayer(environment, capture));
@@ -238,8 +238,8 @@
             });
             assertEquals(
                     new CaptureReplayer.Summary(2, 2, 0, 0, 0, 0),
-                    DispatcherOnStubPlatform.get(replayer.get().whenDone()));
-            assertEquals(2, dispatcher.seen.size());
+                    DispatcherOnStubPlatform.awaitResult(replayer.get().whenDone()));
+            assertEquals(2, dispatcher.receivedRequests.size());
         }
     }
 
--- a/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutPolicyTest.java
@@ -223,9 +223,9 @@
             for (int i = 0; i < STEPS_PER_WALK; i++) {
                 simulation.step();
             }
-            assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
+            assertEquals(List.of(), simulation.provider.violations(), "walk " + walk);
             simulation.runWithoutFaults();
-            assertEquals(List.of(), simulation.provider.breaks(), "walk " + walk);
+            assertEquals(List.of(), simulation.provider.violations(), "walk " + walk);
             assertTrue(simulation.isSettled(), "walk " + walk);
             resizeRequests += simulation.resizeRequests;
             staleRequests += simulation.provider.counts().get("stale_acts_tried");
@@ -243,7 +243,7 @@
             ScaleOutSimulation simulation = new ScaleOutSimulation(walk, bug);
             for (int i = 0; i < STEPS_PER_WALK; i++) {
                 simulation.step();
-                if (!simulation.provider.breaks().isEmpty()) {
+                if (!simulation.provider.violations().isEmpty()) {
                     return;
                 }
             }
--- a/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
@@ -55,7 +55,8 @@
             List.of("a"),
             Map.of(
                     "red",
-                    new ProviderModel.Cap(SETTINGS.cap().cents(), SETTINGS.cap().nearCapFraction())));
+                    new ProviderModel.MonthlyCap(
+                            SETTINGS.cap().cents(), SETTINGS.cap().nearCapFraction())));
     private final List<PendingMessage> inTransit = new ArrayList<>();
     private long wallMillis = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
     private double nowMillis;
@@ -169,7 +170,7 @@
         resizeRequests++;
         inTransit.add(() -> {
             int version = bug == Bug.VERSION_NOT_CHECKED ? provider.version("red") : Integer.parseInt(report.etag());
-            ProviderModel.Way outcome = provider.want(
+            ProviderModel.ResizeResult outcome = provider.resize(
                     "red",
                     request.size(),
                     request.idempotencyKey(),
@@ -177,7 +178,7 @@
                     leaseHolder.fence,
                     bug == Bug.LATE_RESIZE_ACCEPTED ? Long.MAX_VALUE : resize.notAfterMillis(),
                     wallMillis + providerClockOffsetMillis);
-            if (outcome == ProviderModel.Way.DONE) {
+            if (outcome == ProviderModel.ResizeResult.APPLIED) {
                 sendReport(leaseHolder, currentReport(), requestedAtMillis);
             } else {
                 inTransit.add(() -> {
@@ -189,13 +190,13 @@
     }
 
     private ProviderReport currentReport() {
-        List<InstanceCharge> charges = provider.all("red").stream()
+        List<InstanceCharge> charges = provider.allInstances("red").stream()
                 .map(instance -> new InstanceCharge(
                         instance.name(),
                         instance.kind(),
                         instance.zone(),
-                        instance.since(),
-                        instance.until(),
+                        instance.startedAt(),
+                        instance.endedAt(),
                         CENTS_PER_HOUR,
                         MIN_BILLED_MILLIS))
                 .toList();
