--- a/src/main/java/nettlewick/lease/LeaseCandidate.java
+++ b/src/main/java/nettlewick/lease/LeaseCandidate.java
@@ -22,11 +22,11 @@
     }
 
     /** An unanswered renewal is sent again after this share of a lease. */
-    private static final double RENEWAL_RETRY_SHARE = 1.0 / 6;
+    private static final double RENEWAL_RETRY_INTERVAL_LEASES = 1.0 / 6;
     /** An unanswered request of a candidate is sent again after this share of a lease. */
-    private static final double REQUEST_RETRY_SHARE = RENEWAL_RETRY_SHARE / 2;
+    private static final double REQUEST_RETRY_INTERVAL_LEASES = RENEWAL_RETRY_INTERVAL_LEASES / 2;
     /** A holder renews, and a former holder stands again, after this share of a lease. */
-    private static final double RENEWAL_SHARE = 1.0 / 3;
+    private static final double RENEWAL_INTERVAL_LEASES = 1.0 / 3;
     /** A candidate gives up after this many transmissions of one request. */
     private static final int MAX_TRANSMISSIONS = 4;
 
@@ -34,7 +34,7 @@
     private final int dispatcher;
     private final int incarnation;
     private final List<Integer> voters;
-    private final LeaseTerms terms;
+    private final LeaseParameters parameters;
     private final int rank;
 
     private final VoteRound round;
@@ -62,7 +62,7 @@
             int dispatcher,
             int incarnation,
             List<Integer> voters,
-            LeaseTerms terms,
+            LeaseParameters parameters,
             int rank,
             double nowMillis) {
         this(
@@ -70,11 +70,11 @@
                 dispatcher,
                 incarnation,
                 voters,
-                terms,
+                parameters,
                 rank,
                 new VoteRound(voters, (long) incarnation << Integer.SIZE));
         ballot = Ballot.of(0, incarnation, dispatcher);
-        nextAttemptAtMillis = nowMillis + rank * terms.leaseMillis() / 2;
+        nextAttemptAtMillis = nowMillis + rank * parameters.leaseMillis() / 2;
     }
 
     private LeaseCandidate(
@@ -82,21 +82,22 @@
             int dispatcher,
             int incarnation,
             List<Integer> voters,
-            LeaseTerms terms,
+            LeaseParameters parameters,
             int rank,
             VoteRound round) {
         this.leaseName = leaseName;
         this.dispatcher = dispatcher;
         this.incarnation = incarnation;
         this.voters = voters;
-        this.terms = terms;
+        this.parameters = parameters;
         this.rank = rank;
         this.round = round;
     }
 
     /** An independent copy, for a search through the orders of events. */
     LeaseCandidate copy() {
-        LeaseCandidate copy = new LeaseCandidate(leaseName, dispatcher, incarnation, voters, terms, rank, round.copy());
+        LeaseCandidate copy =
+                new LeaseCandidate(leaseName, dispatcher, incarnation, voters, parameters, rank, round.copy());
         copy.lifecycleState = lifecycleState;
         copy.nextAttemptAtMillis = nextAttemptAtMillis;
         copy.preparedAtMillis = preparedAtMillis;
@@ -166,7 +167,7 @@
         }
         List<Outgoing> out = release();
         highestBallot = Math.max(highestBallot, fence);
-        waitUntil(nowMillis);
+        scheduleNextAttempt(nowMillis);
         return out;
     }
 
@@ -211,32 +212,33 @@
             return List.of();
         }
         boolean isUnanswered = proposedState != null || round.startedAtMillis() > confirmedAtMillis;
-        double dueAfterMillis = terms.leaseMillis() * (isUnanswered ? RENEWAL_RETRY_SHARE : RENEWAL_SHARE);
+        double dueAfterMillis =
+                parameters.leaseMillis() * (isUnanswered ? RENEWAL_RETRY_INTERVAL_LEASES : RENEWAL_INTERVAL_LEASES);
         return nowMillis - round.startedAtMillis() >= dueAfterMillis ? startRequest(Kind.ACCEPT, nowMillis) : List.of();
     }
 
     private List<Outgoing> tickRequest(double nowMillis) {
         double waitedMillis = nowMillis - round.startedAtMillis();
-        double retryMillis = terms.leaseMillis() * REQUEST_RETRY_SHARE;
+        double retryMillis = parameters.leaseMillis() * REQUEST_RETRY_INTERVAL_LEASES;
         if (round.transmissions() < MAX_TRANSMISSIONS && waitedMillis >= retryMillis * round.transmissions()) {
             return round.transmit();
         }
         if (waitedMillis >= retryMillis * MAX_TRANSMISSIONS) {
-            standAgainByRank(nowMillis);
+            backOffByRank(nowMillis);
         }
         return List.of();
     }
 
     /** Candidates that stood at once and blocked one another come back at different times. */
-    private void standAgainByRank(double nowMillis) {
-        waitUntil(nowMillis + terms.leaseMillis() * (rank + 1) / 4);
+    private void backOffByRank(double nowMillis) {
+        scheduleNextAttempt(nowMillis + parameters.leaseMillis() * (rank + 1) / 4);
     }
 
     private void expire(double nowMillis) {
-        waitUntil(nowMillis + terms.leaseMillis() * RENEWAL_SHARE);
+        scheduleNextAttempt(nowMillis + parameters.leaseMillis() * RENEWAL_INTERVAL_LEASES);
     }
 
-    private void waitUntil(double atMillis) {
+    private void scheduleNextAttempt(double atMillis) {
         lifecycleState = State.WAITING;
         nextAttemptAtMillis = atMillis;
         heldUntilMillis = Double.NEGATIVE_INFINITY;
@@ -277,7 +279,7 @@
             return List.of();
         }
         round.addAnswer(message);
-        return round.answerCount() < terms.majorityOf(voters.size())
+        return round.answerCount() < parameters.majorityOf(voters.size())
                 ? List.of()
                 : handleMajority(message.kind(), nowMillis);
     }
@@ -292,8 +294,8 @@
             // Another candidate has a higher ballot: this lease runs on until it ends or a majority renews it.
             return;
         }
-        double grantEndMillis = Math.max(message.remainingMillis(), terms.leaseMillis() / 8);
-        waitUntil(nowMillis + grantEndMillis + rank * terms.leaseMillis() / 8);
+        double remainingGrantMillis = Math.max(message.remainingMillis(), parameters.leaseMillis() / 8);
+        scheduleNextAttempt(nowMillis + remainingGrantMillis + rank * parameters.leaseMillis() / 8);
     }
 
     private List<Outgoing> handleMajority(Kind kind, double nowMillis) {
@@ -337,13 +339,13 @@
     }
 
     private void confirmHolding(double nowMillis) {
-        if (lifecycleState == State.ACCEPTING && nowMillis - preparedAtMillis > terms.leaseMillis()) {
-            standAgainByRank(nowMillis);
+        if (lifecycleState == State.ACCEPTING && nowMillis - preparedAtMillis > parameters.leaseMillis()) {
+            backOffByRank(nowMillis);
             return;
         }
         lifecycleState = State.HOLDING;
         // Counted from before the request was sent: the voters count from when they received it, which is later.
-        heldUntilMillis = Math.max(heldUntilMillis, round.startedAtMillis() + terms.holderLeaseMillis());
+        heldUntilMillis = Math.max(heldUntilMillis, round.startedAtMillis() + parameters.holderLeaseMillis());
         confirmedAtMillis = round.startedAtMillis();
         if (proposedState != null) {
             version++;
--- a/src/main/java/nettlewick/lease/LeaseFollower.java
+++ b/src/main/java/nettlewick/lease/LeaseFollower.java
@@ -10,17 +10,17 @@
  */
 final class LeaseFollower {
     private static final int NO_HOLDER = -1;
-    private static final long NONE = -1;
+    private static final long UNKNOWN = -1;
 
     private final String leaseName;
     private final int dispatcher;
-    private final FenceGate gate = new FenceGate();
+    private final FenceGate fenceGate = new FenceGate();
     private int holder = NO_HOLDER;
     private long fence;
-    private long version = NONE;
+    private long version = UNKNOWN;
     private byte[] state;
     /** The fence under which the state was announced: a tier that has lost its memory counts versions anew. */
-    private long stateFence = NONE;
+    private long stateFence = UNKNOWN;
 
     LeaseFollower(String leaseName, int dispatcher) {
         this.leaseName = leaseName;
@@ -53,7 +53,7 @@
 
     /** This dispatcher holds the lease itself. */
     void recordOwnState(long ownFence, long newVersion, byte[] newState) {
-        gate.admits(leaseName, ownFence);
+        fenceGate.admits(leaseName, ownFence);
         holder = dispatcher;
         fence = ownFence;
         version = newVersion;
@@ -63,7 +63,7 @@
 
     /** Handles an announcement; asks for the state where it is missing. */
     List<Outgoing> handle(LeaseMessage announcement) {
-        if (!gate.admits(leaseName, announcement.ballot())) {
+        if (!fenceGate.admits(leaseName, announcement.ballot())) {
             return List.of();
         }
         holder = announcement.sender();
--- a/src/main/java/nettlewick/lease/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -51,7 +51,7 @@
         /** Answer to RECOVER: one record, or, without a lease name, how many records were sent. */
         RECOVERED_RECORD,
         /** Answer to RECOVER: the voter has no memory either; its incarnation stands for the highest ballot. */
-        NO_MEMORY,
+        NO_RECORDS,
         /** Holder to its successor: stand for the lease at once. */
         HANDOVER,
         /** Holder to all: the stored version, with the state where the flag says so. */
@@ -113,7 +113,7 @@
     /** Whether it is for a voter, in place of a candidate or a follower. */
     boolean isForVoter() {
         return switch (kind) {
-            case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_MEMORY -> true;
+            case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_RECORDS -> true;
             default -> false;
         };
     }
--- a/src/main/java/nettlewick/lease/LeaseTerms.java
+++ b/src/main/java/nettlewick/lease/LeaseParameters.java
@@ -6,7 +6,7 @@
  * @param leaseMillis   how long a voter's grant lasts
  * @param maxClockDrift by which share the rates of two dispatchers' clocks differ at most
  */
-record LeaseTerms(double leaseMillis, double maxClockDrift) {
+record LeaseParameters(double leaseMillis, double maxClockDrift) {
     /** How many of this many voters are a majority. */
     int majorityOf(int voterCount) {
         return voterCount / 2 + 1;
--- a/src/main/java/nettlewick/lease/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -29,8 +29,8 @@
 
     private final Map<String, LeaseTask> tasks;
     private final Map<String, ManagedLease> leases = new LinkedHashMap<>();
-    private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
-    private final Thread thread = new Thread(this::execute, "lease");
+    private final Queue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
+    private final Thread thread = new Thread(this::runEventLoop, "lease");
     private double nextReportsAtMillis;
     private volatile boolean isClosing;
 
@@ -47,12 +47,12 @@
         return service;
     }
 
-    private LeaseService(LeaseSettings settings, Map<String, LeaseTask> given) throws IOException {
+    private LeaseService(LeaseSettings settings, Map<String, LeaseTask> configuredTasks) throws IOException {
         this.settings = settings;
         int incarnation = new SecureRandom().nextInt(Ballot.INCARNATION_LIMIT);
         boolean isVoter = settings.voters().contains(settings.dispatcher());
         voter = isVoter ? new PersistentVoter(settings, nowMillis(), incarnation) : null;
-        tasks = new LinkedHashMap<>(given);
+        tasks = new LinkedHashMap<>(configuredTasks);
         settings.leaseNames().forEach(name -> tasks.putIfAbsent(name, new TermCounter(name)));
         tasks.forEach((name, task) ->
                 leases.put(name, new ManagedLease(name, settings, incarnation, task, this::send, nowMillis())));
@@ -63,8 +63,8 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    private void execute() {
-        long tickMillis = (long) Math.max(1, settings.terms().leaseMillis() / TICKS_PER_LEASE);
+    private void runEventLoop() {
+        long tickMillis = (long) Math.max(1, settings.parameters().leaseMillis() / TICKS_PER_LEASE);
         try {
             double nextTickAtMillis = nowMillis();
             tasks.values().forEach(task -> task.start(this));
@@ -85,7 +85,7 @@
     }
 
     private void runSubmitted() {
-        for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
+        for (Runnable task = submittedTasks.poll(); task != null; task = submittedTasks.poll()) {
             runGuarded(task);
         }
     }
@@ -101,7 +101,7 @@
 
     @Override
     public void execute(Runnable task) {
-        submitted.add(task);
+        submittedTasks.add(task);
         transport.wakeUp();
     }
 
@@ -148,7 +148,7 @@
         }
         leases.values().forEach(lease -> lease.tick(nowMillis()));
         if (nowMillis() >= nextReportsAtMillis) {
-            nextReportsAtMillis = nowMillis() + settings.terms().leaseMillis() / REPORTS_PER_LEASE;
+            nextReportsAtMillis = nowMillis() + settings.parameters().leaseMillis() / REPORTS_PER_LEASE;
             leases.values().forEach(lease -> lease.sendReports(nowMillis()));
         }
     }
--- a/src/main/java/nettlewick/lease/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -27,7 +27,7 @@
         InetSocketAddress listenAddress,
         List<InetSocketAddress> dispatchers,
         List<Integer> voters,
-        LeaseTerms terms,
+        LeaseParameters parameters,
         byte[] sharedKey,
         List<String> leaseNames,
         Path voterFolder) {
@@ -52,7 +52,7 @@
                 block.address("listen"),
                 dispatchers,
                 IntStream.range(0, voterCount).boxed().toList(),
-                new LeaseTerms(block.spanMillis("lease"), block.wholeNumber("drift") / PERCENT),
+                new LeaseParameters(block.spanMillis("lease"), block.wholeNumber("drift") / PERCENT),
                 readKey(block),
                 leaseNames,
                 block.has("folder") ? block.get("folder") : null);
--- a/src/main/java/nettlewick/lease/LeaseTransport.java
+++ b/src/main/java/nettlewick/lease/LeaseTransport.java
@@ -49,10 +49,10 @@
 
     /** Passes on all messages that have arrived from dispatchers of this membership. */
     void receive(Consumer<LeaseMessage> receiver) throws IOException {
-        ByteBuffer data = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
-        for (SocketAddress from = channel.receive(data); from != null; from = channel.receive(data)) {
-            byte[] bytes = new byte[data.flip().remaining()];
-            data.get(bytes).clear();
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+        for (SocketAddress from = channel.receive(buffer); from != null; from = channel.receive(buffer)) {
+            byte[] bytes = new byte[buffer.flip().remaining()];
+            buffer.get(bytes).clear();
             LeaseMessage message = decode(bytes, from);
             if (message != null && message.sender() < dispatchers.size()) {
                 receiver.accept(message);
@@ -61,9 +61,9 @@
     }
 
     private LeaseMessage decode(byte[] bytes, SocketAddress from) {
-        boolean isWarned = codec.discardedCount(DiscardReason.OTHER_LIST) > 0;
+        boolean wasWarned = codec.discardedCount(DiscardReason.OTHER_LIST) > 0;
         LeaseMessage message = codec.decode(bytes);
-        if (!isWarned && codec.discardedCount(DiscardReason.OTHER_LIST) > 0) {
+        if (!wasWarned && codec.discardedCount(DiscardReason.OTHER_LIST) > 0) {
             LOG.warning(
                     "other-list",
                     "messages of a dispatcher with another list of dispatchers or voters are discarded",
--- a/src/main/java/nettlewick/lease/LeaseVoter.java
+++ b/src/main/java/nettlewick/lease/LeaseVoter.java
@@ -13,26 +13,31 @@
  */
 final class LeaseVoter {
     private final int dispatcher;
-    private final LeaseTerms terms;
+    private final LeaseParameters parameters;
     private final VoterRecovery recovery;
     private final Map<String, LeaseRecord> records;
     private final Map<String, LeaseRecord> unsavedRecords = new TreeMap<>();
 
     /** A voter that starts at {@code nowMillis} without any memory. */
-    LeaseVoter(int dispatcher, List<Integer> voters, LeaseTerms terms, double nowMillis, long incarnation) {
-        this(dispatcher, terms, new VoterRecovery(dispatcher, voters, terms, nowMillis, incarnation), new TreeMap<>());
+    LeaseVoter(int dispatcher, List<Integer> voters, LeaseParameters parameters, double nowMillis, long incarnation) {
+        this(
+                dispatcher,
+                parameters,
+                new VoterRecovery(dispatcher, voters, parameters, nowMillis, incarnation),
+                new TreeMap<>());
     }
 
-    private LeaseVoter(int dispatcher, LeaseTerms terms, VoterRecovery recovery, Map<String, LeaseRecord> records) {
+    private LeaseVoter(
+            int dispatcher, LeaseParameters parameters, VoterRecovery recovery, Map<String, LeaseRecord> records) {
         this.dispatcher = dispatcher;
-        this.terms = terms;
+        this.parameters = parameters;
         this.recovery = recovery;
         this.records = records;
     }
 
     /** An independent copy, for a search through the orders of events; it has nothing to save. */
     LeaseVoter copy() {
-        return new LeaseVoter(dispatcher, terms, recovery.copy(), new TreeMap<>(records));
+        return new LeaseVoter(dispatcher, parameters, recovery.copy(), new TreeMap<>(records));
     }
 
     /**
@@ -74,9 +79,9 @@
     List<Outgoing> handle(LeaseMessage message, double nowMillis) {
         return switch (message.kind()) {
             case RECOVER -> answerRecovery(message);
-            case RECOVERED_RECORD, NO_MEMORY -> {
+            case RECOVERED_RECORD, NO_RECORDS -> {
                 if (recovery.expects(message)) {
-                    learn(message, nowMillis);
+                    handleRecoveryAnswer(message, nowMillis);
                 }
                 yield List.of();
             }
@@ -84,10 +89,10 @@
         };
     }
 
-    private void learn(LeaseMessage message, double nowMillis) {
+    private void handleRecoveryAnswer(LeaseMessage message, double nowMillis) {
         if (message.kind() == Kind.RECOVERED_RECORD && !message.leaseName().isEmpty()) {
-            LeaseRecord known = records.getOrDefault(message.leaseName(), LeaseRecord.EMPTY);
-            putUnsaved(message.leaseName(), known.merge(message));
+            LeaseRecord current = records.getOrDefault(message.leaseName(), LeaseRecord.EMPTY);
+            putUnsaved(message.leaseName(), current.merge(message));
         }
         recovery.handleAnswer(message, nowMillis);
     }
@@ -100,14 +105,14 @@
     /** One message for each record, and a last one that says how many they were. */
     private List<Outgoing> answerRecovery(LeaseMessage request) {
         if (!recovery.hasCompleteRecords()) {
-            return List.of(new Outgoing(request.sender(), recovery.noMemoryAnswer(request)));
+            return List.of(new Outgoing(request.sender(), recovery.noRecordsAnswer(request)));
         }
         List<Outgoing> out = new ArrayList<>();
-        records.forEach((leaseName, known) -> out.add(new Outgoing(
+        records.forEach((leaseName, current) -> out.add(new Outgoing(
                 request.sender(),
                 LeaseMessage.of(Kind.RECOVERED_RECORD, leaseName, dispatcher, 0, request.ballot())
-                        .withHighestBallot(known.highestBallot(), 0)
-                        .withState(known.acceptedBallot(), known.version(), known.state()))));
+                        .withHighestBallot(current.highestBallot(), 0)
+                        .withState(current.acceptedBallot(), current.version(), current.state()))));
         out.add(new Outgoing(request.sender(), recovery.finalAnswer(request, records.size())));
         return out;
     }
@@ -127,32 +132,32 @@
     }
 
     private List<Outgoing> answerQuery(LeaseMessage request, double nowMillis) {
-        boolean isGranted = records.get(request.leaseName()).isGrantedToAnother(request.ballot(), nowMillis);
-        return isGranted ? refuse(request, nowMillis) : answer(request, reply(Kind.AVAILABLE, request));
+        boolean isGrantedToAnother = records.get(request.leaseName()).isGrantedToAnother(request.ballot(), nowMillis);
+        return isGrantedToAnother ? refuse(request, nowMillis) : answer(request, reply(Kind.AVAILABLE, request));
     }
 
     private List<Outgoing> answerPrepare(LeaseMessage request, double nowMillis) {
-        LeaseRecord known = records.get(request.leaseName());
+        LeaseRecord current = records.get(request.leaseName());
         // An equal ballot is the same candidate's, which repeats its request since the answer was lost.
-        if (known.isGrantedToAnother(request.ballot(), nowMillis) || request.ballot() < known.promisedBallot()) {
+        if (current.isGrantedToAnother(request.ballot(), nowMillis) || request.ballot() < current.promisedBallot()) {
             return refuse(request, nowMillis);
         }
-        if (request.ballot() > known.promisedBallot()) {
-            putUnsaved(request.leaseName(), known.withPromise(request.ballot()));
+        if (request.ballot() > current.promisedBallot()) {
+            putUnsaved(request.leaseName(), current.withPromise(request.ballot()));
         }
         return answer(
                 request,
-                reply(Kind.PROMISED, request).withState(known.acceptedBallot(), known.version(), known.state()));
+                reply(Kind.PROMISED, request).withState(current.acceptedBallot(), current.version(), current.state()));
     }
 
     private List<Outgoing> answerAccept(LeaseMessage request, double nowMillis) {
-        LeaseRecord known = records.get(request.leaseName());
-        boolean isGranted = known.isGrantedToAnother(request.ballot(), nowMillis);
-        if (isGranted || !known.mayAccept(request.ballot(), request.version())) {
+        LeaseRecord current = records.get(request.leaseName());
+        boolean isGrantedToAnother = current.isGrantedToAnother(request.ballot(), nowMillis);
+        if (isGrantedToAnother || !current.mayAccept(request.ballot(), request.version())) {
             return refuse(request, nowMillis);
         }
-        LeaseRecord accepted = known.withAccepted(request, nowMillis + terms.leaseMillis());
-        boolean isRenewal = request.ballot() == known.acceptedBallot() && request.version() == known.version();
+        LeaseRecord accepted = current.withAccepted(request, nowMillis + parameters.leaseMillis());
+        boolean isRenewal = request.ballot() == current.acceptedBallot() && request.version() == current.version();
         if (isRenewal) {
             // The grant is not stored, so that a renewal costs no write.
             records.put(request.leaseName(), accepted);
@@ -165,17 +170,18 @@
     }
 
     private void endGrant(LeaseMessage release) {
-        LeaseRecord known = records.get(release.leaseName());
-        if (known.grantedBallot() == release.ballot()) {
-            records.put(release.leaseName(), known.withoutGrant());
+        LeaseRecord current = records.get(release.leaseName());
+        if (current.grantedBallot() == release.ballot()) {
+            records.put(release.leaseName(), current.withoutGrant());
         }
     }
 
     private List<Outgoing> refuse(LeaseMessage request, double nowMillis) {
-        LeaseRecord known = records.get(request.leaseName());
+        LeaseRecord current = records.get(request.leaseName());
         double remainingMillis =
-                known.isGrantedToAnother(request.ballot(), nowMillis) ? known.grantedUntilMillis() - nowMillis : 0;
-        return answer(request, reply(Kind.REFUSED, request).withHighestBallot(known.highestBallot(), remainingMillis));
+                current.isGrantedToAnother(request.ballot(), nowMillis) ? current.grantedUntilMillis() - nowMillis : 0;
+        return answer(
+                request, reply(Kind.REFUSED, request).withHighestBallot(current.highestBallot(), remainingMillis));
     }
 
     private LeaseMessage reply(Kind kind, LeaseMessage request) {
--- a/src/main/java/nettlewick/lease/ManagedLease.java
+++ b/src/main/java/nettlewick/lease/ManagedLease.java
@@ -21,7 +21,7 @@
     private final LeaseSettings settings;
     private final int incarnation;
     private final LeaseTask task;
-    private final Consumer<List<Outgoing>> sender;
+    private final Consumer<List<Outgoing>> messageSink;
     private final List<Integer> ranking;
     /** Null where this dispatcher ranks too low to stand. */
     private final LeaseCandidate candidate;
@@ -37,16 +37,16 @@
             LeaseSettings settings,
             int incarnation,
             LeaseTask task,
-            Consumer<List<Outgoing>> sender,
+            Consumer<List<Outgoing>> messageSink,
             double nowMillis) {
         this.leaseName = leaseName;
         this.settings = settings;
         this.incarnation = incarnation;
         this.task = task;
-        this.sender = sender;
+        this.messageSink = messageSink;
         ranking = CandidateRanking.rank(leaseName, settings.dispatchers().size());
         follower = new LeaseFollower(leaseName, settings.dispatcher());
-        announcements = new AnnouncementSchedule(settings.terms().leaseMillis());
+        announcements = new AnnouncementSchedule(settings.parameters().leaseMillis());
         int rank = ranking.indexOf(settings.dispatcher());
         candidate = rank < MAX_CANDIDATES
                 ? new LeaseCandidate(
@@ -54,7 +54,7 @@
                         settings.dispatcher(),
                         incarnation,
                         settings.voters(),
-                        settings.terms(),
+                        settings.parameters(),
                         rank,
                         nowMillis)
                 : null;
@@ -68,20 +68,20 @@
     /** A resource has rejected an act since it has seen this higher fence. */
     void yieldToHigherFence(long fence, double nowMillis) {
         if (candidate != null) {
-            sender.accept(candidate.yieldToHigherFence(fence, nowMillis));
+            messageSink.accept(candidate.yieldToHigherFence(fence, nowMillis));
         }
     }
 
     void tick(double nowMillis) {
         if (candidate != null) {
-            sender.accept(candidate.tick(nowMillis));
+            messageSink.accept(candidate.tick(nowMillis));
         }
     }
 
     /** Handles an answer of a voter, or a handover by the holder. */
     void handleCandidateMessage(LeaseMessage message, double nowMillis) {
         if (candidate != null) {
-            sender.accept(candidate.handle(message, nowMillis));
+            messageSink.accept(candidate.handle(message, nowMillis));
         }
     }
 
@@ -89,7 +89,7 @@
         if (mayAct(nowMillis)) {
             return;
         }
-        sender.accept(follower.handle(message));
+        messageSink.accept(follower.handle(message));
         if (follower.isUpToDate(message)) {
             task.onStoredState(
                     follower.fence(), follower.version(), follower.state(), message.requestsReports(), nowMillis);
@@ -98,7 +98,7 @@
 
     void handleStateRequest(LeaseMessage message, double nowMillis) {
         if (mayAct(nowMillis) && isHeld) {
-            sender.accept(List.of(new Outgoing(message.sender(), announcement(true))));
+            messageSink.accept(List.of(new Outgoing(message.sender(), announcement(true))));
         }
     }
 
@@ -114,7 +114,7 @@
             if (follower.hasHolder()) {
                 LeaseMessage message = LeaseMessage.of(Kind.REPORT, leaseName, settings.dispatcher(), incarnation, 0)
                         .withState(0, 0, report);
-                sender.accept(List.of(new Outgoing(follower.holder(), message)));
+                messageSink.accept(List.of(new Outgoing(follower.holder(), message)));
             }
         }
     }
@@ -126,7 +126,7 @@
         }
         boolean mayAct = candidate.mayAct(nowMillis);
         if (isHeld && (!mayAct || heldFence != candidate.fence())) {
-            lose();
+            handleLoss();
         }
         if (!mayAct || candidate.isChangePending()) {
             return;
@@ -140,7 +140,7 @@
         proposeNextState(nowMillis);
     }
 
-    private void lose() {
+    private void handleLoss() {
         isHeld = false;
         announcements.stop();
         LOG.info("duty-lost", "no longer holds " + leaseName, "duty", leaseName, "fence", heldFence);
@@ -164,7 +164,7 @@
                 out.add(new Outgoing(recipient, message));
             }
         }
-        sender.accept(out);
+        messageSink.accept(out);
         task.onStoredState(follower.fence(), follower.version(), follower.state(), task.requestsReports(), nowMillis);
     }
 
@@ -192,7 +192,7 @@
                     next.length);
             return;
         }
-        sender.accept(candidate.proposeChange(next, nowMillis));
+        messageSink.accept(candidate.proposeChange(next, nowMillis));
     }
 
     /** Graceful shutdown: hands the lease over to the next dispatcher in its ranking. */
@@ -212,6 +212,6 @@
                     "to",
                     successor);
         }
-        sender.accept(candidate.retire(successor));
+        messageSink.accept(candidate.retire(successor));
     }
 }
--- a/src/main/java/nettlewick/lease/PersistentVoter.java
+++ b/src/main/java/nettlewick/lease/PersistentVoter.java
@@ -25,25 +25,25 @@
     /** @throws IOException where the folder cannot be used */
     PersistentVoter(LeaseSettings settings, double nowMillis, int incarnation) throws IOException {
         this.settings = settings;
-        voter = new LeaseVoter(settings.dispatcher(), settings.voters(), settings.terms(), nowMillis, incarnation);
+        voter = new LeaseVoter(settings.dispatcher(), settings.voters(), settings.parameters(), nowMillis, incarnation);
         store = settings.voterFolder() == null ? null : openAndRestore();
     }
 
     private VoterStore openAndRestore() throws IOException {
         try {
             VoterStore opened = VoterStore.openOrRecreate(settings.voterFolder());
-            Map<String, LeaseRecord> known = opened.load(settings.membershipHash(), settings.dispatcher());
-            if (known != null) {
-                voter.restore(known);
+            Map<String, LeaseRecord> storedRecords = opened.load(settings.membershipHash(), settings.dispatcher());
+            if (storedRecords != null) {
+                voter.restore(storedRecords);
                 isMarkedVoting = true;
             } else {
                 opened.clear();
             }
             LOG.info(
                     "voter-remembers",
-                    known == null ? "the voter starts without records" : "the voter's records are restored",
+                    storedRecords == null ? "the voter starts without records" : "the voter's records are restored",
                     "duties",
-                    known == null ? 0 : known.size());
+                    storedRecords == null ? 0 : storedRecords.size());
             return opened;
         } catch (StoreException e) {
             throw new IOException(e.getMessage(), e);
@@ -60,9 +60,9 @@
         return storeBeforeSending(() -> voter.tick(nowMillis));
     }
 
-    private List<Outgoing> storeBeforeSending(Supplier<List<Outgoing>> step) {
+    private List<Outgoing> storeBeforeSending(Supplier<List<Outgoing>> handler) {
         boolean wasVoting = voter.isVoting();
-        List<Outgoing> out = step.get();
+        List<Outgoing> out = handler.get();
         boolean isStored = storeChanges();
         if (!wasVoting && voter.isVoting()) {
             LOG.info("votes", "votes on duties from now on", "dispatcher", settings.dispatcher());
--- a/src/main/java/nettlewick/lease/ReplayWindow.java
+++ b/src/main/java/nettlewick/lease/ReplayWindow.java
@@ -8,19 +8,21 @@
     /** Numbers this far or further below the highest count as arrived. */
     private static final int SIZE = 64;
 
-    private long highest;
+    private long highestSequenceNumber;
     /** Bit n: the number n + 1 below the highest has arrived. */
-    private long arrivedBelow;
+    private long receivedBelowHighest;
 
     /** Whether this number arrives for the first time; it counts as arrived from then on. */
-    boolean admits(long number) {
-        return number > highest ? advanceTo(number) : fillGap(highest - number);
+    boolean admits(long sequenceNumber) {
+        return sequenceNumber > highestSequenceNumber
+                ? advanceTo(sequenceNumber)
+                : fillGap(highestSequenceNumber - sequenceNumber);
     }
 
-    private boolean advanceTo(long number) {
-        long ahead = number - highest;
-        arrivedBelow = ahead >= SIZE ? 0 : arrivedBelow << ahead | 1L << ahead - 1;
-        highest = number;
+    private boolean advanceTo(long sequenceNumber) {
+        long ahead = sequenceNumber - highestSequenceNumber;
+        receivedBelowHighest = ahead >= SIZE ? 0 : receivedBelowHighest << ahead | 1L << ahead - 1;
+        highestSequenceNumber = sequenceNumber;
         return true;
     }
 
@@ -29,8 +31,8 @@
             return false;
         }
         long bit = 1L << behind - 1;
-        boolean isNew = (arrivedBelow & bit) == 0;
-        arrivedBelow |= bit;
+        boolean isNew = (receivedBelowHighest & bit) == 0;
+        receivedBelowHighest |= bit;
         return isNew;
     }
 }
--- a/src/main/java/nettlewick/lease/VoterRecovery.java
+++ b/src/main/java/nettlewick/lease/VoterRecovery.java
@@ -20,11 +20,11 @@
     /** In the last message of a recovery, as its accepted ballot: the receiver belongs to a new tier. */
     private static final long NEW_TIER = 1;
     /** Requests to the other voters are repeated after this share of a lease. */
-    private static final double REQUEST_SHARE = 1.0 / 6;
+    private static final double REQUEST_INTERVAL_LEASES = 1.0 / 6;
 
     private final int dispatcher;
     private final List<Integer> voters;
-    private final LeaseTerms terms;
+    private final LeaseParameters parameters;
     /** Distinguishes answers to this process's requests from those to a former one's, which prove nothing. */
     private final long incarnation;
 
@@ -32,40 +32,42 @@
     private double abstainsUntilMillis;
 
     private double requestedAtMillis = Double.NEGATIVE_INFINITY;
-    private final Map<Integer, Set<String>> receivedNames = new HashMap<>();
+    private final Map<Integer, Set<String>> receivedLeaseNames = new HashMap<>();
     private final Set<Integer> recoveredFrom = new HashSet<>();
     /** The incarnation of each voter that has no memory. */
-    private final Map<Integer, Long> votersWithoutMemory = new HashMap<>();
+    private final Map<Integer, Long> votersWithoutRecords = new HashMap<>();
 
-    private double noMemoryAnywhereSinceMillis = Double.NaN;
+    private double noRecordsAnywhereSinceMillis = Double.NaN;
     /** Whether this voter found that the tier is new. */
     private boolean hasFoundNewTier;
     /** Whether another voter found that the tier is new and saw this incarnation in it. */
     private boolean isMemberOfNewTier;
     /** Whether all that was promised and accepted is known from an earlier process. */
-    private boolean hasMemory;
+    private boolean hasRestoredRecords;
 
     private boolean isVoting;
 
-    VoterRecovery(int dispatcher, List<Integer> voters, LeaseTerms terms, double nowMillis, long incarnation) {
+    VoterRecovery(
+            int dispatcher, List<Integer> voters, LeaseParameters parameters, double nowMillis, long incarnation) {
         this.dispatcher = dispatcher;
         this.voters = voters;
-        this.terms = terms;
+        this.parameters = parameters;
         this.incarnation = incarnation;
-        abstainsUntilMillis = nowMillis + terms.leaseMillis() * (1 + terms.maxClockDrift());
+        abstainsUntilMillis = nowMillis + parameters.leaseMillis() * (1 + parameters.maxClockDrift());
     }
 
     VoterRecovery copy() {
-        VoterRecovery copy = new VoterRecovery(dispatcher, voters, terms, 0, incarnation);
+        VoterRecovery copy = new VoterRecovery(dispatcher, voters, parameters, 0, incarnation);
         copy.abstainsUntilMillis = abstainsUntilMillis;
         copy.requestedAtMillis = requestedAtMillis;
-        receivedNames.forEach((sender, names) -> copy.receivedNames.put(sender, new HashSet<>(names)));
+        receivedLeaseNames.forEach(
+                (sender, leaseNames) -> copy.receivedLeaseNames.put(sender, new HashSet<>(leaseNames)));
         copy.recoveredFrom.addAll(recoveredFrom);
-        copy.votersWithoutMemory.putAll(votersWithoutMemory);
-        copy.noMemoryAnywhereSinceMillis = noMemoryAnywhereSinceMillis;
+        copy.votersWithoutRecords.putAll(votersWithoutRecords);
+        copy.noRecordsAnywhereSinceMillis = noRecordsAnywhereSinceMillis;
         copy.hasFoundNewTier = hasFoundNewTier;
         copy.isMemberOfNewTier = isMemberOfNewTier;
-        copy.hasMemory = hasMemory;
+        copy.hasRestoredRecords = hasRestoredRecords;
         copy.isVoting = isVoting;
         return copy;
     }
@@ -81,12 +83,12 @@
 
     /** All records are known from before; their grants are not, so the voter still abstains for a lease. */
     void markRestored() {
-        hasMemory = true;
+        hasRestoredRecords = true;
     }
 
     /** Whether its own records may be sent to others as complete. */
     boolean hasCompleteRecords() {
-        return isVoting || hasMemory;
+        return isVoting || hasRestoredRecords;
     }
 
     /** Requests the others' records while it does not vote; to be called a few times a lease. */
@@ -95,14 +97,14 @@
             return List.of();
         }
         decideWhetherToVote(nowMillis);
-        if (isVoting || nowMillis - requestedAtMillis < terms.leaseMillis() * REQUEST_SHARE) {
+        if (isVoting || nowMillis - requestedAtMillis < parameters.leaseMillis() * REQUEST_INTERVAL_LEASES) {
             return List.of();
         }
         requestedAtMillis = nowMillis;
         List<Outgoing> out = new ArrayList<>();
-        for (int other : voters) {
-            if (other != dispatcher) {
-                out.add(new Outgoing(other, LeaseMessage.of(Kind.RECOVER, "", dispatcher, 0, incarnation)));
+        for (int otherVoter : voters) {
+            if (otherVoter != dispatcher) {
+                out.add(new Outgoing(otherVoter, LeaseMessage.of(Kind.RECOVER, "", dispatcher, 0, incarnation)));
             }
         }
         return out;
@@ -119,14 +121,14 @@
      */
     void handleAnswer(LeaseMessage answer, double nowMillis) {
         int sender = answer.sender();
-        Set<String> names = receivedNames.computeIfAbsent(sender, s -> new HashSet<>());
-        if (answer.kind() == Kind.NO_MEMORY) {
-            votersWithoutMemory.put(sender, answer.highestBallot());
+        Set<String> leaseNames = receivedLeaseNames.computeIfAbsent(sender, s -> new HashSet<>());
+        if (answer.kind() == Kind.NO_RECORDS) {
+            votersWithoutRecords.put(sender, answer.highestBallot());
         } else if (!answer.leaseName().isEmpty()) {
-            names.add(answer.leaseName());
-        } else if (names.size() >= answer.version()) {
+            leaseNames.add(answer.leaseName());
+        } else if (leaseNames.size() >= answer.version()) {
             recoveredFrom.add(sender);
-            votersWithoutMemory.remove(sender);
+            votersWithoutRecords.remove(sender);
             isMemberOfNewTier |= answer.acceptedBallot() == NEW_TIER;
         }
         decideWhetherToVote(nowMillis);
@@ -134,8 +136,8 @@
 
     private void decideWhetherToVote(double nowMillis) {
         boolean isTierNew = isTierNew(nowMillis);
-        boolean hasRecovered = recoveredFrom.size() >= voters.size() - terms.majorityOf(voters.size()) + 1;
-        boolean knowsEnough = hasMemory || hasRecovered || isTierNew || isMemberOfNewTier;
+        boolean hasRecovered = recoveredFrom.size() >= voters.size() - parameters.majorityOf(voters.size()) + 1;
+        boolean knowsEnough = hasRestoredRecords || hasRecovered || isTierNew || isMemberOfNewTier;
         if (nowMillis < abstainsUntilMillis || !knowsEnough) {
             return;
         }
@@ -143,31 +145,32 @@
         // From now on this voter counts as one with memory. The others would wait for more of those for ever, unless it
         // tells the ones that it saw without memory that they had none to lose. A voter that has a memory of its own
         // must not say so: what the others have lost may count.
-        hasFoundNewTier = isTierNew && !hasMemory;
+        hasFoundNewTier = isTierNew && !hasRestoredRecords;
     }
 
     /** The other voters have to see this one without memory too: the finding has to last for a lease. */
     private boolean isTierNew(double nowMillis) {
-        boolean isMemoryNowhere = recoveredFrom.isEmpty() && votersWithoutMemory.size() >= voters.size() - 1;
-        if (!isMemoryNowhere) {
-            noMemoryAnywhereSinceMillis = Double.NaN;
-        } else if (Double.isNaN(noMemoryAnywhereSinceMillis)) {
-            noMemoryAnywhereSinceMillis = nowMillis;
+        boolean areAllOthersWithoutRecords =
+                recoveredFrom.isEmpty() && votersWithoutRecords.size() >= voters.size() - 1;
+        if (!areAllOthersWithoutRecords) {
+            noRecordsAnywhereSinceMillis = Double.NaN;
+        } else if (Double.isNaN(noRecordsAnywhereSinceMillis)) {
+            noRecordsAnywhereSinceMillis = nowMillis;
         }
-        return nowMillis - noMemoryAnywhereSinceMillis >= terms.leaseMillis();
+        return nowMillis - noRecordsAnywhereSinceMillis >= parameters.leaseMillis();
     }
 
     /** Answers a recovering voter where this one has no memory to share. */
-    LeaseMessage noMemoryAnswer(LeaseMessage request) {
-        return LeaseMessage.of(Kind.NO_MEMORY, "", dispatcher, 0, request.ballot())
+    LeaseMessage noRecordsAnswer(LeaseMessage request) {
+        return LeaseMessage.of(Kind.NO_RECORDS, "", dispatcher, 0, request.ballot())
                 .withHighestBallot(incarnation, 0);
     }
 
     /** The last answer to a recovering voter: how many records were sent, and whether the tier is new to it. */
     LeaseMessage finalAnswer(LeaseMessage request, int recordCount) {
-        boolean wasSeenWithoutMemory = votersWithoutMemory.getOrDefault(request.sender(), -1L) == request.ballot();
+        boolean wasSeenWithoutRecords = votersWithoutRecords.getOrDefault(request.sender(), -1L) == request.ballot();
         return LeaseMessage.of(Kind.RECOVERED_RECORD, "", dispatcher, 0, request.ballot())
                 .withState(
-                        hasFoundNewTier && wasSeenWithoutMemory ? NEW_TIER : 0, recordCount, LeaseMessage.EMPTY_STATE);
+                        hasFoundNewTier && wasSeenWithoutRecords ? NEW_TIER : 0, recordCount, LeaseMessage.EMPTY_STATE);
     }
 }
--- a/src/main/java/nettlewick/lease/VoterStore.java
+++ b/src/main/java/nettlewick/lease/VoterStore.java
@@ -15,7 +15,7 @@
 
 /** A voter's records in a SQLite file: durable when a method returns. Belongs to one thread. */
 final class VoterStore implements AutoCloseable {
-    private static final String FILE = "voter.sqlite";
+    private static final String FILE_NAME = "voter.sqlite";
     private static final String[] TABLES = {
         "CREATE TABLE IF NOT EXISTS whose (list INTEGER, number INTEGER)",
         "CREATE TABLE IF NOT EXISTS register (duty TEXT PRIMARY KEY, promised INTEGER NOT NULL, "
@@ -32,7 +32,8 @@
     }
 
     static VoterStore open(Path folder) throws StoreException {
-        VoterStore store = new VoterStore(Database.open(folder.resolve(FILE), false, "the voter's memory", name -> {}));
+        VoterStore store =
+                new VoterStore(Database.open(folder.resolve(FILE_NAME), false, "the voter's memory", name -> {}));
         try {
             store.database.inTransaction("made", () -> {}, () -> {
                 store.database.createTables(TABLES);
@@ -56,9 +57,9 @@
                 throw e;
             }
             try {
-                Files.move(folder.resolve(FILE), folder.resolve(FILE + ".damaged"), REPLACE_EXISTING);
-                Files.deleteIfExists(folder.resolve(FILE + "-wal"));
-                Files.deleteIfExists(folder.resolve(FILE + "-shm"));
+                Files.move(folder.resolve(FILE_NAME), folder.resolve(FILE_NAME + ".damaged"), REPLACE_EXISTING);
+                Files.deleteIfExists(folder.resolve(FILE_NAME + "-wal"));
+                Files.deleteIfExists(folder.resolve(FILE_NAME + "-shm"));
             } catch (IOException moveFailed) {
                 e.addSuppressed(moveFailed);
                 throw e;
--- a/src/test/java/nettlewick/lease/CandidateRankingTest.java
+++ b/src/test/java/nettlewick/lease/CandidateRankingTest.java
@@ -11,14 +11,14 @@
 class CandidateRankingTest {
     @Test
     void leasesSpreadOverAllDispatchersAndMoveOnlyFromARemovedOne() {
-        int[] first = new int[10];
+        int[] firstRankCounts = new int[10];
         for (int d = 0; d < 1000; d++) {
             List<Integer> ranking = CandidateRanking.rank("pool-" + d, 10);
             assertEquals(10, ranking.stream().distinct().count());
-            first[ranking.get(0)]++;
-            List<Integer> fewer = CandidateRanking.rank("pool-" + d, 9);
-            assertEquals(ranking.stream().filter(r -> r != 9).toList(), fewer);
+            firstRankCounts[ranking.get(0)]++;
+            List<Integer> rankingWithoutLast = CandidateRanking.rank("pool-" + d, 9);
+            assertEquals(ranking.stream().filter(r -> r != 9).toList(), rankingWithoutLast);
         }
-        assertTrue(Arrays.stream(first).allMatch(n -> n > 60 && n < 150), Arrays.toString(first));
+        assertTrue(Arrays.stream(firstRankCounts).allMatch(n -> n > 60 && n < 150), Arrays.toString(firstRankCounts));
     }
 }
--- a/src/test/java/nettlewick/lease/HostileDispatcher.java
+++ b/src/test/java/nettlewick/lease/HostileDispatcher.java
@@ -27,11 +27,13 @@
     private final Thread thread = new Thread(this::sendReports, "hostile");
 
     /** @param settings the settings file of the dispatcher that it poses as */
-    public HostileDispatcher(Path settings, String leaseName, List<InetSocketAddress> to, Supplier<byte[]> reports)
+    public HostileDispatcher(
+            Path settingsFile, String leaseName, List<InetSocketAddress> recipients, Supplier<byte[]> reports)
             throws IOException {
-        this.settings = LeaseSettings.of(Settings.read(settings).block("duty").orElseThrow());
+        this.settings =
+                LeaseSettings.of(Settings.read(settingsFile).block("duty").orElseThrow());
         this.leaseName = leaseName;
-        this.recipients = to;
+        this.recipients = recipients;
         this.reports = reports;
         codec = new MessageCodec(
                 this.settings.sharedKey(), this.settings.membershipHash(), this.settings.dispatcher(), 77);
@@ -49,9 +51,9 @@
                 byte[] data =
                         codec.encode(LeaseMessage.of(LeaseMessage.Kind.REPORT, leaseName, settings.dispatcher(), 77, 0)
                                 .withState(0, 0, report));
-                for (InetSocketAddress one : recipients) {
-                    for (int times = 0; times < 2; times++) {
-                        socket.send(new DatagramPacket(data, data.length, one));
+                for (InetSocketAddress recipient : recipients) {
+                    for (int copy = 0; copy < 2; copy++) {
+                        socket.send(new DatagramPacket(data, data.length, recipient));
                     }
                 }
                 TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
--- a/src/test/java/nettlewick/lease/LeaseFollowerTest.java
+++ b/src/test/java/nettlewick/lease/LeaseFollowerTest.java
@@ -13,9 +13,9 @@
 class LeaseFollowerTest {
     private final LeaseFollower follower = new LeaseFollower("pool-red", 4);
 
-    private static LeaseMessage announcement(int from, long fence, long version, String state) {
+    private static LeaseMessage announcement(int sender, long fence, long version, String state) {
         LeaseMessage message = LeaseMessage.of(
-                Kind.ANNOUNCE, "pool-red", from, state == null ? 0 : LeaseMessage.FLAG_HAS_STATE, fence);
+                Kind.ANNOUNCE, "pool-red", sender, state == null ? 0 : LeaseMessage.FLAG_HAS_STATE, fence);
         return message.withState(fence, version, state == null ? LeaseMessage.EMPTY_STATE : state.getBytes());
     }
 
--- a/src/test/java/nettlewick/lease/LeaseInvariants.java
+++ b/src/test/java/nettlewick/lease/LeaseInvariants.java
@@ -55,9 +55,9 @@
         }
         if (lastVersions[index] != version && version > 0) {
             String state = Arrays.toString(candidate.state());
-            String other = storedStates.putIfAbsent(version, state);
-            if (other != null && !other.equals(state)) {
-                return "version " + version + " is " + state + " and was " + other;
+            String storedState = storedStates.putIfAbsent(version, state);
+            if (storedState != null && !storedState.equals(state)) {
+                return "version " + version + " is " + state + " and was " + storedState;
             }
         }
         lastVersions[index] = version;
--- a/src/test/java/nettlewick/lease/LeaseModel.java
+++ b/src/test/java/nettlewick/lease/LeaseModel.java
@@ -23,7 +23,7 @@
     private static final int MAX_CONVERGENCE_STEPS = 400;
 
     private final SeededBug bug;
-    private final LeaseTerms terms;
+    private final LeaseParameters parameters;
     private final LeaseVoter[] voters;
     private final LeaseCandidate[] candidates = new LeaseCandidate[CANDIDATES];
     private final List<Outgoing> network = new ArrayList<>();
@@ -34,34 +34,35 @@
     private final FenceGate gate = new FenceGate();
     private long highestActedFence;
     private double now;
-    private int incarnations;
+    private int nextIncarnation;
 
-    private int losses;
-    private int duplicates;
-    private int crashes;
-    private int changes;
-    private int releases;
+    private int remainingLosses;
+    private int remainingDuplicates;
+    private int remainingCrashes;
+    private int remainingChanges;
+    private int remainingReleases;
 
     private int actCount;
     private int rejectedActCount;
 
     LeaseModel(int voterCount, SeededBug bug) {
         this.bug = bug;
-        terms = new LeaseTerms(LEASE_MILLIS, bug == SeededBug.LEASE_TOO_LONG ? -0.4 : MAX_CLOCK_DRIFT);
+        parameters = new LeaseParameters(LEASE_MILLIS, bug == SeededBug.LEASE_TOO_LONG ? -0.4 : MAX_CLOCK_DRIFT);
         voters = new LeaseVoter[voterCount];
         invariants = new LeaseInvariants(CANDIDATES);
         for (int v = 0; v < voterCount; v++) {
-            voters[v] = new LeaseVoter(v, voterNumbers(), terms, 0, incarnations++).startVoting();
+            voters[v] = new LeaseVoter(v, voterNumbers(), parameters, 0, nextIncarnation++).startVoting();
         }
-        candidates[0] = new LeaseCandidate(LEASE_NAME, 0, 1, votersKnownTo(0), terms, 0, 0);
-        candidates[1] = new LeaseCandidate(LEASE_NAME, 1, 2, votersKnownTo(1), terms, 0, 0);
+        candidates[0] = new LeaseCandidate(LEASE_NAME, 0, 1, votersKnownTo(0), parameters, 0, 0);
+        candidates[1] = new LeaseCandidate(LEASE_NAME, 1, 2, votersKnownTo(1), parameters, 0, 0);
     }
 
     /** A tier whose voters all start without memory. */
     static LeaseModel withEmptyVoters(int voterCount) {
         LeaseModel model = new LeaseModel(voterCount, SeededBug.NONE);
         for (int v = 0; v < voterCount; v++) {
-            model.voters[v] = new LeaseVoter(v, model.voterNumbers(), model.terms, 0, 100 + model.incarnations++);
+            model.voters[v] =
+                    new LeaseVoter(v, model.voterNumbers(), model.parameters, 0, 100 + model.nextIncarnation++);
         }
         return model;
     }
@@ -77,7 +78,7 @@
     /** An independent copy, whose counts of acts and holders start at 0. */
     LeaseModel(LeaseModel model) {
         bug = model.bug;
-        terms = model.terms;
+        parameters = model.parameters;
         voters = Arrays.stream(model.voters).map(LeaseVoter::copy).toArray(LeaseVoter[]::new);
         for (int i = 0; i < CANDIDATES; i++) {
             candidates[i] = model.candidates[i].copy();
@@ -90,26 +91,26 @@
         }
         highestActedFence = model.highestActedFence;
         now = model.now;
-        losses = model.losses;
-        duplicates = model.duplicates;
-        crashes = model.crashes;
-        changes = model.changes;
-        incarnations = model.incarnations;
-        releases = model.releases;
+        remainingLosses = model.remainingLosses;
+        remainingDuplicates = model.remainingDuplicates;
+        remainingCrashes = model.remainingCrashes;
+        remainingChanges = model.remainingChanges;
+        nextIncarnation = model.nextIncarnation;
+        remainingReleases = model.remainingReleases;
     }
 
     /** How many more messages may be lost and duplicated, and how many voters may crash. */
-    LeaseModel allowFaults(int newLosses, int newDuplicates, int newCrashes) {
-        losses = newLosses;
-        duplicates = newDuplicates;
-        crashes = newCrashes;
+    LeaseModel allowFaults(int losses, int duplicates, int crashes) {
+        remainingLosses = losses;
+        remainingDuplicates = duplicates;
+        remainingCrashes = crashes;
         return this;
     }
 
     /** How many more changes holders may propose and how often they may release the lease. */
-    LeaseModel allowHolderSteps(int newChanges, int newReleases) {
-        changes = newChanges;
-        releases = newReleases;
+    LeaseModel allowHolderSteps(int changes, int releases) {
+        remainingChanges = changes;
+        remainingReleases = releases;
         return this;
     }
 
@@ -122,7 +123,7 @@
     }
 
     boolean mayRelease() {
-        return releases > 0;
+        return remainingReleases > 0;
     }
 
     boolean isHolding(int candidate) {
@@ -156,24 +157,24 @@
 
     /** Every step that may happen next. */
     List<LeaseModelStep> choices() {
-        List<LeaseModelStep> all = new ArrayList<>();
+        List<LeaseModelStep> steps = new ArrayList<>();
         for (int i = 0; i < network.size(); i++) {
-            all.add(new LeaseModelStep(Action.DELIVER, i));
-            addIf(losses > 0, Action.LOSE, i, all);
-            addIf(duplicates > 0, Action.DUPLICATE, i, all);
+            steps.add(new LeaseModelStep(Action.DELIVER, i));
+            addIf(remainingLosses > 0, Action.DROP, i, steps);
+            addIf(remainingDuplicates > 0, Action.DUPLICATE, i, steps);
         }
         for (int c = 0; c < CANDIDATES; c++) {
-            all.add(new LeaseModelStep(Action.TICK, c));
-            addIf(mayAct(c) && observedFences[c] == 0, Action.LOOK, c, all);
-            addIf(observedFences[c] != 0, Action.ACT, c, all);
-            addIf(changes > 0 && mayAct(c) && !candidates[c].isChangePending(), Action.CHANGE, c, all);
-            addIf(releases > 0 && isHolding(c), Action.RELEASE, c, all);
+            steps.add(new LeaseModelStep(Action.TICK, c));
+            addIf(mayAct(c) && observedFences[c] == 0, Action.OBSERVE_FENCE, c, steps);
+            addIf(observedFences[c] != 0, Action.ACT, c, steps);
+            addIf(remainingChanges > 0 && mayAct(c) && !candidates[c].isChangePending(), Action.CHANGE, c, steps);
+            addIf(remainingReleases > 0 && isHolding(c), Action.RELEASE, c, steps);
         }
         for (int v = 0; v < voters.length; v++) {
-            addIf(crashes > 0, Action.CRASH, v, all);
+            addIf(remainingCrashes > 0, Action.CRASH, v, steps);
         }
-        all.add(LeaseModelStep.PASS_TIME);
-        return all;
+        steps.add(LeaseModelStep.PASS_TIME);
+        return steps;
     }
 
     private static void addIf(boolean isPossible, LeaseModelStep.Action action, int index, List<LeaseModelStep> steps) {
@@ -184,52 +185,58 @@
 
     /** Applies a step; the invariant that it broke, or null. */
     String apply(LeaseModelStep step) {
-        int n = step.index();
+        int index = step.index();
         switch (step.action()) {
-            case DELIVER -> deliver(network.remove(n));
+            case DELIVER -> deliver(network.remove(index));
             case DUPLICATE -> {
-                duplicates--;
-                deliver(network.get(n));
+                remainingDuplicates--;
+                deliver(network.get(index));
             }
-            case LOSE -> {
-                losses--;
-                network.remove(n);
+            case DROP -> {
+                remainingLosses--;
+                network.remove(index);
             }
-            case TICK -> network.addAll(candidates[n].tick(candidateClock(n)));
-            case LOOK -> observedFences[n] = candidates[n].fence();
+            case TICK -> network.addAll(candidates[index].tick(candidateClock(index)));
+            case OBSERVE_FENCE -> observedFences[index] = candidates[index].fence();
             case ACT -> {
-                String violation = act(n);
+                String violation = act(index);
                 if (violation != null) {
                     return violation;
                 }
             }
             case CHANGE -> {
-                changes--;
-                byte[] state = {(byte) (10 * changes + n + 1)};
-                network.addAll(candidates[n].proposeChange(state, candidateClock(n)));
+                remainingChanges--;
+                byte[] state = {(byte) (10 * remainingChanges + index + 1)};
+                network.addAll(candidates[index].proposeChange(state, candidateClock(index)));
             }
-            case RELEASE -> release(n);
-            case CRASH -> crash(n);
+            case RELEASE -> release(index);
+            case CRASH -> crash(index);
             case PASS_TIME -> passTime();
         }
         return findViolation();
     }
 
     /** The candidate shuts down and starts again with another incarnation. */
-    private void release(int c) {
-        network.addAll(candidates[c].copy().retire(1 - c));
-        releases--;
-        candidates[c] =
-                new LeaseCandidate(LEASE_NAME, c, 10 + incarnations++, votersKnownTo(c), terms, 1, candidateClock(c));
-        invariants.candidateRestarted(c);
+    private void release(int candidate) {
+        network.addAll(candidates[candidate].copy().retire(1 - candidate));
+        remainingReleases--;
+        candidates[candidate] = new LeaseCandidate(
+                LEASE_NAME,
+                candidate,
+                10 + nextIncarnation++,
+                votersKnownTo(candidate),
+                parameters,
+                1,
+                candidateClock(candidate));
+        invariants.candidateRestarted(candidate);
     }
 
     /** The voter loses its memory. */
-    private void crash(int v) {
-        crashes--;
-        voters[v] = new LeaseVoter(v, voterNumbers(), terms, voterClock(), 100 + incarnations++);
-        if (bug == SeededBug.FORGETFUL_VOTER_VOTES) {
-            voters[v].startVoting();
+    private void crash(int voter) {
+        remainingCrashes--;
+        voters[voter] = new LeaseVoter(voter, voterNumbers(), parameters, voterClock(), 100 + nextIncarnation++);
+        if (bug == SeededBug.VOTER_WITHOUT_RECORDS_VOTES) {
+            voters[voter].startVoting();
         }
     }
 
@@ -240,10 +247,10 @@
         }
     }
 
-    private String act(int c) {
-        long fence = observedFences[c];
-        observedFences[c] = 0;
-        if (bug != SeededBug.FENCE_GATE_OPEN && !gate.admits(LEASE_NAME, fence)) {
+    private String act(int candidate) {
+        long fence = observedFences[candidate];
+        observedFences[candidate] = 0;
+        if (bug != SeededBug.FENCES_NOT_CHECKED && !gate.admits(LEASE_NAME, fence)) {
             rejectedActCount++;
             return null;
         }
@@ -285,23 +292,23 @@
 
     /** Changes the receiver's record before it handles the message, as a faulty voter might. */
     private void corruptRecord(Map<String, LeaseRecord> records, LeaseMessage message) {
-        LeaseRecord known = records.get(message.leaseName());
-        if (known == null) {
+        LeaseRecord current = records.get(message.leaseName());
+        if (current == null) {
             return;
         }
         if (bug == SeededBug.GRANTS_IGNORED) {
-            records.put(message.leaseName(), known.withoutGrant());
+            records.put(message.leaseName(), current.withoutGrant());
         }
         if (bug == SeededBug.OLD_VERSION_STORED
                 && message.kind() == Kind.ACCEPT
-                && message.ballot() == known.acceptedBallot()) {
+                && message.ballot() == current.acceptedBallot()) {
             LeaseRecord older = new LeaseRecord(
-                    known.promisedBallot(),
-                    known.acceptedBallot(),
+                    current.promisedBallot(),
+                    current.acceptedBallot(),
                     0,
-                    known.state(),
-                    known.grantedBallot(),
-                    known.grantedUntilMillis());
+                    current.state(),
+                    current.grantedBallot(),
+                    current.grantedUntilMillis());
             records.put(message.leaseName(), older);
         }
     }
@@ -323,10 +330,10 @@
     String describeState() {
         StringBuilder text = new StringBuilder()
                 .append(now)
-                .append(losses)
-                .append(duplicates)
-                .append(crashes)
-                .append(changes)
+                .append(remainingLosses)
+                .append(remainingDuplicates)
+                .append(remainingCrashes)
+                .append(remainingChanges)
                 .append(highestActedFence)
                 .append(Arrays.toString(observedFences))
                 .append(invariants.storedStates());
@@ -347,7 +354,7 @@
         }
         for (LeaseVoter voter : voters) {
             text.append(voter.isVoting());
-            voter.records().values().forEach(known -> text.append(describe(known)));
+            voter.records().values().forEach(leaseRecord -> text.append(describe(leaseRecord)));
         }
         return text.toString();
     }
@@ -358,9 +365,10 @@
                 + message.acceptedBallot() + "," + message.version() + Arrays.toString(message.state());
     }
 
-    private static String describe(LeaseRecord known) {
-        return known.promisedBallot() + "," + known.acceptedBallot() + "," + known.version()
-                + Arrays.toString(known.state()) + known.grantedBallot() + "," + known.grantedUntilMillis();
+    private static String describe(LeaseRecord leaseRecord) {
+        return leaseRecord.promisedBallot() + "," + leaseRecord.acceptedBallot() + "," + leaseRecord.version()
+                + Arrays.toString(leaseRecord.state()) + leaseRecord.grantedBallot() + ","
+                + leaseRecord.grantedUntilMillis();
     }
 
     /** Whether a holder is found and a change stored once no more faults happen. */
@@ -374,12 +382,12 @@
             }
             for (int c = 0; c < CANDIDATES; c++) {
                 if (mayAct(c) && !candidates[c].isChangePending()) {
-                    long before = candidates[c].version();
+                    long versionBefore = candidates[c].version();
                     network.addAll(candidates[c].proposeChange(new byte[] {99}, candidateClock(c)));
                     while (!network.isEmpty()) {
                         apply(deliverFirst);
                     }
-                    return candidates[c].version() == before + 1;
+                    return candidates[c].version() == versionBefore + 1;
                 }
                 apply(new LeaseModelStep(Action.TICK, c));
             }
--- a/src/test/java/nettlewick/lease/LeaseModelStep.java
+++ b/src/test/java/nettlewick/lease/LeaseModelStep.java
@@ -9,10 +9,10 @@
     /** The kinds of steps. LOOK and ACT are the two halves of an act, with a pause of any length between. */
     enum Action {
         DELIVER,
-        LOSE,
+        DROP,
         DUPLICATE,
         TICK,
-        LOOK,
+        OBSERVE_FENCE,
         ACT,
         CHANGE,
         RELEASE,
--- a/src/test/java/nettlewick/lease/LeaseRandomWalk.java
+++ b/src/test/java/nettlewick/lease/LeaseRandomWalk.java
@@ -20,7 +20,7 @@
         this.random = random;
         int losses = random.nextInt(6);
         int duplicates = random.nextInt(4);
-        int crashes = model.bug() == SeededBug.FORGETFUL_VOTER_VOTES ? 2 : random.nextInt(2);
+        int crashes = model.bug() == SeededBug.VOTER_WITHOUT_RECORDS_VOTES ? 2 : random.nextInt(2);
         model.allowFaults(losses, duplicates, crashes).allowHolderSteps(3, random.nextInt(3));
     }
 
@@ -41,36 +41,36 @@
 
     /** Mostly delivers messages, and lets time pass in leaps long enough for leases to end; the rest is anything. */
     private LeaseModelStep pickStep() {
-        int dice = random.nextInt(100);
+        int roll = random.nextInt(100);
         int messages = model.messagesInFlight();
-        if (dice < 60 && messages > 0) {
+        if (roll < 60 && messages > 0) {
             return new LeaseModelStep(
-                    Action.DELIVER, random.nextInt(dice < 40 ? Math.min(LIKELY_MESSAGES, messages) : messages));
+                    Action.DELIVER, random.nextInt(roll < 40 ? Math.min(LIKELY_MESSAGES, messages) : messages));
         }
-        if (remainingTimeSteps > 0 || dice < 64) {
+        if (remainingTimeSteps > 0 || roll < 64) {
             remainingTimeSteps = remainingTimeSteps > 0 ? remainingTimeSteps - 1 : random.nextInt(7);
             return LeaseModelStep.PASS_TIME;
         }
-        int candidate = dice % 2;
-        if (dice < 76) {
+        int candidate = roll % 2;
+        if (roll < 76) {
             return new LeaseModelStep(Action.TICK, candidate);
         }
-        if (dice > 96 && model.mayRelease()) {
+        if (roll > 96 && model.mayRelease()) {
             return new LeaseModelStep(model.isHolding(candidate) ? Action.RELEASE : Action.TICK, candidate);
         }
-        return pickChoice(dice < 90);
+        return pickChoice(roll < 90);
     }
 
     private LeaseModelStep pickChoice(boolean prefersHolder) {
         List<LeaseModelStep> choices = model.choices();
         // A candidate that has looked is mostly paused for a while before it acts.
         Set<Action> holderActions = random.nextInt(8) == 0
-                ? EnumSet.of(Action.LOOK, Action.ACT, Action.CHANGE)
-                : EnumSet.of(Action.LOOK, Action.CHANGE);
+                ? EnumSet.of(Action.OBSERVE_FENCE, Action.ACT, Action.CHANGE)
+                : EnumSet.of(Action.OBSERVE_FENCE, Action.CHANGE);
         List<LeaseModelStep> holderSteps = choices.stream()
                 .filter(step -> holderActions.contains(step.action()))
                 .toList();
-        List<LeaseModelStep> candidates = prefersHolder && !holderSteps.isEmpty() ? holderSteps : choices;
-        return candidates.get(random.nextInt(candidates.size()));
+        List<LeaseModelStep> eligibleSteps = prefersHolder && !holderSteps.isEmpty() ? holderSteps : choices;
+        return eligibleSteps.get(random.nextInt(eligibleSteps.size()));
     }
 }
--- a/src/test/java/nettlewick/lease/LeaseVoterTest.java
+++ b/src/test/java/nettlewick/lease/LeaseVoterTest.java
@@ -22,11 +22,11 @@
 
     /** Otherwise voters that have lost an accepted state would vote. */
     @Test
-    void voterWithMemoryNeverDeclaresTheTierNew() {
-        LeaseTerms terms = new LeaseTerms(LEASE_MILLIS, 0.05);
-        List<Integer> numbers = List.of(0, 1, 2);
+    void voterWithRecordsNeverDeclaresTheTierNew() {
+        LeaseParameters parameters = new LeaseParameters(LEASE_MILLIS, 0.05);
+        List<Integer> voterNumbers = List.of(0, 1, 2);
         List<LeaseVoter> voters = new ArrayList<>();
-        numbers.forEach(v -> voters.add(new LeaseVoter(v, numbers, terms, 0, 100 + v)));
+        voterNumbers.forEach(v -> voters.add(new LeaseVoter(v, voterNumbers, parameters, 0, 100 + v)));
         voters.get(0).restore(Map.of("pool-red", LeaseRecord.EMPTY));
         for (double now = 0; now < MAX_RUN_MILLIS; now += TICK_MILLIS) {
             Deque<Outgoing> messages = new ArrayDeque<>();
@@ -45,37 +45,38 @@
     /** The first voter to find the tier new has a memory from then on; the others must not wait for more of those. */
     @ParameterizedTest
     @CsvSource({"3, 0", "3, 0.3", "5, 0", "5, 0.3", "9, 0.3"})
-    void allVotersEventuallyVote(int size, double loss) {
-        LeaseTerms terms = new LeaseTerms(LEASE_MILLIS, 0.05);
-        List<Integer> numbers = IntStream.range(0, size).boxed().toList();
+    void allVotersEventuallyVote(int voterCount, double lossRate) {
+        LeaseParameters parameters = new LeaseParameters(LEASE_MILLIS, 0.05);
+        List<Integer> voterNumbers = IntStream.range(0, voterCount).boxed().toList();
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<LeaseVoter> voters = new ArrayList<>();
-            double[] starts = random.doubles(size, 0, 5 * LEASE_MILLIS).toArray();
-            for (int v = 0; v < size; v++) {
-                voters.add(new LeaseVoter(v, numbers, terms, starts[v], 100 + v));
+            double[] startMillis =
+                    random.doubles(voterCount, 0, 5 * LEASE_MILLIS).toArray();
+            for (int v = 0; v < voterCount; v++) {
+                voters.add(new LeaseVoter(v, voterNumbers, parameters, startMillis[v], 100 + v));
             }
             for (double now = 0;
                     now < MAX_RUN_MILLIS && !voters.stream().allMatch(LeaseVoter::isVoting);
                     now += TICK_MILLIS) {
                 Deque<Outgoing> messages = new ArrayDeque<>();
-                for (int v = 0; v < size; v++) {
-                    if (now >= starts[v]) {
+                for (int v = 0; v < voterCount; v++) {
+                    if (now >= startMillis[v]) {
                         messages.addAll(voters.get(v).tick(now));
                     }
                 }
                 while (!messages.isEmpty()) {
                     Outgoing outgoing = messages.poll();
-                    if (now >= starts[outgoing.recipient()] && random.nextDouble() >= loss) {
+                    if (now >= startMillis[outgoing.recipient()] && random.nextDouble() >= lossRate) {
                         messages.addAll(voters.get(outgoing.recipient()).handle(outgoing.message(), now));
                     }
                 }
             }
-            int late = seed;
+            int failedSeed = seed;
             assertTrue(
                     voters.stream().allMatch(LeaseVoter::isVoting),
-                    () -> "seed " + late + ": "
-                            + voters.stream().filter(LeaseVoter::isVoting).count() + " of " + size + " vote");
+                    () -> "seed " + failedSeed + ": "
+                            + voters.stream().filter(LeaseVoter::isVoting).count() + " of " + voterCount + " vote");
         }
     }
 }
--- a/src/test/java/nettlewick/lease/MessageCodecTest.java
+++ b/src/test/java/nettlewick/lease/MessageCodecTest.java
@@ -17,16 +17,17 @@
     private static final LeaseMessage MESSAGE =
             new LeaseMessage(Kind.PROMISED, "pool é", 3, 7, 11, 13, 2.5, 17, 19, new byte[] {1, 2});
 
-    private static MessageCodec codec(int list, int number) {
-        return new MessageCodec(KEY, list, number, 5);
+    private static MessageCodec codec(int membershipHash, int dispatcher) {
+        return new MessageCodec(KEY, membershipHash, dispatcher, 5);
     }
 
     @Test
     void decodedMessageEqualsTheEncodedOne() {
-        LeaseMessage back = codec(1, 0).decode(codec(1, 3).encode(MESSAGE));
-        assertArrayEquals(MESSAGE.state(), back.state());
+        LeaseMessage decoded = codec(1, 0).decode(codec(1, 3).encode(MESSAGE));
+        assertArrayEquals(MESSAGE.state(), decoded.state());
         assertEquals(
-                MESSAGE.toString().replaceAll("state=.*", ""), back.toString().replaceAll("state=.*", ""));
+                MESSAGE.toString().replaceAll("state=.*", ""),
+                decoded.toString().replaceAll("state=.*", ""));
         assertThrows(
                 IllegalArgumentException.class,
                 () -> codec(1, 3).encode(MESSAGE.withState(1, 1, new byte[MessageCodec.MAX_STATE_BYTES + 1])));
@@ -34,16 +35,16 @@
 
     @Test
     void everyChangedByteAndEveryTruncationIsDiscarded() {
-        byte[] good = codec(1, 3).encode(MESSAGE);
+        byte[] encoded = codec(1, 3).encode(MESSAGE);
         MessageCodec receiver = codec(1, 0);
-        for (int i = 0; i < good.length; i++) {
-            byte[] bad = good.clone();
-            bad[i] ^= 1;
-            assertNull(receiver.decode(bad), "byte " + i);
-            assertNull(receiver.decode(Arrays.copyOf(good, i)), "cut at " + i);
+        for (int i = 0; i < encoded.length; i++) {
+            byte[] corrupted = encoded.clone();
+            corrupted[i] ^= 1;
+            assertNull(receiver.decode(corrupted), "byte " + i);
+            assertNull(receiver.decode(Arrays.copyOf(encoded, i)), "cut at " + i);
         }
-        assertEquals(2L * good.length, receiver.discardedCount(DiscardReason.DAMAGED));
-        assertNotNull(receiver.decode(good), "a discarded datagram does not use up its sequence number");
+        assertEquals(2L * encoded.length, receiver.discardedCount(DiscardReason.DAMAGED));
+        assertNotNull(receiver.decode(encoded), "a discarded datagram does not use up its sequence number");
     }
 
     @Test
--- a/src/test/java/nettlewick/lease/SimulatedLeaseTier.java
+++ b/src/test/java/nettlewick/lease/SimulatedLeaseTier.java
@@ -16,41 +16,41 @@
 public final class SimulatedLeaseTier {
     private static final double LEASE_MILLIS = 3000;
     private static final double TICK_MILLIS = 100;
-    private static final int CANDIDATES = 8;
+    private static final int CANDIDATES_PER_LEASE = 8;
     private static final int STATE_BYTES = 250;
 
-    private final LeaseTerms terms = new LeaseTerms(LEASE_MILLIS, 0.05);
+    private final LeaseParameters parameters = new LeaseParameters(LEASE_MILLIS, 0.05);
     private final List<Integer> voterNumbers;
     private final List<LeaseVoter> voters = new ArrayList<>();
     private final Map<String, Map<Integer, LeaseCandidate>> candidates = new LinkedHashMap<>();
     private final SplittableRandom random;
-    private final double loss;
+    private final double lossRate;
     private final MessageCodec codec = new MessageCodec(new byte[32], 1, 0, 1);
-    private long bytes;
+    private long sentBytes;
 
-    private SimulatedLeaseTier(int dispatchers, int voterCount, int leaseCount, double loss, long seed) {
-        this.loss = loss;
+    private SimulatedLeaseTier(int dispatchers, int voterCount, int leaseCount, double lossRate, long seed) {
+        this.lossRate = lossRate;
         random = new SplittableRandom(seed);
         voterNumbers = IntStream.range(0, voterCount).boxed().toList();
-        voterNumbers.forEach(v -> voters.add(new LeaseVoter(v, voterNumbers, terms, 0, v).startVoting()));
+        voterNumbers.forEach(v -> voters.add(new LeaseVoter(v, voterNumbers, parameters, 0, v).startVoting()));
         for (int d = 0; d < leaseCount; d++) {
             String leaseName = "pool-member-" + d;
             List<Integer> ranking = CandidateRanking.rank(leaseName, dispatchers);
-            Map<Integer, LeaseCandidate> all = new HashMap<>();
-            for (int rank = 0; rank < Math.min(dispatchers, CANDIDATES); rank++) {
-                all.put(
+            Map<Integer, LeaseCandidate> leaseCandidates = new HashMap<>();
+            for (int rank = 0; rank < Math.min(dispatchers, CANDIDATES_PER_LEASE); rank++) {
+                leaseCandidates.put(
                         ranking.get(rank),
-                        new LeaseCandidate(leaseName, ranking.get(rank), rank + 1, voterNumbers, terms, rank, 0));
+                        new LeaseCandidate(leaseName, ranking.get(rank), rank + 1, voterNumbers, parameters, rank, 0));
             }
-            candidates.put(leaseName, all);
+            candidates.put(leaseName, leaseCandidates);
         }
     }
 
     /** Ticks every candidate and delivers all messages that follow. */
     private void tick(double now) {
         Deque<Outgoing> messages = new ArrayDeque<>();
-        for (Map<Integer, LeaseCandidate> all : candidates.values()) {
-            for (LeaseCandidate candidate : all.values()) {
+        for (Map<Integer, LeaseCandidate> leaseCandidates : candidates.values()) {
+            for (LeaseCandidate candidate : leaseCandidates.values()) {
                 messages.addAll(candidate.tick(now));
                 if (candidate.mayAct(now) && candidate.version() == 0 && !candidate.isChangePending()) {
                     messages.addAll(candidate.proposeChange(new byte[STATE_BYTES], now));
@@ -58,27 +58,28 @@
             }
         }
         while (!messages.isEmpty()) {
-            Outgoing p = messages.poll();
-            if (p.recipient() != p.message().sender()) {
-                bytes += codec.encode(p.message()).length;
-                if (random.nextDouble() < loss) {
+            Outgoing outgoing = messages.poll();
+            if (outgoing.recipient() != outgoing.message().sender()) {
+                sentBytes += codec.encode(outgoing.message()).length;
+                if (random.nextDouble() < lossRate) {
                     continue;
                 }
             }
-            boolean question = p.message().kind().ordinal() <= Kind.RECOVER.ordinal();
+            boolean isForVoter = outgoing.message().kind().ordinal() <= Kind.RECOVER.ordinal();
             messages.addAll(
-                    question
-                            ? voters.get(p.recipient()).handle(p.message(), now)
+                    isForVoter
+                            ? voters.get(outgoing.recipient()).handle(outgoing.message(), now)
                             : candidates
-                                    .get(p.message().leaseName())
-                                    .get(p.recipient())
-                                    .handle(p.message(), now));
+                                    .get(outgoing.message().leaseName())
+                                    .get(outgoing.recipient())
+                                    .handle(outgoing.message(), now));
         }
     }
 
     private long countHeld(double now) {
         return candidates.values().stream()
-                .filter(all -> all.values().stream().anyMatch(s -> s.mayAct(now)))
+                .filter(leaseCandidates ->
+                        leaseCandidates.values().stream().anyMatch(candidate -> candidate.mayAct(now)))
                 .count();
     }
 
@@ -87,7 +88,7 @@
         SimulatedLeaseTier tier = new SimulatedLeaseTier(dispatchers, 5, leaseCount, 0, 1);
         for (double now = 0; now < millis; now += TICK_MILLIS) {
             if (now == millis / 2) {
-                tier.bytes = 0;
+                tier.sentBytes = 0;
             }
             tier.tick(now);
         }
@@ -100,12 +101,12 @@
                 * (dispatchers - 1.0)
                 * tier.codec.encode(announcement).length
                 / (AnnouncementSchedule.IDLE_INTERVAL_LEASES * LEASE_MILLIS);
-        return (tier.bytes / (millis / 2) + announcementBytes) * 1000 / dispatchers;
+        return (tier.sentBytes / (millis / 2) + announcementBytes) * 1000 / dispatchers;
     }
 
     /** The share of the time in which a lease has no holder, the mean of thirty, from the start and under losses. */
-    public static double unheldShare(int dispatchers, int voterCount, double loss, double millis, long seed) {
-        SimulatedLeaseTier tier = new SimulatedLeaseTier(dispatchers, voterCount, 30, loss, seed);
+    public static double unheldShare(int dispatchers, int voterCount, double lossRate, double millis, long seed) {
+        SimulatedLeaseTier tier = new SimulatedLeaseTier(dispatchers, voterCount, 30, lossRate, seed);
         double unheldTicks = 0;
         int ticks = 0;
         for (double now = 0; now < millis; now += TICK_MILLIS) {
--- a/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
@@ -19,26 +19,26 @@
     @TempDir
     private Path dir;
 
-    private static LeaseMessage ask(Kind kind, String leaseName, long ballot, long version) {
+    private static LeaseMessage request(Kind kind, String leaseName, long ballot, long version) {
         return LeaseMessage.of(kind, leaseName, 1, 7, ballot)
                 .withState(ballot, version, new byte[] {(byte) version, -1, 0});
     }
 
     /** Writes the folder where recording was requested. */
     @BeforeAll
-    static void record(@TempDir Path made) throws Exception {
+    static void record(@TempDir Path recordedFolder) throws Exception {
         if (!Boolean.getBoolean("golden.record")) {
             return;
         }
-        try (VoterStore store = VoterStore.openOrRecreate(made)) {
+        try (VoterStore store = VoterStore.openOrRecreate(recordedFolder)) {
             store.clear();
-            LeaseVoter voter = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 1).startVoting();
-            voter.handle(ask(Kind.PREPARE, "red", Ballot.of(5, 1, 1), 0), 0);
-            voter.handle(ask(Kind.ACCEPT, "red", Ballot.of(5, 1, 1), 3), 0);
-            voter.handle(ask(Kind.PREPARE, "blue", Ballot.of(9, 2, 4), 0), 0);
+            LeaseVoter voter = new LeaseVoter(0, List.of(0, 1, 2), new LeaseParameters(1000, 0.05), 0, 1).startVoting();
+            voter.handle(request(Kind.PREPARE, "red", Ballot.of(5, 1, 1), 0), 0);
+            voter.handle(request(Kind.ACCEPT, "red", Ballot.of(5, 1, 1), 3), 0);
+            voter.handle(request(Kind.PREPARE, "blue", Ballot.of(9, 2, 4), 0), 0);
             store.save(voter.unsavedRecords());
             store.markVoting(42, 0);
-            Fixture.record(made, FOLDER, "-shm");
+            Fixture.record(recordedFolder, FOLDER, "-shm");
         }
     }
 
@@ -47,30 +47,32 @@
         Fixture.copy(FOLDER, dir);
         try (VoterStore store = VoterStore.open(dir)) {
             StringBuilder text = new StringBuilder();
-            Map<String, LeaseRecord> known = store.load(42, 0);
-            known.forEach((leaseName, r) -> text.append(leaseName)
+            Map<String, LeaseRecord> storedRecords = store.load(42, 0);
+            storedRecords.forEach((leaseName, leaseRecord) -> text.append(leaseName)
                     .append(" promised ")
-                    .append(r.promisedBallot())
+                    .append(leaseRecord.promisedBallot())
                     .append(" held ")
-                    .append(r.acceptedBallot())
+                    .append(leaseRecord.acceptedBallot())
                     .append(" version ")
-                    .append(r.version())
+                    .append(leaseRecord.version())
                     .append(" state ")
-                    .append(HexFormat.of().formatHex(r.state()))
+                    .append(HexFormat.of().formatHex(leaseRecord.state()))
                     .append('\n'));
             text.append("as another voter ")
                     .append(store.load(42, 1))
                     .append(", in another list ")
                     .append(store.load(43, 0))
                     .append('\n');
-            LeaseVoter back = new LeaseVoter(0, List.of(0, 1, 2), new LeaseTerms(1000, 0.05), 0, 2).restore(known);
-            back.tick(1100);
-            for (long round : new long[] {4, 6}) {
-                LeaseMessage answer = back.handle(ask(Kind.PREPARE, "red", Ballot.of(round, 2, 1), 0), 1100)
+            LeaseVoter restartedVoter =
+                    new LeaseVoter(0, List.of(0, 1, 2), new LeaseParameters(1000, 0.05), 0, 2).restore(storedRecords);
+            restartedVoter.tick(1100);
+            for (long ballotCounter : new long[] {4, 6}) {
+                LeaseMessage answer = restartedVoter
+                        .handle(request(Kind.PREPARE, "red", Ballot.of(ballotCounter, 2, 1), 0), 1100)
                         .get(0)
                         .message();
                 text.append("asked in round ")
-                        .append(round)
+                        .append(ballotCounter)
                         .append(": ")
                         .append(answer.kind())
                         .append(" version ")
--- a/src/test/java/nettlewick/lease/VoterStoreTest.java
+++ b/src/test/java/nettlewick/lease/VoterStoreTest.java
@@ -15,17 +15,17 @@
 
 /** A voter whose records are stored on disk. */
 class VoterStoreTest {
-    private static final LeaseTerms TERMS = new LeaseTerms(1000, 0.05);
+    private static final LeaseParameters PARAMETERS = new LeaseParameters(1000, 0.05);
     private static final List<Integer> VOTERS = List.of(0, 1, 2);
 
     @TempDir
     private Path dir;
 
-    private static LeaseMessage ask(Kind kind, long ballot, long version) {
+    private static LeaseMessage request(Kind kind, long ballot, long version) {
         return LeaseMessage.of(kind, "red", 1, 7, ballot).withState(ballot, version, new byte[] {(byte) version});
     }
 
-    private static Kind answer(LeaseVoter voter, LeaseMessage message, double now) {
+    private static Kind answerKind(LeaseVoter voter, LeaseMessage message, double now) {
         return voter.handle(message, now).get(0).message().kind();
     }
 
@@ -33,13 +33,13 @@
     private void voteAndStore() throws Exception {
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             store.clear();
-            LeaseVoter voter = new LeaseVoter(0, VOTERS, TERMS, 0, 1).startVoting();
-            assertEquals(Kind.PROMISED, answer(voter, ask(Kind.PREPARE, Ballot.of(5, 1, 1), 0), 0));
-            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, Ballot.of(5, 1, 1), 3), 0));
+            LeaseVoter voter = new LeaseVoter(0, VOTERS, PARAMETERS, 0, 1).startVoting();
+            assertEquals(Kind.PROMISED, answerKind(voter, request(Kind.PREPARE, Ballot.of(5, 1, 1), 0), 0));
+            assertEquals(Kind.ACCEPTED, answerKind(voter, request(Kind.ACCEPT, Ballot.of(5, 1, 1), 3), 0));
             assertEquals(1, voter.unsavedRecords().size());
             store.save(voter.unsavedRecords());
             voter.unsavedRecords().clear();
-            assertEquals(Kind.ACCEPTED, answer(voter, ask(Kind.ACCEPT, Ballot.of(5, 1, 1), 3), 300));
+            assertEquals(Kind.ACCEPTED, answerKind(voter, request(Kind.ACCEPT, Ballot.of(5, 1, 1), 3), 300));
             assertTrue(voter.unsavedRecords().isEmpty(), "a renewal alone is not written");
             store.markVoting(42, 0);
         }
@@ -49,16 +49,21 @@
     void promiseHoldsAfterARestart() throws Exception {
         voteAndStore();
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
-            LeaseVoter back = new LeaseVoter(0, VOTERS, TERMS, 0, 2).restore(store.load(42, 0));
+            LeaseVoter restartedVoter = new LeaseVoter(0, VOTERS, PARAMETERS, 0, 2).restore(store.load(42, 0));
             assertEquals(
                     Kind.RECOVERED_RECORD,
-                    answer(back, LeaseMessage.of(Kind.RECOVER, "", 2, 0, 9), 10),
+                    answerKind(restartedVoter, LeaseMessage.of(Kind.RECOVER, "", 2, 0, 9), 10),
                     "it sends its records to others");
-            assertTrue(back.handle(ask(Kind.PREPARE, Ballot.of(9, 1, 1), 0), 10).isEmpty(), "it abstains for a lease");
-            back.tick(1100);
-            assertTrue(back.isVoting(), "by itself");
-            assertEquals(Kind.REFUSED, answer(back, ask(Kind.PREPARE, Ballot.of(4, 1, 1), 0), 1100));
-            LeaseMessage promised = back.handle(ask(Kind.PREPARE, Ballot.of(6, 2, 1), 0), 1100)
+            assertTrue(
+                    restartedVoter
+                            .handle(request(Kind.PREPARE, Ballot.of(9, 1, 1), 0), 10)
+                            .isEmpty(),
+                    "it abstains for a lease");
+            restartedVoter.tick(1100);
+            assertTrue(restartedVoter.isVoting(), "by itself");
+            assertEquals(Kind.REFUSED, answerKind(restartedVoter, request(Kind.PREPARE, Ballot.of(4, 1, 1), 0), 1100));
+            LeaseMessage promised = restartedVoter
+                    .handle(request(Kind.PREPARE, Ballot.of(6, 2, 1), 0), 1100)
                     .get(0)
                     .message();
             assertEquals(Kind.PROMISED, promised.kind());
