--- a/src/main/java/nettlewick/lease/AnnouncementSchedule.java
+++ b/src/main/java/nettlewick/lease/AnnouncementSchedule.java
@@ -1,13 +1,13 @@
 package nettlewick.lease;
 
 /**
- * When the holder of one lease announces what is stored: a new state several times, since datagrams get lost, then only
- * its version at longer intervals. Times are milliseconds. Belongs to the lease thread.
+ * Decides when the holder of a lease announces the stored state: a new state several times, since datagrams may get
+ * lost, then only its version at longer intervals. Times are in milliseconds. Confined to the lease thread.
  */
 final class AnnouncementSchedule {
-    /** A new state goes with this many announcements. */
+    /** The number of announcements that include a new state. */
     private static final int ANNOUNCEMENTS_WITH_STATE = 3;
-    /** Leases between announcements of a lease whose task is idle. */
+    /** Interval between announcements while the task is idle, in lease durations. */
     static final double IDLE_INTERVAL_LEASES = 10;
 
     private static final double INTERVAL_LEASES = 1.0 / 2;
@@ -22,18 +22,18 @@
         this.leaseMillis = leaseMillis;
     }
 
-    /** A new state is stored: it is announced at once. */
+    /** Schedules the announcement of a newly stored state, which is due at once. */
     void restart(double nowMillis) {
         remainingWithState = ANNOUNCEMENTS_WITH_STATE;
         nextAtMillis = nowMillis;
     }
 
-    /** The lease is no longer held. */
+    /** Stops including the state; called when the lease is no longer held. */
     void stop() {
         remainingWithState = 0;
     }
 
-    /** Whether to announce now; at once where the task has begun or ceased to request reports. */
+    /** Whether an announcement is due: at its time, or as soon as the task starts or stops requesting reports. */
     boolean isDue(boolean areReportsRequested, double nowMillis) {
         boolean hasChanged = areReportsRequested != wereReportsRequested;
         wereReportsRequested = areReportsRequested;
@@ -44,7 +44,7 @@
         return remainingWithState > 0;
     }
 
-    /** Plans the announcement after the one that is being sent. */
+    /** Schedules the announcement that follows the one being sent. */
     void advance(boolean isIdle, double nowMillis) {
         double longIntervalLeases = isIdle ? IDLE_INTERVAL_LEASES : INTERVAL_LEASES;
         double intervalLeases = remainingWithState > 1 ? NEW_STATE_INTERVAL_LEASES : longIntervalLeases;
--- a/src/main/java/nettlewick/lease/CandidateRanking.java
+++ b/src/main/java/nettlewick/lease/CandidateRanking.java
@@ -5,13 +5,13 @@
 import java.util.stream.IntStream;
 
 /**
- * In which order the dispatchers stand for a lease: rendezvous hashing, so that all of them compute the same order and
- * a removed dispatcher moves only its own leases. Pure.
+ * The order in which dispatchers compete for a lease. It uses rendezvous hashing, so that all dispatchers compute the
+ * same order, and removing a dispatcher moves only the leases that it held.
  */
 public final class CandidateRanking {
     private CandidateRanking() {}
 
-    /** The dispatchers 0 to {@code dispatcherCount - 1}, the preferred holder of the lease first. */
+    /** Returns the dispatchers 0 to {@code dispatcherCount - 1}, with the preferred holder of the lease first. */
     static List<Integer> rank(String leaseName, int dispatcherCount) {
         long nameHash = mix(leaseName.hashCode() * 0x9E3779B97F4A7C15L);
         Comparator<Integer> byWeight = Comparator.comparingLong(dispatcher -> mix(nameHash ^ mix(dispatcher + 1)));
@@ -21,7 +21,7 @@
                 .toList();
     }
 
-    /** Mixes all bits of x into each bit of the result, with the finalizer of {@link java.util.SplittableRandom}. */
+    /** Hashes x with the finalizer of {@link java.util.SplittableRandom}: each bit of x affects the whole result. */
     public static long mix(long x) {
         long z = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
--- a/src/main/java/nettlewick/lease/FenceGate.java
+++ b/src/main/java/nettlewick/lease/FenceGate.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * Protects a resource from former holders of a lease: an act under a lower fence than the highest seen for that lease
- * is rejected. Not safe for several threads.
+ * Protects a resource from former holders of a lease: rejects operations whose fence is lower than the highest one seen
+ * for that lease. Not thread-safe.
  */
 public final class FenceGate {
     private final Map<String, Long> highestFences = new HashMap<>();
     private long rejectedCount;
 
-    /** Whether an act under this fence may be carried out; if so, all lower fences are rejected from then on. */
+    /** Whether an operation under this fence is admitted; if so, all lower fences are rejected from then on. */
     public boolean admits(String leaseName, long fence) {
         boolean isCurrent = fence >= highestFences.getOrDefault(leaseName, 0L);
         if (isCurrent) {
@@ -22,7 +22,7 @@
         return isCurrent;
     }
 
-    /** How many acts were rejected. */
+    /** The number of rejected operations. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- a/src/main/java/nettlewick/lease/LeaseCandidate.java
+++ b/src/main/java/nettlewick/lease/LeaseCandidate.java
@@ -8,7 +8,7 @@
 
 /**
  * One dispatcher's candidacy for one lease, from waiting to holding it (see docs/duties.md). Times are milliseconds of
- * the dispatcher's own monotonic clock, passed in by the caller. Pure; belongs to one thread.
+ * the dispatcher's own monotonic clock, which the caller passes in. Does no I/O; confined to one thread.
  */
 final class LeaseCandidate {
     /** The steps towards holding the lease; RETIRED is final. */
@@ -21,13 +21,13 @@
         RETIRED
     }
 
-    /** An unanswered renewal is sent again after this share of a lease. */
+    /** Delay before an unanswered renewal is sent again, in lease durations. */
     private static final double RENEWAL_RETRY_INTERVAL_LEASES = 1.0 / 6;
-    /** An unanswered request of a candidate is sent again after this share of a lease. */
+    /** Delay before an unanswered request of a candidate is sent again, in lease durations. */
     private static final double REQUEST_RETRY_INTERVAL_LEASES = RENEWAL_RETRY_INTERVAL_LEASES / 2;
-    /** A holder renews, and a former holder stands again, after this share of a lease. */
+    /** Delay before a holder renews and before a candidate whose lease expired tries again, in lease durations. */
     private static final double RENEWAL_INTERVAL_LEASES = 1.0 / 3;
-    /** A candidate gives up after this many transmissions of one request. */
+    /** A candidate backs off after this many transmissions of one request. */
     private static final int MAX_TRANSMISSIONS = 4;
 
     private final String leaseName;
@@ -48,14 +48,14 @@
     private long ballot;
     private long version;
     private byte[] state = LeaseMessage.EMPTY_STATE;
-    /** The state that is being proposed as the next version; null: none is. */
+    /** The state that is proposed as the next version, or null. */
     private byte[] proposedState;
 
     /**
-     * @param incarnation of this process, drawn at random below {@link Ballot#INCARNATION_LIMIT}
-     * @param rank        this dispatcher's place in the lease's {@link CandidateRanking}, from 0: higher ones wait
-     *                    longer before they stand
-     * @param nowMillis   when it starts
+     * @param incarnation this process's incarnation, drawn at random below {@link Ballot#INCARNATION_LIMIT}
+     * @param rank        this dispatcher's index in the lease's {@link CandidateRanking}; candidates at higher indexes
+     *                    wait longer before their first attempt
+     * @param nowMillis   when the candidate starts
      */
     LeaseCandidate(
             String leaseName,
@@ -94,7 +94,7 @@
         this.round = round;
     }
 
-    /** An independent copy, for a search through the orders of events. */
+    /** Returns an independent copy, for tests that explore the possible orders of events. */
     LeaseCandidate copy() {
         LeaseCandidate copy =
                 new LeaseCandidate(leaseName, dispatcher, incarnation, voters, parameters, rank, round.copy());
@@ -111,7 +111,7 @@
         return copy;
     }
 
-    /** All that decides what it does next, so that a search can tell states apart. */
+    /** Describes everything that determines later behaviour, so that tests can tell states apart. */
     String describeState() {
         return lifecycleState + " " + nextAttemptAtMillis + " " + round.startedAtMillis() + " " + round.transmissions()
                 + " " + preparedAtMillis + " " + round.requestId() + " " + highestBallot + " " + ballot + " "
@@ -123,34 +123,34 @@
         return lifecycleState;
     }
 
-    /** Whether it may act under its fence now; to be checked right before each act. */
+    /** Whether the dispatcher may act under its fence now; must be checked right before each operation. */
     boolean mayAct(double nowMillis) {
         return lifecycleState == State.HOLDING && nowMillis < heldUntilMillis;
     }
 
-    /** The fence under which it holds the lease; meaningful only while it does. */
+    /** The fence under which the lease is held; valid only while it is held. */
     long fence() {
         return ballot;
     }
 
-    /** The version that a majority has stored. */
+    /** The version that a majority of voters has stored. */
     long version() {
         return version;
     }
 
-    /** The state that a majority has stored. */
+    /** The state that a majority of voters has stored. */
     byte[] state() {
         return state;
     }
 
-    /** Whether a proposed change is not stored yet: the next one has to wait. */
+    /** Whether a proposed change is not stored yet, so that the next one has to wait. */
     boolean isChangePending() {
         return proposedState != null;
     }
 
     /**
      * Proposes the next version of the state. It is stored once {@link #isChangePending} is false while the lease is
-     * still held. Empty, with nothing proposed, where this dispatcher may not act or a change is pending.
+     * still held. Proposes nothing and returns no messages if this dispatcher may not act or a change is pending.
      */
     List<Outgoing> proposeChange(byte[] next, double nowMillis) {
         if (!mayAct(nowMillis) || proposedState != null) {
@@ -160,7 +160,7 @@
         return startRequest(Kind.ACCEPT, nowMillis);
     }
 
-    /** A fence at or above its own was seen elsewhere: it releases the lease and stands again above that fence. */
+    /** Releases the lease and competes for it again above this fence, if the fence is not below its own. */
     List<Outgoing> yieldToHigherFence(long fence, double nowMillis) {
         if (lifecycleState == State.RETIRED || fence < ballot) {
             return List.of();
@@ -171,7 +171,7 @@
         return out;
     }
 
-    /** Graceful shutdown: releases the lease, hands it over to the successor and never stands again. */
+    /** Releases the lease, hands it over to the successor and stops competing for it; part of a graceful shutdown. */
     List<Outgoing> retire(int successor) {
         List<Outgoing> out = new ArrayList<>();
         if (lifecycleState == State.HOLDING) {
@@ -188,7 +188,7 @@
         return voters.stream().map(voter -> new Outgoing(voter, release)).toList();
     }
 
-    /** Does what is due; to be called several times in each sixth of a lease. */
+    /** Returns the messages that are due; must be called several times in each sixth of a lease duration. */
     List<Outgoing> tick(double nowMillis) {
         return switch (lifecycleState) {
             case RETIRED -> List.of();
@@ -229,7 +229,7 @@
         return List.of();
     }
 
-    /** Candidates that stood at once and blocked one another come back at different times. */
+    /** Waits by rank, so that candidates that blocked each other try again at different times. */
     private void backOffByRank(double nowMillis) {
         scheduleNextAttempt(nowMillis + parameters.leaseMillis() * (rank + 1) / 4);
     }
@@ -255,7 +255,7 @@
         return round.start(request, nowMillis);
     }
 
-    /** Handles an answer of a voter, or a handover; what to send next. */
+    /** Handles a voter's answer or a handover, and returns the messages to send next. */
     List<Outgoing> handle(LeaseMessage message, double nowMillis) {
         highestBallot = Math.max(highestBallot, message.highestBallot());
         if (lifecycleState == State.RETIRED) {
@@ -268,7 +268,7 @@
             return List.of();
         }
         if (lifecycleState == State.HOLDING && nowMillis >= heldUntilMillis) {
-            // A late answer must not renew an expired lease: one fence would then cover two separate holdings.
+            // A late answer must not renew an expired lease, or one fence would cover two separate periods of holding.
             expire(nowMillis);
         }
         if (!round.isAnsweredBy(message) || message.ballot() != ballot) {
@@ -291,7 +291,7 @@
 
     private void handleRefusal(LeaseMessage message, double nowMillis) {
         if (lifecycleState == State.HOLDING) {
-            // Another candidate has a higher ballot: this lease runs on until it ends or a majority renews it.
+            // Another candidate has a higher ballot; this lease stays valid until it expires or a majority renews it.
             return;
         }
         double remainingGrantMillis = Math.max(message.remainingMillis(), parameters.leaseMillis() / 8);
@@ -320,7 +320,7 @@
         return startRequest(Kind.PREPARE, nowMillis);
     }
 
-    /** Proposes the newest state that a majority has reported, under its own ballot. */
+    /** Proposes, under its own ballot, the newest state that a majority of voters has reported. */
     private List<Outgoing> adoptNewestState(double nowMillis) {
         long newestBallot = 0;
         version = 0;
@@ -344,7 +344,7 @@
             return;
         }
         lifecycleState = State.HOLDING;
-        // Counted from before the request was sent: the voters count from when they received it, which is later.
+        // Measured from when the request was sent; the voters measure from when they received it, which is later.
         heldUntilMillis = Math.max(heldUntilMillis, round.startedAtMillis() + parameters.holderLeaseMillis());
         confirmedAtMillis = round.startedAtMillis();
         if (proposedState != null) {
--- a/src/main/java/nettlewick/lease/LeaseFollower.java
+++ b/src/main/java/nettlewick/lease/LeaseFollower.java
@@ -5,8 +5,8 @@
 import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
- * What a dispatcher knows of one lease from its holder's announcements: who holds it, and the newest state.
- * Announcements under a fence below the highest seen are ignored. Pure; belongs to one thread.
+ * What a dispatcher knows about one lease from its holder's announcements: the holder and the newest state.
+ * Announcements whose fence is lower than the highest one seen are ignored. Does no I/O; confined to one thread.
  */
 final class LeaseFollower {
     private static final int NO_HOLDER = -1;
@@ -19,7 +19,7 @@
     private long fence;
     private long version = UNKNOWN;
     private byte[] state;
-    /** The fence under which the state was announced: a tier that has lost its memory counts versions anew. */
+    /** The fence under which the state was announced: a tier that has lost its records restarts the version count. */
     private long stateFence = UNKNOWN;
 
     LeaseFollower(String leaseName, int dispatcher) {
@@ -31,27 +31,27 @@
         return holder != NO_HOLDER;
     }
 
-    /** The number of the dispatcher that last announced that it holds the lease; -1 before the first announcement. */
+    /** The number of the dispatcher that last announced the lease; -1 before the first announcement. */
     int holder() {
         return holder;
     }
 
-    /** The highest fence that was announced; 0 before the first announcement. */
+    /** The highest announced fence; 0 before the first announcement. */
     long fence() {
         return fence;
     }
 
-    /** The version of {@link #state}; -1 where none is known. */
+    /** The version of {@link #state}; -1 if no state is known. */
     long version() {
         return version;
     }
 
-    /** The newest known state; null where none is. */
+    /** The newest known state, or null. */
     byte[] state() {
         return state;
     }
 
-    /** This dispatcher holds the lease itself. */
+    /** Records the state while this dispatcher holds the lease itself. */
     void recordOwnState(long ownFence, long newVersion, byte[] newState) {
         fenceGate.admits(leaseName, ownFence);
         holder = dispatcher;
@@ -61,7 +61,7 @@
         stateFence = ownFence;
     }
 
-    /** Handles an announcement; asks for the state where it is missing. */
+    /** Handles an announcement; returns a request for the state if it is missing. */
     List<Outgoing> handle(LeaseMessage announcement) {
         if (!fenceGate.admits(leaseName, announcement.ballot())) {
             return List.of();
@@ -81,7 +81,7 @@
         return List.of(new Outgoing(announcement.sender(), request));
     }
 
-    /** Whether the known state is the one that this announcement is about. */
+    /** Whether the known state has the version and fence of this announcement. */
     boolean isUpToDate(LeaseMessage announcement) {
         return announcement.ballot() == stateFence && announcement.version() == version;
     }
--- a/src/main/java/nettlewick/lease/LeaseMessage.java
+++ b/src/main/java/nettlewick/lease/LeaseMessage.java
@@ -1,19 +1,18 @@
 package nettlewick.lease;
 
 /**
- * A message between candidates, voters and followers about one lease. Plain data; {@link MessageCodec} turns it
- * into bytes.
+ * A message about one lease between candidates, voters and followers. {@link MessageCodec} encodes it.
  *
  * @param kind            what is requested, answered or announced
- * @param leaseName       the lease; empty where the message is about a voter as a whole
+ * @param leaseName       the lease; empty if the message concerns all leases of a voter
  * @param sender          the sender's dispatcher number
- * @param requestId       a request's number at its sender, repeated in each answer; in {@link Kind#ANNOUNCE} the
- *                        flags {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Kind#REPORT}
- *                        the sender's incarnation
- * @param ballot          the ballot that is meant; in an answer, that of the request
+ * @param requestId       the sender's id of a request, repeated in each answer; in {@link Kind#ANNOUNCE} the flags
+ *                        {@link #FLAG_HAS_STATE} and {@link #FLAG_REPORTS_REQUESTED}, in {@link Kind#REPORT} the
+ *                        sender's incarnation
+ * @param ballot          the ballot that the message refers to; in an answer, that of the request
  * @param highestBallot   in an answer: the highest ballot that the voter has seen for this lease
- * @param remainingMillis in an answer: what remains of a grant to another candidate; 0: there is none
- * @param acceptedBallot  the ballot under which the state was accepted; 0: none was
+ * @param remainingMillis in an answer: the remaining time of a grant to another candidate; 0 if there is none
+ * @param acceptedBallot  the ballot under which the state was accepted; 0 if none was
  * @param version         the state's version
  * @param state           the state; never null
  */
@@ -28,17 +27,17 @@
         long acceptedBallot,
         long version,
         byte[] state) {
-    /** The order is part of the wire format: a kind travels as its ordinal. */
+    /** The kinds of messages. Their order is part of the wire format, since a kind is sent as its ordinal. */
     enum Kind {
-        /** Candidate to voter: would a ballot be promised now? */
+        /** Candidate to voter: ask whether a ballot would be promised now. */
         QUERY,
         /** Candidate to voter: promise to accept nothing below this ballot. */
         PREPARE,
         /** Candidate or holder to voter: accept this state and grant or renew the lease. */
         ACCEPT,
-        /** Holder to voter: the grant under this ballot ends. Not answered. */
+        /** Holder to voter: end the grant under this ballot. Not answered. */
         RELEASE,
-        /** Voter without memory to voter: send all records. */
+        /** Recovering voter to voter: send all records. */
         RECOVER,
         /** Answer to QUERY: no other candidate has a grant. */
         AVAILABLE,
@@ -46,26 +45,26 @@
         PROMISED,
         /** Answer to ACCEPT. */
         ACCEPTED,
-        /** Answer to QUERY, PREPARE or ACCEPT: another grant runs, or a higher ballot was promised. */
+        /** Answer to QUERY, PREPARE or ACCEPT: another grant is valid, or a higher ballot was promised. */
         REFUSED,
-        /** Answer to RECOVER: one record, or, without a lease name, how many records were sent. */
+        /** Answer to RECOVER: one record or, without a lease name, the number of records sent. */
         RECOVERED_RECORD,
-        /** Answer to RECOVER: the voter has no memory either; its incarnation stands for the highest ballot. */
+        /** Answer to RECOVER: the voter has no complete records either; the highest ballot is its incarnation. */
         NO_RECORDS,
-        /** Holder to its successor: stand for the lease at once. */
+        /** Holder to its successor: try to acquire the lease at once. */
         HANDOVER,
-        /** Holder to all: the stored version, with the state where the flag says so. */
+        /** Holder to all dispatchers: the stored version, and the state if {@link #FLAG_HAS_STATE} is set. */
         ANNOUNCE,
         /** Follower to holder: send the state. */
         REQUEST_STATE,
-        /** Follower to holder: what this dispatcher has observed, for the lease's task. */
+        /** Follower to holder: a report for the lease's task. */
         REPORT
     }
 
     static final byte[] EMPTY_STATE = {};
-    /** In the request number of an announcement: it carries the state. */
+    /** Bit in the request id of an announcement: it includes the state. */
     static final long FLAG_HAS_STATE = 1;
-    /** In the request number of an announcement: the holder wants a report from every dispatcher. */
+    /** Bit in the request id of an announcement: the holder requests a report from each dispatcher. */
     static final long FLAG_REPORTS_REQUESTED = 2;
 
     static LeaseMessage of(Kind kind, String leaseName, int sender, long requestId, long ballot) {
@@ -100,17 +99,17 @@
                 state);
     }
 
-    /** Whether this announcement carries the state. */
+    /** Whether this announcement includes the state. */
     boolean hasState() {
         return (requestId & FLAG_HAS_STATE) != 0;
     }
 
-    /** Whether this announcement asks every dispatcher for a report. */
+    /** Whether this announcement requests a report from each dispatcher. */
     boolean requestsReports() {
         return (requestId & FLAG_REPORTS_REQUESTED) != 0;
     }
 
-    /** Whether it is for a voter, in place of a candidate or a follower. */
+    /** Whether the recipient handles the message as a voter rather than as a candidate, holder or follower. */
     boolean isForVoter() {
         return switch (kind) {
             case QUERY, PREPARE, ACCEPT, RELEASE, RECOVER, RECOVERED_RECORD, NO_RECORDS -> true;
@@ -118,6 +117,6 @@
         };
     }
 
-    /** A message and the number of the dispatcher that it goes to. */
+    /** A message and the number of the dispatcher to send it to. */
     record Outgoing(int recipient, LeaseMessage message) {}
 }
--- a/src/main/java/nettlewick/lease/LeaseRecord.java
+++ b/src/main/java/nettlewick/lease/LeaseRecord.java
@@ -1,15 +1,15 @@
 package nettlewick.lease;
 
 /**
- * What a voter knows of one lease. All but the grant is stored on disk; the grant is counted by the voter's own clock
- * and lost with its process. Immutable.
+ * What a voter knows about one lease. Everything except the grant is stored on disk; the grant is measured on the
+ * voter's own clock and lost when its process ends. Immutable.
  *
- * @param promisedBallot     nothing below it is accepted any more
- * @param acceptedBallot     the ballot under which the state was accepted; 0: none was
+ * @param promisedBallot     lower ballots are no longer accepted
+ * @param acceptedBallot     the ballot under which the state was accepted; 0 if none was
  * @param version            the state's version
  * @param state              the accepted state
- * @param grantedBallot      the ballot that has the lease until {@code grantedUntilMillis}
- * @param grantedUntilMillis by the voter's clock
+ * @param grantedBallot      the ballot that is granted the lease until {@code grantedUntilMillis}
+ * @param grantedUntilMillis the end of the grant on the voter's clock
  */
 record LeaseRecord(
         long promisedBallot,
@@ -18,15 +18,15 @@
         byte[] state,
         long grantedBallot,
         double grantedUntilMillis) {
-    /** Nothing is promised, accepted or granted. */
+    /** A record with nothing promised, accepted or granted. */
     static final LeaseRecord EMPTY = stored(0, 0, 0, LeaseMessage.EMPTY_STATE);
 
-    /** A record as the disk has it: without a grant. */
+    /** Creates a record as it is stored on disk, without a grant. */
     static LeaseRecord stored(long promisedBallot, long acceptedBallot, long version, byte[] state) {
         return new LeaseRecord(promisedBallot, acceptedBallot, version, state, 0, Double.NEGATIVE_INFINITY);
     }
 
-    /** Whether another candidate than this ballot's has the lease. */
+    /** Whether the lease is granted to another candidate than the proposer of this ballot. */
     boolean isGrantedToAnother(long ballot, double nowMillis) {
         return nowMillis < grantedUntilMillis && Ballot.proposer(grantedBallot) != Ballot.proposer(ballot);
     }
@@ -37,7 +37,7 @@
         return ballot >= promisedBallot && isNewer;
     }
 
-    /** The highest ballot that the voter has seen for this lease. */
+    /** The highest ballot that the voter has promised or accepted for this lease. */
     long highestBallot() {
         return Math.max(promisedBallot, acceptedBallot);
     }
@@ -55,7 +55,7 @@
         return new LeaseRecord(promisedBallot, acceptedBallot, version, state, grantedBallot, Double.NEGATIVE_INFINITY);
     }
 
-    /** Takes over what another voter has promised and accepted, where that is newer. */
+    /** Returns this record combined with what another voter has promised and accepted, if that is newer. */
     LeaseRecord merge(LeaseMessage other) {
         long promised = Math.max(promisedBallot, other.highestBallot());
         boolean isNewer = other.acceptedBallot() > acceptedBallot
--- a/src/main/java/nettlewick/lease/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -12,8 +12,8 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * This dispatcher's part in all leases: the lease thread, which owns the socket, the voter and each
- * {@link ManagedLease}, and passes messages between them. What is done under a lease is its {@link LeaseTask}'s.
+ * Runs the lease thread, which owns the socket, the voter and each {@link ManagedLease} of this dispatcher, and passes
+ * messages between them. The work under a lease is done by its {@link LeaseTask}.
  */
 public final class LeaseService implements AutoCloseable, LeaseTask.LeaseControl {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
@@ -24,7 +24,7 @@
 
     private final LeaseSettings settings;
     private final LeaseTransport transport;
-    /** Null where this dispatcher does not vote. */
+    /** Null if this dispatcher does not vote. */
     private final PersistentVoter voter;
 
     private final Map<String, LeaseTask> tasks;
@@ -37,8 +37,8 @@
     /**
      * Starts the lease thread.
      *
-     * @param tasks by lease name; the settings' other leases count their terms and do nothing else
-     * @throws IOException where the address cannot be bound or the voter's folder cannot be used
+     * @param tasks by lease name; leases of the settings that are not in this map only count their terms
+     * @throws IOException if the address cannot be bound or the voter's folder cannot be used
      */
     public static LeaseService start(LeaseSettings settings, Map<String, LeaseTask> tasks) throws IOException {
         LeaseService service = new LeaseService(settings, tasks);
@@ -90,7 +90,7 @@
         }
     }
 
-    /** A fault in one lease's task must not end the thread that votes on all leases. */
+    /** Catches exceptions, since a fault in one lease's task must not stop the thread that votes on all leases. */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Messages to this dispatcher itself are handled at once. */
+    /** Sends messages; those to this dispatcher itself are handled at once, without the socket. */
     private void send(List<Outgoing> messages) {
         for (Outgoing outgoing : messages) {
             if (outgoing.recipient() == settings.dispatcher()) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /** Graceful shutdown: hands over the leases that are held and ends the thread, waiting two seconds at most. */
+    /** Graceful shutdown: hands over the leases that are held and waits for the thread to end, two seconds at most. */
     @Override
     public void close() {
         isClosing = true;
--- a/src/main/java/nettlewick/lease/LeaseSettings.java
+++ b/src/main/java/nettlewick/lease/LeaseSettings.java
@@ -11,16 +11,16 @@
 import nettlewick.settings.Block;
 
 /**
- * The settings block {@code duty}, checked.
+ * The validated settings block {@code duty}.
  *
- * @param dispatcher    this dispatcher's number: its place in {@code dispatchers}
+ * @param dispatcher    this dispatcher's number, which is its index in {@code dispatchers}
  * @param listenAddress where this process receives lease messages
- * @param dispatchers   where each dispatcher is reached, by its number
+ * @param dispatchers   the address of each dispatcher, by its number
  * @param voters        the numbers of the dispatchers that vote
- * @param terms         how long a lease lasts and how far clocks drift
+ * @param parameters    the duration of a lease and the maximum clock drift
  * @param sharedKey     authenticates the messages
  * @param leaseNames    in the order of the file
- * @param voterFolder   where a voter stores its records; null: in memory only
+ * @param voterFolder   where a voter stores its records; null to keep them in memory only
  */
 public record LeaseSettings(
         int dispatcher,
@@ -37,7 +37,7 @@
     /**
      * Reads the block and the key file that it names.
      *
-     * @throws nettlewick.settings.InvalidSettingsException where the lines contradict one another or the key cannot be
+     * @throws nettlewick.settings.InvalidSettingsException if the settings contradict each other or the key cannot be
      *                                                      read
      */
     public static LeaseSettings of(Block block) {
@@ -73,16 +73,16 @@
         List<String> names =
                 block.all("name").stream().map(value -> value.<String>part(0)).toList();
         if (names.stream().distinct().count() < names.size()) {
-            throw block.invalidValue("name", "there once only");
+            throw block.invalidValue("name", "unique");
         }
         if (names.stream().anyMatch(name -> name.getBytes(UTF_8).length > MessageCodec.MAX_NAME_BYTES)) {
-            throw block.invalidValue("name", "of " + MessageCodec.MAX_NAME_BYTES + " bytes at most");
+            throw block.invalidValue("name", "at most " + MessageCodec.MAX_NAME_BYTES + " bytes long");
         }
         return names;
     }
 
     /**
-     * Stands for the dispatchers and how many of them vote: dispatchers that were given another list discard each
+     * A hash of the addresses of the dispatchers and the number of voters. Dispatchers whose hashes differ discard each
      * other's messages.
      */
     int membershipHash() {
@@ -96,11 +96,11 @@
         try {
             byte[] key = Files.readAllBytes(block.<Path>get("key"));
             if (key.length < MIN_KEY_BYTES) {
-                throw block.invalidValue("key", "a file of " + MIN_KEY_BYTES + " bytes at least");
+                throw block.invalidValue("key", "a file of at least " + MIN_KEY_BYTES + " bytes");
             }
             return key;
         } catch (IOException e) {
-            throw block.invalidValue("key", "a file that can be read");
+            throw block.invalidValue("key", "a readable file");
         }
     }
 }
--- a/src/main/java/nettlewick/lease/LeaseTransport.java
+++ b/src/main/java/nettlewick/lease/LeaseTransport.java
@@ -13,8 +13,8 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * The UDP socket over which the dispatchers exchange lease messages. Belongs to the lease thread, but for
- * {@link #wakeUp}. Datagrams may get lost; requests are repeated by whoever sent them.
+ * The UDP socket over which the dispatchers exchange lease messages. Confined to the lease thread, except for
+ * {@link #wakeUp}. Datagrams may get lost; the sender of a request repeats it.
  */
 final class LeaseTransport implements AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
@@ -25,7 +25,7 @@
     private final Selector selector;
     private final DatagramChannel channel;
 
-    /** @throws IOException where the settings' address cannot be bound */
+    /** @throws IOException if the configured address cannot be bound */
     LeaseTransport(LeaseSettings settings, int incarnation) throws IOException {
         dispatchers = settings.dispatchers();
         codec = new MessageCodec(settings.sharedKey(), settings.membershipHash(), settings.dispatcher(), incarnation);
@@ -36,18 +36,18 @@
         channel.register(selector, SelectionKey.OP_READ);
     }
 
-    /** Waits for datagrams, for {@link #wakeUp} or for the time to pass. */
+    /** Waits until a datagram arrives, {@link #wakeUp} is called or the timeout ends. */
     void await(long timeoutMillis) throws IOException {
         selector.select(timeoutMillis);
         selector.selectedKeys().clear();
     }
 
-    /** Ends {@link #await}. Any thread. */
+    /** Makes {@link #await} return. May be called from any thread. */
     void wakeUp() {
         selector.wakeup();
     }
 
-    /** Passes on all messages that have arrived from dispatchers of this membership. */
+    /** Passes all messages that have arrived from dispatchers of this membership to the receiver. */
     void receive(Consumer<LeaseMessage> receiver) throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         for (SocketAddress from = channel.receive(buffer); from != null; from = channel.receive(buffer)) {
@@ -66,7 +66,7 @@
         if (!wasWarned && codec.discardedCount(DiscardReason.OTHER_LIST) > 0) {
             LOG.warning(
                     "other-list",
-                    "messages of a dispatcher with another list of dispatchers or voters are discarded",
+                    "discards messages of a dispatcher whose settings list other dispatchers or voters",
                     "from",
                     from);
         }
@@ -77,7 +77,7 @@
         try {
             channel.send(ByteBuffer.wrap(codec.encode(message)), dispatchers.get(recipient));
         } catch (IOException ignored) {
-            // Like a datagram that gets lost: the request is repeated.
+            // Treated like a lost datagram: the request is repeated.
         }
     }
 
@@ -87,7 +87,7 @@
         selector.close();
     }
 
-    /** Logs how many datagrams were discarded, by reason. */
+    /** Logs the number of discarded datagrams by reason. */
     void logDiscarded() {
         for (DiscardReason reason : DiscardReason.values()) {
             long count = codec.discardedCount(reason);
--- a/src/main/java/nettlewick/lease/LeaseVoter.java
+++ b/src/main/java/nettlewick/lease/LeaseVoter.java
@@ -9,7 +9,8 @@
 
 /**
  * One voter: its records of all leases, and its answers to candidates and to recovering voters (see docs/duties.md).
- * Grants are counted by its own monotonic clock, in milliseconds, passed in by the caller. Pure; belongs to one thread.
+ * Grants are measured on the voter's own monotonic clock, in milliseconds, which the caller passes in. Does no I/O;
+ * confined to one thread.
  */
 final class LeaseVoter {
     private final int dispatcher;
@@ -18,7 +19,7 @@
     private final Map<String, LeaseRecord> records;
     private final Map<String, LeaseRecord> unsavedRecords = new TreeMap<>();
 
-    /** A voter that starts at {@code nowMillis} without any memory. */
+    /** Creates a voter that starts at {@code nowMillis} without records. */
     LeaseVoter(int dispatcher, List<Integer> voters, LeaseParameters parameters, double nowMillis, long incarnation) {
         this(
                 dispatcher,
@@ -35,13 +36,14 @@
         this.records = records;
     }
 
-    /** An independent copy, for a search through the orders of events; it has nothing to save. */
+    /** Returns an independent copy without unsaved records, for tests that explore the possible orders of events. */
     LeaseVoter copy() {
         return new LeaseVoter(dispatcher, parameters, recovery.copy(), new TreeMap<>(records));
     }
 
     /**
-     * Takes over the records of the last process. The grants are not among them, so the voter abstains for a lease.
+     * Restores the records that the previous process stored. Grants are not stored, so the voter still abstains for one
+     * lease duration.
      */
     LeaseVoter restore(Map<String, LeaseRecord> stored) {
         records.putAll(stored);
@@ -49,33 +51,33 @@
         return this;
     }
 
-    /** The live records by lease name. */
+    /** The records by lease name; changes to the map change the voter. */
     Map<String, LeaseRecord> records() {
         return records;
     }
 
-    /** The records that have to be saved before its next answers are sent; the caller empties the map afterwards. */
+    /** The records that must be saved before the next answers are sent; the caller clears the map afterwards. */
     Map<String, LeaseRecord> unsavedRecords() {
         return unsavedRecords;
     }
 
-    /** Whether it answers candidates. */
+    /** Whether the voter answers candidates. */
     boolean isVoting() {
         return recovery.isVoting();
     }
 
-    /** Votes from the first moment on; only where there was nothing to remember, as in tests. */
+    /** Skips the recovery and votes at once; safe only if there are no earlier records, as in tests. */
     LeaseVoter startVoting() {
         recovery.startVoting();
         return this;
     }
 
-    /** Does what is due; to be called a few times a lease. */
+    /** Returns the messages that are due; must be called several times in each lease duration. */
     List<Outgoing> tick(double nowMillis) {
         return recovery.tick(nowMillis);
     }
 
-    /** Handles a message of a candidate or of another voter; what to answer. */
+    /** Handles a message of a candidate or of another voter and returns the answers. */
     List<Outgoing> handle(LeaseMessage message, double nowMillis) {
         return switch (message.kind()) {
             case RECOVER -> answerRecovery(message);
@@ -102,7 +104,7 @@
         unsavedRecords.put(leaseName, leaseRecord);
     }
 
-    /** One message for each record, and a last one that says how many they were. */
+    /** Returns one message for each record, and a final one with the number of records. */
     private List<Outgoing> answerRecovery(LeaseMessage request) {
         if (!recovery.hasCompleteRecords()) {
             return List.of(new Outgoing(request.sender(), recovery.noRecordsAnswer(request)));
@@ -138,7 +140,7 @@
 
     private List<Outgoing> answerPrepare(LeaseMessage request, double nowMillis) {
         LeaseRecord current = records.get(request.leaseName());
-        // An equal ballot is the same candidate's, which repeats its request since the answer was lost.
+        // An equal ballot comes from the same candidate, which repeats its request because the answer was lost.
         if (current.isGrantedToAnother(request.ballot(), nowMillis) || request.ballot() < current.promisedBallot()) {
             return refuse(request, nowMillis);
         }
@@ -159,7 +161,7 @@
         LeaseRecord accepted = current.withAccepted(request, nowMillis + parameters.leaseMillis());
         boolean isRenewal = request.ballot() == current.acceptedBallot() && request.version() == current.version();
         if (isRenewal) {
-            // The grant is not stored, so that a renewal costs no write.
+            // Grants are not stored, so a renewal needs no disk write.
             records.put(request.leaseName(), accepted);
         } else {
             putUnsaved(request.leaseName(), accepted);
--- a/src/main/java/nettlewick/lease/ManagedLease.java
+++ b/src/main/java/nettlewick/lease/ManagedLease.java
@@ -8,13 +8,13 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * Everything that this dispatcher does about one lease: it stands for it where it ranks high enough, announces the
- * state while it holds it, follows the holder otherwise, and calls the lease's {@link LeaseTask}. Times are
- * milliseconds of the monotonic clock. Belongs to the lease thread.
+ * This dispatcher's role in one lease: competes for the lease if the dispatcher ranks high enough, announces the state
+ * while the dispatcher holds the lease, follows the holder otherwise, and calls the lease's {@link LeaseTask}. Times
+ * are milliseconds of the monotonic clock. Confined to the lease thread.
  */
 final class ManagedLease {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
-    /** How many dispatchers of a lease's ranking stand for it; more would only send requests. */
+    /** How many dispatchers, by rank, compete for a lease; more candidates would only add traffic. */
     private static final int MAX_CANDIDATES = 8;
 
     private final String leaseName;
@@ -23,7 +23,7 @@
     private final LeaseTask task;
     private final Consumer<List<Outgoing>> messageSink;
     private final List<Integer> ranking;
-    /** Null where this dispatcher ranks too low to stand. */
+    /** Null if this dispatcher ranks too low to compete for the lease. */
     private final LeaseCandidate candidate;
 
     private final LeaseFollower follower;
@@ -31,7 +31,7 @@
     private boolean isHeld;
     private long heldFence;
 
-    /** @param sender takes the messages to send, in their order */
+    /** @param messageSink receives the messages to send, in order */
     ManagedLease(
             String leaseName,
             LeaseSettings settings,
@@ -60,12 +60,12 @@
                 : null;
     }
 
-    /** Whether the lease is held here at this moment. */
+    /** Whether this dispatcher holds the lease now. */
     boolean mayAct(double nowMillis) {
         return candidate != null && candidate.mayAct(nowMillis);
     }
 
-    /** A resource has rejected an act since it has seen this higher fence. */
+    /** Releases the lease and competes for it again, since a resource has seen this higher fence. */
     void yieldToHigherFence(long fence, double nowMillis) {
         if (candidate != null) {
             messageSink.accept(candidate.yieldToHigherFence(fence, nowMillis));
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Handles an answer of a voter, or a handover by the holder. */
+    /** Handles a voter's answer, or a handover by the holder. */
     void handleCandidateMessage(LeaseMessage message, double nowMillis) {
         if (candidate != null) {
             messageSink.accept(candidate.handle(message, nowMillis));
@@ -119,7 +119,7 @@
         }
     }
 
-    /** Tells the task what has become of the lease, and proposes the task's next state. */
+    /** Notifies the task when the lease or its state has changed, and proposes the task's next state. */
     void update(double nowMillis) {
         if (candidate == null) {
             return;
@@ -185,7 +185,7 @@
         if (next.length > MessageCodec.MAX_STATE_BYTES) {
             LOG.warning(
                     "state-too-long",
-                    "the next state of " + leaseName + " is too long and is dropped",
+                    "discards the next state of " + leaseName + ", which is too long",
                     "duty",
                     leaseName,
                     "bytes",
@@ -195,7 +195,7 @@
         messageSink.accept(candidate.proposeChange(next, nowMillis));
     }
 
-    /** Graceful shutdown: hands the lease over to the next dispatcher in its ranking. */
+    /** Hands the lease over to the next dispatcher in its ranking; part of a graceful shutdown. */
     void handOver(double nowMillis) {
         if (candidate == null) {
             return;
--- a/src/main/java/nettlewick/lease/MessageCodec.java
+++ b/src/main/java/nettlewick/lease/MessageCodec.java
@@ -13,10 +13,10 @@
 import nettlewick.lease.LeaseMessage.Kind;
 
 /**
- * Turns messages into datagrams and back. A datagram starts with a hash of the membership, the sender's incarnation and
- * number and a sequence number, and ends with an HMAC by the shared key over all of it. Datagrams that do not verify,
- * arrive twice or come from another membership are discarded and counted. One for each process; not safe for several
- * threads.
+ * Encodes messages as datagrams and decodes them. A datagram starts with a hash of the membership, the sender's
+ * incarnation and number, and a sequence number; it ends with an HMAC of everything before it under the shared key.
+ * Datagrams that fail verification, arrive twice or come from another membership are discarded and counted. A process
+ * has one codec, since a second one would repeat sequence numbers. Not thread-safe.
  */
 final class MessageCodec {
     static final int MAX_STATE_BYTES = 4096;
@@ -24,9 +24,9 @@
 
     private static final int MAGIC = 0x4E57_4401;
     private static final int HMAC_BYTES = 16;
-    /** Magic number, membership hash, incarnation, sequence number, dispatcher, kind. */
+    /** The magic number, membership hash, incarnation, sequence number, dispatcher number and kind. */
     private static final int HEADER_BYTES = 4 + 4 + 4 + 8 + 2 + 1;
-    /** Six fields of eight bytes and the lengths of the name and the state. */
+    /** Six fields of eight bytes, and the lengths of the name and of the state. */
     private static final int FIXED_BODY_BYTES = 8 * 6 + 1 + 2;
 
     /** Why a datagram was discarded. */
@@ -41,15 +41,15 @@
     private final int dispatcher;
     private final int incarnation;
     private long sequenceNumber;
-    /** By the sender's number and incarnation. */
+    /** By the sender's number and incarnation, combined into one number. */
     private final Map<Long, ReplayWindow> replayWindows = new HashMap<>();
 
     private final long[] discardedCounts = new long[DiscardReason.values().length];
 
     /**
-     * @param membershipHash stands for the dispatchers and voters, see {@link LeaseSettings#membershipHash}
+     * @param membershipHash identifies the lists of dispatchers and voters, see {@link LeaseSettings#membershipHash}
      * @param dispatcher     this dispatcher's number
-     * @param incarnation    a number of this process's own, drawn at random
+     * @param incarnation    this process's incarnation, drawn at random
      */
     MessageCodec(byte[] key, int membershipHash, int dispatcher, int incarnation) {
         this.key = new SecretKeySpec(key, "HmacSHA256");
@@ -62,13 +62,13 @@
         return discardedCounts[reason.ordinal()];
     }
 
-    /** @throws IllegalArgumentException for a name or a state that is too long */
+    /** @throws IllegalArgumentException if the lease's name or the state is too long */
     byte[] encode(LeaseMessage message) {
         byte[] name = message.leaseName().getBytes(StandardCharsets.UTF_8);
         byte[] state = message.state();
         if (name.length > MAX_NAME_BYTES || state.length > MAX_STATE_BYTES) {
-            throw new IllegalArgumentException("a lease's name of " + name.length + " bytes with a state of "
-                    + state.length + " bytes; at most " + MAX_NAME_BYTES + " and " + MAX_STATE_BYTES);
+            throw new IllegalArgumentException("the lease name has " + name.length + " bytes and the state "
+                    + state.length + "; the limits are " + MAX_NAME_BYTES + " and " + MAX_STATE_BYTES);
         }
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + FIXED_BODY_BYTES + name.length + state.length + HMAC_BYTES);
         out.putInt(MAGIC)
@@ -88,7 +88,7 @@
         return out.array();
     }
 
-    /** The message in this datagram; null where it is discarded. */
+    /** Returns the message in this datagram, or null if the datagram is discarded. */
     LeaseMessage decode(byte[] data) {
         int end = data.length - HMAC_BYTES;
         if (end < HEADER_BYTES + FIXED_BODY_BYTES || !isAuthentic(data, end)) {
--- a/src/main/java/nettlewick/lease/PersistentVoter.java
+++ b/src/main/java/nettlewick/lease/PersistentVoter.java
@@ -9,20 +9,20 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * A voter together with the folder that keeps its records, if the settings name one. Messages that depend on a record
- * are returned only once it is stored. Belongs to the lease thread.
+ * A voter with durable records, if the settings name a folder for them. Messages that depend on a record are returned
+ * only after the record is stored. Confined to the lease thread.
  */
 final class PersistentVoter implements AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
 
     private final LeaseSettings settings;
     private final LeaseVoter voter;
-    /** Null where the records last only as long as the process. */
+    /** Null if the records are kept in memory only. */
     private final VoterStore store;
-    /** Whether the store says that this voter votes, so that its records count after a restart. */
+    /** Whether the store is marked as a voting voter's, so that its records are restored after a restart. */
     private boolean isMarkedVoting;
 
-    /** @throws IOException where the folder cannot be used */
+    /** @throws IOException if the folder cannot be used */
     PersistentVoter(LeaseSettings settings, double nowMillis, int incarnation) throws IOException {
         this.settings = settings;
         voter = new LeaseVoter(settings.dispatcher(), settings.voters(), settings.parameters(), nowMillis, incarnation);
@@ -50,12 +50,12 @@
         }
     }
 
-    /** Its answers to a message; empty where the records that they depend on cannot be stored. */
+    /** Returns the answers to a message, or none if the records that they depend on cannot be stored. */
     List<Outgoing> handle(LeaseMessage message, double nowMillis) {
         return storeBeforeSending(() -> voter.handle(message, nowMillis));
     }
 
-    /** Its requests to other voters; empty where the records that they depend on cannot be stored. */
+    /** Returns the requests to other voters, or none if the records that they depend on cannot be stored. */
     List<Outgoing> tick(double nowMillis) {
         return storeBeforeSending(() -> voter.tick(nowMillis));
     }
@@ -65,7 +65,7 @@
         List<Outgoing> out = handler.get();
         boolean isStored = storeChanges();
         if (!wasVoting && voter.isVoting()) {
-            LOG.info("votes", "votes on duties from now on", "dispatcher", settings.dispatcher());
+            LOG.info("votes", "the voter has recovered and starts voting", "dispatcher", settings.dispatcher());
         }
         return isStored ? out : List.of();
     }
@@ -86,7 +86,7 @@
             }
             return true;
         } catch (StoreException e) {
-            LOG.warning("voter-not-stored", "a vote is withheld: " + e.getMessage());
+            LOG.warning("voter-not-stored", "withholds a vote that cannot be stored: " + e.getMessage());
             return false;
         }
     }
--- a/src/main/java/nettlewick/lease/ReplayWindow.java
+++ b/src/main/java/nettlewick/lease/ReplayWindow.java
@@ -1,18 +1,17 @@
 package nettlewick.lease;
 
 /**
- * Recognises which of one sender's messages have arrived already, by their numbers: out of order is fine, twice is not.
- * Not safe for several threads.
+ * Detects repeated messages of one sender by their sequence numbers; messages may arrive out of order. Not thread-safe.
  */
 final class ReplayWindow {
-    /** Numbers this far or further below the highest count as arrived. */
+    /** Sequence numbers more than this far below the highest one are treated as received. */
     private static final int SIZE = 64;
 
     private long highestSequenceNumber;
-    /** Bit n: the number n + 1 below the highest has arrived. */
+    /** Bit n is set if the sequence number n + 1 below the highest one was received. */
     private long receivedBelowHighest;
 
-    /** Whether this number arrives for the first time; it counts as arrived from then on. */
+    /** Whether this sequence number is new; it counts as received from then on. */
     boolean admits(long sequenceNumber) {
         return sequenceNumber > highestSequenceNumber
                 ? advanceTo(sequenceNumber)
--- a/src/main/java/nettlewick/lease/TermCounter.java
+++ b/src/main/java/nettlewick/lease/TermCounter.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 
-/** The task of a lease that no other task is configured for: its state counts how often the lease was acquired. */
+/** The default task of a lease that has no other task: its state counts how often the lease was acquired. */
 final class TermCounter implements LeaseTask {
     private static final long NO_FENCE = -1;
 
--- a/src/main/java/nettlewick/lease/VoteRound.java
+++ b/src/main/java/nettlewick/lease/VoteRound.java
@@ -9,8 +9,8 @@
 import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
- * One request of a candidate to all voters: its number, when and how often it was sent, and who has answered. Times
- * are milliseconds of the candidate's clock. Pure; belongs to its candidate's thread.
+ * One request of a candidate to all voters: its id, when and how often it was sent, and which voters have answered.
+ * Times are milliseconds of the candidate's clock. Does no I/O; confined to the candidate's thread.
  */
 final class VoteRound {
     private final List<Integer> voters;
@@ -20,7 +20,7 @@
     private double startedAtMillis;
     private int transmissions;
 
-    /** @param firstRequestId numbers of requests are counted up from here */
+    /** @param firstRequestId request ids count up from this one */
     VoteRound(List<Integer> voters, long firstRequestId) {
         this.voters = voters;
         requestId = firstRequestId;
@@ -35,14 +35,14 @@
         return copy;
     }
 
-    /** Ends the former request, so that late answers to it no longer count; the number for the next one. */
+    /** Ends the current request, so that late answers to it no longer count, and returns the id of the next request. */
     long close() {
         answers.clear();
         requestId++;
         return requestId;
     }
 
-    /** Sends a request that carries the number that {@link #close} has given. */
+    /** Starts a request, which must have the id that {@link #close} returned, and returns the messages to send. */
     List<Outgoing> start(LeaseMessage newRequest, double nowMillis) {
         request = newRequest;
         startedAtMillis = nowMillis;
@@ -50,7 +50,7 @@
         return transmit();
     }
 
-    /** The same request to all voters that have not answered it; the start of the round stays. */
+    /** Sends the request again to all voters that have not answered it; {@link #startedAtMillis} does not change. */
     List<Outgoing> transmit() {
         transmissions++;
         List<Outgoing> out = new ArrayList<>();
@@ -66,7 +66,7 @@
         return message.requestId() == requestId;
     }
 
-    /** Counts each voter once. */
+    /** Adds an answer; a voter that answers twice counts once. */
     void addAnswer(LeaseMessage message) {
         answers.put(message.sender(), message);
     }
@@ -83,7 +83,7 @@
         return answers.keySet();
     }
 
-    /** When the request was first sent: a lease counts from then, so that no voter's grant ends before it. */
+    /** When the request was first sent. A lease starts at this time, so that it ends before any voter's grant does. */
     double startedAtMillis() {
         return startedAtMillis;
     }
--- a/src/main/java/nettlewick/lease/VoterRecovery.java
+++ b/src/main/java/nettlewick/lease/VoterRecovery.java
@@ -10,39 +10,39 @@
 import nettlewick.lease.LeaseMessage.Outgoing;
 
 /**
- * Decides when a started voter may vote. A voter that has forgotten a promise would let a lower ballot through, and one
- * that has forgotten an accepted state would let a stored version be lost. A voter without memory therefore abstains
- * until enough others have sent it all of their records that every majority includes one of those; or until all voters
- * turn out to have no memory, which means that the tier is new. Times are milliseconds of the voter's own monotonic
- * clock. Pure; belongs to its voter's thread.
+ * Decides when a voter may start to vote. A voter that has lost a promise would accept a lower ballot, and one that has
+ * lost an accepted state could cause the loss of a stored version. A voter without records of an earlier process
+ * therefore abstains until it has received all records from so many other voters that every majority includes one of
+ * them, or until no voter turns out to have records, which means that the tier is new. Times are milliseconds of the
+ * voter's own monotonic clock. Does no I/O; confined to the voter's thread.
  */
 final class VoterRecovery {
-    /** In the last message of a recovery, as its accepted ballot: the receiver belongs to a new tier. */
+    /** Accepted ballot in the final message of a recovery: tells the receiver that it belongs to a new tier. */
     private static final long NEW_TIER = 1;
-    /** Requests to the other voters are repeated after this share of a lease. */
+    /** Interval between requests to the other voters, in lease durations. */
     private static final double REQUEST_INTERVAL_LEASES = 1.0 / 6;
 
     private final int dispatcher;
     private final List<Integer> voters;
     private final LeaseParameters parameters;
-    /** Distinguishes answers to this process's requests from those to a former one's, which prove nothing. */
+    /** Identifies answers to this process's requests; answers to an earlier process may be outdated. */
     private final long incarnation;
 
-    /** Grants of a former process may run until then. */
+    /** Until then, grants that an earlier process gave may still be valid. */
     private double abstainsUntilMillis;
 
     private double requestedAtMillis = Double.NEGATIVE_INFINITY;
     private final Map<Integer, Set<String>> receivedLeaseNames = new HashMap<>();
     private final Set<Integer> recoveredFrom = new HashSet<>();
-    /** The incarnation of each voter that has no memory. */
+    /** The incarnation of each voter that has no records. */
     private final Map<Integer, Long> votersWithoutRecords = new HashMap<>();
 
     private double noRecordsAnywhereSinceMillis = Double.NaN;
-    /** Whether this voter found that the tier is new. */
+    /** Whether this voter has found that the tier is new. */
     private boolean hasFoundNewTier;
-    /** Whether another voter found that the tier is new and saw this incarnation in it. */
+    /** Whether another voter has found that the tier is new, and that this incarnation had no records in it. */
     private boolean isMemberOfNewTier;
-    /** Whether all that was promised and accepted is known from an earlier process. */
+    /** Whether everything that an earlier process promised and accepted was restored. */
     private boolean hasRestoredRecords;
 
     private boolean isVoting;
@@ -76,22 +76,22 @@
         return isVoting;
     }
 
-    /** Ends the recovery at once. */
+    /** Skips the rest of the recovery. */
     void startVoting() {
         isVoting = true;
     }
 
-    /** All records are known from before; their grants are not, so the voter still abstains for a lease. */
+    /** Notes that all records were restored. Grants were not, so the voter still abstains for one lease duration. */
     void markRestored() {
         hasRestoredRecords = true;
     }
 
-    /** Whether its own records may be sent to others as complete. */
+    /** Whether this voter's records are complete and may be sent to other voters. */
     boolean hasCompleteRecords() {
         return isVoting || hasRestoredRecords;
     }
 
-    /** Requests the others' records while it does not vote; to be called a few times a lease. */
+    /** Requests the other voters' records until it votes; must be called several times in each lease duration. */
     List<Outgoing> tick(double nowMillis) {
         if (isVoting) {
             return List.of();
@@ -110,14 +110,14 @@
         return out;
     }
 
-    /** Whether this answer is to a request of this process that still waits for it. */
+    /** Whether this is an answer to a request of this process, and the recovery still needs it. */
     boolean expects(LeaseMessage answer) {
         return !isVoting && answer.ballot() == incarnation;
     }
 
     /**
-     * Counts an expected answer. Records may get lost on the way: a voter counts as recovered from only once as many
-     * have arrived as its last message says.
+     * Handles an expected answer. Since datagrams may get lost, the records of a voter count as complete only when as
+     * many have arrived as its final message says.
      */
     void handleAnswer(LeaseMessage answer, double nowMillis) {
         int sender = answer.sender();
@@ -142,13 +142,13 @@
             return;
         }
         isVoting = true;
-        // From now on this voter counts as one with memory. The others would wait for more of those for ever, unless it
-        // tells the ones that it saw without memory that they had none to lose. A voter that has a memory of its own
-        // must not say so: what the others have lost may count.
+        // From now on this voter counts as one with records. The others would wait forever for more such voters, unless
+        // it tells the ones that it saw without records that there were none to lose. A voter that has restored records
+        // must not say so, since the others may have lost records that matter.
         hasFoundNewTier = isTierNew && !hasRestoredRecords;
     }
 
-    /** The other voters have to see this one without memory too: the finding has to last for a lease. */
+    /** Whether no voter has had records for one lease duration, in which the others also see that this one has none. */
     private boolean isTierNew(double nowMillis) {
         boolean areAllOthersWithoutRecords =
                 recoveredFrom.isEmpty() && votersWithoutRecords.size() >= voters.size() - 1;
@@ -160,13 +160,13 @@
         return nowMillis - noRecordsAnywhereSinceMillis >= parameters.leaseMillis();
     }
 
-    /** Answers a recovering voter where this one has no memory to share. */
+    /** Returns the answer to a recovering voter if this voter has no complete records either. */
     LeaseMessage noRecordsAnswer(LeaseMessage request) {
         return LeaseMessage.of(Kind.NO_RECORDS, "", dispatcher, 0, request.ballot())
                 .withHighestBallot(incarnation, 0);
     }
 
-    /** The last answer to a recovering voter: how many records were sent, and whether the tier is new to it. */
+    /** Returns the final answer to a recovering voter: the number of records sent, and whether it is in a new tier. */
     LeaseMessage finalAnswer(LeaseMessage request, int recordCount) {
         boolean wasSeenWithoutRecords = votersWithoutRecords.getOrDefault(request.sender(), -1L) == request.ballot();
         return LeaseMessage.of(Kind.RECOVERED_RECORD, "", dispatcher, 0, request.ballot())
--- a/src/main/java/nettlewick/lease/VoterStore.java
+++ b/src/main/java/nettlewick/lease/VoterStore.java
@@ -22,7 +22,7 @@
                 + "held INTEGER NOT NULL, version INTEGER NOT NULL, state BLOB NOT NULL) WITHOUT ROWID"
     };
     private static final String SELECT_RECORDS = "SELECT duty, promised, held, version, state FROM register";
-    /** Stands for a store that belongs to nobody. */
+    /** Not a valid dispatcher number. */
     private static final int NO_DISPATCHER = -1;
 
     private final Database database;
@@ -33,7 +33,7 @@
 
     static VoterStore open(Path folder) throws StoreException {
         VoterStore store =
-                new VoterStore(Database.open(folder.resolve(FILE_NAME), false, "the voter's memory", name -> {}));
+                new VoterStore(Database.open(folder.resolve(FILE_NAME), false, "the voter store", name -> {}));
         try {
             store.database.inTransaction("made", () -> {}, () -> {
                 store.database.createTables(TABLES);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Opens the store; a damaged file is renamed, and the voter starts without records. */
+    /** Opens the store. A damaged file is renamed and replaced by an empty one, so that the voter has no records. */
     static VoterStore openOrRecreate(Path folder) throws StoreException {
         try {
             VoterStore store = open(folder);
@@ -69,8 +69,8 @@
     }
 
     /**
-     * The records by lease name; null where the store was not written by a voter with this number in this membership,
-     * or by one that had not begun to vote.
+     * Returns the records by lease name, or null if the store was not written by a voter with this number in this
+     * membership, or by one that had not started to vote.
      */
     Map<String, LeaseRecord> load(int membershipHash, int dispatcher) throws StoreException {
         return database.read(() -> {
@@ -90,7 +90,7 @@
         return LeaseRecord.stored(rows.getLong(2), rows.getLong(3), rows.getLong(4), rows.getBytes(5));
     }
 
-    /** Deletes everything, for a voter that starts without records. */
+    /** Deletes all records, for a voter that starts without any. */
     void clear() throws StoreException {
         database.inTransaction(
                 "emptied",
@@ -99,8 +99,8 @@
     }
 
     /**
-     * From now on this voter votes. Before that its records are incomplete, and a restart must not take them for all
-     * that it ever promised.
+     * Marks the store as belonging to a voting voter. Until then its records are incomplete, and a restarted voter must
+     * not mistake them for everything that it ever promised.
      */
     void markVoting(int membershipHash, int dispatcher) throws StoreException {
         database.inTransaction(
@@ -110,7 +110,7 @@
                         + database.execute("INSERT INTO whose VALUES (?, ?)", membershipHash, dispatcher));
     }
 
-    /** Stores these records over earlier ones, without their grants. */
+    /** Stores these records, without their grants, in place of earlier ones. */
     void save(Map<String, LeaseRecord> changed) throws StoreException {
         database.inTransaction("written", () -> {}, () -> {
             for (Map.Entry<String, LeaseRecord> entry : changed.entrySet()) {
--- a/src/test/java/nettlewick/lease/CandidateRankingTest.java
+++ b/src/test/java/nettlewick/lease/CandidateRankingTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which dispatchers stand for a lease. */
+/** The order in which dispatchers compete for a lease. */
 class CandidateRankingTest {
     @Test
     void leasesSpreadOverAllDispatchersAndMoveOnlyFromARemovedOne() {
--- a/src/test/java/nettlewick/lease/FenceGateTest.java
+++ b/src/test/java/nettlewick/lease/FenceGateTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Acts under the fence of a former holder. */
+/** Operations under the fence of a former holder. */
 class FenceGateTest {
     @Test
     void lowerFenceIsRejectedOnceAHigherOneWasSeen() {
--- a/src/test/java/nettlewick/lease/HostileDispatcher.java
+++ b/src/test/java/nettlewick/lease/HostileDispatcher.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import nettlewick.settings.Settings;
 
-/** A dispatcher with the right key that sends false reports to all, each twice and some of them garbled. */
+/** A dispatcher with the shared key that sends false reports to all others, each twice and some of them corrupted. */
 public final class HostileDispatcher implements AutoCloseable {
     private static final long INTERVAL_MILLIS = 50;
     private static final double GARBLED_SHARE = 0.2;
@@ -26,7 +26,7 @@
     private final SplittableRandom random = new SplittableRandom(3);
     private final Thread thread = new Thread(this::sendReports, "hostile");
 
-    /** @param settings the settings file of the dispatcher that it poses as */
+    /** @param settingsFile the settings file of the dispatcher that it impersonates */
     public HostileDispatcher(
             Path settingsFile, String leaseName, List<InetSocketAddress> recipients, Supplier<byte[]> reports)
             throws IOException {
@@ -59,7 +59,7 @@
                 TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
             }
         } catch (IOException | InterruptedException e) {
-            // closed
+            // The dispatcher was closed.
         }
     }
 
--- a/src/test/java/nettlewick/lease/LeaseCandidateTest.java
+++ b/src/test/java/nettlewick/lease/LeaseCandidateTest.java
@@ -10,7 +10,7 @@
 import nettlewick.lease.LeaseMessage.Outgoing;
 import org.junit.jupiter.api.Test;
 
-/** A candidate whose requests and answers get lost. */
+/** A candidate whose requests and answers may get lost. */
 class LeaseCandidateTest {
     private static final double LEASE_MILLIS = 1200;
     private final LeaseParameters parameters = new LeaseParameters(LEASE_MILLIS, 0.05);
@@ -22,7 +22,7 @@
         voterNumbers.forEach(v -> voters.add(new LeaseVoter(v, voterNumbers, parameters, 0, v).startVoting()));
     }
 
-    /** Delivers requests to the voters and their answers, but for the silent ones', to the candidate. */
+    /** Delivers requests to the voters, and the answers of all but the silent voters to the candidate. */
     private List<Outgoing> deliverToVoters(List<Outgoing> requests, double now, int... silentVoters) {
         List<Outgoing> next = new ArrayList<>();
         for (Outgoing outgoing : requests) {
@@ -35,7 +35,7 @@
         return next;
     }
 
-    /** All answers but one voter's are lost the first time. */
+    /** The first time, the answers of all voters but one are lost. */
     @Test
     void unansweredRequestIsRepeatedToVotersThatHaveNotAnswered() {
         double now = 0;
@@ -56,13 +56,13 @@
         }
         assertEquals(LeaseCandidate.State.HOLDING, candidate.lifecycleState());
         assertTrue(candidate.mayAct(now));
-        // The lease counts from the first transmission of the request.
+        // The lease starts at the first transmission of the request.
         double firstSentAt = now - LEASE_MILLIS / 12;
         assertTrue(candidate.mayAct(firstSentAt + parameters.holderLeaseMillis() - 1));
         assertTrue(!candidate.mayAct(firstSentAt + parameters.holderLeaseMillis()));
     }
 
-    /** Otherwise one fence would cover two separate holdings. */
+    /** Otherwise one fence would cover two separate periods of holding the lease. */
     @Test
     void renewalAnsweredAfterExpiryDoesNotExtendTheLease() {
         List<Outgoing> requests = candidate.tick(0);
@@ -91,7 +91,7 @@
                 .allMatch(outgoing -> outgoing.message().kind() == Kind.QUERY));
     }
 
-    /** A single lost datagram does not make a candidate start again. */
+    /** A single lost datagram must not make a candidate start its attempt again. */
     @Test
     void leasesAreHeldMostOfTheTimeWithAFifthOfDatagramsLost() {
         double unheldShare = SimulatedLeaseTier.unheldShare(12, 3, 0.2, 60_000, 5);
--- a/src/test/java/nettlewick/lease/LeaseFollowerTest.java
+++ b/src/test/java/nettlewick/lease/LeaseFollowerTest.java
@@ -9,7 +9,7 @@
 import nettlewick.lease.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** What a dispatcher knows of a lease that others hold. */
+/** What a dispatcher learns about a lease from the announcements of other dispatchers. */
 class LeaseFollowerTest {
     private final LeaseFollower follower = new LeaseFollower("pool-red", 4);
 
@@ -39,7 +39,7 @@
         assertEquals(1, follower.handle(announcement(1, 100, 4, null)).size());
     }
 
-    /** A former holder that was paused may go on announcing an old state. */
+    /** A former holder that was paused may still announce an old state. */
     @Test
     void announcementUnderALowerFenceIsIgnored() {
         follower.handle(announcement(1, 100, 3, "three"));
@@ -49,7 +49,7 @@
         assertEquals(2, follower.holder());
     }
 
-    /** A tier that has lost its memory counts versions from the start again. */
+    /** A tier that has lost its records restarts the version count. */
     @Test
     void versionNumberAloneIsNotTrustedUnderANewFence() {
         follower.handle(announcement(1, 100, 7, "seven"));
--- a/src/test/java/nettlewick/lease/LeaseInvariants.java
+++ b/src/test/java/nettlewick/lease/LeaseInvariants.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Checks that a stored version never changes and is known to every later holder. */
+/** Checks that a stored version never changes and that each later holder knows it. */
 final class LeaseInvariants {
     private static final long NOT_HOLDING = -1;
 
-    /** By candidate: the version that it held at the last check. */
+    /** By candidate: its version at the last check. */
     private final long[] lastVersions;
 
     private final TreeMap<Long, String> storedStates = new TreeMap<>();
@@ -18,7 +18,7 @@
         lastVersions = new long[candidateCount];
     }
 
-    /** An independent copy, whose count of holders starts at 0. */
+    /** Returns an independent copy, whose count of holders starts at 0. */
     LeaseInvariants copy() {
         LeaseInvariants copy = new LeaseInvariants(lastVersions.length);
         System.arraycopy(lastVersions, 0, copy.lastVersions, 0, lastVersions.length);
@@ -30,17 +30,17 @@
         lastVersions[candidate] = 0;
     }
 
-    /** The states by their versions. */
+    /** The stored states by version. */
     Map<Long, String> storedStates() {
         return storedStates;
     }
 
-    /** How often a candidate became holder. */
+    /** How often a candidate became the holder. */
     int holderCount() {
         return holderCount;
     }
 
-    /** What is wrong with this candidate's state, or null. */
+    /** Returns a description of the invariant that this candidate violates, or null. */
     String check(int index, LeaseCandidate candidate, boolean mayAct) {
         if (candidate.lifecycleState() != LeaseCandidate.State.HOLDING) {
             lastVersions[index] = NOT_HOLDING;
@@ -50,7 +50,7 @@
         if (lastVersions[index] < 0) {
             holderCount++;
             if (!storedStates.isEmpty() && mayAct && version < storedStates.lastKey()) {
-                return "version " + storedStates.lastKey() + " is lost: a new holder has " + version;
+                return "version " + storedStates.lastKey() + " is lost: a new holder has version " + version;
             }
         }
         if (lastVersions[index] != version && version > 0) {
--- a/src/test/java/nettlewick/lease/LeaseMessageGoldenTest.java
+++ b/src/test/java/nettlewick/lease/LeaseMessageGoldenTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of message as the bytes that builds of one fleet exchange, the authentication code included. */
+/** The encoded bytes of each kind of message, which different builds in one fleet exchange, with the HMAC. */
 class LeaseMessageGoldenTest {
     private static final byte[] KEY = "0123456789abcdef0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] STATE = "version=7;pool=a,b".getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/nettlewick/lease/LeaseModel.java
+++ b/src/test/java/nettlewick/lease/LeaseModel.java
@@ -12,7 +12,7 @@
 
 /**
  * A model of voters and two candidates whose messages arrive in any order, with losses, duplicates, crashes, pauses and
- * drifting clocks. It applies one step at a time and checks the invariants after each.
+ * drifting clocks. Applies one step at a time and checks the invariants after each.
  */
 final class LeaseModel {
     private static final String LEASE_NAME = "pool red";
@@ -27,7 +27,7 @@
     private final LeaseVoter[] voters;
     private final LeaseCandidate[] candidates = new LeaseCandidate[CANDIDATES];
     private final List<Outgoing> network = new ArrayList<>();
-    /** By candidate: the fence under which it looked and may still act; 0: none. */
+    /** By candidate: the fence that it has observed and may still act under; 0 for none. */
     private final long[] observedFences = new long[CANDIDATES];
 
     private final LeaseInvariants invariants;
@@ -57,7 +57,7 @@
         candidates[1] = new LeaseCandidate(LEASE_NAME, 1, 2, votersKnownTo(1), parameters, 0, 0);
     }
 
-    /** A tier whose voters all start without memory. */
+    /** Creates a tier whose voters all start without records. */
     static LeaseModel withEmptyVoters(int voterCount) {
         LeaseModel model = new LeaseModel(voterCount, SeededBug.NONE);
         for (int v = 0; v < voterCount; v++) {
@@ -75,7 +75,7 @@
         return bug == SeededBug.VOTER_LISTS_DIFFER && candidate == 1 ? List.of(1) : voterNumbers();
     }
 
-    /** An independent copy, whose counts of acts and holders start at 0. */
+    /** Creates an independent copy, whose counts of operations and holders start at 0. */
     LeaseModel(LeaseModel model) {
         bug = model.bug;
         parameters = model.parameters;
@@ -99,7 +99,7 @@
         remainingReleases = model.remainingReleases;
     }
 
-    /** How many more messages may be lost and duplicated, and how many voters may crash. */
+    /** Sets how many more messages may be lost and duplicated, and how many more voters may crash. */
     LeaseModel allowFaults(int losses, int duplicates, int crashes) {
         remainingLosses = losses;
         remainingDuplicates = duplicates;
@@ -107,7 +107,7 @@
         return this;
     }
 
-    /** How many more changes holders may propose and how often they may release the lease. */
+    /** Sets how many more changes holders may propose, and how often they may still release the lease. */
     LeaseModel allowHolderSteps(int changes, int releases) {
         remainingChanges = changes;
         remainingReleases = releases;
@@ -142,7 +142,7 @@
         return invariants.holderCount();
     }
 
-    /** Candidate 0's clock is slow, the voters' are fast and candidate 1's is right, all within the bound. */
+    /** Candidate 0's clock is slow, the voters' clocks are fast and candidate 1's is exact, within the drift bound. */
     private double candidateClock(int candidate) {
         return candidate == 0 ? now * (1 - MAX_CLOCK_DRIFT / 2) : now;
     }
@@ -155,7 +155,7 @@
         return candidates[candidate].mayAct(candidateClock(candidate));
     }
 
-    /** Every step that may happen next. */
+    /** Returns each step that may happen next. */
     List<LeaseModelStep> choices() {
         List<LeaseModelStep> steps = new ArrayList<>();
         for (int i = 0; i < network.size(); i++) {
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Applies a step; the invariant that it broke, or null. */
+    /** Applies a step and returns a description of the invariant that it violated, or null. */
     String apply(LeaseModelStep step) {
         int index = step.index();
         switch (step.action()) {
@@ -216,7 +216,7 @@
         return findViolation();
     }
 
-    /** The candidate shuts down and starts again with another incarnation. */
+    /** Shuts the candidate down and restarts it with another incarnation. */
     private void release(int candidate) {
         network.addAll(candidates[candidate].copy().retire(1 - candidate));
         remainingReleases--;
@@ -231,7 +231,7 @@
         invariants.candidateRestarted(candidate);
     }
 
-    /** The voter loses its memory. */
+    /** Restarts the voter without its records. */
     private void crash(int voter) {
         remainingCrashes--;
         voters[voter] = new LeaseVoter(voter, voterNumbers(), parameters, voterClock(), 100 + nextIncarnation++);
@@ -257,7 +257,7 @@
         actCount++;
         boolean isStale = fence < highestActedFence;
         highestActedFence = Math.max(highestActedFence, fence);
-        return isStale ? "an act under fence " + fence + " after one under " + highestActedFence : null;
+        return isStale ? "an operation under fence " + fence + " after one under " + highestActedFence : null;
     }
 
     private void deliver(Outgoing outgoing) {
@@ -290,7 +290,7 @@
                 message.state());
     }
 
-    /** Changes the receiver's record before it handles the message, as a faulty voter might. */
+    /** Corrupts the receiver's record before it handles the message, as a faulty voter might. */
     private void corruptRecord(Map<String, LeaseRecord> records, LeaseMessage message) {
         LeaseRecord current = records.get(message.leaseName());
         if (current == null) {
@@ -315,7 +315,7 @@
 
     private String findViolation() {
         if (mayAct(0) && mayAct(1)) {
-            return "two may act at " + now;
+            return "both candidates may act at " + now;
         }
         for (int c = 0; c < CANDIDATES; c++) {
             String violation = invariants.check(c, candidates[c], mayAct(c));
@@ -326,7 +326,7 @@
         return null;
     }
 
-    /** Everything that matters for what may follow: two models with the same description behave alike. */
+    /** Describes all that determines later behaviour: two models with the same description behave alike. */
     String describeState() {
         StringBuilder text = new StringBuilder()
                 .append(now)
@@ -371,7 +371,7 @@
                 + leaseRecord.grantedUntilMillis();
     }
 
-    /** Whether a holder is found and a change stored once no more faults happen. */
+    /** Whether a candidate acquires the lease and stores a change once no more faults happen. */
     boolean converges() {
         LeaseModelStep deliverFirst = new LeaseModelStep(Action.DELIVER, 0);
         for (int i = 0; i < MAX_CONVERGENCE_STEPS; i++) {
--- a/src/test/java/nettlewick/lease/LeaseModelStep.java
+++ b/src/test/java/nettlewick/lease/LeaseModelStep.java
@@ -3,10 +3,10 @@
 /**
  * A step of {@link LeaseModel}.
  *
- * @param index of a message in the network, of a candidate or of a voter, as the action needs it
+ * @param index the index of a message in the network, a candidate or a voter, depending on the action
  */
 record LeaseModelStep(Action action, int index) {
-    /** The kinds of steps. LOOK and ACT are the two halves of an act, with a pause of any length between. */
+    /** The kinds of steps. OBSERVE_FENCE and ACT are the two halves of an operation, with any pause between them. */
     enum Action {
         DELIVER,
         DROP,
--- a/src/test/java/nettlewick/lease/LeaseRandomWalk.java
+++ b/src/test/java/nettlewick/lease/LeaseRandomWalk.java
@@ -8,7 +8,7 @@
 
 /** Random steps through a {@link LeaseModel}, weighted so that leases are held, lost and held again. */
 final class LeaseRandomWalk {
-    /** Of the messages in flight, the oldest ones that are delivered most of the time. */
+    /** How many of the oldest messages in flight most deliveries are chosen from. */
     private static final int LIKELY_MESSAGES = 3;
 
     private final LeaseModel model;
@@ -28,7 +28,7 @@
         return model;
     }
 
-    /** Applies steps until one breaks an invariant; the invariant, or null. */
+    /** Applies steps until one violates an invariant; returns its description, or null. */
     String run(int steps) {
         for (int i = 0; i < steps; i++) {
             String violation = model.apply(pickStep());
@@ -39,7 +39,7 @@
         return null;
     }
 
-    /** Mostly delivers messages, and lets time pass in leaps long enough for leases to end; the rest is anything. */
+    /** Picks mostly deliveries, and runs of time steps that are long enough for leases to expire. */
     private LeaseModelStep pickStep() {
         int roll = random.nextInt(100);
         int messages = model.messagesInFlight();
@@ -63,7 +63,7 @@
 
     private LeaseModelStep pickChoice(boolean prefersHolder) {
         List<LeaseModelStep> choices = model.choices();
-        // A candidate that has looked is mostly paused for a while before it acts.
+        // A candidate that has observed its fence mostly pauses for a while before it acts.
         Set<Action> holderActions = random.nextInt(8) == 0
                 ? EnumSet.of(Action.OBSERVE_FENCE, Action.ACT, Action.CHANGE)
                 : EnumSet.of(Action.OBSERVE_FENCE, Action.CHANGE);
--- a/src/test/java/nettlewick/lease/LeaseSearchTest.java
+++ b/src/test/java/nettlewick/lease/LeaseSearchTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Searches orders of messages and faults for broken invariants; {@code make search-duty} goes further. */
+/** Searches orders of messages and faults for violated invariants; {@code make search-duty} searches further. */
 @Timeout(120)
 class LeaseSearchTest {
     static final int WALKS = Integer.getInteger("search.walks", 5_000);
@@ -40,11 +40,11 @@
         }
         System.out.println("voters=" + voters + " walks=" + WALKS + " holders=" + holders + " acts=" + acts
                 + " stale_acts_rejected=" + rejectedActs);
-        assertTrue(rejectedActs > 0, "no stale act was tried");
-        assertTrue(holders > WALKS / 2, holders + " holders: leases have to change hands");
+        assertTrue(rejectedActs > 0, "no operation under an outdated fence was tried");
+        assertTrue(holders > WALKS / 2, holders + " holders: leases must change holders");
     }
 
-    /** Voters that all start without memory, one of which loses it again, keep what they found. */
+    /** Voters that all start without records, of which one may lose its records again, do not lose a stored state. */
     @Test
     void randomWalksFromEmptyVotersBreakNoInvariant() {
         int voters = 3;
@@ -70,7 +70,7 @@
         }
     }
 
-    /** All orders of steps, breadth first, as deep as the number of states allows. */
+    /** Explores all orders of steps breadth first, as deep as the limit on states allows. */
     @Test
     void noOrderOfTheFirstStepsBreaksAnInvariant() {
         LeaseModel start =
--- a/src/test/java/nettlewick/lease/LeaseVoterTest.java
+++ b/src/test/java/nettlewick/lease/LeaseVoterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When voters that start without memory may vote, with datagrams lost. */
+/** When voters that start without records may vote, also while datagrams are lost. */
 class LeaseVoterTest {
     private static final double LEASE_MILLIS = 1000;
     private static final double TICK_MILLIS = 20;
@@ -39,10 +39,10 @@
             }
         }
         assertTrue(voters.get(0).isVoting());
-        assertTrue(!voters.get(1).isVoting() && !voters.get(2).isVoting(), "voters without memory must not vote");
+        assertTrue(!voters.get(1).isVoting() && !voters.get(2).isVoting(), "voters without records must not vote");
     }
 
-    /** The first voter to find the tier new has a memory from then on; the others must not wait for more of those. */
+    /** The first voter that finds the tier new then counts as one with records; the others must not wait for more. */
     @ParameterizedTest
     @CsvSource({"3, 0", "3, 0.3", "5, 0", "5, 0.3", "9, 0.3"})
     void allVotersEventuallyVote(int voterCount, double lossRate) {
--- a/src/test/java/nettlewick/lease/MessageCodecTest.java
+++ b/src/test/java/nettlewick/lease/MessageCodecTest.java
@@ -11,7 +11,7 @@
 import nettlewick.lease.MessageCodec.DiscardReason;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams are decoded only whole, once, and from senders with the same key and membership. */
+/** Datagrams are decoded only if they are intact, not repeated, and from a sender with the same key and membership. */
 class MessageCodecTest {
     private static final byte[] KEY = new byte[32];
     private static final LeaseMessage MESSAGE =
--- a/src/test/java/nettlewick/lease/SeededBug.java
+++ b/src/test/java/nettlewick/lease/SeededBug.java
@@ -1,6 +1,6 @@
 package nettlewick.lease;
 
-/** Faults in the program that the search has to find. */
+/** Deliberate faults that the search must find. */
 enum SeededBug {
     NONE,
     LEASE_TOO_LONG,
--- a/src/test/java/nettlewick/lease/SimulatedLeaseTier.java
+++ b/src/test/java/nettlewick/lease/SimulatedLeaseTier.java
@@ -12,7 +12,7 @@
 import nettlewick.lease.LeaseMessage.Kind;
 import nettlewick.lease.LeaseMessage.Outgoing;
 
-/** A simulated tier in virtual time: how many bytes its leases cost, and how long leases are unheld under losses. */
+/** A tier in simulated time, which measures the traffic of its leases and how long they are unheld under losses. */
 public final class SimulatedLeaseTier {
     private static final double LEASE_MILLIS = 3000;
     private static final double TICK_MILLIS = 100;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Ticks every candidate and delivers all messages that follow. */
+    /** Calls each candidate's tick and delivers all messages that result. */
     private void tick(double now) {
         Deque<Outgoing> messages = new ArrayDeque<>();
         for (Map<Integer, LeaseCandidate> leaseCandidates : candidates.values()) {
@@ -83,7 +83,7 @@
                 .count();
     }
 
-    /** The mean number of bytes that one dispatcher sends in a second for this many leases. */
+    /** Returns the mean number of bytes per second that one dispatcher sends for this many leases. */
     public static double bytesPerSecond(int dispatchers, int leaseCount, double millis) {
         SimulatedLeaseTier tier = new SimulatedLeaseTier(dispatchers, 5, leaseCount, 0, 1);
         for (double now = 0; now < millis; now += TICK_MILLIS) {
@@ -104,7 +104,7 @@
         return (tier.sentBytes / (millis / 2) + announcementBytes) * 1000 / dispatchers;
     }
 
-    /** The share of the time in which a lease has no holder, the mean of thirty, from the start and under losses. */
+    /** Returns the fraction of the time, from the start, in which a lease has no holder: the mean of thirty leases. */
     public static double unheldShare(int dispatchers, int voterCount, double lossRate, double millis, long seed) {
         SimulatedLeaseTier tier = new SimulatedLeaseTier(dispatchers, voterCount, 30, lossRate, seed);
         double unheldTicks = 0;
--- a/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
+++ b/src/test/java/nettlewick/lease/StoredVoterGoldenTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Opens the folder of a voter that an earlier build wrote and compares what it promised and accepted. */
+/** Opens a voter's folder that an earlier build wrote, and compares the promised ballots and accepted states. */
 class StoredVoterGoldenTest {
     private static final String FOLDER = "lease/voter";
 
@@ -24,7 +24,7 @@
                 .withState(ballot, version, new byte[] {(byte) version, -1, 0});
     }
 
-    /** Writes the folder where recording was requested. */
+    /** Writes the folder if recording was requested. */
     @BeforeAll
     static void record(@TempDir Path recordedFolder) throws Exception {
         if (!Boolean.getBoolean("golden.record")) {
--- a/src/test/java/nettlewick/lease/VoterStoreTest.java
+++ b/src/test/java/nettlewick/lease/VoterStoreTest.java
@@ -29,7 +29,7 @@
         return voter.handle(message, now).get(0).message().kind();
     }
 
-    /** Votes once, stores the changed record and marks the voter as voting. */
+    /** Lets a voter vote, stores the changed record and marks the voter as voting. */
     private void voteAndStore() throws Exception {
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
             store.clear();
@@ -58,9 +58,9 @@
                     restartedVoter
                             .handle(request(Kind.PREPARE, Ballot.of(9, 1, 1), 0), 10)
                             .isEmpty(),
-                    "it abstains for a lease");
+                    "it abstains for one lease duration");
             restartedVoter.tick(1100);
-            assertTrue(restartedVoter.isVoting(), "by itself");
+            assertTrue(restartedVoter.isVoting(), "it votes without recovering from other voters");
             assertEquals(Kind.REFUSED, answerKind(restartedVoter, request(Kind.PREPARE, Ballot.of(4, 1, 1), 0), 1100));
             LeaseMessage promised = restartedVoter
                     .handle(request(Kind.PREPARE, Ballot.of(6, 2, 1), 0), 1100)
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Otherwise an incomplete store would pass for all that the voter ever promised. */
+    /** Otherwise an incomplete store would be mistaken for everything that the voter ever promised. */
     @Test
     void voterThatHasNotVotedYetRestoresNothing() throws Exception {
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
@@ -87,8 +87,8 @@
     void foreignOrDamagedFolderRestoresNothing() throws Exception {
         voteAndStore();
         try (VoterStore store = VoterStore.openOrRecreate(dir)) {
-            assertNull(store.load(42, 1), "of another voter");
-            assertNull(store.load(43, 0), "in another list");
+            assertNull(store.load(42, 1), "the store of another voter");
+            assertNull(store.load(43, 0), "the store of another membership");
             assertEquals(1, store.load(42, 0).size());
         }
         Files.write(
