--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import nettlewick.ledger.LedgerSettings;
 import nettlewick.settings.InvalidSettingsException;
-import nettlewick.settings.Reference;
 import nettlewick.settings.Settings;
+import nettlewick.settings.SettingsReference;
 
-/** Checks or shows a settings file, or prints the reference of all settings. */
+/** Checks or prints a settings file, or prints the reference of all settings. */
 @Parameters(commandDescription = "check FILE, show FILE (what is in force), or print the reference")
 final class SettingsCommand implements Command {
     @Parameter(description = "check FILE | show FILE | reference", required = true)
@@ -21,12 +21,12 @@
     public int run() {
         String action = arguments.get(0);
         if (action.equals("reference") && arguments.size() == 1) {
-            System.out.print(Reference.page());
+            System.out.print(SettingsReference.toMarkdown());
             return 0;
         }
         if (!List.of("check", "show").contains(action) || arguments.size() != 2) {
-            throw new UsageException(
-                    Main.USAGE_ERROR,
+            throw new CommandException(
+                    Main.EXIT_USAGE_ERROR,
                     "settings: expected check FILE, show FILE or reference, got " + String.join(" ", arguments));
         }
         Settings settings = read(arguments.get(1));
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Checks what the schema alone does not show.
+     * Checks constraints that the schema cannot express.
      *
-     * @throws InvalidSettingsException if something is wrong
+     * @throws InvalidSettingsException if a constraint is violated
      */
     static Settings requireValid(Settings settings) {
         settings.block("ledger").ifPresent(LedgerSettings::of);
@@ -45,15 +45,15 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a settings file.
      *
-     * @throws UsageException if it cannot be read or is invalid
+     * @throws CommandException if it cannot be read or is invalid
      */
     static Settings read(String file) {
         try {
             return requireValid(Settings.read(Path.of(file)));
         } catch (InvalidSettingsException | InvalidPathException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/core/AttemptTracker.java
+++ b/src/main/java/nettlewick/core/AttemptTracker.java
@@ -6,7 +6,7 @@
 import nettlewick.decision.Event.Progress;
 import nettlewick.decision.SchedulerSettings;
 
-/** Sends attempts, times them out, and reports exactly one outcome for each to the decision module. Core thread. */
+/** Sends attempts, enforces their timeouts, and reports one outcome of each to the module. Core thread only. */
 final class AttemptTracker {
     private final CoreLoop loop;
     private final InFlightTable table;
@@ -36,7 +36,7 @@
         maxAttempts = settings.limits().maxAttempts();
     }
 
-    /** Starts the attempt that the module asked for, or ends it at once where it may not be sent. */
+    /** Starts the attempt that the module requested, or ends it immediately if it must not be sent. */
     void dispatch(Dispatch dispatch) {
         InFlightRequest inFlight = table.get(dispatch.id());
         if (inFlight == null) {
@@ -44,63 +44,63 @@
         }
         double now = loop.nowMillis();
         Attempt attempt = inFlight.addAttempt(dispatch.endpointId(), now);
-        AttemptResult obstacle = findObstacle(inFlight, attempt, now);
-        if (obstacle != null) {
-            end(attempt, Attempt.Outcome.of(obstacle), now);
+        AttemptResult unsentResult = resultIfNotSendable(inFlight, attempt, now);
+        if (unsentResult != null) {
+            end(attempt, Attempt.Outcome.of(unsentResult), now);
             return;
         }
         double deadline = inFlight.request().deadlineMillis();
         double timeoutAt = dispatch.timeoutNanos() > 0
                 ? Math.min(deadline, now + ModuleTime.toMillis(dispatch.timeoutNanos()))
                 : deadline;
-        loop.schedule(timeoutAt, () -> giveUp(attempt, AttemptResult.TIMEOUT));
+        loop.schedule(timeoutAt, () -> endAndCancel(attempt, AttemptResult.TIMEOUT));
         transport.send(attempt);
     }
 
-    /** The result of an attempt that may not be sent; null where it may. */
-    private AttemptResult findObstacle(InFlightRequest inFlight, Attempt attempt, double now) {
+    /** The result to report for an attempt that must not be sent; null if it may be sent. */
+    private AttemptResult resultIfNotSendable(InFlightRequest inFlight, Attempt attempt, double now) {
         if (inFlight.isAnswered() || now >= inFlight.request().deadlineMillis() || attempt.number() >= maxAttempts) {
             return AttemptResult.NOT_SENT;
         }
         if (!endpoints.isKnown(attempt.endpoint())) {
             return AttemptResult.UNREACHABLE;
         }
-        // The module's view may lag behind: an endpoint that drains gets nothing new.
+        // The module's endpoint states may be out of date, so draining endpoints are checked here as well.
         return endpoints.isAccepting(attempt.endpoint()) ? null : AttemptResult.OVERLOADED;
     }
 
-    /** Stops waiting for the attempt that the module names. */
+    /** Cancels the attempt that the module names; ignored if there is no such attempt. */
     void cancel(Cancel cancel) {
         InFlightRequest inFlight = table.get(cancel.id());
         if (inFlight != null
                 && cancel.attempt() >= 0
                 && cancel.attempt() < inFlight.attempts().size()) {
-            giveUp(inFlight.attempts().get(cancel.attempt()), AttemptResult.CANCELLED);
+            endAndCancel(inFlight.attempts().get(cancel.attempt()), AttemptResult.CANCELLED);
         }
     }
 
-    private void giveUp(Attempt attempt, AttemptResult result) {
+    private void endAndCancel(Attempt attempt, AttemptResult result) {
         if (!attempt.isEnded()) {
             end(attempt, Attempt.Outcome.of(result), loop.nowMillis());
             transport.cancel(attempt);
         }
     }
 
-    /** Passes on that an endpoint reported progress at that time. */
-    void reportProgress(Attempt attempt, double share, double reportedAtMillis) {
+    /** Records progress that an endpoint reported and passes it on to the module and the caller. */
+    void reportProgress(Attempt attempt, double progress, double reportedAtMillis) {
         if (attempt.isEnded()) {
             return;
         }
         attempt.recordStart(reportedAtMillis);
-        attempt.recordProgress(share);
-        loop.addEvent(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), share));
+        attempt.recordProgress(progress);
+        loop.addEvent(new Progress(attempt.request().id(), attempt.number(), attempt.endpoint(), progress));
         InFlightRequest inFlight = table.get(attempt.request().id());
         if (inFlight != null && !inFlight.isAnswered()) {
-            inFlight.request().caller().onProgress(share);
+            inFlight.request().caller().onProgress(progress);
         }
     }
 
-    /** Takes the end of an attempt; only its first end counts. */
+    /** Ends an attempt; calls after the first one are ignored. */
     void end(Attempt attempt, Attempt.Outcome outcome, double endedAtMillis) {
         if (!attempt.markEnded()) {
             return;
--- a/src/main/java/nettlewick/decision/ArrivalHandler.java
+++ b/src/main/java/nettlewick/decision/ArrivalHandler.java
@@ -98,7 +98,7 @@
 
     /** Probes the home endpoints with stale reports; returns whether a probe is pending. */
     private boolean probeHomeEndpoints(ScheduledRequest request) {
-        return probePool.probeStale(KeyAffinity.homeEndpoints(request, pools.candidates(request)));
+        return probePool.probeStale(KeyAffinity.preferredEndpoints(request, pools.candidates(request)));
     }
 
     /** Runs on {@link #HOLD_TIMER}: admits the requests that were held for the full wait. */
@@ -113,7 +113,7 @@
     private void admit(ScheduledRequest request) {
         admission.distributeCredit();
         EndpointSelection selection = selector.select(request);
-        if (!selection.hasRoom() && mustShed(request, selection.endpoint())) {
+        if (!selection.hasFreeCapacity() && mustShed(request, selection.endpoint())) {
             completion.reject(request);
             return;
         }
--- a/src/main/java/nettlewick/decision/CapacitySlice.java
+++ b/src/main/java/nettlewick/decision/CapacitySlice.java
@@ -50,13 +50,13 @@
     /** Adjusts the slice to the rates of the interval that just ended. */
     void adjust(ServiceRates rates, double minRate) {
         if (!isEnforced()) {
-            rate = Math.max(minRate, rates.acceptedRate());
-            hasAcceptedNothing = rates.acceptedRate() <= 0;
+            rate = Math.max(minRate, rates.netAcceptedRate());
+            hasAcceptedNothing = rates.netAcceptedRate() <= 0;
             return;
         }
         // Capacity can change while slices are binding: a slice that serves all that it accepts is raised a little,
         // and any other is cut towards its served rate.
-        boolean servesAll = rates.servedRate() >= (1 - GROWTH_PER_INTERVAL) * rates.triedRate();
+        boolean servesAll = rates.servedRate() >= (1 - GROWTH_PER_INTERVAL) * rates.grossAcceptedRate();
         double reducedRate =
                 Math.max((1 + GROWTH_PER_INTERVAL) * rates.servedRate(), (1 - MAX_CUT_PER_INTERVAL) * rate);
         rate = Math.max(minRate, servesAll ? rate * (1 + GROWTH_PER_INTERVAL) : Math.min(rate, reducedRate));
--- a/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
+++ b/src/test/java/nettlewick/net/ClientConnectionCloseTest.java
@@ -1,6 +1,6 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
 import static nettlewick.net.DispatcherOnStubPlatform.until;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -14,16 +14,18 @@
 import nettlewick.core.Clock;
 import org.junit.jupiter.api.Test;
 
-/** The end of a client's connection, and what crosses it: pipelined requests, garbage, floods, signals. */
+/**
+ * The close of a client connection, and what arrives at the same time: pipelined requests, garbage, floods, signals.
+ */
 class ClientConnectionCloseTest extends ConnectionRaceTestBase {
-    /** Guards against a request in work that is answered for what stands behind it, and forwarded all the same. */
+    /** Guards against rejecting a forwarded request because of the garbage that follows it. */
     @Test
     void answersTheRequestInFlightBeforeRejectingGarbageBehindIt() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
-            client.send(job("/api", "a", "mark-submit", ""));
+            client.send(requestBytes("/api", "a", "mark-submit", ""));
             until(() -> held.size() == 1);
             client.send(GARBAGE);
             awaitEventLoop(port);
@@ -32,44 +34,44 @@
             assertEquals(400, client.read().status());
             assertNull(client.read());
         }
-        assertEquals(1, world.seen.size());
+        assertEquals(1, platform.seen.size());
     }
 
-    /** Guards against requests that were read whole and end with no answer, when more comes than may wait. */
+    /** Guards against complete requests that get no response because more are pipelined than may wait. */
     @Test
     void answersEachOfTooManyPipelinedRequests() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         try (RawClient client = new RawClient(port)) {
-            client.send(job("/api", "a", "step-view", ""));
+            client.send(requestBytes("/api", "a", "step-view", ""));
             until(() -> held.size() == 1);
             Buffer more = Buffer.buffer();
             for (int i = 0; i < 5; i++) {
-                more.appendBuffer(job("/api", "more-" + i, "step-view", ""));
+                more.appendBuffer(requestBytes("/api", "more-" + i, "step-view", ""));
             }
             client.send(more);
             awaitEventLoop(port);
             finish(held.get(0));
             List<Integer> statuses = new ArrayList<>();
-            for (RawClient.Answer answer = client.read(); answer != null; answer = client.read()) {
-                statuses.add(answer.status());
+            for (RawClient.Response response = client.read(); response != null; response = client.read()) {
+                statuses.add(response.status());
             }
             assertEquals(List.of(200, 429, 429, 429, 429, 429), statuses);
         }
-        assertEquals(1, world.seen.size(), "none of those that were refused went on");
+        assertEquals(1, platform.seen.size(), "no rejected request is forwarded");
     }
 
-    /** Guards against a flood behind a request in work that hides its client's departure. */
+    /** Guards against a flood of bytes behind the request in flight that hides the close of its client. */
     @Test
     void noticesThatAClientLeavesBehindAFloodOfBytes() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         int port = start();
         RawClient client = new RawClient(port);
-        client.send(job("/api", "a", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 40"));
+        client.send(requestBytes("/api", "a", "step-view", "").toString().replace("X-Deadline: 4", "X-Deadline: 40"));
         until(() -> held.size() == 1);
-        // More than the kernel holds for a connection that is not read: its end stands behind all of it.
+        // More than the kernel buffers for a connection that is not read: the close comes after all of it.
         CompletableFuture<Void> flood = CompletableFuture.runAsync(() -> {
             try {
                 client.send(GARBAGE + "x".repeat(8 << 20));
@@ -79,39 +81,40 @@
             }
         });
         flood.get();
-        until(() -> !world.dispatcher().frontends().get(0).hasConnections());
+        until(() -> !platform.dispatcher().frontends().get(0).hasConnections());
     }
 
     /**
-     * Guards against a close over unread bytes, which resets the connection under the answer just written. The clock
-     * stands, so that the lingering close has no end of its own.
+     * Guards against closing a socket with unread bytes, which resets the connection and destroys the response just
+     * written. The clock is stopped, so that the lingering close does not time out.
      */
     @Test
     void lastResponseIsNotLostToUnreadBytes() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         List<HttpServerRequest> held = holdRequests();
         double start = System.currentTimeMillis();
         Clock clock = Clock.stoppedAt(start);
         DispatcherServer dispatcher = start(clock);
         int port = dispatcher.ports().get(0);
         try (RawClient client = new RawClient(port)) {
-            client.send(job("/api", "a", "mark-submit", "", "Connection: close")
+            client.send(requestBytes("/api", "a", "mark-submit", "", "Connection: close")
                     .toString()
                     .replace("X-Deadline: 4", "X-Deadline: 0.5"));
             until(() -> held.size() == 1);
             BlockedEventLoop loop = new BlockedEventLoop(dispatcher);
             client.send("\r\nbytes that nobody asked for");
-            // The core ends the request at its deadline; the answer waits behind the loop's halt, the bytes unread.
+            // The coordinator ends the request at its deadline; the response waits for the blocked event loop, and the
+            // bytes are unread.
             clock.advanceTo(start + 600);
-            boolean[] ended = new boolean[1];
-            while (!ended[0]) {
-                CompletableFuture<Integer> open = new CompletableFuture<>();
-                dispatcher.coordinator().withUnansweredCount(open::complete);
-                ended[0] = open.get() == 0;
+            boolean[] allAnswered = new boolean[1];
+            while (!allAnswered[0]) {
+                CompletableFuture<Integer> unanswered = new CompletableFuture<>();
+                dispatcher.coordinator().queryUnansweredCount(unanswered::complete);
+                allAnswered[0] = unanswered.get() == 0;
             }
             loop.release();
             assertEquals(502, client.read().status());
-            assertNull(client.read(), "ended in good order");
+            assertNull(client.read(), "closed without a reset");
             client.send("more");
             awaitEventLoop(port);
             client.send("and more: a connection that was closed would be reset by now");
@@ -120,16 +123,16 @@
     }
 
     /**
-     * Guards against a request that crosses the end of its idle connection and is read and dropped, or forwarded: it is
-     * never taken, and its client is told so by the reset.
+     * Guards against a request that arrives while its idle connection is being closed and is dropped or forwarded: it
+     * is never accepted, and a reset tells its client so.
      */
     @Test
     void neverAcceptsARequestThatCrossesTheCloseOfAnIdleConnection() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         int port = start();
         try (RawClient client = new RawClient(port)) {
-            assertNull(client.read(), "a connection that asks nothing is ended");
-            client.send(job("/api", "b", "step-view", "1"));
+            assertNull(client.read(), "a connection without a request is closed");
+            client.send(requestBytes("/api", "b", "step-view", "1"));
             awaitEventLoop(port);
             assertThrows(
                     java.io.IOException.class,
@@ -139,37 +142,40 @@
                             awaitEventLoop(port);
                         }
                     },
-                    "the client is told that nobody reads it");
+                    "a reset tells the client that nothing is read");
         }
         try (RawClient client = new RawClient(port)) {
             assertEquals(
-                    200, client.send(job("/api", "a", "step-view", "1")).read().status());
-            CompletableFuture<Void> end = CompletableFuture.runAsync(world.dispatcher()::shutDown);
-            assertNull(client.read(), "so is a resting one at the planned end");
-            client.send(job("/api", "c", "step-view", "1"));
-            end.get();
+                    200,
+                    client.send(requestBytes("/api", "a", "step-view", "1"))
+                            .read()
+                            .status());
+            CompletableFuture<Void> shutdown = CompletableFuture.runAsync(platform.dispatcher()::shutDown);
+            assertNull(client.read(), "an idle connection is closed by the graceful shutdown");
+            client.send(requestBytes("/api", "c", "step-view", "1"));
+            shutdown.get();
         }
-        assertEquals(1, world.seen.size());
+        assertEquals(1, platform.seen.size());
     }
 
-    /** Guards against a connection that the kernel has accepted and the end of the listener resets. */
+    /** Guards against resetting connections in the accept queue when the listener closes. */
     @Test
     void answersConnectionsInTheAcceptQueueBeforeShutdown() throws Exception {
-        world.addRunner("s-1");
+        platform.addRunner("s-1");
         int port = start();
-        DispatcherServer dispatcher = world.dispatcher();
+        DispatcherServer dispatcher = platform.dispatcher();
         try (RawClient first = new RawClient(port)) {
             assertEquals(200, first.send(HEALTH).read().status());
             dispatcher.connectionLimiter().setMaxConnections(1);
             try (RawClient second = new RawClient(port)) {
-                second.send(job("/api", "b", "step-view", "1"));
+                second.send(requestBytes("/api", "b", "step-view", "1"));
                 awaitEventLoop(first);
                 dispatcher.connectionLimiter().setMaxConnections(8);
-                CompletableFuture<Void> end = CompletableFuture.runAsync(dispatcher::shutDown);
+                CompletableFuture<Void> shutdown = CompletableFuture.runAsync(dispatcher::shutDown);
                 assertEquals("r-b", second.read().body());
                 first.close();
                 second.close();
-                end.get();
+                shutdown.get();
             }
         }
     }
--- a/src/test/java/nettlewick/net/RawEndpoint.java
+++ b/src/test/java/nettlewick/net/RawEndpoint.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A sim runner on a plain socket, for crossings that a library would not let happen: it accepts only once it is
- * let, and answers what a script says.
+ * An endpoint on a plain socket, for races that an HTTP library would prevent: it accepts connections only when told
+ * to, and responds as a script says.
  */
 final class RawEndpoint implements AutoCloseable {
-    /** A request as it came. */
-    record Seen(int connection, String id, String head) {
-        /** A header's value, or null. */
+    /** A request as it was received. */
+    record ReceivedRequest(int connection, String id, String head) {
+        /** The value of a header, or null. */
         String header(String name) {
             for (String line : head.split("\r\n")) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ": ")) {
@@ -32,20 +32,20 @@
         }
     }
 
-    /** What to do with a request; may write to the socket or close it. */
+    /** Handles a request; may write to the socket or close it. */
     interface Script {
-        void handle(Seen request, Socket socket) throws IOException;
+        void handle(ReceivedRequest request, Socket socket) throws IOException;
     }
 
-    /** Connections held in the listener's queue until the kernel drops the next handshake. */
+    /** Backlog of the listener; when its queue is full, the kernel drops further handshakes. */
     private static final int BACKLOG = 1;
 
-    final List<Seen> seen = new CopyOnWriteArrayList<>();
+    final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
     final List<Socket> accepted = new CopyOnWriteArrayList<>();
-    volatile Script script = (request, socket) -> write(socket, served(request.id()));
+    volatile Script script = (request, socket) -> write(socket, servedResponse(request.id()));
     private final ServerSocket listener;
-    private final List<Socket> fillers = new ArrayList<>();
-    private final CountDownLatch opened = new CountDownLatch(1);
+    private final List<Socket> queuedConnections = new ArrayList<>();
+    private final CountDownLatch acceptStarted = new CountDownLatch(1);
 
     RawEndpoint() throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -58,27 +58,27 @@
         return listener.getLocalPort();
     }
 
-    /** From now on no connection comes up: the queue is full until {@link #open}. */
+    /** Fills the accept queue: no connection is established until {@link #startAccepting}. */
     RawEndpoint fillAcceptQueue() throws IOException {
         for (int i = 0; i <= BACKLOG; i++) {
-            fillers.add(new Socket(listener.getInetAddress(), port()));
+            queuedConnections.add(new Socket(listener.getInetAddress(), port()));
         }
         return this;
     }
 
-    /** Accepts all that waits and comes. */
-    RawEndpoint open() {
-        opened.countDown();
+    /** Accepts all waiting and future connections. */
+    RawEndpoint startAccepting() {
+        acceptStarted.countDown();
         return this;
     }
 
     private void accept() {
         try {
-            opened.await();
+            acceptStarted.await();
             while (true) {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                if (fillers.stream().noneMatch(f -> f.getLocalPort() == socket.getPort())) {
+                if (queuedConnections.stream().noneMatch(f -> f.getLocalPort() == socket.getPort())) {
                     accepted.add(socket);
                 }
                 int number = accepted.size();
@@ -103,19 +103,20 @@
                     }
                     head.append((char) b);
                 }
-                Seen plain = new Seen(number, null, head.toString());
-                String length = plain.header("content-length");
+                ReceivedRequest withoutId = new ReceivedRequest(number, null, head.toString());
+                String length = withoutId.header("content-length");
                 in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                Seen request = new Seen(number, plain.header("x-request-id"), plain.head());
+                ReceivedRequest request =
+                        new ReceivedRequest(number, withoutId.header("x-request-id"), withoutId.head());
                 if (request.id() == null) {
                     write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ndepth=0,concurrent=0,x0=4");
                 } else {
-                    seen.add(request);
+                    received.add(request);
                     script.handle(request, socket);
                 }
             }
         } catch (IOException e) {
-            // The other side has gone.
+            // The dispatcher has closed the connection.
         }
     }
 
@@ -125,26 +126,27 @@
         out.flush();
     }
 
-    /** An answer with its one last line, for the request of that id. */
-    static String served(String id) {
-        return answer("{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
+    /** A response with a single, final line for the request of this id. */
+    static String servedResponse(String id) {
+        return chunkedResponse(
+                "{\"id\":\"" + id + "\",\"from\":\"raw\",\"state\":\"done\",\"result\":\"r-" + id + "\"}\n");
     }
 
-    /** A chunked answer of one chunk. */
-    static String answer(String lines) {
+    /** A response with one chunk. */
+    static String chunkedResponse(String lines) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(lines.length()) + "\r\n"
                 + lines + "\r\n0\r\n\r\n";
     }
 
-    List<String> ids() {
-        return seen.stream().map(Seen::id).toList();
+    List<String> receivedIds() {
+        return received.stream().map(ReceivedRequest::id).toList();
     }
 
     @Override
     public void close() throws IOException {
-        opened.countDown();
+        acceptStarted.countDown();
         listener.close();
-        for (Socket socket : fillers) {
+        for (Socket socket : queuedConnections) {
             socket.close();
         }
         for (Socket socket : accepted) {
