--- a/src/main/java/nettlewick/sse/EventStreamConfig.java
+++ b/src/main/java/nettlewick/sse/EventStreamConfig.java
@@ -5,15 +5,15 @@
 import nettlewick.settings.Block;
 
 /**
- * Where the frontend for event streams listens, and its limits.
+ * The listen address and limits of the event stream frontend.
  *
- * @param listen             the address
- * @param retryMillis        how long clients are told to wait before they reconnect
- * @param heartbeatMillis    between comments that keep a silent stream open
- * @param abandonGraceMillis how long a request without subscribers goes on
- * @param retentionMillis    how long a finished stream can still be attached to
- * @param maxFinishedStreams how many finished streams are retained
- * @param maxSubscribers     how many streams are open to clients at once
+ * @param listen             the listen address
+ * @param retryMillis        the delay that clients are told to wait before they reconnect
+ * @param heartbeatMillis    the interval between comments that keep an idle stream open
+ * @param abandonGraceMillis how long a request without subscribers continues before it is abandoned
+ * @param retentionMillis    how long clients can still attach to a finished stream
+ * @param maxFinishedStreams the largest number of finished streams that are retained
+ * @param maxSubscribers     the largest number of client connections that read streams at once
  */
 public record EventStreamConfig(
         SocketAddress listen,
@@ -24,16 +24,16 @@
         int maxFinishedStreams,
         int maxSubscribers) {
     /** Reads the settings block {@code edge}. */
-    public static EventStreamConfig of(Block edge) {
-        InetSocketAddress listen = edge.address("listen");
+    public static EventStreamConfig of(Block block) {
+        InetSocketAddress listen = block.address("listen");
         return new EventStreamConfig(
                 SocketAddress.inetSocketAddress(
                         listen.getPort(), listen.getAddress().getHostAddress()),
-                (long) edge.durationMillis("retry"),
-                (long) edge.durationMillis("heartbeat"),
-                (long) edge.durationMillis("grace"),
-                (long) edge.durationMillis("keep"),
-                (int) edge.wholeNumber("keep-streams"),
-                (int) edge.wholeNumber("max-readers"));
+                (long) block.durationMillis("retry"),
+                (long) block.durationMillis("heartbeat"),
+                (long) block.durationMillis("grace"),
+                (long) block.durationMillis("keep"),
+                (int) block.wholeNumber("keep-streams"),
+                (int) block.wholeNumber("max-readers"));
     }
 }
--- a/src/main/java/nettlewick/sse/EventStreamFrontend.java
+++ b/src/main/java/nettlewick/sse/EventStreamFrontend.java
@@ -12,12 +12,12 @@
 
 /**
  * Serves requests whose progress and result are streamed as server-sent events. A POST submits a request and answers
- * with its stream; the same id once more, or a GET of {@code /events/ID}, attaches to the stream and never submits the
- * request again. Lives on the event loop.
+ * with its stream. A POST with the same id, or a GET of {@code /events/ID}, attaches to that stream and never submits
+ * the request again. Confined to the event loop.
  */
 public final class EventStreamFrontend extends HttpFrontend {
     private static final String STREAM_PATH_PREFIX = "/events/";
-    /** Kernel memory for one slow reader, which would grow to megabytes otherwise. */
+    /** Bounds the kernel memory that a slow client takes, which could otherwise grow to megabytes. */
     private static final int SEND_BUFFER_BYTES = 32 * 1024;
 
     private static final long EXPIRY_INTERVAL_MILLIS = 500;
@@ -36,17 +36,19 @@
     private int subscriberCount;
 
     /** Creates the frontend and starts its timers on the event loop. */
-    public EventStreamFrontend(Environment base, EventStreamConfig config) {
-        super(base, config.listen(), SEND_BUFFER_BYTES);
+    public EventStreamFrontend(Environment environment, EventStreamConfig config) {
+        super(environment, config.listen(), SEND_BUFFER_BYTES);
         this.config = config;
-        requestReader = new RequestReader(base.config());
+        requestReader = new RequestReader(environment.config());
         streams = new StreamRegistry(config.retentionMillis(), config.maxFinishedStreams());
-        base.vertx()
+        environment
+                .vertx()
                 .setPeriodic(config.heartbeatMillis(), id -> streams.streams().forEach(RequestStream::sendHeartbeats));
-        base.vertx()
+        environment
+                .vertx()
                 .setPeriodic(
                         EXPIRY_INTERVAL_MILLIS,
-                        id -> streams.forgetExpired(base.clock().nowMillis()));
+                        id -> streams.forgetExpired(environment.clock().nowMillis()));
     }
 
     @Override
@@ -63,7 +65,7 @@
         } else if (!HttpMethod.POST.equals(http.method())) {
             rejectMethod(http, "POST", "jobs come by POST");
         } else {
-            requestReader.read(http, arrivedAt(http), draft -> startOrAttach(http, draft));
+            requestReader.read(http, arrivedAt(http), parsedRequest -> startOrAttach(http, parsedRequest));
         }
     }
 
@@ -89,47 +91,47 @@
         }
     }
 
-    private void startOrAttach(HttpServerRequest http, RequestReader.ParsedRequest draft) {
-        RequestStream known = streams.get(draft.id());
-        if (known == null) {
-            start(http, draft);
-        } else if (known.isSameRequest(draft.requestClass(), draft.tenant())) {
-            attach(http, draft.id(), known);
+    private void startOrAttach(HttpServerRequest http, RequestReader.ParsedRequest parsedRequest) {
+        RequestStream existing = streams.get(parsedRequest.id());
+        if (existing == null) {
+            start(http, parsedRequest);
+        } else if (existing.isSameRequest(parsedRequest.requestClass(), parsedRequest.tenant())) {
+            attach(http, parsedRequest.id(), existing);
         } else {
             RequestReader.reject(http, STATUS_CONFLICT, "another job has this id");
         }
     }
 
-    private void start(HttpServerRequest http, RequestReader.ParsedRequest draft) {
+    private void start(HttpServerRequest http, RequestReader.ParsedRequest parsedRequest) {
         RequestStream stream = new RequestStream(
-                draft.requestClass(),
-                draft.tenant(),
+                parsedRequest.requestClass(),
+                parsedRequest.tenant(),
                 task -> environment().eventLoop().runOnContext(v -> task.run()),
-                ended -> streams.retainFinished(
-                        draft.id(), ended, environment().clock().nowMillis()));
+                finished -> streams.retainFinished(
+                        parsedRequest.id(), finished, environment().clock().nowMillis()));
         long lastSeenId = lastSeenId(http);
-        boolean mayHaveRun = streams.isForgotten(draft.id()) || lastSeenId > 0;
+        boolean mayHaveRun = streams.isForgotten(parsedRequest.id()) || lastSeenId > 0;
         if (mayHaveRun) {
-            // It ran under this id, here or in an earlier incarnation; to submit it again might execute it twice.
+            // A request with this id ran here or in an earlier incarnation; submitting it might execute it twice.
             stream.numberEventsAfter(lastSeenId);
             stream.fail("the job was started before and its end is no longer known");
         }
-        // Attached before it is submitted: a request whose client cannot be answered is not started.
-        if (attach(http, draft.id(), stream)) {
-            streams.add(draft.id(), stream);
+        // Attaches before submitting, so that a request whose client cannot be answered is not started.
+        if (attach(http, parsedRequest.id(), stream)) {
+            streams.add(parsedRequest.id(), stream);
             if (!mayHaveRun) {
-                submit(draft, stream);
+                submit(parsedRequest, stream);
             }
         }
     }
 
-    private void submit(RequestReader.ParsedRequest draft, RequestStream stream) {
-        Request request = draft.toRequest(stream);
-        stream.setRequest(request, environment().coordinator().metrics().trackRequest(draft.requestClass()));
+    private void submit(RequestReader.ParsedRequest parsedRequest, RequestStream stream) {
+        Request request = parsedRequest.toRequest(stream);
+        stream.setRequest(request, environment().coordinator().metrics().trackRequest(parsedRequest.requestClass()));
         environment().coordinator().submit(request);
     }
 
-    /** The id of the last event that the client says it has seen; 0 for none. */
+    /** The id of the last event that the client has seen, from its Last-Event-ID header; 0 for none. */
     private static long lastSeenId(HttpServerRequest http) {
         String text = http.getHeader("Last-Event-ID");
         try {
@@ -139,12 +141,12 @@
         }
     }
 
-    /** Makes the response a subscriber of the stream; false if it was answered otherwise. */
+    /** Subscribes the response to the stream; returns false if it was answered in another way. */
     private boolean attach(HttpServerRequest http, String id, RequestStream stream) {
         HttpServerResponse response = http.response();
         long lastSeenId = lastSeenId(http);
         if (stream.isFullySeen(lastSeenId)) {
-            // Makes an EventSource stop reconnecting.
+            // A 204 makes an EventSource stop reconnecting.
             response.setStatusCode(STATUS_NO_CONTENT).end();
             return false;
         }
@@ -168,7 +170,7 @@
     private void subscribe(HttpServerResponse response, long lastSeenId, RequestStream stream) {
         StreamSubscriber subscriber = new StreamSubscriber(response, lastSeenId, config.retryMillis());
         subscriberCount++;
-        // Either may come first, or both: the final event is written, or the client goes away.
+        // The client may disconnect before or after the final event is written, so both handlers may run.
         response.closeHandler(v -> onSubscriberLeft(stream, subscriber));
         subscriber.whenFinalEventWritten().onComplete(r -> onSubscriberLeft(stream, subscriber));
         stream.attach(subscriber);
@@ -180,11 +182,13 @@
         }
         subscriberCount--;
         if (stream.detach(subscriber)) {
-            environment().vertx().setTimer(Math.max(1, config.abandonGraceMillis()), id -> abandonIfAlone(stream));
+            environment()
+                    .vertx()
+                    .setTimer(Math.max(1, config.abandonGraceMillis()), id -> abandonIfUnsubscribed(stream));
         }
     }
 
-    private void abandonIfAlone(RequestStream stream) {
+    private void abandonIfUnsubscribed(RequestStream stream) {
         if (!stream.hasSubscribers() && !stream.isEnded()) {
             environment().coordinator().abandon(stream.request());
             stream.fail("its client went away");
--- a/src/main/java/nettlewick/sse/RequestStream.java
+++ b/src/main/java/nettlewick/sse/RequestStream.java
@@ -10,8 +10,8 @@
 import nettlewick.core.UsageRecorder;
 
 /**
- * The events of one request: the latest progress and, exactly once, the final event. Subscribers come and go without
- * effect on the request. All of it lives on the event loop; calls from the core are moved there.
+ * The events of one request: the latest progress and, exactly once, the final event. Subscribers may attach and detach
+ * without effect on the request. Confined to the event loop, to which calls from the core are dispatched.
  */
 final class RequestStream implements Request.Caller {
     private static final int MAX_SUBSCRIBERS = 4;
@@ -24,15 +24,15 @@
     private long lastEventId;
     private StreamEvent latestProgress;
     private StreamEvent finalEvent;
-    /** Null where the request was never submitted. */
+    /** Null if the request was never submitted. */
     private Request request;
 
-    private Metrics.RequestTracker ticket;
-    private UsageRecorder.DeliveryCallback pendingReceipt = UsageRecorder.DeliveryCallback.NONE;
+    private Metrics.RequestTracker requestTracker;
+    private UsageRecorder.DeliveryCallback deliveryCallback = UsageRecorder.DeliveryCallback.NONE;
 
     /**
      * @param eventLoop runs a task on the event loop
-     * @param onEnd     called once, when the final event is known
+     * @param onEnd     called once, when the stream has its final event
      */
     RequestStream(String requestClass, String tenant, Consumer<Runnable> eventLoop, Consumer<RequestStream> onEnd) {
         this.requestClass = requestClass;
@@ -41,10 +41,10 @@
         this.onEnd = onEnd;
     }
 
-    /** Sets the request that is about to be submitted, and what counts its end. */
-    void setRequest(Request submitted, Metrics.RequestTracker endCounter) {
+    /** Sets the request that is about to be submitted, and the tracker that counts its end. */
+    void setRequest(Request submitted, Metrics.RequestTracker tracker) {
         request = submitted;
-        ticket = endCounter;
+        requestTracker = tracker;
     }
 
     Request request() {
@@ -59,17 +59,17 @@
         return !subscribers.isEmpty();
     }
 
-    /** Whether a request under the same id is this one repeated, not another that happens to have its id. */
+    /** Whether a request with the same id repeats this one, rather than being a different one that reuses the id. */
     boolean isSameRequest(String otherClass, String otherTenant) {
         return requestClass.equals(otherClass) && Objects.equals(tenant, otherTenant);
     }
 
-    /** Whether a client that has seen this event has seen all there will be. */
+    /** Whether a client whose last seen event has this id has seen all events of a finished stream. */
     boolean isFullySeen(long lastSeenId) {
         return finalEvent != null && lastSeenId >= finalEvent.id();
     }
 
-    /** Adds a subscriber. Beyond the limit the oldest is closed: it may be left behind by a client that reconnected. */
+    /** Adds a subscriber. At the limit it closes the oldest one, which a reconnected client may have left behind. */
     void attach(StreamSubscriber subscriber) {
         if (subscribers.size() >= MAX_SUBSCRIBERS) {
             subscribers.remove(0).close();
@@ -79,7 +79,7 @@
         subscriber.offer(finalEvent);
     }
 
-    /** Removes a subscriber; true if it was the last one of a request in flight. */
+    /** Removes a subscriber; returns true if it was the last one and the request is still in flight. */
     boolean detach(StreamSubscriber subscriber) {
         return subscribers.remove(subscriber) && subscribers.isEmpty() && finalEvent == null;
     }
@@ -92,17 +92,17 @@
         List.copyOf(subscribers).forEach(StreamSubscriber::close);
     }
 
-    /** Continues the numbering after the event that a client saw last of a stream that is gone. */
+    /** Continues the event ids after the last event that a client saw of a stream that no longer exists. */
     void numberEventsAfter(long id) {
         lastEventId = id;
     }
 
-    /** Characters of its final event; 0 while there is none. */
+    /** The number of characters of the final event's data; 0 while there is none. */
     int finalEventLength() {
         return finalEvent == null ? 0 : finalEvent.data().length();
     }
 
-    /** Ends the stream from this side, unless it has ended. */
+    /** Ends the stream with a failure, unless it has ended already. */
     void fail(String reason) {
         finish(StreamEvent.failed(lastEventId + 1, reason));
     }
@@ -113,37 +113,37 @@
         }
         finalEvent = event;
         lastEventId = event.id();
-        // Copied, since a subscriber may leave while it is offered its final event.
-        List.copyOf(subscribers).forEach(s -> s.offer(event));
+        // Iterates over a copy, since a subscriber may leave while it is offered the final event.
+        List.copyOf(subscribers).forEach(subscriber -> subscriber.offer(event));
         onEnd.accept(this);
-        if (ticket != null) {
+        if (requestTracker != null) {
             countEnd();
         }
     }
 
-    /** A failure that nobody waited for any more does not count. */
+    /** Counts the end of the request. A failure without subscribers counts as abandoned, not as failed. */
     private void countEnd() {
-        ticket.setDeliveryCallback(pendingReceipt);
+        requestTracker.setDeliveryCallback(deliveryCallback);
         switch (finalEvent.type()) {
-            case RESULT -> ticket.markAnswered(Metrics.RequestEnd.SERVED);
-            case REJECTED -> ticket.markAnswered(Metrics.RequestEnd.REJECTED);
+            case RESULT -> requestTracker.markAnswered(Metrics.RequestEnd.SERVED);
+            case REJECTED -> requestTracker.markAnswered(Metrics.RequestEnd.REJECTED);
             default -> {
                 if (hasSubscribers()) {
-                    ticket.markAnswered(Metrics.RequestEnd.FAILED);
+                    requestTracker.markAnswered(Metrics.RequestEnd.FAILED);
                 } else {
-                    ticket.markAbandoned();
+                    requestTracker.markAbandoned();
                 }
             }
         }
     }
 
     @Override
-    public void setDeliveryCallback(UsageRecorder.DeliveryCallback receipt) {
+    public void setDeliveryCallback(UsageRecorder.DeliveryCallback callback) {
         eventLoop.accept(() -> {
             if (finalEvent == null) {
-                pendingReceipt = receipt;
+                deliveryCallback = callback;
             } else {
-                receipt.onAbandoned();
+                callback.onAbandoned();
             }
         });
     }
@@ -154,7 +154,7 @@
             if (finalEvent == null) {
                 lastEventId++;
                 latestProgress = StreamEvent.progress(lastEventId, share);
-                List.copyOf(subscribers).forEach(s -> s.offer(latestProgress));
+                List.copyOf(subscribers).forEach(subscriber -> subscriber.offer(latestProgress));
             }
         });
     }
--- a/src/main/java/nettlewick/sse/StreamEvent.java
+++ b/src/main/java/nettlewick/sse/StreamEvent.java
@@ -5,13 +5,13 @@
 /**
  * One server-sent event.
  *
- * @param id   its number within its stream
- * @param data JSON on one line
+ * @param id   the event's number within its stream
+ * @param data a line of JSON
  */
 record StreamEvent(long id, Type type, String data) {
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** The types of events, with the names that clients see. */
+    /** The types of events, with their names on the wire. */
     enum Type {
         PROGRESS("progress"),
         RESULT("result"),
@@ -37,7 +37,7 @@
         return new StreamEvent(id, Type.RESULT, data.toString());
     }
 
-    /** The event gives the time in seconds, as a Retry-After header would. */
+    /** Creates the event for a rejected request; its data has the delay in seconds, as a Retry-After header does. */
     static StreamEvent rejected(long id, double retryAfterMillis) {
         JsonObject data = new JsonObject();
         data.addProperty("retry_after", retryAfterMillis / MILLIS_PER_SECOND);
@@ -50,12 +50,12 @@
         return new StreamEvent(id, Type.FAILED, data.toString());
     }
 
-    /** Whether it is the last event of its stream. */
+    /** Whether this is the last event of its stream. */
     boolean isFinal() {
         return type != Type.PROGRESS;
     }
 
-    /** The event as the WHATWG specification frames it; the data has no line break to split at. */
+    /** The event in the text format of the WHATWG specification; the data has no line breaks, so one line holds it. */
     String toWireText() {
         return "id: " + id + "\nevent: " + type.wireName + "\ndata: " + data + "\n\n";
     }
--- a/src/main/java/nettlewick/sse/StreamRegistry.java
+++ b/src/main/java/nettlewick/sse/StreamRegistry.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 
 /**
- * Streams by request id. Finished ones are retained for a limited time, number and size; of those forgotten the id
- * alone is remembered, so that a repeated request is never taken for a new one. Event loop.
+ * Streams by request id. Finished streams are retained within limits on time, number and size. After that only the id
+ * is kept, so that a repeated request is not mistaken for a new one. Confined to the event loop.
  */
 final class StreamRegistry {
     private static final int MAX_FORGOTTEN_IDS = 20_000;
 
-    /** Characters of final events retained, for the sake of the heap. */
+    /** Bounds the heap that the retained final events take, in characters. */
     private static final int MAX_RETAINED_CHARS = 2 << 20;
 
     private record FinishedStream(String id, RequestStream stream, double endedAtMillis) {}
 
     private final Map<String, RequestStream> streams = new LinkedHashMap<>();
-    /** The oldest first. */
+    /** Ordered from the oldest to the newest. */
     private final Deque<FinishedStream> finished = new ArrayDeque<>();
 
     private final Set<String> forgottenIds = new LinkedHashSet<>();
@@ -38,12 +38,12 @@
         streams.put(id, stream);
     }
 
-    /** The stream of this request id, or null. */
+    /** Returns the stream of this request id, or null. */
     RequestStream get(String id) {
         return streams.get(id);
     }
 
-    /** Whether a stream of this id was here and is forgotten. */
+    /** Whether the registry had a stream of this id that it no longer retains. */
     boolean isForgotten(String id) {
         return forgottenIds.contains(id);
     }
@@ -52,14 +52,14 @@
         return streams.values();
     }
 
-    /** Retains a stream that has its final event, within the limits. */
+    /** Retains a finished stream, within the limits. */
     void retainFinished(String id, RequestStream stream, double nowMillis) {
         finished.addLast(new FinishedStream(id, stream, nowMillis));
         retainedChars += stream.finalEventLength();
         forgetExpired(nowMillis);
     }
 
-    /** Forgets finished streams that are too old, or over the limits. */
+    /** Removes finished streams that have expired or exceed the limits. */
     void forgetExpired(double nowMillis) {
         while (!finished.isEmpty() && mustForgetOldest(nowMillis)) {
             forget(finished.pollFirst());
@@ -79,7 +79,7 @@
         if (forgottenIds.size() > MAX_FORGOTTEN_IDS) {
             forgottenIds.remove(forgottenIds.iterator().next());
         }
-        // A subscriber that never reads would keep its connection and events for ever.
+        // Otherwise a subscriber that never reads would keep its connection and events forever.
         oldest.stream().closeSubscribers();
     }
 }
--- a/src/main/java/nettlewick/sse/StreamSubscriber.java
+++ b/src/main/java/nettlewick/sse/StreamSubscriber.java
@@ -5,8 +5,9 @@
 import io.vertx.core.http.HttpServerResponse;
 
 /**
- * One client's connection to a stream. A slow client costs one progress event and one final event at most: while its
- * write queue is full, newer progress replaces older, and the final event waits. Event loop.
+ * One client's connection to a stream. At most one progress event and one final event are pending for a slow client:
+ * while its write queue is full, newer progress replaces older progress, and the final event waits. Confined to the
+ * event loop.
  */
 final class StreamSubscriber {
     private static final int WRITE_QUEUE_BYTES = 8 * 1024;
@@ -18,7 +19,7 @@
     private StreamEvent pendingFinal;
     private boolean hasLeft;
 
-    /** {@code lastSeenId} is the id of the last event that the client has seen, 0 for none. */
+    /** @param lastSeenId the id of the last event that the client has seen; 0 for none */
     StreamSubscriber(HttpServerResponse response, long lastSeenId, long retryMillis) {
         this.response = response;
         this.lastSeenId = lastSeenId;
@@ -34,14 +35,14 @@
         return finalEventWritten.future();
     }
 
-    /** Marks the client as gone; true for the first call only, however the connection ended. */
+    /** Marks the client as disconnected; returns true on the first call only. */
     boolean markLeft() {
-        boolean first = !hasLeft;
+        boolean isFirstCall = !hasLeft;
         hasLeft = true;
-        return first;
+        return isFirstCall;
     }
 
-    /** Writes an event as soon as the client reads; null and events that it has seen are ignored. */
+    /** Writes an event once the write queue has room; ignores null and events that the client has seen. */
     void offer(StreamEvent event) {
         if (event == null || event.id() <= lastSeenId) {
             return;
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Writes a comment, so that no proxy takes the stream for dead. */
+    /** Writes a comment, so that proxies do not close an idle stream. */
     void sendHeartbeat() {
         if (isWritable()) {
             response.write(":\n\n");
@@ -82,7 +83,7 @@
         return !response.ended() && !response.closed();
     }
 
-    /** Resets the connection, whatever the client still lacks; it may attach again. */
+    /** Resets the connection even if events are pending; the client may attach again. */
     void close() {
         if (isOpen()) {
             response.reset();
--- a/src/main/java/nettlewick/sse/package-info.java
+++ b/src/main/java/nettlewick/sse/package-info.java
@@ -1,8 +1,8 @@
 /**
- * A frontend that streams a request's progress and result to its client as server-sent events.
+ * A frontend that streams the progress and the result of a request to its client as server-sent events.
  *
- * <p>{@link nettlewick.sse.EventStreamFrontend} is the HTTP side; a client that lost its connection attaches to its
- * request's stream again. The package builds on {@code nettlewick.net} for HTTP and on {@code nettlewick.core} for
- * requests. All of it runs on the frontend's event loop; calls from the core thread are moved there.
+ * <p>{@link nettlewick.sse.EventStreamFrontend} handles HTTP; a client that lost its connection can attach to its
+ * request's stream again. The package uses {@code nettlewick.net} for HTTP and {@code nettlewick.core} for requests.
+ * All of it runs on the frontend's event loop, to which calls from the core thread are dispatched.
  */
 package nettlewick.sse;
--- a/src/test/java/nettlewick/sse/EventStreamClient.java
+++ b/src/test/java/nettlewick/sse/EventStreamClient.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.regex.Pattern;
 
-/** A client of one stream, as the WHATWG specification has it: keeps the last event's id and can reconnect. */
+/** A client of one stream as in the WHATWG specification: keeps the id of the last event and can reconnect. */
 final class EventStreamClient {
     private static final Pattern FINAL_EVENT_NAME = Pattern.compile("result|unavailable|failed");
 
@@ -29,7 +29,7 @@
     private final String id;
     private final String requestClass;
     private volatile HttpConnection connection;
-    private volatile long lastId;
+    private volatile long lastEventId;
     private volatile int connectionNumber;
 
     EventStreamClient(Vertx vertx, int port, String id, String requestClass) {
@@ -39,26 +39,26 @@
         this.requestClass = requestClass;
     }
 
-    EventStreamClient lastSeen(long last) {
-        lastId = last;
+    EventStreamClient lastSeen(long eventId) {
+        lastEventId = eventId;
         return this;
     }
 
-    static HttpClient client(Vertx vertx) {
+    static HttpClient newHttpClient(Vertx vertx) {
         return vertx.createHttpClient(
                 new HttpClientOptions().setKeepAlive(false), new PoolOptions().setHttp1MaxSize(500));
     }
 
-    EventStreamClient post(HttpClient by) {
-        return open(by, HttpMethod.POST, "/api/run");
+    EventStreamClient post(HttpClient httpClient) {
+        return open(httpClient, HttpMethod.POST, "/api/run");
     }
 
-    EventStreamClient get(HttpClient by) {
-        return open(by, HttpMethod.GET, "/events/" + id);
+    EventStreamClient get(HttpClient httpClient) {
+        return open(httpClient, HttpMethod.GET, "/events/" + id);
     }
 
-    private EventStreamClient open(HttpClient by, HttpMethod method, String uri) {
-        int mine = ++connectionNumber;
+    private EventStreamClient open(HttpClient httpClient, HttpMethod method, String uri) {
+        int ownConnectionNumber = ++connectionNumber;
         RequestOptions options = new RequestOptions()
                 .setMethod(method)
                 .setHost("127.0.0.1")
@@ -68,23 +68,24 @@
                 .putHeader("X-Class", requestClass)
                 .putHeader("X-Tenant", "red")
                 .putHeader("X-Deadline", "4");
-        if (lastId > 0) {
-            options.putHeader("Last-Event-ID", Long.toString(lastId));
+        if (lastEventId > 0) {
+            options.putHeader("Last-Event-ID", Long.toString(lastEventId));
         }
-        by.request(options)
+        httpClient
+                .request(options)
                 .compose(request -> request.send("{}"))
-                .onSuccess(r -> read(r, mine))
+                .onSuccess(response -> read(response, ownConnectionNumber))
                 .onFailure(ended::completeExceptionally);
         return this;
     }
 
-    private void read(HttpClientResponse response, int mine) {
+    private void read(HttpClientResponse response, int ownConnectionNumber) {
         status = response.statusCode();
         connection = response.request().connection();
         StringBuilder text = new StringBuilder();
         response.exceptionHandler(e -> {});
         response.handler(part -> {
-            if (mine != connectionNumber) {
+            if (ownConnectionNumber != connectionNumber) {
                 return;
             }
             rawText += part;
@@ -95,7 +96,7 @@
             }
         });
         response.endHandler(v -> {
-            if (mine == connectionNumber) {
+            if (ownConnectionNumber == connectionNumber) {
                 ended.complete(null);
             }
         });
@@ -106,7 +107,7 @@
         String name = "message";
         for (String line : block.split("\n")) {
             if (line.startsWith("id: ")) {
-                lastId = Long.parseLong(line.substring(4));
+                lastEventId = Long.parseLong(line.substring(4));
             } else if (line.startsWith("event: ")) {
                 name = line.substring(7);
             } else if (line.startsWith("data: ")) {
@@ -114,14 +115,14 @@
             }
         }
         if (data != null) {
-            events.add(new ReceivedEvent(lastId, name, data));
+            events.add(new ReceivedEvent(lastEventId, name, data));
         }
     }
 
-    /** Closes the connection as a client on a poor link does, and connects again. */
-    void reconnect(HttpClient by) {
+    /** Closes the connection, as a client on an unreliable network does, and connects again. */
+    void reconnect(HttpClient httpClient) {
         disconnect();
-        post(by);
+        post(httpClient);
     }
 
     void disconnect() {
--- a/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
@@ -31,31 +31,31 @@
 @Timeout(60)
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 class EventStreamFrontendTest {
-    /** About how many requests are in flight at once where the machine is not held up. */
+    /** About the number of requests that are in flight at once on a machine that is not overloaded. */
     private static final int MAX_UNFINISHED = 10;
 
-    private DispatcherOnStubPlatform world;
-    private HttpClient client;
+    private DispatcherOnStubPlatform platform;
+    private HttpClient httpClient;
     private int port;
     private Metrics metrics;
 
     @BeforeEach
     void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        client = EventStreamClient.client(world.vertx);
+        platform = new DispatcherOnStubPlatform();
+        httpClient = EventStreamClient.newHttpClient(platform.vertx);
     }
 
-    private void start(String more, String... runners) throws Exception {
-        for (String runner : runners) {
-            world.addRunner(runner);
+    private void start(String extraSettings, String... endpoints) throws Exception {
+        for (String endpoint : endpoints) {
+            platform.addRunner(endpoint);
         }
-        EventStreamConfig edge = EventStreamConfig.of(
-                Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n" + more + "\n}")
+        EventStreamConfig config = EventStreamConfig.of(
+                Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n" + extraSettings + "\n}")
                         .block("edge")
                         .get());
-        port = world.start(base -> {
-                    metrics = base.coordinator().metrics();
-                    return new EventStreamFrontend(base, edge);
+        port = platform.start(environment -> {
+                    metrics = environment.coordinator().metrics();
+                    return new EventStreamFrontend(environment, config);
                 })
                 .ports()
                 .get(1);
@@ -63,111 +63,111 @@
 
     @AfterEach
     void close() throws Exception {
-        world.close();
+        platform.close();
     }
 
     private EventStreamClient streamClient(String id, String requestClass) {
-        return new EventStreamClient(world.vertx, port, id, requestClass);
+        return new EventStreamClient(platform.vertx, port, id, requestClass);
     }
 
-    private static void awaitEnd(EventStreamClient w) throws Exception {
-        w.ended.get(10, TimeUnit.SECONDS);
+    private static void awaitEnd(EventStreamClient stream) throws Exception {
+        stream.ended.get(10, TimeUnit.SECONDS);
     }
 
     @Test
     void aRequestIsReportedFromItsStartToOneResult() throws Exception {
-        world.runTime = 100;
+        platform.runTime = 100;
         start("", "s-1");
-        EventStreamClient w = streamClient("j", "step-view").post(client);
-        awaitEnd(w);
+        EventStreamClient stream = streamClient("j", "step-view").post(httpClient);
+        awaitEnd(stream);
         assertEquals(
                 List.of(
                         new EventStreamClient.ReceivedEvent(1, "progress", "{\"share\":0.0}"),
                         new EventStreamClient.ReceivedEvent(2, "progress", "{\"share\":0.5}"),
                         new EventStreamClient.ReceivedEvent(3, "result", "{\"result\":\"r-j\"}")),
-                w.events);
+                stream.events);
         DispatcherOnStubPlatform.until(() -> metrics.snapshot().inFlightRequests() == 0);
         assertEquals(List.of(1L, 0L, 0L), metrics.snapshot().endsByClass().get("step-view"));
-        assertTrue(w.rawText.startsWith("retry: 1000\n\n"), w.rawText);
-        assertTrue(w.rawText.contains("\n:\n\n"), "a heartbeat: " + w.rawText);
+        assertTrue(stream.rawText.startsWith("retry: 1000\n\n"), stream.rawText);
+        assertTrue(stream.rawText.contains("\n:\n\n"), "a heartbeat: " + stream.rawText);
     }
 
     @Test
     void aRepeatedNonIdempotentRequestAttachesAndRunsOnce() throws Exception {
-        world.runTime = 200;
+        platform.runTime = 200;
         start("", "s-1");
-        EventStreamClient w = streamClient("m", "mark-submit").post(client);
-        until(() -> w.events.size() == 1);
-        w.reconnect(client);
-        awaitEnd(w);
-        assertEquals(1, w.finalEventCount());
+        EventStreamClient stream = streamClient("m", "mark-submit").post(httpClient);
+        until(() -> stream.events.size() == 1);
+        stream.reconnect(httpClient);
+        awaitEnd(stream);
+        assertEquals(1, stream.finalEventCount());
         assertEquals(
                 List.of(1L, 2L, 3L),
-                w.events.stream().map(EventStreamClient.ReceivedEvent::id).toList());
-        EventStreamClient late = streamClient("m", "mark-submit").post(client);
+                stream.events.stream().map(EventStreamClient.ReceivedEvent::id).toList());
+        EventStreamClient late = streamClient("m", "mark-submit").post(httpClient);
         awaitEnd(late);
         assertEquals("{\"result\":\"r-m\"}", late.lastEvent().data());
-        assertEquals(1, world.runs.get("m").get());
-        EventStreamClient thief = streamClient("m", "step-view").post(client);
-        awaitEnd(thief);
-        assertEquals(409, thief.status);
+        assertEquals(1, platform.runs.get("m").get());
+        EventStreamClient otherClass = streamClient("m", "step-view").post(httpClient);
+        awaitEnd(otherClass);
+        assertEquals(409, otherClass.status);
     }
 
     @Test
     void aStreamCanBeReadAgainByItsPathUntilAllEventsAreSeen() throws Exception {
         start("", "s-1");
-        awaitEnd(streamClient("g", "step-view").post(client));
-        EventStreamClient again = streamClient("g", "step-view").get(client);
+        awaitEnd(streamClient("g", "step-view").post(httpClient));
+        EventStreamClient again = streamClient("g", "step-view").get(httpClient);
         awaitEnd(again);
         assertEquals(1, again.finalEventCount());
         EventStreamClient done =
-                streamClient("g", "step-view").lastSeen(again.lastEvent().id()).get(client);
+                streamClient("g", "step-view").lastSeen(again.lastEvent().id()).get(httpClient);
         awaitEnd(done);
         assertEquals(204, done.status);
-        EventStreamClient other = streamClient("h", "step-view").get(client);
+        EventStreamClient other = streamClient("h", "step-view").get(httpClient);
         awaitEnd(other);
         assertEquals(404, other.status);
     }
 
-    /** A request must not run twice where this dispatcher, or its memory of the request, is gone. */
+    /** A request must not run twice if its dispatcher was restarted or no longer retains the request's stream. */
     @Test
     void aForgottenRequestIsNotSentAgain() throws Exception {
         start("keep-streams 0", "s-1");
-        EventStreamClient lived = streamClient("p", "mark-submit").lastSeen(7).post(client);
-        awaitEnd(lived);
-        assertEquals("failed", lived.lastEvent().name());
-        assertEquals(8, lived.lastEvent().id());
-        assertNull(world.runs.get("p"));
-        awaitEnd(streamClient("q", "mark-submit").post(client));
-        EventStreamClient again = streamClient("q", "mark-submit").post(client);
+        EventStreamClient resumed = streamClient("p", "mark-submit").lastSeen(7).post(httpClient);
+        awaitEnd(resumed);
+        assertEquals("failed", resumed.lastEvent().name());
+        assertEquals(8, resumed.lastEvent().id());
+        assertNull(platform.runs.get("p"));
+        awaitEnd(streamClient("q", "mark-submit").post(httpClient));
+        EventStreamClient again = streamClient("q", "mark-submit").post(httpClient);
         awaitEnd(again);
         assertEquals("failed", again.lastEvent().name());
-        assertEquals(1, world.runs.get("q").get());
+        assertEquals(1, platform.runs.get("q").get());
     }
 
     @Test
     void aRequestWithoutSubscribersIsAbandonedAfterItsGracePeriod() throws Exception {
-        world.runTime = 600;
+        platform.runTime = 600;
         start("grace 50ms", "s-1");
-        EventStreamClient back = streamClient("b", "step-view").post(client);
-        EventStreamClient gone = streamClient("d", "step-view").post(client);
-        until(() -> back.events.size() == 1 && gone.events.size() == 1);
-        back.reconnect(client);
-        gone.disconnect();
-        awaitEnd(back);
-        assertEquals("result", back.lastEvent().name());
-        EventStreamClient late = streamClient("d", "step-view").get(client);
+        EventStreamClient reconnected = streamClient("b", "step-view").post(httpClient);
+        EventStreamClient disconnected = streamClient("d", "step-view").post(httpClient);
+        until(() -> reconnected.events.size() == 1 && disconnected.events.size() == 1);
+        reconnected.reconnect(httpClient);
+        disconnected.disconnect();
+        awaitEnd(reconnected);
+        assertEquals("result", reconnected.lastEvent().name());
+        EventStreamClient late = streamClient("d", "step-view").get(httpClient);
         awaitEnd(late);
         assertEquals("{\"reason\":\"its client went away\"}", late.lastEvent().data());
-        assertEquals(1, world.runs.get("d").get());
+        assertEquals(1, platform.runs.get("d").get());
     }
 
-    /** The events kept for a client that does not read are bounded, and it gets the final one complete in the end. */
+    /** The events pending for a client that does not read are bounded, and it still receives the whole final event. */
     @Test
     void aSlowSubscriberLosesProgressButNotTheFinalEvent() throws Exception {
         String big = "x".repeat(60_000);
         start("", "s-1");
-        world.instead = request -> {
+        platform.instead = request -> {
             request.response().setChunked(true);
             for (int i = 0; i < 20_000; i++) {
                 request.response().write("{\"state\":\"running\",\"share\":0.25}\n");
@@ -180,7 +180,7 @@
             socket.getOutputStream()
                     .write(DispatcherOnStubPlatform.requestBytes("/api", "s", "step-view", "")
                             .getBytes());
-            EventStreamClient fast = streamClient("s", "step-view").post(client);
+            EventStreamClient fast = streamClient("s", "step-view").post(httpClient);
             awaitEnd(fast);
             assertEquals(1, fast.finalEventCount());
             InputStream in = socket.getInputStream();
@@ -188,16 +188,16 @@
             byte[] part = new byte[4096];
             while (!text.toString().endsWith("0\r\n\r\n")) {
                 int n = in.read(part);
-                assertTrue(n > 0, "cut off after " + text.length());
+                assertTrue(n > 0, "connection closed after " + text.length());
                 text.append(new String(part, 0, n, StandardCharsets.ISO_8859_1));
             }
             assertEquals(1, text.toString().split("event: result", -1).length - 1);
-            int told = text.toString().split("event: progress", -1).length - 1;
-            assertTrue(told < 20_000, told + " progress events reached a client that did not read");
+            int progressEvents = text.toString().split("event: progress", -1).length - 1;
+            assertTrue(progressEvents < 20_000, progressEvents + " progress events reached a client that did not read");
         }
     }
 
-    /** Endpoints die and drain at random points while clients disconnect and reconnect. */
+    /** Endpoints crash and drain at random times while clients disconnect and reconnect. */
     @ParameterizedTest
     @Order(Integer.MAX_VALUE) // Last, since a cold JVM on a busy machine rejects too many requests.
     @ValueSource(longs = {3, 17, 20261201})
@@ -208,43 +208,49 @@
         List<String> alive = new ArrayList<>(List.of("s-0", "s-1", "s-2", "s-3"));
         String[] classes = {"mark-submit", "step-view", "save-run"};
         for (int step = 0; step < 160; step++) {
-            world.runTime = 10 + random.nextInt(80);
-            all.add(streamClient("r" + step, classes[random.nextInt(3)]).post(client));
+            platform.runTime = 10 + random.nextInt(80);
+            all.add(streamClient("r" + step, classes[random.nextInt(3)]).post(httpClient));
             if (step % 20 == 10) {
-                String fresh = "s-" + (4 + step);
-                world.addRunner(fresh);
-                alive.add(fresh);
-                String victim = alive.remove(random.nextInt(alive.size() - 1));
+                String newEndpoint = "s-" + (4 + step);
+                platform.addRunner(newEndpoint);
+                alive.add(newEndpoint);
+                String removedEndpoint = alive.remove(random.nextInt(alive.size() - 1));
                 if (random.nextBoolean()) {
-                    world.kill(victim);
+                    platform.kill(removedEndpoint);
                 } else {
-                    world.tell(victim, "Terminating");
+                    platform.tell(removedEndpoint, "Terminating");
                 }
             }
-            EventStreamClient some = all.get(random.nextInt(all.size()));
-            if (some.finalEventCount() == 0 && random.nextInt(3) == 0) {
-                some.reconnect(client);
+            EventStreamClient picked = all.get(random.nextInt(all.size()));
+            if (picked.finalEventCount() == 0 && random.nextInt(3) == 0) {
+                picked.reconnect(httpClient);
             }
             TimeUnit.MILLISECONDS.sleep(random.nextInt(12));
-            // A slow machine is given fewer requests a second, not more at once than the endpoints have room for.
-            until(() -> all.stream().filter(w -> w.finalEventCount() == 0).count() < MAX_UNFINISHED);
+            // Limits the requests in flight to what the endpoints can admit, so that a slow machine gets a lower rate.
+            until(() ->
+                    all.stream().filter(stream -> stream.finalEventCount() == 0).count() < MAX_UNFINISHED);
         }
-        for (EventStreamClient w : all) {
-            awaitEnd(w);
-            assertEquals(1, w.finalEventCount(), w.events.toString());
+        for (EventStreamClient stream : all) {
+            awaitEnd(stream);
+            assertEquals(1, stream.finalEventCount(), stream.events.toString());
             assertEquals(
-                    w.lastEvent(),
-                    w.events.stream()
+                    stream.lastEvent(),
+                    stream.events.stream()
                             .filter(e -> !e.name().equals("progress"))
                             .findFirst()
                             .get());
         }
         for (int i = 0; i < all.size(); i++) {
-            int runs = world.runs.containsKey("r" + i) ? world.runs.get("r" + i).get() : 0;
+            int runs = platform.runs.containsKey("r" + i)
+                    ? platform.runs.get("r" + i).get()
+                    : 0;
             assertTrue(runs <= 1 || !all.get(i).requestClass().equals("mark-submit"), "r" + i + " ran " + runs);
         }
         assertTrue(
-                all.stream().filter(w -> w.lastEvent().name().equals("result")).count() > 100,
-                all.stream().map(w -> w.lastEvent().data()).toList().toString());
+                all.stream()
+                                .filter(stream -> stream.lastEvent().name().equals("result"))
+                                .count()
+                        > 100,
+                all.stream().map(stream -> stream.lastEvent().data()).toList().toString());
     }
 }
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -16,30 +16,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The exact bytes of the event stream frontend's answers, on loopback. */
+/** The exact bytes of the event stream frontend's responses, on loopback. */
 @Timeout(60)
 class EventStreamGoldenTest {
     private static final String HEARTBEAT_CHUNK = "3\r\n:\n\n\r\n";
-    private DispatcherOnStubPlatform world;
+    private DispatcherOnStubPlatform platform;
     private int port;
 
     @BeforeEach
     void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
+        platform = new DispatcherOnStubPlatform();
     }
 
     @AfterEach
     void close() {
-        world.close();
+        platform.close();
     }
 
     private void start(String... settings) throws Exception {
-        world.addRunner("s-1");
-        EventStreamConfig edge = EventStreamConfig.of(
+        platform.addRunner("s-1");
+        EventStreamConfig config = EventStreamConfig.of(
                 Settings.parse("test", "edge {\nlisten 127.0.0.1:0\n" + String.join("\n", settings) + "\n}")
                         .block("edge")
                         .get());
-        port = world.start(base -> new EventStreamFrontend(base, edge)).ports().get(1);
+        port = platform.start(environment -> new EventStreamFrontend(environment, config))
+                .ports()
+                .get(1);
     }
 
     private static String post(String id, String requestClass, String... headers) {
@@ -54,7 +56,7 @@
     void wholeStreams() throws Exception {
         start("heartbeat 600s");
         StringBuilder text = new StringBuilder();
-        world.runTime = 60;
+        platform.runTime = 60;
         text.append(entry("a job to its result", exchange(port, post("a b+c", "step-view"))));
         text.append(entry("the same job again", exchange(port, post("a b+c", "step-view"))));
         text.append(entry("its stream by its address", exchange(port, get("/events/a%20b+c"))));
@@ -65,14 +67,14 @@
                 exchange(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
         text.append(entry("last on its connection", exchange(port, post("d", "mark-submit", "Connection: close"))));
         text.append(entry("begun in an earlier life", exchange(port, post("e", "mark-submit", "Last-Event-ID: 7"))));
-        world.instead = request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
+        platform.instead = request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
         text.append(entry("a result with quotes and other letters", exchange(port, post("f", "mark-submit"))));
-        world.instead = request -> request.response()
+        platform.instead = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
         text.append(entry("unavailable", exchange(port, post("g", "mark-submit"))));
-        world.instead = request -> request.connection().close();
+        platform.instead = request -> request.connection().close();
         text.append(entry("failed", exchange(port, post("h", "mark-submit"))));
         assertMatches("wire/streams.txt", text.toString());
     }
@@ -89,10 +91,10 @@
         text.append(entry("no such stream", exchange(port, get("/events/z"))));
         text.append(entry("an id that is not percent-encoded", exchange(port, get("/events/%zz"))));
         text.append(entry("an unknown class", exchange(port, post("b", "no-class"))));
-        world.instead = request -> {};
+        platform.instead = request -> {};
         try (Socket open = new Socket("127.0.0.1", port)) {
             open.getOutputStream().write(post("c", "mark-submit").getBytes(StandardCharsets.US_ASCII));
-            until(() -> world.seen.size() == 2);
+            until(() -> platform.seen.size() == 2);
             text.append(entry("too many streams", exchange(port, post("d", "step-view"))));
         }
         assertMatches("wire/stream-errors.txt", text.toString());
@@ -101,7 +103,7 @@
     @Test
     void heartbeats() throws Exception {
         start("heartbeat 20ms", "retry 2500ms");
-        world.runTime = 400;
+        platform.runTime = 400;
         String got = exchange(port, post("a", "step-view"));
         assertTrue(got.contains(HEARTBEAT_CHUNK), got);
         assertMatches("wire/stream-heartbeats.txt", entry("heartbeats left out", got.replace(HEARTBEAT_CHUNK, "")));
