--- a/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamFrontendTest.java
@@ -1,6 +1,6 @@
 package nettlewick.sse;
 
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -47,7 +47,7 @@
 
     private void start(String extraSettings, String... endpoints) throws Exception {
         for (String endpoint : endpoints) {
-            platform.addRunner(endpoint);
+            platform.addEndpoint(endpoint);
         }
         EventStreamConfig config = EventStreamConfig.of(
                 Settings.parse("test", "edge {\nlisten 127.0.0.1:0\nheartbeat 20ms\n" + extraSettings + "\n}")
@@ -76,7 +76,7 @@
 
     @Test
     void aRequestIsReportedFromItsStartToOneResult() throws Exception {
-        platform.runTime = 100;
+        platform.executionMillis = 100;
         start("", "s-1");
         EventStreamClient stream = streamClient("j", "step-view").post(httpClient);
         awaitEnd(stream);
@@ -86,7 +86,7 @@
                         new EventStreamClient.ReceivedEvent(2, "progress", "{\"share\":0.5}"),
                         new EventStreamClient.ReceivedEvent(3, "result", "{\"result\":\"r-j\"}")),
                 stream.events);
-        DispatcherOnStubPlatform.until(() -> metrics.snapshot().inFlightRequests() == 0);
+        DispatcherOnStubPlatform.waitUntil(() -> metrics.snapshot().inFlightRequests() == 0);
         assertEquals(List.of(1L, 0L, 0L), metrics.snapshot().endsByClass().get("step-view"));
         assertTrue(stream.rawText.startsWith("retry: 1000\n\n"), stream.rawText);
         assertTrue(stream.rawText.contains("\n:\n\n"), "a heartbeat: " + stream.rawText);
@@ -94,10 +94,10 @@
 
     @Test
     void aRepeatedNonIdempotentRequestAttachesAndRunsOnce() throws Exception {
-        platform.runTime = 200;
+        platform.executionMillis = 200;
         start("", "s-1");
         EventStreamClient stream = streamClient("m", "mark-submit").post(httpClient);
-        until(() -> stream.events.size() == 1);
+        waitUntil(() -> stream.events.size() == 1);
         stream.reconnect(httpClient);
         awaitEnd(stream);
         assertEquals(1, stream.finalEventCount());
@@ -107,7 +107,7 @@
         EventStreamClient late = streamClient("m", "mark-submit").post(httpClient);
         awaitEnd(late);
         assertEquals("{\"result\":\"r-m\"}", late.lastEvent().data());
-        assertEquals(1, platform.runs.get("m").get());
+        assertEquals(1, platform.executionCounts.get("m").get());
         EventStreamClient otherClass = streamClient("m", "step-view").post(httpClient);
         awaitEnd(otherClass);
         assertEquals(409, otherClass.status);
@@ -137,21 +137,21 @@
         awaitEnd(resumed);
         assertEquals("failed", resumed.lastEvent().name());
         assertEquals(8, resumed.lastEvent().id());
-        assertNull(platform.runs.get("p"));
+        assertNull(platform.executionCounts.get("p"));
         awaitEnd(streamClient("q", "mark-submit").post(httpClient));
         EventStreamClient again = streamClient("q", "mark-submit").post(httpClient);
         awaitEnd(again);
         assertEquals("failed", again.lastEvent().name());
-        assertEquals(1, platform.runs.get("q").get());
+        assertEquals(1, platform.executionCounts.get("q").get());
     }
 
     @Test
     void aRequestWithoutSubscribersIsAbandonedAfterItsGracePeriod() throws Exception {
-        platform.runTime = 600;
+        platform.executionMillis = 600;
         start("grace 50ms", "s-1");
         EventStreamClient reconnected = streamClient("b", "step-view").post(httpClient);
         EventStreamClient disconnected = streamClient("d", "step-view").post(httpClient);
-        until(() -> reconnected.events.size() == 1 && disconnected.events.size() == 1);
+        waitUntil(() -> reconnected.events.size() == 1 && disconnected.events.size() == 1);
         reconnected.reconnect(httpClient);
         disconnected.disconnect();
         awaitEnd(reconnected);
@@ -159,7 +159,7 @@
         EventStreamClient late = streamClient("d", "step-view").get(httpClient);
         awaitEnd(late);
         assertEquals("{\"reason\":\"its client went away\"}", late.lastEvent().data());
-        assertEquals(1, platform.runs.get("d").get());
+        assertEquals(1, platform.executionCounts.get("d").get());
     }
 
     /** The events pending for a client that does not read are bounded, and it still receives the whole final event. */
@@ -167,7 +167,7 @@
     void aSlowSubscriberLosesProgressButNotTheFinalEvent() throws Exception {
         String big = "x".repeat(60_000);
         start("", "s-1");
-        platform.instead = request -> {
+        platform.requestOverride = request -> {
             request.response().setChunked(true);
             for (int i = 0; i < 20_000; i++) {
                 request.response().write("{\"state\":\"running\",\"share\":0.25}\n");
@@ -208,17 +208,17 @@
         List<String> alive = new ArrayList<>(List.of("s-0", "s-1", "s-2", "s-3"));
         String[] classes = {"mark-submit", "step-view", "save-run"};
         for (int step = 0; step < 160; step++) {
-            platform.runTime = 10 + random.nextInt(80);
+            platform.executionMillis = 10 + random.nextInt(80);
             all.add(streamClient("r" + step, classes[random.nextInt(3)]).post(httpClient));
             if (step % 20 == 10) {
                 String newEndpoint = "s-" + (4 + step);
-                platform.addRunner(newEndpoint);
+                platform.addEndpoint(newEndpoint);
                 alive.add(newEndpoint);
                 String removedEndpoint = alive.remove(random.nextInt(alive.size() - 1));
                 if (random.nextBoolean()) {
                     platform.kill(removedEndpoint);
                 } else {
-                    platform.tell(removedEndpoint, "Terminating");
+                    platform.announceHealth(removedEndpoint, "Terminating");
                 }
             }
             EventStreamClient picked = all.get(random.nextInt(all.size()));
@@ -227,7 +227,7 @@
             }
             TimeUnit.MILLISECONDS.sleep(random.nextInt(12));
             // Limits the requests in flight to what the endpoints can admit, so that a slow machine gets a lower rate.
-            until(() ->
+            waitUntil(() ->
                     all.stream().filter(stream -> stream.finalEventCount() == 0).count() < MAX_UNFINISHED);
         }
         for (EventStreamClient stream : all) {
@@ -241,8 +241,8 @@
                             .get());
         }
         for (int i = 0; i < all.size(); i++) {
-            int runs = platform.runs.containsKey("r" + i)
-                    ? platform.runs.get("r" + i).get()
+            int runs = platform.executionCounts.containsKey("r" + i)
+                    ? platform.executionCounts.get("r" + i).get()
                     : 0;
             assertTrue(runs <= 1 || !all.get(i).requestClass().equals("mark-submit"), "r" + i + " ran " + runs);
         }
--- a/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
+++ b/src/test/java/nettlewick/sse/EventStreamGoldenTest.java
@@ -4,7 +4,7 @@
 import static nettlewick.golden.WireText.entry;
 import static nettlewick.golden.WireText.exchange;
 import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.Socket;
@@ -34,7 +34,7 @@
     }
 
     private void start(String... settings) throws Exception {
-        platform.addRunner("s-1");
+        platform.addEndpoint("s-1");
         EventStreamConfig config = EventStreamConfig.of(
                 Settings.parse("test", "edge {\nlisten 127.0.0.1:0\n" + String.join("\n", settings) + "\n}")
                         .block("edge")
@@ -56,7 +56,7 @@
     void wholeStreams() throws Exception {
         start("heartbeat 600s");
         StringBuilder text = new StringBuilder();
-        platform.runTime = 60;
+        platform.executionMillis = 60;
         text.append(entry("a job to its result", exchange(port, post("a b+c", "step-view"))));
         text.append(entry("the same job again", exchange(port, post("a b+c", "step-view"))));
         text.append(entry("its stream by its address", exchange(port, get("/events/a%20b+c"))));
@@ -67,14 +67,15 @@
                 exchange(port, get("/events/a%20b+c", "Last-Event-ID: x"))));
         text.append(entry("last on its connection", exchange(port, post("d", "mark-submit", "Connection: close"))));
         text.append(entry("begun in an earlier life", exchange(port, post("e", "mark-submit", "Last-Event-ID: 7"))));
-        platform.instead = request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
+        platform.requestOverride =
+                request -> request.response().end("{\"state\":\"done\",\"result\":\"\\\"<\u00e9\\n\"}\n");
         text.append(entry("a result with quotes and other letters", exchange(port, post("f", "mark-submit"))));
-        platform.instead = request -> request.response()
+        platform.requestOverride = request -> request.response()
                 .setStatusCode(503)
                 .putHeader("X-Not-Run", "1")
                 .end();
         text.append(entry("unavailable", exchange(port, post("g", "mark-submit"))));
-        platform.instead = request -> request.connection().close();
+        platform.requestOverride = request -> request.connection().close();
         text.append(entry("failed", exchange(port, post("h", "mark-submit"))));
         assertMatches("wire/streams.txt", text.toString());
     }
@@ -91,10 +92,10 @@
         text.append(entry("no such stream", exchange(port, get("/events/z"))));
         text.append(entry("an id that is not percent-encoded", exchange(port, get("/events/%zz"))));
         text.append(entry("an unknown class", exchange(port, post("b", "no-class"))));
-        platform.instead = request -> {};
+        platform.requestOverride = request -> {};
         try (Socket open = new Socket("127.0.0.1", port)) {
             open.getOutputStream().write(post("c", "mark-submit").getBytes(StandardCharsets.US_ASCII));
-            until(() -> platform.seen.size() == 2);
+            waitUntil(() -> platform.receivedRequests.size() == 2);
             text.append(entry("too many streams", exchange(port, post("d", "step-view"))));
         }
         assertMatches("wire/stream-errors.txt", text.toString());
@@ -103,7 +104,7 @@
     @Test
     void heartbeats() throws Exception {
         start("heartbeat 20ms", "retry 2500ms");
-        platform.runTime = 400;
+        platform.executionMillis = 400;
         String got = exchange(port, post("a", "step-view"));
         assertTrue(got.contains(HEARTBEAT_CHUNK), got);
         assertMatches("wire/stream-heartbeats.txt", entry("heartbeats left out", got.replace(HEARTBEAT_CHUNK, "")));
