--- a/src/main/java/nettlewick/lease/ManagedLease.java
+++ b/src/main/java/nettlewick/lease/ManagedLease.java
@@ -8,22 +8,22 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * Everything that this dispatcher does about one lease: it stands for it where it ranks high enough, announces the
- * state while it holds it, follows the holder otherwise, and calls the lease's {@link LeaseTask}. Times are
- * milliseconds of the monotonic clock. Belongs to the lease thread.
+ * This dispatcher's role in one lease: competes for the lease if the dispatcher ranks high enough, announces the state
+ * while the dispatcher holds the lease, follows the holder otherwise, and calls the lease's {@link LeaseTask}. Times
+ * are milliseconds of the monotonic clock. Confined to the lease thread.
  */
 final class ManagedLease {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
-    /** How many dispatchers of a lease's ranking stand for it; more would only send requests. */
+    /** How many dispatchers, by rank, compete for a lease; more candidates would only add traffic. */
     private static final int MAX_CANDIDATES = 8;
 
     private final String leaseName;
     private final LeaseSettings settings;
     private final int incarnation;
     private final LeaseTask task;
-    private final Consumer<List<Outgoing>> sender;
+    private final Consumer<List<Outgoing>> messageSink;
     private final List<Integer> ranking;
-    /** Null where this dispatcher ranks too low to stand. */
+    /** Null if this dispatcher ranks too low to compete for the lease. */
     private final LeaseCandidate candidate;
 
     private final LeaseFollower follower;
@@ -31,22 +31,22 @@
     private boolean isHeld;
     private long heldFence;
 
-    /** @param sender takes the messages to send, in their order */
+    /** @param messageSink receives the messages to send, in order */
     ManagedLease(
             String leaseName,
             LeaseSettings settings,
             int incarnation,
             LeaseTask task,
-            Consumer<List<Outgoing>> sender,
+            Consumer<List<Outgoing>> messageSink,
             double nowMillis) {
         this.leaseName = leaseName;
         this.settings = settings;
         this.incarnation = incarnation;
         this.task = task;
-        this.sender = sender;
+        this.messageSink = messageSink;
         ranking = CandidateRanking.rank(leaseName, settings.dispatchers().size());
         follower = new LeaseFollower(leaseName, settings.dispatcher());
-        announcements = new AnnouncementSchedule(settings.terms().leaseMillis());
+        announcements = new AnnouncementSchedule(settings.parameters().leaseMillis());
         int rank = ranking.indexOf(settings.dispatcher());
         candidate = rank < MAX_CANDIDATES
                 ? new LeaseCandidate(
@@ -54,34 +54,34 @@
                         settings.dispatcher(),
                         incarnation,
                         settings.voters(),
-                        settings.terms(),
+                        settings.parameters(),
                         rank,
                         nowMillis)
                 : null;
     }
 
-    /** Whether the lease is held here at this moment. */
+    /** Whether this dispatcher holds the lease now. */
     boolean mayAct(double nowMillis) {
         return candidate != null && candidate.mayAct(nowMillis);
     }
 
-    /** A resource has rejected an act since it has seen this higher fence. */
+    /** Releases the lease and competes for it again, since a resource has seen this higher fence. */
     void yieldToHigherFence(long fence, double nowMillis) {
         if (candidate != null) {
-            sender.accept(candidate.yieldToHigherFence(fence, nowMillis));
+            messageSink.accept(candidate.yieldToHigherFence(fence, nowMillis));
         }
     }
 
     void tick(double nowMillis) {
         if (candidate != null) {
-            sender.accept(candidate.tick(nowMillis));
+            messageSink.accept(candidate.tick(nowMillis));
         }
     }
 
-    /** Handles an answer of a voter, or a handover by the holder. */
+    /** Handles a voter's answer, or a handover by the holder. */
     void handleCandidateMessage(LeaseMessage message, double nowMillis) {
         if (candidate != null) {
-            sender.accept(candidate.handle(message, nowMillis));
+            messageSink.accept(candidate.handle(message, nowMillis));
         }
     }
 
@@ -89,7 +89,7 @@
         if (mayAct(nowMillis)) {
             return;
         }
-        sender.accept(follower.handle(message));
+        messageSink.accept(follower.handle(message));
         if (follower.isUpToDate(message)) {
             task.onStoredState(
                     follower.fence(), follower.version(), follower.state(), message.requestsReports(), nowMillis);
@@ -98,7 +98,7 @@
 
     void handleStateRequest(LeaseMessage message, double nowMillis) {
         if (mayAct(nowMillis) && isHeld) {
-            sender.accept(List.of(new Outgoing(message.sender(), announcement(true))));
+            messageSink.accept(List.of(new Outgoing(message.sender(), announcement(true))));
         }
     }
 
@@ -114,19 +114,19 @@
             if (follower.hasHolder()) {
                 LeaseMessage message = LeaseMessage.of(Kind.REPORT, leaseName, settings.dispatcher(), incarnation, 0)
                         .withState(0, 0, report);
-                sender.accept(List.of(new Outgoing(follower.holder(), message)));
+                messageSink.accept(List.of(new Outgoing(follower.holder(), message)));
             }
         }
     }
 
-    /** Tells the task what has become of the lease, and proposes the task's next state. */
+    /** Notifies the task when the lease or its state has changed, and proposes the task's next state. */
     void update(double nowMillis) {
         if (candidate == null) {
             return;
         }
         boolean mayAct = candidate.mayAct(nowMillis);
         if (isHeld && (!mayAct || heldFence != candidate.fence())) {
-            lose();
+            handleLoss();
         }
         if (!mayAct || candidate.isChangePending()) {
             return;
@@ -140,7 +140,7 @@
         proposeNextState(nowMillis);
     }
 
-    private void lose() {
+    private void handleLoss() {
         isHeld = false;
         announcements.stop();
         LOG.info("duty-lost", "no longer holds " + leaseName, "duty", leaseName, "fence", heldFence);
@@ -164,7 +164,7 @@
                 out.add(new Outgoing(recipient, message));
             }
         }
-        sender.accept(out);
+        messageSink.accept(out);
         task.onStoredState(follower.fence(), follower.version(), follower.state(), task.requestsReports(), nowMillis);
     }
 
@@ -185,17 +185,17 @@
         if (next.length > MessageCodec.MAX_STATE_BYTES) {
             LOG.warning(
                     "state-too-long",
-                    "the next state of " + leaseName + " is too long and is dropped",
+                    "discards the next state of " + leaseName + ", which is too long",
                     "duty",
                     leaseName,
                     "bytes",
                     next.length);
             return;
         }
-        sender.accept(candidate.proposeChange(next, nowMillis));
+        messageSink.accept(candidate.proposeChange(next, nowMillis));
     }
 
-    /** Graceful shutdown: hands the lease over to the next dispatcher in its ranking. */
+    /** Hands the lease over to the next dispatcher in its ranking; part of a graceful shutdown. */
     void handOver(double nowMillis) {
         if (candidate == null) {
             return;
@@ -212,6 +212,6 @@
                     "to",
                     successor);
         }
-        sender.accept(candidate.retire(successor));
+        messageSink.accept(candidate.retire(successor));
     }
 }
--- a/src/main/java/nettlewick/lease/ReplayWindow.java
+++ b/src/main/java/nettlewick/lease/ReplayWindow.java
@@ -1,26 +1,27 @@
 package nettlewick.lease;
 
 /**
- * Recognises which of one sender's messages have arrived already, by their numbers: out of order is fine, twice is not.
- * Not safe for several threads.
+ * Detects repeated messages of one sender by their sequence numbers; messages may arrive out of order. Not thread-safe.
  */
 final class ReplayWindow {
-    /** Numbers this far or further below the highest count as arrived. */
+    /** Sequence numbers more than this far below the highest one are treated as received. */
     private static final int SIZE = 64;
 
-    private long highest;
-    /** Bit n: the number n + 1 below the highest has arrived. */
-    private long arrivedBelow;
+    private long highestSequenceNumber;
+    /** Bit n is set if the sequence number n + 1 below the highest one was received. */
+    private long receivedBelowHighest;
 
-    /** Whether this number arrives for the first time; it counts as arrived from then on. */
-    boolean admits(long number) {
-        return number > highest ? advanceTo(number) : fillGap(highest - number);
+    /** Whether this sequence number is new; it counts as received from then on. */
+    boolean admits(long sequenceNumber) {
+        return sequenceNumber > highestSequenceNumber
+                ? advanceTo(sequenceNumber)
+                : fillGap(highestSequenceNumber - sequenceNumber);
     }
 
-    private boolean advanceTo(long number) {
-        long ahead = number - highest;
-        arrivedBelow = ahead >= SIZE ? 0 : arrivedBelow << ahead | 1L << ahead - 1;
-        highest = number;
+    private boolean advanceTo(long sequenceNumber) {
+        long ahead = sequenceNumber - highestSequenceNumber;
+        receivedBelowHighest = ahead >= SIZE ? 0 : receivedBelowHighest << ahead | 1L << ahead - 1;
+        highestSequenceNumber = sequenceNumber;
         return true;
     }
 
@@ -29,8 +30,8 @@
             return false;
         }
         long bit = 1L << behind - 1;
-        boolean isNew = (arrivedBelow & bit) == 0;
-        arrivedBelow |= bit;
+        boolean isNew = (receivedBelowHighest & bit) == 0;
+        receivedBelowHighest |= bit;
         return isNew;
     }
 }
