--- a/src/main/java/nettlewick/pcap/RecordedConnection.java
+++ b/src/main/java/nettlewick/pcap/RecordedConnection.java
@@ -4,7 +4,10 @@
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 
-/** A connection as a capture file shows it: it opens, carries both sides' bytes in order, and closes. Event loop. */
+/**
+ * Writes a TCP connection to a capture file: the handshake, both sides' bytes in order, and the close. Confined to the
+ * event loop.
+ */
 final class RecordedConnection {
     /** The two ends of a connection. */
     enum Side {
@@ -12,17 +15,17 @@
         SERVER
     }
 
-    private static final int SEGMENT_BYTES = 1400;
-    private static final int INITIAL_SEQUENCE = 1000;
+    private static final int MAX_SEGMENT_BYTES = 1400;
+    private static final int INITIAL_SEQUENCE_NUMBER = 1000;
     private static final byte[] NO_BYTES = {};
 
-    /** What one side has sent so far. */
+    /** One side of the connection as a sender. */
     private static final class Sender {
-        private final TcpPacketBuilder packets;
-        private int nextSequence = INITIAL_SEQUENCE;
+        private final TcpPacketBuilder packetBuilder;
+        private int nextSequenceNumber = INITIAL_SEQUENCE_NUMBER;
 
-        Sender(TcpPacketBuilder packets) {
-            this.packets = packets;
+        Sender(TcpPacketBuilder packetBuilder) {
+            this.packetBuilder = packetBuilder;
         }
     }
 
@@ -30,7 +33,7 @@
     private final Sender client;
     private final Sender server;
 
-    /** Writes the handshake at once. */
+    /** Writes the handshake immediately. */
     RecordedConnection(CaptureFileWriter file, SocketAddress clientAddress, SocketAddress serverAddress)
             throws UnknownHostException {
         this.file = file;
@@ -43,17 +46,17 @@
         writeControl(Side.CLIENT, TcpPacketBuilder.ACK);
     }
 
-    /** Writes what that side sends, in as many segments as it takes. */
+    /** Writes bytes sent by one side, split into segments. */
     void send(Side side, byte[] bytes) {
-        for (int offset = 0; offset < bytes.length; offset += SEGMENT_BYTES) {
-            int length = Math.min(SEGMENT_BYTES, bytes.length - offset);
+        for (int offset = 0; offset < bytes.length; offset += MAX_SEGMENT_BYTES) {
+            int length = Math.min(MAX_SEGMENT_BYTES, bytes.length - offset);
             boolean isLast = offset + length == bytes.length;
             int flags = TcpPacketBuilder.ACK | (isLast ? TcpPacketBuilder.PUSH : 0);
             write(side, flags, bytes, offset, length);
         }
     }
 
-    /** Writes the end of the connection. */
+    /** Writes the close of the connection. */
     void close() {
         writeControl(Side.CLIENT, TcpPacketBuilder.FIN | TcpPacketBuilder.ACK);
         writeControl(Side.SERVER, TcpPacketBuilder.FIN | TcpPacketBuilder.ACK);
@@ -67,10 +70,11 @@
     private void write(Side side, int flags, byte[] bytes, int offset, int length) {
         Sender sender = side == Side.CLIENT ? client : server;
         Sender receiver = side == Side.CLIENT ? server : client;
-        int acknowledged = (flags & TcpPacketBuilder.ACK) != 0 ? receiver.nextSequence : 0;
-        byte[] packet = sender.packets.build(flags, sender.nextSequence, acknowledged, bytes, offset, length);
-        boolean countsOne = (flags & (TcpPacketBuilder.SYN | TcpPacketBuilder.FIN)) != 0;
-        sender.nextSequence += length + (countsOne ? 1 : 0);
+        int acknowledgmentNumber = (flags & TcpPacketBuilder.ACK) != 0 ? receiver.nextSequenceNumber : 0;
+        byte[] packet = sender.packetBuilder.build(
+                flags, sender.nextSequenceNumber, acknowledgmentNumber, bytes, offset, length);
+        boolean consumesSequenceNumber = (flags & (TcpPacketBuilder.SYN | TcpPacketBuilder.FIN)) != 0;
+        sender.nextSequenceNumber += length + (consumesSequenceNumber ? 1 : 0);
         file.writePacket(packet);
     }
 }
--- a/src/main/java/nettlewick/tenantpools/ScaleOutController.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutController.java
@@ -12,19 +12,19 @@
 import nettlewick.tenantpools.ScaleOutPolicy.BudgetStatus;
 
 /**
- * Carries out the scale-out decisions of a lease holder: asks the provider, one request at a time, and retries with
- * exponential backoff and jitter. Confined to the lease thread, except {@link #budgetStatus}.
+ * Carries out the scale-out decisions of a lease holder: sends requests to the provider, one at a time, and retries
+ * with exponential backoff and jitter. Confined to the lease thread, except {@link #budgetStatus}.
  */
 final class ScaleOutController {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
     private static final double INITIAL_BACKOFF_MILLIS = 100;
     private static final double MAX_BACKOFF_MILLIS = 10_000;
-    /** Keeps the power of two finite. */
+    /** Prevents overflow of the power of two. */
     private static final int MAX_DOUBLINGS = 30;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** No lease is held. */
+    /** The lease is not held. */
     private static final long NO_FENCE = -1;
 
     private final String tenant;
@@ -34,20 +34,20 @@
     private LeaseTask.LeaseControl leaseControl;
 
     private long fence = NO_FENCE;
-    /** The newest since the lease was acquired; null before the first. */
+    /** The newest report since the lease was acquired; null before the first. */
     private ProviderReport report;
 
     private boolean requestInFlight;
     private double nextRequestAt;
-    private int failures;
-    private boolean complete;
+    private int consecutiveFailures;
+    private boolean scaleOutComplete;
     private ScaleOutPolicy policy;
     private ScaleOutPolicy.ScaleOutSettings policySettings;
-    private long nextKey;
+    private long nextKeyNumber;
     /** Null while the lease is not held here. */
     private volatile BudgetStatus budgetStatus;
 
-    /** @param provider null if there is none; {@link #evaluate} must not be called then */
+    /** @param provider null if there is no provider; {@link #evaluate} must not be called then */
     ScaleOutController(String tenant, ProviderClient provider, Clock clock, long seed) {
         this.tenant = tenant;
         this.provider = provider;
@@ -59,14 +59,14 @@
         leaseControl = control;
     }
 
-    /** Starts without any report, under the fence of a newly acquired lease. */
+    /** Resets all state for a newly acquired lease. */
     void startHolding(long newFence, double nowMillis) {
         fence = newFence;
         report = null;
         requestInFlight = false;
         nextRequestAt = nowMillis;
-        failures = 0;
-        complete = false;
+        consecutiveFailures = 0;
+        scaleOutComplete = false;
     }
 
     void stopHolding() {
@@ -74,25 +74,29 @@
         budgetStatus = null;
     }
 
-    /** Whether all endpoints that were requested run and are ready. */
+    /** Whether all requested endpoints are running and ready. */
     boolean isComplete() {
-        return complete;
+        return scaleOutComplete;
     }
 
-    /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
+    /** The budget's state; null while the lease is not held here or no report has arrived. Thread-safe. */
     BudgetStatus budgetStatus() {
         return budgetStatus;
     }
 
     /**
-     * Takes one step towards the desired number of added endpoints.
+     * Performs the next action towards the desired number of added endpoints.
      *
-     * @param desired negative: as many as there are
-     * @param ready   names of all ready endpoints
-     * @return the state to store, or the same one
+     * @param desiredSize the desired number; negative to keep the current one
+     * @param readyNames  names of all ready endpoints
+     * @return the state to store; the same object if it has not changed
      */
     PoolState evaluate(
-            PoolState state, PoolSettings.TenantSettings settings, int desired, Set<String> ready, double nowMillis) {
+            PoolState state,
+            PoolSettings.TenantSettings settings,
+            int desiredSize,
+            Set<String> readyNames,
+            double nowMillis) {
         List<String> names = runningNames(state);
         if (!names.equals(state.addedEndpoints())) {
             return state.withAddedEndpoints(names);
@@ -101,13 +105,13 @@
             policySettings = settings.scaleOut();
             policy = new ScaleOutPolicy(policySettings);
         }
-        String key = PoolSettings.leaseName(tenant) + "-" + Long.toHexString(fence) + "-" + nextKey;
+        String key = PoolSettings.leaseName(tenant) + "-" + Long.toHexString(fence) + "-" + nextKeyNumber;
         ScaleOutDecision decision =
-                policy.decide(state.budget(), report, desired, nowMillis, (long) clock.nowMillis(), key);
+                policy.decide(state.budget(), report, desiredSize, nowMillis, (long) clock.nowMillis(), key);
         budgetStatus = policy.budgetStatus();
-        complete = decision instanceof ScaleOutDecision.Nothing && allRun(ready);
-        if (decision instanceof ScaleOutDecision.Store store) {
-            nextKey++;
+        scaleOutComplete = decision instanceof ScaleOutDecision.NoAction && allInstancesReady(readyNames);
+        if (decision instanceof ScaleOutDecision.StoreBudget store) {
+            nextKeyNumber++;
             warnIfNearCap(state.budget(), store.budget());
             return state.withBudget(store.budget());
         }
@@ -126,10 +130,10 @@
                         .toList();
     }
 
-    private boolean allRun(Set<String> ready) {
+    private boolean allInstancesReady(Set<String> readyNames) {
         return report != null
                 && report.runningCharges().size() >= report.desiredSize()
-                && report.runningCharges().stream().allMatch(charge -> ready.contains(charge.name()));
+                && report.runningCharges().stream().allMatch(charge -> readyNames.contains(charge.name()));
     }
 
     private void warnIfNearCap(Budget before, Budget after) {
@@ -141,7 +145,7 @@
                 "near-cap",
                 "tenant " + tenant + " is near its spending cap: spent " + status.spentCents() + ", committed "
                         + status.committedCents() + " of " + status.capCents() + "; nothing is added before "
-                        + status.resumesIn(),
+                        + status.resumesInMonth(),
                 "member",
                 tenant,
                 "spent",
@@ -159,7 +163,7 @@
             ResizeRequest request = resize.request();
             LOG.info(
                     "asks-provider",
-                    "asks the provider for " + request.size() + " endpoints for tenant " + tenant,
+                    "requesting " + request.size() + " endpoints from the provider for tenant " + tenant,
                     "member",
                     tenant,
                     "size",
@@ -178,7 +182,10 @@
         }
     }
 
-    /** Hands an answer to the lease thread; one that belongs to an earlier holding is dropped. */
+    /**
+     * Returns a handler that passes an answer to the lease thread and drops it if the lease was lost or reacquired
+     * since the request.
+     */
     private Consumer<ProviderAnswer> answerHandler(long requestFence) {
         return answer -> leaseControl.execute(() -> {
             if (requestFence == fence) {
@@ -190,7 +197,7 @@
     private void handleAnswer(ProviderAnswer answer, double nowMillis) {
         requestInFlight = false;
         if (answer instanceof ProviderAnswer.Reported reported) {
-            takeReport(reported.report(), nowMillis);
+            acceptReport(reported.report(), nowMillis);
             return;
         }
         double delayMillis = answer instanceof ProviderAnswer.RetryLater later ? later.delayMillis() : 0;
@@ -198,11 +205,11 @@
         if (answer instanceof ProviderAnswer.VersionConflict) {
             report = null;
         } else if (answer instanceof ProviderAnswer.Fenced fenced) {
-            giveWay(fenced.highestFence());
+            yieldLease(fenced.highestFence());
         } else {
             LOG.info(
                     "provider-fails",
-                    "the provider did not answer for tenant " + tenant,
+                    "request to the provider for tenant " + tenant + " failed",
                     "member",
                     tenant,
                     "answer",
@@ -210,25 +217,29 @@
         }
     }
 
-    private void takeReport(ProviderReport newReport, double nowMillis) {
-        failures = 0;
+    private void acceptReport(ProviderReport newReport, double nowMillis) {
+        consecutiveFailures = 0;
         nextRequestAt = nowMillis;
         if (report == null || newReport.requestedAtMillis() >= report.requestedAtMillis()) {
             report = newReport;
         }
     }
 
-    /** Drawn from the whole interval: all holders would otherwise return at once to a provider that was down. */
+    /**
+     * A random delay between zero and the exponential bound (full jitter), so that the lease holders do not all retry
+     * at the same time after an outage of the provider.
+     */
     private double backoffMillis() {
-        double bound =
-                Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(MAX_DOUBLINGS, failures++)));
-        return bound * random.nextDouble();
+        double maxDelayMillis = Math.min(
+                MAX_BACKOFF_MILLIS,
+                INITIAL_BACKOFF_MILLIS * Math.pow(2, Math.min(MAX_DOUBLINGS, consecutiveFailures++)));
+        return maxDelayMillis * random.nextDouble();
     }
 
-    private void giveWay(long highestFence) {
+    private void yieldLease(long highestFence) {
         LOG.warning(
                 "outdone",
-                "the provider has seen a higher fence for tenant " + tenant,
+                "the provider rejected a request for tenant " + tenant + " because it has seen a higher fence",
                 "member",
                 tenant,
                 "fence",
--- a/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolsService.java
@@ -21,31 +21,31 @@
 import nettlewick.settings.Block;
 
 /**
- * Connects the tenants' pools to the lease service, which runs their tasks, and to the core, which is given the
- * resulting assignments. Requests and endpoint updates arrive on the core's thread, everything else on the lease
+ * Connects the tenants' pools to the lease service, which runs their tasks, and to the core, which applies the
+ * resulting assignments. Requests and endpoint updates arrive on the core's thread, all other calls on the lease
  * thread.
  */
 public final class TenantPoolsService implements RequestListener, AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
 
     private volatile PoolSettings settings;
-    private final SchedulerSettings platform;
+    private final SchedulerSettings schedulerSettings;
     private final UsageCounters counters;
     private final PoolAssignments assignments;
     private final ProviderClient provider;
     private final Map<String, TenantPoolTask> tasks = new LinkedHashMap<>();
     private volatile RequestCoordinator coordinator;
-    private List<PoolAssignment> lastAssigned = List.of();
+    private List<PoolAssignment> lastAssignments = List.of();
 
     /**
-     * Checks the settings and creates one lease task for each tenant that they name.
+     * Validates the settings and creates one lease task for each tenant named in them.
      *
-     * @throws nettlewick.settings.InvalidSettingsException if the block contradicts itself or the platform's settings
+     * @throws nettlewick.settings.InvalidSettingsException if the block contradicts itself or the scheduler settings
      */
-    public TenantPoolsService(Block block, SchedulerSettings platform, Clock clock, long seed) {
-        this.platform = platform;
-        settings = PoolSettings.of(block, platform.tenants());
-        counters = new UsageCounters(platform.classes());
+    public TenantPoolsService(Block block, SchedulerSettings schedulerSettings, Clock clock, long seed) {
+        this.schedulerSettings = schedulerSettings;
+        settings = PoolSettings.of(block, schedulerSettings.tenants());
+        counters = new UsageCounters(schedulerSettings.classes());
         assignments = new PoolAssignments(settings.staleAfterMillis());
         provider = settings.providerUrl() == null
                 ? null
@@ -66,7 +66,7 @@
                 this::publishAssignments);
     }
 
-    /** The tenants' lease tasks, by the name of the lease. */
+    /** The tenants' lease tasks, by lease name. */
     public Map<String, LeaseTask> leaseTasks() {
         Map<String, LeaseTask> leaseTasks = new LinkedHashMap<>();
         tasks.forEach((name, task) -> leaseTasks.put(PoolSettings.leaseName(name), task));
@@ -74,45 +74,50 @@
     }
 
     /**
-     * Checks a new version of the block. Tenants cannot be added or removed without a restart, since each has a lease:
-     * a block that does is logged and not applied.
+     * Validates a new version of the block. Tenants cannot be added or removed without a restart, since each has a
+     * lease; a block that does so is not applied, and a warning is logged.
      *
-     * @return the step that applies it
+     * @return a task that applies it
      * @throws nettlewick.settings.InvalidSettingsException if it is invalid; the current settings stay in force
      */
     public Runnable prepareReload(Block block) {
-        PoolSettings next = PoolSettings.of(block, platform.tenants());
+        PoolSettings next = PoolSettings.of(block, schedulerSettings.tenants());
         return () -> {
             if (next.tenants().keySet().equals(tasks.keySet())) {
                 settings = next;
             } else {
                 LOG.warning(
                         "members-stay",
-                        "adding or removing tenants of the block pools needs a restart; the old block stays in force");
+                        "tenants in block pools cannot be added or removed without a restart; keeping the old block");
             }
         };
     }
 
-    /** Hands changed assignments to the core. Called on the lease thread. */
+    /** Passes changed assignments to the core. Called on the lease thread. */
     private void publishAssignments(double nowMillis) {
         List<PoolAssignment> next = assignments.currentAssignments(nowMillis);
-        RequestCoordinator to = coordinator;
-        if (to != null && !next.equals(lastAssigned)) {
-            lastAssigned = next;
-            LOG.info("pools-followed", "tenants with dedicated endpoints: " + next.size(), "follows", describe(next));
-            to.assignPools(next);
+        RequestCoordinator currentCoordinator = coordinator;
+        if (currentCoordinator != null && !next.equals(lastAssignments)) {
+            lastAssignments = next;
+            LOG.info(
+                    "pools-followed",
+                    "pool assignments changed; tenants with dedicated endpoints: " + next.size(),
+                    "follows",
+                    describe(next));
+            currentCoordinator.assignPools(next);
         }
     }
 
     /**
-     * {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether it excludes others, whether it is confined, endpoints. The
-     * fleet test parses this form.
+     * Formats assignments as {@code red:1:0:s1,s2;blue:1:1:s3}: tenant, whether it excludes others, whether it is
+     * confined to its endpoints, endpoint names. The fleet test parses this format.
      */
-    private static String describe(List<PoolAssignment> all) {
-        return all.stream()
-                .map(a -> a.tenant() + ":" + (a.isExclusive() ? 1 : 0) + ":" + (a.isConfined() ? 1 : 0)
+    private static String describe(List<PoolAssignment> assignments) {
+        return assignments.stream()
+                .map(assignment -> assignment.tenant() + ":" + (assignment.isExclusive() ? 1 : 0) + ":"
+                        + (assignment.isConfined() ? 1 : 0)
                         + ":"
-                        + a.endpoints().stream().sorted().collect(Collectors.joining(",")))
+                        + assignment.endpoints().stream().sorted().collect(Collectors.joining(",")))
                 .collect(Collectors.joining(";"));
     }
 
@@ -138,16 +143,16 @@
 
     @Override
     public Map<String, Number> metrics() {
-        Map<String, Number> figures = new TreeMap<>();
+        Map<String, Number> metrics = new TreeMap<>();
         tasks.forEach((name, task) -> {
             ScaleOutPolicy.BudgetStatus budget = task.budgetStatus();
             if (budget != null) {
-                figures.put("pools." + name + ".spent_cents", budget.spentCents());
-                figures.put("pools." + name + ".committed_cents", budget.committedCents());
-                figures.put("pools." + name + ".cap_cents", budget.capCents());
+                metrics.put("pools." + name + ".spent_cents", budget.spentCents());
+                metrics.put("pools." + name + ".committed_cents", budget.committedCents());
+                metrics.put("pools." + name + ".cap_cents", budget.capCents());
             }
         });
-        return figures;
+        return metrics;
     }
 
     @Override
--- a/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
+++ b/src/test/java/nettlewick/fleettest/PoolsProcessTest.java
@@ -73,7 +73,7 @@
                 settings,
                 "pool-" + accusedTenant,
                 run.fleet.dispatchers.stream().map(m -> m.leaseAddress).toList(),
-                SimulatedDispatchers.falseAccusations(accusedTenant, 10));
+                SimulatedDispatchers.falseReports(accusedTenant, 10));
     }
 
     private static final String CAPPED_POOLS = "member red cap 1000 most 2\nmember blue\nmember green\n";
--- a/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
+++ b/src/test/java/nettlewick/tenantpools/PoolStateGoldenTest.java
@@ -8,19 +8,22 @@
 import nettlewick.contention.MigrationState;
 import org.junit.jupiter.api.Test;
 
-/** The JSON that a lease carries for a tenant's pool: other builds of the fleet and stored voters read it. */
+/**
+ * The JSON of a tenant's pool in the state of a lease: dispatchers of other builds read it, and voters have it stored.
+ */
 class PoolStateGoldenTest {
     @Test
     void eachStepHasTheRecordedJson() {
         StringBuilder text = new StringBuilder();
         for (MigrationState.Step step : MigrationState.Step.values()) {
-            PoolState.ResizeRequest intent =
+            PoolState.ResizeRequest pendingResize =
                     step.ordinal() % 2 == 0 ? null : new PoolState.ResizeRequest("key-7", 3, 1250);
             PoolState state = new PoolState(
                     4,
                     new MigrationState(step, List.of("s1", "x0"), 2),
                     List.of("x0"),
-                    new PoolState.Budget("2026-12", intent, step == MigrationState.Step.DEDICATED ? "2026-12" : ""));
+                    new PoolState.Budget(
+                            "2026-12", pendingResize, step == MigrationState.Step.DEDICATED ? "2026-12" : ""));
             text.append(new String(state.encode(), StandardCharsets.UTF_8)).append('\n');
             assertEquals(state, PoolState.decode(state.encode()));
         }
