--- a/src/main/java/nettlewick/fleettest/Scenario.java
+++ b/src/main/java/nettlewick/fleettest/Scenario.java
@@ -274,27 +274,27 @@
     private static Step parseStep(Block.Value value) {
         List<String> words = value.words();
         String verb = words.get(1);
-        // The tenant of a flood and the fate of a provider are plain words.
+        // The tenant of a flood and the behavior of a provider are plain words.
         boolean hasNamedTarget = verb.equals("flood") || verb.equals("provider");
         ScenarioTarget target = hasNamedTarget ? new ScenarioTarget(words.get(2), 1) : null;
         ScenarioTarget otherTarget = null;
-        double figure = Double.NaN;
+        double number = Double.NaN;
         double durationMillis = Double.POSITIVE_INFINITY;
         for (int i = hasNamedTarget ? 3 : 2; i < words.size(); i++) {
             Object argument = value.arguments().get(i);
             String precedingWord = words.get(i - 1);
             if (argument instanceof ScenarioTarget p && target == null) {
-                target = new ScenarioTarget(p.name(), Double.isNaN(figure) ? 1 : figure);
-                figure = Double.NaN;
+                target = new ScenarioTarget(p.name(), Double.isNaN(number) ? 1 : number);
+                number = Double.NaN;
             } else if (argument instanceof ScenarioTarget p) {
                 otherTarget = p;
             } else if (argument instanceof Double d && precedingWord.equals("for")) {
                 durationMillis = d;
             } else if (argument instanceof Number n) {
-                figure = n.doubleValue();
+                number = n.doubleValue();
             }
         }
-        return new Step(value.argument(0), verb, target, otherTarget, figure, durationMillis);
+        return new Step(value.argument(0), verb, target, otherTarget, number, durationMillis);
     }
 
     /** Rejects a step without a valid target, which would otherwise seem to do no harm. */
--- a/src/main/java/nettlewick/fleettest/StepExecutor.java
+++ b/src/main/java/nettlewick/fleettest/StepExecutor.java
@@ -86,8 +86,8 @@
     }
 
     /** Runs an action in the next {@link #runDue}; callable from any thread. */
-    void post(Action task) {
-        posted.add(task);
+    void post(Action action) {
+        posted.add(action);
     }
 
     boolean isDone() {
