--- a/src/main/java/nettlewick/stubs/BatchReceiver.java
+++ b/src/main/java/nettlewick/stubs/BatchReceiver.java
@@ -28,7 +28,7 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final HttpServer server;
-    private final Map<String, String> sums = new ConcurrentHashMap<>();
+    private final Map<String, String> checksums = new ConcurrentHashMap<>();
     private final Map<String, Buffer> receivedBatches = new ConcurrentHashMap<>();
     private volatile Function<String, Behavior> responder = batch -> Behavior.TAKEN;
     private volatile String conflictingBatch;
@@ -43,8 +43,8 @@
     }
 
     /** Decides on each call by its batch's name; called on the event loop. */
-    public void setResponder(Function<String, Behavior> next) {
-        responder = next;
+    public void setResponder(Function<String, Behavior> newResponder) {
+        responder = newResponder;
     }
 
     /** All batches that were taken, by {@code dispatcher/export/number}. */
@@ -61,32 +61,32 @@
         String batch = request.getHeader("X-Batch-Dispatcher") + "/" + request.getHeader("X-Batch-Export")
                 + "/"
                 + request.getHeader("X-Batch-Number");
-        String sum = request.getHeader("X-Batch-Sum");
+        String checksum = request.getHeader("X-Batch-Sum");
         request.exceptionHandler(e -> {});
         request.body().onSuccess(body -> {
-            Behavior fate = responder.apply(batch);
-            if (fate == Behavior.REFUSED_BEFORE) {
+            Behavior behavior = responder.apply(batch);
+            if (behavior == Behavior.REFUSED_BEFORE) {
                 request.response().setStatusCode(503).end("later");
                 return;
             }
-            if (fate == Behavior.SILENT_BEFORE) {
+            if (behavior == Behavior.SILENT_BEFORE) {
                 return;
             }
-            String before = sums.putIfAbsent(batch, sum);
-            if (before != null && !before.equals(sum)) {
+            String knownChecksum = checksums.putIfAbsent(batch, checksum);
+            if (knownChecksum != null && !knownChecksum.equals(checksum)) {
                 conflictingBatch = batch;
                 request.response().setStatusCode(409).end("another content under this number");
                 return;
             }
             receivedBatches.put(batch, body);
-            switch (fate) {
+            switch (behavior) {
                 case ERROR_AFTER -> request.response().setStatusCode(500).end("broke after it was taken");
                 case RESET_AFTER -> request.connection().close();
                 case SILENT_AFTER ->
                     vertx.setTimer(
                             TimeUnit.MINUTES.toMillis(1),
-                            t -> request.connection().close());
-                default -> request.response().end(before == null ? "taken" : "known");
+                            timer -> request.connection().close());
+                default -> request.response().end(knownChecksum == null ? "taken" : "known");
             }
         });
     }
--- a/src/main/java/nettlewick/stubs/DiscoveryServer.java
+++ b/src/main/java/nettlewick/stubs/DiscoveryServer.java
@@ -18,185 +18,190 @@
  * kept in one order; a dispatcher's list lags behind by its own delay.
  */
 public final class DiscoveryServer {
-    private static final long BEAT = 2000;
+    private static final long HEARTBEAT_MILLIS = 2000;
 
     /** A runner as the list holds it. */
-    private record Entry(EndpointServer runner, String health, long born) {}
+    private record HealthChange(EndpointServer endpoint, String health, long startedAtMillis) {}
 
     private final Vertx vertx;
-    private final double callTime;
-    private final DrainListener drains;
+    private final double callMillis;
+    private final DrainListener drainListener;
     private final DoubleSupplier clock;
-    private final AddressResolver dial;
+    private final AddressResolver addresses;
     /** What has changed, from number 1 on. */
-    private final List<Entry> changes = new ArrayList<>();
+    private final List<HealthChange> changes = new ArrayList<>();
 
-    private final Map<Integer, HttpServerResponse> watchers = new LinkedHashMap<>();
+    private final Map<Integer, HttpServerResponse> watchResponses = new LinkedHashMap<>();
     /** The number to which each dispatcher has been told. */
-    private final int[] told;
+    private final int[] sentChanges;
 
-    private final double[] lag;
-    private volatile double silentUntil;
-    private double servedAt;
+    private final double[] delayMillis;
+    private volatile double mutedUntil;
+    private double busyUntil;
     public final AtomicInteger callCount = new AtomicInteger();
 
     /** Hears that a dispatcher has been told of a draining runner. */
     public interface DrainListener {
-        void drainAnnounced(int dispatcher, String runner, double now);
+        void drainAnnounced(int dispatcher, String endpoint, double now);
     }
 
     /** Where a dispatcher reaches a runner. */
     public interface AddressResolver {
-        InetSocketAddress addressFor(int dispatcher, EndpointServer runner);
+        InetSocketAddress addressFor(int dispatcher, EndpointServer endpoint);
     }
 
     /** @param calls how long it takes over one call, one after another; 0: no time */
     public DiscoveryServer(
             Vertx vertx,
             int dispatchers,
-            double calls,
-            DrainListener drains,
+            double callMillis,
+            DrainListener drainListener,
             DoubleSupplier clock,
-            AddressResolver dial) {
+            AddressResolver addresses) {
         this.vertx = vertx;
-        callTime = calls;
-        this.drains = drains;
+        this.callMillis = callMillis;
+        this.drainListener = drainListener;
         this.clock = clock;
-        this.dial = dial;
-        told = new int[dispatchers];
-        lag = new double[dispatchers];
-        vertx.setPeriodic(BEAT, id -> beat());
+        this.addresses = addresses;
+        sentChanges = new int[dispatchers];
+        delayMillis = new double[dispatchers];
+        vertx.setPeriodic(HEARTBEAT_MILLIS, id -> sendHeartbeats());
     }
 
     public InetSocketAddress listen(int dispatcher) throws Exception {
         HttpServer server = vertx.createHttpServer();
-        server.requestHandler(request -> called(dispatcher, request));
+        server.requestHandler(request -> handleCall(dispatcher, request));
         StubPlatform.awaitResult(server.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", server.actualPort());
     }
 
     /** Each dispatcher is told so much later than the change, from now on. */
     public synchronized void setDelay(int dispatcher, double millis) {
-        lag[dispatcher] = millis;
+        delayMillis[dispatcher] = millis;
     }
 
     public void muteUntil(double until) {
-        silentUntil = until;
+        mutedUntil = until;
     }
 
     /** A call for the whole list with a watch; where calls take time, each waits for those before it. */
-    private void called(int dispatcher, HttpServerRequest request) {
+    private void handleCall(int dispatcher, HttpServerRequest request) {
         callCount.incrementAndGet();
         double now = clock.getAsDouble();
-        if (now < silentUntil) {
+        if (now < mutedUntil) {
             return;
         }
         synchronized (this) {
-            servedAt = Math.max(now, servedAt) + callTime;
+            busyUntil = Math.max(now, busyUntil) + callMillis;
         }
         String uri = request.uri();
-        int at = uri.indexOf("after=");
-        long after = at < 0 ? -1 : Long.parseLong(uri.substring(at + 6));
+        int parameter = uri.indexOf("after=");
+        long afterVersion = parameter < 0 ? -1 : Long.parseLong(uri.substring(parameter + 6));
         request.response().exceptionHandler(e -> {});
-        after(servedAt - now, () -> watch(dispatcher, request.response().setChunked(true), after));
+        runAfter(
+                busyUntil - now, () -> startWatch(dispatcher, request.response().setChunked(true), afterVersion));
     }
 
-    private synchronized void watch(int dispatcher, HttpServerResponse response, long after) {
+    private synchronized void startWatch(int dispatcher, HttpServerResponse response, long afterVersion) {
         if (response.closed()) {
             return;
         }
-        watchers.put(dispatcher, response);
-        if (after >= 0 && after <= changes.size()) {
-            told[dispatcher] = (int) after;
+        watchResponses.put(dispatcher, response);
+        if (afterVersion >= 0 && afterVersion <= changes.size()) {
+            sentChanges[dispatcher] = (int) afterVersion;
             response.write("\n");
         } else {
             // The list as far as this dispatcher may know it; what is newer follows when its time comes.
-            told[dispatcher] = Math.max(told[dispatcher], lag[dispatcher] > 0 ? 0 : changes.size());
-            response.write(line(dispatcher, true, 0));
+            sentChanges[dispatcher] =
+                    Math.max(sentChanges[dispatcher], delayMillis[dispatcher] > 0 ? 0 : changes.size());
+            response.write(listLine(dispatcher, true, 0));
         }
-        tell(dispatcher);
+        sendChanges(dispatcher);
     }
 
     /** Tells all of a change, each after its own lag. */
-    public synchronized void announceHealth(EndpointServer runner, String health) {
-        double born = runner.model.startedAt();
-        changes.add(new Entry(
-                runner,
+    public synchronized void announceHealth(EndpointServer endpoint, String health) {
+        double startedAt = endpoint.model.startedAt();
+        changes.add(new HealthChange(
+                endpoint,
                 health,
-                born < 0 || Double.isInfinite(born)
+                startedAt < 0 || Double.isInfinite(startedAt)
                         ? 0
-                        : System.currentTimeMillis() - (long) (clock.getAsDouble() - born)));
-        int number = changes.size();
-        for (int d = 0; d < told.length; d++) {
-            int dispatcher = d;
-            after(lag[d], () -> reach(dispatcher, number));
+                        : System.currentTimeMillis() - (long) (clock.getAsDouble() - startedAt)));
+        int version = changes.size();
+        for (int i = 0; i < sentChanges.length; i++) {
+            int dispatcher = i;
+            runAfter(delayMillis[i], () -> sendDelayedChange(dispatcher, version));
         }
     }
 
-    private synchronized void reach(int dispatcher, int number) {
-        if (told[dispatcher] < number) {
-            tell(dispatcher);
+    private synchronized void sendDelayedChange(int dispatcher, int version) {
+        if (sentChanges[dispatcher] < version) {
+            sendChanges(dispatcher);
         }
     }
 
-    private void tell(int dispatcher) {
-        HttpServerResponse to = watchers.get(dispatcher);
-        if (to == null || to.closed() || clock.getAsDouble() < silentUntil || told[dispatcher] >= changes.size()) {
+    private void sendChanges(int dispatcher) {
+        HttpServerResponse response = watchResponses.get(dispatcher);
+        if (response == null
+                || response.closed()
+                || clock.getAsDouble() < mutedUntil
+                || sentChanges[dispatcher] >= changes.size()) {
             return;
         }
-        int from = told[dispatcher];
-        told[dispatcher] = changes.size();
-        to.write(line(dispatcher, false, from)).onSuccess(v -> note(dispatcher));
+        int from = sentChanges[dispatcher];
+        sentChanges[dispatcher] = changes.size();
+        response.write(listLine(dispatcher, false, from)).onSuccess(v -> notifyDrains(dispatcher));
     }
 
     /** From now on this dispatcher knows of the drains. */
-    private synchronized void note(int dispatcher) {
-        for (Entry e : latest(0, told[dispatcher]).values()) {
-            if (e.health().equals("Terminating")) {
-                drains.drainAnnounced(dispatcher, e.runner().model.name, clock.getAsDouble());
+    private synchronized void notifyDrains(int dispatcher) {
+        for (HealthChange change : latestChanges(0, sentChanges[dispatcher]).values()) {
+            if (change.health().equals("Terminating")) {
+                drainListener.drainAnnounced(dispatcher, change.endpoint().model.name, clock.getAsDouble());
             }
         }
     }
 
-    private Map<String, Entry> latest(int from, int to) {
-        Map<String, Entry> entries = new LinkedHashMap<>();
-        for (Entry e : changes.subList(from, to)) {
-            entries.put(e.runner().model.name, e);
+    private Map<String, HealthChange> latestChanges(int from, int to) {
+        Map<String, HealthChange> entries = new LinkedHashMap<>();
+        for (HealthChange change : changes.subList(from, to)) {
+            entries.put(change.endpoint().model.name, change);
         }
         return entries;
     }
 
-    private String line(int dispatcher, boolean whole, int from) {
-        return new Gson().toJson(list(dispatcher, whole, from)) + "\n";
+    private String listLine(int dispatcher, boolean whole, int from) {
+        return new Gson().toJson(endpointList(dispatcher, whole, from)) + "\n";
     }
 
-    private Map<String, Object> list(int dispatcher, boolean whole, int from) {
+    private Map<String, Object> endpointList(int dispatcher, boolean whole, int from) {
         List<Map<String, Object>> hosts = new ArrayList<>();
-        for (Entry e : latest(from, told[dispatcher]).values()) {
-            if (whole && e.health().equals("Gone")) {
+        for (HealthChange change : latestChanges(from, sentChanges[dispatcher]).values()) {
+            if (whole && change.health().equals("Gone")) {
                 continue;
             }
-            InetSocketAddress to = dial.addressFor(dispatcher, e.runner());
+            InetSocketAddress address = addresses.addressFor(dispatcher, change.endpoint());
             hosts.add(Map.of(
                     "host",
-                    e.runner().model.name,
+                    change.endpoint().model.name,
                     "dial",
-                    to.getHostString() + ":" + to.getPort(),
+                    address.getHostString() + ":" + address.getPort(),
                     "site",
-                    e.runner().model.zone,
+                    change.endpoint().model.zone,
                     "class",
                     "std",
                     "block",
                     0,
                     "health",
-                    e.health(),
+                    change.health(),
                     "share",
                     1.0,
                     "born_ms",
-                    e.born()));
+                    change.startedAtMillis()));
         }
         Map<String, Object> line = new LinkedHashMap<>();
-        line.put("seq", told[dispatcher]);
+        line.put("seq", sentChanges[dispatcher]);
         line.put("whole", whole);
         line.put("hosts", hosts);
         return line;
@@ -204,29 +209,29 @@
 
     /** The list that a dispatcher last had, as it is given to one that starts again. */
     public synchronized Map<String, Object> lastSentList(int dispatcher) {
-        return list(dispatcher, true, 0);
+        return endpointList(dispatcher, true, 0);
     }
 
-    private synchronized void beat() {
-        if (clock.getAsDouble() >= silentUntil) {
-            watchers.values().forEach(w -> {
-                if (!w.closed()) {
-                    w.write("\n");
+    private synchronized void sendHeartbeats() {
+        if (clock.getAsDouble() >= mutedUntil) {
+            watchResponses.values().forEach(response -> {
+                if (!response.closed()) {
+                    response.write("\n");
                 }
             });
         }
-        for (int d = 0; d < told.length; d++) {
-            if (lag[d] <= 0) {
-                tell(d);
+        for (int dispatcher = 0; dispatcher < sentChanges.length; dispatcher++) {
+            if (delayMillis[dispatcher] <= 0) {
+                sendChanges(dispatcher);
             }
         }
     }
 
-    private void after(double millis, Runnable what) {
+    private void runAfter(double millis, Runnable task) {
         if (millis < 1) {
-            what.run();
+            task.run();
         } else {
-            vertx.setTimer(Math.round(millis), id -> what.run());
+            vertx.setTimer(Math.round(millis), id -> task.run());
         }
     }
 }
--- a/src/main/java/nettlewick/stubs/EndpointModel.java
+++ b/src/main/java/nettlewick/stubs/EndpointModel.java
@@ -44,9 +44,9 @@
     /** A job that begins to run, and for how long. */
     public record StartedRequest(String id, double millis) {}
 
-    private record Waiting(String id, double work) {}
+    private record QueuedRequest(String id, double work) {}
 
-    private record Offered(double at, double work) {}
+    private record OfferedWork(double offeredAt, double work) {}
 
     public final String name;
     public final String zone;
@@ -54,12 +54,12 @@
     public final double speed;
     final Config config;
     private final Set<String> running = new HashSet<>();
-    private final Deque<Waiting> queue = new ArrayDeque<>();
-    private final Deque<Offered> offered = new ArrayDeque<>();
-    private double offeredWork;
+    private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+    private final Deque<OfferedWork> recentOffers = new ArrayDeque<>();
+    private double recentOfferedWork;
     private double startedAt;
     /** A step's factor: the runner is so many times slower. */
-    private double slowed = 1;
+    private double slowdownFactor = 1;
 
     private boolean draining;
     private boolean isUp = true;
@@ -76,59 +76,59 @@
     }
 
     /** Takes a job of that much work; {@code begun} gets those that begin to run. */
-    public synchronized Admission offer(String id, double work, double now, List<StartedRequest> begun) {
-        weigh(work, now);
+    public synchronized Admission offer(String id, double work, double now, List<StartedRequest> started) {
+        recordOfferedWork(work, now);
         if (draining) {
             return Admission.DRAINS;
         }
         if (running.size() < slots) {
-            begin(new Waiting(id, work), now, begun);
+            startRequest(new QueuedRequest(id, work), now, started);
             return Admission.RUNS;
         }
         if (queue.size() < config.queueCapacity()) {
-            queue.add(new Waiting(id, work));
+            queue.add(new QueuedRequest(id, work));
             return Admission.WAITS;
         }
         return Admission.FULL;
     }
 
-    private void begin(Waiting job, double now, List<StartedRequest> begun) {
-        running.add(job.id());
-        begun.add(new StartedRequest(job.id(), job.work() / speedAt(now)));
+    private void startRequest(QueuedRequest request, double now, List<StartedRequest> started) {
+        running.add(request.id());
+        started.add(new StartedRequest(request.id(), request.work() / speedAt(now)));
     }
 
     /** A job has ended or is called off; a slot that comes free is filled from the queue. */
-    public synchronized void finish(String id, double now, List<StartedRequest> begun) {
+    public synchronized void finish(String id, double now, List<StartedRequest> started) {
         if (!running.remove(id)) {
-            queue.removeIf(w -> w.id().equals(id));
+            queue.removeIf(queued -> queued.id().equals(id));
             return;
         }
         if (isUp && !queue.isEmpty()) {
-            begin(queue.poll(), now, begun);
+            startRequest(queue.poll(), now, started);
         }
     }
 
     /** Work that a cold runner is offered, refused or not, in the time in which it may be pushed over. */
-    private void weigh(double work, double now) {
-        offered.add(new Offered(now, work));
-        offeredWork += work;
-        while (offered.peek().at() < now - config.overloadMillis()) {
-            offeredWork -= offered.poll().work();
+    private void recordOfferedWork(double work, double now) {
+        recentOffers.add(new OfferedWork(now, work));
+        recentOfferedWork += work;
+        while (recentOffers.peek().offeredAt() < now - config.overloadMillis()) {
+            recentOfferedWork -= recentOffers.poll().work();
         }
-        double cap = config.overloadFactor() * slots * speedAt(now) * config.overloadMillis();
+        double maxWork = config.overloadFactor() * slots * speedAt(now) * config.overloadMillis();
         // A little room for chance, as one job of four times the mean may be.
-        if (inSlowStart(now) && offeredWork > cap + 4 * offeredWork / offered.size()) {
+        if (inSlowStart(now) && recentOfferedWork > maxWork + 4 * recentOfferedWork / recentOffers.size()) {
             isOverloaded = true;
         }
     }
 
     private double speedAt(double now) {
         double age = now - startedAt;
-        double warm = config.slowStartMillis() <= 0 || age >= config.slowStartMillis()
+        double warmUpFraction = config.slowStartMillis() <= 0 || age >= config.slowStartMillis()
                 ? 1
                 : config.initialSpeedFraction()
                         + (1 - config.initialSpeedFraction()) * Math.max(0, age) / config.slowStartMillis();
-        return speed * warm / slowed;
+        return speed * warmUpFraction / slowdownFactor;
     }
 
     public synchronized boolean inSlowStart(double now) {
@@ -139,7 +139,7 @@
     public synchronized List<String> crash() {
         isUp = false;
         List<String> lost = new ArrayList<>(running);
-        queue.forEach(w -> lost.add(w.id()));
+        queue.forEach(queued -> lost.add(queued.id()));
         running.clear();
         queue.clear();
         return lost;
@@ -151,8 +151,8 @@
         isOverloaded = false;
         draining = false;
         startedAt = now;
-        offered.clear();
-        offeredWork = 0;
+        recentOffers.clear();
+        recentOfferedWork = 0;
     }
 
     public synchronized void drain() {
@@ -160,7 +160,7 @@
     }
 
     public synchronized void setSlowdown(double factor) {
-        slowed = factor;
+        slowdownFactor = factor;
     }
 
     public synchronized boolean isUp() {
--- a/src/main/java/nettlewick/stubs/EndpointServer.java
+++ b/src/main/java/nettlewick/stubs/EndpointServer.java
@@ -20,7 +20,7 @@
     /** Hears of what happens at a runner; called from its event loop. */
     public interface Listener {
         /** An attempt has come whole. */
-        void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now);
+        void attemptArrived(String requestId, EndpointModel endpoint, EndpointModel.Admission admission, double now);
 
         /**
          * An attempt has come whole, with the seconds that it was told.
@@ -29,27 +29,31 @@
          * @param now the earliest time at which it may have come, where this process was late to read it
          */
         default void deadlineReceived(
-                String id, EndpointModel runner, EndpointModel.Admission how, double seconds, double now) {}
+                String requestId,
+                EndpointModel endpoint,
+                EndpointModel.Admission admission,
+                double deadlineSeconds,
+                double arrivedAt) {}
 
         /** A job begins to run. */
-        void executionStarted(String id, EndpointModel runner, double now);
+        void executionStarted(String requestId, EndpointModel endpoint, double now);
 
         /** It was pushed over while cold, and is down. */
-        void endpointOverloaded(EndpointModel runner, double now);
+        void endpointOverloaded(EndpointModel endpoint, double now);
     }
 
     /** A job that was taken: where its lines go, and its timer once it runs. */
-    private static final class Taken {
+    private static final class PendingResponse {
         final HttpServerResponse response;
         volatile long timer = -1;
 
-        Taken(HttpServerResponse response) {
+        PendingResponse(HttpServerResponse response) {
             this.response = response;
         }
     }
 
     /** A report as it was some time ago. */
-    private record Report(double at, String text) {}
+    private record LoadReport(double createdAt, String text) {}
 
     /** Milliseconds between two words of a job that runs. */
     public static final double PROGRESS_INTERVAL_MILLIS = 1000;
@@ -57,9 +61,9 @@
     public final EndpointModel model;
     private final String host;
     private final Vertx vertx;
-    private final Listener watch;
+    private final Listener listener;
     private final DoubleSupplier clock;
-    private final Map<String, Taken> taken = new ConcurrentHashMap<>();
+    private final Map<String, PendingResponse> pendingResponses = new ConcurrentHashMap<>();
     private final Set<HttpConnection> connections = ConcurrentHashMap.newKeySet();
     private HttpServer server;
     private InetSocketAddress address;
@@ -67,30 +71,30 @@
     public volatile double hungUntil;
 
     public volatile double reportsIdleUntil;
-    private volatile Report report = new Report(Double.NEGATIVE_INFINITY, "");
-    private boolean fell;
+    private volatile LoadReport loadReport = new LoadReport(Double.NEGATIVE_INFINITY, "");
+    private boolean overloadReported;
     /** Made on the event loop that reads the first request; all connections of a server share it. */
-    private ReadTimes readTimes;
+    private ArrivalTimeEstimator arrivalTimes;
 
     /** @param host the loopback address that it listens at, its own; @param clock milliseconds */
-    public EndpointServer(String host, EndpointModel model, Vertx vertx, Listener watch, DoubleSupplier clock) {
+    public EndpointServer(String host, EndpointModel model, Vertx vertx, Listener listener, DoubleSupplier clock) {
         this.host = host;
         this.model = model;
         this.vertx = vertx;
-        this.watch = watch;
+        this.listener = listener;
         this.clock = clock;
     }
 
     /** Listens, at the same address at every start. */
     public InetSocketAddress listen() throws Exception {
         server = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(false));
-        server.connectionHandler(c -> {
-            connections.add(c);
-            c.closeHandler(v -> connections.remove(c));
-            c.exceptionHandler(e -> {});
+        server.connectionHandler(connection -> {
+            connections.add(connection);
+            connection.closeHandler(v -> connections.remove(connection));
+            connection.exceptionHandler(e -> {});
         });
         server.exceptionHandler(e -> {});
-        server.requestHandler(this::serve);
+        server.requestHandler(this::handleRequest);
         if (address == null) {
             StubPlatform.awaitResult(server.listen(0, host));
             address = new InetSocketAddress(host, server.actualPort());
@@ -106,9 +110,9 @@
             return;
         }
         for (String id : model.crash()) {
-            Taken t = taken.remove(id);
-            if (t != null) {
-                vertx.cancelTimer(t.timer);
+            PendingResponse pending = pendingResponses.remove(id);
+            if (pending != null) {
+                vertx.cancelTimer(pending.timer);
             }
         }
         server.close();
@@ -119,157 +123,162 @@
     public void start() throws Exception {
         if (!model.isUp()) {
             model.start(clock.getAsDouble());
-            fell = false;
+            overloadReported = false;
             listen();
         }
     }
 
-    private void serve(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         double now = clock.getAsDouble();
         request.exceptionHandler(e -> {});
-        if (readTimes == null) {
-            readTimes = new ReadTimes(now);
-            vertx.setPeriodic(ReadTimes.TICK_MILLIS, id -> readTimes.tick(clock.getAsDouble()));
+        if (arrivalTimes == null) {
+            arrivalTimes = new ArrivalTimeEstimator(now);
+            vertx.setPeriodic(ArrivalTimeEstimator.TICK_MILLIS, id -> arrivalTimes.tick(clock.getAsDouble()));
         }
-        double readAt = readTimes.earliestArrival(now);
+        double arrivedAt = arrivalTimes.earliestArrival(now);
         boolean isHung = now < hungUntil;
         if (request.method() == HttpMethod.GET) {
             if (isHung) {
                 return;
             }
-            request.response().end(report(now));
+            request.response().end(loadReport(now));
             return;
         }
         request.body().onSuccess(body -> {
             if (isHung) {
-                tell(request, null, readAt);
+                notifyDeadline(request, null, arrivedAt);
             } else {
-                take(request, Double.parseDouble(body.toString()), readAt);
+                admit(request, Double.parseDouble(body.toString()), arrivedAt);
             }
         });
     }
 
-    private String report(double now) {
+    private String loadReport(double now) {
         if (now < reportsIdleUntil) {
             return "depth=0,concurrent=0,x0=" + model.slots + ",x1=" + model.slots;
         }
-        if (now - report.at() >= model.config.maxReportAgeMillis()) {
-            int free = Math.max(0, model.slots - model.runningCount());
-            report = new Report(
+        if (now - loadReport.createdAt() >= model.config.maxReportAgeMillis()) {
+            int freeSlots = Math.max(0, model.slots - model.runningCount());
+            loadReport = new LoadReport(
                     now,
                     "depth=" + model.queuedCount() + ",concurrent=" + (model.runningCount() + model.queuedCount())
-                            + ",x0=" + free + ",x1=" + free);
+                            + ",x0=" + freeSlots + ",x1=" + freeSlots);
         }
-        return report.text();
+        return loadReport.text();
     }
 
-    private void take(HttpServerRequest request, double work, double readAt) {
+    private void admit(HttpServerRequest request, double work, double arrivedAt) {
         double now = clock.getAsDouble();
         String id = request.getHeader("X-Request-Id");
         HttpServerResponse response = request.response();
         response.exceptionHandler(e -> {});
         if (now < hungUntil || !model.isUp()) {
-            tell(request, null, readAt);
+            notifyDeadline(request, null, arrivedAt);
             return;
         }
-        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
-        String own = id + "@" + System.nanoTime();
+        List<EndpointModel.StartedRequest> started = new ArrayList<>();
+        String executionId = id + "@" + System.nanoTime();
         // Danger: a job that begins at once needs its entry before its timer is set.
-        taken.put(own, new Taken(response));
-        EndpointModel.Admission how = model.offer(own, work, now, begun);
-        watch.attemptArrived(id, model, how, now);
-        tell(request, how, readAt);
-        if (model.isOverloaded() && !fell) {
-            fell = true;
-            watch.endpointOverloaded(model, now);
+        pendingResponses.put(executionId, new PendingResponse(response));
+        EndpointModel.Admission admission = model.offer(executionId, work, now, started);
+        listener.attemptArrived(id, model, admission, now);
+        notifyDeadline(request, admission, arrivedAt);
+        if (model.isOverloaded() && !overloadReported) {
+            overloadReported = true;
+            listener.endpointOverloaded(model, now);
             kill();
             return;
         }
-        if (how == EndpointModel.Admission.FULL || how == EndpointModel.Admission.DRAINS) {
-            taken.remove(own);
+        if (admission == EndpointModel.Admission.FULL || admission == EndpointModel.Admission.DRAINS) {
+            pendingResponses.remove(executionId);
             response.setStatusCode(503).putHeader("X-Not-Run", "1").end();
             return;
         }
         response.setChunked(true).writeHead();
-        response.closeHandler(v -> gone(own));
-        begun.forEach(this::begin);
+        response.closeHandler(v -> clientDisconnected(executionId));
+        started.forEach(this::startExecution);
     }
 
-    private void tell(HttpServerRequest request, EndpointModel.Admission how, double readAt) {
+    private void notifyDeadline(HttpServerRequest request, EndpointModel.Admission admission, double arrivedAt) {
         String deadline = request.getHeader("X-Deadline");
-        watch.deadlineReceived(
+        listener.deadlineReceived(
                 request.getHeader("X-Request-Id"),
                 model,
-                how,
+                admission,
                 deadline == null ? Double.NaN : Double.parseDouble(deadline),
-                readAt);
+                arrivedAt);
     }
 
-    private static String plain(String own) {
-        return own.substring(0, own.lastIndexOf('@'));
+    private static String requestId(String executionId) {
+        return executionId.substring(0, executionId.lastIndexOf('@'));
     }
 
-    private void begin(EndpointModel.StartedRequest b) {
-        Taken t = taken.get(b.id());
-        if (t == null) {
+    private void startExecution(EndpointModel.StartedRequest started) {
+        PendingResponse pending = pendingResponses.get(started.id());
+        if (pending == null) {
             return;
         }
-        String id = plain(b.id());
-        watch.executionStarted(id, model, clock.getAsDouble());
-        write(t, id, "started\"}", false);
-        proceed(b.id(), t, 0, Math.max(1, b.millis()));
+        String id = requestId(started.id());
+        listener.executionStarted(id, model, clock.getAsDouble());
+        writeLine(pending, id, "started\"}", false);
+        scheduleProgress(started.id(), pending, 0, Math.max(1, started.millis()));
     }
 
     /** Tells of progress each second, as the settings say, and ends the job when its time is over. */
-    private void proceed(String own, Taken t, double done, double millis) {
-        double next = Math.min(PROGRESS_INTERVAL_MILLIS, millis - done);
-        t.timer = vertx.setTimer(Math.max(1, Math.round(next)), timer -> {
-            if (done + next >= millis) {
-                finish(own, t);
+    private void scheduleProgress(String executionId, PendingResponse pending, double doneMillis, double totalMillis) {
+        double stepMillis = Math.min(PROGRESS_INTERVAL_MILLIS, totalMillis - doneMillis);
+        pending.timer = vertx.setTimer(Math.max(1, Math.round(stepMillis)), timer -> {
+            if (doneMillis + stepMillis >= totalMillis) {
+                finishExecution(executionId, pending);
                 return;
             }
             if (clock.getAsDouble() >= hungUntil) {
-                write(t, plain(own), "running\",\"share\":" + (float) ((done + next) / millis) + "}", false);
+                writeLine(
+                        pending,
+                        requestId(executionId),
+                        "running\",\"share\":" + (float) ((doneMillis + stepMillis) / totalMillis) + "}",
+                        false);
             }
-            proceed(own, t, done + next, millis);
+            scheduleProgress(executionId, pending, doneMillis + stepMillis, totalMillis);
         });
     }
 
     /** Danger: what runs while the runner hangs ends only once that does. */
-    private void finish(String own, Taken t) {
-        double hung = hungUntil - clock.getAsDouble();
-        if (hung > 0) {
-            t.timer = vertx.setTimer((long) hung + 1, timer -> finish(own, t));
-        } else if (taken.remove(own) != null) {
-            next(own);
-            write(t, plain(own), "done\",\"result\":\"r-" + plain(own) + "\"}", true);
+    private void finishExecution(String executionId, PendingResponse pending) {
+        double remainingHangMillis = hungUntil - clock.getAsDouble();
+        if (remainingHangMillis > 0) {
+            pending.timer =
+                    vertx.setTimer((long) remainingHangMillis + 1, timer -> finishExecution(executionId, pending));
+        } else if (pendingResponses.remove(executionId) != null) {
+            releaseSlot(executionId);
+            writeLine(pending, requestId(executionId), "done\",\"result\":\"r-" + requestId(executionId) + "\"}", true);
         }
     }
 
-    private void next(String own) {
-        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
-        model.finish(own, clock.getAsDouble(), begun);
-        begun.forEach(this::begin);
+    private void releaseSlot(String executionId) {
+        List<EndpointModel.StartedRequest> started = new ArrayList<>();
+        model.finish(executionId, clock.getAsDouble(), started);
+        started.forEach(this::startExecution);
     }
 
     /** Whoever waited for this job has closed the connection. */
-    private void gone(String own) {
-        Taken t = model.config.cancelsOnDisconnect() ? taken.remove(own) : null;
-        if (t != null) {
-            vertx.cancelTimer(t.timer);
-            next(own);
+    private void clientDisconnected(String executionId) {
+        PendingResponse pending = model.config.cancelsOnDisconnect() ? pendingResponses.remove(executionId) : null;
+        if (pending != null) {
+            vertx.cancelTimer(pending.timer);
+            releaseSlot(executionId);
         }
     }
 
-    private void write(Taken t, String id, String state, boolean last) {
-        if (t.response.closed() || t.response.ended()) {
+    private void writeLine(PendingResponse pending, String id, String state, boolean last) {
+        if (pending.response.closed() || pending.response.ended()) {
             return;
         }
         String line = "{\"id\":\"" + id + "\",\"from\":\"" + model.name + "\",\"state\":\"" + state + "\n";
         if (last) {
-            t.response.end(line);
+            pending.response.end(line);
         } else {
-            t.response.write(line);
+            pending.response.write(line);
         }
     }
 }
--- a/src/main/java/nettlewick/stubs/ProviderModel.java
+++ b/src/main/java/nettlewick/stubs/ProviderModel.java
@@ -15,7 +15,7 @@
  * milliseconds of Unix time.
  */
 public final class ProviderModel {
-    private static final double HOUR = 3_600_000;
+    private static final double HOUR_MILLIS = 3_600_000;
 
     /** What a member may spend in a month, in hundredths, and the part of it past which nothing is added. */
     public record MonthlyCap(long cents, double nearFraction) {}
@@ -37,8 +37,8 @@
         int size;
         int version = 1;
         long fence;
-        final List<Instance> runners = new ArrayList<>();
-        final Map<String, Integer> keys = new LinkedHashMap<>();
+        final List<Instance> instances = new ArrayList<>();
+        final Map<String, Integer> sizeByKey = new LinkedHashMap<>();
     }
 
     private final long centsPerHour;
@@ -49,22 +49,22 @@
     private final List<String> violations = new ArrayList<>();
     private final List<AppliedResize> appliedResizes = new ArrayList<>();
     private double maxOverrunCents;
-    private int started;
-    private int added;
-    private int staleFences;
-    private int staleVersions;
-    private int repeated;
+    private int startedCount;
+    private int addedCount;
+    private int staleFenceCount;
+    private int versionConflictCount;
+    private int repeatedKeyCount;
 
     /** @param cents an hour's price; @param least time that is billed at least */
-    public ProviderModel(long cents, long least, List<String> zones, Map<String, MonthlyCap> caps) {
-        this.centsPerHour = cents;
-        this.minBilledMillis = least;
+    public ProviderModel(long centsPerHour, long minBilledMillis, List<String> zones, Map<String, MonthlyCap> caps) {
+        this.centsPerHour = centsPerHour;
+        this.minBilledMillis = minBilledMillis;
         this.zones = List.copyOf(zones);
         this.caps = Map.copyOf(caps);
     }
 
-    private Pool pool(String member) {
-        return pools.computeIfAbsent(member, m -> new Pool());
+    private Pool pool(String tenant) {
+        return pools.computeIfAbsent(tenant, key -> new Pool());
     }
 
     /**
@@ -72,47 +72,54 @@
      * neither.
      */
     public synchronized ResizeResult resize(
-            String member, int size, String key, int version, long fence, long notAfter, long now) {
-        Pool pool = pool(member);
+            String tenant, int size, String key, int version, long fence, long notAfter, long now) {
+        Pool pool = pool(tenant);
         if (fence < pool.fence) {
-            staleFences++;
+            staleFenceCount++;
             return ResizeResult.FENCED;
         }
         pool.fence = fence;
-        if (pool.keys.containsKey(key)) {
-            repeated++;
+        if (pool.sizeByKey.containsKey(key)) {
+            repeatedKeyCount++;
             return ResizeResult.APPLIED;
         }
         if (version != pool.version || now > notAfter) {
-            staleVersions++;
+            versionConflictCount++;
             return ResizeResult.VERSION_CONFLICT;
         }
-        appliedResizes.add(new AppliedResize(member, fence));
-        pool.keys.put(key, size);
+        appliedResizes.add(new AppliedResize(tenant, fence));
+        pool.sizeByKey.put(key, size);
         pool.version++;
         if (size > pool.size) {
-            added += size - pool.size;
-            check(member, pool, size, now);
+            addedCount += size - pool.size;
+            checkSpendingCap(tenant, pool, size, now);
         }
         pool.size = size;
-        for (int i = pool.runners.size() - 1; i >= 0 && runningInstances(member).size() > size; i--) {
-            Instance r = pool.runners.get(i);
-            if (r.endedAt() == 0) {
-                pool.runners.set(i, new Instance(r.name(), member, r.kind(), r.zone(), r.startedAt(), now));
+        for (int i = pool.instances.size() - 1;
+                i >= 0 && runningInstances(tenant).size() > size;
+                i--) {
+            Instance instance = pool.instances.get(i);
+            if (instance.endedAt() == 0) {
+                pool.instances.set(
+                        i,
+                        new Instance(
+                                instance.name(), tenant, instance.kind(), instance.zone(), instance.startedAt(), now));
             }
         }
         return ResizeResult.APPLIED;
     }
 
     /** The rule that it keeps an eye on: an addition's cost, with what is owed, stays under the mark. */
-    private void check(String member, Pool pool, int size, long now) {
-        MonthlyCap cap = caps.getOrDefault(member, new MonthlyCap(0, 0));
-        double owed = pool.runners.stream().mapToDouble(r -> cost(r, now)).sum()
-                + (size - runningInstances(member).size()) * minBilledMillis * centsPerHour / HOUR;
-        maxOverrunCents = Math.max(maxOverrunCents, owed - cap.cents());
-        if (owed > cap.cents() * cap.nearFraction()) {
+    private void checkSpendingCap(String tenant, Pool pool, int size, long now) {
+        MonthlyCap cap = caps.getOrDefault(tenant, new MonthlyCap(0, 0));
+        double owedCents = pool.instances.stream()
+                        .mapToDouble(instance -> costCents(instance, now))
+                        .sum()
+                + (size - runningInstances(tenant).size()) * minBilledMillis * centsPerHour / HOUR_MILLIS;
+        maxOverrunCents = Math.max(maxOverrunCents, owedCents - cap.cents());
+        if (owedCents > cap.cents() * cap.nearFraction()) {
             violations.add(
-                    "added for " + member + " up to " + size + " with " + (long) owed + " owed of " + cap.cents());
+                    "added for " + tenant + " up to " + size + " with " + (long) owedCents + " owed of " + cap.cents());
         }
     }
 
@@ -120,15 +127,16 @@
      * How many more runners of the least time the member's mark would have paid for at that moment, by what
      * had been started by then.
      */
-    public synchronized int affordableInstances(String member, long at) {
-        MonthlyCap cap = caps.getOrDefault(member, new MonthlyCap(0, 0));
-        double left = cap.cents() * cap.nearFraction();
-        for (Instance r : pool(member).runners) {
-            long until = r.endedAt() == 0 ? at : Math.min(at, r.endedAt());
-            Instance then = new Instance(r.name(), member, r.kind(), r.zone(), r.startedAt(), until);
-            left -= r.startedAt() > at ? 0 : cost(then, at);
+    public synchronized int affordableInstances(String tenant, long at) {
+        MonthlyCap cap = caps.getOrDefault(tenant, new MonthlyCap(0, 0));
+        double remainingCents = cap.cents() * cap.nearFraction();
+        for (Instance instance : pool(tenant).instances) {
+            long endedAt = instance.endedAt() == 0 ? at : Math.min(at, instance.endedAt());
+            Instance instanceThen = new Instance(
+                    instance.name(), tenant, instance.kind(), instance.zone(), instance.startedAt(), endedAt);
+            remainingCents -= instance.startedAt() > at ? 0 : costCents(instanceThen, at);
         }
-        return (int) Math.max(0, left * HOUR / (minBilledMillis * centsPerHour));
+        return (int) Math.max(0, remainingCents * HOUR_MILLIS / (minBilledMillis * centsPerHour));
     }
 
     /** Hundredths by which an addition went beyond its member's cap; 0: none did. */
@@ -141,51 +149,57 @@
     }
 
     /** What a runner costs of this month, at its least time, if it ends now. */
-    private double cost(Instance r, long now) {
-        long month = YearMonth.from(Instant.ofEpochMilli(now).atOffset(ZoneOffset.UTC))
+    private double costCents(Instance instance, long now) {
+        long monthStart = YearMonth.from(Instant.ofEpochMilli(now).atOffset(ZoneOffset.UTC))
                 .atDay(1)
                 .atStartOfDay(ZoneOffset.UTC)
                 .toInstant()
                 .toEpochMilli();
-        long until = Math.max(r.endedAt() == 0 ? now : r.endedAt(), r.startedAt() + minBilledMillis);
-        return Math.max(0, until - Math.max(r.startedAt(), month)) * centsPerHour / HOUR;
+        long billedUntil =
+                Math.max(instance.endedAt() == 0 ? now : instance.endedAt(), instance.startedAt() + minBilledMillis);
+        return Math.max(0, billedUntil - Math.max(instance.startedAt(), monthStart)) * centsPerHour / HOUR_MILLIS;
     }
 
     /** Starts one runner that is wanted and does not run yet; null where none is. */
-    public synchronized Instance start(String member, String kind, long now) {
-        Pool pool = pool(member);
-        if (runningInstances(member).size() >= pool.size) {
+    public synchronized Instance start(String tenant, String kind, long now) {
+        Pool pool = pool(tenant);
+        if (runningInstances(tenant).size() >= pool.size) {
             return null;
         }
-        Instance r = new Instance("x" + started, member, kind, zones.get(started % zones.size()), now, 0);
-        started++;
-        pool.runners.add(r);
-        return r;
+        Instance instance =
+                new Instance("x" + startedCount, tenant, kind, zones.get(startedCount % zones.size()), now, 0);
+        startedCount++;
+        pool.instances.add(instance);
+        return instance;
     }
 
-    public synchronized List<Instance> runningInstances(String member) {
-        return pool(member).runners.stream().filter(r -> r.endedAt() == 0).toList();
+    public synchronized List<Instance> runningInstances(String tenant) {
+        return pool(tenant).instances.stream()
+                .filter(instance -> instance.endedAt() == 0)
+                .toList();
     }
 
-    public synchronized List<Instance> allInstances(String member) {
-        return List.copyOf(pool(member).runners);
+    public synchronized List<Instance> allInstances(String tenant) {
+        return List.copyOf(pool(tenant).instances);
     }
 
-    public synchronized int size(String member) {
-        return pool(member).size;
+    public synchronized int size(String tenant) {
+        return pool(tenant).size;
     }
 
-    public synchronized int version(String member) {
-        return pool(member).version;
+    public synchronized int version(String tenant) {
+        return pool(tenant).version;
     }
 
-    public synchronized long fence(String member) {
-        return pool(member).fence;
+    public synchronized long fence(String tenant) {
+        return pool(tenant).fence;
     }
 
     /** Hundredths by now, each at its least. */
-    public synchronized double spentCents(String member, long now) {
-        return pool(member).runners.stream().mapToDouble(r -> cost(r, now)).sum();
+    public synchronized double spentCents(String tenant, long now) {
+        return pool(tenant).instances.stream()
+                .mapToDouble(instance -> costCents(instance, now))
+                .sum();
     }
 
     public long centsPerHour() {
@@ -207,14 +221,14 @@
     public synchronized Map<String, Integer> counts() {
         return Map.of(
                 "provider_added",
-                added,
+                addedCount,
                 "acts",
                 appliedResizes.size(),
                 "stale_acts_tried",
-                staleFences,
+                staleFenceCount,
                 "stale_versions",
-                staleVersions,
+                versionConflictCount,
                 "provider_repeated",
-                repeated);
+                repeatedKeyCount);
     }
 }
--- a/src/main/java/nettlewick/stubs/ProviderServer.java
+++ b/src/main/java/nettlewick/stubs/ProviderServer.java
@@ -56,66 +56,67 @@
     private final Vertx vertx;
     private final ProviderModel model;
     private final LongSupplier clock;
-    private final InstanceLauncher hands;
-    private final long comes;
-    private final Map<String, String> before = new HashMap<>();
-    private final Set<String> ended = ConcurrentHashMap.newKeySet();
+    private final InstanceLauncher launcher;
+    private final long startMillis;
+    private final Map<String, String> previousLists = new HashMap<>();
+    private final Set<String> stoppedInstances = ConcurrentHashMap.newKeySet();
     private volatile Behavior behavior = Behavior.GOOD;
     /** What waits, by its fence. */
-    private final TreeMap<Long, List<Runnable>> kept = new TreeMap<>();
+    private final TreeMap<Long, List<Runnable>> delayedRequests = new TreeMap<>();
 
     public final AtomicInteger callCount = new AtomicInteger();
     public final AtomicInteger lostResponseCount = new AtomicInteger();
     private HttpServer server;
 
     /** @param clock milliseconds of Unix time; @param comes how long a runner takes to start */
-    public ProviderServer(Vertx vertx, ProviderModel model, LongSupplier clock, long comes, InstanceLauncher hands) {
+    public ProviderServer(
+            Vertx vertx, ProviderModel model, LongSupplier clock, long startMillis, InstanceLauncher launcher) {
         this.vertx = vertx;
         this.model = model;
         this.clock = clock;
-        this.comes = comes;
-        this.hands = hands;
+        this.startMillis = startMillis;
+        this.launcher = launcher;
     }
 
     public InetSocketAddress listen() throws Exception {
-        server = vertx.createHttpServer().requestHandler(this::serve);
+        server = vertx.createHttpServer().requestHandler(this::handleRequest);
         StubPlatform.awaitResult(server.listen(0, "127.0.0.1"));
         return new InetSocketAddress("127.0.0.1", server.actualPort());
     }
 
-    public void setBehavior(Behavior next) {
-        behavior = next;
-        if (next != Behavior.KEEPS) {
-            release(Long.MAX_VALUE);
+    public void setBehavior(Behavior newBehavior) {
+        behavior = newBehavior;
+        if (newBehavior != Behavior.KEEPS) {
+            runDelayedRequests(Long.MAX_VALUE);
         }
     }
 
     /** The first wishes wait; those under a higher fence than theirs are done at once, and then they. */
-    private void keep(long fence, Runnable wish) {
-        synchronized (kept) {
-            if (kept.isEmpty() || kept.firstKey() >= fence) {
-                kept.computeIfAbsent(fence, f -> new ArrayList<>()).add(wish);
+    private void delayUntilHigherFence(long fence, Runnable resize) {
+        synchronized (delayedRequests) {
+            if (delayedRequests.isEmpty() || delayedRequests.firstKey() >= fence) {
+                delayedRequests.computeIfAbsent(fence, f -> new ArrayList<>()).add(resize);
                 return;
             }
         }
-        wish.run();
-        release(fence);
+        resize.run();
+        runDelayedRequests(fence);
     }
 
-    private void release(long below) {
-        List<Runnable> wishes = new ArrayList<>();
-        synchronized (kept) {
-            kept.headMap(below).values().forEach(wishes::addAll);
-            kept.headMap(below).clear();
+    private void runDelayedRequests(long belowFence) {
+        List<Runnable> due = new ArrayList<>();
+        synchronized (delayedRequests) {
+            delayedRequests.headMap(belowFence).values().forEach(due::addAll);
+            delayedRequests.headMap(belowFence).clear();
         }
-        wishes.forEach(Runnable::run);
+        due.forEach(Runnable::run);
     }
 
-    private void serve(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         callCount.incrementAndGet();
         request.exceptionHandler(e -> {});
         request.response().exceptionHandler(e -> {});
-        String member = request.path().replaceFirst(".*/pools/", "");
+        String tenant = request.path().replaceFirst(".*/pools/", "");
         request.body().onSuccess(body -> {
             switch (behavior) {
                 case DOWN -> request.connection().close();
@@ -127,76 +128,80 @@
                 case MANY -> request.response().setStatusCode(429).end();
                 default -> {
                     if (request.method() == HttpMethod.PUT) {
-                        JsonObject wish =
+                        JsonObject resize =
                                 JsonParser.parseString(body.toString()).getAsJsonObject();
                         if (behavior == Behavior.KEEPS) {
-                            keep(Long.parseLong(request.getHeader("X-Fence")), () -> put(request, member, wish));
+                            delayUntilHigherFence(
+                                    Long.parseLong(request.getHeader("X-Fence")),
+                                    () -> handlePut(request, tenant, resize));
                         } else {
-                            put(request, member, wish);
+                            handlePut(request, tenant, resize);
                         }
                     } else {
-                        tell(
+                        respond(
                                 request,
-                                behavior == Behavior.STALE ? before.getOrDefault(member, list(member)) : list(member));
+                                behavior == Behavior.STALE
+                                        ? previousLists.getOrDefault(tenant, poolJson(tenant))
+                                        : poolJson(tenant));
                     }
                 }
             }
         });
     }
 
-    private void put(HttpServerRequest request, String member, JsonObject wish) {
-        String old = list(member);
+    private void handlePut(HttpServerRequest request, String tenant, JsonObject resize) {
+        String previousList = poolJson(tenant);
         int version = Integer.parseInt(request.getHeader("If-Match").replace("\"", ""));
-        ProviderModel.ResizeResult way = model.resize(
-                member,
-                wish.get("size").getAsInt(),
+        ProviderModel.ResizeResult result = model.resize(
+                tenant,
+                resize.get("size").getAsInt(),
                 request.getHeader("Idempotency-Key"),
                 version,
                 Long.parseLong(request.getHeader("X-Fence")),
                 Long.parseLong(request.getHeader("X-Not-After")),
                 clock.getAsLong());
-        if (way == ProviderModel.ResizeResult.FENCED) {
-            request.response().setStatusCode(409).end("{\"fence\":" + model.fence(member) + "}");
-        } else if (way == ProviderModel.ResizeResult.VERSION_CONFLICT) {
+        if (result == ProviderModel.ResizeResult.FENCED) {
+            request.response().setStatusCode(409).end("{\"fence\":" + model.fence(tenant) + "}");
+        } else if (result == ProviderModel.ResizeResult.VERSION_CONFLICT) {
             request.response().setStatusCode(412).end();
         } else {
-            before.put(member, old);
-            carryOut(member, wish.get("kind").getAsString());
-            tell(request, list(member));
+            previousLists.put(tenant, previousList);
+            startAndStopInstances(tenant, resize.get("kind").getAsString());
+            respond(request, poolJson(tenant));
         }
     }
 
     /** Has all started that is wanted, each after its time, and ends what is not. */
-    private void carryOut(String member, String kind) {
-        for (Instance r : model.allInstances(member)) {
-            if (r.endedAt() > 0 && ended.add(r.name())) {
-                hand(() -> hands.stop(r));
+    private void startAndStopInstances(String tenant, String kind) {
+        for (Instance instance : model.allInstances(tenant)) {
+            if (instance.endedAt() > 0 && stoppedInstances.add(instance.name())) {
+                executeBlocking(() -> launcher.stop(instance));
             }
         }
-        int coming =
-                model.size(member) - model.runningInstances(member).size() - (behavior == Behavior.PARTIAL ? 1 : 0);
-        for (int i = 0; i < coming; i++) {
-            vertx.setTimer(Math.max(1, comes + comes * i / 4), t -> {
-                Instance r = model.start(member, kind, clock.getAsLong());
-                if (r != null) {
-                    hand(() -> hands.start(r));
+        int missing =
+                model.size(tenant) - model.runningInstances(tenant).size() - (behavior == Behavior.PARTIAL ? 1 : 0);
+        for (int i = 0; i < missing; i++) {
+            vertx.setTimer(Math.max(1, startMillis + startMillis * i / 4), timer -> {
+                Instance instance = model.start(tenant, kind, clock.getAsLong());
+                if (instance != null) {
+                    executeBlocking(() -> launcher.start(instance));
                 }
             });
         }
     }
 
-    private interface Act {
-        void act() throws Exception;
+    private interface BlockingTask {
+        void run() throws Exception;
     }
 
-    private void hand(Act act) {
+    private void executeBlocking(BlockingTask task) {
         vertx.executeBlocking(() -> {
-            act.act();
+            task.run();
             return null;
         });
     }
 
-    private void tell(HttpServerRequest request, String list) {
+    private void respond(HttpServerRequest request, String json) {
         if (behavior == Behavior.LOSES) {
             lostResponseCount.incrementAndGet();
             request.connection().close();
@@ -204,38 +209,38 @@
         }
         HttpServerResponse response = request.response();
         String version =
-                JsonParser.parseString(list).getAsJsonObject().get("version").getAsString();
+                JsonParser.parseString(json).getAsJsonObject().get("version").getAsString();
         response.putHeader("ETag", '"' + version + '"')
                 .putHeader(
                         "Date",
                         DateTimeFormatter.RFC_1123_DATE_TIME.format(
                                 Instant.ofEpochMilli(clock.getAsLong()).atOffset(ZoneOffset.UTC)))
-                .end(list);
+                .end(json);
     }
 
-    private String list(String member) {
-        List<Map<String, Object>> runners = new ArrayList<>();
-        for (Instance r : model.allInstances(member)) {
-            runners.add(Map.of(
+    private String poolJson(String tenant) {
+        List<Map<String, Object>> instances = new ArrayList<>();
+        for (Instance instance : model.allInstances(tenant)) {
+            instances.add(Map.of(
                     "name",
-                    r.name(),
+                    instance.name(),
                     "kind",
-                    r.kind(),
+                    instance.kind(),
                     "zone",
-                    r.zone(),
+                    instance.zone(),
                     "since_ms",
-                    r.startedAt(),
+                    instance.startedAt(),
                     "until_ms",
-                    r.endedAt(),
+                    instance.endedAt(),
                     "cents_per_hour",
                     model.centsPerHour(),
                     "least_ms",
                     model.minBilledMillis()));
         }
         Map<String, Object> pool = new LinkedHashMap<>();
-        pool.put("size", model.size(member));
-        pool.put("version", model.version(member));
-        pool.put("runners", runners);
+        pool.put("size", model.size(tenant));
+        pool.put("version", model.version(tenant));
+        pool.put("runners", instances);
         return new Gson().toJson(pool);
     }
 }
--- a/src/main/java/nettlewick/stubs/StubPlatform.java
+++ b/src/main/java/nettlewick/stubs/StubPlatform.java
@@ -44,17 +44,17 @@
     public volatile boolean prettyPrintLists;
 
     public final AtomicInteger resetCount = new AtomicInteger();
-    private final Set<HttpConnection> used = ConcurrentHashMap.newKeySet();
-    private final Map<String, String> hosts = new LinkedHashMap<>();
+    private final Set<HttpConnection> usedConnections = ConcurrentHashMap.newKeySet();
+    private final Map<String, String> endpointEntries = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new ConcurrentHashMap<>();
     private final Map<String, HttpServer> servers = new ConcurrentHashMap<>();
-    private final List<HttpServerResponse> watchers = new ArrayList<>();
-    private final HttpServer discovery;
-    private int seq = 1;
+    private final List<HttpServerResponse> watchResponses = new ArrayList<>();
+    private final HttpServer discoveryServer;
+    private int version = 1;
 
     public StubPlatform() throws Exception {
-        discovery = vertx.createHttpServer().requestHandler(this::watch);
-        awaitResult(discovery.listen(0, "127.0.0.1"));
+        discoveryServer = vertx.createHttpServer().requestHandler(this::handleWatch);
+        awaitResult(discoveryServer.listen(0, "127.0.0.1"));
     }
 
     public static <T> T awaitResult(Future<T> future) throws Exception {
@@ -68,19 +68,19 @@
         }
     }
 
-    private synchronized void watch(HttpServerRequest request) {
+    private synchronized void handleWatch(HttpServerRequest request) {
         discoveryRequests.add(request.uri());
-        Consumer<HttpServerRequest> other = discoveryOverride;
-        if (other != null) {
-            other.accept(request);
+        Consumer<HttpServerRequest> override = discoveryOverride;
+        if (override != null) {
+            override.accept(request);
             return;
         }
-        watchers.add(request.response().setChunked(true));
-        request.response().write(list(true, hosts.values()));
+        watchResponses.add(request.response().setChunked(true));
+        request.response().write(listLine(true, endpointEntries.values()));
     }
 
-    private String list(boolean whole, Iterable<String> entries) {
-        String line = oneLine(whole, entries);
+    private String listLine(boolean whole, Iterable<String> entries) {
+        String line = compactListLine(whole, entries);
         return prettyPrintLists
                 ? new com.google.gson.GsonBuilder()
                                 .setPrettyPrinting()
@@ -90,13 +90,13 @@
                 : line;
     }
 
-    private String oneLine(boolean whole, Iterable<String> entries) {
-        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
+    private String compactListLine(boolean whole, Iterable<String> entries) {
+        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
     }
 
     /** Starts a sim runner, and has discovery tell of it. */
     public void addEndpoint(String name) throws Exception {
-        HttpServer server = vertx.createHttpServer().requestHandler(request -> serve(name, request));
+        HttpServer server = vertx.createHttpServer().requestHandler(request -> handleEndpointRequest(name, request));
         awaitResult(server.listen(0, "127.0.0.1"));
         servers.put(name, server);
         addEndpoint(name, server.actualPort());
@@ -113,20 +113,20 @@
     }
 
     /** Has discovery tell of a runner that last started then, in Unix milliseconds; 0: long ago. */
-    public synchronized void announceHealth(String name, String health, long started) {
+    public synchronized void announceHealth(String name, String health, long startedAtMillis) {
         String entry = "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + ports.get(name)
                 + "\",\"site\":\"a\",\"class\":\"std\",\"block\":0,\"health\":\"" + health
-                + "\",\"share\":1.0,\"born_ms\":" + started + "}";
-        seq++;
-        hosts.put(name, entry);
-        String line = list(false, List.of(entry));
-        watchers.forEach(w -> w.write(line));
+                + "\",\"share\":1.0,\"born_ms\":" + startedAtMillis + "}";
+        version++;
+        endpointEntries.put(name, entry);
+        String update = listLine(false, List.of(entry));
+        watchResponses.forEach(response -> response.write(update));
     }
 
     /** Discovery drops the runner from its list; only a whole list shows it. */
     public synchronized void removeFromDiscovery(String name) {
-        seq++;
-        hosts.remove(name);
+        version++;
+        endpointEntries.remove(name);
     }
 
     /** The process dies: its connections are reset and new ones refused. Discovery does not know yet. */
@@ -136,22 +136,22 @@
 
     /** Discovery has lost its count: its next change has the first number again. Watches stay open. */
     public synchronized void resetVersions() {
-        seq = 0;
+        version = 0;
     }
 
     /** All watches break. */
     public synchronized void resetWatches() {
-        watchers.forEach(HttpServerResponse::reset);
-        watchers.clear();
+        watchResponses.forEach(HttpServerResponse::reset);
+        watchResponses.clear();
     }
 
     /** All open watches say no more, and stay open; those opened from now on do. */
     public synchronized void muteOpenWatches() {
-        watchers.clear();
+        watchResponses.clear();
     }
 
-    private void serve(String name, HttpServerRequest request) {
-        if (resetReusedConnections && !used.add(request.connection())) {
+    private void handleEndpointRequest(String name, HttpServerRequest request) {
+        if (resetReusedConnections && !usedConnections.add(request.connection())) {
             resetCount.incrementAndGet();
             request.connection().close();
             return;
@@ -167,25 +167,25 @@
             String id = request.getHeader("X-Request-Id");
             receivedRequests.add(name + " " + request.method() + " " + request.uri() + " " + id + " "
                     + request.getHeader("Idempotency-Key") + " " + body);
-            Consumer<HttpServerRequest> other = requestOverride;
-            if (other != null) {
-                other.accept(request);
+            Consumer<HttpServerRequest> override = requestOverride;
+            if (override != null) {
+                override.accept(request);
                 return;
             }
             if (hungEndpoints.contains(name)) {
                 return;
             }
-            executionCounts.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
-            int time = timeOf(body.toString());
+            executionCounts.computeIfAbsent(id, key -> new AtomicInteger()).incrementAndGet();
+            int millis = executionMillisOf(body.toString());
             HttpServerResponse response = request.response().setChunked(true);
             response.exceptionHandler(e -> {});
-            response.write(line(id, name, "started\"}"));
-            after(time / 2, () -> {
+            response.write(responseLine(id, name, "started\"}"));
+            runAfter(millis / 2, () -> {
                 if (!response.closed()) {
-                    response.write(line(id, name, "running\",\"share\":0.5}"));
-                    after(time / 2, () -> {
+                    response.write(responseLine(id, name, "running\",\"share\":0.5}"));
+                    runAfter(millis / 2, () -> {
                         if (!response.closed()) {
-                            response.end(line(id, name, "done\",\"result\":\"r-" + id + "\"}"));
+                            response.end(responseLine(id, name, "done\",\"result\":\"r-" + id + "\"}"));
                         }
                     });
                 }
@@ -194,19 +194,19 @@
     }
 
     /** A body that is a number is the time that the job runs for, in milliseconds. */
-    private int timeOf(String body) {
+    private int executionMillisOf(String body) {
         return body.matches("[0-9]{1,6}") ? Integer.parseInt(body) : executionMillis;
     }
 
-    private void after(int millis, Runnable task) {
-        vertx.setTimer(Math.max(1, millis), t -> task.run());
+    private void runAfter(int millis, Runnable task) {
+        vertx.setTimer(Math.max(1, millis), timer -> task.run());
     }
 
-    private static String line(String id, String from, String state) {
-        return "{\"id\":\"" + id + "\",\"from\":\"" + from + "\",\"state\":\"" + state + "\n";
+    private static String responseLine(String id, String endpoint, String state) {
+        return "{\"id\":\"" + id + "\",\"from\":\"" + endpoint + "\",\"state\":\"" + state + "\n";
     }
 
-    private static Map<String, Object> jobClass(String name, String repeat) {
+    private static Map<String, Object> requestClass(String name, String repeat) {
         return Map.of(
                 "name",
                 name,
@@ -237,9 +237,9 @@
                 List.of("std"),
                 "classes",
                 List.of(
-                        jobClass("step-view", "retryable"),
-                        jobClass("save-run", "dedup"),
-                        jobClass("mark-submit", "fragile")),
+                        requestClass("step-view", "retryable"),
+                        requestClass("save-run", "dedup"),
+                        requestClass("mark-submit", "fragile")),
                 "tenants",
                 List.of(Map.of("name", "red", "fraction", 1.0)),
                 "report",
@@ -282,7 +282,7 @@
                 "listen",
                 "127.0.0.1:0",
                 "discovery",
-                "127.0.0.1:" + discovery.actualPort(),
+                "127.0.0.1:" + discoveryServer.actualPort(),
                 "seed",
                 "8c1f30d27a5be964",
                 "settings",
@@ -291,12 +291,12 @@
 
     /** The list as it is, in discovery's form: what a dispatcher may have known before it started. */
     public synchronized Object currentEndpointList() {
-        return new com.google.gson.Gson().fromJson(list(true, hosts.values()), Map.class);
+        return new com.google.gson.Gson().fromJson(listLine(true, endpointEntries.values()), Map.class);
     }
 
     /** Whether any runner was told of. */
     protected synchronized boolean hasEndpoints() {
-        return !hosts.isEmpty();
+        return !endpointEntries.isEmpty();
     }
 
     @Override
