--- a/src/main/java/nettlewick/stubs/ArrivalTimeEstimator.java
+++ b/src/main/java/nettlewick/stubs/ArrivalTimeEstimator.java
@@ -1,13 +1,13 @@
 package nettlewick.stubs;
 
 /**
- * Tells when something that an event loop reads now may have arrived, by ticks of that loop: a loop that was held up
- * reads late what came meanwhile. Holds no timer; times are the caller's, in milliseconds. Belongs to its event loop.
+ * Estimates when data that an event loop reads now may have arrived, by ticks of that loop: a loop that was stalled
+ * reads late what arrived meanwhile. Has no timer; times are arguments, in milliseconds. Confined to its event loop.
  */
 final class ArrivalTimeEstimator {
     /** The interval of the ticks. */
     static final long TICK_MILLIS = 20;
-    /** From this time between two ticks on the loop was held up; what comes by a new connection is read after a tick. */
+    /** The loop was stalled if two ticks are further apart. Data of a new connection is read after the next tick. */
     private static final double STALL_MILLIS = 40;
 
     private double lastTickAt;
@@ -18,7 +18,7 @@
         lastTickAt = now;
     }
 
-    /** The loop has come round. */
+    /** Records a tick of the loop. */
     void tick(double now) {
         if (now - lastTickAt > STALL_MILLIS) {
             stalledFrom = lastTickAt;
@@ -27,7 +27,7 @@
         lastTickAt = now;
     }
 
-    /** The earliest time at which what is read now may have arrived. */
+    /** The earliest time at which data that is read now may have arrived. */
     double earliestArrival(double now) {
         if (now - lastTickAt > STALL_MILLIS) {
             return lastTickAt;
--- a/src/main/java/nettlewick/stubs/BatchReceiver.java
+++ b/src/main/java/nettlewick/stubs/BatchReceiver.java
@@ -10,19 +10,25 @@
 import java.util.function.Function;
 
 /**
- * Somebody who takes batches of a ledger: knows each by dispatcher, export and number, and takes the same one
- * once.
- * A script may have it fail before, or after, it has taken one.
+ * A receiver of batches that a ledger exports. Identifies each by dispatcher, export and number, and stores a repeated
+ * one once. A test may have it fail before or after it has stored a batch.
  */
 public final class BatchReceiver implements AutoCloseable {
-    /** What becomes of a call. */
+    /** How a call is handled. */
     public enum Behavior {
+        /** The batch is stored and acknowledged. */
         TAKEN,
+        /** Status 503; the batch is not stored. */
         REFUSED_BEFORE,
+        /** The batch is stored, then status 500. */
         ERROR_AFTER,
+        /** No response; the batch is not stored. */
         SILENT_BEFORE,
+        /** The batch is stored and the connection closed after a minute without a response. */
         SILENT_AFTER,
+        /** The batch is stored and the connection closed at once. */
         RESET_AFTER,
+        /** The same as {@link #TAKEN}. */
         TWICE
     }
 
@@ -42,17 +48,17 @@
         return server.actualPort();
     }
 
-    /** Decides on each call by its batch's name; called on the event loop. */
+    /** Sets the function that decides how a batch is handled, by its name; it is called on the event loop. */
     public void setResponder(Function<String, Behavior> newResponder) {
         responder = newResponder;
     }
 
-    /** All batches that were taken, by {@code dispatcher/export/number}. */
+    /** All stored batches, by {@code dispatcher/export/number}. */
     public Map<String, Buffer> receivedBatches() {
         return receivedBatches;
     }
 
-    /** A number that came with two contents; null if none did. */
+    /** The name of a batch that was received with two different checksums; null if there is none. */
     public String conflictingBatch() {
         return conflictingBatch;
     }
--- a/src/main/java/nettlewick/stubs/DiscoveryServer.java
+++ b/src/main/java/nettlewick/stubs/DiscoveryServer.java
@@ -14,13 +14,13 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Discovery, with a listener for each dispatcher: what each is told, and when, can differ. All changes are
- * kept in one order; a dispatcher's list lags behind by its own delay.
+ * Discovery with a separate server for each dispatcher, so that each can be sent changes at a different time. All
+ * dispatchers get the changes in the same order, each with its own delay.
  */
 public final class DiscoveryServer {
     private static final long HEARTBEAT_MILLIS = 2000;
 
-    /** A runner as the list holds it. */
+    /** A change of the list; {@code startedAtMillis} is Unix time, 0 for long ago. */
     private record HealthChange(EndpointServer endpoint, String health, long startedAtMillis) {}
 
     private final Vertx vertx;
@@ -28,11 +28,11 @@
     private final DrainListener drainListener;
     private final DoubleSupplier clock;
     private final AddressResolver addresses;
-    /** What has changed, from number 1 on. */
+    /** All changes; the first has version 1. */
     private final List<HealthChange> changes = new ArrayList<>();
 
     private final Map<Integer, HttpServerResponse> watchResponses = new LinkedHashMap<>();
-    /** The number to which each dispatcher has been told. */
+    /** The version up to which changes were sent, by dispatcher. */
     private final int[] sentChanges;
 
     private final double[] delayMillis;
@@ -40,17 +40,21 @@
     private double busyUntil;
     public final AtomicInteger callCount = new AtomicInteger();
 
-    /** Hears that a dispatcher has been told of a draining runner. */
+    /** Is notified when a dispatcher has been sent a draining endpoint. */
     public interface DrainListener {
         void drainAnnounced(int dispatcher, String endpoint, double now);
     }
 
-    /** Where a dispatcher reaches a runner. */
+    /** Resolves the address at which a dispatcher reaches an endpoint. */
     public interface AddressResolver {
         InetSocketAddress addressFor(int dispatcher, EndpointServer endpoint);
     }
 
-    /** @param calls how long it takes over one call, one after another; 0: no time */
+    /**
+     * Creates the servers' common state and starts the heartbeats.
+     *
+     * @param callMillis the time for which each call occupies discovery, one after another; 0 for none
+     */
     public DiscoveryServer(
             Vertx vertx,
             int dispatchers,
@@ -75,7 +79,7 @@
         return new InetSocketAddress("127.0.0.1", server.actualPort());
     }
 
-    /** Each dispatcher is told so much later than the change, from now on. */
+    /** Sends a dispatcher each later change with this delay. */
     public synchronized void setDelay(int dispatcher, double millis) {
         delayMillis[dispatcher] = millis;
     }
@@ -84,7 +88,7 @@
         mutedUntil = until;
     }
 
-    /** A call for the whole list with a watch; where calls take time, each waits for those before it. */
+    /** Answers a request for a watch once those before it are served. */
     private void handleCall(int dispatcher, HttpServerRequest request) {
         callCount.incrementAndGet();
         double now = clock.getAsDouble();
@@ -111,7 +115,7 @@
             sentChanges[dispatcher] = (int) afterVersion;
             response.write("\n");
         } else {
-            // The list as far as this dispatcher may know it; what is newer follows when its time comes.
+            // The list without the changes that are still delayed for this dispatcher; those follow later.
             sentChanges[dispatcher] =
                     Math.max(sentChanges[dispatcher], delayMillis[dispatcher] > 0 ? 0 : changes.size());
             response.write(listLine(dispatcher, true, 0));
@@ -119,7 +123,7 @@
         sendChanges(dispatcher);
     }
 
-    /** Tells all of a change, each after its own lag. */
+    /** Sends a change to all dispatchers, to each after its own delay. */
     public synchronized void announceHealth(EndpointServer endpoint, String health) {
         double startedAt = endpoint.model.startedAt();
         changes.add(new HealthChange(
@@ -154,7 +158,7 @@
         response.write(listLine(dispatcher, false, from)).onSuccess(v -> notifyDrains(dispatcher));
     }
 
-    /** From now on this dispatcher knows of the drains. */
+    /** Notifies the listener of the draining endpoints that this dispatcher has been sent. */
     private synchronized void notifyDrains(int dispatcher) {
         for (HealthChange change : latestChanges(0, sentChanges[dispatcher]).values()) {
             if (change.health().equals("Terminating")) {
@@ -207,7 +211,7 @@
         return line;
     }
 
-    /** The list that a dispatcher last had, as it is given to one that starts again. */
+    /** The list that a dispatcher was last sent, as it is given to one that restarts. */
     public synchronized Map<String, Object> lastSentList(int dispatcher) {
         return endpointList(dispatcher, true, 0);
     }
--- a/src/main/java/nettlewick/stubs/EndpointModel.java
+++ b/src/main/java/nettlewick/stubs/EndpointModel.java
@@ -8,20 +8,22 @@
 import java.util.Set;
 
 /**
- * A sim runner: slots, a bounded queue in the order of arrival, a speed, a cold start, and falling over when
- * pushed while cold. Pure: time is handed in, in milliseconds; the caller ends each job when it is due.
+ * Model of an endpoint: slots, a bounded queue in the order of arrival, a speed, a slow start, and a crash when it is
+ * overloaded during slow start. Does no I/O and reads no clock: times are arguments, in milliseconds, and the caller
+ * finishes each request when it is due.
  */
 public final class EndpointModel {
     /**
-     * What a runner is like; times in milliseconds.
+     * The properties of an endpoint.
      *
-     * @param slots     jobs it runs at once
-     * @param queue     jobs that wait
-     * @param cold      how long it is cold after a start; 0: never
-     * @param share     the part of its speed that a cold one starts with
-     * @param factor    work offered over its capacity that pushes a cold one over, kept up for {@code fall}
-     * @param reportAge how old its load report may be
-     * @param cancel    whether it stops a job whose caller has closed the connection
+     * @param slots                requests that are executed at once
+     * @param queueCapacity        requests that may wait for a slot
+     * @param slowStartMillis      the length of the slow start; 0 for none
+     * @param initialSpeedFraction the fraction of its speed that an endpoint starts with
+     * @param overloadFactor       offered work, as a multiple of the capacity, that overloads an endpoint in slow start
+     *                             if it lasts for {@code overloadMillis}
+     * @param maxReportAgeMillis   how old a load report may be when it is sent
+     * @param cancelsOnDisconnect  whether a request is cancelled when its client closes the connection
      */
     public record Config(
             int slots,
@@ -33,15 +35,19 @@
             double maxReportAgeMillis,
             boolean cancelsOnDisconnect) {}
 
-    /** What becomes of a job that comes. */
+    /** The decision on an offered request. */
     public enum Admission {
+        /** Executed at once. */
         RUNS,
+        /** Queued for a slot. */
         WAITS,
+        /** Rejected: the queue is full. */
         FULL,
+        /** Rejected: the endpoint is draining. */
         DRAINS
     }
 
-    /** A job that begins to run, and for how long. */
+    /** A request whose execution starts, and its execution time. */
     public record StartedRequest(String id, double millis) {}
 
     private record QueuedRequest(String id, double work) {}
@@ -58,14 +64,18 @@
     private final Deque<OfferedWork> recentOffers = new ArrayDeque<>();
     private double recentOfferedWork;
     private double startedAt;
-    /** A step's factor: the runner is so many times slower. */
+    /** By this factor the endpoint is slower than its speed. */
     private double slowdownFactor = 1;
 
     private boolean draining;
     private boolean isUp = true;
     private boolean isOverloaded;
 
-    /** @param bornAt when it started; negative infinity for one that is warm */
+    /**
+     * Creates an endpoint that is up.
+     *
+     * @param startedAt negative infinity for an endpoint that is past its slow start
+     */
     public EndpointModel(String name, String zone, double speed, Config kind, double bornAt) {
         this.name = name;
         this.zone = zone;
@@ -75,7 +85,7 @@
         slots = kind.slots();
     }
 
-    /** Takes a job of that much work; {@code begun} gets those that begin to run. */
+    /** Offers a request to the endpoint, and adds it to {@code started} if its execution starts. */
     public synchronized Admission offer(String id, double work, double now, List<StartedRequest> started) {
         recordOfferedWork(work, now);
         if (draining) {
@@ -97,7 +107,7 @@
         started.add(new StartedRequest(request.id(), request.work() / speedAt(now)));
     }
 
-    /** A job has ended or is called off; a slot that comes free is filled from the queue. */
+    /** Removes a request that is finished or cancelled; a freed slot goes to the first request of the queue. */
     public synchronized void finish(String id, double now, List<StartedRequest> started) {
         if (!running.remove(id)) {
             queue.removeIf(queued -> queued.id().equals(id));
@@ -108,7 +118,7 @@
         }
     }
 
-    /** Work that a cold runner is offered, refused or not, in the time in which it may be pushed over. */
+    /** Adds to the work offered within {@code overloadMillis}, admitted or not, and checks it for an overload. */
     private void recordOfferedWork(double work, double now) {
         recentOffers.add(new OfferedWork(now, work));
         recentOfferedWork += work;
@@ -116,7 +126,7 @@
             recentOfferedWork -= recentOffers.poll().work();
         }
         double maxWork = config.overloadFactor() * slots * speedAt(now) * config.overloadMillis();
-        // A little room for chance, as one job of four times the mean may be.
+        // Four mean requests of tolerance, so that one large request is no overload.
         if (inSlowStart(now) && recentOfferedWork > maxWork + 4 * recentOfferedWork / recentOffers.size()) {
             isOverloaded = true;
         }
@@ -135,7 +145,7 @@
         return now - startedAt < config.slowStartMillis();
     }
 
-    /** The process dies; what ran or waited is lost, and comes back as a list of ids. */
+    /** Takes the endpoint down and returns the ids of the requests that are lost. */
     public synchronized List<String> crash() {
         isUp = false;
         List<String> lost = new ArrayList<>(running);
@@ -145,7 +155,7 @@
         return lost;
     }
 
-    /** Starts again, cold. */
+    /** Starts the endpoint again, in slow start. */
     public synchronized void start(double now) {
         isUp = true;
         isOverloaded = false;
@@ -167,7 +177,7 @@
         return isUp;
     }
 
-    /** Whether it takes jobs at all. */
+    /** Whether it is up, not draining and not overloaded. */
     public synchronized boolean acceptsRequests() {
         return isUp && !draining && !isOverloaded;
     }
@@ -184,7 +194,7 @@
         return queue.size();
     }
 
-    /** Slots in use and waiting, over slots. */
+    /** Running and queued requests per slot. */
     public synchronized double load() {
         return (running.size() + queue.size()) / (double) slots;
     }
--- a/src/main/java/nettlewick/stubs/EndpointServer.java
+++ b/src/main/java/nettlewick/stubs/EndpointServer.java
@@ -15,18 +15,22 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.DoubleSupplier;
 
-/** A sim runner on a socket, by the protocol page: the model behind it decides, the audit sees every job. */
+/**
+ * An endpoint on a socket, written from the protocol page. An {@link EndpointModel} decides on each request; a
+ * {@link Listener} is notified of each.
+ */
 public final class EndpointServer {
-    /** Hears of what happens at a runner; called from its event loop. */
+    /** Is notified of events at an endpoint, on its event loop. */
     public interface Listener {
-        /** An attempt has come whole. */
+        /** An attempt was received completely and the model has decided on it. */
         void attemptArrived(String requestId, EndpointModel endpoint, EndpointModel.Admission admission, double now);
 
         /**
-         * An attempt has come whole, with the seconds that it was told.
+         * An attempt was received completely.
          *
-         * @param how null where it is swallowed
-         * @param now the earliest time at which it may have come, where this process was late to read it
+         * @param admission       null where the attempt gets no answer
+         * @param deadlineSeconds the deadline that the attempt carries; NaN for none
+         * @param arrivedAt       the earliest time at which it may have arrived, if this process was late to read it
          */
         default void deadlineReceived(
                 String requestId,
@@ -35,14 +39,14 @@
                 double deadlineSeconds,
                 double arrivedAt) {}
 
-        /** A job begins to run. */
+        /** The execution of a request starts. */
         void executionStarted(String requestId, EndpointModel endpoint, double now);
 
-        /** It was pushed over while cold, and is down. */
+        /** The endpoint was overloaded during slow start and is down. */
         void endpointOverloaded(EndpointModel endpoint, double now);
     }
 
-    /** A job that was taken: where its lines go, and its timer once it runs. */
+    /** The response to an admitted request, and its timer once the request is executed. */
     private static final class PendingResponse {
         final HttpServerResponse response;
         volatile long timer = -1;
@@ -52,10 +56,10 @@
         }
     }
 
-    /** A report as it was some time ago. */
+    /** A load report and the time at which it was made. */
     private record LoadReport(double createdAt, String text) {}
 
-    /** Milliseconds between two words of a job that runs. */
+    /** The interval of progress lines of a request that is executed. */
     public static final double PROGRESS_INTERVAL_MILLIS = 1000;
 
     public final EndpointModel model;
@@ -67,16 +71,23 @@
     private final Set<HttpConnection> connections = ConcurrentHashMap.newKeySet();
     private HttpServer server;
     private InetSocketAddress address;
-    /** Until when it swallows what comes, and until when its reports say that it is empty. */
+    /** Until this time the endpoint reads requests and load probes and answers none. */
     public volatile double hungUntil;
 
+    /** Until this time load reports state an idle endpoint, whatever its load. */
     public volatile double reportsIdleUntil;
+
     private volatile LoadReport loadReport = new LoadReport(Double.NEGATIVE_INFINITY, "");
     private boolean overloadReported;
-    /** Made on the event loop that reads the first request; all connections of a server share it. */
+    /** Created on the event loop that reads the first request, which all connections of a server share. */
     private ArrivalTimeEstimator arrivalTimes;
 
-    /** @param host the loopback address that it listens at, its own; @param clock milliseconds */
+    /**
+     * Creates an endpoint that does not listen yet.
+     *
+     * @param host  the loopback address of this endpoint
+     * @param clock tells the time in milliseconds
+     */
     public EndpointServer(String host, EndpointModel model, Vertx vertx, Listener listener, DoubleSupplier clock) {
         this.host = host;
         this.model = model;
@@ -85,7 +96,7 @@
         this.clock = clock;
     }
 
-    /** Listens, at the same address at every start. */
+    /** Listens, at the same address after each start. */
     public InetSocketAddress listen() throws Exception {
         server = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(false));
         server.connectionHandler(connection -> {
@@ -104,7 +115,7 @@
         return address;
     }
 
-    /** The process dies: connections are reset, what ran is lost. */
+    /** Simulates a crash of the process: its connections end and its requests are lost. */
     public void kill() {
         if (!model.isUp()) {
             return;
@@ -119,7 +130,7 @@
         connections.forEach(HttpConnection::close);
     }
 
-    /** Starts again, cold. */
+    /** Starts the endpoint again, in slow start. */
     public void start() throws Exception {
         if (!model.isUp()) {
             model.start(clock.getAsDouble());
@@ -178,7 +189,7 @@
         }
         List<EndpointModel.StartedRequest> started = new ArrayList<>();
         String executionId = id + "@" + System.nanoTime();
-        // Danger: a job that begins at once needs its entry before its timer is set.
+        // Added before the offer: a request that starts at once without an entry would never be executed.
         pendingResponses.put(executionId, new PendingResponse(response));
         EndpointModel.Admission admission = model.offer(executionId, work, now, started);
         listener.attemptArrived(id, model, admission, now);
@@ -224,7 +235,7 @@
         scheduleProgress(started.id(), pending, 0, Math.max(1, started.millis()));
     }
 
-    /** Tells of progress each second, as the settings say, and ends the job when its time is over. */
+    /** Sends a progress line at each interval, as the settings state, and finishes the request when it is due. */
     private void scheduleProgress(String executionId, PendingResponse pending, double doneMillis, double totalMillis) {
         double stepMillis = Math.min(PROGRESS_INTERVAL_MILLIS, totalMillis - doneMillis);
         pending.timer = vertx.setTimer(Math.max(1, Math.round(stepMillis)), timer -> {
@@ -243,7 +254,7 @@
         });
     }
 
-    /** Danger: what runs while the runner hangs ends only once that does. */
+    /** Finishes a request; one that is due while the endpoint hangs would otherwise be answered during the hang. */
     private void finishExecution(String executionId, PendingResponse pending) {
         double remainingHangMillis = hungUntil - clock.getAsDouble();
         if (remainingHangMillis > 0) {
@@ -261,7 +272,7 @@
         started.forEach(this::startExecution);
     }
 
-    /** Whoever waited for this job has closed the connection. */
+    /** The client has closed the connection of this request. */
     private void clientDisconnected(String executionId) {
         PendingResponse pending = model.config.cancelsOnDisconnect() ? pendingResponses.remove(executionId) : null;
         if (pending != null) {
--- a/src/main/java/nettlewick/stubs/ProviderModel.java
+++ b/src/main/java/nettlewick/stubs/ProviderModel.java
@@ -9,24 +9,23 @@
 import java.util.Map;
 
 /**
- * A provider of sim runners: for each member how many are to run, what runs and ran, under which fence and
- * which
- * version. Checks by itself that nothing is added past a member's mark. Pure: time is handed in, in
- * milliseconds of Unix time.
+ * Model of a provider of endpoints: the requested size, the instances, the fence and the version of each tenant's
+ * pool. Records a violation if instances are added beyond the near-cap fraction of a tenant's cap. Does no I/O and
+ * reads no clock: times are arguments, in Unix milliseconds.
  */
 public final class ProviderModel {
     private static final double HOUR_MILLIS = 3_600_000;
 
-    /** What a member may spend in a month, in hundredths, and the part of it past which nothing is added. */
+    /** The monthly spending cap of a tenant, and the fraction of it beyond which nothing may be added. */
     public record MonthlyCap(long cents, double nearFraction) {}
 
-    /** A runner; {@code until} 0: it runs. */
+    /** An instance; {@code endedAt} is 0 while it runs. */
     public record Instance(String name, String tenant, String kind, String zone, long startedAt, long endedAt) {}
 
-    /** A wish that was done, in the order in which they were. */
+    /** A resize that was applied. */
     public record AppliedResize(String tenant, long fence) {}
 
-    /** What becomes of a wish. */
+    /** The result of a resize. */
     public enum ResizeResult {
         APPLIED,
         VERSION_CONFLICT,
@@ -55,7 +54,12 @@
     private int versionConflictCount;
     private int repeatedKeyCount;
 
-    /** @param cents an hour's price; @param least time that is billed at least */
+    /**
+     * Creates a provider without instances.
+     *
+     * @param centsPerHour    the price of an instance
+     * @param minBilledMillis the time that is billed at least for each instance
+     */
     public ProviderModel(long centsPerHour, long minBilledMillis, List<String> zones, Map<String, MonthlyCap> caps) {
         this.centsPerHour = centsPerHour;
         this.minBilledMillis = minBilledMillis;
@@ -68,8 +72,8 @@
     }
 
     /**
-     * So many are to run from now on; a key that has come before changes nothing, one that comes too late
-     * neither.
+     * Sets the number of instances that are to run. A key that was applied before, a stale fence or version, and a
+     * request after {@code notAfter} change nothing.
      */
     public synchronized ResizeResult resize(
             String tenant, int size, String key, int version, long fence, long notAfter, long now) {
@@ -109,7 +113,7 @@
         return ResizeResult.APPLIED;
     }
 
-    /** The rule that it keeps an eye on: an addition's cost, with what is owed, stays under the mark. */
+    /** Records a violation if the cost of an addition and the amount owed exceed the near-cap fraction. */
     private void checkSpendingCap(String tenant, Pool pool, int size, long now) {
         MonthlyCap cap = caps.getOrDefault(tenant, new MonthlyCap(0, 0));
         double owedCents = pool.instances.stream()
@@ -118,14 +122,14 @@
                 + (size - runningInstances(tenant).size()) * minBilledMillis * centsPerHour / HOUR_MILLIS;
         maxOverrunCents = Math.max(maxOverrunCents, owedCents - cap.cents());
         if (owedCents > cap.cents() * cap.nearFraction()) {
-            violations.add(
-                    "added for " + tenant + " up to " + size + " with " + (long) owedCents + " owed of " + cap.cents());
+            violations.add("resize of " + tenant + " to " + size + ": " + (long) owedCents + " cents owed of a cap of "
+                    + cap.cents());
         }
     }
 
     /**
-     * How many more runners of the least time the member's mark would have paid for at that moment, by what
-     * had been started by then.
+     * The number of further instances, each for the minimum time, that the near-cap fraction of the tenant's cap would
+     * have paid for at a time in the past, given the instances started by then.
      */
     public synchronized int affordableInstances(String tenant, long at) {
         MonthlyCap cap = caps.getOrDefault(tenant, new MonthlyCap(0, 0));
@@ -139,7 +143,7 @@
         return (int) Math.max(0, remainingCents * HOUR_MILLIS / (minBilledMillis * centsPerHour));
     }
 
-    /** Hundredths by which an addition went beyond its member's cap; 0: none did. */
+    /** The most by which an addition exceeded its tenant's cap; 0 if none did. */
     public synchronized double maxOverrunCents() {
         return maxOverrunCents;
     }
@@ -148,7 +152,7 @@
         return List.copyOf(appliedResizes);
     }
 
-    /** What a runner costs of this month, at its least time, if it ends now. */
+    /** The cost of an instance in the current month if it ends now, with the minimum time billed. */
     private double costCents(Instance instance, long now) {
         long monthStart = YearMonth.from(Instant.ofEpochMilli(now).atOffset(ZoneOffset.UTC))
                 .atDay(1)
@@ -160,7 +164,7 @@
         return Math.max(0, billedUntil - Math.max(instance.startedAt(), monthStart)) * centsPerHour / HOUR_MILLIS;
     }
 
-    /** Starts one runner that is wanted and does not run yet; null where none is. */
+    /** Starts an instance; null if the requested number runs already. */
     public synchronized Instance start(String tenant, String kind, long now) {
         Pool pool = pool(tenant);
         if (runningInstances(tenant).size() >= pool.size) {
@@ -195,7 +199,7 @@
         return pool(tenant).fence;
     }
 
-    /** Hundredths by now, each at its least. */
+    /** The cost of a tenant's instances in the current month so far, with the minimum time billed for each. */
     public synchronized double spentCents(String tenant, long now) {
         return pool(tenant).instances.stream()
                 .mapToDouble(instance -> costCents(instance, now))
@@ -215,8 +219,8 @@
     }
 
     /**
-     * Runners wished for in all, wishes done, acts refused for their fence and their version, and wishes
-     * that came again.
+     * The numbers of instances added, resizes applied, resizes rejected for their fence and for their version, and
+     * resizes repeated with the same key.
      */
     public synchronized Map<String, Integer> counts() {
         return Map.of(
--- a/src/main/java/nettlewick/stubs/ProviderServer.java
+++ b/src/main/java/nettlewick/stubs/ProviderServer.java
@@ -24,33 +24,33 @@
 import java.util.function.LongSupplier;
 import nettlewick.stubs.ProviderModel.Instance;
 
-/** The provider on a socket, by docs/pools.md: slow where it is told so, and with faults. */
+/** The provider of endpoints on a socket, as docs/pools.md describes it, with start times and injected faults. */
 public final class ProviderServer {
-    /** What becomes of calls. */
+    /** How calls are handled. */
     public enum Behavior {
-        /** Answered. */
+        /** Applied and answered. */
         GOOD,
-        /** Not even heard. */
+        /** The connection is closed and the call ignored. */
         DOWN,
-        /** Done, and the answer is lost. */
+        /** The call is applied and the connection closed without a response. */
         LOSES,
-        /** 503, with when to come back. */
+        /** Status 503 with Retry-After. */
         BUSY,
-        /** 429, without. */
+        /** Status 429 without Retry-After. */
         MANY,
-        /** A wish waits until one under a higher fence has been done: it comes as a stale act. */
+        /** A resize is delayed until one with a higher fence is applied, and then arrives with a stale fence. */
         KEEPS,
-        /** Lists are those from before the last wish. */
+        /** Reads return the list from before the last resize. */
         STALE,
-        /** Not all that is wanted comes. */
+        /** One instance fewer is started than requested. */
         PARTIAL
     }
 
-    /** Starts and ends the runners themselves. */
+    /** Starts and stops the endpoint processes of instances. */
     public interface InstanceLauncher {
-        void start(Instance runner) throws Exception;
+        void start(Instance instance) throws Exception;
 
-        void stop(Instance runner) throws Exception;
+        void stop(Instance instance) throws Exception;
     }
 
     private final Vertx vertx;
@@ -61,14 +61,19 @@
     private final Map<String, String> previousLists = new HashMap<>();
     private final Set<String> stoppedInstances = ConcurrentHashMap.newKeySet();
     private volatile Behavior behavior = Behavior.GOOD;
-    /** What waits, by its fence. */
+    /** Delayed resizes by fence. */
     private final TreeMap<Long, List<Runnable>> delayedRequests = new TreeMap<>();
 
     public final AtomicInteger callCount = new AtomicInteger();
     public final AtomicInteger lostResponseCount = new AtomicInteger();
     private HttpServer server;
 
-    /** @param clock milliseconds of Unix time; @param comes how long a runner takes to start */
+    /**
+     * Creates a provider that does not listen yet.
+     *
+     * @param clock       Unix time in milliseconds
+     * @param startMillis how long an instance takes to start
+     */
     public ProviderServer(
             Vertx vertx, ProviderModel model, LongSupplier clock, long startMillis, InstanceLauncher launcher) {
         this.vertx = vertx;
@@ -91,7 +96,7 @@
         }
     }
 
-    /** The first wishes wait; those under a higher fence than theirs are done at once, and then they. */
+    /** Delays resizes of the lowest fence; runs one of a higher fence at once, and the delayed ones after it. */
     private void delayUntilHigherFence(long fence, Runnable resize) {
         synchronized (delayedRequests) {
             if (delayedRequests.isEmpty() || delayedRequests.firstKey() >= fence) {
@@ -171,7 +176,7 @@
         }
     }
 
-    /** Has all started that is wanted, each after its time, and ends what is not. */
+    /** Stops the instances that the model has ended, and schedules the start of those that are missing. */
     private void startAndStopInstances(String tenant, String kind) {
         for (Instance instance : model.allInstances(tenant)) {
             if (instance.endedAt() > 0 && stoppedInstances.add(instance.name())) {
--- a/src/main/java/nettlewick/stubs/StubPlatform.java
+++ b/src/main/java/nettlewick/stubs/StubPlatform.java
@@ -20,27 +20,27 @@
 import java.util.function.Consumer;
 
 /**
- * Discovery and sim runners on loopback, written from the protocol page: for the demonstration and for tests.
- * Runners count how often each job ran, and can be killed, drained and made to misbehave.
+ * Discovery and endpoints on loopback, written from the protocol page, for the demonstration and for tests. The
+ * endpoints count how often each request was executed, and can be killed, drained and made to misbehave.
  */
 public class StubPlatform implements AutoCloseable {
     public final Vertx vertx = Vertx.vertx();
-    /** How often each request id began to run, at any runner. */
+    /** How often the execution of each request id was started, at any endpoint. */
     public final Map<String, AtomicInteger> executionCounts = new ConcurrentHashMap<>();
 
     public final List<String> receivedRequests = new CopyOnWriteArrayList<>();
     public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
-    /** Milliseconds that a job runs. */
+    /** How long a request is executed, unless its body is a number. */
     public volatile int executionMillis = 30;
-    /** What a runner does with a job in place of running it; null to run it. */
+    /** Handles requests to endpoints instead of executing them; null to execute them. */
     public volatile Consumer<HttpServerRequest> requestOverride;
-    /** Runners that take jobs and probes and answer none. */
+    /** Endpoints that accept requests and load probes and answer none. */
     public final Set<String> hungEndpoints = ConcurrentHashMap.newKeySet();
-    /** What discovery does with a watch in place of answering it; null to answer. */
+    /** Handles requests to discovery instead of opening a watch; null to open one. */
     public volatile Consumer<HttpServerRequest> discoveryOverride;
-    /** Whether runners reset a connection at its second request, once that has come whole. */
+    /** Whether endpoints close a connection at its second request without answering it. */
     public volatile boolean resetReusedConnections;
-    /** Whether lists come indented, over several lines. */
+    /** Whether endpoint lists are indented, over several lines. */
     public volatile boolean prettyPrintLists;
 
     public final AtomicInteger resetCount = new AtomicInteger();
@@ -61,7 +61,7 @@
         return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
-    /** Waits for what has to come; the test's own time limit ends a wait in vain. */
+    /** Polls until the condition holds. Has no time limit: that of the test ends a wait in vain. */
     public static void waitUntil(BooleanSupplier condition) throws InterruptedException {
         while (!condition.getAsBoolean()) {
             TimeUnit.MILLISECONDS.sleep(5);
@@ -94,7 +94,7 @@
         return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
     }
 
-    /** Starts a sim runner, and has discovery tell of it. */
+    /** Starts an endpoint and announces it as ready. */
     public void addEndpoint(String name) throws Exception {
         HttpServer server = vertx.createHttpServer().requestHandler(request -> handleEndpointRequest(name, request));
         awaitResult(server.listen(0, "127.0.0.1"));
@@ -102,7 +102,7 @@
         addEndpoint(name, server.actualPort());
     }
 
-    /** Has discovery tell of a runner at this port, whatever is there. */
+    /** Announces a ready endpoint at a port, whatever listens there. */
     public void addEndpoint(String name, int port) {
         ports.put(name, port);
         announceHealth(name, "Ready");
@@ -112,7 +112,11 @@
         announceHealth(name, health, 0);
     }
 
-    /** Has discovery tell of a runner that last started then, in Unix milliseconds; 0: long ago. */
+    /**
+     * Sends the health of an endpoint to all open watches.
+     *
+     * @param startedAtMillis Unix time of the endpoint's last start; 0 for long ago
+     */
     public synchronized void announceHealth(String name, String health, long startedAtMillis) {
         String entry = "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + ports.get(name)
                 + "\",\"site\":\"a\",\"class\":\"std\",\"block\":0,\"health\":\"" + health
@@ -123,29 +127,29 @@
         watchResponses.forEach(response -> response.write(update));
     }
 
-    /** Discovery drops the runner from its list; only a whole list shows it. */
+    /** Removes an endpoint from the list, without an update to open watches: only a whole list shows it. */
     public synchronized void removeFromDiscovery(String name) {
         version++;
         endpointEntries.remove(name);
     }
 
-    /** The process dies: its connections are reset and new ones refused. Discovery does not know yet. */
+    /** Closes an endpoint: its connections end and new ones are refused. Discovery goes on announcing it. */
     public void kill(String name) throws Exception {
         awaitResult(servers.get(name).close());
     }
 
-    /** Discovery has lost its count: its next change has the first number again. Watches stay open. */
+    /** Restarts the versions of lists: the next change has the first version again. Watches stay open. */
     public synchronized void resetVersions() {
         version = 0;
     }
 
-    /** All watches break. */
+    /** Resets all watches. */
     public synchronized void resetWatches() {
         watchResponses.forEach(HttpServerResponse::reset);
         watchResponses.clear();
     }
 
-    /** All open watches say no more, and stay open; those opened from now on do. */
+    /** Sends no more updates to the watches that are open now, and leaves them open. */
     public synchronized void muteOpenWatches() {
         watchResponses.clear();
     }
@@ -193,7 +197,7 @@
         });
     }
 
-    /** A body that is a number is the time that the job runs for, in milliseconds. */
+    /** A body that is a number is the execution time in milliseconds. */
     private int executionMillisOf(String body) {
         return body.matches("[0-9]{1,6}") ? Integer.parseInt(body) : executionMillis;
     }
@@ -224,7 +228,7 @@
                 "zone");
     }
 
-    /** A configuration in the platform's form, as maps to change before it is written. */
+    /** A platform configuration, as maps that can be changed before it is written. */
     public Map<String, Object> config() {
         Map<String, Object> settings = new LinkedHashMap<>(Map.of(
                 "rank",
@@ -289,12 +293,12 @@
                 settings));
     }
 
-    /** The list as it is, in discovery's form: what a dispatcher may have known before it started. */
+    /** The current endpoint list in discovery's format, as a dispatcher may be given it for its start. */
     public synchronized Object currentEndpointList() {
         return new com.google.gson.Gson().fromJson(listLine(true, endpointEntries.values()), Map.class);
     }
 
-    /** Whether any runner was told of. */
+    /** Whether any endpoint is listed. */
     protected synchronized boolean hasEndpoints() {
         return !endpointEntries.isEmpty();
     }
--- a/src/main/java/nettlewick/stubs/package-info.java
+++ b/src/main/java/nettlewick/stubs/package-info.java
@@ -2,7 +2,7 @@
  * Stubs of the systems around a dispatcher: discovery, endpoints, a provider of endpoints and a receiver of exported
  * batches, on loopback.
  *
- * <p>Written from the published protocols, for the demonstration, the tests and {@code fleettest}. Models are pure and
- * take the time as an argument; servers run on Vert.x event loops.
+ * <p>Written from the published protocols, for the demonstration, the tests and {@code fleettest}. Models do no
+ * I/O and take the time as an argument; servers run on Vert.x event loops.
  */
 package nettlewick.stubs;
--- a/src/test/java/nettlewick/stubs/ArrivalTimeEstimatorTest.java
+++ b/src/test/java/nettlewick/stubs/ArrivalTimeEstimatorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When something may have arrived that a loop reads in time, in a hold-up, and just after one. */
+/** Estimated arrival times of data that a loop reads on time, during a stall, and just after one. */
 class ArrivalTimeEstimatorTest {
     private final ArrivalTimeEstimator estimator = new ArrivalTimeEstimator(0);
 
@@ -20,7 +20,7 @@
         assertEquals(20, estimator.earliestArrival(400));
     }
 
-    /** Guards against a late read by a new connection, which comes after the tick that ends the hold-up. */
+    /** Guards against a late read from a new connection, which follows the tick that ends the stall. */
     @Test
     void dataReadJustAfterAStallMayHaveArrivedSinceItBegan() {
         estimator.tick(20);
