--- a/src/main/java/nettlewick/waiting/Afterlife.java
+++ b/src/main/java/nettlewick/waiting/CrashRecovery.java
@@ -3,7 +3,7 @@
 import nettlewick.decision.SchedulerSettings.Idempotency;
 
 /** What becomes of a job that was accepted by a process that has died. Does no I/O and reads no clock. */
-public final class Afterlife {
+public final class CrashRecovery {
     /** How far it had come by what is recorded. */
     public enum State {
         WAITING,
@@ -12,7 +12,7 @@
     }
 
     /** What is done with it. */
-    public enum What {
+    public enum Action {
         WAIT,
         RELEASE,
         FAIL,
@@ -20,9 +20,9 @@
     }
 
     /** {@code why} is for the client, where it fails; else null. */
-    public record Verdict(What what, String why) {}
+    public record Decision(Action action, String cause) {}
 
-    private Afterlife() {}
+    private CrashRecovery() {}
 
     /**
      * Decides. A release is recorded before the job is handed in, so one that is recorded may have run, and
@@ -35,42 +35,42 @@
      * @param attempts how many it has had, and {@code most} how many there may be
      * @param left     milliseconds of its own time that are left
      */
-    public static Verdict decide(
+    public static Decision decide(
             State state,
-            Idempotency repeat,
-            double since,
-            double window,
-            boolean site,
+            Idempotency idempotency,
+            double millisSinceRelease,
+            double dedupWindowMillis,
+            boolean zoneKnown,
             int attempts,
-            int most,
-            double left) {
+            int maxAttempts,
+            double remainingMillis) {
         if (state == State.ENDED) {
-            return new Verdict(What.NOTHING, null);
+            return new Decision(Action.NOTHING, null);
         }
         if (state == State.WAITING) {
             // What waits is looked at by the plan, which knows what it asked for where its time is over.
-            return new Verdict(What.WAIT, null);
+            return new Decision(Action.WAIT, null);
         }
-        if (repeat == Idempotency.NON_IDEMPOTENT) {
+        if (idempotency == Idempotency.NON_IDEMPOTENT) {
             return fail("it may have run, and is never run again");
         }
-        if (left <= 0) {
+        if (remainingMillis <= 0) {
             return fail("its time was over before this dispatcher was back");
         }
-        if (attempts >= most) {
-            return fail("it has had its " + most + " attempts");
+        if (attempts >= maxAttempts) {
+            return fail("it has had its " + maxAttempts + " attempts");
         }
-        if (repeat == Idempotency.KEYED && !site) {
+        if (idempotency == Idempotency.KEYED && !zoneKnown) {
             return fail("it may have run, and where is not known");
         }
-        if (repeat == Idempotency.KEYED && !(since >= 0 && since < window)) {
+        if (idempotency == Idempotency.KEYED && !(millisSinceRelease >= 0 && millisSinceRelease < dedupWindowMillis)) {
             // A clock that went back says nothing about how long ago it was.
             return fail("it may have run, and its key is no longer remembered");
         }
-        return new Verdict(What.RELEASE, null);
+        return new Decision(Action.RELEASE, null);
     }
 
-    private static Verdict fail(String why) {
-        return new Verdict(What.FAIL, why);
+    private static Decision fail(String cause) {
+        return new Decision(Action.FAIL, cause);
     }
 }
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -24,7 +24,7 @@
             "ledger/Store.java",
             "ledger/Ledger.java",
             "ledger/Spool.java",
-            "waiting/Plan.java",
+            "waiting/DependencyTracker.java",
             "ledger/UsageBook.java",
             "fleettest/ScenarioRun.java");
 
--- a/src/test/java/nettlewick/waiting/AfterlifeTest.java
+++ b/src/test/java/nettlewick/waiting/CrashRecoveryTest.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 import nettlewick.decision.SchedulerSettings.Idempotency;
 import nettlewick.sqlite.StoreException;
-import nettlewick.waiting.Afterlife.State;
-import nettlewick.waiting.Afterlife.What;
+import nettlewick.waiting.CrashRecovery.Action;
+import nettlewick.waiting.CrashRecovery.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Jobs that outlive their process: what is handed in again, and what never is. */
-class AfterlifeTest {
+class CrashRecoveryTest {
     /** The process ends here. */
     private static final class Crash extends RuntimeException {
         private static final long serialVersionUID = 1;
@@ -29,30 +29,32 @@
     @TempDir
     private Path dir;
 
-    private static What after(State state, Idempotency repeat, double since, boolean site, int attempts, double left) {
-        return Afterlife.decide(state, repeat, since, WINDOW, site, attempts, 6, left)
-                .what();
+    private static Action after(
+            State state, Idempotency repeat, double since, boolean site, int attempts, double left) {
+        return CrashRecovery.decide(state, repeat, since, WINDOW, site, attempts, 6, left)
+                .action();
     }
 
     @Test
     void eachClassKeepsItsRule() {
         for (Idempotency repeat : Idempotency.values()) {
-            assertEquals(What.WAIT, after(State.WAITING, repeat, 0, false, 0, 100));
-            assertEquals(What.NOTHING, after(State.ENDED, repeat, 0, true, 1, 100));
+            assertEquals(Action.WAIT, after(State.WAITING, repeat, 0, false, 0, 100));
+            assertEquals(Action.NOTHING, after(State.ENDED, repeat, 0, true, 1, 100));
         }
-        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.NON_IDEMPOTENT, 0, true, 1, 100));
-        assertEquals(What.RELEASE, after(State.RELEASED, Idempotency.KEYED, WINDOW - 1, true, 1, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.KEYED, WINDOW, true, 1, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.KEYED, -1, true, 1, 100), "the clock went back");
-        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.KEYED, 1, false, 1, 100), "its site is not known");
-        assertEquals(What.RELEASE, after(State.RELEASED, Idempotency.IDEMPOTENT, 1e9, false, 5, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 6, 100));
-        assertEquals(What.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 1, 0));
+        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.NON_IDEMPOTENT, 0, true, 1, 100));
+        assertEquals(Action.RELEASE, after(State.RELEASED, Idempotency.KEYED, WINDOW - 1, true, 1, 100));
+        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.KEYED, WINDOW, true, 1, 100));
+        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.KEYED, -1, true, 1, 100), "the clock went back");
+        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.KEYED, 1, false, 1, 100), "its site is not known");
+        assertEquals(Action.RELEASE, after(State.RELEASED, Idempotency.IDEMPOTENT, 1e9, false, 5, 100));
+        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 6, 100));
+        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 1, 0));
     }
 
     private static WaitStore.Job job(String id, String jobClass) {
         return new WaitStore.Job(
-                new Plan.Ask(id, "m", "n" + id, List.of("x"), 0, 1e12, Plan.OnFailure.SKIP, 9),
+                new DependencyTracker.JobSpec(
+                        id, "m", "n" + id, List.of("x"), 0, 1e12, DependencyTracker.OnFailure.SKIP, 9),
                 jobClass,
                 1,
                 4000,
@@ -84,21 +86,21 @@
                     throw new Crash();
                 }
             })) {
-                for (WaitStore.Stored s : store.load()) {
-                    String id = s.job().ask().id();
+                for (WaitStore.StoredJob s : store.load()) {
+                    String id = s.job().spec().id();
                     Idempotency repeat =
-                            s.job().jobClass().equals("mark") ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
-                    What what = Afterlife.decide(
-                                    s.state(), repeat, now - s.changed(), WINDOW, false, s.attempts(), 6, 1)
-                            .what();
-                    if (what == What.FAIL) {
-                        store.end(List.of(new WaitStore.Ended(id, "failed", "it may have run", 1)), now);
+                            s.job().requestClass().equals("mark") ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
+                    Action what = CrashRecovery.decide(
+                                    s.state(), repeat, now - s.changedAt(), WINDOW, false, s.attempts(), 6, 1)
+                            .action();
+                    if (what == Action.FAIL) {
+                        store.finish(List.of(new WaitStore.FinishedJob(id, "failed", "it may have run", 1)), now);
                         ended.add(id);
-                    } else if (what == What.RELEASE || what == What.WAIT && random.nextBoolean()) {
+                    } else if (what == Action.RELEASE || what == Action.WAIT && random.nextBoolean()) {
                         store.release(List.of(id), now);
                         handed.merge(id, 1, Integer::sum);
                         if (random.nextBoolean()) {
-                            store.end(List.of(new WaitStore.Ended(id, "result", null, 2)), now);
+                            store.finish(List.of(new WaitStore.FinishedJob(id, "result", null, 2)), now);
                             ended.add(id);
                         }
                     }
@@ -114,18 +116,18 @@
             now += 100;
         }
         try (WaitStore store = WaitStore.open(dir, name -> {})) {
-            Map<String, WaitStore.Stored> all = new HashMap<>();
-            store.load().forEach(s -> all.put(s.job().ask().id(), s));
+            Map<String, WaitStore.StoredJob> all = new HashMap<>();
+            store.load().forEach(s -> all.put(s.job().spec().id(), s));
             assertTrue(all.keySet().containsAll(accepted), "accepted and forgotten");
-            for (WaitStore.Stored s : all.values()) {
-                String id = s.job().ask().id();
+            for (WaitStore.StoredJob s : all.values()) {
+                String id = s.job().spec().id();
                 int times = handed.getOrDefault(id, 0);
-                assertTrue(times <= (s.job().jobClass().equals("mark") ? 1 : 6), id + " was handed in " + times);
+                assertTrue(times <= (s.job().requestClass().equals("mark") ? 1 : 6), id + " was handed in " + times);
                 assertTrue(s.state() != State.WAITING || times == 0, "handed in and not recorded: " + id);
                 assertTrue(!ended.contains(id) || s.state() == State.ENDED);
-                assertEquals(job(id, s.job().jobClass()), s.job());
+                assertEquals(job(id, s.job().requestClass()), s.job());
             }
-            assertTrue(ended.size() > 100 && store.forget(now) >= ended.size());
+            assertTrue(ended.size() > 100 && store.deleteFinishedBefore(now) >= ended.size());
         }
     }
 
@@ -134,15 +136,15 @@
         try (WaitStore store = WaitStore.open(dir, name -> {})) {
             store.accept(List.of(job("a", "view"), job("b", "mark")), 1);
             store.release(List.of("a", "b"), 2);
-            store.back("b", 3);
-            store.end(List.of(new WaitStore.Ended("a", "result", null, 4)), 4);
-            store.end(List.of(new WaitStore.Ended("a", "failed", "late", 5)), 5);
+            store.returnToWaiting("b", 3);
+            store.finish(List.of(new WaitStore.FinishedJob("a", "result", null, 4)), 4);
+            store.finish(List.of(new WaitStore.FinishedJob("a", "failed", "late", 5)), 5);
             store.release(List.of("a"), 6);
-            List<WaitStore.Stored> all = store.load();
+            List<WaitStore.StoredJob> all = store.load();
             assertEquals(
                     List.of(State.WAITING, State.ENDED),
-                    all.stream().map(WaitStore.Stored::state).toList());
-            assertEquals("result", all.get(1).fate());
+                    all.stream().map(WaitStore.StoredJob::state).toList());
+            assertEquals("result", all.get(1).outcome());
             assertEquals(1, all.get(0).attempts());
         }
     }
--- a/src/test/java/nettlewick/waiting/GateTest.java
+++ b/src/test/java/nettlewick/waiting/ReleaseQueueTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Order and pace at the gate, and the longest wait under floods against the bound that it states. */
-class GateTest {
+class ReleaseQueueTest {
     private static final double AGE = 500;
     private static final double QUANTUM = 100;
     /** Three times the bound, in milliseconds. */
@@ -23,12 +23,12 @@
 
     @Test
     void membersTakeTurnsByWorkAndWorthDecidesInsideOne() {
-        Gate gate = new Gate(AGE, QUANTUM, 100, 100);
+        ReleaseQueue gate = new ReleaseQueue(AGE, QUANTUM, 100, 100);
         for (int i = 0; i < 6; i++) {
             gate.add("a" + i, "a", i == 5 ? 10 : 1, 100, 0);
             gate.add("b" + i, "b", 1, 50, 0);
         }
-        List<String> order = gate.take(0);
+        List<String> order = gate.release(0);
         assertEquals("a5", order.get(0));
         assertEquals(12, order.size());
         assertEquals(List.of("a5", "b0", "b1", "a0", "b2", "b3"), order.subList(0, 6));
@@ -36,30 +36,30 @@
 
     @Test
     void theWindowGrowsWithServiceAndHalvesOnceForOneRefusal() {
-        Gate gate = new Gate(AGE, QUANTUM, 8, 64);
+        ReleaseQueue gate = new ReleaseQueue(AGE, QUANTUM, 8, 64);
         for (int i = 0; i < 100; i++) {
             gate.add("j" + i, "m", 1, 10, i);
         }
-        List<String> out = gate.take(0);
+        List<String> out = gate.release(0);
         assertEquals(8, out.size());
-        gate.refused(out.get(0), 100, 10);
-        gate.refused(out.get(1), 100, 11);
+        gate.jobRejected(out.get(0), 100, 10);
+        gate.jobRejected(out.get(1), 100, 11);
         assertEquals(4, gate.window());
-        assertEquals(List.of(), gate.take(12), "six are still out");
+        assertEquals(List.of(), gate.release(12), "six are still out");
         for (String id : out.subList(2, 8)) {
-            gate.ended(id, true);
+            gate.jobFinished(id, true);
         }
         assertTrue(gate.window() > 5);
-        assertEquals(List.of("j0", "j1"), gate.take(12).subList(0, 2), "they keep their age");
+        assertEquals(List.of("j0", "j1"), gate.release(12).subList(0, 2), "they keep their age");
         assertTrue(gate.remove("j50", "m"));
         assertFalse(gate.remove("j50", "m"));
-        assertThrows(IllegalArgumentException.class, () -> new Gate(0, 1, 1, 1));
+        assertThrows(IllegalArgumentException.class, () -> new ReleaseQueue(0, 1, 1, 1));
     }
 
     /** What a flood of worthy jobs does to light ones, for as long as it lasts. */
     private static Map<String, Double> flood(double age, double load, int members, int most, long seed) {
         Random random = new Random(seed);
-        Gate gate = new Gate(age, QUANTUM, 1, 1);
+        ReleaseQueue gate = new ReleaseQueue(age, QUANTUM, 1, 1);
         Map<String, Double> since = new HashMap<>();
         Map<String, Double> worst = new HashMap<>();
         String out = null;
@@ -85,11 +85,11 @@
                 waitingLight.add(id);
             }
             if (out != null && now >= free) {
-                gate.ended(out, true);
+                gate.jobFinished(out, true);
                 out = null;
             }
             if (out == null) {
-                List<String> handed = gate.take(now);
+                List<String> handed = gate.release(now);
                 if (!handed.isEmpty()) {
                     out = handed.get(0);
                     free = now + 10;
@@ -110,7 +110,8 @@
         int most = 60;
         // All of the queue may be one member's; its flood goes on while a light job can still be passed.
         double passed = (10 - 1) * AGE;
-        double bound = Gate.bound(AGE, 10, members, (most + 9) * 10 + Math.min(passed * load, passed), 10, QUANTUM, 1);
+        double bound = ReleaseQueue.maxWaitMillis(
+                AGE, 10, members, (most + 9) * 10 + Math.min(passed * load, passed), 10, QUANTUM, 1);
         for (long seed = 1; seed <= 3; seed++) {
             Map<String, Double> aged = flood(AGE, load, members, most, seed);
             assertTrue(aged.get("l") <= bound && aged.get("w") <= bound, aged + " against " + bound);
@@ -121,7 +122,7 @@
 
     @Test
     void oneMembersFloodCostsTheOthersNoMoreThanTheirTurns() {
-        Gate gate = new Gate(AGE, QUANTUM, 1, 1);
+        ReleaseQueue gate = new ReleaseQueue(AGE, QUANTUM, 1, 1);
         for (int i = 0; i < 5000; i++) {
             gate.add("flood" + i, "big", 10, 10, 0);
         }
@@ -130,9 +131,9 @@
         }
         List<String> order = new ArrayList<>();
         while (gate.size() > 0 && order.size() < 200) {
-            String id = gate.take(order.size() * 10).get(0);
+            String id = gate.release(order.size() * 10).get(0);
             order.add(id);
-            gate.ended(id, true);
+            gate.jobFinished(id, true);
         }
         for (int m = 0; m < 8; m++) {
             assertTrue(
--- a/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
+++ b/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
@@ -17,9 +17,9 @@
     @TempDir
     private Path dir;
 
-    private static WaitStore.Job job(String id, Plan.OnFailure onFailure, String key, String... after) {
+    private static WaitStore.Job job(String id, DependencyTracker.OnFailure onFailure, String key, String... after) {
         return new WaitStore.Job(
-                new Plan.Ask(
+                new DependencyTracker.JobSpec(
                         id,
                         "blue, \"école\" ✓",
                         "name-" + id,
@@ -49,17 +49,17 @@
         try (WaitStore store = WaitStore.open(made, name -> {})) {
             store.accept(
                     List.of(
-                            job("one", Plan.OnFailure.FAIL, "key"),
-                            job("two", Plan.OnFailure.RUN, null, "one"),
-                            job("three", Plan.OnFailure.SKIP, null, "one", "two"),
-                            job("four", Plan.OnFailure.FAIL, null)),
+                            job("one", DependencyTracker.OnFailure.FAIL, "key"),
+                            job("two", DependencyTracker.OnFailure.RUN, null, "one"),
+                            job("three", DependencyTracker.OnFailure.SKIP, null, "one", "two"),
+                            job("four", DependencyTracker.OnFailure.FAIL, null)),
                     NOW);
             store.release(List.of("one", "two", "four"), NOW + 1);
-            store.back("four", NOW + 2);
-            store.end(
+            store.returnToWaiting("four", NOW + 2);
+            store.finish(
                     List.of(
-                            new WaitStore.Ended("one", "SUCCEEDED", null, 7),
-                            new WaitStore.Ended("three", "FAILED", "the deadline passed", 8)),
+                            new WaitStore.FinishedJob("one", "SUCCEEDED", null, 7),
+                            new WaitStore.FinishedJob("three", "FAILED", "the deadline passed", 8)),
                     NOW + 3);
             GoldenFolder.record(made, FOLDER, "-shm");
         }
@@ -67,35 +67,35 @@
 
     private static String jobs(WaitStore store) throws Exception {
         StringBuilder text = new StringBuilder();
-        for (WaitStore.Stored s : store.load()) {
+        for (WaitStore.StoredJob s : store.load()) {
             WaitStore.Job j = s.job();
-            Plan.Ask a = j.ask();
+            DependencyTracker.JobSpec a = j.spec();
             text.append(String.join(
                             " | ",
                             a.id(),
-                            a.member(),
+                            a.tenant(),
                             a.name(),
-                            "" + a.after(),
+                            "" + a.predecessors(),
                             "" + a.notBefore(),
-                            "" + a.until(),
+                            "" + a.waitUntil(),
                             a.onFailure().name(),
                             "" + a.bytes(),
-                            j.jobClass(),
-                            "" + j.worth(),
+                            j.requestClass(),
+                            "" + j.priorityWeight(),
                             "" + j.run(),
                             j.method(),
                             j.uri(),
                             j.body().trim(),
-                            j.key(),
+                            j.idempotencyKey(),
                             "" + j.slots(),
                             "" + j.memory(),
-                            "" + j.hint(),
+                            "" + j.costHint(),
                             s.state().name(),
-                            "" + s.changed(),
-                            s.site(),
+                            "" + s.changedAt(),
+                            s.zone(),
                             "" + s.attempts(),
-                            "" + s.event(),
-                            s.fate(),
+                            "" + s.lastEvent(),
+                            s.outcome(),
                             s.cause()))
                     .append('\n');
         }
@@ -108,7 +108,7 @@
         try (WaitStore store = WaitStore.open(dir, name -> {})) {
             String text = jobs(store);
             store.release(List.of("four"), NOW + 10);
-            text += "forgotten " + store.forget(NOW + 4) + "\n" + jobs(store);
+            text += "forgotten " + store.deleteFinishedBefore(NOW + 4) + "\n" + jobs(store);
             assertMatches("waiting/read.txt", text);
         }
     }
--- a/src/test/java/nettlewick/waiting/WishTest.java
+++ b/src/test/java/nettlewick/waiting/WaitOptionsTest.java
@@ -9,17 +9,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettlewick.waiting.Plan.OnFailure;
+import nettlewick.waiting.DependencyTracker.OnFailure;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The headers of jobs that wait: what they mean, and one line for each mistake. */
-class WishTest {
+class WaitOptionsTest {
     private static final double NOW = 5_000_000;
     private static final double WALL = Instant.parse("2026-12-01T05:00:00Z").toEpochMilli();
 
-    private static Wish read(String headers) throws Wish.Mistake {
+    private static WaitOptions read(String headers) throws WaitOptions.InvalidHeaderException {
         Map<String, List<String>> all = new HashMap<>();
         for (String line : headers.split(";")) {
             String[] pair = line.split("=", 2);
@@ -27,7 +27,7 @@
                 all.merge(pair[0], List.of(pair[1]), (a, b) -> List.of(a.get(0), b.get(0)));
             }
         }
-        return Wish.read(name -> all.getOrDefault(name, List.of()), NOW, WALL, 60_000);
+        return WaitOptions.parse(name -> all.getOrDefault(name, List.of()), NOW, WALL, 60_000);
     }
 
     @Test
@@ -38,10 +38,10 @@
     @Test
     void namesTimesAndPoliciesAreRead() throws Exception {
         assertEquals(
-                new Wish("b", List.of("a", "c"), 0, 0, NOW + 9500, OnFailure.SKIP),
+                new WaitOptions("b", List.of("a", "c"), 0, 0, NOW + 9500, OnFailure.SKIP),
                 read("X-Job-Name=b;X-After=a, c;X-Wait=9.5;X-On-Failure=skip"));
         assertEquals(
-                new Wish(null, List.of(), NOW + 2500, 1000, NOW + 60_000, OnFailure.FAIL),
+                new WaitOptions(null, List.of(), NOW + 2500, 1000, NOW + 60_000, OnFailure.FAIL),
                 read("X-Not-Before=+2.5;X-Window=1"));
         // A quarter of an hour ahead on the wall clock, whatever the one clock shows.
         assertEquals(
@@ -73,7 +73,8 @@
                 "X-After=a;X-After=b|more than once"
             })
     void eachMistakeIsOneLine(String headers, String part) {
-        String line = assertThrows(Wish.Mistake.class, () -> read(headers)).getMessage();
+        String line = assertThrows(WaitOptions.InvalidHeaderException.class, () -> read(headers))
+                .getMessage();
         assertTrue(line.contains(part) && !line.contains("\n"), line);
     }
 }
