--- a/src/main/java/nettlewick/waiting/CrashRecovery.java
+++ b/src/main/java/nettlewick/waiting/CrashRecovery.java
@@ -2,16 +2,16 @@
 
 import nettlewick.decision.SchedulerSettings.Idempotency;
 
-/** What becomes of a job that was accepted by a process that has died. Does no I/O and reads no clock. */
+/** Decides how to treat a job after a crash of the process that accepted it. Does no I/O and reads no clock. */
 public final class CrashRecovery {
-    /** How far it had come by what is recorded. */
+    /** The last recorded state of a job. */
     public enum State {
         WAITING,
         RELEASED,
         ENDED
     }
 
-    /** What is done with it. */
+    /** What is done with a job. */
     public enum Action {
         WAIT,
         RELEASE,
@@ -19,21 +19,20 @@
         NOTHING
     }
 
-    /** {@code why} is for the client, where it fails; else null. */
+    /** The action, and for a failure its cause, which is sent to the client; else null. */
     public record Decision(Action action, String cause) {}
 
     private CrashRecovery() {}
 
     /**
-     * Decides. A release is recorded before the job is handed in, so one that is recorded may have run, and
-     * one that
-     * is not cannot have.
+     * Decides on a job. A release is recorded before the job is forwarded, so a job with a recorded release may have
+     * been executed, and one without cannot have been.
      *
-     * @param since    milliseconds since the release was recorded
-     * @param window   how long sim runners of a site drop a repeat of its key
-     * @param site     whether it is known where it went first: a repeat keeps to that site
-     * @param attempts how many it has had, and {@code most} how many there may be
-     * @param left     milliseconds of its own time that are left
+     * @param millisSinceRelease time since the release was recorded
+     * @param dedupWindowMillis  how long the endpoints of a zone drop a repeat of an idempotency key
+     * @param zoneKnown          whether the zone of the first attempt is known: a retry has to stay in that zone
+     * @param attempts           the attempts made so far
+     * @param remainingMillis    the time until the job's own deadline
      */
     public static Decision decide(
             State state,
@@ -48,24 +47,24 @@
             return new Decision(Action.NOTHING, null);
         }
         if (state == State.WAITING) {
-            // What waits is looked at by the plan, which knows what it asked for where its time is over.
+            // The dependency tracker applies the policy of a waiting job whose wait time is over.
             return new Decision(Action.WAIT, null);
         }
         if (idempotency == Idempotency.NON_IDEMPOTENT) {
-            return fail("it may have run, and is never run again");
+            return fail("the request may have been executed and is not idempotent");
         }
         if (remainingMillis <= 0) {
-            return fail("its time was over before this dispatcher was back");
+            return fail("the deadline passed before this dispatcher restarted");
         }
         if (attempts >= maxAttempts) {
-            return fail("it has had its " + maxAttempts + " attempts");
+            return fail("the limit of " + maxAttempts + " attempts is reached");
         }
         if (idempotency == Idempotency.KEYED && !zoneKnown) {
-            return fail("it may have run, and where is not known");
+            return fail("the request may have been executed in an unknown zone");
         }
         if (idempotency == Idempotency.KEYED && !(millisSinceRelease >= 0 && millisSinceRelease < dedupWindowMillis)) {
-            // A clock that went back says nothing about how long ago it was.
-            return fail("it may have run, and its key is no longer remembered");
+            // A negative time means that the clock was set back: the age of the release is unknown.
+            return fail("the request may have been executed and its key is no longer remembered");
         }
         return new Decision(Action.RELEASE, null);
     }
--- a/src/main/java/nettlewick/waiting/DependencyTracker.java
+++ b/src/main/java/nettlewick/waiting/DependencyTracker.java
@@ -13,40 +13,41 @@
 import java.util.Set;
 
 /**
- * Which jobs wait on which names and until when, and what follows when one ends. Does no I/O and reads no
- * clock;
- * times are in milliseconds and are handed in. Each call returns its effects in order; whoever holds the plan
- * carries them out, and calls {@link #wake} at the times it was asked for. Belongs to one thread.
+ * Tracks which jobs wait for which predecessors and until when, and decides what follows when one finishes. Does no
+ * I/O and reads no clock; times are arguments, in milliseconds. Each call returns its effects in order; the caller
+ * carries them out, and calls {@link #onTimer} at the requested times. Confined to one thread.
  *
- * <p>Edges run between names of one member, not between jobs: a name may have no job yet, or an end of which
- * only
- * a peer has told.
+ * <p>Dependencies are between names of one tenant, not between jobs: a name may have no job yet, or a result that only
+ * a peer has reported.
  */
 public final class DependencyTracker {
-    /** What a job does where one that it waits on failed, was cancelled, or did not come in time. */
+    /** What happens to a job if a predecessor failed, was cancelled, or did not finish in time. */
     public enum OnFailure {
+        /** The job fails. */
         FAIL,
+        /** The job is released all the same. */
         RUN,
+        /** The job is skipped, which counts as success for its successors. */
         SKIP
     }
 
-    /** How a job that was released ended. REFUSED frees its name without an end: it may come again. */
+    /** The result of a released job. REFUSED frees its name without a result: the job may be submitted again. */
     public enum Result {
         SUCCEEDED,
         FAILED,
         REFUSED
     }
 
-    /** A name of a member's; nobody else's names are visible to it. */
+    /** The name of a job of a tenant; the names of other tenants are not visible to it. */
     public record JobName(String tenant, String name) {}
 
     /**
-     * What a job asks for.
+     * The conditions under which a job is released. Stored as JSON, so the JSON names are fixed.
      *
-     * @param name      its own, or null
-     * @param after     the names that it comes after
-     * @param notBefore when it may start at the earliest; 0 for at once
-     * @param until     when it stops waiting
+     * @param name         the job's own name, or null
+     * @param predecessors the names of the jobs that have to finish first
+     * @param notBefore    the earliest start; 0 for at once
+     * @param waitUntil    when it stops waiting
      */
     public record JobSpec(
             String id,
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Bounds; what passes one is refused. */
+    /** Limits; a job that exceeds one is rejected. */
     public record Limits(
             int maxJobs,
             int maxJobsPerTenant,
@@ -74,22 +75,22 @@
             double maxWaitMillis,
             int maxResultsPerTenant) {}
 
-    /** What is to be done. */
+    /** What the caller has to do. */
     public sealed interface Effect permits Ready, Finished, Timer {}
 
-    /** It waits for nothing any more: it goes to the gate. */
+    /** The job waits for nothing more: the caller adds it to the {@link ReleaseQueue}. */
     public record Ready(String id) implements Effect {}
 
     /**
-     * Its final answer: it never ran. {@code cause} is for people and names the predecessor, where there is
+     * The job is finished without a release. {@code cause} is meant for people and names the predecessor, if there is
      * one.
      */
     public record Finished(String id, WaitOutcome outcome, String cause) implements Effect {}
 
-    /** {@link #wake} is to be called for it at that time. */
+    /** The caller calls {@link #onTimer} for the job at this time. */
     public record Timer(String id, double at) implements Effect {}
 
-    /** How a job ended that was never handed in. */
+    /** The outcome of a job that was never released. */
     public enum WaitOutcome {
         FAILED,
         SKIPPED,
@@ -97,7 +98,7 @@
         EXPIRED
     }
 
-    /** Why a job is not accepted; {@code full}: it may come again later, as it is. */
+    /** Why a job is not accepted; {@code retryable} if the same job may be accepted later. */
     public static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1;
         private final boolean retryable;
@@ -131,9 +132,9 @@
     private final Limits limits;
     private final Map<String, Node> jobsById = new HashMap<>();
     private final Map<JobName, Node> jobsByName = new HashMap<>();
-    /** Those that wait on a name, in the order in which they came. */
+    /** The jobs that wait for a name, in the order in which they were accepted. */
     private final Map<JobName, Set<Node>> successors = new HashMap<>();
-    /** By member: ends of names, the oldest first; true where it succeeded. */
+    /** By tenant, the results of names, the oldest first; true for a success. */
     private final Map<String, LinkedHashMap<String, Boolean>> resultsByTenant = new HashMap<>();
 
     private final Map<String, int[]> jobCounts = new HashMap<>();
@@ -144,7 +145,7 @@
         this.limits = limits;
     }
 
-    /** Accepts a job to wait; RejectedException says why not, and then nothing has changed. */
+    /** Accepts a job to wait. A rejected job changes nothing. */
     public List<Effect> accept(JobSpec spec, double now) throws RejectedException {
         checkAcceptable(spec, now);
         Node node = new Node(spec);
@@ -162,23 +163,27 @@
             }
         }
         jobsById.put(spec.id(), node);
-        jobCounts.computeIfAbsent(spec.tenant(), m -> new int[1])[0]++;
-        byteCounts.computeIfAbsent(spec.tenant(), m -> new long[1])[0] += spec.bytes();
+        jobCounts.computeIfAbsent(spec.tenant(), tenant -> new int[1])[0]++;
+        byteCounts.computeIfAbsent(spec.tenant(), tenant -> new long[1])[0] += spec.bytes();
         totalBytes += spec.bytes();
         if (node.name != null) {
             jobsByName.put(node.name, node);
-            // A name that comes again waits for its new end.
+            // Later successors of a name that is used again wait for its new result.
             resultsByTenant(spec.tenant()).remove(spec.name());
         }
         node.pendingPredecessors.forEach(name ->
-                successors.computeIfAbsent(name, n -> new LinkedHashSet<>()).add(node));
+                successors.computeIfAbsent(name, key -> new LinkedHashSet<>()).add(node));
         effects.add(new Timer(spec.id(), spec.waitUntil()));
         if (spec.notBefore() > now) {
             effects.add(new Timer(spec.id(), spec.notBefore()));
         }
         if (failedPredecessor != null && spec.onFailure() != OnFailure.RUN) {
             finishUnreleased(
-                    node, outcomeOnFailure(spec), cause(failedPredecessor, "failed before it came"), now, effects);
+                    node,
+                    outcomeOnFailure(spec),
+                    cause(failedPredecessor, "failed before this job was accepted"),
+                    now,
+                    effects);
         } else {
             releaseIfReady(node, now, effects);
         }
@@ -187,30 +192,31 @@
 
     private void checkAcceptable(JobSpec spec, double now) throws RejectedException {
         if (jobsById.containsKey(spec.id())) {
-            throw new RejectedException("a job with this id waits already", false);
+            throw new RejectedException("a job with this id is already waiting", false);
         }
         if (spec.name() != null && jobsByName.containsKey(new JobName(spec.tenant(), spec.name()))) {
-            throw new RejectedException("a job called " + spec.name() + " is there already", false);
+            throw new RejectedException("a job with the name " + spec.name() + " already exists", false);
         }
         if (new HashSet<>(spec.predecessors()).size() != spec.predecessors().size()) {
-            throw new RejectedException("a name stands twice among those that it comes after", false);
+            throw new RejectedException("the predecessors contain a name twice", false);
         }
         if (spec.predecessors().size() > limits.maxPredecessors()) {
-            throw new RejectedException("it comes after more than " + limits.maxPredecessors() + " names", false);
+            throw new RejectedException("the job has more than " + limits.maxPredecessors() + " predecessors", false);
         }
         if (spec.waitUntil() <= now || spec.notBefore() >= spec.waitUntil()) {
-            throw new RejectedException("it would stop waiting before it may start", false);
+            throw new RejectedException("the wait time would end before the earliest start", false);
         }
         if (spec.waitUntil() - now > limits.maxWaitMillis()) {
-            throw new RejectedException("it would wait longer than " + (long) limits.maxWaitMillis() + " ms", false);
+            throw new RejectedException(
+                    "the job would wait longer than " + (long) limits.maxWaitMillis() + " ms", false);
         }
         checkChain(spec);
         if (jobsById.size() >= limits.maxJobs() || totalBytes + spec.bytes() > limits.maxBytes()) {
-            throw new RejectedException("too much waits here now", true);
+            throw new RejectedException("the limit of waiting jobs or of their total size is reached", true);
         }
         if (jobCounts.getOrDefault(spec.tenant(), new int[1])[0] >= limits.maxJobsPerTenant()
                 || byteCounts.getOrDefault(spec.tenant(), new long[1])[0] + spec.bytes() > limits.maxBytesPerTenant()) {
-            throw new RejectedException("too much of this member's waits here now", true);
+            throw new RejectedException("the tenant's limit of waiting jobs or of their total size is reached", true);
         }
         for (String predecessor : spec.predecessors()) {
             if (successors
@@ -218,24 +224,25 @@
                             .size()
                     >= limits.maxSuccessors()) {
                 throw new RejectedException(
-                        "more than " + limits.maxSuccessors() + " jobs wait on " + predecessor, true);
+                        "the limit of " + limits.maxSuccessors() + " jobs that wait for " + predecessor + " is reached",
+                        true);
             }
         }
     }
 
-    /** Walks from the new job to all that it comes after, level by level. Danger: never by recursion. */
+    /** Visits all transitive predecessors of a new job, level by level: recursion would overflow the stack. */
     private void checkChain(JobSpec spec) throws RejectedException {
         Set<JobName> seen = new HashSet<>();
         Deque<JobName> level = new ArrayDeque<>();
         spec.predecessors().forEach(predecessor -> level.add(new JobName(spec.tenant(), predecessor)));
         for (int depth = 1; !level.isEmpty(); depth++) {
             if (depth > limits.maxDepth()) {
-                throw new RejectedException("its chain is longer than " + limits.maxDepth(), false);
+                throw new RejectedException("the chain of predecessors is longer than " + limits.maxDepth(), false);
             }
             for (int remaining = level.size(); remaining > 0; remaining--) {
                 JobName name = level.poll();
                 if (spec.name() != null && name.equals(new JobName(spec.tenant(), spec.name()))) {
-                    throw new RejectedException("it would wait on itself, by way of " + name.name(), false);
+                    throw new RejectedException("the job would wait for itself through " + name.name(), false);
                 }
                 Node node = jobsByName.get(name);
                 if (node != null && seen.add(name)) {
@@ -245,7 +252,7 @@
         }
     }
 
-    /** A time that was asked for has come. */
+    /** The time of a {@link Timer} is reached. */
     public List<Effect> onTimer(String id, double now) {
         List<Effect> effects = new ArrayList<>();
         Node node = jobsById.get(id);
@@ -257,7 +264,7 @@
                 finishUnreleased(
                         node,
                         WaitOutcome.EXPIRED,
-                        node.held ? "it was held until its time was over" : "its time was over",
+                        node.held ? "the job was held until its wait time was over" : "the wait time was over",
                         now,
                         effects);
             } else {
@@ -267,7 +274,7 @@
                     release(node, effects);
                 } else {
                     finishUnreleased(
-                            node, outcomeOnFailure(node.spec), cause(missing, "did not end in time"), now, effects);
+                            node, outcomeOnFailure(node.spec), cause(missing, "did not finish in time"), now, effects);
                 }
             }
         } else {
@@ -276,7 +283,7 @@
         return effects;
     }
 
-    /** A job that was released has ended. */
+    /** A released job is finished. */
     public List<Effect> jobFinished(String id, Result result, double now) {
         List<Effect> effects = new ArrayList<>();
         Node node = jobsById.get(id);
@@ -289,26 +296,26 @@
         return effects;
     }
 
-    /** A job of that name has ended at another dispatcher. */
+    /** A job of this name is finished at another dispatcher. */
     public List<Effect> peerReported(JobName name, boolean succeeded, double now) {
         List<Effect> effects = new ArrayList<>();
         if (!jobsByName.containsKey(name)) {
-            propagate(name, succeeded, "failed elsewhere", now, effects);
+            propagate(name, succeeded, "failed at another dispatcher", now, effects);
         }
         return effects;
     }
 
-    /** Its client, or an operator, calls it off; false effects where it is not here or was released. */
+    /** Cancels a job for its client or an operator; without effects if it is unknown or was released. */
     public List<Effect> cancel(String id, double now) {
         List<Effect> effects = new ArrayList<>();
         Node node = jobsById.get(id);
         if (node != null && !node.released) {
-            finishUnreleased(node, WaitOutcome.CANCELLED, "it was cancelled", now, effects);
+            finishUnreleased(node, WaitOutcome.CANCELLED, "the job was cancelled", now, effects);
         }
         return effects;
     }
 
-    /** An operator keeps a job back, or lets it go on; true if it waits here. */
+    /** Holds a job for an operator, or lets it continue; false if it does not wait here. */
     public boolean hold(String id, boolean held, double now, List<Effect> effects) {
         Node node = jobsById.get(id);
         if (node == null || node.released) {
@@ -319,7 +326,7 @@
         return true;
     }
 
-    /** What a job still waits on. */
+    /** The names that a job still waits for. */
     public List<String> pendingPredecessors(String id) {
         Node node = jobsById.get(id);
         return node == null
@@ -327,7 +334,7 @@
                 : node.pendingPredecessors.stream().map(JobName::name).toList();
     }
 
-    /** The names that a member's jobs here wait on and that have no job here: peers are asked for them. */
+    /** The names that jobs here wait for and that have no job here: peers are asked for their results. */
     public List<JobName> namesWithoutJob() {
         return successors.keySet().stream()
                 .filter(name -> !jobsByName.containsKey(name))
@@ -384,7 +391,8 @@
     }
 
     /**
-     * Ends a job that never ran, and what follows from that. A skipped one counts as succeeded for others.
+     * Finishes a job that was never released, and its successors as their policies demand. A skipped job counts as a
+     * success for its successors.
      */
     private void finishUnreleased(Node first, WaitOutcome outcome, String cause, double now, List<Effect> effects) {
         Deque<Node> queue = new ArrayDeque<>();
@@ -401,7 +409,7 @@
         finishAll(queue, finished, now, effects);
     }
 
-    /** Danger: a chain of thousands ends here in one call; by recursion it would end the thread's stack. */
+    /** Works off a queue: a chain of thousands of jobs finishes in one call, and recursion would overflow the stack. */
     private void finishAll(Deque<Node> queue, Deque<Finished> finished, double now, List<Effect> effects) {
         while (!queue.isEmpty()) {
             Node node = queue.poll();
@@ -453,7 +461,7 @@
         }
     }
 
-    /** Through a long chain each cause would hold all before it. */
+    /** Keeps only the first and the last cause: in a long chain each would contain all before it. */
     private static String shortenCause(String cause) {
         int first = cause.indexOf(CAUSE_SEPARATOR);
         int last = cause.lastIndexOf(CAUSE_SEPARATOR);
--- a/src/main/java/nettlewick/waiting/ReleaseQueue.java
+++ b/src/main/java/nettlewick/waiting/ReleaseQueue.java
@@ -9,25 +9,23 @@
 import java.util.TreeMap;
 
 /**
- * When jobs that wait for nothing any more are handed in, and in which order. Which runner gets one, whether
- * it is
- * tried again and what is turned away stays the decision module's. Does no I/O and reads no clock; times are
- * in
- * milliseconds. Belongs to one thread.
+ * Decides when jobs that are ready are released to the decision module, and in which order. The decision module
+ * chooses the endpoint, retries and rejects. Does no I/O and reads no clock; times are in milliseconds. Confined to one
+ * thread.
  *
- * <p>Order: deficit round robin over members; inside a member the greatest {@code worth x (1 + waited /
- * age)}.
- * Pace: a window of jobs that are out, which grows by one for each window served and halves on a refusal.
+ * <p>Order: deficit round robin over tenants; within a tenant the greatest {@code weight x (1 + waited / aging)}.
+ * Rate: a window limits the released jobs in flight; it grows by one for each window of served jobs and halves on a
+ * rejection.
  */
 public final class ReleaseQueue {
-    /** The window never closes: somebody has to find out when there is room again. */
+    /** The window never closes: a job has to be released to detect that there is capacity again. */
     private static final double MIN_WINDOW = 1;
 
-    /** A job at the gate; {@code size} is its work as guessed, in slot-milliseconds, above 0. */
+    /** A queued job; {@code work} is its estimated work in slot-milliseconds, above 0. */
     private record QueuedJob(String id, String tenant, double weight, double work, double readyAt) {}
 
     private static final class TenantQueue {
-        /** By worth: within one worth the oldest is always the first. */
+        /** By weight; among jobs of the same weight the oldest is the first. */
         final TreeMap<Double, Deque<QueuedJob>> byWeight = new TreeMap<>();
 
         double deficit;
@@ -38,7 +36,7 @@
     private final double quantum;
     private final double maxWindow;
     private final Map<String, TenantQueue> queues = new HashMap<>();
-    /** Members that have jobs here, in the order of their turns. */
+    /** Tenants that have queued jobs, in the order of their turns. */
     private final Deque<String> roundRobin = new ArrayDeque<>();
 
     private final Map<String, QueuedJob> inFlight = new HashMap<>();
@@ -46,14 +44,17 @@
     private double halvedUntil = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param age     after how many milliseconds a job's worth has doubled; infinite: worth does not age
-     * @param quantum slot-milliseconds that a member gets in its turn, above 0
-     * @param window  jobs that may be out at first, and {@code most} at any time
+     * Creates an empty queue.
+     *
+     * @param agingMillis the wait after which a job's weight has doubled; infinite for no aging
+     * @param quantum     the slot-milliseconds that a tenant gets in its turn, above 0
+     * @param window      the jobs that may be in flight at first
+     * @param maxWindow   the jobs that may be in flight at any time
      */
     public ReleaseQueue(double agingMillis, double quantum, double window, double maxWindow) {
         if (!(agingMillis > 0 && quantum > 0 && window >= MIN_WINDOW && maxWindow >= window)) {
-            throw new IllegalArgumentException("a gate of age " + agingMillis + ", quantum " + quantum + ", window "
-                    + window + " to " + maxWindow);
+            throw new IllegalArgumentException("invalid release queue: aging " + agingMillis + " ms, quantum " + quantum
+                    + ", window " + window + " to " + maxWindow);
         }
         this.agingMillis = agingMillis;
         this.quantum = quantum;
@@ -61,7 +62,7 @@
         this.maxWindow = maxWindow;
     }
 
-    /** A job is ready since then. */
+    /** Adds a job that is ready since {@code readyAt}. */
     public void add(String id, String tenant, double weight, double work, double readyAt) {
         enqueue(new QueuedJob(id, tenant, weight, Math.max(1e-3, work), readyAt));
     }
@@ -74,7 +75,7 @@
             roundRobin.add(job.tenant());
         }
         Deque<QueuedJob> sameWeight = queue.byWeight.computeIfAbsent(job.weight(), weight -> new ArrayDeque<>());
-        // One that comes back from the core is older than those behind it: it goes to its place by age.
+        // A rejected job that returns is older than others of its weight: it is inserted by age.
         if (!sameWeight.isEmpty() && sameWeight.peekLast().readyAt() > job.readyAt()) {
             List<QueuedJob> ordered = new ArrayList<>(sameWeight);
             int index = ordered.size();
@@ -90,7 +91,7 @@
         queue.size++;
     }
 
-    /** Takes a job away that is at the gate; false if it is not. */
+    /** Removes a queued job; false if it is not queued. */
     public boolean remove(String id, String tenant) {
         TenantQueue queue = queues.get(tenant);
         if (queue == null) {
@@ -108,13 +109,13 @@
     private void jobRemoved(String tenant, TenantQueue queue) {
         queue.byWeight.values().removeIf(Deque::isEmpty);
         if (--queue.size == 0) {
-            // A member that has nothing here saves no turns up.
+            // A tenant without queued jobs accumulates no deficit.
             queues.remove(tenant);
             roundRobin.remove(tenant);
         }
     }
 
-    /** The jobs that are handed in now, in their order. */
+    /** Removes and returns the jobs that are released now, in their order. */
     public List<String> release(double now) {
         List<String> released = new ArrayList<>();
         while (!roundRobin.isEmpty() && inFlight.size() + 1 <= window) {
@@ -135,7 +136,7 @@
         return released;
     }
 
-    /** Of the oldest of each worth, the one whose worth has grown the most by now. */
+    /** The oldest job of the weight whose aged weight is the highest now. */
     private QueuedJob highestPriority(TenantQueue queue, double now) {
         QueuedJob best = null;
         double highestWeight = Double.NEGATIVE_INFINITY;
@@ -150,7 +151,7 @@
         return best;
     }
 
-    /** A job that was handed in has its end, and not for want of room. */
+    /** A released job is finished, other than by a rejection. */
     public void jobFinished(String id, boolean served) {
         if (inFlight.remove(id) != null && served) {
             window = Math.min(maxWindow, window + 1 / window);
@@ -158,9 +159,8 @@
     }
 
     /**
-     * The module has turned a job away: it comes back to the gate with its age, and the window halves, once
-     * until
-     * the time has passed that the refusal names.
+     * The decision module has rejected a job. The job is queued again with its age, and the window halves, but not
+     * again until the retry delay of the rejection is over.
      */
     public void jobRejected(String id, double retryAfter, double now) {
         QueuedJob job = inFlight.remove(id);
@@ -174,28 +174,26 @@
         enqueue(job);
     }
 
-    /** Jobs that may be out now. */
+    /** The number of jobs that may be in flight now. */
     public double window() {
         return window;
     }
 
-    /** Jobs at the gate. */
+    /** The number of queued jobs. */
     public int size() {
         return queues.values().stream().mapToInt(queue -> queue.size).sum();
     }
 
     /**
-     * The longest that a job can be at the gate, in milliseconds: no job that came {@code worths x age} after
-     * it passes
-     * it any more, and what is there before it is served by turns.
+     * An upper bound of the time that a job is queued: no job that was added {@code weightRatio x agingMillis} after it
+     * can overtake it, and the jobs before it are released in turns.
      *
-     * @param worths  greatest worth by the least
-     * @param members how many members have jobs here
-     * @param work slot-milliseconds of its own member that may be at the gate when it comes, and that come
-     * while
-     *                it can still be passed
-     * @param largest slot-milliseconds of the largest job
-     * @param pace    slot-milliseconds that are handed in each millisecond, at least
+     * @param weightRatio  the greatest weight divided by the least
+     * @param tenants      the number of tenants with queued jobs
+     * @param tenantWork   slot-milliseconds of the same tenant that are queued when the job is added, or are added while
+     *                     they can still overtake it
+     * @param largestWork  slot-milliseconds of the largest job
+     * @param workPerMilli slot-milliseconds that are released in each millisecond, at least
      */
     public static double maxWaitMillis(
             double agingMillis,
@@ -205,9 +203,7 @@
             double largestWork,
             double quantum,
             double workPerMilli) {
-        // By turns its member gets, of each round of quantum for all, its own; rounds are whole, and each
-        // member may
-        // overdraw its turn by one job.
+        // Each round gives the tenant one quantum. Rounds are whole, and each tenant may exceed its quantum by one job.
         double rounds = Math.ceil((tenantWork + largestWork) / quantum) + 1;
         return (weightRatio - 1) * agingMillis + rounds * tenants * (quantum + largestWork) / workPerMilli;
     }
--- a/src/main/java/nettlewick/waiting/WaitOptions.java
+++ b/src/main/java/nettlewick/waiting/WaitOptions.java
@@ -10,13 +10,13 @@
 import nettlewick.waiting.DependencyTracker.OnFailure;
 
 /**
- * What a request's headers ask for beyond an ordinary job; times in milliseconds on the one clock.
+ * The options of a request that is to wait, as given in its headers; times in milliseconds of the internal clock.
  *
- * @param name      its own, or null
- * @param after     the names that it comes after
- * @param notBefore when it may start at the earliest; 0 for at once
- * @param window    how long after that its start may be spread
- * @param until     when it stops waiting
+ * @param name         the request's own name, or null
+ * @param predecessors the names of the requests that have to finish first
+ * @param notBefore    the earliest start; 0 for at once
+ * @param startWindow  the time after that over which starts may be spread
+ * @param waitUntil    when it stops waiting
  */
 public record WaitOptions(
         String name,
@@ -32,7 +32,7 @@
         "X-Job-Name", "X-After", "X-Not-Before", "X-Window", "X-Wait", "X-On-Failure"
     };
 
-    /** A header that is not in order, in one line; the status is 400. */
+    /** A header is invalid. The message is one line, for a response with status 400. */
     public static final class InvalidHeaderException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -42,15 +42,14 @@
     }
 
     /**
-     * Reads the headers.
+     * Parses the headers.
      *
-     * @param headers all values of the header of that name
-     * @param now     on the one clock
-     * @param wall Unix time now as the machine tells it: a time of day is meant on this, and is turned into
-     * the
-     *                one clock here, so that a later step of the wall clock moves no start
-     * @param wait    how long a job waits that does not say
-     * @return null for an ordinary job
+     * @param headers           returns all values of a header
+     * @param now               the time of the internal clock
+     * @param wallClockMillis   Unix time now. A time of day in a header refers to it and is converted to the internal
+     *                          clock here, so that a later step of the wall clock moves no start.
+     * @param defaultWaitMillis how long a request waits that does not give a limit
+     * @return null for an ordinary request
      */
     public static WaitOptions parse(
             Function<String, List<String>> headers, double now, double wallClockMillis, double defaultWaitMillis)
@@ -59,7 +58,7 @@
         for (String header : HEADERS) {
             List<String> values = headers.apply(header);
             if (values.size() > 1) {
-                throw new InvalidHeaderException(header + " stands there more than once");
+                throw new InvalidHeaderException(header + " is given more than once");
             }
             anyPresent |= !values.isEmpty();
         }
@@ -69,7 +68,7 @@
         String name = singleValue(headers, "X-Job-Name");
         if (name != null && !NAME.matcher(name).matches()) {
             throw new InvalidHeaderException(
-                    "X-Job-Name is not a name of letters, digits, '.', '_', ':' and '-', 64 at " + "most");
+                    "X-Job-Name is not a name of at most 64 letters, digits, '.', '_', ':' and '-'");
         }
         List<String> predecessors = predecessors(singleValue(headers, "X-After"));
         if (name != null && predecessors.contains(name)) {
@@ -92,7 +91,7 @@
             throw new InvalidHeaderException("X-Wait is not above 0");
         }
         if (notBefore + startWindow >= waitUntil) {
-            throw new InvalidHeaderException("X-Not-Before with its X-Window lies beyond X-Wait");
+            throw new InvalidHeaderException("X-Not-Before plus X-Window is beyond X-Wait");
         }
         return new WaitOptions(name, predecessors, notBefore, startWindow, waitUntil, parseOnFailure(policy));
     }
@@ -110,7 +109,7 @@
         for (String word : text.split(",", -1)) {
             String name = word.strip();
             if (!NAME.matcher(name).matches()) {
-                throw new InvalidHeaderException("X-After holds what is no name: names are parted by commas");
+                throw new InvalidHeaderException("X-After contains an invalid name; names are separated by commas");
             }
             if (names.contains(name)) {
                 throw new InvalidHeaderException("X-After names " + name + " twice");
@@ -128,7 +127,7 @@
             return Math.max(0, now + (OffsetDateTime.parse(text).toInstant().toEpochMilli() - wallClockMillis));
         } catch (DateTimeException e) {
             throw new InvalidHeaderException(
-                    "X-Not-Before is neither a time such as 2026-12-01T09:00:00+04:00 nor + and " + "seconds");
+                    "X-Not-Before is neither a time such as 2026-12-01T09:00:00+04:00 nor '+' and seconds");
         }
     }
 
--- a/src/main/java/nettlewick/waiting/WaitStore.java
+++ b/src/main/java/nettlewick/waiting/WaitStore.java
@@ -12,9 +12,8 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * Jobs that were accepted to wait, on a disk: accepted before the client is told, released before it is
- * handed in,
- * ended before the client is told. Several of a kind share a transaction. Belongs to one thread.
+ * Stores jobs on disk. A job is recorded as accepted before the client is answered, as released before it is forwarded,
+ * and as finished before the client is notified. Changes of one kind share a transaction. Confined to one thread.
  */
 final class WaitStore implements AutoCloseable {
     private static final String FILE_NAME = "waiting.db";
@@ -24,7 +23,7 @@
             + "INTEGER NOT "
             + "NULL, fate TEXT, cause TEXT) WITHOUT ROWID";
 
-    /** What is needed to hand a job in again, and to answer for it. Times are Unix milliseconds. */
+    /** What is needed to forward a job and to answer its client. Stored as JSON. Times are Unix milliseconds. */
     record Job(
             @SerializedName("ask") DependencyTracker.JobSpec spec,
             @SerializedName("jobClass") String requestClass,
@@ -38,7 +37,7 @@
             double memory,
             @SerializedName("hint") double costHint) {}
 
-    /** A job as it stands; {@code event} is the number of the last event that its watchers may have seen. */
+    /** A job and its state; {@code lastEvent} is the last event number that its watchers may have received. */
     record StoredJob(
             Job job,
             CrashRecovery.State state,
@@ -49,7 +48,7 @@
             String outcome,
             String cause) {}
 
-    /** How a job ended. */
+    /** How a job finished. */
     record FinishedJob(String id, String outcome, String cause, long lastEvent) {}
 
     private final Database database;
@@ -86,7 +85,7 @@
         void bind(PreparedStatement statement, T item) throws java.sql.SQLException;
     }
 
-    /** One statement for each item, all in one transaction. */
+    /** Executes a statement for each item, all in one transaction. */
     private <T> void executeBatch(String sql, List<T> items, ParameterBinder<T> binder) throws StoreException {
         inTransaction(() -> {
             try (PreparedStatement statement = database.prepare(sql)) {
@@ -99,7 +98,7 @@
         });
     }
 
-    /** From now on these jobs outlive the process; an id that is there already is a fault of the caller. */
+    /** Records accepted jobs, which then survive a crash. An id that exists already is an error of the caller. */
     void accept(List<Job> jobs, double now) throws StoreException {
         executeBatch("INSERT INTO job VALUES(?, 0, ?, ?, NULL, 0, 0, NULL, NULL)", jobs, (statement, job) -> {
             statement.setString(1, job.spec().id());
@@ -108,7 +107,10 @@
         });
     }
 
-    /** These are about to be handed in. Danger: recorded later, a crash would hand a mark-submit in twice. */
+    /**
+     * Records that jobs are about to be forwarded. If that were recorded later, a crash could have a non-idempotent
+     * request executed twice.
+     */
     void release(List<String> ids, double now) throws StoreException {
         executeBatch(
                 "UPDATE job SET state = 1, changed = ?, attempts = attempts + 1 WHERE id = ? AND state < 2",
@@ -119,13 +121,13 @@
                 });
     }
 
-    /** The module has turned a job away, which proves that it never ran: it waits again. */
+    /** Records that a job was rejected, which proves that it was not executed: it waits again. */
     void returnToWaiting(String id, double now) throws StoreException {
         inTransaction(
                 () -> database.execute("UPDATE job SET state = 0, changed = ? WHERE id = ? AND state = 1", now, id));
     }
 
-    /** These have their ends; the first end of a job stays. */
+    /** Records finished jobs; only the first outcome of a job is stored. */
     void finish(List<FinishedJob> finishedJobs, double now) throws StoreException {
         executeBatch(
                 "UPDATE job SET state = 2, changed = ?, fate = ?, cause = ?, event = ? WHERE id = ? AND state " + "< 2",
@@ -139,13 +141,13 @@
                 });
     }
 
-    /** Forgets jobs that ended before then. */
+    /** Deletes jobs that finished before a time and returns their number. */
     int deleteFinishedBefore(double before) throws StoreException {
         return database.inTransaction(
                 "written", () -> {}, () -> database.execute("DELETE FROM job WHERE state = 2 AND changed < ?", before));
     }
 
-    /** All jobs, those that were accepted first at the beginning. */
+    /** All jobs, ordered by the time of their last change. */
     List<StoredJob> load() throws StoreException {
         return database.read(() -> {
             List<StoredJob> jobs = new ArrayList<>();
@@ -165,7 +167,7 @@
                             rows.getString(8)));
                 }
             } catch (JsonParseException e) {
-                throw new IllegalArgumentException("a job that cannot be read", e);
+                throw new IllegalArgumentException("cannot parse a stored job", e);
             }
             return jobs;
         });
--- a/src/main/java/nettlewick/waiting/package-info.java
+++ b/src/main/java/nettlewick/waiting/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Requests that wait for other requests or for a moment. Paused work: it has tests but is not wired in; no other
- * package uses it.
+ * Requests that wait for other requests or for a start time before they are forwarded; such a request is called a job.
+ * Paused work: it has tests but is not wired in; no other package uses it.
  *
- * <p>The plan (graph, calendar, limits) and the gate (order, pace, bound) are pure; the store keeps accepted requests,
- * releases and ends in SQLite. Depends on {@code decision} and {@code sqlite}.
+ * <p>The dependency tracker (graph, start times, limits) and the release queue (order, rate, longest wait) do no I/O;
+ * the store keeps accepted, released and finished jobs in SQLite. Depends on {@code decision} and {@code sqlite}.
  */
 package nettlewick.waiting;
--- a/src/test/java/nettlewick/waiting/CrashRecoveryTest.java
+++ b/src/test/java/nettlewick/waiting/CrashRecoveryTest.java
@@ -17,45 +17,61 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Jobs that outlive their process: what is handed in again, and what never is. */
+/** Jobs that survive a crash: which are released again, and which never are. */
 class CrashRecoveryTest {
-    /** The process ends here. */
+    /** Simulates a crash of the process. */
     private static final class Crash extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    private static final double WINDOW = 15_000;
+    private static final double DEDUP_WINDOW_MILLIS = 15_000;
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
-    private static Action after(
-            State state, Idempotency repeat, double since, boolean site, int attempts, double left) {
-        return CrashRecovery.decide(state, repeat, since, WINDOW, site, attempts, 6, left)
+    private static Action actionFor(
+            State state,
+            Idempotency idempotency,
+            double millisSinceRelease,
+            boolean zoneKnown,
+            int attempts,
+            double remainingMillis) {
+        return CrashRecovery.decide(
+                        state,
+                        idempotency,
+                        millisSinceRelease,
+                        DEDUP_WINDOW_MILLIS,
+                        zoneKnown,
+                        attempts,
+                        6,
+                        remainingMillis)
                 .action();
     }
 
     @Test
-    void eachClassKeepsItsRule() {
-        for (Idempotency repeat : Idempotency.values()) {
-            assertEquals(Action.WAIT, after(State.WAITING, repeat, 0, false, 0, 100));
-            assertEquals(Action.NOTHING, after(State.ENDED, repeat, 0, true, 1, 100));
+    void recoveryDependsOnTheIdempotencyOfTheRequestClass() {
+        for (Idempotency idempotency : Idempotency.values()) {
+            assertEquals(Action.WAIT, actionFor(State.WAITING, idempotency, 0, false, 0, 100));
+            assertEquals(Action.NOTHING, actionFor(State.ENDED, idempotency, 0, true, 1, 100));
         }
-        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.NON_IDEMPOTENT, 0, true, 1, 100));
-        assertEquals(Action.RELEASE, after(State.RELEASED, Idempotency.KEYED, WINDOW - 1, true, 1, 100));
-        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.KEYED, WINDOW, true, 1, 100));
-        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.KEYED, -1, true, 1, 100), "the clock went back");
-        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.KEYED, 1, false, 1, 100), "its site is not known");
-        assertEquals(Action.RELEASE, after(State.RELEASED, Idempotency.IDEMPOTENT, 1e9, false, 5, 100));
-        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 6, 100));
-        assertEquals(Action.FAIL, after(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 1, 0));
+        assertEquals(Action.FAIL, actionFor(State.RELEASED, Idempotency.NON_IDEMPOTENT, 0, true, 1, 100));
+        assertEquals(
+                Action.RELEASE, actionFor(State.RELEASED, Idempotency.KEYED, DEDUP_WINDOW_MILLIS - 1, true, 1, 100));
+        assertEquals(Action.FAIL, actionFor(State.RELEASED, Idempotency.KEYED, DEDUP_WINDOW_MILLIS, true, 1, 100));
+        assertEquals(
+                Action.FAIL, actionFor(State.RELEASED, Idempotency.KEYED, -1, true, 1, 100), "the clock was set back");
+        assertEquals(
+                Action.FAIL, actionFor(State.RELEASED, Idempotency.KEYED, 1, false, 1, 100), "its zone is not known");
+        assertEquals(Action.RELEASE, actionFor(State.RELEASED, Idempotency.IDEMPOTENT, 1e9, false, 5, 100));
+        assertEquals(Action.FAIL, actionFor(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 6, 100));
+        assertEquals(Action.FAIL, actionFor(State.RELEASED, Idempotency.IDEMPOTENT, 1, false, 1, 0));
     }
 
-    private static WaitStore.Job job(String id, String jobClass) {
+    private static WaitStore.Job job(String id, String requestClass) {
         return new WaitStore.Job(
                 new DependencyTracker.JobSpec(
                         id, "m", "n" + id, List.of("x"), 0, 1e12, DependencyTracker.OnFailure.SKIP, 9),
-                jobClass,
+                requestClass,
                 1,
                 4000,
                 "POST",
@@ -68,40 +84,48 @@
     }
 
     /**
-     * Ended 300 times at any commit: no fragile job is handed in twice, no accepted one is without an end.
+     * 300 crashes at random commits: no non-idempotent job is released twice, and no accepted job is lost.
      */
     @Test
-    void aProcessThatIsEndedAnywhereHandsNoMarkInTwiceAndForgetsNothing() throws Exception {
+    void aCrashAtAnyCommitReleasesNoNonIdempotentJobTwiceAndLosesNone() throws Exception {
         Random random = new Random(300);
         Set<String> accepted = new HashSet<>();
-        Map<String, Integer> handed = new HashMap<>();
-        Set<String> ended = new HashSet<>();
+        Map<String, Integer> releaseCounts = new HashMap<>();
+        Set<String> finished = new HashSet<>();
         int crashes = 0;
         int number = 0;
         double now = 1_000_000;
         while (crashes < 300) {
-            int[] left = {4 + random.nextInt(12)};
-            try (WaitStore store = WaitStore.open(dir, name -> {
-                if (left[0]-- == 0) {
+            int[] commitsLeft = {4 + random.nextInt(12)};
+            try (WaitStore store = WaitStore.open(directory, name -> {
+                if (commitsLeft[0]-- == 0) {
                     throw new Crash();
                 }
             })) {
-                for (WaitStore.StoredJob s : store.load()) {
-                    String id = s.job().spec().id();
-                    Idempotency repeat =
-                            s.job().requestClass().equals("mark") ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENT;
-                    Action what = CrashRecovery.decide(
-                                    s.state(), repeat, now - s.changedAt(), WINDOW, false, s.attempts(), 6, 1)
+                for (WaitStore.StoredJob stored : store.load()) {
+                    String id = stored.job().spec().id();
+                    Idempotency idempotency = stored.job().requestClass().equals("mark")
+                            ? Idempotency.NON_IDEMPOTENT
+                            : Idempotency.IDEMPOTENT;
+                    Action action = CrashRecovery.decide(
+                                    stored.state(),
+                                    idempotency,
+                                    now - stored.changedAt(),
+                                    DEDUP_WINDOW_MILLIS,
+                                    false,
+                                    stored.attempts(),
+                                    6,
+                                    1)
                             .action();
-                    if (what == Action.FAIL) {
+                    if (action == Action.FAIL) {
                         store.finish(List.of(new WaitStore.FinishedJob(id, "failed", "it may have run", 1)), now);
-                        ended.add(id);
-                    } else if (what == Action.RELEASE || what == Action.WAIT && random.nextBoolean()) {
+                        finished.add(id);
+                    } else if (action == Action.RELEASE || action == Action.WAIT && random.nextBoolean()) {
                         store.release(List.of(id), now);
-                        handed.merge(id, 1, Integer::sum);
+                        releaseCounts.merge(id, 1, Integer::sum);
                         if (random.nextBoolean()) {
                             store.finish(List.of(new WaitStore.FinishedJob(id, "result", null, 2)), now);
-                            ended.add(id);
+                            finished.add(id);
                         }
                     }
                 }
@@ -115,25 +139,27 @@
             }
             now += 100;
         }
-        try (WaitStore store = WaitStore.open(dir, name -> {})) {
-            Map<String, WaitStore.StoredJob> all = new HashMap<>();
-            store.load().forEach(s -> all.put(s.job().spec().id(), s));
-            assertTrue(all.keySet().containsAll(accepted), "accepted and forgotten");
-            for (WaitStore.StoredJob s : all.values()) {
-                String id = s.job().spec().id();
-                int times = handed.getOrDefault(id, 0);
-                assertTrue(times <= (s.job().requestClass().equals("mark") ? 1 : 6), id + " was handed in " + times);
-                assertTrue(s.state() != State.WAITING || times == 0, "handed in and not recorded: " + id);
-                assertTrue(!ended.contains(id) || s.state() == State.ENDED);
-                assertEquals(job(id, s.job().requestClass()), s.job());
+        try (WaitStore store = WaitStore.open(directory, name -> {})) {
+            Map<String, WaitStore.StoredJob> storedJobs = new HashMap<>();
+            store.load().forEach(stored -> storedJobs.put(stored.job().spec().id(), stored));
+            assertTrue(storedJobs.keySet().containsAll(accepted), "an accepted job was lost");
+            for (WaitStore.StoredJob stored : storedJobs.values()) {
+                String id = stored.job().spec().id();
+                int releases = releaseCounts.getOrDefault(id, 0);
+                assertTrue(
+                        releases <= (stored.job().requestClass().equals("mark") ? 1 : 6),
+                        id + " was released " + releases);
+                assertTrue(stored.state() != State.WAITING || releases == 0, "a release was not recorded: " + id);
+                assertTrue(!finished.contains(id) || stored.state() == State.ENDED);
+                assertEquals(job(id, stored.job().requestClass()), stored.job());
             }
-            assertTrue(ended.size() > 100 && store.deleteFinishedBefore(now) >= ended.size());
+            assertTrue(finished.size() > 100 && store.deleteFinishedBefore(now) >= finished.size());
         }
     }
 
     @Test
-    void theFirstEndStaysAndWhatWasTurnedAwayWaitsAgain() throws StoreException {
-        try (WaitStore store = WaitStore.open(dir, name -> {})) {
+    void theFirstResultStaysAndARejectedJobWaitsAgain() throws StoreException {
+        try (WaitStore store = WaitStore.open(directory, name -> {})) {
             store.accept(List.of(job("a", "view"), job("b", "mark")), 1);
             store.release(List.of("a", "b"), 2);
             store.returnToWaiting("b", 3);
--- a/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
+++ b/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
@@ -9,21 +9,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Opens a store of waiting jobs that an earlier build wrote and compares what is read, and what goes on from there. */
+/** Opens a store of waiting jobs that an earlier build wrote, compares what is read, and updates it. */
 class StoredWaitingGoldenTest {
     private static final String FOLDER = "waiting/store";
     private static final double NOW = 1_733_356_800_000.0;
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
-    private static WaitStore.Job job(String id, DependencyTracker.OnFailure onFailure, String key, String... after) {
+    private static WaitStore.Job job(
+            String id, DependencyTracker.OnFailure onFailure, String key, String... predecessors) {
         return new WaitStore.Job(
                 new DependencyTracker.JobSpec(
                         id,
                         "blue, \"école\" ✓",
                         "name-" + id,
-                        List.of(after),
+                        List.of(predecessors),
                         NOW + 1000,
                         NOW + 60_000.5,
                         onFailure,
@@ -40,13 +41,13 @@
                 40);
     }
 
-    /** Writes the store anew; only where that was asked for. */
+    /** Writes the golden store if the system property golden.record is set. */
     @BeforeAll
-    static void record(@TempDir Path made) throws Exception {
+    static void recordStore(@TempDir Path directory) throws Exception {
         if (!Boolean.getBoolean("golden.record")) {
             return;
         }
-        try (WaitStore store = WaitStore.open(made, name -> {})) {
+        try (WaitStore store = WaitStore.open(directory, name -> {})) {
             store.accept(
                     List.of(
                             job("one", DependencyTracker.OnFailure.FAIL, "key"),
@@ -61,51 +62,51 @@
                             new WaitStore.FinishedJob("one", "SUCCEEDED", null, 7),
                             new WaitStore.FinishedJob("three", "FAILED", "the deadline passed", 8)),
                     NOW + 3);
-            GoldenFolder.record(made, FOLDER, "-shm");
+            GoldenFolder.record(directory, FOLDER, "-shm");
         }
     }
 
     private static String jobs(WaitStore store) throws Exception {
         StringBuilder text = new StringBuilder();
-        for (WaitStore.StoredJob s : store.load()) {
-            WaitStore.Job j = s.job();
-            DependencyTracker.JobSpec a = j.spec();
+        for (WaitStore.StoredJob stored : store.load()) {
+            WaitStore.Job job = stored.job();
+            DependencyTracker.JobSpec spec = job.spec();
             text.append(String.join(
                             " | ",
-                            a.id(),
-                            a.tenant(),
-                            a.name(),
-                            "" + a.predecessors(),
-                            "" + a.notBefore(),
-                            "" + a.waitUntil(),
-                            a.onFailure().name(),
-                            "" + a.bytes(),
-                            j.requestClass(),
-                            "" + j.priorityWeight(),
-                            "" + j.run(),
-                            j.method(),
-                            j.uri(),
-                            j.body().trim(),
-                            j.idempotencyKey(),
-                            "" + j.slots(),
-                            "" + j.memory(),
-                            "" + j.costHint(),
-                            s.state().name(),
-                            "" + s.changedAt(),
-                            s.zone(),
-                            "" + s.attempts(),
-                            "" + s.lastEvent(),
-                            s.outcome(),
-                            s.cause()))
+                            spec.id(),
+                            spec.tenant(),
+                            spec.name(),
+                            "" + spec.predecessors(),
+                            "" + spec.notBefore(),
+                            "" + spec.waitUntil(),
+                            spec.onFailure().name(),
+                            "" + spec.bytes(),
+                            job.requestClass(),
+                            "" + job.priorityWeight(),
+                            "" + job.run(),
+                            job.method(),
+                            job.uri(),
+                            job.body().trim(),
+                            job.idempotencyKey(),
+                            "" + job.slots(),
+                            "" + job.memory(),
+                            "" + job.costHint(),
+                            stored.state().name(),
+                            "" + stored.changedAt(),
+                            stored.zone(),
+                            "" + stored.attempts(),
+                            "" + stored.lastEvent(),
+                            stored.outcome(),
+                            stored.cause()))
                     .append('\n');
         }
         return text.toString();
     }
 
     @Test
-    void theJobsReadAsTheyDidAndGoOnFromThere() throws Exception {
-        GoldenFolder.copy(FOLDER, dir);
-        try (WaitStore store = WaitStore.open(dir, name -> {})) {
+    void storedJobsAreReadAndCanBeUpdated() throws Exception {
+        GoldenFolder.copy(FOLDER, directory);
+        try (WaitStore store = WaitStore.open(directory, name -> {})) {
             String text = jobs(store);
             store.release(List.of("four"), NOW + 10);
             text += "forgotten " + store.deleteFinishedBefore(NOW + 4) + "\n" + jobs(store);
