--- a/src/main/java/nettlewick/contention/HarmAnalysis.java
+++ b/src/main/java/nettlewick/contention/HarmAnalysis.java
@@ -5,21 +5,23 @@
 import org.apache.commons.statistics.distribution.HypergeometricDistribution;
 
 /**
- * Whether other tenants' attempts are harmed more often where a tenant is busy than where, or when, it is not.
- * Stateless.
+ * Statistical tests of whether a tenant's load harms other tenants: their attempts on endpoints where the tenant
+ * exceeds its quota (exposed) are compared with attempts elsewhere or at other times (control). Stateless.
  */
 final class HarmAnalysis {
-    /** Attempts of other tenants that a comparison needs on each side. */
+    /** The minimum number of other tenants' attempts in each of the two samples compared. */
     private static final int MIN_ATTEMPTS = 20;
-    /** Harm below this fraction of attempts is normal. */
+    /** A smaller fraction of harmed attempts is normal. */
     static final double MIN_HARMED_FRACTION = 0.05;
-    /** How many times more often attempts must be harmed beside the tenant. */
+    /** The minimum ratio of the harmed fractions, exposed to control. */
     private static final double MIN_HARM_RATIO = 2;
 
     private static final double SIGNIFICANCE_LEVEL = 0.01;
-    /** Others' requests that run so many times longer against their hints than usual are slowed by another cause. */
+    /**
+     * If the ratio of run time to cost hint exceeds the baseline by this factor, something else slows requests down.
+     */
     private static final double SLOWDOWN_FACTOR = 1.5;
-    /** Keeps sums of two counts within an int. */
+    /** Keeps the sum of two counts within the range of an int. */
     private static final int MAX_COUNT = Integer.MAX_VALUE / 4;
 
     /** Attempts of other tenants, and how many of them were harmed. */
@@ -39,7 +41,10 @@
 
     private HarmAnalysis() {}
 
-    /** Whether all requests run much longer than their hints say, compared with the baseline. */
+    /**
+     * Whether other tenants' requests run much longer relative to their cost hints than in the baseline, for example
+     * because of a slow dependency.
+     */
     static boolean isSlowedByOtherCause(UsageReport usage, UncontendedBaseline baseline) {
         return baseline.hintedMillis() > 0
                 && usage.hintedMillis() > 0
@@ -48,50 +53,55 @@
     }
 
     /**
-     * Whether other tenants are harmed significantly more often on endpoints where the tenant exceeds its quota than
-     * on the rest, or, where the rest is too small a sample, than in the baseline.
+     * Whether other tenants are harmed significantly more often on endpoints where the tenant exceeds its quota than on
+     * the other endpoints. If there are too few attempts on the others, the baseline is used instead.
      *
      * @param isolatedEndpoints hashes of endpoints that are dedicated to other tenants
      */
     static boolean isAttributable(
             UsageReport usage, UncontendedBaseline baseline, double quota, Set<Integer> isolatedEndpoints) {
-        long attemptsBeside = 0;
-        long harmedBeside = 0;
-        long attemptsElsewhere = 0;
-        long harmedElsewhere = 0;
+        long exposedAttempts = 0;
+        long exposedHarmed = 0;
+        long unexposedAttempts = 0;
+        long unexposedHarmed = 0;
         for (Map.Entry<Integer, UsageReport.EndpointUsage> entry :
                 usage.endpoints().entrySet()) {
             UsageReport.EndpointUsage endpoint =
                     isolatedEndpoints.contains(entry.getKey()) ? UsageReport.EndpointUsage.NONE : entry.getValue();
             if (endpoint.totalWork() > 0 && endpoint.tenantWork() > quota * endpoint.totalWork()) {
-                attemptsBeside += endpoint.otherAttempts();
-                harmedBeside += endpoint.harmedAttempts();
+                exposedAttempts += endpoint.otherAttempts();
+                exposedHarmed += endpoint.harmedAttempts();
             } else {
-                attemptsElsewhere += endpoint.otherAttempts();
-                harmedElsewhere += endpoint.harmedAttempts();
+                unexposedAttempts += endpoint.otherAttempts();
+                unexposedHarmed += endpoint.harmedAttempts();
             }
         }
-        Sample beside = new Sample(attemptsBeside, harmedBeside);
-        Sample control = attemptsElsewhere < MIN_ATTEMPTS
+        Sample exposed = new Sample(exposedAttempts, exposedHarmed);
+        Sample control = unexposedAttempts < MIN_ATTEMPTS
                 ? new Sample(baseline.otherAttempts(), baseline.harmedAttempts())
-                : new Sample(attemptsElsewhere, harmedElsewhere);
-        return isClearlyHigher(beside, control) && isSignificant(beside, control);
+                : new Sample(unexposedAttempts, unexposedHarmed);
+        return isClearlyHigher(exposed, control) && isSignificant(exposed, control);
     }
 
-    private static boolean isClearlyHigher(Sample beside, Sample control) {
-        return beside.attempts() >= MIN_ATTEMPTS
+    private static boolean isClearlyHigher(Sample exposed, Sample control) {
+        return exposed.attempts() >= MIN_ATTEMPTS
                 && control.attempts() >= MIN_ATTEMPTS
-                && beside.harmed() >= MIN_HARMED_FRACTION * beside.attempts()
-                && beside.harmedFraction() >= MIN_HARM_RATIO * control.harmed() / control.attempts();
+                && exposed.harmed() >= MIN_HARMED_FRACTION * exposed.attempts()
+                && exposed.harmedFraction() >= MIN_HARM_RATIO * control.harmed() / control.attempts();
     }
 
-    /** Fisher's exact test, one-sided: the probability of this much harm beside the tenant if it made no difference. */
-    private static boolean isSignificant(Sample beside, Sample control) {
-        int besideCount = beside.attemptCount();
-        int besideHarmed = beside.harmedCount();
+    /**
+     * Fisher's exact test, one-sided: computes the probability of at least this many harmed attempts in the exposed
+     * sample if the tenant had no influence.
+     */
+    private static boolean isSignificant(Sample exposed, Sample control) {
+        int exposedCount = exposed.attemptCount();
+        int exposedHarmed = exposed.harmedCount();
         return HypergeometricDistribution.of(
-                                control.attemptCount() + besideCount, control.harmedCount() + besideHarmed, besideCount)
-                        .survivalProbability(besideHarmed - 1)
+                                control.attemptCount() + exposedCount,
+                                control.harmedCount() + exposedHarmed,
+                                exposedCount)
+                        .survivalProbability(exposedHarmed - 1)
                 < SIGNIFICANCE_LEVEL;
     }
 }
--- a/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
+++ b/src/main/java/nettlewick/pcap/TcpFlowReassembler.java
@@ -5,28 +5,28 @@
 import java.util.TreeMap;
 
 /**
- * Puts one direction of a TCP connection back in order: retransmissions are dropped, segments out of order wait for
- * those before them, and what the capture missed shows as a gap when the flow ends.
+ * Reassembles one direction of a TCP connection. Retransmissions are dropped, out-of-order segments are buffered until
+ * the preceding ones arrive, and bytes missing in the capture are reported as gaps when the flow ends.
  */
 final class TcpFlowReassembler {
-    /** Takes the bytes in order. */
+    /** Receives the bytes in order. */
     interface Sink {
-        /** The next bytes, and when the packet that held them was captured. */
+        /** Receives the next bytes, with the time at which their packet was captured. */
         void onBytes(double capturedAtMillis, byte[] bytes);
 
-        /** Bytes are missing here, or no more come. */
+        /** Called where bytes are missing, and at the end of the flow. */
         void onGap();
     }
 
-    private record Piece(double capturedAtMillis, byte[] bytes) {}
+    private record BufferedSegment(double capturedAtMillis, byte[] bytes) {}
 
     private final Sink sink;
-    /** By offset in the stream. */
-    private final TreeMap<Long, Piece> outOfOrder = new TreeMap<>();
+    /** Buffered segments by their offset in the stream. */
+    private final TreeMap<Long, BufferedSegment> outOfOrder = new TreeMap<>();
 
     private boolean started;
     /** The sequence number of the next byte to deliver. */
-    private int nextSequence;
+    private int nextSequenceNumber;
     /** The offset in the stream of the next byte to deliver. */
     private long nextOffset;
 
@@ -34,48 +34,48 @@
         this.sink = sink;
     }
 
-    /** Whether this segment opens a connection other than the one that this flow holds. */
+    /** Whether a segment opens another connection than the one that this flow belongs to. */
     boolean isNewConnection(TcpSegment segment) {
-        return started && segment.syn() && segment.sequence() + 1 != nextSequence - (int) nextOffset;
+        return started && segment.syn() && segment.sequenceNumber() + 1 != nextSequenceNumber - (int) nextOffset;
     }
 
     void add(TcpSegment segment) {
-        int sequence = segment.syn() ? segment.sequence() + 1 : segment.sequence();
+        int sequenceNumber = segment.syn() ? segment.sequenceNumber() + 1 : segment.sequenceNumber();
         if (!started) {
             started = true;
-            nextSequence = sequence;
+            nextSequenceNumber = sequenceNumber;
         }
         if (segment.payload().length == 0) {
             return;
         }
-        // A signed difference stays right where sequence numbers wrap round.
-        long offset = nextOffset + (sequence - nextSequence);
-        Piece known = outOfOrder.get(offset);
-        if (known == null || known.bytes().length < segment.payload().length) {
-            outOfOrder.put(offset, new Piece(segment.capturedAtMillis(), segment.payload()));
+        // The signed difference is correct even if the sequence numbers wrap around.
+        long offset = nextOffset + (sequenceNumber - nextSequenceNumber);
+        BufferedSegment buffered = outOfOrder.get(offset);
+        if (buffered == null || buffered.bytes().length < segment.payload().length) {
+            outOfOrder.put(offset, new BufferedSegment(segment.capturedAtMillis(), segment.payload()));
         }
         deliverInOrder();
     }
 
     private void deliverInOrder() {
         while (!outOfOrder.isEmpty() && outOfOrder.firstKey() <= nextOffset) {
-            Map.Entry<Long, Piece> first = outOfOrder.pollFirstEntry();
+            Map.Entry<Long, BufferedSegment> first = outOfOrder.pollFirstEntry();
             byte[] bytes = first.getValue().bytes();
-            long delivered = nextOffset - first.getKey();
-            if (delivered < bytes.length) {
-                byte[] fresh = Arrays.copyOfRange(bytes, (int) delivered, bytes.length);
-                nextOffset += fresh.length;
-                nextSequence += fresh.length;
-                sink.onBytes(first.getValue().capturedAtMillis(), fresh);
+            long deliveredBytes = nextOffset - first.getKey();
+            if (deliveredBytes < bytes.length) {
+                byte[] newBytes = Arrays.copyOfRange(bytes, (int) deliveredBytes, bytes.length);
+                nextOffset += newBytes.length;
+                nextSequenceNumber += newBytes.length;
+                sink.onBytes(first.getValue().capturedAtMillis(), newBytes);
             }
         }
     }
 
-    /** No more segments come: what still waits lies behind gaps. */
+    /** Ends the flow. Segments that are still buffered lie behind gaps. */
     void end() {
         while (!outOfOrder.isEmpty()) {
             sink.onGap();
-            nextSequence += (int) (outOfOrder.firstKey() - nextOffset);
+            nextSequenceNumber += (int) (outOfOrder.firstKey() - nextOffset);
             nextOffset = outOfOrder.firstKey();
             deliverInOrder();
         }
--- a/src/main/java/nettlewick/pcap/TcpPacketBuilder.java
+++ b/src/main/java/nettlewick/pcap/TcpPacketBuilder.java
@@ -14,7 +14,7 @@
 
     private static final int IPV4_ADDRESS_BYTES = 4;
     private static final int IPV4_HEADER_BYTES = 20;
-    /** Version 4 and a header of five words, before the total length. */
+    /** Version 4 and a header length of five words; the total length is added in the lower half. */
     private static final int IPV4_FIRST_WORD = 0x45000000;
 
     private static final int IPV4_DO_NOT_FRAGMENT = 0x4000;
@@ -25,27 +25,27 @@
 
     private static final int TCP_HEADER_BYTES = 20;
     private static final int TCP_CHECKSUM_OFFSET = 16;
-    /** The header's length, five words, in the upper half. */
+    /** A header length of five words, in the upper half of the byte. */
     private static final byte TCP_DATA_OFFSET = 0x50;
 
     private static final short WINDOW_BYTES = (short) 65_535;
     private static final int CHECKSUM_MASK = 0xffff;
 
-    private final byte[] from;
-    private final byte[] to;
-    private final int fromPort;
-    private final int toPort;
+    private final byte[] sourceAddress;
+    private final byte[] destinationAddress;
+    private final int sourcePort;
+    private final int destinationPort;
 
-    TcpPacketBuilder(byte[] from, int fromPort, byte[] to, int toPort) {
-        this.from = from;
-        this.fromPort = fromPort;
-        this.to = to;
-        this.toPort = toPort;
+    TcpPacketBuilder(byte[] sourceAddress, int sourcePort, byte[] destinationAddress, int destinationPort) {
+        this.sourceAddress = sourceAddress;
+        this.sourcePort = sourcePort;
+        this.destinationAddress = destinationAddress;
+        this.destinationPort = destinationPort;
     }
 
-    /** A packet that carries that range of the bytes. */
-    byte[] build(int flags, int sequence, int acknowledged, byte[] bytes, int offset, int length) {
-        boolean isIpv4 = from.length == IPV4_ADDRESS_BYTES;
+    /** Builds a packet with this range of {@code bytes} as its payload. */
+    byte[] build(int flags, int sequenceNumber, int acknowledgmentNumber, byte[] bytes, int offset, int length) {
+        boolean isIpv4 = sourceAddress.length == IPV4_ADDRESS_BYTES;
         int headerBytes = isIpv4 ? IPV4_HEADER_BYTES : IPV6_HEADER_BYTES;
         ByteBuffer packet = ByteBuffer.allocate(headerBytes + TCP_HEADER_BYTES + length);
         if (isIpv4) {
@@ -53,10 +53,10 @@
         } else {
             putIpv6Header(packet, length);
         }
-        packet.putShort((short) fromPort)
-                .putShort((short) toPort)
-                .putInt(sequence)
-                .putInt(acknowledged)
+        packet.putShort((short) sourcePort)
+                .putShort((short) destinationPort)
+                .putInt(sequenceNumber)
+                .putInt(acknowledgmentNumber)
                 .put(TCP_DATA_OFFSET)
                 .put((byte) flags)
                 .putShort(WINDOW_BYTES)
@@ -74,8 +74,8 @@
                 .put(HOP_LIMIT)
                 .put(PROTOCOL_TCP)
                 .putShort((short) 0)
-                .put(from)
-                .put(to);
+                .put(sourceAddress)
+                .put(destinationAddress);
         packet.putShort(IPV4_CHECKSUM_OFFSET, checksum(0, packet.array(), 0, IPV4_HEADER_BYTES));
     }
 
@@ -84,13 +84,16 @@
                 .putShort((short) (TCP_HEADER_BYTES + length))
                 .put(PROTOCOL_TCP)
                 .put(HOP_LIMIT)
-                .put(from)
-                .put(to);
+                .put(sourceAddress)
+                .put(destinationAddress);
     }
 
-    /** The TCP checksum covers the addresses, the protocol and the length besides the segment itself. */
+    /**
+     * The sum over the pseudo header, which the TCP checksum covers in addition to the segment: addresses, protocol and
+     * length.
+     */
     private int pseudoHeaderSum(int length) {
-        return PROTOCOL_TCP + TCP_HEADER_BYTES + length + sumOfWords(from) + sumOfWords(to);
+        return PROTOCOL_TCP + TCP_HEADER_BYTES + length + sumOfWords(sourceAddress) + sumOfWords(destinationAddress);
     }
 
     private static int sumOfWords(byte[] address) {
@@ -101,12 +104,12 @@
         return sum;
     }
 
-    /** The Internet checksum of that range, added to what {@code initialSum} covers. */
+    /** Computes the Internet checksum of this range, starting from {@code initialSum}. */
     private static short checksum(int initialSum, byte[] bytes, int start, int end) {
         long sum = initialSum;
         for (int i = start; i < end; i += Short.BYTES) {
-            int low = i + 1 < end ? Byte.toUnsignedInt(bytes[i + 1]) : 0;
-            sum += Byte.toUnsignedInt(bytes[i]) << Byte.SIZE | low;
+            int lowByte = i + 1 < end ? Byte.toUnsignedInt(bytes[i + 1]) : 0;
+            sum += Byte.toUnsignedInt(bytes[i]) << Byte.SIZE | lowByte;
         }
         while (sum >> Short.SIZE != 0) {
             sum = (sum & CHECKSUM_MASK) + (sum >> Short.SIZE);
--- a/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
+++ b/src/main/java/nettlewick/tenantpools/ScaleOutPolicy.java
@@ -7,22 +7,22 @@
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * Decides how many endpoints are added for a tenant within its spending cap (docs/pools.md): what to store or to ask of
- * the provider next, given its last report. Confined to one thread.
+ * Decides how many endpoints are added for a tenant within its spending cap (docs/pools.md): what to store, or to
+ * request from the provider, next, given its last report. Confined to one thread.
  */
 final class ScaleOutPolicy {
     private static final double MAX_REPORT_AGE_MILLIS = 5000;
     private static final double MAX_REPORT_AGE_WHILE_STARTING_MILLIS = 500;
-    /** As many as anyone may want, without overflow. */
+    /** No limit on the number of endpoints; less than the largest int, so that sums do not overflow. */
     private static final int UNLIMITED = Integer.MAX_VALUE / 2;
 
     /**
      * The limits of scaling out for a tenant.
      *
-     * @param centsPerHour    the price of one more endpoint
-     * @param minBilledMillis the least time that it is billed
-     * @param reactionMillis  the longest time until somebody can end an endpoint that is no longer wanted
-     * @param releaseAtCap    whether all added endpoints are released once the cap itself is reached
+     * @param centsPerHour    the price of one additional endpoint
+     * @param minBilledMillis the minimum time that is billed for it
+     * @param reactionMillis  the maximum time until an endpoint that is no longer wanted can be ended
+     * @param releaseAtCap    whether all added endpoints are released when the cap itself is reached
      */
     record ScaleOutSettings(
             SpendingCap.MonthlyCap cap,
@@ -30,7 +30,7 @@
             long minBilledMillis,
             long reactionMillis,
             boolean releaseAtCap) {
-        /** The least that one more endpoint costs. */
+        /** The minimum cost of one additional endpoint. */
         long minCostCents() {
             return InstanceCharge.costCents(Math.max(minBilledMillis, reactionMillis), centsPerHour);
         }
@@ -39,20 +39,24 @@
     /**
      * The state of a tenant's budget, for operators.
      *
-     * @param resumesIn the month in which endpoints can be added again once the cap is near
+     * @param resumesInMonth the month from which endpoints can be added again after the near-cap threshold is reached
      */
-    record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesIn) {}
+    record BudgetStatus(long spentCents, long committedCents, long capCents, YearMonth resumesInMonth) {}
 
     /**
-     * The moment of a decision.
+     * The budget at the time of a decision.
      *
      * @param providerNowMillis the provider's clock, in milliseconds of Unix time
      * @param month             the month whose budget counts
-     * @param monthDisputed     whether the provider's clock shows another month
-     * @param affordable        how many more endpoints the budget allows
+     * @param monthMismatch     whether the provider's clock shows another month
+     * @param affordableCount   how many additional endpoints the budget allows
      */
-    private record Account(
-            SpendingCap spending, long providerNowMillis, YearMonth month, boolean monthDisputed, int affordable) {}
+    private record BudgetSnapshot(
+            SpendingCap spending,
+            long providerNowMillis,
+            YearMonth month,
+            boolean monthMismatch,
+            int affordableCount) {}
 
     private final ZoneId zone;
     private final ScaleOutSettings settings;
@@ -63,7 +67,7 @@
         zone = settings.cap().zone();
     }
 
-    /** As of the last report; null before the first. */
+    /** The budget's state according to the last report; null before the first. */
     BudgetStatus budgetStatus() {
         return budgetStatus;
     }
@@ -71,16 +75,16 @@
     /**
      * Decides the next action.
      *
-     * @param report         the newest one; null if there is none since the lease was acquired
-     * @param desired        how many endpoints should run; negative: as many as do
-     * @param nowMillis      on the monotonic clock
-     * @param wallMillis     on the local wall clock, in milliseconds of Unix time; it may be wrong
-     * @param idempotencyKey a new one, for a resize that this decision starts
+     * @param report         the newest report; null if none has arrived since the lease was acquired
+     * @param desiredSize    how many endpoints should run; negative to keep the current number
+     * @param nowMillis      the monotonic clock
+     * @param wallMillis     the local wall clock, in milliseconds of Unix time; it may be wrong
+     * @param idempotencyKey a new key, used if this decision starts a resize
      */
     ScaleOutDecision decide(
             Budget budget,
             ProviderReport report,
-            int desired,
+            int desiredSize,
             double nowMillis,
             long wallMillis,
             String idempotencyKey) {
@@ -88,18 +92,18 @@
             return new ScaleOutDecision.FetchReport();
         }
         if (isOutdated(report, nowMillis)) {
-            boolean idle = desired <= 0 && budget.pendingResize() == null && report.desiredSize() == 0;
-            return idle ? new ScaleOutDecision.Nothing() : new ScaleOutDecision.FetchReport();
+            boolean idle = desiredSize <= 0 && budget.pendingResize() == null && report.desiredSize() == 0;
+            return idle ? new ScaleOutDecision.NoAction() : new ScaleOutDecision.FetchReport();
         }
         long providerNowMillis = report.providerNowMillis(nowMillis);
         YearMonth month = budgetMonth(budget, Math.min(providerNowMillis, wallMillis));
         if (!month.toString().equals(budget.month())) {
-            return new ScaleOutDecision.Store(budget.withMonth(month.toString()));
+            return new ScaleOutDecision.StoreBudget(budget.withMonth(month.toString()));
         }
-        Account account = account(report, providerNowMillis, month);
+        BudgetSnapshot snapshot = budgetSnapshot(report, providerNowMillis, month);
         return budget.pendingResize() == null
-                ? startResize(budget, report, account, desired, idempotencyKey)
-                : continueResize(budget, report, account);
+                ? startResize(budget, report, snapshot, desiredSize, idempotencyKey)
+                : continueResize(budget, report, snapshot);
     }
 
     private static boolean isOutdated(ProviderReport report, double nowMillis) {
@@ -108,18 +112,19 @@
                 > (starting ? MAX_REPORT_AGE_WHILE_STARTING_MILLIS : MAX_REPORT_AGE_MILLIS);
     }
 
-    private Account account(ProviderReport report, long providerNowMillis, YearMonth month) {
+    private BudgetSnapshot budgetSnapshot(ProviderReport report, long providerNowMillis, YearMonth month) {
         SpendingCap spending = new SpendingCap(settings.cap(), month);
         budgetStatus = new BudgetStatus(
                 spending.spentCents(report.charges(), providerNowMillis),
                 spending.committedCents(report.charges(), providerNowMillis, settings.reactionMillis()),
                 settings.cap().cents(),
                 month.plusMonths(1));
-        // Otherwise costs of one month could be paid from the budget of another.
-        boolean monthDisputed = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
-        long starting =
+        // If the months differ, nothing is added: otherwise costs of one month could be charged to another month's
+        // budget.
+        boolean monthMismatch = !SpendingCap.monthOf(providerNowMillis, zone).equals(month);
+        long startingCount =
                 Math.max(0, report.desiredSize() - report.runningCharges().size());
-        int affordable = monthDisputed
+        int affordableCount = monthMismatch
                 ? 0
                 : spending.affordableCount(
                         report.charges(),
@@ -127,57 +132,61 @@
                         settings.reactionMillis(),
                         UNLIMITED,
                         settings.minCostCents(),
-                        starting * settings.minCostCents());
-        return new Account(spending, providerNowMillis, month, monthDisputed, affordable);
+                        startingCount * settings.minCostCents());
+        return new BudgetSnapshot(spending, providerNowMillis, month, monthMismatch, affordableCount);
     }
 
     /**
-     * Sends the pending resize unless it is done or has become too expensive since. A request of it that is still in
-     * transit takes effect within its time limit or not at all.
+     * Sends the pending resize unless it is complete or no longer affordable. An earlier request for it that is still
+     * in transit takes effect within its time limit or not at all.
      */
-    private ScaleOutDecision continueResize(Budget budget, ProviderReport report, Account account) {
+    private ScaleOutDecision continueResize(Budget budget, ProviderReport report, BudgetSnapshot snapshot) {
         ResizeRequest pending = budget.pendingResize();
-        int more = pending.size() - report.desiredSize();
-        return more == 0 || more > account.affordable()
-                ? new ScaleOutDecision.Store(budget.withPendingResize(null))
-                : new ScaleOutDecision.Resize(pending, account.providerNowMillis() + settings.reactionMillis());
+        int sizeChange = pending.size() - report.desiredSize();
+        return sizeChange == 0 || sizeChange > snapshot.affordableCount()
+                ? new ScaleOutDecision.StoreBudget(budget.withPendingResize(null))
+                : new ScaleOutDecision.Resize(pending, snapshot.providerNowMillis() + settings.reactionMillis());
     }
 
     private ScaleOutDecision startResize(
-            Budget budget, ProviderReport report, Account account, int desired, String idempotencyKey) {
-        int size = report.desiredSize();
-        int target = targetSize(report, account, desired);
-        if (target <= size) {
-            int fewer = (int) Math.min(
-                    size - target, countPastMinBilledTime(report.runningCharges(), account.providerNowMillis()));
-            return fewer <= 0
-                    ? new ScaleOutDecision.Nothing()
-                    : storeResize(budget, new ResizeRequest(idempotencyKey, size - fewer, 0));
+            Budget budget, ProviderReport report, BudgetSnapshot snapshot, int desiredSize, String idempotencyKey) {
+        int currentSize = report.desiredSize();
+        int targetSize = targetSize(report, snapshot, desiredSize);
+        if (targetSize <= currentSize) {
+            int releaseCount = (int) Math.min(
+                    currentSize - targetSize,
+                    countPastMinBilledTime(report.runningCharges(), snapshot.providerNowMillis()));
+            return releaseCount <= 0
+                    ? new ScaleOutDecision.NoAction()
+                    : storeResize(budget, new ResizeRequest(idempotencyKey, currentSize - releaseCount, 0));
         }
-        int more = Math.min(target - size, account.affordable());
-        String month = account.month().toString();
-        if (!account.monthDisputed() && more < target - size && !month.equals(budget.nearCapMonth())) {
-            return new ScaleOutDecision.Store(budget.withNearCapMonth(month));
+        int addCount = Math.min(targetSize - currentSize, snapshot.affordableCount());
+        String month = snapshot.month().toString();
+        if (!snapshot.monthMismatch() && addCount < targetSize - currentSize && !month.equals(budget.nearCapMonth())) {
+            return new ScaleOutDecision.StoreBudget(budget.withNearCapMonth(month));
         }
-        return more <= 0
-                ? new ScaleOutDecision.Nothing()
-                : storeResize(budget, new ResizeRequest(idempotencyKey, size + more, more * settings.minCostCents()));
+        return addCount <= 0
+                ? new ScaleOutDecision.NoAction()
+                : storeResize(
+                        budget,
+                        new ResizeRequest(idempotencyKey, currentSize + addCount, addCount * settings.minCostCents()));
     }
 
-    private int targetSize(ProviderReport report, Account account, int desired) {
-        if (settings.releaseAtCap() && account.spending().isCapReached(report.charges(), account.providerNowMillis())) {
+    private int targetSize(ProviderReport report, BudgetSnapshot snapshot, int desiredSize) {
+        if (settings.releaseAtCap()
+                && snapshot.spending().isCapReached(report.charges(), snapshot.providerNowMillis())) {
             return 0;
         }
-        return desired < 0 ? report.desiredSize() : desired;
+        return desiredSize < 0 ? report.desiredSize() : desiredSize;
     }
 
     private static ScaleOutDecision storeResize(Budget budget, ResizeRequest resize) {
-        return new ScaleOutDecision.Store(budget.withPendingResize(resize));
+        return new ScaleOutDecision.StoreBudget(budget.withPendingResize(resize));
     }
 
     /**
-     * A month begins only when both the provider's clock and the local one have reached it, and never again after a
-     * later one: a clock that jumps must not open a month's budget early or twice.
+     * A month's budget opens only when both the provider's clock and the local clock have reached the month, and never
+     * after a later month has opened. This prevents a clock jump from opening a month's budget early or twice.
      */
     private YearMonth budgetMonth(Budget budget, long earlierClockMillis) {
         YearMonth now = SpendingCap.monthOf(earlierClockMillis, zone);
@@ -186,7 +195,7 @@
                 : YearMonth.parse(budget.month());
     }
 
-    /** Instances whose minimum billed time is over: ending the others earlier saves nothing. */
+    /** The number of instances whose minimum billed time is over. Ending the others would save nothing yet. */
     private static long countPastMinBilledTime(List<InstanceCharge> running, long providerNowMillis) {
         return running.stream()
                 .filter(charge -> providerNowMillis >= charge.startedAtMillis() + charge.minBilledMillis())
--- a/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
+++ b/src/main/java/nettlewick/tenantpools/TenantPoolTask.java
@@ -15,13 +15,13 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * The lease task of one tenant. The holder judges contention, migrates the tenant and scales out; every other
- * dispatcher follows the stored state and reports what it sees. Confined to the lease thread, except {@link
+ * The lease task of one tenant. The lease holder evaluates contention, migrates the tenant and adds endpoints; every
+ * other dispatcher applies the stored state and reports usage. Confined to the lease thread, except {@link
  * #budgetStatus}.
  */
 final class TenantPoolTask implements LeaseTask {
     private static final ComponentLogger LOG = ComponentLogger.of("pools");
-    /** The holder evaluates the state at most this often, and after each new version. */
+    /** The minimum interval between evaluations by the holder, unless a new version has been stored. */
     private static final double MIN_EVALUATION_INTERVAL_MILLIS = 20;
 
     /** The lease is not held here. */
@@ -33,19 +33,21 @@
     private final UsageReporter reporter;
     private final ScaleOutController scaleOut;
     private final DoubleConsumer onChange;
-    /** Whether the holder, here or elsewhere, wants reports from all dispatchers. */
-    private boolean holderListens;
+    /** Whether the lease holder, here or elsewhere, requests reports from all dispatchers. */
+    private boolean holderRequestsReports;
 
-    // The rest describes the time in which the lease is held here.
+    // The following fields are valid while the lease is held here.
     private long fence = NO_FENCE;
-    private boolean announced;
+    private boolean acquisitionLogged;
     private long lastVersion;
     private double nextEvaluationAt;
     private ContentionMonitor monitor;
     private PoolMigration migration;
     private boolean migrating;
 
-    /** @param onChange called with the time in milliseconds whenever state may have arrived or become stale */
+    /**
+     * @param onChange called with the current time in milliseconds whenever a state may have arrived or become stale
+     */
     TenantPoolTask(
             String tenant,
             Supplier<PoolSettings> settings,
@@ -66,8 +68,8 @@
     }
 
     @Override
-    public void start(LeaseControl desk) {
-        scaleOut.attach(desk);
+    public void start(LeaseControl control) {
+        scaleOut.attach(control);
     }
 
     @Override
@@ -82,8 +84,8 @@
         }
         lastVersion = lease.version();
         nextEvaluationAt = lease.nowMillis() + MIN_EVALUATION_INTERVAL_MILLIS;
-        if (!announced) {
-            announced = true;
+        if (!acquisitionLogged) {
+            acquisitionLogged = true;
             LeaseTask.logHeld(PoolSettings.leaseName(tenant), lease, state.term());
         }
         migrating = state.migration().step() != Step.SHARED;
@@ -98,7 +100,7 @@
 
     private void startHolding(HeldLease lease) {
         fence = lease.fence();
-        announced = false;
+        acquisitionLogged = false;
         lastVersion = -1;
         monitor = new ContentionMonitor(
                 tenant,
@@ -108,30 +110,35 @@
         scaleOut.startHolding(fence, lease.nowMillis());
     }
 
-    /** The next state, or the same object if nothing changes. */
+    /** Returns the next state, or the same object if nothing changes. */
     private PoolState nextState(PoolState state, double nowMillis) {
-        PoolSettings.TenantSettings own = tenantSettings();
-        Map<String, ReadyEndpoint> ready = assignments.readyEndpoints();
+        PoolSettings.TenantSettings tenantSettings = tenantSettings();
+        Map<String, ReadyEndpoint> readyEndpoints = assignments.readyEndpoints();
         PoolMigration.FleetView fleet = new PoolMigration.FleetView(
-                ready,
+                readyEndpoints,
                 assignments.endpointsReservedByOthers(tenant, state.migration().endpoints()),
-                own.scaleOut() == null || scaleOut.isComplete());
+                tenantSettings.scaleOut() == null || scaleOut.isComplete());
         MigrationState next = migration.nextState(
-                state.migration(), own.policy(), settings.get().migrationSettings(tenant), fleet, nowMillis);
+                state.migration(), tenantSettings.policy(), settings.get().migrationSettings(tenant), fleet, nowMillis);
         if (!next.equals(state.migration())) {
             logStep(next);
             return state.withMigration(next);
         }
-        return own.scaleOut() == null
+        return tenantSettings.scaleOut() == null
                 ? state
-                : scaleOut.evaluate(state, own, desiredEndpoints(state.migration(), ready), ready.keySet(), nowMillis);
+                : scaleOut.evaluate(
+                        state,
+                        tenantSettings,
+                        desiredAddedCount(state.migration(), readyEndpoints),
+                        readyEndpoints.keySet(),
+                        nowMillis);
     }
 
     private void logStep(MigrationState next) {
         String step = next.step().wireName();
         LOG.info(
                 "pool-" + step.toLowerCase(Locale.ROOT),
-                "tenant " + tenant + ": " + step + " with endpoints " + next.endpoints(),
+                "tenant " + tenant + ": migration step " + step + " with endpoints " + next.endpoints(),
                 "member",
                 tenant,
                 "step",
@@ -140,8 +147,11 @@
                 fence);
     }
 
-    /** How many added endpoints match the demand beyond the tenant's quota; negative while the demand is unknown. */
-    private int desiredEndpoints(MigrationState state, Map<String, ReadyEndpoint> ready) {
+    /**
+     * The number of added endpoints that covers the demand beyond the tenant's quota; negative while the demand is
+     * unknown.
+     */
+    private int desiredAddedCount(MigrationState state, Map<String, ReadyEndpoint> readyEndpoints) {
         if (state.step() == Step.SHARED || state.step() == Step.RETURNING) {
             return 0;
         }
@@ -149,11 +159,12 @@
         if (demandFraction < 0) {
             return -1;
         }
-        long shared = ready.values().stream()
+        long sharedCount = readyEndpoints.values().stream()
                 .filter(endpoint -> endpoint.addedForTenant() == null)
                 .count();
         double excessFraction = demandFraction - settings.get().quotas().get(tenant);
-        return (int) Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(excessFraction * shared)));
+        return (int)
+                Math.max(0, Math.min(tenantSettings().maxAddedEndpoints(), Math.round(excessFraction * sharedCount)));
     }
 
     @Override
@@ -163,8 +174,8 @@
     }
 
     @Override
-    public void onStoredState(long holderFence, long version, byte[] state, boolean listens, double nowMillis) {
-        holderListens = listens;
+    public void onStoredState(long holderFence, long version, byte[] state, boolean requestsReports, double nowMillis) {
+        holderRequestsReports = requestsReports;
         assignments.recordState(tenant, PoolState.decode(state), nowMillis);
         onChange.accept(nowMillis);
     }
@@ -176,12 +187,15 @@
         }
         if (!monitor.recordReport(dispatcher, incarnation, report)) {
             LOG.warning(
-                    "word-passed-over", "a usage report on tenant " + tenant + " cannot be read", "from", dispatcher);
+                    "word-passed-over",
+                    "ignoring a usage report on tenant " + tenant + " that cannot be decoded",
+                    "from",
+                    dispatcher);
         }
-        if (monitor.listenIfUnsolicited()) {
+        if (monitor.requestReportsIfUnsolicited()) {
             LOG.info(
                     "hears-all",
-                    "listens to all dispatchers on tenant " + tenant,
+                    "requesting usage reports on tenant " + tenant + " from all dispatchers",
                     "member",
                     tenant,
                     "from",
@@ -195,7 +209,7 @@
         return reporter.reportsToSend(
                 tenant,
                 holderFence,
-                holderListens,
+                holderRequestsReports,
                 settings.get().windowMillis(),
                 nowMillis,
                 () -> assignments.isolatedTenants(tenant).keySet());
@@ -203,7 +217,7 @@
 
     @Override
     public boolean requestsReports() {
-        return fence >= 0 && (migrating || monitor.isListening());
+        return fence >= 0 && (migrating || monitor.requestsReports());
     }
 
     @Override
@@ -211,7 +225,7 @@
         return !requestsReports();
     }
 
-    /** Null while the lease is not held here, or nothing was reported yet. Any thread. */
+    /** The budget's state; null while the lease is not held here or no report has arrived. Thread-safe. */
     ScaleOutPolicy.BudgetStatus budgetStatus() {
         return scaleOut.budgetStatus();
     }
--- a/src/test/java/nettlewick/lease/HostileDispatcher.java
+++ b/src/test/java/nettlewick/lease/HostileDispatcher.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import nettlewick.settings.Settings;
 
-/** A dispatcher with the right key that sends false reports to all, each twice and some of them garbled. */
+/** A dispatcher with the shared key that sends false reports to all others, each twice and some of them corrupted. */
 public final class HostileDispatcher implements AutoCloseable {
     private static final long INTERVAL_MILLIS = 50;
     private static final double GARBLED_SHARE = 0.2;
@@ -26,12 +26,14 @@
     private final SplittableRandom random = new SplittableRandom(3);
     private final Thread thread = new Thread(this::sendReports, "hostile");
 
-    /** @param settings the settings file of the dispatcher that it poses as */
-    public HostileDispatcher(Path settings, String leaseName, List<InetSocketAddress> to, Supplier<byte[]> reports)
+    /** @param settingsFile the settings file of the dispatcher that it impersonates */
+    public HostileDispatcher(
+            Path settingsFile, String leaseName, List<InetSocketAddress> recipients, Supplier<byte[]> reports)
             throws IOException {
-        this.settings = LeaseSettings.of(Settings.read(settings).block("duty").orElseThrow());
+        this.settings =
+                LeaseSettings.of(Settings.read(settingsFile).block("duty").orElseThrow());
         this.leaseName = leaseName;
-        this.recipients = to;
+        this.recipients = recipients;
         this.reports = reports;
         codec = new MessageCodec(
                 this.settings.sharedKey(), this.settings.membershipHash(), this.settings.dispatcher(), 77);
@@ -49,15 +51,15 @@
                 byte[] data =
                         codec.encode(LeaseMessage.of(LeaseMessage.Kind.REPORT, leaseName, settings.dispatcher(), 77, 0)
                                 .withState(0, 0, report));
-                for (InetSocketAddress one : recipients) {
-                    for (int times = 0; times < 2; times++) {
-                        socket.send(new DatagramPacket(data, data.length, one));
+                for (InetSocketAddress recipient : recipients) {
+                    for (int copy = 0; copy < 2; copy++) {
+                        socket.send(new DatagramPacket(data, data.length, recipient));
                     }
                 }
                 TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
             }
         } catch (IOException | InterruptedException e) {
-            // closed
+            // The dispatcher was closed.
         }
     }
 
--- a/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
+++ b/src/test/java/nettlewick/tenantpools/ProviderClientTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Calls of many threads to a provider that answers at once. */
+/** Requests from many threads to a provider that responds immediately. */
 @Timeout(60)
 class ProviderClientTest {
     private static final int CALLS_PER_CALLER = 200;
@@ -26,16 +26,16 @@
     private Vertx vertx;
 
     @BeforeEach
-    void open() {
+    void createVertx() {
         vertx = Vertx.vertx();
     }
 
     @AfterEach
-    void close() throws Exception {
+    void closeVertx() throws Exception {
         StubPlatform.awaitResult(vertx.close());
     }
 
-    private URI listen() throws Exception {
+    private URI startProvider() throws Exception {
         HttpServer server = vertx.createHttpServer()
                 .requestHandler(request -> request.response()
                         .setStatusCode(STATUS_PRECONDITION_FAILED)
@@ -56,13 +56,15 @@
         return answers;
     }
 
-    /** Guards against an answer that is taken for none, since its body was asked for after its end. */
+    /**
+     * Guards against a response that counts as missing because its body was requested after the end of the response.
+     */
     @Test
-    void everyAnswerIsReadHoweverLateTheCallerIsScheduled() throws Exception {
-        URI url = listen();
-        List<ProviderAnswer> unread = ConcurrentCallers.runOnEach(() -> callRepeatedly(url)).stream()
+    void everyAnswerIsReadEvenIfTheCallerIsScheduledLate() throws Exception {
+        URI url = startProvider();
+        List<ProviderAnswer> unexpected = ConcurrentCallers.runOnEach(() -> callRepeatedly(url)).stream()
                 .filter(answer -> !(answer instanceof ProviderAnswer.VersionConflict))
                 .toList();
-        assertEquals(List.of(), unread);
+        assertEquals(List.of(), unexpected);
     }
 }
