--- a/src/test/java/nettlewick/waiting/CrashRecoveryTest.java
+++ b/src/test/java/nettlewick/waiting/CrashRecoveryTest.java
@@ -96,9 +96,9 @@
         int number = 0;
         double now = 1_000_000;
         while (crashes < 300) {
-            int[] commitsLeft = {4 + random.nextInt(12)};
+            int[] faultPointsLeft = {4 + random.nextInt(12)};
             try (WaitStore store = WaitStore.open(directory, name -> {
-                if (commitsLeft[0]-- == 0) {
+                if (faultPointsLeft[0]-- == 0) {
                     throw new Crash();
                 }
             })) {
--- a/src/test/java/nettlewick/waiting/DependencyTrackerTest.java
+++ b/src/test/java/nettlewick/waiting/DependencyTrackerTest.java
@@ -88,20 +88,20 @@
      * A predecessor that fails just before, and one that fails just after, its successor is accepted.
      */
     @Test
-    void aPredecessorThatFailsWhileItsSuccessorIsAcceptedEndsItEitherWay() throws Exception {
+    void aPredecessorThatFailsWhileItsSuccessorIsAcceptedFinishesItOnce() throws Exception {
         for (boolean failsFirst : new boolean[] {true, false}) {
-            DependencyTracker other = new DependencyTracker(LARGE_LIMITS);
-            other.accept(spec("a", OnFailure.FAIL), 0);
+            DependencyTracker newTracker = new DependencyTracker(LARGE_LIMITS);
+            newTracker.accept(spec("a", OnFailure.FAIL), 0);
             List<Effect> effects = new ArrayList<>();
             if (failsFirst) {
-                effects.addAll(other.jobFinished("id-a", Result.FAILED, 1));
-                effects.addAll(other.accept(spec("b", OnFailure.FAIL, "a"), 1));
+                effects.addAll(newTracker.jobFinished("id-a", Result.FAILED, 1));
+                effects.addAll(newTracker.accept(spec("b", OnFailure.FAIL, "a"), 1));
             } else {
-                effects.addAll(other.accept(spec("b", OnFailure.FAIL, "a"), 1));
-                effects.addAll(other.jobFinished("id-a", Result.FAILED, 1));
+                effects.addAll(newTracker.accept(spec("b", OnFailure.FAIL, "a"), 1));
+                effects.addAll(newTracker.jobFinished("id-a", Result.FAILED, 1));
             }
             assertEquals(1, finished(effects).size());
-            assertEquals(0, other.size());
+            assertEquals(0, newTracker.size());
         }
     }
 
@@ -133,17 +133,17 @@
     @Test
     void aChainAndAFanOutOfTenThousandJobsFinishWithoutRecursion() throws Exception {
         for (boolean chain : new boolean[] {true, false}) {
-            DependencyTracker other = new DependencyTracker(LARGE_LIMITS);
-            other.accept(spec("0", OnFailure.FAIL), 0);
+            DependencyTracker newTracker = new DependencyTracker(LARGE_LIMITS);
+            newTracker.accept(spec("0", OnFailure.FAIL), 0);
             for (int i = 1; i <= 10_000; i++) {
                 // The chain is built from its last job, so that the search for cycles ends at once.
                 String name = chain ? Integer.toString(10_001 - i) : Integer.toString(i);
                 String predecessors = chain ? Integer.toString(10_000 - i) : "0";
-                other.accept(spec(name, OnFailure.FAIL, predecessors), 0);
+                newTracker.accept(spec(name, OnFailure.FAIL, predecessors), 0);
             }
             List<Effect>[] effects = new List[1];
             Thread small = new Thread(
-                    null, () -> effects[0] = other.jobFinished("id-0", Result.FAILED, 1), "small", 128 * 1024);
+                    null, () -> effects[0] = newTracker.jobFinished("id-0", Result.FAILED, 1), "small", 128 * 1024);
             small.start();
             small.join();
             List<Finished> all = finished(effects[0]);
@@ -151,7 +151,7 @@
             assertEquals(10_000, all.stream().map(Finished::id).distinct().count());
             assertTrue(all.stream()
                     .allMatch(d -> d.cause().contains("0 failed") && d.cause().length() < 80));
-            assertEquals(0, other.size());
+            assertEquals(0, newTracker.size());
         }
     }
 
@@ -227,7 +227,7 @@
     @Property(tries = 300, seed = "51")
     void eachJobFinishesOnceInAnOrderThatTheGraphAllows(@ForAll long seed) {
         Random random = new Random(seed);
-        DependencyTracker other = new DependencyTracker(LARGE_LIMITS);
+        DependencyTracker newTracker = new DependencyTracker(LARGE_LIMITS);
         Map<String, JobSpec> accepted = new HashMap<>();
         Map<String, Boolean> results = new HashMap<>();
         Set<String> released = new HashSet<>();
@@ -256,7 +256,7 @@
                         OnFailure.values()[random.nextInt(3)],
                         1);
                 try {
-                    effects = other.accept(spec, now);
+                    effects = newTracker.accept(spec, now);
                     accepted.put(spec.id(), spec);
                     if (spec.name() != null) {
                         results.remove(spec.name());
@@ -275,27 +275,28 @@
                 if (accepted.get(id).name() != null && result != Result.REFUSED) {
                     results.put(accepted.get(id).name(), result == Result.SUCCEEDED);
                 }
-                effects = other.jobFinished(id, result, now);
+                effects = newTracker.jobFinished(id, result, now);
             } else if (choice == 8 && !accepted.isEmpty()) {
-                effects = other.cancel("j" + random.nextInt(step + 1), now);
+                effects = newTracker.cancel("j" + random.nextInt(step + 1), now);
             } else {
-                effects = other.peerReported(new DependencyTracker.JobName("m", "n" + random.nextInt(12)), true, now);
+                effects = newTracker.peerReported(
+                        new DependencyTracker.JobName("m", "n" + random.nextInt(12)), true, now);
                 // The order after results that peers report is not checked.
             }
             apply(effects, accepted, released, outcomes, timers, now);
             for (Timer timer : List.copyOf(timers)) {
                 if (timer.at() <= now) {
                     timers.remove(timer);
-                    apply(other.onTimer(timer.id(), now), accepted, released, outcomes, timers, now);
+                    apply(newTracker.onTimer(timer.id(), now), accepted, released, outcomes, timers, now);
                 }
             }
         }
         // After all wait times, only released jobs without a result are left.
         now += 1000;
         for (Timer timer : List.copyOf(timers)) {
-            apply(other.onTimer(timer.id(), now), accepted, released, outcomes, timers, now);
+            apply(newTracker.onTimer(timer.id(), now), accepted, released, outcomes, timers, now);
         }
-        assertEquals(released.size(), other.size());
+        assertEquals(released.size(), newTracker.size());
     }
 
     private static void apply(
--- a/src/test/java/nettlewick/waiting/ReleaseQueueTest.java
+++ b/src/test/java/nettlewick/waiting/ReleaseQueueTest.java
@@ -63,7 +63,7 @@
         ReleaseQueue queue = new ReleaseQueue(agingMillis, QUANTUM, 1, 1);
         Map<String, Double> readyAt = new HashMap<>();
         Map<String, Double> longestWaits = new HashMap<>();
-        String released = null;
+        String runningJob = null;
         double freeAt = 0;
         double offeredWork = 0;
         int number = 0;
@@ -84,18 +84,18 @@
                 readyAt.put(id, now);
                 waitingLightJobs.add(id);
             }
-            if (released != null && now >= freeAt) {
-                queue.jobFinished(released, true);
-                released = null;
+            if (runningJob != null && now >= freeAt) {
+                queue.jobFinished(runningJob, true);
+                runningJob = null;
             }
-            if (released == null) {
+            if (runningJob == null) {
                 List<String> jobs = queue.release(now);
                 if (!jobs.isEmpty()) {
-                    released = jobs.get(0);
+                    runningJob = jobs.get(0);
                     freeAt = now + 10;
-                    double waited = now - readyAt.remove(released);
-                    longestWaits.merge(released.substring(0, 1), waited, Math::max);
-                    waitingLightJobs.remove(released);
+                    double waited = now - readyAt.remove(runningJob);
+                    longestWaits.merge(runningJob.substring(0, 1), waited, Math::max);
+                    waitingLightJobs.remove(runningJob);
                 }
             }
         }
