--- a/src/main/java/nettlewick/sqlite/Database.java
+++ b/src/main/java/nettlewick/sqlite/Database.java
@@ -12,12 +12,12 @@
 import org.sqlite.SQLiteErrorCode;
 
 /**
- * One SQLite file in WAL mode. Several processes may open it; one object belongs to one thread. What {@link #change}
+ * One SQLite file in WAL mode. Several processes may open it; one object belongs to one thread. What {@link #inTransaction}
  * does is one transaction, and durable when it returns.
  */
 public final class Database implements AutoCloseable {
     /** How long to wait for another process's transaction. */
-    private static final int BUSY_MILLIS = 5000;
+    private static final int BUSY_TIMEOUT_MILLIS = 5000;
 
     /** Work on the database that returns a result. */
     public interface Work<T> {
@@ -31,14 +31,14 @@
         void reach(String name) throws IOException;
     }
 
-    private final String what;
+    private final String description;
     private final Connection connection;
-    private final FaultPoint point;
+    private final FaultPoint faultPoint;
 
-    private Database(String what, Connection connection, FaultPoint point) {
-        this.what = what;
+    private Database(String description, Connection connection, FaultPoint faultPoint) {
+        this.description = description;
         this.connection = connection;
-        this.point = point;
+        this.faultPoint = faultPoint;
     }
 
     /**
@@ -46,30 +46,31 @@
      *
      * @param what the file's name in messages, such as "the ledger"
      */
-    public static Database open(Path file, boolean readOnly, String what, FaultPoint point) throws StoreException {
+    public static Database open(Path file, boolean readOnly, String description, FaultPoint faultPoint)
+            throws StoreException {
         SQLiteConfig config = new SQLiteConfig();
         config.setJournalMode(SQLiteConfig.JournalMode.WAL);
         config.setSynchronous(SQLiteConfig.SynchronousMode.FULL);
         config.setTransactionMode(SQLiteConfig.TransactionMode.IMMEDIATE);
-        config.setBusyTimeout(BUSY_MILLIS);
+        config.setBusyTimeout(BUSY_TIMEOUT_MILLIS);
         config.setReadOnly(readOnly);
         try {
             if (!readOnly) {
                 Files.createDirectories(file.toAbsolutePath().getParent());
-                point.reach("open");
+                faultPoint.reach("open");
             }
-            return new Database(what, config.createConnection("jdbc:sqlite:" + file), point);
+            return new Database(description, config.createConnection("jdbc:sqlite:" + file), faultPoint);
         } catch (SQLException e) {
-            throw failure(what, "opened", e);
+            throw failure(description, "opened", e);
         } catch (IOException e) {
-            throw new StoreException("the folder of " + what + " cannot be used: " + e, e, false);
+            throw new StoreException("the folder of " + description + " cannot be used: " + e, e, false);
         }
     }
 
-    private static StoreException failure(String what, String done, SQLException e) {
+    private static StoreException failure(String description, String action, SQLException e) {
         int code = e.getErrorCode() & 0xff;
         boolean damaged = code == SQLiteErrorCode.SQLITE_CORRUPT.code || code == SQLiteErrorCode.SQLITE_NOTADB.code;
-        return new StoreException(what + " cannot be " + done + ": " + e.getMessage(), e, damaged);
+        return new StoreException(description + " cannot be " + action + ": " + e.getMessage(), e, damaged);
     }
 
     /**
@@ -78,26 +79,26 @@
      * @param done what was attempted, as a participle for the message
      * @param undo restores the caller's own state where the transaction fails
      */
-    public <T> T inTransaction(String done, Runnable undo, Work<T> work) throws StoreException {
+    public <T> T inTransaction(String action, Runnable onRollback, Work<T> work) throws StoreException {
         try {
             connection.setAutoCommit(false);
             try {
                 T result = work.run();
-                point.reach("commit");
+                faultPoint.reach("commit");
                 connection.commit();
-                point.reach("committed");
+                faultPoint.reach("committed");
                 return result;
             } catch (SQLException | IOException | RuntimeException | Error e) {
-                undo.run();
+                onRollback.run();
                 connection.rollback();
                 throw e;
             } finally {
                 connection.setAutoCommit(true);
             }
         } catch (SQLException e) {
-            throw failure(what, done, e);
+            throw failure(description, action, e);
         } catch (IOException e) {
-            throw new StoreException(what + " cannot be " + done + ": " + e.getMessage(), e, false);
+            throw new StoreException(description + " cannot be " + action + ": " + e.getMessage(), e, false);
         }
     }
 
@@ -106,17 +107,17 @@
         try {
             return work.run();
         } catch (SQLException e) {
-            throw failure(what, "read", e);
+            throw failure(description, "read", e);
         } catch (IOException | IllegalArgumentException e) {
-            throw new StoreException(what + " cannot be read: " + e.getMessage(), e, true);
+            throw new StoreException(description + " cannot be read: " + e.getMessage(), e, true);
         }
     }
 
     /** Runs statements that create tables. */
     public void createTables(String... statements) throws SQLException {
-        try (Statement s = connection.createStatement()) {
-            for (String table : statements) {
-                s.execute(table);
+        try (Statement sql = connection.createStatement()) {
+            for (String statement : statements) {
+                sql.execute(statement);
             }
         }
     }
