--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -83,7 +83,7 @@
                 EventStreamConfig.of(settings.block("edge").orElseThrow());
         DispatcherServer server = new DispatcherServer(
                         config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
-                .recordUsageWith(ledger.books())
+                .recordUsageWith(ledger.ledger())
                 .serveOperatorsWith(AdminFrontend::new);
         StubPlatform.get(server.start());
         Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -48,15 +48,15 @@
         LedgerAdmin admin = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
         try {
             return run(admin);
-        } catch (LedgerAdmin.Refused e) {
-            throw new UsageException(e.misuse() ? Main.USAGE_ERROR : Main.FAILED, e.getMessage());
+        } catch (LedgerAdmin.CommandException e) {
+            throw new UsageException(e.isUsageError() ? Main.USAGE_ERROR : Main.FAILED, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.FAILED;
         }
     }
 
-    private int run(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int run(LedgerAdmin admin) throws LedgerAdmin.CommandException, InterruptedException {
         return switch (arguments.get(0)) {
             case "statement" -> statement(admin, optionalArgument(1, 2));
             case "close" -> close(admin, requiredArgument(1, 2, "PERIOD"));
@@ -71,13 +71,13 @@
         };
     }
 
-    private int archive(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int archive(LedgerAdmin admin) throws LedgerAdmin.CommandException, InterruptedException {
         String period = requiredArgument(1, 3, "PERIOD FILE");
         Path archive = Path.of(requiredArgument(2, 3, "PERIOD FILE"));
         return printMoved("archived", period, admin.archive(period, archive));
     }
 
-    private int restore(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int restore(LedgerAdmin admin) throws LedgerAdmin.CommandException, InterruptedException {
         String period = requiredArgument(1, 3, "PERIOD [FILE]");
         String archive = optionalArgument(2, 3);
         return printMoved("restored", period, admin.restore(period, archive == null ? null : Path.of(archive)));
@@ -105,7 +105,7 @@
         System.out.print(json ? gson.toJson(object) + "\n" : text);
     }
 
-    private int statement(LedgerAdmin admin, String period) throws LedgerAdmin.Refused {
+    private int statement(LedgerAdmin admin, String period) throws LedgerAdmin.CommandException {
         List<Statement> statements =
                 admin.statements(period).stream().map(this::forTenant).toList();
         String text = statements.stream().map(StatementText::of).collect(Collectors.joining());
@@ -120,20 +120,20 @@
                         s.period(),
                         s.closed(),
                         s.open(),
-                        s.rows().stream().filter(r -> r.member().equals(tenant)).toList(),
-                        s.late().stream().filter(l -> l.member().equals(tenant)).toList(),
+                        s.rows().stream().filter(r -> r.tenant().equals(tenant)).toList(),
+                        s.late().stream().filter(l -> l.tenant().equals(tenant)).toList(),
                         s.gaps(),
                         s.voided());
     }
 
-    private int close(LedgerAdmin admin, String period) throws LedgerAdmin.Refused, InterruptedException {
+    private int close(LedgerAdmin admin, String period) throws LedgerAdmin.CommandException, InterruptedException {
         admin.close(period, by.isBlank() ? System.getProperty("user.name") : by);
         print(Map.of("closed", period), "period " + period + " is closed\n");
         return 0;
     }
 
     private int correct(LedgerAdmin admin, String entry, String value)
-            throws LedgerAdmin.Refused, InterruptedException {
+            throws LedgerAdmin.CommandException, InterruptedException {
         long work;
         try {
             work = StatementText.parseMillis(value);
@@ -147,7 +147,7 @@
         return 0;
     }
 
-    private int export(LedgerAdmin admin, String name) throws LedgerAdmin.Refused, InterruptedException {
+    private int export(LedgerAdmin admin, String name) throws LedgerAdmin.CommandException, InterruptedException {
         Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("export", "batches", "entries", "tries", "fault");
         boolean[] failed = new boolean[1];
@@ -160,7 +160,7 @@
         return failed[0] ? Main.FAILED : 0;
     }
 
-    private int reconcile(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int reconcile(LedgerAdmin admin) throws LedgerAdmin.CommandException, InterruptedException {
         Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("peer", "entries", "origins", "forks", "faults");
         boolean[] failed = new boolean[1];
@@ -178,7 +178,7 @@
         return failed[0] ? Main.FAILED : 0;
     }
 
-    private int verify(LedgerAdmin admin) throws LedgerAdmin.Refused {
+    private int verify(LedgerAdmin admin) throws LedgerAdmin.CommandException {
         List<String> faults = admin.verify();
         print(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults) + "\n");
         return faults.isEmpty() ? 0 : Main.FAILED;
--- a/src/main/java/nettlewick/cli/SettingsFileFeatures.java
+++ b/src/main/java/nettlewick/cli/SettingsFileFeatures.java
@@ -77,7 +77,7 @@
 
     @Override
     public UsageRecorder usageRecorder() {
-        return ledger == null ? UsageRecorder.NONE : ledger.books();
+        return ledger == null ? UsageRecorder.NONE : ledger.ledger();
     }
 
     @Override
--- a/src/main/java/nettlewick/cli/StatementText.java
+++ b/src/main/java/nettlewick/cli/StatementText.java
@@ -71,8 +71,8 @@
         statement
                 .rows()
                 .forEach(r -> table.addRow(
-                        r.member(),
-                        r.jobClass(),
+                        r.tenant(),
+                        r.requestClass(),
                         r.served(),
                         r.refused(),
                         r.failed(),
@@ -89,7 +89,8 @@
         TextTable table = new TextTable("found after the close of", "member", "class", "entries", "slot-ms");
         statement
                 .late()
-                .forEach(l -> table.addRow(l.closed(), l.member(), l.jobClass(), l.entries(), formatMillis(l.work())));
+                .forEach(l ->
+                        table.addRow(l.closed(), l.tenant(), l.requestClass(), l.entries(), formatMillis(l.work())));
         return table;
     }
 
--- a/src/main/java/nettlewick/ledger/Archive.java
+++ b/src/main/java/nettlewick/ledger/Archive.java
@@ -18,7 +18,7 @@
 /** A period's entries in one compressed file, each as its bytes with their length before them. */
 final class Archive {
     private static final int MAGIC = 0x4e574131;
-    private static final int ENTRY_MOST = 1 << 20;
+    private static final int MAX_ENTRY_BYTES = 1 << 20;
 
     private Archive() {}
 
@@ -28,30 +28,30 @@
         try (DataOutputStream out = new DataOutputStream(new GZIPOutputStream(bytes, 1 << 16))) {
             out.writeInt(MAGIC);
             for (Entry entry : entries) {
-                byte[] one = entry.bytes();
-                out.writeInt(one.length);
-                out.write(one);
+                byte[] encoded = entry.toBytes();
+                out.writeInt(encoded.length);
+                out.write(encoded);
             }
         }
-        Path beside = file.resolveSibling(file.getFileName() + ".part");
+        Path temporary = file.resolveSibling(file.getFileName() + ".part");
         Files.createDirectories(file.toAbsolutePath().getParent());
-        Files.write(beside, bytes.toByteArray());
+        Files.write(temporary, bytes.toByteArray());
         faults.at("archive-written");
-        try (FileChannel channel = FileChannel.open(beside, StandardOpenOption.WRITE)) {
+        try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.WRITE)) {
             channel.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel channel = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
             channel.force(true);
         }
         faults.at("archive-renamed");
-        return BatchCodec.sum(bytes.toByteArray());
+        return BatchCodec.sha256(bytes.toByteArray());
     }
 
     /** The entries of a file whose bytes have that sum. */
-    static List<Entry> read(Path file, String sum) throws IOException {
+    static List<Entry> read(Path file, String sha256) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
-        if (!BatchCodec.sum(bytes).equals(sum)) {
+        if (!BatchCodec.sha256(bytes).equals(sha256)) {
             throw new IOException(file + " is not the file that was written: its sum is another");
         }
         List<Entry> entries = new ArrayList<>();
@@ -67,10 +67,10 @@
                 } catch (EOFException e) {
                     return entries;
                 }
-                if (length <= 0 || length > ENTRY_MOST) {
+                if (length <= 0 || length > MAX_ENTRY_BYTES) {
                     throw new IOException(file + " holds an entry of " + length + " bytes");
                 }
-                entries.add(Entry.of(in.readNBytes(length)));
+                entries.add(Entry.fromBytes(in.readNBytes(length)));
             }
         }
     }
--- a/src/main/java/nettlewick/ledger/Backoff.java
+++ b/src/main/java/nettlewick/ledger/Backoff.java
@@ -6,20 +6,20 @@
  * Pauses between tries: each is drawn between half and the whole of a bound that doubles up to the longest.
  */
 final class Backoff {
-    private final double first;
-    private final double longest;
+    private final double firstPauseMillis;
+    private final double maxPauseMillis;
     private final RandomGenerator random;
     private int failures;
 
-    Backoff(double first, double longest, RandomGenerator random) {
-        this.first = first;
-        this.longest = longest;
+    Backoff(double firstPauseMillis, double maxPauseMillis, RandomGenerator random) {
+        this.firstPauseMillis = firstPauseMillis;
+        this.maxPauseMillis = maxPauseMillis;
         this.random = random;
     }
 
     /** Milliseconds to wait after one more failure. */
-    double next() {
-        double bound = Math.min(longest, first * Math.pow(2, Math.min(failures++, 60)));
+    double nextPauseMillis() {
+        double bound = Math.min(maxPauseMillis, firstPauseMillis * Math.pow(2, Math.min(failures++, 60)));
         return bound * (0.5 + random.nextDouble() / 2);
     }
 
--- a/src/main/java/nettlewick/ledger/BatchCodec.java
+++ b/src/main/java/nettlewick/ledger/BatchCodec.java
@@ -50,12 +50,12 @@
                 CSVPrinter printer = new CSVPrinter(
                         out, CSVFormat.RFC4180.builder().setHeader(COLUMNS).get());
                 for (Entry e : entries) {
-                    printer.printRecord(values(e));
+                    printer.printRecord(columnValues(e));
                 }
                 printer.flush();
             } else {
                 for (Entry e : entries) {
-                    json(out, e);
+                    writeJson(out, e);
                 }
             }
         } catch (IOException e) {
@@ -64,9 +64,9 @@
         return bytes.toByteArray();
     }
 
-    private static void json(Writer out, Entry e) throws IOException {
+    private static void writeJson(Writer out, Entry e) throws IOException {
         JsonWriter json = new JsonWriter(out);
-        Object[] values = values(e);
+        Object[] values = columnValues(e);
         json.beginObject();
         for (int i = 0; i < COLUMNS.length; i++) {
             if (values[i] != null) {
@@ -83,48 +83,48 @@
         out.write('\n');
     }
 
-    private static Object[] values(Entry e) {
+    private static Object[] columnValues(Entry e) {
         EntryRef r = e.ref();
         return new Object[] {
             r.origin().dispatcher(),
-            r.origin().life(),
+            r.origin().incarnation(),
             r.number(),
-            word(e.kind()),
-            time(e.at()),
-            e.member(),
-            e.jobClass(),
-            e.request(),
-            e.key(),
-            word(e.end()),
-            slotMillis(e.work()),
-            e.estimate() ? 1 : 0,
-            slotMillis(e.spare()),
-            e.attempts(),
-            e.kind() == Entry.Kind.GAP ? e.job() : 1,
+            lowerCaseName(e.kind()),
+            formatTime(e.timeMillis()),
+            e.tenant(),
+            e.requestClass(),
+            e.requestId(),
+            e.keyHash(),
+            lowerCaseName(e.ending()),
+            formatSlotMillis(e.workSlotMicros()),
+            e.isEstimate() ? 1 : 0,
+            formatSlotMillis(e.extraWorkSlotMicros()),
+            e.attemptCount(),
+            e.kind() == Entry.Kind.GAP ? e.requestNumber() : 1,
             e.target(),
-            e.by(),
-            e.kind() == Entry.Kind.JOB ? e.text() : null,
-            e.kind() == Entry.Kind.JOB ? null : e.text()
+            e.requestedBy(),
+            e.kind() == Entry.Kind.JOB ? e.details() : null,
+            e.kind() == Entry.Kind.JOB ? null : e.details()
         };
     }
 
-    private static String word(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    static String time(double millis) {
+    static String formatTime(double millis) {
         return Instant.ofEpochMilli((long) Math.floor(millis)).toString();
     }
 
     /** Slot-milliseconds, with three decimals. */
-    static String slotMillis(long micros) {
+    static String formatSlotMillis(long micros) {
         return (micros < 0 ? "-" : "")
                 + Math.abs(micros) / 1000
                 + '.'
                 + String.format(Locale.ROOT, "%03d", Math.abs(micros) % 1000);
     }
 
-    static String sum(byte[] bytes) {
+    static String sha256(byte[] bytes) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (NoSuchAlgorithmException e) {
--- a/src/main/java/nettlewick/ledger/Terms.java
+++ b/src/main/java/nettlewick/ledger/BillingCalendar.java
@@ -15,10 +15,10 @@
  * own,
  * and before the first and after the last one it is billed by calendar month. Periods are half-open.
  */
-public final class Terms {
+public final class BillingCalendar {
     /** From {@code from} on, before {@code to}; Unix milliseconds. */
     public record Period(String name, double from, double to) {
-        boolean holds(double at) {
+        boolean contains(double at) {
             return at >= from && at < to;
         }
     }
@@ -29,10 +29,10 @@
     private final ZoneId zone;
     private final List<Period> terms = new ArrayList<>();
     /** The one found last: nearly all questions are about the present. */
-    private volatile Period last;
+    private volatile Period lastFound;
 
     /** IllegalArgumentException where terms overlap, are empty, or share a name. */
-    public Terms(ZoneId zone, List<Term> given) {
+    public BillingCalendar(ZoneId zone, List<Term> given) {
         this.zone = zone;
         for (Term term : given.stream().sorted(Comparator.comparing(Term::from)).toList()) {
             if (!term.from().isBefore(term.to())) {
@@ -60,25 +60,26 @@
     }
 
     /** The period that a time belongs to. */
-    public Period at(double time) {
-        Period known = last;
-        if (known == null || !known.holds(time)) {
-            known = find(time);
-            last = known;
+    public Period periodAt(double timeMillis) {
+        Period period = lastFound;
+        if (period == null || !period.contains(timeMillis)) {
+            period = computePeriod(timeMillis);
+            lastFound = period;
         }
-        return known;
+        return period;
     }
 
-    private Period find(double time) {
+    private Period computePeriod(double timeMillis) {
         for (Period term : terms) {
-            if (term.holds(time)) {
+            if (term.contains(timeMillis)) {
                 return term;
             }
         }
-        YearMonth month = YearMonth.from(ZonedDateTime.ofInstant(Instant.ofEpochMilli((long) Math.floor(time)), zone));
+        YearMonth month =
+                YearMonth.from(ZonedDateTime.ofInstant(Instant.ofEpochMilli((long) Math.floor(timeMillis)), zone));
         double from = midnight(month.atDay(1));
         double to = midnight(month.plusMonths(1).atDay(1));
-        if (!terms.isEmpty() && time >= terms.get(terms.size() - 1).to()) {
+        if (!terms.isEmpty() && timeMillis >= terms.get(terms.size() - 1).to()) {
             double last = terms.get(terms.size() - 1).to();
             // The rest of a month in which the last term ends; its first part may be a month's name already.
             return last > from ? new Period(month + "-rest", last, to) : new Period(month.toString(), from, to);
@@ -90,12 +91,12 @@
     }
 
     /** The period that follows. */
-    public Period after(Period period) {
-        return at(period.to());
+    public Period periodAfter(Period period) {
+        return periodAt(period.to());
     }
 
     /** The period of a name: a term's, or a month's such as 2026-11. */
-    public Optional<Period> named(String name) {
+    public Optional<Period> periodNamed(String name) {
         Optional<Period> term =
                 terms.stream().filter(p -> p.name().equals(name)).findFirst();
         if (term.isPresent()) {
@@ -104,7 +105,7 @@
         try {
             boolean rest = name.endsWith("-rest");
             YearMonth month = YearMonth.parse(rest ? name.substring(0, name.length() - 5) : name);
-            Period found = at(rest ? midnight(month.plusMonths(1).atDay(1)) - 1 : midnight(month.atDay(1)));
+            Period found = periodAt(rest ? midnight(month.plusMonths(1).atDay(1)) - 1 : midnight(month.atDay(1)));
             return found.name().equals(name) ? Optional.of(found) : Optional.empty();
         } catch (java.time.format.DateTimeParseException e) {
             return Optional.empty();
--- a/src/main/java/nettlewick/ledger/ChainOrigin.java
+++ b/src/main/java/nettlewick/ledger/ChainOrigin.java
@@ -1,11 +1,13 @@
 package nettlewick.ledger;
 
+import com.google.gson.annotations.SerializedName;
 import java.util.Comparator;
 
 /** Who wrote a chain of entries: a dispatcher by name, and one life of it. */
-public record ChainOrigin(String dispatcher, long life) implements Comparable<ChainOrigin> {
+public record ChainOrigin(
+        String dispatcher, @SerializedName("life") long incarnation) implements Comparable<ChainOrigin> {
     private static final Comparator<ChainOrigin> ORDER =
-            Comparator.comparing(ChainOrigin::dispatcher).thenComparingLong(ChainOrigin::life);
+            Comparator.comparing(ChainOrigin::dispatcher).thenComparingLong(ChainOrigin::incarnation);
 
     @Override
     public int compareTo(ChainOrigin other) {
@@ -14,6 +16,6 @@
 
     @Override
     public String toString() {
-        return dispatcher + "/" + life;
+        return dispatcher + "/" + incarnation;
     }
 }
--- a/src/main/java/nettlewick/ledger/Entry.java
+++ b/src/main/java/nettlewick/ledger/Entry.java
@@ -31,24 +31,24 @@
 public record Entry(
         EntryRef ref,
         Kind kind,
-        double at,
-        String member,
-        String jobClass,
-        String request,
-        String key,
-        Ending end,
-        long work,
-        boolean estimate,
-        long spare,
-        int attempts,
-        long job,
+        double timeMillis,
+        String tenant,
+        String requestClass,
+        String requestId,
+        String keyHash,
+        Ending ending,
+        long workSlotMicros,
+        boolean isEstimate,
+        long extraWorkSlotMicros,
+        int attemptCount,
+        long requestNumber,
         EntryRef target,
-        String by,
-        String text) {
+        String requestedBy,
+        String details) {
     /** Longest text of any field: the form on the wire holds no longer ones. */
-    static final int TEXT_MOST = 20_000;
+    static final int MAX_TEXT_LENGTH = 20_000;
 
-    private static final int FORM = 1;
+    private static final int FORMAT_VERSION = 1;
 
     /** What an entry says. */
     public enum Kind {
@@ -70,11 +70,11 @@
                 ref,
                 Kind.CORRECTION,
                 at,
-                target.member,
-                target.jobClass,
-                target.request,
-                target.key,
-                target.end,
+                target.tenant,
+                target.requestClass,
+                target.requestId,
+                target.keyHash,
+                target.ending,
                 work,
                 false,
                 0,
@@ -92,7 +92,8 @@
     }
 
     /** The dispatcher's part of a period is what the vector covers. */
-    static Entry close(EntryRef ref, double at, Terms.Period period, Map<ChainOrigin, Long> vector, String by) {
+    static Entry close(
+            EntryRef ref, double at, BillingCalendar.Period period, Map<ChainOrigin, Long> lastNumbers, String by) {
         return new Entry(
                 ref,
                 Kind.CLOSE,
@@ -109,14 +110,14 @@
                 0,
                 null,
                 by,
-                new Close(period, vector).text());
+                new Close(period, lastNumbers).format());
     }
 
     /** What a close says: the period and, for each origin, the last number that was held. */
-    public record Close(Terms.Period period, Map<ChainOrigin, Long> vector) {
-        private String text() {
+    public record Close(BillingCalendar.Period period, Map<ChainOrigin, Long> lastNumbers) {
+        private String format() {
             StringBuilder text = new StringBuilder(period.name() + " " + period.from() + " " + period.to());
-            new TreeMap<>(vector)
+            new TreeMap<>(lastNumbers)
                     .forEach((origin, number) ->
                             text.append('\n').append(origin).append('/').append(number));
             return text.toString();
@@ -125,82 +126,97 @@
         static Close parse(String text) {
             String[] lines = text.split("\n");
             String[] head = lines[0].split(" ");
-            Map<ChainOrigin, Long> vector = new TreeMap<>();
+            Map<ChainOrigin, Long> lastNumbers = new TreeMap<>();
             for (int i = 1; i < lines.length; i++) {
                 EntryRef last = EntryRef.parse(lines[i]);
-                vector.put(last.origin(), last.number());
+                lastNumbers.put(last.origin(), last.number());
             }
             return new Close(
-                    new Terms.Period(head[0], Double.parseDouble(head[1]), Double.parseDouble(head[2])), vector);
+                    new BillingCalendar.Period(head[0], Double.parseDouble(head[1]), Double.parseDouble(head[2])),
+                    lastNumbers);
         }
 
         boolean covers(EntryRef ref) {
-            return vector.getOrDefault(ref.origin(), 0L) >= ref.number();
+            return lastNumbers.getOrDefault(ref.origin(), 0L) >= ref.number();
         }
     }
 
     /** The close that this entry is. */
-    Close close() {
-        return Close.parse(text);
+    Close parseClose() {
+        return Close.parse(details);
     }
 
     /** The same entry at another place of a chain. */
-    Entry at(EntryRef place) {
+    Entry withRef(EntryRef newRef) {
         return new Entry(
-                place, kind, at, member, jobClass, request, key, end, work, estimate, spare, attempts, job, target, by,
-                text);
+                newRef,
+                kind,
+                timeMillis,
+                tenant,
+                requestClass,
+                requestId,
+                keyHash,
+                ending,
+                workSlotMicros,
+                isEstimate,
+                extraWorkSlotMicros,
+                attemptCount,
+                requestNumber,
+                target,
+                requestedBy,
+                details);
     }
 
     /** The same job with the name of its period. */
-    Entry in(Terms terms) {
+    Entry withPeriod(BillingCalendar calendar) {
         return kind != Kind.JOB
                 ? this
                 : new Entry(
                         ref,
                         kind,
-                        at,
-                        member,
-                        jobClass,
-                        request,
-                        key,
-                        end,
-                        work,
-                        estimate,
-                        spare,
-                        attempts,
-                        job,
+                        timeMillis,
+                        tenant,
+                        requestClass,
+                        requestId,
+                        keyHash,
+                        ending,
+                        workSlotMicros,
+                        isEstimate,
+                        extraWorkSlotMicros,
+                        attemptCount,
+                        requestNumber,
                         target,
-                        by,
-                        terms.at(at).name());
+                        requestedBy,
+                        calendar.periodAt(timeMillis).name());
     }
 
     /** Its bytes, the same on every machine; the chain is made over them. */
-    byte[] bytes() {
+    byte[] toBytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(FORM);
+            out.writeByte(FORMAT_VERSION);
             out.writeByte(kind.ordinal());
             out.writeUTF(ref.origin().dispatcher());
-            out.writeLong(ref.origin().life());
+            out.writeLong(ref.origin().incarnation());
             out.writeLong(ref.number());
-            out.writeDouble(at);
-            out.writeUTF(member);
-            out.writeUTF(jobClass);
-            out.writeUTF(request);
-            optional(out, key);
-            out.writeByte(end.ordinal());
-            out.writeLong(work);
-            out.writeBoolean(estimate);
-            out.writeLong(spare);
-            out.writeInt(attempts);
-            out.writeLong(job);
-            optional(out, target == null ? null : target.toString());
-            optional(out, by);
+            out.writeDouble(timeMillis);
+            out.writeUTF(tenant);
+            out.writeUTF(requestClass);
+            out.writeUTF(requestId);
+            writeOptional(out, keyHash);
+            out.writeByte(ending.ordinal());
+            out.writeLong(workSlotMicros);
+            out.writeBoolean(isEstimate);
+            out.writeLong(extraWorkSlotMicros);
+            out.writeInt(attemptCount);
+            out.writeLong(requestNumber);
+            writeOptional(out, target == null ? null : target.toString());
+            writeOptional(out, requestedBy);
             // Danger: writeUTF ends at 64 KiB, which the vector of a close passes with some thousand origins.
-            byte[] said = text == null ? null : text.getBytes(StandardCharsets.UTF_8);
-            out.writeInt(said == null ? -1 : said.length);
-            if (said != null) {
-                out.write(said);
+            byte[] encodedDetails = details == null ? null : details.getBytes(StandardCharsets.UTF_8);
+            out.writeInt(encodedDetails == null ? -1 : encodedDetails.length);
+            if (encodedDetails != null) {
+                out.write(encodedDetails);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -208,14 +224,14 @@
         return bytes.toByteArray();
     }
 
-    private static void optional(DataOutputStream out, String text) throws IOException {
+    private static void writeOptional(DataOutputStream out, String text) throws IOException {
         out.writeBoolean(text != null);
         if (text != null) {
             out.writeUTF(text);
         }
     }
 
-    private static String text(DataInputStream in) throws IOException {
+    private static String readText(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < -1 || length > in.available()) {
             throw new IllegalArgumentException("a text of " + length + " bytes");
@@ -223,14 +239,14 @@
         return length < 0 ? null : new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    private static String optional(DataInputStream in) throws IOException {
+    private static String readOptional(DataInputStream in) throws IOException {
         return in.readBoolean() ? in.readUTF() : null;
     }
 
-    /** Reads {@link #bytes}; IllegalArgumentException for anything else. */
-    static Entry of(byte[] bytes) {
+    /** Reads {@link #toBytes}; IllegalArgumentException for anything else. */
+    static Entry fromBytes(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            if (in.readByte() != FORM) {
+            if (in.readByte() != FORMAT_VERSION) {
                 throw new IllegalArgumentException("an entry of another version");
             }
             Kind kind = Kind.values()[in.readByte()];
@@ -242,16 +258,16 @@
                     in.readUTF(),
                     in.readUTF(),
                     in.readUTF(),
-                    optional(in),
+                    readOptional(in),
                     Ending.values()[in.readByte()],
                     in.readLong(),
                     in.readBoolean(),
                     in.readLong(),
                     in.readInt(),
                     in.readLong(),
-                    target(optional(in)),
-                    optional(in),
-                    text(in));
+                    parseTarget(readOptional(in)),
+                    readOptional(in),
+                    readText(in));
             if (in.read() >= 0) {
                 throw new IllegalArgumentException("bytes after an entry");
             }
@@ -261,7 +277,7 @@
         }
     }
 
-    private static EntryRef target(String text) {
+    private static EntryRef parseTarget(String text) {
         return text == null ? null : EntryRef.parse(text);
     }
 
@@ -273,24 +289,24 @@
         }
     });
 
-    /** The link of the chain that follows one with this hash ({@link #NO_HASH} before the first). */
-    static byte[] link(byte[] before, byte[] entry) {
+    /** The link of the chain that follows one with this hash ({@link #INITIAL_HASH} before the first). */
+    static byte[] chainHash(byte[] previousHash, byte[] entryBytes) {
         MessageDigest digest = DIGEST.get();
-        digest.update(before);
-        return digest.digest(entry);
+        digest.update(previousHash);
+        return digest.digest(entryBytes);
     }
 
     /** What stands before the first link. */
-    static final byte[] NO_HASH = new byte[32];
+    static final byte[] INITIAL_HASH = new byte[32];
 
     /** The hash under which a key is kept: 16 bytes of SHA-256, in hexadecimal. */
-    static String hash(String key) {
+    static String hashKey(String key) {
         byte[] all = DIGEST.get().digest(key.getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(all, 0, 16);
     }
 
     /** A text cut to what a field holds. */
-    static String fit(String text) {
-        return text == null ? "" : text.length() <= TEXT_MOST ? text : text.substring(0, TEXT_MOST);
+    static String truncate(String text) {
+        return text == null ? "" : text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH);
     }
 }
--- a/src/main/java/nettlewick/ledger/EntryRef.java
+++ b/src/main/java/nettlewick/ledger/EntryRef.java
@@ -5,11 +5,11 @@
 
 /** One entry: its origin, and its place in the origin's chain, from 1 on without holes. */
 public record EntryRef(ChainOrigin origin, long number) implements Comparable<EntryRef> {
-    private static final Pattern FORM = Pattern.compile("(.+)/(\\d{1,18})/(\\d{1,18})");
+    private static final Pattern FORMAT = Pattern.compile("(.+)/(\\d{1,18})/(\\d{1,18})");
 
     /** Reads {@code dispatcher/life/number}; IllegalArgumentException for anything else. */
     public static EntryRef parse(String text) {
-        Matcher m = FORM.matcher(text);
+        Matcher m = FORMAT.matcher(text);
         if (!m.matches()) {
             throw new IllegalArgumentException(text + " names no entry: an entry is DISPATCHER/LIFE/NUMBER");
         }
--- a/src/main/java/nettlewick/ledger/ExportSettings.java
+++ b/src/main/java/nettlewick/ledger/ExportSettings.java
@@ -12,12 +12,12 @@
         Path folder,
         URI url,
         boolean csv,
-        long most,
-        double every,
-        double timeout,
-        double firstPause,
-        double longestPause,
-        int attempts) {
+        long maxBatchEntries,
+        double intervalMillis,
+        double timeoutMillis,
+        double firstPauseMillis,
+        double maxPauseMillis,
+        int maxAttempts) {
     static ExportSettings of(Block export) {
         if (export.has("folder") == export.has("url")) {
             throw export.invalidValue("folder", "set, or a url in its place, and not both");
--- a/src/main/java/nettlewick/ledger/Exporter.java
+++ b/src/main/java/nettlewick/ledger/Exporter.java
@@ -18,7 +18,7 @@
 public final class Exporter {
     /** Waits between tries. */
     interface Pause {
-        void millis(double time) throws InterruptedException;
+        void sleep(double time) throws InterruptedException;
     }
 
     /** What one round did; {@code fault} is null, or why it ended early. */
@@ -29,7 +29,7 @@
 
     private final Store store;
     private final ExportSettings settings;
-    private final Target target;
+    private final ExportTarget target;
     private final Backoff backoff;
     private final Pause pause;
     private final FaultInjection faults;
@@ -37,7 +37,7 @@
     Exporter(
             Store store,
             ExportSettings settings,
-            Target target,
+            ExportTarget target,
             RandomGenerator random,
             Pause pause,
             FaultInjection faults) {
@@ -46,22 +46,22 @@
         this.target = target;
         this.pause = pause;
         this.faults = faults;
-        backoff = new Backoff(settings.firstPause(), settings.longestPause(), random);
+        backoff = new Backoff(settings.firstPauseMillis(), settings.maxPauseMillis(), random);
     }
 
     /** The target that the settings name. */
-    static Target target(ExportSettings settings, FaultInjection faults) {
+    static ExportTarget target(ExportSettings settings, FaultInjection faults) {
         return settings.folder() != null
                 ? new FileTarget(settings.folder(), faults)
-                : new HttpTarget(settings.url(), settings.timeout(), faults);
+                : new HttpTarget(settings.url(), settings.timeoutMillis(), faults);
     }
 
     /** A round, unless another process is at one. */
-    Report round() throws StoreException, InterruptedException {
+    Report runRound() throws StoreException, InterruptedException {
         Path file = store.folder().resolve("export-" + settings.name() + ".lock");
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.tryLock()) {
-            return lock == null ? BUSY : deliver();
+            return lock == null ? BUSY : deliverPending();
         } catch (OverlappingFileLockException e) {
             return BUSY;
         } catch (IOException e) {
@@ -70,53 +70,53 @@
     }
 
     /** Delivers all that there is, or until a batch could not be delivered in its tries. */
-    private Report deliver() throws StoreException, InterruptedException {
+    private Report deliverPending() throws StoreException, InterruptedException {
         long batches = 0;
         long entries = 0;
         int tries = 0;
         while (true) {
-            Store.Batch batch = store.pending(settings.name());
+            Store.Batch batch = store.pendingBatch(settings.name());
             if (batch == null) {
-                batch = store.cut(settings.name(), settings.most());
+                batch = store.cutBatch(settings.name(), settings.maxBatchEntries());
             }
             if (batch == null) {
                 return new Report(batches, entries, tries, null);
             }
-            Target.Parcel parcel = parcel(store, batch, settings.csv());
+            ExportTarget.OutgoingBatch outgoing = render(store, batch, settings.csv());
             backoff.reset();
             while (true) {
                 tries++;
                 try {
                     faults.at("deliver");
-                    target.deliver(parcel);
+                    target.deliver(outgoing);
                     faults.at("acknowledged");
                     break;
-                } catch (Target.Rejected e) {
+                } catch (ExportTarget.BatchRejectedException e) {
                     return new Report(batches, entries, tries, e.getMessage());
                 } catch (IOException e) {
-                    if (backoff.failures() + 1 >= settings.attempts()) {
+                    if (backoff.failures() + 1 >= settings.maxAttempts()) {
                         return new Report(
                                 batches,
                                 entries,
                                 tries,
                                 "batch " + batch.number()
                                         + " was not taken in "
-                                        + settings.attempts() + " tries: " + e);
+                                        + settings.maxAttempts() + " tries: " + e);
                     }
-                    pause.millis(backoff.next());
+                    pause.sleep(backoff.nextPauseMillis());
                 }
             }
-            store.delivered(batch);
+            store.markDelivered(batch);
             batches++;
             entries += batch.entries();
         }
     }
 
     /** A batch as it goes out, made from its entries; the same each time. */
-    static Target.Parcel parcel(Store store, Store.Batch batch, boolean csv) throws StoreException {
+    static ExportTarget.OutgoingBatch render(Store store, Store.Batch batch, boolean csv) throws StoreException {
         List<Entry> entries = new ArrayList<>();
         for (Store.Range range : batch.ranges()) {
-            ChainOrigin origin = new ChainOrigin(store.dispatcher(), range.life());
+            ChainOrigin origin = new ChainOrigin(store.dispatcher(), range.incarnation());
             for (Store.Row row : store.rows(origin, range.from(), range.to())) {
                 if (row.bytes() == null) {
                     throw new StoreException(
@@ -124,11 +124,17 @@
                             null,
                             false);
                 }
-                entries.add(Entry.of(row.bytes()));
+                entries.add(Entry.fromBytes(row.bytes()));
             }
         }
         byte[] bytes = BatchCodec.render(entries, csv);
-        return new Target.Parcel(
-                store.dispatcher(), batch.export(), batch.number(), csv, entries.size(), bytes, BatchCodec.sum(bytes));
+        return new ExportTarget.OutgoingBatch(
+                store.dispatcher(),
+                batch.export(),
+                batch.number(),
+                csv,
+                entries.size(),
+                bytes,
+                BatchCodec.sha256(bytes));
     }
 }
--- a/src/main/java/nettlewick/ledger/FileTarget.java
+++ b/src/main/java/nettlewick/ledger/FileTarget.java
@@ -15,7 +15,7 @@
  * the
  * same way. A batch is there when its manifest is; a file without one is not to be read yet.
  */
-final class FileTarget implements Target {
+final class FileTarget implements ExportTarget {
     private final Path folder;
     private final FaultInjection faults;
 
@@ -25,38 +25,38 @@
     }
 
     @Override
-    public void deliver(Parcel p) throws IOException {
+    public void deliver(OutgoingBatch batch) throws IOException {
         Files.createDirectories(folder);
-        String name =
-                String.format("%s-%s-%08d", p.dispatcher().replaceAll("[^A-Za-z0-9._-]", "_"), p.export(), p.number());
-        String data = name + (p.csv() ? ".csv" : ".jsonl");
+        String name = String.format(
+                "%s-%s-%08d", batch.dispatcher().replaceAll("[^A-Za-z0-9._-]", "_"), batch.export(), batch.number());
+        String data = name + (batch.csv() ? ".csv" : ".jsonl");
         JsonObject manifest = new JsonObject();
-        manifest.addProperty("dispatcher", p.dispatcher());
-        manifest.addProperty("export", p.export());
-        manifest.addProperty("number", p.number());
+        manifest.addProperty("dispatcher", batch.dispatcher());
+        manifest.addProperty("export", batch.export());
+        manifest.addProperty("number", batch.number());
         manifest.addProperty("file", data);
-        manifest.addProperty("entries", p.entries());
-        manifest.addProperty("bytes", p.bytes().length);
-        manifest.addProperty("sha256", p.sum());
-        put(data, p.bytes());
+        manifest.addProperty("entries", batch.entries());
+        manifest.addProperty("bytes", batch.content().length);
+        manifest.addProperty("sha256", batch.sha256());
+        put(data, batch.content());
         put(name + ".manifest.json", (manifest + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     private void put(String name, byte[] bytes) throws IOException {
         Path file = folder.resolve(name);
-        Path beside = folder.resolve(name + ".part");
+        Path temporary = folder.resolve(name + ".part");
         faults.at("file-write");
         try (FileChannel channel = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-            ByteBuffer rest = ByteBuffer.wrap(bytes);
-            while (rest.hasRemaining()) {
-                channel.write(rest);
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            while (remaining.hasRemaining()) {
+                channel.write(remaining);
             }
             faults.at("file-sync");
             channel.force(true);
         }
         faults.at("file-rename");
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         faults.at("folder-sync");
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
--- a/src/main/java/nettlewick/ledger/HttpTarget.java
+++ b/src/main/java/nettlewick/ledger/HttpTarget.java
@@ -19,23 +19,23 @@
  * for
  * 408 and 429, is a no for good; all else is tried again.
  */
-final class HttpTarget implements Target {
-    private static final int SAID_MOST = 300;
-    private static final int TIMEOUT = 408;
-    private static final int TOO_MANY = 429;
+final class HttpTarget implements ExportTarget {
+    private static final int MAX_RESPONSE_TEXT = 300;
+    private static final int REQUEST_TIMEOUT = 408;
+    private static final int TOO_MANY_REQUESTS = 429;
 
     private final URI url;
-    private final double timeout;
+    private final double timeoutMillis;
     private final FaultInjection faults;
     private final HttpClient client;
 
-    HttpTarget(URI url, double timeout, FaultInjection faults) {
+    HttpTarget(URI url, double timeoutMillis, FaultInjection faults) {
         this.url = url;
-        this.timeout = timeout;
+        this.timeoutMillis = timeoutMillis;
         this.faults = faults;
         client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(Duration.ofMillis((long) timeout))
+                .connectTimeout(Duration.ofMillis((long) timeoutMillis))
                 .build();
     }
 
@@ -43,46 +43,48 @@
      * Danger: the client's own time-out ends with the answer's head; a body that trickles would hang for
      * good.
      */
-    private int send(HttpRequest request, StringBuilder said) throws IOException, InterruptedException {
+    private int send(HttpRequest request, StringBuilder responseText) throws IOException, InterruptedException {
         CompletableFuture<HttpResponse<Void>> sent = client.sendAsync(
                 request,
                 HttpResponse.BodyHandlers.ofByteArrayConsumer(part -> part.ifPresent(bytes -> {
-                    if (said.length() < SAID_MOST) {
-                        said.append(new String(bytes, 0, Math.min(bytes.length, SAID_MOST), StandardCharsets.UTF_8)
-                                .strip());
+                    if (responseText.length() < MAX_RESPONSE_TEXT) {
+                        responseText.append(
+                                new String(bytes, 0, Math.min(bytes.length, MAX_RESPONSE_TEXT), StandardCharsets.UTF_8)
+                                        .strip());
                     }
                 })));
         try {
-            return sent.get((long) timeout, TimeUnit.MILLISECONDS).statusCode();
+            return sent.get((long) timeoutMillis, TimeUnit.MILLISECONDS).statusCode();
         } catch (TimeoutException e) {
             sent.cancel(true);
-            throw new IOException("the receiver did not answer within " + (long) timeout + " ms");
+            throw new IOException("the receiver did not answer within " + (long) timeoutMillis + " ms");
         } catch (ExecutionException e) {
             throw new IOException("the receiver cannot be reached: " + e.getCause(), e);
         }
     }
 
     @Override
-    public void deliver(Parcel p) throws IOException, InterruptedException {
+    public void deliver(OutgoingBatch batch) throws IOException, InterruptedException {
         faults.at("http-send");
         HttpRequest request = HttpRequest.newBuilder(url)
-                .timeout(Duration.ofMillis((long) timeout))
-                .header("X-Batch-Dispatcher", p.dispatcher())
-                .header("X-Batch-Export", p.export())
-                .header("X-Batch-Number", Long.toString(p.number()))
-                .header("X-Batch-Sum", p.sum())
-                .header("Content-Type", p.csv() ? "text/csv; charset=utf-8" : "application/x-ndjson")
-                .POST(HttpRequest.BodyPublishers.ofByteArray(p.bytes()))
+                .timeout(Duration.ofMillis((long) timeoutMillis))
+                .header("X-Batch-Dispatcher", batch.dispatcher())
+                .header("X-Batch-Export", batch.export())
+                .header("X-Batch-Number", Long.toString(batch.number()))
+                .header("X-Batch-Sum", batch.sha256())
+                .header("Content-Type", batch.csv() ? "text/csv; charset=utf-8" : "application/x-ndjson")
+                .POST(HttpRequest.BodyPublishers.ofByteArray(batch.content()))
                 .build();
-        StringBuilder said = new StringBuilder();
-        int status = send(request, said);
+        StringBuilder responseText = new StringBuilder();
+        int status = send(request, responseText);
         faults.at("http-answer");
         if (status / 100 == 2) {
             return;
         }
-        if (status / 100 == 4 && status != TIMEOUT && status != TOO_MANY) {
-            throw new Rejected("the receiver will not take batch " + p.number() + ": " + status + " " + said);
+        if (status / 100 == 4 && status != REQUEST_TIMEOUT && status != TOO_MANY_REQUESTS) {
+            throw new BatchRejectedException(
+                    "the receiver will not take batch " + batch.number() + ": " + status + " " + responseText);
         }
-        throw new IOException("the receiver answered " + status + " " + said);
+        throw new IOException("the receiver answered " + status + " " + responseText);
     }
 }
--- a/src/main/java/nettlewick/ledger/Ledger.java
+++ b/src/main/java/nettlewick/ledger/Ledger.java
@@ -29,31 +29,31 @@
 public final class Ledger implements UsageRecorder, AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("ledger");
     /** Pause after a failure of the disk before it is tried again. */
-    private static final double AGAIN = 1000;
+    private static final double RETRY_DELAY_MILLIS = 1000;
 
-    private static final int GROUP_MOST = 4096;
-    private static final int COMMIT_MOST = 20_000;
-    private static final long MARK_LOOK = 200;
-    private static final long CLOSE_SECONDS = 10;
-    private static final long OPEN_SECONDS = 15;
-    private static final ChainOrigin NOBODY = new ChainOrigin("", 0);
+    private static final int MAX_SYNC_GROUP = 4096;
+    private static final int MAX_COMMIT_ENTRIES = 20_000;
+    private static final long SETTLEMENT_POLL_MILLIS = 200;
+    private static final long CLOSE_TIMEOUT_SECONDS = 10;
+    private static final long OPEN_TIMEOUT_SECONDS = 15;
+    private static final ChainOrigin NO_ORIGIN = new ChainOrigin("", 0);
 
     /** A job from its end's decision to its entry. */
-    private final class Item implements DeliveryCallback {
+    private final class PendingEntry implements DeliveryCallback {
         final Entry draft;
         final Consumer<DeliveryCallback> send;
-        final AtomicBoolean gone = new AtomicBoolean();
-        Spool.Place place;
-        boolean over;
-        volatile Entry entry;
+        final AtomicBoolean released = new AtomicBoolean();
+        Spool.IntentTracker tracker;
+        boolean endRecorded;
+        volatile Entry finalEntry;
 
-        Item(Entry draft, Consumer<DeliveryCallback> send) {
+        PendingEntry(Entry draft, Consumer<DeliveryCallback> send) {
             this.draft = draft;
             this.send = send;
         }
 
         void release() {
-            if (gone.compareAndSet(false, true)) {
+            if (released.compareAndSet(false, true)) {
                 send.accept(this);
             }
         }
@@ -70,14 +70,14 @@
 
         private void end(boolean answered) {
             // Danger: a time taken outside could be older than a flush that is in the queue before it.
-            synchronized (order) {
-                if (!over) {
-                    over = true;
+            synchronized (lock) {
+                if (!endRecorded) {
+                    endRecorded = true;
                     double at = clock.nowMillis();
-                    entry = Spool.ended(draft, at, answered).in(settings.terms());
+                    finalEntry = Spool.finalEntry(draft, at, answered).withPeriod(settings.calendar());
                     Spool to = spool;
-                    if (place != null && to != null) {
-                        to.ended(draft.job(), at, answered);
+                    if (tracker != null && to != null) {
+                        to.recordEnd(draft.requestNumber(), at, answered);
                     }
                     ended.add(this);
                 }
@@ -86,43 +86,43 @@
     }
 
     /** All that was answered before then is in the queue before this. */
-    private record Flush(double until) {}
+    private record FlushMarker(double settledUntil) {}
 
     private final String dispatcher;
     private final Clock clock;
     private final FaultInjection faults;
     private volatile LedgerSettings settings;
-    private final Object order = new Object();
+    private final Object lock = new Object();
     /** Answers that wait until their intents are forced. */
-    private final LinkedBlockingQueue<Item> waiting = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<PendingEntry> awaitingSync = new LinkedBlockingQueue<>();
 
     private final ConcurrentLinkedQueue<Object> ended = new ConcurrentLinkedQueue<>();
     private volatile Spool spool;
-    private final AtomicLong jobs = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong();
     /** Jobs held in memory: from the decision to the commit of the entry. */
-    private final AtomicInteger held = new AtomicInteger();
+    private final AtomicInteger pendingCount = new AtomicInteger();
 
-    private final Thread spooler;
-    private final Thread storer;
+    private final Thread syncThread;
+    private final Thread storeThread;
     private final List<Spool> spools = new java.util.concurrent.CopyOnWriteArrayList<>();
     /** Open as soon as intents can be written, or it is known that they cannot. */
     private final CountDownLatch ready = new CountDownLatch(1);
 
     private volatile boolean stopping;
-    private volatile boolean spooled;
-    private volatile ChainOrigin own = NOBODY;
-    private volatile long head;
+    private volatile boolean syncThreadDone;
+    private volatile ChainOrigin currentOrigin = NO_ORIGIN;
+    private volatile long committedNumber;
     // Figures
-    private final AtomicLong entered = new AtomicLong();
-    private final AtomicLong doubts = new AtomicLong();
-    private final AtomicLong missed = new AtomicLong();
-    private final AtomicLong overdue = new AtomicLong();
-    private volatile int troubles;
-    private volatile Map<String, Long> lags = Map.of();
+    private final AtomicLong committedCount = new AtomicLong();
+    private final AtomicLong doubtCount = new AtomicLong();
+    private final AtomicLong missedCount = new AtomicLong();
+    private final AtomicLong unsyncedCount = new AtomicLong();
+    private volatile int consecutiveFailures;
+    private volatile Map<String, Long> exportLags = Map.of();
     // A gap that is not entered yet; guarded by order
     private double gapFrom;
     private double gapTo;
-    private long gapJobs;
+    private long gapCount;
 
     public Ledger(String dispatcher, LedgerSettings settings, Clock clock) {
         this(dispatcher, settings, clock, FaultInjection.NONE);
@@ -133,28 +133,29 @@
         this.settings = settings;
         this.clock = clock;
         this.faults = faults;
-        spooler = new Thread(this::spool, "ledger-spool");
-        storer = new Thread(this::store, "ledger-store");
-        spooler.setDaemon(true);
-        storer.setDaemon(true);
+        syncThread = new Thread(this::spool, "ledger-spool");
+        storeThread = new Thread(this::runStoreLoop, "ledger-store");
+        syncThread.setDaemon(true);
+        storeThread.setDaemon(true);
     }
 
     /** Starts its threads; the store is opened by them, and tried again where that fails. */
     public void start() {
-        storer.start();
-        spooler.start();
+        storeThread.start();
+        syncThread.start();
     }
 
     /**
      * Waits until intents can be written, or the disk has said that they cannot. Danger: jobs answered before
      * that would be in memory alone, and a kill would lose them.
      */
-    public void await() {
+    public void awaitReady() {
         try {
-            if (!ready.await(OPEN_SECONDS, TimeUnit.SECONDS)) {
+            if (!ready.await(OPEN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 LOG.warning(
                         "opens-slowly",
-                        "the ledger is not open after " + OPEN_SECONDS + " s; jobs are served, and wait in memory");
+                        "the ledger is not open after " + OPEN_TIMEOUT_SECONDS
+                                + " s; jobs are served, and wait in memory");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -172,76 +173,76 @@
 
     @Override
     public double timeoutMillis() {
-        return settings.patience();
+        return settings.releaseTimeoutMillis();
     }
 
     /** What exports have not delivered yet, told by who exports. */
-    void lags(Map<String, Long> entries) {
-        lags = Map.copyOf(entries);
+    void exportLags(Map<String, Long> undelivered) {
+        exportLags = Map.copyOf(undelivered);
     }
 
     /**
      * Paces this object's own work, in milliseconds: also while the clock that dates entries stands still.
      */
-    static double pace() {
+    static double monotonicMillis() {
         return System.nanoTime() / 1e6;
     }
 
     // The core's side
 
     @Override
-    public Runnable record(FinishedRequest job, Consumer<DeliveryCallback> send) {
-        if (held.get() >= settings.queue()) {
-            synchronized (order) {
-                gapFrom = gapJobs == 0 ? job.decidedAtMillis() : gapFrom;
-                gapTo = job.decidedAtMillis();
-                gapJobs++;
+    public Runnable record(FinishedRequest finished, Consumer<DeliveryCallback> send) {
+        if (pendingCount.get() >= settings.maxPending()) {
+            synchronized (lock) {
+                gapFrom = gapCount == 0 ? finished.decidedAtMillis() : gapFrom;
+                gapTo = finished.decidedAtMillis();
+                gapCount++;
             }
-            missed.incrementAndGet();
+            missedCount.incrementAndGet();
             send.accept(DeliveryCallback.NONE);
             return null;
         }
-        held.incrementAndGet();
-        Item item = new Item(draft(job), send);
-        Spool to = spool;
-        item.place = to == null ? null : to.intent(item.draft);
-        if (job.ending() == Ending.LEFT) {
+        pendingCount.incrementAndGet();
+        PendingEntry item = new PendingEntry(draftEntry(finished), send);
+        Spool currentSpool = spool;
+        item.tracker = currentSpool == null ? null : currentSpool.recordIntent(item.draft);
+        if (finished.ending() == Ending.LEFT) {
             send.accept(DeliveryCallback.NONE);
-            item.gone.set(true);
+            item.released.set(true);
             item.onAbandoned();
             return null;
         }
-        if (!settings.sync() || item.place == null) {
-            overdue.addAndGet(item.place == null ? 1 : 0);
+        if (!settings.sync() || item.tracker == null) {
+            unsyncedCount.addAndGet(item.tracker == null ? 1 : 0);
             item.release();
             return null;
         }
-        waiting.add(item);
+        awaitingSync.add(item);
         return () -> {
-            if (!item.gone.get()) {
-                overdue.incrementAndGet();
+            if (!item.released.get()) {
+                unsyncedCount.incrementAndGet();
                 item.release();
             }
         };
     }
 
-    private Entry draft(FinishedRequest job) {
-        Request r = job.request();
-        String key = r.payload() instanceof Request.IdempotencyKeyed keyed ? keyed.idempotencyKey() : null;
+    private Entry draftEntry(FinishedRequest finished) {
+        Request request = finished.request();
+        String key = request.payload() instanceof Request.IdempotencyKeyed keyed ? keyed.idempotencyKey() : null;
         return new Entry(
-                new EntryRef(NOBODY, 0),
+                new EntryRef(NO_ORIGIN, 0),
                 Entry.Kind.JOB,
-                job.decidedAtMillis(),
-                Entry.fit(r.tenant()),
-                Entry.fit(r.requestClass()),
-                Entry.fit(r.id()),
-                key == null ? null : Entry.hash(key),
-                job.ending(),
-                job.workSlotMicros(),
-                job.isEstimate(),
-                job.extraWorkSlotMicros(),
-                job.attemptCount(),
-                jobs.incrementAndGet(),
+                finished.decidedAtMillis(),
+                Entry.truncate(request.tenant()),
+                Entry.truncate(request.requestClass()),
+                Entry.truncate(request.id()),
+                key == null ? null : Entry.hashKey(key),
+                finished.ending(),
+                finished.workSlotMicros(),
+                finished.isEstimate(),
+                finished.extraWorkSlotMicros(),
+                finished.attemptCount(),
+                requestCount.incrementAndGet(),
                 null,
                 null,
                 null);
@@ -250,32 +251,34 @@
     // The spool's thread: makes its files, forces them, and lets answers go that wait for that
 
     private void spool() {
-        double again = 0;
-        List<Item> group = new ArrayList<>();
+        double retryAt = 0;
+        List<PendingEntry> group = new ArrayList<>();
         try {
-            while (!stopping || !waiting.isEmpty()) {
+            while (!stopping || !awaitingSync.isEmpty()) {
                 group.clear();
-                Item first = waiting.poll((long) Math.min(settings.batch(), MARK_LOOK), TimeUnit.MILLISECONDS);
+                PendingEntry first = awaitingSync.poll(
+                        (long) Math.min(settings.batchMillis(), SETTLEMENT_POLL_MILLIS), TimeUnit.MILLISECONDS);
                 if (first != null) {
                     group.add(first);
-                    waiting.drainTo(group, GROUP_MOST);
+                    awaitingSync.drainTo(group, MAX_SYNC_GROUP);
                 }
-                boolean forced = false;
-                if (pace() >= again) {
+                boolean synced = false;
+                if (monotonicMillis() >= retryAt) {
                     try {
-                        keep();
-                        forced = true;
+                        syncSpool();
+                        synced = true;
                     } catch (IOException | RuntimeException e) {
-                        again = pace() + AGAIN;
-                        trouble(
+                        retryAt = monotonicMillis() + RETRY_DELAY_MILLIS;
+                        reportFailure(
                                 "spool-failed",
                                 "the spool cannot be written, and answers do not wait for " + "it: " + e);
                     }
                 }
-                if (!forced) {
-                    overdue.addAndGet(group.stream().filter(i -> !i.gone.get()).count());
+                if (!synced) {
+                    unsyncedCount.addAndGet(
+                            group.stream().filter(i -> !i.released.get()).count());
                 }
-                group.forEach(this::release);
+                group.forEach(this::releaseAnswer);
             }
             Spool last = spool;
             if (last != null) {
@@ -284,79 +287,79 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            trouble("spool-failed", "the spool cannot be written at the end: " + e);
+            reportFailure("spool-failed", "the spool cannot be written at the end: " + e);
         } finally {
-            spooled = true;
+            syncThreadDone = true;
         }
     }
 
-    private void keep() throws IOException {
-        ChainOrigin mine = own;
-        Spool now = spool;
-        if (now != null) {
-            now.force();
+    private void syncSpool() throws IOException {
+        ChainOrigin wantedOrigin = currentOrigin;
+        Spool active = spool;
+        if (active != null) {
+            active.force();
         }
-        if (mine != NOBODY && (now == null || !now.origin().equals(mine))) {
+        if (wantedOrigin != NO_ORIGIN && (active == null || !active.origin().equals(wantedOrigin))) {
             // Danger: a life's files go only when its jobs are entered, be it under the next life.
-            now = spools.stream()
-                    .filter(s -> s.origin().equals(mine))
+            active = spools.stream()
+                    .filter(s -> s.origin().equals(wantedOrigin))
                     .findFirst()
                     .orElse(null);
-            if (now == null) {
-                now = new Spool(settings.store(), mine, faults);
-                spools.add(now);
+            if (active == null) {
+                active = new Spool(settings.store(), wantedOrigin, faults);
+                spools.add(active);
             }
         }
-        if (now != null) {
+        if (active != null) {
             // The first makes the file that is written to where there is none, the second the next one.
-            now.prepare(head);
-            now.prepare(head);
-            spool = now;
+            active.prepareSegment(committedNumber);
+            active.prepareSegment(committedNumber);
+            spool = active;
             ready.countDown();
         }
     }
 
-    private void release(Item item) {
+    private void releaseAnswer(PendingEntry item) {
         try {
             item.release();
         } catch (RuntimeException e) {
-            LOG.error("release-failed", "an answer could not be let go", e, "request", item.draft.request());
+            LOG.error("release-failed", "an answer could not be let go", e, "request", item.draft.requestId());
         }
     }
 
     // The store's thread
 
-    private void store() {
+    private void runStoreLoop() {
         Store store = null;
-        List<Item> items = new ArrayList<>();
-        double markLook = 0;
-        double flushTo = 0;
+        List<PendingEntry> items = new ArrayList<>();
+        double lastSettlementPoll = 0;
+        double settledUntil = 0;
         try {
             while (true) {
-                boolean last = stopping && spooled && ended.isEmpty();
+                boolean stopAfterCommit = stopping && syncThreadDone && ended.isEmpty();
                 try {
                     if (store == null) {
                         store = openStore();
                     }
-                    flushTo = Math.max(flushTo, gather(items, last));
-                    point("gathered");
+                    settledUntil = Math.max(settledUntil, drainEnded(items, stopAfterCommit));
+                    injectFault("gathered");
                     commit(store, items);
-                    if (flushTo > 0) {
-                        store.settled(own, flushTo);
-                        flushTo = 0;
+                    if (settledUntil > 0) {
+                        store.recordSettled(currentOrigin, settledUntil);
+                        settledUntil = 0;
                     }
-                    if (pace() - markLook >= MARK_LOOK) {
-                        markLook = pace();
-                        look(store);
+                    if (monotonicMillis() - lastSettlementPoll >= SETTLEMENT_POLL_MILLIS) {
+                        lastSettlementPoll = monotonicMillis();
+                        settleIfRequested(store);
                     }
-                    troubles = 0;
-                    if (last && items.isEmpty()) {
+                    consecutiveFailures = 0;
+                    if (stopAfterCommit && items.isEmpty()) {
                         return;
                     }
                 } catch (StoreException e) {
-                    trouble("store-failed", "entries wait in memory: " + e.getMessage());
-                    store = afterFailure(store, e);
-                    if (last) {
+                    reportFailure("store-failed", "entries wait in memory: " + e.getMessage());
+                    store = handleStoreFailure(store, e);
+                    if (stopAfterCommit) {
                         LOG.warning(
                                 "not-entered",
                                 items.size() + " jobs are not entered yet; the next start "
@@ -365,7 +368,7 @@
                                 items.size());
                         return;
                     }
-                    TimeUnit.MILLISECONDS.sleep((long) AGAIN);
+                    TimeUnit.MILLISECONDS.sleep((long) RETRY_DELAY_MILLIS);
                 }
             }
         } catch (InterruptedException e) {
@@ -380,10 +383,10 @@
     private Store openStore() throws StoreException {
         Store store = Store.open(settings.store(), dispatcher, faults);
         try {
-            if (own == NOBODY) {
-                Recovery.Report report = Recovery.run(store, clock.nowMillis(), settings.terms());
-                doubts.addAndGet(report.doubts());
-                if (!report.idle()) {
+            if (currentOrigin == NO_ORIGIN) {
+                Recovery.Report report = Recovery.run(store, clock.nowMillis(), settings.calendar());
+                doubtCount.addAndGet(report.doubts());
+                if (!report.isEmpty()) {
                     LOG.info(
                             "recovered",
                             "recovered " + report.answered() + " answered jobs, "
@@ -394,7 +397,7 @@
                             "doubts",
                             report.doubts());
                 }
-                own = store.begin(clock.nowMillis());
+                currentOrigin = store.beginIncarnation(clock.nowMillis());
             }
             return store;
         } catch (StoreException e) {
@@ -404,7 +407,7 @@
     }
 
     /** Danger: a damaged file is evidence; it is put aside, and a new life begins in a new one. */
-    private Store afterFailure(Store store, StoreException e) {
+    private Store handleStoreFailure(Store store, StoreException e) {
         if (!e.isDamaged()) {
             return store;
         }
@@ -414,17 +417,17 @@
         try {
             LOG.warning(
                     "store-put-aside",
-                    "the store is damaged; it was put aside as " + Store.putAside(settings.store(), clock.nowMillis())
-                            + " and a new one begins");
-            own = NOBODY;
-            head = 0;
+                    "the store is damaged; it was put aside as "
+                            + Store.moveDamagedAside(settings.store(), clock.nowMillis()) + " and a new one begins");
+            currentOrigin = NO_ORIGIN;
+            committedNumber = 0;
         } catch (IOException moved) {
-            trouble("store-failed", "the damaged store cannot be put aside: " + moved);
+            reportFailure("store-failed", "the damaged store cannot be put aside: " + moved);
         }
         return null;
     }
 
-    private void point(String name) throws StoreException {
+    private void injectFault(String name) throws StoreException {
         try {
             faults.at(name);
         } catch (IOException e) {
@@ -433,86 +436,92 @@
     }
 
     /** Takes what has ended since the last commit; the time up to which all is gathered. */
-    private double gather(List<Item> items, boolean last) throws InterruptedException {
-        double flush = 0;
-        if (!last && !stopping && items.isEmpty()) {
-            TimeUnit.MICROSECONDS.sleep((long) (settings.commit() * 1000));
+    private double drainEnded(List<PendingEntry> items, boolean finalRound) throws InterruptedException {
+        double settledUntil = 0;
+        if (!finalRound && !stopping && items.isEmpty()) {
+            TimeUnit.MICROSECONDS.sleep((long) (settings.commitMillis() * 1000));
         }
-        while (items.size() < COMMIT_MOST) {
+        while (items.size() < MAX_COMMIT_ENTRIES) {
             Object next = ended.poll();
             if (next == null) {
-                return flush;
+                return settledUntil;
             }
-            if (next instanceof Item item) {
+            if (next instanceof PendingEntry item) {
                 items.add(item);
-            } else if (next instanceof Flush f) {
-                flush = f.until();
+            } else if (next instanceof FlushMarker f) {
+                settledUntil = f.settledUntil();
             }
         }
-        return flush;
+        return settledUntil;
     }
 
-    private void commit(Store store, List<Item> items) throws StoreException {
+    private void commit(Store store, List<PendingEntry> items) throws StoreException {
         List<Entry> drafts = new ArrayList<>(items.size() + 1);
-        items.forEach(i -> drafts.add(i.entry));
-        long gap;
-        synchronized (order) {
-            gap = gapJobs;
-            if (gap > 0) {
-                drafts.add(Entry.gap(new EntryRef(own, 0), gapFrom, gapTo, gap));
+        items.forEach(i -> drafts.add(i.finalEntry));
+        long gapRequests;
+        synchronized (lock) {
+            gapRequests = gapCount;
+            if (gapRequests > 0) {
+                drafts.add(Entry.gap(new EntryRef(currentOrigin, 0), gapFrom, gapTo, gapRequests));
             }
         }
         if (drafts.isEmpty()) {
             return;
         }
-        head = store.append(own, drafts);
-        synchronized (order) {
-            gapJobs -= gap;
+        committedNumber = store.append(currentOrigin, drafts);
+        synchronized (lock) {
+            gapCount -= gapRequests;
             gapFrom = gapTo;
         }
-        if (gap > 0) {
-            LOG.warning("gap", gap + " jobs could not be entered one by one; a gap entry stands for them", "jobs", gap);
+        if (gapRequests > 0) {
+            LOG.warning(
+                    "gap",
+                    gapRequests + " jobs could not be entered one by one; a gap entry stands for them",
+                    "jobs",
+                    gapRequests);
         }
-        entered.addAndGet(items.size());
-        held.addAndGet(-items.size());
-        Map<Spool.Place, Integer> places = new java.util.IdentityHashMap<>();
-        items.stream().filter(i -> i.place != null).forEach(i -> places.merge(i.place, 1, Integer::sum));
-        places.forEach(Spool.Place::entered);
+        committedCount.addAndGet(items.size());
+        pendingCount.addAndGet(-items.size());
+        Map<Spool.IntentTracker, Integer> trackers = new java.util.IdentityHashMap<>();
+        items.stream().filter(i -> i.tracker != null).forEach(i -> trackers.merge(i.tracker, 1, Integer::sum));
+        trackers.forEach(Spool.IntentTracker::markCommitted);
         items.clear();
     }
 
     /** Whether a command that closes a period waits for this life. */
-    private void look(Store store) throws StoreException {
-        double until = store.marked();
-        if (until > 0 && clock.nowMillis() >= until && store.settled(own.life()) < until) {
-            synchronized (order) {
-                ended.add(new Flush(clock.nowMillis()));
+    private void settleIfRequested(Store store) throws StoreException {
+        double requestedUntil = store.settlementRequestedUntil();
+        if (requestedUntil > 0
+                && clock.nowMillis() >= requestedUntil
+                && store.settledUntil(currentOrigin.incarnation()) < requestedUntil) {
+            synchronized (lock) {
+                ended.add(new FlushMarker(clock.nowMillis()));
             }
         }
     }
 
-    private void trouble(String event, String message) {
-        troubles++;
+    private void reportFailure(String event, String message) {
+        consecutiveFailures++;
         ready.countDown();
-        LOG.warning(event, message, "held", held.get(), "missed", missed.get());
+        LOG.warning(event, message, "held", pendingCount.get(), "missed", missedCount.get());
     }
 
     @Override
     public Map<String, Number> metrics() {
         Map<String, Number> figures = new LinkedHashMap<>();
-        figures.put("ledger.entries", entered.get());
-        figures.put("ledger.in_doubt", doubts.get());
-        figures.put("ledger.queue", held.get());
-        figures.put("ledger.gap", missed.get());
-        figures.put("ledger.unsynced", overdue.get());
-        figures.put("ledger.trouble", troubles > 0 ? 1 : 0);
-        lags.forEach((name, lag) -> figures.put("ledger.export." + name + ".lag", lag));
+        figures.put("ledger.entries", committedCount.get());
+        figures.put("ledger.in_doubt", doubtCount.get());
+        figures.put("ledger.queue", pendingCount.get());
+        figures.put("ledger.gap", missedCount.get());
+        figures.put("ledger.unsynced", unsyncedCount.get());
+        figures.put("ledger.trouble", consecutiveFailures > 0 ? 1 : 0);
+        exportLags.forEach((name, lag) -> figures.put("ledger.export." + name + ".lag", lag));
         return figures;
     }
 
     /** The origin that it writes now, or null while the store is not open. */
     ChainOrigin origin() {
-        return own == NOBODY ? null : own;
+        return currentOrigin == NO_ORIGIN ? null : currentOrigin;
     }
 
     /** Enters what has ended and closes the store; jobs still out stay in the spool, for the next start. */
@@ -520,12 +529,12 @@
     public void close() {
         stopping = true;
         try {
-            spooler.join(TimeUnit.SECONDS.toMillis(CLOSE_SECONDS));
-            storer.join(TimeUnit.SECONDS.toMillis(CLOSE_SECONDS));
+            syncThread.join(TimeUnit.SECONDS.toMillis(CLOSE_TIMEOUT_SECONDS));
+            storeThread.join(TimeUnit.SECONDS.toMillis(CLOSE_TIMEOUT_SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (!spooler.isAlive()) {
+        if (!syncThread.isAlive()) {
             spools.forEach(Spool::close);
         }
     }
--- a/src/main/java/nettlewick/ledger/LedgerAdmin.java
+++ b/src/main/java/nettlewick/ledger/LedgerAdmin.java
@@ -17,22 +17,22 @@
  * of its own, after what dead lives left has been entered.
  */
 public final class LedgerAdmin {
-    private static final long LOOK = 50;
-    private static final double WAIT = 15_000;
+    private static final long POLL_MILLIS = 50;
+    private static final double SETTLE_TIMEOUT_MILLIS = 15_000;
 
     /** The answer is no, in one line. */
-    public static final class Refused extends Exception {
+    public static final class CommandException extends Exception {
         private static final long serialVersionUID = 1;
-        private final boolean misuse;
+        private final boolean isUsageError;
 
-        Refused(String message, boolean misuse) {
+        CommandException(String message, boolean misuse) {
             super(message);
-            this.misuse = misuse;
+            this.isUsageError = misuse;
         }
 
         /** Whether what was asked makes no sense; else it may be asked again. */
-        public boolean misuse() {
-            return misuse;
+        public boolean isUsageError() {
+            return isUsageError;
         }
     }
 
@@ -45,166 +45,175 @@
     }
 
     private interface Task<T> {
-        T run(Store store, ChainOrigin own) throws StoreException, IOException, InterruptedException, Refused;
+        T run(Store store, ChainOrigin own) throws StoreException, IOException, InterruptedException, CommandException;
     }
 
-    private <T> T write(Task<T> task) throws Refused, InterruptedException {
+    private <T> T runWriting(Task<T> task) throws CommandException, InterruptedException {
         try (Store store = Store.open(settings.store())) {
-            Recovery.run(store, clock.nowMillis(), settings.terms());
-            ChainOrigin own = store.begin(clock.nowMillis());
-            try (AutoCloseable held = Spool.claim(settings.store(), own.life())) {
+            Recovery.run(store, clock.nowMillis(), settings.calendar());
+            ChainOrigin own = store.beginIncarnation(clock.nowMillis());
+            try (AutoCloseable lock = Spool.claim(settings.store(), own.incarnation())) {
                 return task.run(store, own);
-            } catch (StoreException | IOException | InterruptedException | Refused | RuntimeException e) {
+            } catch (StoreException | IOException | InterruptedException | CommandException | RuntimeException e) {
                 throw e;
             } catch (Exception e) {
                 throw new IOException(e);
             }
         } catch (StoreException | IOException e) {
-            throw new Refused(e.getMessage(), false);
+            throw new CommandException(e.getMessage(), false);
         }
     }
 
-    private UsageBook book(Store store) throws StoreException {
-        UsageBook book = new UsageBook(settings.terms(), settings.keyWindow());
-        store.each(book::add);
-        return book;
+    private StatementCalculator loadStatements(Store store) throws StoreException {
+        StatementCalculator calculator = new StatementCalculator(settings.calendar(), settings.keyWindowMillis());
+        store.forEachEntry(calculator::add);
+        return calculator;
     }
 
     /** All periods that have anything to state, or the one asked for. */
-    public List<Statement> statements(String period) throws Refused {
+    public List<Statement> statements(String period) throws CommandException {
         try (Store store = Store.read(settings.store())) {
-            if (period != null && settings.terms().named(period).isEmpty()) {
-                throw new Refused("no period is called " + period, true);
+            if (period != null && settings.calendar().periodNamed(period).isEmpty()) {
+                throw new CommandException("no period is called " + period, true);
             }
-            List<String> archived = store.archives();
+            List<String> archived = store.archivedPeriods();
             if (period != null && archived.contains(period)) {
-                throw new Refused("period " + period + " is archived; restore it first", false);
+                throw new CommandException("period " + period + " is archived; restore it first", false);
             }
-            UsageBook book = book(store);
-            String contradiction = book.contradiction();
-            if (contradiction != null) {
-                throw new Refused(contradiction, true);
+            StatementCalculator calculator = loadStatements(store);
+            String conflict = calculator.calendarConflict();
+            if (conflict != null) {
+                throw new CommandException(conflict, true);
             }
             return period != null
-                    ? List.of(book.statement(period))
-                    : book.periods().stream()
+                    ? List.of(calculator.statement(period))
+                    : calculator.periods().stream()
                             .filter(p -> !archived.contains(p))
-                            .map(book::statement)
+                            .map(calculator::statement)
                             .toList();
         } catch (StoreException e) {
-            throw new Refused(e.getMessage(), false);
+            throw new CommandException(e.getMessage(), false);
         }
     }
 
-    private Terms.Period period(String name) throws Refused {
-        Optional<Terms.Period> period = settings.terms().named(name);
-        return period.orElseThrow(() ->
-                new Refused("no period is called " + name + ": it is a term's name, or a month such as 2026-11", true));
+    private BillingCalendar.Period requirePeriod(String name) throws CommandException {
+        Optional<BillingCalendar.Period> period = settings.calendar().periodNamed(name);
+        return period.orElseThrow(() -> new CommandException(
+                "no period is called " + name + ": it is a term's name, or a month such as 2026-11", true));
     }
 
     /**
      * Closes this dispatcher's part of a period, after every life has made durable what it answered in it.
      */
-    public void close(String name, String by) throws Refused, InterruptedException {
-        Terms.Period period = period(name);
+    public void close(String name, String requestedBy) throws CommandException, InterruptedException {
+        BillingCalendar.Period period = requirePeriod(name);
         if (clock.nowMillis() < period.to()) {
-            throw new Refused("period " + name + " ends at " + BatchCodec.time(period.to()), true);
+            throw new CommandException("period " + name + " ends at " + BatchCodec.formatTime(period.to()), true);
         }
-        write((store, own) -> {
-            UsageBook book = book(store);
-            if (book.isClosed(store.dispatcher(), period)) {
-                throw new Refused(
+        runWriting((store, own) -> {
+            StatementCalculator calculator = loadStatements(store);
+            if (calculator.isClosed(store.dispatcher(), period)) {
+                throw new CommandException(
                         "period " + name + " is closed already; what is found later goes into the open " + "one", true);
             }
-            Terms.Period first = book.firstOpen(store.dispatcher());
+            BillingCalendar.Period first = calculator.firstOpenPeriod(store.dispatcher());
             if (first != null && first.from() < period.from()) {
-                throw new Refused("period " + first.name() + " is open and comes before; close it first", true);
+                throw new CommandException(
+                        "period " + first.name() + " is open and comes before; close it first", true);
             }
-            store.mark(period);
-            double until = Ledger.pace() + WAIT;
-            for (long life : living(own)) {
-                while (store.settled(life) < period.to() && Spool.alive(settings.store(), life)) {
-                    if (Ledger.pace() > until) {
-                        throw new Refused(
-                                "life " + life + " does not say that it has settled; the mark stays, ask " + "again",
+            store.requestSettlement(period);
+            double deadline = Ledger.monotonicMillis() + SETTLE_TIMEOUT_MILLIS;
+            for (long incarnation : liveIncarnations(own)) {
+                while (store.settledUntil(incarnation) < period.to() && Spool.isAlive(settings.store(), incarnation)) {
+                    if (Ledger.monotonicMillis() > deadline) {
+                        throw new CommandException(
+                                "life " + incarnation + " does not say that it has settled; the mark stays, ask "
+                                        + "again",
                                 false);
                     }
-                    TimeUnit.MILLISECONDS.sleep(LOOK);
+                    TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
                 }
             }
             // A life that died meanwhile has left a spool.
-            Recovery.run(store, clock.nowMillis(), settings.terms());
-            store.close(own, period, clock.nowMillis(), by);
+            Recovery.run(store, clock.nowMillis(), settings.calendar());
+            store.closePeriod(own, period, clock.nowMillis(), requestedBy);
             return null;
         });
     }
 
-    private List<Long> living(ChainOrigin own) throws IOException {
-        List<Long> living = new ArrayList<>();
+    private List<Long> liveIncarnations(ChainOrigin own) throws IOException {
+        List<Long> live = new ArrayList<>();
         try (java.nio.file.DirectoryStream<Path> locks =
                 java.nio.file.Files.newDirectoryStream(settings.store(), "life-*.lock")) {
             for (Path lock : locks) {
-                long life = Long.parseLong(lock.getFileName().toString().replaceAll("\\D", ""));
-                if (life != own.life() && Spool.alive(settings.store(), life)) {
-                    living.add(life);
+                long incarnation = Long.parseLong(lock.getFileName().toString().replaceAll("\\D", ""));
+                if (incarnation != own.incarnation() && Spool.isAlive(settings.store(), incarnation)) {
+                    live.add(incarnation);
                 }
             }
         }
-        return living;
+        return live;
     }
 
     /** Enters another value for an entry, in slot-microseconds; the name of the correction. */
-    public EntryRef correct(String ref, long work, String by, String reason) throws Refused, InterruptedException {
+    public EntryRef correct(String ref, long workSlotMicros, String requestedBy, String reason)
+            throws CommandException, InterruptedException {
         EntryRef target;
         try {
             target = EntryRef.parse(ref);
         } catch (IllegalArgumentException e) {
-            throw new Refused(e.getMessage(), true);
+            throw new CommandException(e.getMessage(), true);
         }
-        if (work < 0 || by.isBlank() || reason.isBlank() || by.length() + reason.length() > Entry.TEXT_MOST) {
-            throw new Refused("a correction needs a value from 0 on, who asks, and a reason", true);
+        if (workSlotMicros < 0
+                || requestedBy.isBlank()
+                || reason.isBlank()
+                || requestedBy.length() + reason.length() > Entry.MAX_TEXT_LENGTH) {
+            throw new CommandException("a correction needs a value from 0 on, who asks, and a reason", true);
         }
-        return write((store, own) -> {
+        return runWriting((store, own) -> {
             Entry entry = store.entry(target);
             if (entry == null) {
-                throw new Refused("no entry " + target + " is held here", true);
+                throw new CommandException("no entry " + target + " is held here", true);
             }
             if (!target.origin().dispatcher().equals(store.dispatcher())) {
-                throw new Refused(
+                throw new CommandException(
                         "entry " + target + " is corrected at its own dispatcher, "
                                 + target.origin().dispatcher(),
                         true);
             }
             if (entry.kind() != Entry.Kind.JOB && entry.kind() != Entry.Kind.DOUBT) {
-                throw new Refused(
+                throw new CommandException(
                         "entry " + target + " is a " + entry.kind().toString().toLowerCase()
                                 + ": only a job, or one in doubt, is corrected",
                         true);
             }
             Entry before = store.correctionOf(target);
             if (before != null) {
-                throw new Refused(
+                throw new CommandException(
                         "entry " + target + " was corrected before, by " + before.ref()
                                 + ": an entry is corrected once",
                         true);
             }
             long number = store.append(
-                    own, List.of(Entry.correction(new EntryRef(own, 0), clock.nowMillis(), entry, work, by, reason)));
+                    own,
+                    List.of(Entry.correction(
+                            new EntryRef(own, 0), clock.nowMillis(), entry, workSlotMicros, requestedBy, reason)));
             return new EntryRef(own, number);
         });
     }
 
     /** One round of the named export, or of all; what each did. */
-    public Map<String, Exporter.Report> export(String name) throws Refused, InterruptedException {
-        List<ExportSettings> wanted = settings.exports().stream()
+    public Map<String, Exporter.Report> export(String name) throws CommandException, InterruptedException {
+        List<ExportSettings> selected = settings.exports().stream()
                 .filter(e -> name == null || e.name().equals(name))
                 .toList();
-        if (wanted.isEmpty()) {
-            throw new Refused(name == null ? "the settings have no export" : "no export is called " + name, true);
+        if (selected.isEmpty()) {
+            throw new CommandException(
+                    name == null ? "the settings have no export" : "no export is called " + name, true);
         }
-        return write((store, own) -> {
+        return runWriting((store, own) -> {
             Map<String, Exporter.Report> reports = new java.util.LinkedHashMap<>();
-            for (ExportSettings e : wanted) {
+            for (ExportSettings e : selected) {
                 reports.put(
                         e.name(),
                         new Exporter(
@@ -214,27 +223,27 @@
                                         new SplittableRandom(),
                                         millis -> TimeUnit.MILLISECONDS.sleep((long) millis),
                                         FaultInjection.NONE)
-                                .round());
+                                .runRound());
             }
             return reports;
         });
     }
 
     /** One round with each peer of the settings; what came of each. */
-    public Map<String, Reconciler.Report> reconcile() throws Refused, InterruptedException {
+    public Map<String, Reconciler.Report> reconcile() throws CommandException, InterruptedException {
         PeerSettings peers = settings.peers();
         if (peers == null || peers.peers().isEmpty()) {
-            throw new Refused("the settings name no peers", true);
+            throw new CommandException("the settings name no peers", true);
         }
-        return write((store, own) -> {
-            MessageSeal seal = LedgerService.seal(peers.key());
-            io.vertx.core.Vertx vertx = LedgerService.clients();
+        return runWriting((store, own) -> {
+            MessageAuthenticator authenticator = LedgerService.readKey(peers.keyFile());
+            io.vertx.core.Vertx vertx = LedgerService.createClientVertx();
             Map<String, Reconciler.Report> reports = new java.util.LinkedHashMap<>();
             try {
                 for (java.net.InetSocketAddress peer : peers.peers()) {
                     String name = peer.getAddress().getHostAddress() + ":" + peer.getPort();
-                    try (PeerClient client = new PeerClient(vertx, peer, seal, clock, peers.timeout())) {
-                        reports.put(name, new Reconciler(store, client, peers.chunk()).round());
+                    try (PeerClient client = new PeerClient(vertx, peer, authenticator, clock, peers.timeoutMillis())) {
+                        reports.put(name, new Reconciler(store, client, peers.chunkEntries()).runRound());
                     } catch (IOException e) {
                         reports.put(name, new Reconciler.Report(0, 0, List.of(), List.of(e.getMessage())));
                     }
@@ -247,52 +256,53 @@
     }
 
     /** One line for each fault of the store's chains; none where all is in order. */
-    public List<String> verify() throws Refused {
+    public List<String> verify() throws CommandException {
         try (Store store = Store.read(settings.store())) {
             return store.verify();
         } catch (StoreException e) {
-            throw new Refused(e.getMessage(), false);
+            throw new CommandException(e.getMessage(), false);
         }
     }
 
     /** Puts a closed and exported period into a file and prunes it; how many entries. */
-    public long archive(String name, Path file) throws Refused, InterruptedException {
-        Terms.Period period = period(name);
-        return write((store, own) -> {
-            UsageBook book = book(store);
-            Statement statement = book.statement(name);
-            if (!statement.closed() || !book.isClosed(store.dispatcher(), period)) {
-                throw new Refused(
+    public long archive(String name, Path file) throws CommandException, InterruptedException {
+        BillingCalendar.Period period = requirePeriod(name);
+        return runWriting((store, own) -> {
+            StatementCalculator calculator = loadStatements(store);
+            Statement statement = calculator.statement(name);
+            if (!statement.closed() || !calculator.isClosed(store.dispatcher(), period)) {
+                throw new CommandException(
                         "period " + name + " is not closed by "
                                 + (statement.open().isEmpty() ? "anybody" : statement.open()),
                         true);
             }
             List<Entry> entries = new ArrayList<>();
-            List<EntryRef> open = new ArrayList<>();
-            store.each(e -> {
-                if (period.holds(e.at())
+            List<EntryRef> undelivered = new ArrayList<>();
+            store.forEachEntry(e -> {
+                if (period.contains(e.timeMillis())
                         && (e.kind() == Entry.Kind.JOB || e.kind() == Entry.Kind.GAP)
-                        && book.settled(e)) {
+                        && calculator.isSettled(e)) {
                     entries.add(e);
                 }
             });
             for (Entry e : entries) {
-                if (e.ref().origin().dispatcher().equals(store.dispatcher()) && !store.exported(e.ref())) {
-                    open.add(e.ref());
+                if (e.ref().origin().dispatcher().equals(store.dispatcher()) && !store.isExported(e.ref())) {
+                    undelivered.add(e.ref());
                     break;
                 }
             }
-            if (!open.isEmpty()) {
-                throw new Refused("entry " + open.get(0) + " of period " + name + " is not exported yet", true);
+            if (!undelivered.isEmpty()) {
+                throw new CommandException(
+                        "entry " + undelivered.get(0) + " of period " + name + " is not exported yet", true);
             }
-            if (store.archive(name) != null) {
-                throw new Refused("period " + name + " is archived already", true);
+            if (store.archiveInfo(name) != null) {
+                throw new CommandException("period " + name + " is archived already", true);
             }
-            String sum = Archive.write(file, entries, FaultInjection.NONE);
+            String sha256 = Archive.write(file, entries, FaultInjection.NONE);
             store.prune(
                     name,
                     file.toAbsolutePath().toString(),
-                    sum,
+                    sha256,
                     entries.stream().map(Entry::ref).toList());
             return (long) entries.size();
         });
@@ -301,13 +311,13 @@
     /**
      * Brings an archived period back into the store; how many entries. {@code file} null: from where it went.
      */
-    public long restore(String name, Path file) throws Refused, InterruptedException {
-        return write((store, own) -> {
-            List<String> archive = store.archive(name);
-            if (archive == null) {
-                throw new Refused("period " + name + " is not archived", true);
+    public long restore(String name, Path file) throws CommandException, InterruptedException {
+        return runWriting((store, own) -> {
+            List<String> info = store.archiveInfo(name);
+            if (info == null) {
+                throw new CommandException("period " + name + " is not archived", true);
             }
-            return store.unprune(name, Archive.read(file != null ? file : Path.of(archive.get(0)), archive.get(1)));
+            return store.restorePruned(name, Archive.read(file != null ? file : Path.of(info.get(0)), info.get(1)));
         });
     }
 }
--- a/src/main/java/nettlewick/ledger/LedgerService.java
+++ b/src/main/java/nettlewick/ledger/LedgerService.java
@@ -24,9 +24,9 @@
  */
 public final class LedgerService implements AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("ledger");
-    private static final int KEY_MOST = 4096;
-    private static final long JOIN_SECONDS = 5;
-    private static final double LOOK = 100;
+    private static final int MAX_KEY_BYTES = 4096;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
+    private static final double POLL_MILLIS = 100;
 
     private final String dispatcher;
     private final Ledger ledger;
@@ -36,7 +36,7 @@
     private final Map<String, Long> lags = new ConcurrentHashMap<>();
     private volatile LedgerSettings settings;
     private volatile boolean stopping;
-    private PeerFront front;
+    private PeerServer peerServer;
     private Vertx vertx;
     private int port;
 
@@ -50,7 +50,7 @@
     }
 
     /** What the core is given. */
-    public Ledger books() {
+    public Ledger ledger() {
         return ledger;
     }
 
@@ -61,28 +61,32 @@
 
     /** Starts all of it; IOException where the key cannot be read or the listener not be opened. */
     public void start() throws IOException {
-        mine();
-        MessageSeal seal =
-                settings.peers() == null ? null : seal(settings.peers().key());
+        checkOwner();
+        MessageAuthenticator authenticator =
+                settings.peers() == null ? null : readKey(settings.peers().keyFile());
         ledger.start();
-        ledger.await();
+        ledger.awaitReady();
         for (ExportSettings export : settings.exports()) {
-            thread("ledger-export-" + export.name(), () -> exports(export.name()));
+            startThread("ledger-export-" + export.name(), () -> runExport(export.name()));
         }
-        if (seal != null) {
-            front = new PeerFront(settings.peers(), settings.store(), seal, clock);
+        if (authenticator != null) {
+            peerServer = new PeerServer(settings.peers(), settings.store(), authenticator, clock);
             try {
-                port = front.listen().toCompletionStage().toCompletableFuture().get(JOIN_SECONDS, TimeUnit.SECONDS);
+                port = peerServer
+                        .listen()
+                        .toCompletionStage()
+                        .toCompletableFuture()
+                        .get(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (Exception e) {
                 throw new IOException("the ledger's peers cannot be listened for: " + e.getMessage(), e);
             }
-            vertx = clients();
-            thread("ledger-peers", () -> peers(seal));
+            vertx = createClientVertx();
+            startThread("ledger-peers", () -> runReconciliation(authenticator));
         }
     }
 
     /** Danger: two dispatchers that took one folder for theirs would bill each other's jobs. */
-    private void mine() throws IOException {
+    private void checkOwner() throws IOException {
         try (Store store = Store.read(settings.store())) {
             if (store.dispatcher() != null && !store.dispatcher().equals(dispatcher)) {
                 throw new IOException(
@@ -94,18 +98,18 @@
     }
 
     /** What clients of peers run on. */
-    static Vertx clients() {
+    static Vertx createClientVertx() {
         return Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     }
 
     /** Reads the shared key. */
-    static MessageSeal seal(Path file) throws IOException {
-        if (Files.size(file) > KEY_MOST) {
-            throw new IOException("the key " + file + " is larger than " + KEY_MOST + " bytes");
+    static MessageAuthenticator readKey(Path file) throws IOException {
+        if (Files.size(file) > MAX_KEY_BYTES) {
+            throw new IOException("the key " + file + " is larger than " + MAX_KEY_BYTES + " bytes");
         }
         try {
-            return new MessageSeal(Files.readAllBytes(file));
+            return new MessageAuthenticator(Files.readAllBytes(file));
         } catch (IllegalArgumentException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
@@ -117,11 +121,11 @@
         ledger.reload(next);
     }
 
-    private interface Loop {
+    private interface InterruptibleTask {
         void run() throws InterruptedException;
     }
 
-    private void thread(String name, Loop loop) {
+    private void startThread(String name, InterruptibleTask loop) {
         Thread thread = new Thread(
                 () -> {
                     try {
@@ -137,91 +141,99 @@
     }
 
     /** Waits so long, or until the end; false at the end. */
-    private boolean waited(double millis) throws InterruptedException {
-        double until = Ledger.pace() + millis;
-        while (!stopping && Ledger.pace() < until) {
-            TimeUnit.MILLISECONDS.sleep((long) Math.max(1, Math.min(LOOK, until - Ledger.pace())));
+    private boolean sleepUnlessStopping(double millis) throws InterruptedException {
+        double deadline = Ledger.monotonicMillis() + millis;
+        while (!stopping && Ledger.monotonicMillis() < deadline) {
+            TimeUnit.MILLISECONDS.sleep((long) Math.max(1, Math.min(POLL_MILLIS, deadline - Ledger.monotonicMillis())));
         }
         return !stopping;
     }
 
-    private ExportSettings export(String name) {
+    private ExportSettings exportSettings(String name) {
         return settings.exports().stream()
                 .filter(e -> e.name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
-    private void exports(String name) throws InterruptedException {
+    private void runExport(String name) throws InterruptedException {
         RandomGenerator random = new java.util.SplittableRandom(seed ^ name.hashCode());
-        String said = null;
+        String lastFault = null;
         // An export that the settings name no longer goes on until the restart that this change needs.
-        ExportSettings now = export(name);
-        Target target = Exporter.target(now, FaultInjection.NONE);
-        while (waited(now.every())) {
-            ExportSettings next = export(name) == null ? now : export(name);
-            if (next.timeout() != now.timeout()) {
+        ExportSettings current = exportSettings(name);
+        ExportTarget target = Exporter.target(current, FaultInjection.NONE);
+        while (sleepUnlessStopping(current.intervalMillis())) {
+            ExportSettings next = exportSettings(name) == null ? current : exportSettings(name);
+            if (next.timeoutMillis() != current.timeoutMillis()) {
                 target = Exporter.target(next, FaultInjection.NONE);
             }
-            now = next;
+            current = next;
             if (ledger.origin() == null) {
                 continue;
             }
             try (Store store = Store.open(settings.store())) {
-                Exporter exporter =
-                        new Exporter(store, now, target, random, millis -> waited(millis), FaultInjection.NONE);
-                Exporter.Report report = exporter.round();
-                lags.put(name, store.lag(name));
-                ledger.lags(lags);
+                Exporter exporter = new Exporter(
+                        store, current, target, random, millis -> sleepUnlessStopping(millis), FaultInjection.NONE);
+                Exporter.Report report = exporter.runRound();
+                lags.put(name, store.exportLag(name));
+                ledger.exportLags(lags);
                 if (report == Exporter.BUSY) {
                     continue;
                 }
                 if (report.fault() != null) {
                     LOG.warning("export-failed", "export " + name + ": " + report.fault(), "export", name);
-                } else if (said != null) {
+                } else if (lastFault != null) {
                     LOG.info("export-works", "export " + name + " works again", "export", name);
                 }
-                said = report.fault();
+                lastFault = report.fault();
             } catch (StoreException e) {
-                said = e.getMessage();
-                LOG.warning("export-failed", "export " + name + ": " + said, "export", name);
+                lastFault = e.getMessage();
+                LOG.warning("export-failed", "export " + name + ": " + lastFault, "export", name);
             }
         }
     }
 
-    private void peers(MessageSeal seal) throws InterruptedException {
+    private void runReconciliation(MessageAuthenticator authenticator) throws InterruptedException {
         Map<InetSocketAddress, PeerClient> clients = new HashMap<>();
-        Map<InetSocketAddress, Backoff> pauses = new HashMap<>();
-        Map<InetSocketAddress, Double> due = new HashMap<>();
-        while (waited(LOOK)) {
-            PeerSettings now = settings.peers();
-            if (now == null || ledger.origin() == null) {
+        Map<InetSocketAddress, Backoff> backoffs = new HashMap<>();
+        Map<InetSocketAddress, Double> nextRoundAt = new HashMap<>();
+        while (sleepUnlessStopping(POLL_MILLIS)) {
+            PeerSettings peerSettings = settings.peers();
+            if (peerSettings == null || ledger.origin() == null) {
                 continue;
             }
-            for (InetSocketAddress address : now.peers()) {
-                if (Ledger.pace() < due.getOrDefault(address, 0.0)) {
+            for (InetSocketAddress address : peerSettings.peers()) {
+                if (Ledger.monotonicMillis() < nextRoundAt.getOrDefault(address, 0.0)) {
                     continue;
                 }
-                PeerClient client =
-                        clients.computeIfAbsent(address, a -> new PeerClient(vertx, a, seal, clock, now.timeout()));
-                Backoff pause = pauses.computeIfAbsent(
+                PeerClient client = clients.computeIfAbsent(
+                        address, a -> new PeerClient(vertx, a, authenticator, clock, peerSettings.timeoutMillis()));
+                Backoff backoff = backoffs.computeIfAbsent(
                         address,
                         a -> new Backoff(
-                                now.every(), 10 * now.every(), new java.util.SplittableRandom(seed ^ a.hashCode())));
-                due.put(address, Ledger.pace() + (ask(address, client, now) ? reset(pause, now) : pause.next()));
+                                peerSettings.intervalMillis(),
+                                10 * peerSettings.intervalMillis(),
+                                new java.util.SplittableRandom(seed ^ a.hashCode())));
+                nextRoundAt.put(
+                        address,
+                        Ledger.monotonicMillis()
+                                + (reconcile(address, client, peerSettings)
+                                        ? resetPause(backoff, peerSettings)
+                                        : backoff.nextPauseMillis()));
             }
         }
         clients.values().forEach(PeerClient::close);
     }
 
-    private static double reset(Backoff pause, PeerSettings now) {
-        pause.reset();
-        return now.every();
+    private static double resetPause(Backoff backoff, PeerSettings peerSettings) {
+        backoff.reset();
+        return peerSettings.intervalMillis();
     }
 
-    private boolean ask(InetSocketAddress address, PeerClient client, PeerSettings now) throws InterruptedException {
+    private boolean reconcile(InetSocketAddress address, PeerClient client, PeerSettings peerSettings)
+            throws InterruptedException {
         try (Store store = Store.open(settings.store())) {
-            Reconciler.Report report = new Reconciler(store, client, now.chunk()).round();
+            Reconciler.Report report = new Reconciler(store, client, peerSettings.chunkEntries()).runRound();
             report.forks().forEach(line -> LOG.warning("fork", "quarantined " + line, "peer", address));
             report.faults()
                     .forEach(line -> LOG.warning("peer-fault", "peer " + address + ": " + line, "peer", address));
@@ -241,13 +253,13 @@
         stopping = true;
         try {
             for (Thread thread : threads) {
-                thread.join(TimeUnit.SECONDS.toMillis(JOIN_SECONDS));
+                thread.join(TimeUnit.SECONDS.toMillis(SHUTDOWN_TIMEOUT_SECONDS));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (front != null) {
-            front.close();
+        if (peerServer != null) {
+            peerServer.close();
         }
         if (vertx != null) {
             vertx.close();
--- a/src/main/java/nettlewick/ledger/LedgerSettings.java
+++ b/src/main/java/nettlewick/ledger/LedgerSettings.java
@@ -16,25 +16,25 @@
 public record LedgerSettings(
         Path store,
         boolean sync,
-        double batch,
-        double commit,
-        double patience,
-        int queue,
-        Terms terms,
-        double keyWindow,
+        double batchMillis,
+        double commitMillis,
+        double releaseTimeoutMillis,
+        int maxPending,
+        BillingCalendar calendar,
+        double keyWindowMillis,
         List<ExportSettings> exports,
         PeerSettings peers) {
-    private static final double SYNC_BATCH = 20;
+    private static final double SYNC_BATCH_MILLIS = 20;
 
     /** Takes the block over; BadSettings for what its words alone do not show. */
     public static LedgerSettings of(Block ledger) {
         List<Object> mode = ledger.first("mode").orElseThrow().arguments();
-        Terms terms;
+        BillingCalendar calendar;
         try {
-            terms = new Terms(
+            calendar = new BillingCalendar(
                     ledger.get("zone"),
                     ledger.all("term").stream()
-                            .map(t -> new Terms.Term(t.argument(0), t.argument(2), t.argument(4)))
+                            .map(t -> new BillingCalendar.Term(t.argument(0), t.argument(2), t.argument(4)))
                             .toList());
         } catch (IllegalArgumentException e) {
             throw ledger.invalidValue("term", "in order: " + e.getMessage());
@@ -42,11 +42,11 @@
         return new LedgerSettings(
                 ledger.get("store"),
                 mode.size() == 1,
-                mode.size() == 1 ? SYNC_BATCH : (Double) mode.get(1),
+                mode.size() == 1 ? SYNC_BATCH_MILLIS : (Double) mode.get(1),
                 ledger.durationMillis("commit"),
                 ledger.durationMillis("patience"),
                 (int) ledger.wholeNumber("queue"),
-                terms,
+                calendar,
                 ledger.durationMillis("key-window"),
                 ledger.blocks("export").stream().map(ExportSettings::of).toList(),
                 ledger.block("peers").map(PeerSettings::of).orElse(null));
--- a/src/main/java/nettlewick/ledger/MessageSeal.java
+++ b/src/main/java/nettlewick/ledger/MessageAuthenticator.java
@@ -14,26 +14,26 @@
  * played
  * again: HMAC-SHA256 over its parts, a nonce of its own, and a time. Reads no clock. Safe for any thread.
  */
-final class MessageSeal {
-    static final int KEY_LEAST = 32;
+final class MessageAuthenticator {
+    static final int MIN_KEY_BYTES = 32;
     /** A call counts this many milliseconds around its time. */
-    static final double WINDOW = 60_000;
+    static final double TIME_WINDOW_MILLIS = 60_000;
 
-    private static final int NONCES_MOST = 100_000;
+    private static final int MAX_NONCES = 100_000;
     private static final int NONCE_LENGTH = 32;
 
     private final SecretKeySpec key;
     /** Nonces seen, the oldest first, each with when it may be forgotten. */
-    private final Map<String, Double> seen = new LinkedHashMap<>();
+    private final Map<String, Double> nonceExpiries = new LinkedHashMap<>();
 
-    MessageSeal(byte[] key) {
-        if (key.length < KEY_LEAST) {
-            throw new IllegalArgumentException("the key has " + key.length + " bytes, but needs " + KEY_LEAST);
+    MessageAuthenticator(byte[] key) {
+        if (key.length < MIN_KEY_BYTES) {
+            throw new IllegalArgumentException("the key has " + key.length + " bytes, but needs " + MIN_KEY_BYTES);
         }
         this.key = new SecretKeySpec(key, "HmacSHA256");
     }
 
-    private String of(byte[] body, String... parts) {
+    private String hmac(byte[] body, String... parts) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(key);
@@ -49,48 +49,48 @@
     }
 
     /** The seal of a call. */
-    String call(String uri, String nonce, double time) {
-        return of(new byte[0], "call", uri, nonce, Long.toString((long) time));
+    String signRequest(String uri, String nonce, double time) {
+        return hmac(new byte[0], "call", uri, nonce, Long.toString((long) time));
     }
 
     /** The seal of the answer to the call with that nonce. */
-    String answer(String nonce, int status, byte[] body) {
-        return of(body, "answer", nonce, Integer.toString(status));
+    String signResponse(String nonce, int status, byte[] body) {
+        return hmac(body, "answer", nonce, Integer.toString(status));
     }
 
     /** Whether an answer is the one to this call. */
-    boolean fits(String nonce, int status, byte[] body, String seal) {
-        return same(answer(nonce, status, body), seal);
+    boolean isValidResponse(String nonce, int status, byte[] body, String signature) {
+        return constantTimeEquals(signResponse(nonce, status, body), signature);
     }
 
     /** Why a call is turned away, or null: wrong seal, too old, from the future, or seen before. */
-    synchronized String fault(String uri, String nonce, String time, String seal, double now) {
+    synchronized String requestError(String uri, String nonce, String time, String signature, double now) {
         if (nonce == null
                 || nonce.length() != NONCE_LENGTH
                 || time == null
                 || !time.matches("\\d{1,15}")
-                || seal == null) {
+                || signature == null) {
             return "not sealed";
         }
-        double at = Long.parseLong(time);
-        if (!same(call(uri, nonce, at), seal)) {
+        double sentAt = Long.parseLong(time);
+        if (!constantTimeEquals(signRequest(uri, nonce, sentAt), signature)) {
             return "a wrong seal";
         }
-        if (Math.abs(now - at) > WINDOW) {
+        if (Math.abs(now - sentAt) > TIME_WINDOW_MILLIS) {
             return "a call of another time";
         }
-        seen.values().removeIf(until -> until < now);
-        if (seen.containsKey(nonce)) {
+        nonceExpiries.values().removeIf(expiry -> expiry < now);
+        if (nonceExpiries.containsKey(nonce)) {
             return "a call that was made before";
         }
-        if (seen.size() >= NONCES_MOST) {
+        if (nonceExpiries.size() >= MAX_NONCES) {
             return "too many calls";
         }
-        seen.put(nonce, at + 2 * WINDOW);
+        nonceExpiries.put(nonce, sentAt + 2 * TIME_WINDOW_MILLIS);
         return null;
     }
 
-    private static boolean same(String a, String b) {
+    private static boolean constantTimeEquals(String a, String b) {
         return b != null
                 && MessageDigest.isEqual(a.getBytes(StandardCharsets.US_ASCII), b.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/nettlewick/ledger/PeerClient.java
+++ b/src/main/java/nettlewick/ledger/PeerClient.java
@@ -30,50 +30,55 @@
 import nettlewick.ledger.Store.Head;
 
 /**
- * Asks one peer's {@link PeerFront}, and believes no answer without its seal. Blocks; belongs to one thread.
+ * Asks one peer's {@link PeerServer}, and believes no answer without its seal. Blocks; belongs to one thread.
  */
 class PeerClient implements AutoCloseable {
-    private static final int ANSWER_MOST = 16 << 20;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
     private static final int NONCE_BYTES = 16;
     private static final int OK = 200;
-    private static final int SAME = 204;
+    private static final int NO_CONTENT = 204;
 
     private final InetSocketAddress peer;
-    private final MessageSeal seal;
+    private final MessageAuthenticator authenticator;
     private final Clock clock;
-    private final double timeout;
+    private final double timeoutMillis;
     private final Vertx vertx;
     private final HttpClient client;
     private final SecureRandom random = new SecureRandom();
-    private long bytes;
+    private long bytesTransferred;
 
-    PeerClient(Vertx vertx, InetSocketAddress peer, MessageSeal seal, Clock clock, double timeout) {
+    PeerClient(
+            Vertx vertx,
+            InetSocketAddress peer,
+            MessageAuthenticator authenticator,
+            Clock clock,
+            double timeoutMillis) {
         this.vertx = vertx;
         this.peer = peer;
-        this.seal = seal;
+        this.authenticator = authenticator;
         this.clock = clock;
-        this.timeout = timeout;
+        this.timeoutMillis = timeoutMillis;
         client = vertx.createHttpClient(
-                new HttpClientOptions().setConnectTimeout((int) timeout).setMaxRedirects(0));
+                new HttpClientOptions().setConnectTimeout((int) timeoutMillis).setMaxRedirects(0));
     }
 
     /** Bytes sent and received, bodies and the heads that are ours. */
-    long bytes() {
-        return bytes;
+    long bytesTransferred() {
+        return bytesTransferred;
     }
 
     /** The peer's chains; null where they are the same as ours. */
     Map<ChainOrigin, Head> heads(Map<ChainOrigin, Head> ours) throws IOException, InterruptedException {
-        Buffer body = get(PeerFront.HEADS + "?digest=" + PeerFront.digest(ours));
+        Buffer body = get(PeerServer.HEADS_PATH + "?digest=" + PeerServer.digest(ours));
         if (body.length() == 0) {
             return null;
         }
         Map<ChainOrigin, Head> heads = new TreeMap<>();
         try {
-            for (JsonElement one : JsonParser.parseString(PeerFront.utf8(body)).getAsJsonArray()) {
+            for (JsonElement one : JsonParser.parseString(PeerServer.utf8(body)).getAsJsonArray()) {
                 JsonObject o = one.getAsJsonObject();
                 byte[] hash = HexFormat.of().parseHex(o.get("h").getAsString());
-                if (hash.length != Entry.NO_HASH.length || o.get("n").getAsLong() < 0) {
+                if (hash.length != Entry.INITIAL_HASH.length || o.get("n").getAsLong() < 0) {
                     throw new IllegalArgumentException("a chain without a hash");
                 }
                 heads.put(
@@ -88,7 +93,7 @@
 
     /** The hash at a place of a chain; null where the peer has none. */
     byte[] hash(ChainOrigin origin, long number) throws IOException, InterruptedException {
-        String text = PeerFront.utf8(get(PeerFront.HASH + "?" + name(origin) + "&n=" + number));
+        String text = PeerServer.utf8(get(PeerServer.HASH_PATH + "?" + originQuery(origin) + "&n=" + number));
         if (text.equals("none")) {
             return null;
         }
@@ -99,9 +104,9 @@
         }
     }
 
-    /** Entries from one number on, at most up to another; at least one. */
+    /** TestEntries from one number on, at most up to another; at least one. */
     List<byte[]> entries(ChainOrigin origin, long from, long to) throws IOException, InterruptedException {
-        Buffer body = get(PeerFront.ENTRIES + "?" + name(origin) + "&from=" + from + "&to=" + to);
+        Buffer body = get(PeerServer.ENTRIES_PATH + "?" + originQuery(origin) + "&from=" + from + "&to=" + to);
         List<byte[]> entries = new ArrayList<>();
         int at = 0;
         while (at < body.length()) {
@@ -118,48 +123,48 @@
         return entries;
     }
 
-    private static String name(ChainOrigin origin) {
-        return "d=" + URLEncoder.encode(origin.dispatcher(), StandardCharsets.UTF_8) + "&l=" + origin.life();
+    private static String originQuery(ChainOrigin origin) {
+        return "d=" + URLEncoder.encode(origin.dispatcher(), StandardCharsets.UTF_8) + "&l=" + origin.incarnation();
     }
 
     /** One sealed call. */
     Buffer get(String uri) throws IOException, InterruptedException {
-        byte[] drawn = new byte[NONCE_BYTES];
-        random.nextBytes(drawn);
-        String nonce = HexFormat.of().formatHex(drawn);
+        byte[] nonceBytes = new byte[NONCE_BYTES];
+        random.nextBytes(nonceBytes);
+        String nonce = HexFormat.of().formatHex(nonceBytes);
         double now = clock.nowMillis();
         Promise<Buffer> done = Promise.promise();
-        long timer = vertx.setTimer((long) timeout, id -> done.tryFail(new IOException("no answer in time")));
+        long timer = vertx.setTimer((long) timeoutMillis, id -> done.tryFail(new IOException("no answer in time")));
         RequestOptions options = new RequestOptions()
                 .setMethod(HttpMethod.GET)
                 .setURI(uri)
                 .setHost(peer.getAddress().getHostAddress())
                 .setPort(peer.getPort())
-                .putHeader(PeerFront.NONCE, nonce)
-                .putHeader(PeerFront.TIME, Long.toString((long) now))
-                .putHeader(PeerFront.SEAL, seal.call(uri, nonce, now));
-        bytes += uri.length() + 200;
+                .putHeader(PeerServer.NONCE_HEADER, nonce)
+                .putHeader(PeerServer.TIME_HEADER, Long.toString((long) now))
+                .putHeader(PeerServer.SIGNATURE_HEADER, authenticator.signRequest(uri, nonce, now));
+        bytesTransferred += uri.length() + 200;
         client.request(options)
                 .compose(request -> {
                     done.future().onFailure(e -> request.reset());
                     // Composed here, on the response's event loop: this method's thread may come too late for its end.
-                    return request.send().compose(response -> body(response, done));
+                    return request.send().compose(response -> readBody(response, done));
                 })
                 .onFailure(done::tryFail);
         try {
             Buffer answer = done.future()
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get((long) (2 * timeout) + 1000, TimeUnit.MILLISECONDS);
+                    .get((long) (2 * timeoutMillis) + 1000, TimeUnit.MILLISECONDS);
             int status = answer.getInt(0);
             Buffer body = answer.getBuffer(4 + 64, answer.length());
-            bytes += body.length() + 150;
-            if (!seal.fits(nonce, status, body.getBytes(), answer.getString(4, 4 + 64))) {
+            bytesTransferred += body.length() + 150;
+            if (!authenticator.isValidResponse(nonce, status, body.getBytes(), answer.getString(4, 4 + 64))) {
                 throw new IOException("an answer without the right seal (status " + status + ")");
             }
-            if (status != OK && status != SAME) {
+            if (status != OK && status != NO_CONTENT) {
                 throw new IOException(
-                        "it answered " + status + " " + PeerFront.utf8(body).strip());
+                        "it answered " + status + " " + PeerServer.utf8(body).strip());
             }
             return body;
         } catch (ExecutionException e) {
@@ -174,15 +179,15 @@
     /**
      * Status, seal and body in one buffer. Danger: a peer that sends without end must not fill the memory.
      */
-    private static Future<Void> body(HttpClientResponse response, Promise<Buffer> done) {
-        String seal = response.getHeader(PeerFront.SEAL);
+    private static Future<Void> readBody(HttpClientResponse response, Promise<Buffer> done) {
+        String signature = response.getHeader(PeerServer.SIGNATURE_HEADER);
         Buffer all = Buffer.buffer()
                 .appendInt(response.statusCode())
-                .appendString(seal != null && seal.length() == 64 ? seal : "0".repeat(64));
+                .appendString(signature != null && signature.length() == 64 ? signature : "0".repeat(64));
         response.exceptionHandler(done::tryFail);
         response.handler(part -> {
             all.appendBuffer(part);
-            if (all.length() > ANSWER_MOST) {
+            if (all.length() > MAX_RESPONSE_BYTES) {
                 done.tryFail(new IOException("an answer without end"));
             }
         });
--- a/src/main/java/nettlewick/ledger/PeerFront.java
+++ b/src/main/java/nettlewick/ledger/PeerServer.java
@@ -28,30 +28,30 @@
  * Where other dispatchers read this one's entries. Admits callers by their network and by a seal; changes
  * nothing. Has an event loop of its own, and reads the store on a thread beside it.
  */
-final class PeerFront implements AutoCloseable {
-    static final String NONCE = "X-Ledger-Nonce";
-    static final String TIME = "X-Ledger-Time";
-    static final String SEAL = "X-Ledger-Seal";
-    static final String HEADS = "/ledger/heads";
-    static final String HASH = "/ledger/hash";
-    static final String ENTRIES = "/ledger/entries";
+final class PeerServer implements AutoCloseable {
+    static final String NONCE_HEADER = "X-Ledger-Nonce";
+    static final String TIME_HEADER = "X-Ledger-Time";
+    static final String SIGNATURE_HEADER = "X-Ledger-Seal";
+    static final String HEADS_PATH = "/ledger/heads";
+    static final String HASH_PATH = "/ledger/hash";
+    static final String ENTRIES_PATH = "/ledger/entries";
     private static final ComponentLogger LOG = ComponentLogger.of("ledger");
-    private static final int ENTRIES_MOST = 100_000;
-    private static final int BYTES_MOST = 8 << 20;
-    private static final int IDLE_SECONDS = 30;
+    private static final int MAX_ENTRIES = 100_000;
+    private static final int MAX_BODY_BYTES = 8 << 20;
+    private static final int IDLE_TIMEOUT_SECONDS = 30;
     private static final int OK = 200;
-    private static final int SAME = 204;
+    private static final int NO_CONTENT = 204;
 
     private final PeerSettings settings;
     private final Path folder;
-    private final MessageSeal seal;
+    private final MessageAuthenticator authenticator;
     private final Clock clock;
     private final Vertx vertx;
 
-    PeerFront(PeerSettings settings, Path folder, MessageSeal seal, Clock clock) {
+    PeerServer(PeerSettings settings, Path folder, MessageAuthenticator authenticator, Clock clock) {
         this.settings = settings;
         this.folder = folder;
-        this.seal = seal;
+        this.authenticator = authenticator;
         this.clock = clock;
         vertx = Vertx.vertx(new VertxOptions()
                 .setEventLoopPoolSize(1)
@@ -66,7 +66,7 @@
         HttpServer server = vertx.createHttpServer(new HttpServerOptions()
                 .setTcpNoDelay(true)
                 .setHttp2ClearTextEnabled(false)
-                .setIdleTimeout(IDLE_SECONDS));
+                .setIdleTimeout(IDLE_TIMEOUT_SECONDS));
         server.exceptionHandler(e -> {});
         server.requestHandler(this::handle);
         return server.listen(SocketAddress.inetSocketAddress(
@@ -79,75 +79,76 @@
         request.exceptionHandler(e -> {});
         String from =
                 request.remoteAddress() == null ? null : request.remoteAddress().hostAddress();
-        if (!admitted(from)) {
+        if (!isAdmitted(from)) {
             LOG.warning("peer-refused", "a caller from " + from + " is not admitted", "from", from);
             request.response().setStatusCode(403).end("not admitted\n");
             return;
         }
-        String fault = HttpMethod.GET.equals(request.method())
-                ? seal.fault(
+        String error = HttpMethod.GET.equals(request.method())
+                ? authenticator.requestError(
                         request.uri(),
-                        request.getHeader(NONCE),
-                        request.getHeader(TIME),
-                        request.getHeader(SEAL),
+                        request.getHeader(NONCE_HEADER),
+                        request.getHeader(TIME_HEADER),
+                        request.getHeader(SIGNATURE_HEADER),
                         clock.nowMillis())
                 : "not a GET";
-        if (fault != null) {
-            LOG.warning("peer-refused", "a call from " + from + " is refused: " + fault, "from", from);
-            request.response().setStatusCode(401).end(fault + "\n");
+        if (error != null) {
+            LOG.warning("peer-refused", "a call from " + from + " is refused: " + error, "from", from);
+            request.response().setStatusCode(401).end(error + "\n");
             return;
         }
-        String nonce = request.getHeader(NONCE);
+        String nonce = request.getHeader(NONCE_HEADER);
         String path = request.path();
-        Map<String, String> asked = new java.util.HashMap<>();
-        request.params().forEach(asked::put);
-        vertx.executeBlocking(() -> read(path, asked)).onComplete(read -> {
+        Map<String, String> params = new java.util.HashMap<>();
+        request.params().forEach(params::put);
+        vertx.executeBlocking(() -> read(path, params)).onComplete(read -> {
             if (read.failed()) {
-                boolean asking = read.cause() instanceof IllegalArgumentException;
-                answer(
+                boolean badRequest = read.cause() instanceof IllegalArgumentException;
+                respond(
                         request,
                         nonce,
-                        asking ? 400 : 503,
+                        badRequest ? 400 : 503,
                         Buffer.buffer(read.cause().getMessage() + "\n"));
             } else {
-                answer(request, nonce, read.result().length() == 0 ? SAME : OK, read.result());
+                respond(request, nonce, read.result().length() == 0 ? NO_CONTENT : OK, read.result());
             }
         });
     }
 
-    private boolean admitted(String from) {
+    private boolean isAdmitted(String from) {
         IPAddress address = from == null ? null : new IPAddressString(from.replaceAll("%.*", "")).getAddress();
-        return address != null && settings.admit().stream().anyMatch(network -> network.contains(address));
+        return address != null && settings.admittedNetworks().stream().anyMatch(network -> network.contains(address));
     }
 
-    private void answer(HttpServerRequest request, String nonce, int status, Buffer body) {
+    private void respond(HttpServerRequest request, String nonce, int status, Buffer body) {
         if (!request.response().closed()) {
             request.response()
                     .setStatusCode(status)
-                    .putHeader(SEAL, seal.answer(nonce, status, body.getBytes()))
+                    .putHeader(SIGNATURE_HEADER, authenticator.signResponse(nonce, status, body.getBytes()))
                     .end(body);
         }
     }
 
     /** Opens the store for each call: a damaged one may have been put aside since the last. */
-    private Buffer read(String path, Map<String, String> asked) throws StoreException {
+    private Buffer read(String path, Map<String, String> params) throws StoreException {
         try (Store store = Store.read(folder)) {
             return switch (path) {
-                case HEADS -> {
+                case HEADS_PATH -> {
                     Map<ChainOrigin, Store.Head> heads = store.heads();
-                    yield digest(heads).equals(asked.get("digest")) ? Buffer.buffer() : heads(heads);
+                    yield digest(heads).equals(params.get("digest")) ? Buffer.buffer() : encodeHeads(heads);
                 }
-                case HASH -> {
-                    List<Store.Row> rows = store.rows(origin(asked), number(asked, "n"), number(asked, "n"));
+                case HASH_PATH -> {
+                    List<Store.Row> rows =
+                            store.rows(parseOrigin(params), parseNumber(params, "n"), parseNumber(params, "n"));
                     yield Buffer.buffer(
                             rows.isEmpty()
                                     ? "none"
                                     : HexFormat.of().formatHex(rows.get(0).hash()));
                 }
-                case ENTRIES -> {
-                    long first = number(asked, "from");
-                    long last = Math.min(number(asked, "to"), first + ENTRIES_MOST - 1);
-                    yield entries(store.rows(origin(asked), first, last));
+                case ENTRIES_PATH -> {
+                    long first = parseNumber(params, "from");
+                    long last = Math.min(parseNumber(params, "to"), first + MAX_ENTRIES - 1);
+                    yield encodeEntries(store.rows(parseOrigin(params), first, last));
                 }
                 default -> throw new IllegalArgumentException("no such call");
             };
@@ -156,15 +157,15 @@
 
     /** One digest for all chains: equal ones hold the same entries. */
     static String digest(Map<ChainOrigin, Store.Head> heads) {
-        return BatchCodec.sum(heads(heads).getBytes());
+        return BatchCodec.sha256(encodeHeads(heads).getBytes());
     }
 
-    private static Buffer heads(Map<ChainOrigin, Store.Head> heads) {
+    private static Buffer encodeHeads(Map<ChainOrigin, Store.Head> heads) {
         JsonArray all = new JsonArray();
         heads.forEach((origin, head) -> {
             JsonObject one = new JsonObject();
             one.addProperty("d", origin.dispatcher());
-            one.addProperty("l", origin.life());
+            one.addProperty("l", origin.incarnation());
             one.addProperty("n", head.number());
             one.addProperty("h", HexFormat.of().formatHex(head.hash()));
             all.add(one);
@@ -172,8 +173,8 @@
         return Buffer.buffer(all.toString());
     }
 
-    /** Entries one after another, each with its length before it; as many as fit an answer. */
-    private static Buffer entries(List<Store.Row> rows) {
+    /** TestEntries one after another, each with its length before it; as many as fit an answer. */
+    private static Buffer encodeEntries(List<Store.Row> rows) {
         Buffer all = Buffer.buffer();
         for (Store.Row row : rows) {
             if (row.bytes() == null) {
@@ -182,7 +183,7 @@
                 }
                 break;
             }
-            if (all.length() > 0 && all.length() + row.bytes().length > BYTES_MOST) {
+            if (all.length() > 0 && all.length() + row.bytes().length > MAX_BODY_BYTES) {
                 break;
             }
             all.appendInt(row.bytes().length).appendBytes(row.bytes());
@@ -190,15 +191,15 @@
         return all;
     }
 
-    private static ChainOrigin origin(Map<String, String> asked) {
-        if (!asked.containsKey("d")) {
+    private static ChainOrigin parseOrigin(Map<String, String> params) {
+        if (!params.containsKey("d")) {
             throw new IllegalArgumentException("d is missing");
         }
-        return new ChainOrigin(asked.get("d"), number(asked, "l"));
+        return new ChainOrigin(params.get("d"), parseNumber(params, "l"));
     }
 
-    private static long number(Map<String, String> asked, String name) {
-        String text = asked.get(name);
+    private static long parseNumber(Map<String, String> params, String name) {
+        String text = params.get(name);
         if (text == null || !text.matches("\\d{1,18}")) {
             throw new IllegalArgumentException(name + " is not a number");
         }
@@ -208,7 +209,7 @@
     @Override
     public void close() {
         try {
-            vertx.close().toCompletionStage().toCompletableFuture().get(IDLE_SECONDS, TimeUnit.SECONDS);
+            vertx.close().toCompletionStage().toCompletableFuture().get(IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (Exception e) {
             LOG.warning("peer-front", "the peers' listener did not close: " + e);
         }
--- a/src/main/java/nettlewick/ledger/PeerSettings.java
+++ b/src/main/java/nettlewick/ledger/PeerSettings.java
@@ -9,12 +9,12 @@
 /** How ledgers of several dispatchers find each other; times in milliseconds. */
 public record PeerSettings(
         InetSocketAddress listen,
-        Path key,
-        List<IPAddress> admit,
+        Path keyFile,
+        List<IPAddress> admittedNetworks,
         List<InetSocketAddress> peers,
-        double every,
-        double timeout,
-        int chunk) {
+        double intervalMillis,
+        double timeoutMillis,
+        int chunkEntries) {
     static PeerSettings of(Block block) {
         return new PeerSettings(
                 block.address("listen"),
--- a/src/main/java/nettlewick/ledger/Reconciler.java
+++ b/src/main/java/nettlewick/ledger/Reconciler.java
@@ -5,31 +5,31 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import nettlewick.ledger.Plan.Step;
-import nettlewick.ledger.Plan.What;
+import nettlewick.ledger.ReconciliationPlan.Action;
+import nettlewick.ledger.ReconciliationPlan.Step;
 import nettlewick.ledger.Store.Head;
 import nettlewick.ledger.Store.Row;
 import nettlewick.sqlite.StoreException;
 
 /** Brings a store up to what one peer holds, each entry checked against the chain before it is taken over. */
 public final class Reconciler {
-    private static final int SEARCH_MOST = 64;
+    private static final int MAX_SEARCH_STEPS = 64;
 
     /** What a round brought; {@code faults} are lines for people: forks, and what the peer did wrong. */
     public record Report(long entries, int origins, List<String> forks, List<String> faults) {}
 
     private final Store store;
     private final PeerClient peer;
-    private final int chunk;
+    private final int chunkEntries;
 
-    Reconciler(Store store, PeerClient peer, int chunk) {
+    Reconciler(Store store, PeerClient peer, int chunkEntries) {
         this.store = store;
         this.peer = peer;
-        this.chunk = chunk;
+        this.chunkEntries = chunkEntries;
     }
 
     /** One round; IOException where the peer cannot be asked at all. */
-    Report round() throws StoreException, IOException, InterruptedException {
+    Report runRound() throws StoreException, IOException, InterruptedException {
         List<String> forks = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         long entries = 0;
@@ -40,9 +40,10 @@
         }
         // Danger: read after the peer's, so that a chain of ours that grows meanwhile is not taken for a
         // fork.
-        for (Step step : Plan.steps(store.heads(), theirs, store.quarantined().keySet())) {
+        for (Step step : ReconciliationPlan.steps(
+                store.heads(), theirs, store.quarantined().keySet())) {
             try {
-                if (step.what() == What.COMPARE) {
+                if (step.action() == Action.COMPARE) {
                     compare(step, forks);
                 } else {
                     entries += fetch(step, forks);
@@ -57,15 +58,15 @@
         return new Report(entries, origins, forks, faults);
     }
 
-    private byte[] ourHash(ChainOrigin origin, long number) throws StoreException {
+    private byte[] localHash(ChainOrigin origin, long number) throws StoreException {
         List<Row> rows = store.rows(origin, number, number);
         return rows.isEmpty() ? null : rows.get(0).hash();
     }
 
     private void compare(Step step, List<String> forks) throws StoreException, IOException, InterruptedException {
-        byte[] ours = ourHash(step.origin(), step.theirs().number());
+        byte[] ours = localHash(step.origin(), step.theirs().number());
         if (!Arrays.equals(ours, step.theirs().hash())) {
-            fork(step.origin(), step.theirs().number(), forks);
+            quarantineIfForked(step.origin(), step.theirs().number(), forks);
         }
     }
 
@@ -73,14 +74,14 @@
         ChainOrigin origin = step.origin();
         Head head = step.ours();
         if (head.number() > 0 && !Arrays.equals(head.hash(), peer.hash(origin, head.number()))) {
-            fork(origin, head.number(), forks);
+            quarantineIfForked(origin, head.number(), forks);
             return 0;
         }
-        long taken = 0;
+        long fetched = 0;
         while (head.number() < step.theirs().number()) {
-            long to = Math.min(step.theirs().number(), head.number() + chunk);
-            List<Row> rows = Plan.link(origin, head, peer.entries(origin, head.number() + 1, to));
-            Head end = Plan.end(head, rows);
+            long to = Math.min(step.theirs().number(), head.number() + chunkEntries);
+            List<Row> rows = ReconciliationPlan.linkEntries(origin, head, peer.entries(origin, head.number() + 1, to));
+            Head end = ReconciliationPlan.endOf(head, rows);
             byte[] claimed =
                     end.number() == step.theirs().number() ? step.theirs().hash() : peer.hash(origin, end.number());
             if (!Arrays.equals(end.hash(), claimed)) {
@@ -91,34 +92,35 @@
                 throw new IllegalArgumentException("the chain has grown here meanwhile; the next round goes " + "on");
             }
             head = end;
-            taken += rows.size();
+            fetched += rows.size();
         }
-        return taken;
+        return fetched;
     }
 
     /**
      * Two chains of one origin differ. Only a peer that shows an entry that follows from the last common hash
      * proves a fork; any other is at fault itself.
      */
-    private void fork(ChainOrigin origin, long differs, List<String> forks)
+    private void quarantineIfForked(ChainOrigin origin, long differs, List<String> forks)
             throws StoreException, IOException, InterruptedException {
-        Plan.Search search = new Plan.Search(differs);
-        for (int asked = 0; !search.done() && asked < SEARCH_MOST; asked++) {
-            search.told(ourHash(origin, search.ask()), peer.hash(origin, search.ask()));
+        ReconciliationPlan.DivergenceSearch search = new ReconciliationPlan.DivergenceSearch(differs);
+        for (int steps = 0; !search.done() && steps < MAX_SEARCH_STEPS; steps++) {
+            search.update(localHash(origin, search.probe()), peer.hash(origin, search.probe()));
         }
-        long at = search.found();
-        byte[] before = at == 1 ? Entry.NO_HASH : ourHash(origin, at - 1);
-        List<byte[]> shown = peer.entries(origin, at, at);
-        List<Row> rows = Plan.link(origin, new Head(at - 1, before), shown);
-        if (!Arrays.equals(rows.get(0).hash(), peer.hash(origin, at))) {
-            throw new IllegalArgumentException("it claims another entry " + at + " and cannot show one that follows");
+        long first = search.firstDifference();
+        byte[] previousHash = first == 1 ? Entry.INITIAL_HASH : localHash(origin, first - 1);
+        List<byte[]> shown = peer.entries(origin, first, first);
+        List<Row> rows = ReconciliationPlan.linkEntries(origin, new Head(first - 1, previousHash), shown);
+        if (!Arrays.equals(rows.get(0).hash(), peer.hash(origin, first))) {
+            throw new IllegalArgumentException(
+                    "it claims another entry " + first + " and cannot show one that follows");
         }
-        if (Arrays.equals(rows.get(0).hash(), ourHash(origin, at))) {
-            throw new IllegalArgumentException("it claims another hash for the same entry " + at);
+        if (Arrays.equals(rows.get(0).hash(), localHash(origin, first))) {
+            throw new IllegalArgumentException("it claims another hash for the same entry " + first);
         }
-        String why = "entry " + at + " has two contents: the origin went on from an old copy, or its life "
+        String reason = "entry " + first + " has two contents: the origin went on from an old copy, or its life "
                 + "was used twice";
-        store.quarantine(origin, why);
-        forks.add(origin + ": " + why);
+        store.quarantine(origin, reason);
+        forks.add(origin + ": " + reason);
     }
 }
--- a/src/main/java/nettlewick/ledger/Plan.java
+++ b/src/main/java/nettlewick/ledger/ReconciliationPlan.java
@@ -9,9 +9,9 @@
 import nettlewick.ledger.Store.Row;
 
 /** What two ledgers have to do to hold the same, decided from the ends of their chains. Does no I/O. */
-final class Plan {
+final class ReconciliationPlan {
     /** One thing to do about an origin. */
-    enum What {
+    enum Action {
         /** The peer's chain is longer: its tail is fetched. */
         FETCH,
         /** The peer's chain is no longer: its end has to be a link of ours. */
@@ -19,17 +19,17 @@
     }
 
     /** {@code theirs} is the peer's end of the chain, {@code ours} our own. */
-    record Step(What what, ChainOrigin origin, Head ours, Head theirs) {}
+    record Step(Action action, ChainOrigin origin, Head ours, Head theirs) {}
 
-    private Plan() {}
+    private ReconciliationPlan() {}
 
     /** The steps for all origins that the peer has, but those in quarantine; what is the same needs none. */
     static List<Step> steps(Map<ChainOrigin, Head> ours, Map<ChainOrigin, Head> theirs, Set<ChainOrigin> quarantined) {
         List<Step> steps = new ArrayList<>();
         theirs.forEach((origin, their) -> {
             Head our = ours.getOrDefault(origin, Head.NONE);
-            if (their.number() > 0 && !our.same(their) && !quarantined.contains(origin)) {
-                steps.add(new Step(their.number() > our.number() ? What.FETCH : What.COMPARE, origin, our, their));
+            if (their.number() > 0 && !our.matches(their) && !quarantined.contains(origin)) {
+                steps.add(new Step(their.number() > our.number() ? Action.FETCH : Action.COMPARE, origin, our, their));
             }
         });
         return steps;
@@ -40,22 +40,23 @@
      * does
      * not follow: another origin, a number out of turn, bytes that are no entry.
      */
-    static List<Row> link(ChainOrigin origin, Head after, List<byte[]> entries) {
+    static List<Row> linkEntries(ChainOrigin origin, Head start, List<byte[]> entries) {
         List<Row> rows = new ArrayList<>(entries.size());
-        Head head = after;
+        Head head = start;
         for (byte[] bytes : entries) {
             EntryRef expected = new EntryRef(origin, head.number() + 1);
-            if (!Entry.of(bytes).ref().equals(expected)) {
-                throw new IllegalArgumentException("entry " + Entry.of(bytes).ref() + " in place of " + expected);
+            if (!Entry.fromBytes(bytes).ref().equals(expected)) {
+                throw new IllegalArgumentException(
+                        "entry " + Entry.fromBytes(bytes).ref() + " in place of " + expected);
             }
-            head = new Head(expected.number(), Entry.link(head.hash(), bytes));
+            head = new Head(expected.number(), Entry.chainHash(head.hash(), bytes));
             rows.add(new Row(head.number(), bytes, head.hash()));
         }
         return rows;
     }
 
     /** The end of a chain of rows. */
-    static Head end(Head before, List<Row> rows) {
+    static Head endOf(Head before, List<Row> rows) {
         return rows.isEmpty()
                 ? before
                 : new Head(
@@ -64,35 +65,35 @@
     }
 
     /** Finds the first number at which two chains differ, halving the range in which it lies. */
-    static final class Search {
-        private long same;
-        private long differs;
+    static final class DivergenceSearch {
+        private long lastEqual;
+        private long firstDifferent;
 
         /** They differ at this number, and are the same before the first. */
-        Search(long differs) {
-            this.differs = differs;
+        DivergenceSearch(long firstDifferent) {
+            this.firstDifferent = firstDifferent;
         }
 
         boolean done() {
-            return differs - same <= 1;
+            return firstDifferent - lastEqual <= 1;
         }
 
         /** The number whose hashes are to be compared next. */
-        long ask() {
-            return same + (differs - same) / 2;
+        long probe() {
+            return lastEqual + (firstDifferent - lastEqual) / 2;
         }
 
-        void told(byte[] ours, byte[] theirs) {
+        void update(byte[] ours, byte[] theirs) {
             if (Arrays.equals(ours, theirs)) {
-                same = ask();
+                lastEqual = probe();
             } else {
-                differs = ask();
+                firstDifferent = probe();
             }
         }
 
         /** The first number at which they differ. */
-        long found() {
-            return differs;
+        long firstDifference() {
+            return firstDifferent;
         }
     }
 }
--- a/src/main/java/nettlewick/ledger/Recovery.java
+++ b/src/main/java/nettlewick/ledger/Recovery.java
@@ -12,11 +12,11 @@
 
 /** Enters what lives that are dead left in their spools: each job once, as answered or as in doubt. */
 final class Recovery {
-    private static final long CHUNK = 10_000;
+    private static final long CHUNK_ENTRIES = 10_000;
 
     /** What was found and done. */
     record Report(int answered, int doubts, List<String> damage) {
-        boolean idle() {
+        boolean isEmpty() {
             return answered == 0 && doubts == 0 && damage.isEmpty();
         }
     }
@@ -24,26 +24,26 @@
     private Recovery() {}
 
     /** Recovers all dead lives of the store's folder; safe to cut off and to run again. */
-    static Report run(Store store, double now, Terms terms) throws StoreException {
+    static Report run(Store store, double now, BillingCalendar calendar) throws StoreException {
         int answered = 0;
         int doubts = 0;
         List<String> damage = new ArrayList<>();
         try {
-            for (long life : Spool.dead(store.folder())) {
-                try (AutoCloseable mine = Spool.claim(store.folder(), life)) {
-                    Spool.Found found = Spool.read(store.folder(), life);
-                    if (found == null) {
+            for (long incarnation : Spool.findDead(store.folder())) {
+                try (AutoCloseable lock = Spool.claim(store.folder(), incarnation)) {
+                    Spool.Contents spooled = Spool.read(store.folder(), incarnation);
+                    if (spooled == null) {
                         continue;
                     }
-                    List<Entry> missing = missing(store, found, terms);
-                    enter(store, found, missing, now);
+                    List<Entry> missing = findMissing(store, spooled, calendar);
+                    appendMissing(store, spooled, missing, now);
                     answered += (int)
                             missing.stream().filter(e -> e.kind() == Kind.JOB).count();
                     doubts += (int)
                             missing.stream().filter(e -> e.kind() == Kind.DOUBT).count();
-                    damage.addAll(found.damage());
-                    for (Path file : found.files()) {
-                        if (found.damage().stream().anyMatch(line -> line.startsWith(file.toString()))) {
+                    damage.addAll(spooled.damage());
+                    for (Path file : spooled.files()) {
+                        if (spooled.damage().stream().anyMatch(line -> line.startsWith(file.toString()))) {
                             Files.move(file, file.resolveSibling(file.getFileName() + ".damaged-" + (long) now));
                         } else {
                             Files.deleteIfExists(file);
@@ -53,9 +53,9 @@
                     throw e;
                 } catch (IOException e) {
                     // Another process recovers it, or it cannot be read: it waits for the next start.
-                    damage.add("life " + life + ": " + e.getMessage());
+                    damage.add("life " + incarnation + ": " + e.getMessage());
                 } catch (Exception e) {
-                    throw new StoreException("the spool of life " + life + " cannot be read: " + e, e, false);
+                    throw new StoreException("the spool of life " + incarnation + " cannot be read: " + e, e, false);
                 }
             }
         } catch (IOException e) {
@@ -69,70 +69,72 @@
      * numbers
      * may be given by now, at peers; its jobs go into a chain of their own.
      */
-    private static void enter(Store store, Spool.Found found, List<Entry> missing, double now) throws StoreException {
+    private static void appendMissing(Store store, Spool.Contents spooled, List<Entry> missing, double now)
+            throws StoreException {
         if (!missing.isEmpty()) {
-            store.append(lost(store, found) ? store.begin(now) : found.origin(), missing);
+            store.append(isStoreLost(store, spooled) ? store.beginIncarnation(now) : spooled.origin(), missing);
         }
     }
 
-    private static boolean lost(Store store, Spool.Found found) throws StoreException {
-        return store.head(found.origin()).number() < found.head()
-                || !store.dispatcher().equals(found.origin().dispatcher());
+    private static boolean isStoreLost(Store store, Spool.Contents spooled) throws StoreException {
+        return store.head(spooled.origin()).number() < spooled.committedNumber()
+                || !store.dispatcher().equals(spooled.origin().dispatcher());
     }
 
     /** The jobs of the spool that the store has no entry of. */
-    private static List<Entry> missing(Store store, Spool.Found found, Terms terms) throws StoreException {
-        Store.Head head = store.head(found.origin());
-        boolean lost = lost(store, found);
-        String why = lost
-                ? "life " + found.origin().life() + " was lost with its store"
+    private static List<Entry> findMissing(Store store, Spool.Contents spooled, BillingCalendar calendar)
+            throws StoreException {
+        Store.Head head = store.head(spooled.origin());
+        boolean storeLost = isStoreLost(store, spooled);
+        String reason = storeLost
+                ? "life " + spooled.origin().incarnation() + " was lost with its store"
                 : "the process ended before its answer was confirmed";
-        Set<Long> entered = new HashSet<>();
-        if (lost) {
-            store.each(e -> {
-                if (e.kind() == Kind.DOUBT && why.equals(e.text())) {
-                    entered.add(e.job());
+        Set<Long> storedNumbers = new HashSet<>();
+        if (storeLost) {
+            store.forEachEntry(e -> {
+                if (e.kind() == Kind.DOUBT && reason.equals(e.details())) {
+                    storedNumbers.add(e.requestNumber());
                 }
             });
         }
-        for (long from = found.head() + 1; from <= head.number(); from += CHUNK) {
-            for (Store.Row row : store.rows(found.origin(), from, from + CHUNK - 1)) {
+        for (long from = spooled.committedNumber() + 1; from <= head.number(); from += CHUNK_ENTRIES) {
+            for (Store.Row row : store.rows(spooled.origin(), from, from + CHUNK_ENTRIES - 1)) {
                 if (row.bytes() != null) {
-                    Entry e = Entry.of(row.bytes());
+                    Entry e = Entry.fromBytes(row.bytes());
                     if (e.kind() == Kind.JOB || e.kind() == Kind.DOUBT) {
-                        entered.add(e.job());
+                        storedNumbers.add(e.requestNumber());
                     }
                 }
             }
         }
         List<Entry> missing = new ArrayList<>();
-        for (Entry draft : found.intents().values()) {
-            Entry ended = found.ended().get(draft.job());
-            if (entered.contains(draft.job())) {
+        for (Entry draft : spooled.intents().values()) {
+            Entry finalEntry = spooled.finalEntries().get(draft.requestNumber());
+            if (storedNumbers.contains(draft.requestNumber())) {
                 continue;
             }
-            missing.add(ended != null && !lost ? ended.in(terms) : doubt(draft, why));
+            missing.add(finalEntry != null && !storeLost ? finalEntry.withPeriod(calendar) : toDoubt(draft, reason));
         }
         return missing;
     }
 
-    private static Entry doubt(Entry draft, String why) {
+    private static Entry toDoubt(Entry draft, String reason) {
         return new Entry(
                 draft.ref(),
                 Kind.DOUBT,
-                draft.at(),
-                draft.member(),
-                draft.jobClass(),
-                draft.request(),
-                draft.key(),
-                draft.end(),
-                draft.work(),
-                draft.estimate(),
-                draft.spare(),
-                draft.attempts(),
-                draft.job(),
+                draft.timeMillis(),
+                draft.tenant(),
+                draft.requestClass(),
+                draft.requestId(),
+                draft.keyHash(),
+                draft.ending(),
+                draft.workSlotMicros(),
+                draft.isEstimate(),
+                draft.extraWorkSlotMicros(),
+                draft.attemptCount(),
+                draft.requestNumber(),
                 null,
                 null,
-                why);
+                reason);
     }
 }
--- a/src/main/java/nettlewick/ledger/Spool.java
+++ b/src/main/java/nettlewick/ledger/Spool.java
@@ -35,73 +35,73 @@
  */
 final class Spool implements AutoCloseable {
     private static final int MAGIC = 0x4e575332;
-    private static final int FRAME = 8;
-    private static final int ALIGNED = 4;
-    private static final int RECORD_MOST = 1 << 18;
-    private static final int SEGMENT = 4 << 20;
+    private static final int FRAME_HEADER_BYTES = 8;
+    private static final int ALIGNMENT_BYTES = 4;
+    private static final int MAX_RECORD_BYTES = 1 << 18;
+    private static final int SEGMENT_BYTES = 4 << 20;
     private static final byte INTENT = 1;
     private static final byte ANSWERED = 2;
     private static final byte LEFT = 3;
-    private static final Pattern NAME = Pattern.compile("spool-(\\d+)-(\\d{6})\\.(log|copy)");
-    private static final VarHandle INTS = MethodHandles.byteBufferViewVarHandle(int[].class, ByteOrder.BIG_ENDIAN);
+    private static final Pattern FILE_NAME = Pattern.compile("spool-(\\d+)-(\\d{6})\\.(log|copy)");
+    private static final VarHandle INT_VIEW = MethodHandles.byteBufferViewVarHandle(int[].class, ByteOrder.BIG_ENDIAN);
 
     /** Where intents were written; any thread may tell it. */
-    interface Place {
+    interface IntentTracker {
         /** So many of its jobs have committed entries. */
-        void entered(int jobs);
+        void markCommitted(int jobs);
     }
 
     /** A file of the spool and how many of its jobs have no committed entry yet. Guarded by the spool. */
-    private final class Segment implements Place {
+    private final class Segment implements IntentTracker {
         final Path file;
-        final MappedByteBuffer bytes;
+        final MappedByteBuffer mapped;
         /**
          * The copy that is forced. Danger: forcing the mapped file itself takes its pages from all cores, and
          * whoever writes next waits for the disk.
          */
-        final Path second;
+        final Path syncedFile;
 
-        final FileChannel copy;
-        int at;
-        int forced;
-        int open;
+        final FileChannel syncedChannel;
+        int writePosition;
+        int syncedPosition;
+        int uncommittedJobs;
 
-        Segment(Path file, ByteBuffer start, int at) throws IOException {
+        Segment(Path file, ByteBuffer header, int writePosition) throws IOException {
             this.file = file;
-            second = file.resolveSibling(file.getFileName().toString().replace(".log", ".copy"));
-            try (FileChannel channel = made(file, start)) {
-                bytes = channel.map(FileChannel.MapMode.READ_WRITE, 0, SEGMENT);
+            syncedFile = file.resolveSibling(file.getFileName().toString().replace(".log", ".copy"));
+            try (FileChannel channel = createFile(file, header)) {
+                mapped = channel.map(FileChannel.MapMode.READ_WRITE, 0, SEGMENT_BYTES);
             }
-            copy = made(second, start);
-            forced = at;
-            this.at = at;
+            syncedChannel = createFile(syncedFile, header);
+            syncedPosition = writePosition;
+            this.writePosition = writePosition;
         }
 
         /** Brings what was noted up to there to the disk. */
-        void force(int until) throws IOException {
-            ByteBuffer news = bytes.slice(forced, until - forced);
-            for (long to = forced; news.hasRemaining(); ) {
-                to += copy.write(news, to);
+        void force(int ends) throws IOException {
+            ByteBuffer unsynced = mapped.slice(syncedPosition, ends - syncedPosition);
+            for (long position = syncedPosition; unsynced.hasRemaining(); ) {
+                position += syncedChannel.write(unsynced, position);
             }
-            copy.force(false);
-            forced = until;
+            syncedChannel.force(false);
+            syncedPosition = ends;
         }
 
         @Override
-        public void entered(int jobs) {
+        public void markCommitted(int jobs) {
             synchronized (Spool.this) {
-                open -= jobs;
-                sweep();
+                uncommittedJobs -= jobs;
+                deleteCommittedSegments();
             }
         }
     }
 
     /** What a dead life's files hold. */
-    record Found(
+    record Contents(
             ChainOrigin origin,
-            long head,
+            long committedNumber,
             Map<Long, Entry> intents,
-            Map<Long, Entry> ended,
+            Map<Long, Entry> finalEntries,
             List<Path> files,
             List<String> damage) {}
 
@@ -111,24 +111,24 @@
     private final FileChannel lock;
     private final Deque<Segment> segments = new ArrayDeque<>();
     private Segment current;
-    private Segment spare;
-    private int next = 1;
+    private Segment nextSegment;
+    private int nextNumber = 1;
 
     /** Makes a life's spool and holds its lock. */
     Spool(Path folder, ChainOrigin origin, FaultInjection faults) throws IOException {
         this.folder = folder;
         this.origin = origin;
         this.faults = faults;
-        lock = hold(folder, origin.life());
+        lock = acquireLock(folder, origin.incarnation());
     }
 
-    private static Path lockFile(Path folder, long life) {
-        return folder.resolve("life-" + life + ".lock");
+    private static Path lockFile(Path folder, long incarnation) {
+        return folder.resolve("life-" + incarnation + ".lock");
     }
 
-    private static FileChannel hold(Path folder, long life) throws IOException {
+    private static FileChannel acquireLock(Path folder, long incarnation) throws IOException {
         FileChannel channel =
-                FileChannel.open(lockFile(folder, life), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileChannel.open(lockFile(folder, incarnation), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             if (channel.tryLock() != null) {
                 return channel;
@@ -137,27 +137,27 @@
             // held in this very process
         }
         channel.close();
-        throw new IOException("life " + life + " is another process's");
+        throw new IOException("life " + incarnation + " is another process's");
     }
 
     /** Holds the lock of a life that writes no spool: a command's. */
-    static AutoCloseable claim(Path folder, long life) throws IOException {
-        FileChannel channel = hold(folder, life);
+    static AutoCloseable claim(Path folder, long incarnation) throws IOException {
+        FileChannel channel = acquireLock(folder, incarnation);
         return () -> {
-            Files.deleteIfExists(lockFile(folder, life));
+            Files.deleteIfExists(lockFile(folder, incarnation));
             channel.close();
         };
     }
 
     /** Whether the process of a life lives. */
-    static boolean alive(Path folder, long life) throws IOException {
-        Path file = lockFile(folder, life);
+    static boolean isAlive(Path folder, long incarnation) throws IOException {
+        Path file = lockFile(folder, incarnation);
         if (!Files.exists(file)) {
             return false;
         }
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE);
-                FileLock mine = channel.tryLock()) {
-            return mine == null;
+                FileLock acquired = channel.tryLock()) {
+            return acquired == null;
         } catch (OverlappingFileLockException e) {
             return true;
         }
@@ -175,14 +175,14 @@
      *
      * @return where it stands, or null where there is no room now
      */
-    Place intent(Entry draft) {
-        byte[] bytes = draft.bytes();
-        return put(ByteBuffer.allocate(1 + bytes.length).put(INTENT).put(bytes), 1);
+    IntentTracker recordIntent(Entry draft) {
+        byte[] bytes = draft.toBytes();
+        return append(ByteBuffer.allocate(1 + bytes.length).put(INTENT).put(bytes), 1);
     }
 
     /** Notes what became of a job that was let go. */
-    void ended(long job, double at, boolean answered) {
-        put(
+    void recordEnd(long job, double at, boolean answered) {
+        append(
                 ByteBuffer.allocate(1 + 8 + 8)
                         .put(answered ? ANSWERED : LEFT)
                         .putLong(job)
@@ -190,34 +190,34 @@
                 0);
     }
 
-    private Place put(ByteBuffer record, int jobs) {
+    private IntentTracker append(ByteBuffer record, int jobs) {
         byte[] bytes = record.array();
-        CRC32C sum = new CRC32C();
-        sum.update(bytes);
-        int room = FRAME + (bytes.length + ALIGNED - 1) / ALIGNED * ALIGNED;
+        CRC32C crc = new CRC32C();
+        crc.update(bytes);
+        int frameBytes = FRAME_HEADER_BYTES + (bytes.length + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES;
         synchronized (this) {
-            if (current == null || current.at + room + FRAME > SEGMENT) {
-                current = spare;
-                spare = null;
+            if (current == null || current.writePosition + frameBytes + FRAME_HEADER_BYTES > SEGMENT_BYTES) {
+                current = nextSegment;
+                nextSegment = null;
             }
-            Segment to = current;
-            if (to == null || bytes.length > RECORD_MOST) {
+            Segment segment = current;
+            if (segment == null || bytes.length > MAX_RECORD_BYTES) {
                 return null;
             }
             try {
-                to.bytes.put(to.at + FRAME, bytes);
-                to.bytes.putInt(to.at + 4, (int) sum.getValue());
+                segment.mapped.put(segment.writePosition + FRAME_HEADER_BYTES, bytes);
+                segment.mapped.putInt(segment.writePosition + 4, (int) crc.getValue());
                 // Danger: the length makes the record count, so it comes last, whenever the process is
                 // killed.
-                INTS.setRelease(to.bytes, to.at, bytes.length);
+                INT_VIEW.setRelease(segment.mapped, segment.writePosition, bytes.length);
             } catch (InternalError e) {
                 // The disk under the mapped memory has failed.
                 current = null;
                 return null;
             }
-            to.at += room;
-            to.open += jobs;
-            return to;
+            segment.writePosition += frameBytes;
+            segment.uncommittedJobs += jobs;
+            return segment;
         }
     }
 
@@ -226,48 +226,48 @@
      * it is
      * written. {@code head} is the last number that the store has committed for this life.
      */
-    void prepare(long head) throws IOException {
+    void prepareSegment(long committedNumber) throws IOException {
         synchronized (this) {
-            if (spare != null) {
+            if (nextSegment != null) {
                 return;
             }
         }
         faults.at("spool-write");
-        Path file = folder.resolve(String.format("spool-%d-%06d.log", origin.life(), next++));
+        Path file = folder.resolve(String.format("spool-%d-%06d.log", origin.incarnation(), nextNumber++));
         byte[] name = origin.dispatcher().getBytes(StandardCharsets.UTF_8);
-        ByteBuffer start = ByteBuffer.allocate(SEGMENT)
+        ByteBuffer header = ByteBuffer.allocate(SEGMENT_BYTES)
                 .putInt(MAGIC)
                 .putInt(name.length)
                 .put(name)
-                .putLong(origin.life())
-                .putLong(head);
-        int at = (start.position() + ALIGNED - 1) / ALIGNED * ALIGNED;
-        start.rewind();
-        Segment made;
+                .putLong(origin.incarnation())
+                .putLong(committedNumber);
+        int recordsStart = (header.position() + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES;
+        header.rewind();
+        Segment segment;
         try {
-            made = new Segment(file, start, at);
+            segment = new Segment(file, header, recordsStart);
         } catch (IOException e) {
             Files.deleteIfExists(file);
             throw e;
         }
         synchronized (this) {
-            segments.add(made);
-            spare = made;
+            segments.add(segment);
+            nextSegment = segment;
             if (current == null) {
-                current = made;
-                spare = null;
+                current = segment;
+                nextSegment = null;
             }
-            sweep();
+            deleteCommittedSegments();
         }
     }
 
     /** A file whose blocks are on the disk, so that it cannot be full when they are written to. */
-    private static FileChannel made(Path file, ByteBuffer start) throws IOException {
+    private static FileChannel createFile(Path file, ByteBuffer header) throws IOException {
         FileChannel channel = FileChannel.open(
                 file, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
         try {
-            for (ByteBuffer rest = start.duplicate(); rest.hasRemaining(); ) {
-                channel.write(rest);
+            for (ByteBuffer remaining = header.duplicate(); remaining.hasRemaining(); ) {
+                channel.write(remaining);
             }
             channel.force(true);
             return channel;
@@ -281,42 +281,42 @@
     /** All that was noted before the call is on the disk when it returns. Called by one thread. */
     void force() throws IOException {
         List<Segment> dirty = new ArrayList<>();
-        List<Integer> until = new ArrayList<>();
+        List<Integer> ends = new ArrayList<>();
         synchronized (this) {
             for (Segment s : segments) {
-                if (s.at > s.forced) {
+                if (s.writePosition > s.syncedPosition) {
                     dirty.add(s);
-                    until.add(s.at);
+                    ends.add(s.writePosition);
                 }
             }
         }
         try {
             for (int i = 0; i < dirty.size(); i++) {
                 faults.at("spool-force");
-                dirty.get(i).force(until.get(i));
+                dirty.get(i).force(ends.get(i));
             }
         } catch (IOException e) {
-            abandon();
+            abandonSegments();
             throw e;
         }
     }
 
     /** What could not be forced is not written to any more. */
-    private synchronized void abandon() {
+    private synchronized void abandonSegments() {
         current = null;
-        spare = null;
+        nextSegment = null;
     }
 
     /** Danger: a file is deleted only when all of its jobs are in the store. */
-    private void sweep() {
+    private void deleteCommittedSegments() {
         segments.removeIf(s -> {
-            if (s == current || s == spare || s.open > 0) {
+            if (s == current || s == nextSegment || s.uncommittedJobs > 0) {
                 return false;
             }
             try {
-                s.copy.close();
+                s.syncedChannel.close();
                 Files.deleteIfExists(s.file);
-                Files.deleteIfExists(s.second);
+                Files.deleteIfExists(s.syncedFile);
             } catch (IOException e) {
                 // It is read again at the next start, which finds its jobs entered.
             }
@@ -328,14 +328,14 @@
     @Override
     public synchronized void close() {
         current = null;
-        spare = null;
-        sweep();
+        nextSegment = null;
+        deleteCommittedSegments();
         try {
             for (Segment s : segments) {
-                s.copy.close();
+                s.syncedChannel.close();
             }
             if (segments.isEmpty()) {
-                Files.deleteIfExists(lockFile(folder, origin.life()));
+                Files.deleteIfExists(lockFile(folder, origin.incarnation()));
             }
             lock.close();
         } catch (IOException e) {
@@ -346,85 +346,91 @@
     // Reading what a dead life left
 
     /** The lives that left files and whose process is dead. */
-    static List<Long> dead(Path folder) throws IOException {
-        Map<Long, Boolean> lives = new TreeMap<>();
+    static List<Long> findDead(Path folder) throws IOException {
+        Map<Long, Boolean> incarnations = new TreeMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "{spool,life}-*")) {
             for (Path file : files) {
                 Matcher m = Pattern.compile("(?:spool|life)-(\\d+)[-.].*")
                         .matcher(file.getFileName().toString());
                 if (m.matches()) {
-                    lives.put(Long.parseLong(m.group(1)), true);
+                    incarnations.put(Long.parseLong(m.group(1)), true);
                 }
             }
         }
         List<Long> dead = new ArrayList<>();
-        for (long life : lives.keySet()) {
-            if (!alive(folder, life)) {
-                dead.add(life);
+        for (long incarnation : incarnations.keySet()) {
+            if (!isAlive(folder, incarnation)) {
+                dead.add(incarnation);
             }
         }
         return dead;
     }
 
     /** Reads the files of a life; null where it left none. */
-    static Found read(Path folder, long life) throws IOException {
+    static Contents read(Path folder, long incarnation) throws IOException {
         List<Path> files = new ArrayList<>();
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, "spool-" + life + "-*")) {
+        try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, "spool-" + incarnation + "-*")) {
             for (Path file : all) {
-                if (NAME.matcher(file.getFileName().toString()).matches()) {
+                if (FILE_NAME.matcher(file.getFileName().toString()).matches()) {
                     files.add(file);
                 }
             }
         }
         files.sort(null);
-        Found found = null;
+        Contents contents = null;
         for (Path file : files) {
-            found = read(file, files, found);
+            contents = read(file, files, contents);
         }
-        return found;
+        return contents;
     }
 
-    private static Found read(Path file, List<Path> files, Found before) throws IOException {
+    private static Contents read(Path file, List<Path> files, Contents previous) throws IOException {
         ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file));
-        Found found = before;
+        Contents contents = previous;
         if (in.remaining() >= 8 && in.getInt() == MAGIC) {
             int length = in.getInt();
             if (length >= 0 && length <= 4096 && in.remaining() >= length + 16) {
                 byte[] name = new byte[length];
                 in.get(name);
                 ChainOrigin origin = new ChainOrigin(new String(name, StandardCharsets.UTF_8), in.getLong());
-                long head = in.getLong();
-                in.position(Math.min(in.limit(), (in.position() + ALIGNED - 1) / ALIGNED * ALIGNED));
-                found = found != null
-                        ? found
-                        : new Found(
-                                origin, head, new LinkedHashMap<>(), new LinkedHashMap<>(), files, new ArrayList<>());
-                records(file, in, found);
-                return found;
+                long committedNumber = in.getLong();
+                in.position(Math.min(
+                        in.limit(), (in.position() + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES));
+                contents = contents != null
+                        ? contents
+                        : new Contents(
+                                origin,
+                                committedNumber,
+                                new LinkedHashMap<>(),
+                                new LinkedHashMap<>(),
+                                files,
+                                new ArrayList<>());
+                readRecords(file, in, contents);
+                return contents;
             }
         }
         // Danger: cut off in its head, or all zeros there, it was never written to; all else is put aside.
         if (in.limit() >= 4 && in.getInt(0) != MAGIC && in.getInt(0) != 0) {
-            if (found != null) {
-                found.damage().add(file + ": not a spool");
+            if (contents != null) {
+                contents.damage().add(file + ": not a spool");
             } else {
                 throw new IOException(file + " is not a spool");
             }
         }
-        return found;
+        return contents;
     }
 
-    private static void records(Path file, ByteBuffer in, Found found) {
-        while (in.remaining() >= FRAME) {
+    private static void readRecords(Path file, ByteBuffer in, Contents contents) {
+        while (in.remaining() >= FRAME_HEADER_BYTES) {
             int start = in.position();
             int length = in.getInt();
-            int sum = in.getInt();
+            int storedCrc = in.getInt();
             if (length == 0) {
                 // The rest of the file was never written to.
                 return;
             }
-            if (length < 0 || length > RECORD_MOST) {
-                found.damage().add(file + ": no record at byte " + start);
+            if (length < 0 || length > MAX_RECORD_BYTES) {
+                contents.damage().add(file + ": no record at byte " + start);
                 return;
             }
             if (in.remaining() < length) {
@@ -432,45 +438,46 @@
             }
             byte[] record = new byte[length];
             in.get(record);
-            in.position(Math.min(in.limit(), (in.position() + ALIGNED - 1) / ALIGNED * ALIGNED));
-            CRC32C check = new CRC32C();
-            check.update(record);
-            if ((int) check.getValue() != sum) {
-                found.damage().add(file + ": a record with a wrong sum at byte " + start);
+            in.position(
+                    Math.min(in.limit(), (in.position() + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES));
+            CRC32C crc = new CRC32C();
+            crc.update(record);
+            if ((int) crc.getValue() != storedCrc) {
+                contents.damage().add(file + ": a record with a wrong sum at byte " + start);
                 return;
             }
             ByteBuffer r = ByteBuffer.wrap(record);
             byte type = r.get();
             if (type == INTENT) {
-                Entry draft = Entry.of(java.util.Arrays.copyOfRange(record, 1, length));
-                found.intents().put(draft.job(), draft);
+                Entry draft = Entry.fromBytes(java.util.Arrays.copyOfRange(record, 1, length));
+                contents.intents().put(draft.requestNumber(), draft);
             } else {
                 long job = r.getLong();
-                Entry draft = found.intents().get(job);
+                Entry draft = contents.intents().get(job);
                 if (draft != null) {
-                    found.ended().put(job, ended(draft, r.getDouble(), type == ANSWERED));
+                    contents.finalEntries().put(job, finalEntry(draft, r.getDouble(), type == ANSWERED));
                 }
             }
         }
     }
 
     /** The entry of a draft whose end is known. */
-    static Entry ended(Entry draft, double at, boolean answered) {
+    static Entry finalEntry(Entry draft, double at, boolean answered) {
         // Danger: work for a client that has left is nobody's: it is shown apart, and never billed.
         return new Entry(
                 draft.ref(),
                 Entry.Kind.JOB,
                 at,
-                draft.member(),
-                draft.jobClass(),
-                draft.request(),
-                draft.key(),
-                answered ? draft.end() : Ending.LEFT,
-                answered ? draft.work() : 0,
-                draft.estimate(),
-                answered ? draft.spare() : draft.spare() + draft.work(),
-                draft.attempts(),
-                draft.job(),
+                draft.tenant(),
+                draft.requestClass(),
+                draft.requestId(),
+                draft.keyHash(),
+                answered ? draft.ending() : Ending.LEFT,
+                answered ? draft.workSlotMicros() : 0,
+                draft.isEstimate(),
+                answered ? draft.extraWorkSlotMicros() : draft.extraWorkSlotMicros() + draft.workSlotMicros(),
+                draft.attemptCount(),
+                draft.requestNumber(),
                 null,
                 null,
                 null);
--- a/src/main/java/nettlewick/ledger/Statement.java
+++ b/src/main/java/nettlewick/ledger/Statement.java
@@ -1,5 +1,6 @@
 package nettlewick.ledger;
 
+import com.google.gson.annotations.SerializedName;
 import java.util.List;
 
 /**
@@ -19,11 +20,11 @@
         List<Row> rows,
         List<Late> late,
         List<Gap> gaps,
-        List<Void> voided) {
+        List<VoidedCorrection> voided) {
     /** Counts and work of a member in a class; {@code billed} is net of corrections and repeated keys. */
     public record Row(
-            String member,
-            String jobClass,
+            @SerializedName("member") String tenant,
+            @SerializedName("jobClass") String requestClass,
             long served,
             long refused,
             long failed,
@@ -36,13 +37,18 @@
             long repeats) {}
 
     /** A difference that belongs to a closed period: how many entries, and what they add. */
-    public record Late(String closed, String member, String jobClass, long entries, long work) {}
+    public record Late(
+            String closed,
+            @SerializedName("member") String tenant,
+            @SerializedName("jobClass") String requestClass,
+            long entries,
+            long work) {}
 
     /** Answered between those times. */
     public record Gap(EntryRef ref, double from, double to, long jobs) {}
 
     /** A correction that does not count. */
-    public record Void(EntryRef ref, EntryRef target, String why) {}
+    public record VoidedCorrection(EntryRef ref, EntryRef target, String why) {}
 
     /** All that is billed here, late differences too. */
     public long billed() {
