--- a/src/main/java/nettlewick/ledger/UsageBook.java
+++ b/src/main/java/nettlewick/ledger/StatementCalculator.java
@@ -26,14 +26,14 @@
  * covered, for good; what is found later is stated as a difference in the next period whose close covers it,
  * or which is open.
  */
-public final class UsageBook {
-    /** Entries with one key of one member's class, the earliest first: only the first is billed. */
-    private record Key(String member, String jobClass, String hash) {}
+public final class StatementCalculator {
+    /** TestEntries with one key of one member's class, the earliest first: only the first is billed. */
+    private record Key(String tenant, String requestClass, String hash) {}
 
     private static final Comparator<Entry> BY_TIME =
-            Comparator.<Entry>comparingDouble(Entry::at).thenComparing(Entry::ref);
+            Comparator.<Entry>comparingDouble(Entry::timeMillis).thenComparing(Entry::ref);
 
-    private static final Comparator<List<String>> BY_WORDS = (a, b) -> {
+    private static final Comparator<List<String>> LEXICOGRAPHIC = (a, b) -> {
         for (int i = 0; i < a.size(); i++) {
             int order = a.get(i).compareTo(b.get(i));
             if (order != 0) {
@@ -43,9 +43,9 @@
         return 0;
     };
 
-    private final Terms terms;
-    private final double keyWindow;
-    private final Set<EntryRef> held = new HashSet<>();
+    private final BillingCalendar calendar;
+    private final double keyWindowMillis;
+    private final Set<EntryRef> refs = new HashSet<>();
     private final List<Entry> billable = new ArrayList<>();
     private final List<Entry> gaps = new ArrayList<>();
     private final Map<EntryRef, Entry> byRef = new HashMap<>();
@@ -57,14 +57,14 @@
     private Map<String, Statement> statements;
 
     /** {@code keyWindow}: a key answered again within so many milliseconds is not billed again. */
-    public UsageBook(Terms terms, double keyWindow) {
-        this.terms = terms;
-        this.keyWindow = keyWindow;
+    public StatementCalculator(BillingCalendar calendar, double keyWindowMillis) {
+        this.calendar = calendar;
+        this.keyWindowMillis = keyWindowMillis;
     }
 
     /** Takes an entry over; false if it is held already. */
     public boolean add(Entry e) {
-        if (!held.add(e.ref())) {
+        if (!refs.add(e.ref())) {
             return false;
         }
         statements = null;
@@ -72,8 +72,8 @@
             case JOB, DOUBT -> {
                 billable.add(e);
                 byRef.put(e.ref(), e);
-                if (e.key() != null && e.kind() == Kind.JOB && e.end() == Ending.SERVED) {
-                    keyed.computeIfAbsent(new Key(e.member(), e.jobClass(), e.key()), k -> new ArrayList<>(1))
+                if (e.keyHash() != null && e.kind() == Kind.JOB && e.ending() == Ending.SERVED) {
+                    keyed.computeIfAbsent(new Key(e.tenant(), e.requestClass(), e.keyHash()), k -> new ArrayList<>(1))
                             .add(e);
                 }
             }
@@ -88,7 +88,10 @@
             case CLOSE -> {
                 byRef.put(e.ref(), e);
                 closes.computeIfAbsent(e.ref().origin().dispatcher(), d -> new TreeMap<>())
-                        .merge(e.close().period().from(), e, (a, b) -> a.ref().compareTo(b.ref()) < 0 ? a : b);
+                        .merge(
+                                e.parseClose().period().from(),
+                                e,
+                                (a, b) -> a.ref().compareTo(b.ref()) < 0 ? a : b);
             }
             default -> throw new IllegalStateException(e.kind().toString());
         }
@@ -102,24 +105,24 @@
 
     /** The correction that counts for an entry, or null. */
     public Entry correction(EntryRef target) {
-        return effective(target, r -> true);
+        return effectiveCorrection(target, r -> true);
     }
 
     /** Whether a dispatcher has closed its part of a period. */
-    public boolean isClosed(String dispatcher, Terms.Period period) {
+    public boolean isClosed(String dispatcher, BillingCalendar.Period period) {
         return closes.containsKey(dispatcher) && closes.get(dispatcher).containsKey(period.from());
     }
 
     /**
      * What the settings' calendar contradicts: a period that was closed with other bounds. Null if nothing.
      */
-    public String contradiction() {
+    public String calendarConflict() {
         for (NavigableMap<Double, Entry> all : closes.values()) {
             for (Entry e : all.values()) {
-                Terms.Period closed = e.close().period();
-                if (!terms.at(closed.from()).equals(closed)) {
+                BillingCalendar.Period closed = e.parseClose().period();
+                if (!calendar.periodAt(closed.from()).equals(closed)) {
                     return "period " + closed.name() + " was closed as " + closed + ", the settings say "
-                            + terms.at(closed.from());
+                            + calendar.periodAt(closed.from());
                 }
             }
         }
@@ -127,12 +130,12 @@
     }
 
     /** The earliest period of a dispatcher that has entries and is not closed; null if there is none. */
-    public Terms.Period firstOpen(String dispatcher) {
+    public BillingCalendar.Period firstOpenPeriod(String dispatcher) {
         return java.util.stream.Stream.concat(billable.stream(), gaps.stream())
                 .filter(e -> e.ref().origin().dispatcher().equals(dispatcher))
-                .map(e -> terms.at(e.at()))
+                .map(e -> calendar.periodAt(e.timeMillis()))
                 .filter(p -> !isClosed(dispatcher, p))
-                .min(Comparator.comparingDouble(Terms.Period::from))
+                .min(Comparator.comparingDouble(BillingCalendar.Period::from))
                 .orElse(null);
     }
 
@@ -140,44 +143,44 @@
      * Whether nothing that is known changes an entry any more: its period's close covers it, and neither a
      * correction nor another answer under its key is held. Only such entries can be set aside alone.
      */
-    public boolean settled(Entry e) {
-        Close close = close(e.ref().origin().dispatcher(), terms.at(e.at()));
-        return close != null && close.covers(e.ref()) && (e.kind() == Kind.GAP || plain(e));
+    public boolean isSettled(Entry e) {
+        Close close = closeOf(e.ref().origin().dispatcher(), calendar.periodAt(e.timeMillis()));
+        return close != null && close.covers(e.ref()) && (e.kind() == Kind.GAP || hasFixedValue(e));
     }
 
     /** The periods that have anything to state, the earliest first. */
     public Collection<String> periods() {
-        return work().keySet();
+        return statementsByPeriod().keySet();
     }
 
     /** The statement of a period; an empty one where nothing happened. */
     public Statement statement(String period) {
-        Statement found = work().get(period);
-        if (found != null || terms.named(period).isEmpty()) {
+        Statement found = statementsByPeriod().get(period);
+        if (found != null || calendar.periodNamed(period).isEmpty()) {
             return found != null
                     ? found
                     : new Statement(period, false, List.of(), List.of(), List.of(), List.of(), List.of());
         }
-        Draft empty = new Draft(terms.named(period).get());
-        dispatchers().stream().filter(name -> !isClosed(name, empty.period)).forEach(empty.open::add);
-        return empty.done();
+        StatementDraft empty = new StatementDraft(calendar.periodNamed(period).get());
+        dispatchers().stream().filter(name -> !isClosed(name, empty.period)).forEach(empty.openDispatchers::add);
+        return empty.build();
     }
 
     // What an entry is worth to who knows only some of the entries
 
-    private Entry effective(EntryRef target, Predicate<EntryRef> known) {
+    private Entry effectiveCorrection(EntryRef target, Predicate<EntryRef> visible) {
         List<Entry> all = corrections.get(target);
         if (all == null) {
             return null;
         }
         return all.stream()
-                .filter(c -> known.test(c.ref()) && counts(c))
+                .filter(c -> visible.test(c.ref()) && isByOwnDispatcher(c))
                 .min(Comparator.comparing(Entry::ref))
                 .orElse(null);
     }
 
     /** Whether a correction is one that may count at all. */
-    private boolean counts(Entry correction) {
+    private boolean isByOwnDispatcher(Entry correction) {
         return correction
                 .ref()
                 .origin()
@@ -186,68 +189,70 @@
     }
 
     /** Whether an earlier answer under the same key is billed in its place. */
-    private boolean repeats(Entry e, Predicate<EntryRef> known) {
-        List<Entry> same = e.key() == null || e.kind() != Kind.JOB || e.end() != Ending.SERVED
+    private boolean isRepeat(Entry e, Predicate<EntryRef> visible) {
+        List<Entry> sameKey = e.keyHash() == null || e.kind() != Kind.JOB || e.ending() != Ending.SERVED
                 ? null
-                : keyed.get(new Key(e.member(), e.jobClass(), e.key()));
-        if (same == null || same.size() < 2) {
+                : keyed.get(new Key(e.tenant(), e.requestClass(), e.keyHash()));
+        if (sameKey == null || sameKey.size() < 2) {
             return false;
         }
         double billedAt = Double.NEGATIVE_INFINITY;
-        for (Entry other :
-                same.stream().filter(o -> known.test(o.ref())).sorted(BY_TIME).toList()) {
-            boolean repeat = other.at() - billedAt < keyWindow;
+        for (Entry other : sameKey.stream()
+                .filter(o -> visible.test(o.ref()))
+                .sorted(BY_TIME)
+                .toList()) {
+            boolean repeat = other.timeMillis() - billedAt < keyWindowMillis;
             if (other == e) {
                 return repeat;
             }
-            billedAt = repeat ? billedAt : other.at();
+            billedAt = repeat ? billedAt : other.timeMillis();
         }
         return false;
     }
 
-    private boolean plain(Entry e) {
+    private boolean hasFixedValue(Entry e) {
         return !corrections.containsKey(e.ref())
-                && (e.key() == null
-                        || e.end() != Ending.SERVED
-                        || keyed.getOrDefault(new Key(e.member(), e.jobClass(), e.key()), List.of())
+                && (e.keyHash() == null
+                        || e.ending() != Ending.SERVED
+                        || keyed.getOrDefault(new Key(e.tenant(), e.requestClass(), e.keyHash()), List.of())
                                         .size()
                                 < 2);
     }
 
-    private long value(Entry e, Predicate<EntryRef> known) {
-        if (!known.test(e.ref())) {
+    private long billedWork(Entry e, Predicate<EntryRef> visible) {
+        if (!visible.test(e.ref())) {
             return 0;
         }
-        Entry correction = effective(e.ref(), known);
+        Entry correction = effectiveCorrection(e.ref(), visible);
         if (correction != null) {
-            return correction.work();
+            return correction.workSlotMicros();
         }
-        return e.kind() != Kind.JOB || e.end() != Ending.SERVED || repeats(e, known) ? 0 : e.work();
+        return e.kind() != Kind.JOB || e.ending() != Ending.SERVED || isRepeat(e, visible) ? 0 : e.workSlotMicros();
     }
 
     // Statements
 
-    private static final class Draft {
-        final Terms.Period period;
-        final Set<String> open = new TreeSet<>();
-        final Map<List<String>, long[]> rows = new TreeMap<>(BY_WORDS);
-        final Map<List<String>, long[]> late = new TreeMap<>(BY_WORDS);
+    private static final class StatementDraft {
+        final BillingCalendar.Period period;
+        final Set<String> openDispatchers = new TreeSet<>();
+        final Map<List<String>, long[]> rows = new TreeMap<>(LEXICOGRAPHIC);
+        final Map<List<String>, long[]> late = new TreeMap<>(LEXICOGRAPHIC);
         final List<Statement.Gap> gaps = new ArrayList<>();
-        final List<Statement.Void> voided = new ArrayList<>();
+        final List<Statement.VoidedCorrection> voided = new ArrayList<>();
 
-        Draft(Terms.Period period) {
+        StatementDraft(BillingCalendar.Period period) {
             this.period = period;
         }
 
         long[] row(Entry e) {
-            return rows.computeIfAbsent(List.of(e.member(), e.jobClass()), k -> new long[10]);
+            return rows.computeIfAbsent(List.of(e.tenant(), e.requestClass()), k -> new long[10]);
         }
 
-        Statement done() {
+        Statement build() {
             return new Statement(
                     period.name(),
-                    open.isEmpty(),
-                    List.copyOf(open),
+                    openDispatchers.isEmpty(),
+                    List.copyOf(openDispatchers),
                     rows.entrySet().stream()
                             .map(r -> row(r.getKey(), r.getValue()))
                             .toList(),
@@ -263,7 +268,7 @@
                             .sorted(Comparator.comparing(Statement.Gap::ref))
                             .toList(),
                     voided.stream()
-                            .sorted(Comparator.comparing(Statement.Void::ref))
+                            .sorted(Comparator.comparing(Statement.VoidedCorrection::ref))
                             .toList());
         }
 
@@ -273,14 +278,14 @@
         }
     }
 
-    private Map<String, Statement> work() {
+    private Map<String, Statement> statementsByPeriod() {
         if (statements == null) {
-            TreeMap<Double, Draft> drafts = drafts(e -> true);
+            TreeMap<Double, StatementDraft> drafts = buildDrafts(e -> true);
             Set<String> dispatchers = dispatchers();
             Map<String, Statement> done = new LinkedHashMap<>();
             drafts.values().forEach(d -> {
-                dispatchers.stream().filter(name -> !isClosed(name, d.period)).forEach(d.open::add);
-                done.put(d.period.name(), d.done());
+                dispatchers.stream().filter(name -> !isClosed(name, d.period)).forEach(d.openDispatchers::add);
+                done.put(d.period.name(), d.build());
             });
             statements = done;
         }
@@ -289,63 +294,67 @@
 
     private Set<String> dispatchers() {
         Set<String> dispatchers = new TreeSet<>();
-        held.forEach(r -> dispatchers.add(r.origin().dispatcher()));
+        refs.forEach(r -> dispatchers.add(r.origin().dispatcher()));
         return dispatchers;
     }
 
-    private TreeMap<Double, Draft> drafts(Predicate<Entry> which) {
-        TreeMap<Double, Draft> drafts = new TreeMap<>();
-        billable.stream().filter(which).forEach(e -> state(e, drafts));
-        gaps.stream().filter(which).forEach(e -> place(e, drafts, (draft, nominal) -> draft.gaps.add(gap(e))));
-        corrections.values().forEach(all -> all.stream().filter(which).forEach(c -> voided(c, drafts)));
+    private TreeMap<Double, StatementDraft> buildDrafts(Predicate<Entry> filter) {
+        TreeMap<Double, StatementDraft> drafts = new TreeMap<>();
+        billable.stream().filter(filter).forEach(e -> addValue(e, drafts));
+        gaps.stream()
+                .filter(filter)
+                .forEach(e -> placeInDraft(e, drafts, (draft, nominal) -> draft.gaps.add(toGap(e))));
+        corrections.values().forEach(all -> all.stream().filter(filter).forEach(c -> addIfVoid(c, drafts)));
         return drafts;
     }
 
     /** One dispatcher's part of a period. */
-    Statement part(String dispatcher, Terms.Period period) {
-        Draft part = draft(drafts(e -> e.ref().origin().dispatcher().equals(dispatcher)), period);
+    Statement dispatcherPart(String dispatcher, BillingCalendar.Period period) {
+        StatementDraft part =
+                draftOf(buildDrafts(e -> e.ref().origin().dispatcher().equals(dispatcher)), period);
         if (!isClosed(dispatcher, period)) {
-            part.open.add(dispatcher);
+            part.openDispatchers.add(dispatcher);
         }
-        return part.done();
+        return part.build();
     }
 
-    private static Draft draft(TreeMap<Double, Draft> drafts, Terms.Period period) {
-        return drafts.computeIfAbsent(period.from(), from -> new Draft(period));
+    private static StatementDraft draftOf(TreeMap<Double, StatementDraft> drafts, BillingCalendar.Period period) {
+        return drafts.computeIfAbsent(period.from(), from -> new StatementDraft(period));
     }
 
-    private Close close(String dispatcher, Terms.Period period) {
+    private Close closeOf(String dispatcher, BillingCalendar.Period period) {
         NavigableMap<Double, Entry> all = closes.get(dispatcher);
         Entry close = all == null ? null : all.get(period.from());
-        return close == null ? null : parsed.computeIfAbsent(close.ref(), r -> close.close());
+        return close == null ? null : parsedCloses.computeIfAbsent(close.ref(), r -> close.parseClose());
     }
 
-    private final Map<EntryRef, Close> parsed = new HashMap<>();
+    private final Map<EntryRef, Close> parsedCloses = new HashMap<>();
 
-    private interface Placed {
-        void in(Draft draft, Terms.Period nominal);
+    private interface DraftAction {
+        void accept(StatementDraft draft, BillingCalendar.Period nominal);
     }
 
     /** Finds the first period, from the entry's own on, that is open or whose close covers the entry. */
-    private void place(Entry e, TreeMap<Double, Draft> drafts, Placed then) {
-        Terms.Period nominal = terms.at(e.at());
-        Terms.Period period = nominal;
-        for (Close close = close(e.ref().origin().dispatcher(), period);
+    private void placeInDraft(Entry e, TreeMap<Double, StatementDraft> drafts, DraftAction action) {
+        BillingCalendar.Period nominal = calendar.periodAt(e.timeMillis());
+        BillingCalendar.Period period = nominal;
+        for (Close close = closeOf(e.ref().origin().dispatcher(), period);
                 close != null && !close.covers(e.ref());
-                close = close(e.ref().origin().dispatcher(), period)) {
-            period = terms.after(period);
+                close = closeOf(e.ref().origin().dispatcher(), period)) {
+            period = calendar.periodAfter(period);
         }
-        then.in(draft(drafts, period), nominal);
+        action.accept(draftOf(drafts, period), nominal);
     }
 
-    private static Statement.Gap gap(Entry e) {
-        String[] bounds = e.text().split(" ");
-        return new Statement.Gap(e.ref(), Double.parseDouble(bounds[0]), Double.parseDouble(bounds[1]), e.job());
+    private static Statement.Gap toGap(Entry e) {
+        String[] bounds = e.details().split(" ");
+        return new Statement.Gap(
+                e.ref(), Double.parseDouble(bounds[0]), Double.parseDouble(bounds[1]), e.requestNumber());
     }
 
-    private void voided(Entry c, TreeMap<Double, Draft> drafts) {
+    private void addIfVoid(Entry c, TreeMap<Double, StatementDraft> drafts) {
         Entry target = byRef.get(c.target());
-        String why = !counts(c)
+        String reason = !isByOwnDispatcher(c)
                 ? "only the entry's own dispatcher corrects it"
                 : target == null
                         ? "its entry is not held here, or not yet"
@@ -353,61 +362,66 @@
                                 ? "a correction is not corrected"
                                 : target.kind() != Kind.JOB && target.kind() != Kind.DOUBT
                                         ? "the entry bills nothing"
-                                        : effective(c.target(), r -> true) != c
+                                        : effectiveCorrection(c.target(), r -> true) != c
                                                 ? "the entry was corrected before"
                                                 : null;
-        if (why != null) {
-            place(c, drafts, (draft, nominal) -> draft.voided.add(new Statement.Void(c.ref(), c.target(), why)));
+        if (reason != null) {
+            placeInDraft(
+                    c,
+                    drafts,
+                    (draft, nominal) -> draft.voided.add(new Statement.VoidedCorrection(c.ref(), c.target(), reason)));
         }
     }
 
     /** States an entry in its period, and in later ones what was found out after closes. */
-    private void state(Entry e, TreeMap<Double, Draft> drafts) {
+    private void addValue(Entry e, TreeMap<Double, StatementDraft> drafts) {
         String dispatcher = e.ref().origin().dispatcher();
-        place(e, drafts, (draft, nominal) -> count(e, draft, nominal));
-        Terms.Period nominal = terms.at(e.at());
-        boolean plain = plain(e);
+        placeInDraft(e, drafts, (draft, nominal) -> addCounts(e, draft, nominal));
+        BillingCalendar.Period nominal = calendar.periodAt(e.timeMillis());
+        boolean fixedValue = hasFixedValue(e);
         long stated = 0;
         boolean known = false;
-        Terms.Period period = nominal;
-        Predicate<EntryRef> before = r -> false;
+        BillingCalendar.Period period = nominal;
+        Predicate<EntryRef> visibleBefore = r -> false;
         while (true) {
-            Close close = close(dispatcher, period);
+            Close close = closeOf(dispatcher, period);
             // What an earlier period has stated stays known, also where that was closed after the later one.
-            Predicate<EntryRef> sees = close == null ? r -> true : before.or(close::covers);
-            before = sees;
-            long value = plain
-                    ? sees.test(e.ref()) && e.kind() == Kind.JOB && e.end() == Ending.SERVED ? e.work() : 0
-                    : value(e, sees);
-            boolean news = !known && sees.test(e.ref());
-            known |= news;
+            Predicate<EntryRef> visible = close == null ? r -> true : visibleBefore.or(close::covers);
+            visibleBefore = visible;
+            long value = fixedValue
+                    ? visible.test(e.ref()) && e.kind() == Kind.JOB && e.ending() == Ending.SERVED
+                            ? e.workSlotMicros()
+                            : 0
+                    : billedWork(e, visible);
+            boolean isNew = !known && visible.test(e.ref());
+            known |= isNew;
             if (period == nominal) {
                 if (known) {
-                    bill(e, draft(drafts, period), value, sees, plain);
+                    addBilled(e, draftOf(drafts, period), value, visible, fixedValue);
                 }
-            } else if (value != stated || news) {
-                long[] late = draft(drafts, period)
+            } else if (value != stated || isNew) {
+                long[] late = draftOf(drafts, period)
                         .late
-                        .computeIfAbsent(List.of(nominal.name(), e.member(), e.jobClass()), k -> new long[2]);
+                        .computeIfAbsent(List.of(nominal.name(), e.tenant(), e.requestClass()), k -> new long[2]);
                 late[0]++;
                 late[1] += value - stated;
             }
             stated = value;
-            if (close == null || plain && known) {
+            if (close == null || fixedValue && known) {
                 return;
             }
-            period = terms.after(period);
+            period = calendar.periodAfter(period);
         }
     }
 
-    private void bill(Entry e, Draft draft, long value, Predicate<EntryRef> sees, boolean plain) {
+    private void addBilled(Entry e, StatementDraft draft, long value, Predicate<EntryRef> visible, boolean fixedValue) {
         long[] row = draft.row(e);
         row[4] += value;
-        row[5] += e.estimate() && value == e.work() ? value : 0;
-        row[9] += !plain && repeats(e, sees) ? 1 : 0;
+        row[5] += e.isEstimate() && value == e.workSlotMicros() ? value : 0;
+        row[9] += !fixedValue && isRepeat(e, visible) ? 1 : 0;
     }
 
-    private static void count(Entry e, Draft draft, Terms.Period nominal) {
+    private static void addCounts(Entry e, StatementDraft draft, BillingCalendar.Period nominal) {
         if (draft.period.from() != nominal.from()) {
             // Found after the close: it is stated as late, and counts in the row of no period.
             return;
@@ -415,10 +429,10 @@
         long[] row = draft.row(e);
         if (e.kind() == Kind.DOUBT) {
             row[7]++;
-            row[8] += e.work();
+            row[8] += e.workSlotMicros();
         } else {
-            row[e.end().ordinal()]++;
-            row[6] += e.spare();
+            row[e.ending().ordinal()]++;
+            row[6] += e.extraWorkSlotMicros();
         }
     }
 }
--- a/src/main/java/nettlewick/ledger/Store.java
+++ b/src/main/java/nettlewick/ledger/Store.java
@@ -23,8 +23,8 @@
  * one store belongs to one thread. What a method changes is one transaction, and durable when it returns.
  */
 final class Store implements AutoCloseable {
-    static final String FILE = "ledger.db";
-    private static final int VERSION = 1;
+    static final String FILE_NAME = "ledger.db";
+    private static final int SCHEMA_VERSION = 1;
     private static final String[] TABLES = {
         "CREATE TABLE IF NOT EXISTS meta(name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID",
         "CREATE TABLE IF NOT EXISTS origin(id INTEGER PRIMARY KEY, dispatcher TEXT NOT NULL, life INTEGER "
@@ -49,9 +49,9 @@
 
     /** The end of an origin's chain. */
     record Head(long number, byte[] hash) {
-        static final Head NONE = new Head(0, Entry.NO_HASH);
+        static final Head NONE = new Head(0, Entry.INITIAL_HASH);
 
-        boolean same(Head other) {
+        boolean matches(Head other) {
             return number == other.number && Arrays.equals(hash, other.hash);
         }
     }
@@ -62,8 +62,8 @@
     /** A batch that was cut: its entries are those of the ranges, in their order. */
     record Batch(String export, long number, List<Range> ranges, long entries, boolean delivered) {}
 
-    /** Entries of one life, both ends included. */
-    record Range(long life, long from, long to) {
+    /** TestEntries of one life, both ends included. */
+    record Range(long incarnation, long from, long to) {
         private static List<Range> parse(String text) {
             return Arrays.stream(text.split(" "))
                     .map(word -> {
@@ -75,14 +75,14 @@
 
         @Override
         public String toString() {
-            return life + ":" + from + ":" + to;
+            return incarnation + ":" + from + ":" + to;
         }
     }
 
     private final Path folder;
     private final Database database;
     private final FaultInjection faults;
-    private final Map<ChainOrigin, Integer> ids = new HashMap<>();
+    private final Map<ChainOrigin, Integer> originIds = new HashMap<>();
     private final Map<ChainOrigin, Head> heads = new HashMap<>();
     private String dispatcher;
 
@@ -96,7 +96,7 @@
     static Store open(Path folder, String dispatcher, FaultInjection faults) throws StoreException {
         Store store = connect(folder, false, faults);
         try {
-            store.begin(dispatcher);
+            store.initialize(dispatcher);
             return store;
         } catch (StoreException e) {
             store.close();
@@ -106,7 +106,7 @@
 
     /** Opens it to write under the name that it has. */
     static Store open(Path folder) throws StoreException {
-        if (!Files.exists(folder.resolve(FILE))) {
+        if (!Files.exists(folder.resolve(FILE_NAME))) {
             throw new StoreException("no ledger in " + folder, null, false);
         }
         return open(folder, null, FaultInjection.NONE);
@@ -114,7 +114,7 @@
 
     /** Opens it to read alone, beside whoever writes. */
     static Store read(Path folder) throws StoreException {
-        if (!Files.exists(folder.resolve(FILE))) {
+        if (!Files.exists(folder.resolve(FILE_NAME))) {
             throw new StoreException("no ledger in " + folder, null, false);
         }
         Store store = connect(folder, true, FaultInjection.NONE);
@@ -123,24 +123,24 @@
     }
 
     private static Store connect(Path folder, boolean readOnly, FaultInjection faults) throws StoreException {
-        return new Store(folder, Database.open(folder.resolve(FILE), readOnly, "the ledger", faults::at), faults);
+        return new Store(folder, Database.open(folder.resolve(FILE_NAME), readOnly, "the ledger", faults::at), faults);
     }
 
-    private void begin(String name) throws StoreException {
-        change("opened", () -> {
+    private void initialize(String name) throws StoreException {
+        inTransaction("opened", () -> {
             database.createTables(TABLES);
-            String version = value("SELECT value FROM meta WHERE name = 'version'");
+            String version = queryFirst("SELECT value FROM meta WHERE name = 'version'");
             if (version == null) {
-                run("INSERT INTO meta VALUES('version', ?)", Integer.toString(VERSION));
-            } else if (Integer.parseInt(version) != VERSION) {
-                throw new IOException("its form is version " + version + ", this program knows " + VERSION);
+                execute("INSERT INTO meta VALUES('version', ?)", Integer.toString(SCHEMA_VERSION));
+            } else if (Integer.parseInt(version) != SCHEMA_VERSION) {
+                throw new IOException("its form is version " + version + ", this program knows " + SCHEMA_VERSION);
             }
-            dispatcher = value("SELECT value FROM meta WHERE name = 'dispatcher'");
+            dispatcher = queryFirst("SELECT value FROM meta WHERE name = 'dispatcher'");
             if (dispatcher == null) {
                 if (name == null) {
                     throw new IOException("nobody has written here yet");
                 }
-                run("INSERT INTO meta VALUES('dispatcher', ?)", name);
+                execute("INSERT INTO meta VALUES('dispatcher', ?)", name);
                 dispatcher = name;
             } else if (name != null && !name.equals(dispatcher)) {
                 throw new IOException("it is the ledger of " + dispatcher + ", not of " + name);
@@ -158,17 +158,17 @@
         return folder;
     }
 
-    private <T> T change(String what, Work<T> work) throws StoreException {
+    private <T> T inTransaction(String action, Work<T> work) throws StoreException {
         return database.inTransaction(
-                what,
+                action,
                 () -> {
                     heads.clear();
-                    ids.clear();
+                    originIds.clear();
                 },
                 work);
     }
 
-    private <T> T look(Work<T> work) throws StoreException {
+    private <T> T query(Work<T> work) throws StoreException {
         return database.read(work);
     }
 
@@ -176,54 +176,54 @@
         return database.prepare(sql, values);
     }
 
-    private int run(String sql, Object... values) throws SQLException {
+    private int execute(String sql, Object... values) throws SQLException {
         return database.execute(sql, values);
     }
 
-    private String value(String sql, Object... values) throws SQLException {
+    private String queryFirst(String sql, Object... values) throws SQLException {
         return database.queryFirst(sql, values);
     }
 
     private String meta(String name) throws StoreException {
-        return look(() -> value("SELECT value FROM meta WHERE name = ?", name));
+        return query(() -> queryFirst("SELECT value FROM meta WHERE name = ?", name));
     }
 
     // Lives and chains
 
     /** Begins a life of this dispatcher: Unix seconds, or one more than the largest that is known. */
-    ChainOrigin begin(double now) throws StoreException {
-        return change("written", () -> {
-            String last = value(
+    ChainOrigin beginIncarnation(double now) throws StoreException {
+        return inTransaction("written", () -> {
+            String last = queryFirst(
                     "SELECT max(life) FROM (SELECT life FROM origin WHERE dispatcher = ? UNION "
                             + "ALL "
                             + "SELECT life FROM life)",
                     dispatcher);
-            long life = Math.max((long) (now / 1000), last == null ? 1 : Long.parseLong(last) + 1);
-            run("INSERT INTO life VALUES(?, ?, ?)", life, now, 0);
-            return new ChainOrigin(dispatcher, life);
+            long incarnation = Math.max((long) (now / 1000), last == null ? 1 : Long.parseLong(last) + 1);
+            execute("INSERT INTO life VALUES(?, ?, ?)", incarnation, now, 0);
+            return new ChainOrigin(dispatcher, incarnation);
         });
     }
 
-    private int id(ChainOrigin origin, boolean make) throws SQLException {
-        Integer known = ids.get(origin);
-        if (known != null) {
-            return known;
+    private int originId(ChainOrigin origin, boolean create) throws SQLException {
+        Integer cached = originIds.get(origin);
+        if (cached != null) {
+            return cached;
         }
-        String id =
-                value("SELECT id FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(), origin.life());
-        if (id == null && make) {
-            run("INSERT INTO origin(dispatcher, life) VALUES(?, ?)", origin.dispatcher(), origin.life());
-            id = value("SELECT last_insert_rowid()");
+        String id = queryFirst(
+                "SELECT id FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(), origin.incarnation());
+        if (id == null && create) {
+            execute("INSERT INTO origin(dispatcher, life) VALUES(?, ?)", origin.dispatcher(), origin.incarnation());
+            id = queryFirst("SELECT last_insert_rowid()");
         }
         if (id == null) {
             return -1;
         }
-        ids.put(origin, Integer.parseInt(id));
+        originIds.put(origin, Integer.parseInt(id));
         return Integer.parseInt(id);
     }
 
-    private Head headOf(ChainOrigin origin) throws SQLException {
-        int id = id(origin, false);
+    private Head queryHead(ChainOrigin origin) throws SQLException {
+        int id = originId(origin, false);
         try (PreparedStatement s = prepare(
                         "SELECT number, hash FROM entry WHERE origin = ? ORDER BY number " + "DESC LIMIT 1", id);
                 ResultSet r = s.executeQuery()) {
@@ -233,12 +233,12 @@
 
     /** The end of an origin's chain. */
     Head head(ChainOrigin origin) throws StoreException {
-        return look(() -> headOf(origin));
+        return query(() -> queryHead(origin));
     }
 
     /** The ends of all chains. */
     Map<ChainOrigin, Head> heads() throws StoreException {
-        return look(() -> {
+        return query(() -> {
             Map<ChainOrigin, Head> all = new TreeMap<>();
             try (PreparedStatement s = prepare("SELECT dispatcher, life FROM origin");
                     ResultSet r = s.executeQuery()) {
@@ -247,14 +247,14 @@
                 }
             }
             for (Map.Entry<ChainOrigin, Head> e : all.entrySet()) {
-                e.setValue(headOf(e.getKey()));
+                e.setValue(queryHead(e.getKey()));
             }
             return all;
         });
     }
 
     /** The numbers up to which each origin is held, for a close's vector. */
-    private Map<ChainOrigin, Long> vector() throws SQLException {
+    private Map<ChainOrigin, Long> lastNumbers() throws SQLException {
         Map<ChainOrigin, Long> vector = new TreeMap<>();
         try (PreparedStatement s = prepare("SELECT dispatcher, life, (SELECT max(number) FROM entry "
                         + "WHERE entry.origin = origin.id) FROM origin");
@@ -273,7 +273,7 @@
      * @return the number of the last entry
      */
     long append(ChainOrigin own, List<Entry> drafts) throws StoreException {
-        return change("written", () -> {
+        return inTransaction("written", () -> {
             faults.at("append");
             insert(own, drafts);
             return heads.get(own).number();
@@ -282,25 +282,26 @@
 
     private void insert(ChainOrigin own, List<Entry> drafts) throws SQLException {
         Head head = heads.get(own);
-        head = head == null ? headOf(own) : head;
-        int id = id(own, true);
+        head = head == null ? queryHead(own) : head;
+        int id = originId(own, true);
         try (PreparedStatement s = database.prepare("INSERT INTO entry VALUES(?, ?, ?, ?, ?, ?, " + "?)")) {
             for (Entry draft : drafts) {
-                Entry entry = draft.at(new EntryRef(own, head.number() + 1));
-                byte[] bytes = entry.bytes();
-                head = new Head(entry.ref().number(), Entry.link(head.hash(), bytes));
-                row(s, id, entry, bytes, head.hash());
+                Entry entry = draft.withRef(new EntryRef(own, head.number() + 1));
+                byte[] bytes = entry.toBytes();
+                head = new Head(entry.ref().number(), Entry.chainHash(head.hash(), bytes));
+                addRow(s, id, entry, bytes, head.hash());
             }
             s.executeBatch();
         }
         heads.put(own, head);
     }
 
-    private static void row(PreparedStatement s, int id, Entry entry, byte[] bytes, byte[] hash) throws SQLException {
+    private static void addRow(PreparedStatement s, int id, Entry entry, byte[] bytes, byte[] hash)
+            throws SQLException {
         s.setInt(1, id);
         s.setLong(2, entry.ref().number());
         s.setInt(3, entry.kind().ordinal());
-        s.setDouble(4, entry.at());
+        s.setDouble(4, entry.timeMillis());
         s.setString(5, entry.target() == null ? null : entry.target().toString());
         s.setBytes(6, bytes);
         s.setBytes(7, hash);
@@ -312,15 +313,15 @@
      * head
      * given. False where the chain has another end by now.
      */
-    boolean merge(ChainOrigin origin, Head after, List<Row> rows) throws StoreException {
-        return change("written", () -> {
-            if (!headOf(origin).same(after) || quarantineOf(origin) != null) {
+    boolean merge(ChainOrigin origin, Head expectedHead, List<Row> rows) throws StoreException {
+        return inTransaction("written", () -> {
+            if (!queryHead(origin).matches(expectedHead) || quarantineReason(origin) != null) {
                 return false;
             }
-            int id = id(origin, true);
+            int id = originId(origin, true);
             try (PreparedStatement s = database.prepare("INSERT INTO entry VALUES(?, ?, ?, ?, ?, " + "?, ?)")) {
                 for (Row row : rows) {
-                    row(s, id, Entry.of(row.bytes()), row.bytes(), row.hash());
+                    addRow(s, id, Entry.fromBytes(row.bytes()), row.bytes(), row.hash());
                 }
                 s.executeBatch();
             }
@@ -329,15 +330,15 @@
         });
     }
 
-    /** Entries of a chain from one number to another, both included. */
+    /** TestEntries of a chain from one number to another, both included. */
     List<Row> rows(ChainOrigin origin, long from, long to) throws StoreException {
-        return look(() -> {
+        return query(() -> {
             List<Row> rows = new ArrayList<>();
             try (PreparedStatement s = prepare(
                             "SELECT number, bytes, hash FROM entry WHERE origin = ? AND "
                                     + "number "
                                     + "BETWEEN ? AND ? ORDER BY number",
-                            id(origin, false),
+                            originId(origin, false),
                             from,
                             to);
                     ResultSet r = s.executeQuery()) {
@@ -350,12 +351,12 @@
     }
 
     /** All entries that are not pruned. */
-    void each(Consumer<Entry> then) throws StoreException {
-        look(() -> {
+    void forEachEntry(Consumer<Entry> action) throws StoreException {
+        query(() -> {
             try (PreparedStatement s = prepare("SELECT bytes FROM entry WHERE bytes IS NOT NULL");
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    then.accept(Entry.of(r.getBytes(1)));
+                    action.accept(Entry.fromBytes(r.getBytes(1)));
                 }
             }
             return null;
@@ -367,17 +368,17 @@
         List<Row> rows = rows(ref.origin(), ref.number(), ref.number());
         return rows.isEmpty() || rows.get(0).bytes() == null
                 ? null
-                : Entry.of(rows.get(0).bytes());
+                : Entry.fromBytes(rows.get(0).bytes());
     }
 
     /** The correction of an entry by its own dispatcher that counts, or null. */
     Entry correctionOf(EntryRef target) throws StoreException {
-        return look(() -> {
+        return query(() -> {
             Entry first = null;
             try (PreparedStatement s = prepare("SELECT bytes FROM entry WHERE target = ?", target.toString());
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    Entry e = Entry.of(r.getBytes(1));
+                    Entry e = Entry.fromBytes(r.getBytes(1));
                     boolean counts =
                             e.ref().origin().dispatcher().equals(target.origin().dispatcher());
                     first = counts && (first == null || e.ref().compareTo(first.ref()) < 0) ? e : first;
@@ -388,15 +389,15 @@
     }
 
     /** How many entries there are of each kind, by this dispatcher alone if asked. */
-    Map<Entry.Kind, Long> counts(boolean own) throws StoreException {
-        return look(() -> {
+    Map<Entry.Kind, Long> countByKind(boolean ownOnly) throws StoreException {
+        return query(() -> {
             Map<Entry.Kind, Long> counts = new java.util.EnumMap<>(Entry.Kind.class);
             try (PreparedStatement s = prepare(
                             "SELECT kind, count(*) FROM entry JOIN origin ON origin = id "
                                     + "WHERE "
                                     + "dispatcher = ? OR ? GROUP BY kind",
                             dispatcher,
-                            own ? 0 : 1);
+                            ownOnly ? 0 : 1);
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     counts.put(Entry.Kind.values()[r.getInt(1)], r.getLong(2));
@@ -408,26 +409,28 @@
 
     // Forks
 
-    private String quarantineOf(ChainOrigin origin) throws SQLException {
-        return value(
-                "SELECT quarantine FROM origin WHERE dispatcher = ? AND life = ?", origin.dispatcher(), origin.life());
+    private String quarantineReason(ChainOrigin origin) throws SQLException {
+        return queryFirst(
+                "SELECT quarantine FROM origin WHERE dispatcher = ? AND life = ?",
+                origin.dispatcher(),
+                origin.incarnation());
     }
 
     /** From now on nothing of this origin is taken over; the first reason stays. */
-    void quarantine(ChainOrigin origin, String why) throws StoreException {
-        change("written", () -> {
-            id(origin, true);
-            return run(
+    void quarantine(ChainOrigin origin, String reason) throws StoreException {
+        inTransaction("written", () -> {
+            originId(origin, true);
+            return execute(
                     "UPDATE origin SET quarantine = ? WHERE dispatcher = ? AND life = ? AND quarantine " + "IS NULL",
-                    why,
+                    reason,
                     origin.dispatcher(),
-                    origin.life());
+                    origin.incarnation());
         });
     }
 
     /** The origins that are quarantined, each with why. */
     Map<ChainOrigin, String> quarantined() throws StoreException {
-        return look(() -> {
+        return query(() -> {
             Map<ChainOrigin, String> all = new TreeMap<>();
             try (PreparedStatement s = prepare(
                             "SELECT dispatcher, life, quarantine FROM origin WHERE " + "quarantine " + "IS NOT NULL");
@@ -443,35 +446,37 @@
     // Closing
 
     /** A period is about to be closed: each life is to say when all that it answered before is durable. */
-    void mark(Terms.Period period) throws StoreException {
-        change("written", () -> run("INSERT OR REPLACE INTO mark VALUES(?, ?)", period.name(), period.to()));
+    void requestSettlement(BillingCalendar.Period period) throws StoreException {
+        inTransaction("written", () -> execute("INSERT OR REPLACE INTO mark VALUES(?, ?)", period.name(), period.to()));
     }
 
     /** Until when lives have to be settled, 0 where nobody asks. */
-    double marked() throws StoreException {
-        return look(() -> {
-            String until = value("SELECT max(until) FROM mark");
+    double settlementRequestedUntil() throws StoreException {
+        return query(() -> {
+            String until = queryFirst("SELECT max(until) FROM mark");
             return until == null ? 0 : Double.parseDouble(until);
         });
     }
 
     /** All that this life answered before then is durable. */
-    void settled(ChainOrigin own, double until) throws StoreException {
-        change("written", () -> run("UPDATE life SET settled = max(settled, ?) WHERE life = ?", until, own.life()));
+    void recordSettled(ChainOrigin own, double until) throws StoreException {
+        inTransaction(
+                "written",
+                () -> execute("UPDATE life SET settled = max(settled, ?) WHERE life = ?", until, own.incarnation()));
     }
 
-    double settled(long life) throws StoreException {
-        return look(() -> {
-            String until = value("SELECT settled FROM life WHERE life = ?", life);
+    double settledUntil(long incarnation) throws StoreException {
+        return query(() -> {
+            String until = queryFirst("SELECT settled FROM life WHERE life = ?", incarnation);
             return until == null ? 0 : Double.parseDouble(until);
         });
     }
 
     /** Closes this dispatcher's part of a period over all that is held, in one transaction. */
-    void close(ChainOrigin own, Terms.Period period, double now, String by) throws StoreException {
-        change("written", () -> {
-            insert(own, List.of(Entry.close(new EntryRef(own, 0), now, period, vector(), by)));
-            return run("DELETE FROM mark WHERE period = ?", period.name());
+    void closePeriod(ChainOrigin own, BillingCalendar.Period period, double now, String by) throws StoreException {
+        inTransaction("written", () -> {
+            insert(own, List.of(Entry.close(new EntryRef(own, 0), now, period, lastNumbers(), by)));
+            return execute("DELETE FROM mark WHERE period = ?", period.name());
         });
     }
 
@@ -481,10 +486,10 @@
      * Cuts the next batch of this dispatcher's own entries, and moves the cursor with it; null where there is
      * nothing new. A batch that was cut stays as it is.
      */
-    Batch cut(String export, long most) throws StoreException {
-        return change("written", () -> {
+    Batch cutBatch(String export, long maxEntries) throws StoreException {
+        return inTransaction("written", () -> {
             List<Range> ranges = new ArrayList<>();
-            long left = most;
+            long remaining = maxEntries;
             try (PreparedStatement s = prepare(
                             "SELECT life, coalesce((SELECT upto FROM cut WHERE export = "
                                     + "? AND "
@@ -494,36 +499,36 @@
                             export,
                             dispatcher);
                     ResultSet r = s.executeQuery()) {
-                while (r.next() && left > 0) {
+                while (r.next() && remaining > 0) {
                     long from = r.getLong(2) + 1;
-                    long to = Math.min(r.getLong(3), from + left - 1);
+                    long to = Math.min(r.getLong(3), from + remaining - 1);
                     if (to >= from) {
                         ranges.add(new Range(r.getLong(1), from, to));
-                        left -= to - from + 1;
+                        remaining -= to - from + 1;
                     }
                 }
             }
             if (ranges.isEmpty()) {
                 return null;
             }
-            String last = value("SELECT max(number) FROM batch WHERE export = ?", export);
+            String last = queryFirst("SELECT max(number) FROM batch WHERE export = ?", export);
             long number = last == null ? 1 : Long.parseLong(last) + 1;
-            run(
+            execute(
                     "INSERT INTO batch VALUES(?, ?, ?, ?, 0)",
                     export,
                     number,
                     String.join(" ", ranges.stream().map(Range::toString).toList()),
-                    most - left);
+                    maxEntries - remaining);
             for (Range range : ranges) {
-                run("INSERT OR REPLACE INTO cut VALUES(?, ?, ?)", export, range.life(), range.to());
+                execute("INSERT OR REPLACE INTO cut VALUES(?, ?, ?)", export, range.incarnation(), range.to());
             }
-            return new Batch(export, number, ranges, most - left, false);
+            return new Batch(export, number, ranges, maxEntries - remaining, false);
         });
     }
 
     /** The earliest batch that was cut and not delivered, or null. */
-    Batch pending(String export) throws StoreException {
-        return look(() -> {
+    Batch pendingBatch(String export) throws StoreException {
+        return query(() -> {
             try (PreparedStatement s = prepare(
                             "SELECT number, ranges, entries FROM batch WHERE export = ? "
                                     + "AND "
@@ -539,7 +544,7 @@
 
     /** A batch that was cut, delivered or not; null where the number was never given. */
     Batch batch(String export, long number) throws StoreException {
-        return look(() -> {
+        return query(() -> {
             try (PreparedStatement s = prepare(
                             "SELECT ranges, entries, delivered FROM batch WHERE export = " + "? AND " + "number = ?",
                             export,
@@ -552,35 +557,35 @@
         });
     }
 
-    void delivered(Batch batch) throws StoreException {
-        change(
+    void markDelivered(Batch batch) throws StoreException {
+        inTransaction(
                 "written",
-                () -> run(
+                () -> execute(
                         "UPDATE batch SET delivered = 1 WHERE export = ? AND number = ?",
                         batch.export(),
                         batch.number()));
     }
 
-    /** Entries of this dispatcher that an export has not delivered yet. */
-    long lag(String export) throws StoreException {
-        return look(() -> {
-            String all =
-                    value("SELECT count(*) FROM entry JOIN origin ON origin = id WHERE dispatcher = ?", dispatcher);
-            String done = value("SELECT sum(entries) FROM batch WHERE export = ? AND delivered = 1", export);
+    /** TestEntries of this dispatcher that an export has not delivered yet. */
+    long exportLag(String export) throws StoreException {
+        return query(() -> {
+            String all = queryFirst(
+                    "SELECT count(*) FROM entry JOIN origin ON origin = id WHERE dispatcher = ?", dispatcher);
+            String done = queryFirst("SELECT sum(entries) FROM batch WHERE export = ? AND delivered = 1", export);
             return Long.parseLong(all) - (done == null ? 0 : Long.parseLong(done));
         });
     }
 
     /** Whether every export that has ever cut has delivered this entry. */
-    boolean exported(EntryRef ref) throws StoreException {
-        return look(() -> {
+    boolean isExported(EntryRef ref) throws StoreException {
+        return query(() -> {
             try (PreparedStatement s = prepare(
                             "SELECT export, upto FROM cut WHERE life = ?",
-                            ref.origin().life());
+                            ref.origin().incarnation());
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
                     if (r.getLong(2) < ref.number()
-                            || value("SELECT 1 FROM batch WHERE export = ? AND delivered = 0", r.getString(1))
+                            || queryFirst("SELECT 1 FROM batch WHERE export = ? AND delivered = 0", r.getString(1))
                                     != null) {
                         return false;
                     }
@@ -594,12 +599,12 @@
 
     /** A period's entries are in a file: their bytes go, their hashes stay and hold the chain together. */
     void prune(String period, String file, String sum, List<EntryRef> refs) throws StoreException {
-        change("written", () -> {
-            run("INSERT OR REPLACE INTO archive VALUES(?, ?, ?, ?)", period, file, sum, refs.size());
+        inTransaction("written", () -> {
+            execute("INSERT OR REPLACE INTO archive VALUES(?, ?, ?, ?)", period, file, sum, refs.size());
             try (PreparedStatement s =
                     database.prepare("UPDATE entry SET bytes = NULL WHERE " + "origin = ? " + "AND number = ?")) {
                 for (EntryRef ref : refs) {
-                    s.setInt(1, id(ref.origin(), false));
+                    s.setInt(1, originId(ref.origin(), false));
                     s.setLong(2, ref.number());
                     s.addBatch();
                 }
@@ -610,8 +615,8 @@
     }
 
     /** The file, sum and number of entries of an archived period; null where it is none. */
-    List<String> archive(String period) throws StoreException {
-        return look(() -> {
+    List<String> archiveInfo(String period) throws StoreException {
+        return query(() -> {
             try (PreparedStatement s = prepare("SELECT file, sum, entries FROM archive WHERE period = ?", period);
                     ResultSet r = s.executeQuery()) {
                 return r.next() ? List.of(r.getString(1), r.getString(2), r.getString(3)) : null;
@@ -620,8 +625,8 @@
     }
 
     /** The names of archived periods. */
-    List<String> archives() throws StoreException {
-        return look(() -> {
+    List<String> archivedPeriods() throws StoreException {
+        return query(() -> {
             List<String> names = new ArrayList<>();
             try (PreparedStatement s = prepare("SELECT period FROM archive ORDER BY period");
                     ResultSet r = s.executeQuery()) {
@@ -634,31 +639,33 @@
     }
 
     /** Brings pruned entries back; each has to be the one whose hash stands there. */
-    long unprune(String period, List<Entry> entries) throws StoreException {
-        return change("written", () -> {
-            long back = 0;
+    long restorePruned(String period, List<Entry> entries) throws StoreException {
+        return inTransaction("written", () -> {
+            long restored = 0;
             for (Entry entry : entries) {
                 EntryRef ref = entry.ref();
-                byte[] bytes = entry.bytes();
-                byte[] before = ref.number() == 1 ? Entry.NO_HASH : hash(ref.origin(), ref.number() - 1);
-                byte[] mine = hash(ref.origin(), ref.number());
-                if (before == null || mine == null || !Arrays.equals(mine, Entry.link(before, bytes))) {
+                byte[] bytes = entry.toBytes();
+                byte[] previousHash = ref.number() == 1 ? Entry.INITIAL_HASH : hash(ref.origin(), ref.number() - 1);
+                byte[] storedHash = hash(ref.origin(), ref.number());
+                if (previousHash == null
+                        || storedHash == null
+                        || !Arrays.equals(storedHash, Entry.chainHash(previousHash, bytes))) {
                     throw new IOException("entry " + ref + " of the archive is not the one that was pruned");
                 }
-                back += run(
+                restored += execute(
                         "UPDATE entry SET bytes = ? WHERE origin = ? AND number = ? AND bytes IS NULL",
                         bytes,
-                        id(ref.origin(), false),
+                        originId(ref.origin(), false),
                         ref.number());
             }
-            run("DELETE FROM archive WHERE period = ?", period);
-            return back;
+            execute("DELETE FROM archive WHERE period = ?", period);
+            return restored;
         });
     }
 
     private byte[] hash(ChainOrigin origin, long number) throws SQLException {
-        try (PreparedStatement s =
-                        prepare("SELECT hash FROM entry WHERE origin = ? AND number = ?", id(origin, false), number);
+        try (PreparedStatement s = prepare(
+                        "SELECT hash FROM entry WHERE origin = ? AND number = ?", originId(origin, false), number);
                 ResultSet r = s.executeQuery()) {
             return r.next() ? r.getBytes(1) : null;
         }
@@ -668,54 +675,54 @@
      * Walks every chain; one line for each fault: where a link, a number or the bytes of an entry are wrong.
      */
     List<String> verify() throws StoreException {
-        List<String> faultsFound = new ArrayList<>();
-        look(() -> {
-            String integrity = value("PRAGMA quick_check(1)");
+        List<String> problems = new ArrayList<>();
+        query(() -> {
+            String integrity = queryFirst("PRAGMA quick_check(1)");
             if (!"ok".equals(integrity)) {
-                faultsFound.add("the file itself: " + integrity);
+                problems.add("the file itself: " + integrity);
             }
             return null;
         });
         for (ChainOrigin origin : heads().keySet()) {
-            look(() -> {
+            query(() -> {
                 long next = 1;
-                byte[] before = Entry.NO_HASH;
+                byte[] previousHash = Entry.INITIAL_HASH;
                 try (PreparedStatement s = prepare(
                                 "SELECT number, bytes, hash FROM entry WHERE origin = ? " + "ORDER BY " + "number",
-                                id(origin, false));
+                                originId(origin, false));
                         ResultSet r = s.executeQuery()) {
                     while (r.next()) {
                         long number = r.getLong(1);
                         EntryRef ref = new EntryRef(origin, number);
                         byte[] bytes = r.getBytes(2);
                         if (number != next) {
-                            faultsFound.add(ref + ": entries " + next + " to " + (number - 1) + " are missing");
-                        } else if (bytes != null && !fits(ref, bytes)) {
-                            faultsFound.add(ref + ": its bytes are not an entry of that name");
-                        } else if (bytes != null && !Arrays.equals(r.getBytes(3), Entry.link(before, bytes))) {
-                            faultsFound.add(
-                                    ref + ": its hash does not follow from the entry and the hash " + "before it");
+                            problems.add(ref + ": entries " + next + " to " + (number - 1) + " are missing");
+                        } else if (bytes != null && !matchesRef(ref, bytes)) {
+                            problems.add(ref + ": its bytes are not an entry of that name");
+                        } else if (bytes != null
+                                && !Arrays.equals(r.getBytes(3), Entry.chainHash(previousHash, bytes))) {
+                            problems.add(ref + ": its hash does not follow from the entry and the hash " + "before it");
                         }
-                        before = r.getBytes(3);
+                        previousHash = r.getBytes(3);
                         next = number + 1;
                     }
                 }
                 return null;
             });
         }
-        tails(faultsFound);
-        quarantined().forEach((origin, why) -> faultsFound.add(origin + ": quarantined: " + why));
-        return faultsFound;
+        findMissingTails(problems);
+        quarantined().forEach((origin, reason) -> problems.add(origin + ": quarantined: " + reason));
+        return problems;
     }
 
     /** A chain cut off at its end is whole in itself: only what names a later number shows it. */
-    private void tails(List<String> faultsFound) throws StoreException {
-        Map<ChainOrigin, Long> named = new TreeMap<>();
-        look(() -> {
+    private void findMissingTails(List<String> problems) throws StoreException {
+        Map<ChainOrigin, Long> referenced = new TreeMap<>();
+        query(() -> {
             try (PreparedStatement s = prepare("SELECT life, upto FROM cut");
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    named.merge(new ChainOrigin(dispatcher, r.getLong(1)), r.getLong(2), Math::max);
+                    referenced.merge(new ChainOrigin(dispatcher, r.getLong(1)), r.getLong(2), Math::max);
                 }
             }
             try (PreparedStatement s = prepare(
@@ -723,38 +730,41 @@
                             Entry.Kind.CLOSE.ordinal());
                     ResultSet r = s.executeQuery()) {
                 while (r.next()) {
-                    Entry.of(r.getBytes(1)).close().vector().forEach((o, n) -> named.merge(o, n, Math::max));
+                    Entry.fromBytes(r.getBytes(1))
+                            .parseClose()
+                            .lastNumbers()
+                            .forEach((o, n) -> referenced.merge(o, n, Math::max));
                 }
             }
             return null;
         });
-        for (Map.Entry<ChainOrigin, Long> e : named.entrySet()) {
+        for (Map.Entry<ChainOrigin, Long> e : referenced.entrySet()) {
             long last = head(e.getKey()).number();
             if (last < e.getValue()) {
-                faultsFound.add(e.getKey() + ": ends at " + last + ", but entry " + e.getValue()
+                problems.add(e.getKey() + ": ends at " + last + ", but entry " + e.getValue()
                         + " has been exported or closed: its tail is missing");
             }
         }
     }
 
-    private static boolean fits(EntryRef ref, byte[] bytes) {
+    private static boolean matchesRef(EntryRef ref, byte[] bytes) {
         try {
-            return Entry.of(bytes).ref().equals(ref);
+            return Entry.fromBytes(bytes).ref().equals(ref);
         } catch (IllegalArgumentException e) {
             return false;
         }
     }
 
     /** Moves a damaged file and its companions out of the way, and says where to. */
-    static Path putAside(Path folder, double now) throws IOException {
-        String mark = ".damaged-" + (long) now;
-        for (String end : new String[] {"-wal", "-shm", ""}) {
-            Path file = folder.resolve(FILE + end);
+    static Path moveDamagedAside(Path folder, double now) throws IOException {
+        String infix = ".damaged-" + (long) now;
+        for (String suffix : new String[] {"-wal", "-shm", ""}) {
+            Path file = folder.resolve(FILE_NAME + suffix);
             if (Files.exists(file)) {
-                Files.move(file, folder.resolve(FILE + mark + end));
+                Files.move(file, folder.resolve(FILE_NAME + infix + suffix));
             }
         }
-        return folder.resolve(FILE + mark);
+        return folder.resolve(FILE_NAME + infix);
     }
 
     @Override
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -25,7 +25,7 @@
             "ledger/Ledger.java",
             "ledger/Spool.java",
             "waiting/Plan.java",
-            "ledger/UsageBook.java",
+            "ledger/StatementCalculator.java",
             "fleettest/ScenarioRun.java");
 
     private static final int MOST = 400;
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import nettlewick.ledger.LedgerSettings;
-import nettlewick.ledger.StoreProbe;
+import nettlewick.ledger.LedgerStoreFixture;
 import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.settings.Settings;
 import nettlewick.stubs.Receiver;
@@ -94,7 +94,7 @@
         // Any command that writes records what the last incarnation left.
         LedgerSettings settings =
                 LedgerSettings.of(Settings.read(batch).block("ledger").orElseThrow());
-        assertEachAnswerOnce(StoreProbe.recover(settings), asked, answered);
+        assertEachAnswerOnce(LedgerStoreFixture.recover(settings), asked, answered);
     }
 
     private Process startDispatcher(DispatcherOnStubPlatform world, int port, Path settings) throws Exception {
@@ -142,7 +142,7 @@
         child.waitFor();
     }
 
-    private static void assertEachAnswerOnce(StoreProbe.Seen seen, Set<String> asked, Set<String> answered)
+    private static void assertEachAnswerOnce(LedgerStoreFixture.Seen seen, Set<String> asked, Set<String> answered)
             throws Exception {
         Map<String, Integer> times = new HashMap<>();
         seen.entered().forEach(id -> times.merge(id, 1, Integer::sum));
@@ -209,7 +209,7 @@
             long[] total = new long[2];
             Path log = dir.resolve("log");
             for (int round = 0; killed < 40; round++) {
-                StoreProbe.fill(settings, random, 10 + random.nextInt(40), total);
+                LedgerStoreFixture.fill(settings, random, 10 + random.nextInt(40), total);
                 left.set(1 + random.nextInt(7));
                 Process child = ChildProcess.start(log, Map.of(), "ledger", "export", "--settings", conf.toString());
                 current.add(child);
@@ -224,10 +224,10 @@
             List<Long> wanted = List.of(total[0], total[1]);
             assertEquals(
                     wanted,
-                    StoreProbe.totals(receiver.taken().values().stream()
+                    LedgerStoreFixture.totals(receiver.taken().values().stream()
                             .map(b -> b.getBytes())
                             .toList()));
-            assertEquals(wanted, StoreProbe.totals(StoreProbe.files(out)));
+            assertEquals(wanted, LedgerStoreFixture.totals(LedgerStoreFixture.files(out)));
         }
     }
 }
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.Semaphore;
 import nettlewick.ledger.LedgerSettings;
-import nettlewick.ledger.StoreProbe;
+import nettlewick.ledger.LedgerStoreFixture;
 import nettlewick.log.LogSetup;
 import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Settings;
@@ -174,7 +174,7 @@
                         + "folder \"" + dir.resolve("out") + "\"\n}\n}\n");
         String[] s = {"--settings", conf.toString()};
         assertTrue(run(1, "ledger", "verify", s[0], s[1]).contains("no ledger in"));
-        StoreProbe.fill(
+        LedgerStoreFixture.fill(
                 LedgerSettings.of(Settings.read(conf).block("ledger").get()), new java.util.Random(1), 3, new long[2]);
         assertTrue(out(0, "ledger", "statement", s[0], s[1]).contains("period 2026-11, open at a"));
         JsonObject all = JsonParser.parseString(out(0, "ledger", "statement", "2026-11", "--json", s[0], s[1]))
--- a/src/test/java/nettlewick/ledger/ExportTest.java
+++ b/src/test/java/nettlewick/ledger/ExportTest.java
@@ -53,7 +53,7 @@
             long one = random.nextInt(100_000);
             work[0] += one;
             work[1]++;
-            drafts.add(Entries.job(
+            drafts.add(TestEntries.job(
                     new EntryRef(new ChainOrigin("", 0), 0), NOW, "m" + random.nextInt(5), null, Ending.SERVED, one));
         }
         return drafts;
@@ -83,17 +83,17 @@
             };
             boolean files = random.nextBoolean();
             ExportSettings s = settings(out, null, true, 4, 100);
-            Target target = files
+            ExportTarget target = files
                     ? new FileTarget(out, faults)
                     : parcel -> {
                         faults.at("receiver-before");
-                        byte[] before = received.putIfAbsent(parcel.number(), parcel.bytes());
+                        byte[] before = received.putIfAbsent(parcel.number(), parcel.content());
                         assertTrue(
-                                before == null || java.util.Arrays.equals(before, parcel.bytes()), "another content");
+                                before == null || java.util.Arrays.equals(before, parcel.content()), "another content");
                         faults.at("receiver-after");
                     };
             try (Store store = Store.open(dir.resolve("s"), "a", faults)) {
-                ChainOrigin own = store.begin(NOW + crashes);
+                ChainOrigin own = store.beginIncarnation(NOW + crashes);
                 List<Entry> drafts = drafts(random, random.nextInt(12), new long[2]);
                 if (!drafts.isEmpty()) {
                     store.append(own, drafts);
@@ -105,7 +105,7 @@
                                 new SplittableRandom(1),
                                 millis -> {},
                                 faults)
-                        .round();
+                        .runRound();
             } catch (Crash e) {
                 crashes++;
             } catch (StoreException e) {
@@ -135,19 +135,19 @@
                             new SplittableRandom(1),
                             m -> {},
                             FaultInjection.NONE)
-                    .round()
+                    .runRound()
                     .fault());
             assertNull(new Exporter(
                             store,
                             r,
-                            p -> received.putIfAbsent(p.number(), p.bytes()),
+                            p -> received.putIfAbsent(p.number(), p.content()),
                             new SplittableRandom(1),
                             m -> {},
                             FaultInjection.NONE)
-                    .round()
+                    .runRound()
                     .fault());
-            store.each(e -> {
-                work[0] += e.work();
+            store.forEachEntry(e -> {
+                work[0] += e.workSlotMicros();
                 work[1]++;
             });
             assertEquals(List.of(), store.verify());
@@ -167,14 +167,14 @@
                         JsonParser.parseString(Files.readString(file)).getAsJsonObject();
                 byte[] bytes =
                         Files.readAllBytes(folder.resolve(manifest.get("file").getAsString()));
-                assertEquals(manifest.get("sha256").getAsString(), BatchCodec.sum(bytes));
+                assertEquals(manifest.get("sha256").getAsString(), BatchCodec.sha256(bytes));
                 all.add(bytes);
             }
         }
         return all;
     }
 
-    /** Entries and work in CSV batches; an entry that comes twice fails. */
+    /** TestEntries and work in CSV batches; an entry that comes twice fails. */
     static List<Long> totals(Iterable<byte[]> batches) throws IOException {
         long work = 0;
         Set<String> seen = new HashSet<>();
@@ -207,17 +207,17 @@
             String name = "m" + i
                     + List.of(",", "\"", "\r\n", "\n", "école ✓", "=1+1", "", " x ")
                             .get(i % 8);
-            entries.add(Entries.job(Entries.ref("a,\"b", 1, i + 1), NOW, name, null, Ending.SERVED, i));
+            entries.add(TestEntries.job(TestEntries.ref("a,\"b", 1, i + 1), NOW, name, null, Ending.SERVED, i));
         }
         List<CSVRecord> rows = rows(BatchCodec.render(entries, true));
         String[] lines = new String(BatchCodec.render(entries, false), StandardCharsets.UTF_8).split("\n");
         assertEquals(300, rows.size());
         assertEquals(300, lines.length);
         for (int i = 0; i < 300; i++) {
-            assertEquals(entries.get(i).member(), rows.get(i).get("member"));
+            assertEquals(entries.get(i).tenant(), rows.get(i).get("member"));
             assertEquals("a,\"b", rows.get(i).get("dispatcher"));
             assertEquals(
-                    entries.get(i).member(),
+                    entries.get(i).tenant(),
                     JsonParser.parseString(lines[i])
                             .getAsJsonObject()
                             .get("member")
@@ -239,7 +239,7 @@
                 met.add(fate);
                 return fate;
             });
-            store.append(store.begin(NOW), drafts(random, 200, work));
+            store.append(store.beginIncarnation(NOW), drafts(random, 200, work));
             ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 40, 60);
             Exporter.Report report = new Exporter(
                             store,
@@ -248,7 +248,7 @@
                             new SplittableRandom(2),
                             millis -> {},
                             FaultInjection.NONE)
-                    .round();
+                    .runRound();
             assertNull(report.fault());
             assertEquals(200, report.entries());
             assertTrue(report.tries() > report.batches() && met.size() == fates.length, met.toString());
@@ -265,14 +265,15 @@
     void aReceiverThatSaysNoForGoodIsToldOfAtOnceAndOneThatIsGoneAfterItsTries() throws Exception {
         try (Receiver receiver = new Receiver();
                 Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
-            store.append(store.begin(NOW), drafts(new Random(1), 3, new long[2]));
+            store.append(store.beginIncarnation(NOW), drafts(new Random(1), 3, new long[2]));
             ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 5, 500);
-            Target silent = parcel -> {
+            ExportTarget silent = parcel -> {
                 throw new IOException("gone");
             };
             List<Double> pauses = new ArrayList<>();
-            Exporter.Report report =
-                    new Exporter(store, s, silent, new SplittableRandom(2), pauses::add, FaultInjection.NONE).round();
+            Exporter.Report report = new Exporter(
+                            store, s, silent, new SplittableRandom(2), pauses::add, FaultInjection.NONE)
+                    .runRound();
             assertEquals(5, report.tries());
             assertEquals(4, pauses.size());
             for (int i = 0; i < 4; i++) {
@@ -282,7 +283,7 @@
             // The same number was given to somebody else's content before.
             receiver.script(batch -> Receiver.Fate.TAKEN);
             new HttpTarget(s.url(), 500, FaultInjection.NONE)
-                    .deliver(new Target.Parcel("a", "x", 1, true, 1, new byte[] {1}, "another"));
+                    .deliver(new ExportTarget.OutgoingBatch("a", "x", 1, true, 1, new byte[] {1}, "another"));
             report = new Exporter(
                             store,
                             s,
@@ -290,7 +291,7 @@
                             new SplittableRandom(2),
                             pauses::add,
                             FaultInjection.NONE)
-                    .round();
+                    .runRound();
             assertEquals(1, report.tries());
             assertTrue(report.fault().contains("409"), report.fault());
         }
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerServingTest.java
@@ -30,7 +30,7 @@
 
 /** A dispatcher that serves with its ledger, over sockets and both fronts. */
 @Timeout(60)
-class ServedTest {
+class LedgerServingTest {
     @TempDir
     private Path dir;
 
@@ -47,10 +47,19 @@
         ledger = new Ledger(
                 "n0",
                 new LedgerSettings(
-                        dir, true, 2, 2, 500, 1000, new Terms(ZoneOffset.UTC, List.of()), 15_000, List.of(), null),
+                        dir,
+                        true,
+                        2,
+                        2,
+                        500,
+                        1000,
+                        new BillingCalendar(ZoneOffset.UTC, List.of()),
+                        15_000,
+                        List.of(),
+                        null),
                 Clock.system());
         ledger.start();
-        ledger.await();
+        ledger.awaitReady();
         world.usageRecorder = ledger;
         EventStreamConfig edge = EventStreamConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}")
                 .block("edge")
@@ -84,7 +93,7 @@
         until(() -> ledger.metrics().get("ledger.entries").longValue() == count);
         Map<String, Entry> all = new java.util.HashMap<>();
         try (Store store = Store.read(dir)) {
-            store.each(e -> all.put(e.request(), e));
+            store.forEachEntry(e -> all.put(e.requestId(), e));
         }
         assertEquals(count, all.size());
         return all;
@@ -100,14 +109,14 @@
         assertTrue(send(ports.get(0), asked("c", "mark-submit")).contains(" 502 "));
         Map<String, Entry> all = entries(3);
         Entry a = all.get("a");
-        assertEquals(Ending.SERVED, a.end());
-        assertEquals("red", a.member());
-        assertEquals(Entry.hash("K-1"), a.key());
-        assertTrue(a.work() > 40_000 && a.work() < 2_000_000 && !a.estimate(), a.toString());
-        assertEquals(1, a.attempts());
-        assertEquals(Ending.SERVED, all.get("b").end());
-        assertEquals(Ending.FAILED, all.get("c").end());
-        assertEquals(0, all.get("c").work());
+        assertEquals(Ending.SERVED, a.ending());
+        assertEquals("red", a.tenant());
+        assertEquals(Entry.hashKey("K-1"), a.keyHash());
+        assertTrue(a.workSlotMicros() > 40_000 && a.workSlotMicros() < 2_000_000 && !a.isEstimate(), a.toString());
+        assertEquals(1, a.attemptCount());
+        assertEquals(Ending.SERVED, all.get("b").ending());
+        assertEquals(Ending.FAILED, all.get("c").ending());
+        assertEquals(0, all.get("c").workSlotMicros());
         String figures = send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(
                 figures.contains("router.ledger.entries=3\n") && figures.contains("router.ledger.queue=0\n"), figures);
@@ -131,12 +140,12 @@
             }
         }
         Map<String, Entry> all = entries(jobs);
-        Set<Ending> ends = all.values().stream().map(Entry::end).collect(Collectors.toCollection(HashSet::new));
+        Set<Ending> ends = all.values().stream().map(Entry::ending).collect(Collectors.toCollection(HashSet::new));
         assertEquals(Set.of(Ending.SERVED, Ending.LEFT), ends);
-        assertTrue(all.values().stream().filter(e -> e.end() == Ending.LEFT).allMatch(e -> e.work() == 0));
+        assertTrue(all.values().stream().filter(e -> e.ending() == Ending.LEFT).allMatch(e -> e.workSlotMicros() == 0));
         assertEquals(
                 jobs / 2,
-                all.values().stream().filter(e -> e.end() == Ending.LEFT).count());
+                all.values().stream().filter(e -> e.ending() == Ending.LEFT).count());
         // The same jobs are fulfilled in the figures and served in the ledger.
         assertEquals(
                 send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/src/test/java/nettlewick/ledger/StoreProbe.java
+++ b/src/test/java/nettlewick/ledger/LedgerStoreFixture.java
@@ -9,21 +9,21 @@
 import nettlewick.sqlite.StoreException;
 
 /** Looks into a store, and fills one, for tests of other packages. */
-public final class StoreProbe {
+public final class LedgerStoreFixture {
     private static final double NOW = 1793491200000.0;
 
     /** Request ids of what is entered and of what is in doubt, and the faults of its chains. */
     public record Seen(List<String> entered, List<String> doubts, List<String> verify) {}
 
-    private StoreProbe() {}
+    private LedgerStoreFixture() {}
 
     /** Enters what dead lives left, then looks. */
     public static Seen recover(LedgerSettings settings) throws StoreException {
         try (Store store = Store.open(settings.store())) {
-            Recovery.run(store, NOW, settings.terms());
+            Recovery.run(store, NOW, settings.calendar());
             List<String> entered = new ArrayList<>();
             List<String> doubts = new ArrayList<>();
-            store.each(e -> (e.kind() == Entry.Kind.DOUBT ? doubts : entered).add(e.request()));
+            store.forEachEntry(e -> (e.kind() == Entry.Kind.DOUBT ? doubts : entered).add(e.requestId()));
             return new Seen(entered, doubts, store.verify());
         }
     }
@@ -36,7 +36,7 @@
                 long work = random.nextInt(100_000);
                 total[0]++;
                 total[1] += work;
-                drafts.add(Entries.job(
+                drafts.add(TestEntries.job(
                         new EntryRef(new ChainOrigin("", 0), 0),
                         NOW,
                         "m" + random.nextInt(9),
@@ -44,7 +44,7 @@
                         Ending.SERVED,
                         work));
             }
-            store.append(store.begin(NOW), drafts);
+            store.append(store.beginIncarnation(NOW), drafts);
         }
     }
 
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -42,7 +42,16 @@
 
     private LedgerSettings settings(boolean sync, double patience, int queue) {
         return new LedgerSettings(
-                dir, sync, 2, 2, patience, queue, new Terms(ZoneOffset.UTC, List.of()), 15_000, List.of(), null);
+                dir,
+                sync,
+                2,
+                2,
+                patience,
+                queue,
+                new BillingCalendar(ZoneOffset.UTC, List.of()),
+                15_000,
+                List.of(),
+                null);
     }
 
     private Ledger ledger(LedgerSettings settings, Clock clock, FaultInjection faults) {
@@ -75,7 +84,7 @@
     private List<Entry> entries() throws StoreException {
         List<Entry> all = new ArrayList<>();
         try (Store store = Store.read(dir)) {
-            store.each(all::add);
+            store.forEachEntry(all::add);
         }
         return all;
     }
@@ -94,7 +103,7 @@
                 await(slow);
             }
         });
-        ledger.await();
+        ledger.awaitReady();
         Set<String> left = new HashSet<>();
         answer(ledger, "held", left);
         until(() -> forced.get() > 0);
@@ -119,7 +128,7 @@
                 await(slow);
             }
         });
-        ledger.await();
+        ledger.awaitReady();
         Set<String> left = new HashSet<>();
         List<Runnable> overdue = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -168,7 +177,7 @@
                 30,
                 all.stream()
                         .filter(e -> e.kind() == Kind.GAP)
-                        .mapToLong(Entry::job)
+                        .mapToLong(Entry::requestNumber)
                         .sum());
         try (Store store = Store.read(dir)) {
             assertEquals(List.of(), store.verify());
@@ -192,12 +201,12 @@
         bad.set(false);
         answer(ledger, "last", left);
         until(() -> has(ledger, "entries", 101));
-        assertEquals(101, entries().stream().map(Entry::request).distinct().count());
+        assertEquals(101, entries().stream().map(Entry::requestId).distinct().count());
     }
 
     @Test
     void aDamagedStoreIsPutAsideAndANewOneBegins() throws Exception {
-        Files.writeString(dir.resolve(Store.FILE), "no store, but a text that is long enough to be read as one");
+        Files.writeString(dir.resolve(Store.FILE_NAME), "no store, but a text that is long enough to be read as one");
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
         Set<String> left = new HashSet<>();
         answer(ledger, "j", left);
@@ -219,8 +228,8 @@
         until(() -> has(ledger, "entries", 3));
         assertEquals(
                 Map.of("before", Ending.LEFT, "after", Ending.LEFT, "both", Ending.SERVED),
-                entries().stream().collect(java.util.stream.Collectors.toMap(Entry::request, Entry::end)));
-        assertEquals(1000, entries().stream().mapToLong(Entry::work).sum());
+                entries().stream().collect(java.util.stream.Collectors.toMap(Entry::requestId, Entry::ending)));
+        assertEquals(1000, entries().stream().mapToLong(Entry::workSlotMicros).sum());
     }
 
     /** A standing clock, one that jumps, and a job answered in the last and the first instant of a period. */
@@ -267,12 +276,13 @@
         until(() -> left.contains("early"));
         clock.advanceTo(DECEMBER + 5);
         LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
-        LedgerAdmin.Refused soon = assertThrows(LedgerAdmin.Refused.class, () -> desk.close("2026-12", "op"));
-        assertTrue(soon.misuse() && soon.getMessage().contains("ends at"), soon.getMessage());
+        LedgerAdmin.CommandException soon =
+                assertThrows(LedgerAdmin.CommandException.class, () -> desk.close("2026-12", "op"));
+        assertTrue(soon.isUsageError() && soon.getMessage().contains("ends at"), soon.getMessage());
         Thread closer = new Thread(() -> {
             try {
                 desk.close("2026-11", "op");
-            } catch (LedgerAdmin.Refused | InterruptedException e) {
+            } catch (LedgerAdmin.CommandException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
@@ -287,12 +297,12 @@
         Statement statement = desk.statements("2026-11").get(0);
         assertTrue(statement.closed());
         assertEquals(1000, statement.billed());
-        assertThrows(LedgerAdmin.Refused.class, () -> desk.close("2026-11", "op"));
+        assertThrows(LedgerAdmin.CommandException.class, () -> desk.close("2026-11", "op"));
     }
 
     private static double marked(Store store) {
         try {
-            return store.marked();
+            return store.settlementRequestedUntil();
         } catch (StoreException e) {
             throw new IllegalStateException(e);
         }
@@ -322,8 +332,8 @@
         for (String bad :
                 List.of(target.toString(), "a/1/999", "nothing", closing().ref().toString())) {
             assertTrue(
-                    assertThrows(LedgerAdmin.Refused.class, () -> desk.correct(bad, 1, "op", "r"))
-                            .misuse(),
+                    assertThrows(LedgerAdmin.CommandException.class, () -> desk.correct(bad, 1, "op", "r"))
+                            .isUsageError(),
                     bad);
         }
     }
@@ -341,7 +351,7 @@
         old.close();
         until(() -> has(old, "entries", 1000) && has(heir, "entries", 1000));
         heir.close();
-        assertEquals(2000, entries().stream().map(Entry::request).distinct().count());
+        assertEquals(2000, entries().stream().map(Entry::requestId).distinct().count());
         assertEquals(2, entries().stream().map(e -> e.ref().origin()).distinct().count());
         try (Store store = Store.read(dir)) {
             assertEquals(List.of(), store.verify());
@@ -362,7 +372,7 @@
                 2,
                 5,
                 100,
-                new Terms(ZoneOffset.UTC, List.of()),
+                new BillingCalendar(ZoneOffset.UTC, List.of()),
                 15_000,
                 List.of(new ExportSettings("x", out, null, true, 50, 1, 100, 1, 10, 3)),
                 null);
@@ -375,19 +385,19 @@
         ledger.close();
         LedgerAdmin desk = new LedgerAdmin(s, Clock.stoppedAt(DECEMBER + 1));
         Path file = dir.resolve("archive/2026-11.gz");
-        assertTrue(assertThrows(LedgerAdmin.Refused.class, () -> desk.archive("2026-11", file))
+        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> desk.archive("2026-11", file))
                 .getMessage()
                 .contains("not closed"));
         desk.close("2026-11", "op");
         Statement before = desk.statements("2026-11").get(0);
         desk.export(null);
         assertEquals(20, desk.archive("2026-11", file));
-        assertThrows(LedgerAdmin.Refused.class, () -> desk.statements("2026-11"));
+        assertThrows(LedgerAdmin.CommandException.class, () -> desk.statements("2026-11"));
         assertEquals(List.of(), desk.verify());
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 1;
         Path changed = Files.write(dir.resolve("changed"), bytes);
-        assertTrue(assertThrows(LedgerAdmin.Refused.class, () -> desk.restore("2026-11", changed))
+        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> desk.restore("2026-11", changed))
                 .getMessage()
                 .contains("its sum is another"));
         assertEquals(20, desk.restore("2026-11", null));
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -91,18 +91,18 @@
                 250,
                 60_000,
                 MILLION,
-                new Terms(java.time.ZoneOffset.UTC, List.of()),
+                new BillingCalendar(java.time.ZoneOffset.UTC, List.of()),
                 15_000,
                 List.of(),
                 null);
     }
 
-    // Entries a second through the whole of the ledger: intent, answer, entry
+    // TestEntries a second through the whole of the ledger: intent, answer, entry
 
     private void throughput(String name, boolean sync) throws Exception {
         Ledger ledger = new Ledger("a", settings(folder.resolve(name), sync), Clock.system());
         ledger.start();
-        ledger.await();
+        ledger.awaitReady();
         Semaphore room = new Semaphore(OUTSTANDING);
         long began = System.nanoTime();
         long jobs = 0;
@@ -145,7 +145,7 @@
     private static void fill(Path store, int count) throws Exception {
         try (Store s = Store.open(store, "a", FaultInjection.NONE)) {
             for (int o = 0; o < ORIGINS; o++) {
-                ChainOrigin origin = s.begin(NOW);
+                ChainOrigin origin = s.beginIncarnation(NOW);
                 for (int done = 0; done < count / ORIGINS; done += 10_000) {
                     s.append(origin, drafts(10_000, done));
                 }
@@ -164,7 +164,7 @@
                     "college-nord",
                     i % 4 == 0 ? "save-run" : "step-view",
                     String.format("%016x", (from + i) * 2654435761L),
-                    i % 4 == 0 ? Entry.hash("k" + from + i) : null,
+                    i % 4 == 0 ? Entry.hashKey("k" + from + i) : null,
                     UsageRecorder.Ending.SERVED,
                     120_000 + i,
                     false,
@@ -205,15 +205,15 @@
         long began = System.nanoTime();
         ChainOrigin own;
         try (Store store = Store.open(one, "a", FaultInjection.NONE)) {
-            Recovery.run(store, NOW, settings(one, true).terms());
-            own = store.begin(NOW);
+            Recovery.run(store, NOW, settings(one, true).calendar());
+            own = store.beginIncarnation(NOW);
             store.append(own, drafts(1, 0));
         }
         say("open_1m_s", (System.nanoTime() - began) / 1e9, "%.3f");
         say("bytes_per_entry", (double) size(one) / MILLION, "%.0f");
         Path two = folder.resolve("other");
         Files.createDirectories(two);
-        Files.copy(one.resolve(Store.FILE), two.resolve(Store.FILE));
+        Files.copy(one.resolve(Store.FILE_NAME), two.resolve(Store.FILE_NAME));
         byte[] key = "0123456789abcdef0123456789abcdef".getBytes();
         Vertx vertx = Vertx.vertx();
         try (Store store = Store.open(one, "a", FaultInjection.NONE);
@@ -226,7 +226,7 @@
                 }
             }
             ledger = ledger / (ORIGINS * 1000 + 1) * MILLION;
-            PeerFront front = new PeerFront(
+            PeerServer front = new PeerServer(
                     new PeerSettings(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                             null,
@@ -238,28 +238,29 @@
                             5000,
                             2000),
                     one,
-                    new MessageSeal(key),
+                    new MessageAuthenticator(key),
                     Clock.system());
             int port = DispatcherOnStubPlatform.get(front.listen());
             PeerClient client = new PeerClient(
                     vertx,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                    new MessageSeal(key),
+                    new MessageAuthenticator(key),
                     Clock.system(),
                     5000);
             began = System.nanoTime();
-            Reconciler.Report report = new Reconciler(other, client, 2000).round();
+            Reconciler.Report report = new Reconciler(other, client, 2000).runRound();
             say("reconcile_s", (System.nanoTime() - began) / 1e9, "%.3f");
             say("reconcile_entries", report.entries(), "%.0f");
-            say("reconcile_bytes", client.bytes(), "%.0f");
-            say("reconcile_share", (double) client.bytes() / ledger, "%.7f");
+            say("reconcile_bytes", client.bytesTransferred(), "%.0f");
+            say("reconcile_share", (double) client.bytesTransferred() / ledger, "%.7f");
             front.close();
         }
         DispatcherOnStubPlatform.get(vertx.close());
         began = System.nanoTime();
-        UsageBook book = new UsageBook(new Terms(java.time.ZoneOffset.UTC, List.of()), 15_000);
+        StatementCalculator book =
+                new StatementCalculator(new BillingCalendar(java.time.ZoneOffset.UTC, List.of()), 15_000);
         try (Store store = Store.read(one)) {
-            store.each(book::add);
+            store.forEachEntry(book::add);
         }
         book.periods();
         say("statement_1m_s", (System.nanoTime() - began) / 1e9, "%.2f");
--- a/src/test/java/nettlewick/ledger/PeerClientTest.java
+++ b/src/test/java/nettlewick/ledger/PeerClientTest.java
@@ -37,13 +37,13 @@
     }
 
     private int listen() throws Exception {
-        MessageSeal seal = new MessageSeal(KEY);
+        MessageAuthenticator seal = new MessageAuthenticator(KEY);
         HttpServer server = vertx.createHttpServer()
                 .requestHandler(request -> request.response()
                         .setStatusCode(STATUS_SAME)
                         .putHeader(
-                                PeerFront.SEAL,
-                                seal.answer(request.getHeader(PeerFront.NONCE), STATUS_SAME, new byte[0]))
+                                PeerServer.SIGNATURE_HEADER,
+                                seal.signResponse(request.getHeader(PeerServer.NONCE_HEADER), STATUS_SAME, new byte[0]))
                         .end());
         return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
     }
@@ -51,9 +51,10 @@
     private List<String> callRepeatedly(int port) {
         List<String> faults = new ArrayList<>();
         InetSocketAddress peer = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        try (PeerClient client = new PeerClient(vertx, peer, new MessageSeal(KEY), Clock.system(), TIMEOUT_MILLIS)) {
+        try (PeerClient client =
+                new PeerClient(vertx, peer, new MessageAuthenticator(KEY), Clock.system(), TIMEOUT_MILLIS)) {
             for (int i = 0; i < CALLS_PER_CALLER; i++) {
-                client.get(PeerFront.HEADS);
+                client.get(PeerServer.HEADS_PATH);
             }
         } catch (Exception e) {
             faults.add(e.toString());
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -80,13 +80,14 @@
     private static List<Entry> drafts(int count, String member) {
         List<Entry> drafts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            drafts.add(Entries.served(new EntryRef(new ChainOrigin("", 0), 0), NOW + i, member, i));
+            drafts.add(TestEntries.served(new EntryRef(new ChainOrigin("", 0), 0), NOW + i, member, i));
         }
         return drafts;
     }
 
     private int serve(Store store) throws Exception {
-        PeerFront front = new PeerFront(settings("127.0.0.0/8"), store.folder(), new MessageSeal(KEY), clock);
+        PeerServer front =
+                new PeerServer(settings("127.0.0.0/8"), store.folder(), new MessageAuthenticator(KEY), clock);
         open.add(0, front);
         return StubPlatform.get(front.listen());
     }
@@ -95,13 +96,13 @@
         return new PeerClient(
                 vertx,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                new MessageSeal(KEY),
+                new MessageAuthenticator(KEY),
                 clock,
                 timeout);
     }
 
     private Reconciler.Report round(Store to, int port) throws Exception {
-        return new Reconciler(to, client(port, 2000), 7).round();
+        return new Reconciler(to, client(port, 2000), 7).runRound();
     }
 
     private static Map<ChainOrigin, Long> numbers(Store store) throws StoreException {
@@ -114,8 +115,8 @@
     void eachComesToHoldWhatBothHoldAndThenNothingIsFetched() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        ChainOrigin one = a.begin(NOW);
-        ChainOrigin two = b.begin(NOW);
+        ChainOrigin one = a.beginIncarnation(NOW);
+        ChainOrigin two = b.beginIncarnation(NOW);
         a.append(one, drafts(40, "x"));
         b.append(two, drafts(3, "y"));
         int portA = serve(a);
@@ -133,16 +134,16 @@
     void aLostDiskIsRebuiltUnderANewLife() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        ChainOrigin one = a.begin(NOW);
+        ChainOrigin one = a.beginIncarnation(NOW);
         a.append(one, drafts(10, "x"));
         round(b, serve(a));
         Store rebuilt = store("a2");
-        ChainOrigin next = rebuilt.begin(NOW + 5000);
+        ChainOrigin next = rebuilt.beginIncarnation(NOW + 5000);
         assertNotEquals(one, next);
         rebuilt.append(next, drafts(1, "x"));
         assertEquals(10, round(rebuilt, serve(b)).entries());
         assertEquals(Map.of(one, 10L, next, 1L), numbers(rebuilt));
-        assertTrue(rebuilt.begin(0).life() > next.life());
+        assertTrue(rebuilt.beginIncarnation(0).incarnation() > next.incarnation());
     }
 
     /** The same life goes on from an old copy: both give numbers 6 and on, with other contents. */
@@ -150,7 +151,7 @@
     void aForkIsFoundAtItsFirstEntryQuarantinedAndNeverMerged() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        ChainOrigin one = a.begin(NOW);
+        ChainOrigin one = a.beginIncarnation(NOW);
         a.append(one, drafts(5, "x"));
         Store copy = store("a-copy");
         int portA = serve(a);
@@ -174,18 +175,20 @@
 
     /** A peer that seals its answers but may say what it likes. */
     private int liar(java.util.function.Function<String, Buffer> says) throws Exception {
-        MessageSeal seal = new MessageSeal(KEY);
+        MessageAuthenticator seal = new MessageAuthenticator(KEY);
         HttpServer server = vertx.createHttpServer().requestHandler(r -> {
             Buffer body = says.apply(r.uri());
             r.response()
-                    .putHeader(PeerFront.SEAL, seal.answer(r.getHeader(PeerFront.NONCE), 200, body.getBytes()))
+                    .putHeader(
+                            PeerServer.SIGNATURE_HEADER,
+                            seal.signResponse(r.getHeader(PeerServer.NONCE_HEADER), 200, body.getBytes()))
                     .end(body);
         });
         return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
     }
 
     private static Buffer heads(ChainOrigin origin, long number, byte[] hash) {
-        return Buffer.buffer("[{\"d\":\"" + origin.dispatcher() + "\",\"l\":" + origin.life() + ",\"n\":"
+        return Buffer.buffer("[{\"d\":\"" + origin.dispatcher() + "\",\"l\":" + origin.incarnation() + ",\"n\":"
                 + number
                 + ",\"h\":\"" + java.util.HexFormat.of().formatHex(hash) + "\"}]");
     }
@@ -199,35 +202,36 @@
     @Test
     void aPeerThatLiesChangesNothingAndAccusesNobody() throws Exception {
         Store a = store("a");
-        ChainOrigin own = a.begin(NOW);
+        ChainOrigin own = a.beginIncarnation(NOW);
         a.append(own, drafts(4, "x"));
         ChainOrigin other = new ChainOrigin("c", 9);
         byte[] wrong = new byte[32];
         wrong[3] = 7;
         String hex = java.util.HexFormat.of().formatHex(wrong);
         List<byte[]> two = List.of(
-                Entries.served(new EntryRef(other, 1), NOW, "m", 1).bytes(),
-                Entries.served(new EntryRef(other, 2), NOW, "m", 1).bytes());
+                TestEntries.served(new EntryRef(other, 1), NOW, "m", 1).toBytes(),
+                TestEntries.served(new EntryRef(other, 2), NOW, "m", 1).toBytes());
         List<byte[]> holed = List.of(
-                two.get(0), Entries.served(new EntryRef(other, 3), NOW, "m", 1).bytes());
+                two.get(0),
+                TestEntries.served(new EntryRef(other, 3), NOW, "m", 1).toBytes());
         List<byte[]> foreign =
-                List.of(Entries.served(new EntryRef(own, 1), NOW, "m", 1).bytes());
+                List.of(TestEntries.served(new EntryRef(own, 1), NOW, "m", 1).toBytes());
         Buffer cut = frames(two).getBuffer(0, 60);
         for (Buffer entries : List.of(
                 frames(two), frames(holed), frames(foreign), cut, Buffer.buffer(), frames(List.of(new byte[] {1, 2, 3
                 })))) {
-            int port = liar(uri -> uri.startsWith(PeerFront.HEADS)
+            int port = liar(uri -> uri.startsWith(PeerServer.HEADS_PATH)
                     ? heads(other, 2, wrong)
-                    : uri.startsWith(PeerFront.HASH) ? Buffer.buffer(hex) : entries);
+                    : uri.startsWith(PeerServer.HASH_PATH) ? Buffer.buffer(hex) : entries);
             Reconciler.Report report = round(a, port);
             assertEquals(1, report.faults().size(), report.toString());
             assertEquals(Map.of(own, 4L), numbers(a));
         }
         // It claims another hash for what is held here, and shows the same entry, or none that follows.
         for (List<byte[]> shown : List.of(List.of(a.rows(own, 1, 1).get(0).bytes()), foreign)) {
-            int port = liar(uri -> uri.startsWith(PeerFront.HEADS)
+            int port = liar(uri -> uri.startsWith(PeerServer.HEADS_PATH)
                     ? heads(own, 4, wrong)
-                    : uri.startsWith(PeerFront.HASH) ? Buffer.buffer(hex) : frames(shown));
+                    : uri.startsWith(PeerServer.HASH_PATH) ? Buffer.buffer(hex) : frames(shown));
             Reconciler.Report report = round(a, port);
             assertEquals(1, report.faults().size(), report.toString());
             assertEquals(Map.of(), a.quarantined());
@@ -241,7 +245,7 @@
         HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
         int silent = StubPlatform.get(mute.listen(0, "127.0.0.1")).actualPort();
         double before = clock.nowMillis();
-        assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).round());
+        assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).runRound());
         assertTrue(clock.nowMillis() - before < 5000);
         HttpServer trickle = vertx.createHttpServer().requestHandler(r -> {
             r.response().setChunked(true).write("[");
@@ -255,7 +259,7 @@
             });
         });
         int slow = StubPlatform.get(trickle.listen(0, "127.0.0.1")).actualPort();
-        assertThrows(IOException.class, () -> new Reconciler(a, client(slow, 60), 7).round());
+        assertThrows(IOException.class, () -> new Reconciler(a, client(slow, 60), 7).runRound());
         HttpServer plain =
                 vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
         int unsealed = StubPlatform.get(plain.listen(0, "127.0.0.1")).actualPort();
@@ -269,14 +273,14 @@
     void anExchangeThatIsCutOffGoesOnNextTime() throws Exception {
         Store a = store("a");
         Store b = store("b");
-        ChainOrigin one = a.begin(NOW);
+        ChainOrigin one = a.beginIncarnation(NOW);
         a.append(one, drafts(40, "x"));
         int port = serve(a);
         PeerClient cut =
                 new PeerClient(
                         vertx,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                        new MessageSeal(KEY),
+                        new MessageAuthenticator(KEY),
                         clock,
                         2000) {
                     private int calls;
@@ -289,7 +293,7 @@
                         return super.get(uri);
                     }
                 };
-        Reconciler.Report half = new Reconciler(b, cut, 7).round();
+        Reconciler.Report half = new Reconciler(b, cut, 7).runRound();
         assertEquals(1, half.faults().size());
         long held = numbers(b).get(one);
         assertTrue(held > 0 && held < 40, "held " + held);
@@ -301,7 +305,8 @@
     @Test
     void callersAreAdmittedByNetworkSealTimeAndOnlyOnce() throws Exception {
         Store a = store("a");
-        PeerFront closed = new PeerFront(settings("10.0.0.0/8", "::1"), a.folder(), new MessageSeal(KEY), clock);
+        PeerServer closed =
+                new PeerServer(settings("10.0.0.0/8", "::1"), a.folder(), new MessageAuthenticator(KEY), clock);
         open.add(0, closed);
         int port = StubPlatform.get(closed.listen());
         HttpClient http = HttpClient.newHttpClient();
@@ -319,22 +324,22 @@
                                         .build(),
                                 HttpResponse.BodyHandlers.discarding())
                         .statusCode());
-        MessageSeal mine = new MessageSeal(KEY);
-        MessageSeal theirs = new MessageSeal(KEY);
+        MessageAuthenticator mine = new MessageAuthenticator(KEY);
+        MessageAuthenticator theirs = new MessageAuthenticator(KEY);
         String nonce = "0".repeat(32);
-        String seal = mine.call("/x", nonce, NOW);
+        String seal = mine.signRequest("/x", nonce, NOW);
         String time = Long.toString((long) NOW);
-        assertNull(theirs.fault("/x", nonce, time, seal, NOW + 59_000));
-        assertEquals("a call that was made before", theirs.fault("/x", nonce, time, seal, NOW + 59_500));
-        assertEquals("a call of another time", theirs.fault("/x", nonce, time, seal, NOW + 60_001));
-        assertEquals("a wrong seal", theirs.fault("/y", nonce, time, seal, NOW));
+        assertNull(theirs.requestError("/x", nonce, time, seal, NOW + 59_000));
+        assertEquals("a call that was made before", theirs.requestError("/x", nonce, time, seal, NOW + 59_500));
+        assertEquals("a call of another time", theirs.requestError("/x", nonce, time, seal, NOW + 60_001));
+        assertEquals("a wrong seal", theirs.requestError("/y", nonce, time, seal, NOW));
         assertEquals(
                 "a wrong seal",
-                new MessageSeal("another key, which is also long enough".getBytes())
-                        .fault("/x", nonce, time, seal, NOW));
-        assertEquals("not sealed", theirs.fault("/x", null, time, seal, NOW));
-        assertTrue(mine.fits(nonce, 200, new byte[] {1}, theirs.answer(nonce, 200, new byte[] {1})));
-        assertTrue(!mine.fits(nonce, 200, new byte[] {2}, theirs.answer(nonce, 200, new byte[] {1})));
+                new MessageAuthenticator("another key, which is also long enough".getBytes())
+                        .requestError("/x", nonce, time, seal, NOW));
+        assertEquals("not sealed", theirs.requestError("/x", null, time, seal, NOW));
+        assertTrue(mine.isValidResponse(nonce, 200, new byte[] {1}, theirs.signResponse(nonce, 200, new byte[] {1})));
+        assertTrue(!mine.isValidResponse(nonce, 200, new byte[] {2}, theirs.signResponse(nonce, 200, new byte[] {1})));
     }
 
     /** Three real services with listeners, keys from files and an export, as in service. */
@@ -353,13 +358,13 @@
                             2,
                             5,
                             1000,
-                            new Terms(java.time.ZoneOffset.UTC, List.of()),
+                            new BillingCalendar(java.time.ZoneOffset.UTC, List.of()),
                             15_000,
                             List.of(new ExportSettings("x", dir.resolve("x" + i), null, true, 50, 20, 100, 1, 10, 3)),
                             new PeerSettings(
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                     key,
-                                    settings("127.0.0.0/8").admit(),
+                                    settings("127.0.0.0/8").admittedNetworks(),
                                     List.copyOf(addresses),
                                     20,
                                     2000,
@@ -373,7 +378,7 @@
         }
         for (int i = 0; i < 90; i++) {
             services.get(i % 3)
-                    .books()
+                    .ledger()
                     .record(
                             new nettlewick.core.UsageRecorder.FinishedRequest(
                                     new nettlewick.core.Request("j" + i, "c", "m", null, 0, 1, 0, 0, false, null, null),
@@ -385,11 +390,11 @@
                                     0),
                             nettlewick.core.UsageRecorder.DeliveryCallback::onDelivered);
         }
-        LedgerService thief = new LedgerService("d9", services.get(0).books().settings(), clock, 7);
+        LedgerService thief = new LedgerService("d9", services.get(0).ledger().settings(), clock, 7);
         assertTrue(assertThrows(IOException.class, thief::start).getMessage().contains("the ledger of d0, not of"));
         StubPlatform.until(() -> count("d2") == 90 && count("d1") == 60);
         StubPlatform.until(() -> services.stream()
-                .allMatch(s -> s.books()
+                .allMatch(s -> s.ledger()
                                 .metrics()
                                 .getOrDefault("ledger.export.x.lag", -1L)
                                 .longValue()
@@ -409,7 +414,7 @@
 
     private long count(String name) {
         try (Store store = Store.read(dir.resolve(name))) {
-            return store.counts(false).getOrDefault(Entry.Kind.JOB, 0L);
+            return store.countByKind(false).getOrDefault(Entry.Kind.JOB, 0L);
         } catch (StoreException e) {
             return -1;
         }
--- a/src/test/java/nettlewick/ledger/BookTest.java
+++ b/src/test/java/nettlewick/ledger/StatementCalculatorTest.java
@@ -1,8 +1,8 @@
 package nettlewick.ledger;
 
-import static nettlewick.ledger.Entries.job;
-import static nettlewick.ledger.Entries.ref;
-import static nettlewick.ledger.Entries.served;
+import static nettlewick.ledger.TestEntries.job;
+import static nettlewick.ledger.TestEntries.ref;
+import static nettlewick.ledger.TestEntries.served;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The accounts, case by case, and as a function of a set against a small model. */
-class BookTest {
+class StatementCalculatorTest {
     private static final double NOVEMBER = 1793491200000.0;
     private static final double DECEMBER = NOVEMBER + 30 * 8.64e7;
-    private static final Terms TERMS = new Terms(ZoneOffset.UTC, List.of());
+    private static final BillingCalendar TERMS = new BillingCalendar(ZoneOffset.UTC, List.of());
     private static final double WINDOW = 15_000;
 
-    private static UsageBook book(Entry... entries) {
-        UsageBook book = new UsageBook(TERMS, WINDOW);
+    private static StatementCalculator book(Entry... entries) {
+        StatementCalculator book = new StatementCalculator(TERMS, WINDOW);
         for (Entry e : entries) {
             assertTrue(book.add(e));
         }
@@ -36,12 +36,12 @@
     }
 
     private static Entry close(EntryRef ref, Map<ChainOrigin, Long> vector) {
-        return Entry.close(ref, DECEMBER + 10, TERMS.at(NOVEMBER), vector, "op");
+        return Entry.close(ref, DECEMBER + 10, TERMS.periodAt(NOVEMBER), vector, "op");
     }
 
     @Test
     void theMillisecondOfTheLastByteDecidesFromBothSides() {
-        UsageBook book = book(
+        StatementCalculator book = book(
                 served(ref("a", 1, 1), DECEMBER - 1, "m", 3),
                 served(ref("a", 1, 2), DECEMBER, "m", 5),
                 served(ref("a", 1, 3), Math.nextDown(DECEMBER), "m", 7));
@@ -51,7 +51,7 @@
 
     @Test
     void refusalsFailuresAndClientsThatLeftAreCountedAndNotBilled() {
-        UsageBook book = book(
+        StatementCalculator book = book(
                 job(ref("a", 1, 1), NOVEMBER, "m", null, Ending.REFUSED, 9),
                 job(ref("a", 1, 2), NOVEMBER, "m", null, Ending.FAILED, 9),
                 job(ref("a", 1, 3), NOVEMBER, "m", null, Ending.LEFT, 9),
@@ -64,7 +64,7 @@
     @Test
     void aClosedStatementNeverChangesAndWhatIsFoundLaterNamesIt() {
         ChainOrigin a = new ChainOrigin("a", 1);
-        UsageBook book = book(
+        StatementCalculator book = book(
                 served(new EntryRef(a, 1), NOVEMBER, "m", 10),
                 served(new EntryRef(a, 2), NOVEMBER, "n", 20),
                 close(ref("a", 2, 1), Map.of(a, 2L)));
@@ -91,7 +91,7 @@
         Entry ofCorrection = Entry.correction(ref("a", 1, 4), NOVEMBER + 3, first, 8, "op", "r");
         Entry ofNone = Entry.correction(ref("a", 1, 5), NOVEMBER + 4, served(ref("a", 1, 99), 1, "m", 1), 8, "op", "r");
         Entry foreign = Entry.correction(ref("b", 1, 1), NOVEMBER + 4, entry, 9, "op", "r");
-        UsageBook book = book(foreign, second, ofNone, ofCorrection, first, entry);
+        StatementCalculator book = book(foreign, second, ofNone, ofCorrection, first, entry);
         assertEquals(6, book.statement("2026-11").billed());
         assertEquals(first, book.correction(target));
         assertEquals(
@@ -101,7 +101,7 @@
                         "its entry is not held here, or not yet",
                         "only the entry's own dispatcher corrects it"),
                 book.statement("2026-11").voided().stream()
-                        .map(Statement.Void::why)
+                        .map(Statement.VoidedCorrection::why)
                         .toList());
     }
 
@@ -123,7 +123,7 @@
     @Test
     void aRepeatFoundAfterTheCloseIsTakenBackInTheOpenPeriod() {
         ChainOrigin a = new ChainOrigin("a", 1);
-        UsageBook book = book(
+        StatementCalculator book = book(
                 job(new EntryRef(a, 1), NOVEMBER + 9, "m", "k", Ending.SERVED, 10),
                 close(ref("a", 2, 1), Map.of(a, 1L)));
         Statement closed = book.statement("2026-11");
@@ -137,7 +137,8 @@
 
     @Test
     void namesThatLookAlikeWhenJoinedStayApart() {
-        UsageBook book = book(served(ref("a", 1, 1), NOVEMBER, "x, y", 1), served(ref("a", 1, 2), NOVEMBER, "x", 2));
+        StatementCalculator book =
+                book(served(ref("a", 1, 1), NOVEMBER, "x, y", 1), served(ref("a", 1, 2), NOVEMBER, "x", 2));
         assertEquals(2, book.statement("2026-11").rows().size());
     }
 
@@ -200,9 +201,9 @@
                     made = Entry.correction(next, now, target, random.nextInt(500), "op", "r");
                 }
             } else if (what == 13) {
-                UsageBook book = new UsageBook(TERMS, WINDOW);
+                StatementCalculator book = new StatementCalculator(TERMS, WINDOW);
                 held.get(d).values().forEach(book::add);
-                Terms.Period first = book.firstOpen("d" + d);
+                BillingCalendar.Period first = book.firstOpenPeriod("d" + d);
                 if (first != null && first.to() <= now) {
                     Map<ChainOrigin, Long> vector = new TreeMap<>();
                     held.get(d).keySet().forEach(r -> vector.merge(r.origin(), r.number(), Math::max));
@@ -227,13 +228,13 @@
         }
         TreeMap<EntryRef, Entry> all = new TreeMap<>();
         held.forEach(all::putAll);
-        UsageBook one = new UsageBook(TERMS, WINDOW);
+        StatementCalculator one = new StatementCalculator(TERMS, WINDOW);
         all.values().forEach(one::add);
         for (int d = 0; d < n; d++) {
             assertEquals(all.keySet(), held.get(d).keySet(), "after enough exchanges all hold the same");
             List<Entry> order = new ArrayList<>(held.get(d).values());
             Collections.shuffle(order, random);
-            UsageBook book = new UsageBook(TERMS, WINDOW);
+            StatementCalculator book = new StatementCalculator(TERMS, WINDOW);
             order.forEach(book::add);
             assertEquals(List.copyOf(one.periods()), List.copyOf(book.periods()));
             for (String period : one.periods()) {
@@ -261,18 +262,18 @@
 
     /** A statement that all known dispatchers have closed stays as it was when it was first seen so. */
     private static void check(Map<String, Statement> frozen, TreeMap<EntryRef, Entry> held) {
-        UsageBook book = new UsageBook(TERMS, WINDOW);
+        StatementCalculator book = new StatementCalculator(TERMS, WINDOW);
         held.values().forEach(book::add);
         for (String period : book.periods()) {
             for (int d = 0; d < 6; d++) {
                 // Each dispatcher's closed part alone: what it covered is all that it depends on.
                 String name = "d" + d;
-                Terms.Period p = TERMS.named(period).orElseThrow();
+                BillingCalendar.Period p = TERMS.periodNamed(period).orElseThrow();
                 if (book.isClosed(name, p)) {
                     Entry close = held.values().stream()
                             .filter(e -> e.kind() == Kind.CLOSE
                                     && e.ref().origin().dispatcher().equals(name)
-                                    && e.close().period().equals(p))
+                                    && e.parseClose().period().equals(p))
                             .findFirst()
                             .orElseThrow();
                     if (held.keySet().containsAll(covered(close))) {
@@ -287,7 +288,7 @@
 
     private static List<EntryRef> covered(Entry close) {
         List<EntryRef> refs = new ArrayList<>();
-        close.close().vector().forEach((o, last) -> {
+        close.parseClose().lastNumbers().forEach((o, last) -> {
             for (long i = 1; i <= last; i++) {
                 refs.add(new EntryRef(o, i));
             }
@@ -295,8 +296,8 @@
         return refs;
     }
 
-    private static Statement part(UsageBook book, String dispatcher, Terms.Period period) {
-        return book.part(dispatcher, period);
+    private static Statement part(StatementCalculator book, String dispatcher, BillingCalendar.Period period) {
+        return book.dispatcherPart(dispatcher, period);
     }
 
     /** What everything together is worth, worked out the long way. */
@@ -316,30 +317,30 @@
                     .findFirst()
                     .orElse(null);
             if (correction != null) {
-                sum += correction.work();
-            } else if (e.kind() == Kind.JOB && e.end() == Ending.SERVED && !repeat(all, e)) {
-                sum += e.work();
+                sum += correction.workSlotMicros();
+            } else if (e.kind() == Kind.JOB && e.ending() == Ending.SERVED && !repeat(all, e)) {
+                sum += e.workSlotMicros();
             }
         }
         return sum;
     }
 
     private static boolean repeat(TreeMap<EntryRef, Entry> all, Entry e) {
-        if (e.key() == null) {
+        if (e.keyHash() == null) {
             return false;
         }
         List<Entry> same = all.values().stream()
                 .filter(o -> o.kind() == Kind.JOB
-                        && o.end() == Ending.SERVED
-                        && e.key().equals(o.key())
-                        && e.member().equals(o.member()))
-                .sorted((a, b) -> a.at() != b.at()
-                        ? Double.compare(a.at(), b.at())
+                        && o.ending() == Ending.SERVED
+                        && e.keyHash().equals(o.keyHash())
+                        && e.tenant().equals(o.tenant()))
+                .sorted((a, b) -> a.timeMillis() != b.timeMillis()
+                        ? Double.compare(a.timeMillis(), b.timeMillis())
                         : a.ref().compareTo(b.ref()))
                 .toList();
         Entry billed = null;
         for (Entry o : same) {
-            boolean repeat = billed != null && o.at() - billed.at() < WINDOW;
+            boolean repeat = billed != null && o.timeMillis() - billed.timeMillis() < WINDOW;
             if (o == e) {
                 return repeat;
             }
@@ -350,7 +351,7 @@
 
     @Test
     void anEntryHeldTwiceCountsOnce() {
-        UsageBook book = book(served(ref("a", 1, 1), NOVEMBER, "m", 10));
+        StatementCalculator book = book(served(ref("a", 1, 1), NOVEMBER, "m", 10));
         assertFalse(book.add(served(ref("a", 1, 1), NOVEMBER, "m", 10)));
         assertEquals(10, book.statement("2026-11").billed());
     }
--- a/src/test/java/nettlewick/ledger/StoreTest.java
+++ b/src/test/java/nettlewick/ledger/StoreTest.java
@@ -1,6 +1,6 @@
 package nettlewick.ledger;
 
-import static nettlewick.ledger.Entries.served;
+import static nettlewick.ledger.TestEntries.served;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -25,7 +25,7 @@
 class StoreTest {
     private static final double NOW = 1793491200000.0;
 
-    private static final Terms TERMS = new Terms(java.time.ZoneOffset.UTC, List.of());
+    private static final BillingCalendar TERMS = new BillingCalendar(java.time.ZoneOffset.UTC, List.of());
 
     @TempDir
     private Path dir;
@@ -43,7 +43,7 @@
     }
 
     private void sql(String statement) throws Exception {
-        try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve(Store.FILE))) {
+        try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve(Store.FILE_NAME))) {
             c.createStatement().execute(statement);
         }
     }
@@ -69,16 +69,16 @@
                 "");
         ChainOrigin own;
         try (Store store = open()) {
-            own = store.begin(NOW);
+            own = store.beginIncarnation(NOW);
             assertEquals(3, store.append(own, drafts(3)));
             assertEquals(4, store.append(own, List.of(odd)));
         }
         try (Store store = open()) {
             assertEquals(5, store.append(own, drafts(1)));
-            assertEquals(odd.at(new EntryRef(own, 4)), store.entry(new EntryRef(own, 4)));
+            assertEquals(odd.withRef(new EntryRef(own, 4)), store.entry(new EntryRef(own, 4)));
             assertEquals(List.of(), store.verify());
-            ChainOrigin next = store.begin(NOW);
-            assertTrue(next.life() > own.life(), "two lives in one second have two numbers");
+            ChainOrigin next = store.beginIncarnation(NOW);
+            assertTrue(next.incarnation() > own.incarnation(), "two lives in one second have two numbers");
         }
         assertThrows(StoreException.class, () -> Store.open(dir, "b", FaultInjection.NONE));
     }
@@ -91,10 +91,10 @@
             vector.put(new ChainOrigin("college-nord-" + i % 300, 1_796_134_423L + i), (long) i + 1);
         }
         try (Store store = open()) {
-            ChainOrigin own = store.begin(NOW);
-            Entry close = Entry.close(new EntryRef(own, 0), NOW, TERMS.at(NOW), vector, "op");
+            ChainOrigin own = store.beginIncarnation(NOW);
+            Entry close = Entry.close(new EntryRef(own, 0), NOW, TERMS.periodAt(NOW), vector, "op");
             store.append(own, List.of(close));
-            assertEquals(vector, store.entry(new EntryRef(own, 1)).close().vector());
+            assertEquals(vector, store.entry(new EntryRef(own, 1)).parseClose().lastNumbers());
         }
     }
 
@@ -102,10 +102,10 @@
     void tamperingIsToldWithItsPlace() throws Exception {
         ChainOrigin own;
         try (Store store = open()) {
-            own = store.begin(NOW);
+            own = store.beginIncarnation(NOW);
             store.append(own, drafts(9));
         }
-        byte[] other = served(new EntryRef(own, 4), NOW, "thief", 1).bytes();
+        byte[] other = served(new EntryRef(own, 4), NOW, "thief", 1).toBytes();
         StringBuilder hex = new StringBuilder();
         for (byte b : other) {
             hex.append(String.format("%02x", b));
@@ -123,9 +123,9 @@
     @Test
     void aTailThatWasCutOffShowsByWhatNamesIt() throws Exception {
         try (Store store = open()) {
-            ChainOrigin own = store.begin(NOW);
+            ChainOrigin own = store.beginIncarnation(NOW);
             store.append(own, drafts(9));
-            store.cut("x", 100);
+            store.cutBatch("x", 100);
         }
         sql("DELETE FROM entry WHERE number > 6");
         try (Store store = open()) {
@@ -138,32 +138,33 @@
     @Test
     void aBatchOnceCutIsTheSameForEver() throws Exception {
         try (Store store = open()) {
-            ChainOrigin one = store.begin(NOW);
+            ChainOrigin one = store.beginIncarnation(NOW);
             store.append(one, drafts(5));
-            Store.Batch first = store.cut("x", 4);
-            byte[] bytes = Exporter.parcel(store, first, true).bytes();
-            ChainOrigin two = store.begin(NOW);
+            Store.Batch first = store.cutBatch("x", 4);
+            byte[] bytes = Exporter.render(store, first, true).content();
+            ChainOrigin two = store.beginIncarnation(NOW);
             store.append(two, drafts(2));
             store.append(one, drafts(2));
-            Store.Batch second = store.cut("x", 100);
+            Store.Batch second = store.cutBatch("x", 100);
             assertEquals(
-                    List.of(new Store.Range(one.life(), 5, 7), new Store.Range(two.life(), 1, 2)), second.ranges());
+                    List.of(new Store.Range(one.incarnation(), 5, 7), new Store.Range(two.incarnation(), 1, 2)),
+                    second.ranges());
             assertArrayEquals(
-                    bytes, Exporter.parcel(store, store.batch("x", 1), true).bytes());
-            assertEquals(null, store.cut("x", 100));
-            assertEquals(9, store.lag("x"));
-            assertEquals(first, store.pending("x"));
-            store.delivered(first);
-            assertEquals(5, store.lag("x"));
+                    bytes, Exporter.render(store, store.batch("x", 1), true).content());
+            assertEquals(null, store.cutBatch("x", 100));
+            assertEquals(9, store.exportLag("x"));
+            assertEquals(first, store.pendingBatch("x"));
+            store.markDelivered(first);
+            assertEquals(5, store.exportLag("x"));
         }
     }
 
     @Test
     void aFileThatIsNoStoreIsPutAsideNotDeleted() throws Exception {
-        Files.writeString(dir.resolve(Store.FILE), "this is not SQLite at all, but long enough to be looked at");
+        Files.writeString(dir.resolve(Store.FILE_NAME), "this is not SQLite at all, but long enough to be looked at");
         StoreException e = assertThrows(StoreException.class, this::open);
         assertTrue(e.isDamaged());
-        Path aside = Store.putAside(dir, NOW);
+        Path aside = Store.moveDamagedAside(dir, NOW);
         assertTrue(Files.readString(aside).startsWith("this is not"));
         open().close();
     }
@@ -172,7 +173,7 @@
 
     private Spool spool(ChainOrigin own, long head) throws IOException {
         Spool spool = new Spool(dir, own, FaultInjection.NONE);
-        spool.prepare(head);
+        spool.prepareSegment(head);
         return spool;
     }
 
@@ -206,30 +207,32 @@
     @Test
     void aDeadLifesJobsAreEnteredOrInDoubtAndNeverTwice() throws Exception {
         try (Store store = open()) {
-            ChainOrigin own = store.begin(NOW);
+            ChainOrigin own = store.beginIncarnation(NOW);
             Spool spool = spool(own, 0);
             for (int job = 1; job <= 4; job++) {
-                spool.intent(draft(job));
+                spool.recordIntent(draft(job));
             }
-            spool.ended(1, NOW + 50, true);
-            spool.ended(2, NOW + 51, false);
-            spool.ended(3, NOW + 52, true);
+            spool.recordEnd(1, NOW + 50, true);
+            spool.recordEnd(2, NOW + 51, false);
+            spool.recordEnd(3, NOW + 52, true);
             spool.force();
-            store.append(own, List.of(Spool.ended(draft(1), NOW + 50, true)));
-            assertTrue(Recovery.run(store, NOW, TERMS).idle(), "a living one's are left alone");
+            store.append(own, List.of(Spool.finalEntry(draft(1), NOW + 50, true)));
+            assertTrue(Recovery.run(store, NOW, TERMS).isEmpty(), "a living one's are left alone");
             kill(spool);
             Recovery.Report report = Recovery.run(store, NOW, TERMS);
             assertEquals(2, report.answered());
             assertEquals(1, report.doubts());
             List<Entry> all = new ArrayList<>();
-            store.each(all::add);
-            assertEquals(List.of(1L, 2L, 3L, 4L), all.stream().map(Entry::job).toList());
+            store.forEachEntry(all::add);
+            assertEquals(
+                    List.of(1L, 2L, 3L, 4L),
+                    all.stream().map(Entry::requestNumber).toList());
             assertEquals(
                     List.of(Ending.SERVED, Ending.LEFT, Ending.SERVED, Ending.SERVED),
-                    all.stream().map(Entry::end).toList());
+                    all.stream().map(Entry::ending).toList());
             assertEquals(Kind.DOUBT, all.get(3).kind());
-            assertEquals(0, all.get(1).work(), "what a client did not wait for is not billed");
-            assertTrue(Recovery.run(store, NOW, TERMS).idle());
+            assertEquals(0, all.get(1).workSlotMicros(), "what a client did not wait for is not billed");
+            assertTrue(Recovery.run(store, NOW, TERMS).isEmpty());
             assertEquals(List.of(), store.verify());
         }
     }
@@ -239,9 +242,9 @@
     void aSpoolCutAtEveryByteOrWithAnyByteChangedNeverInventsAJob() throws Exception {
         ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 0);
-        spool.intent(draft(1));
-        spool.ended(1, NOW, true);
-        spool.intent(draft(2));
+        spool.recordIntent(draft(1));
+        spool.recordEnd(1, NOW, true);
+        spool.recordIntent(draft(2));
         spool.force();
         kill(spool);
         Path file = dir.resolve("spool-7-000001.log");
@@ -254,7 +257,7 @@
         int last = 0;
         for (int cut = 0; cut <= whole.length; cut++) {
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
-            Spool.Found found = Spool.read(dir, 7);
+            Spool.Contents found = Spool.read(dir, 7);
             int jobs = found == null ? 0 : found.intents().size();
             assertTrue(jobs >= last && (found == null || found.damage().isEmpty()), "cut at " + cut);
             if (cut > 0 && cut < 4) {
@@ -272,10 +275,10 @@
             changed[at] ^= 0x55;
             Files.write(file, changed);
             try {
-                Spool.Found found = Spool.read(dir, 7);
+                Spool.Contents found = Spool.read(dir, 7);
                 if (found != null) {
                     for (Entry e : found.intents().values()) {
-                        assertEquals(draft((int) e.job()).work(), e.work());
+                        assertEquals(draft((int) e.requestNumber()).workSlotMicros(), e.workSlotMicros());
                     }
                 }
             } catch (IOException e) {
@@ -288,14 +291,14 @@
     void theSpoolOfAStoreThatWasLostIsInDoubtInAChainOfItsOwn() throws Exception {
         ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 12);
-        spool.intent(draft(1));
-        spool.ended(1, NOW, true);
+        spool.recordIntent(draft(1));
+        spool.recordEnd(1, NOW, true);
         spool.force();
         kill(spool);
         try (Store store = open()) {
             assertEquals(1, Recovery.run(store, NOW, TERMS).doubts());
             assertEquals(0, store.head(own).number());
-            assertEquals(1L, store.counts(true).get(Kind.DOUBT));
+            assertEquals(1L, store.countByKind(true).get(Kind.DOUBT));
         }
     }
 
@@ -304,20 +307,20 @@
         ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 0);
         Random random = new Random(5);
-        List<Spool.Place> places = new ArrayList<>();
+        List<Spool.IntentTracker> places = new ArrayList<>();
         byte[] noise = new byte[9000];
         for (int job = 1; job <= 2000; job++) {
             random.nextBytes(noise);
             Entry d = draft(job);
-            places.add(spool.intent(new Entry(
+            places.add(spool.recordIntent(new Entry(
                     d.ref(),
                     d.kind(),
-                    d.at(),
+                    d.timeMillis(),
                     "m",
                     "c",
                     java.util.HexFormat.of().formatHex(noise).substring(0, 9000),
                     null,
-                    d.end(),
+                    d.ending(),
                     job,
                     false,
                     0,
@@ -326,17 +329,17 @@
                     null,
                     null,
                     null)));
-            spool.prepare(0);
+            spool.prepareSegment(0);
         }
-        Spool.Place first = places.get(0);
+        Spool.IntentTracker first = places.get(0);
         int jobs = (int) places.stream().filter(p -> p == first).count();
         assertTrue(jobs > 100 && jobs < 900, jobs + " jobs in the first file");
         int before = files();
-        first.entered(jobs - 1);
+        first.markCommitted(jobs - 1);
         assertEquals(before, files(), "one job has no entry yet");
-        first.entered(1);
+        first.markCommitted(1);
         assertEquals(before - 2, files(), "the mapped file and the one that is forced");
-        places.stream().filter(p -> p != first).forEach(p -> p.entered(1));
+        places.stream().filter(p -> p != first).forEach(p -> p.markCommitted(1));
         spool.close();
         assertEquals(0, files());
         assertFalse(Files.exists(dir.resolve("life-7.lock")));
--- a/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
+++ b/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
@@ -31,7 +31,7 @@
     private static final double OCTOBER = 1_728_086_400_000.0;
     private static final double NOVEMBER = OCTOBER + 31 * DAY;
     private static final double DECEMBER = NOVEMBER + 30 * DAY;
-    private static final Terms TERMS = new Terms(ZoneOffset.UTC, List.of());
+    private static final BillingCalendar TERMS = new BillingCalendar(ZoneOffset.UTC, List.of());
     private static final double KEY_WINDOW = DAY;
 
     @TempDir
@@ -48,13 +48,13 @@
             november(store);
         }
         try (Store store = Store.open(made)) {
-            ChainOrigin third = store.begin(DECEMBER);
+            ChainOrigin third = store.beginIncarnation(DECEMBER);
             try (Spool spool = new Spool(made, third, FaultInjection.NONE)) {
                 fill(spool, third);
                 store.append(
                         third,
-                        List.of(Spool.ended(intent(third, 1), DECEMBER + 50, true)
-                                .in(TERMS)));
+                        List.of(Spool.finalEntry(intent(third, 1), DECEMBER + 50, true)
+                                .withPeriod(TERMS)));
                 // Both are open: what a killed process leaves, with the newest entry in the write-ahead log.
                 Fixture.record(made, FOLDER, "-shm");
             }
@@ -78,11 +78,11 @@
                 job,
                 null,
                 null,
-                TERMS.at(at).name());
+                TERMS.periodAt(at).name());
     }
 
     private static void october(Store store) throws Exception {
-        ChainOrigin own = store.begin(OCTOBER);
+        ChainOrigin own = store.beginIncarnation(OCTOBER);
         Entry doubt = new Entry(
                 new EntryRef(own, 0),
                 Kind.DOUBT,
@@ -110,11 +110,11 @@
                         job(OCTOBER + 5, "", null, Ending.LEFT, 0, true, 5),
                         doubt,
                         Entry.gap(new EntryRef(own, 0), OCTOBER + 7, OCTOBER + 9, 3)));
-        store.delivered(store.cut("files", 100));
-        store.settled(own, OCTOBER + 10);
-        store.close(own, TERMS.at(OCTOBER), NOVEMBER, "operator");
+        store.markDelivered(store.cutBatch("files", 100));
+        store.recordSettled(own, OCTOBER + 10);
+        store.closePeriod(own, TERMS.periodAt(OCTOBER), NOVEMBER, "operator");
         List<Entry> jobs = new ArrayList<>();
-        store.each(e -> {
+        store.forEachEntry(e -> {
             if (e.kind() == Kind.JOB) {
                 jobs.add(e);
             }
@@ -129,7 +129,7 @@
     }
 
     private static void november(Store store) throws Exception {
-        ChainOrigin own = store.begin(NOVEMBER);
+        ChainOrigin own = store.beginIncarnation(NOVEMBER);
         Entry target = store.entry(new EntryRef(new ChainOrigin("north", (long) (OCTOBER / 1000)), 6));
         store.append(
                 own,
@@ -138,21 +138,21 @@
                         job(OCTOBER + 20, "red", null, Ending.SERVED, 700, false, 2),
                         Entry.correction(
                                 new EntryRef(own, 0), NOVEMBER + 3, target, 450, "operator", "answer was seen")));
-        store.cut("files", 2);
-        store.delivered(store.cut("web", 5));
-        store.mark(TERMS.at(NOVEMBER));
+        store.cutBatch("files", 2);
+        store.markDelivered(store.cutBatch("web", 5));
+        store.requestSettlement(TERMS.periodAt(NOVEMBER));
         ChainOrigin south = new ChainOrigin("south", 7);
         byte[] first = job(NOVEMBER + 4, "green", null, Ending.SERVED, 800, false, 1)
-                .at(new EntryRef(south, 1))
-                .bytes();
+                .withRef(new EntryRef(south, 1))
+                .toBytes();
         byte[] second = job(NOVEMBER + 5, "red", null, Ending.SERVED, 900, false, 2)
-                .at(new EntryRef(south, 2))
-                .bytes();
-        byte[] link = Entry.link(Entry.NO_HASH, first);
+                .withRef(new EntryRef(south, 2))
+                .toBytes();
+        byte[] link = Entry.chainHash(Entry.INITIAL_HASH, first);
         store.merge(
                 south,
                 Store.Head.NONE,
-                List.of(new Store.Row(1, first, link), new Store.Row(2, second, Entry.link(link, second))));
+                List.of(new Store.Row(1, first, link), new Store.Row(2, second, Entry.chainHash(link, second))));
         store.quarantine(new ChainOrigin("west", 8), "two entries have number 4");
     }
 
@@ -165,18 +165,18 @@
                         1000 * job,
                         job == 3,
                         job)
-                .at(new EntryRef(own, 0));
+                .withRef(new EntryRef(own, 0));
     }
 
     private static void fill(Spool spool, ChainOrigin own) throws Exception {
-        spool.prepare(0);
-        spool.prepare(0);
+        spool.prepareSegment(0);
+        spool.prepareSegment(0);
         for (long job = 1; job <= 4; job++) {
-            spool.intent(intent(own, job));
+            spool.recordIntent(intent(own, job));
         }
-        spool.ended(1, DECEMBER + 50, true);
-        spool.ended(2, DECEMBER + 51, true);
-        spool.ended(3, DECEMBER + 52, false);
+        spool.recordEnd(1, DECEMBER + 50, true);
+        spool.recordEnd(2, DECEMBER + 51, true);
+        spool.recordEnd(3, DECEMBER + 52, false);
         spool.force();
     }
 
@@ -186,26 +186,26 @@
                         List.of(
                                 e.ref().toString(),
                                 e.kind().name(),
-                                Double.toString(e.at()),
-                                e.member(),
-                                e.jobClass(),
-                                e.request(),
-                                String.valueOf(e.key()),
-                                e.end().name(),
-                                Long.toString(e.work()),
-                                Boolean.toString(e.estimate()),
-                                Long.toString(e.spare()),
-                                Integer.toString(e.attempts()),
-                                Long.toString(e.job()),
+                                Double.toString(e.timeMillis()),
+                                e.tenant(),
+                                e.requestClass(),
+                                e.requestId(),
+                                String.valueOf(e.keyHash()),
+                                e.ending().name(),
+                                Long.toString(e.workSlotMicros()),
+                                Boolean.toString(e.isEstimate()),
+                                Long.toString(e.extraWorkSlotMicros()),
+                                Integer.toString(e.attemptCount()),
+                                Long.toString(e.requestNumber()),
                                 String.valueOf(e.target()),
-                                String.valueOf(e.by()),
-                                String.valueOf(e.text()).replace("\n", " / ")))
+                                String.valueOf(e.requestedBy()),
+                                String.valueOf(e.details()).replace("\n", " / ")))
                 + "\n";
     }
 
     private static String entries(Store store) throws Exception {
         List<Entry> all = new ArrayList<>();
-        store.each(all::add);
+        store.forEachEntry(all::add);
         all.sort(Comparator.comparing(Entry::ref));
         StringBuilder text = new StringBuilder("entries\n");
         all.forEach(e -> text.append(describe(e)));
@@ -230,20 +230,20 @@
         ChainOrigin first = new ChainOrigin("north", (long) (OCTOBER / 1000));
         StringBuilder text = new StringBuilder("dispatcher " + store.dispatcher() + "\n");
         text.append("counts ")
-                .append(store.counts(false))
+                .append(store.countByKind(false))
                 .append(" own ")
-                .append(store.counts(true))
+                .append(store.countByKind(true))
                 .append('\n');
         text.append("quarantined ").append(store.quarantined()).append('\n');
         text.append("archives ")
-                .append(store.archives())
+                .append(store.archivedPeriods())
                 .append(' ')
-                .append(store.archive("2024-10"))
+                .append(store.archiveInfo("2024-10"))
                 .append('\n');
         text.append("marked ")
-                .append(store.marked())
+                .append(store.settlementRequestedUntil())
                 .append(" settled ")
-                .append(store.settled(first.life()))
+                .append(store.settledUntil(first.incarnation()))
                 .append('\n');
         for (String export : List.of("files", "web")) {
             text.append(export)
@@ -252,22 +252,22 @@
                     .append(", second ")
                     .append(batch(store.batch(export, 2)))
                     .append(", pending ")
-                    .append(batch(store.pending(export)))
+                    .append(batch(store.pendingBatch(export)))
                     .append(", lag ")
-                    .append(store.lag(export))
+                    .append(store.exportLag(export))
                     .append('\n');
         }
         return text.append("exported ")
-                .append(store.exported(new EntryRef(first, 1)))
+                .append(store.isExported(new EntryRef(first, 1)))
                 .append(' ')
-                .append(store.exported(new EntryRef(first, 8)))
+                .append(store.isExported(new EntryRef(first, 8)))
                 .append('\n')
                 .toString();
     }
 
     private static String statement(Store store, String period) throws Exception {
-        UsageBook book = new UsageBook(TERMS, KEY_WINDOW);
-        store.each(book::add);
+        StatementCalculator book = new StatementCalculator(TERMS, KEY_WINDOW);
+        store.forEachEntry(book::add);
         Statement s = book.statement(period);
         StringBuilder text = new StringBuilder("statement " + s.period() + " closed " + s.closed() + " open " + s.open()
                 + " billed " + s.billed() + "\n");
@@ -275,8 +275,8 @@
                 .forEach(r -> text.append(String.join(
                                 " | ",
                                 List.of(
-                                        r.member(),
-                                        r.jobClass(),
+                                        r.tenant(),
+                                        r.requestClass(),
                                         "" + r.served(),
                                         "" + r.refused(),
                                         "" + r.failed(),
@@ -291,9 +291,9 @@
                 .forEach(l -> text.append("late ")
                         .append(l.closed())
                         .append(' ')
-                        .append(l.member())
+                        .append(l.tenant())
                         .append(' ')
-                        .append(l.jobClass())
+                        .append(l.requestClass())
                         .append(' ')
                         .append(l.entries())
                         .append(' ')
@@ -342,7 +342,7 @@
             assertMatches(
                     "ledger/recovered.txt",
                     text + "idle after it "
-                            + Recovery.run(store, DECEMBER + DAY, TERMS).idle() + "\n");
+                            + Recovery.run(store, DECEMBER + DAY, TERMS).isEmpty() + "\n");
         }
     }
 
@@ -351,18 +351,18 @@
         Fixture.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
             List<Entry> back = Archive.read(
-                    GoldenFile.recorded(ARCHIVE), store.archive("2024-10").get(1));
-            String text = "brought back " + store.unprune("2024-10", back) + "\n" + entries(store)
+                    GoldenFile.recorded(ARCHIVE), store.archiveInfo("2024-10").get(1));
+            String text = "brought back " + store.restorePruned("2024-10", back) + "\n" + entries(store)
                     + statement(store, "2024-10");
             for (boolean csv : List.of(true, false)) {
-                Target.Parcel parcel = Exporter.parcel(store, store.batch("files", 1), csv);
-                text += new String(parcel.bytes(), StandardCharsets.UTF_8) + parcel.sum() + "\n";
+                ExportTarget.OutgoingBatch parcel = Exporter.render(store, store.batch("files", 1), csv);
+                text += new String(parcel.content(), StandardCharsets.UTF_8) + parcel.sha256() + "\n";
             }
-            Target.Parcel pending = Exporter.parcel(store, store.pending("files"), true);
+            ExportTarget.OutgoingBatch pending = Exporter.render(store, store.pendingBatch("files"), true);
             assertMatches(
                     "ledger/restored.txt",
-                    text + new String(pending.bytes(), StandardCharsets.UTF_8) + pending.sum() + "\nnext "
-                            + batch(store.cut("files", 100)) + "\n");
+                    text + new String(pending.content(), StandardCharsets.UTF_8) + pending.sha256() + "\nnext "
+                            + batch(store.cutBatch("files", 100)) + "\n");
         }
     }
 
--- a/src/test/java/nettlewick/ledger/Entries.java
+++ b/src/test/java/nettlewick/ledger/TestEntries.java
@@ -3,9 +3,9 @@
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
 
-/** Entries for tests. */
-final class Entries {
-    private Entries() {}
+/** TestEntries for tests. */
+final class TestEntries {
+    private TestEntries() {}
 
     static Entry job(EntryRef ref, double at, String member, String key, Ending end, long work) {
         return new Entry(
