--- a/src/main/java/nettlewick/sqlite/Database.java
+++ b/src/main/java/nettlewick/sqlite/Database.java
@@ -12,16 +12,16 @@
 import org.sqlite.SQLiteErrorCode;
 
 /**
- * One SQLite file in WAL mode. Several processes may open it; one object belongs to one thread. What {@link #inTransaction}
- * does is one transaction, and durable when it returns.
+ * One SQLite file in WAL mode. Several processes may open the same file; each instance belongs to one thread. Changes
+ * made by {@link #inTransaction} are durable when it returns.
  */
 public final class Database implements AutoCloseable {
-    /** How long to wait for another process's transaction. */
+    /** How long to wait for a lock that another process holds. */
     private static final int BUSY_TIMEOUT_MILLIS = 5000;
 
-    /** Work on the database that returns a result. */
+    /** Database work that returns a result. */
     public interface Work<T> {
-        /** Does the work. */
+        /** Executes the work. */
         T run() throws SQLException, IOException;
     }
 
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Opens a file. Unless it is read only, the file and its folder are created where they do not exist.
+     * Opens a file. Unless it is read-only, the file and its folder are created if they do not exist.
      *
-     * @param what the file's name in messages, such as "the ledger"
+     * @param description the file's name in error messages, such as "the ledger"
      */
     public static Database open(Path file, boolean readOnly, String description, FaultPoint faultPoint)
             throws StoreException {
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Runs work as one transaction.
+     * Runs work in one transaction, which is rolled back if the work or the commit fails.
      *
-     * @param done what was attempted, as a participle for the message
-     * @param undo restores the caller's own state where the transaction fails
+     * @param action     past participle that completes "cannot be ..." in error messages
+     * @param onRollback resets the caller's in-memory state if the transaction fails
      */
     public <T> T inTransaction(String action, Runnable onRollback, Work<T> work) throws StoreException {
         try {
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Runs work that only reads. Values that cannot be parsed count as damage. */
+    /** Runs read-only work. Values that cannot be parsed are reported as damage. */
     public <T> T read(Work<T> work) throws StoreException {
         try {
             return work.run();
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Runs statements that create tables. */
+    /** Executes statements that create tables. */
     public void createTables(String... statements) throws SQLException {
         try (Statement sql = connection.createStatement()) {
             for (String statement : statements) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /** A statement with its values set; the caller closes it. */
+    /** Prepares a statement with its parameters set; the caller closes it. */
     public PreparedStatement prepare(String sql, Object... values) throws SQLException {
         PreparedStatement s = connection.prepareStatement(sql);
         for (int i = 0; i < values.length; i++) {
@@ -131,14 +131,14 @@
         return s;
     }
 
-    /** Runs one statement; returns how many rows it changed. */
+    /** Executes one statement and returns the number of rows that it changed. */
     public int execute(String sql, Object... values) throws SQLException {
         try (PreparedStatement s = prepare(sql, values)) {
             return s.executeUpdate();
         }
     }
 
-    /** The first value of the first row, or null. */
+    /** Returns the first column of the first row, or null if there is no row. */
     public String queryFirst(String sql, Object... values) throws SQLException {
         try (PreparedStatement s = prepare(sql, values);
                 ResultSet r = s.executeQuery()) {
@@ -151,7 +151,7 @@
         try {
             connection.close();
         } catch (SQLException ignored) {
-            // What was committed is durable.
+            // Committed transactions are already durable.
         }
     }
 }
--- a/src/main/java/nettlewick/sqlite/package-info.java
+++ b/src/main/java/nettlewick/sqlite/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Access to SQLite files in WAL mode, with transactions that are durable when they return. Used by the packages that
- * store something; depends on no other package of the program. A database object belongs to one thread.
+ * Access to SQLite files in WAL mode, with transactions that are durable when they return. Depends on no other package
+ * of this project. A database object belongs to one thread.
  */
 package nettlewick.sqlite;
