--- a/src/main/java/nettlewick/ledger/Archive.java
+++ b/src/main/java/nettlewick/ledger/Archive.java
@@ -15,14 +15,14 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 
-/** A period's entries in one compressed file, each as its bytes with their length before them. */
+/** Gzip file with the entries of a period, each preceded by its length in bytes. */
 final class Archive {
     private static final int MAGIC = 0x4e574131;
     private static final int MAX_ENTRY_BYTES = 1 << 20;
 
     private Archive() {}
 
-    /** Writes the file beside its place, syncs and renames it; the sum of its bytes. */
+    /** Writes to a temporary file, syncs and renames it; returns the SHA-256 of its bytes. */
     static String write(Path file, List<Entry> entries, FaultInjection faults) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(new GZIPOutputStream(bytes, 1 << 16))) {
@@ -48,17 +48,17 @@
         return BatchCodec.sha256(bytes.toByteArray());
     }
 
-    /** The entries of a file whose bytes have that sum. */
+    /** Reads the entries of a file; fails if its SHA-256 differs. */
     static List<Entry> read(Path file, String sha256) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
         if (!BatchCodec.sha256(bytes).equals(sha256)) {
-            throw new IOException(file + " is not the file that was written: its sum is another");
+            throw new IOException(file + " is not the archive that was written: its SHA-256 differs");
         }
         List<Entry> entries = new ArrayList<>();
         try (DataInputStream in =
                 new DataInputStream(new GZIPInputStream(new java.io.ByteArrayInputStream(bytes), 1 << 16))) {
             if (in.readInt() != MAGIC) {
-                throw new IOException(file + " is not an archive of a ledger");
+                throw new IOException(file + " is not a ledger archive");
             }
             while (true) {
                 int length;
@@ -68,7 +68,7 @@
                     return entries;
                 }
                 if (length <= 0 || length > MAX_ENTRY_BYTES) {
-                    throw new IOException(file + " holds an entry of " + length + " bytes");
+                    throw new IOException(file + " holds an entry with an invalid length of " + length + " bytes");
                 }
                 entries.add(Entry.fromBytes(in.readNBytes(length)));
             }
--- a/src/main/java/nettlewick/ledger/Backoff.java
+++ b/src/main/java/nettlewick/ledger/Backoff.java
@@ -3,7 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Pauses between tries: each is drawn between half and the whole of a bound that doubles up to the longest.
+ * Exponential backoff with jitter: each pause is drawn between half of a bound and the whole of it; the bound doubles
+ * with each failure up to the maximum pause.
  */
 final class Backoff {
     private final double firstPauseMillis;
@@ -17,13 +18,13 @@
         this.random = random;
     }
 
-    /** Milliseconds to wait after one more failure. */
+    /** Counts a failure and returns the milliseconds to wait before the next attempt. */
     double nextPauseMillis() {
         double bound = Math.min(maxPauseMillis, firstPauseMillis * Math.pow(2, Math.min(failures++, 60)));
         return bound * (0.5 + random.nextDouble() / 2);
     }
 
-    /** It has worked: pauses begin anew. */
+    /** Restarts from the first pause, after a success. */
     void reset() {
         failures = 0;
     }
--- a/src/main/java/nettlewick/ledger/BatchCodec.java
+++ b/src/main/java/nettlewick/ledger/BatchCodec.java
@@ -16,7 +16,10 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** The bytes of a batch: the same entries give the same bytes, for ever. */
+/**
+ * Encodes batches. The encoding is deterministic and must never change: a batch that is delivered again must have the
+ * same bytes.
+ */
 final class BatchCodec {
     private static final String[] COLUMNS = {
         "dispatcher",
@@ -42,7 +45,7 @@
 
     private BatchCodec() {}
 
-    /** One line an entry: CSV with a head (RFC 4180), or JSON objects. */
+    /** Encodes one line for each entry: CSV with a header (RFC 4180), or JSON objects. */
     static byte[] render(List<Entry> entries, boolean csv) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(entries.size() * 160);
         try (Writer out = new OutputStreamWriter(bytes, StandardCharsets.UTF_8)) {
@@ -116,7 +119,7 @@
         return Instant.ofEpochMilli((long) Math.floor(millis)).toString();
     }
 
-    /** Slot-milliseconds, with three decimals. */
+    /** Formats slot-microseconds as slot-milliseconds with three decimals. */
     static String formatSlotMillis(long micros) {
         return (micros < 0 ? "-" : "")
                 + Math.abs(micros) / 1000
--- a/src/main/java/nettlewick/ledger/BillingCalendar.java
+++ b/src/main/java/nettlewick/ledger/BillingCalendar.java
@@ -11,27 +11,26 @@
 import java.util.Optional;
 
 /**
- * The calendar of billing periods. Terms come from the settings; time between two terms is a period of its
- * own,
- * and before the first and after the last one it is billed by calendar month. Periods are half-open.
+ * The calendar of billing periods: the terms of the settings, each gap between two terms as a period of its own, and
+ * calendar months before the first and after the last term. Periods are half-open.
  */
 public final class BillingCalendar {
-    /** From {@code from} on, before {@code to}; Unix milliseconds. */
+    /** A period from {@code from} (inclusive) to {@code to} (exclusive), in Unix milliseconds. */
     public record Period(String name, double from, double to) {
         boolean contains(double at) {
             return at >= from && at < to;
         }
     }
 
-    /** A term as the settings give it: the first day's midnight to the last one's. */
+    /** A term of the settings, from the start of its first day to the start of the day {@code to}. */
     public record Term(String name, LocalDate from, LocalDate to) {}
 
     private final ZoneId zone;
     private final List<Period> terms = new ArrayList<>();
-    /** The one found last: nearly all questions are about the present. */
+    /** Cache of the last result, since nearly all lookups are for the present. */
     private volatile Period lastFound;
 
-    /** IllegalArgumentException where terms overlap, are empty, or share a name. */
+    /** @throws IllegalArgumentException if terms overlap, are empty, or share a name */
     public BillingCalendar(ZoneId zone, List<Term> given) {
         this.zone = zone;
         for (Term term : given.stream().sorted(Comparator.comparing(Term::from)).toList()) {
@@ -39,7 +38,7 @@
                 throw new IllegalArgumentException("term " + term.name() + " ends before it begins");
             }
             if (terms.stream().anyMatch(p -> p.name().equals(term.name()))) {
-                throw new IllegalArgumentException("term " + term.name() + " is there twice");
+                throw new IllegalArgumentException("term " + term.name() + " is defined twice");
             }
             Period next = new Period(term.name(), midnight(term.from()), midnight(term.to()));
             if (!terms.isEmpty()) {
@@ -59,7 +58,7 @@
         return day.atStartOfDay(zone).toInstant().toEpochMilli();
     }
 
-    /** The period that a time belongs to. */
+    /** Returns the period that contains a time. */
     public Period periodAt(double timeMillis) {
         Period period = lastFound;
         if (period == null || !period.contains(timeMillis)) {
@@ -81,7 +80,8 @@
         double to = midnight(month.plusMonths(1).atDay(1));
         if (!terms.isEmpty() && timeMillis >= terms.get(terms.size() - 1).to()) {
             double last = terms.get(terms.size() - 1).to();
-            // The rest of a month in which the last term ends; its first part may be a month's name already.
+            // The remainder of the month in which the last term ends has the suffix -rest, since the part of the month
+            // before the terms may already have the name of the month.
             return last > from ? new Period(month + "-rest", last, to) : new Period(month.toString(), from, to);
         }
         return new Period(
@@ -90,12 +90,12 @@
                 terms.isEmpty() ? to : Math.min(to, terms.get(0).from()));
     }
 
-    /** The period that follows. */
+    /** Returns the next period. */
     public Period periodAfter(Period period) {
         return periodAt(period.to());
     }
 
-    /** The period of a name: a term's, or a month's such as 2026-11. */
+    /** Finds a period by name: a term, or a month such as 2026-11. */
     public Optional<Period> periodNamed(String name) {
         Optional<Period> term =
                 terms.stream().filter(p -> p.name().equals(name)).findFirst();
--- a/src/main/java/nettlewick/ledger/ChainOrigin.java
+++ b/src/main/java/nettlewick/ledger/ChainOrigin.java
@@ -3,7 +3,12 @@
 import com.google.gson.annotations.SerializedName;
 import java.util.Comparator;
 
-/** Who wrote a chain of entries: a dispatcher by name, and one life of it. */
+/**
+ * Identifies the writer of a chain of entries.
+ *
+ * @param incarnation number of the process run of the dispatcher: its start in Unix seconds, or the next free number;
+ *                    stored and printed as {@code life}
+ */
 public record ChainOrigin(
         String dispatcher, @SerializedName("life") long incarnation) implements Comparable<ChainOrigin> {
     private static final Comparator<ChainOrigin> ORDER =
--- a/src/main/java/nettlewick/ledger/Entry.java
+++ b/src/main/java/nettlewick/ledger/Entry.java
@@ -15,18 +15,20 @@
 import nettlewick.core.UsageRecorder.Ending;
 
 /**
- * One line of the ledger; it is never changed. Work is in slot-microseconds, times are Unix milliseconds.
+ * An immutable entry of the ledger. Times are Unix milliseconds. Entries are stored and hashed as {@link #toBytes}; the
+ * ordinals of {@link Kind} and {@link Ending} are part of that format.
  *
- * @param at       when the answer's last byte was written; of other kinds, when the entry was made
- * @param member   who is billed; "" where the job named nobody
- * @param key      hash of the idempotency key, or null
- * @param work     what is billed where it ended served; of a correction, the target's new value
- * @param spare    work seen of second copies and lost attempts; never billed
- * @param job      number of the job in its life; of a gap, how many jobs it stands for
- * @param target   the entry that a correction corrects, else null
- * @param by       who asked for a correction or a close, else null
- * @param text of a job, the name that its period had when it was entered; why one is in doubt; reason of a
- *                 correction; period, bounds and vector of a close; bounds of a gap
+ * @param timeMillis          when the last byte of the answer was written; for other kinds, when the entry was created
+ * @param tenant              the tenant that is billed; empty if the request named none
+ * @param keyHash             hash of the idempotency key, or null
+ * @param workSlotMicros      billed slot-microseconds if the request was served; the new value in a correction
+ * @param extraWorkSlotMicros slot-microseconds of hedged requests and lost attempts; never billed
+ * @param requestNumber       number of the request in its incarnation; in a gap, how many requests it stands for
+ * @param target              the entry that a correction corrects, else null
+ * @param requestedBy         who requested a correction or a close, else null
+ * @param details             for a request, the name of its period when it was entered; for a doubt, the cause; for a
+ *                            correction, the reason; for a close, the period, its bounds and the last numbers; for a
+ *                            gap, its bounds
  */
 public record Entry(
         EntryRef ref,
@@ -45,59 +47,84 @@
         EntryRef target,
         String requestedBy,
         String details) {
-    /** Longest text of any field: the form on the wire holds no longer ones. */
+    /** Maximum length of any text field, so that it fits the limit of {@link DataOutputStream#writeUTF}. */
     static final int MAX_TEXT_LENGTH = 20_000;
 
     private static final int FORMAT_VERSION = 1;
 
-    /** What an entry says. */
+    /** The kind of an entry. Ordinals and names are stored and exported; do not change them. */
     public enum Kind {
-        /** A job was answered, or its client had left. */
+        /** A request was answered, or its client disconnected. */
         JOB,
-        /** A job was let go, and nothing says whether its answer arrived: a crash came between. */
+        /** An answer was released, but a crash left it unknown whether it was delivered. */
         DOUBT,
-        /** An entry of the same dispatcher has another value. */
+        /** Replaces the value of an entry of the same dispatcher. */
         CORRECTION,
-        /** Jobs were answered that could not be entered one by one. */
+        /** Requests were answered that could not be entered individually. */
         GAP,
-        /** The dispatcher's part of a period is closed. */
+        /** Closes the part of a period that belongs to this dispatcher. */
         CLOSE
     }
 
-    /** A correction of an entry to a new value. */
-    static Entry correction(EntryRef ref, double at, Entry target, long work, String by, String reason) {
+    /** Creates a correction of an entry. */
+    static Entry correction(
+            EntryRef ref, double timeMillis, Entry target, long workSlotMicros, String requestedBy, String reason) {
         return new Entry(
                 ref,
                 Kind.CORRECTION,
-                at,
+                timeMillis,
                 target.tenant,
                 target.requestClass,
                 target.requestId,
                 target.keyHash,
                 target.ending,
-                work,
+                workSlotMicros,
                 false,
                 0,
                 0,
                 0,
                 target.ref,
-                by,
+                requestedBy,
                 reason);
     }
 
-    /** So many jobs, the first and the last answered at those times, are not entered one by one. */
-    static Entry gap(EntryRef ref, double from, double to, long jobs) {
+    /**
+     * Creates a gap entry for requests that are not entered individually.
+     *
+     * @param from time of the first answer
+     * @param to   time of the last answer
+     */
+    static Entry gap(EntryRef ref, double from, double to, long requestCount) {
         return new Entry(
-                ref, Kind.GAP, to, "", "", "", null, Ending.FAILED, 0, false, 0, 0, jobs, null, null, from + " " + to);
+                ref,
+                Kind.GAP,
+                to,
+                "",
+                "",
+                "",
+                null,
+                Ending.FAILED,
+                0,
+                false,
+                0,
+                0,
+                requestCount,
+                null,
+                null,
+                from + " " + to);
     }
 
-    /** The dispatcher's part of a period is what the vector covers. */
+    /** Creates the close of this dispatcher's part of a period. */
     static Entry close(
-            EntryRef ref, double at, BillingCalendar.Period period, Map<ChainOrigin, Long> lastNumbers, String by) {
+            EntryRef ref,
+            double timeMillis,
+            BillingCalendar.Period period,
+            Map<ChainOrigin, Long> lastNumbers,
+            String requestedBy) {
         return new Entry(
                 ref,
                 Kind.CLOSE,
-                at,
+                timeMillis,
                 "",
                 "",
                 "",
@@ -109,11 +136,11 @@
                 0,
                 0,
                 null,
-                by,
+                requestedBy,
                 new Close(period, lastNumbers).format());
     }
 
-    /** What a close says: the period and, for each origin, the last number that was held. */
+    /** Content of a close: the period and, for each origin, the last number that was held. */
     public record Close(BillingCalendar.Period period, Map<ChainOrigin, Long> lastNumbers) {
         private String format() {
             StringBuilder text = new StringBuilder(period.name() + " " + period.from() + " " + period.to());
@@ -141,12 +168,12 @@
         }
     }
 
-    /** The close that this entry is. */
+    /** Parses the content of this close. */
     Close parseClose() {
         return Close.parse(details);
     }
 
-    /** The same entry at another place of a chain. */
+    /** Returns this entry with another reference. */
     Entry withRef(EntryRef newRef) {
         return new Entry(
                 newRef,
@@ -167,7 +194,7 @@
                 details);
     }
 
-    /** The same job with the name of its period. */
+    /** Returns this entry with the name of its period, if it is a request. */
     Entry withPeriod(BillingCalendar calendar) {
         return kind != Kind.JOB
                 ? this
@@ -190,7 +217,7 @@
                         calendar.periodAt(timeMillis).name());
     }
 
-    /** Its bytes, the same on every machine; the chain is made over them. */
+    /** Encodes the entry, the same on every machine; the hash chain is computed over this encoding. */
     byte[] toBytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -212,7 +239,7 @@
             out.writeLong(requestNumber);
             writeOptional(out, target == null ? null : target.toString());
             writeOptional(out, requestedBy);
-            // Danger: writeUTF ends at 64 KiB, which the vector of a close passes with some thousand origins.
+            // writeUTF is limited to 64 KiB, which the last numbers of a close exceed with some thousand origins.
             byte[] encodedDetails = details == null ? null : details.getBytes(StandardCharsets.UTF_8);
             out.writeInt(encodedDetails == null ? -1 : encodedDetails.length);
             if (encodedDetails != null) {
@@ -234,7 +261,7 @@
     private static String readText(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < -1 || length > in.available()) {
-            throw new IllegalArgumentException("a text of " + length + " bytes");
+            throw new IllegalArgumentException("invalid text length of " + length + " bytes");
         }
         return length < 0 ? null : new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
@@ -243,11 +270,15 @@
         return in.readBoolean() ? in.readUTF() : null;
     }
 
-    /** Reads {@link #toBytes}; IllegalArgumentException for anything else. */
+    /**
+     * Decodes {@link #toBytes}.
+     *
+     * @throws IllegalArgumentException if the bytes are not a valid entry
+     */
     static Entry fromBytes(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             if (in.readByte() != FORMAT_VERSION) {
-                throw new IllegalArgumentException("an entry of another version");
+                throw new IllegalArgumentException("unsupported entry format version");
             }
             Kind kind = Kind.values()[in.readByte()];
             EntryRef ref = new EntryRef(new ChainOrigin(in.readUTF(), in.readLong()), in.readLong());
@@ -269,11 +300,11 @@
                     readOptional(in),
                     readText(in));
             if (in.read() >= 0) {
-                throw new IllegalArgumentException("bytes after an entry");
+                throw new IllegalArgumentException("trailing bytes after an entry");
             }
             return entry;
         } catch (IOException | IndexOutOfBoundsException e) {
-            throw new IllegalArgumentException("no entry that can be read", e);
+            throw new IllegalArgumentException("malformed entry", e);
         }
     }
 
@@ -289,23 +320,26 @@
         }
     });
 
-    /** The link of the chain that follows one with this hash ({@link #INITIAL_HASH} before the first). */
+    /**
+     * Returns the hash of an entry in a chain, computed over the previous hash ({@link #INITIAL_HASH} for the first
+     * entry) and the bytes of the entry.
+     */
     static byte[] chainHash(byte[] previousHash, byte[] entryBytes) {
         MessageDigest digest = DIGEST.get();
         digest.update(previousHash);
         return digest.digest(entryBytes);
     }
 
-    /** What stands before the first link. */
+    /** The previous hash of the first entry of a chain. */
     static final byte[] INITIAL_HASH = new byte[32];
 
-    /** The hash under which a key is kept: 16 bytes of SHA-256, in hexadecimal. */
+    /** Hashes an idempotency key: 16 bytes of SHA-256 in hexadecimal. */
     static String hashKey(String key) {
         byte[] all = DIGEST.get().digest(key.getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(all, 0, 16);
     }
 
-    /** A text cut to what a field holds. */
+    /** Truncates a text to {@link #MAX_TEXT_LENGTH}; null becomes empty. */
     static String truncate(String text) {
         return text == null ? "" : text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH);
     }
--- a/src/main/java/nettlewick/ledger/ExportSettings.java
+++ b/src/main/java/nettlewick/ledger/ExportSettings.java
@@ -5,7 +5,14 @@
 import nettlewick.settings.Block;
 
 /**
- * One place where entries go; times in milliseconds. Either {@code folder} or {@code url} is null.
+ * Settings of one export. Exactly one of {@code folder} and {@code url} is set.
+ *
+ * @param maxBatchEntries  maximum number of entries of a batch
+ * @param intervalMillis   time between rounds
+ * @param timeoutMillis    time limit of one HTTP request
+ * @param firstPauseMillis bound of the pause after the first failure
+ * @param maxPauseMillis   maximum pause between attempts
+ * @param maxAttempts      attempts to deliver a batch in one round
  */
 public record ExportSettings(
         String name,
@@ -20,13 +27,13 @@
         int maxAttempts) {
     static ExportSettings of(Block export) {
         if (export.has("folder") == export.has("url")) {
-            throw export.invalidValue("folder", "set, or a url in its place, and not both");
+            throw export.invalidValue("folder", "set, or a url instead, but not both");
         }
         Block.Value retry = export.first("retry").orElseThrow();
         double first = retry.<Double>argument(0);
         double longest = retry.<Double>argument(1);
         if (first > longest) {
-            throw export.invalidValue("retry", "a first pause no longer than the longest");
+            throw export.invalidValue("retry", "a first pause no longer than the longest pause");
         }
         return new ExportSettings(
                 export.label(),
--- a/src/main/java/nettlewick/ledger/ExportTarget.java
+++ b/src/main/java/nettlewick/ledger/ExportTarget.java
@@ -2,13 +2,16 @@
 
 import java.io.IOException;
 
-/** Where batches go. It may be told one again, and has to know it by dispatcher, export and number. */
+/**
+ * Destination of exported batches. A batch may be delivered more than once; the target must recognise it by dispatcher,
+ * export and number.
+ */
 interface ExportTarget {
-    /** A batch as it goes out. */
+    /** An encoded batch; {@code sha256} is the hash of its content. */
     record OutgoingBatch(
             String dispatcher, String export, long number, boolean csv, long entries, byte[] content, String sha256) {}
 
-    /** The other side says no for good: trying again does not help. */
+    /** The target rejected the batch permanently: retrying does not help. */
     final class BatchRejectedException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -17,6 +20,6 @@
         }
     }
 
-    /** Delivers a batch; a normal return says that it has been taken, now or before. */
+    /** Delivers a batch; returns normally if the target has accepted it, now or earlier. */
     void deliver(OutgoingBatch parcel) throws IOException, InterruptedException;
 }
--- a/src/main/java/nettlewick/ledger/Exporter.java
+++ b/src/main/java/nettlewick/ledger/Exporter.java
@@ -12,20 +12,21 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * Brings this dispatcher's own entries to one target, each exactly once: batches are cut with their cursor,
- * delivered in order, and marked as delivered after a yes. Cut off anywhere it goes on where it was.
+ * Delivers this dispatcher's own entries to one target, each exactly once: a batch and the export's cursor are stored
+ * in one transaction, batches are delivered in order and marked as delivered once the target accepts them. An
+ * interrupted export resumes where it stopped.
  */
 public final class Exporter {
-    /** Waits between tries. */
+    /** Waits between attempts. */
     interface Pause {
         void sleep(double time) throws InterruptedException;
     }
 
-    /** What one round did; {@code fault} is null, or why it ended early. */
+    /** Result of one round; {@code fault} says why it ended early, or is null. */
     public record Report(long batches, long entries, int tries, String fault) {}
 
-    /** Another process is at it: what there is goes out by its hand. */
-    static final Report BUSY = new Report(0, 0, 0, "another process exports there now");
+    /** Another process is running this export, and delivers the entries. */
+    static final Report BUSY = new Report(0, 0, 0, "another process is running this export");
 
     private final Store store;
     private final ExportSettings settings;
@@ -49,14 +50,14 @@
         backoff = new Backoff(settings.firstPauseMillis(), settings.maxPauseMillis(), random);
     }
 
-    /** The target that the settings name. */
+    /** Creates the target of the settings. */
     static ExportTarget target(ExportSettings settings, FaultInjection faults) {
         return settings.folder() != null
                 ? new FileTarget(settings.folder(), faults)
                 : new HttpTarget(settings.url(), settings.timeoutMillis(), faults);
     }
 
-    /** A round, unless another process is at one. */
+    /** Runs a round, unless another process is running one. */
     Report runRound() throws StoreException, InterruptedException {
         Path file = store.folder().resolve("export-" + settings.name() + ".lock");
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -65,11 +66,11 @@
         } catch (OverlappingFileLockException e) {
             return BUSY;
         } catch (IOException e) {
-            return new Report(0, 0, 0, "the folder of the ledger cannot be written: " + e);
+            return new Report(0, 0, 0, "cannot write to the ledger folder: " + e);
         }
     }
 
-    /** Delivers all that there is, or until a batch could not be delivered in its tries. */
+    /** Delivers all new entries; stops at a batch that cannot be delivered. */
     private Report deliverPending() throws StoreException, InterruptedException {
         long batches = 0;
         long entries = 0;
@@ -100,8 +101,8 @@
                                 entries,
                                 tries,
                                 "batch " + batch.number()
-                                        + " was not taken in "
-                                        + settings.maxAttempts() + " tries: " + e);
+                                        + " was not accepted in "
+                                        + settings.maxAttempts() + " attempts: " + e);
                     }
                     pause.sleep(backoff.nextPauseMillis());
                 }
@@ -112,7 +113,7 @@
         }
     }
 
-    /** A batch as it goes out, made from its entries; the same each time. */
+    /** Encodes a batch from its stored entries; gives the same bytes each time. */
     static ExportTarget.OutgoingBatch render(Store store, Store.Batch batch, boolean csv) throws StoreException {
         List<Entry> entries = new ArrayList<>();
         for (Store.Range range : batch.ranges()) {
@@ -120,7 +121,7 @@
             for (Store.Row row : store.rows(origin, range.from(), range.to())) {
                 if (row.bytes() == null) {
                     throw new StoreException(
-                            "batch " + batch.number() + " holds entries that are archived; " + "restore them first",
+                            "batch " + batch.number() + " contains archived entries; " + "restore them first",
                             null,
                             false);
                 }
--- a/src/main/java/nettlewick/ledger/FaultInjection.java
+++ b/src/main/java/nettlewick/ledger/FaultInjection.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Places at which tests let the disk, or the whole process, fail. */
+/** Points at which tests inject disk failures or the end of the process. */
 interface FaultInjection {
-    /** Nothing fails by itself. */
+    /** Injects no faults. */
     FaultInjection NONE = point -> {};
 
-    /** Comes past a place; throws what is to go wrong there. */
+    /** Called when the code reaches a point; throws the fault to inject there. */
     void at(String point) throws IOException;
 }
--- a/src/main/java/nettlewick/ledger/FileTarget.java
+++ b/src/main/java/nettlewick/ledger/FileTarget.java
@@ -11,9 +11,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Batches as files: each is written beside its place, synced and renamed, then a manifest of its own is made
- * the
- * same way. A batch is there when its manifest is; a file without one is not to be read yet.
+ * Writes batches to files. A batch is written to a temporary file, synced and renamed; its manifest is then written the
+ * same way. A batch is complete once its manifest exists, so readers must ignore data files without one.
  */
 final class FileTarget implements ExportTarget {
     private final Path folder;
@@ -29,16 +28,16 @@
         Files.createDirectories(folder);
         String name = String.format(
                 "%s-%s-%08d", batch.dispatcher().replaceAll("[^A-Za-z0-9._-]", "_"), batch.export(), batch.number());
-        String data = name + (batch.csv() ? ".csv" : ".jsonl");
+        String dataFile = name + (batch.csv() ? ".csv" : ".jsonl");
         JsonObject manifest = new JsonObject();
         manifest.addProperty("dispatcher", batch.dispatcher());
         manifest.addProperty("export", batch.export());
         manifest.addProperty("number", batch.number());
-        manifest.addProperty("file", data);
+        manifest.addProperty("file", dataFile);
         manifest.addProperty("entries", batch.entries());
         manifest.addProperty("bytes", batch.content().length);
         manifest.addProperty("sha256", batch.sha256());
-        put(data, batch.content());
+        put(dataFile, batch.content());
         put(name + ".manifest.json", (manifest + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/nettlewick/ledger/HttpTarget.java
+++ b/src/main/java/nettlewick/ledger/HttpTarget.java
@@ -13,11 +13,9 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Batches to a receiver: POST with {@code X-Batch-Dispatcher}, {@code X-Batch-Export}, {@code X-Batch-Number}
- * and
- * {@code X-Batch-Sum} (SHA-256 of the body). Any 2xx says that the receiver has it, now or before; 4xx, but
- * for
- * 408 and 429, is a no for good; all else is tried again.
+ * Sends batches to a receiver by POST with {@code X-Batch-Dispatcher}, {@code X-Batch-Export}, {@code X-Batch-Number}
+ * and {@code X-Batch-Sum} (SHA-256 of the body). Any 2xx status means that the receiver has the batch, now or from an
+ * earlier attempt; 4xx except 408 and 429 is a permanent rejection; anything else is retried.
  */
 final class HttpTarget implements ExportTarget {
     private static final int MAX_RESPONSE_TEXT = 300;
@@ -40,8 +38,8 @@
     }
 
     /**
-     * Danger: the client's own time-out ends with the answer's head; a body that trickles would hang for
-     * good.
+     * Sends the request with a time limit on the whole response: the client's own timeout ends with the response
+     * headers, and a slowly trickling body would block forever.
      */
     private int send(HttpRequest request, StringBuilder responseText) throws IOException, InterruptedException {
         CompletableFuture<HttpResponse<Void>> sent = client.sendAsync(
@@ -83,7 +81,7 @@
         }
         if (status / 100 == 4 && status != REQUEST_TIMEOUT && status != TOO_MANY_REQUESTS) {
             throw new BatchRejectedException(
-                    "the receiver will not take batch " + batch.number() + ": " + status + " " + responseText);
+                    "the receiver rejected batch " + batch.number() + ": " + status + " " + responseText);
         }
         throw new IOException("the receiver answered " + status + " " + responseText);
     }
--- a/src/main/java/nettlewick/ledger/Ledger.java
+++ b/src/main/java/nettlewick/ledger/Ledger.java
@@ -20,15 +20,14 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * The books of a dispatcher that serves. The core notes an intent, the event loop an end, both by a copy into
- * the
- * spool's memory; one thread forces the spool and lets answers go that wait for that, another enters ended
- * jobs
- * in the store. Whatever the disk does, answers leave, and what cannot be entered is counted.
+ * Records the usage of a dispatcher process. The core thread appends an intent and the event loop an end, both by a
+ * copy into the mapped memory of the spool. One thread syncs the spool and releases the answers that wait for it;
+ * another commits ended requests to the store. Answers are released whatever happens to the disk, and requests that
+ * cannot be entered are counted.
  */
 public final class Ledger implements UsageRecorder, AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("ledger");
-    /** Pause after a failure of the disk before it is tried again. */
+    /** Pause before disk operations are retried after a failure. */
     private static final double RETRY_DELAY_MILLIS = 1000;
 
     private static final int MAX_SYNC_GROUP = 4096;
@@ -38,7 +37,7 @@
     private static final long OPEN_TIMEOUT_SECONDS = 15;
     private static final ChainOrigin NO_ORIGIN = new ChainOrigin("", 0);
 
-    /** A job from its end's decision to its entry. */
+    /** A request from the decision of its end until its entry is committed. */
     private final class PendingEntry implements DeliveryCallback {
         final Entry draft;
         final Consumer<DeliveryCallback> send;
@@ -69,15 +68,16 @@
         }
 
         private void end(boolean answered) {
-            // Danger: a time taken outside could be older than a flush that is in the queue before it.
+            // The time is read under the lock: otherwise it could be earlier than the time of a flush marker that is
+            // already in the queue.
             synchronized (lock) {
                 if (!endRecorded) {
                     endRecorded = true;
-                    double at = clock.nowMillis();
-                    finalEntry = Spool.finalEntry(draft, at, answered).withPeriod(settings.calendar());
-                    Spool to = spool;
-                    if (tracker != null && to != null) {
-                        to.recordEnd(draft.requestNumber(), at, answered);
+                    double endedAt = clock.nowMillis();
+                    finalEntry = Spool.finalEntry(draft, endedAt, answered).withPeriod(settings.calendar());
+                    Spool currentSpool = spool;
+                    if (tracker != null && currentSpool != null) {
+                        currentSpool.recordEnd(draft.requestNumber(), endedAt, answered);
                     }
                     ended.add(this);
                 }
@@ -85,7 +85,7 @@
         }
     }
 
-    /** All that was answered before then is in the queue before this. */
+    /** Queue marker: all requests that were answered before this time precede it in the queue. */
     private record FlushMarker(double settledUntil) {}
 
     private final String dispatcher;
@@ -93,33 +93,33 @@
     private final FaultInjection faults;
     private volatile LedgerSettings settings;
     private final Object lock = new Object();
-    /** Answers that wait until their intents are forced. */
+    /** Answers that wait until their intents are synced. */
     private final LinkedBlockingQueue<PendingEntry> awaitingSync = new LinkedBlockingQueue<>();
 
     private final ConcurrentLinkedQueue<Object> ended = new ConcurrentLinkedQueue<>();
     private volatile Spool spool;
     private final AtomicLong requestCount = new AtomicLong();
-    /** Jobs held in memory: from the decision to the commit of the entry. */
+    /** Requests held in memory, from the decision of the end until the entry is committed. */
     private final AtomicInteger pendingCount = new AtomicInteger();
 
     private final Thread syncThread;
     private final Thread storeThread;
     private final List<Spool> spools = new java.util.concurrent.CopyOnWriteArrayList<>();
-    /** Open as soon as intents can be written, or it is known that they cannot. */
+    /** Counted down once intents can be written, or writing them has failed. */
     private final CountDownLatch ready = new CountDownLatch(1);
 
     private volatile boolean stopping;
     private volatile boolean syncThreadDone;
     private volatile ChainOrigin currentOrigin = NO_ORIGIN;
     private volatile long committedNumber;
-    // Figures
+    // Metrics
     private final AtomicLong committedCount = new AtomicLong();
     private final AtomicLong doubtCount = new AtomicLong();
     private final AtomicLong missedCount = new AtomicLong();
     private final AtomicLong unsyncedCount = new AtomicLong();
     private volatile int consecutiveFailures;
     private volatile Map<String, Long> exportLags = Map.of();
-    // A gap that is not entered yet; guarded by order
+    // A gap that is not committed yet; guarded by lock
     private double gapFrom;
     private double gapTo;
     private long gapCount;
@@ -133,21 +133,21 @@
         this.settings = settings;
         this.clock = clock;
         this.faults = faults;
-        syncThread = new Thread(this::spool, "ledger-spool");
+        syncThread = new Thread(this::runSyncLoop, "ledger-spool");
         storeThread = new Thread(this::runStoreLoop, "ledger-store");
         syncThread.setDaemon(true);
         storeThread.setDaemon(true);
     }
 
-    /** Starts its threads; the store is opened by them, and tried again where that fails. */
+    /** Starts the threads, which open the store and retry if that fails. */
     public void start() {
         storeThread.start();
         syncThread.start();
     }
 
     /**
-     * Waits until intents can be written, or the disk has said that they cannot. Danger: jobs answered before
-     * that would be in memory alone, and a kill would lose them.
+     * Waits until intents can be written, or writing them has failed. Requests that are answered earlier are in memory
+     * only, and would be lost if the process were killed.
      */
     public void awaitReady() {
         try {
@@ -155,14 +155,14 @@
                 LOG.warning(
                         "opens-slowly",
                         "the ledger is not open after " + OPEN_TIMEOUT_SECONDS
-                                + " s; jobs are served, and wait in memory");
+                                + " s; requests are served and their entries held in memory");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Takes over what may change while it runs. */
+    /** Applies the settings that may change at run time. */
     public void reload(LedgerSettings next) {
         settings = next;
     }
@@ -176,22 +176,23 @@
         return settings.releaseTimeoutMillis();
     }
 
-    /** What exports have not delivered yet, told by who exports. */
+    /** Sets the numbers of entries that the exports have not delivered yet, for the metrics. */
     void exportLags(Map<String, Long> undelivered) {
         exportLags = Map.copyOf(undelivered);
     }
 
     /**
-     * Paces this object's own work, in milliseconds: also while the clock that dates entries stands still.
+     * Monotonic time in milliseconds for pauses and timeouts, independent of the clock that dates entries, which may
+     * stand still.
      */
     static double monotonicMillis() {
         return System.nanoTime() / 1e6;
     }
 
-    // The core's side
+    // Called by the core
 
     @Override
-    public Runnable record(FinishedRequest finished, Consumer<DeliveryCallback> send) {
+    public Runnable record(FinishedRequest finished, Consumer<DeliveryCallback> release) {
         if (pendingCount.get() >= settings.maxPending()) {
             synchronized (lock) {
                 gapFrom = gapCount == 0 ? finished.decidedAtMillis() : gapFrom;
@@ -199,29 +200,29 @@
                 gapCount++;
             }
             missedCount.incrementAndGet();
-            send.accept(DeliveryCallback.NONE);
+            release.accept(DeliveryCallback.NONE);
             return null;
         }
         pendingCount.incrementAndGet();
-        PendingEntry item = new PendingEntry(draftEntry(finished), send);
+        PendingEntry pending = new PendingEntry(draftEntry(finished), release);
         Spool currentSpool = spool;
-        item.tracker = currentSpool == null ? null : currentSpool.recordIntent(item.draft);
+        pending.tracker = currentSpool == null ? null : currentSpool.recordIntent(pending.draft);
         if (finished.ending() == Ending.LEFT) {
-            send.accept(DeliveryCallback.NONE);
-            item.released.set(true);
-            item.onAbandoned();
+            release.accept(DeliveryCallback.NONE);
+            pending.released.set(true);
+            pending.onAbandoned();
             return null;
         }
-        if (!settings.sync() || item.tracker == null) {
-            unsyncedCount.addAndGet(item.tracker == null ? 1 : 0);
-            item.release();
+        if (!settings.sync() || pending.tracker == null) {
+            unsyncedCount.addAndGet(pending.tracker == null ? 1 : 0);
+            pending.release();
             return null;
         }
-        awaitingSync.add(item);
+        awaitingSync.add(pending);
         return () -> {
-            if (!item.released.get()) {
+            if (!pending.released.get()) {
                 unsyncedCount.incrementAndGet();
-                item.release();
+                pending.release();
             }
         };
     }
@@ -248,9 +249,9 @@
                 null);
     }
 
-    // The spool's thread: makes its files, forces them, and lets answers go that wait for that
+    // Sync thread: creates and syncs the spool files, and releases the answers that wait for that
 
-    private void spool() {
+    private void runSyncLoop() {
         double retryAt = 0;
         List<PendingEntry> group = new ArrayList<>();
         try {
@@ -271,7 +272,7 @@
                         retryAt = monotonicMillis() + RETRY_DELAY_MILLIS;
                         reportFailure(
                                 "spool-failed",
-                                "the spool cannot be written, and answers do not wait for " + "it: " + e);
+                                "cannot write the spool; answers are released without waiting " + "for it: " + e);
                     }
                 }
                 if (!synced) {
@@ -287,7 +288,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            reportFailure("spool-failed", "the spool cannot be written at the end: " + e);
+            reportFailure("spool-failed", "cannot write the spool at shutdown: " + e);
         } finally {
             syncThreadDone = true;
         }
@@ -300,7 +301,7 @@
             active.force();
         }
         if (wantedOrigin != NO_ORIGIN && (active == null || !active.origin().equals(wantedOrigin))) {
-            // Danger: a life's files go only when its jobs are entered, be it under the next life.
+            // The files of an incarnation are kept until its requests are entered, possibly under the next incarnation.
             active = spools.stream()
                     .filter(s -> s.origin().equals(wantedOrigin))
                     .findFirst()
@@ -311,7 +312,7 @@
             }
         }
         if (active != null) {
-            // The first makes the file that is written to where there is none, the second the next one.
+            // The first call creates the current file if there is none, the second the next one.
             active.prepareSegment(committedNumber);
             active.prepareSegment(committedNumber);
             spool = active;
@@ -319,15 +320,15 @@
         }
     }
 
-    private void releaseAnswer(PendingEntry item) {
+    private void releaseAnswer(PendingEntry pending) {
         try {
-            item.release();
+            pending.release();
         } catch (RuntimeException e) {
-            LOG.error("release-failed", "an answer could not be let go", e, "request", item.draft.requestId());
+            LOG.error("release-failed", "failed to release an answer", e, "request", pending.draft.requestId());
         }
     }
 
-    // The store's thread
+    // Store thread
 
     private void runStoreLoop() {
         Store store = null;
@@ -357,13 +358,15 @@
                         return;
                     }
                 } catch (StoreException e) {
-                    reportFailure("store-failed", "entries wait in memory: " + e.getMessage());
+                    reportFailure(
+                            "store-failed",
+                            "cannot commit to the store; entries are held in memory: " + e.getMessage());
                     store = handleStoreFailure(store, e);
                     if (stopAfterCommit) {
                         LOG.warning(
                                 "not-entered",
-                                items.size() + " jobs are not entered yet; the next start "
-                                        + "recovers those that the spool holds",
+                                items.size() + " requests are not entered yet; the next start "
+                                        + "recovers those that are in the spool",
                                 "jobs",
                                 items.size());
                         return;
@@ -389,7 +392,7 @@
                 if (!report.isEmpty()) {
                     LOG.info(
                             "recovered",
-                            "recovered " + report.answered() + " answered jobs, "
+                            "recovered " + report.answered() + " answered requests, "
                                     + report.doubts()
                                     + " in doubt" + (report.damage().isEmpty() ? "" : "; damage: " + report.damage()),
                             "answered",
@@ -406,7 +409,10 @@
         }
     }
 
-    /** Danger: a damaged file is evidence; it is put aside, and a new life begins in a new one. */
+    /**
+     * Replaces a damaged store with a new one and starts a new incarnation. The damaged file is kept under another
+     * name, since it is evidence for the billing.
+     */
     private Store handleStoreFailure(Store store, StoreException e) {
         if (!e.isDamaged()) {
             return store;
@@ -417,12 +423,13 @@
         try {
             LOG.warning(
                     "store-put-aside",
-                    "the store is damaged; it was put aside as "
-                            + Store.moveDamagedAside(settings.store(), clock.nowMillis()) + " and a new one begins");
+                    "the store is damaged; it was renamed to "
+                            + Store.moveDamagedAside(settings.store(), clock.nowMillis())
+                            + " and a new one is created");
             currentOrigin = NO_ORIGIN;
             committedNumber = 0;
         } catch (IOException moved) {
-            reportFailure("store-failed", "the damaged store cannot be put aside: " + moved);
+            reportFailure("store-failed", "cannot rename the damaged store: " + moved);
         }
         return null;
     }
@@ -435,7 +442,11 @@
         }
     }
 
-    /** Takes what has ended since the last commit; the time up to which all is gathered. */
+    /**
+     * Collects the requests that have ended since the last commit.
+     *
+     * @return the time before which all answered requests are collected; 0 if unknown
+     */
     private double drainEnded(List<PendingEntry> items, boolean finalRound) throws InterruptedException {
         double settledUntil = 0;
         if (!finalRound && !stopping && items.isEmpty()) {
@@ -476,7 +487,7 @@
         if (gapRequests > 0) {
             LOG.warning(
                     "gap",
-                    gapRequests + " jobs could not be entered one by one; a gap entry stands for them",
+                    gapRequests + " requests could not be entered individually and are covered by a gap entry",
                     "jobs",
                     gapRequests);
         }
@@ -488,7 +499,7 @@
         items.clear();
     }
 
-    /** Whether a command that closes a period waits for this life. */
+    /** Queues a flush marker if a command that closes a period waits for this incarnation. */
     private void settleIfRequested(Store store) throws StoreException {
         double requestedUntil = store.settlementRequestedUntil();
         if (requestedUntil > 0
@@ -508,23 +519,26 @@
 
     @Override
     public Map<String, Number> metrics() {
-        Map<String, Number> figures = new LinkedHashMap<>();
-        figures.put("ledger.entries", committedCount.get());
-        figures.put("ledger.in_doubt", doubtCount.get());
-        figures.put("ledger.queue", pendingCount.get());
-        figures.put("ledger.gap", missedCount.get());
-        figures.put("ledger.unsynced", unsyncedCount.get());
-        figures.put("ledger.trouble", consecutiveFailures > 0 ? 1 : 0);
-        exportLags.forEach((name, lag) -> figures.put("ledger.export." + name + ".lag", lag));
-        return figures;
+        Map<String, Number> metrics = new LinkedHashMap<>();
+        metrics.put("ledger.entries", committedCount.get());
+        metrics.put("ledger.in_doubt", doubtCount.get());
+        metrics.put("ledger.queue", pendingCount.get());
+        metrics.put("ledger.gap", missedCount.get());
+        metrics.put("ledger.unsynced", unsyncedCount.get());
+        metrics.put("ledger.trouble", consecutiveFailures > 0 ? 1 : 0);
+        exportLags.forEach((name, lag) -> metrics.put("ledger.export." + name + ".lag", lag));
+        return metrics;
     }
 
-    /** The origin that it writes now, or null while the store is not open. */
+    /** The origin that is currently written, or null while the store is not open. */
     ChainOrigin origin() {
         return currentOrigin == NO_ORIGIN ? null : currentOrigin;
     }
 
-    /** Enters what has ended and closes the store; jobs still out stay in the spool, for the next start. */
+    /**
+     * Commits what has ended and closes the store; requests without a known end stay in the spool for recovery at the
+     * next start.
+     */
     @Override
     public void close() {
         stopping = true;
--- a/src/main/java/nettlewick/ledger/LedgerAdmin.java
+++ b/src/main/java/nettlewick/ledger/LedgerAdmin.java
@@ -12,15 +12,14 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * What people ask of a ledger, beside a process that serves or without one. Whatever writes does so under a
- * life
- * of its own, after what dead lives left has been entered.
+ * Operator commands on a ledger, with or without a dispatcher process that uses it. Commands that write run as an
+ * incarnation of their own, after what dead incarnations left has been recovered.
  */
 public final class LedgerAdmin {
     private static final long POLL_MILLIS = 50;
     private static final double SETTLE_TIMEOUT_MILLIS = 15_000;
 
-    /** The answer is no, in one line. */
+    /** A command that was not executed; the message is a single line. */
     public static final class CommandException extends Exception {
         private static final long serialVersionUID = 1;
         private final boolean isUsageError;
@@ -30,7 +29,7 @@
             this.isUsageError = misuse;
         }
 
-        /** Whether what was asked makes no sense; else it may be asked again. */
+        /** Whether the command is invalid; otherwise it may be retried. */
         public boolean isUsageError() {
             return isUsageError;
         }
@@ -70,7 +69,7 @@
         return calculator;
     }
 
-    /** All periods that have anything to state, or the one asked for. */
+    /** Returns the statements of all periods that are not archived, or of the one that is given. */
     public List<Statement> statements(String period) throws CommandException {
         try (Store store = Store.read(settings.store())) {
             if (period != null && settings.calendar().periodNamed(period).isEmpty()) {
@@ -99,11 +98,12 @@
     private BillingCalendar.Period requirePeriod(String name) throws CommandException {
         Optional<BillingCalendar.Period> period = settings.calendar().periodNamed(name);
         return period.orElseThrow(() -> new CommandException(
-                "no period is called " + name + ": it is a term's name, or a month such as 2026-11", true));
+                "no period is called " + name + ": expected the name of a term, or a month such as 2026-11", true));
     }
 
     /**
-     * Closes this dispatcher's part of a period, after every life has made durable what it answered in it.
+     * Closes this dispatcher's part of a period, after every live incarnation has made its answers of the period
+     * durable.
      */
     public void close(String name, String requestedBy) throws CommandException, InterruptedException {
         BillingCalendar.Period period = requirePeriod(name);
@@ -114,12 +114,13 @@
             StatementCalculator calculator = loadStatements(store);
             if (calculator.isClosed(store.dispatcher(), period)) {
                 throw new CommandException(
-                        "period " + name + " is closed already; what is found later goes into the open " + "one", true);
+                        "period " + name + " is already closed; later entries are billed in the open " + "period",
+                        true);
             }
             BillingCalendar.Period first = calculator.firstOpenPeriod(store.dispatcher());
             if (first != null && first.from() < period.from()) {
                 throw new CommandException(
-                        "period " + first.name() + " is open and comes before; close it first", true);
+                        "period " + first.name() + " is earlier and still open; close it first", true);
             }
             store.requestSettlement(period);
             double deadline = Ledger.monotonicMillis() + SETTLE_TIMEOUT_MILLIS;
@@ -127,27 +128,27 @@
                 while (store.settledUntil(incarnation) < period.to() && Spool.isAlive(settings.store(), incarnation)) {
                     if (Ledger.monotonicMillis() > deadline) {
                         throw new CommandException(
-                                "life " + incarnation + " does not say that it has settled; the mark stays, ask "
-                                        + "again",
+                                "incarnation " + incarnation
+                                        + " has not settled in time; the request to settle stays, try " + "again",
                                 false);
                     }
                     TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
                 }
             }
-            // A life that died meanwhile has left a spool.
+            // An incarnation that died meanwhile has left a spool.
             Recovery.run(store, clock.nowMillis(), settings.calendar());
             store.closePeriod(own, period, clock.nowMillis(), requestedBy);
             return null;
         });
     }
 
-    private List<Long> liveIncarnations(ChainOrigin own) throws IOException {
+    private List<Long> liveIncarnations(ChainOrigin currentOrigin) throws IOException {
         List<Long> live = new ArrayList<>();
         try (java.nio.file.DirectoryStream<Path> locks =
                 java.nio.file.Files.newDirectoryStream(settings.store(), "life-*.lock")) {
             for (Path lock : locks) {
                 long incarnation = Long.parseLong(lock.getFileName().toString().replaceAll("\\D", ""));
-                if (incarnation != own.incarnation() && Spool.isAlive(settings.store(), incarnation)) {
+                if (incarnation != currentOrigin.incarnation() && Spool.isAlive(settings.store(), incarnation)) {
                     live.add(incarnation);
                 }
             }
@@ -155,7 +156,12 @@
         return live;
     }
 
-    /** Enters another value for an entry, in slot-microseconds; the name of the correction. */
+    /**
+     * Corrects the value of an entry.
+     *
+     * @param workSlotMicros the new value
+     * @return the reference of the correction
+     */
     public EntryRef correct(String ref, long workSlotMicros, String requestedBy, String reason)
             throws CommandException, InterruptedException {
         EntryRef target;
@@ -168,30 +174,30 @@
                 || requestedBy.isBlank()
                 || reason.isBlank()
                 || requestedBy.length() + reason.length() > Entry.MAX_TEXT_LENGTH) {
-            throw new CommandException("a correction needs a value from 0 on, who asks, and a reason", true);
+            throw new CommandException("a correction requires a value of at least 0, a requester and a reason", true);
         }
         return runWriting((store, own) -> {
             Entry entry = store.entry(target);
             if (entry == null) {
-                throw new CommandException("no entry " + target + " is held here", true);
+                throw new CommandException("no entry " + target + " in this ledger", true);
             }
             if (!target.origin().dispatcher().equals(store.dispatcher())) {
                 throw new CommandException(
-                        "entry " + target + " is corrected at its own dispatcher, "
+                        "entry " + target + " can only be corrected at its own dispatcher, "
                                 + target.origin().dispatcher(),
                         true);
             }
             if (entry.kind() != Entry.Kind.JOB && entry.kind() != Entry.Kind.DOUBT) {
                 throw new CommandException(
                         "entry " + target + " is a " + entry.kind().toString().toLowerCase()
-                                + ": only a job, or one in doubt, is corrected",
+                                + ": only a job or a doubt can be corrected",
                         true);
             }
             Entry before = store.correctionOf(target);
             if (before != null) {
                 throw new CommandException(
-                        "entry " + target + " was corrected before, by " + before.ref()
-                                + ": an entry is corrected once",
+                        "entry " + target + " was already corrected by " + before.ref()
+                                + "; an entry can be corrected once",
                         true);
             }
             long number = store.append(
@@ -202,14 +208,14 @@
         });
     }
 
-    /** One round of the named export, or of all; what each did. */
+    /** Runs one round of an export, or of all if the name is null; returns the result of each. */
     public Map<String, Exporter.Report> export(String name) throws CommandException, InterruptedException {
         List<ExportSettings> selected = settings.exports().stream()
                 .filter(e -> name == null || e.name().equals(name))
                 .toList();
         if (selected.isEmpty()) {
             throw new CommandException(
-                    name == null ? "the settings have no export" : "no export is called " + name, true);
+                    name == null ? "the settings define no export" : "no export is called " + name, true);
         }
         return runWriting((store, own) -> {
             Map<String, Exporter.Report> reports = new java.util.LinkedHashMap<>();
@@ -229,11 +235,11 @@
         });
     }
 
-    /** One round with each peer of the settings; what came of each. */
+    /** Runs one round with each peer of the settings; returns the results by peer address. */
     public Map<String, Reconciler.Report> reconcile() throws CommandException, InterruptedException {
         PeerSettings peers = settings.peers();
         if (peers == null || peers.peers().isEmpty()) {
-            throw new CommandException("the settings name no peers", true);
+            throw new CommandException("the settings define no peers", true);
         }
         return runWriting((store, own) -> {
             MessageAuthenticator authenticator = LedgerService.readKey(peers.keyFile());
@@ -255,7 +261,7 @@
         });
     }
 
-    /** One line for each fault of the store's chains; none where all is in order. */
+    /** Returns one line for each fault of the chains of the store; none if all are valid. */
     public List<String> verify() throws CommandException {
         try (Store store = Store.read(settings.store())) {
             return store.verify();
@@ -264,7 +270,7 @@
         }
     }
 
-    /** Puts a closed and exported period into a file and prunes it; how many entries. */
+    /** Writes the entries of a closed and exported period to a file and prunes them; returns their number. */
     public long archive(String name, Path file) throws CommandException, InterruptedException {
         BillingCalendar.Period period = requirePeriod(name);
         return runWriting((store, own) -> {
@@ -296,7 +302,7 @@
                         "entry " + undelivered.get(0) + " of period " + name + " is not exported yet", true);
             }
             if (store.archiveInfo(name) != null) {
-                throw new CommandException("period " + name + " is archived already", true);
+                throw new CommandException("period " + name + " is already archived", true);
             }
             String sha256 = Archive.write(file, entries, FaultInjection.NONE);
             store.prune(
@@ -309,7 +315,9 @@
     }
 
     /**
-     * Brings an archived period back into the store; how many entries. {@code file} null: from where it went.
+     * Restores an archived period into the store; returns the number of entries.
+     *
+     * @param file null for the file that the archive was written to
      */
     public long restore(String name, Path file) throws CommandException, InterruptedException {
         return runWriting((store, own) -> {
--- a/src/main/java/nettlewick/ledger/LedgerService.java
+++ b/src/main/java/nettlewick/ledger/LedgerService.java
@@ -18,14 +18,14 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * The ledger of a process that serves, with what goes on beside it: a thread for each export, one that asks
- * the
- * peers in turn, and their listener. Each has a store of its own.
+ * The ledger of a dispatcher process with its background work: a thread for each export, a thread that reconciles with
+ * the peers in turn, and the listener for peers. Each of them opens the store on its own, since a {@link Store} belongs
+ * to one thread.
  */
 public final class LedgerService implements AutoCloseable {
     private static final ComponentLogger LOG = ComponentLogger.of("ledger");
     private static final int MAX_KEY_BYTES = 4096;
-    private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
+    private static final long TIMEOUT_SECONDS = 5;
     private static final double POLL_MILLIS = 100;
 
     private final String dispatcher;
@@ -40,7 +40,7 @@
     private Vertx vertx;
     private int port;
 
-    /** {@code seed} is for the pauses between tries. */
+    /** @param seed seed of the jitter of the pauses between attempts */
     public LedgerService(String dispatcher, LedgerSettings settings, Clock clock, long seed) {
         this.dispatcher = dispatcher;
         this.settings = settings;
@@ -49,17 +49,22 @@
         ledger = new Ledger(dispatcher, settings, clock);
     }
 
-    /** What the core is given. */
+    /** The usage recorder for the core. */
     public Ledger ledger() {
         return ledger;
     }
 
-    /** The port at which peers call; 0 where they do not. */
+    /** The port on which peers are served; 0 if there is no listener. */
     public int port() {
         return port;
     }
 
-    /** Starts all of it; IOException where the key cannot be read or the listener not be opened. */
+    /**
+     * Starts all threads and the listener.
+     *
+     * @throws IOException if the store belongs to another dispatcher, the key cannot be read, or the listener cannot be
+     * opened
+     */
     public void start() throws IOException {
         checkOwner();
         MessageAuthenticator authenticator =
@@ -76,16 +81,19 @@
                         .listen()
                         .toCompletionStage()
                         .toCompletableFuture()
-                        .get(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                        .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (Exception e) {
-                throw new IOException("the ledger's peers cannot be listened for: " + e.getMessage(), e);
+                throw new IOException("cannot listen for ledger peers: " + e.getMessage(), e);
             }
             vertx = createClientVertx();
             startThread("ledger-peers", () -> runReconciliation(authenticator));
         }
     }
 
-    /** Danger: two dispatchers that took one folder for theirs would bill each other's jobs. */
+    /**
+     * Fails if the store belongs to another dispatcher: two dispatchers with one store would bill requests of each
+     * other.
+     */
     private void checkOwner() throws IOException {
         try (Store store = Store.read(settings.store())) {
             if (store.dispatcher() != null && !store.dispatcher().equals(dispatcher)) {
@@ -93,20 +101,20 @@
                         settings.store() + " is the ledger of " + store.dispatcher() + ", not of " + dispatcher);
             }
         } catch (StoreException e) {
-            // There is none yet, or it cannot be read: the ledger tells of that when it opens it.
+            // The store does not exist yet or cannot be read; the ledger reports this when it opens the store.
         }
     }
 
-    /** What clients of peers run on. */
+    /** Creates the Vert.x instance that the clients for peers run on. */
     static Vertx createClientVertx() {
         return Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     }
 
-    /** Reads the shared key. */
+    /** Reads the key that is shared with the peers. */
     static MessageAuthenticator readKey(Path file) throws IOException {
         if (Files.size(file) > MAX_KEY_BYTES) {
-            throw new IOException("the key " + file + " is larger than " + MAX_KEY_BYTES + " bytes");
+            throw new IOException("key file " + file + " is larger than " + MAX_KEY_BYTES + " bytes");
         }
         try {
             return new MessageAuthenticator(Files.readAllBytes(file));
@@ -115,7 +123,7 @@
         }
     }
 
-    /** Takes over what may change while it runs. */
+    /** Applies the settings that may change at run time. */
     public void reload(LedgerSettings next) {
         settings = next;
         ledger.reload(next);
@@ -125,11 +133,11 @@
         void run() throws InterruptedException;
     }
 
-    private void startThread(String name, InterruptibleTask loop) {
+    private void startThread(String name, InterruptibleTask task) {
         Thread thread = new Thread(
                 () -> {
                     try {
-                        loop.run();
+                        task.run();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -140,7 +148,7 @@
         thread.start();
     }
 
-    /** Waits so long, or until the end; false at the end. */
+    /** Sleeps; returns false if the service is stopping. */
     private boolean sleepUnlessStopping(double millis) throws InterruptedException {
         double deadline = Ledger.monotonicMillis() + millis;
         while (!stopping && Ledger.monotonicMillis() < deadline) {
@@ -159,7 +167,8 @@
     private void runExport(String name) throws InterruptedException {
         RandomGenerator random = new java.util.SplittableRandom(seed ^ name.hashCode());
         String lastFault = null;
-        // An export that the settings name no longer goes on until the restart that this change needs.
+        // An export that was removed from the settings continues with its last settings until the restart that this
+        // change requires.
         ExportSettings current = exportSettings(name);
         ExportTarget target = Exporter.target(current, FaultInjection.NONE);
         while (sleepUnlessStopping(current.intervalMillis())) {
@@ -183,7 +192,7 @@
                 if (report.fault() != null) {
                     LOG.warning("export-failed", "export " + name + ": " + report.fault(), "export", name);
                 } else if (lastFault != null) {
-                    LOG.info("export-works", "export " + name + " works again", "export", name);
+                    LOG.info("export-works", "export " + name + " succeeds again", "export", name);
                 }
                 lastFault = report.fault();
             } catch (StoreException e) {
@@ -234,16 +243,13 @@
             throws InterruptedException {
         try (Store store = Store.open(settings.store())) {
             Reconciler.Report report = new Reconciler(store, client, peerSettings.chunkEntries()).runRound();
-            report.forks().forEach(line -> LOG.warning("fork", "quarantined " + line, "peer", address));
+            report.forks().forEach(line -> LOG.warning("fork", "quarantined a forked chain: " + line, "peer", address));
             report.faults()
                     .forEach(line -> LOG.warning("peer-fault", "peer " + address + ": " + line, "peer", address));
             return report.faults().isEmpty();
         } catch (IOException | StoreException e) {
             LOG.warning(
-                    "peer-failed",
-                    "peer " + address + " cannot be reconciled with: " + e.getMessage(),
-                    "peer",
-                    address);
+                    "peer-failed", "peer " + address + ": reconciliation failed: " + e.getMessage(), "peer", address);
             return false;
         }
     }
@@ -253,7 +259,7 @@
         stopping = true;
         try {
             for (Thread thread : threads) {
-                thread.join(TimeUnit.SECONDS.toMillis(SHUTDOWN_TIMEOUT_SECONDS));
+                thread.join(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/nettlewick/ledger/LedgerSettings.java
+++ b/src/main/java/nettlewick/ledger/LedgerSettings.java
@@ -5,13 +5,16 @@
 import nettlewick.settings.Block;
 
 /**
- * What the settings' block {@code ledger} says; times in milliseconds.
+ * The settings of the block {@code ledger}.
  *
- * @param sync     whether an answer waits until its intent is on the disk
- * @param batch    how often the spool is forced where answers do not wait for it
- * @param commit   how often ended jobs are moved from the spool into the store
- * @param patience how long an answer may wait for the disk
- * @param queue    most jobs held in memory
+ * @param store                folder of the store and the spool
+ * @param sync                 whether an answer is held until its intent is synced to disk
+ * @param batchMillis          maximum time between syncs of the spool
+ * @param commitMillis         how often ended requests are committed from the spool to the store
+ * @param releaseTimeoutMillis how long an answer may be held for the disk
+ * @param maxPending           maximum number of requests held in memory
+ * @param keyWindowMillis      time in which a repeated idempotency key is not billed again
+ * @param peers                null if the ledger has no peers
  */
 public record LedgerSettings(
         Path store,
@@ -26,7 +29,7 @@
         PeerSettings peers) {
     private static final double SYNC_BATCH_MILLIS = 20;
 
-    /** Takes the block over; BadSettings for what its words alone do not show. */
+    /** Reads the block; throws the settings error for rules that the grammar does not express. */
     public static LedgerSettings of(Block ledger) {
         List<Object> mode = ledger.first("mode").orElseThrow().arguments();
         BillingCalendar calendar;
@@ -37,7 +40,7 @@
                             .map(t -> new BillingCalendar.Term(t.argument(0), t.argument(2), t.argument(4)))
                             .toList());
         } catch (IllegalArgumentException e) {
-            throw ledger.invalidValue("term", "in order: " + e.getMessage());
+            throw ledger.invalidValue("term", "a valid sequence of terms: " + e.getMessage());
         }
         return new LedgerSettings(
                 ledger.get("store"),
--- a/src/main/java/nettlewick/ledger/MessageAuthenticator.java
+++ b/src/main/java/nettlewick/ledger/MessageAuthenticator.java
@@ -10,25 +10,25 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * What shows that a call, or its answer, comes from somebody who has the shared key, and is not an old one
- * played
- * again: HMAC-SHA256 over its parts, a nonce of its own, and a time. Reads no clock. Safe for any thread.
+ * Authenticates requests between peers and their responses by HMAC-SHA256 with a shared key. A signature covers the
+ * parts of the message, a nonce and, for requests, a timestamp, so that old messages cannot be replayed. Reads no
+ * clock. Thread-safe.
  */
 final class MessageAuthenticator {
     static final int MIN_KEY_BYTES = 32;
-    /** A call counts this many milliseconds around its time. */
+    /** How far the timestamp of a request may differ from the current time. */
     static final double TIME_WINDOW_MILLIS = 60_000;
 
     private static final int MAX_NONCES = 100_000;
     private static final int NONCE_LENGTH = 32;
 
     private final SecretKeySpec key;
-    /** Nonces seen, the oldest first, each with when it may be forgotten. */
+    /** Nonces of accepted requests, oldest first, each with the time at which it may be forgotten. */
     private final Map<String, Double> nonceExpiries = new LinkedHashMap<>();
 
     MessageAuthenticator(byte[] key) {
         if (key.length < MIN_KEY_BYTES) {
-            throw new IllegalArgumentException("the key has " + key.length + " bytes, but needs " + MIN_KEY_BYTES);
+            throw new IllegalArgumentException("the key has " + key.length + " bytes; the minimum is " + MIN_KEY_BYTES);
         }
         this.key = new SecretKeySpec(key, "HmacSHA256");
     }
@@ -48,22 +48,25 @@
         }
     }
 
-    /** The seal of a call. */
+    /** Signs a request. */
     String signRequest(String uri, String nonce, double time) {
         return hmac(new byte[0], "call", uri, nonce, Long.toString((long) time));
     }
 
-    /** The seal of the answer to the call with that nonce. */
+    /** Signs the response to the request with the nonce. */
     String signResponse(String nonce, int status, byte[] body) {
         return hmac(body, "answer", nonce, Integer.toString(status));
     }
 
-    /** Whether an answer is the one to this call. */
+    /** Whether a response is correctly signed and belongs to the request with the nonce. */
     boolean isValidResponse(String nonce, int status, byte[] body, String signature) {
         return constantTimeEquals(signResponse(nonce, status, body), signature);
     }
 
-    /** Why a call is turned away, or null: wrong seal, too old, from the future, or seen before. */
+    /**
+     * Returns why a request is rejected, or null: missing or wrong signature, timestamp out of range, or a nonce that
+     * was used before. The texts are sent to the caller.
+     */
     synchronized String requestError(String uri, String nonce, String time, String signature, double now) {
         if (nonce == null
                 || nonce.length() != NONCE_LENGTH
--- a/src/main/java/nettlewick/ledger/PeerClient.java
+++ b/src/main/java/nettlewick/ledger/PeerClient.java
@@ -30,7 +30,8 @@
 import nettlewick.ledger.Store.Head;
 
 /**
- * Asks one peer's {@link PeerServer}, and believes no answer without its seal. Blocks; belongs to one thread.
+ * Queries the {@link PeerServer} of one peer; rejects responses without a valid signature. Blocks; an instance belongs
+ * to one thread.
  */
 class PeerClient implements AutoCloseable {
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
@@ -62,12 +63,12 @@
                 new HttpClientOptions().setConnectTimeout((int) timeoutMillis).setMaxRedirects(0));
     }
 
-    /** Bytes sent and received, bodies and the heads that are ours. */
+    /** Bytes sent and received: bodies, request URIs and an estimate of the headers. */
     long bytesTransferred() {
         return bytesTransferred;
     }
 
-    /** The peer's chains; null where they are the same as ours. */
+    /** Returns the heads of the peer's chains; null if they equal ours. */
     Map<ChainOrigin, Head> heads(Map<ChainOrigin, Head> ours) throws IOException, InterruptedException {
         Buffer body = get(PeerServer.HEADS_PATH + "?digest=" + PeerServer.digest(ours));
         if (body.length() == 0) {
@@ -79,19 +80,19 @@
                 JsonObject o = one.getAsJsonObject();
                 byte[] hash = HexFormat.of().parseHex(o.get("h").getAsString());
                 if (hash.length != Entry.INITIAL_HASH.length || o.get("n").getAsLong() < 0) {
-                    throw new IllegalArgumentException("a chain without a hash");
+                    throw new IllegalArgumentException("invalid hash or number");
                 }
                 heads.put(
                         new ChainOrigin(o.get("d").getAsString(), o.get("l").getAsLong()),
                         new Head(o.get("n").getAsLong(), hash));
             }
         } catch (JsonParseException | IllegalStateException | IllegalArgumentException | NullPointerException e) {
-            throw new IOException("its chains cannot be read: " + e.getMessage(), e);
+            throw new IOException("malformed heads response: " + e.getMessage(), e);
         }
         return heads;
     }
 
-    /** The hash at a place of a chain; null where the peer has none. */
+    /** Returns the hash of an entry; null if the peer does not have it. */
     byte[] hash(ChainOrigin origin, long number) throws IOException, InterruptedException {
         String text = PeerServer.utf8(get(PeerServer.HASH_PATH + "?" + originQuery(origin) + "&n=" + number));
         if (text.equals("none")) {
@@ -100,11 +101,11 @@
         try {
             return HexFormat.of().parseHex(text);
         } catch (IllegalArgumentException e) {
-            throw new IOException("its hash cannot be read", e);
+            throw new IOException("malformed hash response", e);
         }
     }
 
-    /** TestEntries from one number on, at most up to another; at least one. */
+    /** Returns at least one entry from one number on, at most up to another. */
     List<byte[]> entries(ChainOrigin origin, long from, long to) throws IOException, InterruptedException {
         Buffer body = get(PeerServer.ENTRIES_PATH + "?" + originQuery(origin) + "&from=" + from + "&to=" + to);
         List<byte[]> entries = new ArrayList<>();
@@ -112,13 +113,14 @@
         while (at < body.length()) {
             int length = body.length() - at < 4 ? -1 : body.getInt(at);
             if (length <= 0 || length > body.length() - at - 4) {
-                throw new IOException("its entries are cut off");
+                throw new IOException("truncated entries response");
             }
             entries.add(body.getBytes(at + 4, at + 4 + length));
             at += 4 + length;
         }
         if (entries.isEmpty() || entries.size() > to - from + 1) {
-            throw new IOException("it sent " + entries.size() + " entries of " + (to - from + 1));
+            throw new IOException(
+                    "the peer sent " + entries.size() + " entries, requested were 1 to " + (to - from + 1));
         }
         return entries;
     }
@@ -127,14 +129,15 @@
         return "d=" + URLEncoder.encode(origin.dispatcher(), StandardCharsets.UTF_8) + "&l=" + origin.incarnation();
     }
 
-    /** One sealed call. */
+    /** Sends one signed GET request and verifies the response. */
     Buffer get(String uri) throws IOException, InterruptedException {
         byte[] nonceBytes = new byte[NONCE_BYTES];
         random.nextBytes(nonceBytes);
         String nonce = HexFormat.of().formatHex(nonceBytes);
         double now = clock.nowMillis();
         Promise<Buffer> done = Promise.promise();
-        long timer = vertx.setTimer((long) timeoutMillis, id -> done.tryFail(new IOException("no answer in time")));
+        long timer = vertx.setTimer(
+                (long) timeoutMillis, id -> done.tryFail(new IOException("no response within the timeout")));
         RequestOptions options = new RequestOptions()
                 .setMethod(HttpMethod.GET)
                 .setURI(uri)
@@ -147,7 +150,8 @@
         client.request(options)
                 .compose(request -> {
                     done.future().onFailure(e -> request.reset());
-                    // Composed here, on the response's event loop: this method's thread may come too late for its end.
+                    // The handlers are attached here, on the event loop of the response: the calling thread could be
+                    // scheduled only after the response has ended.
                     return request.send().compose(response -> readBody(response, done));
                 })
                 .onFailure(done::tryFail);
@@ -160,24 +164,25 @@
             Buffer body = answer.getBuffer(4 + 64, answer.length());
             bytesTransferred += body.length() + 150;
             if (!authenticator.isValidResponse(nonce, status, body.getBytes(), answer.getString(4, 4 + 64))) {
-                throw new IOException("an answer without the right seal (status " + status + ")");
+                throw new IOException("the response has no valid signature (status " + status + ")");
             }
             if (status != OK && status != NO_CONTENT) {
-                throw new IOException(
-                        "it answered " + status + " " + PeerServer.utf8(body).strip());
+                throw new IOException("the peer answered " + status + " "
+                        + PeerServer.utf8(body).strip());
             }
             return body;
         } catch (ExecutionException e) {
             throw new IOException(String.valueOf(e.getCause()), e.getCause());
         } catch (TimeoutException e) {
-            throw new IOException("no answer in time", e);
+            throw new IOException("no response within the timeout", e);
         } finally {
             vertx.cancelTimer(timer);
         }
     }
 
     /**
-     * Status, seal and body in one buffer. Danger: a peer that sends without end must not fill the memory.
+     * Collects status, signature and body in one buffer. The size is limited so that a peer that sends endlessly cannot
+     * exhaust the memory.
      */
     private static Future<Void> readBody(HttpClientResponse response, Promise<Buffer> done) {
         String signature = response.getHeader(PeerServer.SIGNATURE_HEADER);
@@ -188,7 +193,7 @@
         response.handler(part -> {
             all.appendBuffer(part);
             if (all.length() > MAX_RESPONSE_BYTES) {
-                done.tryFail(new IOException("an answer without end"));
+                done.tryFail(new IOException("the response is too large"));
             }
         });
         response.endHandler(v -> done.tryComplete(all));
--- a/src/main/java/nettlewick/ledger/PeerServer.java
+++ b/src/main/java/nettlewick/ledger/PeerServer.java
@@ -25,8 +25,8 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * Where other dispatchers read this one's entries. Admits callers by their network and by a seal; changes
- * nothing. Has an event loop of its own, and reads the store on a thread beside it.
+ * Serves this dispatcher's entries to other dispatchers, read-only. Admits callers by network and by signature. Runs
+ * its own event loop and reads the store on a worker thread.
  */
 final class PeerServer implements AutoCloseable {
     static final String NONCE_HEADER = "X-Ledger-Nonce";
@@ -61,7 +61,7 @@
                         new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
     }
 
-    /** Listens; the port that is held comes back. */
+    /** Starts listening; completes with the actual port. */
     Future<Integer> listen() {
         HttpServer server = vertx.createHttpServer(new HttpServerOptions()
                 .setTcpNoDelay(true)
@@ -77,10 +77,14 @@
 
     private void handle(HttpServerRequest request) {
         request.exceptionHandler(e -> {});
-        String from =
+        String remoteAddress =
                 request.remoteAddress() == null ? null : request.remoteAddress().hostAddress();
-        if (!isAdmitted(from)) {
-            LOG.warning("peer-refused", "a caller from " + from + " is not admitted", "from", from);
+        if (!isAdmitted(remoteAddress)) {
+            LOG.warning(
+                    "peer-refused",
+                    "rejected a request from " + remoteAddress + ": the address is not admitted",
+                    "from",
+                    remoteAddress);
             request.response().setStatusCode(403).end("not admitted\n");
             return;
         }
@@ -93,7 +97,8 @@
                         clock.nowMillis())
                 : "not a GET";
         if (error != null) {
-            LOG.warning("peer-refused", "a call from " + from + " is refused: " + error, "from", from);
+            LOG.warning(
+                    "peer-refused", "rejected a request from " + remoteAddress + ": " + error, "from", remoteAddress);
             request.response().setStatusCode(401).end(error + "\n");
             return;
         }
@@ -115,8 +120,9 @@
         });
     }
 
-    private boolean isAdmitted(String from) {
-        IPAddress address = from == null ? null : new IPAddressString(from.replaceAll("%.*", "")).getAddress();
+    private boolean isAdmitted(String remoteAddress) {
+        IPAddress address =
+                remoteAddress == null ? null : new IPAddressString(remoteAddress.replaceAll("%.*", "")).getAddress();
         return address != null && settings.admittedNetworks().stream().anyMatch(network -> network.contains(address));
     }
 
@@ -129,7 +135,7 @@
         }
     }
 
-    /** Opens the store for each call: a damaged one may have been put aside since the last. */
+    /** Opens the store for each request, since a damaged store may have been replaced since the last one. */
     private Buffer read(String path, Map<String, String> params) throws StoreException {
         try (Store store = Store.read(folder)) {
             return switch (path) {
@@ -155,7 +161,7 @@
         }
     }
 
-    /** One digest for all chains: equal ones hold the same entries. */
+    /** Returns a digest of the heads of all chains; two ledgers with equal digests hold the same entries. */
     static String digest(Map<ChainOrigin, Store.Head> heads) {
         return BatchCodec.sha256(encodeHeads(heads).getBytes());
     }
@@ -173,7 +179,7 @@
         return Buffer.buffer(all.toString());
     }
 
-    /** TestEntries one after another, each with its length before it; as many as fit an answer. */
+    /** Encodes entries, each preceded by its length; as many as fit into a response. */
     private static Buffer encodeEntries(List<Store.Row> rows) {
         Buffer all = Buffer.buffer();
         for (Store.Row row : rows) {
@@ -211,7 +217,7 @@
         try {
             vertx.close().toCompletionStage().toCompletableFuture().get(IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (Exception e) {
-            LOG.warning("peer-front", "the peers' listener did not close: " + e);
+            LOG.warning("peer-front", "the listener for peers did not close: " + e);
         }
     }
 
--- a/src/main/java/nettlewick/ledger/PeerSettings.java
+++ b/src/main/java/nettlewick/ledger/PeerSettings.java
@@ -6,7 +6,17 @@
 import java.util.List;
 import nettlewick.settings.Block;
 
-/** How ledgers of several dispatchers find each other; times in milliseconds. */
+/**
+ * Settings of the reconciliation with other dispatchers.
+ *
+ * @param listen           address on which peers are served
+ * @param keyFile          file with the shared HMAC key
+ * @param admittedNetworks networks from which requests are accepted
+ * @param peers            addresses of the peers
+ * @param intervalMillis   time between rounds with a peer
+ * @param timeoutMillis    time limit of a request to a peer
+ * @param chunkEntries     maximum number of entries that are fetched in one request
+ */
 public record PeerSettings(
         InetSocketAddress listen,
         Path keyFile,
--- a/src/main/java/nettlewick/ledger/Reconciler.java
+++ b/src/main/java/nettlewick/ledger/Reconciler.java
@@ -11,11 +11,11 @@
 import nettlewick.ledger.Store.Row;
 import nettlewick.sqlite.StoreException;
 
-/** Brings a store up to what one peer holds, each entry checked against the chain before it is taken over. */
+/** Fetches what a peer holds and the store lacks; verifies each entry against its hash chain first. */
 public final class Reconciler {
     private static final int MAX_SEARCH_STEPS = 64;
 
-    /** What a round brought; {@code faults} are lines for people: forks, and what the peer did wrong. */
+    /** Result of a round; {@code forks} and {@code faults} (what the peer did wrong) are lines for operators. */
     public record Report(long entries, int origins, List<String> forks, List<String> faults) {}
 
     private final Store store;
@@ -28,7 +28,11 @@
         this.chunkEntries = chunkEntries;
     }
 
-    /** One round; IOException where the peer cannot be asked at all. */
+    /**
+     * Runs one round.
+     *
+     * @throws IOException if the peer cannot be queried at all
+     */
     Report runRound() throws StoreException, IOException, InterruptedException {
         List<String> forks = new ArrayList<>();
         List<String> faults = new ArrayList<>();
@@ -38,8 +42,8 @@
         if (theirs == null) {
             return new Report(0, 0, forks, faults);
         }
-        // Danger: read after the peer's, so that a chain of ours that grows meanwhile is not taken for a
-        // fork.
+        // The local heads are read after the peer's: a local chain that grows in between would otherwise be mistaken
+        // for a fork.
         for (Step step : ReconciliationPlan.steps(
                 store.heads(), theirs, store.quarantined().keySet())) {
             try {
@@ -86,10 +90,11 @@
                     end.number() == step.theirs().number() ? step.theirs().hash() : peer.hash(origin, end.number());
             if (!Arrays.equals(end.hash(), claimed)) {
                 throw new IllegalArgumentException("entries " + (head.number() + 1) + " to " + end.number()
-                        + " do not lead to the hash that it claims; nothing of them is taken over");
+                        + " do not lead to the hash that the peer claims; they are discarded");
             }
             if (!store.merge(origin, head, rows)) {
-                throw new IllegalArgumentException("the chain has grown here meanwhile; the next round goes " + "on");
+                throw new IllegalArgumentException(
+                        "the local chain has grown meanwhile; the next round " + "continues");
             }
             head = end;
             fetched += rows.size();
@@ -98,25 +103,25 @@
     }
 
     /**
-     * Two chains of one origin differ. Only a peer that shows an entry that follows from the last common hash
-     * proves a fork; any other is at fault itself.
+     * Handles two chains of one origin that differ. Only a peer that presents an entry that follows from the last
+     * common hash proves a fork, and the origin is quarantined; otherwise the peer itself is at fault.
      */
-    private void quarantineIfForked(ChainOrigin origin, long differs, List<String> forks)
+    private void quarantineIfForked(ChainOrigin origin, long differentNumber, List<String> forks)
             throws StoreException, IOException, InterruptedException {
-        ReconciliationPlan.DivergenceSearch search = new ReconciliationPlan.DivergenceSearch(differs);
+        ReconciliationPlan.DivergenceSearch search = new ReconciliationPlan.DivergenceSearch(differentNumber);
         for (int steps = 0; !search.done() && steps < MAX_SEARCH_STEPS; steps++) {
             search.update(localHash(origin, search.probe()), peer.hash(origin, search.probe()));
         }
         long first = search.firstDifference();
         byte[] previousHash = first == 1 ? Entry.INITIAL_HASH : localHash(origin, first - 1);
-        List<byte[]> shown = peer.entries(origin, first, first);
-        List<Row> rows = ReconciliationPlan.linkEntries(origin, new Head(first - 1, previousHash), shown);
+        List<byte[]> presented = peer.entries(origin, first, first);
+        List<Row> rows = ReconciliationPlan.linkEntries(origin, new Head(first - 1, previousHash), presented);
         if (!Arrays.equals(rows.get(0).hash(), peer.hash(origin, first))) {
             throw new IllegalArgumentException(
-                    "it claims another entry " + first + " and cannot show one that follows");
+                    "the peer claims another entry " + first + " but cannot show one that follows");
         }
         if (Arrays.equals(rows.get(0).hash(), localHash(origin, first))) {
-            throw new IllegalArgumentException("it claims another hash for the same entry " + first);
+            throw new IllegalArgumentException("the peer claims another hash for the same entry " + first);
         }
         String reason = "entry " + first + " has two contents: the origin went on from an old copy, or its life "
                 + "was used twice";
--- a/src/main/java/nettlewick/ledger/ReconciliationPlan.java
+++ b/src/main/java/nettlewick/ledger/ReconciliationPlan.java
@@ -8,22 +8,22 @@
 import nettlewick.ledger.Store.Head;
 import nettlewick.ledger.Store.Row;
 
-/** What two ledgers have to do to hold the same, decided from the ends of their chains. Does no I/O. */
+/** Decides from the heads of the chains what to fetch from a peer and what to compare. Does no I/O. */
 final class ReconciliationPlan {
-    /** One thing to do about an origin. */
+    /** What to do about an origin. */
     enum Action {
-        /** The peer's chain is longer: its tail is fetched. */
+        /** The peer's chain is longer: fetch its tail. */
         FETCH,
-        /** The peer's chain is no longer: its end has to be a link of ours. */
+        /** The peer's chain is not longer: its head must be an entry of the local chain. */
         COMPARE
     }
 
-    /** {@code theirs} is the peer's end of the chain, {@code ours} our own. */
+    /** A step for one origin; {@code ours} and {@code theirs} are the local head and the head at the peer. */
     record Step(Action action, ChainOrigin origin, Head ours, Head theirs) {}
 
     private ReconciliationPlan() {}
 
-    /** The steps for all origins that the peer has, but those in quarantine; what is the same needs none. */
+    /** Returns the steps for the origins of the peer that are not quarantined; equal chains need none. */
     static List<Step> steps(Map<ChainOrigin, Head> ours, Map<ChainOrigin, Head> theirs, Set<ChainOrigin> quarantined) {
         List<Step> steps = new ArrayList<>();
         theirs.forEach((origin, their) -> {
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Links entries that came to the end of a chain. IllegalArgumentException with what is wrong where one
-     * does
-     * not follow: another origin, a number out of turn, bytes that are no entry.
+     * Computes the hashes of entries that were received to follow a head.
+     *
+     * @throws IllegalArgumentException if an entry does not follow: wrong origin or number, or malformed bytes
      */
     static List<Row> linkEntries(ChainOrigin origin, Head start, List<byte[]> entries) {
         List<Row> rows = new ArrayList<>(entries.size());
@@ -47,7 +47,7 @@
             EntryRef expected = new EntryRef(origin, head.number() + 1);
             if (!Entry.fromBytes(bytes).ref().equals(expected)) {
                 throw new IllegalArgumentException(
-                        "entry " + Entry.fromBytes(bytes).ref() + " in place of " + expected);
+                        "entry " + Entry.fromBytes(bytes).ref() + " instead of " + expected);
             }
             head = new Head(expected.number(), Entry.chainHash(head.hash(), bytes));
             rows.add(new Row(head.number(), bytes, head.hash()));
@@ -55,7 +55,7 @@
         return rows;
     }
 
-    /** The end of a chain of rows. */
+    /** Returns the head after the rows are appended. */
     static Head endOf(Head before, List<Row> rows) {
         return rows.isEmpty()
                 ? before
@@ -64,12 +64,12 @@
                         rows.get(rows.size() - 1).hash());
     }
 
-    /** Finds the first number at which two chains differ, halving the range in which it lies. */
+    /** Binary search for the first number at which two chains differ. */
     static final class DivergenceSearch {
         private long lastEqual;
         private long firstDifferent;
 
-        /** They differ at this number, and are the same before the first. */
+        /** @param firstDifferent a number at which the chains differ */
         DivergenceSearch(long firstDifferent) {
             this.firstDifferent = firstDifferent;
         }
@@ -78,7 +78,7 @@
             return firstDifferent - lastEqual <= 1;
         }
 
-        /** The number whose hashes are to be compared next. */
+        /** The number whose hashes have to be compared next. */
         long probe() {
             return lastEqual + (firstDifferent - lastEqual) / 2;
         }
@@ -91,7 +91,7 @@
             }
         }
 
-        /** The first number at which they differ. */
+        /** The first number at which the chains differ. */
         long firstDifference() {
             return firstDifferent;
         }
--- a/src/main/java/nettlewick/ledger/Recovery.java
+++ b/src/main/java/nettlewick/ledger/Recovery.java
@@ -10,11 +10,14 @@
 import nettlewick.ledger.Entry.Kind;
 import nettlewick.sqlite.StoreException;
 
-/** Enters what lives that are dead left in their spools: each job once, as answered or as in doubt. */
+/**
+ * Enters the requests that dead incarnations left in their spools into the store: each once, as answered or as in
+ * doubt.
+ */
 final class Recovery {
     private static final long CHUNK_ENTRIES = 10_000;
 
-    /** What was found and done. */
+    /** Counts of the entries that were recovered, and descriptions of damaged files. */
     record Report(int answered, int doubts, List<String> damage) {
         boolean isEmpty() {
             return answered == 0 && doubts == 0 && damage.isEmpty();
@@ -23,7 +26,7 @@
 
     private Recovery() {}
 
-    /** Recovers all dead lives of the store's folder; safe to cut off and to run again. */
+    /** Recovers all dead incarnations of the store; safe to interrupt and to repeat. */
     static Report run(Store store, double now, BillingCalendar calendar) throws StoreException {
         int answered = 0;
         int doubts = 0;
@@ -52,22 +55,23 @@
                 } catch (StoreException e) {
                     throw e;
                 } catch (IOException e) {
-                    // Another process recovers it, or it cannot be read: it waits for the next start.
-                    damage.add("life " + incarnation + ": " + e.getMessage());
+                    // Another process recovers it, or it cannot be read: it is left for the next start.
+                    damage.add("incarnation " + incarnation + ": " + e.getMessage());
                 } catch (Exception e) {
-                    throw new StoreException("the spool of life " + incarnation + " cannot be read: " + e, e, false);
+                    throw new StoreException(
+                            "the spool of incarnation " + incarnation + " cannot be read: " + e, e, false);
                 }
             }
         } catch (IOException e) {
-            throw new StoreException("the folder of the ledger cannot be read: " + e.getMessage(), e, false);
+            throw new StoreException("cannot read the ledger folder: " + e.getMessage(), e, false);
         }
         return new Report(answered, doubts, damage);
     }
 
     /**
-     * Danger: in a store that does not know the end of the life's chain (a new one, for a damaged one) its
-     * numbers
-     * may be given by now, at peers; its jobs go into a chain of their own.
+     * Appends to the chain of the incarnation, or to a new chain if the store does not know the end of that one (it was
+     * created to replace a damaged store). Peers may already hold entries under the next numbers of the old chain, so
+     * continuing it would fork the chain.
      */
     private static void appendMissing(Store store, Spool.Contents spooled, List<Entry> missing, double now)
             throws StoreException {
@@ -81,11 +85,12 @@
                 || !store.dispatcher().equals(spooled.origin().dispatcher());
     }
 
-    /** The jobs of the spool that the store has no entry of. */
+    /** Returns entries for the requests in the spool that the store has no entry of. */
     private static List<Entry> findMissing(Store store, Spool.Contents spooled, BillingCalendar calendar)
             throws StoreException {
         Store.Head head = store.head(spooled.origin());
         boolean storeLost = isStoreLost(store, spooled);
+        // The text is stored and compared by later recoveries, so it must not change.
         String reason = storeLost
                 ? "life " + spooled.origin().incarnation() + " was lost with its store"
                 : "the process ended before its answer was confirmed";
--- a/src/main/java/nettlewick/ledger/Spool.java
+++ b/src/main/java/nettlewick/ledger/Spool.java
@@ -27,11 +27,9 @@
 import nettlewick.core.UsageRecorder.Ending;
 
 /**
- * Intents and answers of one life before they are in the store: append-only files of a fixed size, mapped
- * into
- * memory, each record with its length and CRC-32C. A lock file tells whether the life's process lives. Any
- * thread
- * may note records, which does no I/O; one thread makes the files and forces them.
+ * Write-ahead log of one incarnation for requests that are not in the store yet: append-only, memory-mapped files of a
+ * fixed size; each record has its length and a CRC-32C. A lock file shows whether the process of the incarnation is
+ * alive. Any thread may append records, which does no I/O; one thread creates and syncs the files.
  */
 final class Spool implements AutoCloseable {
     private static final int MAGIC = 0x4e575332;
@@ -45,26 +43,26 @@
     private static final Pattern FILE_NAME = Pattern.compile("spool-(\\d+)-(\\d{6})\\.(log|copy)");
     private static final VarHandle INT_VIEW = MethodHandles.byteBufferViewVarHandle(int[].class, ByteOrder.BIG_ENDIAN);
 
-    /** Where intents were written; any thread may tell it. */
+    /** Tracks the intents of a file until their entries are committed. Thread-safe. */
     interface IntentTracker {
-        /** So many of its jobs have committed entries. */
-        void markCommitted(int jobs);
+        /** Counts intents of the file whose entries are now committed. */
+        void markCommitted(int intents);
     }
 
-    /** A file of the spool and how many of its jobs have no committed entry yet. Guarded by the spool. */
+    /** A file of the spool and the number of its requests without a committed entry. Guarded by the spool. */
     private final class Segment implements IntentTracker {
         final Path file;
         final MappedByteBuffer mapped;
         /**
-         * The copy that is forced. Danger: forcing the mapped file itself takes its pages from all cores, and
-         * whoever writes next waits for the disk.
+         * Copy of the mapped file, which is synced in its place: syncing the mapped file would write-protect its pages
+         * on all cores, and the next writer would wait for the disk.
          */
         final Path syncedFile;
 
         final FileChannel syncedChannel;
         int writePosition;
         int syncedPosition;
-        int uncommittedJobs;
+        int uncommittedIntents;
 
         Segment(Path file, ByteBuffer header, int writePosition) throws IOException {
             this.file = file;
@@ -77,26 +75,33 @@
             this.writePosition = writePosition;
         }
 
-        /** Brings what was noted up to there to the disk. */
-        void force(int ends) throws IOException {
-            ByteBuffer unsynced = mapped.slice(syncedPosition, ends - syncedPosition);
+        /** Copies and syncs the records up to a position. */
+        void force(int end) throws IOException {
+            ByteBuffer unsynced = mapped.slice(syncedPosition, end - syncedPosition);
             for (long position = syncedPosition; unsynced.hasRemaining(); ) {
                 position += syncedChannel.write(unsynced, position);
             }
             syncedChannel.force(false);
-            syncedPosition = ends;
+            syncedPosition = end;
         }
 
         @Override
-        public void markCommitted(int jobs) {
+        public void markCommitted(int intents) {
             synchronized (Spool.this) {
-                uncommittedJobs -= jobs;
+                uncommittedIntents -= intents;
                 deleteCommittedSegments();
             }
         }
     }
 
-    /** What a dead life's files hold. */
+    /**
+     * Content of the files of a dead incarnation.
+     *
+     * @param committedNumber the last number that the store had committed when the first file was created
+     * @param intents         by request number
+     * @param finalEntries    entries of the requests whose end was recorded, by request number
+     * @param damage          descriptions of damaged files
+     */
     record Contents(
             ChainOrigin origin,
             long committedNumber,
@@ -114,7 +119,7 @@
     private Segment nextSegment;
     private int nextNumber = 1;
 
-    /** Makes a life's spool and holds its lock. */
+    /** Creates the spool of an incarnation and acquires its lock. */
     Spool(Path folder, ChainOrigin origin, FaultInjection faults) throws IOException {
         this.folder = folder;
         this.origin = origin;
@@ -134,13 +139,13 @@
                 return channel;
             }
         } catch (OverlappingFileLockException e) {
-            // held in this very process
+            // Held by this process.
         }
         channel.close();
-        throw new IOException("life " + incarnation + " is another process's");
+        throw new IOException("incarnation " + incarnation + " belongs to another process");
     }
 
-    /** Holds the lock of a life that writes no spool: a command's. */
+    /** Acquires the lock of an incarnation that writes no spool, such as that of a command. */
     static AutoCloseable claim(Path folder, long incarnation) throws IOException {
         FileChannel channel = acquireLock(folder, incarnation);
         return () -> {
@@ -149,7 +154,7 @@
         };
     }
 
-    /** Whether the process of a life lives. */
+    /** Whether the process of an incarnation is alive. */
     static boolean isAlive(Path folder, long incarnation) throws IOException {
         Path file = lockFile(folder, incarnation);
         if (!Files.exists(file)) {
@@ -170,27 +175,28 @@
     }
 
     /**
-     * Notes that a job is let go: {@code draft} with its number in the life. Copies bytes into mapped memory,
-     * which outlives a killed process; {@link #force} makes them outlive the machine's power.
+     * Records that the answer of a request is about to be released. The record is copied into mapped memory, which
+     * survives a killed process; only {@link #force} makes it survive a power failure.
      *
-     * @return where it stands, or null where there is no room now
+     * @param draft the entry, with its request number
+     * @return tracks the intent; null if there is no room now
      */
     IntentTracker recordIntent(Entry draft) {
         byte[] bytes = draft.toBytes();
         return append(ByteBuffer.allocate(1 + bytes.length).put(INTENT).put(bytes), 1);
     }
 
-    /** Notes what became of a job that was let go. */
-    void recordEnd(long job, double at, boolean answered) {
+    /** Records whether a released answer was delivered. */
+    void recordEnd(long requestNumber, double endedAt, boolean answered) {
         append(
                 ByteBuffer.allocate(1 + 8 + 8)
                         .put(answered ? ANSWERED : LEFT)
-                        .putLong(job)
-                        .putDouble(at),
+                        .putLong(requestNumber)
+                        .putDouble(endedAt),
                 0);
     }
 
-    private IntentTracker append(ByteBuffer record, int jobs) {
+    private IntentTracker append(ByteBuffer record, int intents) {
         byte[] bytes = record.array();
         CRC32C crc = new CRC32C();
         crc.update(bytes);
@@ -207,24 +213,24 @@
             try {
                 segment.mapped.put(segment.writePosition + FRAME_HEADER_BYTES, bytes);
                 segment.mapped.putInt(segment.writePosition + 4, (int) crc.getValue());
-                // Danger: the length makes the record count, so it comes last, whenever the process is
-                // killed.
+                // The length makes the record valid, so it is written last: the process may be killed at any point.
                 INT_VIEW.setRelease(segment.mapped, segment.writePosition, bytes.length);
             } catch (InternalError e) {
-                // The disk under the mapped memory has failed.
+                // The disk of the mapped file has failed.
                 current = null;
                 return null;
             }
             segment.writePosition += frameBytes;
-            segment.uncommittedJobs += jobs;
+            segment.uncommittedIntents += intents;
             return segment;
         }
     }
 
     /**
-     * Sees to it that the next file is there: its blocks are allocated, so that the disk cannot be full when
-     * it is
-     * written. {@code head} is the last number that the store has committed for this life.
+     * Creates the next file if there is none. Its blocks are allocated in advance, so that the disk cannot be full when
+     * it is written.
+     *
+     * @param committedNumber the last number that the store has committed for this incarnation
      */
     void prepareSegment(long committedNumber) throws IOException {
         synchronized (this) {
@@ -261,7 +267,7 @@
         }
     }
 
-    /** A file whose blocks are on the disk, so that it cannot be full when they are written to. */
+    /** Creates a file with all of its blocks allocated, so that later writes cannot run out of disk space. */
     private static FileChannel createFile(Path file, ByteBuffer header) throws IOException {
         FileChannel channel = FileChannel.open(
                 file, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
@@ -278,7 +284,7 @@
         }
     }
 
-    /** All that was noted before the call is on the disk when it returns. Called by one thread. */
+    /** Syncs all records that were appended before the call. Called by one thread only. */
     void force() throws IOException {
         List<Segment> dirty = new ArrayList<>();
         List<Integer> ends = new ArrayList<>();
@@ -301,16 +307,16 @@
         }
     }
 
-    /** What could not be forced is not written to any more. */
+    /** Stops writing to the current files after a failed sync. */
     private synchronized void abandonSegments() {
         current = null;
         nextSegment = null;
     }
 
-    /** Danger: a file is deleted only when all of its jobs are in the store. */
+    /** Deletes the files whose requests are all in the store. Deleting one earlier would lose requests in a crash. */
     private void deleteCommittedSegments() {
         segments.removeIf(s -> {
-            if (s == current || s == nextSegment || s.uncommittedJobs > 0) {
+            if (s == current || s == nextSegment || s.uncommittedIntents > 0) {
                 return false;
             }
             try {
@@ -318,13 +324,16 @@
                 Files.deleteIfExists(s.file);
                 Files.deleteIfExists(s.syncedFile);
             } catch (IOException e) {
-                // It is read again at the next start, which finds its jobs entered.
+                // It is read again at the next start, which finds its requests already entered.
             }
             return true;
         });
     }
 
-    /** Ends the life: files whose jobs are all entered go; the others wait for the next start. */
+    /**
+     * Closes the spool. Files whose requests are all entered are deleted; the others are left for recovery at the next
+     * start.
+     */
     @Override
     public synchronized void close() {
         current = null;
@@ -339,13 +348,13 @@
             }
             lock.close();
         } catch (IOException e) {
-            // The kernel gives the lock back with the process.
+            // The operating system releases the lock when the process ends.
         }
     }
 
-    // Reading what a dead life left
+    // Reading the files of dead incarnations
 
-    /** The lives that left files and whose process is dead. */
+    /** Returns the incarnations that left files and whose process is dead. */
     static List<Long> findDead(Path folder) throws IOException {
         Map<Long, Boolean> incarnations = new TreeMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "{spool,life}-*")) {
@@ -366,7 +375,7 @@
         return dead;
     }
 
-    /** Reads the files of a life; null where it left none. */
+    /** Reads the files of an incarnation; null if there are none. */
     static Contents read(Path folder, long incarnation) throws IOException {
         List<Path> files = new ArrayList<>();
         try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, "spool-" + incarnation + "-*")) {
@@ -409,12 +418,13 @@
                 return contents;
             }
         }
-        // Danger: cut off in its head, or all zeros there, it was never written to; all else is put aside.
+        // A file that is truncated in its header, or has zeros there, was never written to; any other header is
+        // reported as damage.
         if (in.limit() >= 4 && in.getInt(0) != MAGIC && in.getInt(0) != 0) {
             if (contents != null) {
-                contents.damage().add(file + ": not a spool");
+                contents.damage().add(file + ": not a spool file");
             } else {
-                throw new IOException(file + " is not a spool");
+                throw new IOException(file + " is not a spool file");
             }
         }
         return contents;
@@ -426,11 +436,11 @@
             int length = in.getInt();
             int storedCrc = in.getInt();
             if (length == 0) {
-                // The rest of the file was never written to.
+                // The remainder of the file has never been written.
                 return;
             }
             if (length < 0 || length > MAX_RECORD_BYTES) {
-                contents.damage().add(file + ": no record at byte " + start);
+                contents.damage().add(file + ": invalid record length at byte " + start);
                 return;
             }
             if (in.remaining() < length) {
@@ -443,7 +453,7 @@
             CRC32C crc = new CRC32C();
             crc.update(record);
             if ((int) crc.getValue() != storedCrc) {
-                contents.damage().add(file + ": a record with a wrong sum at byte " + start);
+                contents.damage().add(file + ": checksum mismatch at byte " + start);
                 return;
             }
             ByteBuffer r = ByteBuffer.wrap(record);
@@ -452,22 +462,22 @@
                 Entry draft = Entry.fromBytes(java.util.Arrays.copyOfRange(record, 1, length));
                 contents.intents().put(draft.requestNumber(), draft);
             } else {
-                long job = r.getLong();
-                Entry draft = contents.intents().get(job);
+                long requestNumber = r.getLong();
+                Entry draft = contents.intents().get(requestNumber);
                 if (draft != null) {
-                    contents.finalEntries().put(job, finalEntry(draft, r.getDouble(), type == ANSWERED));
+                    contents.finalEntries().put(requestNumber, finalEntry(draft, r.getDouble(), type == ANSWERED));
                 }
             }
         }
     }
 
-    /** The entry of a draft whose end is known. */
-    static Entry finalEntry(Entry draft, double at, boolean answered) {
-        // Danger: work for a client that has left is nobody's: it is shown apart, and never billed.
+    /** Returns the entry for a request whose end is known. */
+    static Entry finalEntry(Entry draft, double endedAt, boolean answered) {
+        // Work for a client that disconnected is never billed; it is shown as extra work.
         return new Entry(
                 draft.ref(),
                 Entry.Kind.JOB,
-                at,
+                endedAt,
                 draft.tenant(),
                 draft.requestClass(),
                 draft.requestId(),
--- a/src/main/java/nettlewick/ledger/Statement.java
+++ b/src/main/java/nettlewick/ledger/Statement.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * What members used in one period. Work is in slot-microseconds.
+ * Usage of the tenants in one period; work is in slot-microseconds. The names of the components are printed as JSON.
  *
- * @param closed whether every dispatcher that has entries in it has closed its part
- * @param open   the dispatchers that have not
- * @param rows   by member and class
- * @param late   what is found later and belongs to closed periods: it counts here, and names them
- * @param gaps   jobs that were answered and could not be entered one by one
- * @param voided corrections that do not count, each with why
+ * @param closed whether every dispatcher with entries in the period has closed its part
+ * @param open   the dispatchers that have not closed their part
+ * @param rows   by tenant and request class
+ * @param late   changes to closed periods that were found later and are billed in this period
+ * @param gaps   answered requests that could not be entered individually
+ * @param voided corrections that have no effect, with the reason
  */
 public record Statement(
         String period,
@@ -21,7 +21,7 @@
         List<Late> late,
         List<Gap> gaps,
         List<VoidedCorrection> voided) {
-    /** Counts and work of a member in a class; {@code billed} is net of corrections and repeated keys. */
+    /** Counts and work of a tenant in a request class; {@code billed} is net of corrections and repeated keys. */
     public record Row(
             @SerializedName("member") String tenant,
             @SerializedName("jobClass") String requestClass,
@@ -36,7 +36,7 @@
             long doubtWork,
             long repeats) {}
 
-    /** A difference that belongs to a closed period: how many entries, and what they add. */
+    /** A change to a closed period: the number of entries and the work that they add. */
     public record Late(
             String closed,
             @SerializedName("member") String tenant,
@@ -44,13 +44,13 @@
             long entries,
             long work) {}
 
-    /** Answered between those times. */
+    /** Requests that were answered between two times and are not entered individually. */
     public record Gap(EntryRef ref, double from, double to, long jobs) {}
 
-    /** A correction that does not count. */
+    /** A correction that has no effect. */
     public record VoidedCorrection(EntryRef ref, EntryRef target, String why) {}
 
-    /** All that is billed here, late differences too. */
+    /** Total billed work, including late changes. */
     public long billed() {
         return rows.stream().mapToLong(Row::billed).sum()
                 + late.stream().mapToLong(Late::work).sum();
--- a/src/main/java/nettlewick/ledger/StatementCalculator.java
+++ b/src/main/java/nettlewick/ledger/StatementCalculator.java
@@ -18,16 +18,15 @@
 import nettlewick.ledger.Entry.Kind;
 
 /**
- * The accounts: a pure function of the set of entries that it was given, whatever their order. Does no I/O
- * and
- * reads no clock.
+ * Computes statements as a pure function of a set of entries, independent of their order. Does no I/O and reads no
+ * clock.
  *
- * <p>What an entry is worth depends on what is known. A closed period states what its dispatcher's close
- * covered, for good; what is found later is stated as a difference in the next period whose close covers it,
- * or which is open.
+ * <p>The value of an entry depends on which other entries are known. The statement of a closed period covers exactly
+ * what its dispatcher's close covers and never changes; what is found later is stated as a difference in the next
+ * period that is open or whose close covers it.
  */
 public final class StatementCalculator {
-    /** TestEntries with one key of one member's class, the earliest first: only the first is billed. */
+    /** Groups entries of a tenant and request class by idempotency key; only the earliest is billed. */
     private record Key(String tenant, String requestClass, String hash) {}
 
     private static final Comparator<Entry> BY_TIME =
@@ -51,18 +50,18 @@
     private final Map<EntryRef, Entry> byRef = new HashMap<>();
     private final Map<EntryRef, List<Entry>> corrections = new HashMap<>();
     private final Map<Key, List<Entry>> keyed = new HashMap<>();
-    /** By dispatcher, then by the beginning of the period; of several the earliest in its chain counts. */
+    /** By dispatcher and start of the period; of several closes the earliest in its chain counts. */
     private final Map<String, NavigableMap<Double, Entry>> closes = new TreeMap<>();
 
     private Map<String, Statement> statements;
 
-    /** {@code keyWindow}: a key answered again within so many milliseconds is not billed again. */
+    /** @param keyWindowMillis a key that is answered again within this time is not billed again */
     public StatementCalculator(BillingCalendar calendar, double keyWindowMillis) {
         this.calendar = calendar;
         this.keyWindowMillis = keyWindowMillis;
     }
 
-    /** Takes an entry over; false if it is held already. */
+    /** Adds an entry; returns false if it was already added. */
     public boolean add(Entry e) {
         if (!refs.add(e.ref())) {
             return false;
@@ -98,12 +97,12 @@
         return true;
     }
 
-    /** The entry of that name, of any kind; null if it is not held. */
+    /** Returns the entry, of any kind; null if it was not added. */
     public Entry entry(EntryRef ref) {
         return byRef.get(ref);
     }
 
-    /** The correction that counts for an entry, or null. */
+    /** Returns the effective correction of an entry, or null. */
     public Entry correction(EntryRef target) {
         return effectiveCorrection(target, r -> true);
     }
@@ -114,14 +113,15 @@
     }
 
     /**
-     * What the settings' calendar contradicts: a period that was closed with other bounds. Null if nothing.
+     * Describes a period that was closed with other bounds than the calendar of the settings has; null if there is
+     * none.
      */
     public String calendarConflict() {
         for (NavigableMap<Double, Entry> all : closes.values()) {
             for (Entry e : all.values()) {
                 BillingCalendar.Period closed = e.parseClose().period();
                 if (!calendar.periodAt(closed.from()).equals(closed)) {
-                    return "period " + closed.name() + " was closed as " + closed + ", the settings say "
+                    return "period " + closed.name() + " was closed as " + closed + ", but the settings define "
                             + calendar.periodAt(closed.from());
                 }
             }
@@ -129,7 +129,7 @@
         return null;
     }
 
-    /** The earliest period of a dispatcher that has entries and is not closed; null if there is none. */
+    /** Returns the earliest period in which a dispatcher has entries and which it has not closed, or null. */
     public BillingCalendar.Period firstOpenPeriod(String dispatcher) {
         return java.util.stream.Stream.concat(billable.stream(), gaps.stream())
                 .filter(e -> e.ref().origin().dispatcher().equals(dispatcher))
@@ -140,20 +140,20 @@
     }
 
     /**
-     * Whether nothing that is known changes an entry any more: its period's close covers it, and neither a
-     * correction nor another answer under its key is held. Only such entries can be set aside alone.
+     * Whether no known entry can still change this one: the close of its period covers it, and there is neither a
+     * correction nor another answer with its key. Only such entries can be archived on their own.
      */
     public boolean isSettled(Entry e) {
         Close close = closeOf(e.ref().origin().dispatcher(), calendar.periodAt(e.timeMillis()));
         return close != null && close.covers(e.ref()) && (e.kind() == Kind.GAP || hasFixedValue(e));
     }
 
-    /** The periods that have anything to state, the earliest first. */
+    /** The names of the periods that have a statement, in order. */
     public Collection<String> periods() {
         return statementsByPeriod().keySet();
     }
 
-    /** The statement of a period; an empty one where nothing happened. */
+    /** Returns the statement of a period, which is empty if nothing happened in it. */
     public Statement statement(String period) {
         Statement found = statementsByPeriod().get(period);
         if (found != null || calendar.periodNamed(period).isEmpty()) {
@@ -166,7 +166,7 @@
         return empty.build();
     }
 
-    // What an entry is worth to who knows only some of the entries
+    // Values given a subset of the entries
 
     private Entry effectiveCorrection(EntryRef target, Predicate<EntryRef> visible) {
         List<Entry> all = corrections.get(target);
@@ -179,7 +179,7 @@
                 .orElse(null);
     }
 
-    /** Whether a correction is one that may count at all. */
+    /** Whether a correction is from the dispatcher of its target; others have no effect. */
     private boolean isByOwnDispatcher(Entry correction) {
         return correction
                 .ref()
@@ -188,7 +188,7 @@
                 .equals(correction.target().origin().dispatcher());
     }
 
-    /** Whether an earlier answer under the same key is billed in its place. */
+    /** Whether an earlier answer with the same key is billed instead. */
     private boolean isRepeat(Entry e, Predicate<EntryRef> visible) {
         List<Entry> sameKey = e.keyHash() == null || e.kind() != Kind.JOB || e.ending() != Ending.SERVED
                 ? null
@@ -272,9 +272,20 @@
                             .toList());
         }
 
-        private static Statement.Row row(List<String> who, long[] n) {
+        private static Statement.Row row(List<String> key, long[] counts) {
             return new Statement.Row(
-                    who.get(0), who.get(1), n[0], n[1], n[2], n[3], n[4], n[5], n[6], n[7], n[8], n[9]);
+                    key.get(0),
+                    key.get(1),
+                    counts[0],
+                    counts[1],
+                    counts[2],
+                    counts[3],
+                    counts[4],
+                    counts[5],
+                    counts[6],
+                    counts[7],
+                    counts[8],
+                    counts[9]);
         }
     }
 
@@ -282,12 +293,12 @@
         if (statements == null) {
             TreeMap<Double, StatementDraft> drafts = buildDrafts(e -> true);
             Set<String> dispatchers = dispatchers();
-            Map<String, Statement> done = new LinkedHashMap<>();
+            Map<String, Statement> byPeriod = new LinkedHashMap<>();
             drafts.values().forEach(d -> {
                 dispatchers.stream().filter(name -> !isClosed(name, d.period)).forEach(d.openDispatchers::add);
-                done.put(d.period.name(), d.build());
+                byPeriod.put(d.period.name(), d.build());
             });
-            statements = done;
+            statements = byPeriod;
         }
         return statements;
     }
@@ -308,7 +319,7 @@
         return drafts;
     }
 
-    /** One dispatcher's part of a period. */
+    /** Returns the part of a period that belongs to one dispatcher. */
     Statement dispatcherPart(String dispatcher, BillingCalendar.Period period) {
         StatementDraft part =
                 draftOf(buildDrafts(e -> e.ref().origin().dispatcher().equals(dispatcher)), period);
@@ -334,7 +345,10 @@
         void accept(StatementDraft draft, BillingCalendar.Period nominal);
     }
 
-    /** Finds the first period, from the entry's own on, that is open or whose close covers the entry. */
+    /**
+     * Finds the period in which an entry is stated: the first one from its own on that is open or whose close covers
+     * the entry.
+     */
     private void placeInDraft(Entry e, TreeMap<Double, StatementDraft> drafts, DraftAction action) {
         BillingCalendar.Period nominal = calendar.periodAt(e.timeMillis());
         BillingCalendar.Period period = nominal;
@@ -355,15 +369,15 @@
     private void addIfVoid(Entry c, TreeMap<Double, StatementDraft> drafts) {
         Entry target = byRef.get(c.target());
         String reason = !isByOwnDispatcher(c)
-                ? "only the entry's own dispatcher corrects it"
+                ? "only the dispatcher that wrote the entry can correct it"
                 : target == null
-                        ? "its entry is not held here, or not yet"
+                        ? "the corrected entry is not in this ledger (yet)"
                         : target.kind() == Kind.CORRECTION
-                                ? "a correction is not corrected"
+                                ? "a correction cannot be corrected"
                                 : target.kind() != Kind.JOB && target.kind() != Kind.DOUBT
-                                        ? "the entry bills nothing"
+                                        ? "the entry is not billable"
                                         : effectiveCorrection(c.target(), r -> true) != c
-                                                ? "the entry was corrected before"
+                                                ? "the entry has an earlier correction"
                                                 : null;
         if (reason != null) {
             placeInDraft(
@@ -373,7 +387,7 @@
         }
     }
 
-    /** States an entry in its period, and in later ones what was found out after closes. */
+    /** Adds the value of an entry to its own period, and later changes of the value to the following periods. */
     private void addValue(Entry e, TreeMap<Double, StatementDraft> drafts) {
         String dispatcher = e.ref().origin().dispatcher();
         placeInDraft(e, drafts, (draft, nominal) -> addCounts(e, draft, nominal));
@@ -385,7 +399,7 @@
         Predicate<EntryRef> visibleBefore = r -> false;
         while (true) {
             Close close = closeOf(dispatcher, period);
-            // What an earlier period has stated stays known, also where that was closed after the later one.
+            // What an earlier period has stated remains known, even if that period was closed after the later one.
             Predicate<EntryRef> visible = close == null ? r -> true : visibleBefore.or(close::covers);
             visibleBefore = visible;
             long value = fixedValue
@@ -423,7 +437,7 @@
 
     private static void addCounts(Entry e, StatementDraft draft, BillingCalendar.Period nominal) {
         if (draft.period.from() != nominal.from()) {
-            // Found after the close: it is stated as late, and counts in the row of no period.
+            // Found after the close: it is stated as a late change and counts in no row.
             return;
         }
         long[] row = draft.row(e);
--- a/src/main/java/nettlewick/ledger/Store.java
+++ b/src/main/java/nettlewick/ledger/Store.java
@@ -18,9 +18,8 @@
 import nettlewick.sqlite.StoreException;
 
 /**
- * The entries on a disk: one SQLite file in WAL mode. Several processes may hold it, each with stores of its
- * own;
- * one store belongs to one thread. What a method changes is one transaction, and durable when it returns.
+ * The entries on disk: one SQLite file in WAL mode. Several processes may open it, each with its own stores; one store
+ * belongs to one thread. What a method changes is one transaction, durable when the method returns.
  */
 final class Store implements AutoCloseable {
     static final String FILE_NAME = "ledger.db";
@@ -47,7 +46,7 @@
                 + "entries INTEGER NOT NULL) WITHOUT ROWID"
     };
 
-    /** The end of an origin's chain. */
+    /** The last entry of a chain: its number and hash. */
     record Head(long number, byte[] hash) {
         static final Head NONE = new Head(0, Entry.INITIAL_HASH);
 
@@ -56,13 +55,13 @@
         }
     }
 
-    /** What stands at a place of a chain; {@code bytes} is null where the entry has been pruned. */
+    /** An entry of a chain; {@code bytes} is null if the entry has been pruned. */
     record Row(long number, byte[] bytes, byte[] hash) {}
 
-    /** A batch that was cut: its entries are those of the ranges, in their order. */
+    /** A batch of an export, which never changes; its entries are those of the ranges, in order. */
     record Batch(String export, long number, List<Range> ranges, long entries, boolean delivered) {}
 
-    /** TestEntries of one life, both ends included. */
+    /** Entries of one incarnation, both ends included. */
     record Range(long incarnation, long from, long to) {
         private static List<Range> parse(String text) {
             return Arrays.stream(text.split(" "))
@@ -92,7 +91,7 @@
         this.faults = faults;
     }
 
-    /** Opens the store of a folder to write, and makes it where there is none. */
+    /** Opens the store of a folder for writing; creates it if it does not exist. */
     static Store open(Path folder, String dispatcher, FaultInjection faults) throws StoreException {
         Store store = connect(folder, false, faults);
         try {
@@ -104,7 +103,7 @@
         }
     }
 
-    /** Opens it to write under the name that it has. */
+    /** Opens an existing store for writing, as the dispatcher that it belongs to. */
     static Store open(Path folder) throws StoreException {
         if (!Files.exists(folder.resolve(FILE_NAME))) {
             throw new StoreException("no ledger in " + folder, null, false);
@@ -112,7 +111,7 @@
         return open(folder, null, FaultInjection.NONE);
     }
 
-    /** Opens it to read alone, beside whoever writes. */
+    /** Opens an existing store read-only, also while other processes write to it. */
     static Store read(Path folder) throws StoreException {
         if (!Files.exists(folder.resolve(FILE_NAME))) {
             throw new StoreException("no ledger in " + folder, null, false);
@@ -133,12 +132,13 @@
             if (version == null) {
                 execute("INSERT INTO meta VALUES('version', ?)", Integer.toString(SCHEMA_VERSION));
             } else if (Integer.parseInt(version) != SCHEMA_VERSION) {
-                throw new IOException("its form is version " + version + ", this program knows " + SCHEMA_VERSION);
+                throw new IOException(
+                        "its schema version is " + version + ", but this program supports version " + SCHEMA_VERSION);
             }
             dispatcher = queryFirst("SELECT value FROM meta WHERE name = 'dispatcher'");
             if (dispatcher == null) {
                 if (name == null) {
-                    throw new IOException("nobody has written here yet");
+                    throw new IOException("it has not been initialized by a dispatcher");
                 }
                 execute("INSERT INTO meta VALUES('dispatcher', ?)", name);
                 dispatcher = name;
@@ -149,7 +149,7 @@
         });
     }
 
-    /** Whose ledger it is. */
+    /** The dispatcher that the store belongs to. */
     String dispatcher() {
         return dispatcher;
     }
@@ -188,9 +188,12 @@
         return query(() -> queryFirst("SELECT value FROM meta WHERE name = ?", name));
     }
 
-    // Lives and chains
+    // Incarnations and chains
 
-    /** Begins a life of this dispatcher: Unix seconds, or one more than the largest that is known. */
+    /**
+     * Starts an incarnation of this dispatcher. Its number is the time in Unix seconds, or the largest known number
+     * plus one if that is more.
+     */
     ChainOrigin beginIncarnation(double now) throws StoreException {
         return inTransaction("written", () -> {
             String last = queryFirst(
@@ -231,12 +234,12 @@
         }
     }
 
-    /** The end of an origin's chain. */
+    /** Returns the head of an origin's chain. */
     Head head(ChainOrigin origin) throws StoreException {
         return query(() -> queryHead(origin));
     }
 
-    /** The ends of all chains. */
+    /** Returns the heads of all chains. */
     Map<ChainOrigin, Head> heads() throws StoreException {
         return query(() -> {
             Map<ChainOrigin, Head> all = new TreeMap<>();
@@ -253,22 +256,22 @@
         });
     }
 
-    /** The numbers up to which each origin is held, for a close's vector. */
+    /** The last number that is held of each origin, for a close. */
     private Map<ChainOrigin, Long> lastNumbers() throws SQLException {
-        Map<ChainOrigin, Long> vector = new TreeMap<>();
+        Map<ChainOrigin, Long> lastNumbers = new TreeMap<>();
         try (PreparedStatement s = prepare("SELECT dispatcher, life, (SELECT max(number) FROM entry "
                         + "WHERE entry.origin = origin.id) FROM origin");
                 ResultSet r = s.executeQuery()) {
             while (r.next()) {
-                vector.put(new ChainOrigin(r.getString(1), r.getLong(2)), r.getLong(3));
+                lastNumbers.put(new ChainOrigin(r.getString(1), r.getLong(2)), r.getLong(3));
             }
         }
-        return vector;
+        return lastNumbers;
     }
 
     /**
-     * Enters drafts at the end of an own chain, in their order, as one transaction. Only one process writes a
-     * chain, so its end is remembered.
+     * Appends entries to a chain of this dispatcher in one transaction. The head is cached, since only one process
+     * writes a chain.
      *
      * @return the number of the last entry
      */
@@ -309,9 +312,9 @@
     }
 
     /**
-     * Takes a piece of another dispatcher's chain over, checked link by link by the caller: it follows the
-     * head
-     * given. False where the chain has another end by now.
+     * Appends entries of another dispatcher's chain, whose hashes the caller has verified.
+     *
+     * @return false if the chain has another head than expected, or is quarantined
      */
     boolean merge(ChainOrigin origin, Head expectedHead, List<Row> rows) throws StoreException {
         return inTransaction("written", () -> {
@@ -330,7 +333,7 @@
         });
     }
 
-    /** TestEntries of a chain from one number to another, both included. */
+    /** Returns the entries of a chain between two numbers, both included. */
     List<Row> rows(ChainOrigin origin, long from, long to) throws StoreException {
         return query(() -> {
             List<Row> rows = new ArrayList<>();
@@ -350,7 +353,7 @@
         });
     }
 
-    /** All entries that are not pruned. */
+    /** Passes all entries that are not pruned to the action. */
     void forEachEntry(Consumer<Entry> action) throws StoreException {
         query(() -> {
             try (PreparedStatement s = prepare("SELECT bytes FROM entry WHERE bytes IS NOT NULL");
@@ -363,7 +366,7 @@
         });
     }
 
-    /** The entry of that name, or null. */
+    /** Returns an entry; null if it does not exist or is pruned. */
     Entry entry(EntryRef ref) throws StoreException {
         List<Row> rows = rows(ref.origin(), ref.number(), ref.number());
         return rows.isEmpty() || rows.get(0).bytes() == null
@@ -371,7 +374,7 @@
                 : Entry.fromBytes(rows.get(0).bytes());
     }
 
-    /** The correction of an entry by its own dispatcher that counts, or null. */
+    /** Returns the effective correction of an entry: the first one by its own dispatcher; null if there is none. */
     Entry correctionOf(EntryRef target) throws StoreException {
         return query(() -> {
             Entry first = null;
@@ -388,7 +391,7 @@
         });
     }
 
-    /** How many entries there are of each kind, by this dispatcher alone if asked. */
+    /** Counts the entries by kind, optionally only those of this dispatcher. */
     Map<Entry.Kind, Long> countByKind(boolean ownOnly) throws StoreException {
         return query(() -> {
             Map<Entry.Kind, Long> counts = new java.util.EnumMap<>(Entry.Kind.class);
@@ -416,7 +419,7 @@
                 origin.incarnation());
     }
 
-    /** From now on nothing of this origin is taken over; the first reason stays. */
+    /** Quarantines an origin, whose entries are no longer accepted from peers; the first reason is kept. */
     void quarantine(ChainOrigin origin, String reason) throws StoreException {
         inTransaction("written", () -> {
             originId(origin, true);
@@ -428,7 +431,7 @@
         });
     }
 
-    /** The origins that are quarantined, each with why. */
+    /** Returns the quarantined origins with the reasons. */
     Map<ChainOrigin, String> quarantined() throws StoreException {
         return query(() -> {
             Map<ChainOrigin, String> all = new TreeMap<>();
@@ -445,12 +448,15 @@
 
     // Closing
 
-    /** A period is about to be closed: each life is to say when all that it answered before is durable. */
+    /**
+     * Asks every incarnation to report when all that it answered before the end of the period is durable, so that the
+     * period can be closed.
+     */
     void requestSettlement(BillingCalendar.Period period) throws StoreException {
         inTransaction("written", () -> execute("INSERT OR REPLACE INTO mark VALUES(?, ?)", period.name(), period.to()));
     }
 
-    /** Until when lives have to be settled, 0 where nobody asks. */
+    /** Returns the time up to which incarnations have to be settled; 0 if no close is pending. */
     double settlementRequestedUntil() throws StoreException {
         return query(() -> {
             String until = queryFirst("SELECT max(until) FROM mark");
@@ -458,7 +464,7 @@
         });
     }
 
-    /** All that this life answered before then is durable. */
+    /** Records that all answers of an incarnation before a time are durable. */
     void recordSettled(ChainOrigin own, double until) throws StoreException {
         inTransaction(
                 "written",
@@ -472,10 +478,11 @@
         });
     }
 
-    /** Closes this dispatcher's part of a period over all that is held, in one transaction. */
-    void closePeriod(ChainOrigin own, BillingCalendar.Period period, double now, String by) throws StoreException {
+    /** Closes this dispatcher's part of a period over all entries that are held, in one transaction. */
+    void closePeriod(ChainOrigin own, BillingCalendar.Period period, double now, String requestedBy)
+            throws StoreException {
         inTransaction("written", () -> {
-            insert(own, List.of(Entry.close(new EntryRef(own, 0), now, period, lastNumbers(), by)));
+            insert(own, List.of(Entry.close(new EntryRef(own, 0), now, period, lastNumbers(), requestedBy)));
             return execute("DELETE FROM mark WHERE period = ?", period.name());
         });
     }
@@ -483,8 +490,8 @@
     // Export
 
     /**
-     * Cuts the next batch of this dispatcher's own entries, and moves the cursor with it; null where there is
-     * nothing new. A batch that was cut stays as it is.
+     * Creates the next batch of this dispatcher's own entries and advances the export's cursor in the same transaction;
+     * null if there are no new entries. A batch never changes afterwards.
      */
     Batch cutBatch(String export, long maxEntries) throws StoreException {
         return inTransaction("written", () -> {
@@ -526,7 +533,7 @@
         });
     }
 
-    /** The earliest batch that was cut and not delivered, or null. */
+    /** Returns the earliest batch that is not delivered, or null. */
     Batch pendingBatch(String export) throws StoreException {
         return query(() -> {
             try (PreparedStatement s = prepare(
@@ -542,7 +549,7 @@
         });
     }
 
-    /** A batch that was cut, delivered or not; null where the number was never given. */
+    /** Returns a batch, delivered or not; null if the number has not been assigned. */
     Batch batch(String export, long number) throws StoreException {
         return query(() -> {
             try (PreparedStatement s = prepare(
@@ -566,7 +573,7 @@
                         batch.number()));
     }
 
-    /** TestEntries of this dispatcher that an export has not delivered yet. */
+    /** Number of entries of this dispatcher that an export has not delivered yet. */
     long exportLag(String export) throws StoreException {
         return query(() -> {
             String all = queryFirst(
@@ -576,7 +583,7 @@
         });
     }
 
-    /** Whether every export that has ever cut has delivered this entry. */
+    /** Whether every export that has ever created a batch has delivered the entry. */
     boolean isExported(EntryRef ref) throws StoreException {
         return query(() -> {
             try (PreparedStatement s = prepare(
@@ -597,7 +604,10 @@
 
     // Archives
 
-    /** A period's entries are in a file: their bytes go, their hashes stay and hold the chain together. */
+    /**
+     * Removes the content of entries that are in an archive file; their hashes are kept, so that the chain can still be
+     * verified.
+     */
     void prune(String period, String file, String sum, List<EntryRef> refs) throws StoreException {
         inTransaction("written", () -> {
             execute("INSERT OR REPLACE INTO archive VALUES(?, ?, ?, ?)", period, file, sum, refs.size());
@@ -614,7 +624,7 @@
         });
     }
 
-    /** The file, sum and number of entries of an archived period; null where it is none. */
+    /** Returns the file, SHA-256 and number of entries of an archived period; null if it is not archived. */
     List<String> archiveInfo(String period) throws StoreException {
         return query(() -> {
             try (PreparedStatement s = prepare("SELECT file, sum, entries FROM archive WHERE period = ?", period);
@@ -624,7 +634,7 @@
         });
     }
 
-    /** The names of archived periods. */
+    /** Returns the names of the archived periods. */
     List<String> archivedPeriods() throws StoreException {
         return query(() -> {
             List<String> names = new ArrayList<>();
@@ -638,7 +648,11 @@
         });
     }
 
-    /** Brings pruned entries back; each has to be the one whose hash stands there. */
+    /**
+     * Restores pruned entries; each one has to match the hash that was kept.
+     *
+     * @return the number of restored entries
+     */
     long restorePruned(String period, List<Entry> entries) throws StoreException {
         return inTransaction("written", () -> {
             long restored = 0;
@@ -650,7 +664,8 @@
                 if (previousHash == null
                         || storedHash == null
                         || !Arrays.equals(storedHash, Entry.chainHash(previousHash, bytes))) {
-                    throw new IOException("entry " + ref + " of the archive is not the one that was pruned");
+                    throw new IOException(
+                            "entry " + ref + " of the archive does not match the hash of the pruned entry");
                 }
                 restored += execute(
                         "UPDATE entry SET bytes = ? WHERE origin = ? AND number = ? AND bytes IS NULL",
@@ -671,15 +686,13 @@
         }
     }
 
-    /**
-     * Walks every chain; one line for each fault: where a link, a number or the bytes of an entry are wrong.
-     */
+    /** Verifies every chain; returns one line for each wrong hash, number or entry. */
     List<String> verify() throws StoreException {
         List<String> problems = new ArrayList<>();
         query(() -> {
             String integrity = queryFirst("PRAGMA quick_check(1)");
             if (!"ok".equals(integrity)) {
-                problems.add("the file itself: " + integrity);
+                problems.add("database file: " + integrity);
             }
             return null;
         });
@@ -698,10 +711,10 @@
                         if (number != next) {
                             problems.add(ref + ": entries " + next + " to " + (number - 1) + " are missing");
                         } else if (bytes != null && !matchesRef(ref, bytes)) {
-                            problems.add(ref + ": its bytes are not an entry of that name");
+                            problems.add(ref + ": its content is not an entry with this reference");
                         } else if (bytes != null
                                 && !Arrays.equals(r.getBytes(3), Entry.chainHash(previousHash, bytes))) {
-                            problems.add(ref + ": its hash does not follow from the entry and the hash " + "before it");
+                            problems.add(ref + ": its hash does not match the entry and the previous " + "hash");
                         }
                         previousHash = r.getBytes(3);
                         next = number + 1;
@@ -715,7 +728,10 @@
         return problems;
     }
 
-    /** A chain cut off at its end is whole in itself: only what names a later number shows it. */
+    /**
+     * Finds chains whose tail is missing. Such a chain is consistent in itself: the loss only shows where a later
+     * number was exported or closed.
+     */
     private void findMissingTails(List<String> problems) throws StoreException {
         Map<ChainOrigin, Long> referenced = new TreeMap<>();
         query(() -> {
@@ -755,7 +771,7 @@
         }
     }
 
-    /** Moves a damaged file and its companions out of the way, and says where to. */
+    /** Renames a damaged database file with its WAL and shared memory files; returns the new path. */
     static Path moveDamagedAside(Path folder, double now) throws IOException {
         String infix = ".damaged-" + (long) now;
         for (String suffix : new String[] {"-wal", "-shm", ""}) {
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -142,7 +142,7 @@
         child.waitFor();
     }
 
-    private static void assertEachAnswerOnce(LedgerStoreFixture.Seen seen, Set<String> asked, Set<String> answered)
+    private static void assertEachAnswerOnce(LedgerStoreFixture.Contents seen, Set<String> asked, Set<String> answered)
             throws Exception {
         Map<String, Integer> times = new HashMap<>();
         seen.entered().forEach(id -> times.merge(id, 1, Integer::sum));
@@ -161,7 +161,7 @@
         assertEquals(
                 answered.size() + more, seen.entered().size() + seen.doubts().size());
         assertTrue(answered.size() > KILLS * 20, answered.size() + " answered");
-        assertEquals(List.of(), seen.verify());
+        assertEquals(List.of(), seen.faults());
     }
 
     private static boolean healthy(int port) {
--- a/src/test/java/nettlewick/ledger/ExportTest.java
+++ b/src/test/java/nettlewick/ledger/ExportTest.java
@@ -30,12 +30,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each entry arrives exactly once, wherever the exporter is cut off and whatever the other side does. */
+/** Each entry is delivered exactly once, wherever the exporter is interrupted and however the target fails. */
 @Timeout(120)
 class ExportTest {
     private static final double NOW = 1793491200000.0;
 
-    /** The process ends here. */
+    /** Simulates the end of the process. */
     private static final class Crash extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
@@ -47,49 +47,56 @@
         return new ExportSettings("x", folder, url, csv, 7, 1, timeout, 1, 10, attempts);
     }
 
-    private static List<Entry> drafts(Random random, int count, long[] work) {
+    private static List<Entry> drafts(Random random, int count, long[] totals) {
         List<Entry> drafts = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            long one = random.nextInt(100_000);
-            work[0] += one;
-            work[1]++;
+            long workSlotMicros = random.nextInt(100_000);
+            totals[0] += workSlotMicros;
+            totals[1]++;
             drafts.add(TestEntries.job(
-                    new EntryRef(new ChainOrigin("", 0), 0), NOW, "m" + random.nextInt(5), null, Ending.SERVED, one));
+                    new EntryRef(new ChainOrigin("", 0), 0),
+                    NOW,
+                    "m" + random.nextInt(5),
+                    null,
+                    Ending.SERVED,
+                    workSlotMicros));
         }
         return drafts;
     }
 
     /**
-     * Ended 600 times at a place drawn from the seed: at any write, sync, rename, acknowledgement or commit.
+     * Interrupts the exporter 600 times at a point drawn from the seed: any write, sync, rename, acknowledgement or
+     * commit.
      */
     @Test
-    void anExporterThatIsEndedAnywhereDeliversEachEntryOnce() throws Exception {
+    void interruptedExporterDeliversEachEntryOnce() throws Exception {
         Random random = new Random(20261201);
-        long[] work = new long[2];
-        Path out = dir.resolve("out");
+        long[] totals = new long[2];
+        Path folder = dir.resolve("out");
         Map<Long, byte[]> received = new HashMap<>();
-        Set<String> points = new HashSet<>();
+        Set<String> crashPoints = new HashSet<>();
         int crashes = 0;
         while (crashes < 600) {
-            int[] left = {random.nextInt(40)};
+            int[] pointsUntilCrash = {random.nextInt(40)};
             FaultInjection faults = point -> {
-                if (left[0]-- == 0) {
-                    points.add(point);
+                if (pointsUntilCrash[0]-- == 0) {
+                    crashPoints.add(point);
                     throw new Crash();
                 }
                 if (random.nextInt(25) == 0 && (point.startsWith("file") || point.startsWith("receiver"))) {
-                    throw new IOException("made up at " + point);
+                    throw new IOException("injected at " + point);
                 }
             };
             boolean files = random.nextBoolean();
-            ExportSettings s = settings(out, null, true, 4, 100);
+            ExportSettings s = settings(folder, null, true, 4, 100);
             ExportTarget target = files
-                    ? new FileTarget(out, faults)
+                    ? new FileTarget(folder, faults)
                     : parcel -> {
                         faults.at("receiver-before");
                         byte[] before = received.putIfAbsent(parcel.number(), parcel.content());
                         assertTrue(
-                                before == null || java.util.Arrays.equals(before, parcel.content()), "another content");
+                                before == null || java.util.Arrays.equals(before, parcel.content()),
+                                "the batch was delivered with other content");
                         faults.at("receiver-after");
                     };
             try (Store store = Store.open(dir.resolve("s"), "a", faults)) {
@@ -109,11 +116,11 @@
             } catch (Crash e) {
                 crashes++;
             } catch (StoreException e) {
-                assertTrue(e.getMessage().contains("made up"), e.toString());
+                assertTrue(e.getMessage().contains("injected"), e.toString());
             }
         }
         assertTrue(
-                points.containsAll(Set.of(
+                crashPoints.containsAll(Set.of(
                         "commit",
                         "committed",
                         "deliver",
@@ -124,14 +131,14 @@
                         "folder-sync",
                         "receiver-before",
                         "receiver-after")),
-                points.toString());
+                crashPoints.toString());
         try (Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
-            ExportSettings f = new ExportSettings("f", out, null, true, 7, 1, 100, 1, 10, 4);
-            ExportSettings r = new ExportSettings("r", out, null, true, 7, 1, 100, 1, 10, 4);
+            ExportSettings f = new ExportSettings("f", folder, null, true, 7, 1, 100, 1, 10, 4);
+            ExportSettings r = new ExportSettings("r", folder, null, true, 7, 1, 100, 1, 10, 4);
             assertNull(new Exporter(
                             store,
                             f,
-                            new FileTarget(out, FaultInjection.NONE),
+                            new FileTarget(folder, FaultInjection.NONE),
                             new SplittableRandom(1),
                             m -> {},
                             FaultInjection.NONE)
@@ -147,18 +154,18 @@
                     .runRound()
                     .fault());
             store.forEachEntry(e -> {
-                work[0] += e.workSlotMicros();
-                work[1]++;
+                totals[0] += e.workSlotMicros();
+                totals[1]++;
             });
             assertEquals(List.of(), store.verify());
         }
-        assertTrue(work[1] > 500, work[1] + " entries");
-        assertEquals(List.of(work[1], work[0]), totals(received.values()));
-        assertEquals(List.of(work[1], work[0]), totals(files(out)));
+        assertTrue(totals[1] > 500, totals[1] + " entries");
+        assertEquals(List.of(totals[1], totals[0]), totals(received.values()));
+        assertEquals(List.of(totals[1], totals[0]), totals(completeBatches(folder)));
     }
 
-    /** The batches of a folder that have a manifest, each checked against it. */
-    static List<byte[]> files(Path folder) throws IOException {
+    /** Returns the batches of a folder that have a manifest, each checked against it. */
+    static List<byte[]> completeBatches(Path folder) throws IOException {
         List<byte[]> all = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file :
@@ -174,13 +181,14 @@
         return all;
     }
 
-    /** TestEntries and work in CSV batches; an entry that comes twice fails. */
+    /** Returns the number of entries and their work in CSV batches; fails if an entry occurs twice. */
     static List<Long> totals(Iterable<byte[]> batches) throws IOException {
         long work = 0;
         Set<String> seen = new HashSet<>();
         for (byte[] batch : batches) {
-            for (CSVRecord r : rows(batch)) {
-                assertTrue(seen.add(r.get("dispatcher") + r.get("life") + "/" + r.get("number")), "twice: " + r);
+            for (CSVRecord r : parseCsv(batch)) {
+                assertTrue(
+                        seen.add(r.get("dispatcher") + r.get("life") + "/" + r.get("number")), "delivered twice: " + r);
                 work += new java.math.BigDecimal(r.get("work_slot_ms"))
                         .movePointRight(3)
                         .longValueExact();
@@ -189,7 +197,7 @@
         return List.of((long) seen.size(), work);
     }
 
-    private static List<CSVRecord> rows(byte[] batch) throws IOException {
+    private static List<CSVRecord> parseCsv(byte[] batch) throws IOException {
         return CSVParser.parse(
                         new String(batch, StandardCharsets.UTF_8),
                         CSVFormat.RFC4180
@@ -201,7 +209,7 @@
     }
 
     @Test
-    void threeHundredMembersWithOddNamesReadBackAsTheyAre() throws Exception {
+    void tenantsWithSpecialCharactersAreReadBackUnchanged() throws Exception {
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             String name = "m" + i
@@ -209,7 +217,7 @@
                             .get(i % 8);
             entries.add(TestEntries.job(TestEntries.ref("a,\"b", 1, i + 1), NOW, name, null, Ending.SERVED, i));
         }
-        List<CSVRecord> rows = rows(BatchCodec.render(entries, true));
+        List<CSVRecord> rows = parseCsv(BatchCodec.render(entries, true));
         String[] lines = new String(BatchCodec.render(entries, false), StandardCharsets.UTF_8).split("\n");
         assertEquals(300, rows.size());
         assertEquals(300, lines.length);
@@ -225,21 +233,23 @@
         }
     }
 
-    /** A receiver that answers late, twice, with an error after taking, resets, or says nothing. */
+    /**
+     * A receiver that responds late, twice, with an error after accepting, resets the connection, or never responds.
+     */
     @Test
-    void aReceiverThatFailsInEveryWayGetsEachEntryOnce() throws Exception {
+    void failingReceiverGetsEachEntryOnce() throws Exception {
         Random random = new Random(8);
-        long[] work = new long[2];
+        long[] totals = new long[2];
         try (Receiver receiver = new Receiver();
                 Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
             Receiver.Fate[] fates = Receiver.Fate.values();
-            Set<Receiver.Fate> met = new HashSet<>();
+            Set<Receiver.Fate> observed = new HashSet<>();
             receiver.script(batch -> {
                 Receiver.Fate fate = fates[random.nextInt(fates.length)];
-                met.add(fate);
+                observed.add(fate);
                 return fate;
             });
-            store.append(store.beginIncarnation(NOW), drafts(random, 200, work));
+            store.append(store.beginIncarnation(NOW), drafts(random, 200, totals));
             ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 40, 60);
             Exporter.Report report = new Exporter(
                             store,
@@ -251,10 +261,10 @@
                     .runRound();
             assertNull(report.fault());
             assertEquals(200, report.entries());
-            assertTrue(report.tries() > report.batches() && met.size() == fates.length, met.toString());
+            assertTrue(report.tries() > report.batches() && observed.size() == fates.length, observed.toString());
             assertNull(receiver.conflict());
             assertEquals(
-                    List.of(work[1], work[0]),
+                    List.of(totals[1], totals[0]),
                     totals(receiver.taken().values().stream()
                             .map(b -> b.getBytes())
                             .toList()));
@@ -262,17 +272,17 @@
     }
 
     @Test
-    void aReceiverThatSaysNoForGoodIsToldOfAtOnceAndOneThatIsGoneAfterItsTries() throws Exception {
+    void permanentRejectionIsReportedAtOnceAndUnreachableReceiverAfterAllAttempts() throws Exception {
         try (Receiver receiver = new Receiver();
                 Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
             store.append(store.beginIncarnation(NOW), drafts(new Random(1), 3, new long[2]));
             ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 5, 500);
-            ExportTarget silent = parcel -> {
+            ExportTarget unreachable = parcel -> {
                 throw new IOException("gone");
             };
             List<Double> pauses = new ArrayList<>();
             Exporter.Report report = new Exporter(
-                            store, s, silent, new SplittableRandom(2), pauses::add, FaultInjection.NONE)
+                            store, s, unreachable, new SplittableRandom(2), pauses::add, FaultInjection.NONE)
                     .runRound();
             assertEquals(5, report.tries());
             assertEquals(4, pauses.size());
@@ -280,7 +290,7 @@
                 double bound = Math.min(10, Math.pow(2, i));
                 assertTrue(pauses.get(i) >= bound / 2 && pauses.get(i) <= bound, pauses.toString());
             }
-            // The same number was given to somebody else's content before.
+            // The receiver already has other content under the same batch number.
             receiver.script(batch -> Receiver.Fate.TAKEN);
             new HttpTarget(s.url(), 500, FaultInjection.NONE)
                     .deliver(new ExportTarget.OutgoingBatch("a", "x", 1, true, 1, new byte[] {1}, "another"));
--- a/src/test/java/nettlewick/ledger/LedgerStoreFixture.java
+++ b/src/test/java/nettlewick/ledger/LedgerStoreFixture.java
@@ -8,27 +8,27 @@
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.sqlite.StoreException;
 
-/** Looks into a store, and fills one, for tests of other packages. */
+/** Reads and fills stores for tests of other packages. */
 public final class LedgerStoreFixture {
     private static final double NOW = 1793491200000.0;
 
-    /** Request ids of what is entered and of what is in doubt, and the faults of its chains. */
-    public record Seen(List<String> entered, List<String> doubts, List<String> verify) {}
+    /** Contents of a store: request ids of entered requests and of doubts, and the faults of its chains. */
+    public record Contents(List<String> entered, List<String> doubts, List<String> faults) {}
 
     private LedgerStoreFixture() {}
 
-    /** Enters what dead lives left, then looks. */
-    public static Seen recover(LedgerSettings settings) throws StoreException {
+    /** Recovers what dead incarnations left and reads the store. */
+    public static Contents recover(LedgerSettings settings) throws StoreException {
         try (Store store = Store.open(settings.store())) {
             Recovery.run(store, NOW, settings.calendar());
             List<String> entered = new ArrayList<>();
             List<String> doubts = new ArrayList<>();
             store.forEachEntry(e -> (e.kind() == Entry.Kind.DOUBT ? doubts : entered).add(e.requestId()));
-            return new Seen(entered, doubts, store.verify());
+            return new Contents(entered, doubts, store.verify());
         }
     }
 
-    /** Enters so many jobs; adds their number and work to the totals. */
+    /** Enters requests, and adds their number and work to the totals. */
     public static void fill(LedgerSettings settings, Random random, int count, long[] total) throws StoreException {
         try (Store store = Store.open(settings.store(), "a", FaultInjection.NONE)) {
             List<Entry> drafts = new ArrayList<>();
@@ -53,6 +53,6 @@
     }
 
     public static List<byte[]> files(Path folder) throws IOException {
-        return ExportTest.files(folder);
+        return ExportTest.completeBatches(folder);
     }
 }
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The books of a living process: what the disk does to it, clocks, closes, and two processes at once. */
+/** The ledger of a running process: disk failures, clocks, closes, and two processes on one store. */
 @Timeout(60)
 class LedgerTest {
     private static final double DECEMBER = 1796083200000.0;
@@ -38,16 +38,16 @@
     @TempDir
     private Path dir;
 
-    private final List<Ledger> open = new ArrayList<>();
+    private final List<Ledger> ledgers = new ArrayList<>();
 
-    private LedgerSettings settings(boolean sync, double patience, int queue) {
+    private LedgerSettings settings(boolean sync, double releaseTimeoutMillis, int maxPending) {
         return new LedgerSettings(
                 dir,
                 sync,
                 2,
                 2,
-                patience,
-                queue,
+                releaseTimeoutMillis,
+                maxPending,
                 new BillingCalendar(ZoneOffset.UTC, List.of()),
                 15_000,
                 List.of(),
@@ -56,26 +56,26 @@
 
     private Ledger ledger(LedgerSettings settings, Clock clock, FaultInjection faults) {
         Ledger ledger = new Ledger("a", settings, clock, faults);
-        open.add(ledger);
+        ledgers.add(ledger);
         ledger.start();
         return ledger;
     }
 
     @AfterEach
     void close() {
-        open.forEach(Ledger::close);
+        ledgers.forEach(Ledger::close);
     }
 
-    private static UsageRecorder.FinishedRequest job(String id, Ending ending) {
+    private static UsageRecorder.FinishedRequest finishedRequest(String id, Ending ending) {
         return new UsageRecorder.FinishedRequest(
                 new Request(id, "c", "m", null, 0, 1, 0, 0, false, null, null), ending, DECEMBER, 1, 1000, false, 0);
     }
 
-    /** A job whose answer is written as soon as it may leave. */
-    private static void answer(Ledger ledger, String id, Set<String> left) {
-        ledger.record(job(id, Ending.SERVED), receipt -> {
-            synchronized (left) {
-                left.add(id);
+    /** Records a request whose answer is delivered as soon as it is released. */
+    private static void recordAndDeliver(Ledger ledger, String id, Set<String> released) {
+        ledger.record(finishedRequest(id, Ending.SERVED), receipt -> {
+            synchronized (released) {
+                released.add(id);
             }
             receipt.onDelivered();
         });
@@ -89,27 +89,27 @@
         return all;
     }
 
-    private static boolean has(Ledger ledger, String figure, long value) {
-        return ledger.metrics().get("ledger." + figure).longValue() == value;
+    private static boolean metricEquals(Ledger ledger, String metric, long value) {
+        return ledger.metrics().get("ledger." + metric).longValue() == value;
     }
 
     @Test
-    void inSyncModeNoAnswerLeavesBeforeItsIntentIsForced() throws Exception {
-        CountDownLatch slow = new CountDownLatch(1);
-        AtomicInteger forced = new AtomicInteger();
+    void inSyncModeAnswersAreHeldUntilTheirIntentIsSynced() throws Exception {
+        CountDownLatch diskReady = new CountDownLatch(1);
+        AtomicInteger syncs = new AtomicInteger();
         Ledger ledger = ledger(settings(true, 60_000, 100), Clock.system(), point -> {
             if (point.equals("spool-force")) {
-                forced.incrementAndGet();
-                await(slow);
+                syncs.incrementAndGet();
+                await(diskReady);
             }
         });
         ledger.awaitReady();
-        Set<String> left = new HashSet<>();
-        answer(ledger, "held", left);
-        until(() -> forced.get() > 0);
-        assertFalse(left.contains("held"));
-        slow.countDown();
-        until(() -> left.contains("held"));
+        Set<String> released = new HashSet<>();
+        recordAndDeliver(ledger, "held", released);
+        until(() -> syncs.get() > 0);
+        assertFalse(released.contains("held"));
+        diskReady.countDown();
+        until(() -> released.contains("held"));
     }
 
     private static void await(CountDownLatch latch) {
@@ -121,56 +121,56 @@
     }
 
     @Test
-    void aSlowDiskHoldsNoAnswerBeyondThePatienceAndNothingIsLost() throws Exception {
-        CountDownLatch slow = new CountDownLatch(1);
+    void slowDiskHoldsNoAnswerBeyondTheTimeoutAndLosesNothing() throws Exception {
+        CountDownLatch diskReady = new CountDownLatch(1);
         Ledger ledger = ledger(settings(true, 5, 100), Clock.system(), point -> {
             if (point.equals("spool-force")) {
-                await(slow);
+                await(diskReady);
             }
         });
         ledger.awaitReady();
-        Set<String> left = new HashSet<>();
-        List<Runnable> overdue = new ArrayList<>();
+        Set<String> released = new HashSet<>();
+        List<Runnable> timeouts = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             String id = "j" + i;
-            overdue.add(ledger.record(job(id, Ending.SERVED), r -> {
-                synchronized (left) {
-                    left.add(id);
+            timeouts.add(ledger.record(finishedRequest(id, Ending.SERVED), r -> {
+                synchronized (released) {
+                    released.add(id);
                 }
                 r.onDelivered();
             }));
         }
-        overdue.forEach(Runnable::run);
-        assertEquals(10, left.size());
-        slow.countDown();
-        until(() -> has(ledger, "entries", 10) && has(ledger, "queue", 0));
+        timeouts.forEach(Runnable::run);
+        assertEquals(10, released.size());
+        diskReady.countDown();
+        until(() -> metricEquals(ledger, "entries", 10) && metricEquals(ledger, "queue", 0));
         assertEquals(10, entries().size());
-        overdue.forEach(Runnable::run);
-        assertEquals(10, left.size());
+        timeouts.forEach(Runnable::run);
+        assertEquals(10, released.size());
     }
 
     /**
-     * The disk is full for a while: jobs are served, the queue is bounded, a gap entry tells what passed it.
+     * While the disk is full, requests are served, the queue is bounded, and a gap entry covers the requests beyond it.
      */
     @Test
-    void aFullDiskCostsNoJobAndWhatPassesTheQueueIsAGapEntry() throws Exception {
+    void fullDiskRejectsNoRequestAndOverflowBecomesAGapEntry() throws Exception {
         AtomicBoolean full = new AtomicBoolean(true);
         Ledger ledger = ledger(settings(false, 5, 20), Clock.system(), point -> {
             if (full.get() && !point.equals("open")) {
                 throw new IOException("No space left on device");
             }
         });
-        Set<String> left = new HashSet<>();
+        Set<String> released = new HashSet<>();
         for (int i = 0; i < 50; i++) {
-            answer(ledger, "j" + i, left);
+            recordAndDeliver(ledger, "j" + i, released);
         }
-        until(() -> left.size() == 50);
+        until(() -> released.size() == 50);
         assertTrue(
-                has(ledger, "queue", 20) && has(ledger, "gap", 30),
+                metricEquals(ledger, "queue", 20) && metricEquals(ledger, "gap", 30),
                 ledger.metrics().toString());
-        until(() -> has(ledger, "trouble", 1));
+        until(() -> metricEquals(ledger, "trouble", 1));
         full.set(false);
-        until(() -> has(ledger, "queue", 0) && has(ledger, "trouble", 0));
+        until(() -> metricEquals(ledger, "queue", 0) && metricEquals(ledger, "trouble", 0));
         List<Entry> all = entries();
         assertEquals(20, all.stream().filter(e -> e.kind() == Kind.JOB).count());
         assertEquals(
@@ -185,122 +185,124 @@
     }
 
     @Test
-    void aSpoolThatCannotBeWrittenHoldsNothingUp() throws Exception {
-        AtomicBoolean bad = new AtomicBoolean(true);
+    void unwritableSpoolHoldsNoAnswer() throws Exception {
+        AtomicBoolean failing = new AtomicBoolean(true);
         Ledger ledger = ledger(settings(true, 60_000, 1000), Clock.system(), point -> {
-            if (bad.get() && point.startsWith("spool")) {
+            if (failing.get() && point.startsWith("spool")) {
                 throw new IOException("read-only file system");
             }
         });
-        Set<String> left = new HashSet<>();
+        Set<String> released = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            answer(ledger, "j" + i, left);
+            recordAndDeliver(ledger, "j" + i, released);
         }
-        until(() -> left.size() == 100 && has(ledger, "entries", 100));
-        assertTrue(has(ledger, "unsynced", 100), "each left without being on the disk: " + ledger.metrics());
-        bad.set(false);
-        answer(ledger, "last", left);
-        until(() -> has(ledger, "entries", 101));
+        until(() -> released.size() == 100 && metricEquals(ledger, "entries", 100));
+        assertTrue(metricEquals(ledger, "unsynced", 100), "each was released without a sync: " + ledger.metrics());
+        failing.set(false);
+        recordAndDeliver(ledger, "last", released);
+        until(() -> metricEquals(ledger, "entries", 101));
         assertEquals(101, entries().stream().map(Entry::requestId).distinct().count());
     }
 
     @Test
-    void aDamagedStoreIsPutAsideAndANewOneBegins() throws Exception {
+    void damagedStoreIsRenamedAndReplaced() throws Exception {
         Files.writeString(dir.resolve(Store.FILE_NAME), "no store, but a text that is long enough to be read as one");
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
-        Set<String> left = new HashSet<>();
-        answer(ledger, "j", left);
-        until(() -> has(ledger, "entries", 1));
+        Set<String> released = new HashSet<>();
+        recordAndDeliver(ledger, "j", released);
+        until(() -> metricEquals(ledger, "entries", 1));
         try (var files = Files.list(dir)) {
             assertTrue(files.anyMatch(f -> f.getFileName().toString().contains(".damaged-")));
         }
     }
 
     @Test
-    void aClientThatLeavesIsCountedAndNotBilledWhicheverComesFirst() throws Exception {
+    void disconnectedClientIsCountedButNotBilledInAnyOrder() throws Exception {
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
-        ledger.record(job("before", Ending.LEFT), r -> {});
-        ledger.record(job("after", Ending.SERVED), UsageRecorder.DeliveryCallback::onAbandoned);
-        ledger.record(job("both", Ending.SERVED), r -> {
+        ledger.record(finishedRequest("before", Ending.LEFT), r -> {});
+        ledger.record(finishedRequest("after", Ending.SERVED), UsageRecorder.DeliveryCallback::onAbandoned);
+        ledger.record(finishedRequest("both", Ending.SERVED), r -> {
             r.onDelivered();
             r.onAbandoned();
         });
-        until(() -> has(ledger, "entries", 3));
+        until(() -> metricEquals(ledger, "entries", 3));
         assertEquals(
                 Map.of("before", Ending.LEFT, "after", Ending.LEFT, "both", Ending.SERVED),
                 entries().stream().collect(java.util.stream.Collectors.toMap(Entry::requestId, Entry::ending)));
         assertEquals(1000, entries().stream().mapToLong(Entry::workSlotMicros).sum());
     }
 
-    /** A standing clock, one that jumps, and a job answered in the last and the first instant of a period. */
+    /** A stopped clock, one that jumps, and requests answered in the last and the first instant of a period. */
     @Test
-    void theTimeOfTheLastByteDecidesThePeriod() throws Exception {
+    void timeOfTheLastByteDecidesThePeriod() throws Exception {
         Clock clock = Clock.stoppedAt(DECEMBER - 1);
         Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
-        List<UsageRecorder.DeliveryCallback> receipts = new ArrayList<>();
+        List<UsageRecorder.DeliveryCallback> callbacks = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            ledger.record(job("j" + i, Ending.SERVED), r -> {
-                synchronized (receipts) {
-                    receipts.add(r);
+            ledger.record(finishedRequest("j" + i, Ending.SERVED), r -> {
+                synchronized (callbacks) {
+                    callbacks.add(r);
                 }
             });
         }
-        until(() -> receipts.size() == 3);
-        receipts.get(0).onDelivered();
+        until(() -> callbacks.size() == 3);
+        callbacks.get(0).onDelivered();
         clock.advanceTo(DECEMBER);
-        receipts.get(1).onDelivered();
+        callbacks.get(1).onDelivered();
         clock.advanceTo(DECEMBER + 40 * 8.64e7);
-        receipts.get(2).onDelivered();
-        until(() -> has(ledger, "entries", 3));
-        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
+        callbacks.get(2).onDelivered();
+        until(() -> metricEquals(ledger, "entries", 3));
+        LedgerAdmin admin = new LedgerAdmin(settings(false, 5, 100), clock);
         assertEquals(
                 List.of("2026-11", "2026-12", "2027-01"),
-                desk.statements(null).stream().map(Statement::period).toList());
+                admin.statements(null).stream().map(Statement::period).toList());
     }
 
-    /** Closing beside a living process waits for what it has answered; the answer decides, not the commit. */
+    /**
+     * A close waits for what a running process has answered; the time of the answer decides, not that of the commit.
+     */
     @Test
-    void aCloseWaitsForWhatALivingProcessHasAnswered() throws Exception {
+    void closeWaitsForAnswersOfARunningProcess() throws Exception {
         Clock clock = Clock.stoppedAt(DECEMBER - 5);
         CountDownLatch commit = new CountDownLatch(1);
-        AtomicBoolean hold = new AtomicBoolean();
+        AtomicBoolean holdCommits = new AtomicBoolean();
         Ledger ledger = ledger(settings(false, 5, 100), clock, point -> {
-            if (hold.get() && point.equals("gathered")) {
+            if (holdCommits.get() && point.equals("gathered")) {
                 await(commit);
             }
         });
         until(() -> ledger.origin() != null);
-        hold.set(true);
-        Set<String> left = new HashSet<>();
-        answer(ledger, "early", left);
-        until(() -> left.contains("early"));
+        holdCommits.set(true);
+        Set<String> released = new HashSet<>();
+        recordAndDeliver(ledger, "early", released);
+        until(() -> released.contains("early"));
         clock.advanceTo(DECEMBER + 5);
-        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), clock);
-        LedgerAdmin.CommandException soon =
-                assertThrows(LedgerAdmin.CommandException.class, () -> desk.close("2026-12", "op"));
-        assertTrue(soon.isUsageError() && soon.getMessage().contains("ends at"), soon.getMessage());
+        LedgerAdmin admin = new LedgerAdmin(settings(false, 5, 100), clock);
+        LedgerAdmin.CommandException tooEarly =
+                assertThrows(LedgerAdmin.CommandException.class, () -> admin.close("2026-12", "op"));
+        assertTrue(tooEarly.isUsageError() && tooEarly.getMessage().contains("ends at"), tooEarly.getMessage());
         Thread closer = new Thread(() -> {
             try {
-                desk.close("2026-11", "op");
+                admin.close("2026-11", "op");
             } catch (LedgerAdmin.CommandException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
         closer.start();
         try (Store store = Store.read(dir)) {
-            until(() -> marked(store) == DECEMBER);
-            assertNull(closing(), "held until the entry is durable");
+            until(() -> settlementRequestedUntil(store) == DECEMBER);
+            assertNull(closeEntry(), "the close waits until the entry is durable");
         }
-        hold.set(false);
+        holdCommits.set(false);
         commit.countDown();
         closer.join();
-        Statement statement = desk.statements("2026-11").get(0);
+        Statement statement = admin.statements("2026-11").get(0);
         assertTrue(statement.closed());
         assertEquals(1000, statement.billed());
-        assertThrows(LedgerAdmin.CommandException.class, () -> desk.close("2026-11", "op"));
+        assertThrows(LedgerAdmin.CommandException.class, () -> admin.close("2026-11", "op"));
     }
 
-    private static double marked(Store store) {
+    private static double settlementRequestedUntil(Store store) {
         try {
             return store.settlementRequestedUntil();
         } catch (StoreException e) {
@@ -308,7 +310,7 @@
         }
     }
 
-    private Entry closing() throws StoreException {
+    private Entry closeEntry() throws StoreException {
         return entries().stream()
                 .filter(e -> e.kind() == Kind.CLOSE)
                 .findFirst()
@@ -316,41 +318,41 @@
     }
 
     @Test
-    void aPeriodThatEndedWhileNobodyRanIsClosedFromWhatWasLeft() throws Exception {
+    void periodIsClosedAfterTheProcessHasEnded() throws Exception {
         Clock clock = Clock.stoppedAt(DECEMBER - 5);
         Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
         until(() -> ledger.origin() != null);
-        answer(ledger, "j", new HashSet<>());
+        recordAndDeliver(ledger, "j", new HashSet<>());
         ledger.close();
-        LedgerAdmin desk = new LedgerAdmin(settings(false, 5, 100), Clock.stoppedAt(DECEMBER + 1));
-        desk.close("2026-11", "op");
-        assertEquals(1000, desk.statements("2026-11").get(0).billed());
+        LedgerAdmin admin = new LedgerAdmin(settings(false, 5, 100), Clock.stoppedAt(DECEMBER + 1));
+        admin.close("2026-11", "op");
+        assertEquals(1000, admin.statements("2026-11").get(0).billed());
         EntryRef target = entries().get(0).ref();
-        desk.correct(target.toString(), 400, "op", "half of it was ours");
-        assertEquals(1000, desk.statements("2026-11").get(0).billed());
-        assertEquals(-600, desk.statements("2026-12").get(0).billed());
-        for (String bad :
-                List.of(target.toString(), "a/1/999", "nothing", closing().ref().toString())) {
+        admin.correct(target.toString(), 400, "op", "half of it was ours");
+        assertEquals(1000, admin.statements("2026-11").get(0).billed());
+        assertEquals(-600, admin.statements("2026-12").get(0).billed());
+        for (String bad : List.of(
+                target.toString(), "a/1/999", "nothing", closeEntry().ref().toString())) {
             assertTrue(
-                    assertThrows(LedgerAdmin.CommandException.class, () -> desk.correct(bad, 1, "op", "r"))
+                    assertThrows(LedgerAdmin.CommandException.class, () -> admin.correct(bad, 1, "op", "r"))
                             .isUsageError(),
                     bad);
         }
     }
 
-    /** An upgrade: two processes on one store, each in a life of its own. */
+    /** As in a hot restart: two processes on one store, each with its own incarnation. */
     @Test
-    void twoProcessesOnOneStoreEnterEachJobOnce() throws Exception {
+    void twoProcessesOnOneStoreEnterEachRequestOnce() throws Exception {
         Ledger old = ledger(settings(false, 5, 10_000), Clock.system(), FaultInjection.NONE);
-        Ledger heir = ledger(settings(true, 500, 10_000), Clock.system(), FaultInjection.NONE);
-        Set<String> left = new HashSet<>();
+        Ledger successor = ledger(settings(true, 500, 10_000), Clock.system(), FaultInjection.NONE);
+        Set<String> released = new HashSet<>();
         for (int i = 0; i < 2000; i++) {
-            answer(i % 2 == 0 ? old : heir, "j" + i, left);
+            recordAndDeliver(i % 2 == 0 ? old : successor, "j" + i, released);
         }
-        until(() -> left.size() == 2000);
+        until(() -> released.size() == 2000);
         old.close();
-        until(() -> has(old, "entries", 1000) && has(heir, "entries", 1000));
-        heir.close();
+        until(() -> metricEquals(old, "entries", 1000) && metricEquals(successor, "entries", 1000));
+        successor.close();
         assertEquals(2000, entries().stream().map(Entry::requestId).distinct().count());
         assertEquals(2, entries().stream().map(e -> e.ref().origin()).distinct().count());
         try (Store store = Store.read(dir)) {
@@ -362,7 +364,7 @@
     }
 
     @Test
-    void aClosedAndExportedPeriodIsArchivedAndComesBackTheSame() throws Exception {
+    void archivedPeriodIsRestoredUnchanged() throws Exception {
         Clock clock = Clock.stoppedAt(DECEMBER - 5);
         Path out = dir.resolve("out");
         LedgerSettings s = new LedgerSettings(
@@ -379,29 +381,29 @@
         Ledger ledger = new Ledger("a", s, clock);
         ledger.start();
         for (int i = 0; i < 20; i++) {
-            answer(ledger, "j" + i, new HashSet<>());
+            recordAndDeliver(ledger, "j" + i, new HashSet<>());
         }
-        until(() -> has(ledger, "entries", 20));
+        until(() -> metricEquals(ledger, "entries", 20));
         ledger.close();
-        LedgerAdmin desk = new LedgerAdmin(s, Clock.stoppedAt(DECEMBER + 1));
+        LedgerAdmin admin = new LedgerAdmin(s, Clock.stoppedAt(DECEMBER + 1));
         Path file = dir.resolve("archive/2026-11.gz");
-        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> desk.archive("2026-11", file))
+        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> admin.archive("2026-11", file))
                 .getMessage()
                 .contains("not closed"));
-        desk.close("2026-11", "op");
-        Statement before = desk.statements("2026-11").get(0);
-        desk.export(null);
-        assertEquals(20, desk.archive("2026-11", file));
-        assertThrows(LedgerAdmin.CommandException.class, () -> desk.statements("2026-11"));
-        assertEquals(List.of(), desk.verify());
+        admin.close("2026-11", "op");
+        Statement before = admin.statements("2026-11").get(0);
+        admin.export(null);
+        assertEquals(20, admin.archive("2026-11", file));
+        assertThrows(LedgerAdmin.CommandException.class, () -> admin.statements("2026-11"));
+        assertEquals(List.of(), admin.verify());
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 1;
         Path changed = Files.write(dir.resolve("changed"), bytes);
-        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> desk.restore("2026-11", changed))
+        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> admin.restore("2026-11", changed))
                 .getMessage()
-                .contains("its sum is another"));
-        assertEquals(20, desk.restore("2026-11", null));
-        assertEquals(before, desk.statements("2026-11").get(0));
-        assertEquals(List.of(), desk.verify());
+                .contains("its SHA-256 differs"));
+        assertEquals(20, admin.restore("2026-11", null));
+        assertEquals(before, admin.statements("2026-11").get(0));
+        assertEquals(List.of(), admin.verify());
     }
 }
