--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -32,7 +32,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Ledgers that bring each other up to date, and peers that lie, are cut off, slow, or forked. */
+/**
+ * Reconciliation between ledgers, and peers that send wrong data, break off, respond slowly or present a forked chain.
+ */
 @Timeout(60)
 class ReconcileTest {
     private static final double NOW = 1793491200000.0;
@@ -43,16 +45,16 @@
 
     private Vertx vertx;
     private final Clock clock = Clock.system();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
 
     @BeforeEach
-    void begin() {
+    void setUp() {
         vertx = Vertx.vertx();
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (AutoCloseable one : open) {
+    void tearDown() throws Exception {
+        for (AutoCloseable one : closeables) {
             one.close();
         }
         StubPlatform.get(vertx.close());
@@ -73,7 +75,7 @@
 
     private Store store(String name) throws StoreException {
         Store store = Store.open(dir.resolve(name), name.substring(0, 1), FaultInjection.NONE);
-        open.add(store);
+        closeables.add(store);
         return store;
     }
 
@@ -85,10 +87,10 @@
         return drafts;
     }
 
-    private int serve(Store store) throws Exception {
+    private int startServer(Store store) throws Exception {
         PeerServer front =
                 new PeerServer(settings("127.0.0.0/8"), store.folder(), new MessageAuthenticator(KEY), clock);
-        open.add(0, front);
+        closeables.add(0, front);
         return StubPlatform.get(front.listen());
     }
 
@@ -101,87 +103,87 @@
                 timeout);
     }
 
-    private Reconciler.Report round(Store to, int port) throws Exception {
+    private Reconciler.Report runRound(Store to, int port) throws Exception {
         return new Reconciler(to, client(port, 2000), 7).runRound();
     }
 
-    private static Map<ChainOrigin, Long> numbers(Store store) throws StoreException {
+    private static Map<ChainOrigin, Long> lastNumbers(Store store) throws StoreException {
         Map<ChainOrigin, Long> numbers = new TreeMap<>();
         store.heads().forEach((o, h) -> numbers.put(o, h.number()));
         return numbers;
     }
 
     @Test
-    void eachComesToHoldWhatBothHoldAndThenNothingIsFetched() throws Exception {
+    void reconciledLedgersHoldTheSameEntriesAndFetchNothingMore() throws Exception {
         Store a = store("a");
         Store b = store("b");
         ChainOrigin one = a.beginIncarnation(NOW);
         ChainOrigin two = b.beginIncarnation(NOW);
         a.append(one, drafts(40, "x"));
         b.append(two, drafts(3, "y"));
-        int portA = serve(a);
-        int portB = serve(b);
-        assertEquals(40, round(b, portA).entries());
-        assertEquals(3, round(a, portB).entries());
-        assertEquals(numbers(a), numbers(b));
+        int portA = startServer(a);
+        int portB = startServer(b);
+        assertEquals(40, runRound(b, portA).entries());
+        assertEquals(3, runRound(a, portB).entries());
+        assertEquals(lastNumbers(a), lastNumbers(b));
         a.append(one, drafts(2, "x"));
-        assertEquals(2, round(b, portA).entries());
-        assertEquals(new Reconciler.Report(0, 0, List.of(), List.of()), round(b, portA));
+        assertEquals(2, runRound(b, portA).entries());
+        assertEquals(new Reconciler.Report(0, 0, List.of(), List.of()), runRound(b, portA));
         assertEquals(List.of(), b.verify());
     }
 
     @Test
-    void aLostDiskIsRebuiltUnderANewLife() throws Exception {
+    void lostStoreIsRebuiltUnderANewIncarnation() throws Exception {
         Store a = store("a");
         Store b = store("b");
         ChainOrigin one = a.beginIncarnation(NOW);
         a.append(one, drafts(10, "x"));
-        round(b, serve(a));
+        runRound(b, startServer(a));
         Store rebuilt = store("a2");
         ChainOrigin next = rebuilt.beginIncarnation(NOW + 5000);
         assertNotEquals(one, next);
         rebuilt.append(next, drafts(1, "x"));
-        assertEquals(10, round(rebuilt, serve(b)).entries());
-        assertEquals(Map.of(one, 10L, next, 1L), numbers(rebuilt));
+        assertEquals(10, runRound(rebuilt, startServer(b)).entries());
+        assertEquals(Map.of(one, 10L, next, 1L), lastNumbers(rebuilt));
         assertTrue(rebuilt.beginIncarnation(0).incarnation() > next.incarnation());
     }
 
-    /** The same life goes on from an old copy: both give numbers 6 and on, with other contents. */
+    /** The same incarnation continues from an old copy: both chains have number 6 and later, with different content. */
     @Test
-    void aForkIsFoundAtItsFirstEntryQuarantinedAndNeverMerged() throws Exception {
+    void forkIsLocatedAndQuarantinedAndNeverMerged() throws Exception {
         Store a = store("a");
         Store b = store("b");
         ChainOrigin one = a.beginIncarnation(NOW);
         a.append(one, drafts(5, "x"));
         Store copy = store("a-copy");
-        int portA = serve(a);
-        round(copy, portA);
+        int portA = startServer(a);
+        runRound(copy, portA);
         a.append(one, drafts(20, "x"));
         copy.append(one, drafts(9, "forged"));
-        round(b, portA);
-        Reconciler.Report report = round(b, serve(copy));
+        runRound(b, portA);
+        Reconciler.Report report = runRound(b, startServer(copy));
         assertEquals(1, report.forks().size());
         assertTrue(
                 report.forks().get(0).contains("entry 6 has two contents"),
                 report.forks().toString());
         a.append(one, drafts(1, "x"));
-        assertEquals(0, round(b, portA).entries(), "nothing of it is taken over any more");
+        assertEquals(0, runRound(b, portA).entries(), "no entries of a quarantined chain are fetched");
         assertTrue(b.verify().get(0).contains("quarantined"), b.verify().toString());
-        Reconciler.Report other = round(copy, portA);
-        assertEquals(1, other.forks().size(), "the shorter side finds it too");
+        Reconciler.Report other = runRound(copy, portA);
+        assertEquals(1, other.forks().size(), "the side with the shorter chain detects the fork too");
     }
 
-    // Peers that are not what they should be
+    // Misbehaving peers
 
-    /** A peer that seals its answers but may say what it likes. */
-    private int liar(java.util.function.Function<String, Buffer> says) throws Exception {
-        MessageAuthenticator seal = new MessageAuthenticator(KEY);
+    /** Starts a peer that signs its responses but chooses their content freely. */
+    private int startForgingPeer(java.util.function.Function<String, Buffer> respond) throws Exception {
+        MessageAuthenticator authenticator = new MessageAuthenticator(KEY);
         HttpServer server = vertx.createHttpServer().requestHandler(r -> {
-            Buffer body = says.apply(r.uri());
+            Buffer body = respond.apply(r.uri());
             r.response()
                     .putHeader(
                             PeerServer.SIGNATURE_HEADER,
-                            seal.signResponse(r.getHeader(PeerServer.NONCE_HEADER), 200, body.getBytes()))
+                            authenticator.signResponse(r.getHeader(PeerServer.NONCE_HEADER), 200, body.getBytes()))
                     .end(body);
         });
         return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
@@ -193,14 +195,14 @@
                 + ",\"h\":\"" + java.util.HexFormat.of().formatHex(hash) + "\"}]");
     }
 
-    private static Buffer frames(List<byte[]> entries) {
+    private static Buffer encodeEntries(List<byte[]> entries) {
         Buffer all = Buffer.buffer();
         entries.forEach(e -> all.appendInt(e.length).appendBytes(e));
         return all;
     }
 
     @Test
-    void aPeerThatLiesChangesNothingAndAccusesNobody() throws Exception {
+    void forgingPeerChangesNothingAndCausesNoQuarantine() throws Exception {
         Store a = store("a");
         ChainOrigin own = a.beginIncarnation(NOW);
         a.append(own, drafts(4, "x"));
@@ -211,28 +213,33 @@
         List<byte[]> two = List.of(
                 TestEntries.served(new EntryRef(other, 1), NOW, "m", 1).toBytes(),
                 TestEntries.served(new EntryRef(other, 2), NOW, "m", 1).toBytes());
-        List<byte[]> holed = List.of(
+        List<byte[]> withGap = List.of(
                 two.get(0),
                 TestEntries.served(new EntryRef(other, 3), NOW, "m", 1).toBytes());
-        List<byte[]> foreign =
+        List<byte[]> otherOrigin =
                 List.of(TestEntries.served(new EntryRef(own, 1), NOW, "m", 1).toBytes());
-        Buffer cut = frames(two).getBuffer(0, 60);
+        Buffer truncated = encodeEntries(two).getBuffer(0, 60);
         for (Buffer entries : List.of(
-                frames(two), frames(holed), frames(foreign), cut, Buffer.buffer(), frames(List.of(new byte[] {1, 2, 3
-                })))) {
-            int port = liar(uri -> uri.startsWith(PeerServer.HEADS_PATH)
+                encodeEntries(two),
+                encodeEntries(withGap),
+                encodeEntries(otherOrigin),
+                truncated,
+                Buffer.buffer(),
+                encodeEntries(List.of(new byte[] {1, 2, 3})))) {
+            int port = startForgingPeer(uri -> uri.startsWith(PeerServer.HEADS_PATH)
                     ? heads(other, 2, wrong)
                     : uri.startsWith(PeerServer.HASH_PATH) ? Buffer.buffer(hex) : entries);
-            Reconciler.Report report = round(a, port);
+            Reconciler.Report report = runRound(a, port);
             assertEquals(1, report.faults().size(), report.toString());
-            assertEquals(Map.of(own, 4L), numbers(a));
+            assertEquals(Map.of(own, 4L), lastNumbers(a));
         }
-        // It claims another hash for what is held here, and shows the same entry, or none that follows.
-        for (List<byte[]> shown : List.of(List.of(a.rows(own, 1, 1).get(0).bytes()), foreign)) {
-            int port = liar(uri -> uri.startsWith(PeerServer.HEADS_PATH)
+        // It claims another hash for an entry that is stored here, and presents the same entry, or one that does not
+        // follow.
+        for (List<byte[]> presented : List.of(List.of(a.rows(own, 1, 1).get(0).bytes()), otherOrigin)) {
+            int port = startForgingPeer(uri -> uri.startsWith(PeerServer.HEADS_PATH)
                     ? heads(own, 4, wrong)
-                    : uri.startsWith(PeerServer.HASH_PATH) ? Buffer.buffer(hex) : frames(shown));
-            Reconciler.Report report = round(a, port);
+                    : uri.startsWith(PeerServer.HASH_PATH) ? Buffer.buffer(hex) : encodeEntries(presented));
+            Reconciler.Report report = runRound(a, port);
             assertEquals(1, report.faults().size(), report.toString());
             assertEquals(Map.of(), a.quarantined());
         }
@@ -240,7 +247,7 @@
     }
 
     @Test
-    void aPeerWithoutTheKeyIsNotBelievedAndASlowOneIsGivenUp() throws Exception {
+    void unsignedResponsesAreRejectedAndSlowPeersTimeOut() throws Exception {
         Store a = store("a");
         HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
         int silent = StubPlatform.get(mute.listen(0, "127.0.0.1")).actualPort();
@@ -263,20 +270,20 @@
         HttpServer plain =
                 vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
         int unsealed = StubPlatform.get(plain.listen(0, "127.0.0.1")).actualPort();
-        assertTrue(assertThrows(IOException.class, () -> round(a, unsealed))
+        assertTrue(assertThrows(IOException.class, () -> runRound(a, unsealed))
                 .getMessage()
-                .contains("seal"));
+                .contains("no valid signature"));
     }
 
-    /** Cut off halfway: what came whole is kept, and the next round goes on from there. */
+    /** After an interruption, complete chunks are kept and the next round continues from there. */
     @Test
-    void anExchangeThatIsCutOffGoesOnNextTime() throws Exception {
+    void interruptedRoundIsContinuedByTheNext() throws Exception {
         Store a = store("a");
         Store b = store("b");
         ChainOrigin one = a.beginIncarnation(NOW);
         a.append(one, drafts(40, "x"));
-        int port = serve(a);
-        PeerClient cut =
+        int port = startServer(a);
+        PeerClient interrupted =
                 new PeerClient(
                         vertx,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -293,22 +300,22 @@
                         return super.get(uri);
                     }
                 };
-        Reconciler.Report half = new Reconciler(b, cut, 7).runRound();
-        assertEquals(1, half.faults().size());
-        long held = numbers(b).get(one);
+        Reconciler.Report partial = new Reconciler(b, interrupted, 7).runRound();
+        assertEquals(1, partial.faults().size());
+        long held = lastNumbers(b).get(one);
         assertTrue(held > 0 && held < 40, "held " + held);
-        round(b, port);
-        assertEquals(40, numbers(b).get(one));
+        runRound(b, port);
+        assertEquals(40, lastNumbers(b).get(one));
         assertEquals(List.of(), b.verify());
     }
 
     @Test
-    void callersAreAdmittedByNetworkSealTimeAndOnlyOnce() throws Exception {
+    void requestsAreCheckedByNetworkSignatureTimestampAndNonce() throws Exception {
         Store a = store("a");
-        PeerServer closed =
+        PeerServer otherNetworks =
                 new PeerServer(settings("10.0.0.0/8", "::1"), a.folder(), new MessageAuthenticator(KEY), clock);
-        open.add(0, closed);
-        int port = StubPlatform.get(closed.listen());
+        closeables.add(0, otherNetworks);
+        int port = StubPlatform.get(otherNetworks.listen());
         HttpClient http = HttpClient.newHttpClient();
         assertEquals(
                 403,
@@ -320,36 +327,39 @@
         assertEquals(
                 401,
                 http.send(
-                                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + serve(a) + "/ledger/heads"))
+                                HttpRequest.newBuilder(
+                                                URI.create("http://127.0.0.1:" + startServer(a) + "/ledger/heads"))
                                         .build(),
                                 HttpResponse.BodyHandlers.discarding())
                         .statusCode());
-        MessageAuthenticator mine = new MessageAuthenticator(KEY);
-        MessageAuthenticator theirs = new MessageAuthenticator(KEY);
+        MessageAuthenticator sender = new MessageAuthenticator(KEY);
+        MessageAuthenticator receiver = new MessageAuthenticator(KEY);
         String nonce = "0".repeat(32);
-        String seal = mine.signRequest("/x", nonce, NOW);
+        String signature = sender.signRequest("/x", nonce, NOW);
         String time = Long.toString((long) NOW);
-        assertNull(theirs.requestError("/x", nonce, time, seal, NOW + 59_000));
-        assertEquals("a call that was made before", theirs.requestError("/x", nonce, time, seal, NOW + 59_500));
-        assertEquals("a call of another time", theirs.requestError("/x", nonce, time, seal, NOW + 60_001));
-        assertEquals("a wrong seal", theirs.requestError("/y", nonce, time, seal, NOW));
+        assertNull(receiver.requestError("/x", nonce, time, signature, NOW + 59_000));
+        assertEquals("a call that was made before", receiver.requestError("/x", nonce, time, signature, NOW + 59_500));
+        assertEquals("a call of another time", receiver.requestError("/x", nonce, time, signature, NOW + 60_001));
+        assertEquals("a wrong seal", receiver.requestError("/y", nonce, time, signature, NOW));
         assertEquals(
                 "a wrong seal",
                 new MessageAuthenticator("another key, which is also long enough".getBytes())
-                        .requestError("/x", nonce, time, seal, NOW));
-        assertEquals("not sealed", theirs.requestError("/x", null, time, seal, NOW));
-        assertTrue(mine.isValidResponse(nonce, 200, new byte[] {1}, theirs.signResponse(nonce, 200, new byte[] {1})));
-        assertTrue(!mine.isValidResponse(nonce, 200, new byte[] {2}, theirs.signResponse(nonce, 200, new byte[] {1})));
+                        .requestError("/x", nonce, time, signature, NOW));
+        assertEquals("not sealed", receiver.requestError("/x", null, time, signature, NOW));
+        assertTrue(
+                sender.isValidResponse(nonce, 200, new byte[] {1}, receiver.signResponse(nonce, 200, new byte[] {1})));
+        assertTrue(
+                !sender.isValidResponse(nonce, 200, new byte[] {2}, receiver.signResponse(nonce, 200, new byte[] {1})));
     }
 
-    /** Three real services with listeners, keys from files and an export, as in service. */
+    /** Three complete services with listeners, key files and an export each. */
     @Test
-    void servicesReconcileByThemselves() throws Exception {
+    void servicesReconcileInTheBackground() throws Exception {
         Path key = Files.write(dir.resolve("key"), KEY);
         List<LedgerService> services = new ArrayList<>();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            LedgerService s = new LedgerService(
+            LedgerService service = new LedgerService(
                     "d" + i,
                     new LedgerSettings(
                             dir.resolve("d" + i),
@@ -371,10 +381,10 @@
                                     100)),
                     clock,
                     7);
-            s.start();
-            open.add(0, s);
-            services.add(s);
-            addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), s.port()));
+            service.start();
+            closeables.add(0, service);
+            services.add(service);
+            addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), service.port()));
         }
         for (int i = 0; i < 90; i++) {
             services.get(i % 3)
@@ -390,29 +400,33 @@
                                     0),
                             nettlewick.core.UsageRecorder.DeliveryCallback::onDelivered);
         }
-        LedgerService thief = new LedgerService("d9", services.get(0).ledger().settings(), clock, 7);
-        assertTrue(assertThrows(IOException.class, thief::start).getMessage().contains("the ledger of d0, not of"));
-        StubPlatform.until(() -> count("d2") == 90 && count("d1") == 60);
+        LedgerService otherDispatcher =
+                new LedgerService("d9", services.get(0).ledger().settings(), clock, 7);
+        assertTrue(assertThrows(IOException.class, otherDispatcher::start)
+                .getMessage()
+                .contains("the ledger of d0, not of"));
+        StubPlatform.until(() -> storedCount("d2") == 90 && storedCount("d1") == 60);
         StubPlatform.until(() -> services.stream()
-                .allMatch(s -> s.ledger()
+                .allMatch(service -> service.ledger()
                                 .metrics()
                                 .getOrDefault("ledger.export.x.lag", -1L)
                                 .longValue()
                         == 0));
-        // The lag is as of an export's last round, and entries may have come since.
-        StubPlatform.until(() -> exported("x2") >= 30);
-        assertEquals(30L, exported("x2"), "only its own");
+        // The lag is from the last round of the export; entries may have been added since.
+        StubPlatform.until(() -> exportedCount("x2") >= 30);
+        assertEquals(30L, exportedCount("x2"), "only its own entries are exported");
     }
 
-    private long exported(String folder) {
+    private long exportedCount(String folder) {
         try {
-            return ExportTest.totals(ExportTest.files(dir.resolve(folder))).get(0);
+            return ExportTest.totals(ExportTest.completeBatches(dir.resolve(folder)))
+                    .get(0);
         } catch (IOException e) {
             return -1;
         }
     }
 
-    private long count(String name) {
+    private long storedCount(String name) {
         try (Store store = Store.read(dir.resolve(name))) {
             return store.countByKind(false).getOrDefault(Entry.Kind.JOB, 0L);
         } catch (StoreException e) {
