--- a/src/test/java/nettlewick/ledger/BillingCalendarTest.java
+++ b/src/test/java/nettlewick/ledger/BillingCalendarTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** The calendar of periods: every moment is in exactly one, and each ends where the next begins. */
+/** Every moment belongs to exactly one period, and each period ends where the next one begins. */
 class BillingCalendarTest {
     private static final ZoneId ZONE = ZoneId.of("Indian/Mauritius");
-    private static final BillingCalendar TERMS = new BillingCalendar(
+    private static final BillingCalendar CALENDAR = new BillingCalendar(
             ZONE,
             List.of(
                     new BillingCalendar.Term("t2", LocalDate.of(2026, 5, 1), LocalDate.of(2026, 8, 15)),
@@ -28,27 +28,27 @@
 
     @Test
     void periodsAreHalfOpenInTheirZone() {
-        assertEquals("t1", TERMS.periodAt(at(2026, 4, 1) - 0.001).name());
-        assertEquals("before-t2", TERMS.periodAt(at(2026, 4, 1)).name());
-        assertEquals("t2", TERMS.periodAt(at(2026, 5, 1)).name());
-        assertEquals("2026-08-rest", TERMS.periodAt(at(2026, 8, 15)).name());
-        assertEquals("2026-09", TERMS.periodAt(at(2026, 9, 1)).name());
-        assertEquals("2026-01", TERMS.periodAt(at(2026, 1, 10) - 1).name());
-        assertEquals("2025-12", TERMS.periodAt(at(2025, 12, 31)).name());
+        assertEquals("t1", CALENDAR.periodAt(at(2026, 4, 1) - 0.001).name());
+        assertEquals("before-t2", CALENDAR.periodAt(at(2026, 4, 1)).name());
+        assertEquals("t2", CALENDAR.periodAt(at(2026, 5, 1)).name());
+        assertEquals("2026-08-rest", CALENDAR.periodAt(at(2026, 8, 15)).name());
+        assertEquals("2026-09", CALENDAR.periodAt(at(2026, 9, 1)).name());
+        assertEquals("2026-01", CALENDAR.periodAt(at(2026, 1, 10) - 1).name());
+        assertEquals("2025-12", CALENDAR.periodAt(at(2025, 12, 31)).name());
     }
 
     @Property(tries = 2000, seed = "42")
-    void everyMomentIsInOnePeriodWhichFollowsOnAnother(@ForAll @DoubleRange(min = 0, max = 4e12) double time) {
-        BillingCalendar.Period p = TERMS.periodAt(time);
+    void everyMomentIsInExactlyOneOfConsecutivePeriods(@ForAll @DoubleRange(min = 0, max = 4e12) double time) {
+        BillingCalendar.Period p = CALENDAR.periodAt(time);
         assertTrue(p.contains(time), p.toString());
-        assertEquals(p, TERMS.periodNamed(p.name()).orElseThrow());
-        assertEquals(p, TERMS.periodAt(p.from()));
-        assertEquals(p.to(), TERMS.periodAfter(p).from());
-        assertEquals(p, TERMS.periodAt(p.to() - 0.5));
+        assertEquals(p, CALENDAR.periodNamed(p.name()).orElseThrow());
+        assertEquals(p, CALENDAR.periodAt(p.from()));
+        assertEquals(p.to(), CALENDAR.periodAfter(p).from());
+        assertEquals(p, CALENDAR.periodAt(p.to() - 0.5));
     }
 
     @Test
-    void termsThatMakeNoSenseAreRefused() {
+    void invalidTermsAreRejected() {
         LocalDate d = LocalDate.of(2026, 1, 1);
         assertThrows(
                 IllegalArgumentException.class,
--- a/src/test/java/nettlewick/ledger/LedgerServingTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerServingTest.java
@@ -28,22 +28,22 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A dispatcher that serves with its ledger, over sockets and both fronts. */
+/** A dispatcher with a ledger, over sockets and both frontends. */
 @Timeout(60)
 class LedgerServingTest {
     @TempDir
     private Path dir;
 
-    private DispatcherOnStubPlatform world;
+    private DispatcherOnStubPlatform platform;
     private Ledger ledger;
     private List<Integer> ports;
-    private DispatcherServer node;
+    private DispatcherServer dispatcher;
 
     @BeforeEach
     void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        world.addRunner("s-1");
-        world.addRunner("s-2");
+        platform = new DispatcherOnStubPlatform();
+        platform.addRunner("s-1");
+        platform.addRunner("s-2");
         ledger = new Ledger(
                 "n0",
                 new LedgerSettings(
@@ -60,19 +60,19 @@
                 Clock.system());
         ledger.start();
         ledger.awaitReady();
-        world.usageRecorder = ledger;
+        platform.usageRecorder = ledger;
         EventStreamConfig edge = EventStreamConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}")
                 .block("edge")
                 .get());
-        Map<String, Object> config = world.config();
+        Map<String, Object> config = platform.config();
         config.put("admin_addr", "127.0.0.1:0");
-        node = world.start(config, base -> new EventStreamFrontend(base, edge));
-        ports = node.ports();
+        dispatcher = platform.start(config, base -> new EventStreamFrontend(base, edge));
+        ports = dispatcher.ports();
     }
 
     @AfterEach
     void close() {
-        world.close();
+        platform.close();
         ledger.close();
     }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    private static String asked(String id, String requestClass, String... headers) {
+    private static String request(String id, String requestClass, String... headers) {
         List<String> all = new ArrayList<>(List.of(headers));
         all.add("Connection: close");
         return job("/api", id, requestClass, "{}", all.toArray(String[]::new)).toString();
@@ -100,13 +100,13 @@
     }
 
     @Test
-    void eachAnswerOnBothFrontsIsAnEntryWithItsWork() throws Exception {
-        world.runTime = 60;
-        assertTrue(send(ports.get(0), asked("a", "save-run", "Idempotency-Key: K-1"))
+    void eachAnswerOnBothFrontendsIsEnteredWithItsWork() throws Exception {
+        platform.runTime = 60;
+        assertTrue(send(ports.get(0), request("a", "save-run", "Idempotency-Key: K-1"))
                 .contains("r-a"));
-        assertTrue(send(ports.get(1), asked("b", "step-view")).contains("r-b"));
-        world.instead = request -> request.connection().close();
-        assertTrue(send(ports.get(0), asked("c", "mark-submit")).contains(" 502 "));
+        assertTrue(send(ports.get(1), request("b", "step-view")).contains("r-b"));
+        platform.instead = request -> request.connection().close();
+        assertTrue(send(ports.get(0), request("c", "mark-submit")).contains(" 502 "));
         Map<String, Entry> all = entries(3);
         Entry a = all.get("a");
         assertEquals(Ending.SERVED, a.ending());
@@ -117,24 +117,24 @@
         assertEquals(Ending.SERVED, all.get("b").ending());
         assertEquals(Ending.FAILED, all.get("c").ending());
         assertEquals(0, all.get("c").workSlotMicros());
-        String figures = send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
+        String figures = send(dispatcher.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(
                 figures.contains("router.ledger.entries=3\n") && figures.contains("router.ledger.queue=0\n"), figures);
     }
 
-    /** A client that leaves while its job runs, and one that leaves as its answer comes. */
+    /** Clients that disconnect while their request runs, and clients that read one byte of the answer first. */
     @Test
-    void aClientThatLeavesIsCountedAndNotBilled() throws Exception {
-        world.runTime = 80;
+    void disconnectedClientIsCountedButNotBilled() throws Exception {
+        platform.runTime = 80;
         int jobs = 40;
         for (int i = 0; i < jobs; i++) {
             try (Socket socket = new Socket("127.0.0.1", ports.get(0))) {
                 socket.setSoLinger(true, 0);
-                socket.getOutputStream().write(asked("l" + i, "step-view").getBytes());
+                socket.getOutputStream().write(request("l" + i, "step-view").getBytes());
                 int until = i;
-                until(() -> world.runs.containsKey("l" + until));
+                until(() -> platform.runs.containsKey("l" + until));
                 if (i % 2 == 0) {
-                    // Until the answer is on its way, or nearly.
+                    // Waits until the answer has started.
                     socket.getInputStream().read();
                 }
             }
@@ -146,9 +146,9 @@
         assertEquals(
                 jobs / 2,
                 all.values().stream().filter(e -> e.ending() == Ending.LEFT).count());
-        // The same jobs are fulfilled in the figures and served in the ledger.
+        // Requests that are fulfilled in the metrics are served in the ledger.
         assertEquals(
-                send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
+                send(dispatcher.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
                         .lines()
                         .filter(l -> l.startsWith("router.operations.step-view.fulfilled="))
                         .findFirst()
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -32,7 +32,10 @@
 import nettlewick.net.DispatcherOnStubPlatform;
 import org.HdrHistogram.Histogram;
 
-/** {@code make measure-ledger}: what the ledger costs and holds; the last lines are {@code name=value}. */
+/**
+ * {@code make measure-ledger}: measures the throughput, size and latency of the ledger; the last lines are {@code
+ * name=value}.
+ */
 public final class MeasureLedger {
     private static final double NOW = 1793491200000.0;
     private static final int MILLION = 1_000_000;
@@ -53,23 +56,23 @@
     public static void main(String[] args) throws Exception {
         if (args.length == 3 && args[0].equals("fill")) {
             fill(Path.of(args[1]), Integer.parseInt(args[2]));
-            // As a kill would: no close, no checkpoint.
+            // Ends like a killed process: no close, no checkpoint.
             Runtime.getRuntime().halt(9);
         }
         Path folder = Files.createTempDirectory("nettlewick-measure");
         try {
             MeasureLedger measure = new MeasureLedger(folder);
             if (args.length > 0 && args[0].equals("throughput")) {
-                measure.throughput("batch", false);
+                measure.measureThroughput("batch", false);
                 measure.lines.forEach(System.out::println);
                 System.exit(0);
             }
             if (args.length == 0 || !args[0].equals("answers")) {
-                measure.throughput("sync", true);
-                measure.throughput("batch", false);
-                measure.million();
+                measure.measureThroughput("sync", true);
+                measure.measureThroughput("batch", false);
+                measure.measureMillionEntries();
             }
-            measure.answers();
+            measure.measureServing();
             measure.lines.forEach(System.out::println);
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
@@ -79,8 +82,8 @@
         System.exit(0);
     }
 
-    private void say(String name, double value, String form) {
-        lines.add(name + "=" + String.format(Locale.ROOT, form, value));
+    private void addResult(String name, double value, String format) {
+        lines.add(name + "=" + String.format(Locale.ROOT, format, value));
     }
 
     private static LedgerSettings settings(Path store, boolean sync) {
@@ -97,17 +100,17 @@
                 null);
     }
 
-    // TestEntries a second through the whole of the ledger: intent, answer, entry
+    // Entries per second through the whole ledger: intent, answer, entry
 
-    private void throughput(String name, boolean sync) throws Exception {
+    private void measureThroughput(String name, boolean sync) throws Exception {
         Ledger ledger = new Ledger("a", settings(folder.resolve(name), sync), Clock.system());
         ledger.start();
         ledger.awaitReady();
-        Semaphore room = new Semaphore(OUTSTANDING);
-        long began = System.nanoTime();
+        Semaphore outstanding = new Semaphore(OUTSTANDING);
+        long startNanos = System.nanoTime();
         long jobs = 0;
-        while (System.nanoTime() - began < THROUGHPUT_NANOS) {
-            room.acquire();
+        while (System.nanoTime() - startNanos < THROUGHPUT_NANOS) {
+            outstanding.acquire();
             ledger.record(
                     new UsageRecorder.FinishedRequest(
                             new Request(
@@ -130,13 +133,13 @@
                             0),
                     receipt -> {
                         receipt.onDelivered();
-                        room.release();
+                        outstanding.release();
                     });
         }
         ledger.close();
-        say(
+        addResult(
                 "entries_per_s_" + name,
-                ledger.metrics().get("ledger.entries").doubleValue() / ((System.nanoTime() - began) / 1e9),
+                ledger.metrics().get("ledger.entries").doubleValue() / ((System.nanoTime() - startNanos) / 1e9),
                 "%.0f");
     }
 
@@ -188,7 +191,7 @@
         return size;
     }
 
-    private void million() throws Exception {
+    private void measureMillionEntries() throws Exception {
         Path one = folder.resolve("million");
         Files.createDirectories(one);
         Process filler = new ProcessBuilder(
@@ -202,15 +205,15 @@
                 .inheritIO()
                 .start();
         filler.waitFor();
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         ChainOrigin own;
         try (Store store = Store.open(one, "a", FaultInjection.NONE)) {
             Recovery.run(store, NOW, settings(one, true).calendar());
             own = store.beginIncarnation(NOW);
             store.append(own, drafts(1, 0));
         }
-        say("open_1m_s", (System.nanoTime() - began) / 1e9, "%.3f");
-        say("bytes_per_entry", (double) size(one) / MILLION, "%.0f");
+        addResult("open_1m_s", (System.nanoTime() - startNanos) / 1e9, "%.3f");
+        addResult("bytes_per_entry", (double) size(one) / MILLION, "%.0f");
         Path two = folder.resolve("other");
         Files.createDirectories(two);
         Files.copy(one.resolve(Store.FILE_NAME), two.resolve(Store.FILE_NAME));
@@ -247,60 +250,60 @@
                     new MessageAuthenticator(key),
                     Clock.system(),
                     5000);
-            began = System.nanoTime();
+            startNanos = System.nanoTime();
             Reconciler.Report report = new Reconciler(other, client, 2000).runRound();
-            say("reconcile_s", (System.nanoTime() - began) / 1e9, "%.3f");
-            say("reconcile_entries", report.entries(), "%.0f");
-            say("reconcile_bytes", client.bytesTransferred(), "%.0f");
-            say("reconcile_share", (double) client.bytesTransferred() / ledger, "%.7f");
+            addResult("reconcile_s", (System.nanoTime() - startNanos) / 1e9, "%.3f");
+            addResult("reconcile_entries", report.entries(), "%.0f");
+            addResult("reconcile_bytes", client.bytesTransferred(), "%.0f");
+            addResult("reconcile_share", (double) client.bytesTransferred() / ledger, "%.7f");
             front.close();
         }
         DispatcherOnStubPlatform.get(vertx.close());
-        began = System.nanoTime();
-        StatementCalculator book =
+        startNanos = System.nanoTime();
+        StatementCalculator calculator =
                 new StatementCalculator(new BillingCalendar(java.time.ZoneOffset.UTC, List.of()), 15_000);
         try (Store store = Store.read(one)) {
-            store.forEachEntry(book::add);
+            store.forEachEntry(calculator::add);
         }
-        book.periods();
-        say("statement_1m_s", (System.nanoTime() - began) / 1e9, "%.2f");
+        calculator.periods();
+        addResult("statement_1m_s", (System.nanoTime() - startNanos) / 1e9, "%.2f");
     }
 
-    // Answers' latencies and CPU with the ledger off, in batch and in sync mode, in turns
+    // Latency and CPU of requests without a ledger, in batch mode and in sync mode, by turns
 
-    private static final class Side {
+    private static final class Dispatcher {
         final Process process;
         final int port;
         final Map<Integer, Histogram> histograms = new HashMap<>();
         final Map<Integer, Double> cpu = new HashMap<>();
         final Map<Integer, Long> jobs = new HashMap<>();
 
-        Side(Process process, int port) {
+        Dispatcher(Process process, int port) {
             this.process = process;
             this.port = port;
         }
 
-        /** Seconds of CPU that the process has had. */
-        double used() throws IOException {
+        /** CPU seconds that the process has used. */
+        double cpuSeconds() throws IOException {
             String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / 100.0;
         }
     }
 
-    private void answers() throws Exception {
-        try (DispatcherOnStubPlatform world = new DispatcherOnStubPlatform()) {
-            world.runTime = 6;
+    private void measureServing() throws Exception {
+        try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
+            platform.runTime = 6;
             for (int i = 0; i < RUNNERS; i++) {
-                world.addRunner("s-" + i);
+                platform.addRunner("s-" + i);
             }
-            Map<String, Side> sides = new java.util.LinkedHashMap<>();
+            Map<String, Dispatcher> dispatchers = new java.util.LinkedHashMap<>();
             for (String mode : List.of("off", "batch", "sync")) {
                 int port;
                 try (ServerSocket free = new ServerSocket(0)) {
                     port = free.getLocalPort();
                 }
-                Map<String, Object> config = world.config();
+                Map<String, Object> config = platform.config();
                 config.put("listen", "127.0.0.1:" + port);
                 Path file = Files.writeString(folder.resolve(mode + ".json"), new Gson().toJson(config));
                 Path conf = Files.writeString(
@@ -310,9 +313,9 @@
                                 : "ledger {\n"
                                         + "store " + folder.resolve("store-" + mode) + "\nmode " + mode
                                         + (mode.equals("batch") ? " 20ms" : "") + "\n}\n");
-                sides.put(
+                dispatchers.put(
                         mode,
-                        new Side(
+                        new Dispatcher(
                                 ChildProcess.start(
                                         folder.resolve(mode + ".log"),
                                         Map.of("ROUTER_CONFIG", file.toString()),
@@ -325,42 +328,45 @@
             HttpClient client = vertx.createHttpClient(
                     new HttpClientOptions().setTcpNoDelay(true), new PoolOptions().setHttp1MaxSize(100));
             TimeUnit.SECONDS.sleep(2);
-            for (Side side : sides.values()) {
-                load(client, side, 1000, 2, false);
+            for (Dispatcher dispatcher : dispatchers.values()) {
+                load(client, dispatcher, 1000, 2, false);
             }
-            List<Side> order = new ArrayList<>(sides.values());
+            List<Dispatcher> order = new ArrayList<>(dispatchers.values());
             for (int round = 0; round < ROUNDS; round++) {
                 for (int rate : new int[] {200, 1000}) {
-                    for (Side side : order) {
-                        load(client, side, rate, SLICE_SECONDS, true);
+                    for (Dispatcher dispatcher : order) {
+                        load(client, dispatcher, rate, SLICE_SECONDS, true);
                     }
                 }
                 java.util.Collections.rotate(order, 1);
             }
-            Side off = sides.get("off");
+            Dispatcher off = dispatchers.get("off");
             for (int rate : new int[] {200, 1000}) {
-                sides.forEach((mode, side) -> {
-                    Histogram h = side.histograms.get(rate);
-                    say("p50_ms_" + mode + "_" + rate, h.getValueAtPercentile(50) / 1000.0, "%.2f");
-                    say("p99_ms_" + mode + "_" + rate, h.getValueAtPercentile(99) / 1000.0, "%.2f");
-                    say("cpu_ms_a_job_" + mode + "_" + rate, 1000 * side.cpu.get(rate) / side.jobs.get(rate), "%.3f");
+                dispatchers.forEach((mode, dispatcher) -> {
+                    Histogram h = dispatcher.histograms.get(rate);
+                    addResult("p50_ms_" + mode + "_" + rate, h.getValueAtPercentile(50) / 1000.0, "%.2f");
+                    addResult("p99_ms_" + mode + "_" + rate, h.getValueAtPercentile(99) / 1000.0, "%.2f");
+                    addResult(
+                            "cpu_ms_a_job_" + mode + "_" + rate,
+                            1000 * dispatcher.cpu.get(rate) / dispatcher.jobs.get(rate),
+                            "%.3f");
                 });
             }
             for (String mode : List.of("batch", "sync")) {
-                Side side = sides.get(mode);
+                Dispatcher dispatcher = dispatchers.get(mode);
                 for (int rate : new int[] {200, 1000}) {
-                    String end = rate == 1000 ? "" : "_200";
-                    say(
-                            "p99_ratio_" + mode + end,
-                            (double) side.histograms.get(rate).getValueAtPercentile(99)
+                    String suffix = rate == 1000 ? "" : "_200";
+                    addResult(
+                            "p99_ratio_" + mode + suffix,
+                            (double) dispatcher.histograms.get(rate).getValueAtPercentile(99)
                                     / off.histograms.get(rate).getValueAtPercentile(99),
                             "%.3f");
-                    say("cpu_ratio_" + mode + end, side.cpu.get(rate) / off.cpu.get(rate), "%.3f");
+                    addResult("cpu_ratio_" + mode + suffix, dispatcher.cpu.get(rate) / off.cpu.get(rate), "%.3f");
                 }
             }
-            for (Side side : sides.values()) {
-                side.process.destroyForcibly();
-                side.process.waitFor();
+            for (Dispatcher dispatcher : dispatchers.values()) {
+                dispatcher.process.destroyForcibly();
+                dispatcher.process.waitFor();
             }
             DispatcherOnStubPlatform.get(vertx.close());
         }
@@ -368,22 +374,23 @@
 
     private final AtomicLong number = new AtomicLong();
 
-    /** Open loop: each job is counted from when it was to be sent. */
-    private void load(HttpClient client, Side side, int rate, long seconds, boolean count) throws Exception {
-        Histogram histogram = side.histograms.computeIfAbsent(rate, r -> new Histogram(60_000_000, 3));
-        double cpu = side.used();
+    /** Open loop: latency counts from the time at which a request was due to be sent. */
+    private void load(HttpClient client, Dispatcher dispatcher, int rate, long seconds, boolean count)
+            throws Exception {
+        Histogram histogram = dispatcher.histograms.computeIfAbsent(rate, r -> new Histogram(60_000_000, 3));
+        double cpu = dispatcher.cpuSeconds();
         long jobs = rate * seconds;
         Semaphore done = new Semaphore(0);
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (long i = 0; i < jobs; i++) {
-            long intended = began + i * 1_000_000_000L / rate;
+            long intended = startNanos + i * 1_000_000_000L / rate;
             for (long wait = intended - System.nanoTime(); wait > 0; wait = intended - System.nanoTime()) {
                 LockSupport.parkNanos(wait);
             }
             client.request(new RequestOptions()
                             .setMethod(HttpMethod.POST)
                             .setHost("127.0.0.1")
-                            .setPort(side.port)
+                            .setPort(dispatcher.port)
                             .setURI("/api")
                             .putHeader("X-Request-Id", "q" + number.incrementAndGet())
                             .putHeader("X-Class", "step-view")
@@ -404,8 +411,8 @@
             throw new IllegalStateException("answers are missing");
         }
         if (count) {
-            side.cpu.merge(rate, side.used() - cpu, Double::sum);
-            side.jobs.merge(rate, jobs, Long::sum);
+            dispatcher.cpu.merge(rate, dispatcher.cpuSeconds() - cpu, Double::sum);
+            dispatcher.jobs.merge(rate, jobs, Long::sum);
         }
     }
 }
--- a/src/test/java/nettlewick/ledger/PeerClientTest.java
+++ b/src/test/java/nettlewick/ledger/PeerClientTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Calls of many threads to a peer that answers at once. */
+/** Requests from many threads to a peer that responds immediately. */
 @Timeout(60)
 class PeerClientTest {
     private static final byte[] KEY = "0123456789abcdef0123456789abcdef".getBytes();
     private static final int CALLS_PER_CALLER = 200;
     private static final double TIMEOUT_MILLIS = 10_000;
-    private static final int STATUS_SAME = 204;
+    private static final int NO_CONTENT = 204;
 
     private Vertx vertx;
 
@@ -37,13 +37,14 @@
     }
 
     private int listen() throws Exception {
-        MessageAuthenticator seal = new MessageAuthenticator(KEY);
+        MessageAuthenticator authenticator = new MessageAuthenticator(KEY);
         HttpServer server = vertx.createHttpServer()
                 .requestHandler(request -> request.response()
-                        .setStatusCode(STATUS_SAME)
+                        .setStatusCode(NO_CONTENT)
                         .putHeader(
                                 PeerServer.SIGNATURE_HEADER,
-                                seal.signResponse(request.getHeader(PeerServer.NONCE_HEADER), STATUS_SAME, new byte[0]))
+                                authenticator.signResponse(
+                                        request.getHeader(PeerServer.NONCE_HEADER), NO_CONTENT, new byte[0]))
                         .end());
         return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
     }
@@ -62,9 +63,9 @@
         return faults;
     }
 
-    /** Guards against handlers that are set on a response after it has ended. */
+    /** Guards against response handlers that are set after the response has ended, so that the end is never seen. */
     @Test
-    void everyAnswerIsReadHoweverLateTheCallerIsScheduled() throws Exception {
+    void everyResponseIsReadEvenIfTheCallerIsScheduledLate() throws Exception {
         int port = listen();
         assertEquals(List.of(), ConcurrentCallers.runOnEach(() -> callRepeatedly(port)));
     }
--- a/src/test/java/nettlewick/ledger/StoreTest.java
+++ b/src/test/java/nettlewick/ledger/StoreTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store and the spool: chains, damage of every byte, and what a dead life leaves. */
+/** The store and the spool: hash chains, damage at every byte, and recovery of dead incarnations. */
 class StoreTest {
     private static final double NOW = 1793491200000.0;
 
-    private static final BillingCalendar TERMS = new BillingCalendar(java.time.ZoneOffset.UTC, List.of());
+    private static final BillingCalendar CALENDAR = new BillingCalendar(java.time.ZoneOffset.UTC, List.of());
 
     @TempDir
     private Path dir;
@@ -42,15 +42,15 @@
         return Store.open(dir, "a", FaultInjection.NONE);
     }
 
-    private void sql(String statement) throws Exception {
+    private void executeSql(String statement) throws Exception {
         try (Connection c = DriverManager.getConnection("jdbc:sqlite:" + dir.resolve(Store.FILE_NAME))) {
             c.createStatement().execute(statement);
         }
     }
 
     @Test
-    void entriesReadBackAsTheyWereAndChainsGoOnAfterAReopening() throws Exception {
-        Entry odd = new Entry(
+    void entriesAreReadBackAndChainsContinueAfterReopening() throws Exception {
+        Entry unusual = new Entry(
                 new EntryRef(new ChainOrigin("", 0), 0),
                 Kind.JOB,
                 NOW,
@@ -71,35 +71,39 @@
         try (Store store = open()) {
             own = store.beginIncarnation(NOW);
             assertEquals(3, store.append(own, drafts(3)));
-            assertEquals(4, store.append(own, List.of(odd)));
+            assertEquals(4, store.append(own, List.of(unusual)));
         }
         try (Store store = open()) {
             assertEquals(5, store.append(own, drafts(1)));
-            assertEquals(odd.withRef(new EntryRef(own, 4)), store.entry(new EntryRef(own, 4)));
+            assertEquals(unusual.withRef(new EntryRef(own, 4)), store.entry(new EntryRef(own, 4)));
             assertEquals(List.of(), store.verify());
             ChainOrigin next = store.beginIncarnation(NOW);
-            assertTrue(next.incarnation() > own.incarnation(), "two lives in one second have two numbers");
+            assertTrue(next.incarnation() > own.incarnation(), "two incarnations in one second have different numbers");
         }
         assertThrows(StoreException.class, () -> Store.open(dir, "b", FaultInjection.NONE));
     }
 
-    /** Guards against a close that cannot be written any more once there have been thousands of lives. */
+    /**
+     * Guards against a close that cannot be written after thousands of incarnations, because its text exceeds the 64
+     * KiB limit of writeUTF.
+     */
     @Test
-    void aCloseOverThousandsOfOriginsReadsBack() throws Exception {
-        java.util.Map<ChainOrigin, Long> vector = new java.util.TreeMap<>();
+    void closeOverThousandsOfOriginsIsReadBack() throws Exception {
+        java.util.Map<ChainOrigin, Long> lastNumbers = new java.util.TreeMap<>();
         for (int i = 0; i < 5000; i++) {
-            vector.put(new ChainOrigin("college-nord-" + i % 300, 1_796_134_423L + i), (long) i + 1);
+            lastNumbers.put(new ChainOrigin("college-nord-" + i % 300, 1_796_134_423L + i), (long) i + 1);
         }
         try (Store store = open()) {
             ChainOrigin own = store.beginIncarnation(NOW);
-            Entry close = Entry.close(new EntryRef(own, 0), NOW, TERMS.periodAt(NOW), vector, "op");
+            Entry close = Entry.close(new EntryRef(own, 0), NOW, CALENDAR.periodAt(NOW), lastNumbers, "op");
             store.append(own, List.of(close));
-            assertEquals(vector, store.entry(new EntryRef(own, 1)).parseClose().lastNumbers());
+            assertEquals(
+                    lastNumbers, store.entry(new EntryRef(own, 1)).parseClose().lastNumbers());
         }
     }
 
     @Test
-    void tamperingIsToldWithItsPlace() throws Exception {
+    void verifyLocatesTampering() throws Exception {
         ChainOrigin own;
         try (Store store = open()) {
             own = store.beginIncarnation(NOW);
@@ -110,8 +114,8 @@
         for (byte b : other) {
             hex.append(String.format("%02x", b));
         }
-        sql("UPDATE entry SET bytes = x'" + hex + "' WHERE number = 4");
-        sql("DELETE FROM entry WHERE number = 7");
+        executeSql("UPDATE entry SET bytes = x'" + hex + "' WHERE number = 4");
+        executeSql("DELETE FROM entry WHERE number = 7");
         try (Store store = open()) {
             List<String> found = store.verify();
             assertEquals(2, found.size(), found.toString());
@@ -121,13 +125,13 @@
     }
 
     @Test
-    void aTailThatWasCutOffShowsByWhatNamesIt() throws Exception {
+    void verifyFindsMissingTailOfAnExportedChain() throws Exception {
         try (Store store = open()) {
             ChainOrigin own = store.beginIncarnation(NOW);
             store.append(own, drafts(9));
             store.cutBatch("x", 100);
         }
-        sql("DELETE FROM entry WHERE number > 6");
+        executeSql("DELETE FROM entry WHERE number > 6");
         try (Store store = open()) {
             assertTrue(
                     store.verify().get(0).contains("ends at 6, but entry 9"),
@@ -136,7 +140,7 @@
     }
 
     @Test
-    void aBatchOnceCutIsTheSameForEver() throws Exception {
+    void batchNeverChangesOnceCreated() throws Exception {
         try (Store store = open()) {
             ChainOrigin one = store.beginIncarnation(NOW);
             store.append(one, drafts(5));
@@ -160,12 +164,12 @@
     }
 
     @Test
-    void aFileThatIsNoStoreIsPutAsideNotDeleted() throws Exception {
+    void damagedStoreIsRenamedNotDeleted() throws Exception {
         Files.writeString(dir.resolve(Store.FILE_NAME), "this is not SQLite at all, but long enough to be looked at");
         StoreException e = assertThrows(StoreException.class, this::open);
         assertTrue(e.isDamaged());
-        Path aside = Store.moveDamagedAside(dir, NOW);
-        assertTrue(Files.readString(aside).startsWith("this is not"));
+        Path renamed = Store.moveDamagedAside(dir, NOW);
+        assertTrue(Files.readString(renamed).startsWith("this is not"));
         open().close();
     }
 
@@ -197,15 +201,15 @@
                 null);
     }
 
-    /** Leaves the lock and the files as a killed process would. */
-    private static void kill(Spool spool) throws Exception {
+    /** Releases the lock and keeps the files, as a killed process does. */
+    private static void simulateKill(Spool spool) throws Exception {
         var field = Spool.class.getDeclaredField("lock");
         field.setAccessible(true);
         ((java.nio.channels.FileChannel) field.get(spool)).close();
     }
 
     @Test
-    void aDeadLifesJobsAreEnteredOrInDoubtAndNeverTwice() throws Exception {
+    void requestsOfDeadIncarnationAreRecoveredOnce() throws Exception {
         try (Store store = open()) {
             ChainOrigin own = store.beginIncarnation(NOW);
             Spool spool = spool(own, 0);
@@ -217,9 +221,9 @@
             spool.recordEnd(3, NOW + 52, true);
             spool.force();
             store.append(own, List.of(Spool.finalEntry(draft(1), NOW + 50, true)));
-            assertTrue(Recovery.run(store, NOW, TERMS).isEmpty(), "a living one's are left alone");
-            kill(spool);
-            Recovery.Report report = Recovery.run(store, NOW, TERMS);
+            assertTrue(Recovery.run(store, NOW, CALENDAR).isEmpty(), "the files of a live incarnation are left alone");
+            simulateKill(spool);
+            Recovery.Report report = Recovery.run(store, NOW, CALENDAR);
             assertEquals(2, report.answered());
             assertEquals(1, report.doubts());
             List<Entry> all = new ArrayList<>();
@@ -231,22 +235,22 @@
                     List.of(Ending.SERVED, Ending.LEFT, Ending.SERVED, Ending.SERVED),
                     all.stream().map(Entry::ending).toList());
             assertEquals(Kind.DOUBT, all.get(3).kind());
-            assertEquals(0, all.get(1).workSlotMicros(), "what a client did not wait for is not billed");
-            assertTrue(Recovery.run(store, NOW, TERMS).isEmpty());
+            assertEquals(0, all.get(1).workSlotMicros(), "work for a client that disconnected is not billed");
+            assertTrue(Recovery.run(store, NOW, CALENDAR).isEmpty());
             assertEquals(List.of(), store.verify());
         }
     }
 
-    /** Cut anywhere, what is whole before the cut is found, and nothing else is made of the rest. */
+    /** A spool that is truncated anywhere yields the complete records before that point, and nothing else. */
     @Test
-    void aSpoolCutAtEveryByteOrWithAnyByteChangedNeverInventsAJob() throws Exception {
+    void truncatedOrCorruptSpoolNeverYieldsAWrongRequest() throws Exception {
         ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 0);
         spool.recordIntent(draft(1));
         spool.recordEnd(1, NOW, true);
         spool.recordIntent(draft(2));
         spool.force();
-        kill(spool);
+        simulateKill(spool);
         Path file = dir.resolve("spool-7-000001.log");
         byte[] whole = Files.readAllBytes(file);
         int used = whole.length;
@@ -259,14 +263,14 @@
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
             Spool.Contents found = Spool.read(dir, 7);
             int jobs = found == null ? 0 : found.intents().size();
-            assertTrue(jobs >= last && (found == null || found.damage().isEmpty()), "cut at " + cut);
+            assertTrue(jobs >= last && (found == null || found.damage().isEmpty()), "truncated at byte " + cut);
             if (cut > 0 && cut < 4) {
                 continue;
             }
-            // A file is made whole before it is written to: what a kill leaves ends in zeros.
+            // Files are allocated with zeros before they are written, so a killed process leaves zeros at the end.
             Files.write(file, java.util.Arrays.copyOf(java.util.Arrays.copyOf(whole, cut), whole.length));
             found = Spool.read(dir, 7);
-            assertTrue(found == null || found.intents().size() <= 2, "zeros from " + cut);
+            assertTrue(found == null || found.intents().size() <= 2, "zeros from byte " + cut);
             last = jobs;
         }
         assertEquals(2, last);
@@ -288,31 +292,31 @@
     }
 
     @Test
-    void theSpoolOfAStoreThatWasLostIsInDoubtInAChainOfItsOwn() throws Exception {
+    void spoolOfLostStoreIsEnteredAsDoubtsInANewChain() throws Exception {
         ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 12);
         spool.recordIntent(draft(1));
         spool.recordEnd(1, NOW, true);
         spool.force();
-        kill(spool);
+        simulateKill(spool);
         try (Store store = open()) {
-            assertEquals(1, Recovery.run(store, NOW, TERMS).doubts());
+            assertEquals(1, Recovery.run(store, NOW, CALENDAR).doubts());
             assertEquals(0, store.head(own).number());
             assertEquals(1L, store.countByKind(true).get(Kind.DOUBT));
         }
     }
 
     @Test
-    void segmentsGoOnlyWhenAllTheirJobsAreEntered() throws Exception {
+    void segmentsAreDeletedOnceAllTheirRequestsAreEntered() throws Exception {
         ChainOrigin own = new ChainOrigin("a", 7);
         Spool spool = spool(own, 0);
         Random random = new Random(5);
-        List<Spool.IntentTracker> places = new ArrayList<>();
+        List<Spool.IntentTracker> trackers = new ArrayList<>();
         byte[] noise = new byte[9000];
         for (int job = 1; job <= 2000; job++) {
             random.nextBytes(noise);
             Entry d = draft(job);
-            places.add(spool.recordIntent(new Entry(
+            trackers.add(spool.recordIntent(new Entry(
                     d.ref(),
                     d.kind(),
                     d.timeMillis(),
@@ -331,21 +335,21 @@
                     null)));
             spool.prepareSegment(0);
         }
-        Spool.IntentTracker first = places.get(0);
-        int jobs = (int) places.stream().filter(p -> p == first).count();
-        assertTrue(jobs > 100 && jobs < 900, jobs + " jobs in the first file");
-        int before = files();
+        Spool.IntentTracker first = trackers.get(0);
+        int jobs = (int) trackers.stream().filter(p -> p == first).count();
+        assertTrue(jobs > 100 && jobs < 900, jobs + " requests in the first file");
+        int before = spoolFileCount();
         first.markCommitted(jobs - 1);
-        assertEquals(before, files(), "one job has no entry yet");
+        assertEquals(before, spoolFileCount(), "one request has no entry yet");
         first.markCommitted(1);
-        assertEquals(before - 2, files(), "the mapped file and the one that is forced");
-        places.stream().filter(p -> p != first).forEach(p -> p.markCommitted(1));
+        assertEquals(before - 2, spoolFileCount(), "the mapped file and its synced copy are deleted");
+        trackers.stream().filter(p -> p != first).forEach(p -> p.markCommitted(1));
         spool.close();
-        assertEquals(0, files());
+        assertEquals(0, spoolFileCount());
         assertFalse(Files.exists(dir.resolve("life-7.lock")));
     }
 
-    private int files() throws IOException {
+    private int spoolFileCount() throws IOException {
         try (var all = Files.list(dir)) {
             return (int) all.filter(f -> f.getFileName().toString().startsWith("spool-"))
                     .count();
--- a/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
+++ b/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
@@ -21,41 +21,41 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Opens a ledger that an earlier build wrote, with the spool of its killed process and an archive, and compares all
- * that is read from it with what that build read.
+ * Opens a ledger that an earlier build wrote, with the spool of its killed process and an archive, and compares
+ * everything read from it with what that build read.
  */
 class StoredLedgerGoldenTest {
     private static final String FOLDER = "ledger/store";
     private static final String ARCHIVE = "ledger/archive/2024-10.archive";
-    private static final double DAY = 86_400_000.0;
+    private static final double DAY_MILLIS = 86_400_000.0;
     private static final double OCTOBER = 1_728_086_400_000.0;
-    private static final double NOVEMBER = OCTOBER + 31 * DAY;
-    private static final double DECEMBER = NOVEMBER + 30 * DAY;
-    private static final BillingCalendar TERMS = new BillingCalendar(ZoneOffset.UTC, List.of());
-    private static final double KEY_WINDOW = DAY;
+    private static final double NOVEMBER = OCTOBER + 31 * DAY_MILLIS;
+    private static final double DECEMBER = NOVEMBER + 30 * DAY_MILLIS;
+    private static final BillingCalendar CALENDAR = new BillingCalendar(ZoneOffset.UTC, List.of());
+    private static final double KEY_WINDOW_MILLIS = DAY_MILLIS;
 
     @TempDir
     private Path dir;
 
-    /** Writes the stored data anew; only where that was asked for. */
+    /** Rewrites the stored data, only if golden.record is set. */
     @BeforeAll
     static void record(@TempDir Path made) throws Exception {
         if (!Boolean.getBoolean("golden.record")) {
             return;
         }
         try (Store store = Store.open(made, "north", FaultInjection.NONE)) {
-            october(store);
-            november(store);
+            writeOctober(store);
+            writeNovember(store);
         }
         try (Store store = Store.open(made)) {
             ChainOrigin third = store.beginIncarnation(DECEMBER);
             try (Spool spool = new Spool(made, third, FaultInjection.NONE)) {
-                fill(spool, third);
+                fillSpool(spool, third);
                 store.append(
                         third,
                         List.of(Spool.finalEntry(intent(third, 1), DECEMBER + 50, true)
-                                .withPeriod(TERMS)));
-                // Both are open: what a killed process leaves, with the newest entry in the write-ahead log.
+                                .withPeriod(CALENDAR)));
+                // Both are still open, as in a killed process, with the newest entry in the write-ahead log.
                 Fixture.record(made, FOLDER, "-shm");
             }
         }
@@ -78,10 +78,10 @@
                 job,
                 null,
                 null,
-                TERMS.periodAt(at).name());
+                CALENDAR.periodAt(at).name());
     }
 
-    private static void october(Store store) throws Exception {
+    private static void writeOctober(Store store) throws Exception {
         ChainOrigin own = store.beginIncarnation(OCTOBER);
         Entry doubt = new Entry(
                 new EntryRef(own, 0),
@@ -112,7 +112,7 @@
                         Entry.gap(new EntryRef(own, 0), OCTOBER + 7, OCTOBER + 9, 3)));
         store.markDelivered(store.cutBatch("files", 100));
         store.recordSettled(own, OCTOBER + 10);
-        store.closePeriod(own, TERMS.periodAt(OCTOBER), NOVEMBER, "operator");
+        store.closePeriod(own, CALENDAR.periodAt(OCTOBER), NOVEMBER, "operator");
         List<Entry> jobs = new ArrayList<>();
         store.forEachEntry(e -> {
             if (e.kind() == Kind.JOB) {
@@ -128,7 +128,7 @@
                 jobs.stream().map(Entry::ref).toList());
     }
 
-    private static void november(Store store) throws Exception {
+    private static void writeNovember(Store store) throws Exception {
         ChainOrigin own = store.beginIncarnation(NOVEMBER);
         Entry target = store.entry(new EntryRef(new ChainOrigin("north", (long) (OCTOBER / 1000)), 6));
         store.append(
@@ -140,7 +140,7 @@
                                 new EntryRef(own, 0), NOVEMBER + 3, target, 450, "operator", "answer was seen")));
         store.cutBatch("files", 2);
         store.markDelivered(store.cutBatch("web", 5));
-        store.requestSettlement(TERMS.periodAt(NOVEMBER));
+        store.requestSettlement(CALENDAR.periodAt(NOVEMBER));
         ChainOrigin south = new ChainOrigin("south", 7);
         byte[] first = job(NOVEMBER + 4, "green", null, Ending.SERVED, 800, false, 1)
                 .withRef(new EntryRef(south, 1))
@@ -168,7 +168,7 @@
                 .withRef(new EntryRef(own, 0));
     }
 
-    private static void fill(Spool spool, ChainOrigin own) throws Exception {
+    private static void fillSpool(Spool spool, ChainOrigin own) throws Exception {
         spool.prepareSegment(0);
         spool.prepareSegment(0);
         for (long job = 1; job <= 4; job++) {
@@ -266,9 +266,9 @@
     }
 
     private static String statement(Store store, String period) throws Exception {
-        StatementCalculator book = new StatementCalculator(TERMS, KEY_WINDOW);
-        store.forEachEntry(book::add);
-        Statement s = book.statement(period);
+        StatementCalculator calculator = new StatementCalculator(CALENDAR, KEY_WINDOW_MILLIS);
+        store.forEachEntry(calculator::add);
+        Statement s = calculator.statement(period);
         StringBuilder text = new StringBuilder("statement " + s.period() + " closed " + s.closed() + " open " + s.open()
                 + " billed " + s.billed() + "\n");
         s.rows()
@@ -319,7 +319,7 @@
     }
 
     @Test
-    void theStoreReadsAsItDid() throws Exception {
+    void storedLedgerReadsAsRecorded() throws Exception {
         Fixture.copy(FOLDER, dir);
         try (Store store = Store.read(dir)) {
             assertMatches("ledger/read.txt", state(store) + entries(store));
@@ -327,10 +327,10 @@
     }
 
     @Test
-    void theSpoolOfTheKilledProcessIsRecoveredAsItWas() throws Exception {
+    void spoolOfKilledProcessIsRecoveredAsRecorded() throws Exception {
         Fixture.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
-            Recovery.Report report = Recovery.run(store, DECEMBER + DAY, TERMS);
+            Recovery.Report report = Recovery.run(store, DECEMBER + DAY_MILLIS, CALENDAR);
             String text = "answered " + report.answered() + " in doubt " + report.doubts() + " damage "
                     + report.damage() + "\n" + entries(store) + statement(store, "2024-11")
                     + statement(store, "2024-12");
@@ -342,21 +342,22 @@
             assertMatches(
                     "ledger/recovered.txt",
                     text + "idle after it "
-                            + Recovery.run(store, DECEMBER + DAY, TERMS).isEmpty() + "\n");
+                            + Recovery.run(store, DECEMBER + DAY_MILLIS, CALENDAR)
+                                    .isEmpty() + "\n");
         }
     }
 
     @Test
-    void theArchiveComesBackAndBatchesAreMadeAsTheyWere() throws Exception {
+    void archiveAndBatchesAreReadAsRecorded() throws Exception {
         Fixture.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
-            List<Entry> back = Archive.read(
+            List<Entry> entries = Archive.read(
                     GoldenFile.recorded(ARCHIVE), store.archiveInfo("2024-10").get(1));
-            String text = "brought back " + store.restorePruned("2024-10", back) + "\n" + entries(store)
+            String text = "brought back " + store.restorePruned("2024-10", entries) + "\n" + entries(store)
                     + statement(store, "2024-10");
             for (boolean csv : List.of(true, false)) {
-                ExportTarget.OutgoingBatch parcel = Exporter.render(store, store.batch("files", 1), csv);
-                text += new String(parcel.content(), StandardCharsets.UTF_8) + parcel.sha256() + "\n";
+                ExportTarget.OutgoingBatch batch = Exporter.render(store, store.batch("files", 1), csv);
+                text += new String(batch.content(), StandardCharsets.UTF_8) + batch.sha256() + "\n";
             }
             ExportTarget.OutgoingBatch pending = Exporter.render(store, store.pendingBatch("files"), true);
             assertMatches(
@@ -367,10 +368,10 @@
     }
 
     @Test
-    void theSpoolIsWrittenByteForByteAsItWas() throws Exception {
+    void spoolIsWrittenAsRecorded() throws Exception {
         ChainOrigin own = new ChainOrigin("north", 9);
         try (Spool spool = new Spool(dir, own, FaultInjection.NONE)) {
-            fill(spool, own);
+            fillSpool(spool, own);
             byte[] all = Files.readAllBytes(dir.resolve("spool-9-000001.copy"));
             int used = all.length;
             while (all[used - 1] == 0) {
--- a/src/test/java/nettlewick/ledger/TestEntries.java
+++ b/src/test/java/nettlewick/ledger/TestEntries.java
@@ -3,7 +3,7 @@
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.ledger.Entry.Kind;
 
-/** TestEntries for tests. */
+/** Creates entries for tests. */
 final class TestEntries {
     private TestEntries() {}
 
