--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -11,7 +11,7 @@
 import nettlewick.settings.Settings;
 import nettlewick.settings.SettingsReference;
 
-/** Checks or shows a settings file, or prints the reference of all settings. */
+/** Checks or prints a settings file, or prints the reference of all settings. */
 @Parameters(commandDescription = "check FILE, show FILE (what is in force), or print the reference")
 final class SettingsCommand implements Command {
     @Parameter(description = "check FILE | show FILE | reference", required = true)
@@ -25,8 +25,8 @@
             return 0;
         }
         if (!List.of("check", "show").contains(action) || arguments.size() != 2) {
-            throw new UsageException(
-                    Main.USAGE_ERROR,
+            throw new CommandException(
+                    Main.EXIT_USAGE_ERROR,
                     "settings: expected check FILE, show FILE or reference, got " + String.join(" ", arguments));
         }
         Settings settings = read(arguments.get(1));
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Checks what the schema alone does not show.
+     * Checks constraints that the schema cannot express.
      *
-     * @throws InvalidSettingsException if something is wrong
+     * @throws InvalidSettingsException if a constraint is violated
      */
     static Settings requireValid(Settings settings) {
         settings.block("ledger").ifPresent(LedgerSettings::of);
@@ -45,15 +45,15 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a settings file.
      *
-     * @throws UsageException if it cannot be read or is invalid
+     * @throws CommandException if it cannot be read or is invalid
      */
     static Settings read(String file) {
         try {
             return requireValid(Settings.read(Path.of(file)));
         } catch (InvalidSettingsException | InvalidPathException e) {
-            throw new UsageException(Main.USAGE_ERROR, e.getMessage());
+            throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/ledger/LedgerAdmin.java
+++ b/src/main/java/nettlewick/ledger/LedgerAdmin.java
@@ -20,11 +20,11 @@
     private static final double SETTLE_TIMEOUT_MILLIS = 15_000;
 
     /** A command that was not executed; the message is a single line. */
-    public static final class CommandException extends Exception {
+    public static final class OperationException extends Exception {
         private static final long serialVersionUID = 1;
         private final boolean isUsageError;
 
-        CommandException(String message, boolean misuse) {
+        OperationException(String message, boolean misuse) {
             super(message);
             this.isUsageError = misuse;
         }
@@ -44,22 +44,23 @@
     }
 
     private interface Task<T> {
-        T run(Store store, ChainOrigin own) throws StoreException, IOException, InterruptedException, CommandException;
+        T run(Store store, ChainOrigin own)
+                throws StoreException, IOException, InterruptedException, OperationException;
     }
 
-    private <T> T runWriting(Task<T> task) throws CommandException, InterruptedException {
+    private <T> T runWriting(Task<T> task) throws OperationException, InterruptedException {
         try (Store store = Store.open(settings.store())) {
             Recovery.run(store, clock.nowMillis(), settings.calendar());
             ChainOrigin own = store.beginIncarnation(clock.nowMillis());
             try (AutoCloseable lock = Spool.claim(settings.store(), own.incarnation())) {
                 return task.run(store, own);
-            } catch (StoreException | IOException | InterruptedException | CommandException | RuntimeException e) {
+            } catch (StoreException | IOException | InterruptedException | OperationException | RuntimeException e) {
                 throw e;
             } catch (Exception e) {
                 throw new IOException(e);
             }
         } catch (StoreException | IOException e) {
-            throw new CommandException(e.getMessage(), false);
+            throw new OperationException(e.getMessage(), false);
         }
     }
 
@@ -70,19 +71,19 @@
     }
 
     /** Returns the statements of all periods that are not archived, or of the one that is given. */
-    public List<Statement> statements(String period) throws CommandException {
+    public List<Statement> statements(String period) throws OperationException {
         try (Store store = Store.read(settings.store())) {
             if (period != null && settings.calendar().periodNamed(period).isEmpty()) {
-                throw new CommandException("no period is called " + period, true);
+                throw new OperationException("no period is called " + period, true);
             }
             List<String> archived = store.archivedPeriods();
             if (period != null && archived.contains(period)) {
-                throw new CommandException("period " + period + " is archived; restore it first", false);
+                throw new OperationException("period " + period + " is archived; restore it first", false);
             }
             StatementCalculator calculator = loadStatements(store);
             String conflict = calculator.calendarConflict();
             if (conflict != null) {
-                throw new CommandException(conflict, true);
+                throw new OperationException(conflict, true);
             }
             return period != null
                     ? List.of(calculator.statement(period))
@@ -91,13 +92,13 @@
                             .map(calculator::statement)
                             .toList();
         } catch (StoreException e) {
-            throw new CommandException(e.getMessage(), false);
+            throw new OperationException(e.getMessage(), false);
         }
     }
 
-    private BillingCalendar.Period requirePeriod(String name) throws CommandException {
+    private BillingCalendar.Period requirePeriod(String name) throws OperationException {
         Optional<BillingCalendar.Period> period = settings.calendar().periodNamed(name);
-        return period.orElseThrow(() -> new CommandException(
+        return period.orElseThrow(() -> new OperationException(
                 "no period is called " + name + ": expected the name of a term, or a month such as 2026-11", true));
     }
 
@@ -105,21 +106,21 @@
      * Closes this dispatcher's part of a period, after every live incarnation has made its answers of the period
      * durable.
      */
-    public void close(String name, String requestedBy) throws CommandException, InterruptedException {
+    public void close(String name, String requestedBy) throws OperationException, InterruptedException {
         BillingCalendar.Period period = requirePeriod(name);
         if (clock.nowMillis() < period.to()) {
-            throw new CommandException("period " + name + " ends at " + BatchCodec.formatTime(period.to()), true);
+            throw new OperationException("period " + name + " ends at " + BatchCodec.formatTime(period.to()), true);
         }
         runWriting((store, own) -> {
             StatementCalculator calculator = loadStatements(store);
             if (calculator.isClosed(store.dispatcher(), period)) {
-                throw new CommandException(
+                throw new OperationException(
                         "period " + name + " is already closed; later entries are billed in the open " + "period",
                         true);
             }
             BillingCalendar.Period first = calculator.firstOpenPeriod(store.dispatcher());
             if (first != null && first.from() < period.from()) {
-                throw new CommandException(
+                throw new OperationException(
                         "period " + first.name() + " is earlier and still open; close it first", true);
             }
             store.requestSettlement(period);
@@ -127,7 +128,7 @@
             for (long incarnation : liveIncarnations(own)) {
                 while (store.settledUntil(incarnation) < period.to() && Spool.isAlive(settings.store(), incarnation)) {
                     if (Ledger.monotonicMillis() > deadline) {
-                        throw new CommandException(
+                        throw new OperationException(
                                 "incarnation " + incarnation
                                         + " has not settled in time; the request to settle stays, try " + "again",
                                 false);
@@ -163,39 +164,39 @@
      * @return the reference of the correction
      */
     public EntryRef correct(String ref, long workSlotMicros, String requestedBy, String reason)
-            throws CommandException, InterruptedException {
+            throws OperationException, InterruptedException {
         EntryRef target;
         try {
             target = EntryRef.parse(ref);
         } catch (IllegalArgumentException e) {
-            throw new CommandException(e.getMessage(), true);
+            throw new OperationException(e.getMessage(), true);
         }
         if (workSlotMicros < 0
                 || requestedBy.isBlank()
                 || reason.isBlank()
                 || requestedBy.length() + reason.length() > Entry.MAX_TEXT_LENGTH) {
-            throw new CommandException("a correction requires a value of at least 0, a requester and a reason", true);
+            throw new OperationException("a correction requires a value of at least 0, a requester and a reason", true);
         }
         return runWriting((store, own) -> {
             Entry entry = store.entry(target);
             if (entry == null) {
-                throw new CommandException("no entry " + target + " in this ledger", true);
+                throw new OperationException("no entry " + target + " in this ledger", true);
             }
             if (!target.origin().dispatcher().equals(store.dispatcher())) {
-                throw new CommandException(
+                throw new OperationException(
                         "entry " + target + " can only be corrected at its own dispatcher, "
                                 + target.origin().dispatcher(),
                         true);
             }
             if (entry.kind() != Entry.Kind.JOB && entry.kind() != Entry.Kind.DOUBT) {
-                throw new CommandException(
+                throw new OperationException(
                         "entry " + target + " is a " + entry.kind().toString().toLowerCase()
                                 + ": only a job or a doubt can be corrected",
                         true);
             }
             Entry before = store.correctionOf(target);
             if (before != null) {
-                throw new CommandException(
+                throw new OperationException(
                         "entry " + target + " was already corrected by " + before.ref()
                                 + "; an entry can be corrected once",
                         true);
@@ -209,12 +210,12 @@
     }
 
     /** Runs one round of an export, or of all if the name is null; returns the result of each. */
-    public Map<String, Exporter.Report> export(String name) throws CommandException, InterruptedException {
+    public Map<String, Exporter.Report> export(String name) throws OperationException, InterruptedException {
         List<ExportSettings> selected = settings.exports().stream()
                 .filter(e -> name == null || e.name().equals(name))
                 .toList();
         if (selected.isEmpty()) {
-            throw new CommandException(
+            throw new OperationException(
                     name == null ? "the settings define no export" : "no export is called " + name, true);
         }
         return runWriting((store, own) -> {
@@ -236,10 +237,10 @@
     }
 
     /** Runs one round with each peer of the settings; returns the results by peer address. */
-    public Map<String, Reconciler.Report> reconcile() throws CommandException, InterruptedException {
+    public Map<String, Reconciler.Report> reconcile() throws OperationException, InterruptedException {
         PeerSettings peers = settings.peers();
         if (peers == null || peers.peers().isEmpty()) {
-            throw new CommandException("the settings define no peers", true);
+            throw new OperationException("the settings define no peers", true);
         }
         return runWriting((store, own) -> {
             MessageAuthenticator authenticator = LedgerService.readKey(peers.keyFile());
@@ -262,22 +263,22 @@
     }
 
     /** Returns one line for each fault of the chains of the store; none if all are valid. */
-    public List<String> verify() throws CommandException {
+    public List<String> verify() throws OperationException {
         try (Store store = Store.read(settings.store())) {
             return store.verify();
         } catch (StoreException e) {
-            throw new CommandException(e.getMessage(), false);
+            throw new OperationException(e.getMessage(), false);
         }
     }
 
     /** Writes the entries of a closed and exported period to a file and prunes them; returns their number. */
-    public long archive(String name, Path file) throws CommandException, InterruptedException {
+    public long archive(String name, Path file) throws OperationException, InterruptedException {
         BillingCalendar.Period period = requirePeriod(name);
         return runWriting((store, own) -> {
             StatementCalculator calculator = loadStatements(store);
             Statement statement = calculator.statement(name);
             if (!statement.closed() || !calculator.isClosed(store.dispatcher(), period)) {
-                throw new CommandException(
+                throw new OperationException(
                         "period " + name + " is not closed by "
                                 + (statement.open().isEmpty() ? "anybody" : statement.open()),
                         true);
@@ -298,11 +299,11 @@
                 }
             }
             if (!undelivered.isEmpty()) {
-                throw new CommandException(
+                throw new OperationException(
                         "entry " + undelivered.get(0) + " of period " + name + " is not exported yet", true);
             }
             if (store.archiveInfo(name) != null) {
-                throw new CommandException("period " + name + " is already archived", true);
+                throw new OperationException("period " + name + " is already archived", true);
             }
             String sha256 = Archive.write(file, entries, FaultInjection.NONE);
             store.prune(
@@ -319,11 +320,11 @@
      *
      * @param file null for the file that the archive was written to
      */
-    public long restore(String name, Path file) throws CommandException, InterruptedException {
+    public long restore(String name, Path file) throws OperationException, InterruptedException {
         return runWriting((store, own) -> {
             List<String> info = store.archiveInfo(name);
             if (info == null) {
-                throw new CommandException("period " + name + " is not archived", true);
+                throw new OperationException("period " + name + " is not archived", true);
             }
             return store.restorePruned(name, Archive.read(file != null ? file : Path.of(info.get(0)), info.get(1)));
         });
--- a/src/main/java/nettlewick/net/lifecycle/HotRestart.java
+++ b/src/main/java/nettlewick/net/lifecycle/HotRestart.java
@@ -17,8 +17,8 @@
 import java.util.List;
 
 /**
- * Which other processes run as the same dispatcher, known by files in a shared folder. Each process holds a
- * lock on its own file; the kernel releases it however the process ends. Safe for any thread.
+ * Finds the other processes of the same dispatcher by files in a shared folder. Each process holds a lock on its own
+ * file; the kernel releases it however the process ends. Safe for any thread.
  */
 public final class HotRestart implements AutoCloseable {
     private static final String ALIVE_SUFFIX = ".alive";
@@ -47,12 +47,11 @@
         ownName = String.format(
                 "%s%013d-%d%s", prefix, startedAt, ProcessHandle.current().pid(), ALIVE_SUFFIX);
         try {
-            // Locked before it gets its name: without a lock the file would be taken for a dead process's and
-            // deleted.
-            Path made = Files.createTempFile(folder, "nettlewick", ".new");
-            channel = FileChannel.open(made, StandardOpenOption.WRITE);
+            // Locked before it gets its name: an unlocked file would be taken for that of a dead process and deleted.
+            Path unnamedFile = Files.createTempFile(folder, "nettlewick", ".new");
+            channel = FileChannel.open(unnamedFile, StandardOpenOption.WRITE);
             channel.lock();
-            Files.move(made, folder.resolve(ownName), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(unnamedFile, folder.resolve(ownName), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -72,7 +71,7 @@
         }
     }
 
-    /** Announces that this process has no work that a successor would save by waiting. */
+    /** Announces that waiting would save no work of this process. */
     public void markIdle() {
         try {
             channel.write(ByteBuffer.wrap(IDLE_MARK), SERVING_MARK.length);
@@ -89,8 +88,7 @@
     }
 
     /**
-     * When the latest process that will succeed this one, and does not accept clients yet, started: Unix time
-     * in milliseconds, NaN if there is none.
+     * Start time of the latest successor that does not accept clients yet, in Unix milliseconds; NaN if there is none.
      */
     public double successorStartedAt() {
         return otherProcesses().stream()
@@ -125,24 +123,24 @@
     }
 
     private List<OtherProcess> otherProcesses() {
-        List<OtherProcess> living = new ArrayList<>();
+        List<OtherProcess> liveProcesses = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, prefix + "*" + ALIVE_SUFFIX)) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
                 if (!name.equals(ownName)) {
-                    inspect(file, name, living);
+                    addIfAlive(file, name, liveProcesses);
                 }
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return living;
+        return liveProcesses;
     }
 
-    private static void inspect(Path file, String name, List<OtherProcess> living) throws IOException {
+    private static void addIfAlive(Path file, String name, List<OtherProcess> liveProcesses) throws IOException {
         try (FileChannel other = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             if (isLocked(other)) {
-                living.add(new OtherProcess(
+                liveProcesses.add(new OtherProcess(
                         name, other.size() >= SERVING_MARK.length, other.size() > SERVING_MARK.length));
             } else {
                 Files.deleteIfExists(file);
--- a/src/test/java/nettlewick/decision/AggregationMessageTest.java
+++ b/src/test/java/nettlewick/decision/AggregationMessageTest.java
@@ -10,7 +10,7 @@
 import nettlewick.decision.AggregationMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The encoding of holdings, watches and sums. */
+/** Encoding and decoding of aggregation messages. */
 class AggregationMessageTest {
     @Test
     void entriesOfEachKindAreReadAsTheyWereWritten() {
@@ -27,8 +27,8 @@
 
     @Test
     void truncatedLongAndForeignDatagramsAreNotRead() {
-        byte[] hold =
-                AggregationMessage.encode(Kind.HOLD, List.of(new Entry('a', 1))).get(0);
+        byte[] hold = AggregationMessage.encode(Kind.IN_FLIGHT, List.of(new Entry('a', 1)))
+                .get(0);
         assertFalse(AggregationMessage.isAggregationMessage(Arrays.copyOf(hold, 3)));
         assertFalse(AggregationMessage.isAggregationMessage(Arrays.copyOf(hold, 1)));
         assertFalse(AggregationMessage.isAggregationMessage(Arrays.copyOf(hold, 1 + 3 * 86)));
--- a/src/test/java/nettlewick/ledger/ExportTest.java
+++ b/src/test/java/nettlewick/ledger/ExportTest.java
@@ -22,7 +22,7 @@
 import java.util.stream.Stream;
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.sqlite.StoreException;
-import nettlewick.stubs.Receiver;
+import nettlewick.stubs.BatchReceiver;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVRecord;
@@ -240,12 +240,12 @@
     void failingReceiverGetsEachEntryOnce() throws Exception {
         Random random = new Random(8);
         long[] totals = new long[2];
-        try (Receiver receiver = new Receiver();
+        try (BatchReceiver receiver = new BatchReceiver();
                 Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
-            Receiver.Fate[] fates = Receiver.Fate.values();
-            Set<Receiver.Fate> observed = new HashSet<>();
-            receiver.script(batch -> {
-                Receiver.Fate fate = fates[random.nextInt(fates.length)];
+            BatchReceiver.Behavior[] fates = BatchReceiver.Behavior.values();
+            Set<BatchReceiver.Behavior> observed = new HashSet<>();
+            receiver.setResponder(batch -> {
+                BatchReceiver.Behavior fate = fates[random.nextInt(fates.length)];
                 observed.add(fate);
                 return fate;
             });
@@ -262,10 +262,10 @@
             assertNull(report.fault());
             assertEquals(200, report.entries());
             assertTrue(report.tries() > report.batches() && observed.size() == fates.length, observed.toString());
-            assertNull(receiver.conflict());
+            assertNull(receiver.conflictingBatch());
             assertEquals(
                     List.of(totals[1], totals[0]),
-                    totals(receiver.taken().values().stream()
+                    totals(receiver.receivedBatches().values().stream()
                             .map(b -> b.getBytes())
                             .toList()));
         }
@@ -273,7 +273,7 @@
 
     @Test
     void permanentRejectionIsReportedAtOnceAndUnreachableReceiverAfterAllAttempts() throws Exception {
-        try (Receiver receiver = new Receiver();
+        try (BatchReceiver receiver = new BatchReceiver();
                 Store store = Store.open(dir.resolve("s"), "a", FaultInjection.NONE)) {
             store.append(store.beginIncarnation(NOW), drafts(new Random(1), 3, new long[2]));
             ExportSettings s = settings(null, URI.create("http://127.0.0.1:" + receiver.port() + "/b"), true, 5, 500);
@@ -291,7 +291,7 @@
                 assertTrue(pauses.get(i) >= bound / 2 && pauses.get(i) <= bound, pauses.toString());
             }
             // The receiver already has other content under the same batch number.
-            receiver.script(batch -> Receiver.Fate.TAKEN);
+            receiver.setResponder(batch -> BatchReceiver.Behavior.TAKEN);
             new HttpTarget(s.url(), 500, FaultInjection.NONE)
                     .deliver(new ExportTarget.OutgoingBatch("a", "x", 1, true, 1, new byte[] {1}, "another"));
             report = new Exporter(
--- a/src/test/java/nettlewick/ledger/LedgerServingTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerServingTest.java
@@ -1,7 +1,7 @@
 package nettlewick.ledger;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
-import static nettlewick.stubs.StubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
+import static nettlewick.stubs.StubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -42,8 +42,8 @@
     @BeforeEach
     void open() throws Exception {
         platform = new DispatcherOnStubPlatform();
-        platform.addRunner("s-1");
-        platform.addRunner("s-2");
+        platform.addEndpoint("s-1");
+        platform.addEndpoint("s-2");
         ledger = new Ledger(
                 "n0",
                 new LedgerSettings(
@@ -86,11 +86,12 @@
     private static String request(String id, String requestClass, String... headers) {
         List<String> all = new ArrayList<>(List.of(headers));
         all.add("Connection: close");
-        return job("/api", id, requestClass, "{}", all.toArray(String[]::new)).toString();
+        return requestBytes("/api", id, requestClass, "{}", all.toArray(String[]::new))
+                .toString();
     }
 
     private Map<String, Entry> entries(int count) throws Exception {
-        until(() -> ledger.metrics().get("ledger.entries").longValue() == count);
+        waitUntil(() -> ledger.metrics().get("ledger.entries").longValue() == count);
         Map<String, Entry> all = new java.util.HashMap<>();
         try (Store store = Store.read(dir)) {
             store.forEachEntry(e -> all.put(e.requestId(), e));
@@ -101,11 +102,11 @@
 
     @Test
     void eachAnswerOnBothFrontendsIsEnteredWithItsWork() throws Exception {
-        platform.runTime = 60;
+        platform.executionMillis = 60;
         assertTrue(send(ports.get(0), request("a", "save-run", "Idempotency-Key: K-1"))
                 .contains("r-a"));
         assertTrue(send(ports.get(1), request("b", "step-view")).contains("r-b"));
-        platform.instead = request -> request.connection().close();
+        platform.requestOverride = request -> request.connection().close();
         assertTrue(send(ports.get(0), request("c", "mark-submit")).contains(" 502 "));
         Map<String, Entry> all = entries(3);
         Entry a = all.get("a");
@@ -125,14 +126,14 @@
     /** Clients that disconnect while their request runs, and clients that read one byte of the answer first. */
     @Test
     void disconnectedClientIsCountedButNotBilled() throws Exception {
-        platform.runTime = 80;
+        platform.executionMillis = 80;
         int jobs = 40;
         for (int i = 0; i < jobs; i++) {
             try (Socket socket = new Socket("127.0.0.1", ports.get(0))) {
                 socket.setSoLinger(true, 0);
                 socket.getOutputStream().write(request("l" + i, "step-view").getBytes());
                 int until = i;
-                until(() -> platform.runs.containsKey("l" + until));
+                waitUntil(() -> platform.executionCounts.containsKey("l" + until));
                 if (i % 2 == 0) {
                     // Waits until the answer has started.
                     socket.getInputStream().read();
--- a/src/test/java/nettlewick/ledger/LedgerTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerTest.java
@@ -1,6 +1,6 @@
 package nettlewick.ledger;
 
-import static nettlewick.stubs.StubPlatform.until;
+import static nettlewick.stubs.StubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -106,10 +106,10 @@
         ledger.awaitReady();
         Set<String> released = new HashSet<>();
         recordAndDeliver(ledger, "held", released);
-        until(() -> syncs.get() > 0);
+        waitUntil(() -> syncs.get() > 0);
         assertFalse(released.contains("held"));
         diskReady.countDown();
-        until(() -> released.contains("held"));
+        waitUntil(() -> released.contains("held"));
     }
 
     private static void await(CountDownLatch latch) {
@@ -143,7 +143,7 @@
         timeouts.forEach(Runnable::run);
         assertEquals(10, released.size());
         diskReady.countDown();
-        until(() -> metricEquals(ledger, "entries", 10) && metricEquals(ledger, "queue", 0));
+        waitUntil(() -> metricEquals(ledger, "entries", 10) && metricEquals(ledger, "queue", 0));
         assertEquals(10, entries().size());
         timeouts.forEach(Runnable::run);
         assertEquals(10, released.size());
@@ -164,13 +164,13 @@
         for (int i = 0; i < 50; i++) {
             recordAndDeliver(ledger, "j" + i, released);
         }
-        until(() -> released.size() == 50);
+        waitUntil(() -> released.size() == 50);
         assertTrue(
                 metricEquals(ledger, "queue", 20) && metricEquals(ledger, "gap", 30),
                 ledger.metrics().toString());
-        until(() -> metricEquals(ledger, "trouble", 1));
+        waitUntil(() -> metricEquals(ledger, "trouble", 1));
         full.set(false);
-        until(() -> metricEquals(ledger, "queue", 0) && metricEquals(ledger, "trouble", 0));
+        waitUntil(() -> metricEquals(ledger, "queue", 0) && metricEquals(ledger, "trouble", 0));
         List<Entry> all = entries();
         assertEquals(20, all.stream().filter(e -> e.kind() == Kind.JOB).count());
         assertEquals(
@@ -196,11 +196,11 @@
         for (int i = 0; i < 100; i++) {
             recordAndDeliver(ledger, "j" + i, released);
         }
-        until(() -> released.size() == 100 && metricEquals(ledger, "entries", 100));
+        waitUntil(() -> released.size() == 100 && metricEquals(ledger, "entries", 100));
         assertTrue(metricEquals(ledger, "unsynced", 100), "each was released without a sync: " + ledger.metrics());
         failing.set(false);
         recordAndDeliver(ledger, "last", released);
-        until(() -> metricEquals(ledger, "entries", 101));
+        waitUntil(() -> metricEquals(ledger, "entries", 101));
         assertEquals(101, entries().stream().map(Entry::requestId).distinct().count());
     }
 
@@ -210,7 +210,7 @@
         Ledger ledger = ledger(settings(false, 5, 100), Clock.system(), FaultInjection.NONE);
         Set<String> released = new HashSet<>();
         recordAndDeliver(ledger, "j", released);
-        until(() -> metricEquals(ledger, "entries", 1));
+        waitUntil(() -> metricEquals(ledger, "entries", 1));
         try (var files = Files.list(dir)) {
             assertTrue(files.anyMatch(f -> f.getFileName().toString().contains(".damaged-")));
         }
@@ -225,7 +225,7 @@
             r.onDelivered();
             r.onAbandoned();
         });
-        until(() -> metricEquals(ledger, "entries", 3));
+        waitUntil(() -> metricEquals(ledger, "entries", 3));
         assertEquals(
                 Map.of("before", Ending.LEFT, "after", Ending.LEFT, "both", Ending.SERVED),
                 entries().stream().collect(java.util.stream.Collectors.toMap(Entry::requestId, Entry::ending)));
@@ -245,13 +245,13 @@
                 }
             });
         }
-        until(() -> callbacks.size() == 3);
+        waitUntil(() -> callbacks.size() == 3);
         callbacks.get(0).onDelivered();
         clock.advanceTo(DECEMBER);
         callbacks.get(1).onDelivered();
         clock.advanceTo(DECEMBER + 40 * 8.64e7);
         callbacks.get(2).onDelivered();
-        until(() -> metricEquals(ledger, "entries", 3));
+        waitUntil(() -> metricEquals(ledger, "entries", 3));
         LedgerAdmin admin = new LedgerAdmin(settings(false, 5, 100), clock);
         assertEquals(
                 List.of("2026-11", "2026-12", "2027-01"),
@@ -271,26 +271,26 @@
                 await(commit);
             }
         });
-        until(() -> ledger.origin() != null);
+        waitUntil(() -> ledger.origin() != null);
         holdCommits.set(true);
         Set<String> released = new HashSet<>();
         recordAndDeliver(ledger, "early", released);
-        until(() -> released.contains("early"));
+        waitUntil(() -> released.contains("early"));
         clock.advanceTo(DECEMBER + 5);
         LedgerAdmin admin = new LedgerAdmin(settings(false, 5, 100), clock);
-        LedgerAdmin.CommandException tooEarly =
-                assertThrows(LedgerAdmin.CommandException.class, () -> admin.close("2026-12", "op"));
+        LedgerAdmin.OperationException tooEarly =
+                assertThrows(LedgerAdmin.OperationException.class, () -> admin.close("2026-12", "op"));
         assertTrue(tooEarly.isUsageError() && tooEarly.getMessage().contains("ends at"), tooEarly.getMessage());
         Thread closer = new Thread(() -> {
             try {
                 admin.close("2026-11", "op");
-            } catch (LedgerAdmin.CommandException | InterruptedException e) {
+            } catch (LedgerAdmin.OperationException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
         closer.start();
         try (Store store = Store.read(dir)) {
-            until(() -> settlementRequestedUntil(store) == DECEMBER);
+            waitUntil(() -> settlementRequestedUntil(store) == DECEMBER);
             assertNull(closeEntry(), "the close waits until the entry is durable");
         }
         holdCommits.set(false);
@@ -299,7 +299,7 @@
         Statement statement = admin.statements("2026-11").get(0);
         assertTrue(statement.closed());
         assertEquals(1000, statement.billed());
-        assertThrows(LedgerAdmin.CommandException.class, () -> admin.close("2026-11", "op"));
+        assertThrows(LedgerAdmin.OperationException.class, () -> admin.close("2026-11", "op"));
     }
 
     private static double settlementRequestedUntil(Store store) {
@@ -321,7 +321,7 @@
     void periodIsClosedAfterTheProcessHasEnded() throws Exception {
         Clock clock = Clock.stoppedAt(DECEMBER - 5);
         Ledger ledger = ledger(settings(false, 5, 100), clock, FaultInjection.NONE);
-        until(() -> ledger.origin() != null);
+        waitUntil(() -> ledger.origin() != null);
         recordAndDeliver(ledger, "j", new HashSet<>());
         ledger.close();
         LedgerAdmin admin = new LedgerAdmin(settings(false, 5, 100), Clock.stoppedAt(DECEMBER + 1));
@@ -334,7 +334,7 @@
         for (String bad : List.of(
                 target.toString(), "a/1/999", "nothing", closeEntry().ref().toString())) {
             assertTrue(
-                    assertThrows(LedgerAdmin.CommandException.class, () -> admin.correct(bad, 1, "op", "r"))
+                    assertThrows(LedgerAdmin.OperationException.class, () -> admin.correct(bad, 1, "op", "r"))
                             .isUsageError(),
                     bad);
         }
@@ -349,9 +349,9 @@
         for (int i = 0; i < 2000; i++) {
             recordAndDeliver(i % 2 == 0 ? old : successor, "j" + i, released);
         }
-        until(() -> released.size() == 2000);
+        waitUntil(() -> released.size() == 2000);
         old.close();
-        until(() -> metricEquals(old, "entries", 1000) && metricEquals(successor, "entries", 1000));
+        waitUntil(() -> metricEquals(old, "entries", 1000) && metricEquals(successor, "entries", 1000));
         successor.close();
         assertEquals(2000, entries().stream().map(Entry::requestId).distinct().count());
         assertEquals(2, entries().stream().map(e -> e.ref().origin()).distinct().count());
@@ -383,23 +383,23 @@
         for (int i = 0; i < 20; i++) {
             recordAndDeliver(ledger, "j" + i, new HashSet<>());
         }
-        until(() -> metricEquals(ledger, "entries", 20));
+        waitUntil(() -> metricEquals(ledger, "entries", 20));
         ledger.close();
         LedgerAdmin admin = new LedgerAdmin(s, Clock.stoppedAt(DECEMBER + 1));
         Path file = dir.resolve("archive/2026-11.gz");
-        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> admin.archive("2026-11", file))
+        assertTrue(assertThrows(LedgerAdmin.OperationException.class, () -> admin.archive("2026-11", file))
                 .getMessage()
                 .contains("not closed"));
         admin.close("2026-11", "op");
         Statement before = admin.statements("2026-11").get(0);
         admin.export(null);
         assertEquals(20, admin.archive("2026-11", file));
-        assertThrows(LedgerAdmin.CommandException.class, () -> admin.statements("2026-11"));
+        assertThrows(LedgerAdmin.OperationException.class, () -> admin.statements("2026-11"));
         assertEquals(List.of(), admin.verify());
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 1;
         Path changed = Files.write(dir.resolve("changed"), bytes);
-        assertTrue(assertThrows(LedgerAdmin.CommandException.class, () -> admin.restore("2026-11", changed))
+        assertTrue(assertThrows(LedgerAdmin.OperationException.class, () -> admin.restore("2026-11", changed))
                 .getMessage()
                 .contains("its SHA-256 differs"));
         assertEquals(20, admin.restore("2026-11", null));
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -243,7 +243,7 @@
                     one,
                     new MessageAuthenticator(key),
                     Clock.system());
-            int port = DispatcherOnStubPlatform.get(front.listen());
+            int port = DispatcherOnStubPlatform.awaitResult(front.listen());
             PeerClient client = new PeerClient(
                     vertx,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -258,7 +258,7 @@
             addResult("reconcile_share", (double) client.bytesTransferred() / ledger, "%.7f");
             front.close();
         }
-        DispatcherOnStubPlatform.get(vertx.close());
+        DispatcherOnStubPlatform.awaitResult(vertx.close());
         startNanos = System.nanoTime();
         StatementCalculator calculator =
                 new StatementCalculator(new BillingCalendar(java.time.ZoneOffset.UTC, List.of()), 15_000);
@@ -293,9 +293,9 @@
 
     private void measureServing() throws Exception {
         try (DispatcherOnStubPlatform platform = new DispatcherOnStubPlatform()) {
-            platform.runTime = 6;
+            platform.executionMillis = 6;
             for (int i = 0; i < RUNNERS; i++) {
-                platform.addRunner("s-" + i);
+                platform.addEndpoint("s-" + i);
             }
             Map<String, Dispatcher> dispatchers = new java.util.LinkedHashMap<>();
             for (String mode : List.of("off", "batch", "sync")) {
@@ -368,7 +368,7 @@
                 dispatcher.process.destroyForcibly();
                 dispatcher.process.waitFor();
             }
-            DispatcherOnStubPlatform.get(vertx.close());
+            DispatcherOnStubPlatform.awaitResult(vertx.close());
         }
     }
 
--- a/src/test/java/nettlewick/ledger/PeerClientTest.java
+++ b/src/test/java/nettlewick/ledger/PeerClientTest.java
@@ -33,7 +33,7 @@
 
     @AfterEach
     void close() throws Exception {
-        StubPlatform.get(vertx.close());
+        StubPlatform.awaitResult(vertx.close());
     }
 
     private int listen() throws Exception {
@@ -46,7 +46,7 @@
                                 authenticator.signResponse(
                                         request.getHeader(PeerServer.NONCE_HEADER), NO_CONTENT, new byte[0]))
                         .end());
-        return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
+        return StubPlatform.awaitResult(server.listen(0, "127.0.0.1")).actualPort();
     }
 
     private List<String> callRepeatedly(int port) {
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -57,7 +57,7 @@
         for (AutoCloseable one : closeables) {
             one.close();
         }
-        StubPlatform.get(vertx.close());
+        StubPlatform.awaitResult(vertx.close());
     }
 
     private static PeerSettings settings(String... admit) {
@@ -91,7 +91,7 @@
         PeerServer front =
                 new PeerServer(settings("127.0.0.0/8"), store.folder(), new MessageAuthenticator(KEY), clock);
         closeables.add(0, front);
-        return StubPlatform.get(front.listen());
+        return StubPlatform.awaitResult(front.listen());
     }
 
     private PeerClient client(int port, double timeout) {
@@ -186,7 +186,7 @@
                             authenticator.signResponse(r.getHeader(PeerServer.NONCE_HEADER), 200, body.getBytes()))
                     .end(body);
         });
-        return StubPlatform.get(server.listen(0, "127.0.0.1")).actualPort();
+        return StubPlatform.awaitResult(server.listen(0, "127.0.0.1")).actualPort();
     }
 
     private static Buffer heads(ChainOrigin origin, long number, byte[] hash) {
@@ -250,7 +250,7 @@
     void unsignedResponsesAreRejectedAndSlowPeersTimeOut() throws Exception {
         Store a = store("a");
         HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
-        int silent = StubPlatform.get(mute.listen(0, "127.0.0.1")).actualPort();
+        int silent = StubPlatform.awaitResult(mute.listen(0, "127.0.0.1")).actualPort();
         double before = clock.nowMillis();
         assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).runRound());
         assertTrue(clock.nowMillis() - before < 5000);
@@ -265,11 +265,11 @@
                 }
             });
         });
-        int slow = StubPlatform.get(trickle.listen(0, "127.0.0.1")).actualPort();
+        int slow = StubPlatform.awaitResult(trickle.listen(0, "127.0.0.1")).actualPort();
         assertThrows(IOException.class, () -> new Reconciler(a, client(slow, 60), 7).runRound());
         HttpServer plain =
                 vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
-        int unsealed = StubPlatform.get(plain.listen(0, "127.0.0.1")).actualPort();
+        int unsealed = StubPlatform.awaitResult(plain.listen(0, "127.0.0.1")).actualPort();
         assertTrue(assertThrows(IOException.class, () -> runRound(a, unsealed))
                 .getMessage()
                 .contains("no valid signature"));
@@ -315,7 +315,7 @@
         PeerServer otherNetworks =
                 new PeerServer(settings("10.0.0.0/8", "::1"), a.folder(), new MessageAuthenticator(KEY), clock);
         closeables.add(0, otherNetworks);
-        int port = StubPlatform.get(otherNetworks.listen());
+        int port = StubPlatform.awaitResult(otherNetworks.listen());
         HttpClient http = HttpClient.newHttpClient();
         assertEquals(
                 403,
@@ -405,15 +405,15 @@
         assertTrue(assertThrows(IOException.class, otherDispatcher::start)
                 .getMessage()
                 .contains("the ledger of d0, not of"));
-        StubPlatform.until(() -> storedCount("d2") == 90 && storedCount("d1") == 60);
-        StubPlatform.until(() -> services.stream()
+        StubPlatform.waitUntil(() -> storedCount("d2") == 90 && storedCount("d1") == 60);
+        StubPlatform.waitUntil(() -> services.stream()
                 .allMatch(service -> service.ledger()
                                 .metrics()
                                 .getOrDefault("ledger.export.x.lag", -1L)
                                 .longValue()
                         == 0));
         // The lag is from the last round of the export; entries may have been added since.
-        StubPlatform.until(() -> exportedCount("x2") >= 30);
+        StubPlatform.waitUntil(() -> exportedCount("x2") >= 30);
         assertEquals(30L, exportedCount("x2"), "only its own entries are exported");
     }
 
--- a/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
+++ b/src/test/java/nettlewick/ledger/StoredLedgerGoldenTest.java
@@ -13,8 +13,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import nettlewick.core.UsageRecorder.Ending;
-import nettlewick.golden.Fixture;
 import nettlewick.golden.GoldenFile;
+import nettlewick.golden.GoldenFolder;
 import nettlewick.ledger.Entry.Kind;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -56,7 +56,7 @@
                         List.of(Spool.finalEntry(intent(third, 1), DECEMBER + 50, true)
                                 .withPeriod(CALENDAR)));
                 // Both are still open, as in a killed process, with the newest entry in the write-ahead log.
-                Fixture.record(made, FOLDER, "-shm");
+                GoldenFolder.record(made, FOLDER, "-shm");
             }
         }
     }
@@ -320,7 +320,7 @@
 
     @Test
     void storedLedgerReadsAsRecorded() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (Store store = Store.read(dir)) {
             assertMatches("ledger/read.txt", state(store) + entries(store));
         }
@@ -328,7 +328,7 @@
 
     @Test
     void spoolOfKilledProcessIsRecoveredAsRecorded() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
             Recovery.Report report = Recovery.run(store, DECEMBER + DAY_MILLIS, CALENDAR);
             String text = "answered " + report.answered() + " in doubt " + report.doubts() + " damage "
@@ -349,7 +349,7 @@
 
     @Test
     void archiveAndBatchesAreReadAsRecorded() throws Exception {
-        Fixture.copy(FOLDER, dir);
+        GoldenFolder.copy(FOLDER, dir);
         try (Store store = Store.open(dir)) {
             List<Entry> entries = Archive.read(
                     GoldenFile.recorded(ARCHIVE), store.archiveInfo("2024-10").get(1));
--- a/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
+++ b/src/test/java/nettlewick/net/LateEndpointConnectionTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -11,88 +11,101 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What has changed by the time a connection to a runner is up: client, runner, window. */
+/**
+ * What may have changed by the time a connection to an endpoint is established: the client, the endpoint, the dedup
+ * window.
+ */
 class LateEndpointConnectionTest extends ConnectionRaceTestBase {
-    /** Guards against an attempt that begins when a connection comes up after its client has gone. */
+    /** Guards against starting an attempt when its connection is established after the client has left. */
     @Test
     void sendsNothingOnceTheClientHasLeft() throws Exception {
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
-            RawClient gone = new RawClient(port);
-            gone.send(job("/api", "gone", "mark-submit", ""));
-            until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-            gone.close();
-            until(() -> !world.dispatcher().frontends().get(0).hasConnections());
-            endpoint.open();
-            until(() -> endpoint.accepted.size() == 1);
+            RawClient departedClient = new RawClient(port);
+            departedClient.send(requestBytes("/api", "gone", "mark-submit", ""));
+            waitUntil(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+            departedClient.close();
+            waitUntil(() -> !platform.dispatcher().frontends().get(0).hasConnections());
+            endpoint.startAccepting();
+            waitUntil(() -> endpoint.accepted.size() == 1);
             awaitEventLoop(port);
-            try (RawClient stays = new RawClient(port)) {
+            try (RawClient remainingClient = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        stays.send(job("/api", "stays", "step-view", "")).read().body());
+                        remainingClient
+                                .send(requestBytes("/api", "stays", "step-view", ""))
+                                .read()
+                                .body());
             }
-            assertEquals(List.of("stays"), endpoint.ids());
-            assertEquals(1, endpoint.accepted.size(), "the connection that came up serves the next job");
+            assertEquals(List.of("stays"), endpoint.receivedIds());
+            assertEquals(1, endpoint.accepted.size(), "the late connection serves the next request");
         }
     }
 
-    /** Guards against a departure that waits unread in the client's socket while its request is sent on. */
+    /** Guards against forwarding a request while the close of its client is unread in the socket. */
     @Test
     void noticesAnUnreadCloseBeforeForwarding() throws Exception {
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", endpoint.port());
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
-            RawClient gone = new RawClient(port);
-            gone.send(job("/api", "gone", "mark-submit", ""));
-            until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-            BlockedEventLoop loop = new BlockedEventLoop(world.dispatcher());
-            // While the loop stands still, the connection to the runner comes up and the client leaves after it.
-            endpoint.open();
-            until(() -> endpoint.accepted.size() == 1);
-            gone.close();
+            RawClient departedClient = new RawClient(port);
+            departedClient.send(requestBytes("/api", "gone", "mark-submit", ""));
+            waitUntil(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+            BlockedEventLoop loop = new BlockedEventLoop(platform.dispatcher());
+            // While the loop is blocked, the endpoint accepts the connection, and then the client leaves.
+            endpoint.startAccepting();
+            waitUntil(() -> endpoint.accepted.size() == 1);
+            departedClient.close();
             loop.release();
             awaitEventLoop(port);
-            try (RawClient stays = new RawClient(port)) {
+            try (RawClient remainingClient = new RawClient(port)) {
                 assertEquals(
                         "r-stays",
-                        stays.send(job("/api", "stays", "step-view", "")).read().body());
+                        remainingClient
+                                .send(requestBytes("/api", "stays", "step-view", ""))
+                                .read()
+                                .body());
             }
-            assertEquals(List.of("stays"), endpoint.ids());
+            assertEquals(List.of("stays"), endpoint.receivedIds());
         }
     }
 
-    /** Guards against a job sent to a runner that was told to drain, or started anew, while its connection came up. */
+    /**
+     * Guards against sending a request to an endpoint that began to drain, or restarted, while the connection was being
+     * established.
+     */
     @Test
     void sendsNothingOnceTheEndpointHasChanged() throws Exception {
         setCeiling("probes", false);
         setCeiling("connect_timeout", 10_000_000_000L);
         for (boolean drains : new boolean[] {true, false}) {
             try (RawEndpoint endpoint = new RawEndpoint().fillAcceptQueue();
-                    DispatcherOnStubPlatform one = new DispatcherOnStubPlatform()) {
-                Map<String, Object> mine = one.config();
-                mine.put("settings", config.get("settings"));
-                one.addRunner("s-1", endpoint.port());
-                int port = one.start(mine).ports().get(0);
-                until(() -> isHealthy(port));
+                    DispatcherOnStubPlatform ownPlatform = new DispatcherOnStubPlatform()) {
+                Map<String, Object> ownConfig = ownPlatform.config();
+                ownConfig.put("settings", config.get("settings"));
+                ownPlatform.addEndpoint("s-1", endpoint.port());
+                int port = ownPlatform.start(ownConfig).ports().get(0);
+                waitUntil(() -> isHealthy(port));
                 try (RawClient client = new RawClient(port)) {
-                    client.send(job("/api", "a", "mark-submit", ""));
-                    until(() -> one.dispatcher().endpointPools().pendingConnects() == 1);
-                    one.tell("s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
-                    until(() -> one.dispatcher().endpointPools().updatesOf("s-1") == 2);
-                    endpoint.open();
+                    client.send(requestBytes("/api", "a", "mark-submit", ""));
+                    waitUntil(() -> ownPlatform.dispatcher().endpointPools().pendingConnects() == 1);
+                    ownPlatform.announceHealth(
+                            "s-1", drains ? "Terminating" : "Ready", drains ? 0 : System.currentTimeMillis());
+                    waitUntil(() -> ownPlatform.dispatcher().endpointPools().updatesOf("s-1") == 2);
+                    endpoint.startAccepting();
                     assertEquals(503, client.read().status());
-                    assertEquals(List.of(), endpoint.ids());
+                    assertEquals(List.of(), endpoint.receivedIds());
                 }
             }
         }
     }
 
-    /** Guards against a keyed job that is repeated after its window, since the connection came up late. */
+    /** Guards against retrying a keyed request after its dedup window because the connection was established late. */
     @Test
     @SuppressWarnings("unchecked")
     void doesNotRetryAfterTheDedupWindow() throws Exception {
@@ -100,35 +113,35 @@
         setCeiling("connect_timeout", 10_000_000_000L);
         Map<String, Object> settings = (Map<String, Object>) config.get("settings");
         List<Map<String, Object>> classes = new ArrayList<>();
-        for (Object one : (List<?>) settings.get("classes")) {
-            Map<String, Object> changed = new HashMap<>((Map<String, Object>) one);
-            changed.put("window", 1_500_000_000L);
-            classes.add(changed);
+        for (Object requestClass : (List<?>) settings.get("classes")) {
+            Map<String, Object> changedClass = new HashMap<>((Map<String, Object>) requestClass);
+            changedClass.put("window", 1_500_000_000L);
+            classes.add(changedClass);
         }
         settings.put("classes", classes);
-        try (RawEndpoint first = new RawEndpoint().open();
+        try (RawEndpoint first = new RawEndpoint().startAccepting();
                 RawEndpoint second = new RawEndpoint().fillAcceptQueue()) {
-            world.addRunner("s-1", first.port());
+            platform.addEndpoint("s-1", first.port());
             int port = start();
-            CountDownLatch listed = new CountDownLatch(1);
+            CountDownLatch secondListed = new CountDownLatch(1);
             first.script = (request, socket) -> {
-                await(listed);
+                await(secondListed);
                 socket.close();
             };
             try (RawClient client = new RawClient(port)) {
-                long sent = System.nanoTime();
-                client.send(job("/api", "k", "save-run", "", "Idempotency-Key: K")
+                long sentAt = System.nanoTime();
+                client.send(requestBytes("/api", "k", "save-run", "", "Idempotency-Key: K")
                         .toString()
                         .replace("X-Deadline: 4", "X-Deadline: 12"));
-                until(() -> first.seen.size() == 1);
-                world.addRunner("s-2", second.port());
-                until(() -> world.dispatcher().endpointPools().updatesOf("s-2") == 1);
-                listed.countDown();
-                until(() -> world.dispatcher().endpointPools().pendingConnects() == 1);
-                until(() -> System.nanoTime() - sent > 1_600_000_000L);
-                second.open();
-                assertEquals(502, client.read().status(), "it may have run, and cannot be repeated any more");
-                assertEquals(List.of(), second.ids());
+                waitUntil(() -> first.received.size() == 1);
+                platform.addEndpoint("s-2", second.port());
+                waitUntil(() -> platform.dispatcher().endpointPools().updatesOf("s-2") == 1);
+                secondListed.countDown();
+                waitUntil(() -> platform.dispatcher().endpointPools().pendingConnects() == 1);
+                waitUntil(() -> System.nanoTime() - sentAt > 1_600_000_000L);
+                second.startAccepting();
+                assertEquals(502, client.read().status(), "it may have run and can no longer be retried");
+                assertEquals(List.of(), second.receivedIds());
             }
         }
     }
--- a/src/test/java/nettlewick/net/MismatchedResponseTest.java
+++ b/src/test/java/nettlewick/net/MismatchedResponseTest.java
@@ -1,7 +1,7 @@
 package nettlewick.net;
 
-import static nettlewick.net.DispatcherOnStubPlatform.job;
-import static nettlewick.net.DispatcherOnStubPlatform.until;
+import static nettlewick.net.DispatcherOnStubPlatform.requestBytes;
+import static nettlewick.net.DispatcherOnStubPlatform.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -10,45 +10,45 @@
 import nettlewick.core.Clock;
 import org.junit.jupiter.api.Test;
 
-/** Answers and lists that are meant for another request, or for another time. */
+/** Responses that belong to another request, and lists with restarted version numbers. */
 class MismatchedResponseTest extends ConnectionRaceTestBase {
-    /** Guards against one request's result in another's answer. */
+    /** Guards against answering a request with the result of another. */
     @Test
-    void lineForAnotherRequestServesNobody() throws Exception {
+    void lineForAnotherRequestFailsTheAttempt() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addEndpoint("s-1", endpoint.port());
             int port = start();
-            endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.served("another"));
+            endpoint.script = (request, socket) -> RawEndpoint.write(socket, RawEndpoint.servedResponse("another"));
             try (RawClient client = new RawClient(port)) {
-                RawClient.Answer answer =
-                        client.send(job("/api", "mine", "mark-submit", "")).read();
-                assertEquals(502, answer.status(), answer.body());
+                RawClient.Response response = client.send(requestBytes("/api", "mine", "mark-submit", ""))
+                        .read();
+                assertEquals(502, response.status(), response.body());
             }
-            assertEquals(List.of("mine"), endpoint.ids(), "it may have run, and is not sent again");
+            assertEquals(List.of("mine"), endpoint.receivedIds(), "it may have run and is not sent again");
         }
     }
 
     /**
-     * Guards against a late second answer that is taken for the answer to the next request on the connection. The clock
-     * stands: no connection has rested when the next job comes.
+     * Guards against taking a late duplicate response for the response to the next request on the connection. The clock
+     * is stopped: no connection has been idle when the next request comes.
      */
     @Test
     void ignoresASecondResponseOnAnIdleConnection() throws Exception {
         setCeiling("probes", false);
-        try (RawEndpoint endpoint = new RawEndpoint().open()) {
-            world.addRunner("s-1", endpoint.port());
+        try (RawEndpoint endpoint = new RawEndpoint().startAccepting()) {
+            platform.addEndpoint("s-1", endpoint.port());
             DispatcherServer dispatcher = start(Clock.stoppedAt(System.currentTimeMillis()));
             int port = dispatcher.ports().get(0);
-            Promise<Void> twice = Promise.promise();
+            Promise<Void> sendDuplicate = Promise.promise();
             endpoint.script = (request, socket) -> {
-                RawEndpoint.write(socket, RawEndpoint.served(request.id()));
+                RawEndpoint.write(socket, RawEndpoint.servedResponse(request.id()));
                 if (request.id().equals("a")) {
-                    twice.future().onComplete(v -> {
+                    sendDuplicate.future().onComplete(v -> {
                         try {
                             RawEndpoint.write(socket, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
                         } catch (java.io.IOException e) {
-                            // The connection is closed by now.
+                            // The connection is already closed.
                         }
                     });
                 }
@@ -56,36 +56,43 @@
             try (RawClient client = new RawClient(port)) {
                 assertEquals(
                         "r-a",
-                        client.send(job("/api", "a", "mark-submit", "")).read().body());
-                // The next one that must not run twice comes at once: it takes a connection of its own.
+                        client.send(requestBytes("/api", "a", "mark-submit", ""))
+                                .read()
+                                .body());
+                // The next non-idempotent request comes at once, so it gets a new connection.
                 assertEquals(
                         "r-b",
-                        client.send(job("/api", "b", "mark-submit", "")).read().body());
-                twice.complete();
+                        client.send(requestBytes("/api", "b", "mark-submit", ""))
+                                .read()
+                                .body());
+                sendDuplicate.complete();
                 awaitEventLoop(port);
                 assertEquals(
                         "r-c",
-                        client.send(job("/api", "c", "mark-submit", "")).read().body());
+                        client.send(requestBytes("/api", "c", "mark-submit", ""))
+                                .read()
+                                .body());
             }
-            assertEquals(List.of("a", "b", "c"), endpoint.ids());
+            assertEquals(List.of("a", "b", "c"), endpoint.receivedIds());
             assertNotEquals(
-                    endpoint.seen.get(0).connection(), endpoint.seen.get(1).connection());
-            DispatcherOnStubPlatform.get(dispatcher.close());
+                    endpoint.received.get(0).connection(),
+                    endpoint.received.get(1).connection());
+            DispatcherOnStubPlatform.awaitResult(dispatcher.close());
         }
     }
 
-    /** Guards against changes that are passed over for ever because discovery counts from the beginning again. */
+    /** Guards against ignoring all changes after discovery has restarted its version numbers. */
     @Test
     void requestsTheCompleteListWhenVersionsRestart() throws Exception {
-        world.addRunner("s-1");
+        platform.addEndpoint("s-1");
         int port = start();
-        world.startVersionsAnew();
-        world.tell("s-1", "Terminating");
-        until(() -> world.watches.size() >= 2);
-        assertEquals("/catalog/members?watch=1", world.watches.get(1));
-        until(() -> {
+        platform.resetVersions();
+        platform.announceHealth("s-1", "Terminating");
+        waitUntil(() -> platform.discoveryRequests.size() >= 2);
+        assertEquals("/catalog/members?watch=1", platform.discoveryRequests.get(1));
+        waitUntil(() -> {
             try (RawClient client = new RawClient(port)) {
-                return client.send(job("/api", "x" + System.nanoTime(), "mark-submit", "1"))
+                return client.send(requestBytes("/api", "x" + System.nanoTime(), "mark-submit", "1"))
                                 .read()
                                 .status()
                         == 503;
--- a/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionStateTest.java
@@ -8,11 +8,11 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Random steps against the states of a client connection, compared with a plain model. */
+/** Random steps on the states of a client connection, compared with a simple model. */
 class ClientConnectionStateTest {
     private static final String SEED = "20261201";
 
-    /** The model: the phase as a letter, when it began, and what was served. */
+    /** The model: the phase as a letter, when it began, and how many responses and results were written. */
     @Property(seed = SEED, tries = 2000)
     void clientConnectionEndsInTimeAndNeverWithARequestInFlight(
             @ForAll @Size(max = 30) List<@IntRange(max = 7) Integer> steps) {
@@ -20,13 +20,13 @@
         char phase = 'W';
         double now = 0;
         double since = 0;
-        int answers = 0;
+        int responses = 0;
         int served = 0;
         for (int step : steps) {
             switch (step) {
                 case 0 -> {
                     state.bytesReceived(now);
-                    since = phase != 'W' ? since : answers == 0 ? 0 : now;
+                    since = phase != 'W' ? since : responses == 0 ? 0 : now;
                     phase = phase == 'W' ? 'R' : phase;
                 }
                 case 1 -> {
@@ -38,7 +38,7 @@
                     if (phase == 'A') {
                         phase = 'W';
                         since = now;
-                        answers++;
+                        responses++;
                         served += 1 - steps.size() % 2;
                     }
                 }
@@ -61,8 +61,8 @@
                 default -> now += step == 6 ? 900 : 3000;
             }
             double age = now - since;
-            double most = timeoutMillis(phase, served);
-            assertEquals(age >= most, state.isOverdue(now, false), phase + " since " + age);
+            double timeoutMillis = timeoutMillis(phase, served);
+            assertEquals(age >= timeoutMillis, state.isOverdue(now, false), phase + " since " + age);
             assertEquals("WRA".indexOf(phase) >= 0, state.takesRequests());
             assertEquals(phase == 'W', state.isIdle());
             assertEquals(phase == 'W' && age >= 200, state.isQuiet(now));
--- a/src/test/java/nettlewick/net/client/ClientConnectionTest.java
+++ b/src/test/java/nettlewick/net/client/ClientConnectionTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients may send, byte by byte, against a guard on a channel without a socket. */
+/** What clients may send, byte by byte, on a channel without a socket. */
 class ClientConnectionTest {
     private static final String GET = "GET /a HTTP/1.1\r\n\r\n";
     private final Clock clock = Clock.stoppedAt(1000);
@@ -41,7 +41,7 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    /** Paths and bodies of the requests that got through. */
+    /** The paths and bodies of the requests that were passed on. */
     private List<String> passedRequests() {
         List<String> all = new ArrayList<>();
         for (Object o = channel.readInbound(); o != null; o = channel.readInbound()) {
@@ -53,7 +53,7 @@
         return all;
     }
 
-    private String answers() {
+    private String responses() {
         StringBuilder all = new StringBuilder();
         for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
             all.append(b.toString(StandardCharsets.US_ASCII));
@@ -61,7 +61,7 @@
         return all.toString();
     }
 
-    private void serve() {
+    private void respond() {
         channel.writeOutbound(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
         channel.runPendingTasks();
     }
@@ -88,51 +88,51 @@
     void rejectsAHeadWithAmbiguousFraming(String header) {
         send("POST /a HTTP/1.1\r\n" + header + "\r\n\r\nzGET /hidden HTTP/1.1\r\n\r\n");
         assertEquals(List.of(), passedRequests());
-        assertTrue(answers().startsWith("HTTP/1.1 400 "));
+        assertTrue(responses().startsWith("HTTP/1.1 400 "));
     }
 
-    /** Guards against a rejection that does not say when to try again. */
+    /** Guards against a rejection without a Retry-After header. */
     @ParameterizedTest
     @ValueSource(ints = {429, 503})
-    void tellsWhenToTryAgainWhereThatIsHarmless(int status) {
+    void sendsRetryAfterWhereARetryIsHarmless(int status) {
         connection.reject(status, "not now");
-        assertTrue(answers().contains("\r\nRetry-After: 1\r\n"));
+        assertTrue(responses().contains("\r\nRetry-After: 1\r\n"));
     }
 
-    /** Guards against an invitation to repeat what can never be served. */
+    /** Guards against asking clients to retry a request that can never be served. */
     @Test
-    void doesNotInviteToRepeatAnInvalidRequest() {
+    void sendsNoRetryAfterForAnInvalidRequest() {
         connection.reject(400, "no request that can be read");
-        assertFalse(answers().contains("Retry-After"));
+        assertFalse(responses().contains("Retry-After"));
     }
 
-    private void serveAndClose() {
+    private void respondAndClose() {
         DefaultFullHttpResponse last = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         last.headers().set("Connection", "close");
         channel.writeOutbound(last);
         channel.runPendingTasks();
     }
 
-    /** Guards against a pipelined request that is answered by a close at a planned end. */
+    /** Guards against closing a connection with an unanswered pipelined request during a graceful shutdown. */
     @Test
     void answersPipelinedRequestsBeforeClosing() {
         send(GET + "POST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nx");
         assertEquals(List.of("/a", ""), passedRequests());
-        serveAndClose();
-        assertFalse(answers().toLowerCase(java.util.Locale.ROOT).contains("connection"), "not the last one");
+        respondAndClose();
+        assertFalse(responses().toLowerCase(java.util.Locale.ROOT).contains("connection"), "not the last response");
         send("y");
         assertEquals(List.of("/b", "xy"), passedRequests());
         assertTrue(channel.isOpen());
-        serveAndClose();
-        assertTrue(answers().toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
+        respondAndClose();
+        assertTrue(responses().toLowerCase(java.util.Locale.ROOT).contains("connection: close"));
         assertFalse(channel.isOpen());
     }
 
-    /** Guards against a request that is sent on while the answer before it waits to close its connection. */
+    /** Guards against forwarding a request while the response before it is about to close the connection. */
     @Test
     void passesNothingAfterAResponseThatCloses() {
         send(GET.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n") + GET);
-        assertEquals(2, passedRequests().size(), "head and end of the first");
+        assertEquals(2, passedRequests().size(), "head and end of the first request");
         DefaultFullHttpResponse last = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         last.headers().set("Connection", "close");
         channel.write(last);
@@ -145,18 +145,18 @@
     @Test
     void rejectsALongBodyAtItsHeadAndAnEndlessHeadAtItsLimit() {
         send("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-        assertTrue(answers().startsWith("HTTP/1.1 413 "));
+        assertTrue(responses().startsWith("HTTP/1.1 413 "));
         for (int i = 0; i < 40; i++) {
             send("x".repeat(8192));
         }
-        assertFalse(channel.config().isAutoRead(), "a bounded rest is read, then no more");
-        EmbeddedChannel other = new EmbeddedChannel(
+        assertFalse(channel.config().isAutoRead(), "a limited amount is discarded, then nothing is read");
+        EmbeddedChannel otherChannel = new EmbeddedChannel(
                 new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                 new HttpResponseEncoder(),
                 new ClientConnection(clock, new RequestByteBudget(1)));
-        other.writeInbound(
+        otherChannel.writeInbound(
                 Unpooled.copiedBuffer("GET /a HTTP/1.1\r\n" + "A: b\r\n".repeat(4000), StandardCharsets.US_ASCII));
-        assertTrue(((ByteBuf) other.readOutbound())
+        assertTrue(((ByteBuf) otherChannel.readOutbound())
                 .toString(StandardCharsets.US_ASCII)
                 .contains(" 431 "));
     }
@@ -166,26 +166,26 @@
         String head = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         send(head + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
         assertEquals(List.of("/a", "abc"), passedRequests());
-        serve();
-        answers();
+        respond();
+        responses();
         send(head + "zz\r\n");
         assertEquals(List.of(), passedRequests());
-        assertTrue(answers().startsWith("HTTP/1.1 400 "));
+        assertTrue(responses().startsWith("HTTP/1.1 400 "));
     }
 
-    /** Guards against a cut inside a line, a length or a character that costs a usual client its job. */
+    /** Guards against losing a request that is split inside a line, a length or a character. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5\r\n\r\né✓", "Transfer-Encoding: chunked\r\n\r\n5\r\né✓\r\n0\r\n\r\n"})
     void readsARequestSplitAtAnyByte(String rest) {
         byte[] request = ("POST /a HTTP/1.1\r\nX: y\r\n" + rest).getBytes(StandardCharsets.UTF_8);
         for (int cut = 1; cut < request.length; cut++) {
-            ClientConnection one = new ClientConnection(clock, new RequestByteBudget(100));
-            EmbeddedChannel through =
-                    new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), one::bytesReceived), one);
-            through.writeInbound(Unpooled.copiedBuffer(request, 0, cut));
-            through.writeInbound(Unpooled.copiedBuffer(request, cut, request.length - cut));
-            assertEquals("/a", ((HttpRequest) through.readInbound()).uri(), "cut at " + cut);
-            LastHttpContent body = through.readInbound();
+            ClientConnection client = new ClientConnection(clock, new RequestByteBudget(100));
+            EmbeddedChannel clientChannel =
+                    new EmbeddedChannel(new StrictHttpDecoder(new HttpServerOptions(), client::bytesReceived), client);
+            clientChannel.writeInbound(Unpooled.copiedBuffer(request, 0, cut));
+            clientChannel.writeInbound(Unpooled.copiedBuffer(request, cut, request.length - cut));
+            assertEquals("/a", ((HttpRequest) clientChannel.readInbound()).uri(), "cut at " + cut);
+            LastHttpContent body = clientChannel.readInbound();
             assertEquals("é✓", body.content().toString(StandardCharsets.UTF_8), "cut at " + cut);
         }
     }
@@ -201,32 +201,32 @@
     void servesPipelinedRequestsOneByOneAndRejectsAFlood() {
         send(GET + GET.replace("/a", "/b"));
         assertEquals(List.of("/a", ""), passedRequests());
-        serve();
+        respond();
         assertEquals(List.of("/b", ""), passedRequests());
-        serve();
-        answers();
+        respond();
+        responses();
         send(GET.repeat(300));
         assertEquals(List.of(), passedRequests());
-        assertTrue(answers().startsWith("HTTP/1.1 429 "));
+        assertTrue(responses().startsWith("HTTP/1.1 429 "));
     }
 
     @Test
     void sendsContinueBeforeTheBody() {
         send("POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
-        assertEquals("HTTP/1.1 100 Continue\r\n\r\n", answers());
+        assertEquals("HTTP/1.1 100 Continue\r\n\r\n", responses());
         send("x");
         assertEquals(List.of("/a", "x"), passedRequests());
     }
 
     @Test
-    void closesSilentClientsRejectsSlowOnesAndSparesThoseInFlight() {
+    void rejectsSlowRequestsAndClosesTheirConnections() {
         clock.advanceTo(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS - 1);
         connection.closeIfOverdue(clock.nowMillis());
         assertTrue(channel.isOpen());
         send("GET /a HT");
         clock.advanceTo(1000 + ClientConnectionState.READ_TIMEOUT_MILLIS);
         connection.closeIfOverdue(clock.nowMillis());
-        assertTrue(answers().startsWith("HTTP/1.1 408 "));
+        assertTrue(responses().startsWith("HTTP/1.1 408 "));
         clock.advanceTo(clock.nowMillis() + ClientConnectionState.LINGER_MILLIS);
         connection.closeIfOverdue(clock.nowMillis());
         assertFalse(channel.isOpen());
@@ -241,20 +241,20 @@
         assertNull(channel.readOutbound());
     }
 
-    /** Guards against a planned end that throws away what a slow reader has not taken yet. */
+    /** Guards against a graceful shutdown that discards a response which a slow client has not read yet. */
     @Test
     void doesNotCloseWhileAResponseIsBeingWritten() {
         send(GET);
         channel.write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK));
         clock.advanceTo(1000 + ClientConnectionState.QUIET_MILLIS + 1);
         connection.closeIfQuiet(clock.nowMillis());
-        assertTrue(channel.isOpen(), "its answer is written and not on the socket yet");
+        assertTrue(channel.isOpen(), "its response is written but not yet flushed");
         channel.flush();
         connection.closeIfQuiet(clock.nowMillis());
         assertFalse(channel.isOpen());
     }
 
-    /** Guards against a request that is taken while the last answer of its connection is being written. */
+    /** Guards against accepting a request while the last response of its connection is being written. */
     @Test
     void acceptsNothingOnceTheLastResponseIsWritten() {
         send(GET);
@@ -267,37 +267,39 @@
         assertEquals(ClientConnectionState.Phase.CLOSING, connection.state().phase());
     }
 
-    /** Guards against whole requests that end unanswered for what stands behind them, and against their dispatch. */
+    /**
+     * Guards against complete requests that get no response because of the garbage behind them, or that are forwarded.
+     */
     @Test
     void rejectsRequestsAheadOfGarbageInOrder() {
         send(GET + GET.replace("/a", "/b") + "no request\r\n\r\n");
         assertEquals(List.of(), passedRequests());
-        String got = answers();
+        String responses = responses();
         assertEquals(
                 List.of("429", "429", "400"),
                 java.util.regex.Pattern.compile("HTTP/1.1 (\\d+)")
-                        .matcher(got)
+                        .matcher(responses)
                         .results()
                         .map(m -> m.group(1))
                         .toList(),
-                got);
+                responses);
     }
 
     @Test
     void limitsBufferedBytesAcrossAllClients() {
         RequestByteBudget budget = new RequestByteBudget(10);
-        List<EmbeddedChannel> clients = new ArrayList<>();
+        List<EmbeddedChannel> channels = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            clients.add(new EmbeddedChannel(
+            channels.add(new EmbeddedChannel(
                     new StrictHttpDecoder(new HttpServerOptions(), () -> {}),
                     new HttpResponseEncoder(),
                     new ClientConnection(clock, budget)));
-            clients.get(i)
+            channels.get(i)
                     .writeInbound(Unpooled.copiedBuffer(
                             "POST /a HTTP/1.1\r\nContent-Length: 9\r\n\r\n12345678", StandardCharsets.US_ASCII));
         }
-        assertNull(clients.get(0).readOutbound());
-        assertTrue(((ByteBuf) clients.get(1).readOutbound())
+        assertNull(channels.get(0).readOutbound());
+        assertTrue(((ByteBuf) channels.get(1).readOutbound())
                 .toString(StandardCharsets.US_ASCII)
                 .contains(" 503 "));
     }
