--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -84,7 +84,7 @@
                 EventStreamConfig.of(settings.block("edge").orElseThrow());
         DispatcherServer server = new DispatcherServer(
                         config, clock, PlatformFrontend::new, base -> new EventStreamFrontend(base, eventStreams))
-                .withUsageRecorder(ledger.ledger())
+                .withUsageRecorder(ledger.recorder())
                 .withAdminServer(AdminFrontend::new);
         StubPlatform.awaitResult(server.start());
         Thread shutdown = new Thread(() -> shutDown(server, ledger, platform, folder), "demo-end");
--- a/src/main/java/nettlewick/cli/SettingsFileFeatures.java
+++ b/src/main/java/nettlewick/cli/SettingsFileFeatures.java
@@ -81,7 +81,7 @@
 
     @Override
     public UsageRecorder usageRecorder() {
-        return ledger == null ? UsageRecorder.NONE : ledger.ledger();
+        return ledger == null ? UsageRecorder.NONE : ledger.recorder();
     }
 
     @Override
--- a/src/main/java/nettlewick/ledger/LedgerService.java
+++ b/src/main/java/nettlewick/ledger/LedgerService.java
@@ -29,7 +29,7 @@
     private static final double POLL_MILLIS = 100;
 
     private final String dispatcher;
-    private final Ledger ledger;
+    private final Ledger recorder;
     private final Clock clock;
     private final long seed;
     private final List<Thread> threads = new ArrayList<>();
@@ -46,12 +46,12 @@
         this.settings = settings;
         this.clock = clock;
         this.seed = seed;
-        ledger = new Ledger(dispatcher, settings, clock);
+        recorder = new Ledger(dispatcher, settings, clock);
     }
 
     /** The usage recorder for the core. */
-    public Ledger ledger() {
-        return ledger;
+    public Ledger recorder() {
+        return recorder;
     }
 
     /** The port on which peers are served; 0 if there is no listener. */
@@ -69,8 +69,8 @@
         checkOwner();
         MessageAuthenticator authenticator =
                 settings.peers() == null ? null : readKey(settings.peers().keyFile());
-        ledger.start();
-        ledger.awaitReady();
+        recorder.start();
+        recorder.awaitReady();
         for (ExportSettings export : settings.exports()) {
             startThread("ledger-export-" + export.name(), () -> runExport(export.name()));
         }
@@ -126,7 +126,7 @@
     /** Applies the settings that may change at run time. */
     public void reload(LedgerSettings next) {
         settings = next;
-        ledger.reload(next);
+        recorder.reload(next);
     }
 
     private interface InterruptibleTask {
@@ -177,7 +177,7 @@
                 target = Exporter.target(next, FaultInjection.NONE);
             }
             current = next;
-            if (ledger.origin() == null) {
+            if (recorder.origin() == null) {
                 continue;
             }
             try (Store store = Store.open(settings.store())) {
@@ -185,7 +185,7 @@
                         store, current, target, random, millis -> sleepUnlessStopping(millis), FaultInjection.NONE);
                 Exporter.Report report = exporter.runRound();
                 lags.put(name, store.exportLag(name));
-                ledger.exportLags(lags);
+                recorder.exportLags(lags);
                 if (report == Exporter.BUSY) {
                     continue;
                 }
@@ -208,7 +208,7 @@
         Map<InetSocketAddress, Double> nextRoundAt = new HashMap<>();
         while (sleepUnlessStopping(POLL_MILLIS)) {
             PeerSettings peerSettings = settings.peers();
-            if (peerSettings == null || ledger.origin() == null) {
+            if (peerSettings == null || recorder.origin() == null) {
                 continue;
             }
             for (InetSocketAddress address : peerSettings.peers()) {
@@ -270,6 +270,6 @@
         if (vertx != null) {
             vertx.close();
         }
-        ledger.close();
+        recorder.close();
     }
 }
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -388,7 +388,7 @@
         }
         for (int i = 0; i < 90; i++) {
             services.get(i % 3)
-                    .ledger()
+                    .recorder()
                     .record(
                             new nettlewick.core.UsageRecorder.FinishedRequest(
                                     new nettlewick.core.Request("j" + i, "c", "m", null, 0, 1, 0, 0, false, null, null),
@@ -401,13 +401,13 @@
                             nettlewick.core.UsageRecorder.DeliveryCallback::onDelivered);
         }
         LedgerService otherDispatcher =
-                new LedgerService("d9", services.get(0).ledger().settings(), clock, 7);
+                new LedgerService("d9", services.get(0).recorder().settings(), clock, 7);
         assertTrue(assertThrows(IOException.class, otherDispatcher::start)
                 .getMessage()
                 .contains("the ledger of d0, not of"));
         StubPlatform.waitUntil(() -> storedCount("d2") == 90 && storedCount("d1") == 60);
         StubPlatform.waitUntil(() -> services.stream()
-                .allMatch(service -> service.ledger()
+                .allMatch(service -> service.recorder()
                                 .metrics()
                                 .getOrDefault("ledger.export.x.lag", -1L)
                                 .longValue()
