--- a/src/test/java/nettlewick/ledger/LedgerServingTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerServingTest.java
@@ -118,9 +118,9 @@
         assertEquals(Ending.SERVED, all.get("b").ending());
         assertEquals(Ending.FAILED, all.get("c").ending());
         assertEquals(0, all.get("c").workSlotMicros());
-        String figures = send(dispatcher.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
+        String metrics = send(dispatcher.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(
-                figures.contains("router.ledger.entries=3\n") && figures.contains("router.ledger.queue=0\n"), figures);
+                metrics.contains("router.ledger.entries=3\n") && metrics.contains("router.ledger.queue=0\n"), metrics);
     }
 
     /** Clients that disconnect while their request runs, and clients that read one byte of the answer first. */
--- a/src/test/java/nettlewick/ledger/MeasureLedger.java
+++ b/src/test/java/nettlewick/ledger/MeasureLedger.java
@@ -229,7 +229,7 @@
                 }
             }
             ledger = ledger / (ORIGINS * 1000 + 1) * MILLION;
-            PeerServer front = new PeerServer(
+            PeerServer server = new PeerServer(
                     new PeerSettings(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                             null,
@@ -243,7 +243,7 @@
                     one,
                     new MessageAuthenticator(key),
                     Clock.system());
-            int port = DispatcherOnStubPlatform.awaitResult(front.listen());
+            int port = DispatcherOnStubPlatform.awaitResult(server.listen());
             PeerClient client = new PeerClient(
                     vertx,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -256,7 +256,7 @@
             addResult("reconcile_entries", report.entries(), "%.0f");
             addResult("reconcile_bytes", client.bytesTransferred(), "%.0f");
             addResult("reconcile_share", (double) client.bytesTransferred() / ledger, "%.7f");
-            front.close();
+            server.close();
         }
         DispatcherOnStubPlatform.awaitResult(vertx.close());
         startNanos = System.nanoTime();
--- a/src/test/java/nettlewick/ledger/ReconcileTest.java
+++ b/src/test/java/nettlewick/ledger/ReconcileTest.java
@@ -88,10 +88,10 @@
     }
 
     private int startServer(Store store) throws Exception {
-        PeerServer front =
+        PeerServer server =
                 new PeerServer(settings("127.0.0.0/8"), store.folder(), new MessageAuthenticator(KEY), clock);
-        closeables.add(0, front);
-        return StubPlatform.awaitResult(front.listen());
+        closeables.add(0, server);
+        return StubPlatform.awaitResult(server.listen());
     }
 
     private PeerClient client(int port, double timeout) {
@@ -249,12 +249,13 @@
     @Test
     void unsignedResponsesAreRejectedAndSlowPeersTimeOut() throws Exception {
         Store a = store("a");
-        HttpServer mute = vertx.createHttpServer().requestHandler(r -> {});
-        int silent = StubPlatform.awaitResult(mute.listen(0, "127.0.0.1")).actualPort();
+        HttpServer silentServer = vertx.createHttpServer().requestHandler(r -> {});
+        int silentPort =
+                StubPlatform.awaitResult(silentServer.listen(0, "127.0.0.1")).actualPort();
         double before = clock.nowMillis();
-        assertThrows(IOException.class, () -> new Reconciler(a, client(silent, 60), 7).runRound());
+        assertThrows(IOException.class, () -> new Reconciler(a, client(silentPort, 60), 7).runRound());
         assertTrue(clock.nowMillis() - before < 5000);
-        HttpServer trickle = vertx.createHttpServer().requestHandler(r -> {
+        HttpServer tricklingServer = vertx.createHttpServer().requestHandler(r -> {
             r.response().setChunked(true).write("[");
             r.response().exceptionHandler(e -> {});
             vertx.setPeriodic(5, t -> {
@@ -265,12 +266,14 @@
                 }
             });
         });
-        int slow = StubPlatform.awaitResult(trickle.listen(0, "127.0.0.1")).actualPort();
-        assertThrows(IOException.class, () -> new Reconciler(a, client(slow, 60), 7).runRound());
-        HttpServer plain =
+        int slowPort =
+                StubPlatform.awaitResult(tricklingServer.listen(0, "127.0.0.1")).actualPort();
+        assertThrows(IOException.class, () -> new Reconciler(a, client(slowPort, 60), 7).runRound());
+        HttpServer unsignedServer =
                 vertx.createHttpServer().requestHandler(r -> r.response().end("[]"));
-        int unsealed = StubPlatform.awaitResult(plain.listen(0, "127.0.0.1")).actualPort();
-        assertTrue(assertThrows(IOException.class, () -> runRound(a, unsealed))
+        int unsignedPort =
+                StubPlatform.awaitResult(unsignedServer.listen(0, "127.0.0.1")).actualPort();
+        assertTrue(assertThrows(IOException.class, () -> runRound(a, unsignedPort))
                 .getMessage()
                 .contains("no valid signature"));
     }
--- a/src/test/java/nettlewick/ledger/StatementCalculatorTest.java
+++ b/src/test/java/nettlewick/ledger/StatementCalculatorTest.java
@@ -154,13 +154,13 @@
     void sixDispatchersComputeTheSameStatements(@ForAll long seed) {
         Random random = new Random(seed);
         int n = 6;
-        List<TreeMap<EntryRef, Entry>> held = new ArrayList<>();
+        List<TreeMap<EntryRef, Entry>> entriesByDispatcher = new ArrayList<>();
         List<List<Entry>> logs = new ArrayList<>();
         long[] incarnations = new long[n];
         long[] number = new long[n];
         Map<String, Statement> closedParts = new TreeMap<>();
         for (int i = 0; i < n; i++) {
-            held.add(new TreeMap<>());
+            entriesByDispatcher.add(new TreeMap<>());
             logs.add(new ArrayList<>());
             incarnations[i] = 1;
         }
@@ -197,44 +197,54 @@
                             "crash");
                 }
             } else if (action < 13) {
-                List<Entry> ownEntries = new ArrayList<>(held.get(d).values());
+                List<Entry> ownEntries =
+                        new ArrayList<>(entriesByDispatcher.get(d).values());
                 if (!ownEntries.isEmpty()) {
                     Entry target = ownEntries.get(random.nextInt(ownEntries.size()));
                     created = Entry.correction(next, now, target, random.nextInt(500), "op", "r");
                 }
             } else if (action == 13) {
                 StatementCalculator calculator = new StatementCalculator(CALENDAR, KEY_WINDOW_MILLIS);
-                held.get(d).values().forEach(calculator::add);
+                entriesByDispatcher.get(d).values().forEach(calculator::add);
                 BillingCalendar.Period first = calculator.firstOpenPeriod("d" + d);
                 if (first != null && first.to() <= now) {
                     Map<ChainOrigin, Long> lastNumbers = new TreeMap<>();
-                    held.get(d).keySet().forEach(r -> lastNumbers.merge(r.origin(), r.number(), Math::max));
+                    entriesByDispatcher
+                            .get(d)
+                            .keySet()
+                            .forEach(r -> lastNumbers.merge(r.origin(), r.number(), Math::max));
                     created = Entry.close(next, now, first, lastNumbers, "op");
                 }
             } else if (action == 14) {
                 incarnations[d]++;
                 number[d] = 0;
             } else {
-                exchange(random, held.get(d), held.get(random.nextInt(n)));
+                exchange(random, entriesByDispatcher.get(d), entriesByDispatcher.get(random.nextInt(n)));
             }
             if (created != null) {
                 number[d]++;
-                held.get(d).put(next, created);
+                entriesByDispatcher.get(d).put(next, created);
             }
-            assertClosedPartsUnchanged(closedParts, held.get(d));
+            assertClosedPartsUnchanged(closedParts, entriesByDispatcher.get(d));
         }
         for (int round = 0; round < 60; round++) {
             for (int d = 0; d < n; d++) {
-                exchange(random, held.get(d), held.get((d + 1 + random.nextInt(n - 1)) % n));
+                exchange(
+                        random,
+                        entriesByDispatcher.get(d),
+                        entriesByDispatcher.get((d + 1 + random.nextInt(n - 1)) % n));
             }
         }
         TreeMap<EntryRef, Entry> all = new TreeMap<>();
-        held.forEach(all::putAll);
+        entriesByDispatcher.forEach(all::putAll);
         StatementCalculator reference = new StatementCalculator(CALENDAR, KEY_WINDOW_MILLIS);
         all.values().forEach(reference::add);
         for (int d = 0; d < n; d++) {
-            assertEquals(all.keySet(), held.get(d).keySet(), "all hold the same entries after enough exchanges");
-            List<Entry> order = new ArrayList<>(held.get(d).values());
+            assertEquals(
+                    all.keySet(),
+                    entriesByDispatcher.get(d).keySet(),
+                    "all hold the same entries after enough exchanges");
+            List<Entry> order = new ArrayList<>(entriesByDispatcher.get(d).values());
             Collections.shuffle(order, random);
             StatementCalculator calculator = new StatementCalculator(CALENDAR, KEY_WINDOW_MILLIS);
             order.forEach(calculator::add);
