--- a/src/main/java/nettlewick/lease/LeaseCandidate.java
+++ b/src/main/java/nettlewick/lease/LeaseCandidate.java
@@ -8,7 +8,7 @@
 
 /**
  * One dispatcher's candidacy for one lease, from waiting to holding it (see docs/duties.md). Times are milliseconds of
- * the dispatcher's own monotonic clock, passed in by the caller. Pure; belongs to one thread.
+ * the dispatcher's own monotonic clock, which the caller passes in. Does no I/O; confined to one thread.
  */
 final class LeaseCandidate {
     /** The steps towards holding the lease; RETIRED is final. */
@@ -21,20 +21,20 @@
         RETIRED
     }
 
-    /** An unanswered renewal is sent again after this share of a lease. */
-    private static final double RENEWAL_RETRY_SHARE = 1.0 / 6;
-    /** An unanswered request of a candidate is sent again after this share of a lease. */
-    private static final double REQUEST_RETRY_SHARE = RENEWAL_RETRY_SHARE / 2;
-    /** A holder renews, and a former holder stands again, after this share of a lease. */
-    private static final double RENEWAL_SHARE = 1.0 / 3;
-    /** A candidate gives up after this many transmissions of one request. */
+    /** Delay before an unanswered renewal is sent again, in lease durations. */
+    private static final double RENEWAL_RETRY_INTERVAL_LEASES = 1.0 / 6;
+    /** Delay before an unanswered request of a candidate is sent again, in lease durations. */
+    private static final double REQUEST_RETRY_INTERVAL_LEASES = RENEWAL_RETRY_INTERVAL_LEASES / 2;
+    /** Delay before a holder renews and before a candidate whose lease expired tries again, in lease durations. */
+    private static final double RENEWAL_INTERVAL_LEASES = 1.0 / 3;
+    /** A candidate backs off after this many transmissions of one request. */
     private static final int MAX_TRANSMISSIONS = 4;
 
     private final String leaseName;
     private final int dispatcher;
     private final int incarnation;
     private final List<Integer> voters;
-    private final LeaseTerms terms;
+    private final LeaseParameters parameters;
     private final int rank;
 
     private final VoteRound round;
@@ -48,21 +48,21 @@
     private long ballot;
     private long version;
     private byte[] state = LeaseMessage.EMPTY_STATE;
-    /** The state that is being proposed as the next version; null: none is. */
+    /** The state that is proposed as the next version, or null. */
     private byte[] proposedState;
 
     /**
-     * @param incarnation of this process, drawn at random below {@link Ballot#INCARNATION_LIMIT}
-     * @param rank        this dispatcher's place in the lease's {@link CandidateRanking}, from 0: higher ones wait
-     *                    longer before they stand
-     * @param nowMillis   when it starts
+     * @param incarnation this process's incarnation, drawn at random below {@link Ballot#INCARNATION_LIMIT}
+     * @param rank        this dispatcher's index in the lease's {@link CandidateRanking}; candidates at higher indexes
+     *                    wait longer before their first attempt
+     * @param nowMillis   when the candidate starts
      */
     LeaseCandidate(
             String leaseName,
             int dispatcher,
             int incarnation,
             List<Integer> voters,
-            LeaseTerms terms,
+            LeaseParameters parameters,
             int rank,
             double nowMillis) {
         this(
@@ -70,11 +70,11 @@
                 dispatcher,
                 incarnation,
                 voters,
-                terms,
+                parameters,
                 rank,
                 new VoteRound(voters, (long) incarnation << Integer.SIZE));
         ballot = Ballot.of(0, incarnation, dispatcher);
-        nextAttemptAtMillis = nowMillis + rank * terms.leaseMillis() / 2;
+        nextAttemptAtMillis = nowMillis + rank * parameters.leaseMillis() / 2;
     }
 
     private LeaseCandidate(
@@ -82,21 +82,22 @@
             int dispatcher,
             int incarnation,
             List<Integer> voters,
-            LeaseTerms terms,
+            LeaseParameters parameters,
             int rank,
             VoteRound round) {
         this.leaseName = leaseName;
         this.dispatcher = dispatcher;
         this.incarnation = incarnation;
         this.voters = voters;
-        this.terms = terms;
+        this.parameters = parameters;
         this.rank = rank;
         this.round = round;
     }
 
-    /** An independent copy, for a search through the orders of events. */
+    /** Returns an independent copy, for tests that explore the possible orders of events. */
     LeaseCandidate copy() {
-        LeaseCandidate copy = new LeaseCandidate(leaseName, dispatcher, incarnation, voters, terms, rank, round.copy());
+        LeaseCandidate copy =
+                new LeaseCandidate(leaseName, dispatcher, incarnation, voters, parameters, rank, round.copy());
         copy.lifecycleState = lifecycleState;
         copy.nextAttemptAtMillis = nextAttemptAtMillis;
         copy.preparedAtMillis = preparedAtMillis;
@@ -110,7 +111,7 @@
         return copy;
     }
 
-    /** All that decides what it does next, so that a search can tell states apart. */
+    /** Describes everything that determines later behaviour, so that tests can tell states apart. */
     String describeState() {
         return lifecycleState + " " + nextAttemptAtMillis + " " + round.startedAtMillis() + " " + round.transmissions()
                 + " " + preparedAtMillis + " " + round.requestId() + " " + highestBallot + " " + ballot + " "
@@ -122,34 +123,34 @@
         return lifecycleState;
     }
 
-    /** Whether it may act under its fence now; to be checked right before each act. */
+    /** Whether the dispatcher may act under its fence now; must be checked right before each operation. */
     boolean mayAct(double nowMillis) {
         return lifecycleState == State.HOLDING && nowMillis < heldUntilMillis;
     }
 
-    /** The fence under which it holds the lease; meaningful only while it does. */
+    /** The fence under which the lease is held; valid only while it is held. */
     long fence() {
         return ballot;
     }
 
-    /** The version that a majority has stored. */
+    /** The version that a majority of voters has stored. */
     long version() {
         return version;
     }
 
-    /** The state that a majority has stored. */
+    /** The state that a majority of voters has stored. */
     byte[] state() {
         return state;
     }
 
-    /** Whether a proposed change is not stored yet: the next one has to wait. */
+    /** Whether a proposed change is not stored yet, so that the next one has to wait. */
     boolean isChangePending() {
         return proposedState != null;
     }
 
     /**
      * Proposes the next version of the state. It is stored once {@link #isChangePending} is false while the lease is
-     * still held. Empty, with nothing proposed, where this dispatcher may not act or a change is pending.
+     * still held. Proposes nothing and returns no messages if this dispatcher may not act or a change is pending.
      */
     List<Outgoing> proposeChange(byte[] next, double nowMillis) {
         if (!mayAct(nowMillis) || proposedState != null) {
@@ -159,18 +160,18 @@
         return startRequest(Kind.ACCEPT, nowMillis);
     }
 
-    /** A fence at or above its own was seen elsewhere: it releases the lease and stands again above that fence. */
+    /** Releases the lease and competes for it again above this fence, if the fence is not below its own. */
     List<Outgoing> yieldToHigherFence(long fence, double nowMillis) {
         if (lifecycleState == State.RETIRED || fence < ballot) {
             return List.of();
         }
         List<Outgoing> out = release();
         highestBallot = Math.max(highestBallot, fence);
-        waitUntil(nowMillis);
+        scheduleNextAttempt(nowMillis);
         return out;
     }
 
-    /** Graceful shutdown: releases the lease, hands it over to the successor and never stands again. */
+    /** Releases the lease, hands it over to the successor and stops competing for it; part of a graceful shutdown. */
     List<Outgoing> retire(int successor) {
         List<Outgoing> out = new ArrayList<>();
         if (lifecycleState == State.HOLDING) {
@@ -187,7 +188,7 @@
         return voters.stream().map(voter -> new Outgoing(voter, release)).toList();
     }
 
-    /** Does what is due; to be called several times in each sixth of a lease. */
+    /** Returns the messages that are due; must be called several times in each sixth of a lease duration. */
     List<Outgoing> tick(double nowMillis) {
         return switch (lifecycleState) {
             case RETIRED -> List.of();
@@ -211,32 +212,33 @@
             return List.of();
         }
         boolean isUnanswered = proposedState != null || round.startedAtMillis() > confirmedAtMillis;
-        double dueAfterMillis = terms.leaseMillis() * (isUnanswered ? RENEWAL_RETRY_SHARE : RENEWAL_SHARE);
+        double dueAfterMillis =
+                parameters.leaseMillis() * (isUnanswered ? RENEWAL_RETRY_INTERVAL_LEASES : RENEWAL_INTERVAL_LEASES);
         return nowMillis - round.startedAtMillis() >= dueAfterMillis ? startRequest(Kind.ACCEPT, nowMillis) : List.of();
     }
 
     private List<Outgoing> tickRequest(double nowMillis) {
         double waitedMillis = nowMillis - round.startedAtMillis();
-        double retryMillis = terms.leaseMillis() * REQUEST_RETRY_SHARE;
+        double retryMillis = parameters.leaseMillis() * REQUEST_RETRY_INTERVAL_LEASES;
         if (round.transmissions() < MAX_TRANSMISSIONS && waitedMillis >= retryMillis * round.transmissions()) {
             return round.transmit();
         }
         if (waitedMillis >= retryMillis * MAX_TRANSMISSIONS) {
-            standAgainByRank(nowMillis);
+            backOffByRank(nowMillis);
         }
         return List.of();
     }
 
-    /** Candidates that stood at once and blocked one another come back at different times. */
-    private void standAgainByRank(double nowMillis) {
-        waitUntil(nowMillis + terms.leaseMillis() * (rank + 1) / 4);
+    /** Waits by rank, so that candidates that blocked each other try again at different times. */
+    private void backOffByRank(double nowMillis) {
+        scheduleNextAttempt(nowMillis + parameters.leaseMillis() * (rank + 1) / 4);
     }
 
     private void expire(double nowMillis) {
-        waitUntil(nowMillis + terms.leaseMillis() * RENEWAL_SHARE);
+        scheduleNextAttempt(nowMillis + parameters.leaseMillis() * RENEWAL_INTERVAL_LEASES);
     }
 
-    private void waitUntil(double atMillis) {
+    private void scheduleNextAttempt(double atMillis) {
         lifecycleState = State.WAITING;
         nextAttemptAtMillis = atMillis;
         heldUntilMillis = Double.NEGATIVE_INFINITY;
@@ -253,7 +255,7 @@
         return round.start(request, nowMillis);
     }
 
-    /** Handles an answer of a voter, or a handover; what to send next. */
+    /** Handles a voter's answer or a handover, and returns the messages to send next. */
     List<Outgoing> handle(LeaseMessage message, double nowMillis) {
         highestBallot = Math.max(highestBallot, message.highestBallot());
         if (lifecycleState == State.RETIRED) {
@@ -266,7 +268,7 @@
             return List.of();
         }
         if (lifecycleState == State.HOLDING && nowMillis >= heldUntilMillis) {
-            // A late answer must not renew an expired lease: one fence would then cover two separate holdings.
+            // A late answer must not renew an expired lease, or one fence would cover two separate periods of holding.
             expire(nowMillis);
         }
         if (!round.isAnsweredBy(message) || message.ballot() != ballot) {
@@ -277,7 +279,7 @@
             return List.of();
         }
         round.addAnswer(message);
-        return round.answerCount() < terms.majorityOf(voters.size())
+        return round.answerCount() < parameters.majorityOf(voters.size())
                 ? List.of()
                 : handleMajority(message.kind(), nowMillis);
     }
@@ -289,11 +291,11 @@
 
     private void handleRefusal(LeaseMessage message, double nowMillis) {
         if (lifecycleState == State.HOLDING) {
-            // Another candidate has a higher ballot: this lease runs on until it ends or a majority renews it.
+            // Another candidate has a higher ballot; this lease stays valid until it expires or a majority renews it.
             return;
         }
-        double grantEndMillis = Math.max(message.remainingMillis(), terms.leaseMillis() / 8);
-        waitUntil(nowMillis + grantEndMillis + rank * terms.leaseMillis() / 8);
+        double remainingGrantMillis = Math.max(message.remainingMillis(), parameters.leaseMillis() / 8);
+        scheduleNextAttempt(nowMillis + remainingGrantMillis + rank * parameters.leaseMillis() / 8);
     }
 
     private List<Outgoing> handleMajority(Kind kind, double nowMillis) {
@@ -318,7 +320,7 @@
         return startRequest(Kind.PREPARE, nowMillis);
     }
 
-    /** Proposes the newest state that a majority has reported, under its own ballot. */
+    /** Proposes, under its own ballot, the newest state that a majority of voters has reported. */
     private List<Outgoing> adoptNewestState(double nowMillis) {
         long newestBallot = 0;
         version = 0;
@@ -337,13 +339,13 @@
     }
 
     private void confirmHolding(double nowMillis) {
-        if (lifecycleState == State.ACCEPTING && nowMillis - preparedAtMillis > terms.leaseMillis()) {
-            standAgainByRank(nowMillis);
+        if (lifecycleState == State.ACCEPTING && nowMillis - preparedAtMillis > parameters.leaseMillis()) {
+            backOffByRank(nowMillis);
             return;
         }
         lifecycleState = State.HOLDING;
-        // Counted from before the request was sent: the voters count from when they received it, which is later.
-        heldUntilMillis = Math.max(heldUntilMillis, round.startedAtMillis() + terms.holderLeaseMillis());
+        // Measured from when the request was sent; the voters measure from when they received it, which is later.
+        heldUntilMillis = Math.max(heldUntilMillis, round.startedAtMillis() + parameters.holderLeaseMillis());
         confirmedAtMillis = round.startedAtMillis();
         if (proposedState != null) {
             version++;
--- a/src/main/java/nettlewick/lease/LeaseService.java
+++ b/src/main/java/nettlewick/lease/LeaseService.java
@@ -12,8 +12,8 @@
 import nettlewick.log.ComponentLogger;
 
 /**
- * This dispatcher's part in all leases: the lease thread, which owns the socket, the voter and each
- * {@link ManagedLease}, and passes messages between them. What is done under a lease is its {@link LeaseTask}'s.
+ * Runs the lease thread, which owns the socket, the voter and each {@link ManagedLease} of this dispatcher, and passes
+ * messages between them. The work under a lease is done by its {@link LeaseTask}.
  */
 public final class LeaseService implements AutoCloseable, LeaseTask.LeaseControl {
     private static final ComponentLogger LOG = ComponentLogger.of("duty");
@@ -24,21 +24,21 @@
 
     private final LeaseSettings settings;
     private final LeaseTransport transport;
-    /** Null where this dispatcher does not vote. */
+    /** Null if this dispatcher does not vote. */
     private final PersistentVoter voter;
 
     private final Map<String, LeaseTask> tasks;
     private final Map<String, ManagedLease> leases = new LinkedHashMap<>();
-    private final Queue<Runnable> submitted = new ConcurrentLinkedQueue<>();
-    private final Thread thread = new Thread(this::execute, "lease");
+    private final Queue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
+    private final Thread thread = new Thread(this::runEventLoop, "lease");
     private double nextReportsAtMillis;
     private volatile boolean isClosing;
 
     /**
      * Starts the lease thread.
      *
-     * @param tasks by lease name; the settings' other leases count their terms and do nothing else
-     * @throws IOException where the address cannot be bound or the voter's folder cannot be used
+     * @param tasks by lease name; leases of the settings that are not in this map only count their terms
+     * @throws IOException if the address cannot be bound or the voter's folder cannot be used
      */
     public static LeaseService start(LeaseSettings settings, Map<String, LeaseTask> tasks) throws IOException {
         LeaseService service = new LeaseService(settings, tasks);
@@ -47,12 +47,12 @@
         return service;
     }
 
-    private LeaseService(LeaseSettings settings, Map<String, LeaseTask> given) throws IOException {
+    private LeaseService(LeaseSettings settings, Map<String, LeaseTask> configuredTasks) throws IOException {
         this.settings = settings;
         int incarnation = new SecureRandom().nextInt(Ballot.INCARNATION_LIMIT);
         boolean isVoter = settings.voters().contains(settings.dispatcher());
         voter = isVoter ? new PersistentVoter(settings, nowMillis(), incarnation) : null;
-        tasks = new LinkedHashMap<>(given);
+        tasks = new LinkedHashMap<>(configuredTasks);
         settings.leaseNames().forEach(name -> tasks.putIfAbsent(name, new TermCounter(name)));
         tasks.forEach((name, task) ->
                 leases.put(name, new ManagedLease(name, settings, incarnation, task, this::send, nowMillis())));
@@ -63,8 +63,8 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    private void execute() {
-        long tickMillis = (long) Math.max(1, settings.terms().leaseMillis() / TICKS_PER_LEASE);
+    private void runEventLoop() {
+        long tickMillis = (long) Math.max(1, settings.parameters().leaseMillis() / TICKS_PER_LEASE);
         try {
             double nextTickAtMillis = nowMillis();
             tasks.values().forEach(task -> task.start(this));
@@ -85,12 +85,12 @@
     }
 
     private void runSubmitted() {
-        for (Runnable task = submitted.poll(); task != null; task = submitted.poll()) {
+        for (Runnable task = submittedTasks.poll(); task != null; task = submittedTasks.poll()) {
             runGuarded(task);
         }
     }
 
-    /** A fault in one lease's task must not end the thread that votes on all leases. */
+    /** Catches exceptions, since a fault in one lease's task must not stop the thread that votes on all leases. */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
@@ -101,7 +101,7 @@
 
     @Override
     public void execute(Runnable task) {
-        submitted.add(task);
+        submittedTasks.add(task);
         transport.wakeUp();
     }
 
@@ -148,12 +148,12 @@
         }
         leases.values().forEach(lease -> lease.tick(nowMillis()));
         if (nowMillis() >= nextReportsAtMillis) {
-            nextReportsAtMillis = nowMillis() + settings.terms().leaseMillis() / REPORTS_PER_LEASE;
+            nextReportsAtMillis = nowMillis() + settings.parameters().leaseMillis() / REPORTS_PER_LEASE;
             leases.values().forEach(lease -> lease.sendReports(nowMillis()));
         }
     }
 
-    /** Messages to this dispatcher itself are handled at once. */
+    /** Sends messages; those to this dispatcher itself are handled at once, without the socket. */
     private void send(List<Outgoing> messages) {
         for (Outgoing outgoing : messages) {
             if (outgoing.recipient() == settings.dispatcher()) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /** Graceful shutdown: hands over the leases that are held and ends the thread, waiting two seconds at most. */
+    /** Graceful shutdown: hands over the leases that are held and waits for the thread to end, two seconds at most. */
     @Override
     public void close() {
         isClosing = true;
--- a/src/main/java/nettlewick/lease/LeaseVoter.java
+++ b/src/main/java/nettlewick/lease/LeaseVoter.java
@@ -9,34 +9,41 @@
 
 /**
  * One voter: its records of all leases, and its answers to candidates and to recovering voters (see docs/duties.md).
- * Grants are counted by its own monotonic clock, in milliseconds, passed in by the caller. Pure; belongs to one thread.
+ * Grants are measured on the voter's own monotonic clock, in milliseconds, which the caller passes in. Does no I/O;
+ * confined to one thread.
  */
 final class LeaseVoter {
     private final int dispatcher;
-    private final LeaseTerms terms;
+    private final LeaseParameters parameters;
     private final VoterRecovery recovery;
     private final Map<String, LeaseRecord> records;
     private final Map<String, LeaseRecord> unsavedRecords = new TreeMap<>();
 
-    /** A voter that starts at {@code nowMillis} without any memory. */
-    LeaseVoter(int dispatcher, List<Integer> voters, LeaseTerms terms, double nowMillis, long incarnation) {
-        this(dispatcher, terms, new VoterRecovery(dispatcher, voters, terms, nowMillis, incarnation), new TreeMap<>());
+    /** Creates a voter that starts at {@code nowMillis} without records. */
+    LeaseVoter(int dispatcher, List<Integer> voters, LeaseParameters parameters, double nowMillis, long incarnation) {
+        this(
+                dispatcher,
+                parameters,
+                new VoterRecovery(dispatcher, voters, parameters, nowMillis, incarnation),
+                new TreeMap<>());
     }
 
-    private LeaseVoter(int dispatcher, LeaseTerms terms, VoterRecovery recovery, Map<String, LeaseRecord> records) {
+    private LeaseVoter(
+            int dispatcher, LeaseParameters parameters, VoterRecovery recovery, Map<String, LeaseRecord> records) {
         this.dispatcher = dispatcher;
-        this.terms = terms;
+        this.parameters = parameters;
         this.recovery = recovery;
         this.records = records;
     }
 
-    /** An independent copy, for a search through the orders of events; it has nothing to save. */
+    /** Returns an independent copy without unsaved records, for tests that explore the possible orders of events. */
     LeaseVoter copy() {
-        return new LeaseVoter(dispatcher, terms, recovery.copy(), new TreeMap<>(records));
+        return new LeaseVoter(dispatcher, parameters, recovery.copy(), new TreeMap<>(records));
     }
 
     /**
-     * Takes over the records of the last process. The grants are not among them, so the voter abstains for a lease.
+     * Restores the records that the previous process stored. Grants are not stored, so the voter still abstains for one
+     * lease duration.
      */
     LeaseVoter restore(Map<String, LeaseRecord> stored) {
         records.putAll(stored);
@@ -44,39 +51,39 @@
         return this;
     }
 
-    /** The live records by lease name. */
+    /** The records by lease name; changes to the map change the voter. */
     Map<String, LeaseRecord> records() {
         return records;
     }
 
-    /** The records that have to be saved before its next answers are sent; the caller empties the map afterwards. */
+    /** The records that must be saved before the next answers are sent; the caller clears the map afterwards. */
     Map<String, LeaseRecord> unsavedRecords() {
         return unsavedRecords;
     }
 
-    /** Whether it answers candidates. */
+    /** Whether the voter answers candidates. */
     boolean isVoting() {
         return recovery.isVoting();
     }
 
-    /** Votes from the first moment on; only where there was nothing to remember, as in tests. */
+    /** Skips the recovery and votes at once; safe only if there are no earlier records, as in tests. */
     LeaseVoter startVoting() {
         recovery.startVoting();
         return this;
     }
 
-    /** Does what is due; to be called a few times a lease. */
+    /** Returns the messages that are due; must be called several times in each lease duration. */
     List<Outgoing> tick(double nowMillis) {
         return recovery.tick(nowMillis);
     }
 
-    /** Handles a message of a candidate or of another voter; what to answer. */
+    /** Handles a message of a candidate or of another voter and returns the answers. */
     List<Outgoing> handle(LeaseMessage message, double nowMillis) {
         return switch (message.kind()) {
             case RECOVER -> answerRecovery(message);
-            case RECOVERED_RECORD, NO_MEMORY -> {
+            case RECOVERED_RECORD, NO_RECORDS -> {
                 if (recovery.expects(message)) {
-                    learn(message, nowMillis);
+                    handleRecoveryAnswer(message, nowMillis);
                 }
                 yield List.of();
             }
@@ -84,10 +91,10 @@
         };
     }
 
-    private void learn(LeaseMessage message, double nowMillis) {
+    private void handleRecoveryAnswer(LeaseMessage message, double nowMillis) {
         if (message.kind() == Kind.RECOVERED_RECORD && !message.leaseName().isEmpty()) {
-            LeaseRecord known = records.getOrDefault(message.leaseName(), LeaseRecord.EMPTY);
-            putUnsaved(message.leaseName(), known.merge(message));
+            LeaseRecord current = records.getOrDefault(message.leaseName(), LeaseRecord.EMPTY);
+            putUnsaved(message.leaseName(), current.merge(message));
         }
         recovery.handleAnswer(message, nowMillis);
     }
@@ -97,17 +104,17 @@
         unsavedRecords.put(leaseName, leaseRecord);
     }
 
-    /** One message for each record, and a last one that says how many they were. */
+    /** Returns one message for each record, and a final one with the number of records. */
     private List<Outgoing> answerRecovery(LeaseMessage request) {
         if (!recovery.hasCompleteRecords()) {
-            return List.of(new Outgoing(request.sender(), recovery.noMemoryAnswer(request)));
+            return List.of(new Outgoing(request.sender(), recovery.noRecordsAnswer(request)));
         }
         List<Outgoing> out = new ArrayList<>();
-        records.forEach((leaseName, known) -> out.add(new Outgoing(
+        records.forEach((leaseName, current) -> out.add(new Outgoing(
                 request.sender(),
                 LeaseMessage.of(Kind.RECOVERED_RECORD, leaseName, dispatcher, 0, request.ballot())
-                        .withHighestBallot(known.highestBallot(), 0)
-                        .withState(known.acceptedBallot(), known.version(), known.state()))));
+                        .withHighestBallot(current.highestBallot(), 0)
+                        .withState(current.acceptedBallot(), current.version(), current.state()))));
         out.add(new Outgoing(request.sender(), recovery.finalAnswer(request, records.size())));
         return out;
     }
@@ -127,34 +134,34 @@
     }
 
     private List<Outgoing> answerQuery(LeaseMessage request, double nowMillis) {
-        boolean isGranted = records.get(request.leaseName()).isGrantedToAnother(request.ballot(), nowMillis);
-        return isGranted ? refuse(request, nowMillis) : answer(request, reply(Kind.AVAILABLE, request));
+        boolean isGrantedToAnother = records.get(request.leaseName()).isGrantedToAnother(request.ballot(), nowMillis);
+        return isGrantedToAnother ? refuse(request, nowMillis) : answer(request, reply(Kind.AVAILABLE, request));
     }
 
     private List<Outgoing> answerPrepare(LeaseMessage request, double nowMillis) {
-        LeaseRecord known = records.get(request.leaseName());
-        // An equal ballot is the same candidate's, which repeats its request since the answer was lost.
-        if (known.isGrantedToAnother(request.ballot(), nowMillis) || request.ballot() < known.promisedBallot()) {
+        LeaseRecord current = records.get(request.leaseName());
+        // An equal ballot comes from the same candidate, which repeats its request because the answer was lost.
+        if (current.isGrantedToAnother(request.ballot(), nowMillis) || request.ballot() < current.promisedBallot()) {
             return refuse(request, nowMillis);
         }
-        if (request.ballot() > known.promisedBallot()) {
-            putUnsaved(request.leaseName(), known.withPromise(request.ballot()));
+        if (request.ballot() > current.promisedBallot()) {
+            putUnsaved(request.leaseName(), current.withPromise(request.ballot()));
         }
         return answer(
                 request,
-                reply(Kind.PROMISED, request).withState(known.acceptedBallot(), known.version(), known.state()));
+                reply(Kind.PROMISED, request).withState(current.acceptedBallot(), current.version(), current.state()));
     }
 
     private List<Outgoing> answerAccept(LeaseMessage request, double nowMillis) {
-        LeaseRecord known = records.get(request.leaseName());
-        boolean isGranted = known.isGrantedToAnother(request.ballot(), nowMillis);
-        if (isGranted || !known.mayAccept(request.ballot(), request.version())) {
+        LeaseRecord current = records.get(request.leaseName());
+        boolean isGrantedToAnother = current.isGrantedToAnother(request.ballot(), nowMillis);
+        if (isGrantedToAnother || !current.mayAccept(request.ballot(), request.version())) {
             return refuse(request, nowMillis);
         }
-        LeaseRecord accepted = known.withAccepted(request, nowMillis + terms.leaseMillis());
-        boolean isRenewal = request.ballot() == known.acceptedBallot() && request.version() == known.version();
+        LeaseRecord accepted = current.withAccepted(request, nowMillis + parameters.leaseMillis());
+        boolean isRenewal = request.ballot() == current.acceptedBallot() && request.version() == current.version();
         if (isRenewal) {
-            // The grant is not stored, so that a renewal costs no write.
+            // Grants are not stored, so a renewal needs no disk write.
             records.put(request.leaseName(), accepted);
         } else {
             putUnsaved(request.leaseName(), accepted);
@@ -165,17 +172,18 @@
     }
 
     private void endGrant(LeaseMessage release) {
-        LeaseRecord known = records.get(release.leaseName());
-        if (known.grantedBallot() == release.ballot()) {
-            records.put(release.leaseName(), known.withoutGrant());
+        LeaseRecord current = records.get(release.leaseName());
+        if (current.grantedBallot() == release.ballot()) {
+            records.put(release.leaseName(), current.withoutGrant());
         }
     }
 
     private List<Outgoing> refuse(LeaseMessage request, double nowMillis) {
-        LeaseRecord known = records.get(request.leaseName());
+        LeaseRecord current = records.get(request.leaseName());
         double remainingMillis =
-                known.isGrantedToAnother(request.ballot(), nowMillis) ? known.grantedUntilMillis() - nowMillis : 0;
-        return answer(request, reply(Kind.REFUSED, request).withHighestBallot(known.highestBallot(), remainingMillis));
+                current.isGrantedToAnother(request.ballot(), nowMillis) ? current.grantedUntilMillis() - nowMillis : 0;
+        return answer(
+                request, reply(Kind.REFUSED, request).withHighestBallot(current.highestBallot(), remainingMillis));
     }
 
     private LeaseMessage reply(Kind kind, LeaseMessage request) {
--- a/src/main/java/nettlewick/pcap/CaptureReplayer.java
+++ b/src/main/java/nettlewick/pcap/CaptureReplayer.java
@@ -8,55 +8,55 @@
 import nettlewick.net.client.Frontend;
 import nettlewick.net.client.RequestReader;
 
-/** Submits the requests of a capture file to the core at their recorded intervals. Lives on the event loop. */
+/** Submits the requests of a capture file to the core at their recorded intervals. Confined to the event loop. */
 public final class CaptureReplayer implements Frontend {
-    private static final long LIST_POLL_INTERVAL_MILLIS = 20;
-    /** After that many polls the replay starts without an endpoint list. */
-    private static final int MAX_LIST_POLLS = 500;
+    private static final long ENDPOINT_LIST_POLL_INTERVAL_MILLIS = 20;
+    /** After this many polls the replay starts without an endpoint list. */
+    private static final int MAX_ENDPOINT_LIST_POLLS = 500;
 
     private static final int STATUS_NOT_FOUND = 404;
 
-    private final Environment base;
+    private final Environment environment;
     private final Capture capture;
     private final RequestReader requestReader;
-    private final Promise<Summary> done = Promise.promise();
-    private int unansweredCount;
+    private final Promise<Summary> summaryPromise = Promise.promise();
+    private int pendingCount;
     private int servedCount;
     private int rejectedCount;
     private int failedCount;
     private int skippedCount;
 
     /**
-     * How many of the requests ended how.
+     * The number of requests by outcome.
      *
-     * @param sent       submitted to the core
-     * @param skipped    left out, since they are no valid requests to the dispatcher
-     * @param incomplete left out, since the capture misses bytes of them or they are malformed
+     * @param sent       the number submitted to the core
+     * @param skipped    not submitted, because they are not valid requests to the dispatcher
+     * @param incomplete not submitted, because bytes are missing in the capture or they are malformed
      */
     public record Summary(int sent, int served, int rejected, int failed, int skipped, int incomplete) {
         @Override
         public String toString() {
-            return "replayed " + sent + " requests: " + served + " served, " + rejected + " unavailable, "
-                    + failed + " failed; left out " + skipped + " that are no jobs in order and "
-                    + incomplete + " incomplete";
+            return "replayed " + sent + " requests: " + served + " served, " + rejected + " rejected, "
+                    + failed + " failed; skipped " + skipped + " invalid and "
+                    + incomplete + " incomplete requests";
         }
     }
 
-    /** Creates a replayer; it starts with {@link #listen}. */
-    public CaptureReplayer(Environment base, Capture capture) {
-        this.base = base;
+    /** Creates a replayer. The replay starts with {@link #listen}. */
+    public CaptureReplayer(Environment environment, Capture capture) {
+        this.environment = environment;
         this.capture = capture;
-        requestReader = new RequestReader(base.config());
+        requestReader = new RequestReader(environment.config());
     }
 
-    /** Completes when every request has its final answer. */
+    /** Completes when all requests have received their final response. */
     public Future<Summary> whenDone() {
-        return done.future();
+        return summaryPromise.future();
     }
 
     @Override
     public Future<Integer> listen() {
-        startWhenListed(0);
+        startWhenEndpointListArrives(0);
         return Future.succeededFuture(0);
     }
 
@@ -70,72 +70,74 @@
         return Future.succeededFuture();
     }
 
-    private void startWhenListed(int polls) {
-        if (!base.canServe().getAsBoolean() && polls < MAX_LIST_POLLS) {
-            base.vertx().setTimer(LIST_POLL_INTERVAL_MILLIS, id -> startWhenListed(polls + 1));
+    private void startWhenEndpointListArrives(int polls) {
+        if (!environment.canServe().getAsBoolean() && polls < MAX_ENDPOINT_LIST_POLLS) {
+            environment
+                    .vertx()
+                    .setTimer(ENDPOINT_LIST_POLL_INTERVAL_MILLIS, id -> startWhenEndpointListArrives(polls + 1));
             return;
         }
         List<RecordedRequest> requests = capture.requests();
-        unansweredCount = requests.size();
-        completeIfAllAnswered();
+        pendingCount = requests.size();
+        completeIfNonePending();
         for (RecordedRequest recorded : requests) {
             double delayMillis = recorded.capturedAtMillis() - requests.get(0).capturedAtMillis();
-            base.vertx().setTimer(Math.max(1, Math.round(delayMillis)), id -> submitOrSkip(recorded));
+            environment.vertx().setTimer(Math.max(1, Math.round(delayMillis)), id -> submitOrSkip(recorded));
         }
     }
 
     private void submitOrSkip(RecordedRequest recorded) {
         try {
-            base.coordinator().submit(readDraft(recorded).toRequest(new CountingCaller()));
+            environment.coordinator().submit(parseRequest(recorded).toRequest(new CountingCaller()));
         } catch (RequestReader.InvalidRequestException e) {
-            countEnd(() -> skippedCount++);
+            countCompletion(() -> skippedCount++);
         }
     }
 
-    private RequestReader.ParsedRequest readDraft(RecordedRequest recorded)
+    private RequestReader.ParsedRequest parseRequest(RecordedRequest recorded)
             throws RequestReader.InvalidRequestException {
         String path = recorded.uri().split("\\?", 2)[0];
         if (!"POST".equals(recorded.method()) || !RequestReader.isRequestPath(path)) {
-            throw new RequestReader.InvalidRequestException(STATUS_NOT_FOUND, "not a job");
+            throw new RequestReader.InvalidRequestException(STATUS_NOT_FOUND, "not a request to the dispatcher");
         }
         return requestReader.parse(
                 HttpMethod.POST,
                 recorded.uri(),
                 recorded.headers(),
                 recorded.body(),
-                base.clock().nowMillis());
+                environment.clock().nowMillis());
     }
 
-    /** Counts the final answer of one request. */
+    /** Counts the final outcome of one request. */
     private final class CountingCaller implements Request.Caller {
         @Override
         public void onServed(byte[] result) {
-            countEnd(() -> servedCount++);
+            countCompletion(() -> servedCount++);
         }
 
         @Override
         public void onRejected(double retryAfterMillis) {
-            countEnd(() -> rejectedCount++);
+            countCompletion(() -> rejectedCount++);
         }
 
         @Override
         public void onFailed(String reason) {
-            countEnd(() -> failedCount++);
+            countCompletion(() -> failedCount++);
         }
     }
 
-    private void countEnd(Runnable count) {
-        base.eventLoop().runOnContext(v -> {
-            count.run();
-            unansweredCount--;
-            completeIfAllAnswered();
+    private void countCompletion(Runnable incrementCounter) {
+        environment.eventLoop().runOnContext(v -> {
+            incrementCounter.run();
+            pendingCount--;
+            completeIfNonePending();
         });
     }
 
-    private void completeIfAllAnswered() {
-        if (unansweredCount == 0) {
+    private void completeIfNonePending() {
+        if (pendingCount == 0) {
             int sent = servedCount + rejectedCount + failedCount;
-            done.tryComplete(new Summary(
+            summaryPromise.tryComplete(new Summary(
                     sent, servedCount, rejectedCount, failedCount, skippedCount, capture.incompleteCount()));
         }
     }
--- a/src/test/java/nettlewick/lease/SeededBug.java
+++ b/src/test/java/nettlewick/lease/SeededBug.java
@@ -1,11 +1,11 @@
 package nettlewick.lease;
 
-/** Faults in the program that the search has to find. */
+/** Deliberate faults that the search must find. */
 enum SeededBug {
     NONE,
     LEASE_TOO_LONG,
-    FORGETFUL_VOTER_VOTES,
-    FENCE_GATE_OPEN,
+    VOTER_WITHOUT_RECORDS_VOTES,
+    FENCES_NOT_CHECKED,
     GRANTS_IGNORED,
     PROMISE_OMITS_STATE,
     VOTER_LISTS_DIFFER,
--- a/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
+++ b/src/test/java/nettlewick/tenantpools/ScaleOutSimulation.java
@@ -11,12 +11,12 @@
 import nettlewick.tenantpools.PoolState.ResizeRequest;
 
 /**
- * Successive holders of one tenant's lease and a provider, in virtual time: messages are lost, duplicated and delayed,
- * a holder is replaced between storing and asking, a paused one still sends requests, months begin, clocks jump. The
- * stored state is one place that rejects fences below its own, as the lease service promises.
+ * Simulates successive holders of one tenant's lease and a provider in virtual time. Messages are lost, duplicated and
+ * delayed, holders are replaced between storing a resize and sending it, paused holders still send requests, months
+ * begin, and clocks jump. The stored state is a single copy that rejects lower fences, as the lease service guarantees.
  */
 final class ScaleOutSimulation {
-    /** Faults seeded on purpose. */
+    /** Intentional faults of the provider or the holder. */
     enum Bug {
         NONE,
         VERSION_NOT_CHECKED,
@@ -35,7 +35,7 @@
         ScaleOutPolicy policy = new ScaleOutPolicy(SETTINGS);
         ProviderReport report;
         boolean requestInFlight;
-        /** How far its wall clock is off. */
+        /** The error of its wall clock. */
         long clockOffsetMillis;
     }
 
@@ -56,16 +56,16 @@
             Map.of(
                     "red",
                     new ProviderModel.MonthlyCap(
-                            SETTINGS.cap().cents(), SETTINGS.cap().nearFraction())));
+                            SETTINGS.cap().cents(), SETTINGS.cap().nearCapFraction())));
     private final List<PendingMessage> inTransit = new ArrayList<>();
     private long wallMillis = Instant.parse("2026-11-30T23:50:00Z").toEpochMilli();
     private double nowMillis;
-    private Budget stored = Budget.NONE;
+    private Budget storedBudget = Budget.NONE;
     private long storedFence;
     private LeaseHolder holder;
-    private LeaseHolder paused;
+    private LeaseHolder pausedHolder;
     private long lastFence;
-    private int nextKey;
+    private int nextKeyNumber;
     private int desiredSize;
     int resizeRequests;
 
@@ -77,7 +77,7 @@
     }
 
     private void replaceHolder() {
-        paused = holder;
+        pausedHolder = holder;
         holder = new LeaseHolder();
         holder.fence = ++lastFence;
         holder.clockOffsetMillis = (random.nextInt(3) - (providerClockJumps ? 2 : 1)) * 3_600_000L;
@@ -88,7 +88,7 @@
         nowMillis += millis;
     }
 
-    /** One random event. */
+    /** Simulates one random event. */
     void step() {
         switch (random.nextInt(14)) {
             case 0 -> advanceClock(random.nextInt(8000));
@@ -101,14 +101,14 @@
             case 3 -> desiredSize = random.nextInt(9);
             case 4 -> provider.start("red", "std", wallMillis + providerClockOffsetMillis);
             case 5 -> {
-                if (paused != null) {
-                    runHolder(paused);
+                if (pausedHolder != null) {
+                    runHolder(pausedHolder);
                 }
             }
             case 6, 7, 8 -> deliverOne(random.nextInt(4));
             case 9 -> {
                 if (providerClockJumps && random.nextInt(6) == 0) {
-                    // Set ahead, possibly into the next month, and back again.
+                    // The clock is set ahead, possibly into the next month, or back again.
                     providerClockOffsetMillis = random.nextInt(2) * 900_000L;
                 }
             }
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Runs on without faults: no message is lost and no holder replaced. */
+    /** Continues without faults: no message is lost and no holder is replaced. */
     void runWithoutFaults() {
         for (int i = 0; i < 400; i++) {
             advanceClock(50);
@@ -128,31 +128,36 @@
 
     boolean isSettled() {
         ScaleOutDecision decision = holder.policy.decide(
-                stored, holder.report, provider.size("red"), nowMillis, wallMillis + holder.clockOffsetMillis, "end");
+                storedBudget,
+                holder.report,
+                provider.size("red"),
+                nowMillis,
+                wallMillis + holder.clockOffsetMillis,
+                "end");
         return holder.report != null
-                && stored.pendingResize() == null
-                && !(decision instanceof ScaleOutDecision.Store)
+                && storedBudget.pendingResize() == null
+                && !(decision instanceof ScaleOutDecision.StoreBudget)
                 && !(decision instanceof ScaleOutDecision.Resize);
     }
 
     private void runHolder(LeaseHolder leaseHolder) {
         ScaleOutDecision decision = leaseHolder.policy.decide(
-                stored,
+                storedBudget,
                 leaseHolder.report,
                 desiredSize,
                 nowMillis,
                 wallMillis + leaseHolder.clockOffsetMillis,
-                "k" + nextKey);
-        if (decision instanceof ScaleOutDecision.Store store) {
+                "k" + nextKeyNumber);
+        if (decision instanceof ScaleOutDecision.StoreBudget store) {
             if (leaseHolder.fence >= storedFence) {
-                nextKey++;
+                nextKeyNumber++;
                 storedFence = leaseHolder.fence;
-                stored = store.budget();
+                storedBudget = store.budget();
             }
         } else if (!leaseHolder.requestInFlight && decision instanceof ScaleOutDecision.FetchReport) {
             leaseHolder.requestInFlight = true;
-            double asked = nowMillis;
-            inTransit.add(() -> sendReport(leaseHolder, currentReport(), asked));
+            double requestedAtMillis = nowMillis;
+            inTransit.add(() -> sendReport(leaseHolder, currentReport(), requestedAtMillis));
         } else if (!leaseHolder.requestInFlight && decision instanceof ScaleOutDecision.Resize resize) {
             leaseHolder.requestInFlight = true;
             sendResize(leaseHolder, resize, leaseHolder.report);
@@ -161,11 +166,11 @@
 
     private void sendResize(LeaseHolder leaseHolder, ScaleOutDecision.Resize resize, ProviderReport report) {
         ResizeRequest request = resize.request();
-        double asked = nowMillis;
+        double requestedAtMillis = nowMillis;
         resizeRequests++;
         inTransit.add(() -> {
             int version = bug == Bug.VERSION_NOT_CHECKED ? provider.version("red") : Integer.parseInt(report.etag());
-            ProviderModel.ResizeResult way = provider.resize(
+            ProviderModel.ResizeResult outcome = provider.resize(
                     "red",
                     request.size(),
                     request.idempotencyKey(),
@@ -173,8 +178,8 @@
                     leaseHolder.fence,
                     bug == Bug.LATE_RESIZE_ACCEPTED ? Long.MAX_VALUE : resize.notAfterMillis(),
                     wallMillis + providerClockOffsetMillis);
-            if (way == ProviderModel.ResizeResult.APPLIED) {
-                sendReport(leaseHolder, currentReport(), asked);
+            if (outcome == ProviderModel.ResizeResult.APPLIED) {
+                sendReport(leaseHolder, currentReport(), requestedAtMillis);
             } else {
                 inTransit.add(() -> {
                     leaseHolder.requestInFlight = false;
@@ -206,30 +211,30 @@
                 nowMillis);
     }
 
-    private void sendReport(LeaseHolder leaseHolder, ProviderReport report, double asked) {
+    private void sendReport(LeaseHolder leaseHolder, ProviderReport report, double requestedAtMillis) {
         inTransit.add(() -> {
             leaseHolder.requestInFlight = false;
-            boolean fresh = bug == Bug.OLD_REPORT_TRUSTED;
-            ProviderReport taken = new ProviderReport(
+            boolean datedAtArrival = bug == Bug.OLD_REPORT_TRUSTED;
+            ProviderReport received = new ProviderReport(
                     report.desiredSize(),
                     report.etag(),
                     report.charges(),
                     report.providerTimeMillis(),
-                    fresh ? nowMillis : asked);
-            if (leaseHolder.report == null || taken.requestedAtMillis() >= leaseHolder.report.requestedAtMillis()) {
-                leaseHolder.report = taken;
+                    datedAtArrival ? nowMillis : requestedAtMillis);
+            if (leaseHolder.report == null || received.requestedAtMillis() >= leaseHolder.report.requestedAtMillis()) {
+                leaseHolder.report = received;
             }
         });
     }
 
-    /** Delivers a random message, or, if there are faults, may lose or duplicate it. */
+    /** Delivers a random message in transit. If {@code faults} is positive, the message may be lost or duplicated. */
     private void deliverOne(int faults) {
         if (inTransit.isEmpty()) {
             return;
         }
         PendingMessage message = inTransit.remove(random.nextInt(inTransit.size()));
         if (faults > 0 && random.nextInt(8) == 0) {
-            // The message is lost: the sender's timeout expires.
+            // The message is lost, and the sender's timeout expires.
             holder.requestInFlight = false;
             return;
         }
