--- a/src/main/java/nettlewick/ledger/LedgerAdmin.java
+++ b/src/main/java/nettlewick/ledger/LedgerAdmin.java
@@ -24,9 +24,9 @@
         private static final long serialVersionUID = 1;
         private final boolean isUsageError;
 
-        OperationException(String message, boolean misuse) {
+        OperationException(String message, boolean isUsageError) {
             super(message);
-            this.isUsageError = misuse;
+            this.isUsageError = isUsageError;
         }
 
         /** Whether the command is invalid; otherwise it may be retried. */
