--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -49,15 +49,15 @@
         LedgerAdmin admin = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
         try {
             return run(admin);
-        } catch (LedgerAdmin.Refused e) {
-            throw new CommandException(e.misuse() ? Main.EXIT_USAGE_ERROR : Main.EXIT_FAILURE, e.getMessage());
+        } catch (LedgerAdmin.OperationException e) {
+            throw new CommandException(e.isUsageError() ? Main.EXIT_USAGE_ERROR : Main.EXIT_FAILURE, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.EXIT_FAILURE;
         }
     }
 
-    private int run(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int run(LedgerAdmin admin) throws LedgerAdmin.OperationException, InterruptedException {
         return switch (arguments.get(0)) {
             case "statement" -> statement(admin, optionalArgument(1, 2));
             case "close" -> close(admin, requiredArgument(1, 2, "PERIOD"));
@@ -72,13 +72,13 @@
         };
     }
 
-    private int archive(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int archive(LedgerAdmin admin) throws LedgerAdmin.OperationException, InterruptedException {
         String period = requiredArgument(1, 3, "PERIOD FILE");
         Path archive = Path.of(requiredArgument(2, 3, "PERIOD FILE"));
         return printTransfer("archived", period, admin.archive(period, archive));
     }
 
-    private int restore(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int restore(LedgerAdmin admin) throws LedgerAdmin.OperationException, InterruptedException {
         String period = requiredArgument(1, 3, "PERIOD [FILE]");
         String archive = optionalArgument(2, 3);
         return printTransfer("restored", period, admin.restore(period, archive == null ? null : Path.of(archive)));
@@ -106,7 +106,7 @@
         System.out.print(json ? gson.toJson(object) + "\n" : text);
     }
 
-    private int statement(LedgerAdmin admin, String period) throws LedgerAdmin.Refused {
+    private int statement(LedgerAdmin admin, String period) throws LedgerAdmin.OperationException {
         List<Statement> statements =
                 admin.statements(period).stream().map(this::filterByTenant).toList();
         String text = statements.stream().map(StatementFormatter::format).collect(Collectors.joining());
@@ -122,23 +122,23 @@
                         statement.closed(),
                         statement.open(),
                         statement.rows().stream()
-                                .filter(row -> row.member().equals(tenant))
+                                .filter(row -> row.tenant().equals(tenant))
                                 .toList(),
                         statement.late().stream()
-                                .filter(late -> late.member().equals(tenant))
+                                .filter(late -> late.tenant().equals(tenant))
                                 .toList(),
                         statement.gaps(),
                         statement.voided());
     }
 
-    private int close(LedgerAdmin admin, String period) throws LedgerAdmin.Refused, InterruptedException {
+    private int close(LedgerAdmin admin, String period) throws LedgerAdmin.OperationException, InterruptedException {
         admin.close(period, requester.isBlank() ? System.getProperty("user.name") : requester);
         print(Map.of("closed", period), "period " + period + " is closed\n");
         return 0;
     }
 
     private int correct(LedgerAdmin admin, String entry, String value)
-            throws LedgerAdmin.Refused, InterruptedException {
+            throws LedgerAdmin.OperationException, InterruptedException {
         long slotMicros;
         try {
             slotMicros = StatementFormatter.parseMillis(value);
@@ -154,7 +154,7 @@
         return 0;
     }
 
-    private int export(LedgerAdmin admin, String name) throws LedgerAdmin.Refused, InterruptedException {
+    private int export(LedgerAdmin admin, String name) throws LedgerAdmin.OperationException, InterruptedException {
         Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("export", "batches", "entries", "tries", "fault");
         boolean[] failed = new boolean[1];
@@ -172,7 +172,7 @@
         return failed[0] ? Main.EXIT_FAILURE : 0;
     }
 
-    private int reconcile(LedgerAdmin admin) throws LedgerAdmin.Refused, InterruptedException {
+    private int reconcile(LedgerAdmin admin) throws LedgerAdmin.OperationException, InterruptedException {
         Map<String, Object> results = new LinkedHashMap<>();
         TextTable table = new TextTable("peer", "entries", "origins", "forks", "faults");
         boolean[] failed = new boolean[1];
@@ -190,7 +190,7 @@
         return failed[0] ? Main.EXIT_FAILURE : 0;
     }
 
-    private int verify(LedgerAdmin admin) throws LedgerAdmin.Refused {
+    private int verify(LedgerAdmin admin) throws LedgerAdmin.OperationException {
         List<String> faults = admin.verify();
         print(Map.of("faults", faults), faults.isEmpty() ? "all chains are whole\n" : String.join("\n", faults) + "\n");
         return faults.isEmpty() ? 0 : Main.EXIT_FAILURE;
--- a/src/main/java/nettlewick/cli/StatementFormatter.java
+++ b/src/main/java/nettlewick/cli/StatementFormatter.java
@@ -71,8 +71,8 @@
         statement
                 .rows()
                 .forEach(row -> table.addRow(
-                        row.member(),
-                        row.jobClass(),
+                        row.tenant(),
+                        row.requestClass(),
                         row.served(),
                         row.refused(),
                         row.failed(),
@@ -90,7 +90,7 @@
         statement
                 .late()
                 .forEach(late -> table.addRow(
-                        late.closed(), late.member(), late.jobClass(), late.entries(), formatMillis(late.work())));
+                        late.closed(), late.tenant(), late.requestClass(), late.entries(), formatMillis(late.work())));
         return table;
     }
 
--- a/src/main/java/nettlewick/ledger/Terms.java
+++ b/src/main/java/nettlewick/ledger/BillingCalendar.java
@@ -11,35 +11,34 @@
 import java.util.Optional;
 
 /**
- * The calendar of billing periods. Terms come from the settings; time between two terms is a period of its
- * own,
- * and before the first and after the last one it is billed by calendar month. Periods are half-open.
+ * The calendar of billing periods: the terms of the settings, each gap between two terms as a period of its own, and
+ * calendar months before the first and after the last term. Periods are half-open.
  */
-public final class Terms {
-    /** From {@code from} on, before {@code to}; Unix milliseconds. */
+public final class BillingCalendar {
+    /** A period from {@code from} (inclusive) to {@code to} (exclusive), in Unix milliseconds. */
     public record Period(String name, double from, double to) {
-        boolean holds(double at) {
+        boolean contains(double at) {
             return at >= from && at < to;
         }
     }
 
-    /** A term as the settings give it: the first day's midnight to the last one's. */
+    /** A term of the settings, from the start of its first day to the start of the day {@code to}. */
     public record Term(String name, LocalDate from, LocalDate to) {}
 
     private final ZoneId zone;
     private final List<Period> terms = new ArrayList<>();
-    /** The one found last: nearly all questions are about the present. */
-    private volatile Period last;
+    /** Cache of the last result, since nearly all lookups are for the present. */
+    private volatile Period lastFound;
 
-    /** IllegalArgumentException where terms overlap, are empty, or share a name. */
-    public Terms(ZoneId zone, List<Term> given) {
+    /** @throws IllegalArgumentException if terms overlap, are empty, or share a name */
+    public BillingCalendar(ZoneId zone, List<Term> given) {
         this.zone = zone;
         for (Term term : given.stream().sorted(Comparator.comparing(Term::from)).toList()) {
             if (!term.from().isBefore(term.to())) {
                 throw new IllegalArgumentException("term " + term.name() + " ends before it begins");
             }
             if (terms.stream().anyMatch(p -> p.name().equals(term.name()))) {
-                throw new IllegalArgumentException("term " + term.name() + " is there twice");
+                throw new IllegalArgumentException("term " + term.name() + " is defined twice");
             }
             Period next = new Period(term.name(), midnight(term.from()), midnight(term.to()));
             if (!terms.isEmpty()) {
@@ -59,28 +58,30 @@
         return day.atStartOfDay(zone).toInstant().toEpochMilli();
     }
 
-    /** The period that a time belongs to. */
-    public Period at(double time) {
-        Period known = last;
-        if (known == null || !known.holds(time)) {
-            known = find(time);
-            last = known;
+    /** Returns the period that contains a time. */
+    public Period periodAt(double timeMillis) {
+        Period period = lastFound;
+        if (period == null || !period.contains(timeMillis)) {
+            period = computePeriod(timeMillis);
+            lastFound = period;
         }
-        return known;
+        return period;
     }
 
-    private Period find(double time) {
+    private Period computePeriod(double timeMillis) {
         for (Period term : terms) {
-            if (term.holds(time)) {
+            if (term.contains(timeMillis)) {
                 return term;
             }
         }
-        YearMonth month = YearMonth.from(ZonedDateTime.ofInstant(Instant.ofEpochMilli((long) Math.floor(time)), zone));
+        YearMonth month =
+                YearMonth.from(ZonedDateTime.ofInstant(Instant.ofEpochMilli((long) Math.floor(timeMillis)), zone));
         double from = midnight(month.atDay(1));
         double to = midnight(month.plusMonths(1).atDay(1));
-        if (!terms.isEmpty() && time >= terms.get(terms.size() - 1).to()) {
+        if (!terms.isEmpty() && timeMillis >= terms.get(terms.size() - 1).to()) {
             double last = terms.get(terms.size() - 1).to();
-            // The rest of a month in which the last term ends; its first part may be a month's name already.
+            // The remainder of the month in which the last term ends has the suffix -rest, since the part of the month
+            // before the terms may already have the name of the month.
             return last > from ? new Period(month + "-rest", last, to) : new Period(month.toString(), from, to);
         }
         return new Period(
@@ -89,13 +90,13 @@
                 terms.isEmpty() ? to : Math.min(to, terms.get(0).from()));
     }
 
-    /** The period that follows. */
-    public Period after(Period period) {
-        return at(period.to());
+    /** Returns the next period. */
+    public Period periodAfter(Period period) {
+        return periodAt(period.to());
     }
 
-    /** The period of a name: a term's, or a month's such as 2026-11. */
-    public Optional<Period> named(String name) {
+    /** Finds a period by name: a term, or a month such as 2026-11. */
+    public Optional<Period> periodNamed(String name) {
         Optional<Period> term =
                 terms.stream().filter(p -> p.name().equals(name)).findFirst();
         if (term.isPresent()) {
@@ -104,7 +105,7 @@
         try {
             boolean rest = name.endsWith("-rest");
             YearMonth month = YearMonth.parse(rest ? name.substring(0, name.length() - 5) : name);
-            Period found = at(rest ? midnight(month.plusMonths(1).atDay(1)) - 1 : midnight(month.atDay(1)));
+            Period found = periodAt(rest ? midnight(month.plusMonths(1).atDay(1)) - 1 : midnight(month.atDay(1)));
             return found.name().equals(name) ? Optional.of(found) : Optional.empty();
         } catch (java.time.format.DateTimeParseException e) {
             return Optional.empty();
--- a/src/main/java/nettlewick/sqlite/Database.java
+++ b/src/main/java/nettlewick/sqlite/Database.java
@@ -12,16 +12,16 @@
 import org.sqlite.SQLiteErrorCode;
 
 /**
- * One SQLite file in WAL mode. Several processes may open it; one object belongs to one thread. What {@link #change}
- * does is one transaction, and durable when it returns.
+ * One SQLite file in WAL mode. Several processes may open the same file; each instance belongs to one thread. Changes
+ * made by {@link #inTransaction} are durable when it returns.
  */
 public final class Database implements AutoCloseable {
-    /** How long to wait for another process's transaction. */
-    private static final int BUSY_MILLIS = 5000;
+    /** How long to wait for a lock that another process holds. */
+    private static final int BUSY_TIMEOUT_MILLIS = 5000;
 
-    /** Work on the database that returns a result. */
+    /** Database work that returns a result. */
     public interface Work<T> {
-        /** Does the work. */
+        /** Executes the work. */
         T run() throws SQLException, IOException;
     }
 
@@ -31,97 +31,98 @@
         void reach(String name) throws IOException;
     }
 
-    private final String what;
+    private final String description;
     private final Connection connection;
-    private final FaultPoint point;
+    private final FaultPoint faultPoint;
 
-    private Database(String what, Connection connection, FaultPoint point) {
-        this.what = what;
+    private Database(String description, Connection connection, FaultPoint faultPoint) {
+        this.description = description;
         this.connection = connection;
-        this.point = point;
+        this.faultPoint = faultPoint;
     }
 
     /**
-     * Opens a file. Unless it is read only, the file and its folder are created where they do not exist.
+     * Opens a file. Unless it is read-only, the file and its folder are created if they do not exist.
      *
-     * @param what the file's name in messages, such as "the ledger"
+     * @param description the file's name in error messages, such as "the ledger"
      */
-    public static Database open(Path file, boolean readOnly, String what, FaultPoint point) throws StoreException {
+    public static Database open(Path file, boolean readOnly, String description, FaultPoint faultPoint)
+            throws StoreException {
         SQLiteConfig config = new SQLiteConfig();
         config.setJournalMode(SQLiteConfig.JournalMode.WAL);
         config.setSynchronous(SQLiteConfig.SynchronousMode.FULL);
         config.setTransactionMode(SQLiteConfig.TransactionMode.IMMEDIATE);
-        config.setBusyTimeout(BUSY_MILLIS);
+        config.setBusyTimeout(BUSY_TIMEOUT_MILLIS);
         config.setReadOnly(readOnly);
         try {
             if (!readOnly) {
                 Files.createDirectories(file.toAbsolutePath().getParent());
-                point.reach("open");
+                faultPoint.reach("open");
             }
-            return new Database(what, config.createConnection("jdbc:sqlite:" + file), point);
+            return new Database(description, config.createConnection("jdbc:sqlite:" + file), faultPoint);
         } catch (SQLException e) {
-            throw failure(what, "opened", e);
+            throw failure(description, "opened", e);
         } catch (IOException e) {
-            throw new StoreException("the folder of " + what + " cannot be used: " + e, e, false);
+            throw new StoreException("the folder of " + description + " cannot be used: " + e, e, false);
         }
     }
 
-    private static StoreException failure(String what, String done, SQLException e) {
+    private static StoreException failure(String description, String action, SQLException e) {
         int code = e.getErrorCode() & 0xff;
         boolean damaged = code == SQLiteErrorCode.SQLITE_CORRUPT.code || code == SQLiteErrorCode.SQLITE_NOTADB.code;
-        return new StoreException(what + " cannot be " + done + ": " + e.getMessage(), e, damaged);
+        return new StoreException(description + " cannot be " + action + ": " + e.getMessage(), e, damaged);
     }
 
     /**
-     * Runs work as one transaction.
+     * Runs work in one transaction, which is rolled back if the work or the commit fails.
      *
-     * @param done what was attempted, as a participle for the message
-     * @param undo restores the caller's own state where the transaction fails
+     * @param action     past participle that completes "cannot be ..." in error messages
+     * @param onRollback resets the caller's in-memory state if the transaction fails
      */
-    public <T> T inTransaction(String done, Runnable undo, Work<T> work) throws StoreException {
+    public <T> T inTransaction(String action, Runnable onRollback, Work<T> work) throws StoreException {
         try {
             connection.setAutoCommit(false);
             try {
                 T result = work.run();
-                point.reach("commit");
+                faultPoint.reach("commit");
                 connection.commit();
-                point.reach("committed");
+                faultPoint.reach("committed");
                 return result;
             } catch (SQLException | IOException | RuntimeException | Error e) {
-                undo.run();
+                onRollback.run();
                 connection.rollback();
                 throw e;
             } finally {
                 connection.setAutoCommit(true);
             }
         } catch (SQLException e) {
-            throw failure(what, done, e);
+            throw failure(description, action, e);
         } catch (IOException e) {
-            throw new StoreException(what + " cannot be " + done + ": " + e.getMessage(), e, false);
+            throw new StoreException(description + " cannot be " + action + ": " + e.getMessage(), e, false);
         }
     }
 
-    /** Runs work that only reads. Values that cannot be parsed count as damage. */
+    /** Runs read-only work. Values that cannot be parsed are reported as damage. */
     public <T> T read(Work<T> work) throws StoreException {
         try {
             return work.run();
         } catch (SQLException e) {
-            throw failure(what, "read", e);
+            throw failure(description, "read", e);
         } catch (IOException | IllegalArgumentException e) {
-            throw new StoreException(what + " cannot be read: " + e.getMessage(), e, true);
+            throw new StoreException(description + " cannot be read: " + e.getMessage(), e, true);
         }
     }
 
-    /** Runs statements that create tables. */
+    /** Executes statements that create tables. */
     public void createTables(String... statements) throws SQLException {
-        try (Statement s = connection.createStatement()) {
-            for (String table : statements) {
-                s.execute(table);
+        try (Statement sql = connection.createStatement()) {
+            for (String statement : statements) {
+                sql.execute(statement);
             }
         }
     }
 
-    /** A statement with its values set; the caller closes it. */
+    /** Prepares a statement with its parameters set; the caller closes it. */
     public PreparedStatement prepare(String sql, Object... values) throws SQLException {
         PreparedStatement s = connection.prepareStatement(sql);
         for (int i = 0; i < values.length; i++) {
@@ -130,14 +131,14 @@
         return s;
     }
 
-    /** Runs one statement; returns how many rows it changed. */
+    /** Executes one statement and returns the number of rows that it changed. */
     public int execute(String sql, Object... values) throws SQLException {
         try (PreparedStatement s = prepare(sql, values)) {
             return s.executeUpdate();
         }
     }
 
-    /** The first value of the first row, or null. */
+    /** Returns the first column of the first row, or null if there is no row. */
     public String queryFirst(String sql, Object... values) throws SQLException {
         try (PreparedStatement s = prepare(sql, values);
                 ResultSet r = s.executeQuery()) {
@@ -150,7 +151,7 @@
         try {
             connection.close();
         } catch (SQLException ignored) {
-            // What was committed is durable.
+            // Committed transactions are already durable.
         }
     }
 }
--- a/src/test/java/nettlewick/ledger/StoreProbe.java
+++ b/src/test/java/nettlewick/ledger/LedgerStoreFixture.java
@@ -8,27 +8,27 @@
 import nettlewick.core.UsageRecorder.Ending;
 import nettlewick.sqlite.StoreException;
 
-/** Looks into a store, and fills one, for tests of other packages. */
-public final class StoreProbe {
+/** Reads and fills stores for tests of other packages. */
+public final class LedgerStoreFixture {
     private static final double NOW = 1793491200000.0;
 
-    /** Request ids of what is entered and of what is in doubt, and the faults of its chains. */
-    public record Seen(List<String> entered, List<String> doubts, List<String> verify) {}
+    /** Contents of a store: request ids of entered requests and of doubts, and the faults of its chains. */
+    public record Contents(List<String> entered, List<String> doubts, List<String> faults) {}
 
-    private StoreProbe() {}
+    private LedgerStoreFixture() {}
 
-    /** Enters what dead lives left, then looks. */
-    public static Seen recover(LedgerSettings settings) throws StoreException {
+    /** Recovers what dead incarnations left and reads the store. */
+    public static Contents recover(LedgerSettings settings) throws StoreException {
         try (Store store = Store.open(settings.store())) {
-            Recovery.run(store, NOW, settings.terms());
+            Recovery.run(store, NOW, settings.calendar());
             List<String> entered = new ArrayList<>();
             List<String> doubts = new ArrayList<>();
-            store.each(e -> (e.kind() == Entry.Kind.DOUBT ? doubts : entered).add(e.request()));
-            return new Seen(entered, doubts, store.verify());
+            store.forEachEntry(e -> (e.kind() == Entry.Kind.DOUBT ? doubts : entered).add(e.requestId()));
+            return new Contents(entered, doubts, store.verify());
         }
     }
 
-    /** Enters so many jobs; adds their number and work to the totals. */
+    /** Enters requests, and adds their number and work to the totals. */
     public static void fill(LedgerSettings settings, Random random, int count, long[] total) throws StoreException {
         try (Store store = Store.open(settings.store(), "a", FaultInjection.NONE)) {
             List<Entry> drafts = new ArrayList<>();
@@ -36,7 +36,7 @@
                 long work = random.nextInt(100_000);
                 total[0]++;
                 total[1] += work;
-                drafts.add(Entries.job(
+                drafts.add(TestEntries.job(
                         new EntryRef(new ChainOrigin("", 0), 0),
                         NOW,
                         "m" + random.nextInt(9),
@@ -44,7 +44,7 @@
                         Ending.SERVED,
                         work));
             }
-            store.append(store.begin(NOW), drafts);
+            store.append(store.beginIncarnation(NOW), drafts);
         }
     }
 
@@ -53,6 +53,6 @@
     }
 
     public static List<byte[]> files(Path folder) throws IOException {
-        return ExportTest.files(folder);
+        return ExportTest.completeBatches(folder);
     }
 }
