--- a/src/main/java/nettlewick/waiting/CrashRecovery.java
+++ b/src/main/java/nettlewick/waiting/CrashRecovery.java
@@ -51,20 +51,20 @@
             return new Decision(Action.WAIT, null);
         }
         if (idempotency == Idempotency.NON_IDEMPOTENT) {
-            return fail("the request may have been executed and is not idempotent");
+            return fail("it may have run, and is never run again");
         }
         if (remainingMillis <= 0) {
-            return fail("the deadline passed before this dispatcher restarted");
+            return fail("its time was over before this dispatcher was back");
         }
         if (attempts >= maxAttempts) {
-            return fail("the limit of " + maxAttempts + " attempts is reached");
+            return fail("it has had its " + maxAttempts + " attempts");
         }
         if (idempotency == Idempotency.KEYED && !zoneKnown) {
-            return fail("the request may have been executed in an unknown zone");
+            return fail("it may have run, and where is not known");
         }
         if (idempotency == Idempotency.KEYED && !(millisSinceRelease >= 0 && millisSinceRelease < dedupWindowMillis)) {
             // A negative time means that the clock was set back: the age of the release is unknown.
-            return fail("the request may have been executed and its key is no longer remembered");
+            return fail("it may have run, and its key is no longer remembered");
         }
         return new Decision(Action.RELEASE, null);
     }
--- a/src/main/java/nettlewick/waiting/DependencyTracker.java
+++ b/src/main/java/nettlewick/waiting/DependencyTracker.java
@@ -179,11 +179,7 @@
         }
         if (failedPredecessor != null && spec.onFailure() != OnFailure.RUN) {
             finishUnreleased(
-                    node,
-                    outcomeOnFailure(spec),
-                    cause(failedPredecessor, "failed before this job was accepted"),
-                    now,
-                    effects);
+                    node, outcomeOnFailure(spec), cause(failedPredecessor, "failed before it came"), now, effects);
         } else {
             releaseIfReady(node, now, effects);
         }
@@ -264,7 +260,7 @@
                 finishUnreleased(
                         node,
                         WaitOutcome.EXPIRED,
-                        node.held ? "the job was held until its wait time was over" : "the wait time was over",
+                        node.held ? "it was held until its time was over" : "its time was over",
                         now,
                         effects);
             } else {
@@ -274,7 +270,7 @@
                     release(node, effects);
                 } else {
                     finishUnreleased(
-                            node, outcomeOnFailure(node.spec), cause(missing, "did not finish in time"), now, effects);
+                            node, outcomeOnFailure(node.spec), cause(missing, "did not end in time"), now, effects);
                 }
             }
         } else {
@@ -300,7 +296,7 @@
     public List<Effect> peerReported(JobName name, boolean succeeded, double now) {
         List<Effect> effects = new ArrayList<>();
         if (!jobsByName.containsKey(name)) {
-            propagate(name, succeeded, "failed at another dispatcher", now, effects);
+            propagate(name, succeeded, "failed elsewhere", now, effects);
         }
         return effects;
     }
@@ -310,7 +306,7 @@
         List<Effect> effects = new ArrayList<>();
         Node node = jobsById.get(id);
         if (node != null && !node.released) {
-            finishUnreleased(node, WaitOutcome.CANCELLED, "the job was cancelled", now, effects);
+            finishUnreleased(node, WaitOutcome.CANCELLED, "it was cancelled", now, effects);
         }
         return effects;
     }
--- a/src/test/java/nettlewick/waiting/DependencyTrackerTest.java
+++ b/src/test/java/nettlewick/waiting/DependencyTrackerTest.java
@@ -172,7 +172,7 @@
         assertTrue(tracker.hold("id-h", true, 1, held));
         tracker.peerReported(new DependencyTracker.JobName("m", "z"), true, 2);
         assertEquals(
-                List.of(new Finished("id-h", WaitOutcome.EXPIRED, "the job was held until its wait time was over")),
+                List.of(new Finished("id-h", WaitOutcome.EXPIRED, "it was held until its time was over")),
                 tracker.onTimer("id-h", 1000));
     }
 
