--- a/src/main/java/nettlewick/ledger/Entry.java
+++ b/src/main/java/nettlewick/ledger/Entry.java
@@ -15,88 +15,116 @@
 import nettlewick.core.UsageRecorder.Ending;
 
 /**
- * One line of the ledger; it is never changed. Work is in slot-microseconds, times are Unix milliseconds.
+ * An immutable entry of the ledger. Times are Unix milliseconds. Entries are stored and hashed as {@link #toBytes}; the
+ * ordinals of {@link Kind} and {@link Ending} are part of that format.
  *
- * @param at       when the answer's last byte was written; of other kinds, when the entry was made
- * @param member   who is billed; "" where the job named nobody
- * @param key      hash of the idempotency key, or null
- * @param work     what is billed where it ended served; of a correction, the target's new value
- * @param spare    work seen of second copies and lost attempts; never billed
- * @param job      number of the job in its life; of a gap, how many jobs it stands for
- * @param target   the entry that a correction corrects, else null
- * @param by       who asked for a correction or a close, else null
- * @param text of a job, the name that its period had when it was entered; why one is in doubt; reason of a
- *                 correction; period, bounds and vector of a close; bounds of a gap
+ * @param timeMillis          when the last byte of the answer was written; for other kinds, when the entry was created
+ * @param tenant              the tenant that is billed; empty if the request named none
+ * @param keyHash             hash of the idempotency key, or null
+ * @param workSlotMicros      billed slot-microseconds if the request was served; the new value in a correction
+ * @param extraWorkSlotMicros slot-microseconds of hedged requests and lost attempts; never billed
+ * @param requestNumber       number of the request in its incarnation; in a gap, how many requests it stands for
+ * @param target              the entry that a correction corrects, else null
+ * @param requestedBy         who requested a correction or a close, else null
+ * @param details             for a request, the name of its period when it was entered; for a doubt, the cause; for a
+ *                            correction, the reason; for a close, the period, its bounds and the last numbers; for a
+ *                            gap, its bounds
  */
 public record Entry(
         EntryRef ref,
         Kind kind,
-        double at,
-        String member,
-        String jobClass,
-        String request,
-        String key,
-        Ending end,
-        long work,
-        boolean estimate,
-        long spare,
-        int attempts,
-        long job,
+        double timeMillis,
+        String tenant,
+        String requestClass,
+        String requestId,
+        String keyHash,
+        Ending ending,
+        long workSlotMicros,
+        boolean isEstimate,
+        long extraWorkSlotMicros,
+        int attemptCount,
+        long requestNumber,
         EntryRef target,
-        String by,
-        String text) {
-    /** Longest text of any field: the form on the wire holds no longer ones. */
-    static final int TEXT_MOST = 20_000;
+        String requestedBy,
+        String details) {
+    /** Maximum length of any text field, so that it fits the limit of {@link DataOutputStream#writeUTF}. */
+    static final int MAX_TEXT_LENGTH = 20_000;
 
-    private static final int FORM = 1;
+    private static final int FORMAT_VERSION = 1;
 
-    /** What an entry says. */
+    /** The kind of an entry. Ordinals and names are stored and exported; do not change them. */
     public enum Kind {
-        /** A job was answered, or its client had left. */
+        /** A request was answered, or its client disconnected. */
         JOB,
-        /** A job was let go, and nothing says whether its answer arrived: a crash came between. */
+        /** An answer was released, but a crash left it unknown whether it was delivered. */
         DOUBT,
-        /** An entry of the same dispatcher has another value. */
+        /** Replaces the value of an entry of the same dispatcher. */
         CORRECTION,
-        /** Jobs were answered that could not be entered one by one. */
+        /** Requests were answered that could not be entered individually. */
         GAP,
-        /** The dispatcher's part of a period is closed. */
+        /** Closes the part of a period that belongs to this dispatcher. */
         CLOSE
     }
 
-    /** A correction of an entry to a new value. */
-    static Entry correction(EntryRef ref, double at, Entry target, long work, String by, String reason) {
+    /** Creates a correction of an entry. */
+    static Entry correction(
+            EntryRef ref, double timeMillis, Entry target, long workSlotMicros, String requestedBy, String reason) {
         return new Entry(
                 ref,
                 Kind.CORRECTION,
-                at,
-                target.member,
-                target.jobClass,
-                target.request,
-                target.key,
-                target.end,
-                work,
+                timeMillis,
+                target.tenant,
+                target.requestClass,
+                target.requestId,
+                target.keyHash,
+                target.ending,
+                workSlotMicros,
                 false,
                 0,
                 0,
                 0,
                 target.ref,
-                by,
+                requestedBy,
                 reason);
     }
 
-    /** So many jobs, the first and the last answered at those times, are not entered one by one. */
-    static Entry gap(EntryRef ref, double from, double to, long jobs) {
+    /**
+     * Creates a gap entry for requests that are not entered individually.
+     *
+     * @param from time of the first answer
+     * @param to   time of the last answer
+     */
+    static Entry gap(EntryRef ref, double from, double to, long requestCount) {
         return new Entry(
-                ref, Kind.GAP, to, "", "", "", null, Ending.FAILED, 0, false, 0, 0, jobs, null, null, from + " " + to);
+                ref,
+                Kind.GAP,
+                to,
+                "",
+                "",
+                "",
+                null,
+                Ending.FAILED,
+                0,
+                false,
+                0,
+                0,
+                requestCount,
+                null,
+                null,
+                from + " " + to);
     }
 
-    /** The dispatcher's part of a period is what the vector covers. */
-    static Entry close(EntryRef ref, double at, Terms.Period period, Map<ChainOrigin, Long> vector, String by) {
+    /** Creates the close of this dispatcher's part of a period. */
+    static Entry close(
+            EntryRef ref,
+            double timeMillis,
+            BillingCalendar.Period period,
+            Map<ChainOrigin, Long> lastNumbers,
+            String requestedBy) {
         return new Entry(
                 ref,
                 Kind.CLOSE,
-                at,
+                timeMillis,
                 "",
                 "",
                 "",
@@ -108,15 +136,15 @@
                 0,
                 0,
                 null,
-                by,
-                new Close(period, vector).text());
+                requestedBy,
+                new Close(period, lastNumbers).format());
     }
 
-    /** What a close says: the period and, for each origin, the last number that was held. */
-    public record Close(Terms.Period period, Map<ChainOrigin, Long> vector) {
-        private String text() {
+    /** Content of a close: the period and, for each origin, the last number that was held. */
+    public record Close(BillingCalendar.Period period, Map<ChainOrigin, Long> lastNumbers) {
+        private String format() {
             StringBuilder text = new StringBuilder(period.name() + " " + period.from() + " " + period.to());
-            new TreeMap<>(vector)
+            new TreeMap<>(lastNumbers)
                     .forEach((origin, number) ->
                             text.append('\n').append(origin).append('/').append(number));
             return text.toString();
@@ -125,82 +153,97 @@
         static Close parse(String text) {
             String[] lines = text.split("\n");
             String[] head = lines[0].split(" ");
-            Map<ChainOrigin, Long> vector = new TreeMap<>();
+            Map<ChainOrigin, Long> lastNumbers = new TreeMap<>();
             for (int i = 1; i < lines.length; i++) {
                 EntryRef last = EntryRef.parse(lines[i]);
-                vector.put(last.origin(), last.number());
+                lastNumbers.put(last.origin(), last.number());
             }
             return new Close(
-                    new Terms.Period(head[0], Double.parseDouble(head[1]), Double.parseDouble(head[2])), vector);
+                    new BillingCalendar.Period(head[0], Double.parseDouble(head[1]), Double.parseDouble(head[2])),
+                    lastNumbers);
         }
 
         boolean covers(EntryRef ref) {
-            return vector.getOrDefault(ref.origin(), 0L) >= ref.number();
+            return lastNumbers.getOrDefault(ref.origin(), 0L) >= ref.number();
         }
     }
 
-    /** The close that this entry is. */
-    Close close() {
-        return Close.parse(text);
+    /** Parses the content of this close. */
+    Close parseClose() {
+        return Close.parse(details);
     }
 
-    /** The same entry at another place of a chain. */
-    Entry at(EntryRef place) {
+    /** Returns this entry with another reference. */
+    Entry withRef(EntryRef newRef) {
         return new Entry(
-                place, kind, at, member, jobClass, request, key, end, work, estimate, spare, attempts, job, target, by,
-                text);
+                newRef,
+                kind,
+                timeMillis,
+                tenant,
+                requestClass,
+                requestId,
+                keyHash,
+                ending,
+                workSlotMicros,
+                isEstimate,
+                extraWorkSlotMicros,
+                attemptCount,
+                requestNumber,
+                target,
+                requestedBy,
+                details);
     }
 
-    /** The same job with the name of its period. */
-    Entry in(Terms terms) {
+    /** Returns this entry with the name of its period, if it is a request. */
+    Entry withPeriod(BillingCalendar calendar) {
         return kind != Kind.JOB
                 ? this
                 : new Entry(
                         ref,
                         kind,
-                        at,
-                        member,
-                        jobClass,
-                        request,
-                        key,
-                        end,
-                        work,
-                        estimate,
-                        spare,
-                        attempts,
-                        job,
+                        timeMillis,
+                        tenant,
+                        requestClass,
+                        requestId,
+                        keyHash,
+                        ending,
+                        workSlotMicros,
+                        isEstimate,
+                        extraWorkSlotMicros,
+                        attemptCount,
+                        requestNumber,
                         target,
-                        by,
-                        terms.at(at).name());
+                        requestedBy,
+                        calendar.periodAt(timeMillis).name());
     }
 
-    /** Its bytes, the same on every machine; the chain is made over them. */
-    byte[] bytes() {
+    /** Encodes the entry, the same on every machine; the hash chain is computed over this encoding. */
+    byte[] toBytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeByte(FORM);
+            out.writeByte(FORMAT_VERSION);
             out.writeByte(kind.ordinal());
             out.writeUTF(ref.origin().dispatcher());
-            out.writeLong(ref.origin().life());
+            out.writeLong(ref.origin().incarnation());
             out.writeLong(ref.number());
-            out.writeDouble(at);
-            out.writeUTF(member);
-            out.writeUTF(jobClass);
-            out.writeUTF(request);
-            optional(out, key);
-            out.writeByte(end.ordinal());
-            out.writeLong(work);
-            out.writeBoolean(estimate);
-            out.writeLong(spare);
-            out.writeInt(attempts);
-            out.writeLong(job);
-            optional(out, target == null ? null : target.toString());
-            optional(out, by);
-            // Danger: writeUTF ends at 64 KiB, which the vector of a close passes with some thousand origins.
-            byte[] said = text == null ? null : text.getBytes(StandardCharsets.UTF_8);
-            out.writeInt(said == null ? -1 : said.length);
-            if (said != null) {
-                out.write(said);
+            out.writeDouble(timeMillis);
+            out.writeUTF(tenant);
+            out.writeUTF(requestClass);
+            out.writeUTF(requestId);
+            writeOptional(out, keyHash);
+            out.writeByte(ending.ordinal());
+            out.writeLong(workSlotMicros);
+            out.writeBoolean(isEstimate);
+            out.writeLong(extraWorkSlotMicros);
+            out.writeInt(attemptCount);
+            out.writeLong(requestNumber);
+            writeOptional(out, target == null ? null : target.toString());
+            writeOptional(out, requestedBy);
+            // writeUTF is limited to 64 KiB, which the last numbers of a close exceed with some thousand origins.
+            byte[] encodedDetails = details == null ? null : details.getBytes(StandardCharsets.UTF_8);
+            out.writeInt(encodedDetails == null ? -1 : encodedDetails.length);
+            if (encodedDetails != null) {
+                out.write(encodedDetails);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -208,30 +251,34 @@
         return bytes.toByteArray();
     }
 
-    private static void optional(DataOutputStream out, String text) throws IOException {
+    private static void writeOptional(DataOutputStream out, String text) throws IOException {
         out.writeBoolean(text != null);
         if (text != null) {
             out.writeUTF(text);
         }
     }
 
-    private static String text(DataInputStream in) throws IOException {
+    private static String readText(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < -1 || length > in.available()) {
-            throw new IllegalArgumentException("a text of " + length + " bytes");
+            throw new IllegalArgumentException("invalid text length of " + length + " bytes");
         }
         return length < 0 ? null : new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    private static String optional(DataInputStream in) throws IOException {
+    private static String readOptional(DataInputStream in) throws IOException {
         return in.readBoolean() ? in.readUTF() : null;
     }
 
-    /** Reads {@link #bytes}; IllegalArgumentException for anything else. */
-    static Entry of(byte[] bytes) {
+    /**
+     * Decodes {@link #toBytes}.
+     *
+     * @throws IllegalArgumentException if the bytes are not a valid entry
+     */
+    static Entry fromBytes(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            if (in.readByte() != FORM) {
-                throw new IllegalArgumentException("an entry of another version");
+            if (in.readByte() != FORMAT_VERSION) {
+                throw new IllegalArgumentException("unsupported entry format version");
             }
             Kind kind = Kind.values()[in.readByte()];
             EntryRef ref = new EntryRef(new ChainOrigin(in.readUTF(), in.readLong()), in.readLong());
@@ -242,26 +289,26 @@
                     in.readUTF(),
                     in.readUTF(),
                     in.readUTF(),
-                    optional(in),
+                    readOptional(in),
                     Ending.values()[in.readByte()],
                     in.readLong(),
                     in.readBoolean(),
                     in.readLong(),
                     in.readInt(),
                     in.readLong(),
-                    target(optional(in)),
-                    optional(in),
-                    text(in));
+                    parseTarget(readOptional(in)),
+                    readOptional(in),
+                    readText(in));
             if (in.read() >= 0) {
-                throw new IllegalArgumentException("bytes after an entry");
+                throw new IllegalArgumentException("trailing bytes after an entry");
             }
             return entry;
         } catch (IOException | IndexOutOfBoundsException e) {
-            throw new IllegalArgumentException("no entry that can be read", e);
+            throw new IllegalArgumentException("malformed entry", e);
         }
     }
 
-    private static EntryRef target(String text) {
+    private static EntryRef parseTarget(String text) {
         return text == null ? null : EntryRef.parse(text);
     }
 
@@ -273,24 +320,27 @@
         }
     });
 
-    /** The link of the chain that follows one with this hash ({@link #NO_HASH} before the first). */
-    static byte[] link(byte[] before, byte[] entry) {
+    /**
+     * Returns the hash of an entry in a chain, computed over the previous hash ({@link #INITIAL_HASH} for the first
+     * entry) and the bytes of the entry.
+     */
+    static byte[] chainHash(byte[] previousHash, byte[] entryBytes) {
         MessageDigest digest = DIGEST.get();
-        digest.update(before);
-        return digest.digest(entry);
+        digest.update(previousHash);
+        return digest.digest(entryBytes);
     }
 
-    /** What stands before the first link. */
-    static final byte[] NO_HASH = new byte[32];
+    /** The previous hash of the first entry of a chain. */
+    static final byte[] INITIAL_HASH = new byte[32];
 
-    /** The hash under which a key is kept: 16 bytes of SHA-256, in hexadecimal. */
-    static String hash(String key) {
+    /** Hashes an idempotency key: 16 bytes of SHA-256 in hexadecimal. */
+    static String hashKey(String key) {
         byte[] all = DIGEST.get().digest(key.getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(all, 0, 16);
     }
 
-    /** A text cut to what a field holds. */
-    static String fit(String text) {
-        return text == null ? "" : text.length() <= TEXT_MOST ? text : text.substring(0, TEXT_MOST);
+    /** Truncates a text to {@link #MAX_TEXT_LENGTH}; null becomes empty. */
+    static String truncate(String text) {
+        return text == null ? "" : text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH);
     }
 }
--- a/src/main/java/nettlewick/ledger/PeerSettings.java
+++ b/src/main/java/nettlewick/ledger/PeerSettings.java
@@ -6,15 +6,25 @@
 import java.util.List;
 import nettlewick.settings.Block;
 
-/** How ledgers of several dispatchers find each other; times in milliseconds. */
+/**
+ * Settings of the reconciliation with other dispatchers.
+ *
+ * @param listen           address on which peers are served
+ * @param keyFile          file with the shared HMAC key
+ * @param admittedNetworks networks from which requests are accepted
+ * @param peers            addresses of the peers
+ * @param intervalMillis   time between rounds with a peer
+ * @param timeoutMillis    time limit of a request to a peer
+ * @param chunkEntries     maximum number of entries that are fetched in one request
+ */
 public record PeerSettings(
         InetSocketAddress listen,
-        Path key,
-        List<IPAddress> admit,
+        Path keyFile,
+        List<IPAddress> admittedNetworks,
         List<InetSocketAddress> peers,
-        double every,
-        double timeout,
-        int chunk) {
+        double intervalMillis,
+        double timeoutMillis,
+        int chunkEntries) {
     static PeerSettings of(Block block) {
         return new PeerSettings(
                 block.address("listen"),
--- a/src/main/java/nettlewick/ledger/Recovery.java
+++ b/src/main/java/nettlewick/ledger/Recovery.java
@@ -10,40 +10,43 @@
 import nettlewick.ledger.Entry.Kind;
 import nettlewick.sqlite.StoreException;
 
-/** Enters what lives that are dead left in their spools: each job once, as answered or as in doubt. */
+/**
+ * Enters the requests that dead incarnations left in their spools into the store: each once, as answered or as in
+ * doubt.
+ */
 final class Recovery {
-    private static final long CHUNK = 10_000;
+    private static final long CHUNK_ENTRIES = 10_000;
 
-    /** What was found and done. */
+    /** Counts of the entries that were recovered, and descriptions of damaged files. */
     record Report(int answered, int doubts, List<String> damage) {
-        boolean idle() {
+        boolean isEmpty() {
             return answered == 0 && doubts == 0 && damage.isEmpty();
         }
     }
 
     private Recovery() {}
 
-    /** Recovers all dead lives of the store's folder; safe to cut off and to run again. */
-    static Report run(Store store, double now, Terms terms) throws StoreException {
+    /** Recovers all dead incarnations of the store; safe to interrupt and to repeat. */
+    static Report run(Store store, double now, BillingCalendar calendar) throws StoreException {
         int answered = 0;
         int doubts = 0;
         List<String> damage = new ArrayList<>();
         try {
-            for (long life : Spool.dead(store.folder())) {
-                try (AutoCloseable mine = Spool.claim(store.folder(), life)) {
-                    Spool.Found found = Spool.read(store.folder(), life);
-                    if (found == null) {
+            for (long incarnation : Spool.findDead(store.folder())) {
+                try (AutoCloseable lock = Spool.claim(store.folder(), incarnation)) {
+                    Spool.Contents spooled = Spool.read(store.folder(), incarnation);
+                    if (spooled == null) {
                         continue;
                     }
-                    List<Entry> missing = missing(store, found, terms);
-                    enter(store, found, missing, now);
+                    List<Entry> missing = findMissing(store, spooled, calendar);
+                    appendMissing(store, spooled, missing, now);
                     answered += (int)
                             missing.stream().filter(e -> e.kind() == Kind.JOB).count();
                     doubts += (int)
                             missing.stream().filter(e -> e.kind() == Kind.DOUBT).count();
-                    damage.addAll(found.damage());
-                    for (Path file : found.files()) {
-                        if (found.damage().stream().anyMatch(line -> line.startsWith(file.toString()))) {
+                    damage.addAll(spooled.damage());
+                    for (Path file : spooled.files()) {
+                        if (spooled.damage().stream().anyMatch(line -> line.startsWith(file.toString()))) {
                             Files.move(file, file.resolveSibling(file.getFileName() + ".damaged-" + (long) now));
                         } else {
                             Files.deleteIfExists(file);
@@ -52,87 +55,91 @@
                 } catch (StoreException e) {
                     throw e;
                 } catch (IOException e) {
-                    // Another process recovers it, or it cannot be read: it waits for the next start.
-                    damage.add("life " + life + ": " + e.getMessage());
+                    // Another process recovers it, or it cannot be read: it is left for the next start.
+                    damage.add("incarnation " + incarnation + ": " + e.getMessage());
                 } catch (Exception e) {
-                    throw new StoreException("the spool of life " + life + " cannot be read: " + e, e, false);
+                    throw new StoreException(
+                            "the spool of incarnation " + incarnation + " cannot be read: " + e, e, false);
                 }
             }
         } catch (IOException e) {
-            throw new StoreException("the folder of the ledger cannot be read: " + e.getMessage(), e, false);
+            throw new StoreException("cannot read the ledger folder: " + e.getMessage(), e, false);
         }
         return new Report(answered, doubts, damage);
     }
 
     /**
-     * Danger: in a store that does not know the end of the life's chain (a new one, for a damaged one) its
-     * numbers
-     * may be given by now, at peers; its jobs go into a chain of their own.
+     * Appends to the chain of the incarnation, or to a new chain if the store does not know the end of that one (it was
+     * created to replace a damaged store). Peers may already hold entries under the next numbers of the old chain, so
+     * continuing it would fork the chain.
      */
-    private static void enter(Store store, Spool.Found found, List<Entry> missing, double now) throws StoreException {
+    private static void appendMissing(Store store, Spool.Contents spooled, List<Entry> missing, double now)
+            throws StoreException {
         if (!missing.isEmpty()) {
-            store.append(lost(store, found) ? store.begin(now) : found.origin(), missing);
+            store.append(isStoreLost(store, spooled) ? store.beginIncarnation(now) : spooled.origin(), missing);
         }
     }
 
-    private static boolean lost(Store store, Spool.Found found) throws StoreException {
-        return store.head(found.origin()).number() < found.head()
-                || !store.dispatcher().equals(found.origin().dispatcher());
+    private static boolean isStoreLost(Store store, Spool.Contents spooled) throws StoreException {
+        return store.head(spooled.origin()).number() < spooled.committedNumber()
+                || !store.dispatcher().equals(spooled.origin().dispatcher());
     }
 
-    /** The jobs of the spool that the store has no entry of. */
-    private static List<Entry> missing(Store store, Spool.Found found, Terms terms) throws StoreException {
-        Store.Head head = store.head(found.origin());
-        boolean lost = lost(store, found);
-        String why = lost
-                ? "life " + found.origin().life() + " was lost with its store"
+    /** Returns entries for the requests in the spool that the store has no entry of. */
+    private static List<Entry> findMissing(Store store, Spool.Contents spooled, BillingCalendar calendar)
+            throws StoreException {
+        Store.Head head = store.head(spooled.origin());
+        boolean storeLost = isStoreLost(store, spooled);
+        // The text is stored and compared by later recoveries, so it must not change.
+        String reason = storeLost
+                ? "life " + spooled.origin().incarnation() + " was lost with its store"
                 : "the process ended before its answer was confirmed";
-        Set<Long> entered = new HashSet<>();
-        if (lost) {
-            store.each(e -> {
-                if (e.kind() == Kind.DOUBT && why.equals(e.text())) {
-                    entered.add(e.job());
+        Set<Long> storedNumbers = new HashSet<>();
+        if (storeLost) {
+            store.forEachEntry(e -> {
+                if (e.kind() == Kind.DOUBT && reason.equals(e.details())) {
+                    storedNumbers.add(e.requestNumber());
                 }
             });
         }
-        for (long from = found.head() + 1; from <= head.number(); from += CHUNK) {
-            for (Store.Row row : store.rows(found.origin(), from, from + CHUNK - 1)) {
+        for (long from = spooled.committedNumber() + 1; from <= head.number(); from += CHUNK_ENTRIES) {
+            for (Store.Row row : store.rows(spooled.origin(), from, from + CHUNK_ENTRIES - 1)) {
                 if (row.bytes() != null) {
-                    Entry e = Entry.of(row.bytes());
+                    Entry e = Entry.fromBytes(row.bytes());
                     if (e.kind() == Kind.JOB || e.kind() == Kind.DOUBT) {
-                        entered.add(e.job());
+                        storedNumbers.add(e.requestNumber());
                     }
                 }
             }
         }
         List<Entry> missing = new ArrayList<>();
-        for (Entry draft : found.intents().values()) {
-            Entry ended = found.ended().get(draft.job());
-            if (entered.contains(draft.job())) {
+        for (Entry draft : spooled.intents().values()) {
+            Entry finalEntry = spooled.finalEntries().get(draft.requestNumber());
+            if (storedNumbers.contains(draft.requestNumber())) {
                 continue;
             }
-            missing.add(ended != null && !lost ? ended.in(terms) : doubt(draft, why));
+            missing.add(finalEntry != null && !storeLost ? finalEntry.withPeriod(calendar) : toDoubt(draft, reason));
         }
         return missing;
     }
 
-    private static Entry doubt(Entry draft, String why) {
+    private static Entry toDoubt(Entry draft, String reason) {
         return new Entry(
                 draft.ref(),
                 Kind.DOUBT,
-                draft.at(),
-                draft.member(),
-                draft.jobClass(),
-                draft.request(),
-                draft.key(),
-                draft.end(),
-                draft.work(),
-                draft.estimate(),
-                draft.spare(),
-                draft.attempts(),
-                draft.job(),
+                draft.timeMillis(),
+                draft.tenant(),
+                draft.requestClass(),
+                draft.requestId(),
+                draft.keyHash(),
+                draft.ending(),
+                draft.workSlotMicros(),
+                draft.isEstimate(),
+                draft.extraWorkSlotMicros(),
+                draft.attemptCount(),
+                draft.requestNumber(),
                 null,
                 null,
-                why);
+                reason);
     }
 }
--- a/src/main/java/nettlewick/stubs/BatchReceiver.java
+++ b/src/main/java/nettlewick/stubs/BatchReceiver.java
@@ -10,25 +10,31 @@
 import java.util.function.Function;
 
 /**
- * Somebody who takes batches of a ledger: knows each by dispatcher, export and number, and takes the same one
- * once.
- * A script may have it fail before, or after, it has taken one.
+ * A receiver of batches that a ledger exports. Identifies each by dispatcher, export and number, and stores a repeated
+ * one once. A test may have it fail before or after it has stored a batch.
  */
 public final class BatchReceiver implements AutoCloseable {
-    /** What becomes of a call. */
+    /** How a call is handled. */
     public enum Behavior {
+        /** The batch is stored and acknowledged. */
         TAKEN,
+        /** Status 503; the batch is not stored. */
         REFUSED_BEFORE,
+        /** The batch is stored, then status 500. */
         ERROR_AFTER,
+        /** No response; the batch is not stored. */
         SILENT_BEFORE,
+        /** The batch is stored and the connection closed after a minute without a response. */
         SILENT_AFTER,
+        /** The batch is stored and the connection closed at once. */
         RESET_AFTER,
+        /** The same as {@link #TAKEN}. */
         TWICE
     }
 
     private final Vertx vertx = Vertx.vertx();
     private final HttpServer server;
-    private final Map<String, String> sums = new ConcurrentHashMap<>();
+    private final Map<String, String> checksums = new ConcurrentHashMap<>();
     private final Map<String, Buffer> receivedBatches = new ConcurrentHashMap<>();
     private volatile Function<String, Behavior> responder = batch -> Behavior.TAKEN;
     private volatile String conflictingBatch;
@@ -42,17 +48,17 @@
         return server.actualPort();
     }
 
-    /** Decides on each call by its batch's name; called on the event loop. */
-    public void setResponder(Function<String, Behavior> next) {
-        responder = next;
+    /** Sets the function that decides how a batch is handled, by its name; it is called on the event loop. */
+    public void setResponder(Function<String, Behavior> newResponder) {
+        responder = newResponder;
     }
 
-    /** All batches that were taken, by {@code dispatcher/export/number}. */
+    /** All stored batches, by {@code dispatcher/export/number}. */
     public Map<String, Buffer> receivedBatches() {
         return receivedBatches;
     }
 
-    /** A number that came with two contents; null if none did. */
+    /** The name of a batch that was received with two different checksums; null if there is none. */
     public String conflictingBatch() {
         return conflictingBatch;
     }
@@ -61,32 +67,32 @@
         String batch = request.getHeader("X-Batch-Dispatcher") + "/" + request.getHeader("X-Batch-Export")
                 + "/"
                 + request.getHeader("X-Batch-Number");
-        String sum = request.getHeader("X-Batch-Sum");
+        String checksum = request.getHeader("X-Batch-Sum");
         request.exceptionHandler(e -> {});
         request.body().onSuccess(body -> {
-            Behavior fate = responder.apply(batch);
-            if (fate == Behavior.REFUSED_BEFORE) {
+            Behavior behavior = responder.apply(batch);
+            if (behavior == Behavior.REFUSED_BEFORE) {
                 request.response().setStatusCode(503).end("later");
                 return;
             }
-            if (fate == Behavior.SILENT_BEFORE) {
+            if (behavior == Behavior.SILENT_BEFORE) {
                 return;
             }
-            String before = sums.putIfAbsent(batch, sum);
-            if (before != null && !before.equals(sum)) {
+            String knownChecksum = checksums.putIfAbsent(batch, checksum);
+            if (knownChecksum != null && !knownChecksum.equals(checksum)) {
                 conflictingBatch = batch;
                 request.response().setStatusCode(409).end("another content under this number");
                 return;
             }
             receivedBatches.put(batch, body);
-            switch (fate) {
+            switch (behavior) {
                 case ERROR_AFTER -> request.response().setStatusCode(500).end("broke after it was taken");
                 case RESET_AFTER -> request.connection().close();
                 case SILENT_AFTER ->
                     vertx.setTimer(
                             TimeUnit.MINUTES.toMillis(1),
-                            t -> request.connection().close());
-                default -> request.response().end(before == null ? "taken" : "known");
+                            timer -> request.connection().close());
+                default -> request.response().end(knownChecksum == null ? "taken" : "known");
             }
         });
     }
--- a/src/main/java/nettlewick/stubs/EndpointModel.java
+++ b/src/main/java/nettlewick/stubs/EndpointModel.java
@@ -8,20 +8,22 @@
 import java.util.Set;
 
 /**
- * A sim runner: slots, a bounded queue in the order of arrival, a speed, a cold start, and falling over when
- * pushed while cold. Pure: time is handed in, in milliseconds; the caller ends each job when it is due.
+ * Model of an endpoint: slots, a bounded queue in the order of arrival, a speed, a slow start, and a crash when it is
+ * overloaded during slow start. Does no I/O and reads no clock: times are arguments, in milliseconds, and the caller
+ * finishes each request when it is due.
  */
 public final class EndpointModel {
     /**
-     * What a runner is like; times in milliseconds.
+     * The properties of an endpoint.
      *
-     * @param slots     jobs it runs at once
-     * @param queue     jobs that wait
-     * @param cold      how long it is cold after a start; 0: never
-     * @param share     the part of its speed that a cold one starts with
-     * @param factor    work offered over its capacity that pushes a cold one over, kept up for {@code fall}
-     * @param reportAge how old its load report may be
-     * @param cancel    whether it stops a job whose caller has closed the connection
+     * @param slots                requests that are executed at once
+     * @param queueCapacity        requests that may wait for a slot
+     * @param slowStartMillis      the length of the slow start; 0 for none
+     * @param initialSpeedFraction the fraction of its speed that an endpoint starts with
+     * @param overloadFactor       offered work, as a multiple of the capacity, that overloads an endpoint in slow start
+     *                             if it lasts for {@code overloadMillis}
+     * @param maxReportAgeMillis   how old a load report may be when it is sent
+     * @param cancelsOnDisconnect  whether a request is cancelled when its client closes the connection
      */
     public record Config(
             int slots,
@@ -33,20 +35,24 @@
             double maxReportAgeMillis,
             boolean cancelsOnDisconnect) {}
 
-    /** What becomes of a job that comes. */
+    /** The decision on an offered request. */
     public enum Admission {
+        /** Executed at once. */
         RUNS,
+        /** Queued for a slot. */
         WAITS,
+        /** Rejected: the queue is full. */
         FULL,
+        /** Rejected: the endpoint is draining. */
         DRAINS
     }
 
-    /** A job that begins to run, and for how long. */
+    /** A request whose execution starts, and its execution time. */
     public record StartedRequest(String id, double millis) {}
 
-    private record Waiting(String id, double work) {}
+    private record QueuedRequest(String id, double work) {}
 
-    private record Offered(double at, double work) {}
+    private record OfferedWork(double offeredAt, double work) {}
 
     public final String name;
     public final String zone;
@@ -54,18 +60,22 @@
     public final double speed;
     final Config config;
     private final Set<String> running = new HashSet<>();
-    private final Deque<Waiting> queue = new ArrayDeque<>();
-    private final Deque<Offered> offered = new ArrayDeque<>();
-    private double offeredWork;
+    private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+    private final Deque<OfferedWork> recentOffers = new ArrayDeque<>();
+    private double recentOfferedWork;
     private double startedAt;
-    /** A step's factor: the runner is so many times slower. */
-    private double slowed = 1;
+    /** By this factor the endpoint is slower than its speed. */
+    private double slowdownFactor = 1;
 
     private boolean draining;
     private boolean isUp = true;
     private boolean isOverloaded;
 
-    /** @param bornAt when it started; negative infinity for one that is warm */
+    /**
+     * Creates an endpoint that is up.
+     *
+     * @param startedAt negative infinity for an endpoint that is past its slow start
+     */
     public EndpointModel(String name, String zone, double speed, Config kind, double bornAt) {
         this.name = name;
         this.zone = zone;
@@ -75,84 +85,84 @@
         slots = kind.slots();
     }
 
-    /** Takes a job of that much work; {@code begun} gets those that begin to run. */
-    public synchronized Admission offer(String id, double work, double now, List<StartedRequest> begun) {
-        weigh(work, now);
+    /** Offers a request to the endpoint, and adds it to {@code started} if its execution starts. */
+    public synchronized Admission offer(String id, double work, double now, List<StartedRequest> started) {
+        recordOfferedWork(work, now);
         if (draining) {
             return Admission.DRAINS;
         }
         if (running.size() < slots) {
-            begin(new Waiting(id, work), now, begun);
+            startRequest(new QueuedRequest(id, work), now, started);
             return Admission.RUNS;
         }
         if (queue.size() < config.queueCapacity()) {
-            queue.add(new Waiting(id, work));
+            queue.add(new QueuedRequest(id, work));
             return Admission.WAITS;
         }
         return Admission.FULL;
     }
 
-    private void begin(Waiting job, double now, List<StartedRequest> begun) {
-        running.add(job.id());
-        begun.add(new StartedRequest(job.id(), job.work() / speedAt(now)));
+    private void startRequest(QueuedRequest request, double now, List<StartedRequest> started) {
+        running.add(request.id());
+        started.add(new StartedRequest(request.id(), request.work() / speedAt(now)));
     }
 
-    /** A job has ended or is called off; a slot that comes free is filled from the queue. */
-    public synchronized void finish(String id, double now, List<StartedRequest> begun) {
+    /** Removes a request that is finished or cancelled; a freed slot goes to the first request of the queue. */
+    public synchronized void finish(String id, double now, List<StartedRequest> started) {
         if (!running.remove(id)) {
-            queue.removeIf(w -> w.id().equals(id));
+            queue.removeIf(queued -> queued.id().equals(id));
             return;
         }
         if (isUp && !queue.isEmpty()) {
-            begin(queue.poll(), now, begun);
+            startRequest(queue.poll(), now, started);
         }
     }
 
-    /** Work that a cold runner is offered, refused or not, in the time in which it may be pushed over. */
-    private void weigh(double work, double now) {
-        offered.add(new Offered(now, work));
-        offeredWork += work;
-        while (offered.peek().at() < now - config.overloadMillis()) {
-            offeredWork -= offered.poll().work();
+    /** Adds to the work offered within {@code overloadMillis}, admitted or not, and checks it for an overload. */
+    private void recordOfferedWork(double work, double now) {
+        recentOffers.add(new OfferedWork(now, work));
+        recentOfferedWork += work;
+        while (recentOffers.peek().offeredAt() < now - config.overloadMillis()) {
+            recentOfferedWork -= recentOffers.poll().work();
         }
-        double cap = config.overloadFactor() * slots * speedAt(now) * config.overloadMillis();
-        // A little room for chance, as one job of four times the mean may be.
-        if (inSlowStart(now) && offeredWork > cap + 4 * offeredWork / offered.size()) {
+        double maxWork = config.overloadFactor() * slots * speedAt(now) * config.overloadMillis();
+        // Four mean requests of tolerance, so that one large request is no overload.
+        if (inSlowStart(now) && recentOfferedWork > maxWork + 4 * recentOfferedWork / recentOffers.size()) {
             isOverloaded = true;
         }
     }
 
     private double speedAt(double now) {
         double age = now - startedAt;
-        double warm = config.slowStartMillis() <= 0 || age >= config.slowStartMillis()
+        double warmUpFraction = config.slowStartMillis() <= 0 || age >= config.slowStartMillis()
                 ? 1
                 : config.initialSpeedFraction()
                         + (1 - config.initialSpeedFraction()) * Math.max(0, age) / config.slowStartMillis();
-        return speed * warm / slowed;
+        return speed * warmUpFraction / slowdownFactor;
     }
 
     public synchronized boolean inSlowStart(double now) {
         return now - startedAt < config.slowStartMillis();
     }
 
-    /** The process dies; what ran or waited is lost, and comes back as a list of ids. */
+    /** Takes the endpoint down and returns the ids of the requests that are lost. */
     public synchronized List<String> crash() {
         isUp = false;
         List<String> lost = new ArrayList<>(running);
-        queue.forEach(w -> lost.add(w.id()));
+        queue.forEach(queued -> lost.add(queued.id()));
         running.clear();
         queue.clear();
         return lost;
     }
 
-    /** Starts again, cold. */
+    /** Starts the endpoint again, in slow start. */
     public synchronized void start(double now) {
         isUp = true;
         isOverloaded = false;
         draining = false;
         startedAt = now;
-        offered.clear();
-        offeredWork = 0;
+        recentOffers.clear();
+        recentOfferedWork = 0;
     }
 
     public synchronized void drain() {
@@ -160,14 +170,14 @@
     }
 
     public synchronized void setSlowdown(double factor) {
-        slowed = factor;
+        slowdownFactor = factor;
     }
 
     public synchronized boolean isUp() {
         return isUp;
     }
 
-    /** Whether it takes jobs at all. */
+    /** Whether it is up, not draining and not overloaded. */
     public synchronized boolean acceptsRequests() {
         return isUp && !draining && !isOverloaded;
     }
@@ -184,7 +194,7 @@
         return queue.size();
     }
 
-    /** Slots in use and waiting, over slots. */
+    /** Running and queued requests per slot. */
     public synchronized double load() {
         return (running.size() + queue.size()) / (double) slots;
     }
--- a/src/main/java/nettlewick/stubs/EndpointServer.java
+++ b/src/main/java/nettlewick/stubs/EndpointServer.java
@@ -15,82 +15,97 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.DoubleSupplier;
 
-/** A sim runner on a socket, by the protocol page: the model behind it decides, the audit sees every job. */
+/**
+ * An endpoint on a socket, written from the protocol page. An {@link EndpointModel} decides on each request; a
+ * {@link Listener} is notified of each.
+ */
 public final class EndpointServer {
-    /** Hears of what happens at a runner; called from its event loop. */
+    /** Is notified of events at an endpoint, on its event loop. */
     public interface Listener {
-        /** An attempt has come whole. */
-        void attemptArrived(String id, EndpointModel runner, EndpointModel.Admission how, double now);
+        /** An attempt was received completely and the model has decided on it. */
+        void attemptArrived(String requestId, EndpointModel endpoint, EndpointModel.Admission admission, double now);
 
         /**
-         * An attempt has come whole, with the seconds that it was told.
+         * An attempt was received completely.
          *
-         * @param how null where it is swallowed
-         * @param now the earliest time at which it may have come, where this process was late to read it
+         * @param admission       null where the attempt gets no answer
+         * @param deadlineSeconds the deadline that the attempt carries; NaN for none
+         * @param arrivedAt       the earliest time at which it may have arrived, if this process was late to read it
          */
         default void deadlineReceived(
-                String id, EndpointModel runner, EndpointModel.Admission how, double seconds, double now) {}
+                String requestId,
+                EndpointModel endpoint,
+                EndpointModel.Admission admission,
+                double deadlineSeconds,
+                double arrivedAt) {}
 
-        /** A job begins to run. */
-        void executionStarted(String id, EndpointModel runner, double now);
+        /** The execution of a request starts. */
+        void executionStarted(String requestId, EndpointModel endpoint, double now);
 
-        /** It was pushed over while cold, and is down. */
-        void endpointOverloaded(EndpointModel runner, double now);
+        /** The endpoint was overloaded during slow start and is down. */
+        void endpointOverloaded(EndpointModel endpoint, double now);
     }
 
-    /** A job that was taken: where its lines go, and its timer once it runs. */
-    private static final class Taken {
+    /** The response to an admitted request, and its timer once the request is executed. */
+    private static final class PendingResponse {
         final HttpServerResponse response;
         volatile long timer = -1;
 
-        Taken(HttpServerResponse response) {
+        PendingResponse(HttpServerResponse response) {
             this.response = response;
         }
     }
 
-    /** A report as it was some time ago. */
-    private record Report(double at, String text) {}
+    /** A load report and the time at which it was made. */
+    private record LoadReport(double createdAt, String text) {}
 
-    /** Milliseconds between two words of a job that runs. */
+    /** The interval of progress lines of a request that is executed. */
     public static final double PROGRESS_INTERVAL_MILLIS = 1000;
 
     public final EndpointModel model;
     private final String host;
     private final Vertx vertx;
-    private final Listener watch;
+    private final Listener listener;
     private final DoubleSupplier clock;
-    private final Map<String, Taken> taken = new ConcurrentHashMap<>();
+    private final Map<String, PendingResponse> pendingResponses = new ConcurrentHashMap<>();
     private final Set<HttpConnection> connections = ConcurrentHashMap.newKeySet();
     private HttpServer server;
     private InetSocketAddress address;
-    /** Until when it swallows what comes, and until when its reports say that it is empty. */
+    /** Until this time the endpoint reads requests and load probes and answers none. */
     public volatile double hungUntil;
 
+    /** Until this time load reports state an idle endpoint, whatever its load. */
     public volatile double reportsIdleUntil;
-    private volatile Report report = new Report(Double.NEGATIVE_INFINITY, "");
-    private boolean fell;
-    /** Made on the event loop that reads the first request; all connections of a server share it. */
-    private ReadTimes readTimes;
 
-    /** @param host the loopback address that it listens at, its own; @param clock milliseconds */
-    public EndpointServer(String host, EndpointModel model, Vertx vertx, Listener watch, DoubleSupplier clock) {
+    private volatile LoadReport loadReport = new LoadReport(Double.NEGATIVE_INFINITY, "");
+    private boolean overloadReported;
+    /** Created on the event loop that reads the first request, which all connections of a server share. */
+    private ArrivalTimeEstimator arrivalTimes;
+
+    /**
+     * Creates an endpoint that does not listen yet.
+     *
+     * @param host  the loopback address of this endpoint
+     * @param clock tells the time in milliseconds
+     */
+    public EndpointServer(String host, EndpointModel model, Vertx vertx, Listener listener, DoubleSupplier clock) {
         this.host = host;
         this.model = model;
         this.vertx = vertx;
-        this.watch = watch;
+        this.listener = listener;
         this.clock = clock;
     }
 
-    /** Listens, at the same address at every start. */
+    /** Listens, at the same address after each start. */
     public InetSocketAddress listen() throws Exception {
         server = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(false));
-        server.connectionHandler(c -> {
-            connections.add(c);
-            c.closeHandler(v -> connections.remove(c));
-            c.exceptionHandler(e -> {});
+        server.connectionHandler(connection -> {
+            connections.add(connection);
+            connection.closeHandler(v -> connections.remove(connection));
+            connection.exceptionHandler(e -> {});
         });
         server.exceptionHandler(e -> {});
-        server.requestHandler(this::serve);
+        server.requestHandler(this::handleRequest);
         if (address == null) {
             StubPlatform.awaitResult(server.listen(0, host));
             address = new InetSocketAddress(host, server.actualPort());
@@ -100,176 +115,181 @@
         return address;
     }
 
-    /** The process dies: connections are reset, what ran is lost. */
+    /** Simulates a crash of the process: its connections end and its requests are lost. */
     public void kill() {
         if (!model.isUp()) {
             return;
         }
         for (String id : model.crash()) {
-            Taken t = taken.remove(id);
-            if (t != null) {
-                vertx.cancelTimer(t.timer);
+            PendingResponse pending = pendingResponses.remove(id);
+            if (pending != null) {
+                vertx.cancelTimer(pending.timer);
             }
         }
         server.close();
         connections.forEach(HttpConnection::close);
     }
 
-    /** Starts again, cold. */
+    /** Starts the endpoint again, in slow start. */
     public void start() throws Exception {
         if (!model.isUp()) {
             model.start(clock.getAsDouble());
-            fell = false;
+            overloadReported = false;
             listen();
         }
     }
 
-    private void serve(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         double now = clock.getAsDouble();
         request.exceptionHandler(e -> {});
-        if (readTimes == null) {
-            readTimes = new ReadTimes(now);
-            vertx.setPeriodic(ReadTimes.TICK_MILLIS, id -> readTimes.tick(clock.getAsDouble()));
+        if (arrivalTimes == null) {
+            arrivalTimes = new ArrivalTimeEstimator(now);
+            vertx.setPeriodic(ArrivalTimeEstimator.TICK_MILLIS, id -> arrivalTimes.tick(clock.getAsDouble()));
         }
-        double readAt = readTimes.earliestArrival(now);
+        double arrivedAt = arrivalTimes.earliestArrival(now);
         boolean isHung = now < hungUntil;
         if (request.method() == HttpMethod.GET) {
             if (isHung) {
                 return;
             }
-            request.response().end(report(now));
+            request.response().end(loadReport(now));
             return;
         }
         request.body().onSuccess(body -> {
             if (isHung) {
-                tell(request, null, readAt);
+                notifyDeadline(request, null, arrivedAt);
             } else {
-                take(request, Double.parseDouble(body.toString()), readAt);
+                admit(request, Double.parseDouble(body.toString()), arrivedAt);
             }
         });
     }
 
-    private String report(double now) {
+    private String loadReport(double now) {
         if (now < reportsIdleUntil) {
             return "depth=0,concurrent=0,x0=" + model.slots + ",x1=" + model.slots;
         }
-        if (now - report.at() >= model.config.maxReportAgeMillis()) {
-            int free = Math.max(0, model.slots - model.runningCount());
-            report = new Report(
+        if (now - loadReport.createdAt() >= model.config.maxReportAgeMillis()) {
+            int freeSlots = Math.max(0, model.slots - model.runningCount());
+            loadReport = new LoadReport(
                     now,
                     "depth=" + model.queuedCount() + ",concurrent=" + (model.runningCount() + model.queuedCount())
-                            + ",x0=" + free + ",x1=" + free);
+                            + ",x0=" + freeSlots + ",x1=" + freeSlots);
         }
-        return report.text();
+        return loadReport.text();
     }
 
-    private void take(HttpServerRequest request, double work, double readAt) {
+    private void admit(HttpServerRequest request, double work, double arrivedAt) {
         double now = clock.getAsDouble();
         String id = request.getHeader("X-Request-Id");
         HttpServerResponse response = request.response();
         response.exceptionHandler(e -> {});
         if (now < hungUntil || !model.isUp()) {
-            tell(request, null, readAt);
+            notifyDeadline(request, null, arrivedAt);
             return;
         }
-        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
-        String own = id + "@" + System.nanoTime();
-        // Danger: a job that begins at once needs its entry before its timer is set.
-        taken.put(own, new Taken(response));
-        EndpointModel.Admission how = model.offer(own, work, now, begun);
-        watch.attemptArrived(id, model, how, now);
-        tell(request, how, readAt);
-        if (model.isOverloaded() && !fell) {
-            fell = true;
-            watch.endpointOverloaded(model, now);
+        List<EndpointModel.StartedRequest> started = new ArrayList<>();
+        String executionId = id + "@" + System.nanoTime();
+        // Added before the offer: a request that starts at once without an entry would never be executed.
+        pendingResponses.put(executionId, new PendingResponse(response));
+        EndpointModel.Admission admission = model.offer(executionId, work, now, started);
+        listener.attemptArrived(id, model, admission, now);
+        notifyDeadline(request, admission, arrivedAt);
+        if (model.isOverloaded() && !overloadReported) {
+            overloadReported = true;
+            listener.endpointOverloaded(model, now);
             kill();
             return;
         }
-        if (how == EndpointModel.Admission.FULL || how == EndpointModel.Admission.DRAINS) {
-            taken.remove(own);
+        if (admission == EndpointModel.Admission.FULL || admission == EndpointModel.Admission.DRAINS) {
+            pendingResponses.remove(executionId);
             response.setStatusCode(503).putHeader("X-Not-Run", "1").end();
             return;
         }
         response.setChunked(true).writeHead();
-        response.closeHandler(v -> gone(own));
-        begun.forEach(this::begin);
+        response.closeHandler(v -> clientDisconnected(executionId));
+        started.forEach(this::startExecution);
     }
 
-    private void tell(HttpServerRequest request, EndpointModel.Admission how, double readAt) {
+    private void notifyDeadline(HttpServerRequest request, EndpointModel.Admission admission, double arrivedAt) {
         String deadline = request.getHeader("X-Deadline");
-        watch.deadlineReceived(
+        listener.deadlineReceived(
                 request.getHeader("X-Request-Id"),
                 model,
-                how,
+                admission,
                 deadline == null ? Double.NaN : Double.parseDouble(deadline),
-                readAt);
+                arrivedAt);
     }
 
-    private static String plain(String own) {
-        return own.substring(0, own.lastIndexOf('@'));
+    private static String requestId(String executionId) {
+        return executionId.substring(0, executionId.lastIndexOf('@'));
     }
 
-    private void begin(EndpointModel.StartedRequest b) {
-        Taken t = taken.get(b.id());
-        if (t == null) {
+    private void startExecution(EndpointModel.StartedRequest started) {
+        PendingResponse pending = pendingResponses.get(started.id());
+        if (pending == null) {
             return;
         }
-        String id = plain(b.id());
-        watch.executionStarted(id, model, clock.getAsDouble());
-        write(t, id, "started\"}", false);
-        proceed(b.id(), t, 0, Math.max(1, b.millis()));
+        String id = requestId(started.id());
+        listener.executionStarted(id, model, clock.getAsDouble());
+        writeLine(pending, id, "started\"}", false);
+        scheduleProgress(started.id(), pending, 0, Math.max(1, started.millis()));
     }
 
-    /** Tells of progress each second, as the settings say, and ends the job when its time is over. */
-    private void proceed(String own, Taken t, double done, double millis) {
-        double next = Math.min(PROGRESS_INTERVAL_MILLIS, millis - done);
-        t.timer = vertx.setTimer(Math.max(1, Math.round(next)), timer -> {
-            if (done + next >= millis) {
-                finish(own, t);
+    /** Sends a progress line at each interval, as the settings state, and finishes the request when it is due. */
+    private void scheduleProgress(String executionId, PendingResponse pending, double doneMillis, double totalMillis) {
+        double stepMillis = Math.min(PROGRESS_INTERVAL_MILLIS, totalMillis - doneMillis);
+        pending.timer = vertx.setTimer(Math.max(1, Math.round(stepMillis)), timer -> {
+            if (doneMillis + stepMillis >= totalMillis) {
+                finishExecution(executionId, pending);
                 return;
             }
             if (clock.getAsDouble() >= hungUntil) {
-                write(t, plain(own), "running\",\"share\":" + (float) ((done + next) / millis) + "}", false);
+                writeLine(
+                        pending,
+                        requestId(executionId),
+                        "running\",\"share\":" + (float) ((doneMillis + stepMillis) / totalMillis) + "}",
+                        false);
             }
-            proceed(own, t, done + next, millis);
+            scheduleProgress(executionId, pending, doneMillis + stepMillis, totalMillis);
         });
     }
 
-    /** Danger: what runs while the runner hangs ends only once that does. */
-    private void finish(String own, Taken t) {
-        double hung = hungUntil - clock.getAsDouble();
-        if (hung > 0) {
-            t.timer = vertx.setTimer((long) hung + 1, timer -> finish(own, t));
-        } else if (taken.remove(own) != null) {
-            next(own);
-            write(t, plain(own), "done\",\"result\":\"r-" + plain(own) + "\"}", true);
+    /** Finishes a request; one that is due while the endpoint hangs would otherwise be answered during the hang. */
+    private void finishExecution(String executionId, PendingResponse pending) {
+        double remainingHangMillis = hungUntil - clock.getAsDouble();
+        if (remainingHangMillis > 0) {
+            pending.timer =
+                    vertx.setTimer((long) remainingHangMillis + 1, timer -> finishExecution(executionId, pending));
+        } else if (pendingResponses.remove(executionId) != null) {
+            releaseSlot(executionId);
+            writeLine(pending, requestId(executionId), "done\",\"result\":\"r-" + requestId(executionId) + "\"}", true);
         }
     }
 
-    private void next(String own) {
-        List<EndpointModel.StartedRequest> begun = new ArrayList<>();
-        model.finish(own, clock.getAsDouble(), begun);
-        begun.forEach(this::begin);
+    private void releaseSlot(String executionId) {
+        List<EndpointModel.StartedRequest> started = new ArrayList<>();
+        model.finish(executionId, clock.getAsDouble(), started);
+        started.forEach(this::startExecution);
     }
 
-    /** Whoever waited for this job has closed the connection. */
-    private void gone(String own) {
-        Taken t = model.config.cancelsOnDisconnect() ? taken.remove(own) : null;
-        if (t != null) {
-            vertx.cancelTimer(t.timer);
-            next(own);
+    /** The client has closed the connection of this request. */
+    private void clientDisconnected(String executionId) {
+        PendingResponse pending = model.config.cancelsOnDisconnect() ? pendingResponses.remove(executionId) : null;
+        if (pending != null) {
+            vertx.cancelTimer(pending.timer);
+            releaseSlot(executionId);
         }
     }
 
-    private void write(Taken t, String id, String state, boolean last) {
-        if (t.response.closed() || t.response.ended()) {
+    private void writeLine(PendingResponse pending, String id, String state, boolean last) {
+        if (pending.response.closed() || pending.response.ended()) {
             return;
         }
         String line = "{\"id\":\"" + id + "\",\"from\":\"" + model.name + "\",\"state\":\"" + state + "\n";
         if (last) {
-            t.response.end(line);
+            pending.response.end(line);
         } else {
-            t.response.write(line);
+            pending.response.write(line);
         }
     }
 }
--- a/src/main/java/nettlewick/stubs/StubPlatform.java
+++ b/src/main/java/nettlewick/stubs/StubPlatform.java
@@ -20,67 +20,67 @@
 import java.util.function.Consumer;
 
 /**
- * Discovery and sim runners on loopback, written from the protocol page: for the demonstration and for tests.
- * Runners count how often each job ran, and can be killed, drained and made to misbehave.
+ * Discovery and endpoints on loopback, written from the protocol page, for the demonstration and for tests. The
+ * endpoints count how often each request was executed, and can be killed, drained and made to misbehave.
  */
 public class StubPlatform implements AutoCloseable {
     public final Vertx vertx = Vertx.vertx();
-    /** How often each request id began to run, at any runner. */
+    /** How often the execution of each request id was started, at any endpoint. */
     public final Map<String, AtomicInteger> executionCounts = new ConcurrentHashMap<>();
 
     public final List<String> receivedRequests = new CopyOnWriteArrayList<>();
     public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
-    /** Milliseconds that a job runs. */
+    /** How long a request is executed, unless its body is a number. */
     public volatile int executionMillis = 30;
-    /** What a runner does with a job in place of running it; null to run it. */
+    /** Handles requests to endpoints instead of executing them; null to execute them. */
     public volatile Consumer<HttpServerRequest> requestOverride;
-    /** Runners that take jobs and probes and answer none. */
+    /** Endpoints that accept requests and load probes and answer none. */
     public final Set<String> hungEndpoints = ConcurrentHashMap.newKeySet();
-    /** What discovery does with a watch in place of answering it; null to answer. */
+    /** Handles requests to discovery instead of opening a watch; null to open one. */
     public volatile Consumer<HttpServerRequest> discoveryOverride;
-    /** Whether runners reset a connection at its second request, once that has come whole. */
+    /** Whether endpoints close a connection at its second request without answering it. */
     public volatile boolean resetReusedConnections;
-    /** Whether lists come indented, over several lines. */
+    /** Whether endpoint lists are indented, over several lines. */
     public volatile boolean prettyPrintLists;
 
     public final AtomicInteger resetCount = new AtomicInteger();
-    private final Set<HttpConnection> used = ConcurrentHashMap.newKeySet();
-    private final Map<String, String> hosts = new LinkedHashMap<>();
+    private final Set<HttpConnection> usedConnections = ConcurrentHashMap.newKeySet();
+    private final Map<String, String> endpointEntries = new LinkedHashMap<>();
     private final Map<String, Integer> ports = new ConcurrentHashMap<>();
     private final Map<String, HttpServer> servers = new ConcurrentHashMap<>();
-    private final List<HttpServerResponse> watchers = new ArrayList<>();
-    private final HttpServer discovery;
-    private int seq = 1;
+    private final List<HttpServerResponse> watchResponses = new ArrayList<>();
+    private final HttpServer discoveryServer;
+    private int version = 1;
 
     public StubPlatform() throws Exception {
-        discovery = vertx.createHttpServer().requestHandler(this::watch);
-        awaitResult(discovery.listen(0, "127.0.0.1"));
+        discoveryServer = vertx.createHttpServer().requestHandler(this::handleWatch);
+        awaitResult(discoveryServer.listen(0, "127.0.0.1"));
     }
 
     public static <T> T awaitResult(Future<T> future) throws Exception {
         return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
-    /** Waits for what has to come; the test's own time limit ends a wait in vain. */
+    /** Polls until the condition holds. Has no time limit: that of the test ends a wait in vain. */
     public static void waitUntil(BooleanSupplier condition) throws InterruptedException {
         while (!condition.getAsBoolean()) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    private synchronized void watch(HttpServerRequest request) {
+    private synchronized void handleWatch(HttpServerRequest request) {
         discoveryRequests.add(request.uri());
-        Consumer<HttpServerRequest> other = discoveryOverride;
-        if (other != null) {
-            other.accept(request);
+        Consumer<HttpServerRequest> override = discoveryOverride;
+        if (override != null) {
+            override.accept(request);
             return;
         }
-        watchers.add(request.response().setChunked(true));
-        request.response().write(list(true, hosts.values()));
+        watchResponses.add(request.response().setChunked(true));
+        request.response().write(listLine(true, endpointEntries.values()));
     }
 
-    private String list(boolean whole, Iterable<String> entries) {
-        String line = oneLine(whole, entries);
+    private String listLine(boolean whole, Iterable<String> entries) {
+        String line = compactListLine(whole, entries);
         return prettyPrintLists
                 ? new com.google.gson.GsonBuilder()
                                 .setPrettyPrinting()
@@ -90,19 +90,19 @@
                 : line;
     }
 
-    private String oneLine(boolean whole, Iterable<String> entries) {
-        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
+    private String compactListLine(boolean whole, Iterable<String> entries) {
+        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}\n";
     }
 
-    /** Starts a sim runner, and has discovery tell of it. */
+    /** Starts an endpoint and announces it as ready. */
     public void addEndpoint(String name) throws Exception {
-        HttpServer server = vertx.createHttpServer().requestHandler(request -> serve(name, request));
+        HttpServer server = vertx.createHttpServer().requestHandler(request -> handleEndpointRequest(name, request));
         awaitResult(server.listen(0, "127.0.0.1"));
         servers.put(name, server);
         addEndpoint(name, server.actualPort());
     }
 
-    /** Has discovery tell of a runner at this port, whatever is there. */
+    /** Announces a ready endpoint at a port, whatever listens there. */
     public void addEndpoint(String name, int port) {
         ports.put(name, port);
         announceHealth(name, "Ready");
@@ -112,46 +112,50 @@
         announceHealth(name, health, 0);
     }
 
-    /** Has discovery tell of a runner that last started then, in Unix milliseconds; 0: long ago. */
-    public synchronized void announceHealth(String name, String health, long started) {
+    /**
+     * Sends the health of an endpoint to all open watches.
+     *
+     * @param startedAtMillis Unix time of the endpoint's last start; 0 for long ago
+     */
+    public synchronized void announceHealth(String name, String health, long startedAtMillis) {
         String entry = "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + ports.get(name)
                 + "\",\"site\":\"a\",\"class\":\"std\",\"block\":0,\"health\":\"" + health
-                + "\",\"share\":1.0,\"born_ms\":" + started + "}";
-        seq++;
-        hosts.put(name, entry);
-        String line = list(false, List.of(entry));
-        watchers.forEach(w -> w.write(line));
+                + "\",\"share\":1.0,\"born_ms\":" + startedAtMillis + "}";
+        version++;
+        endpointEntries.put(name, entry);
+        String update = listLine(false, List.of(entry));
+        watchResponses.forEach(response -> response.write(update));
     }
 
-    /** Discovery drops the runner from its list; only a whole list shows it. */
+    /** Removes an endpoint from the list, without an update to open watches: only a whole list shows it. */
     public synchronized void removeFromDiscovery(String name) {
-        seq++;
-        hosts.remove(name);
+        version++;
+        endpointEntries.remove(name);
     }
 
-    /** The process dies: its connections are reset and new ones refused. Discovery does not know yet. */
+    /** Closes an endpoint: its connections end and new ones are refused. Discovery goes on announcing it. */
     public void kill(String name) throws Exception {
         awaitResult(servers.get(name).close());
     }
 
-    /** Discovery has lost its count: its next change has the first number again. Watches stay open. */
+    /** Restarts the versions of lists: the next change has the first version again. Watches stay open. */
     public synchronized void resetVersions() {
-        seq = 0;
+        version = 0;
     }
 
-    /** All watches break. */
+    /** Resets all watches. */
     public synchronized void resetWatches() {
-        watchers.forEach(HttpServerResponse::reset);
-        watchers.clear();
+        watchResponses.forEach(HttpServerResponse::reset);
+        watchResponses.clear();
     }
 
-    /** All open watches say no more, and stay open; those opened from now on do. */
+    /** Sends no more updates to the watches that are open now, and leaves them open. */
     public synchronized void muteOpenWatches() {
-        watchers.clear();
+        watchResponses.clear();
     }
 
-    private void serve(String name, HttpServerRequest request) {
-        if (resetReusedConnections && !used.add(request.connection())) {
+    private void handleEndpointRequest(String name, HttpServerRequest request) {
+        if (resetReusedConnections && !usedConnections.add(request.connection())) {
             resetCount.incrementAndGet();
             request.connection().close();
             return;
@@ -167,25 +171,25 @@
             String id = request.getHeader("X-Request-Id");
             receivedRequests.add(name + " " + request.method() + " " + request.uri() + " " + id + " "
                     + request.getHeader("Idempotency-Key") + " " + body);
-            Consumer<HttpServerRequest> other = requestOverride;
-            if (other != null) {
-                other.accept(request);
+            Consumer<HttpServerRequest> override = requestOverride;
+            if (override != null) {
+                override.accept(request);
                 return;
             }
             if (hungEndpoints.contains(name)) {
                 return;
             }
-            executionCounts.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
-            int time = timeOf(body.toString());
+            executionCounts.computeIfAbsent(id, key -> new AtomicInteger()).incrementAndGet();
+            int millis = executionMillisOf(body.toString());
             HttpServerResponse response = request.response().setChunked(true);
             response.exceptionHandler(e -> {});
-            response.write(line(id, name, "started\"}"));
-            after(time / 2, () -> {
+            response.write(responseLine(id, name, "started\"}"));
+            runAfter(millis / 2, () -> {
                 if (!response.closed()) {
-                    response.write(line(id, name, "running\",\"share\":0.5}"));
-                    after(time / 2, () -> {
+                    response.write(responseLine(id, name, "running\",\"share\":0.5}"));
+                    runAfter(millis / 2, () -> {
                         if (!response.closed()) {
-                            response.end(line(id, name, "done\",\"result\":\"r-" + id + "\"}"));
+                            response.end(responseLine(id, name, "done\",\"result\":\"r-" + id + "\"}"));
                         }
                     });
                 }
@@ -193,20 +197,20 @@
         });
     }
 
-    /** A body that is a number is the time that the job runs for, in milliseconds. */
-    private int timeOf(String body) {
+    /** A body that is a number is the execution time in milliseconds. */
+    private int executionMillisOf(String body) {
         return body.matches("[0-9]{1,6}") ? Integer.parseInt(body) : executionMillis;
     }
 
-    private void after(int millis, Runnable task) {
-        vertx.setTimer(Math.max(1, millis), t -> task.run());
+    private void runAfter(int millis, Runnable task) {
+        vertx.setTimer(Math.max(1, millis), timer -> task.run());
     }
 
-    private static String line(String id, String from, String state) {
-        return "{\"id\":\"" + id + "\",\"from\":\"" + from + "\",\"state\":\"" + state + "\n";
+    private static String responseLine(String id, String endpoint, String state) {
+        return "{\"id\":\"" + id + "\",\"from\":\"" + endpoint + "\",\"state\":\"" + state + "\n";
     }
 
-    private static Map<String, Object> jobClass(String name, String repeat) {
+    private static Map<String, Object> requestClass(String name, String repeat) {
         return Map.of(
                 "name",
                 name,
@@ -224,7 +228,7 @@
                 "zone");
     }
 
-    /** A configuration in the platform's form, as maps to change before it is written. */
+    /** A platform configuration, as maps that can be changed before it is written. */
     public Map<String, Object> config() {
         Map<String, Object> settings = new LinkedHashMap<>(Map.of(
                 "rank",
@@ -237,9 +241,9 @@
                 List.of("std"),
                 "classes",
                 List.of(
-                        jobClass("step-view", "retryable"),
-                        jobClass("save-run", "dedup"),
-                        jobClass("mark-submit", "fragile")),
+                        requestClass("step-view", "retryable"),
+                        requestClass("save-run", "dedup"),
+                        requestClass("mark-submit", "fragile")),
                 "tenants",
                 List.of(Map.of("name", "red", "fraction", 1.0)),
                 "report",
@@ -282,21 +286,21 @@
                 "listen",
                 "127.0.0.1:0",
                 "discovery",
-                "127.0.0.1:" + discovery.actualPort(),
+                "127.0.0.1:" + discoveryServer.actualPort(),
                 "seed",
                 "8c1f30d27a5be964",
                 "settings",
                 settings));
     }
 
-    /** The list as it is, in discovery's form: what a dispatcher may have known before it started. */
+    /** The current endpoint list in discovery's format, as a dispatcher may be given it for its start. */
     public synchronized Object currentEndpointList() {
-        return new com.google.gson.Gson().fromJson(list(true, hosts.values()), Map.class);
+        return new com.google.gson.Gson().fromJson(listLine(true, endpointEntries.values()), Map.class);
     }
 
-    /** Whether any runner was told of. */
+    /** Whether any endpoint is listed. */
     protected synchronized boolean hasEndpoints() {
-        return !hosts.isEmpty();
+        return !endpointEntries.isEmpty();
     }
 
     @Override
--- a/src/test/java/nettlewick/LayoutTest.java
+++ b/src/test/java/nettlewick/LayoutTest.java
@@ -24,8 +24,8 @@
             "ledger/Store.java",
             "ledger/Ledger.java",
             "ledger/Spool.java",
-            "waiting/Plan.java",
-            "ledger/UsageBook.java",
+            "waiting/DependencyTracker.java",
+            "ledger/StatementCalculator.java",
             "fleettest/ScenarioRun.java");
 
     private static final int MAX_LINES = 400;
--- a/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
+++ b/src/test/java/nettlewick/cli/LedgerKillProcessTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import nettlewick.ledger.LedgerSettings;
-import nettlewick.ledger.StoreProbe;
+import nettlewick.ledger.LedgerStoreFixture;
 import nettlewick.net.DispatcherOnStubPlatform;
 import nettlewick.settings.Settings;
 import nettlewick.stubs.BatchReceiver;
@@ -94,7 +94,7 @@
         // Any command that writes to the ledger also records what the last incarnation left in its spool.
         LedgerSettings settings =
                 LedgerSettings.of(Settings.read(batch).block("ledger").orElseThrow());
-        assertEachAnswerOnce(StoreProbe.recover(settings), sent, answered);
+        assertEachAnswerOnce(LedgerStoreFixture.recover(settings), sent, answered);
     }
 
     private Process startDispatcher(DispatcherOnStubPlatform platform, int port, Path settings) throws Exception {
@@ -142,7 +142,7 @@
         child.waitFor();
     }
 
-    private static void assertEachAnswerOnce(StoreProbe.Seen ledger, Set<String> sent, Set<String> answered)
+    private static void assertEachAnswerOnce(LedgerStoreFixture.Contents ledger, Set<String> sent, Set<String> answered)
             throws Exception {
         Map<String, Integer> occurrences = new HashMap<>();
         ledger.entered().forEach(id -> occurrences.merge(id, 1, Integer::sum));
@@ -164,7 +164,7 @@
                 answered.size() + recordedOnly,
                 ledger.entered().size() + ledger.doubts().size());
         assertTrue(answered.size() > KILLS * 20, answered.size() + " answered");
-        assertEquals(List.of(), ledger.verify());
+        assertEquals(List.of(), ledger.faults());
     }
 
     private static boolean isHealthy(int port) {
@@ -212,7 +212,7 @@
             long[] expectedTotals = new long[2];
             Path log = dir.resolve("log");
             for (int round = 0; kills < 40; round++) {
-                StoreProbe.fill(settings, random, 10 + random.nextInt(40), expectedTotals);
+                LedgerStoreFixture.fill(settings, random, 10 + random.nextInt(40), expectedTotals);
                 batchesUntilKill.set(1 + random.nextInt(7));
                 Process child =
                         ChildProcess.start(log, Map.of(), "ledger", "export", "--settings", settingsFile.toString());
@@ -228,10 +228,10 @@
             List<Long> expected = List.of(expectedTotals[0], expectedTotals[1]);
             assertEquals(
                     expected,
-                    StoreProbe.totals(receiver.receivedBatches().values().stream()
+                    LedgerStoreFixture.totals(receiver.receivedBatches().values().stream()
                             .map(b -> b.getBytes())
                             .toList()));
-            assertEquals(expected, StoreProbe.totals(StoreProbe.files(out)));
+            assertEquals(expected, LedgerStoreFixture.totals(LedgerStoreFixture.files(out)));
         }
     }
 }
--- a/src/test/java/nettlewick/cli/MainTest.java
+++ b/src/test/java/nettlewick/cli/MainTest.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.Semaphore;
 import nettlewick.ledger.LedgerSettings;
-import nettlewick.ledger.StoreProbe;
+import nettlewick.ledger.LedgerStoreFixture;
 import nettlewick.log.LogSetup;
 import nettlewick.settings.InvalidSettingsException;
 import nettlewick.settings.Settings;
@@ -180,7 +180,7 @@
         String[] option = {"--settings", settingsFile.toString()};
         assertTrue(
                 runAndCaptureError(1, "ledger", "verify", option[0], option[1]).contains("no ledger in"));
-        StoreProbe.fill(
+        LedgerStoreFixture.fill(
                 LedgerSettings.of(Settings.read(settingsFile).block("ledger").get()),
                 new java.util.Random(1),
                 3,
--- a/src/test/java/nettlewick/ledger/ServedTest.java
+++ b/src/test/java/nettlewick/ledger/LedgerServingTest.java
@@ -28,42 +28,51 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A dispatcher that serves with its ledger, over sockets and both fronts. */
+/** A dispatcher with a ledger, over sockets and both frontends. */
 @Timeout(60)
-class ServedTest {
+class LedgerServingTest {
     @TempDir
     private Path dir;
 
-    private DispatcherOnStubPlatform world;
+    private DispatcherOnStubPlatform platform;
     private Ledger ledger;
     private List<Integer> ports;
-    private DispatcherServer node;
+    private DispatcherServer dispatcher;
 
     @BeforeEach
     void open() throws Exception {
-        world = new DispatcherOnStubPlatform();
-        world.addEndpoint("s-1");
-        world.addEndpoint("s-2");
+        platform = new DispatcherOnStubPlatform();
+        platform.addEndpoint("s-1");
+        platform.addEndpoint("s-2");
         ledger = new Ledger(
                 "n0",
                 new LedgerSettings(
-                        dir, true, 2, 2, 500, 1000, new Terms(ZoneOffset.UTC, List.of()), 15_000, List.of(), null),
+                        dir,
+                        true,
+                        2,
+                        2,
+                        500,
+                        1000,
+                        new BillingCalendar(ZoneOffset.UTC, List.of()),
+                        15_000,
+                        List.of(),
+                        null),
                 Clock.system());
         ledger.start();
-        ledger.await();
-        world.usageRecorder = ledger;
+        ledger.awaitReady();
+        platform.usageRecorder = ledger;
         EventStreamConfig edge = EventStreamConfig.of(Settings.parse("t", "edge {\nlisten 127.0.0.1:0\n}")
                 .block("edge")
                 .get());
-        Map<String, Object> config = world.config();
+        Map<String, Object> config = platform.config();
         config.put("admin_addr", "127.0.0.1:0");
-        node = world.start(config, base -> new EventStreamFrontend(base, edge));
-        ports = node.ports();
+        dispatcher = platform.start(config, base -> new EventStreamFrontend(base, edge));
+        ports = dispatcher.ports();
     }
 
     @AfterEach
     void close() {
-        world.close();
+        platform.close();
         ledger.close();
     }
 
@@ -74,7 +83,7 @@
         }
     }
 
-    private static String asked(String id, String requestClass, String... headers) {
+    private static String request(String id, String requestClass, String... headers) {
         List<String> all = new ArrayList<>(List.of(headers));
         all.add("Connection: close");
         return requestBytes("/api", id, requestClass, "{}", all.toArray(String[]::new))
@@ -85,62 +94,62 @@
         waitUntil(() -> ledger.metrics().get("ledger.entries").longValue() == count);
         Map<String, Entry> all = new java.util.HashMap<>();
         try (Store store = Store.read(dir)) {
-            store.each(e -> all.put(e.request(), e));
+            store.forEachEntry(e -> all.put(e.requestId(), e));
         }
         assertEquals(count, all.size());
         return all;
     }
 
     @Test
-    void eachAnswerOnBothFrontsIsAnEntryWithItsWork() throws Exception {
-        world.executionMillis = 60;
-        assertTrue(send(ports.get(0), asked("a", "save-run", "Idempotency-Key: K-1"))
+    void eachAnswerOnBothFrontendsIsEnteredWithItsWork() throws Exception {
+        platform.executionMillis = 60;
+        assertTrue(send(ports.get(0), request("a", "save-run", "Idempotency-Key: K-1"))
                 .contains("r-a"));
-        assertTrue(send(ports.get(1), asked("b", "step-view")).contains("r-b"));
-        world.requestOverride = request -> request.connection().close();
-        assertTrue(send(ports.get(0), asked("c", "mark-submit")).contains(" 502 "));
+        assertTrue(send(ports.get(1), request("b", "step-view")).contains("r-b"));
+        platform.requestOverride = request -> request.connection().close();
+        assertTrue(send(ports.get(0), request("c", "mark-submit")).contains(" 502 "));
         Map<String, Entry> all = entries(3);
         Entry a = all.get("a");
-        assertEquals(Ending.SERVED, a.end());
-        assertEquals("red", a.member());
-        assertEquals(Entry.hash("K-1"), a.key());
-        assertTrue(a.work() > 40_000 && a.work() < 2_000_000 && !a.estimate(), a.toString());
-        assertEquals(1, a.attempts());
-        assertEquals(Ending.SERVED, all.get("b").end());
-        assertEquals(Ending.FAILED, all.get("c").end());
-        assertEquals(0, all.get("c").work());
-        String figures = send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
+        assertEquals(Ending.SERVED, a.ending());
+        assertEquals("red", a.tenant());
+        assertEquals(Entry.hashKey("K-1"), a.keyHash());
+        assertTrue(a.workSlotMicros() > 40_000 && a.workSlotMicros() < 2_000_000 && !a.isEstimate(), a.toString());
+        assertEquals(1, a.attemptCount());
+        assertEquals(Ending.SERVED, all.get("b").ending());
+        assertEquals(Ending.FAILED, all.get("c").ending());
+        assertEquals(0, all.get("c").workSlotMicros());
+        String metrics = send(dispatcher.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(
-                figures.contains("router.ledger.entries=3\n") && figures.contains("router.ledger.queue=0\n"), figures);
+                metrics.contains("router.ledger.entries=3\n") && metrics.contains("router.ledger.queue=0\n"), metrics);
     }
 
-    /** A client that leaves while its job runs, and one that leaves as its answer comes. */
+    /** Clients that disconnect while their request runs, and clients that read one byte of the answer first. */
     @Test
-    void aClientThatLeavesIsCountedAndNotBilled() throws Exception {
-        world.executionMillis = 80;
+    void disconnectedClientIsCountedButNotBilled() throws Exception {
+        platform.executionMillis = 80;
         int jobs = 40;
         for (int i = 0; i < jobs; i++) {
             try (Socket socket = new Socket("127.0.0.1", ports.get(0))) {
                 socket.setSoLinger(true, 0);
-                socket.getOutputStream().write(asked("l" + i, "step-view").getBytes());
+                socket.getOutputStream().write(request("l" + i, "step-view").getBytes());
                 int until = i;
-                waitUntil(() -> world.executionCounts.containsKey("l" + until));
+                waitUntil(() -> platform.executionCounts.containsKey("l" + until));
                 if (i % 2 == 0) {
-                    // Until the answer is on its way, or nearly.
+                    // Waits until the answer has started.
                     socket.getInputStream().read();
                 }
             }
         }
         Map<String, Entry> all = entries(jobs);
-        Set<Ending> ends = all.values().stream().map(Entry::end).collect(Collectors.toCollection(HashSet::new));
+        Set<Ending> ends = all.values().stream().map(Entry::ending).collect(Collectors.toCollection(HashSet::new));
         assertEquals(Set.of(Ending.SERVED, Ending.LEFT), ends);
-        assertTrue(all.values().stream().filter(e -> e.end() == Ending.LEFT).allMatch(e -> e.work() == 0));
+        assertTrue(all.values().stream().filter(e -> e.ending() == Ending.LEFT).allMatch(e -> e.workSlotMicros() == 0));
         assertEquals(
                 jobs / 2,
-                all.values().stream().filter(e -> e.end() == Ending.LEFT).count());
-        // The same jobs are fulfilled in the figures and served in the ledger.
+                all.values().stream().filter(e -> e.ending() == Ending.LEFT).count());
+        // Requests that are fulfilled in the metrics are served in the ledger.
         assertEquals(
-                send(node.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
+                send(dispatcher.adminPort(), "GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
                         .lines()
                         .filter(l -> l.startsWith("router.operations.step-view.fulfilled="))
                         .findFirst()
--- a/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
+++ b/src/test/java/nettlewick/waiting/StoredWaitingGoldenTest.java
@@ -9,21 +9,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Opens a store of waiting jobs that an earlier build wrote and compares what is read, and what goes on from there. */
+/** Opens a store of waiting jobs that an earlier build wrote, compares what is read, and updates it. */
 class StoredWaitingGoldenTest {
     private static final String FOLDER = "waiting/store";
     private static final double NOW = 1_733_356_800_000.0;
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
-    private static WaitStore.Job job(String id, Plan.OnFailure onFailure, String key, String... after) {
+    private static WaitStore.Job job(
+            String id, DependencyTracker.OnFailure onFailure, String key, String... predecessors) {
         return new WaitStore.Job(
-                new Plan.Ask(
+                new DependencyTracker.JobSpec(
                         id,
                         "blue, \"école\" ✓",
                         "name-" + id,
-                        List.of(after),
+                        List.of(predecessors),
                         NOW + 1000,
                         NOW + 60_000.5,
                         onFailure,
@@ -40,75 +41,75 @@
                 40);
     }
 
-    /** Writes the store anew; only where that was asked for. */
+    /** Writes the golden store if the system property golden.record is set. */
     @BeforeAll
-    static void record(@TempDir Path made) throws Exception {
+    static void recordStore(@TempDir Path directory) throws Exception {
         if (!Boolean.getBoolean("golden.record")) {
             return;
         }
-        try (WaitStore store = WaitStore.open(made, name -> {})) {
+        try (WaitStore store = WaitStore.open(directory, name -> {})) {
             store.accept(
                     List.of(
-                            job("one", Plan.OnFailure.FAIL, "key"),
-                            job("two", Plan.OnFailure.RUN, null, "one"),
-                            job("three", Plan.OnFailure.SKIP, null, "one", "two"),
-                            job("four", Plan.OnFailure.FAIL, null)),
+                            job("one", DependencyTracker.OnFailure.FAIL, "key"),
+                            job("two", DependencyTracker.OnFailure.RUN, null, "one"),
+                            job("three", DependencyTracker.OnFailure.SKIP, null, "one", "two"),
+                            job("four", DependencyTracker.OnFailure.FAIL, null)),
                     NOW);
             store.release(List.of("one", "two", "four"), NOW + 1);
-            store.back("four", NOW + 2);
-            store.end(
+            store.returnToWaiting("four", NOW + 2);
+            store.finish(
                     List.of(
-                            new WaitStore.Ended("one", "SUCCEEDED", null, 7),
-                            new WaitStore.Ended("three", "FAILED", "the deadline passed", 8)),
+                            new WaitStore.FinishedJob("one", "SUCCEEDED", null, 7),
+                            new WaitStore.FinishedJob("three", "FAILED", "the deadline passed", 8)),
                     NOW + 3);
-            GoldenFolder.record(made, FOLDER, "-shm");
+            GoldenFolder.record(directory, FOLDER, "-shm");
         }
     }
 
     private static String jobs(WaitStore store) throws Exception {
         StringBuilder text = new StringBuilder();
-        for (WaitStore.Stored s : store.load()) {
-            WaitStore.Job j = s.job();
-            Plan.Ask a = j.ask();
+        for (WaitStore.StoredJob stored : store.load()) {
+            WaitStore.Job job = stored.job();
+            DependencyTracker.JobSpec spec = job.spec();
             text.append(String.join(
                             " | ",
-                            a.id(),
-                            a.member(),
-                            a.name(),
-                            "" + a.after(),
-                            "" + a.notBefore(),
-                            "" + a.until(),
-                            a.onFailure().name(),
-                            "" + a.bytes(),
-                            j.jobClass(),
-                            "" + j.worth(),
-                            "" + j.run(),
-                            j.method(),
-                            j.uri(),
-                            j.body().trim(),
-                            j.key(),
-                            "" + j.slots(),
-                            "" + j.memory(),
-                            "" + j.hint(),
-                            s.state().name(),
-                            "" + s.changed(),
-                            s.site(),
-                            "" + s.attempts(),
-                            "" + s.event(),
-                            s.fate(),
-                            s.cause()))
+                            spec.id(),
+                            spec.tenant(),
+                            spec.name(),
+                            "" + spec.predecessors(),
+                            "" + spec.notBefore(),
+                            "" + spec.waitUntil(),
+                            spec.onFailure().name(),
+                            "" + spec.bytes(),
+                            job.requestClass(),
+                            "" + job.priorityWeight(),
+                            "" + job.run(),
+                            job.method(),
+                            job.uri(),
+                            job.body().trim(),
+                            job.idempotencyKey(),
+                            "" + job.slots(),
+                            "" + job.memory(),
+                            "" + job.costHint(),
+                            stored.state().name(),
+                            "" + stored.changedAt(),
+                            stored.zone(),
+                            "" + stored.attempts(),
+                            "" + stored.lastEvent(),
+                            stored.outcome(),
+                            stored.cause()))
                     .append('\n');
         }
         return text.toString();
     }
 
     @Test
-    void theJobsReadAsTheyDidAndGoOnFromThere() throws Exception {
-        GoldenFolder.copy(FOLDER, dir);
-        try (WaitStore store = WaitStore.open(dir, name -> {})) {
+    void storedJobsAreReadAndCanBeUpdated() throws Exception {
+        GoldenFolder.copy(FOLDER, directory);
+        try (WaitStore store = WaitStore.open(directory, name -> {})) {
             String text = jobs(store);
             store.release(List.of("four"), NOW + 10);
-            text += "forgotten " + store.forget(NOW + 4) + "\n" + jobs(store);
+            text += "forgotten " + store.deleteFinishedBefore(NOW + 4) + "\n" + jobs(store);
             assertMatches("waiting/read.txt", text);
         }
     }
