--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build, test, lint and run; `make run` wants ROUTER_CONFIG and its like, as the platform sets them.
+# Build, test, lint and run. `make run` needs ROUTER_CONFIG and the other variables that the platform sets.
 .PHONY: build test format lint run edge demo measure-ledger measure-fleet measure-spread measure-duties search-duty soak acceptance clean
 
 build:
@@ -9,11 +9,11 @@
 test:
 	mvn -B --no-transfer-progress verify
 
-# Rewrites the sources in the one format that CI accepts.
+# Formats the sources as CI requires.
 format:
 	mvn -q spotless:apply
 
-# The format, the style rules, the compiler's warnings as errors, and the layout rules that are kept as tests.
+# Checks format and style, compiles with warnings as errors, and runs the layout and architecture tests.
 lint:
 	mvn -q spotless:check checkstyle:check
 	mvn -q -Dmaven.compiler.failOnWarning=true clean test-compile
@@ -26,40 +26,40 @@
 	java -XX:SharedArchiveFile=target/nettlewick.jsa -XX:+UseSerialGC -jar target/nettlewick.jar serve \
 		--settings deploy/nettlewick.conf
 
-# Everything in one process on loopback, with lines to copy; Ctrl-C ends it.
+# Runs the whole system in one process on loopback and prints example calls; Ctrl-C ends it.
 demo:
 	mvn -q -DskipTests package
 	java -XX:+UseSerialGC -jar target/nettlewick.jar demo
 
-# What the ledger costs and holds, in under a minute; the last lines are name=value. Wants the cores to itself.
+# Measures the cost and the capacity of the ledger in under a minute; the last lines are name=value. Needs an idle machine.
 measure-ledger:
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -cp target/test-classes:target/classes:$$(cat target/classpath) nettlewick.ledger.MeasureLedger
 
-# What the decision module costs as a tier grows, in virtual time; the last lines are name=value, for each dispatcher.
+# Measures the cost of the decision module for growing fleets, in virtual time; the last lines are name=value, per dispatcher.
 measure-fleet:
 	mvn -q -DskipTests test-compile
 	java -XX:+UseSerialGC -Xmx4g -cp target/test-classes:target/classes nettlewick.decision.MeasureFleet
 
-# How evenly hundreds of real processes spread load; up to 10 minutes, wants all cores and 20 GB.
+# Measures how evenly hundreds of real processes spread load; takes up to 10 minutes, needs all cores and 20 GB.
 measure-spread: build
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -XX:+UseSerialGC -Xmx2g -cp target/nettlewick.jar:target/test-classes:$$(cat target/classpath) \
 		nettlewick.fleettest.MeasureSpread
 
-# Noisy members moved by many real processes, against the program with that off; some minutes, wants all cores.
+# Measures how many real processes move noisy tenants, compared with contention detection off; some minutes, needs all cores.
 measure-duties: build
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -XX:+UseSerialGC -Xmx2g -cp target/nettlewick.jar:target/test-classes:$$(cat target/classpath) \
 		nettlewick.fleettest.MeasureDuties $(SIZE)
 
-# The duties' machines over more orders of messages and faults than the tests take; some minutes, one core.
+# Searches more orders of lease messages and faults than the tests do; some minutes, one core.
 search-duty:
 	mvn -q -DskipTests test-compile
 	mvn -q -Dtest='LeaseSearchTest,ScaleOutPolicyTest' -DargLine="-Dsearch.walks=100000 -Dsearch.states=1000000 -Xmx6g" surefire:test
 
-# Rolling restarts of real processes, drawn from seeds, with SIGKILL at the earliest time; some 13 s a seed. SEED=n plays
-# one again; the folders of seeds that broke a rule keep the logs of their processes.
+# Random rolling restarts of real processes, generated from seeds, with SIGKILL at the earliest allowed time; about 13 s
+# per seed. SEED=n repeats one seed. Folders of seeds that violated a rule keep the logs of their processes.
 SEEDS ?= 50
 FROM ?= 1
 SOAK_FOLDER ?= target/soak
@@ -67,7 +67,7 @@
 	java -XX:+UseSerialGC -Xmx1g -jar target/nettlewick.jar fleet-test soak \
 		$(if $(SEED),--from $(SEED) --seeds 1,--from $(FROM) --seeds $(SEEDS)) --out $(SOAK_FOLDER)
 
-# The operators' quick days on four sites, about 25 minutes, wants all cores; KIT is the folder of their programs.
+# The operators' quick acceptance test for four sites; about 25 minutes, needs all cores. KIT is the folder of their programs.
 KIT ?= ../given/kit
 WHY ?= quick acceptance of four sites
 acceptance:
--- a/src/main/java/nettlewick/admin/AdminFrontend.java
+++ b/src/main/java/nettlewick/admin/AdminFrontend.java
@@ -24,14 +24,16 @@
 import nettlewick.net.config.DescriptorBudget;
 
 /**
- * Serves the operators' HTTP interface, one call a connection. It has an event loop and a listener of its own, so that
- * neither clients nor work for them delay an answer, and holds no state of the dispatcher.
+ * Serves the operators' HTTP interface, one request per connection. It has its own event loop and listener, so that
+ * client traffic does not delay a response, and holds no state of the dispatcher.
  */
 public final class AdminFrontend implements AdminServer {
-    /** Connections held at once; beyond it the oldest is closed, since idle ones would use up file descriptors. */
+    /**
+     * Maximum number of open connections. Beyond it the oldest is closed, so that idle ones do not exhaust descriptors.
+     */
     public static final int MAX_CONNECTIONS = DescriptorBudget.MAX_ADMIN_CONNECTIONS;
 
-    /** From connecting to the close. */
+    /** A connection is closed this long after it was accepted, even if its request is incomplete. */
     private static final long CONNECTION_TIMEOUT_MILLIS = 4500;
 
     private static final int MAX_HEADER_BYTES = 4096;
@@ -55,7 +57,7 @@
     private final Context eventLoop;
     private final Set<HttpConnection> connections = new LinkedHashSet<>();
 
-    /** Creates a frontend for this address; it serves nothing before {@link #listen}. */
+    /** Creates a frontend for this address; it accepts no connections before {@link #listen}. */
     public AdminFrontend(SocketAddress address, Operations operations) {
         this.address = address;
         this.operations = operations;
@@ -96,7 +98,7 @@
         });
     }
 
-    /** Waits for the end of the request: an incomplete one must change nothing. */
+    /** Waits for the end of the request: an incomplete one must have no effect. */
     private void receive(HttpServerRequest request) {
         int[] length = new int[1];
         request.exceptionHandler(e -> {});
@@ -128,7 +130,7 @@
         }
     }
 
-    /** The method that a path is called by; null for an unknown path. */
+    /** The HTTP method of a path; null for an unknown path. */
     private static HttpMethod expectedMethod(String path, boolean isEndpointPath) {
         return switch (path) {
             case "/-/ready", "/-/metrics" -> HttpMethod.GET;
@@ -153,7 +155,7 @@
     private void setEndpointDisabled(HttpServerRequest request, String encodedId, boolean isDisabled) {
         String id;
         try {
-            // URLDecoder reads form data, where a plus sign stands for a space.
+            // URLDecoder decodes form data, where a plus sign stands for a space.
             id = URLDecoder.decode(encodedId.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             respond(request, STATUS_BAD_REQUEST, "the id is not percent-encoded\n");
--- a/src/main/java/nettlewick/admin/MetricsFormatter.java
+++ b/src/main/java/nettlewick/admin/MetricsFormatter.java
@@ -5,7 +5,7 @@
 import nettlewick.core.Metrics;
 import nettlewick.core.Metrics.RequestEnd;
 
-/** Formats metrics as operators read them: one {@code name=value} a line. The names are fixed. */
+/** Formats metrics as text, one {@code name=value} per line. Operators' tools rely on the names. */
 final class MetricsFormatter {
     private static final String PREFIX = "router.";
 
--- a/src/main/java/nettlewick/cli/Command.java
+++ b/src/main/java/nettlewick/cli/Command.java
@@ -1,12 +1,12 @@
 package nettlewick.cli;
 
-/** A sub-command; the fields of its implementation are its options. */
+/** A sub-command; the annotated fields of its implementation are its options. */
 interface Command {
     /**
-     * Does the work.
+     * Executes the command.
      *
      * @return the exit code
-     * @throws CommandException to end with one line on standard error and another exit code
+     * @throws CommandException if the command fails: one line on standard error and an exit code other than 0
      */
     int run();
 }
--- a/src/main/java/nettlewick/cli/CommandException.java
+++ b/src/main/java/nettlewick/cli/CommandException.java
@@ -1,6 +1,6 @@
 package nettlewick.cli;
 
-/** Ends a command with one line on standard error and an exit code. */
+/** Ends a command with a one-line message on standard error and an exit code. */
 final class CommandException extends RuntimeException {
     private static final long serialVersionUID = 1;
     private final int exitCode;
--- a/src/main/java/nettlewick/cli/DemoCommand.java
+++ b/src/main/java/nettlewick/cli/DemoCommand.java
@@ -24,7 +24,7 @@
 import nettlewick.sse.EventStreamFrontend;
 import nettlewick.stubs.StubPlatform;
 
-/** Runs a small platform in one process for a first look: discovery, endpoints and a dispatcher. */
+/** Runs a demo platform in one process: discovery, endpoints and a dispatcher. */
 @Parameters(
         commandDescription =
                 "Run discovery, four endpoints and a dispatcher in one process on loopback, and print how to call them")
@@ -34,7 +34,7 @@
 
     private static final int ENDPOINT_COUNT = 4;
     private static final int EXECUTION_MILLIS = 400;
-    /** With the ledger's folder to fill in. */
+    /** The settings file; {@code %s} is the folder of the ledger. */
     private static final String SETTINGS_TEMPLATE = """
             log {
                 level warning
@@ -64,7 +64,7 @@
         } catch (CommandException e) {
             throw e;
         } catch (Exception e) {
-            throw new CommandException(Main.EXIT_FAILURE, "the demonstration cannot start: " + e);
+            throw new CommandException(Main.EXIT_FAILURE, "cannot start the demo: " + e);
         }
     }
 
@@ -139,9 +139,9 @@
                 }
             }
         } catch (IOException e) {
-            System.err.println("nettlewick: " + folder + " could not be deleted: " + e);
+            System.err.println("nettlewick: cannot delete " + folder + ": " + e);
         } catch (Exception e) {
-            System.err.println("nettlewick: " + e);
+            System.err.println("nettlewick: shutdown failed: " + e);
         }
     }
 }
--- a/src/main/java/nettlewick/cli/FleetTestCommand.java
+++ b/src/main/java/nettlewick/cli/FleetTestCommand.java
@@ -12,7 +12,7 @@
 import nettlewick.fleettest.Soak;
 import nettlewick.settings.InvalidSettingsException;
 
-/** Runs a fleet of real dispatcher processes through a scenario of faults, or compares the results of two runs. */
+/** Runs scenarios with faults against a fleet of real dispatcher processes, or compares the results of two runs. */
 @Parameters(
         commandDescription = "check FILE, run FILE (a fleet of real processes with"
                 + " faults between them), compare FOLDER FOLDER, or soak (rolling restarts drawn from seeds)")
@@ -29,7 +29,7 @@
     @Parameter(names = "--seeds", description = "How many seeds a soak plays")
     private int seedCount = 1;
 
-    /** The actions, and of how many words each consists. */
+    /** The number of arguments of each action, including its name. */
     private static final Map<String, Integer> ARGUMENT_COUNTS = Map.of("check", 2, "run", 2, "compare", 3, "soak", 1);
 
     private static final String ERASE_TO_END_OF_LINE = "\u001b[K";
--- a/src/main/java/nettlewick/cli/LedgerCommand.java
+++ b/src/main/java/nettlewick/cli/LedgerCommand.java
@@ -16,7 +16,7 @@
 import nettlewick.ledger.Statement;
 import nettlewick.settings.Block;
 
-/** Lets an operator read, close, correct, export, check and archive the usage ledger (docs/ledger.md). */
+/** Lets operators read, close, correct, export, verify and archive the usage ledger (docs/ledger.md). */
 @Parameters(
         commandDescription =
                 "statement [PERIOD] | close PERIOD | correct ENTRY SLOT-MS | export [NAME] | reconcile | verify | "
@@ -44,7 +44,8 @@
     public int run() {
         Block block = SettingsCommand.read(settingsFile)
                 .block("ledger")
-                .orElseThrow(() -> new CommandException(Main.EXIT_USAGE_ERROR, settingsFile + ": has no block ledger"));
+                .orElseThrow(() ->
+                        new CommandException(Main.EXIT_USAGE_ERROR, settingsFile + ": block `ledger` is missing"));
         LedgerAdmin admin = new LedgerAdmin(LedgerSettings.of(block), Clock.system());
         try {
             return run(admin);
@@ -67,7 +68,7 @@
             case "verify" -> verify(admin);
             case "archive" -> archive(admin);
             case "restore" -> restore(admin);
-            default -> throw new CommandException(Main.EXIT_USAGE_ERROR, "ledger: no such call: " + arguments.get(0));
+            default -> throw new CommandException(Main.EXIT_USAGE_ERROR, "ledger: unknown action: " + arguments.get(0));
         };
     }
 
@@ -87,7 +88,7 @@
         if (arguments.size() > maxArguments) {
             throw new CommandException(
                     Main.EXIT_USAGE_ERROR,
-                    "ledger " + arguments.get(0) + ": too many words: " + String.join(" ", arguments));
+                    "ledger " + arguments.get(0) + ": too many arguments: " + String.join(" ", arguments));
         }
         return arguments.size() > index ? arguments.get(index) : null;
     }
@@ -95,7 +96,7 @@
     private String requiredArgument(int index, int maxArguments, String syntax) {
         String argument = optionalArgument(index, maxArguments);
         if (argument == null) {
-            throw new CommandException(Main.EXIT_USAGE_ERROR, "ledger " + arguments.get(0) + ": needs " + syntax);
+            throw new CommandException(Main.EXIT_USAGE_ERROR, "ledger " + arguments.get(0) + ": expected " + syntax);
         }
         return argument;
     }
@@ -144,7 +145,7 @@
         } catch (ArithmeticException | NumberFormatException e) {
             throw new CommandException(
                     Main.EXIT_USAGE_ERROR,
-                    "the new value is " + value + ", but has to be slot-milliseconds with three decimals at most");
+                    "invalid value " + value + ": expected slot-milliseconds with at most three decimals");
         }
         String correction = admin.correct(entry, slotMicros, requester, reason).toString();
         print(
--- a/src/main/java/nettlewick/cli/Main.java
+++ b/src/main/java/nettlewick/cli/Main.java
@@ -5,9 +5,9 @@
 import com.beust.jcommander.ParameterException;
 import java.util.List;
 
-/** Entry point of the jar: picks the sub-command and turns its errors into one line and an exit code. */
+/** Entry point of the jar: runs the sub-command and reports an error as one line and an exit code. */
 public final class Main {
-    /** Exit code if the requested work failed. */
+    /** Exit code if the command failed. */
     static final int EXIT_FAILURE = 1;
     /** Exit code if the command line or a configuration is invalid. */
     static final int EXIT_USAGE_ERROR = 2;
@@ -20,7 +20,7 @@
 
     private Main() {}
 
-    /** Runs a sub-command; ends the JVM only if its exit code is not 0, since a dispatcher runs on. */
+    /** Runs a sub-command. Exits the JVM only if the exit code is not 0, because a dispatcher keeps running. */
     public static void main(String[] args) {
         ReloadSignal.install();
         int code = run(args);
@@ -57,7 +57,9 @@
         }
     }
 
-    /** A parser for the named sub-command alone, so that no class of another one is loaded; for all if none matches. */
+    /**
+     * Creates a parser for the named sub-command, so that no class of another one is loaded; for all if none matches.
+     */
     private static JCommander createParser(String name, Help help) {
         JCommander.Builder builder =
                 JCommander.newBuilder().programName("nettlewick").addObject(help);
--- a/src/main/java/nettlewick/cli/OptionalFeatures.java
+++ b/src/main/java/nettlewick/cli/OptionalFeatures.java
@@ -8,41 +8,41 @@
 import nettlewick.net.client.Frontend;
 import nettlewick.net.config.PlatformConfig;
 
-/** What a settings file adds to a dispatcher. Without one, none of the classes behind it is loaded. */
+/** The features that a settings file adds to a dispatcher. Without a settings file, none of their classes is loaded. */
 interface OptionalFeatures {
-    /** Adds nothing. */
+    /** No additional features. */
     OptionalFeatures NONE = new OptionalFeatures() {};
 
     /**
-     * Starts what must run before the first request.
+     * Starts the services that must run before the first request.
      *
      * @throws CommandException if the settings contradict the platform's configuration
      */
     default void start(PlatformConfig config, Clock clock) throws IOException {}
 
-    /** Appends further frontends. */
+    /** Appends the additional frontends to the list. */
     default void addFrontends(List<Frontend.Factory> frontends) {}
 
-    /** Records the usage of every request. */
+    /** The recorder of the usage of every request. */
     default UsageRecorder usageRecorder() {
         return UsageRecorder.NONE;
     }
 
-    /** Is notified of requests and attempts. */
+    /** The listener that is notified of requests and attempts. */
     default RequestListener requestListener() {
         return RequestListener.NONE;
     }
 
     /**
-     * Reads the file again without applying it.
+     * Reads and checks the settings file again without applying it.
      *
-     * @return the step that applies it
-     * @throws nettlewick.settings.InvalidSettingsException if it is invalid; the current settings stay in force
+     * @return the action that applies the new settings
+     * @throws nettlewick.settings.InvalidSettingsException if the file is invalid; the current settings stay in force
      */
     default Runnable prepareReload() {
         return () -> {};
     }
 
-    /** Stops everything, after the last answer. */
+    /** Stops all services, after the last response was sent. */
     default void close() {}
 }
--- a/src/main/java/nettlewick/cli/ReloadSignal.java
+++ b/src/main/java/nettlewick/cli/ReloadSignal.java
@@ -4,15 +4,17 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Catches SIGHUP, which asks for a reload of the configuration, from the first line of {@code main} on, and keeps it
- * until a handler is there. Left to the JVM, the signal would end the process.
+ * Handles SIGHUP, which requests a reload of the configuration. It is installed first in {@code main}, because SIGHUP
+ * ends the JVM by default, and keeps a signal pending until a reload action is registered.
  */
 final class ReloadSignal {
     private static final Semaphore PENDING_RELOADS = new Semaphore(0);
 
     private ReloadSignal() {}
 
-    /** Starts to catch the signal. By reflection, since the compiler warns of the class's name. */
+    /**
+     * Installs the signal handler. Uses reflection, because the compiler warns about use of {@code sun.misc.Signal}.
+     */
     static void install() {
         try {
             Class<?> signalClass = Class.forName("sun.misc.Signal");
@@ -26,11 +28,11 @@
                     .getMethod("handle", signalClass, handlerClass)
                     .invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), handler);
         } catch (ReflectiveOperationException e) {
-            System.err.println("nettlewick: SIGHUP cannot be caught here: " + e);
+            System.err.println("nettlewick: cannot install the SIGHUP handler: " + e);
         }
     }
 
-    /** Runs {@code reload} for each SIGHUP, also one that came before this call; several at once count as one. */
+    /** Runs {@code reload} on each SIGHUP, even one received before this call; several pending signals run it once. */
     static void onSignal(Runnable reload) {
         Thread thread = new Thread(
                 () -> {
--- a/src/main/java/nettlewick/cli/ReplayCommand.java
+++ b/src/main/java/nettlewick/cli/ReplayCommand.java
@@ -14,7 +14,7 @@
 import nettlewick.pcap.Capture;
 import nettlewick.pcap.CaptureReplayer;
 
-/** Sends the requests of a capture file through a dispatcher. */
+/** Replays the requests of a capture file through a dispatcher. */
 @Parameters(commandDescription = "Send the requests of a capture file at their recorded spacing")
 final class ReplayCommand implements Command {
     @Parameter(description = "FILE", required = true)
@@ -45,7 +45,7 @@
             throw new CommandException(Main.EXIT_USAGE_ERROR, e.getMessage());
         } catch (ExecutionException e) {
             throw new CommandException(
-                    Main.EXIT_FAILURE, "cannot replay: " + e.getCause().getMessage());
+                    Main.EXIT_FAILURE, "replay failed: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Main.EXIT_FAILURE;
--- a/src/main/java/nettlewick/cli/ServeCommand.java
+++ b/src/main/java/nettlewick/cli/ServeCommand.java
@@ -69,9 +69,9 @@
                         config, clock, hotRestart(config, clock), frontends.toArray(Frontend.Factory[]::new))
                 .recordUsageWith(features.usageRecorder())
                 .notifyListener(features.requestListener())
-                // No method reference: linking one would load the class where there are no operators.
+                // A lambda, because linking a method reference would load the class even without an admin address.
                 .serveOperatorsWith((address, operations) -> new AdminFrontend(address, operations));
-        // By itself the JVM would end on SIGTERM with code 143 at once; requests in flight are answered first.
+        // By default the JVM exits at once on SIGTERM, with code 143; this hook first answers the requests in flight.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -92,7 +92,7 @@
         return 0;
     }
 
-    /** Hands over from and to other processes of the same dispatcher; null if that is not possible. */
+    /** Creates the hot restart between processes of this dispatcher; null if it is not available. */
     private static HotRestart hotRestart(PlatformConfig config, Clock clock) {
         try {
             return config.listen().port() == 0
@@ -102,19 +102,21 @@
                             config.name() + "-" + config.listen().port(),
                             (long) clock.nowMillis());
         } catch (UncheckedIOException e) {
-            LOG.warning("no-upgrade", "no upgrade beside a living process: " + e.getMessage());
+            LOG.warning("no-upgrade", "hot restart is not available: " + e.getMessage());
             return null;
         }
     }
 
-    /** Reads both files before either is applied: an invalid one leaves all in force as it is. */
+    /** Reads both files before applying either, so that an invalid file changes nothing. */
     private static void reload(DispatcherServer server, OptionalFeatures features) {
         try {
             PlatformConfig config = PlatformConfig.reload(System.getenv());
             features.prepareReload().run();
             server.reload(config);
         } catch (RuntimeException e) {
-            LOG.warning("old-configuration-stays", "the old configuration stays: " + e.getMessage());
+            LOG.warning(
+                    "old-configuration-stays",
+                    "reload failed; the current configuration stays in force: " + e.getMessage());
         }
     }
 
@@ -124,7 +126,7 @@
                     Files.newOutputStream(Path.of(captureFile)), clock, captureMegabytes * BYTES_PER_MEGABYTE);
         } catch (IOException | IllegalArgumentException e) {
             throw new CommandException(
-                    Main.EXIT_FAILURE, "--capture " + captureFile + " cannot be written: " + e.getMessage());
+                    Main.EXIT_FAILURE, "--capture: cannot write " + captureFile + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/SettingsCommand.java
+++ b/src/main/java/nettlewick/cli/SettingsCommand.java
@@ -11,7 +11,7 @@
 import nettlewick.settings.Reference;
 import nettlewick.settings.Settings;
 
-/** Checks or shows a settings file, or prints the reference of all settings. */
+/** Checks or prints a settings file, or prints the reference of all settings. */
 @Parameters(commandDescription = "check FILE, show FILE (what is in force), or print the reference")
 final class SettingsCommand implements Command {
     @Parameter(description = "check FILE | show FILE | reference", required = true)
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Checks what the schema alone does not show.
+     * Checks constraints that the schema cannot express.
      *
-     * @throws InvalidSettingsException if something is wrong
+     * @throws InvalidSettingsException if a constraint is violated
      */
     static Settings requireValid(Settings settings) {
         settings.block("ledger").ifPresent(LedgerSettings::of);
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a settings file.
      *
      * @throws CommandException if it cannot be read or is invalid
      */
--- a/src/main/java/nettlewick/cli/SettingsFileFeatures.java
+++ b/src/main/java/nettlewick/cli/SettingsFileFeatures.java
@@ -22,7 +22,7 @@
 import nettlewick.sse.EventStreamFrontend;
 import nettlewick.tenantpools.TenantPoolsService;
 
-/** The features that the file of {@code serve --settings} turns on: ledger, leases, tenant pools, event streams. */
+/** The features that the settings file of {@code serve} enables: ledger, leases, tenant pools and event streams. */
 final class SettingsFileFeatures implements OptionalFeatures {
     private static final ComponentLogger LOG = ComponentLogger.of("node");
 
@@ -67,7 +67,7 @@
             throw initialSettings
                     .block("pools")
                     .get()
-                    .invalidValue("member", "beside a block `duty`: its holders decide");
+                    .invalidValue("member", "used together with a block `duty`, whose lease holders control the pools");
         }
     }
 
@@ -104,7 +104,8 @@
             List<String> needRestart = initialSettings.keywordsThatNeedARestart(newSettings);
             LOG.info(
                     "settings-reread",
-                    "settings reread" + (needRestart.isEmpty() ? "" : "; only a restart changes " + needRestart));
+                    "settings reloaded"
+                            + (needRestart.isEmpty() ? "" : "; changes that need a restart: " + needRestart));
         };
     }
 
--- a/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
+++ b/src/main/java/nettlewick/cli/SimulatorAdapterCommand.java
@@ -5,7 +5,7 @@
 import nettlewick.simulator.MalformedMessageException;
 import nettlewick.simulator.SimulatorAdapter;
 
-/** Serves the platform's simulator on standard input and output. */
+/** Connects to the platform's simulator through standard input and output. */
 @Parameters(commandDescription = "Serve the simulator's wire on standard input and output")
 final class SimulatorAdapterCommand implements Command {
     @Override
@@ -16,7 +16,7 @@
         } catch (MalformedMessageException e) {
             throw new CommandException(Main.EXIT_FAILURE, e.getMessage());
         } catch (IOException e) {
-            throw new CommandException(Main.EXIT_FAILURE, "cannot read or write the wire: " + e.getMessage());
+            throw new CommandException(Main.EXIT_FAILURE, "simulator connection failed: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/nettlewick/cli/StatementFormatter.java
+++ b/src/main/java/nettlewick/cli/StatementFormatter.java
@@ -3,7 +3,7 @@
 import java.math.BigDecimal;
 import nettlewick.ledger.Statement;
 
-/** The tables of a ledger statement, for people. Stateless. */
+/** Formats ledger statements as text tables. Stateless. */
 final class StatementFormatter {
     private static final BigDecimal MICROS_PER_MILLI = BigDecimal.valueOf(1000);
     private static final int MILLIS_DECIMALS = 3;
@@ -22,14 +22,14 @@
      * Parses slot time in milliseconds.
      *
      * @return microseconds
-     * @throws ArithmeticException   if there are more than three decimals, or too many digits
-     * @throws NumberFormatException if it is no number
+     * @throws ArithmeticException   if there are more than three decimals, or the value overflows
+     * @throws NumberFormatException if it is not a number
      */
     static long parseMillis(String millis) {
         return new BigDecimal(millis).multiply(MICROS_PER_MILLI).longValueExact();
     }
 
-    /** The statement of one period, with an empty line after it. */
+    /** Formats the statement of one period, followed by an empty line. */
     static String format(Statement statement) {
         StringBuilder text = new StringBuilder();
         text.append("period ").append(statement.period());
--- a/src/main/java/nettlewick/cli/SubCommand.java
+++ b/src/main/java/nettlewick/cli/SubCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The sub-commands by name. Older names stay as aliases: deploy files and scripts use them. */
+/** The names of the sub-commands. Former names remain as aliases, because deploy files and scripts use them. */
 enum SubCommand {
     SERVE("serve"),
     SIMULATOR_ADAPTER("simulator-adapter", "drill"),
@@ -34,7 +34,7 @@
         return mainName.equals(name) || Arrays.asList(aliases).contains(name);
     }
 
-    /** Creates the command. Loads no class of another command, which keeps starts fast. */
+    /** Creates the command without loading the classes of other commands, for a fast start. */
     Command create() {
         return switch (this) {
             case SERVE -> new ServeCommand();
--- a/src/main/java/nettlewick/cli/TextTable.java
+++ b/src/main/java/nettlewick/cli/TextTable.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A text table for people: columns as wide as their longest cell, columns of numbers aligned to the right. */
+/** A plain-text table. Columns are as wide as their longest cell, and numeric columns are aligned right. */
 final class TextTable {
     private final List<List<String>> rows = new ArrayList<>();
 
@@ -49,7 +49,7 @@
         return rows.stream().mapToInt(row -> length(row.get(column))).max().orElse(0);
     }
 
-    /** Whether there are rows and all of them, without the heads, hold numbers in this column. */
+    /** Whether there are rows besides the header and all of them hold numbers in this column. */
     private boolean isNumeric(int column) {
         return !isEmpty()
                 && rows.stream().skip(1).allMatch(row -> row.get(column).matches("-?[0-9.]+"));
--- a/src/main/java/nettlewick/cli/WarmUpCommand.java
+++ b/src/main/java/nettlewick/cli/WarmUpCommand.java
@@ -8,10 +8,10 @@
 import nettlewick.net.client.PlatformFrontend;
 import nettlewick.net.config.PlatformConfig;
 
-/** Starts and ends a dispatcher, so that the build can record the loaded classes in an archive for faster starts. */
+/** Starts and stops a dispatcher, so that the build can record the loaded classes in a CDS archive. */
 @Parameters(commandDescription = "Start on a free loopback port, warm up, and end")
 final class WarmUpCommand implements Command {
-    /** Nothing listens on port 1, so the classes of the discovery watch's retry are loaded too. */
+    /** Nothing listens on port 1, so that the classes that retry the discovery watch are loaded as well. */
     private static final String CONFIG = """
             {"name":"warm","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
              "known":{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","class":"m",
@@ -32,7 +32,7 @@
             server.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return 0;
         } catch (Exception e) {
-            throw new CommandException(Main.EXIT_FAILURE, "cannot warm up: " + e);
+            throw new CommandException(Main.EXIT_FAILURE, "warm-up failed: " + e);
         }
     }
 }
--- a/src/main/java/nettlewick/cli/package-info.java
+++ b/src/main/java/nettlewick/cli/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The command line of the jar: {@link nettlewick.cli.Main} picks the sub-command, each {@code *Command} class reads its
- * options and starts what the other packages provide.
+ * The command line of the jar: {@link nettlewick.cli.Main} selects the sub-command, and each {@code *Command} class
+ * parses its options and runs the services of the other packages.
  *
- * <p>Depends on all other packages; none depends on this one. Commands run on the main thread. Errors become one line
- * on standard error and an exit code, see {@link nettlewick.cli.CommandException}. What commands print, and their exit
- * codes, is read by scripts.
+ * <p>Depends on all other packages; none depends on this one. Commands run on the main thread. Errors are reported as
+ * one line on standard error and an exit code, see {@link nettlewick.cli.CommandException}. Scripts parse the output of
+ * the commands and rely on their exit codes.
  */
 package nettlewick.cli;
